--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,7 @@
-.PHONY: build build-grpc test lint run proto
+# The linter, built at the version that tools/go.mod pins ("go tool -n" prints its path). It wants Go 1.26, the product less.
+LINT = $$(go -C tools tool -n golangci-lint)
+
+.PHONY: build build-grpc test fmt lint run proto
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -10,9 +13,15 @@
 test:
 	go test -count=1 -race ./...
 
+# Formats all code (gofmt, gofumpt).
+fmt:
+	$(LINT) fmt
+
+# Formatting, vet and all linters of .golangci.yml, with each build tag.
 lint:
-	go vet ./...
-	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
+	go vet ./... && go vet -tags grpc ./...
+	$(LINT) run ./...
+	$(LINT) run --build-tags grpc ./...
 
 run: build
 	exec bin/cherrygap
