--- /dev/null
+++ b/internal/lab/report/earlier_test.go
@@ -0,0 +1,77 @@
+package report
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// TestEarlierSeriesStayReadable reads series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
+// `lab model --series` and `lab load --series`) and checks every figure that a report takes from them.
+func TestEarlierSeriesStayReadable(t *testing.T) {
+	var runs []Run
+	for _, name := range []string{"earlier-model", "earlier-load"} {
+		r, err := Read(filepath.Join("testdata", name+".jsonl"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if r.Name != name {
+			t.Errorf("the run of %s is called %q", name, r.Name)
+		}
+		runs = append(runs, r)
+	}
+	type second struct {
+		t                            int
+		p50, p95, p99, mean, busiest float64
+	}
+	const none = -1 // a load tool's series carries no servers' load
+	for i, want := range [][]second{
+		{{0, 22.783, 70.079, 121.599, 0.34375, 0.5}, {1, 23.935, 77.503, 109.951, 0.3125, 0.375},
+			{2, 22.703, 81.279, 108.415, 0.21875, 0.375}, {3, 24.783, 82.815, 116.351, 0.5, 0.75},
+			{4, 50.879, 294.655, 341.503, 0, 0}},
+		{{0, 69.823, 262.911, 469.247, none, none}, {1, 83.711, 315.391, 399.103, none, none},
+			{2, 73.983, 190.719, 333.567, none, none}},
+	} {
+		if len(runs[i].Lines) != len(want) {
+			t.Fatalf("%s: %d seconds, not %d", runs[i].Name, len(runs[i].Lines), len(want))
+		}
+		for k, l := range runs[i].Lines {
+			got := second{l.T, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
+			if l.LoadMean != nil && l.LoadMax != nil {
+				got.mean, got.busiest = *l.LoadMean, *l.LoadMax
+			}
+			if got != want[k] {
+				t.Errorf("%s: second %d is %+v, not %+v", runs[i].Name, k, got, want[k])
+			}
+		}
+	}
+	const table = `# runs
+
+| run | seconds | bounced | broken | completed | gave_up | completed share | worst p99 ms |
+|---|---|---|---|---|---|---|---|
+| earlier-model | 5 | 258 | 19 | 1497 | 0 | 0.844 | 341.5 |
+| earlier-load | 3 | 0 | 0 | 137 | 0 | 1.000 | 469.2 |
+`
+	var b strings.Builder
+	if err := Table(&b, "runs", runs); err != nil {
+		t.Fatal(err)
+	}
+	if b.String() != table {
+		t.Errorf("the table is\n%s\nnot\n%s", b.String(), table)
+	}
+	files, err := Write(t.TempDir(), "runs", runs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, f := range files {
+		if info, err := os.Stat(f); err != nil || info.Size() == 0 {
+			t.Errorf("%s: %v", f, err)
+		}
+		names = append(names, filepath.Base(f))
+	}
+	if got := strings.Join(names, " "); got != "goodput.png latency.png outcomes.png load.png report.md" {
+		t.Errorf("files %s", got)
+	}
+}
--- /dev/null
+++ b/internal/routing/mapping_test.go
@@ -0,0 +1,160 @@
+package routing
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+	"cherrygap/rules"
+)
+
+// TestServerNumbers pins the number that a server gets from its uid: FNV-1a of 32 bits, and the next free number
+// where another server has that one. Nodes name servers to each other by it, old nodes and new ones.
+func TestServerNumbers(t *testing.T) {
+	type numbered struct {
+		uid    string
+		number uint32
+	}
+	for _, c := range []struct {
+		name string
+		list []numbered
+	}{
+		{"no collision", []numbered{{"s0", 122795830}, {"s1", 139573449}, {"srv-a", 1557935716},
+			{"srv-00000001-00001", 4288927964}, {"é", 513665217}, {" ", 621580159}}},
+		{"the first listed has the hash", []numbered{{"costarring", 1582148253}, {"liquid", 1582148254}}},
+		{"in the other order", []numbered{{"liquid", 1582148253}, {"costarring", 1582148254}}},
+		{"two pairs", []numbered{{"declinate", 3792586706}, {"altarage", 3831552182}, {"zinke", 3831552183},
+			{"macallums", 3792586707}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := &protocol.List{Rev: 1, All: true}
+			at := map[netip.AddrPort]numbered{}
+			for i, s := range c.list {
+				addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 9000)
+				l.Targets = append(l.Targets, protocol.Target{UID: s.uid, Endpoint: addr, Weight: 1})
+				at[addr] = s
+			}
+			r, _, _ := startRouter(t, "replayable", 0)
+			for range 2 { // and again with each list
+				r.Listed(l, false)
+				for _, s := range r.Servers() {
+					if want := at[s.Addr]; s.Number() != want.number {
+						t.Errorf("%s has the number %d, not %d", want.uid, s.Number(), want.number)
+					}
+				}
+			}
+			if n := len(r.Servers()); n != len(c.list) {
+				t.Errorf("%d servers, not %d", n, len(c.list))
+			}
+		})
+	}
+}
+
+// TestFreedServerNumber pins that the number of a server that is gone is free again, and that whoever had the next one
+// keeps it.
+func TestFreedServerNumber(t *testing.T) {
+	f := newFleet()
+	target := func(uid string, s protocol.State) protocol.Target {
+		return protocol.Target{UID: uid, State: s, Weight: 1, Endpoint: netip.MustParseAddrPort("127.0.0.1:9000")}
+	}
+	for i, step := range []struct {
+		targets []protocol.Target
+		numbers []uint32
+	}{
+		{[]protocol.Target{target("costarring", protocol.InService), target("liquid", protocol.InService)}, []uint32{1582148253, 1582148254}},
+		{[]protocol.Target{target("costarring", protocol.Terminated)}, []uint32{1582148253}},
+		{[]protocol.Target{target("liquid", protocol.Terminating)}, []uint32{1582148254}},
+		{[]protocol.Target{target("costarring", protocol.InService)}, []uint32{1582148253}},
+	} {
+		for k, l := range f.take(&protocol.List{Targets: step.targets}) {
+			if l.Server != step.numbers[k] {
+				t.Errorf("step %d: %s has the number %d, not %d", i, step.targets[k].UID, l.Server, step.numbers[k])
+			}
+		}
+	}
+}
+
+// TestListingOfTarget pins how an entry of discovery's list reads to the decision module: zones and models are numbered
+// by order of first sight and keep their numbers, cells are their own numbers, times go from milliseconds since 1970 to
+// tenths of a millisecond.
+func TestListingOfTarget(t *testing.T) {
+	f := newFleet()
+	addr := netip.MustParseAddrPort("127.0.0.1:9000")
+	for i, c := range []struct {
+		target protocol.Target
+		want   rules.Listing
+	}{
+		{protocol.Target{UID: "s0", Endpoint: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
+			rules.Listing{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: rules.Ready, Weight: 2.5, Started: 18_000_000_001_230}},
+		{protocol.Target{UID: "s1", Endpoint: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
+			rules.Listing{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: rules.Draining, Weight: 0, Started: 0}},
+		{protocol.Target{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
+			rules.Listing{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: rules.Gone, Weight: 1, Started: 10}},
+		{protocol.Target{UID: "s0", Endpoint: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
+			rules.Listing{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: rules.Ready, Weight: 1, Started: 50}},
+		{protocol.Target{UID: "s1", Endpoint: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
+			rules.Listing{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: rules.Ready, Weight: 1, Started: 0}},
+	} {
+		got := f.take(&protocol.List{Targets: []protocol.Target{c.target}})
+		if len(got) != 1 || got[0] != c.want {
+			t.Errorf("%d: %+v reads as %+v, not %+v", i, c.target, got, c.want)
+		}
+	}
+}
+
+// TestOutcomesAsTheModuleTakesThem pins how the outcome of an attempt reads to the decision module.
+func TestOutcomesAsTheModuleTakesThem(t *testing.T) {
+	want := map[protocol.Outcome]rules.Outcome{protocol.Completed: rules.OK, protocol.Errored: rules.Failed,
+		protocol.TurnedAway: rules.Full, protocol.TimedOut: rules.TimedOut, protocol.Unconnected: rules.Unreached,
+		protocol.Broken: rules.Reset, protocol.Withdrawn: rules.Withdrawn, protocol.Unsent: rules.Moot,
+		protocol.Spoilt: rules.Spoilt}
+	if len(want) != int(protocol.Outcomes) {
+		t.Errorf("%d of %d outcomes pinned", len(want), protocol.Outcomes)
+	}
+	if len(outcomes) != len(want) {
+		t.Errorf("%d of %d outcomes mapped", len(outcomes), len(want))
+	}
+	for o, w := range want {
+		if outcomes[o] != w {
+			t.Errorf("%v reads as %d, not %d", o, outcomes[o], w)
+		}
+	}
+}
+
+// TestOutcomeNumbers pins the numbers of both lists of outcomes, which stand in messages and in records of runs.
+func TestOutcomeNumbers(t *testing.T) {
+	for i, o := range []protocol.Outcome{protocol.Completed, protocol.Errored, protocol.TurnedAway, protocol.TimedOut,
+		protocol.Unconnected, protocol.Broken, protocol.Withdrawn, protocol.Unsent, protocol.Spoilt, protocol.Outcomes} {
+		if int(o) != i {
+			t.Errorf("the %d-th outcome of the protocol has the number %d", i, o)
+		}
+	}
+	for i, o := range []rules.Outcome{rules.OK, rules.Failed, rules.Full, rules.TimedOut, rules.Unreached, rules.Reset,
+		rules.Withdrawn, rules.Moot, rules.Spoilt} {
+		if int(o) != i {
+			t.Errorf("the %d-th outcome of the module has the number %d", i, o)
+		}
+	}
+	for i, s := range []rules.State{rules.Draining, rules.Ready, rules.Gone} {
+		if int(s) != i {
+			t.Errorf("the %d-th state of the module has the number %d", i, s)
+		}
+	}
+}
+
+// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole tenths of a millisecond on their
+// way in: 99 µs left is none, which is refused at once.
+func TestTimesInTenthsOfMilliseconds(t *testing.T) {
+	for _, c := range []struct {
+		left time.Duration
+		want Do
+	}{{99 * time.Microsecond, Bounce}, {2 * time.Second, Execute}} {
+		_, ticket, _ := startRouter(t, "replayable", 2)
+		ticket.Take(&request, c.left)
+		got := ticket.Pick()
+		if got.Do != c.want || got.Wait%tenth != 0 || got.Advice%tenth != 0 {
+			t.Errorf("%v left: %+v", c.left, got)
+		}
+	}
+}
