--- /dev/null
+++ b/internal/settings/pinned_test.go
@@ -0,0 +1,152 @@
+package settings
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+)
+
+// The tests of this file hold what is read from the platform's JSON and from the simulator's text to what commit cf1acfb
+// read: a name that is lost, or read otherwise, changes the decisions of a node without an error.
+
+// pinned fails a case whose settings, in the order of their names, are not those written out.
+func pinned(t *testing.T, name string, set map[string]string, want string) {
+	t.Helper()
+	t.Run(name, func(t *testing.T) {
+		t.Helper()
+		got := ""
+		for _, key := range slices.Sorted(maps.Keys(set)) {
+			got += fmt.Sprintf("%s=%s;", key, set[key])
+		}
+		if got != want {
+			t.Errorf("PIN\t%s\t%q\nwant %q", name, got, want)
+		}
+	})
+}
+
+// fullText gives every name that is known, with what each odd name of the same shape does beside it.
+const fullText = `slot_no=2
+replicas_of_me=5
+tick=4000
+registry_mode=subscribe
+services.count=2
+services.0.name=seats
+services.0.semantics=idempotent
+services.0.slo=600000
+services.0.deadline=1200000
+services.0.group=zone
+services.0.window=3000000
+services.0.worth=1.5
+services.0.late_value=0.25
+services.0.stream=3
+services.0.aim_stretch=1.1
+services.1.name=buy
+services.1.semantics=deduplicated
+tiers_of_service.count=1
+tiers_of_service.0.name=team
+tiers_of_service.0.depth=40
+tiers_of_service.0.units_per_s=12.5
+tiers_of_service.0.max_out=7
+tiers_of_service.0.value_factor=2
+tiers_of_service.0.beyond_earns=0.5
+tiers_of_service.0.beyond_costs=0.75
+tiers_of_service.0.hard_rate=25
+tiers_of_service.0.never_over_depth=80
+tiers_of_service.0.cap_slack=1.05
+limits.attempts_cap=4
+limits.second_copies=true
+limits.cancel=true
+limits.probes=false
+limits.peers=true
+limits.retry_after=true
+limits.max_retry_after=2000000
+limits.max_open=512
+limits.conn_idle=30000000
+limits.connect_timeout=1000000
+safety.cold=10000000
+safety.cold_from=0.25
+safety.fall_multiple=3
+safety.tip_after=2000000
+safety.drain_grace=5000000
+safety.answer_slack=50000
+safety.ask_within=70000
+specifics.trued_up=true
+specifics.largest=6
+specifics.peer_in_per_s=60
+feedback.columns=rif,q,busy,lat_ms,rate,fail_rate
+feedback.how=header
+`
+
+const fullJSON = `{"slot_no":2,"replicas_of_me":5,"tick":4000,"registry_mode":"automatic",
+"services":[{"name":"seats","semantics":"idempotent","slo":600000,"deadline":1200000,"group":"zone","window":3000000,
+"worth":1.5,"late_value":0.25,"stream":3,"aim_stretch":1.1},{"name":"buy","semantics":"at_most_once"}],
+"tiers_of_service":[{"name":"team","depth":40,"units_per_s":12.5,"max_out":7,"value_factor":2,"beyond_earns":0.5,
+"beyond_costs":0.75,"hard_rate":25,"never_over_depth":80,"cap_slack":1.05}],
+"limits":{"attempts_cap":4,"second_copies":true,"cancel":true,"probes":false,"peers":true,"retry_after":true,
+"max_retry_after":2000000,"max_open":512,"conn_idle":30000000,"connect_timeout":1000000},
+"safety":{"cold":10000000,"cold_from":0.25,"fall_multiple":3,"tip_after":2000000,"drain_grace":5000000,
+"answer_slack":50000,"ask_within":70000},
+"specifics":{"trued_up":true,"largest":6,"peer_in_per_s":60},
+"feedback":{"columns":["rif","q","busy","lat_ms","rate","fail_rate"],"how":"header"}}`
+
+func TestPinnedText(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"full", fullText, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		{"nothing", "", ""},
+		{"unknown names", "some.new.key=7\nbands=3\nservices.0.new=1\nlimits=4\nlimits.new=5\nband.0.name=x\nplan=1\n", ""},
+		{"own names are not taken", "node=1\nroster=ask\nband.count=3\nplan.count=2\nexecutions=9\n", ""},
+		{"no sign, sign first, two signs", "tick\n=4\nlimits.attempts_cap=3=4\n", "executions=3=4;"},
+		{"blanks", "  tick=4000  \r\nslot_no = 3\nreplicas_of_me= 4\n", "nodes= 4;tick=40;"},
+		{"given twice", "slot_no=1\nslot_no=2\n", "node=2;"},
+		{"empty values", "slot_no=\ntick=\nregistry_mode=\nfeedback.columns=\nservices.0.semantics=\n", "band.0.repeats=;load.fields=;node=;roster=;tick=;"},
+		{"unknown words", "registry_mode=other\nservices.0.semantics=sometimes\nfeedback.columns=rif,new,q\n", "band.0.repeats=;load.fields=open,,waiting;roster=;"},
+		{"words of the other list", "registry_mode=idempotent\nservices.0.semantics=subscribe\n", "band.0.repeats=ask;roster=replayable;"},
+		// What a float past an int64 becomes is the processor's: these two are amd64's.
+		{"no times", "tick=soon\nsafety.cold=NaN\nsafety.drain_grace=1e400\n", "cold.span=-92233720368547758;drain.grace=1e400;tick=soon;"},
+		{"time past 64 bits", "tick=1e300\nsafety.cold=Inf\n", "cold.span=-92233720368547758;tick=-92233720368547758;"},
+		{"odd times", "tick=4099.9\nsafety.cold=1e7\nsafety.tip_after=-250\nsafety.ask_within=0x10p4\nsafety.drain_grace=99\n", "ask.within=2;cold.span=100000;drain.grace=0;fall.span=-2;tick=40;"},
+		{"lists without a number", "services=3\nservices.count=2\nservices.x.slo=1000\nservices..slo=2000\nservices.0=1\ntiers_of_service.name=x\n", "band=3;band..contract=20;band.count=2;band.x.contract=10;"},
+		{"lists past their count", "services.count=1\nservices.7.slo=1000\n", "band.7.contract=10;band.count=1;"},
+		{"deep names", "services.0.slo.more=1\nlimits.peers.more=true\ntiers_of_service.0.depth.x=2\n", ""},
+		{"capitals", "TICK=4000\nLimits.Peers=true\n", ""},
+	} {
+		pinned(t, c.name, FromText([]byte(c.text)), c.want)
+	}
+}
+
+func TestPinnedJSON(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"full", fullJSON, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=single-use;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=push;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		{"nothing", `{}`, ""},
+		{"null", `null`, ""},
+		{"nulls inside", `{"tick":null,"services":null,"limits":{"peers":null},"slot_no":1}`, "node=1;"},
+		{"empty lists", `{"services":[],"tiers_of_service":[],"feedback":{"columns":[]}}`, "band=;load.fields=;plan=;"},
+		{"lists of words", `{"services":["a","b"],"slot_no":[1,2],"feedback":{"columns":["rif"]}}`, "band=a,b;load.fields=open;node=1,2;"},
+		{"lists of both", `{"services":["a",{"slo":1000},"b"],"tiers_of_service":[{"depth":1},"x"]}`, "band.1.contract=10;band.count=3;plan.0.depth=1;plan.count=2;"},
+		{"lists of nulls", `{"slot_no":[null,1],"services":[null,{"slo":1000}]}`, "band.1.contract=10;band.count=2;node=<nil>,1;"},
+		{"lists in lists", `{"slot_no":[[1,2],3]}`, "node=[1 2],3;"},
+		{"objects for words", `{"slot_no":{"x":1},"registry_mode":{"y":2}}`, ""},
+		{"numbers as written", `{"slot_no":1.0,"replicas_of_me":1e2,"tick":4.0e3,"limits":{"max_open":12345678901234567890}}`, "node=1.0;nodes=1e2;tick=40;tickets.most=12345678901234567890;"},
+		{"numbers as strings", `{"slot_no":"1","tick":"4000","limits":{"peers":"true"}}`, "node=1;peers=true;tick=40;"},
+		{"names with dots", `{"limits.peers":true,"services.0.slo":1000,"services.count":4}`, "band.0.contract=10;band.count=4;peers=true;"},
+		{"unknown names", `{"some":{"new":{"key":7}},"services":[{"new":1}]}`, "band.count=1;"},
+		{"more after", `{"slot_no":1} trailing`, "node=1;"},
+	} {
+		set, err := FromJSON([]byte(c.text))
+		if err != nil {
+			t.Errorf("%s: %v", c.name, err)
+		}
+		pinned(t, c.name, set, c.want)
+	}
+	for text, want := range map[string]string{
+		`[1]`:     "json: cannot unmarshal array into Go value of type map[string]interface {}",
+		``:        "EOF",
+		`{"a":`:   "unexpected EOF",
+		`"words"`: "json: cannot unmarshal string into Go value of type map[string]interface {}",
+	} {
+		if set, err := FromJSON([]byte(text)); set != nil || err == nil || err.Error() != want {
+			t.Errorf("%q gave %v, %v, want %q", text, set, err, want)
+		}
+	}
+}
