--- /dev/null
+++ b/internal/gate/pinned_test.go
@@ -0,0 +1,253 @@
+package gate
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	auth "github.com/envoyproxy/go-control-plane/envoy/service/auth/v3"
+	rpc "google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/proto"
+
+	"cherrygap/internal/authz"
+	"cherrygap/internal/protocol"
+)
+
+// The tests of this file hold what passes over gRPC to the bytes of commit cf1acfb: clients and authorisers know this
+// service by them.
+
+// pinned fails a case whose rendering is not the one written out.
+func pinned(t *testing.T, name, got, want string) {
+	t.Helper()
+	t.Run(name, func(t *testing.T) {
+		t.Helper()
+		if got != want {
+			t.Errorf("PIN\t%s\t%q\nwant %q", name, got, want)
+		}
+	})
+}
+
+func TestPinnedMessages(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		message proto.Message
+		want    string
+	}{
+		{"request", &Ticket{Id: "9b1f", Band: "seats", Customer: 1 << 32, Plan: "team", Units: 2.5, Spread: 3, First: 1, Body: []byte("two seats"), Type: "text/plain", Key: "k-1"}, "\n\x049b1f\x12\x05seats\x18\x80\x80\x80\x80\x10\"\x04team)\x00\x00\x00\x00\x00\x00\x04@0\x038\x01B\ttwo seatsJ\ntext/plainR\x03k-1"},
+		{"empty request", &Ticket{}, ""},
+		{"answer", &Answer{Body: []byte("ok"), Type: "text/plain"}, "\n\x02ok\x12\ntext/plain"},
+		{"empty answer", &Answer{}, ""},
+	} {
+		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(c.message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		pinned(t, c.name, string(raw), c.want)
+		back := c.message.ProtoReflect().New().Interface()
+		if err := proto.Unmarshal(raw, back); err != nil || !proto.Equal(back, c.message) {
+			t.Errorf("%s is read as %v, %v", c.name, back, err)
+		}
+	}
+}
+
+// The names and numbers of the service, as a client's own generated code has them.
+func TestPinnedService(t *testing.T) {
+	file := (&Ticket{}).ProtoReflect().Descriptor().ParentFile()
+	got := string(file.Package())
+	for i := range file.Services().Len() {
+		s := file.Services().Get(i)
+		for k := range s.Methods().Len() {
+			m := s.Methods().Get(k)
+			got += fmt.Sprintf("; rpc %s(%s) %s stream %v %v", m.FullName(), m.Input().FullName(), m.Output().FullName(),
+				m.IsStreamingClient(), m.IsStreamingServer())
+		}
+	}
+	for i := range file.Messages().Len() {
+		m := file.Messages().Get(i)
+		got += fmt.Sprintf("; %s {", m.FullName())
+		for k := range m.Fields().Len() {
+			f := m.Fields().Get(k)
+			got += fmt.Sprintf("%s %s=%d,", f.Kind(), f.JSONName(), f.Number())
+		}
+		got += "}"
+	}
+	for _, c := range []struct{ name, got, want string }{
+		{"descriptor", got, "cherrygap.gate.v1; rpc cherrygap.gate.v1.Gate.Pass(cherrygap.gate.v1.Ticket) cherrygap.gate.v1.Answer stream false false; cherrygap.gate.v1.Ticket {string id=1,string band=2,uint64 customer=3,string plan=4,double units=5,uint32 spread=6,uint32 first=7,bytes body=8,string type=9,string key=10,}; cherrygap.gate.v1.Answer {bytes body=1,string type=2,}"},
+		{"registered", fmt.Sprint(Gate_ServiceDesc.ServiceName, Gate_ServiceDesc.Methods[0].MethodName, len(Gate_ServiceDesc.Methods), len(Gate_ServiceDesc.Streams)), "cherrygap.gate.v1.GatePass1 0"},
+		{"full method", Gate_Pass_FullMethodName, "/cherrygap.gate.v1.Gate/Pass"},
+	} {
+		pinned(t, c.name, c.got, c.want)
+	}
+}
+
+// authoriserRecorder is an authoriser that notes what it was sent.
+type authoriserRecorder struct {
+	auth.UnimplementedAuthorizationServer
+	mu     sync.Mutex // guards the rest: each call has a goroutine of its own
+	method string
+	keys   []string
+	raw    []byte
+	code   codes.Code
+}
+
+func (r *authoriserRecorder) Check(ctx context.Context, q *auth.CheckRequest) (*auth.CheckResponse, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	md, _ := metadata.FromIncomingContext(ctx)
+	r.keys = slices.Sorted(maps.Keys(md))
+	r.method, _ = grpc.Method(ctx)
+	var err error
+	r.raw, err = proto.MarshalOptions{Deterministic: true}.Marshal(q)
+	return &auth.CheckResponse{Status: &rpc.Status{Code: int32(r.code)}}, err
+}
+
+func TestPinnedChecks(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, recorder := grpc.NewServer(), &authoriserRecorder{}
+	auth.RegisterAuthorizationServer(server, recorder)
+	go func() { _ = server.Serve(ln) }()
+	t.Cleanup(server.Stop)
+	a := dial(t, ln.Addr().String())
+	q := &protocol.Request{Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Band: "buy", Plan: "team", Customer: 0xb4d65521,
+		Units: 2.5, Spread: 3, First: 1, Body: []byte("two seats"), Key: "k-1", Type: "text/plain"}
+	for _, c := range []struct {
+		code codes.Code
+		want authz.Verdict
+	}{{codes.PermissionDenied, authz.Denied}, {codes.Unauthenticated, authz.Denied}, {codes.Internal, authz.Shut}, {99, authz.Shut},
+		{codes.OK, authz.Pass}} {
+		recorder.mu.Lock()
+		recorder.code = c.code
+		recorder.mu.Unlock()
+		if v, _ := a.Check(context.Background(), q, 8*time.Second); v != c.want {
+			t.Errorf("%v gave %v, want %v", c.code, v, c.want)
+		}
+	}
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	want := &auth.CheckRequest{Attributes: &auth.AttributeContext{
+		Source: &auth.AttributeContext_Peer{Principal: "00000000b4d65521", Address: &core.Address{}},
+		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: "9b1f", Method: "POST",
+			Path: "/buy/x/00000000b4d65521?a=1", Host: "api", Protocol: "HTTP/1.1", Size: 9, Headers: map[string]string{"x-tariff": "team"}}},
+		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"}}}
+	if raw, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || string(raw) != string(recorder.raw) {
+		t.Errorf("%q differs from %q, %v", recorder.raw, raw, err)
+	}
+	for _, c := range []struct{ name, got, want string }{
+		{"request", string(recorder.raw), "\n\xad\x01\n\x14\n\x00\"\x1000000000b4d65521\"N\x12L\n\x049b1f\x12\x04POST\x1a\x10\n\bx-tariff\x12\x04team\"\x1b/buy/x/00000000b4d65521?a=1*\x03apiH\tR\bHTTP/1.1R\v\n\x04band\x12\x03buyR\x1c\n\bcustomer\x12\x1000000000b4d65521R\f\n\x04plan\x12\x04teamR\f\n\x05units\x12\x032.5"},
+		{"method", recorder.method, "/envoy.service.auth.v3.Authorization/Check"},
+		{"metadata", strings.Join(recorder.keys, " "), ":authority content-type user-agent"},
+	} {
+		pinned(t, c.name, c.got, c.want)
+	}
+}
+
+// checkStub gives every request of a class the same verdict.
+type checkStub map[string]authz.Verdict
+
+func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) (authz.Verdict, time.Duration) {
+	return s[q.Band], 0
+}
+
+func TestPinnedAnswers(t *testing.T) {
+	var mu sync.Mutex
+	seen := map[string]string{}
+	n := start(t, checkStub{"look": authz.Pass, "buy": authz.Pass}, func(w http.ResponseWriter, q *http.Request) {
+		mu.Lock()
+		q.Header.Set("X-Budget-Ms", fmt.Sprint(q.Header.Get("X-Budget-Ms") != ""))
+		seen[q.Header.Get("X-Call-Id")] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
+		mu.Unlock()
+		switch {
+		case strings.HasSuffix(q.URL.Path, "fe"): // breaks in its answer
+			conn, _, err := w.(http.Hijacker).Hijack()
+			if err == nil {
+				conn.Close()
+			}
+		case strings.HasSuffix(q.URL.Path, "ff"):
+			w.Header().Set("X-Rejected", "1")
+			w.WriteHeader(http.StatusServiceUnavailable)
+		default:
+			w.Header().Set("Content-Type", "text/plain")
+			fmt.Fprint(w, "ok")
+		}
+	})
+	denied := start(t, checkStub{"look": authz.Denied, "buy": authz.Shut}, func(http.ResponseWriter, *http.Request) {})
+	call := func(n *node, q *Ticket) string {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
+		a, err := n.gate.Pass(ctx, q)
+		if err == nil {
+			return fmt.Sprintf("%q %q", a.Body, a.Type)
+		}
+		s := status.Convert(err)
+		got := fmt.Sprintf("%s %q", s.Code(), s.Message())
+		for _, d := range s.Proto().Details {
+			got += " " + d.TypeUrl
+		}
+		return got
+	}
+	for _, c := range []struct {
+		name    string
+		node    *node
+		request *Ticket
+		want    string
+	}{
+		{"buy", n, &Ticket{Id: "1", Band: "buy", Plan: "team", Customer: 5, Units: 1, Spread: 1, Body: []byte("two"), Type: "a/b", Key: "k"}, "\"ok\" \"text/plain\""},
+		{"look", n, &Ticket{Id: "2", Band: "look", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "\"ok\" \"text/plain\""},
+		{"rejected", n, &Ticket{Id: "3", Band: "look", Plan: "team", Customer: 255, Units: 1, Spread: 1}, "Unavailable \"bounced: trying again is harmless\" type.googleapis.com/google.rpc.RetryInfo"},
+		{"failed", n, &Ticket{Id: "4", Band: "buy", Plan: "team", Customer: 254, Units: 1, Spread: 1}, "Unknown \"broken off: it may have run\""},
+		{"denied", denied, &Ticket{Id: "5", Band: "look", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "PermissionDenied \"not allowed\""},
+		{"not checked", denied, &Ticket{Id: "6", Band: "buy", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "Unavailable \"bounced: trying again is harmless\""},
+		{"same id", n, &Ticket{Id: "1", Band: "look", Plan: "team", Units: 1, Spread: 1}, "AlreadyExists \"id of another ticket\""},
+		{"unknown class", n, &Ticket{Id: "9", Band: "fly", Plan: "team", Units: 1, Spread: 1}, "NotFound \"unknown band or plan\""},
+		{"unknown plan", n, &Ticket{Id: "9", Band: "look", Plan: "gold", Units: 1, Spread: 1}, "NotFound \"unknown band or plan\""},
+		{"no id", n, &Ticket{Band: "look", Plan: "team", Units: 1, Spread: 1}, "InvalidArgument \"malformed id\""},
+		{"odd key", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Key: "a\nb"}, "InvalidArgument \"odd type or key\""},
+		{"units too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 7, Spread: 1}, "InvalidArgument \"figures outside the settings\""},
+		{"spread too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 2}, "InvalidArgument \"figures outside the settings\""},
+		{"no spread", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1}, "InvalidArgument \"malformed units or set\""},
+		{"customer too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Customer: 1 << 33}, "InvalidArgument \"malformed customer\""},
+		{"body of a get", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Body: []byte("x")}, "InvalidArgument \"a band that is safe to repeat takes no body\""},
+		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MostBody+1)}, "InvalidArgument \"body too large\""},
+		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MostBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
+	} {
+		pinned(t, c.name, call(c.node, c.request), c.want)
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	for _, c := range []struct{ name, got, want string }{
+		{"buy as sent", seen["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
+		{"look as sent", seen["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
+	} {
+		pinned(t, c.name, c.got, c.want)
+	}
+}
+
+func TestPinnedMethods(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		set  map[string]string
+		want string
+	}{
+		{"none", nil, "map[] <nil>"},
+		{"three", map[string]string{"band.0.name": "look", "band.0.repeats": "replayable", "band.1.name": "buy", "band.1.repeats": "referenced", "band.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
+		{"no path part", map[string]string{"band.0.name": "a/b"}, "map[] band a/b is no path part"},
+	} {
+		got, err := Methods(c.set)
+		pinned(t, c.name, fmt.Sprint(got, err), c.want)
+	}
+}
