--- /dev/null
+++ b/internal/transport/golden_healthcheck_test.go
@@ -0,0 +1,35 @@
+package transport
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/duties"
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
+)
+
+// A health check as the app server sees it.
+func TestGoldenHealthCheck(t *testing.T) {
+	addr, probes := discovered(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	log := zerolog.Nop()
+	router := routing.New(routing.Config{Seed: 3, Settings: map[string]string{"nodes": "1", "tick": "20"},
+		Wake: func(time.Duration) {}, Tell: func(int, []byte) {}, Watch: func() {}, Note: func([]byte) {}})
+	router.Listed(&protocol.List{All: true, Targets: []protocol.Target{{UID: "s", Weight: 1,
+		Endpoint: netip.MustParseAddrPort(addr)}}}, true)
+	d := NewDuties(duties.Config{Nodes: 1, Seed: 5, Take: 400, Bytes: 1 << 14, Every: time.Second}, router,
+		NewPool(roomy, &log, &Counters{}), func(int, []byte) {}, &log)
+	go d.Run()
+	defer d.Close()
+	select {
+	case got := <-probes:
+		if want := "GET /healthz HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"; got != want {
+			t.Errorf("got\n%q, not\n%q", got, want)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("no health check")
+	}
+}
