--- /dev/null
+++ b/internal/lab/emulator/golden_test.go
@@ -0,0 +1,83 @@
+package emulator
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+)
+
+// The last line of lab emulate has the keys that testdata/stats.json keeps, one a count.
+func TestStatsKeys(t *testing.T) {
+	var s Stats
+	for i := range reflect.TypeOf(s).NumField() {
+		reflect.ValueOf(&s).Elem().Field(i).SetInt(int64(i + 1))
+	}
+	raw, err := json.Marshal(map[string]any{"stats": []Stats{s}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/stats.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(raw, '\n'), want) {
+		t.Errorf("got\n%s", raw)
+	}
+}
+
+// Every fault, as a schedule file names it.
+func TestScheduleKeys(t *testing.T) {
+	const text = `
+[[fault]]
+kind = "slow"
+server = -1
+at_s = 1
+for_s = 2
+x = 3
+[[fault]]
+kind = "error"
+server = 1
+at_s = 2
+for_s = 2
+p = 0.5
+[[fault]]
+kind = "reset"
+at_s = 3
+for_s = 2
+[[fault]]
+kind = "spoil"
+at_s = 4
+for_s = 2
+[[fault]]
+kind = "silence"
+at_s = 5
+for_s = 2
+[[fault]]
+kind = "lose"
+at_s = 6
+for_s = 2
+[[fault]]
+kind = "refuse"
+at_s = 7
+for_s = 2
+[[fault]]
+kind = "restart"
+at_s = 8
+for_s = 2
+[[fault]]
+kind = "drain"
+at_s = 9
+for_s = 2
+`
+	s, err := ParseSchedule(text, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []Fault{{Slow, -1, 1, 2, 1, 3}, {Error, 1, 2, 2, 0.5, 5}, {Reset, 0, 3, 2, 1, 5}, {Spoil, 0, 4, 2, 1, 5},
+		{Silence, 0, 5, 2, 1, 5}, {Lose, 0, 6, 2, 1, 5}, {Refuse, 0, 7, 2, 1, 5}, {Restart, 0, 8, 2, 1, 5}, {Drain, 0, 9, 2, 1, 5}}
+	if !reflect.DeepEqual(s.Faults, want) {
+		t.Errorf("%+v", s.Faults)
+	}
+}
--- /dev/null
+++ b/internal/lab/load/golden_test.go
@@ -0,0 +1,58 @@
+package load
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	hdr "github.com/HdrHistogram/hdrhistogram-go"
+
+	"cherrygap/internal/lab/report"
+)
+
+// A series of two seconds has the lines that testdata/series.jsonl keeps, byte for byte, and lab report reads it.
+func TestSeriesKeys(t *testing.T) {
+	var out bytes.Buffer
+	tool := &Tool{Series: &out, res: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, Again: 1},
+		sec: secondAcc{lat: hdr.New(1, maxMicros, 3), sent: 10, lag: 1500}}
+	for o, n := range []int{4, 3, 2, 1} {
+		for k := range n {
+			tool.end(Outcome(o), time.Duration(k+1)*time.Millisecond)
+		}
+	}
+	for range 2 { // the second one is empty
+		if err := tool.flush(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile("testdata/series.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("got\n%s", out.String())
+	}
+	_ = tool.res.Lag.RecordValue(1500)
+	tool.res.Behind = true
+	raw, err := json.Marshal(tool.res.Summary())
+	const summary = `{"sent":10,"again":1,"outcomes":{"bounced":3,"broken":2,"completed":4,"gave_up":1},"p50_ms":2,` +
+		`"p99_ms":4.001,"p999_ms":4.001,"lag_p99_ms":1.5,"behind":true}`
+	if err != nil || string(raw) != summary {
+		t.Errorf("summary %s, %v", raw, err)
+	}
+	run, err := report.Read("testdata/series.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var table bytes.Buffer
+	if err := report.Table(&table, "t", []report.Run{run}); err != nil {
+		t.Fatal(err)
+	}
+	const tableWant = "# t\n\n| run | seconds | bounced | broken | completed | gave_up | completed share | worst p99 ms |\n" +
+		"|---|---|---|---|---|---|---|---|\n| series | 2 | 3 | 2 | 4 | 1 | 0.400 | 4.0 |\n"
+	if table.String() != tableWant {
+		t.Errorf("table\n%s", table.String())
+	}
+}
--- /dev/null
+++ b/internal/lab/scale/golden_test.go
@@ -0,0 +1,93 @@
+package scale
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+)
+
+// fill sets every exported figure of v to a number of its own, so that a key that goes or moves shows.
+func fill(v reflect.Value, next *int) {
+	*next++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), next)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(v.Index(i), next)
+		}
+	case reflect.Map:
+		e := reflect.New(v.Type().Elem()).Elem()
+		fill(e, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(reflect.ValueOf("use"), e)
+	case reflect.String:
+		v.SetString("name")
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	case reflect.Uint64:
+		v.SetUint(uint64(*next))
+	default:
+		v.SetInt(int64(*next))
+	}
+}
+
+// The line of lab scale has the keys, in the order, that testdata/result.json keeps, which earlier runs wrote.
+func TestResultKeys(t *testing.T) {
+	want, err := os.ReadFile("testdata/result.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var r Result
+	next := 0
+	fill(reflect.ValueOf(&r).Elem(), &next)
+	raw, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	if err := json.Indent(&got, raw, "", " "); err != nil {
+		t.Fatal(err)
+	}
+	got.WriteByte('\n')
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("got\n%s", got.String())
+	}
+}
+
+// The lines between the lab and its children: one program writes and reads both, so that their keys may change, but a key
+// that only one side knows would be lost in silence.
+func TestChildLinesSurvive(t *testing.T) {
+	for name, v := range map[string]any{"hollow order": &hollowOrder{}, "hollow word": &hollowWord{Section: &hollowSection{},
+		Report: &hollowReport{}}, "server order": &serverOrder{}, "server word": &serverWord{}} {
+		next := 0
+		for i := range reflect.ValueOf(v).Elem().NumField() {
+			f := reflect.ValueOf(v).Elem().Field(i)
+			if f.Kind() == reflect.Pointer {
+				if r, ok := f.Interface().(*hollowReport); ok {
+					r.Lists, r.Peers, r.Load = []listTaken{{7, []int64{8, 0}}}, []peersBytes{{1, 2, 3, 4, 5}}, []int64{9}
+					r.Sent, r.P99, r.Unanswered, r.TickLag = 10, 11, 12, 13
+				} else {
+					fill(f.Elem(), &next)
+				}
+				continue
+			}
+			fill(f, &next)
+		}
+		raw, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
+		if err := json.Unmarshal(raw, back); err != nil || !reflect.DeepEqual(back, v) {
+			t.Errorf("%s: %v, %s", name, err, raw)
+		}
+	}
+}
