--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -37,3 +37,22 @@
 		}
 	}
 }
+
+// grpcCommandLine is what the command line has beside pinnedCommandLine in a program with gRPC.
+var grpcCommandLine = []string{
+	"cherrygap lab authz",
+	"cherrygap lab authz --delay duration=1ms",
+	"cherrygap lab authz --deny-every uint64=0",
+	"cherrygap lab authz --down-for duration=1s",
+	"cherrygap lab authz --drop float64=0",
+	"cherrygap lab authz --for duration=0s",
+	"cherrygap lab authz --lag float64=0",
+	"cherrygap lab authz --lag-for duration=1s",
+	"cherrygap lab authz --listen string=127.0.0.1:0",
+	"cherrygap lab authz --odd float64=0",
+	"cherrygap lab authz --seed uint64=1",
+	"cherrygap lab authz --up-for duration=0s",
+}
+
+// grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC.
+var grpcLabOutput = []struct{ args, want string }{{"lab authz --for 20ms", "authoriser|answers starts"}}
--- a/cmd/cherrygap/nogrpc_test.go
+++ b/cmd/cherrygap/nogrpc_test.go
@@ -27,3 +27,9 @@
 		}
 	}
 }
+
+// grpcCommandLine is what the command line has beside pinnedCommandLine in a program with gRPC: here nothing.
+var grpcCommandLine []string
+
+// grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC: here nothing.
+var grpcLabOutput []struct{ args, want string }
--- /dev/null
+++ b/cmd/cherrygap/pin_cli_test.go
@@ -0,0 +1,148 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+)
+
+// commandLine is all commands and flags with their defaults, a line each.
+func commandLine(cmd *cobra.Command) (lines []string) {
+	line := cmd.CommandPath()
+	if cmd.Hidden {
+		line += " (hidden)"
+	}
+	lines = append(lines, line)
+	cmd.LocalFlags().VisitAll(func(f *pflag.Flag) {
+		lines = append(lines, fmt.Sprintf("%s --%s %s=%s", cmd.CommandPath(), f.Name, f.Value.Type(), f.DefValue))
+	})
+	for _, sub := range cmd.Commands() {
+		lines = append(lines, commandLine(sub)...)
+	}
+	return lines
+}
+
+// Every command and flag with its default: one that gets another name stays beside it under the old.
+func TestPinnedCommandLine(t *testing.T) {
+	t.Setenv("GW_OPERATOR", "")
+	want := strings.Split(strings.TrimSpace(pinnedCommandLine), "\n")
+	got := commandLine(newRoot())
+	for _, l := range want {
+		if !slices.Contains(got, l) {
+			t.Errorf("missing: %s", l)
+		}
+	}
+	for _, l := range got {
+		if !slices.Contains(want, l) && !slices.Contains(grpcCommandLine, l) {
+			t.Errorf("new:     %s", l)
+		}
+	}
+	for _, l := range grpcCommandLine {
+		if !slices.Contains(got, l) {
+			t.Errorf("missing: %s", l)
+		}
+	}
+}
+
+const pinnedCommandLine = `
+cherrygap
+cherrygap --operator string=
+cherrygap config
+cherrygap config check
+cherrygap lab
+cherrygap lab duties
+cherrygap lab duties --for duration=2m0s
+cherrygap lab duties --nodes int=80
+cherrygap lab duties --scenario string=vanish
+cherrygap lab duties --seed uint64=1
+cherrygap lab duties --servers int=60
+cherrygap lab duties --take float64=40
+cherrygap lab emulate
+cherrygap lab emulate --for duration=0s
+cherrygap lab emulate --listen string=127.0.0.1:0
+cherrygap lab emulate --schedule string=
+cherrygap lab emulate --seed uint64=1
+cherrygap lab emulate --servers int=4
+cherrygap lab load
+cherrygap lab load --duration float64=10
+cherrygap lab load --rate float64=200
+cherrygap lab load --seed uint64=1
+cherrygap lab load --series string=
+cherrygap lab load --target string=127.0.0.1:8080
+cherrygap lab model
+cherrygap lab model --customers int=50
+cherrygap lab model --nodes int=10
+cherrygap lab model --policy string=module
+cherrygap lab model --rate float64=1000
+cherrygap lab model --schedule string=
+cherrygap lab model --seconds float64=60
+cherrygap lab model --seed uint64=1
+cherrygap lab model --series string=
+cherrygap lab model --servers int=20
+cherrygap lab model --settings string=
+cherrygap lab model --spread int=1
+cherrygap lab report
+cherrygap lab report --out string=report
+cherrygap lab report --title string=cherrygap lab
+cherrygap lab scale
+cherrygap lab scale --dir string=
+cherrygap lab scale --for duration=1m0s
+cherrygap lab scale --hard duration=0s
+cherrygap lab scale --hollow int=-1
+cherrygap lab scale --hollow-rate float64=2
+cherrygap lab scale --memory-mb int=192
+cherrygap lab scale --nodes int=830
+cherrygap lab scale --rate float64=85
+cherrygap lab scale --real int=3
+cherrygap lab scale --seed uint64=1
+cherrygap lab scale --servers int=13000
+cherrygap lab scale --sockets int=1024
+cherrygap lab scale --straight float64=0.2
+cherrygap lab scale --take float64=100
+cherrygap lab scale --tenants int=43000
+cherrygap lab scale --trouble stringSlice=[]
+cherrygap lab scale-nodes (hidden)
+cherrygap lab scale-servers (hidden)
+cherrygap lab scale-servers --many int=1
+cherrygap lab scale-servers --seed uint64=1
+cherrygap lab store
+cherrygap lab store --for duration=0s
+cherrygap lab store --listen string=127.0.0.1:0
+cherrygap lab store --schedule string=
+cherrygap lab store --seed uint64=1
+cherrygap serve
+cherrygap version
+`
+
+// The keys of the JSON lines that this package writes for the lab's commands, each line's in order, for those who read them by
+// program. The others are the laboratory's own.
+func TestPinnedLabOutput(t *testing.T) {
+	for _, c := range append(grpcLabOutput, []struct{ args, want string }{
+		{"lab emulate --servers 2 --for 20ms", "faults servers|stats"},
+		{"lab store --for 20ms", "faults store|applied"},
+	}...) {
+		t.Run(c.args, func(t *testing.T) {
+			out, _, err := cli(strings.Fields(c.args)...)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var lines []string
+			for line := range strings.Lines(out) {
+				var keys map[string]any
+				if err := json.Unmarshal([]byte(line), &keys); err != nil {
+					t.Fatalf("%q: %v", line, err)
+				}
+				lines = append(lines, strings.Join(slices.Sorted(maps.Keys(keys)), " "))
+			}
+			if got := strings.Join(lines, "|"); got != c.want {
+				t.Errorf("got  %s\nwant %s", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/cherrygap/pin_log_test.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// logged is a node in a process of its own whose log is read while it runs.
+type logged struct {
+	cmd  *exec.Cmd
+	file string
+	conf string // its configuration
+}
+
+// startLogged starts a node by a configuration and an operator file's text.
+func startLogged(t *testing.T, text, operator string) *logged {
+	t.Helper()
+	dir := t.TempDir()
+	p := &logged{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
+	p.configure(t, text)
+	if err := os.WriteFile(filepath.Join(dir, "operator.toml"), []byte(operator), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	out, err := os.Create(p.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	p.cmd = program(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
+	p.cmd.Stderr = out
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		p.cmd.Process.Kill()
+		p.cmd.Wait()
+	})
+	return p
+}
+
+// configure writes the node's configuration.
+func (p *logged) configure(t *testing.T, text string) {
+	t.Helper()
+	if err := os.WriteFile(p.conf, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// lines gives the log's lines so far in short: level, message and the other fields' names, and for an error its text.
+// What comes by itself at any time is left out.
+func (p *logged) lines(t *testing.T) (out []string) {
+	t.Helper()
+	raw, err := os.ReadFile(p.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(raw)) {
+		if !strings.HasSuffix(line, "\n") {
+			break // not whole yet
+		}
+		var entry map[string]any
+		if err := json.Unmarshal([]byte(line), &entry); err != nil {
+			t.Fatalf("%q: %v", line, err)
+		}
+		short := fmt.Sprint(entry["level"], " ", entry["message"], ":")
+		if strings.HasPrefix(short, "info interval ") || strings.HasPrefix(short, "warn discovery's watch ended:") {
+			continue
+		}
+		for _, name := range slices.Sorted(maps.Keys(entry)) {
+			switch name {
+			case "level", "message":
+			case "error":
+				short += fmt.Sprintf(" error=%q", entry[name])
+			default:
+				short += " " + name
+			}
+		}
+		if strings.HasPrefix(short, "warn waiting for an address in use:") && slices.Contains(out, short) {
+			continue // once each 0.1 s
+		}
+		out = append(out, short)
+	}
+	return out
+}
+
+// await waits until the log holds just these lines, in this order.
+func (p *logged) await(t *testing.T, want ...string) {
+	t.Helper()
+	var got []string
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if got = p.lines(t); slices.Equal(got, want) {
+			return
+		}
+	}
+	t.Fatalf("logged\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+}
+
+// The lines that a node writes at its start, on each signal and at its end, in their order and with the names of their
+// fields: without an operator file, and with all that it can switch on.
+func TestPinnedLogLines(t *testing.T) {
+	const all = "[watch]\non = true\n[duties]\non = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
+	for _, c := range []struct{ name, operator, counters string }{
+		{"no operator file's part", "", "counters node time"},
+		{"all parts", all, "counters duties node quota time watch"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			listen, discovery := port(t), port(t)
+			held, err := net.ListenPacket("udp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer held.Close()
+			peer := held.LocalAddr().String()
+			text := strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", discovery, `"127.0.0.4:7946"`, `"`+peer+`"`,
+				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(good)
+			odd := strings.Replace(text, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
+			p := startLogged(t, odd, c.operator)
+			var want []string
+			more := func(lines ...string) {
+				t.Helper()
+				want = append(want, lines...)
+				p.await(t, want...)
+			}
+			more(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
+			held.Close()
+			more(`warn known list refused: error="config.json: known: malformed list" node time`, "info started: listen node time")
+			p.cmd.Process.Signal(syscall.SIGUSR1)
+			more("info counters: " + c.counters)
+			p.configure(t, text)
+			p.cmd.Process.Signal(syscall.SIGHUP)
+			more("info new configuration: discovery node time")
+			p.configure(t, odd)
+			p.cmd.Process.Signal(syscall.SIGHUP)
+			more(`warn known list refused: error="config.json: known: malformed list" node time`, "info new configuration: discovery node time")
+			p.configure(t, text[:len(text)-9])
+			p.cmd.Process.Signal(syscall.SIGHUP)
+			more(`error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
+			p.configure(t, strings.Replace(text, discovery, "there", 1))
+			p.cmd.Process.Signal(syscall.SIGHUP)
+			more(`error new configuration refused: error="config.json: discovery: not an ip:port" node time`)
+			p.cmd.Process.Signal(syscall.SIGTERM)
+			more("info stopped: " + c.counters)
+			if err := p.cmd.Wait(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// Under another level only lines of that level or above are written.
+func TestPinnedLogLevel(t *testing.T) {
+	listen := port(t)
+	text := strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", port(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(good)
+	p := startLogged(t, text, "[log]\nlevel = \"error\"\n")
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		conn, err := net.Dial("tcp", listen)
+		if err == nil {
+			conn.Close()
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+	p.configure(t, "{")
+	p.cmd.Process.Signal(syscall.SIGHUP)
+	p.await(t, `error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	if err := p.cmd.Wait(); err != nil {
+		t.Error(err)
+	}
+	p.await(t, `error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
+}
