--- /dev/null
+++ b/internal/duties/golden_test.go
@@ -0,0 +1,368 @@
+package duties
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The tests of this file hold what stands on the wire between nodes of one fleet to the bytes of commit cf1acfb, and
+// every decision to the same order: nodes of both texts run side by side. The expected values were written by that
+// commit.
+
+// input is one message that a node takes in.
+type input struct {
+	at   time.Duration
+	from int
+	text string // hexadecimal
+}
+
+// sends pulls all decisions that there are at a time, and lists the messages, each as "receiver:hexadecimal".
+func sends(n *Node, at time.Duration) (list []string) {
+	for s, ok := n.Next(at); ok; s, ok = n.Next(at) {
+		if s.Do == Send {
+			list = append(list, fmt.Sprintf("%d:%x", s.To, s.Text))
+		}
+	}
+	return list
+}
+
+// Each kind of message, with each kind of part, is read and written as before.
+func TestGoldenMessages(t *testing.T) {
+	three := Config{Me: 0, Nodes: 3, Seed: 1, Take: 40, Every: 5 * time.Second}
+	nine := Config{Me: 4, Nodes: 9, Seed: 2, Take: 40, Bytes: 4096, Every: 5 * time.Second}
+	large := Config{Me: 7, Nodes: 2500, Seed: 3, Take: 400, Every: 5 * time.Second}
+	for _, c := range []struct {
+		name   string
+		cfg    Config
+		duties []Duty
+		in     []input
+		pulls  []time.Duration // when Next is called, after all of in
+		want   []string
+	}{
+		{name: "first pings", cfg: three, pulls: []time.Duration{0, 400 * time.Millisecond}, want: []string{
+			"1:d00101db052768",
+			"2:d00102db052768",
+			"1:d00103db052768",
+		}},
+		{name: "a ping of the same view is answered", cfg: three, in: []input{{0, 1, "d00105db052768"}},
+			pulls: []time.Duration{0}, want: []string{
+				"1:d00205db052768",
+			}},
+		{name: "a ping of another view is answered with who is dead", cfg: three,
+			in: []input{{0, 1, "d001ac0200000000" + "010a03"}}, pulls: []time.Duration{0}, want: []string{
+				"1:d002ac02d69d673203000104010a03",
+			}},
+		{name: "suspicions are passed on, the sender's first", cfg: nine,
+			in: []input{{0, 1, "d0010700000000" + "010900" + "010502"}}, pulls: []time.Duration{0}, want: []string{
+				"1:d00100fa2da101010502010900010502",
+				"1:d00207fa2da1010105020300020000010900010502",
+			}},
+		{name: "word of this node's own death is contradicted", cfg: nine,
+			in: []input{{0, 1, "d0010900000000" + "011205"}}, pulls: []time.Duration{0}, want: []string{
+				"1:d00209fa2da1010300020000011006",
+			}},
+		{name: "a ping in another's place", cfg: nine,
+			in:    []input{{0, 1, "d003ff010000000008"}, {time.Millisecond, 8, "d0020100000000"}},
+			pulls: []time.Duration{time.Millisecond}, want: []string{
+				"8:d00101fa2da101",
+				"1:d002ff01fa2da101",
+			}},
+		{name: "a bitmap of living members is corrected", cfg: nine, in: []input{{0, 1, "d0020000000000" + "0300027001"}},
+			pulls: []time.Duration{0}, want: []string{
+				"1:d00400fa2da101012000011800011400011001",
+			}},
+		{name: "a correction is objected to", cfg: nine,
+			in:    []input{{0, 1, "d0020000000000" + "010a00"}, {0, 2, "d0040000000000" + "010800" + "010d8080808001"}},
+			pulls: []time.Duration{0}, want: []string{
+				"2:d005007d984a54010a00010900010a00010d8080808001",
+			}},
+		{name: "ends of runs are passed on with their age", cfg: nine, duties: []Duty{{Check, 99}, {Refresh, 1 << 40}, {Count, 7}},
+			in:    []input{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
+			pulls: []time.Duration{30 * time.Second}, want: []string{
+				"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
+				"0:d00101fa2da1010203636402048080808080208020020707e807",
+			}},
+		{name: "a large fleet's bitmap goes in parts", cfg: large,
+			in:    []input{{0, 1, "d0010100000000" + "01a61f00" + "01e64c07"}, {0, 2, "d0010200000000"}, {0, 3, "d0010300000000"}},
+			pulls: []time.Duration{0}, want: []string{
+				"1:d00201338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
+				"2:d00202338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
+				"3:d00203338f6d570380088001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000001a61f0001e64c07",
+			}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := New(c.cfg, 0)
+			n.Set(0, c.duties)
+			for _, in := range c.in {
+				text, err := hex.DecodeString(in.text)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if !n.Heard(in.at, in.from, text) {
+					t.Errorf("%s from %d was not read", in.text, in.from)
+				}
+			}
+			got := []string{}
+			for _, at := range c.pulls {
+				got = append(got, sends(n, at)...)
+			}
+			if strings.Join(got, "\n") != strings.Join(c.want, "\n") {
+				t.Errorf("sent\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(c.want, "\n"))
+			}
+		})
+	}
+}
+
+// transcript plays some nodes over a network with losses, doublings and delays, all from a seed, and writes down
+// every decision of theirs and, each second, what else they tell.
+type transcript struct {
+	cfg   Config
+	nodes []*Node // nil for one that is down
+	now   time.Duration
+	rng   *rand.Rand
+	later map[time.Duration][]func()
+	loss  float64
+	cut   bool // between the lower and the upper half
+	idle  int  // a node whose runs never end; -1 for none
+	lines []string
+}
+
+const step = 20 * time.Millisecond
+
+func newTranscript(cfg Config, duties []Duty) *transcript {
+	p := &transcript{cfg: cfg, nodes: make([]*Node, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
+		later: map[time.Duration][]func(){}, idle: -1}
+	for k := range p.nodes {
+		p.start(k, duties)
+	}
+	return p
+}
+
+func (p *transcript) start(k int, duties []Duty) {
+	cfg := p.cfg
+	cfg.Me, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
+	p.nodes[k] = New(cfg, p.now)
+	p.nodes[k].Set(p.now, duties)
+}
+
+func (p *transcript) after(delay time.Duration, f func()) {
+	p.later[p.now+delay] = append(p.later[p.now+delay], f)
+}
+
+func (p *transcript) write(format string, args ...any) {
+	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
+}
+
+// send takes one message over the network.
+func (p *transcript) send(from, to int, text []byte) {
+	p.write("%d>%d %x", from, to, text)
+	half := len(p.nodes) / 2
+	if p.rng.Float64() < p.loss || p.cut && (from < half) != (to < half) {
+		return
+	}
+	for range 1 + p.rng.IntN(50)/49 {
+		p.after(step*time.Duration(1+p.rng.IntN(3)), func() {
+			if n := p.nodes[to]; n != nil && !n.Heard(p.now, from, text) {
+				p.write("%d did not read it", to)
+			}
+		})
+	}
+}
+
+func (p *transcript) play(until time.Duration) {
+	for ; p.now < until; p.now += step {
+		for _, f := range p.later[p.now] {
+			f()
+		}
+		delete(p.later, p.now)
+		for k, n := range p.nodes {
+			if n == nil {
+				continue
+			}
+			for s, ok := n.Next(p.now); ok; s, ok = n.Next(p.now) {
+				switch s.Do {
+				case Send:
+					p.send(k, s.To, append([]byte(nil), s.Text...))
+				case Run:
+					p.write("%d runs %d/%d within %v", k, s.Duty.Kind, s.Duty.ID, s.Wait)
+					if k != p.idle {
+						p.after(step, func() { n.Ran(p.now, s.Duty, s.Duty.ID%2 > 0) })
+					}
+				case Told:
+					p.write("%d hears of %d/%d %v", k, s.Duty.Kind, s.Duty.ID, s.Good)
+				}
+			}
+			if p.now%time.Second == 0 {
+				c := n.Count()
+				p.write("%d: %v %v %v, %d owned, %d dead, %v", k, n.Period(), n.Every(), n.Wake(p.now), n.Owned(p.now), n.Dead(),
+					[]int64{c.Sent, c.SentBytes, c.Held, c.Heard, c.Bad, c.Runs, c.StoodIn, c.Suspected, c.Died, c.Came, c.Defended})
+			}
+		}
+	}
+}
+
+// The whole run of messages and decisions, of fleets with and without faults, is as before.
+func TestGoldenPlays(t *testing.T) {
+	tasks := []Duty{{Check, 1}, {Check, 2}, {Check, 99}, {Refresh, 1}, {Count, 7}}
+	for _, c := range []struct {
+		name   string
+		cfg    Config
+		play   func(p *transcript)
+		lines  int
+		digest string   // SHA-256 of all lines
+		first  []string // the first messages
+	}{
+		{name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, Take: 40, Every: 2 * time.Second},
+			play: func(p *transcript) { p.play(20 * time.Second) }, lines: 190, digest: "295d7a00564149d3a2c1f4fa022cc6e5ede31de5d2e9ab2980b3676037e9c15d", first: []string{
+				"0.08 0>1 d00101db052768",
+				"0.08 0>1 d00102db052768",
+				"0.08 0>1 d00103db052768",
+				"0.10 1>0 d00201db05276802020200",
+			}},
+		{name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, Take: 40, Every: 2 * time.Second},
+			play: func(p *transcript) {
+				p.play(10 * time.Second)
+				p.nodes[1] = nil
+				p.play(40 * time.Second)
+				p.start(1, tasks)
+				p.play(80 * time.Second)
+			}, lines: 1168, digest: "f03e59598b940533a2b907aeb4f59dff834e1098e47a665df5d075746bcaa571", first: []string{
+				"0.06 2>1 d00101db052768",
+				"0.06 2>0 d00102db052768",
+				"0.06 2>0 d00103db052768",
+				"0.08 0>2 d00202db052768",
+			}},
+		{name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, Take: 80, Bytes: 400, Every: time.Second},
+			play: func(p *transcript) {
+				p.loss = 0.2
+				p.play(15 * time.Second)
+				p.cut = true
+				p.play(60 * time.Second)
+				p.cut = false
+				for k, n := range p.nodes {
+					n.Set(p.now, append(tasks[1:], Duty{Check, uint64(1000 + k/5)}))
+				}
+				p.play(120 * time.Second)
+			}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
+				"0.02 1>5 d00101fa2da101",
+				"0.02 1>0 d00102fa2da101",
+				"0.02 1>2 d00103fa2da101",
+				"0.02 4>7 d00101fa2da101",
+			}},
+		{name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, Take: 4000, Every: time.Second},
+			play: func(p *transcript) {
+				for k := range p.nodes {
+					if k%100 > 0 && k != 1099 {
+						p.nodes[k] = nil
+					}
+				}
+				p.play(8 * time.Second)
+				p.nodes[300] = nil
+				p.start(777, tasks)
+				p.play(20 * time.Second)
+			}, lines: 13296, digest: "611f584044feaf0761b6aa03f4253becab7442d881e9ab27b1ccd733ac8321eb", first: []string{
+				"0.02 100>776 d001010414188b",
+				"0.02 100>415 d001020414188b",
+				"0.02 100>656 d001030414188b",
+				"0.02 300>142 d001010414188b",
+			}},
+		{name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, Take: 20, Every: 9 * time.Second},
+			play: func(p *transcript) {
+				many := make([]Duty, 1500)
+				for k := range many {
+					many[k] = Duty{Check, uint64(k)}
+				}
+				p.play(time.Second)
+				p.nodes[2] = nil
+				for _, k := range []int{0, 1, 3} {
+					p.nodes[k].Set(p.now, many)
+				}
+				p.play(45 * time.Second)
+				p.start(2, many)
+				p.idle = 2
+				p.play(75 * time.Second)
+				for _, n := range p.nodes {
+					n.Ran(p.now, Duty{Refresh, 5}, true)
+				}
+				p.play(80 * time.Second)
+			}, lines: 18771, digest: "720163bc2cc35ad8b9fd9e97dcdf5cfb604208a02e9eedd46750152fddd45e38", first: []string{
+				"0.04 3>1 d00101db052768",
+				"0.04 3>2 d00102db052768",
+				"0.04 3>0 d00103db052768",
+				"0.08 0>3 d00203db052768",
+			}},
+		{name: "one node", cfg: Config{Nodes: 1, Seed: 15, Every: time.Second},
+			play: func(p *transcript) { p.play(6 * time.Second) }, lines: 36, digest: "d83b4fbbab643fd42ad01acdd65aeac1bb3541d8081db9b2df4a41eb7fdef710", first: []string{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newTranscript(c.cfg, tasks)
+			c.play(p)
+			var first []string
+			for _, line := range p.lines {
+				if strings.Contains(line, ">") && len(first) < 4 {
+					first = append(first, line)
+				}
+			}
+			digest := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(p.lines, "\n"))))
+			if len(p.lines) != c.lines || digest != c.digest || strings.Join(first, "\n") != strings.Join(c.first, "\n") {
+				t.Errorf("%d lines, %s\n%s\nwant %d, %s\n%s", len(p.lines), digest, strings.Join(first, "\n"), c.lines, c.digest,
+					strings.Join(c.first, "\n"))
+			}
+		})
+	}
+}
+
+// What is read and what is passed over is as before: a message is read whole or not at all.
+func TestGoldenRefusals(t *testing.T) {
+	for _, c := range []struct {
+		text string // hexadecimal
+		read bool
+	}{
+		{"", false},
+		{"d0", false},
+		{"d000", false},
+		{"d00101fa2da1", false},                                  // the view is short
+		{"d10101fa2da101", false},                                // another mark
+		{"d00001fa2da101", false},                                // no such kind
+		{"d00601fa2da101", false},                                // nor this
+		{"d00101fa2da101", true},                                 // a ping
+		{"d001808080808080808040fa2da101", false},                // a number of 2^62
+		{"d001ffffffffffffffff3ffa2da101", true},                 // and one below
+		{"d001ffffffffffffffffffff01fa2da101", false},            // one that is too long
+		{"d00301fa2da101", false},                                // a ping for nobody
+		{"d00301fa2da10109", false},                              // for a member beyond the last
+		{"d00301fa2da10108", true},                               // for the last
+		{"d00101fa2da101012200", true},                           // the last member is dead
+		{"d00101fa2da101012300", false},                          // a state beyond dead
+		{"d00101fa2da101012400", false},                          // a member beyond the last
+		{"d00101fa2da1010122", false},                            // no count
+		{"d00101fa2da10102020107", true},                         // a run
+		{"d00101fa2da10102010107", false},                        // of no kind
+		{"d00101fa2da10102080107", false},                        // of an unknown kind
+		{"d00101fa2da101020201e0d403", true},                     // a minute ago
+		{"d00101fa2da101020201e1d403", false},                    // longer ago
+		{"d00101fa2da101020202", false},                          // no age
+		{"d00101fa2da101030801ff", true},                         // a bitmap from the last member on
+		{"d00101fa2da101030901ff", false},                        // from beyond
+		{"d00101fa2da101030002ff", false},                        // a short bitmap
+		{"d00101fa2da1010300810100", false},                      // one too long
+		{"d00101fa2da10104", false},                              // an unknown part
+		{"d00101fa2da10100", false},                              // nor this
+		{"d00101fa2da101" + strings.Repeat("011400", 83), true},  // 256 bytes
+		{"d00101fa2da101" + strings.Repeat("011400", 84), false}, // more
+	} {
+		text, err := hex.DecodeString(c.text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		n := New(Config{Nodes: 9, Seed: 2, Take: 40}, 0)
+		if read := n.Heard(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
+			t.Errorf("%s: read %v", c.text, read)
+		}
+	}
+}
