--- /dev/null
+++ b/internal/quota/golden_test.go
@@ -0,0 +1,186 @@
+package quota
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+)
+
+// goldenPlay is some nodes and a store in virtual time that writes down every exchange and what each node has room for.
+type goldenPlay struct {
+	cfg       Config
+	nodes     []*Node
+	customers []Customer
+	now       time.Duration
+	rng       *rand.Rand
+	later     map[time.Duration][]func()
+	id        uint64 // of the store
+	entries   map[string][]Entry
+	lost      float64 // share of the exchanges that get no answer
+	bad       float64 // and of those that end badly
+	forgets   float64 // and of the entries that the store forgets
+	lines     []string
+}
+
+const goldenStep = 10 * time.Millisecond
+
+func newGoldenPlay(cfg Config, customers []Customer, now time.Duration) *goldenPlay {
+	p := &goldenPlay{cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
+		later: map[time.Duration][]func(){}, entries: map[string][]Entry{}}
+	for k := range cfg.Nodes {
+		cfg.Me = k
+		p.nodes = append(p.nodes, New(cfg, now))
+	}
+	return p
+}
+
+func (p *goldenPlay) write(format string, args ...any) {
+	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
+}
+
+func (p *goldenPlay) after(steps int, f func()) {
+	at := p.now + time.Duration(steps)*goldenStep
+	p.later[at] = append(p.later[at], f)
+}
+
+// put has the store take one exchange, if it gets there, and its answer come back.
+func (p *goldenPlay) put(n *Node, x Exchange) {
+	if p.rng.Float64() < p.lost {
+		return
+	}
+	key, store := fmt.Sprint(x.Key, x.Window), p.id
+	if p.rng.Float64() >= p.forgets {
+		p.entries[key] = append(p.entries[key], x.Put)
+	}
+	entries := append([]Entry{{Node: -1, Seq: 1}, {Node: 1 << 20, Seq: 1, Cap: 3}}, p.entries[key]...)
+	ok := p.rng.Float64() >= p.bad
+	p.after(1+p.rng.IntN(6), func() { n.Replied(p.now, x.ID, store, entries, ok) })
+}
+
+func (p *goldenPlay) play(until time.Duration, load float64) {
+	for ; p.now < until; p.now += goldenStep {
+		for _, f := range p.later[p.now] {
+			f()
+		}
+		delete(p.later, p.now)
+		for k, n := range p.nodes {
+			for _, c := range p.customers {
+				units := float64(1 + p.rng.IntN(3))
+				if p.rng.Float64()*units < c.Rate*load*goldenStep.Seconds()/float64(1+k) {
+					n.Ask(p.now, c, units)
+					if p.rng.IntN(20) == 0 {
+						n.Passed(p.now, c, units)
+					} else if spent := n.Spend(p.now, c, units); !spent {
+						p.write("%d refuses %d", k, c.Key)
+					}
+				}
+			}
+			for x, ok := n.Next(p.now); ok; x, ok = n.Next(p.now) {
+				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", k, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Seq, x.Put.Cap,
+					x.Keep, x.Wait)
+				p.put(n, x)
+			}
+			if p.now%(500*time.Millisecond) == 0 {
+				c := n.Count()
+				room := []float64{}
+				for _, of := range p.customers {
+					room = append(room, n.Room(p.now, of))
+				}
+				p.write("%d: room %v, %v", k, room, []int64{c.Calls, c.Failed, c.Late, c.Lost, c.Borrowed, c.Ceded, c.Refused})
+			}
+		}
+	}
+}
+
+// Every exchange, every refusal and the room at each node are those of commit cf1acfb, which wrote the expected
+// values: nodes of both texts share one store.
+func TestGoldenExchanges(t *testing.T) {
+	customers := []Customer{{Key: 9, Rate: 100, Depth: 400, Spread: 4}, {Key: 1 << 60, Rate: 8, Depth: 2, First: 3, Spread: 2},
+		{Key: 3, Rate: 0, Depth: 1, Spread: 4}, {Key: 4, Rate: 40, Depth: 20, First: 1, Spread: 1}, {Key: 5, Rate: 30, Depth: 60, Spread: 90}}
+	for _, c := range []struct {
+		name   string
+		cfg    Config
+		from   time.Duration
+		play   func(p *goldenPlay)
+		lines  int
+		digest string   // SHA-256 of all lines
+		first  []string // the first lines
+	}{
+		{name: "all well", cfg: Config{Nodes: 4, Seed: 21, Wait: 60 * time.Millisecond},
+			play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
+				"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+				"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+				"0.00 2: room [50 2 +Inf 18 7.5], [0 0 0 0 0 0 0]",
+				"0.00 3: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+				"0.01 0: id 1, 1152921504606846976/0, entry 0:1 2.4, kept 1.5s, within 60ms",
+				"0.01 0: id 2, 5/0, entry 0:1 10.125, kept 3s, within 60ms",
+			}},
+		{name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, Calls: 9, Wait: 60 * time.Millisecond},
+			from: 1_700_000_000_350 * time.Millisecond,
+			play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
+				"1700000000.35 0 refuses 9",
+				"1700000000.35 0 refuses 1152921504606846976",
+				"1700000000.35 0 refuses 5",
+				"1700000000.36 0 refuses 9",
+				"1700000000.36 0 refuses 5",
+				"1700000000.36 3 refuses 9",
+			}},
+		{name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, Calls: 400, Wait: 40 * time.Millisecond},
+			play: func(p *goldenPlay) {
+				p.play(6*time.Second, 0.9)
+				p.lost, p.bad = 0.2, 0.1
+				p.play(16*time.Second, 0.9)
+				p.lost, p.bad, p.forgets = 0, 0, 0.2
+				p.play(24*time.Second, 1.5)
+				p.id, p.forgets = 8, 0
+				clear(p.entries)
+				p.play(30*time.Second, 0.2)
+				p.lost = 1
+				p.play(50*time.Second, 0.8)
+				p.lost = 0
+				p.customers = p.customers[:1]
+				p.customers[0].Rate = 70
+				p.play(100*time.Second, 0.8)
+			}, lines: 10425, digest: "9b784e6889507ea217542f436c0bb0dad422f35e46bf0e92d89690715e1236eb", first: []string{
+				"0.00 0: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+				"0.00 1: room [50 2 +Inf 18 5], [0 0 0 0 0 0 0]",
+				"0.00 2: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+				"0.00 3: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+				"0.00 4: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+				"0.00 5: room [50 2 +Inf 19 4], [0 0 0 0 0 0 0]",
+			}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newGoldenPlay(c.cfg, append([]Customer(nil), customers...), c.from)
+			c.play(p)
+			first := p.lines[:6]
+			digest := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(p.lines, "\n"))))
+			if len(p.lines) != c.lines || digest != c.digest || strings.Join(first, "\n") != strings.Join(c.first, "\n") {
+				t.Errorf("%d lines, %s\n%s\nwant %d, %s\n%s", len(p.lines), digest, strings.Join(first, "\n"), c.lines, c.digest,
+					strings.Join(c.first, "\n"))
+			}
+		})
+	}
+}
+
+// How long windows and exchanges are.
+func TestGoldenLengths(t *testing.T) {
+	for _, c := range []struct {
+		rate, depth float64
+		want        time.Duration
+	}{{0, 5, 2 * time.Second}, {-1, 5, 2 * time.Second}, {100, 1, 500 * time.Millisecond}, {100, 150, 750 * time.Millisecond},
+		{100, 400, 2 * time.Second}, {1, 400, 2 * time.Second}, {3, 4, 666666666}} {
+		if got := (Customer{Rate: c.rate, Depth: c.depth}).Window(); got != c.want {
+			t.Errorf("%v a second, %v at once: %v, want %v", c.rate, c.depth, got, c.want)
+		}
+	}
+	for contract, want := range map[time.Duration]time.Duration{0: 20 * time.Millisecond, 333 * time.Millisecond: 66600 * time.Microsecond,
+		time.Second: 200 * time.Millisecond, 8 * time.Second: 250 * time.Millisecond} {
+		if got := Wait(contract); got != want {
+			t.Errorf("contract %v: %v, want %v", contract, got, want)
+		}
+	}
+}
