--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,199 @@
+package store
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/quota"
+)
+
+// scripted is a server on loopback that keeps the bytes it was sent and answers each command as its script says.
+type scripted struct {
+	net.Listener
+
+	mu   sync.Mutex
+	sent bytes.Buffer
+}
+
+// startScripted answers the end of each transaction with exec, refuses HELLO, as the laboratory's store does, and takes all else.
+func startScripted(t *testing.T, exec string) *scripted {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &scripted{Listener: ln}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go s.serve(c, exec)
+		}
+	}()
+	return s
+}
+
+func (s *scripted) serve(c net.Conn, exec string) {
+	defer c.Close()
+	r := bufio.NewReader(c)
+	multi := false
+	for {
+		text, words, err := readCommand(r)
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.sent.WriteString(text)
+		s.mu.Unlock()
+		reply := "+OK\r\n"
+		switch {
+		case words[0] == "hello":
+			reply = "-ERR unknown command 'HELLO'\r\n"
+		case words[0] == "multi":
+			multi = true
+		case words[0] == "exec":
+			multi, reply = false, exec
+		case multi:
+			reply = "+QUEUED\r\n"
+		}
+		if _, err := io.WriteString(c, reply); err != nil {
+			return
+		}
+	}
+}
+
+// readCommand reads one command, as it was sent and as words.
+func readCommand(r *bufio.Reader) (text string, words []string, err error) {
+	number := func(mark string) int {
+		line, e := r.ReadString('\n')
+		text += line
+		n, bad := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, mark)))
+		if err == nil && (e != nil || bad != nil) {
+			err = fmt.Errorf("%q: %w", line, io.ErrUnexpectedEOF)
+		}
+		return n
+	}
+	for range number("*") {
+		b := make([]byte, max(0, number("$"))+2)
+		if _, e := io.ReadFull(r, b); e != nil {
+			return text, words, e
+		}
+		text += string(b)
+		words = append(words, string(b[:len(b)-2]))
+	}
+	if err == nil && len(words) == 0 {
+		err = io.ErrUnexpectedEOF
+	}
+	return text, words, err
+}
+
+// The commands, their order, the keys, the entries and how long they are kept are those of commit cf1acfb: nodes of
+// both texts share one store. Only the number that a store is given where it has none is chance.
+func TestGoldenCommands(t *testing.T) {
+	const exec = "*5\r\n:0\r\n$20\r\n18446744073709551615\r\n:1\r\n:1\r\n" +
+		"*6\r\n$3\r\n0:1\r\n$4\r\n12.5\r\n$5\r\n17:30\r\n$1\r\n0\r\n$3\r\n2:2\r\n$5\r\n1e-07\r\n"
+	// A new connection, and the part of a transaction that is the same for all.
+	const opening = "*2\r\n$5\r\nhello\r\n$1\r\n2\r\n" +
+		"*3\r\n$6\r\nclient\r\n$7\r\nsetname\r\n$6\r\nedge-3\r\n" +
+		"*1\r\n$5\r\nmulti\r\n" +
+		"*3\r\n$5\r\nsetnx\r\n$11\r\nquota:store\r\nCHANCE " +
+		"*2\r\n$3\r\nget\r\n$11\r\nquota:store\r\n"
+	for _, c := range []struct {
+		name string
+		x    quota.Exchange
+		want string
+	}{
+		{"a first entry", quota.Exchange{Key: 7, Window: 0, Put: quota.Entry{Node: 0, Seq: 1, Cap: 0}, Keep: 1500 * time.Millisecond}, opening +
+			"*4\r\n$4\r\nhset\r\n$9\r\nquota:7:0\r\n$3\r\n0:1\r\n$1\r\n0\r\n" +
+			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:7:0\r\n$4\r\n1500\r\n" +
+			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:7:0\r\n" +
+			"*1\r\n$4\r\nexec\r\n"},
+		{"a fleet's", quota.Exchange{Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Entry{Node: 1234, Seq: 17, Cap: 12.5},
+			Keep: 6 * time.Second}, opening +
+			"*4\r\n$4\r\nhset\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$7\r\n1234:17\r\n$4\r\n12.5\r\n" +
+			"*3\r\n$7\r\npexpire\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$4\r\n6000\r\n" +
+			"*2\r\n$7\r\nhgetall\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n" +
+			"*1\r\n$4\r\nexec\r\n"},
+		{"a large cap, kept for part of a millisecond", quota.Exchange{Key: math.MaxUint64, Window: -3,
+			Put: quota.Entry{Node: 5, Seq: 2, Cap: 1e21}, Keep: 2000000500}, opening +
+			"*4\r\n$4\r\nhset\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$3\r\n5:2\r\n$5\r\n1e+21\r\n" +
+			"*3\r\n$7\r\npexpire\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$4\r\n2000\r\n" +
+			"*2\r\n$7\r\nhgetall\r\n$25\r\nquota:ffffffffffffffff:-3\r\n" +
+			"*1\r\n$4\r\nexec\r\n"},
+		{"a small cap", quota.Exchange{Key: 1, Window: 2, Put: quota.Entry{Node: 5, Seq: 3, Cap: 1.0 / 3e7}, Keep: 999999}, opening +
+			"*4\r\n$4\r\nhset\r\n$9\r\nquota:1:2\r\n$3\r\n5:3\r\n$22\r\n3.3333333333333334e-08\r\n" +
+			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:1:2\r\n$1\r\n1\r\n" +
+			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:1:2\r\n" +
+			"*1\r\n$4\r\nexec\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server, log := startScripted(t, exec), zerolog.Nop()
+			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Wait: 5 * time.Second}, &log)
+			defer q.Close()
+			id, entries, err := q.exchange(context.Background(), c.x)
+			if err != nil {
+				t.Fatal(err)
+			}
+			slices.SortFunc(entries, func(a, b quota.Entry) int { return a.Node - b.Node })
+			if want := []quota.Entry{{Node: 0, Seq: 1, Cap: 12.5}, {Node: 2, Seq: 2, Cap: 1e-7}, {Node: 17, Seq: 30}}; id != math.MaxUint64 ||
+				!reflect.DeepEqual(entries, want) {
+				t.Errorf("store %d, %v, want %v", id, entries, want)
+			}
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			chance := regexp.MustCompile(`(quota:store\r\n)\$\d+\r\n\d+[13579]\r\n`)
+			if got := chance.ReplaceAllString(server.sent.String(), "${1}CHANCE "); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// What is taken for an answer, and what for none.
+func TestGoldenAnswers(t *testing.T) {
+	const head = "*5\r\n:0\r\n$1\r\n9\r\n:1\r\n:1\r\n"
+	for _, c := range []struct {
+		name, exec string
+		ok         bool
+	}{
+		{"nothing stands", head + "*0\r\n", true},
+		{"one entry", head + "*2\r\n$3\r\n1:1\r\n$3\r\n4e2\r\n", true},
+		{"no number of an entry", head + "*2\r\n$1\r\n1\r\n$1\r\n4\r\n", false},
+		{"a node that is no number", head + "*2\r\n$3\r\nx:1\r\n$1\r\n4\r\n", false},
+		{"a negative cap", head + "*2\r\n$3\r\n1:1\r\n$2\r\n-4\r\n", false},
+		{"a cap that is no number", head + "*2\r\n$3\r\n1:1\r\n$3\r\nNaN\r\n", false},
+		{"a number of the store that is none", "*5\r\n:0\r\n$1\r\nx\r\n:1\r\n:1\r\n*0\r\n", false},
+		{"no number of the store", "*5\r\n:0\r\n$-1\r\n:1\r\n:1\r\n*0\r\n", false},
+		{"a full store", "-EXECABORT Transaction discarded\r\n", false},
+		{"one command refused", "*5\r\n:0\r\n$1\r\n9\r\n-OOM no room\r\n:1\r\n*0\r\n", false},
+		{"no transaction", "*-1\r\n", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server, log := startScripted(t, c.exec), zerolog.Nop()
+			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Wait: 5 * time.Second}, &log)
+			defer q.Close()
+			if id, entries, err := q.exchange(context.Background(), quota.Exchange{Keep: time.Second}); (err == nil) != c.ok ||
+				err == nil && id != 9 || err != nil && (id != 0 || entries != nil) {
+				t.Errorf("%v, %d, %v", err, id, entries)
+			}
+		})
+	}
+}
