--- /dev/null
+++ b/internal/lab/store/golden_test.go
@@ -0,0 +1,193 @@
+package store
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// conversation sends commands (words apart by a blank) one after the other over one connection, and reads what comes
+// back to each, as bytes.
+func conversation(t *testing.T, addr string, commands []string) (replies []string) {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	r := bufio.NewReader(c)
+	for _, command := range commands {
+		words := strings.Split(command, " ")
+		text := fmt.Sprintf("*%d\r\n", len(words))
+		for _, w := range words {
+			text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+		}
+		if _, err := io.WriteString(c, text); err != nil {
+			t.Fatal(err)
+		}
+		reply, err := readReply(r)
+		if err != nil {
+			t.Fatalf("%s: %v", command, err)
+		}
+		replies = append(replies, reply)
+	}
+	return replies
+}
+
+// readReply reads one reply with all that is in it.
+func readReply(r *bufio.Reader) (string, error) {
+	line, err := r.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	var size int
+	switch line[0] {
+	case '$':
+		if _, err := fmt.Sscanf(line, "$%d", &size); err != nil || size < 0 {
+			return line, err
+		}
+		b := make([]byte, size+2)
+		_, err := io.ReadFull(r, b)
+		return line + string(b), err
+	case '*':
+		if _, err := fmt.Sscanf(line, "*%d", &size); err != nil {
+			return line, err
+		}
+		for range size {
+			part, err := readReply(r)
+			if err != nil {
+				return line, err
+			}
+			line += part
+		}
+	}
+	return line, nil
+}
+
+// Each command is answered with the bytes of commit cf1acfb.
+func TestGoldenReplies(t *testing.T) {
+	server, err := Start("127.0.0.1:0", 1, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	table := [][2]string{
+		{"PING", "+PONG\r\n"},
+		{"ping x", "+PONG\r\n"},
+		{"SELECT 3", "+OK\r\n"},
+		{"CLIENT SETNAME n1", "+OK\r\n"},
+		{"client list", "+OK\r\n"},
+		{"HELLO 3", "-ERR unknown command 'HELLO'\r\n"},
+		{"GET none", "$-1\r\n"},
+		{"GET", "-ERR wrong number of arguments for 'get' command\r\n"},
+		{"get", "-ERR wrong number of arguments for 'get' command\r\n"},
+		{"SET a", "-ERR wrong number of arguments for 'set' command\r\n"},
+		{"SET a 1", "+OK\r\n"},
+		{"SET a 2 NX", "$-1\r\n"},
+		{"SET a 2 nx PX 1", "$-1\r\n"},
+		{"GET a", "$1\r\n1\r\n"},
+		{"SETNX a 3", ":0\r\n"},
+		{"SETNX b 3", ":1\r\n"},
+		{"SETNX b", "-ERR wrong number of arguments for 'setnx' command\r\n"},
+		{"get b", "$1\r\n3\r\n"},
+		{"INCRBY a 5", ":6\r\n"},
+		{"INCRBY c -5", ":-5\r\n"},
+		{"INCRBY a x", "-ERR value is not an integer or out of range\r\n"},
+		{"SET a x", "+OK\r\n"},
+		{"INCRBY a 1", "-ERR value is not an integer or out of range\r\n"},
+		{"INCRBY a", "-ERR wrong number of arguments for 'incrby' command\r\n"},
+		{"HSET h f 1", ":1\r\n"},
+		{"HSET h f 2", ":0\r\n"},
+		{"HSET h f", "-ERR wrong number of arguments for 'hset' command\r\n"},
+		{"HSET h f 4 f 5 odd", ":0\r\n"},
+		{"HGETALL h", "*2\r\n$1\r\nf\r\n$1\r\n5\r\n"},
+		{"HGETALL none", "*0\r\n"},
+		{"HGETALL", "-ERR wrong number of arguments for 'hgetall' command\r\n"},
+		{"EXPIRE h x", "-ERR value is not an integer or out of range\r\n"},
+		{"EXPIRE none 1", ":0\r\n"},
+		{"EXPIRE h", "-ERR wrong number of arguments for 'expire' command\r\n"},
+		{"PEXPIRE h 0", ":1\r\n"},
+		{"EXPIRE a 100", ":1\r\n"},
+		{"PEXPIRE b -1", ":1\r\n"},
+		{"GET b", "$-1\r\n"},
+		{"DEL", "-ERR wrong number of arguments for 'del' command\r\n"},
+		{"DEL a none c", ":2\r\n"},
+		{"fly away", "-ERR unknown command 'FLY'\r\n"},
+		{"EXEC", "-ERR EXEC without MULTI\r\n"},
+		{"DISCARD", "+OK\r\n"},
+		{"MULTI", "+OK\r\n"},
+		{"SET a 9", "+QUEUED\r\n"},
+		{"DISCARD", "+OK\r\n"},
+		{"GET a", "$-1\r\n"},
+		{"MULTI", "+OK\r\n"},
+		{"INCRBY n 4", "+QUEUED\r\n"},
+		{"BAD", "+QUEUED\r\n"},
+		{"HSET k x y", "+QUEUED\r\n"},
+		{"HGETALL k", "+QUEUED\r\n"},
+		{"GET", "+QUEUED\r\n"},
+		{"EXEC", "*5\r\n:4\r\n-ERR unknown command 'BAD'\r\n:1\r\n*2\r\n$1\r\nx\r\n$1\r\ny\r\n-ERR wrong number of arguments for 'get' command\r\n"},
+		{"EXEC", "-ERR EXEC without MULTI\r\n"},
+	}
+	commands := make([]string, len(table))
+	for k, row := range table {
+		commands[k] = row[0]
+	}
+	for k, got := range conversation(t, server.Addr(), commands) {
+		if got != table[k][1] {
+			t.Errorf("%q: %q, want %q", table[k][0], got, table[k][1])
+		}
+	}
+	counts := fmt.Sprint(server.Applied())
+	if want := "map[BAD:1 CLIENT:2 DEL:2 EXPIRE:4 FLY:1 GET:8 HELLO:1 HGETALL:4 HSET:5 INCRBY:6 PEXPIRE:2 PING:2 SELECT:1 SET:5 SETNX:3]"; counts != want {
+		t.Errorf("counted %s, want %s", counts, want)
+	}
+}
+
+// A full store refuses what writes, alone and in a transaction.
+func TestGoldenRepliesInFaults(t *testing.T) {
+	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	for range 1000 {
+		if server.faults() == 1 {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	table := [][2]string{{"SET a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"SETNX a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"INCRBY a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"HSET a 1 2", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"HSET a", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"GET a", "$-1\r\n"},
+		{"EXPIRE a 1", ":0\r\n"},
+		{"MULTI", "+OK\r\n"},
+		{"SET a 1", "+QUEUED\r\n"},
+		{"EXEC", "-EXECABORT Transaction discarded because of: OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+		{"EXEC", "-ERR EXEC without MULTI\r\n"}}
+	commands := make([]string, len(table))
+	for k, row := range table {
+		commands[k] = row[0]
+	}
+	for k, got := range conversation(t, server.Addr(), commands) {
+		if got != table[k][1] {
+			t.Errorf("%q: %q, want %q", table[k][0], got, table[k][1])
+		}
+	}
+}
+
+// faults is how many faults are on.
+func (s *Server) faults() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.on)
+}
