--- /dev/null
+++ b/rules/pin_codec_test.go
@@ -0,0 +1,119 @@
+package rules
+
+import (
+	"encoding/hex"
+	"fmt"
+	"math"
+	"testing"
+)
+
+// TestPinnedMessageBytes: the bytes of each kind of message between nodes are those of cf1acfb, as old and new nodes run
+// side by side in one fleet.
+func TestPinnedMessageBytes(t *testing.T) {
+	const big = 1 << 40
+	for _, c := range []struct {
+		mark byte
+		told told
+		want string
+	}{
+		{useMark, told{}, "c800000000000000000000"},
+		{useMark, told{key: 1, figure: 1, passed: 1, plan: 1, spread: 1, first: 1, ref: 1, band: 1, ended: 1}, "c80164c80101010101010100"},
+		{useMark, told{key: math.MaxUint64, figure: 0.004, passed: -0.004}, "c8ffffffffffffffffff01000000000000000000"},
+		{useMark, told{key: 1 << 32, figure: 0.005, passed: -0.005}, "c88080808010010000000000000000"},
+		{useMark, told{key: 300, figure: 12.345, passed: -12.345, plan: 3, spread: 40, first: 829}, "c8ac02d309a3130328bd0600000000"},
+		{useMark, told{key: 300, figure: -5, passed: 0.999}, "c8ac0200c60100000000000000"},
+		{useMark, told{figure: big, passed: big}, "c800ffffffff0ffeffffff1f00000000000000"},
+		{useMark, told{figure: big, passed: -big}, "c800ffffffff0ffdffffff1f00000000000000"},
+		{useMark, told{figure: math.MaxUint32 / 100.0, passed: -math.MaxUint32 / 100.0}, "c800ffffffff0ffdffffff1f00000000000000"},
+		{useMark, told{plan: math.MaxUint32, spread: math.MaxUint32, first: math.MaxUint32, ref: math.MaxUint32,
+			band: math.MaxUint32, ended: math.MaxUint32}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
+		{useMark, told{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
+		{askMark, told{key: 77, passed: 1.25, figure: 3.75, plan: 2, spread: 12, first: 5, ref: 1<<24 | 9, band: 4}, "cb4df702fa01020c0589808008040000"},
+		{grantMark, told{key: 77, figure: 0.01, plan: 2, spread: 12, first: 5, ref: 7, verdict: granted}, "c94d0100020c0507000002"},
+		{grantMark, told{key: 77, figure: 1, plan: 2, spread: 12, first: 5, ref: 7, verdict: denied}, "c94d6400020c0507000004"},
+		{grantMark, told{key: 77, figure: 1, plan: 2, spread: 12, first: 5, verdict: unheard, free: true}, "c94d6400020c0500000001"},
+		{grantMark, told{key: 77, figure: 1, spread: 1, verdict: granted, free: true}, "c94d640000010000000003"},
+		{grantMark, told{key: 77, figure: 1, spread: 1, verdict: denied, free: true}, "c94d640000010000000005"},
+	} {
+		if got := hex.EncodeToString(appendTold([]byte{c.mark}, c.told)); got != c.want {
+			t.Errorf("%x %+v\nis %s\nat cf1acfb %s", c.mark, c.told, got, c.want)
+		}
+	}
+	for _, c := range []struct {
+		doubt doubted
+		want  string
+	}{
+		{doubted{}, "ca000000"},
+		{doubted{1, 1, 1}, "ca010101"},
+		{doubted{7919, 3, 48000}, "caef3d0380f702"},
+		{doubted{math.MaxUint32, math.MaxUint32, math.MaxUint32}, "caffffffff0fffffffff0fffffffff0f"},
+	} {
+		if got := hex.EncodeToString(appendDoubt([]byte{doubtMark}, c.doubt)); got != c.want {
+			t.Errorf("%+v\nis %s\nat cf1acfb %s", c.doubt, got, c.want)
+		}
+	}
+}
+
+// TestPinnedMessageReading: what is taken of a message and which are refused, as at cf1acfb, with 3 plans and 50 nodes.
+func TestPinnedMessageReading(t *testing.T) {
+	const max32, over32, max64, over64 = "ffffffff0f", "8080808010", "ffffffffffffffffff01", "ffffffffffffffffff02"
+	for _, c := range []struct{ name, text, want string }{
+		{"nothing", "", "refused"},
+		{"another protocol", "c7", "refused"},
+		{"a later mark", "cc", "refused"},
+		{"an empty use", "c8", "c8"},
+		{"an empty grant", "c9", "c9"},
+		{"an empty doubt", "ca", "ca"},
+		{"an empty ask", "cb", "cb"},
+		{"a use", "c8" + "01" + "6400" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "refused"},
+		{"a whole use", "c8" + "01" + "64" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "c8 1 1 1 2 5 6 7 8 9 0 false;"},
+		{"two uses", "c8" + "0164c80102050607080900" + "026400010a0000000003", "c8 1 1 1 2 5 6 7 8 9 0 false; 2 1 0 1 10 0 0 0 0 1 true;"},
+		{"a use and a part of one", "c8" + "0164c80102050607080900" + "026400010a00000000", "refused"},
+		{"an ask", "cb" + "ac02" + "e807" + "b10f" + "01" + "28" + "0a" + "ffff03" + "04" + "00" + "00", "cb 300 10 -9.85 1 40 10 65535 4 0 0 false;"},
+		{"a grant", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "03", "c9 300 0.01 0 1 40 10 65535 0 0 1 true;"},
+		{"a free denial", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "05", "c9 300 0.01 0 1 40 10 65535 0 0 2 true;"},
+		{"an unknown verdict", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "06", "refused"},
+		{"all largest", "c8" + max64 + max32 + "ffffffff1f" + "02" + "32" + "31" + max32 + max32 + max32 + "05", "c8 18446744073709551615 4.294967295e+07 -4.294967296e+07 2 50 49 4294967295 4294967295 4294967295 2 true;"},
+		{"a key too large", "c8" + over64 + "00" + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"a figure too large", "c8" + "00" + over32 + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"passed lowest", "c8" + "00" + "00" + "feffffff1f" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "c8 0 0 4.294967295e+07 0 1 0 0 0 0 0 false;"},
+		{"passed too large", "c8" + "00" + "00" + "8080808020" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"an unknown plan", "c8" + "00" + "00" + "00" + "03" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"no spread", "c8" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"a spread over the nodes", "c8" + "00" + "00" + "00" + "00" + "33" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"a first past the nodes", "c8" + "00" + "00" + "00" + "00" + "01" + "32" + "00" + "00" + "00" + "00", "refused"},
+		{"a plan too large", "c8" + "00" + "00" + "00" + over32 + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
+		{"a request too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + over32 + "00" + "00" + "00", "refused"},
+		{"a class too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + over32 + "00" + "00", "refused"},
+		{"an end too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + "00" + over32 + "00", "refused"},
+		{"numbers longer than needed", "c8" + "8000" + "8000" + "8000" + "8000" + "8100" + "8000" + "8000" + "8000" + "8000" + "8000", "c8 0 0 0 0 1 0 0 0 0 0 false;"},
+		{"an endless number", "c8" + "ffffffffffffffffffffffff", "refused"},
+		{"a doubt", "ca" + "ef3d" + "03" + "80f702", "ca 7919 3 48000;"},
+		{"two doubts", "ca" + "ef3d0380f702" + "010000", "ca 7919 3 48000; 1 0 0;"},
+		{"a doubt and a part of one", "ca" + "ef3d0380f702" + "0100", "refused"},
+		{"a largest doubt", "ca" + max32 + max32 + max32, "ca 4294967295 4294967295 4294967295;"},
+		{"a doubt's server too large", "ca" + over32 + "00" + "00", "refused"},
+		{"a doubt's class too large", "ca" + "00" + over32 + "00", "refused"},
+		{"a doubt's rest too large", "ca" + "00" + "00" + over32, "refused"},
+	} {
+		text, err := hex.DecodeString(c.text)
+		if err != nil {
+			t.Fatal(c.name, err)
+		}
+		m, ok := readTold(text, 3, 50)
+		got := "refused"
+		if ok {
+			got = fmt.Sprintf("%x", m.mark)
+			for _, v := range m.told {
+				got += fmt.Sprint(" ", v.key, " ", v.figure, " ", v.passed, " ", v.plan, " ", v.spread, " ", v.first, " ",
+					v.ref, " ", v.band, " ", v.ended, " ", uint8(v.verdict), " ", v.free, ";")
+			}
+			for _, v := range m.doubts {
+				got += fmt.Sprint(" ", v.server, " ", v.band, " ", int64(v.rest), ";")
+			}
+		}
+		if got != c.want {
+			t.Errorf("%s: read as %q\nat cf1acfb %q", c.name, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/rules/pin_play_test.go
@@ -0,0 +1,420 @@
+package rules
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand"
+	"slices"
+	"strconv"
+)
+
+// pinPlay drives a few nodes of one fleet with clients, app servers, discovery and a lossy network between the nodes,
+// all drawn from one seed, and digests everything that the nodes decide and write. The expected digests were taken
+// from commit cf1acfb: a change of the package that is meant to leave behaviour alone must leave all of them alone.
+type pinPlay struct {
+	pinSetup
+	rng     *rand.Rand
+	now     Time
+	begin   Time
+	nodes   []*Node
+	ids     []int
+	stalled []Time // by node: it gets no turn until then
+	servers []*pinServer
+	byID    map[uint32]*pinServer
+	tasks   map[Time][]func()
+	open    []map[uint32]*pinRequest // by node
+	nextID  uint32
+	digest  hash.Hash
+	first   []string       // the first decisions, in words
+	count   map[string]int // decisions and messages by kind
+	notes   []string
+	shadow  Settings
+}
+
+type pinSetup struct {
+	set       Settings
+	members   []int // the nodes that take part; the fleet may have more
+	servers   int
+	zones     int
+	perCell   int
+	work      Time // of a request at a server
+	perStep   float64
+	customers int
+	spread    int
+	seconds   int
+	mild      bool // few faults
+	listAt0   RosterKind
+	shadow    Settings
+	leased    uint64 // customers below this number have their quota leased
+	free      bool   // most customers' plan has no limits
+	resets    int    // percent of all attempts
+	outage    bool   // all servers stand still for two seconds
+	restarted int    // servers that have started just before
+	hung      int    // servers that answer nothing
+	missed    bool   // the first call to discovery fails
+	period    Time   // of the load, 8 s if 0
+	slowing   int    // seconds after which all servers take half as long again
+	firstZero bool   // all customers come in by nodes from number 0 on
+}
+
+type pinServer struct {
+	Listing
+	free  Time
+	fault Outcome
+	often int // percent of attempts that the fault meets
+	slow  Time
+}
+
+type pinRequest struct {
+	attempts []*pinAttempt
+	bound    bool
+}
+
+type pinAttempt struct {
+	server *pinServer
+	sent   Time
+	out    bool
+}
+
+const pinStep = 50
+
+func newPinPlay(seed int64, setup pinSetup) *pinPlay {
+	p := &pinPlay{pinSetup: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, begin: 3 * Second,
+		byID: map[uint32]*pinServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), count: map[string]int{},
+		ids: setup.members, stalled: make([]Time, len(setup.members))}
+	for i := range setup.servers {
+		p.addServer(i)
+	}
+	for _, s := range p.servers[:setup.restarted] {
+		s.Started = p.begin - Second
+	}
+	for _, s := range p.servers[len(p.servers)-setup.hung:] {
+		s.free = p.begin + 999*Second
+	}
+	for k, id := range p.ids {
+		set := Settings{}
+		for name, v := range setup.set {
+			set[name] = v
+		}
+		set["node"] = strconv.Itoa(id)
+		n := New(uint64(seed)<<32|uint64(id*7919+1), set, p.now)
+		n.Clock(p.now)
+		n.Roster(setup.listAt0, p.listings(p.servers...))
+		if setup.shadow != nil {
+			other := Settings{}
+			for name, v := range set {
+				other[name] = v
+			}
+			for name, v := range setup.shadow {
+				other[name] = v
+			}
+			n.Watch(other)
+		}
+		p.nodes, p.open = append(p.nodes, n), append(p.open, map[uint32]*pinRequest{})
+		p.pull(k)
+		if setup.missed {
+			n.Roster(Missed, nil)
+		}
+	}
+	return p
+}
+
+func (p *pinPlay) addServer(i int) *pinServer {
+	s := &pinServer{Listing: Listing{Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
+		Cell: uint16(i / p.perCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5]}}
+	p.pinSetup.servers = max(p.pinSetup.servers, i+1)
+	p.servers = append(p.servers, s)
+	p.byID[s.Server] = s
+	return s
+}
+
+func (p *pinPlay) listings(servers ...*pinServer) (list []Listing) {
+	for _, s := range servers {
+		list = append(list, s.Listing)
+	}
+	return list
+}
+
+// at runs a task in the step at or after a time.
+func (p *pinPlay) at(when Time, task func()) {
+	steps := max(1, (when-p.now+pinStep-1)/pinStep)
+	p.tasks[p.now+steps*pinStep] = append(p.tasks[p.now+steps*pinStep], task)
+}
+
+// run plays to the end and gives a digest for each second.
+func (p *pinPlay) run() (digests []string) {
+	for range p.seconds {
+		for range Second / pinStep {
+			p.step()
+		}
+		for _, n := range p.nodes {
+			fmt.Fprintln(p.digest, pinCustomers(n))
+		}
+		digests = append(digests, hex.EncodeToString(p.digest.Sum(nil))[:12])
+	}
+	return digests
+}
+
+func (p *pinPlay) step() {
+	p.now += pinStep
+	tasks := p.tasks[p.now]
+	delete(p.tasks, p.now)
+	for _, task := range tasks {
+		task()
+	}
+	if r := p.rng.Intn(map[bool]int{false: 25, true: 150}[p.mild]); r == 0 {
+		p.upset()
+	}
+	if p.outage && p.now == p.begin+5*Second {
+		for _, s := range p.servers {
+			s.free = p.now + 2*Second
+		}
+	}
+	// Load swings between quiet and about twice what the servers can do.
+	period := cmp.Or(p.period, 8*Second)
+	phase := float64((p.now-p.begin)%period) / float64(period)
+	mean := p.perStep * (0.4 + 1.8*phase)
+	for p.rng.Float64() < mean/(mean+1) {
+		p.arrive()
+	}
+	for k, n := range p.nodes {
+		if p.now < p.stalled[k] {
+			continue
+		}
+		n.Clock(p.now)
+		n.Elapsed()
+		p.pull(k)
+	}
+}
+
+func (p *pinPlay) arrive() {
+	customer := uint64(p.rng.Intn(p.customers))
+	if p.rng.Intn(3) == 0 {
+		customer = 1 // one that asks far more than others
+	}
+	spread, first := p.spread, int(customer)*5%max(1, int(p.set.Num("nodes")))
+	if p.firstZero {
+		first = 0
+	}
+	k := p.rng.Intn(len(p.nodes))
+	n := p.nodes[k]
+	p.nextID++
+	id := p.nextID
+	left := Time(4000 + p.rng.Intn(30000))
+	if p.rng.Intn(12) == 0 {
+		left = Time(p.rng.Intn(900))
+	}
+	plan := int(customer % 5)
+	if p.free && customer%7 > 0 {
+		plan = 4
+	}
+	a := Arrival{ID: id, Band: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Left: left,
+		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, First: first}
+	if p.rng.Intn(25) == 0 {
+		a.Spread, a.First = p.rng.Intn(2000)-20, p.rng.Intn(2000)-20
+	}
+	if p.rng.Intn(60) == 0 {
+		a.Units = 0
+	}
+	task := func() {
+		n.Clock(p.now)
+		if customer < p.leased {
+			n.Allowed(a.Customer, a.Plan, a.Spread, a.First, float64(p.rng.Intn(30))-5)
+		}
+		p.open[k][id] = &pinRequest{}
+		n.Take(a)
+		if p.now >= p.stalled[k] {
+			p.pull(k)
+		}
+	}
+	if p.now < p.stalled[k] {
+		p.at(p.stalled[k], task)
+	} else {
+		task()
+	}
+	if p.rng.Intn(40) == 0 {
+		p.at(p.now+Time(p.rng.Intn(4000)), func() {
+			n.Clock(p.now)
+			n.Lapsed(id)
+			p.pull(k)
+		})
+	}
+}
+
+// upset changes something in the world.
+func (p *pinPlay) upset() {
+	s := p.servers[p.rng.Intn(len(p.servers))]
+	switch p.rng.Intn(12) {
+	case 0, 1, 2:
+		s.fault = []Outcome{Failed, Full, Unreached, Reset, Spoilt, Moot, TimedOut}[p.rng.Intn(7)]
+		s.often = 10 + p.rng.Intn(90)
+		p.at(p.now+Time(p.rng.Intn(30000)), func() { s.often = 0 })
+	case 3:
+		s.slow = Time(1 + p.rng.Intn(40))
+		p.at(p.now+Time(p.rng.Intn(30000)), func() { s.slow = 0 })
+	case 4: // it stands still
+		s.free = max(s.free, p.now) + Time(p.rng.Intn(40000))
+	case 5:
+		s.State = Draining
+		p.tell(Change, s)
+		p.at(p.now+Time(p.rng.Intn(20000)), func() {
+			s.State, s.Started, s.free = Ready, p.now, p.now
+			p.tell(Change, s)
+		})
+	case 6:
+		s.State = Gone
+		p.tell(Change, s)
+		fresh := p.addServer(p.pinSetup.servers)
+		p.servers = slices.DeleteFunc(p.servers, func(v *pinServer) bool { return v == s })
+		fresh.Started = p.now
+		p.at(p.now+Time(p.rng.Intn(5000)), func() { p.tell(Change, fresh) })
+	case 7:
+		p.tell(Whole, p.servers...)
+	case 8:
+		p.tell(Missed)
+	case 9: // a node gets no turn
+		k := p.rng.Intn(len(p.nodes))
+		p.stalled[k] = p.now + Time(2000+p.rng.Intn(9000))
+	case 10: // a third of all servers restart
+		for i, v := range p.servers {
+			if i%3 == 0 && v.State == Ready && !p.mild {
+				v.Started = p.now
+			}
+		}
+		p.tell(Whole, p.servers...)
+	case 11:
+		for _, n := range p.nodes {
+			n.Probed(s.Server, []Outcome{OK, Failed}[p.rng.Intn(2)], nil)
+		}
+	}
+}
+
+// tell hands a message of discovery to the nodes, to some of them late.
+func (p *pinPlay) tell(kind RosterKind, servers ...*pinServer) {
+	list := p.listings(servers...)
+	for k, n := range p.nodes {
+		p.at(p.now+Time(p.rng.Intn(3000)), func() {
+			n.Clock(p.now)
+			n.Roster(kind, list)
+			p.pull(k)
+		})
+	}
+}
+
+// pull carries out a node's decisions.
+func (p *pinPlay) pull(k int) {
+	for d, ok := p.nodes[k].Next(); ok; d, ok = p.nodes[k].Next() {
+		p.note(k, d)
+		switch d.Verb {
+		case Send:
+			p.send(k, d)
+		case Withdraw:
+			r := p.open[k][d.Ticket]
+			p.at(p.now+Time(p.rng.Intn(100)), func() { p.end(k, d.Ticket, r, d.Nth, Withdrawn) })
+		case Tell:
+			p.deliver(k, d)
+		case Watch:
+			n := p.nodes[k]
+			if p.rng.Intn(3) == 0 {
+				p.at(p.now+Time(p.rng.Intn(20000)), func() { n.Clock(p.now); n.Roster(Missed, nil) })
+			}
+		}
+	}
+}
+
+func (p *pinPlay) note(k int, d Decision) {
+	line := fmt.Sprintf("%d node=%d verb=%d ticket=%d nth=%d server=%d span=%d peer=%d text=%x", p.now, p.ids[k], d.Verb,
+		d.Ticket, d.Nth, d.Server, d.Span, d.Peer, d.Text)
+	fmt.Fprintln(p.digest, line)
+	if len(p.first) < 400 {
+		p.first = append(p.first, line)
+	}
+	name := [...]string{Send: "send", Bounce: "bounce", BreakOff: "break off", Withdraw: "withdraw", Wake: "wake",
+		Probe: "probe", Tell: "tell", Watch: "watch", Note: "note"}[d.Verb]
+	if d.Verb == Tell {
+		name = fmt.Sprintf("message %x", d.Text[0])
+	}
+	p.count[name]++
+	if d.Verb == Note {
+		p.notes = append(p.notes, string(d.Text))
+	}
+}
+
+func (p *pinPlay) deliver(k int, d Decision) {
+	text := slices.Clone(d.Text)
+	if p.rng.Intn(60) == 0 { // spoilt on the way
+		text = text[:p.rng.Intn(len(text))]
+	}
+	for to, n := range p.nodes {
+		if to == k || d.Peer != Everyone && d.Peer != p.ids[to] || p.rng.Intn(30) == 0 {
+			continue
+		}
+		p.at(max(p.now+Time(p.rng.Intn(120)), p.stalled[to]), func() {
+			n.Clock(p.now)
+			if !n.Heard(p.ids[k], text) {
+				p.count["unreadable"]++
+			}
+			p.pull(to)
+		})
+	}
+}
+
+func (p *pinPlay) send(k int, d Decision) {
+	r, s := p.open[k][d.Ticket], p.byID[d.Server]
+	nth := len(r.attempts)
+	r.attempts = append(r.attempts, &pinAttempt{server: s, sent: p.now, out: true})
+	if nth > 0 {
+		p.count["retry"]++
+	}
+	if s.Started > 0 && p.now < s.Started+p.set.Span("cold.span") {
+		p.count["to a cold server"]++
+	}
+	outcome, end := OK, Time(0)
+	if p.rng.Intn(100) < s.often {
+		outcome, end = s.fault, p.now+Time(p.rng.Intn(1500))
+	} else {
+		if p.slowing > 0 && p.now > p.begin+Time(p.slowing)*Second {
+			s.slow = 1
+		}
+		s.free = max(s.free, p.now) + p.work*(1+s.slow)*Time(40+p.rng.Intn(120))/100
+		end = s.free
+	}
+	if p.resets > 0 && p.rng.Intn(100) < p.resets {
+		outcome, end = Reset, p.now+Time(p.rng.Intn(500))
+	}
+	if outcome == TimedOut || end > p.now+d.Span {
+		outcome, end = TimedOut, p.now+d.Span
+	}
+	p.at(end, func() { p.end(k, d.Ticket, r, nth, outcome) })
+	if p.rng.Intn(20) == 0 { // a stream begins, and breaks or is completed
+		p.at(p.now+Time(p.rng.Intn(1000)), func() {
+			if r.attempts[nth].out {
+				p.nodes[k].Clock(p.now)
+				p.nodes[k].Started(d.Ticket)
+				r.bound = true
+			}
+		})
+	}
+}
+
+func (p *pinPlay) end(k int, id uint32, r *pinRequest, nth int, outcome Outcome) {
+	n := p.nodes[k]
+	if r == nil || nth >= len(r.attempts) || !r.attempts[nth].out {
+		n.Ended(Result{Ticket: id, Nth: nth + 7, Outcome: outcome})
+		return
+	}
+	a := r.attempts[nth]
+	a.out = false
+	p.count[fmt.Sprintf("end %d", outcome)]++
+	units := 0.0
+	if p.rng.Intn(3) == 0 {
+		units = float64(p.rng.Intn(300)) / 100
+	}
+	n.Clock(p.now)
+	n.Ended(Result{Ticket: id, Nth: nth, Server: a.server.Server, Outcome: outcome, Took: p.now - a.sent,
+		Settled: outcome == OK || r.bound, Units: units, Load: nil})
+	p.pull(k)
+}
--- /dev/null
+++ b/rules/pin_settings_test.go
@@ -0,0 +1,116 @@
+package rules
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// TestPinnedNumbers: a number that can't be parsed reads as 0, whatever is wrong with it.
+func TestPinnedNumbers(t *testing.T) {
+	for text, want := range map[string]string{
+		"": "0 0 false", "0": "0 0 false", "7": "7 7 false", "-7": "-7 -7 false", "+7": "7 7 false", "2.7": "2.7 2 false",
+		"-2.7": "-2.7 -2 false", ".5": "0.5 0 false", "5.": "5 5 false", "1e3": "1000 1000 false", "1E-3": "0.001 0 false",
+		"0x10": "0 0 false", "0x1p4": "16 16 false", "1_000": "1000 1000 false", "1,5": "0 0 false", " 4": "0 0 false",
+		"4 ": "0 0 false", "4s": "0 0 false", "x": "0 0 false", "true": "0 0 true", "True": "0 0 false", "TRUE": "0 0 false",
+		" true": "0 0 false", "1e400": "0 0 false", "-1e400": "0 0 false", "1e-400": "0 0 false",
+		"NaN": "NaN -9223372036854775808 false", "Inf": "+Inf -9223372036854775808 false",
+		"-inf": "-Inf -9223372036854775808 false", "1e300": "1e+300 -9223372036854775808 false",
+	} {
+		set := Settings{"a": text}
+		if got := fmt.Sprint(set.Num("a"), int64(set.Span("a")), set.Is("a")); got != want {
+			t.Errorf("%q reads as %s, not %s", text, got, want)
+		}
+	}
+	if got := (Settings)(nil).Num("a"); got != 0 {
+		t.Errorf("missing reads as %v", got)
+	}
+	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b, ": {"a", "", "b", " "}} {
+		if got := (Settings{"a": text}).List("a"); !slices.Equal(got, want) {
+			t.Errorf("%q reads as %q", text, got)
+		}
+	}
+	if got := (Settings{}).At("band", 3, "window"); got != "band.3.window" {
+		t.Errorf("%q", got)
+	}
+}
+
+// pinSettingNames are all the settings that the module reads.
+func pinSettingNames() []string {
+	names := []string{"node", "nodes", "tick", "connect", "cold.span", "cold.from", "peers.take", "peers", "executions",
+		"withdraw", "advice", "advice.most", "fall.multiple", "fall.span", "idle", "roster", "ask.within", "band.count",
+		"plan.count"}
+	for _, name := range []string{"contract", "window", "group", "repeats"} {
+		names = append(names, "band.0."+name, "band.4."+name)
+	}
+	for _, name := range []string{"rate", "depth", "open", "ceiling.rate", "ceiling.depth"} {
+		names = append(names, "plan.0."+name, "plan.3."+name)
+	}
+	return names
+}
+
+// pinOddValues are what each setting is set to in turn; the first is for one that is missing.
+var pinOddValues = []string{"missing", "x7", "-3", "2.7", "NaN", "TRUE", "3000"}
+
+// pinOddPlay plays two seconds with one setting odd and gives its digest, or what it panics with.
+func pinOddPlay(base Settings, name, value string) (digest string) {
+	defer func() {
+		if r := recover(); r != nil {
+			digest = fmt.Sprint("panic: ", r)
+		}
+	}()
+	set := pinSettings(base)
+	set[name] = value
+	if value == "missing" {
+		delete(set, name)
+	}
+	setup := pinSetup{set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
+		spread: 3, seconds: 2, listAt0: Cached, resets: 12, restarted: 2, hung: 1, missed: true}
+	if set["nodes"] == "18" {
+		setup.members, setup.spread = []int{1, 2}, 9
+	}
+	p := newPinPlay(7, setup)
+	if name == "node" {
+		for _, n := range p.nodes {
+			n.read(set)
+		}
+	}
+	return p.run()[1][:8]
+}
+
+// TestPinnedSettings: each setting that is missing, odd, malformed or negative does what it did at cf1acfb.
+func TestPinnedSettings(t *testing.T) {
+	for _, base := range []Settings{{}, {"nodes": "18"}} {
+		usual := pinOddPlay(base, "none", "")
+		names := pinSettingNames()
+		if len(base) > 0 {
+			names = []string{"node", "nodes", "idle", "peers.take", "plan.3.open", "plan.3.ceiling.rate", "plan.3.ceiling.depth"}
+		}
+		for _, name := range names {
+			var got []string
+			for _, value := range pinOddValues {
+				d := pinOddPlay(base, name, value)
+				if d == usual {
+					d = "usual"
+				}
+				got = append(got, d)
+			}
+			pinCompare(t, fmt.Sprintf("setting %s, %s nodes", name, pinSettings(base)["nodes"]), strings.Join(got, " "))
+		}
+	}
+}
+
+// TestPinnedWide: from how many nodes on not all can hear all, and quota owners keep the buckets.
+func TestPinnedWide(t *testing.T) {
+	for _, c := range []struct {
+		nodes, take string
+		want        bool
+	}{{"1", "0", false}, {"2", "0", true}, {"10", "40", false}, {"11", "40", true}, {"100", "400", false}, {"101", "400", true},
+		{"100", "395", true}, {"2", "4", true}, {"2", "4.01", false}, {"830", "3316", true}, {"830", "3317", false}, {"5", "-3", true},
+		{"x", "", false}, {"40", "NaN", false}} {
+		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.wide != c.want {
+			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.wide)
+		}
+	}
+}
--- /dev/null
+++ b/rules/pin_summary_test.go
@@ -0,0 +1,131 @@
+package rules
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// pinNotes are the interval lines of a play.
+func pinNotes(t *testing.T, name string, count int) []string {
+	t.Helper()
+	for seed, c := range pinPlays {
+		if c.name == name {
+			p := newPinPlay(int64(seed+41), c.setup)
+			for len(p.notes) < count {
+				p.step()
+			}
+			return p.notes[:count]
+		}
+	}
+	t.Fatal("no play ", name)
+	return nil
+}
+
+// TestPinnedSummaryLines: the exact text of the interval lines, of a fresh node, under each cause of refusal, and where
+// nothing came.
+func TestPinnedSummaryLines(t *testing.T) {
+	for _, name := range []string{"four nodes that all hear each other", "quota owners in a wide fleet",
+		"a node that hears no peer", "few requests at a slow server"} {
+		for i, line := range pinNotes(t, name, 14) {
+			pinCompare(t, fmt.Sprintf("%s, line %d", name, i), line)
+		}
+	}
+}
+
+// TestPinnedPolls: when discovery is asked, after calls that failed. The play is the same at each setting but for chance.
+func TestPinnedPolls(t *testing.T) {
+	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
+		var polls []string
+		for seed := range uint64(2) {
+			n := New(seed*7919+3, Settings{"nodes": "3", "band.0.contract": "6000", "roster": "ask", "ask.within": within}, Second)
+			for now := Second; now < 20*Second; now += 10 {
+				n.Clock(now)
+				if watches(n) {
+					polls = append(polls, strconv.Itoa(int(now)))
+					if len(polls)%3 == 0 {
+						n.Roster(Missed, nil)
+					}
+					n.Roster(Missed, nil)
+					if len(polls)%3 == 1 {
+						n.Roster(Missed, nil) // told twice
+					}
+				}
+			}
+		}
+		pinCompare(t, "polls within "+within, strings.Join(polls, " "))
+	}
+}
+
+// TestPinnedFirstDecisions: the first decisions and messages of a play, in words.
+func TestPinnedFirstDecisions(t *testing.T) {
+	p := newPinPlay(42, pinPlays[1].setup)
+	p.run()
+	kinds := map[string]int{}
+	for _, line := range p.first {
+		kind := strings.Fields(line)[2]
+		if i := strings.Index(line, "text="); len(line) > i+7 {
+			kind = line[i : i+7]
+		}
+		if kinds[kind]++; kinds[kind] <= 5 {
+			pinCompare(t, fmt.Sprintf("decision %s %d", kind, kinds[kind]), line)
+		}
+	}
+}
+
+// pinSubset digests which servers a node uses first and which it has in view.
+func pinSubset(n *Node) string {
+	h := uint32(len(n.own))
+	for _, i := range n.own {
+		h = mix(h, n.servers[i].Server)
+	}
+	h = mix(h, uint32(len(n.view)))
+	for _, i := range n.view {
+		h = mix(h, n.servers[i].Server)
+	}
+	return fmt.Sprintf("%d/%d:%08x", len(n.own), len(n.view), h)
+}
+
+// TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
+// with a whole list and after changes.
+func TestPinnedSubsets(t *testing.T) {
+	for _, c := range []struct {
+		nodes, servers, zones int
+	}{
+		{1, 5, 1}, {3, 300, 3}, {12, 255, 3}, {12, 257, 3}, {60, 8, 2}, {90, 20, 3}, {300, 200, 3},
+		{420, 330, 12}, {500, 1000, 5}, {830, 3000, 12}, {40, 3500, 4},
+	} {
+		got := []string{}
+		members := []int{0, 1, 7, 8, 9, c.nodes / 2, c.nodes - 1}
+		for k, me := range members {
+			if me >= c.nodes || slices.Contains(members[:k], me) {
+				continue
+			}
+			n := New(uint64(me), Settings{"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true",
+				"peers.take": "40", "tick": "10", "band.0.contract": "6000", "idle": "300000"}, Second)
+			list := []Listing{}
+			for i := range c.servers {
+				list = append(list, Listing{Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
+					State: Ready, Weight: 1})
+			}
+			n.Roster(Whole, list)
+			at := pinSubset(n)
+			changes := []Listing{}
+			for i, l := range list {
+				if i%9 == 0 {
+					l.State = Gone
+					changes = append(changes, l)
+				}
+			}
+			n.Roster(Change, changes)
+			n.sends.add(0, n.now, paceFade)
+			n.sends.n = float64(400 * (k + 1))
+			n.Clock(2 * Second)
+			watches(n)
+			got = append(got, at+" "+pinSubset(n))
+		}
+		pinCompare(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
+	}
+}
