--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,6 @@
 run: build
 	exec bin/cherrygap
 
-# Writes internal/gate/*.pb.go anew; wants protoc, protoc-gen-go v1.36.4 and protoc-gen-go-grpc v1.5.1 on the path.
+# Writes internal/grpcfrontend/*.pb.go anew; wants protoc, protoc-gen-go v1.36.4 and protoc-gen-go-grpc v1.5.1 on the path.
 proto:
-	protoc --go_out=. --go_opt=module=cherrygap --go-grpc_out=. --go-grpc_opt=module=cherrygap internal/gate/gate.proto
+	protoc --go_out=. --go_opt=module=cherrygap --go-grpc_out=. --go-grpc_opt=module=cherrygap internal/grpcfrontend/gate.proto
--- a/cmd/cherrygap/cli.go
+++ b/cmd/cherrygap/cli.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // version is set at build time with -ldflags "-X main.version=..."; else the module's build information tells.
@@ -59,11 +59,11 @@
 }
 
 // loadOperator reads the operator file, or gives the defaults when none is named.
-func loadOperator(path string) (operator.File, error) {
+func loadOperator(path string) (operatorfile.File, error) {
 	if path == "" {
-		return operator.Default(), nil
+		return operatorfile.Default(), nil
 	}
-	return operator.Load(path)
+	return operatorfile.Load(path)
 }
 
 func logLevel(name string) zerolog.Level {
@@ -127,7 +127,7 @@
 
 func checkFile(path string) error {
 	if filepath.Ext(path) != ".json" {
-		_, err := operator.Load(path)
+		_, err := operatorfile.Load(path)
 		return err
 	}
 	raw, err := os.ReadFile(path)
--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 
 	"cherrygap/internal/authz"
-	"cherrygap/internal/duties"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/settings"
@@ -42,14 +42,14 @@
 
 	named string // the discovery that the file names
 	seed  uint64
-	known protocol.List
+	known protocol.EndpointList
 	odd   error // why the known list can't be read, at a start
 	set   map[string]string
-	watch map[string]string // settings to watch, from the operator file; nil for none
-	share operator.Duties   // from the operator file, and
-	quota operator.Quota
-	authz operator.Authz
-	grpc  operator.GRPC
+	watch map[string]string   // settings to watch, from the operator file; nil for none
+	share operatorfile.Duties // from the operator file, and
+	quota operatorfile.Quota
+	authz operatorfile.Authz
+	grpc  operatorfile.GRPC
 	level zerolog.Level // from the operator file; the zero value is debug, so serve sets it
 }
 
@@ -113,7 +113,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(c.Known) > 0 && string(c.Known) != "null" {
-		if c.known, err = protocol.ParseList(c.Known); err != nil {
+		if c.known, err = protocol.ParseEndpointList(c.Known); err != nil {
 			return c, fmt.Errorf("%w: %w", errKnown, err)
 		}
 	}
@@ -122,7 +122,7 @@
 
 // take writes the operator file's settings over the platform's, and sets what is watched. Without any given it
 // changes nothing but the level of the log.
-func (c *config) take(op operator.File) (err error) {
+func (c *config) take(op operatorfile.File) (err error) {
 	c.level, c.share, c.quota = logLevel(op.Log.Level), op.Duties, op.Quota
 	c.authz, c.grpc = op.Authz, op.GRPC
 	if c.set, err = op.Settings.Over(c.set); err != nil {
@@ -182,12 +182,12 @@
 }
 
 // duties is what the shared duties are told at the start.
-func (c *config) duties() duties.Config {
+func (c *config) duties() healthcheck.Config {
 	figure := func(name string) float64 {
 		v, _ := strconv.ParseFloat(c.set[name], 64)
 		return v
 	}
-	return duties.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
+	return healthcheck.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
 		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
 }
 
@@ -210,7 +210,7 @@
 	}
 	me, _ := strconv.Atoi(c.set["node"])
 	nodes, _ := strconv.Atoi(c.set["nodes"])
-	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.Calls, Wait: quota.Wait(shortest)}
+	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.Calls, Wait: quota.ExchangeTimeout(shortest)}
 }
 
 // checks is what the check of tickets is told at the start, and the numbers of bands by name. A band that the platform
--- a/cmd/cherrygap/grpc.go
+++ b/cmd/cherrygap/grpc.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cherrygap/internal/gate"
+	"cherrygap/internal/grpcfrontend"
 	"cherrygap/internal/lab/authz"
 	"cherrygap/internal/transport"
 )
@@ -19,14 +19,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return gate.Dial(c.authz.Service, cfg, bands)
+		return grpcfrontend.Dial(c.authz.Service, cfg, bands)
 	}
-	listenGRPC = func(c *config, front *transport.Front) (func(), error) {
-		methods, err := gate.Methods(c.set)
+	listenGRPC = func(c *config, front *transport.Server) (func(), error) {
+		methods, err := grpcfrontend.Methods(c.set)
 		if err != nil {
 			return nil, err
 		}
-		f, err := gate.Listen(c.grpc.Listen, front, methods, uint32(c.grpc.Calls))
+		f, err := grpcfrontend.Listen(c.grpc.Listen, front, methods, uint32(c.grpc.Calls))
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cherrygap/internal/authz"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // Bands that pass without an answer are the platform's, by name.
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		op := operator.Default()
+		op := operatorfile.Default()
 		op.Authz.PassOpen = []string{open}
 		if err := c.take(op); err != nil {
 			t.Fatal(err)
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -13,14 +13,14 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"cherrygap/internal/lab/dutylab"
 	"cherrygap/internal/lab/emulator"
+	"cherrygap/internal/lab/healthlab"
 	"cherrygap/internal/lab/load"
 	"cherrygap/internal/lab/model"
 	"cherrygap/internal/lab/report"
 	"cherrygap/internal/lab/scale"
 	"cherrygap/internal/lab/store"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // newLab is the laboratory's commands. Each reads the operator file's [lab] part; flags hold over it.
@@ -34,7 +34,7 @@
 	return lab
 }
 
-func labLog(op operator.File) zerolog.Logger {
+func labLog(op operatorfile.File) zerolog.Logger {
 	return zerolog.New(os.Stderr).Level(logLevel(op.Log.Level)).With().Timestamp().Logger()
 }
 
@@ -56,7 +56,7 @@
 }
 
 // checkFlags runs flags through the operator file's checks, so that a bad one names itself as a key.
-func checkFlags(op operator.File) error {
+func checkFlags(op operatorfile.File) error {
 	faults := op.Check()
 	if len(faults) == 0 {
 		return nil
@@ -296,7 +296,7 @@
 }
 
 func newDuties(opFile *string) *cobra.Command {
-	var cfg dutylab.Config
+	var cfg healthlab.Config
 	cmd := &cobra.Command{
 		Use:   "duties",
 		Short: "Play the fleet's shared duties in virtual time and say how long servers went unchecked",
@@ -311,7 +311,7 @@
 				return err
 			}
 			cfg.Every, cfg.Bytes = time.Duration(op.Duties.CheckMs*float64(time.Millisecond)), op.Duties.Bytes
-			res, err := dutylab.Play(cfg)
+			res, err := healthlab.Play(cfg)
 			if err != nil {
 				return err
 			}
@@ -322,7 +322,7 @@
 	cmd.Flags().IntVar(&cfg.Servers, "servers", 60, "app servers, 1 or more")
 	cmd.Flags().DurationVar(&cfg.For, "for", 2*time.Minute, "virtual time")
 	cmd.Flags().Uint64Var(&cfg.Seed, "seed", 1, "seed of every random draw")
-	cmd.Flags().StringVar(&cfg.Scenario, "scenario", "vanish", strings.Join(dutylab.Scenarios, ", "))
+	cmd.Flags().StringVar(&cfg.Scenario, "scenario", "vanish", strings.Join(healthlab.Scenarios, ", "))
 	cmd.Flags().Float64Var(&cfg.Take, "take", 40, "messages a second that a node takes in, of all kinds")
 	return cmd
 }
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -20,11 +20,11 @@
 	"github.com/rs/zerolog/diode"
 	"github.com/spf13/cobra"
 
-	"cherrygap/internal/duties"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/quotastore"
 	"cherrygap/internal/routing"
-	"cherrygap/internal/store"
 	"cherrygap/internal/transport"
 )
 
@@ -73,7 +73,7 @@
 }
 
 // serve reads the platform's configuration and runs the node until it has drained.
-func serve(op operator.File) error {
+func serve(op operatorfile.File) error {
 	c, err := startConfig()
 	if err != nil {
 		return err
@@ -103,41 +103,41 @@
 	log := zerolog.New(out).Level(c.level).With().Timestamp().Str("node", c.Name).Logger()
 	limits := c.limits()
 	asked := make(chan struct{}, 1)
-	alarm, err := transport.NewAlarm()
+	alarm, err := transport.NewTimer()
 	if err != nil {
 		return err
 	}
 	defer alarm.Close()
-	cfg := routing.Config{Seed: c.seed, Settings: c.set, Compare: c.watch, Wake: alarm.Set,
-		Tell: func(int, []byte) { count.ToldFailed.Add(1) },
-		Watch: func() {
+	cfg := routing.Config{Seed: c.seed, Settings: c.set, Shadow: c.watch, SetTimer: alarm.Set,
+		SendToPeer: func(int, []byte) { count.ToldFailed.Add(1) },
+		PollEndpoints: func() {
 			select {
 			case asked <- struct{}{}:
 			default:
 			}
 		},
-		Note: func(text []byte) { log.Info().Msg(string(text)) },
+		LogSummary: func(text []byte) { log.Info().Msg(string(text)) },
 	}
 	hear := func(func(int, []byte) bool) {}
 	if c.Peer.IsValid() {
-		var mail *transport.Mail
+		var mail *transport.PeerSocket
 		if err := onceFree(&log, func() (err error) {
-			mail, err = transport.OpenMail(c.Peer, protocol.NewPeers(c.Peers, c.PeersAll), count)
+			mail, err = transport.OpenPeerSocket(c.Peer, protocol.NewPeerTable(c.Peers, c.PeersAll), count)
 			return err
 		}); err != nil {
 			return err
 		}
-		cfg.Tell, hear = mail.Tell, mail.Hear
+		cfg.SendToPeer, hear = mail.Send, mail.Receive
 	}
-	var leased *store.Quotas
+	var leased *quotastore.Quotas
 	if c.quota.Store != "" {
-		leased = store.Open(c.quota.Store, c.Name, c.leases(), &log)
+		leased = quotastore.Open(c.quota.Store, c.Name, c.leases(), &log)
 		cfg.Quota = leased
 		go leased.Run()
 		defer leased.Close()
 	}
 	router := routing.New(cfg)
-	var shared *transport.Duties
+	var shared *transport.HealthChecker
 	var checked authoriser
 	counters := func(message string) {
 		e := log.Info().Object("counters", count)
@@ -156,28 +156,28 @@
 		e.Msg(message)
 	}
 	pool := transport.NewPool(limits, &log, count)
-	known := len(c.known.Targets) > 0
+	known := len(c.known.Endpoints) > 0
 	if known {
-		router.Listed(&c.known, true)
+		router.UpdateEndpoints(&c.known, true)
 	} else if c.odd != nil {
 		log.Warn().Err(c.odd).Msg("known list refused")
 	}
-	c.Known, c.known.Targets = nil, nil // some MB in a large fleet, which the module holds in its own form
+	c.Known, c.known.Endpoints = nil, nil // some MB in a large fleet, which the module holds in its own form
 	if c.shares() {
-		shared = transport.NewDuties(c.duties(), router, pool, cfg.Tell, &log)
+		shared = transport.NewHealthChecker(c.duties(), router, pool, cfg.SendToPeer, &log)
 	}
-	watch := &transport.Watch{Addr: c.Discovery, Rev: c.known.Rev, Whole: !known, Limits: limits, Log: &log,
-		Count: count, Missed: router.Missed, Listed: func(l *protocol.List) {
-			router.Listed(l, false)
-			pool.Keep(router.MayStart)
+	watch := &transport.DiscoveryClient{Addr: c.Discovery, Revision: c.known.Revision, Full: !known, Limits: limits, Log: &log,
+		Count: count, OnFailure: router.PollFailed, OnList: func(l *protocol.EndpointList) {
+			router.UpdateEndpoints(l, false)
+			pool.KeepOnly(router.InService)
 			if shared != nil {
-				shared.Listed()
+				shared.EndpointsChanged()
 			}
 		}}
 	if c.set["roster"] == "ask" {
-		watch.Asked = asked
+		watch.PollRequests = asked
 	}
-	var check transport.Checker
+	var check transport.Authorizer
 	if c.authz.Service != "" {
 		if checked, err = dialAuthoriser(c); err != nil {
 			return err
@@ -185,7 +185,7 @@
 		defer checked.Close()
 		check = checked
 	}
-	var front *transport.Front
+	var front *transport.Server
 	if err := onceFree(&log, func() (err error) {
 		front, err = transport.Listen(c.Listen, router, pool, limits, check, &log, count)
 		return err
@@ -212,10 +212,10 @@
 		defer shared.Close()
 	}
 	go hear(func(from int, text []byte) bool {
-		if shared != nil && text[0] == duties.Mark {
-			return shared.Heard(from, text)
+		if shared != nil && text[0] == healthcheck.MessageMark {
+			return shared.ReceivePeerMessage(from, text)
 		}
-		return router.Heard(from, text)
+		return router.ReceivePeerMessage(from, text)
 	})
 	router.Tick()
 	log.Info().Str("listen", c.Listen).Msg("started")
@@ -232,7 +232,7 @@
 			if c.odd != nil {
 				log.Warn().Err(c.odd).Msg("known list refused")
 			}
-			c.Known, c.known.Targets = nil, nil
+			c.Known, c.known.Endpoints = nil, nil
 			log.Info().Str("discovery", c.named).Msg("new configuration")
 		case <-s.term:
 			s.term = nil // once
@@ -258,7 +258,7 @@
 
 // authoriser checks tickets, and counts.
 type authoriser interface {
-	transport.Checker
+	transport.Authorizer
 	zerolog.LogObjectMarshaler
 	Close()
 }
@@ -268,7 +268,7 @@
 var (
 	errNoGRPC      = errors.New("authz.service, grpc.listen: this program was built without the tag grpc (docs/grpc.md)")
 	dialAuthoriser = func(*config) (authoriser, error) { return nil, errNoGRPC }
-	listenGRPC     = func(*config, *transport.Front) (drain func(), err error) { return nil, errNoGRPC }
+	listenGRPC     = func(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
 	moreLab        []func(opFile *string) *cobra.Command
 )
 
@@ -276,7 +276,7 @@
 type watched struct{ r *routing.Router }
 
 func (w watched) MarshalZerologObject(e *zerolog.Event) {
-	seen, differs := w.r.Watched()
+	seen, differs := w.r.ShadowCounts()
 	e.Int64("decisions", seen)
 	for _, kind := range slices.Sorted(maps.Keys(differs)) {
 		e.Int64(kind, differs[kind])
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	l := c.limits()
-	if c.Listen != "127.0.0.7:80" || c.seed != 0x8c1f30d27a5be964 || c.known.Rev != 41 || c.set["node"] != "2" ||
+	if c.Listen != "127.0.0.7:80" || c.seed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.set["node"] != "2" ||
 		l.Idle != 15*time.Second || l.Connect != 250*time.Millisecond || l.Sockets != 1024 {
 		t.Errorf("read as %+v, limits %+v", c, l)
 	}
@@ -48,7 +48,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := startConfig(); err != nil || c.odd == nil || len(c.known.Targets) > 0 || c.set["node"] != "2" {
+		if c, err := startConfig(); err != nil || c.odd == nil || len(c.known.Endpoints) > 0 || c.set["node"] != "2" {
 			t.Errorf("%s: %v", known, err)
 		}
 		if next, err := old.reload(func(string) { t.Error("moved") }); err != nil || next.odd == nil || next.set["node"] != "2" {
@@ -259,7 +259,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		op, faults := operator.Parse(c.operator)
+		op, faults := operatorfile.Parse(c.operator)
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
@@ -289,7 +289,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		op := operator.Default()
+		op := operatorfile.Default()
 		op.Duties.On = c.on
 		if err := conf.take(op); err != nil {
 			t.Fatal(err)
--- a/cmd/cherrygap/nogrpc_test.go
+++ b/cmd/cherrygap/nogrpc_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // A program without gRPC must not start as if tickets were checked.
 func TestWithoutGRPCItIsRefused(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
-		op, faults := operator.Parse(text)
+		op, faults := operatorfile.Parse(text)
 		c, err := parseConfig([]byte(strings.NewReplacer("127.0.0.4:9000", port(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(good)),
 			func(string) string { return "" })
 		if err != nil || len(faults) > 0 {
--- a/cmd/cherrygap/pin_config_test.go
+++ b/cmd/cherrygap/pin_config_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 const goodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
@@ -189,7 +189,7 @@
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery + " " + c.named, "seed": fmt.Sprintf("%x", c.seed),
 		"peer": fmt.Sprint(c.Peer), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeersAll),
 		"given":   fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
-		"known":   fmt.Sprint(c.known.Rev, c.known.All, len(c.known.Targets)),
+		"known":   fmt.Sprint(c.known.Revision, c.known.Full, len(c.known.Endpoints)),
 		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.Idle), "connect": fmt.Sprint(l.Connect),
 		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.shares()),
 		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Me, d.Nodes, d.Seed, d.Take, d.Bytes, d.Every),
@@ -350,7 +350,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := conf.take(operator.Default()); err != nil {
+			if err := conf.take(operatorfile.Default()); err != nil {
 				t.Fatal(err)
 			}
 			compareValues(t, conf, c.changes)
@@ -419,7 +419,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			op, faults := operator.Parse(c.operator)
+			op, faults := operatorfile.Parse(c.operator)
 			if len(faults) > 0 {
 				t.Fatal(faults)
 			}
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // asProgram makes the test's own process the program, for tests that start it anew.
@@ -44,7 +44,7 @@
 		}
 	}
 	heed()
-	if err := serve(operator.Default()); err != nil {
+	if err := serve(operatorfile.Default()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
--- a/cmd/drill/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"cherrygap/internal/wire"
-	"cherrygap/rules"
+	"cherrygap/internal/decision"
+	"cherrygap/internal/simproto"
 )
 
 // The codes of the protocol page, written out: a renumbered constant must show.
@@ -111,24 +111,24 @@
 func TestEveryActionCode(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		decision rules.Decision
+		decision decision.Decision
 		want     string
 	}{
-		{"pass_on", rules.Decision{Verb: rules.Send, Ticket: 0x5d3a91c4, Span: 800, Server: 0x03124a07}, "0a 0e000000 0300 c4913a5d 80380100 074a1203"},
-		{"pass_on, no time left", rules.Decision{Verb: rules.Send, Ticket: 1, Span: -1, Server: 2}, "0a 0e000000 0300 01000000 9cffffff 02000000"},
-		{"refuse", rules.Decision{Verb: rules.Bounce, Ticket: 0x0e6f2b19, Span: 2500}, "01 0a000000 0300 192b6f0e 90d00300"},
-		{"refuse, no advice", rules.Decision{Verb: rules.Bounce, Ticket: 0x0e6f2b19}, "01 0a000000 0300 192b6f0e 00000000"},
-		{"surrender", rules.Decision{Verb: rules.BreakOff, Ticket: 0x0e6f2b19, Span: 7}, "09 06000000 0300 192b6f0e"},
-		{"recall", rules.Decision{Verb: rules.Withdraw, Ticket: 0x5d3a91c4, Nth: 3}, "02 07000000 0300 c4913a5d 03"},
-		{"wake_at", rules.Decision{Verb: rules.Wake, Span: 5000}, "0d 0a000000 0300 20a10700 00000000"},
-		{"sample", rules.Decision{Verb: rules.Probe, Server: 0x03124a07}, "0c 06000000 0300 074a1203"},
-		{"write_peer", rules.Decision{Verb: rules.Tell, Peer: 4, Text: []byte("hi 7")}, "03 0c000000 0300 04000000 0400 68692037"},
-		{"write_peer, all", rules.Decision{Verb: rules.Tell, Peer: rules.Everyone, Text: []byte("hi 7")}, "03 0c000000 0300 ffffffff 0400 68692037"},
-		{"stream_changes", rules.Decision{Verb: rules.Watch}, "06 03000000 0300 01"},
-		{"note_down", rules.Decision{Verb: rules.Note, Text: []byte("two servers unknown")}, "04 17000000 0300 1300 74776f207365727665727320756e6b6e6f776e"},
+		{"pass_on", decision.Decision{Action: decision.Forward, Request: 0x5d3a91c4, Duration: 800, Server: 0x03124a07}, "0a 0e000000 0300 c4913a5d 80380100 074a1203"},
+		{"pass_on, no time left", decision.Decision{Action: decision.Forward, Request: 1, Duration: -1, Server: 2}, "0a 0e000000 0300 01000000 9cffffff 02000000"},
+		{"refuse", decision.Decision{Action: decision.Reject, Request: 0x0e6f2b19, Duration: 2500}, "01 0a000000 0300 192b6f0e 90d00300"},
+		{"refuse, no advice", decision.Decision{Action: decision.Reject, Request: 0x0e6f2b19}, "01 0a000000 0300 192b6f0e 00000000"},
+		{"surrender", decision.Decision{Action: decision.Fail, Request: 0x0e6f2b19, Duration: 7}, "09 06000000 0300 192b6f0e"},
+		{"recall", decision.Decision{Action: decision.CancelAttempt, Request: 0x5d3a91c4, Attempt: 3}, "02 07000000 0300 c4913a5d 03"},
+		{"wake_at", decision.Decision{Action: decision.SetTimer, Duration: 5000}, "0d 0a000000 0300 20a10700 00000000"},
+		{"sample", decision.Decision{Action: decision.HealthCheck, Server: 0x03124a07}, "0c 06000000 0300 074a1203"},
+		{"write_peer", decision.Decision{Action: decision.SendPeerMessage, Peer: 4, Payload: []byte("hi 7")}, "03 0c000000 0300 04000000 0400 68692037"},
+		{"write_peer, all", decision.Decision{Action: decision.SendPeerMessage, Peer: decision.AllPeers, Payload: []byte("hi 7")}, "03 0c000000 0300 ffffffff 0400 68692037"},
+		{"stream_changes", decision.Decision{Action: decision.PollEndpoints}, "06 03000000 0300 01"},
+		{"note_down", decision.Decision{Action: decision.LogSummary, Payload: []byte("two servers unknown")}, "04 17000000 0300 1300 74776f207365727665727320756e6b6e6f776e"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var d drill
+			var d adapter
 			d.reply.Reset()
 			d.write(3, c.decision)
 			want := fromHex(t, c.want)
@@ -142,7 +142,7 @@
 
 // A panic of the module is the instance's fault, in words, and the batch goes on.
 func TestFaultAction(t *testing.T) {
-	var d drill
+	var d adapter
 	d.reply.Reset()
 	d.guard(3, func() { panic("index out of range") })
 	want := fromHex(t, "1b000000 01000000 08 16000000 0300 1200 696e646578206f7574206f662072616e6765")
@@ -154,15 +154,15 @@
 // The numbers of the page, all of them, those that this adapter sends nothing of too.
 func TestCodesOfThePage(t *testing.T) {
 	for name, c := range map[string]struct{ got, want int }{
-		"request": {wire.EvRequest, 1}, "fleet": {wire.EvFleet, 2}, "peer": {wire.EvPeer, 3}, "lapsed": {wire.EvLapsed, 4},
-		"tallied": {wire.EvTallied, 5}, "started": {wire.EvStarted, 6}, "ended": {wire.EvEnded, 7}, "kill": {wire.EvKill, 8},
-		"echo": {wire.EvEcho, 9}, "elapsed": {wire.EvElapsed, 10}, "begin": {wire.EvBegin, 11},
+		"request": {simproto.EvRequest, 1}, "fleet": {simproto.EvFleet, 2}, "peer": {simproto.EvPeer, 3}, "lapsed": {simproto.EvLapsed, 4},
+		"tallied": {simproto.EvTallied, 5}, "started": {simproto.EvStarted, 6}, "ended": {simproto.EvEnded, 7}, "kill": {simproto.EvKill, 8},
+		"echo": {simproto.EvEcho, 9}, "elapsed": {simproto.EvElapsed, 10}, "begin": {simproto.EvBegin, 11},
 
-		"refuse": {wire.ActRefuse, 1}, "recall": {wire.ActRecall, 2}, "write_peer": {wire.ActWritePeer, 3},
-		"note_down": {wire.ActNoteDown, 4}, "reload": {wire.ActReload, 5}, "stream_changes": {wire.ActStream, 6},
-		"release": {wire.ActRelease, 7}, "fault": {wire.ActFault, 8}, "surrender": {wire.ActSurrender, 9},
-		"pass_on": {wire.ActPassOn, 10}, "post_amount": {wire.ActPost, 11}, "sample": {wire.ActSample, 12},
-		"wake_at": {wire.ActWakeAt, 13},
+		"refuse": {simproto.ActRefuse, 1}, "recall": {simproto.ActRecall, 2}, "write_peer": {simproto.ActWritePeer, 3},
+		"note_down": {simproto.ActNoteDown, 4}, "reload": {simproto.ActReload, 5}, "stream_changes": {simproto.ActStream, 6},
+		"release": {simproto.ActRelease, 7}, "fault": {simproto.ActFault, 8}, "surrender": {simproto.ActSurrender, 9},
+		"pass_on": {simproto.ActPassOn, 10}, "post_amount": {simproto.ActPost, 11}, "sample": {simproto.ActSample, 12},
+		"wake_at": {simproto.ActWakeAt, 13},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", name, c.got, c.want)
@@ -172,18 +172,18 @@
 
 // Outcomes and states as the page numbers them; a code that it doesn't name is an error.
 func TestOutcomesAndStates(t *testing.T) {
-	for code, want := range map[uint16]rules.Outcome{0: rules.OK, 255: rules.Failed, 254: rules.Full, 253: rules.TimedOut,
-		252: rules.Unreached, 251: rules.Reset, 250: rules.Withdrawn, 249: rules.Moot} {
+	for code, want := range map[uint16]decision.Outcome{0: decision.Succeeded, 255: decision.Failed, 254: decision.Overloaded, 253: decision.TimedOut,
+		252: decision.ConnectFailed, 251: decision.ConnectionReset, 250: decision.Cancelled, 249: decision.NotSent} {
 		if got, ok := outcomes[code]; !ok || got != want {
 			t.Errorf("outcome %d: %d, %v", code, got, ok)
 		}
 	}
-	for code, want := range map[byte]rules.State{0: rules.Draining, 1: rules.Ready, 3: rules.Gone} {
+	for code, want := range map[byte]decision.EndpointState{0: decision.Draining, 1: decision.Ready, 3: decision.Gone} {
 		if got, ok := states[code]; !ok || got != want {
 			t.Errorf("state %d: %d, %v", code, got, ok)
 		}
 	}
-	for code, want := range map[byte]rules.RosterKind{0: rules.Whole, 1: rules.Cached, 2: rules.Missed, 3: rules.Change} {
+	for code, want := range map[byte]decision.EndpointListKind{0: decision.FullList, 1: decision.CachedList, 2: decision.PollFailed, 3: decision.ListUpdate} {
 		if got, ok := rosterKinds[code]; !ok || got != want {
 			t.Errorf("kind of list %d: %d, %v", code, got, ok)
 		}
--- a/rules/order_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"math"
@@ -14,17 +14,17 @@
 	r := rand.New(rand.NewSource(34))
 	for range 30 {
 		zones := 1 + r.Intn(12)
-		var kept order
+		var kept endpointOrder
 		kept.build(nil, 3, true)
-		servers := make([]appServer, 20+r.Intn(200))
+		servers := make([]server, 20+r.Intn(200))
 		for range 5 * len(servers) {
 			k := r.Intn(len(servers))
 			s := &servers[k]
-			s.Listing = Listing{Server: uint32(k * 7919), Zone: uint8(r.Intn(zones)), Cell: uint16(r.Intn(9)), State: State(r.Intn(2))}
-			s.known = r.Intn(4) > 0
+			s.Endpoint = Endpoint{Server: uint32(k * 7919), Zone: uint8(r.Intn(zones)), Cell: uint16(r.Intn(9)), State: EndpointState(r.Intn(2))}
+			s.listed = r.Intn(4) > 0
 			kept.place(s, int32(k))
 		}
-		var built order
+		var built endpointOrder
 		other := slices.Clone(servers)
 		built.build(other, 3, true)
 		usable, ofZone := 0, make([]int, zones)
@@ -47,8 +47,8 @@
 				t.Fatalf("zone %d: %d servers by changes, %d at once", zone, len(kept.zones[zone].keys), len(built.zones[zone].keys))
 			}
 		}
-		if kept.n != usable || built.n != usable {
-			t.Fatalf("%d and %d of %d servers", kept.n, built.n, usable)
+		if kept.count != usable || built.count != usable {
+			t.Fatalf("%d and %d of %d servers", kept.count, built.count, usable)
 		}
 		from, seen, count := r.Float64(), map[int32]int{}, make([]int, zones)
 		kept.walk(from, len(servers)+1, func(slot int32) {
@@ -73,28 +73,28 @@
 }
 
 // fleetOf is the 77th node's module over many servers in zones, which each call of choose may take for another node's.
-func fleetOf(nodes, servers, zones int) *Node {
+func fleetOf(nodes, servers, zones int) *Engine {
 	n := New(7, Settings{"nodes": strconv.Itoa(nodes), "node": "77", "peers": "true", "peers.take": "40", "tick": "10",
 		"band.count": "2", "band.0.contract": "6000", "band.1.contract": "6000", "band.0.repeats": "replayable",
 		"plan.count": "1", "idle": "300000"}, Second)
-	list := []Listing{}
+	list := []Endpoint{}
 	for i := range servers {
-		list = append(list, Listing{Server: uint32(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
+		list = append(list, Endpoint{Server: uint32(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
 	}
-	n.Roster(Whole, list)
+	n.UpdateEndpoints(FullList, list)
 	return n
 }
 
 // spreadOf is how many nodes use a server, over the mean: the most, and the 99th percentile.
-func spreadOf(n *Node, traffic func(node int) float64) (most, p99, least float64) {
+func spreadOf(n *Engine, traffic func(node int) float64) (most, p99, least float64) {
 	load := make([]float64, len(n.servers))
 	all := 0.0
 	for me := range n.nodes {
-		n.me, n.sends = me, faded{at: n.now}
-		n.sends.n = traffic(me) * secs(interval)
-		n.choose()
-		for _, i := range n.own {
-			load[i] += traffic(me) / float64(len(n.own))
+		n.self, n.attemptsSent = me, decayingMean{at: n.now}
+		n.attemptsSent.count = traffic(me) * seconds(interval)
+		n.chooseSubset()
+		for _, i := range n.subset {
+			load[i] += traffic(me) / float64(len(n.subset))
 		}
 		all += traffic(me)
 	}
@@ -130,15 +130,15 @@
 // servers of all other zones left to use.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	for name, lost := range map[string]func(s *appServer) bool{
-		"a zone":   func(s *appServer) bool { return s.Zone == 3 },
-		"a region": func(s *appServer) bool { return s.Zone%2 == 0 },
-		"racks":    func(s *appServer) bool { return s.Cell%3 == 1 },
+	for name, lost := range map[string]func(s *server) bool{
+		"a zone":   func(s *server) bool { return s.Zone == 3 },
+		"a region": func(s *server) bool { return s.Zone%2 == 0 },
+		"racks":    func(s *server) bool { return s.Cell%3 == 1 },
 	} {
 		for me := range n.nodes {
-			n.me, n.sends = me, faded{at: n.now}
-			n.choose()
-			for what, set := range map[string][]int32{"own": n.own, "view": n.view} {
+			n.self, n.attemptsSent = me, decayingMean{at: n.now}
+			n.chooseSubset()
+			for what, set := range map[string][]int32{"own": n.subset, "view": n.view} {
 				left, zones := 0, map[uint8]int{}
 				for _, i := range set {
 					if s := &n.servers[i]; !lost(s) {
@@ -164,15 +164,15 @@
 func TestTheFirstListDealsForGood(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
-		first := slices.Clone(n.own)
-		n.Clock(n.now + interval)
-		pull(n, Send)
-		if moved := diff(n.own, first); moved > 0 || len(first) == 0 {
-			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.own))
+		first := slices.Clone(n.subset)
+		n.SetTime(n.now + interval)
+		pull(n, Forward)
+		if moved := diff(n.subset, first); moved > 0 || len(first) == 0 {
+			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.subset))
 		}
-		n.Roster(Change, []Listing{{Server: 1 << 30, State: Ready, Weight: 1}})
-		if n.ready != servers+1 || n.order.n != n.ready {
-			t.Errorf("%d servers and one more: %d ready, %d in the order", servers, n.ready, n.order.n)
+		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
+		if n.ready != servers+1 || n.order.count != n.ready {
+			t.Errorf("%d servers and one more: %d ready, %d in the order", servers, n.ready, n.order.count)
 		}
 	}
 }
@@ -181,44 +181,44 @@
 // view at once, its place is taken, and what is still out at it counts until it has ended.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	own, view := slices.Clone(n.own), slices.Clone(n.view)
-	if len(own) < 13000/830*dealt || len(view) < inView || len(view) > max(inView, spare*len(own)) {
+	own, view := slices.Clone(n.subset), slices.Clone(n.view)
+	if len(own) < 13000/830*nodesPerShuffle || len(view) < minView || len(view) > max(minView, viewRatio*len(own)) {
 		t.Fatalf("%d own, %d in view", len(own), len(view))
 	}
-	far := n.servers[slices.IndexFunc(n.servers, func(s appServer) bool { return !slices.Contains(view, n.serverOf.find(s.Server)) })]
-	last := far.Listing
+	far := n.servers[slices.IndexFunc(n.servers, func(s server) bool { return !slices.Contains(view, n.serverSlots.find(s.Server)) })]
+	last := far.Endpoint
 	last.State = Draining
-	n.Roster(Change, []Listing{last})
-	if moved := diff(n.own, own); moved > 1 {
+	n.UpdateEndpoints(ListUpdate, []Endpoint{last})
+	if moved := diff(n.subset, own); moved > 1 {
 		t.Errorf("%d of the node's servers changed with one that it does not use", moved)
 	}
-	n.Take(Arrival{ID: 1, Customer: 5, Left: 4 * Second, Units: 1, Spread: 1})
-	sends := pull(n, Send)
+	n.AddRequest(Request{ID: 1, Customer: 5, Timeout: 4 * Second, Units: 1, Spread: 1})
+	sends := pull(n, Forward)
 	if len(sends) != 1 {
 		t.Fatalf("%d attempts", len(sends))
 	}
-	s := &n.servers[n.serverOf.find(sends[0].Server)]
-	before := n.pressing()
-	drained := s.Listing
+	s := &n.servers[n.serverSlots.find(sends[0].Server)]
+	before := n.inFlightAtHealthy()
+	drained := s.Endpoint
 	drained.State = Draining
-	n.Roster(Change, []Listing{drained})
-	i := n.serverOf.find(drained.Server)
-	if s = &n.servers[i]; s.mine || slices.Contains(n.own, i) || !slices.Contains(n.view, i) || n.pressing() != before {
-		t.Errorf("a server that drains: own %v, in view %v; pressing %v of %v", s.mine, slices.Contains(n.view, i), n.pressing(), before)
+	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
+	i := n.serverSlots.find(drained.Server)
+	if s = &n.servers[i]; s.inSubset || slices.Contains(n.subset, i) || !slices.Contains(n.view, i) || n.inFlightAtHealthy() != before {
+		t.Errorf("a server that drains: own %v, in view %v; pressing %v of %v", s.inSubset, slices.Contains(n.view, i), n.inFlightAtHealthy(), before)
 	}
 	for id := range uint32(300) {
-		n.Take(Arrival{ID: 10 + id, Customer: uint64(id), Left: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Send) {
+		n.AddRequest(Request{ID: 10 + id, Customer: uint64(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(n, Forward) {
 			if d.Server == drained.Server {
 				t.Fatal("an attempt began at a server that drains")
 			}
 		}
 	}
-	n.Ended(Result{Ticket: 1, Server: drained.Server, Took: Second / 10, Settled: true})
+	n.AttemptEnded(AttemptResult{Request: 1, Server: drained.Server, Duration: Second / 10, Final: true})
 	drained.State = Gone
-	n.Roster(Change, []Listing{drained})
-	n.Clock(n.now + interval)
-	if pull(n, Send); slices.Contains(n.view, i) || n.serverOf.find(drained.Server) >= 0 {
+	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
+	n.SetTime(n.now + interval)
+	if pull(n, Forward); slices.Contains(n.view, i) || n.serverSlots.find(drained.Server) >= 0 {
 		t.Error("a server that is gone stays in view with nothing out at it")
 	}
 }
@@ -227,23 +227,23 @@
 // others there are found all the same, and what goes out at them counts.
 func TestKeyedRequestsFindTheirCell(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	n.bands[0].repeats, n.bands[0].group, n.bands[0].window = referenced, "cell", 60*Second
-	n.set["executions"] = "3"
-	n.extra = 99
+	n.classes[0].retrySafety, n.classes[0].keyGroup, n.classes[0].keyWindow = retryKeyed, "cell", 60*Second
+	n.settings["executions"] = "3"
+	n.retryBudget = 99
 	again := 0
 	for id := range uint32(60) {
-		n.Take(Arrival{ID: id, Customer: uint64(id), Left: 4 * Second, Units: 1, Spread: 1})
-		first := pull(n, Send)
+		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+		first := pull(n, Forward)
 		if len(first) != 1 {
 			t.Fatalf("%d attempts", len(first))
 		}
-		n.Ended(Result{Ticket: id, Server: first[0].Server, Outcome: Reset, Took: Second / 50})
-		if next := pull(n, Send); len(next) == 1 {
-			a, b := n.serverOf.find(first[0].Server), n.serverOf.find(next[0].Server)
-			if again++; a == b || n.servers[a].Cell != n.servers[b].Cell || !slices.Contains(n.view, b) || n.servers[b].open != 1 {
+		n.AttemptEnded(AttemptResult{Request: id, Server: first[0].Server, Outcome: ConnectionReset, Duration: Second / 50})
+		if next := pull(n, Forward); len(next) == 1 {
+			a, b := n.serverSlots.find(first[0].Server), n.serverSlots.find(next[0].Server)
+			if again++; a == b || n.servers[a].Cell != n.servers[b].Cell || !slices.Contains(n.view, b) || n.servers[b].inFlight != 1 {
 				t.Fatalf("a keyed request of cell %d went on in %d", n.servers[a].Cell, n.servers[b].Cell)
 			}
-			n.Ended(Result{Ticket: id, Nth: 1, Server: next[0].Server, Took: Second / 50, Settled: true})
+			n.AttemptEnded(AttemptResult{Request: id, Attempt: 1, Server: next[0].Server, Duration: Second / 50, Final: true})
 		}
 	}
 	if again < 50 {
@@ -263,20 +263,20 @@
 // Of tens of thousands of customers that asked once, those long idle are forgotten, some at a time: no interval looks at all.
 func TestManyIdleCustomersAgeOut(t *testing.T) {
 	n := plain(3, nil)
-	const many = 5 * agedEach
+	const many = 5 * idleScanCount
 	for k := range uint32(many) {
-		n.customers[n.known(uint64(k), 0, 1, 0)].last = n.now
+		n.customers[n.customerSlot(uint64(k), 0, 1, 0)].lastRequest = n.now
 	}
 	now := n.now
 	for k := range 80 {
 		now += interval
-		n.Clock(now)
-		pull(n, Send)
-		if left := len(n.customer.of); k < 59 && left < many || k > 59 && left < many-(k-58)*agedEach {
+		n.SetTime(now)
+		pull(n, Forward)
+		if left := len(n.customerSlots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCount {
 			t.Fatalf("%d of %d customers left after %d intervals", left, many, k)
 		}
 	}
-	if left := len(n.customer.of); left > 0 {
+	if left := len(n.customerSlots.slots); left > 0 {
 		t.Errorf("%d of %d idle customers left", left, many)
 	}
 }
--- a/rules/rules_test.go
+++ b/internal/decision/engine_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"math"
@@ -14,20 +14,20 @@
 	n := New(7, Settings{"nodes": "1", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
 		"executions": "3"}, Second)
-	n.Roster(Cached, []Listing{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
+	n.UpdateEndpoints(CachedList, []Endpoint{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
 	for id := range uint32(50) {
-		n.Take(Arrival{ID: id, Customer: uint64(id), Left: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: Second, Units: 1, Spread: 1})
 	}
 	sent, bounced := 0, 0
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		switch d.Verb {
-		case Send:
+		switch d.Action {
+		case Forward:
 			sent++
-		case Bounce:
+		case Reject:
 			bounced++
 		}
 	}
-	if sent < 2*fresh || sent > 4*fresh || sent+bounced != 50 {
+	if sent < 2*coldStartAttempts || sent > 4*coldStartAttempts || sent+bounced != 50 {
 		t.Fatalf("sent %d, bounced %d of 50", sent, bounced)
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 // plain is a node of one replayable band and one plan, with some servers, and what a test adds.
-func plain(servers int, more Settings) *Node {
+func plain(servers int, more Settings) *Engine {
 	set := Settings{"nodes": "3", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
 		"executions": "3", "withdraw": "true"}
@@ -70,19 +70,19 @@
 		set[k] = v
 	}
 	n := New(7, set, Second)
-	list := []Listing{}
+	list := []Endpoint{}
 	for i := range servers {
-		list = append(list, Listing{Server: uint32(i), State: Ready, Weight: 1})
+		list = append(list, Endpoint{Server: uint32(i), State: Ready, Weight: 1})
 	}
-	n.Roster(Cached, list)
+	n.UpdateEndpoints(CachedList, list)
 	return n
 }
 
 // pull gathers the decisions of one verb.
-func pull(n *Node, v Verb) (out []Decision) {
+func pull(n *Engine, v Action) (out []Decision) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		if d.Verb == v {
-			d.Text = append([]byte(nil), d.Text...)
+		if d.Action == v {
+			d.Payload = append([]byte(nil), d.Payload...)
 			out = append(out, d)
 		}
 	}
@@ -94,7 +94,7 @@
 	for _, set := range []Settings{{"tick": "0", "band.0.contract": "10"}, {"tick": "-5"}, {"tick": "0", "band.0.contract": "0"}} {
 		n := plain(2, set)
 		for now := Second; now < Second+50; now++ {
-			n.Clock(now)
+			n.SetTime(now)
 			k := 0
 			for _, ok := n.Next(); ok; _, ok = n.Next() {
 				if k++; k > 100 {
@@ -109,16 +109,16 @@
 func TestFirstShortAnswersDoNotSetT(t *testing.T) {
 	n := plain(10, nil)
 	for id := range uint32(4) {
-		n.Take(Arrival{ID: id, Left: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
-	for _, d := range pull(n, Send)[:2] {
-		n.Clock(Second + 100)
-		n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Outcome: OK, Took: 100, Settled: true})
+	for _, d := range pull(n, Forward)[:2] {
+		n.SetTime(Second + 100)
+		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: Succeeded, Duration: 100, Final: true})
 	}
-	n.Clock(2*Second + 10)
-	pull(n, Note)
-	if n.scale != 0 || n.lambda != 0 {
-		t.Fatalf("T is %.0f after two ends", n.scale)
+	n.SetTime(2*Second + 10)
+	pull(n, LogSummary)
+	if n.executionTime != 0 || n.admissionRate != 0 {
+		t.Fatalf("T is %.0f after two ends", n.executionTime)
 	}
 }
 
@@ -126,21 +126,21 @@
 // once that execution has ended.
 func TestHungExecutionIsCalledBackThenSentElsewhere(t *testing.T) {
 	n := plain(4, nil)
-	n.extra = 5
-	n.bands[0].took = faded{sum: 30000, n: 100, at: Second}
-	n.Take(Arrival{ID: 1, Left: 2 * Second, Units: 1, Spread: 1})
-	first := pull(n, Send)
-	n.Clock(Second + 4000)
-	if d := pull(n, Withdraw); len(d) != 1 || d[0].Ticket != 1 {
+	n.retryBudget = 5
+	n.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
+	n.AddRequest(Request{ID: 1, Timeout: 2 * Second, Units: 1, Spread: 1})
+	first := pull(n, Forward)
+	n.SetTime(Second + 4000)
+	if d := pull(n, CancelAttempt); len(d) != 1 || d[0].Request != 1 {
 		t.Fatalf("not called back: %v", d)
 	}
-	n.Clock(Second + 4010)
-	n.Ended(Result{Ticket: 1, Server: first[0].Server, Outcome: Withdrawn, Took: 4010})
-	again := pull(n, Send)
+	n.SetTime(Second + 4010)
+	n.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
+	again := pull(n, Forward)
 	if len(again) != 1 || again[0].Server == first[0].Server {
 		t.Fatalf("sent again to %v after %v", again, first)
 	}
-	if !n.suspect(0, &n.servers[first[0].Server].by[0]) {
+	if !n.ejected(0, &n.servers[first[0].Server].byClass[0]) {
 		t.Fatal("the silent server is in good standing")
 	}
 }
@@ -149,23 +149,23 @@
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
 	n := plain(4, Settings{"peers": "true", "peers.take": "100", "plan.0.rate": "1"})
 	for id := range uint32(100) {
-		n.Take(Arrival{ID: id, Customer: 1<<32 + uint64(id), Left: Second, Units: 3, Spread: 3})
+		n.AddRequest(Request{ID: id, Customer: 1<<32 + uint64(id), Timeout: Second, Units: 3, Spread: 3})
 	}
-	pull(n, Send)
+	pull(n, Forward)
 	peer := plain(4, Settings{"peers": "true", "peers.take": "100", "node": "1"})
 	for now := Second; now < 2*Second; now += 100 {
-		n.Clock(now)
-		peer.Clock(now)
-		for _, d := range pull(n, Tell) {
-			peer.Heard(0, d.Text)
+		n.SetTime(now)
+		peer.SetTime(now)
+		for _, d := range pull(n, SendPeerMessage) {
+			peer.ReceivePeerMessage(0, d.Payload)
 		}
 	}
 	if len(peer.customers) != 100 {
 		t.Fatalf("%d customers of 100 were named", len(peer.customers))
 	}
-	peer.Heard(0, []byte{useMark, 0x80})
-	peer.Heard(9, []byte{useMark})
-	peer.Heard(0, []byte("other"))
+	peer.ReceivePeerMessage(0, []byte{kindUse, 0x80})
+	peer.ReceivePeerMessage(9, []byte{kindUse})
+	peer.ReceivePeerMessage(0, []byte("other"))
 }
 
 // Hundreds of nodes that start alike must not all send their first tickets to the same servers, nor, hearing
@@ -178,23 +178,23 @@
 		n := New(uint64(k)<<32|uint64(k*7919), Settings{"nodes": "300", "tick": "40", "band.count": "1",
 			"band.0.contract": "6000", "band.0.repeats": "replayable", "plan.count": "1", "cold.span": "180000",
 			"cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000"}, Second)
-		list := []Listing{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
+		list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
 		for s := range uint32(20) {
-			list = append(list, Listing{Server: s, State: Ready, Weight: 1})
+			list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
 		}
-		n.Roster(Cached, list)
+		n.UpdateEndpoints(CachedList, list)
 		for i := range uint32(60) {
 			now := Second + Time(i)*span/60
-			n.Clock(now)
-			n.Take(Arrival{ID: i, Customer: uint64(i), Left: Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Send) {
+			n.SetTime(now)
+			n.AddRequest(Request{ID: i, Customer: uint64(i), Timeout: Second, Units: 1, Spread: 1})
+			for _, d := range pull(n, Forward) {
 				if i == 0 {
 					first[d.Server] = true
 				}
 				if d.Server == 99 {
 					cold++
 				}
-				n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: 800, Settled: true})
+				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 800, Final: true})
 			}
 		}
 	}
@@ -208,30 +208,30 @@
 func TestServerFailingOneBandRestsForThatBand(t *testing.T) {
 	n := plain(2, Settings{"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
 		"band.1.contract": "6000", "band.1.repeats": "single-use"})
-	n.Take(Arrival{ID: 1, Band: 1, Left: Second, Units: 1, Spread: 1})
-	bad := pull(n, Send)[0].Server
-	n.Ended(Result{Ticket: 1, Server: bad, Outcome: Failed, Took: 100})
-	at := n.serverOf.find(bad)
-	if s := n.servers[at].by; !n.suspect(1, &s[1]) || n.suspect(0, &s[0]) {
+	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
+	bad := pull(n, Forward)[0].Server
+	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
+	at := n.serverSlots.find(bad)
+	if s := n.servers[at].byClass; !n.ejected(1, &s[1]) || n.ejected(0, &s[0]) {
 		t.Fatal("the wrong band rests")
 	}
-	n.Clock(Second + interval/2)
-	told := pull(n, Tell)
+	n.SetTime(Second + interval/2)
+	told := pull(n, SendPeerMessage)
 	other := plain(2, Settings{"nodes": "40", "node": "3", "peers": "true", "band.count": "2", "band.1.contract": "6000"})
-	other.Clock(Second + interval/2)
-	other.Heard(0, append(slices.Clone(told[0].Text), 0x80)) // cut short: passed over whole
-	if other.suspect(1, &other.servers[at].by[1]) {
+	other.SetTime(Second + interval/2)
+	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
+	if other.ejected(1, &other.servers[at].byClass[1]) {
 		t.Fatal("malformed message counted")
 	}
-	other.Heard(0, told[0].Text)
-	if s := other.servers[at].by; told[0].Peer != Everyone || !other.suspect(1, &s[1]) || other.suspect(0, &s[0]) {
+	other.ReceivePeerMessage(0, told[0].Payload)
+	if s := other.servers[at].byClass; told[0].Peer != AllPeers || !other.ejected(1, &s[1]) || other.ejected(0, &s[0]) {
 		t.Fatal("the peer did not take in the doubt")
 	}
 }
 
 // fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
 type fleet struct {
-	nodes     []*Node
+	nodes     []*Engine
 	sent, out int
 	most      int // out at once
 	lost      func(from, to int, text []byte) bool
@@ -240,7 +240,7 @@
 }
 
 func newFleet(t *testing.T, more Settings) *fleet {
-	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Node, 60)}
+	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Engine, 60)}
 	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40", "plan.0.rate": "2", "plan.0.depth": "6"}
 	for k, v := range more {
 		set[k] = v
@@ -248,7 +248,7 @@
 	for k := range f.nodes {
 		set["node"] = strconv.Itoa(k)
 		f.nodes[k] = plain(4, set)
-		f.nodes[k].chance = mwc{uint32(k) | 1, 77}
+		f.nodes[k].random = mwc{uint32(k) | 1, 77}
 	}
 	return f
 }
@@ -261,24 +261,24 @@
 	for again := true; again; {
 		again = false
 		for k, n := range f.nodes {
-			n.Clock(now)
+			n.SetTime(now)
 			for d, ok := n.Next(); ok; d, ok = n.Next() {
-				switch d.Verb {
-				case Send:
+				switch d.Action {
+				case Forward:
 					f.sent++
 					f.out++
 					f.most = max(f.most, f.out)
 					f.ends[now+took] = append(f.ends[now+took], func() {
 						f.out--
-						n.Clock(now + took)
-						n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: took, Settled: true})
+						n.SetTime(now + took)
+						n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: took, Final: true})
 					})
-				case Tell:
+				case SendPeerMessage:
 					if d.Peer < 10 || d.Peer >= 50 {
 						f.t.Fatalf("told %d, outside the set", d.Peer)
 					}
-					if f.lost == nil || !f.lost(k, d.Peer, d.Text) {
-						f.nodes[d.Peer].Heard(k, slices.Clone(d.Text))
+					if f.lost == nil || !f.lost(k, d.Peer, d.Payload) {
+						f.nodes[d.Peer].ReceivePeerMessage(k, slices.Clone(d.Payload))
 						again = true
 					}
 				}
@@ -294,8 +294,8 @@
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
 			id++
 			n := f.nodes[10+int(id)*7%40]
-			n.Clock(now)
-			n.Take(Arrival{ID: id, Customer: customer, Left: Second, Units: 1, Spread: 40, First: 10})
+			n.SetTime(now)
+			n.AddRequest(Request{ID: id, Customer: customer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
 		}
 		f.settle(now, 500)
 	}
@@ -310,15 +310,15 @@
 		t.Fatalf("%d sent", f.sent)
 	}
 	n := f.nodes[11]
-	before := n.customers[0].grant
-	n.Heard(9, appendTold([]byte{grantMark}, told{key: 5, figure: 1, spread: 40, first: 10}))
-	n.Heard(12, appendTold([]byte{grantMark}, told{key: 5, figure: 1, spread: 40, first: 10}))
-	n.Heard(15, appendTold([]byte{grantMark}, told{key: 5, figure: 1, spread: 400, first: 10}))
-	n.Take(Arrival{ID: 1000, Customer: 8, Left: Second, Units: 1, Spread: 0, First: -3})
-	n.Take(Arrival{ID: 1001, Customer: 9, Left: Second, Units: 1, Spread: 1 << 20, First: 1 << 20})
-	pull(n, Send)
-	if n.customers[0].grant != before || before >= 1 {
-		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers[0].grant)
+	before := n.customers[0].admitPart
+	n.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 40, firstNode: 10}))
+	n.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 40, firstNode: 10}))
+	n.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 400, firstNode: 10}))
+	n.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
+	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
+	pull(n, Forward)
+	if n.customers[0].admitPart != before || before >= 1 {
+		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers[0].admitPart)
 	}
 }
 
@@ -330,15 +330,15 @@
 	if f.most > 2 || f.sent < 60 {
 		t.Fatalf("%d out at once, %d sent", f.most, f.sent)
 	}
-	home := f.nodes[f.nodes[10].home(&f.nodes[10].customers[0])]
-	c := &home.customers[home.customer.find(5)]
-	c.holds = []hold{{11, 7, 9 * Second}}
-	home.Heard(12, appendTold([]byte{useMark}, told{key: 5, spread: 40, first: 10, ref: 7, ended: 1}))
-	if len(c.holds) != 1 {
+	home := f.nodes[f.nodes[10].ownerOf(&f.nodes[10].customers[0])]
+	c := &home.customers[home.customerSlots.find(5)]
+	c.reservations = []reservation{{11, 7, 9 * Second}}
+	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{key: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	if len(c.reservations) != 1 {
 		t.Fatal("another node's end freed a hold")
 	}
-	home.Heard(11, appendTold([]byte{useMark}, told{key: 5, spread: 40, first: 10, ref: 7, ended: 1}))
-	if len(c.holds) != 0 {
+	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{key: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	if len(c.reservations) != 0 {
 		t.Fatal("an end freed no hold")
 	}
 }
@@ -370,17 +370,17 @@
 		fresh.lost, fresh.sent = f.lost, sent
 		f = fresh // all restart
 		for _, n := range f.nodes {
-			n.now, n.intervalAt, n.beatAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
+			n.now, n.intervalEnd, n.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
 		}
 	}
 	if f.sent > 8*20 || f.sent < 60 {
 		t.Fatalf("%d units in 8 s of 20 a second, all stores empty at the start", f.sent)
 	}
 	n := f.nodes[11] // all stores full hold the ceiling's and no more
-	c := &n.customers[n.known(5, 0, 40, 10)]
-	n.Clock(99 * Second)
-	n.ceilingRoom(c, &ticket{guess: 1})
-	if all := 40*c.ceiling + homePart*80; all > 80.01 || all < 79.99 {
+	c := &n.customers[n.customerSlot(5, 0, 40, 10)]
+	n.SetTime(99 * Second)
+	n.ceilingAllows(c, &request{units: 1})
+	if all := 40*c.ceiling + ownerCeilingPart*80; all > 80.01 || all < 79.99 {
 		t.Fatalf("the stores hold %.2f of 80", all)
 	}
 }
@@ -389,20 +389,20 @@
 // once, and the limit's tokens cover the time that nothing passed.
 func TestAfterAStallTheLastComeFirst(t *testing.T) {
 	n := plain(10, nil)
-	n.lambda, n.scale, n.intervalAt = 40, 500, 9*Second
-	n.lows, n.rates = []float64{500}, []float64{40}
-	n.Take(Arrival{ID: 1000, Left: Second, Units: 1, Spread: 1})
-	pull(n, Send)
-	n.Clock(Second + Second) // 1 s without a turn; the contract time is 0.6 s
+	n.admissionRate, n.executionTime, n.intervalEnd = 40, 500, 9*Second
+	n.intervalLatencies, n.completedRates = []float64{500}, []float64{40}
+	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
+	pull(n, Forward)
+	n.SetTime(Second + Second) // 1 s without a turn; the contract time is 0.6 s
 	for id := range uint32(20) {
-		n.Take(Arrival{ID: id, Left: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	var first, bounced []uint32
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		if d.Verb == Send {
-			first = append(first, d.Ticket)
-		} else if d.Verb == Bounce {
-			bounced = append(bounced, d.Ticket)
+		if d.Action == Forward {
+			first = append(first, d.Request)
+		} else if d.Action == Reject {
+			bounced = append(bounced, d.Request)
 		}
 	}
 	if len(first) < 9 || first[0] != 19 || slices.Contains(first, 0) || !slices.Contains(bounced, 0) ||
@@ -415,19 +415,19 @@
 // client has no use for a late answer and the server's time is another's.
 func TestLateAfterAStallIsBouncedWithRoomLeft(t *testing.T) {
 	n := plain(10, nil)
-	n.lambda, n.scale, n.intervalAt = 4000, 500, 9*Second
-	n.lows, n.rates = []float64{500}, []float64{4000}
-	n.Take(Arrival{ID: 1000, Left: Second, Units: 1, Spread: 1})
-	pull(n, Send)
-	n.Clock(2 * Second)
+	n.admissionRate, n.executionTime, n.intervalEnd = 4000, 500, 9*Second
+	n.intervalLatencies, n.completedRates = []float64{500}, []float64{4000}
+	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
+	pull(n, Forward)
+	n.SetTime(2 * Second)
 	for id := range uint32(20) {
-		n.Take(Arrival{ID: id, Left: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	bounced := 0
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		if d.Verb == Bounce {
-			if bounced++; d.Ticket > 12 {
-				t.Errorf("ticket %d of 20, which is in time yet, was bounced", d.Ticket)
+		if d.Action == Reject {
+			if bounced++; d.Request > 12 {
+				t.Errorf("ticket %d of 20, which is in time yet, was bounced", d.Request)
 			}
 		}
 	}
@@ -440,9 +440,9 @@
 // larger server's queue, under that one's cap yet, while a smaller one stands idle.
 func TestOwnServerWithTheLeastOutComesFirst(t *testing.T) {
 	n := plain(2, Settings{"nodes": "60", "peers": "true", "peers.take": "40"})
-	n.servers[1].Weight, n.servers[1].open, n.servers[1].turn = 4, 1, 100
-	n.Take(Arrival{ID: 1, Left: Second, Units: 1, Spread: 1})
-	if got := n.pick(&n.tickets[0]); got != 0 {
+	n.servers[1].Weight, n.servers[1].inFlight, n.servers[1].rotationCredit = 4, 1, 100
+	n.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
+	if got := n.pick(&n.requests[0]); got != 0 {
 		t.Fatalf("server %d was taken, with one out and the other idle", got)
 	}
 }
@@ -453,31 +453,31 @@
 	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40"}
 	n, alike := plain(20, set), plain(20, set)
 	for k := range 8 {
-		n.Heard(20+k, appendDoubt([]byte{doubtMark}, doubted{3, 0, 0}))
+		n.ReceivePeerMessage(20+k, appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
 		for s := range uint32(20) {
-			alike.Heard(20+k, appendDoubt([]byte{doubtMark}, doubted{s, 0, 0}))
+			alike.ReceivePeerMessage(20+k, appendSuspicion([]byte{kindSuspicion}, suspicion{s, 0, 0}))
 		}
 	}
-	n.Clock(3 * Second)
-	n.bands[0].trials = 0
-	if !n.suspect(0, &n.servers[3].by[0]) || n.suspect(0, &n.servers[4].by[0]) {
+	n.SetTime(3 * Second)
+	n.classes[0].trialBudget = 0
+	if !n.ejected(0, &n.servers[3].byClass[0]) || n.ejected(0, &n.servers[4].byClass[0]) {
 		t.Fatal("the words of peers did not tell the server that fails")
 	}
 	for i := range alike.servers {
-		if alike.suspect(0, &alike.servers[i].by[0]) {
+		if alike.ejected(0, &alike.servers[i].byClass[0]) {
 			t.Fatal("suspected where all miss alike")
 		}
 	}
 	trials := 0
 	for id := range uint32(100) { // a twentieth of the band's executions may try it
-		n.Clock(3*Second + Time(id)*500)
-		n.Take(Arrival{ID: id, Customer: uint64(id), Left: Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Send) {
-			o := OK
+		n.SetTime(3*Second + Time(id)*500)
+		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: Second, Units: 1, Spread: 1})
+		for _, d := range pull(n, Forward) {
+			o := Succeeded
 			if d.Server == 3 {
 				trials, o = trials+1, TimedOut
 			}
-			n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Outcome: o, Took: 5000, Settled: true})
+			n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 5000, Final: true})
 		}
 	}
 	if trials > 7 {
@@ -491,18 +491,18 @@
 	now, id, out := Second, uint32(0), 0
 	var sent []Decision
 	for ; now < 12*Second; now += 100 {
-		n.Clock(now)
+		n.SetTime(now)
 		for range 2 {
 			id++
-			n.Take(Arrival{ID: id, Left: 8 * Second, Units: 1, Spread: 1})
+			n.AddRequest(Request{ID: id, Timeout: 8 * Second, Units: 1, Spread: 1})
 		}
 		if now < 4*Second { // every execution takes 20 ms until all stand still
 			for _, d := range sent {
-				n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Outcome: OK, Took: 200, Settled: true})
+				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: Succeeded, Duration: 200, Final: true})
 			}
 			sent = sent[:0]
 		}
-		sent = append(sent, pull(n, Send)...)
+		sent = append(sent, pull(n, Forward)...)
 		out = max(out, len(sent))
 	}
 	if out > 36 { // six a server; without the guard it is hundreds
@@ -514,13 +514,13 @@
 func TestShortTimeOutIsNoMiss(t *testing.T) {
 	n := plain(2, nil)
 	for id := range uint32(4) {
-		n.Take(Arrival{ID: id, Left: 2 * Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
 	}
-	for _, d := range pull(n, Send) {
-		n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Outcome: TimedOut, Took: 500})
+	for _, d := range pull(n, Forward) {
+		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
-	if n.servers[0].by[0].misses+n.servers[1].by[0].misses+n.ended != 0 {
-		t.Fatalf("%d misses, %d ends counted", n.servers[0].by[0].misses+n.servers[1].by[0].misses, n.ended)
+	if n.servers[0].byClass[0].consecutiveFailures+n.servers[1].byClass[0].consecutiveFailures+n.ends != 0 {
+		t.Fatalf("%d misses, %d ends counted", n.servers[0].byClass[0].consecutiveFailures+n.servers[1].byClass[0].consecutiveFailures, n.ends)
 	}
 }
 
@@ -528,14 +528,14 @@
 // and its time is no sign of pressure. Two in a row tell, of that band.
 func TestOneBadAnswerRestsNoServer(t *testing.T) {
 	n := plain(1, Settings{"band.count": "2", "band.1.contract": "6000", "executions": "1"})
-	for id, o := range []Outcome{Spoilt, OK, Reset, OK, Spoilt, Reset} {
-		n.Take(Arrival{ID: uint32(id), Left: 2 * Second, Units: 1, Spread: 1})
-		d := pull(n, Send)[0]
-		n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Outcome: o, Took: 500, Settled: o == OK})
-		if got := n.suspect(0, &n.servers[0].by[0]); got != (id == 5) || n.suspect(1, &n.servers[0].by[1]) || n.ended > 2 {
+	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
+		n.AddRequest(Request{ID: uint32(id), Timeout: 2 * Second, Units: 1, Spread: 1})
+		d := pull(n, Forward)[0]
+		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
+		if got := n.ejected(0, &n.servers[0].byClass[0]); got != (id == 5) || n.ejected(1, &n.servers[0].byClass[1]) || n.ends > 2 {
 			t.Fatalf("after end %d the server rests: %v", id, got)
 		}
-		if o != OK && pull(n, Bounce) == nil {
+		if o != Succeeded && pull(n, Reject) == nil {
 			t.Fatal("no answer at once")
 		}
 	}
@@ -547,20 +547,20 @@
 	now := Second
 	for k := range uint32(300) {
 		now += interval / 3
-		n.Clock(now)
-		n.Roster(Change, []Listing{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
-		n.Take(Arrival{ID: k, Left: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Send) {
+		n.SetTime(now)
+		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
+		n.AddRequest(Request{ID: k, Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(n, Forward) {
 			if d.Server+4 <= k || d.Server > k {
 				t.Fatalf("sent to server %d at %d", d.Server, k)
 			}
 		}
 		if k >= 9 { // answers come late, from servers that are gone
-			n.Ended(Result{Ticket: k - 9, Outcome: OK, Took: 3 * Second, Settled: true})
+			n.AttemptEnded(AttemptResult{Request: k - 9, Outcome: Succeeded, Duration: 3 * Second, Final: true})
 		}
 	}
-	if len(n.servers) > 30 || len(n.serverOf.of) > 30 || len(n.tickets) > 30 {
-		t.Errorf("%d servers, %d tickets", len(n.servers), len(n.tickets))
+	if len(n.servers) > 30 || len(n.serverSlots.slots) > 30 || len(n.requests) > 30 {
+		t.Errorf("%d servers, %d tickets", len(n.servers), len(n.requests))
 	}
 }
 
@@ -571,16 +571,16 @@
 	now, sent := Second, 0
 	for id := range uint32(400) {
 		now += Second / 40
-		n.Clock(now)
-		n.Take(Arrival{ID: id, Left: 2 * Second, Units: 1, Spread: 1})
-		for d := pull(n, Send); len(d) > 0; d = pull(n, Send) {
+		n.SetTime(now)
+		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
+		for d := pull(n, Forward); len(d) > 0; d = pull(n, Forward) {
 			if d[0].Server == 2 {
 				sent++
-				n.Ended(Result{Ticket: id, Nth: len(n.tickets[n.ticketOf.find(id)].runs) - 1, Server: 2, Outcome: Full, Took: 10})
+				n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
 				continue
 			}
-			n.Ended(Result{Ticket: id, Nth: len(n.tickets[n.ticketOf.find(id)].runs) - 1, Server: d[0].Server, Outcome: OK, Took: 800,
-				Settled: true})
+			n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
+				Final: true})
 		}
 	}
 	if sent > 40 || sent == 0 {
@@ -601,7 +601,7 @@
 			asked := now
 			for !watches(n) {
 				now += Second / 50
-				n.Clock(now)
+				n.SetTime(now)
 			}
 			if wait := now - asked; k > 0 && (wait < Second || wait > span+Second) {
 				t.Fatalf("asked again after %d", wait)
@@ -609,7 +609,7 @@
 			if k == 1 {
 				first = append(first, now)
 			}
-			n.Roster(Missed, nil)
+			n.UpdateEndpoints(PollFailed, nil)
 		}
 	}
 	slices.Sort(first)
@@ -633,13 +633,13 @@
 			asked := now
 			for !watches(n) {
 				now += tick
-				n.Clock(now)
+				n.SetTime(now)
 			}
 			if wait := now - asked; k > 0 && (wait < Second || wait > 3*Second+tick) {
 				t.Fatalf("seed %d: asked again %d after the %d. failure", seed, wait, k)
 			}
 			for range 1 + seed%2 { // a failure told twice is one
-				n.Roster(Missed, nil)
+				n.UpdateEndpoints(PollFailed, nil)
 			}
 		}
 	}
@@ -650,8 +650,8 @@
 				"roster": "ask", "plan.count": "1", "ask.within": "100000"}, Second)
 			now := Second
 			watches(n)
-			for n.Roster(Missed, nil); !watches(n); now += tick {
-				n.Clock(now)
+			for n.UpdateEndpoints(PollFailed, nil); !watches(n); now += tick {
+				n.SetTime(now)
 			}
 			again = append(again, now)
 		}
@@ -664,9 +664,9 @@
 	}
 }
 
-func watches(n *Node) (asked bool) {
+func watches(n *Engine) (asked bool) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		asked = asked || d.Verb == Watch
+		asked = asked || d.Action == PollEndpoints
 	}
 	return asked
 }
@@ -680,30 +680,30 @@
 		n := New(r.Uint64(), Settings{"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "15000",
 			"plan.count": "1", "cold.span": "170000", "cold.from": "0.2", "fall.multiple": "3", "fall.span": "20000",
 			"band.0.repeats": "replayable"}, Second)
-		list := []Listing{}
+		list := []Endpoint{}
 		for i := range uint32(warm) {
-			list = append(list, Listing{Server: i, State: Ready, Weight: 1})
+			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
 		}
-		n.Roster(Whole, list)
+		n.UpdateEndpoints(FullList, list)
 		for k := range uint32(28 * 5) { // five tickets a second, 20 s before the change and 8 s after
 			now := Second + Time(k)*Second/5
-			n.Clock(now)
+			n.SetTime(now)
 			if now >= 21*Second && n.ready == warm {
 				for i := range uint32(cold) {
-					list = append(list, Listing{Server: 100 + i, State: Ready, Weight: 1, Started: now})
+					list = append(list, Endpoint{Server: 100 + i, State: Ready, Weight: 1, Started: now})
 				}
-				n.Roster(Whole, list)
+				n.UpdateEndpoints(FullList, list)
 			}
-			n.Take(Arrival{ID: k, Customer: uint64(k), Left: 4 * Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Send) {
+			n.AddRequest(Request{ID: k, Customer: uint64(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+			for _, d := range pull(n, Forward) {
 				if d.Server >= 100 {
 					sent++
 				}
-				n.Clock(now + Second/10)
-				n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: Second / 10})
+				n.SetTime(now + Second/10)
+				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
 			}
 			if now >= 21*Second {
-				allowed += n.coldBudget(&n.servers[warm]) * cold / (2 * 5)
+				allowed += n.slowStartBudget(&n.servers[warm]) * cold / (2 * 5)
 			}
 		}
 	}
@@ -721,35 +721,35 @@
 		n := New(r.Uint64(), Settings{"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
 			"band.count": "1", "band.0.contract": "15000", "plan.count": "1", "idle": "150000",
 			"band.0.repeats": "replayable"}, Second)
-		list := []Listing{}
+		list := []Endpoint{}
 		for i := range uint32(servers) {
-			list = append(list, Listing{Server: i * 7919, State: Ready, Weight: 1})
+			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
 		}
-		n.Roster(Whole, list)
+		n.UpdateEndpoints(FullList, list)
 		met, last := map[uint32]bool{}, Second
 		for k := range uint32(20 * 5) { // five tickets a second
 			last += Second / 5
-			n.Clock(last)
-			n.Take(Arrival{ID: k, Customer: uint64(k), Left: 4 * Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Send) {
+			n.SetTime(last)
+			n.AddRequest(Request{ID: k, Customer: uint64(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+			for _, d := range pull(n, Forward) {
 				met[d.Server] = true
 				load[d.Server]++
 				sent++
-				n.Clock(last + Second/10)
-				n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: Second / 10})
+				n.SetTime(last + Second/10)
+				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
 			}
 		}
-		if len(met) < leastUsed || len(met) > 20 {
+		if len(met) < minSubset || len(met) > 20 {
 			t.Fatalf("node %d met %d servers", me, len(met))
 		}
 		before := map[uint32]bool{}
 		for _, s := range n.servers {
-			before[s.Server] = s.mine
+			before[s.Server] = s.inSubset
 		}
 		list[r.Intn(servers)].State = Draining
-		n.Roster(Whole, list)
+		n.UpdateEndpoints(FullList, list)
 		for _, s := range n.servers {
-			if s.mine && !before[s.Server] {
+			if s.inSubset && !before[s.Server] {
 				kept++
 			}
 		}
@@ -775,20 +775,20 @@
 			"cold.span": "180000", "cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000"}, Second)
 		for i, step := range []struct{ at, started Time }{{Second, Second - 1}, {61 * Second, 61*Second - 1},
 			{71 * Second, 61*Second - 1}} {
-			n.Clock(step.at - 500) // a turn before, or the pause would pass for a stall
-			pull(n, Send)
-			n.Clock(step.at)
-			list := []Listing{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
+			n.SetTime(step.at - 500) // a turn before, or the pause would pass for a stall
+			pull(n, Forward)
+			n.SetTime(step.at)
+			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
 			for s := range uint32(3) {
-				list = append(list, Listing{Server: s, State: Ready, Weight: 1})
+				list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
 			}
-			n.Roster(Whole, list)
-			n.Take(Arrival{ID: uint32(i), Customer: 1, Left: Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Send) {
+			n.UpdateEndpoints(FullList, list)
+			n.AddRequest(Request{ID: uint32(i), Customer: 1, Timeout: Second, Units: 1, Spread: 1})
+			for _, d := range pull(n, Forward) {
 				if d.Server == 99 {
 					sent[step.at]++
 				}
-				n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: 800, Settled: true})
+				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 800, Final: true})
 			}
 		}
 	}
--- a/rules/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 type host struct {
 	rng      *rand.Rand
 	set      Settings
-	n        *Node
+	n        *Engine
 	now      Time
 	start    Time
 	servers  []*backServer
@@ -30,7 +30,7 @@
 	id      uint32
 	zone    uint8
 	cell    uint16
-	state   State
+	state   EndpointState
 	known   bool
 	started Time
 	each    Time // one at a time, so much each, when warm
@@ -49,7 +49,7 @@
 }
 
 type asked struct {
-	a      Arrival
+	a      Request
 	until  Time
 	runs   []*run
 	closed bool
@@ -101,17 +101,17 @@
 
 func (h *host) begin() {
 	h.n = New(uint64(h.rng.Int63()), h.set, h.now)
-	h.roster(Cached)
+	h.roster(CachedList)
 }
 
-func (h *host) roster(kind RosterKind) {
-	list := []Listing{}
+func (h *host) roster(kind EndpointListKind) {
+	list := []Endpoint{}
 	for _, s := range h.servers {
 		s.known = true
-		list = append(list, Listing{Server: s.id, Zone: s.zone, Cell: s.cell, State: s.state, Weight: 1, Started: s.started})
+		list = append(list, Endpoint{Server: s.id, Zone: s.zone, Cell: s.cell, State: s.state, Weight: 1, Started: s.started})
 	}
-	h.n.Clock(h.now)
-	h.n.Roster(kind, list)
+	h.n.SetTime(h.now)
+	h.n.UpdateEndpoints(kind, list)
 	h.pull()
 }
 
@@ -123,9 +123,9 @@
 
 // step lets one tick pass.
 func (h *host) step() {
-	h.now += Time(h.set.Num("tick"))
-	h.n.Clock(h.now)
-	h.n.Elapsed()
+	h.now += Time(h.set.Number("tick"))
+	h.n.SetTime(h.now)
+	h.n.TimerFired()
 	for _, id := range h.order {
 		h.ends(id)
 	}
@@ -160,14 +160,14 @@
 }
 
 func (h *host) arrive() {
-	spread := 1 + h.rng.Intn(int(h.set.Num("nodes")))
+	spread := 1 + h.rng.Intn(int(h.set.Number("nodes")))
 	customer := h.rng.Intn(12)
-	a := Arrival{ID: h.nextID, Band: h.rng.Intn(5), Plan: customer % testPlans, Customer: uint64(customer),
-		Left: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread}
+	a := Request{ID: h.nextID, Class: h.rng.Intn(5), Plan: customer % testPlans, Customer: uint64(customer),
+		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread}
 	h.nextID++
-	h.tickets[a.ID] = &asked{a: a, until: h.now + a.Left}
+	h.tickets[a.ID] = &asked{a: a, until: h.now + a.Timeout}
 	h.order = append(h.order, a.ID)
-	h.n.Take(a)
+	h.n.AddRequest(a)
 }
 
 // upset changes what the node is told, or restarts it.
@@ -176,18 +176,18 @@
 	s := h.servers[i]
 	switch h.rng.Intn(6) {
 	case 0:
-		s.state = []State{Draining, Gone}[h.rng.Intn(2)]
-		h.roster([]RosterKind{Whole, Change}[h.rng.Intn(2)])
+		s.state = []EndpointState{Draining, Gone}[h.rng.Intn(2)]
+		h.roster([]EndpointListKind{FullList, ListUpdate}[h.rng.Intn(2)])
 	case 1:
 		s.state, s.started, s.pushes = Ready, h.now, nil
 		s.free = h.now
-		h.roster(Change)
+		h.roster(ListUpdate)
 	case 2:
-		h.n.Roster(Missed, nil)
+		h.n.UpdateEndpoints(PollFailed, nil)
 	case 3:
 		b := make([]byte, h.rng.Intn(20))
 		h.rng.Read(b)
-		h.n.Heard(h.rng.Intn(6)-1, append([]byte{byte(useMark + h.rng.Intn(3))}, b...))
+		h.n.ReceivePeerMessage(h.rng.Intn(6)-1, append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
 	case 4: // killed outright: what it held is lost, the servers and ceilings are not
 		h.order = h.order[:0]
 		h.tickets = map[uint32]*asked{}
@@ -195,7 +195,7 @@
 	case 5: // a warm one takes its place, under a new id
 		h.servers[i] = &backServer{id: uint32(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
 			free: h.now}
-		h.roster(Whole)
+		h.roster(FullList)
 	}
 }
 
@@ -206,15 +206,15 @@
 			continue
 		}
 		x.out = false
-		x.mayRun = x.outcome != Full && x.outcome != Unreached && x.outcome != Moot
-		if x.outcome == OK && !t.closed {
+		x.mayRun = x.outcome != Overloaded && x.outcome != ConnectFailed && x.outcome != NotSent
+		if x.outcome == Succeeded && !t.closed {
 			t.closed = true
 			h.complete++
 		} else if t.bound && !t.closed {
 			t.closed = true
 		}
-		h.n.Ended(Result{Ticket: id, Nth: k, Server: x.server.id, Outcome: x.outcome, Took: h.now - x.sent,
-			Settled: t.closed, Units: float64(h.rng.Intn(3))})
+		h.n.AttemptEnded(AttemptResult{Request: id, Attempt: k, Server: x.server.id, Outcome: x.outcome, Duration: h.now - x.sent,
+			Final: t.closed, Units: float64(h.rng.Intn(3))})
 		h.pull()
 	}
 }
@@ -235,46 +235,46 @@
 }
 
 func (h *host) check(d Decision) {
-	t := h.tickets[d.Ticket]
-	switch d.Verb {
-	case Send:
+	t := h.tickets[d.Request]
+	switch d.Action {
+	case Forward:
 		h.send(t, d)
-	case Bounce, BreakOff:
+	case Reject, Fail:
 		if t == nil || t.closed || t.bound {
-			h.fail("second final answer for ticket %d", d.Ticket)
+			h.fail("second final answer for ticket %d", d.Request)
 			return
 		}
 		t.closed = true
 		h.bounced++
-		band := "band." + strconv.Itoa(t.a.Band) + "."
+		band := "band." + strconv.Itoa(t.a.Class) + "."
 		for _, x := range t.runs {
-			if d.Verb == Bounce && x.mayRun && (h.set[band+"repeats"] == "single-use" ||
+			if d.Action == Reject && x.mayRun && (h.set[band+"repeats"] == "single-use" ||
 				h.set[band+"repeats"] == "referenced" && h.set[band+"group"] != "all") {
-				h.fail("ticket %d bounced though it may have run", d.Ticket)
+				h.fail("ticket %d bounced though it may have run", d.Request)
 			}
 		}
 		if h.now > t.until {
-			h.fail("final answer for %d after the outer limit", d.Ticket)
+			h.fail("final answer for %d after the outer limit", d.Request)
 		}
-	case Withdraw:
-		if h.set["withdraw"] != "true" || d.Nth >= len(t.runs) {
+	case CancelAttempt:
+		if h.set["withdraw"] != "true" || d.Attempt >= len(t.runs) {
 			h.fail("withdrawal that is not allowed")
-		} else if x := t.runs[d.Nth]; x.out {
-			x.outcome, x.end = Withdrawn, h.now
+		} else if x := t.runs[d.Attempt]; x.out {
+			x.outcome, x.end = Cancelled, h.now
 		}
-	case Tell:
-		if nodes, _ := strconv.Atoi(h.set["nodes"]); d.Peer < Everyone || d.Peer == 0 || d.Peer >= nodes {
+	case SendPeerMessage:
+		if nodes, _ := strconv.Atoi(h.set["nodes"]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= nodes {
 			h.fail("message to node %d of %d", d.Peer, nodes)
 		}
-		if len(d.Text) > 256 || h.set["peers"] != "true" {
-			h.fail("message of %d bytes", len(d.Text))
+		if len(d.Payload) > 256 || h.set["peers"] != "true" {
+			h.fail("message of %d bytes", len(d.Payload))
 		}
 	}
 }
 
 func (h *host) send(t *asked, d Decision) {
-	if t == nil || t.closed || t.bound || h.now+d.Span > t.until || d.Span <= 0 {
-		h.fail("send for ticket %d, closed or past its outer limit", d.Ticket)
+	if t == nil || t.closed || t.bound || h.now+d.Duration > t.until || d.Duration <= 0 {
+		h.fail("send for ticket %d, closed or past its outer limit", d.Request)
 		return
 	}
 	var s *backServer
@@ -288,50 +288,50 @@
 		return
 	}
 	h.sent++
-	band := "band." + strconv.Itoa(t.a.Band) + "."
+	band := "band." + strconv.Itoa(t.a.Class) + "."
 	for _, x := range t.runs {
 		switch {
 		case x.out && h.set["copies"] != "true":
-			h.fail("two executions of %d out at once", d.Ticket)
+			h.fail("two executions of %d out at once", d.Request)
 		case !x.mayRun || h.set[band+"repeats"] == "replayable":
 		case h.set[band+"repeats"] == "single-use":
-			h.fail("single-use ticket %d may run twice", d.Ticket)
-		case h.now+h.set.Span("connect") >= x.sent+h.set.Span(band+"window"): // a new connection may take so long
-			h.fail("referenced ticket %d may come after its window", d.Ticket)
+			h.fail("single-use ticket %d may run twice", d.Request)
+		case h.now+h.set.Duration("connect") >= x.sent+h.set.Duration(band+"window"): // a new connection may take so long
+			h.fail("referenced ticket %d may come after its window", d.Request)
 		case h.set[band+"group"] == "zone" && x.server.zone != s.zone,
 			h.set[band+"group"] == "cell" && x.server.cell != s.cell:
-			h.fail("referenced ticket %d sent outside its group", d.Ticket)
+			h.fail("referenced ticket %d sent outside its group", d.Request)
 		}
 	}
-	if len(t.runs) >= int(h.set.Num("executions")) {
-		h.fail("too many executions of %d", d.Ticket)
+	if len(t.runs) >= int(h.set.Number("executions")) {
+		h.fail("too many executions of %d", d.Request)
 	}
 	if len(t.runs) == 0 && t.a.Plan == 2 {
 		h.drawCeiling(t)
 	}
 	h.cold(s)
-	x := &run{server: s, sent: h.now, out: true, mayRun: true, outcome: OK}
-	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Num("nodes")) // the other nodes take their part
+	x := &run{server: s, sent: h.now, out: true, mayRun: true, outcome: Succeeded}
+	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number("nodes")) // the other nodes take their part
 	s.free = max(s.free, h.now) + work
 	x.end = s.free
 	if k := h.rng.Intn(12); k < 4 {
-		x.outcome = []Outcome{Failed, Full, Unreached, Reset}[k]
+		x.outcome = []Outcome{Failed, Overloaded, ConnectFailed, ConnectionReset}[k]
 		x.end = h.now + Time(h.rng.Intn(500))
 	}
-	if x.end > h.now+d.Span {
-		x.outcome, x.end = TimedOut, h.now+d.Span
+	if x.end > h.now+d.Duration {
+		x.outcome, x.end = TimedOut, h.now+d.Duration
 	}
 	t.runs = append(t.runs, x)
 }
 
 func (h *host) drawCeiling(t *asked) {
 	c := h.ceiling[t.a.Customer]
-	depth := h.set.Num("plan.2.ceiling.depth")
+	depth := h.set.Number("plan.2.ceiling.depth")
 	if c == nil {
 		c = &store{level: depth, at: h.start}
 		h.ceiling[t.a.Customer] = c
 	}
-	c.level = min(depth, c.level+h.set.Num("plan.2.ceiling.rate")*float64(h.now-c.at)/float64(Second))
+	c.level = min(depth, c.level+h.set.Number("plan.2.ceiling.rate")*float64(h.now-c.at)/float64(Second))
 	c.at = h.now
 	if c.level -= t.a.Units; c.level < 0 {
 		h.fail("ceiling passed by %.2f units", -c.level)
@@ -340,12 +340,12 @@
 
 // cold counts the work sent to a fresh server by all nodes: this one's, as often as there are nodes.
 func (h *host) cold(s *backServer) {
-	span, warm := h.set.Span("fall.span"), h.set.Span("cold.span")
+	span, warm := h.set.Duration("fall.span"), h.set.Duration("cold.span")
 	if s.started == 0 || h.now >= s.started+warm {
 		return
 	}
 	s.pushes = append(s.pushes, push{h.now, s.each})
-	from := h.set.Num("cold.from")
+	from := h.set.Number("cold.from")
 	share := from + (1-from)*float64(h.now-s.started)/float64(warm)
 	sum, k := Time(0), 0
 	for _, p := range s.pushes {
@@ -353,11 +353,11 @@
 			sum, k = sum+p.work, k+1
 		}
 	}
-	if h.n.wide && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
+	if h.n.ownersEnabled && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
 		return
 	}
-	most := h.set.Num("fall.multiple") * share * float64(span)
-	if float64(sum)*h.set.Num("nodes") > most*1.1 {
+	most := h.set.Number("fall.multiple") * share * float64(span)
+	if float64(sum)*h.set.Number("nodes") > most*1.1 {
 		h.fail("cold server pushed: %d of %.0f by %s nodes", sum, most, h.set["nodes"])
 	}
 }
--- a/rules/pin_codec_test.go
+++ b/internal/decision/pin_codec_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"encoding/hex"
@@ -13,42 +13,42 @@
 	const big = 1 << 40
 	for _, c := range []struct {
 		mark byte
-		told told
+		told customerReport
 		want string
 	}{
-		{useMark, told{}, "c800000000000000000000"},
-		{useMark, told{key: 1, figure: 1, passed: 1, plan: 1, spread: 1, first: 1, ref: 1, band: 1, ended: 1}, "c80164c80101010101010100"},
-		{useMark, told{key: math.MaxUint64, figure: 0.004, passed: -0.004}, "c8ffffffffffffffffff01000000000000000000"},
-		{useMark, told{key: 1 << 32, figure: 0.005, passed: -0.005}, "c88080808010010000000000000000"},
-		{useMark, told{key: 300, figure: 12.345, passed: -12.345, plan: 3, spread: 40, first: 829}, "c8ac02d309a3130328bd0600000000"},
-		{useMark, told{key: 300, figure: -5, passed: 0.999}, "c8ac0200c60100000000000000"},
-		{useMark, told{figure: big, passed: big}, "c800ffffffff0ffeffffff1f00000000000000"},
-		{useMark, told{figure: big, passed: -big}, "c800ffffffff0ffdffffff1f00000000000000"},
-		{useMark, told{figure: math.MaxUint32 / 100.0, passed: -math.MaxUint32 / 100.0}, "c800ffffffff0ffdffffff1f00000000000000"},
-		{useMark, told{plan: math.MaxUint32, spread: math.MaxUint32, first: math.MaxUint32, ref: math.MaxUint32,
-			band: math.MaxUint32, ended: math.MaxUint32}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
-		{useMark, told{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
-		{askMark, told{key: 77, passed: 1.25, figure: 3.75, plan: 2, spread: 12, first: 5, ref: 1<<24 | 9, band: 4}, "cb4df702fa01020c0589808008040000"},
-		{grantMark, told{key: 77, figure: 0.01, plan: 2, spread: 12, first: 5, ref: 7, verdict: granted}, "c94d0100020c0507000002"},
-		{grantMark, told{key: 77, figure: 1, plan: 2, spread: 12, first: 5, ref: 7, verdict: denied}, "c94d6400020c0507000004"},
-		{grantMark, told{key: 77, figure: 1, plan: 2, spread: 12, first: 5, verdict: unheard, free: true}, "c94d6400020c0500000001"},
-		{grantMark, told{key: 77, figure: 1, spread: 1, verdict: granted, free: true}, "c94d640000010000000003"},
-		{grantMark, told{key: 77, figure: 1, spread: 1, verdict: denied, free: true}, "c94d640000010000000005"},
+		{kindUse, customerReport{}, "c800000000000000000000"},
+		{kindUse, customerReport{key: 1, demand: 1, use: 1, plan: 1, spread: 1, firstNode: 1, request: 1, class: 1, ended: 1}, "c80164c80101010101010100"},
+		{kindUse, customerReport{key: math.MaxUint64, demand: 0.004, use: -0.004}, "c8ffffffffffffffffff01000000000000000000"},
+		{kindUse, customerReport{key: 1 << 32, demand: 0.005, use: -0.005}, "c88080808010010000000000000000"},
+		{kindUse, customerReport{key: 300, demand: 12.345, use: -12.345, plan: 3, spread: 40, firstNode: 829}, "c8ac02d309a3130328bd0600000000"},
+		{kindUse, customerReport{key: 300, demand: -5, use: 0.999}, "c8ac0200c60100000000000000"},
+		{kindUse, customerReport{demand: big, use: big}, "c800ffffffff0ffeffffff1f00000000000000"},
+		{kindUse, customerReport{demand: big, use: -big}, "c800ffffffff0ffdffffff1f00000000000000"},
+		{kindUse, customerReport{demand: math.MaxUint32 / 100.0, use: -math.MaxUint32 / 100.0}, "c800ffffffff0ffdffffff1f00000000000000"},
+		{kindUse, customerReport{plan: math.MaxUint32, spread: math.MaxUint32, firstNode: math.MaxUint32, request: math.MaxUint32,
+			class: math.MaxUint32, ended: math.MaxUint32}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
+		{kindUse, customerReport{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
+		{kindAsk, customerReport{key: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
+		{kindGrant, customerReport{key: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictGranted}, "c94d0100020c0507000002"},
+		{kindGrant, customerReport{key: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictDenied}, "c94d6400020c0507000004"},
+		{kindGrant, customerReport{key: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, verdict: verdictPending, freePass: true}, "c94d6400020c0500000001"},
+		{kindGrant, customerReport{key: 77, demand: 1, spread: 1, verdict: verdictGranted, freePass: true}, "c94d640000010000000003"},
+		{kindGrant, customerReport{key: 77, demand: 1, spread: 1, verdict: verdictDenied, freePass: true}, "c94d640000010000000005"},
 	} {
-		if got := hex.EncodeToString(appendTold([]byte{c.mark}, c.told)); got != c.want {
+		if got := hex.EncodeToString(appendReport([]byte{c.mark}, c.told)); got != c.want {
 			t.Errorf("%x %+v\nis %s\nat cf1acfb %s", c.mark, c.told, got, c.want)
 		}
 	}
 	for _, c := range []struct {
-		doubt doubted
+		doubt suspicion
 		want  string
 	}{
-		{doubted{}, "ca000000"},
-		{doubted{1, 1, 1}, "ca010101"},
-		{doubted{7919, 3, 48000}, "caef3d0380f702"},
-		{doubted{math.MaxUint32, math.MaxUint32, math.MaxUint32}, "caffffffff0fffffffff0fffffffff0f"},
+		{suspicion{}, "ca000000"},
+		{suspicion{1, 1, 1}, "ca010101"},
+		{suspicion{7919, 3, 48000}, "caef3d0380f702"},
+		{suspicion{math.MaxUint32, math.MaxUint32, math.MaxUint32}, "caffffffff0fffffffff0fffffffff0f"},
 	} {
-		if got := hex.EncodeToString(appendDoubt([]byte{doubtMark}, c.doubt)); got != c.want {
+		if got := hex.EncodeToString(appendSuspicion([]byte{kindSuspicion}, c.doubt)); got != c.want {
 			t.Errorf("%+v\nis %s\nat cf1acfb %s", c.doubt, got, c.want)
 		}
 	}
@@ -100,16 +100,16 @@
 		if err != nil {
 			t.Fatal(c.name, err)
 		}
-		m, ok := readTold(text, 3, 50)
+		m, ok := decodeMessage(text, 3, 50)
 		got := "refused"
 		if ok {
-			got = fmt.Sprintf("%x", m.mark)
-			for _, v := range m.told {
-				got += fmt.Sprint(" ", v.key, " ", v.figure, " ", v.passed, " ", v.plan, " ", v.spread, " ", v.first, " ",
-					v.ref, " ", v.band, " ", v.ended, " ", uint8(v.verdict), " ", v.free, ";")
+			got = fmt.Sprintf("%x", m.kind)
+			for _, v := range m.reports {
+				got += fmt.Sprint(" ", v.key, " ", v.demand, " ", v.use, " ", v.plan, " ", v.spread, " ", v.firstNode, " ",
+					v.request, " ", v.class, " ", v.ended, " ", uint8(v.verdict), " ", v.freePass, ";")
 			}
-			for _, v := range m.doubts {
-				got += fmt.Sprint(" ", v.server, " ", v.band, " ", int64(v.rest), ";")
+			for _, v := range m.suspicions {
+				got += fmt.Sprint(" ", v.server, " ", v.class, " ", int64(v.ejectedFor), ";")
 			}
 		}
 		if got != c.want {
--- a/rules/pin_golden_test.go
+++ b/internal/decision/pin_golden_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 // pinned are the values that the TestPinned tests saw at commit cf1acfb: digests of plays, and lines and decisions in full.
 var pinned = map[string]string{
--- a/rules/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	rng     *rand.Rand
 	now     Time
 	begin   Time
-	nodes   []*Node
+	nodes   []*Engine
 	ids     []int
 	stalled []Time // by node: it gets no turn until then
 	servers []*pinServer
@@ -46,7 +46,7 @@
 	spread    int
 	seconds   int
 	mild      bool // few faults
-	listAt0   RosterKind
+	listAt0   EndpointListKind
 	shadow    Settings
 	leased    uint64 // customers below this number have their quota leased
 	free      bool   // most customers' plan has no limits
@@ -61,7 +61,7 @@
 }
 
 type pinServer struct {
-	Listing
+	Endpoint
 	free  Time
 	fault Outcome
 	often int // percent of attempts that the fault meets
@@ -101,8 +101,8 @@
 		}
 		set["node"] = strconv.Itoa(id)
 		n := New(uint64(seed)<<32|uint64(id*7919+1), set, p.now)
-		n.Clock(p.now)
-		n.Roster(setup.listAt0, p.listings(p.servers...))
+		n.SetTime(p.now)
+		n.UpdateEndpoints(setup.listAt0, p.listings(p.servers...))
 		if setup.shadow != nil {
 			other := Settings{}
 			for name, v := range set {
@@ -111,19 +111,19 @@
 			for name, v := range setup.shadow {
 				other[name] = v
 			}
-			n.Watch(other)
+			n.StartShadow(other)
 		}
 		p.nodes, p.open = append(p.nodes, n), append(p.open, map[uint32]*pinRequest{})
 		p.pull(k)
 		if setup.missed {
-			n.Roster(Missed, nil)
+			n.UpdateEndpoints(PollFailed, nil)
 		}
 	}
 	return p
 }
 
 func (p *pinPlay) addServer(i int) *pinServer {
-	s := &pinServer{Listing: Listing{Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
+	s := &pinServer{Endpoint: Endpoint{Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
 		Cell: uint16(i / p.perCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5]}}
 	p.pinSetup.servers = max(p.pinSetup.servers, i+1)
 	p.servers = append(p.servers, s)
@@ -131,9 +131,9 @@
 	return s
 }
 
-func (p *pinPlay) listings(servers ...*pinServer) (list []Listing) {
+func (p *pinPlay) listings(servers ...*pinServer) (list []Endpoint) {
 	for _, s := range servers {
-		list = append(list, s.Listing)
+		list = append(list, s.Endpoint)
 	}
 	return list
 }
@@ -184,8 +184,8 @@
 		if p.now < p.stalled[k] {
 			continue
 		}
-		n.Clock(p.now)
-		n.Elapsed()
+		n.SetTime(p.now)
+		n.TimerFired()
 		p.pull(k)
 	}
 }
@@ -195,7 +195,7 @@
 	if p.rng.Intn(3) == 0 {
 		customer = 1 // one that asks far more than others
 	}
-	spread, first := p.spread, int(customer)*5%max(1, int(p.set.Num("nodes")))
+	spread, first := p.spread, int(customer)*5%max(1, int(p.set.Number("nodes")))
 	if p.firstZero {
 		first = 0
 	}
@@ -211,21 +211,21 @@
 	if p.free && customer%7 > 0 {
 		plan = 4
 	}
-	a := Arrival{ID: id, Band: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Left: left,
-		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, First: first}
+	a := Request{ID: id, Class: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Timeout: left,
+		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, FirstNode: first}
 	if p.rng.Intn(25) == 0 {
-		a.Spread, a.First = p.rng.Intn(2000)-20, p.rng.Intn(2000)-20
+		a.Spread, a.FirstNode = p.rng.Intn(2000)-20, p.rng.Intn(2000)-20
 	}
 	if p.rng.Intn(60) == 0 {
 		a.Units = 0
 	}
 	task := func() {
-		n.Clock(p.now)
+		n.SetTime(p.now)
 		if customer < p.leased {
-			n.Allowed(a.Customer, a.Plan, a.Spread, a.First, float64(p.rng.Intn(30))-5)
+			n.SetLease(a.Customer, a.Plan, a.Spread, a.FirstNode, float64(p.rng.Intn(30))-5)
 		}
 		p.open[k][id] = &pinRequest{}
-		n.Take(a)
+		n.AddRequest(a)
 		if p.now >= p.stalled[k] {
 			p.pull(k)
 		}
@@ -237,8 +237,8 @@
 	}
 	if p.rng.Intn(40) == 0 {
 		p.at(p.now+Time(p.rng.Intn(4000)), func() {
-			n.Clock(p.now)
-			n.Lapsed(id)
+			n.SetTime(p.now)
+			n.ClientGone(id)
 			p.pull(k)
 		})
 	}
@@ -249,7 +249,7 @@
 	s := p.servers[p.rng.Intn(len(p.servers))]
 	switch p.rng.Intn(12) {
 	case 0, 1, 2:
-		s.fault = []Outcome{Failed, Full, Unreached, Reset, Spoilt, Moot, TimedOut}[p.rng.Intn(7)]
+		s.fault = []Outcome{Failed, Overloaded, ConnectFailed, ConnectionReset, MalformedResponse, NotSent, TimedOut}[p.rng.Intn(7)]
 		s.often = 10 + p.rng.Intn(90)
 		p.at(p.now+Time(p.rng.Intn(30000)), func() { s.often = 0 })
 	case 3:
@@ -259,22 +259,22 @@
 		s.free = max(s.free, p.now) + Time(p.rng.Intn(40000))
 	case 5:
 		s.State = Draining
-		p.tell(Change, s)
+		p.tell(ListUpdate, s)
 		p.at(p.now+Time(p.rng.Intn(20000)), func() {
 			s.State, s.Started, s.free = Ready, p.now, p.now
-			p.tell(Change, s)
+			p.tell(ListUpdate, s)
 		})
 	case 6:
 		s.State = Gone
-		p.tell(Change, s)
+		p.tell(ListUpdate, s)
 		fresh := p.addServer(p.pinSetup.servers)
 		p.servers = slices.DeleteFunc(p.servers, func(v *pinServer) bool { return v == s })
 		fresh.Started = p.now
-		p.at(p.now+Time(p.rng.Intn(5000)), func() { p.tell(Change, fresh) })
+		p.at(p.now+Time(p.rng.Intn(5000)), func() { p.tell(ListUpdate, fresh) })
 	case 7:
-		p.tell(Whole, p.servers...)
+		p.tell(FullList, p.servers...)
 	case 8:
-		p.tell(Missed)
+		p.tell(PollFailed)
 	case 9: // a node gets no turn
 		k := p.rng.Intn(len(p.nodes))
 		p.stalled[k] = p.now + Time(2000+p.rng.Intn(9000))
@@ -284,21 +284,21 @@
 				v.Started = p.now
 			}
 		}
-		p.tell(Whole, p.servers...)
+		p.tell(FullList, p.servers...)
 	case 11:
 		for _, n := range p.nodes {
-			n.Probed(s.Server, []Outcome{OK, Failed}[p.rng.Intn(2)], nil)
+			n.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
 		}
 	}
 }
 
 // tell hands a message of discovery to the nodes, to some of them late.
-func (p *pinPlay) tell(kind RosterKind, servers ...*pinServer) {
+func (p *pinPlay) tell(kind EndpointListKind, servers ...*pinServer) {
 	list := p.listings(servers...)
 	for k, n := range p.nodes {
 		p.at(p.now+Time(p.rng.Intn(3000)), func() {
-			n.Clock(p.now)
-			n.Roster(kind, list)
+			n.SetTime(p.now)
+			n.UpdateEndpoints(kind, list)
 			p.pull(k)
 		})
 	}
@@ -308,53 +308,53 @@
 func (p *pinPlay) pull(k int) {
 	for d, ok := p.nodes[k].Next(); ok; d, ok = p.nodes[k].Next() {
 		p.note(k, d)
-		switch d.Verb {
-		case Send:
+		switch d.Action {
+		case Forward:
 			p.send(k, d)
-		case Withdraw:
-			r := p.open[k][d.Ticket]
-			p.at(p.now+Time(p.rng.Intn(100)), func() { p.end(k, d.Ticket, r, d.Nth, Withdrawn) })
-		case Tell:
+		case CancelAttempt:
+			r := p.open[k][d.Request]
+			p.at(p.now+Time(p.rng.Intn(100)), func() { p.end(k, d.Request, r, d.Attempt, Cancelled) })
+		case SendPeerMessage:
 			p.deliver(k, d)
-		case Watch:
+		case PollEndpoints:
 			n := p.nodes[k]
 			if p.rng.Intn(3) == 0 {
-				p.at(p.now+Time(p.rng.Intn(20000)), func() { n.Clock(p.now); n.Roster(Missed, nil) })
+				p.at(p.now+Time(p.rng.Intn(20000)), func() { n.SetTime(p.now); n.UpdateEndpoints(PollFailed, nil) })
 			}
 		}
 	}
 }
 
 func (p *pinPlay) note(k int, d Decision) {
-	line := fmt.Sprintf("%d node=%d verb=%d ticket=%d nth=%d server=%d span=%d peer=%d text=%x", p.now, p.ids[k], d.Verb,
-		d.Ticket, d.Nth, d.Server, d.Span, d.Peer, d.Text)
+	line := fmt.Sprintf("%d node=%d verb=%d ticket=%d nth=%d server=%d span=%d peer=%d text=%x", p.now, p.ids[k], d.Action,
+		d.Request, d.Attempt, d.Server, d.Duration, d.Peer, d.Payload)
 	fmt.Fprintln(p.digest, line)
 	if len(p.first) < 400 {
 		p.first = append(p.first, line)
 	}
-	name := [...]string{Send: "send", Bounce: "bounce", BreakOff: "break off", Withdraw: "withdraw", Wake: "wake",
-		Probe: "probe", Tell: "tell", Watch: "watch", Note: "note"}[d.Verb]
-	if d.Verb == Tell {
-		name = fmt.Sprintf("message %x", d.Text[0])
+	name := [...]string{Forward: "send", Reject: "bounce", Fail: "break off", CancelAttempt: "withdraw", SetTimer: "wake",
+		HealthCheck: "probe", SendPeerMessage: "tell", PollEndpoints: "watch", LogSummary: "note"}[d.Action]
+	if d.Action == SendPeerMessage {
+		name = fmt.Sprintf("message %x", d.Payload[0])
 	}
 	p.count[name]++
-	if d.Verb == Note {
-		p.notes = append(p.notes, string(d.Text))
+	if d.Action == LogSummary {
+		p.notes = append(p.notes, string(d.Payload))
 	}
 }
 
 func (p *pinPlay) deliver(k int, d Decision) {
-	text := slices.Clone(d.Text)
+	text := slices.Clone(d.Payload)
 	if p.rng.Intn(60) == 0 { // spoilt on the way
 		text = text[:p.rng.Intn(len(text))]
 	}
 	for to, n := range p.nodes {
-		if to == k || d.Peer != Everyone && d.Peer != p.ids[to] || p.rng.Intn(30) == 0 {
+		if to == k || d.Peer != AllPeers && d.Peer != p.ids[to] || p.rng.Intn(30) == 0 {
 			continue
 		}
 		p.at(max(p.now+Time(p.rng.Intn(120)), p.stalled[to]), func() {
-			n.Clock(p.now)
-			if !n.Heard(p.ids[k], text) {
+			n.SetTime(p.now)
+			if !n.ReceivePeerMessage(p.ids[k], text) {
 				p.count["unreadable"]++
 			}
 			p.pull(to)
@@ -363,16 +363,16 @@
 }
 
 func (p *pinPlay) send(k int, d Decision) {
-	r, s := p.open[k][d.Ticket], p.byID[d.Server]
+	r, s := p.open[k][d.Request], p.byID[d.Server]
 	nth := len(r.attempts)
 	r.attempts = append(r.attempts, &pinAttempt{server: s, sent: p.now, out: true})
 	if nth > 0 {
 		p.count["retry"]++
 	}
-	if s.Started > 0 && p.now < s.Started+p.set.Span("cold.span") {
+	if s.Started > 0 && p.now < s.Started+p.set.Duration("cold.span") {
 		p.count["to a cold server"]++
 	}
-	outcome, end := OK, Time(0)
+	outcome, end := Succeeded, Time(0)
 	if p.rng.Intn(100) < s.often {
 		outcome, end = s.fault, p.now+Time(p.rng.Intn(1500))
 	} else {
@@ -383,17 +383,17 @@
 		end = s.free
 	}
 	if p.resets > 0 && p.rng.Intn(100) < p.resets {
-		outcome, end = Reset, p.now+Time(p.rng.Intn(500))
+		outcome, end = ConnectionReset, p.now+Time(p.rng.Intn(500))
 	}
-	if outcome == TimedOut || end > p.now+d.Span {
-		outcome, end = TimedOut, p.now+d.Span
+	if outcome == TimedOut || end > p.now+d.Duration {
+		outcome, end = TimedOut, p.now+d.Duration
 	}
-	p.at(end, func() { p.end(k, d.Ticket, r, nth, outcome) })
+	p.at(end, func() { p.end(k, d.Request, r, nth, outcome) })
 	if p.rng.Intn(20) == 0 { // a stream begins, and breaks or is completed
 		p.at(p.now+Time(p.rng.Intn(1000)), func() {
 			if r.attempts[nth].out {
-				p.nodes[k].Clock(p.now)
-				p.nodes[k].Started(d.Ticket)
+				p.nodes[k].SetTime(p.now)
+				p.nodes[k].ResponseStarted(d.Request)
 				r.bound = true
 			}
 		})
@@ -403,7 +403,7 @@
 func (p *pinPlay) end(k int, id uint32, r *pinRequest, nth int, outcome Outcome) {
 	n := p.nodes[k]
 	if r == nil || nth >= len(r.attempts) || !r.attempts[nth].out {
-		n.Ended(Result{Ticket: id, Nth: nth + 7, Outcome: outcome})
+		n.AttemptEnded(AttemptResult{Request: id, Attempt: nth + 7, Outcome: outcome})
 		return
 	}
 	a := r.attempts[nth]
@@ -413,8 +413,8 @@
 	if p.rng.Intn(3) == 0 {
 		units = float64(p.rng.Intn(300)) / 100
 	}
-	n.Clock(p.now)
-	n.Ended(Result{Ticket: id, Nth: nth, Server: a.server.Server, Outcome: outcome, Took: p.now - a.sent,
-		Settled: outcome == OK || r.bound, Units: units, Load: nil})
+	n.SetTime(p.now)
+	n.AttemptEnded(AttemptResult{Request: id, Attempt: nth, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sent,
+		Final: outcome == Succeeded || r.bound, Units: units, Load: nil})
 	p.pull(k)
 }
--- a/rules/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"fmt"
@@ -19,19 +19,19 @@
 		"-inf": "-Inf -9223372036854775808 false", "1e300": "1e+300 -9223372036854775808 false",
 	} {
 		set := Settings{"a": text}
-		if got := fmt.Sprint(set.Num("a"), int64(set.Span("a")), set.Is("a")); got != want {
+		if got := fmt.Sprint(set.Number("a"), int64(set.Duration("a")), set.Enabled("a")); got != want {
 			t.Errorf("%q reads as %s, not %s", text, got, want)
 		}
 	}
-	if got := (Settings)(nil).Num("a"); got != 0 {
+	if got := (Settings)(nil).Number("a"); got != 0 {
 		t.Errorf("missing reads as %v", got)
 	}
 	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b, ": {"a", "", "b", " "}} {
-		if got := (Settings{"a": text}).List("a"); !slices.Equal(got, want) {
+		if got := (Settings{"a": text}).Words("a"); !slices.Equal(got, want) {
 			t.Errorf("%q reads as %q", text, got)
 		}
 	}
-	if got := (Settings{}).At("band", 3, "window"); got != "band.3.window" {
+	if got := (Settings{}).Key("band", 3, "window"); got != "band.3.window" {
 		t.Errorf("%q", got)
 	}
 }
@@ -66,14 +66,14 @@
 		delete(set, name)
 	}
 	setup := pinSetup{set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
-		spread: 3, seconds: 2, listAt0: Cached, resets: 12, restarted: 2, hung: 1, missed: true}
+		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, hung: 1, missed: true}
 	if set["nodes"] == "18" {
 		setup.members, setup.spread = []int{1, 2}, 9
 	}
 	p := newPinPlay(7, setup)
 	if name == "node" {
 		for _, n := range p.nodes {
-			n.read(set)
+			n.applySettings(set)
 		}
 	}
 	return p.run()[1][:8]
@@ -109,8 +109,8 @@
 	}{{"1", "0", false}, {"2", "0", true}, {"10", "40", false}, {"11", "40", true}, {"100", "400", false}, {"101", "400", true},
 		{"100", "395", true}, {"2", "4", true}, {"2", "4.01", false}, {"830", "3316", true}, {"830", "3317", false}, {"5", "-3", true},
 		{"x", "", false}, {"40", "NaN", false}} {
-		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.wide != c.want {
-			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.wide)
+		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.ownersEnabled != c.want {
+			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.ownersEnabled)
 		}
 	}
 }
--- a/rules/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"fmt"
@@ -42,15 +42,15 @@
 		for seed := range uint64(2) {
 			n := New(seed*7919+3, Settings{"nodes": "3", "band.0.contract": "6000", "roster": "ask", "ask.within": within}, Second)
 			for now := Second; now < 20*Second; now += 10 {
-				n.Clock(now)
+				n.SetTime(now)
 				if watches(n) {
 					polls = append(polls, strconv.Itoa(int(now)))
 					if len(polls)%3 == 0 {
-						n.Roster(Missed, nil)
+						n.UpdateEndpoints(PollFailed, nil)
 					}
-					n.Roster(Missed, nil)
+					n.UpdateEndpoints(PollFailed, nil)
 					if len(polls)%3 == 1 {
-						n.Roster(Missed, nil) // told twice
+						n.UpdateEndpoints(PollFailed, nil) // told twice
 					}
 				}
 			}
@@ -76,16 +76,16 @@
 }
 
 // pinSubset digests which servers a node uses first and which it has in view.
-func pinSubset(n *Node) string {
-	h := uint32(len(n.own))
-	for _, i := range n.own {
+func pinSubset(n *Engine) string {
+	h := uint32(len(n.subset))
+	for _, i := range n.subset {
 		h = mix(h, n.servers[i].Server)
 	}
 	h = mix(h, uint32(len(n.view)))
 	for _, i := range n.view {
 		h = mix(h, n.servers[i].Server)
 	}
-	return fmt.Sprintf("%d/%d:%08x", len(n.own), len(n.view), h)
+	return fmt.Sprintf("%d/%d:%08x", len(n.subset), len(n.view), h)
 }
 
 // TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
@@ -105,24 +105,24 @@
 			}
 			n := New(uint64(me), Settings{"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true",
 				"peers.take": "40", "tick": "10", "band.0.contract": "6000", "idle": "300000"}, Second)
-			list := []Listing{}
+			list := []Endpoint{}
 			for i := range c.servers {
-				list = append(list, Listing{Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
+				list = append(list, Endpoint{Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
 					State: Ready, Weight: 1})
 			}
-			n.Roster(Whole, list)
+			n.UpdateEndpoints(FullList, list)
 			at := pinSubset(n)
-			changes := []Listing{}
+			changes := []Endpoint{}
 			for i, l := range list {
 				if i%9 == 0 {
 					l.State = Gone
 					changes = append(changes, l)
 				}
 			}
-			n.Roster(Change, changes)
-			n.sends.add(0, n.now, paceFade)
-			n.sends.n = float64(400 * (k + 1))
-			n.Clock(2 * Second)
+			n.UpdateEndpoints(ListUpdate, changes)
+			n.attemptsSent.add(0, n.now, paceMemory)
+			n.attemptsSent.count = float64(400 * (k + 1))
+			n.SetTime(2 * Second)
 			watches(n)
 			got = append(got, at+" "+pinSubset(n))
 		}
--- a/rules/watch_test.go
+++ b/internal/decision/shadow_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"maps"
@@ -7,26 +7,26 @@
 )
 
 // watchedRun plays 400 tickets of one customer, of which some fail, and tells what was decided.
-func watchedRun(own, other Settings) (did []Decision, n *Node) {
+func watchedRun(own, other Settings) (did []Decision, n *Engine) {
 	n = plain(6, own)
 	if other != nil {
-		all := maps.Clone(n.set)
+		all := maps.Clone(n.settings)
 		maps.Copy(all, other)
-		n.Watch(all)
+		n.StartShadow(all)
 	}
 	for id := range uint32(400) {
-		n.Clock(Second + Time(id)*200)
-		n.Take(Arrival{ID: id, Customer: uint64(id % 3), Left: Second, Units: 1, Spread: 1})
+		n.SetTime(Second + Time(id)*200)
+		n.AddRequest(Request{ID: id, Customer: uint64(id % 3), Timeout: Second, Units: 1, Spread: 1})
 		for d, ok := n.Next(); ok; d, ok = n.Next() {
-			d.Text = nil
+			d.Payload = nil
 			did = append(did, d)
-			if d.Verb == Send {
-				r := Result{Ticket: d.Ticket, Nth: len(n.tickets[n.ticketOf.find(d.Ticket)].runs) - 1, Server: d.Server,
-					Took: 400, Settled: true}
-				if d.Ticket%7 == 0 && r.Nth == 0 {
-					r.Outcome, r.Settled = Failed, false
+			if d.Action == Forward {
+				r := AttemptResult{Request: d.Request, Attempt: len(n.requests[n.requestSlots.find(d.Request)].attempts) - 1, Server: d.Server,
+					Duration: 400, Final: true}
+				if d.Request%7 == 0 && r.Attempt == 0 {
+					r.Outcome, r.Final = Failed, false
 				}
-				n.Ended(r)
+				n.AttemptEnded(r)
 			}
 		}
 	}
@@ -55,12 +55,12 @@
 		if !reflect.DeepEqual(did, want) {
 			t.Errorf("%v: the watch changed what was decided", other)
 		}
-		seen, differs := n.Watched()
+		seen, differs := n.ShadowCounts()
 		if seen < 400 || differs[c.kind] < c.least || (c.kind == "") != (len(differs) == 0) {
 			t.Errorf("%v: of %d decisions %v", other, seen, differs)
 		}
 	}
-	if seen, differs := plain(1, nil).Watched(); seen != 0 || differs != nil {
+	if seen, differs := plain(1, nil).ShadowCounts(); seen != 0 || differs != nil {
 		t.Error("counted with no watch")
 	}
 }
@@ -72,7 +72,7 @@
 		other := maps.Clone(b.set)
 		maps.Copy(other, Settings{"nodes": "60", "plan.0.rate": "1", "plan.2.open": "1", "band.0.repeats": "single-use"})
 		for range 600 {
-			b.n.Watch(other)
+			b.n.StartShadow(other)
 			a.step()
 			b.step()
 		}
@@ -88,14 +88,14 @@
 	for _, other := range []Settings{{}, {"plan.0.rate": "1", "plan.0.depth": "3"}} {
 		f := newFleet(t, Settings{"plan.0.rate": "4", "plan.0.depth": "12"})
 		for _, n := range f.nodes {
-			all := maps.Clone(n.set)
+			all := maps.Clone(n.settings)
 			maps.Copy(all, other)
-			n.Watch(all)
+			n.StartShadow(all)
 		}
 		f.ask(5, 10, Second, 9*Second)
 		differs := int64(0)
 		for _, n := range f.nodes {
-			_, kinds := n.Watched()
+			_, kinds := n.ShadowCounts()
 			for _, k := range kinds {
 				differs += k
 			}
@@ -117,17 +117,17 @@
 		b.Run(name, func(b *testing.B) {
 			n := plain(100, nil)
 			for k := range uint64(2000) {
-				n.known(k, 0, 1, 0)
+				n.customerSlot(k, 0, 1, 0)
 			}
 			if on {
-				n.Watch(n.set)
+				n.StartShadow(n.settings)
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				n.Clock(Second + Time(i)*100)
-				n.Take(Arrival{ID: uint32(i), Customer: uint64(i % 2000), Left: Second, Units: 1, Spread: 1})
-				for _, d := range pull(n, Send) {
-					n.Ended(Result{Ticket: d.Ticket, Server: d.Server, Took: 400, Settled: true})
+				n.SetTime(Second + Time(i)*100)
+				n.AddRequest(Request{ID: uint32(i), Customer: uint64(i % 2000), Timeout: Second, Units: 1, Spread: 1})
+				for _, d := range pull(n, Forward) {
+					n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 400, Final: true})
 				}
 			}
 		})
--- a/internal/gate/authorise.go
+++ b/internal/grpcfrontend/authorise.go
@@ -1,4 +1,4 @@
-package gate
+package grpcfrontend
 
 import (
 	"context"
@@ -54,7 +54,7 @@
 
 // Check asks about a ticket, and gives its verdict and when a bounced one does best to come again.
 func (a *Authoriser) Check(ctx context.Context, q *protocol.Request, left time.Duration) (authz.Verdict, time.Duration) {
-	band := a.bands[q.Band]
+	band := a.bands[q.Class]
 	a.mu.Lock()
 	v, wait := a.gate.Begin(a.now(), band, left)
 	advice := a.gate.Advice(a.now(), band)
@@ -80,7 +80,7 @@
 			Address: &core.Address{}},
 		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: q.ID, Method: q.Method, Path: q.URI,
 			Host: q.Host, Protocol: "HTTP/1.1", Size: int64(len(q.Body)), Headers: map[string]string{"x-tariff": q.Plan}}},
-		ContextExtensions: map[string]string{"band": q.Band, "plan": q.Plan, "customer": fmt.Sprintf("%016x", q.Customer),
+		ContextExtensions: map[string]string{"band": q.Class, "plan": q.Plan, "customer": fmt.Sprintf("%016x", q.Customer),
 			"units": fmt.Sprint(q.Units)},
 	}})
 	switch {
--- a/internal/gate/front.go
+++ b/internal/grpcfrontend/front.go
@@ -1,7 +1,7 @@
-// Package gate is what the node speaks over gRPC: a front that takes the same tickets as the HTTP one and passes them
+// Package grpcfrontend is what the node speaks over gRPC: a front that takes the same tickets as the HTTP one and passes them
 // through the same transport.Passage, and the client of an external authoriser (Envoy's published
 // envoy.service.auth.v3.Authorization). It decides nothing: internal/authz and the decision module do.
-package gate
+package grpcfrontend
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 // Front serves the Gate service.
 type Front struct {
 	UnimplementedGateServer
-	front   *transport.Front
+	front   *transport.Server
 	methods map[string]string // by band
 	server  *grpc.Server
 	ln      net.Listener
@@ -41,14 +41,14 @@
 
 // Listen starts to take tickets over gRPC, beside the HTTP front and through it. Methods is the HTTP method of each
 // band, as app servers want it. At most so many calls are under way at once on one connection.
-func Listen(addr string, front *transport.Front, methods map[string]string, most uint32) (*Front, error) {
+func Listen(addr string, front *transport.Server, methods map[string]string, most uint32) (*Front, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	ln = front.Guard(ln)
+	ln = front.LimitListener(ln)
 	f := &Front{front: front, methods: methods, ln: ln, server: grpc.NewServer(grpc.MaxConcurrentStreams(most),
-		grpc.MaxRecvMsgSize(2*protocol.MostBody), grpc.ConnectionTimeout(greetBy),
+		grpc.MaxRecvMsgSize(2*protocol.MaxBody), grpc.ConnectionTimeout(greetBy),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleFor}))}
 	RegisterGateServer(f.server, f)
 	go f.server.Serve(ln)
@@ -70,35 +70,35 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Budget = defaultBudget
+	q.Timeout = defaultBudget
 	if by, ok := ctx.Deadline(); ok {
-		q.Budget = time.Until(by)
+		q.Timeout = time.Until(by)
 	}
 	if err := ctx.Err(); err != nil { // cancelled before its turn
 		return nil, status.FromContextError(err).Err()
 	}
-	if !f.front.Claim(q.ID) {
+	if !f.front.ClaimRequestID(q.ID) {
 		return nil, status.Error(codes.AlreadyExists, "id of another ticket")
 	}
-	defer f.front.Release(q.ID)
-	p := f.front.NewPassage(func() bool { return ctx.Err() != nil })
-	defer p.Free()
+	defer f.front.ReleaseRequestID(q.ID)
+	p := f.front.NewRequestHandler(func() bool { return ctx.Err() != nil })
+	defer p.Release()
 	p.Begin()
-	stop := context.AfterFunc(ctx, p.Gone)
+	stop := context.AfterFunc(ctx, p.ClientGone)
 	defer stop()
-	a, stays := p.Through(q, came)
+	a, stays := p.Handle(q, came)
 	if !stays {
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 	switch a.Status {
 	case protocol.StatusCompleted:
-		return &Answer{Body: a.Body, Type: a.Type}, nil
+		return &Answer{Body: a.Body, Type: a.ContentType}, nil
 	case protocol.StatusDenied:
 		return nil, status.Error(codes.PermissionDenied, "not allowed")
-	case protocol.StatusBounced:
+	case protocol.StatusRejected:
 		s := status.New(codes.Unavailable, "bounced: trying again is harmless")
-		if a.Advice > 0 {
-			if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(a.Advice)}); err == nil {
+		if a.RetryAfter > 0 {
+			if with, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)}); err == nil {
 				s = with
 			}
 		}
@@ -110,17 +110,17 @@
 // request turns a call into the ticket that the HTTP front would have read.
 func (f *Front) request(t *Ticket) (*protocol.Request, error) {
 	method, known := f.methods[t.Band]
-	q := &protocol.Request{Method: method, URI: fmt.Sprintf("/%s/%016x", t.Band, t.Customer), Host: "gate", Type: t.Type, Key: t.Key,
-		ID: t.Id, Band: t.Band, Plan: t.Plan, Customer: t.Customer, Units: t.Units, Spread: int(t.Spread),
-		First: int(t.First), Body: t.Body}
-	switch err := q.Check(); {
-	case !known || !f.front.Known(q):
+	q := &protocol.Request{Method: method, URI: fmt.Sprintf("/%s/%016x", t.Band, t.Customer), Host: "gate", ContentType: t.Type, IdempotencyKey: t.Key,
+		ID: t.Id, Class: t.Band, Plan: t.Plan, Customer: t.Customer, Units: t.Units, Spread: int(t.Spread),
+		FirstNode: int(t.First), Body: t.Body}
+	switch err := q.Validate(); {
+	case !known || !f.front.KnowsClassAndPlan(q):
 		return nil, status.Error(codes.NotFound, "unknown band or plan")
 	case err != nil:
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case method == http.MethodGet && len(t.Body) > 0:
 		return nil, status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
-	case !f.front.Fits(q):
+	case !f.front.WithinLimits(q):
 		return nil, status.Error(codes.InvalidArgument, "figures outside the settings")
 	}
 	return q, nil
--- a/internal/gate/gate_test.go
+++ b/internal/grpcfrontend/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package grpcfrontend
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 	ran   map[string]int
 }
 
-func start(t *testing.T, check transport.Checker, serve http.HandlerFunc) *node {
+func start(t *testing.T, check transport.Authorizer, serve http.HandlerFunc) *node {
 	n := &node{count: &transport.Counters{}, ran: map[string]int{}}
 	app, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,17 +54,17 @@
 	set := map[string]string{"band.count": "2", "band.0.name": "look", "band.0.contract": "4000", "band.0.repeats": "replayable",
 		"band.1.name": "buy", "band.1.contract": "8000", "band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "team",
 		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true", "advice": "true", "advice.most": "20000", "largest": "6"}
-	alarm, err := transport.NewAlarm()
+	alarm, err := transport.NewTimer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(alarm.Close)
 	log := zerolog.Nop()
-	router := routing.New(routing.Config{Seed: 3, Settings: set, Wake: alarm.Set, Tell: func(int, []byte) {}, Watch: func() {},
-		Note: func([]byte) {}})
+	router := routing.New(routing.Config{Seed: 3, Settings: set, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
+		LogSummary: func([]byte) {}})
 	go alarm.Run(router.Tick)
-	router.Listed(&protocol.List{All: true, Targets: []protocol.Target{{UID: "s", Weight: 1,
-		Endpoint: netip.MustParseAddrPort(app.Addr().String())}}}, true)
+	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(app.Addr().String())}}}, true)
 	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
 	n.http = "127.0.0.1:0"
 	ln, _ := net.Listen("tcp", n.http) // a port that was free a moment ago
--- a/internal/gate/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -1,4 +1,4 @@
-package gate
+package grpcfrontend
 
 import (
 	"context"
@@ -123,8 +123,8 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Stop)
 	a := dial(t, ln.Addr().String())
-	q := &protocol.Request{Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Band: "buy", Plan: "team", Customer: 0xb4d65521,
-		Units: 2.5, Spread: 3, First: 1, Body: []byte("two seats"), Key: "k-1", Type: "text/plain"}
+	q := &protocol.Request{Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
+		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain"}
 	for _, c := range []struct {
 		code codes.Code
 		want authz.Verdict
@@ -160,7 +160,7 @@
 type checkStub map[string]authz.Verdict
 
 func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) (authz.Verdict, time.Duration) {
-	return s[q.Band], 0
+	return s[q.Class], 0
 }
 
 func TestPinnedAnswers(t *testing.T) {
@@ -222,8 +222,8 @@
 		{"no spread", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1}, "InvalidArgument \"malformed units or set\""},
 		{"customer too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Customer: 1 << 33}, "InvalidArgument \"malformed customer\""},
 		{"body of a get", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Body: []byte("x")}, "InvalidArgument \"a band that is safe to repeat takes no body\""},
-		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MostBody+1)}, "InvalidArgument \"body too large\""},
-		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MostBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
+		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MaxBody+1)}, "InvalidArgument \"body too large\""},
+		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MaxBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
 	} {
 		pinned(t, c.name, call(c.node, c.request), c.want)
 	}
--- a/internal/duties/duties.go
+++ b/internal/healthcheck/duties.go
@@ -1,4 +1,4 @@
-// Package duties decides who of a fleet's edge nodes carries out a periodic duty (check an app server, refresh a
+// Package healthcheck decides who of a fleet's edge nodes carries out a periodic duty (check an app server, refresh a
 // list, call the counter for some customers), and when. It holds no I/O and no clock: the host tells the time with
 // each call, reports what came in (Heard, Set, Ran), which only updates what is known, and pulls decisions with Next
 // until there is none. The same calls with the same seed give the same decisions.
@@ -6,7 +6,7 @@
 // Three parts: members.go, who is alive (after SWIM: ping, indirect ping, suspicion, word of it riding on the
 // messages that go out anyway); this file, who owns a duty (rendezvous hashing over the members) and when it is run;
 // message.go, the messages. docs/design-duties.md has the options considered, docs/duties.md is the operators' page.
-package duties
+package healthcheck
 
 import (
 	"cmp"
@@ -41,19 +41,19 @@
 
 // The kinds of duty.
 const (
-	Check   Kind = iota + 1 // an app server, by its number
-	Refresh                 // a list
-	Count                   // call the counter, for a group of customers
+	CheckServer  Kind = iota + 1 // an app server, by its number
+	CheckList                    // a list
+	CheckCounter                 // call the counter, for a group of customers
 )
 
-// Duty is one thing to be done by one node of the fleet, again and again.
-type Duty struct {
+// Check is one thing to be done by one node of the fleet, again and again.
+type Check struct {
 	Kind Kind
 	ID   uint64
 }
 
 // hash places a duty at a member; of all members the one with the highest has it.
-func (d Duty) hash(member int) uint64 {
+func (d Check) hash(member int) uint64 {
 	var b [17]byte
 	b[0] = byte(d.Kind)
 	binary.LittleEndian.PutUint64(b[1:], d.ID)
@@ -70,24 +70,24 @@
 	Every     time.Duration // between two runs of one duty
 }
 
-// Do is what a Step asks of the host.
-type Do uint8
+// StepKind is what a Step asks of the host.
+type StepKind uint8
 
 // The steps.
 const (
-	Send Do = iota + 1 // Text to member To
-	Run                // Duty, and report it with Ran
-	Told               // Duty was run elsewhere, Good tells how it ended
+	Send  StepKind = iota + 1 // Text to member To
+	Run                       // Duty, and report it with Ran
+	Ended                     // Duty was run elsewhere, Good tells how it ended
 )
 
 // Step is one decision. Only the fields that its Do needs are set.
 type Step struct {
-	Do   Do
-	To   int
-	Text []byte // good until the next call
-	Duty Duty
-	Wait time.Duration // Run: give up after so long, as not good
-	Good bool
+	Kind  StepKind
+	To    int
+	Text  []byte // good until the next call
+	Check Check
+	Wait  time.Duration // Run: give up after so long, as not good
+	Good  bool
 }
 
 // Counters count what a node did, for its log.
@@ -100,7 +100,7 @@
 
 // task is a duty as this node knows it.
 type task struct {
-	duty    Duty
+	duty    Check
 	order   []uint16      // members, whose it is first
 	last    time.Duration // when it was last run, by anyone, as far as is known
 	running bool          // here
@@ -109,8 +109,8 @@
 	listed  bool
 }
 
-// Node is one edge node's part.
-type Node struct {
+// Scheduler is one edge node's part.
+type Scheduler struct {
 	cfg    Config
 	chance *rand.Rand
 	now    time.Duration
@@ -133,17 +133,17 @@
 	text    []byte
 
 	tasks   []task
-	taskOf  map[Duty]int
+	taskOf  map[Check]int
 	told    []Step
 	ownerAt time.Duration // owners are looked over then
 	stale   bool          // owners may have changed
 }
 
 // New makes a node that takes every other for alive. It must be told the time (any origin, never back) in now.
-func New(cfg Config, now time.Duration) *Node {
+func New(cfg Config, now time.Duration) *Scheduler {
 	cfg.Nodes = min(max(cfg.Nodes, 1), mostNodes)
-	n := &Node{cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))), roomAt: now, ownerAt: now,
-		members: make([]member, cfg.Nodes), taskOf: map[Duty]int{}}
+	n := &Scheduler{cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))), roomAt: now, ownerAt: now,
+		members: make([]member, cfg.Nodes), taskOf: map[Check]int{}}
 	n.period = leastPeriod
 	if cfg.Take > 0 {
 		n.period = max(n.period, time.Duration(pingCost/(takeShare*cfg.Take)*float64(time.Second)))
@@ -161,21 +161,21 @@
 }
 
 // doublings is how many rounds a word takes to reach all, each teller telling one more.
-func (n *Node) doublings() float64 { return float64(bits.Len(uint(n.cfg.Nodes))) }
+func (n *Scheduler) doublings() float64 { return float64(bits.Len(uint(n.cfg.Nodes))) }
 
 // Period is the time between two pings of this node, and Every that between two runs of a duty: Config.Every, or
 // longer where members can't be watched closely enough for it.
-func (n *Node) Period() time.Duration { return n.period }
+func (n *Scheduler) Period() time.Duration { return n.period }
 
 // Every is the time between two runs of one duty.
-func (n *Node) Every() time.Duration { return n.cfg.Every }
+func (n *Scheduler) Every() time.Duration { return n.cfg.Every }
 
 // Count is what the node did so far.
-func (n *Node) Count() Counters { return n.count }
+func (n *Scheduler) Count() Counters { return n.count }
 
-// Set tells which duties there are now. A new one is run first within a quarter of a period, at a place of it that
+// SetChecks tells which duties there are now. A new one is run first within a quarter of a period, at a place of it that
 // follows from the duty: servers that start together are met one after the other.
-func (n *Node) Set(now time.Duration, duties []Duty) {
+func (n *Scheduler) SetChecks(now time.Duration, duties []Check) {
 	n.clock(now)
 	for k := range n.tasks {
 		n.tasks[k].listed = false
@@ -203,8 +203,8 @@
 	n.tasks, n.stale = kept, true
 }
 
-// Ran reports that a duty that Next gave out has ended, well or not. Its end is told to the other nodes.
-func (n *Node) Ran(now time.Duration, d Duty, good bool) {
+// CheckEnded reports that a duty that Next gave out has ended, well or not. Its end is told to the other nodes.
+func (n *Scheduler) CheckEnded(now time.Duration, d Check, good bool) {
 	n.clock(now)
 	k, ok := n.taskOf[d]
 	if !ok {
@@ -217,7 +217,7 @@
 
 // Owns tells whether this node has a duty now, and whether as its first owner. Two nodes have it while members come
 // and go: the one that had it before a newcomer came, and the one that is next should a suspect be dead.
-func (n *Node) Owns(now time.Duration, d Duty) (owns, first bool) {
+func (n *Scheduler) Owns(now time.Duration, d Check) (owns, first bool) {
 	n.clock(now)
 	if k, ok := n.taskOf[d]; ok {
 		return n.owns(n.tasks[k].order)
@@ -226,7 +226,7 @@
 }
 
 // owns goes down a duty's members, in the order in which it would be theirs.
-func (n *Node) owns(order []uint16) (owns, first bool) {
+func (n *Scheduler) owns(order []uint16) (owns, first bool) {
 	settled, likely := -1, -1 // of all but newcomers, suspects too; of newcomers too, but no suspects
 	for _, of := range order {
 		k := int(of)
@@ -250,7 +250,7 @@
 
 // ranked is the rendezvous order of a duty: who of all the members comes first has it, if that one lives; else the
 // next.
-func (d Duty) ranked(nodes int) []uint16 {
+func (d Check) ranked(nodes int) []uint16 {
 	hashes, order := make([]uint64, nodes), make([]uint16, nodes)
 	for k := range nodes {
 		hashes[k], order[k] = d.hash(k), uint16(k)
@@ -260,7 +260,7 @@
 }
 
 // Owned is how many duties this node has now.
-func (n *Node) Owned(now time.Duration) (k int) {
+func (n *Scheduler) Owned(now time.Duration) (k int) {
 	n.clock(now)
 	for _, t := range n.tasks {
 		if owns, _ := n.owns(t.order); owns {
@@ -271,7 +271,7 @@
 }
 
 // look brings up to date which duties are this node's.
-func (n *Node) look() {
+func (n *Scheduler) look() {
 	n.stale, n.ownerAt = false, n.now+n.period
 	for k := range n.tasks {
 		t := &n.tasks[k]
@@ -280,7 +280,7 @@
 }
 
 // due is when an owned duty is to be run here: a period after its last run by anyone, and later by who stands in.
-func (n *Node) due(t *task) time.Duration {
+func (n *Scheduler) due(t *task) time.Duration {
 	at := t.last + n.cfg.Every
 	if !t.first {
 		at += time.Duration(standIn * float64(n.cfg.Every))
@@ -289,7 +289,7 @@
 }
 
 // Next is the next decision, or false when there is none for now.
-func (n *Node) Next(now time.Duration) (Step, bool) {
+func (n *Scheduler) Next(now time.Duration) (Step, bool) {
 	n.clock(now)
 	if k := len(n.told); k > 0 {
 		s := n.told[0]
@@ -301,7 +301,7 @@
 		o := n.replies[0]
 		n.replies = n.replies[1:]
 		if text := n.write(o); text != nil {
-			return Step{Do: Send, To: o.to, Text: text}, true
+			return Step{Kind: Send, To: o.to, Text: text}, true
 		}
 	}
 	if n.stale || now >= n.ownerAt {
@@ -318,14 +318,14 @@
 			if !t.first {
 				n.count.StoodIn++
 			}
-			return Step{Do: Run, Duty: t.duty, Wait: n.period}, true
+			return Step{Kind: Run, Check: t.duty, Wait: n.period}, true
 		}
 	}
 	return Step{}, false
 }
 
 // Wake is how long the host may wait before it must call Next again, if nothing comes in.
-func (n *Node) Wake(now time.Duration) time.Duration {
+func (n *Scheduler) Wake(now time.Duration) time.Duration {
 	n.clock(now)
 	at := min(n.pingAt, n.ownerAt)
 	for _, p := range n.awaited {
@@ -339,4 +339,4 @@
 	return max(at-now, time.Millisecond)
 }
 
-func (n *Node) clock(now time.Duration) { n.now = max(n.now, now) }
+func (n *Scheduler) clock(now time.Duration) { n.now = max(n.now, now) }
--- a/internal/duties/duties_test.go
+++ b/internal/healthcheck/duties_test.go
@@ -1,4 +1,4 @@
-package duties
+package healthcheck
 
 import (
 	"math/rand/v2"
@@ -8,20 +8,20 @@
 
 // fleet carries messages between nodes at once, where hears lets them.
 type fleet struct {
-	nodes []*Node
+	nodes []*Scheduler
 	now   time.Duration
 	hears func(from, to int) bool
-	runs  map[Duty][]int // who ran it
-	ran   map[Duty]time.Duration
+	runs  map[Check][]int // who ran it
+	ran   map[Check]time.Duration
 }
 
-var checks = []Duty{{Check, 1}, {Check, 2}, {Check, 99}, {Refresh, 1}, {Count, 7}}
+var checks = []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
 
 func newFleet(nodes int, bytes float64) *fleet {
-	f := &fleet{hears: func(int, int) bool { return true }, runs: map[Duty][]int{}, ran: map[Duty]time.Duration{}}
+	f := &fleet{hears: func(int, int) bool { return true }, runs: map[Check][]int{}, ran: map[Check]time.Duration{}}
 	for k := range nodes {
 		f.nodes = append(f.nodes, New(Config{Me: k, Nodes: nodes, Seed: 5, Take: 40, Bytes: bytes, Every: 5 * time.Second}, 0))
-		f.nodes[k].Set(0, checks)
+		f.nodes[k].SetChecks(0, checks)
 	}
 	return f
 }
@@ -33,14 +33,14 @@
 				continue
 			}
 			for s, ok := n.Next(f.now); ok; s, ok = n.Next(f.now) {
-				switch s.Do {
+				switch s.Kind {
 				case Send:
 					if to := f.nodes[s.To]; to != nil && f.hears(k, s.To) {
-						to.Heard(f.now, k, append([]byte(nil), s.Text...))
+						to.ReceivePeerMessage(f.now, k, append([]byte(nil), s.Text...))
 					}
 				case Run:
-					f.runs[s.Duty], f.ran[s.Duty] = append(f.runs[s.Duty], k), f.now
-					n.Ran(f.now, s.Duty, true)
+					f.runs[s.Check], f.ran[s.Check] = append(f.runs[s.Check], k), f.now
+					n.CheckEnded(f.now, s.Check, true)
 				}
 			}
 		}
@@ -70,7 +70,7 @@
 		t.Fatalf("%v: %v, last at %v", d, f.runs[d], f.ran[d])
 	}
 	f.nodes[old] = New(Config{Me: old, Nodes: 9, Seed: 6, Take: 40, Every: 5 * time.Second}, f.now)
-	f.nodes[old].Set(f.now, checks)
+	f.nodes[old].SetChecks(f.now, checks)
 	f.play(f.now + 3*time.Second)
 	if owns, first := f.nodes[next].Owns(f.now, d); !owns || first {
 		t.Errorf("while %d is new, %d: owns %v, as first %v", old, next, owns, first)
@@ -120,7 +120,7 @@
 	n := f.nodes[0]
 	ask := f.nodes[1].write(outgoing{to: 0, kind: pingMe, seq: 1})
 	for ; f.now < 20*time.Second; f.now += 10 * time.Millisecond {
-		n.Heard(f.now, 1, ask)
+		n.ReceivePeerMessage(f.now, 1, ask)
 		for _, ok := n.Next(f.now); ok; _, ok = n.Next(f.now) {
 		}
 	}
@@ -134,20 +134,20 @@
 	f := newFleet(20, 0)
 	n, r := f.nodes[0], rand.New(rand.NewPCG(1, 2))
 	f.nodes[1].hold(7, dead, 0)
-	f.nodes[1].Ran(0, checks[0], true)
+	f.nodes[1].CheckEnded(0, checks[0], true)
 	good := append([]byte(nil), f.nodes[1].write(outgoing{to: 0, kind: answer, seq: 3, dead: true})...)
 	for k := 1; k < len(good); k++ { // cut anywhere
 		if read, _, _, _, parts, ok := read(good[:k], 20); ok && len(parts) > 3 {
 			t.Errorf("%d of %d bytes: %d, %v", k, len(good), read, parts)
 		}
 	}
-	for _, bad := range [][]byte{nil, {Mark}, {Mark, 9, 1, 0, 0, 0, 0}, {Mark, 3, 1, 0, 0, 0, 0, 200}, make([]byte, 300),
-		append(append([]byte(nil), good...), 77), {Mark, 1, 1, 0, 0, 0, 0, deadPart, 0, 255, 255, 3}} {
-		if n.Heard(0, 1, bad) {
+	for _, bad := range [][]byte{nil, {MessageMark}, {MessageMark, 9, 1, 0, 0, 0, 0}, {MessageMark, 3, 1, 0, 0, 0, 0, 200}, make([]byte, 300),
+		append(append([]byte(nil), good...), 77), {MessageMark, 1, 1, 0, 0, 0, 0, deadPart, 0, 255, 255, 3}} {
+		if n.ReceivePeerMessage(0, 1, bad) {
 			t.Errorf("%v was taken", bad)
 		}
 	}
-	if n.Heard(0, 0, good) || n.Heard(0, 20, good) || n.Heard(0, -1, good) || n.Dead() > 0 {
+	if n.ReceivePeerMessage(0, 0, good) || n.ReceivePeerMessage(0, 20, good) || n.ReceivePeerMessage(0, -1, good) || n.Dead() > 0 {
 		t.Error("a message from nowhere was taken")
 	}
 	for range 20000 {
@@ -155,12 +155,12 @@
 		for range 1 + r.IntN(4) {
 			b[1+r.IntN(len(b)-1)] = byte(r.IntN(256))
 		}
-		n.Heard(f.now, 1+r.IntN(19), b)
+		n.ReceivePeerMessage(f.now, 1+r.IntN(19), b)
 		for _, ok := n.Next(f.now); ok; _, ok = n.Next(f.now) {
 		}
 		f.now += time.Millisecond
 	}
-	if n.Wake(f.now) <= 0 || !n.Heard(f.now, 1, good) {
+	if n.Wake(f.now) <= 0 || !n.ReceivePeerMessage(f.now, 1, good) {
 		t.Error("it does not go on")
 	}
 }
--- a/internal/duties/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -1,4 +1,4 @@
-package duties
+package healthcheck
 
 import (
 	"crypto/sha256"
@@ -22,9 +22,9 @@
 }
 
 // sends pulls all decisions that there are at a time, and lists the messages, each as "receiver:hexadecimal".
-func sends(n *Node, at time.Duration) (list []string) {
+func sends(n *Scheduler, at time.Duration) (list []string) {
 	for s, ok := n.Next(at); ok; s, ok = n.Next(at) {
-		if s.Do == Send {
+		if s.Kind == Send {
 			list = append(list, fmt.Sprintf("%d:%x", s.To, s.Text))
 		}
 	}
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		name   string
 		cfg    Config
-		duties []Duty
+		duties []Check
 		in     []input
 		pulls  []time.Duration // when Next is called, after all of in
 		want   []string
@@ -81,7 +81,7 @@
 			pulls: []time.Duration{0}, want: []string{
 				"2:d005007d984a54010a00010900010a00010d8080808001",
 			}},
-		{name: "ends of runs are passed on with their age", cfg: nine, duties: []Duty{{Check, 99}, {Refresh, 1 << 40}, {Count, 7}},
+		{name: "ends of runs are passed on with their age", cfg: nine, duties: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
 			in:    []input{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
 			pulls: []time.Duration{30 * time.Second}, want: []string{
 				"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
@@ -97,13 +97,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := New(c.cfg, 0)
-			n.Set(0, c.duties)
+			n.SetChecks(0, c.duties)
 			for _, in := range c.in {
 				text, err := hex.DecodeString(in.text)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !n.Heard(in.at, in.from, text) {
+				if !n.ReceivePeerMessage(in.at, in.from, text) {
 					t.Errorf("%s from %d was not read", in.text, in.from)
 				}
 			}
@@ -122,7 +122,7 @@
 // every decision of theirs and, each second, what else they tell.
 type transcript struct {
 	cfg   Config
-	nodes []*Node // nil for one that is down
+	nodes []*Scheduler // nil for one that is down
 	now   time.Duration
 	rng   *rand.Rand
 	later map[time.Duration][]func()
@@ -134,8 +134,8 @@
 
 const step = 20 * time.Millisecond
 
-func newTranscript(cfg Config, duties []Duty) *transcript {
-	p := &transcript{cfg: cfg, nodes: make([]*Node, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
+func newTranscript(cfg Config, duties []Check) *transcript {
+	p := &transcript{cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
 		later: map[time.Duration][]func(){}, idle: -1}
 	for k := range p.nodes {
 		p.start(k, duties)
@@ -143,11 +143,11 @@
 	return p
 }
 
-func (p *transcript) start(k int, duties []Duty) {
+func (p *transcript) start(k int, duties []Check) {
 	cfg := p.cfg
 	cfg.Me, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
 	p.nodes[k] = New(cfg, p.now)
-	p.nodes[k].Set(p.now, duties)
+	p.nodes[k].SetChecks(p.now, duties)
 }
 
 func (p *transcript) after(delay time.Duration, f func()) {
@@ -167,7 +167,7 @@
 	}
 	for range 1 + p.rng.IntN(50)/49 {
 		p.after(step*time.Duration(1+p.rng.IntN(3)), func() {
-			if n := p.nodes[to]; n != nil && !n.Heard(p.now, from, text) {
+			if n := p.nodes[to]; n != nil && !n.ReceivePeerMessage(p.now, from, text) {
 				p.write("%d did not read it", to)
 			}
 		})
@@ -185,16 +185,16 @@
 				continue
 			}
 			for s, ok := n.Next(p.now); ok; s, ok = n.Next(p.now) {
-				switch s.Do {
+				switch s.Kind {
 				case Send:
 					p.send(k, s.To, append([]byte(nil), s.Text...))
 				case Run:
-					p.write("%d runs %d/%d within %v", k, s.Duty.Kind, s.Duty.ID, s.Wait)
+					p.write("%d runs %d/%d within %v", k, s.Check.Kind, s.Check.ID, s.Wait)
 					if k != p.idle {
-						p.after(step, func() { n.Ran(p.now, s.Duty, s.Duty.ID%2 > 0) })
+						p.after(step, func() { n.CheckEnded(p.now, s.Check, s.Check.ID%2 > 0) })
 					}
-				case Told:
-					p.write("%d hears of %d/%d %v", k, s.Duty.Kind, s.Duty.ID, s.Good)
+				case Ended:
+					p.write("%d hears of %d/%d %v", k, s.Check.Kind, s.Check.ID, s.Good)
 				}
 			}
 			if p.now%time.Second == 0 {
@@ -208,7 +208,7 @@
 
 // The whole run of messages and decisions, of fleets with and without faults, is as before.
 func TestGoldenPlays(t *testing.T) {
-	tasks := []Duty{{Check, 1}, {Check, 2}, {Check, 99}, {Refresh, 1}, {Count, 7}}
+	tasks := []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
 	for _, c := range []struct {
 		name   string
 		cfg    Config
@@ -245,7 +245,7 @@
 				p.play(60 * time.Second)
 				p.cut = false
 				for k, n := range p.nodes {
-					n.Set(p.now, append(tasks[1:], Duty{Check, uint64(1000 + k/5)}))
+					n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, uint64(1000 + k/5)}))
 				}
 				p.play(120 * time.Second)
 			}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
@@ -273,21 +273,21 @@
 			}},
 		{name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, Take: 20, Every: 9 * time.Second},
 			play: func(p *transcript) {
-				many := make([]Duty, 1500)
+				many := make([]Check, 1500)
 				for k := range many {
-					many[k] = Duty{Check, uint64(k)}
+					many[k] = Check{CheckServer, uint64(k)}
 				}
 				p.play(time.Second)
 				p.nodes[2] = nil
 				for _, k := range []int{0, 1, 3} {
-					p.nodes[k].Set(p.now, many)
+					p.nodes[k].SetChecks(p.now, many)
 				}
 				p.play(45 * time.Second)
 				p.start(2, many)
 				p.idle = 2
 				p.play(75 * time.Second)
 				for _, n := range p.nodes {
-					n.Ran(p.now, Duty{Refresh, 5}, true)
+					n.CheckEnded(p.now, Check{CheckList, 5}, true)
 				}
 				p.play(80 * time.Second)
 			}, lines: 18771, digest: "720163bc2cc35ad8b9fd9e97dcdf5cfb604208a02e9eedd46750152fddd45e38", first: []string{
@@ -361,7 +361,7 @@
 			t.Fatal(err)
 		}
 		n := New(Config{Nodes: 9, Seed: 2, Take: 40}, 0)
-		if read := n.Heard(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
+		if read := n.ReceivePeerMessage(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
 			t.Errorf("%s: read %v", c.text, read)
 		}
 	}
--- a/internal/duties/members.go
+++ b/internal/healthcheck/members.go
@@ -1,4 +1,4 @@
-package duties
+package healthcheck
 
 import (
 	"slices"
@@ -44,7 +44,7 @@
 }
 
 // watch pings whom it is time to ping, and looks over what is awaited.
-func (n *Node) watch() {
+func (n *Scheduler) watch() {
 	if n.cfg.Nodes < 2 {
 		n.pingAt = n.now + n.period
 		return
@@ -104,7 +104,7 @@
 
 // turn is the next member to ping: all by turns, in an order shuffled anew each time round, so that each is pinged by
 // someone about once a period and none is missed for more than two rounds.
-func (n *Node) turn() int {
+func (n *Scheduler) turn() int {
 	for range 2 * n.cfg.Nodes {
 		if n.next >= len(n.order) {
 			n.order, n.next = n.chance.Perm(n.cfg.Nodes), 0
@@ -119,7 +119,7 @@
 }
 
 // anyone is a member at random that is taken for alive, and not the one named; -1 for none found in some tries.
-func (n *Node) anyone(but int) int {
+func (n *Scheduler) anyone(but int) int {
 	for range 8 {
 		if k := n.chance.IntN(n.cfg.Nodes); k != but && k != n.cfg.Me && n.members[k].state == alive {
 			return k
@@ -128,7 +128,7 @@
 	return -1
 }
 
-func (n *Node) ping(to, for_ int, forSeq uint64) {
+func (n *Scheduler) ping(to, for_ int, forSeq uint64) {
 	n.seq++
 	n.awaited = append(n.awaited, ping{to: to, seq: n.seq, sent: n.now, for_: for_, forSeq: forSeq,
 		within: n.now + time.Duration(directPart*float64(n.period)), last: n.now + n.period})
@@ -136,7 +136,7 @@
 }
 
 // answered takes in the answer to a ping, and passes it on to who asked for it.
-func (n *Node) answered(from int, seq uint64) {
+func (n *Scheduler) answered(from int, seq uint64) {
 	i := slices.IndexFunc(n.awaited, func(p ping) bool { return p.seq == seq })
 	if i < 0 {
 		return
@@ -153,7 +153,7 @@
 
 // hold takes a member for something, and passes the word on. A suspicion or death of this node itself is
 // contradicted by a higher count.
-func (n *Node) hold(k int, s state, inc uint64) {
+func (n *Scheduler) hold(k int, s state, inc uint64) {
 	m := &n.members[k]
 	if k == n.cfg.Me {
 		if s != alive && inc >= m.inc {
@@ -187,10 +187,10 @@
 
 // viewHash is a hash of whom this node takes for dead. Nodes whose hashes differ tell each other whom: words are
 // passed on a few times only, so one that was away when they went round would never hear of them.
-func (n *Node) viewHash() uint32 { return uint32(xxhash.Sum64(n.deadBits(0, n.cfg.Nodes))) }
+func (n *Scheduler) viewHash() uint32 { return uint32(xxhash.Sum64(n.deadBits(0, n.cfg.Nodes))) }
 
 // deadBits is one bit a member from the first on, set for who is dead.
-func (n *Node) deadBits(first, count int) []byte {
+func (n *Scheduler) deadBits(first, count int) []byte {
 	b := make([]byte, (count+7)/8)
 	for k := range count {
 		if n.members[first+k].state == dead && first+k != n.cfg.Me {
@@ -204,7 +204,7 @@
 // peer's are as high it objects (Heard): such members are suspected here too, hear of it, and contradict or die. Who
 // says that this node itself is dead is contradicted at once. So nodes that were apart agree again, and one that has
 // just started learns who is gone.
-func (n *Node) doubted(first int, b []byte) (lives []int) {
+func (n *Scheduler) doubted(first int, b []byte) (lives []int) {
 	for k := range 8 * len(b) {
 		if i := first + k; b[k/8]>>(k%8)&1 == 1 && i < n.cfg.Nodes {
 			if i == n.cfg.Me {
@@ -219,7 +219,7 @@
 }
 
 // Dead is how many members this node takes for dead.
-func (n *Node) Dead() (k int) {
+func (n *Scheduler) Dead() (k int) {
 	for i := range n.members {
 		if n.members[i].state == dead {
 			k++
--- a/internal/duties/message.go
+++ b/internal/healthcheck/message.go
@@ -1,4 +1,4 @@
-package duties
+package healthcheck
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Mark is the first byte of each of this package's messages; the decision module's begin with others.
-const Mark = 0xD0
+// MessageMark is the first byte of each of this package's messages; the decision module's begin with others.
+const MessageMark = 0xD0
 
-// MostBytes bounds a message.
-const MostBytes = 256
+// MaxMessage bounds a message.
+const MaxMessage = 256
 
 const (
 	mostBits = 128 // bytes of a bitmap in one message; a larger fleet's goes in parts
@@ -47,7 +47,7 @@
 
 // word is one piece of news: a member's state, or the end of a duty's run.
 type word struct {
-	duty   Duty // its Kind is 0 for a member's
+	duty   Check // its Kind is 0 for a member's
 	good   bool
 	at     time.Duration // when it was run
 	member int
@@ -57,7 +57,7 @@
 }
 
 // tell passes a word on with the next messages. A newer word of the same matter takes the place of the older one.
-func (n *Node) tell(w word) {
+func (n *Scheduler) tell(w word) {
 	for k := range n.words {
 		if o := &n.words[k]; o.duty == w.duty && (w.duty.Kind != 0 || o.member == w.member) {
 			*o = w
@@ -79,16 +79,16 @@
 
 // write makes a message's text, with as many words as fit, members before duties and those told least first; nil
 // where the bytes that may be sent are used up, as for any datagram that is lost.
-func (n *Node) write(o outgoing) []byte {
+func (n *Scheduler) write(o outgoing) []byte {
 	if n.cfg.Bytes > 0 {
 		n.room = min(n.room+n.cfg.Bytes*(n.now-n.roomAt).Seconds(), n.cfg.Bytes)
 		n.roomAt = n.now
-		if n.room < MostBytes {
+		if n.room < MaxMessage {
 			n.count.Held++
 			return nil
 		}
 	}
-	b := append(n.text[:0], Mark, byte(o.kind))
+	b := append(n.text[:0], MessageMark, byte(o.kind))
 	b = binary.AppendUvarint(b, o.seq)
 	b = binary.BigEndian.AppendUint32(b, n.view)
 	if o.kind == askPing {
@@ -109,7 +109,7 @@
 		b = append(binary.AppendUvarint(b, uint64(len(bitmap))), bitmap...)
 	}
 	for _, k := range o.list {
-		if m := &n.members[k]; len(b)+mostWord <= MostBytes {
+		if m := &n.members[k]; len(b)+mostWord <= MaxMessage {
 			b = appendMember(b, word{member: k, state: min(m.state, suspect), inc: m.inc})
 		}
 	}
@@ -117,7 +117,7 @@
 		return cmp.Or(cmp.Compare(min(a.duty.Kind, 1), min(b.duty.Kind, 1)), cmp.Compare(a.sent, b.sent))
 	})
 	for k := range n.words {
-		if len(b)+mostWord > MostBytes {
+		if len(b)+mostWord > MaxMessage {
 			break
 		}
 		w := &n.words[k]
@@ -166,7 +166,7 @@
 
 // read takes a message apart, whole or not at all.
 func read(text []byte, nodes int) (kind int, seq uint64, view uint32, other int, parts []part, ok bool) {
-	if len(text) < 2 || len(text) > MostBytes || text[0] != Mark {
+	if len(text) < 2 || len(text) > MaxMessage || text[0] != MessageMark {
 		return 0, 0, 0, 0, nil, false
 	}
 	b := text[2:]
@@ -211,7 +211,7 @@
 			}
 			p.duty.ID = number(1<<64 - 1)
 			p.age = time.Duration(number(uint64(mostAge/ageUnit)+1)) * ageUnit
-			ok = ok && p.duty.Kind >= Check && p.duty.Kind <= Count
+			ok = ok && p.duty.Kind >= CheckServer && p.duty.Kind <= CheckCounter
 		case deadPart:
 			p.first = int(number(uint64(nodes)))
 			p.dead = bytes(int(number(mostBits + 1)))
@@ -223,8 +223,8 @@
 	return kind, seq, view, other, parts, ok
 }
 
-// Heard takes in a message of another member, and tells whether it could be read. What can't be is passed over whole.
-func (n *Node) Heard(now time.Duration, from int, text []byte) bool {
+// ReceivePeerMessage takes in a message of another member, and tells whether it could be read. What can't be is passed over whole.
+func (n *Scheduler) ReceivePeerMessage(now time.Duration, from int, text []byte) bool {
 	n.clock(now)
 	kind, seq, view, other, parts, ok := read(text, n.cfg.Nodes)
 	if !ok || from < 0 || from >= n.cfg.Nodes || from == n.cfg.Me {
@@ -271,13 +271,13 @@
 }
 
 // ran takes in the end of a run elsewhere, once for each run, and passes it on.
-func (n *Node) ran(p part) {
+func (n *Scheduler) ran(p part) {
 	at := n.now - p.age
 	k, ok := n.taskOf[p.duty]
 	if !ok || at <= n.tasks[k].last+n.period/8 { // known, give or take the way here
 		return
 	}
 	n.tasks[k].last = at
-	n.told = append(n.told, Step{Do: Told, Duty: p.duty, Good: p.good})
+	n.told = append(n.told, Step{Kind: Ended, Check: p.duty, Good: p.good})
 	n.tell(word{duty: p.duty, good: p.good, at: at})
 }
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -23,7 +23,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // Fleet is a set of emulated servers with one schedule and one clock.
@@ -45,7 +45,7 @@
 
 // Start opens n servers from cfg, the first at cfg.Listen and each next one port higher (or all on free ports
 // when its port is 0). It errors on a non-loopback address or a port in use, and then opens none.
-func Start(cfg operator.Emulator, seed uint64, sched Schedule, log zerolog.Logger) (*Fleet, error) {
+func Start(cfg operatorfile.Emulator, seed uint64, sched Schedule, log zerolog.Logger) (*Fleet, error) {
 	ap, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 // Server is one emulated app server.
 type Server struct {
 	id         int
-	cfg        operator.Emulator
+	cfg        operatorfile.Emulator
 	sched      Schedule
 	fleetStart time.Time
 	addr       string
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/rs/zerolog"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 func fleet(t *testing.T, servers int, sched string) *Fleet {
 	t.Helper()
-	cfg := operator.Default().Lab.Emulator
+	cfg := operatorfile.Default().Lab.Emulator
 	cfg.Servers, cfg.ServiceMs, cfg.WarmupS, cfg.HandshakeMs, cfg.DrainMs = servers, 1, 0, 0, 200
 	s, err := ParseSchedule(sched, servers)
 	if err != nil {
--- a/internal/lab/dutylab/golden_test.go
+++ b/internal/lab/healthlab/golden_test.go
@@ -1,4 +1,4 @@
-package dutylab
+package healthlab
 
 import (
 	"encoding/json"
--- a/internal/lab/dutylab/dutylab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -1,8 +1,8 @@
-// Package dutylab plays a fleet's shared duties in virtual time: N nodes that each run the real internal/duties
+// Package healthlab plays a fleet's shared duties in virtual time: N nodes that each run the real internal/duties
 // module, datagrams that are late, lost, doubled and out of order, and nodes that vanish, flap or can't hear each
 // other. One goroutine and one event heap ordered by time and sequence; the same configuration gives the same run.
 // It says how long each app server went unchecked, how often two nodes checked one, and what a node sent.
-package dutylab
+package healthlab
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"cherrygap/internal/duties"
+	"cherrygap/internal/healthcheck"
 )
 
 // Scenarios are the troubles that a run can bring, by name. Each begins a third into the run and ends at two thirds.
@@ -22,7 +22,7 @@
 	For            time.Duration // virtual
 	Seed           uint64
 	Scenario       string
-	Take, Bytes    float64       // as duties.Config has them
+	Take, Bytes    float64       // as healthcheck.Config has them
 	Every          time.Duration // between two checks of a server
 	Vanish         float64       // share of the nodes that vanish at once: 0.48 where not set
 }
@@ -53,7 +53,7 @@
 	life int
 	from int
 	text []byte // a datagram; nil: a wake
-	ran  *duties.Duty
+	ran  *healthcheck.Check
 }
 
 const (
@@ -77,7 +77,7 @@
 }
 
 type node struct {
-	duty *duties.Node
+	duty *healthcheck.Scheduler
 	life int // how often it has started
 	up   bool
 	wake time.Duration
@@ -93,7 +93,7 @@
 	seq    int
 	heap   events
 	nodes  []*node
-	duties []duties.Duty
+	duties []healthcheck.Check
 	last   []time.Duration // of each server
 	lastBy []int
 	bad    bool // the trouble is on
@@ -118,7 +118,7 @@
 	r := &run{cfg: cfg, chance: rand.New(rand.NewPCG(cfg.Seed, 7)),
 		last: make([]time.Duration, cfg.Servers), lastBy: make([]int, cfg.Servers)}
 	for k := range cfg.Servers {
-		r.duties = append(r.duties, duties.Duty{Kind: duties.Check, ID: uint64(k)*7919 + 1})
+		r.duties = append(r.duties, healthcheck.Check{Kind: healthcheck.CheckServer, ID: uint64(k)*7919 + 1})
 		r.lastBy[k] = -1
 	}
 	for k := range cfg.Nodes {
@@ -134,9 +134,9 @@
 	n := r.nodes[k]
 	n.life++
 	n.up = true
-	n.duty = duties.New(duties.Config{Me: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), Take: r.cfg.Take,
+	n.duty = healthcheck.New(healthcheck.Config{Me: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), Take: r.cfg.Take,
 		Bytes: r.cfg.Bytes, Every: r.cfg.Every}, r.now)
-	n.duty.Set(r.now, r.duties)
+	n.duty.SetChecks(r.now, r.duties)
 	n.wake = r.now
 	r.push(event{at: r.now, node: k, life: n.life})
 }
@@ -203,9 +203,9 @@
 		switch {
 		case e.text != nil:
 			n.in++
-			n.duty.Heard(r.now, e.from, e.text)
+			n.duty.ReceivePeerMessage(r.now, e.from, e.text)
 		case e.ran != nil:
-			n.duty.Ran(r.now, *e.ran, true)
+			n.duty.CheckEnded(r.now, *e.ran, true)
 		case e.at < n.wake:
 			continue
 		}
@@ -261,16 +261,16 @@
 func (r *run) pull(k int) {
 	n := r.nodes[k]
 	for s, ok := n.duty.Next(r.now); ok; s, ok = n.duty.Next(r.now) {
-		switch s.Do {
-		case duties.Send:
+		switch s.Kind {
+		case healthcheck.Send:
 			text := append([]byte(nil), s.Text...)
 			for range 1 + r.chance.IntN(100)/99 { // one in a hundred comes twice
 				if r.nodes[s.To].up && r.hears(k, s.To) {
 					r.push(event{at: r.now + r.late(), node: s.To, from: k, text: text})
 				}
 			}
-		case duties.Run:
-			d := s.Duty
+		case healthcheck.Run:
+			d := s.Check
 			r.check(int((d.ID-1)/7919), k)
 			r.push(event{at: r.now + 20*time.Millisecond, node: k, life: n.life, ran: &d})
 		}
@@ -301,7 +301,7 @@
 	r.res.Period, r.res.Every = first.Period().Seconds(), first.Every().Seconds()
 	span, in := r.cfg.For.Seconds(), int64(0)
 	for _, n := range r.nodes {
-		c := duties.Counters{}
+		c := healthcheck.Counters{}
 		if n.up {
 			c = n.duty.Count()
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,7 +22,7 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // Outcome is how one ticket ended for its client.
@@ -51,7 +51,7 @@
 
 // Plan draws the first arrivals of a run: Poisson at cfg.Rate, times BurstX during bursts. The same seed gives
 // the same plan.
-func Plan(cfg operator.Traffic, seed uint64) []Arrival {
+func Plan(cfg operatorfile.Traffic, seed uint64) []Arrival {
 	var out []Arrival
 	for s := NewStream(cfg, seed); ; {
 		a, ok := s.Next()
@@ -64,7 +64,7 @@
 
 // Stream draws a plan's arrivals one at a time, for runs too long to hold them all.
 type Stream struct {
-	cfg   operator.Traffic
+	cfg   operatorfile.Traffic
 	rng   *rand.Rand
 	zipf  *rand.Zipf
 	total float64
@@ -72,7 +72,7 @@
 }
 
 // NewStream starts the plan of cfg and seed.
-func NewStream(cfg operator.Traffic, seed uint64) *Stream {
+func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
 	s := &Stream{cfg: cfg, rng: rng, zipf: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
 	for _, b := range cfg.Bands {
@@ -102,7 +102,7 @@
 	return Arrival{At: time.Duration(s.t * float64(time.Second)), Band: band, Customer: s.zipf.Uint64()}, true
 }
 
-func inBurst(cfg operator.Traffic, t float64) bool {
+func inBurst(cfg operatorfile.Traffic, t float64) bool {
 	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(t, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
 }
 
@@ -128,7 +128,7 @@
 
 // Tool sends the load.
 type Tool struct {
-	Cfg    operator.Traffic
+	Cfg    operatorfile.Traffic
 	Seed   uint64
 	Client *http.Client // nil for one with Cfg.Conns connections
 	Series io.Writer    // JSON lines, one per second; nil for none
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 func TestPlanReproducesAndKeepsRate(t *testing.T) {
-	cfg := operator.Default().Lab.Load
+	cfg := operatorfile.Default().Lab.Load
 	cfg.Rate, cfg.DurationS, cfg.BurstS, cfg.BurstLenS, cfg.BurstX = 1000, 10, 5, 1, 3
 	a, b := Plan(cfg, 42), Plan(cfg, 42)
 	if !reflect.DeepEqual(a, b) {
@@ -39,7 +39,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}))
 	defer srv.Close()
-	cfg := operator.Default().Lab.Load
+	cfg := operatorfile.Default().Lab.Load
 	cfg.Target = strings.TrimPrefix(srv.URL, "http://")
 	cfg.Rate, cfg.DurationS, cfg.Conns = 200, 0.5, 1
 	for i := range cfg.Bands {
@@ -62,7 +62,7 @@
 func TestFallingBehindIsReported(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
-	cfg := operator.Default().Lab.Load
+	cfg := operatorfile.Default().Lab.Load
 	cfg.Target = strings.TrimPrefix(srv.URL, "http://")
 	cfg.Rate, cfg.DurationS = 20, 0.2
 	tool := &Tool{Cfg: cfg, Seed: 1}
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -71,7 +71,7 @@
 	case protocol.Completed:
 		s.settle(tk, outCompleted)
 		return
-	case protocol.TurnedAway, protocol.Unconnected, protocol.Unsent:
+	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
 	default: // it may have run
 		if s.cfg.Traffic.Bands[tk.band].Repeats != "replayable" {
 			s.settle(tk, outBroken)
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -19,7 +19,7 @@
 
 	"cherrygap/internal/lab/emulator"
 	"cherrygap/internal/lab/load"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
 )
@@ -40,8 +40,8 @@
 	Seconds  float64 // virtual time of arrivals; the run ends when the last ticket has its answer
 	Policy   Policy
 	Seed     uint64
-	Traffic  operator.Traffic  // Rate is the fleet's; Target is not used
-	Server   operator.Emulator // Servers is M; Listen and Schedule are not used
+	Traffic  operatorfile.Traffic  // Rate is the fleet's; Target is not used
+	Server   operatorfile.Emulator // Servers is M; Listen and Schedule are not used
 	Schedule emulator.Schedule
 	Settings map[string]string // the module's, in the project's names; nil for DefaultSettings
 	Limit    int               // RoundRobin: executions out per server from one node
@@ -51,7 +51,7 @@
 	Depth    float64           // baselines: its bucket; 0 for 200
 }
 
-// Server's figures are those of operator.Emulator; a node's view of a server is a routing.Server.
+// Server's figures are those of operatorfile.Emulator; a node's view of a server is a routing.Server.
 type server struct {
 	id       int
 	addr     netip.AddrPort
@@ -64,7 +64,7 @@
 	lastBusy int // for Late: what was seen at the last look
 	draining bool
 	toldAt   time.Duration // when the nodes heard of its drain; -1 before
-	target   protocol.Target
+	target   protocol.Endpoint
 }
 
 type execution struct {
@@ -82,7 +82,7 @@
 type ticket struct {
 	id         uint64
 	node       *node
-	rt         *routing.Ticket
+	rt         *routing.Request
 	band       int
 	due        time.Duration
 	deadline   time.Duration
@@ -99,8 +99,8 @@
 type node struct {
 	id      int
 	router  *routing.Router
-	tickets map[*routing.Ticket]*ticket
-	ready   []*routing.Ticket
+	tickets map[*routing.Request]*ticket
+	ready   []*routing.Request
 	wakeGen uint64
 	rr      int
 	out     map[int]int // RoundRobin: executions out per server
@@ -203,19 +203,19 @@
 	for _, b := range tr.Bands {
 		s.bands = append(s.bands, b.Name)
 	}
-	list := &protocol.List{Rev: 1, All: true}
+	list := &protocol.EndpointList{Revision: 1, Full: true}
 	s.rev = 1
 	for i := range cfg.Server.Servers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i >> 8), byte(i)}), 9000)
 		sv := &server{id: i, addr: addr, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(i)+1)), booted: -time.Hour,
-			toldAt: -1, target: protocol.Target{UID: "s-" + strconv.Itoa(i), Endpoint: addr,
+			toldAt: -1, target: protocol.Endpoint{UID: "s-" + strconv.Itoa(i), Addr: addr,
 				Zone: string(rune('a' + i%3)), Model: "m", Cell: i % 8, State: protocol.InService, Weight: 1}}
 		s.servers = append(s.servers, sv)
 		s.byAddr[addr] = sv
-		list.Targets = append(list.Targets, sv.target)
+		list.Endpoints = append(list.Endpoints, sv.target)
 	}
 	for i := range cfg.Nodes {
-		n := &node{id: i, tickets: map[*routing.Ticket]*ticket{}, out: map[int]int{}, buckets: map[uint64]*bucket{}}
+		n := &node{id: i, tickets: map[*routing.Request]*ticket{}, out: map[int]int{}, buckets: map[uint64]*bucket{}}
 		if cfg.Policy == Module {
 			set := cfg.Settings
 			if set == nil {
@@ -227,10 +227,10 @@
 			}
 			own["node"] = strconv.Itoa(i)
 			n.router = routing.New(routing.Config{Seed: cfg.Seed ^ uint64(i)*0x9e3779b97f4a7c15, Settings: own,
-				Clock: s.clock, Ready: func(t *routing.Ticket) { n.ready = append(n.ready, t) },
-				Wake: func(after time.Duration) { s.wake(n, after) },
-				Tell: func(int, []byte) {}, Watch: func() {}, Note: func([]byte) {}})
-			n.router.Listed(list, false)
+				Clock: s.clock, OnDecision: func(t *routing.Request) { n.ready = append(n.ready, t) },
+				SetTimer:   func(after time.Duration) { s.wake(n, after) },
+				SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+			n.router.UpdateEndpoints(list, false)
 		}
 		s.nodes = append(s.nodes, n)
 	}
@@ -316,7 +316,7 @@
 		if tk := e.tk; !tk.done {
 			s.settle(tk, outGaveUp)
 			if tk.rt != nil {
-				tk.rt.Gone()
+				tk.rt.ClientGone()
 				s.poll(tk.node)
 			}
 		}
@@ -345,10 +345,10 @@
 		s.baseline(tk)
 		return
 	}
-	tk.rt = n.router.NewTicket(worker{s, tk})
+	tk.rt = n.router.NewRequest(worker{s, tk})
 	n.tickets[tk.rt] = tk
-	tk.rt.Take(&protocol.Request{Band: b.Name, Plan: s.cfg.Traffic.Plan, Customer: a.Customer, Units: b.Units,
-		Spread: spread, First: first, Budget: tk.deadline - s.now}, tk.deadline-s.now)
+	tk.rt.Start(&protocol.Request{Class: b.Name, Plan: s.cfg.Traffic.Plan, Customer: a.Customer, Units: b.Units,
+		Spread: spread, FirstNode: first, Timeout: tk.deadline - s.now}, tk.deadline-s.now)
 	s.poll(n)
 }
 
@@ -358,9 +358,9 @@
 	tk *ticket
 }
 
-func (w worker) Withdraw(nth int) {
+func (w worker) Cancel(nth int) {
 	if x := w.tk.exec; x != nil && x.nth == nth && !x.ended {
-		x.ended, x.outcome = true, protocol.Withdrawn
+		x.ended, x.outcome = true, protocol.Cancelled
 		w.s.push(&event{at: w.s.now, kind: evReport, exec: x})
 	}
 }
@@ -378,21 +378,21 @@
 			tk.waiting = true
 			continue
 		}
-		c, ok := rt.Poll()
+		c, ok := rt.TryNext()
 		if !ok {
 			continue
 		}
-		switch c.Do {
-		case routing.Execute:
-			s.execute(tk, c.Nth, s.byAddr[c.Server.Addr], c.Wait)
-		case routing.Bounce:
+		switch c.Action {
+		case routing.Forward:
+			s.execute(tk, c.Attempt, s.byAddr[c.Server.Addr], c.Timeout)
+		case routing.Reject:
 			s.settle(tk, outBounced)
-			s.again(tk, c.Advice)
+			s.again(tk, c.RetryAfter)
 			s.free(tk)
-		case routing.BreakOff:
+		case routing.Fail:
 			s.settle(tk, outBroken)
 			s.free(tk)
-		case routing.Nothing:
+		case routing.Abandon:
 			s.free(tk)
 		}
 	}
@@ -401,7 +401,7 @@
 func (s *Sim) free(tk *ticket) {
 	if tk.rt != nil {
 		delete(tk.node.tickets, tk.rt)
-		tk.rt.Free()
+		tk.rt.Release()
 		tk.rt = nil
 	}
 }
@@ -428,18 +428,18 @@
 		s.out.lateToDrained++ // rule 3: nothing new to a draining server 500 ms after hearing it
 	}
 	if sv.draining {
-		s.reply(x, protocol.TurnedAway, s.cfg.RTT)
+		s.reply(x, protocol.Overloaded, s.cfg.RTT)
 		return
 	}
 	if sv.down {
-		x.ended, x.outcome = true, protocol.Unconnected
+		x.ended, x.outcome = true, protocol.ConnectFailed
 		s.push(&event{at: s.now + s.cfg.RTT, kind: evReport, exec: x})
 		return
 	}
 	hit := s.faults(sv)
 	switch {
 	case has(hit, emulator.Refuse):
-		s.reply(x, protocol.TurnedAway, s.cfg.RTT)
+		s.reply(x, protocol.Overloaded, s.cfg.RTT)
 		return
 	case has(hit, emulator.Silence):
 		return // read and never answered; never run
@@ -450,7 +450,7 @@
 	} else if len(sv.queue) < s.cfg.Server.Queue {
 		sv.queue = append(sv.queue, x)
 	} else {
-		s.reply(x, protocol.TurnedAway, s.cfg.RTT)
+		s.reply(x, protocol.Overloaded, s.cfg.RTT)
 	}
 }
 
@@ -475,9 +475,9 @@
 		case emulator.Error:
 			x.outcome = protocol.Errored
 		case emulator.Reset:
-			x.outcome = protocol.Broken
+			x.outcome = protocol.ConnectionReset
 		case emulator.Spoil:
-			x.outcome = protocol.Spoilt
+			x.outcome = protocol.MalformedResponse
 		case emulator.Lose:
 			x.drop = true
 		}
@@ -503,7 +503,7 @@
 			continue
 		}
 		if s.now > next.until {
-			s.reply(next, protocol.TurnedAway, s.cfg.RTT/2)
+			s.reply(next, protocol.Overloaded, s.cfg.RTT/2)
 			continue
 		}
 		s.start(next, s.faults(sv))
@@ -538,7 +538,7 @@
 	if tk.rt == nil {
 		return
 	}
-	tk.rt.Report(routing.End{Outcome: x.outcome, Took: s.now - x.sent, Units: s.cfg.Traffic.Bands[tk.band].Units})
+	tk.rt.Report(routing.AttemptResult{Outcome: x.outcome, Duration: s.now - x.sent, Units: s.cfg.Traffic.Bands[tk.band].Units})
 	if x.outcome == protocol.Completed { // its answer: the connection takes its next ticket without a step
 		s.settle(tk, outCompleted)
 		s.free(tk)
@@ -563,7 +563,7 @@
 			continue
 		}
 		for _, x := range sv.queue {
-			s.reply(x, protocol.Broken, 0)
+			s.reply(x, protocol.ConnectionReset, 0)
 		}
 		sv.queue = nil
 	}
@@ -602,7 +602,7 @@
 
 // drain marks servers draining, or tells the module's nodes so, as discovery's change would.
 func (s *Sim) drain(which int, tell bool) {
-	var change []protocol.Target
+	var change []protocol.Endpoint
 	for _, sv := range s.servers {
 		if which != -1 && sv.id != which {
 			continue
@@ -621,7 +621,7 @@
 	s.rev++
 	for _, n := range s.nodes {
 		if n.router != nil {
-			n.router.Listed(&protocol.List{Rev: s.rev, Targets: change}, false)
+			n.router.UpdateEndpoints(&protocol.EndpointList{Revision: s.rev, Endpoints: change}, false)
 			s.poll(n)
 		}
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -5,12 +5,12 @@
 	"testing"
 
 	"cherrygap/internal/lab/emulator"
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 func config(t *testing.T, policy Policy, sched string) Config {
 	t.Helper()
-	op := operator.Default()
+	op := operatorfile.Default()
 	srv := op.Lab.Emulator
 	srv.Servers = 8
 	s, err := emulator.ParseSchedule(sched, srv.Servers)
@@ -96,7 +96,7 @@
 // BenchmarkFleet300 is the speed target's yardstick: 300 nodes and 200 servers on the module, ten virtual
 // seconds at 20,000 tickets a second. It reports virtual seconds per real second.
 func BenchmarkFleet300(b *testing.B) {
-	op := operator.Default()
+	op := operatorfile.Default()
 	srv := op.Lab.Emulator
 	srv.Servers = 200
 	tr := op.Lab.Load
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"cherrygap/internal/operator"
+	"cherrygap/internal/operatorfile"
 )
 
 // The default plan: units a second of one customer, and its bucket.
@@ -13,7 +13,7 @@
 // millisecond), made from the traffic's bands and plan: each band's contract time is half its client's
 // budget; the plan gives each customer 100 units a second with a bucket of 200. A run may instead carry the
 // settings of a real deployment (Config.Settings), read from its JSON configuration.
-func DefaultSettings(nodes int, tr operator.Traffic) map[string]string {
+func DefaultSettings(nodes int, tr operatorfile.Traffic) map[string]string {
 	set := map[string]string{"node": "0", "nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push",
 		"executions": "3", "copies": "false", "withdraw": "true", "peers": "false", "advice": "true",
 		"advice.most": "20000", "cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3",
--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -13,7 +13,7 @@
 )
 
 // stateNames are the states on the wire.
-var stateNames = map[protocol.State]string{protocol.InService: "in_service", protocol.Terminating: "terminating",
+var stateNames = map[protocol.EndpointState]string{protocol.InService: "in_service", protocol.Terminating: "terminating",
 	protocol.Terminated: "terminated"}
 
 // entry is a server as discovery's agent tells it.
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -121,11 +121,11 @@
 	gate    chan struct{} // see gated
 	rngs    sync.Pool
 
-	peers    *protocol.Peers
-	fan      sync.Mutex        // a list is being handed out
-	state    []protocol.Target // as last told, by server
+	peers    *protocol.PeerTable
+	fan      sync.Mutex          // a list is being handed out
+	state    []protocol.Endpoint // as last told, by server
 	listedAs []bool
-	history  []*protocol.List
+	history  []*protocol.EndpointList
 	lists    []listTaken
 
 	mu                           sync.Mutex
@@ -203,7 +203,7 @@
 		}
 		h.number[addr] = i
 	}
-	h.state, h.listedAs = make([]protocol.Target, len(h.cfg.Servers)), make([]bool, len(h.cfg.Servers))
+	h.state, h.listedAs = make([]protocol.Endpoint, len(h.cfg.Servers)), make([]bool, len(h.cfg.Servers))
 	h.dead, h.load = make([]atomic.Bool, len(h.cfg.Servers)), make([]atomic.Int64, len(h.cfg.Servers))
 	h.crowds = crowds(h.cfg.Config, func(node int) bool { return node >= h.cfg.Real })
 	listen := func(block, i int) (*net.UDPConn, string, error) {
@@ -279,7 +279,7 @@
 	for _, n := range h.nodes {
 		addrs = append(addrs, n.addr)
 	}
-	h.peers = protocol.NewPeers(addrs, netip.AddrPort{})
+	h.peers = protocol.NewPeerTable(addrs, netip.AddrPort{})
 	h.began = time.Now()
 	each(h.nodes, func(n *hollowNode) { n.life.Store(n.begin(h.cfg.Seed, h.peers)) })
 	for _, n := range h.nodes {
@@ -293,12 +293,12 @@
 	go h.tellAll()
 	none := zerolog.Nop()
 	var once sync.Once
-	watch := &transport.Watch{Addr: o.Agent, Whole: true, Limits: transport.Limits{Sockets: 64, MemoryMB: 64,
-		Connect: time.Second}, Log: &none, Count: &transport.Counters{}, Listed: func(l *protocol.List) {
+	watch := &transport.DiscoveryClient{Addr: o.Agent, Full: true, Limits: transport.Limits{Sockets: 64, MemoryMB: 64,
+		Connect: time.Second}, Log: &none, Count: &transport.Counters{}, OnList: func(l *protocol.EndpointList) {
 		h.listed(l)
 		once.Do(func() { close(h.ready) })
-	}, Missed: func() {
-		each(h.nodes, func(n *hollowNode) { n.life.Load().router.Missed() })
+	}, OnFailure: func() {
+		each(h.nodes, func(n *hollowNode) { n.life.Load().router.PollFailed() })
 	}}
 	go watch.Run()
 	go h.arrive()
@@ -322,7 +322,7 @@
 }
 
 // begin is a fresh start of the node.
-func (n *hollowNode) begin(seed uint64, peers *protocol.Peers) *life {
+func (n *hollowNode) begin(seed uint64, peers *protocol.PeerTable) *life {
 	l := &life{drained: map[int]time.Time{}}
 	l.timer = time.AfterFunc(time.Hour, func() {
 		select {
@@ -340,17 +340,17 @@
 		})
 	})
 	l.router = routing.New(routing.Config{Seed: rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
-		Settings: moduleSettings(n.h.cfg.Config, n.number), Wake: func(after time.Duration) {
+		Settings: moduleSettings(n.h.cfg.Config, n.number), SetTimer: func(after time.Duration) {
 			l.due.Store(time.Now().Add(after).UnixNano())
 			l.timer.Reset(after)
 		},
-		Tell: func(peer int, text []byte) { n.tell(peers, l, peer, text) }, Watch: func() {}, Note: func([]byte) {}})
+		SendToPeer: func(peer int, text []byte) { n.tell(peers, l, peer, text) }, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
 	return l
 }
 
 // tell sends a message: to one node, as a datagram; to all, over the relay's queue, and as a datagram to real nodes.
-func (n *hollowNode) tell(peers *protocol.Peers, l *life, peer int, text []byte) {
-	if len(text) > protocol.MostDatagram || l.over.Load() {
+func (n *hollowNode) tell(peers *protocol.PeerTable, l *life, peer int, text []byte) {
+	if len(text) > protocol.MaxDatagram || l.over.Load() {
 		return
 	}
 	n.h.count(text, false)
@@ -361,7 +361,7 @@
 		n.h.broadcast(n.number, text)
 		return
 	}
-	if to, ok := peers.To(peer); ok {
+	if to, ok := peers.AddrOf(peer); ok {
 		n.conn.WriteToUDPAddrPort(text, to)
 	}
 }
@@ -419,19 +419,19 @@
 func (n *hollowNode) heard(from int, text []byte) {
 	if !n.away.Load() {
 		n.h.count(text, true)
-		n.life.Load().router.Heard(from, text)
+		n.life.Load().router.ReceivePeerMessage(from, text)
 	}
 }
 
 // hear passes on datagrams.
-func (n *hollowNode) hear(peers *protocol.Peers) {
-	buf := make([]byte, protocol.MostDatagram+1)
+func (n *hollowNode) hear(peers *protocol.PeerTable) {
+	buf := make([]byte, protocol.MaxDatagram+1)
 	for {
 		k, addr, err := n.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if from, ok := peers.From(addr, k); ok {
+		if from, ok := peers.NumberOf(addr, k); ok {
 			n.heard(from, buf[:k])
 		}
 	}
@@ -462,7 +462,7 @@
 			return
 		}
 		from, ok := h.realBy[addr]
-		if !ok || k == 0 || k > protocol.MostDatagram {
+		if !ok || k == 0 || k > protocol.MaxDatagram {
 			continue
 		}
 		for i, to := range h.real {
@@ -507,30 +507,30 @@
 }
 
 // known is the whole list as told so far; under the fan lock.
-func (h *hollow) known() *protocol.List {
-	l := &protocol.List{All: true}
+func (h *hollow) known() *protocol.EndpointList {
+	l := &protocol.EndpointList{Full: true}
 	for i, t := range h.state {
 		if h.listedAs[i] && t.State != protocol.Terminated {
-			l.Targets = append(l.Targets, t)
+			l.Endpoints = append(l.Endpoints, t)
 		}
 	}
 	return l
 }
 
 // listed hands a list to all hollow nodes and notes when each had taken it in.
-func (h *hollow) listed(l *protocol.List) {
+func (h *hollow) listed(l *protocol.EndpointList) {
 	h.fan.Lock()
 	defer h.fan.Unlock()
-	if l.All {
+	if l.Full {
 		clear(h.listedAs)
 	}
-	for _, t := range l.Targets {
-		if i, ok := h.number[t.Endpoint]; ok {
+	for _, t := range l.Endpoints {
+		if i, ok := h.number[t.Addr]; ok {
 			h.state[i], h.listedAs[i] = t, true
 		}
 	}
 	h.history = append(h.history, l)
-	t := listTaken{Rev: l.Rev, At: make([]int64, len(h.nodes))}
+	t := listTaken{Rev: l.Revision, At: make([]int64, len(h.nodes))}
 	each(h.nodes, func(n *hollowNode) {
 		if !n.away.Load() {
 			n.life.Load().listed(l, h, false)
@@ -540,13 +540,13 @@
 	h.lists = append(h.lists, t)
 }
 
-func (l *life) listed(list *protocol.List, h *hollow, old bool) {
-	l.router.Listed(list, old)
+func (l *life) listed(list *protocol.EndpointList, h *hollow, old bool) {
+	l.router.UpdateEndpoints(list, old)
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range list.Targets {
-		i, ok := h.number[t.Endpoint]
+	for _, t := range list.Endpoints {
+		i, ok := h.number[t.Addr]
 		if !ok {
 			continue
 		}
@@ -596,8 +596,8 @@
 	last      int // that was withdrawn
 }
 
-// Withdraw ends the nth attempt.
-func (a *attempt) Withdraw(nth int) {
+// Cancel ends the nth attempt.
+func (a *attempt) Cancel(nth int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.last = nth; nth == a.nth && a.withdrawn != nil {
@@ -621,32 +621,32 @@
 	l, a := n.life.Load(), &attempt{last: -1, nth: -1}
 	l.open.Add(1)
 	defer l.open.Add(-1)
-	ticket := l.router.NewTicket(a)
+	ticket := l.router.NewRequest(a)
 	h.gated(func() {
-		ticket.Take(&protocol.Request{Method: k.method, Band: k.name, Plan: plans[t.plan].name, Customer: t.key, Budget: k.wait,
-			Units: 1, Spread: t.spread, First: t.first}, k.wait-time.Since(due))
+		ticket.Start(&protocol.Request{Method: k.method, Class: k.name, Plan: plans[t.plan].name, Customer: t.key, Timeout: k.wait,
+			Units: 1, Spread: t.spread, FirstNode: t.first}, k.wait-time.Since(due))
 	})
 	answer, ran := 0, 0
 	for answer == 0 {
-		switch c := ticket.Pick(); c.Do {
-		case routing.Execute:
+		switch c := ticket.Next(); c.Action {
+		case routing.Forward:
 			began := time.Now()
 			o, begun := h.run(l, a, c)
 			if begun {
 				ran++
 			}
-			end := routing.End{Outcome: o, Took: time.Since(began)}
+			end := routing.AttemptResult{Outcome: o, Duration: time.Since(began)}
 			h.gated(func() { ticket.Report(end) })
 			if o == protocol.Completed {
 				answer = 200
 			}
-		case routing.Bounce:
+		case routing.Reject:
 			answer = 503
 		default:
 			answer = 502
 		}
 	}
-	ticket.Free()
+	ticket.Release()
 	took := time.Since(due)
 	h.unanswered.Add(-1)
 	if ran > 1 && !k.repeats {
@@ -670,14 +670,14 @@
 }
 
 // run is an attempt at a hollow server, which takes a drawn time unless it is dead by then; it tells whether it began.
-func (h *hollow) run(l *life, a *attempt, c routing.Choice) (protocol.Outcome, bool) {
-	withdrawn, ok := a.begin(c.Nth)
-	if !ok || !l.router.MayStart(c.Server) {
-		return protocol.Unsent, false
+func (h *hollow) run(l *life, a *attempt, c routing.Decision) (protocol.Outcome, bool) {
+	withdrawn, ok := a.begin(c.Attempt)
+	if !ok || !l.router.InService(c.Server) {
+		return protocol.NotSent, false
 	}
 	i, ok := h.number[c.Server.Addr]
 	if !ok {
-		return protocol.Unconnected, false
+		return protocol.ConnectFailed, false
 	}
 	l.mu.Lock()
 	since, drains := l.drained[i]
@@ -686,23 +686,23 @@
 		h.lateRun.Add(1)
 	}
 	if h.dead[i].Load() {
-		return protocol.Unconnected, false
+		return protocol.ConnectFailed, false
 	}
 	h.load[i].Add(1)
 	rng := h.rngs.Get().(*rand.Rand)
 	took := serviceTime(rng)
 	h.rngs.Put(rng)
-	timer := time.NewTimer(min(took, c.Wait))
+	timer := time.NewTimer(min(took, c.Timeout))
 	defer timer.Stop()
 	select {
 	case <-withdrawn:
-		return protocol.Withdrawn, true
+		return protocol.Cancelled, true
 	case <-timer.C:
 	}
 	switch {
 	case h.dead[i].Load():
-		return protocol.Broken, true
-	case took > c.Wait:
+		return protocol.ConnectionReset, true
+	case took > c.Timeout:
 		return protocol.TimedOut, true
 	}
 	return protocol.Completed, true
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -339,7 +339,7 @@
 }
 
 // publish has discovery tell of servers, tells the app servers which of them drain, and measures when it is in force.
-func (l *lab) publish(state protocol.State, boot time.Time, weight float64, servers ...int) error {
+func (l *lab) publish(state protocol.EndpointState, boot time.Time, weight float64, servers ...int) error {
 	up := make([]bool, len(l.nodes))
 	for k, n := range l.nodes {
 		up[k] = n.taking()
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -65,7 +65,7 @@
 }
 
 // call makes one call to the agent over a connection of its own, as a node's watch would.
-func call(t *testing.T, addr string, whole bool, rev uint64, hold time.Duration) (protocol.List, error) {
+func call(t *testing.T, addr string, whole bool, rev uint64, hold time.Duration) (protocol.EndpointList, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -73,8 +73,8 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	conn.Write(protocol.AppendWatch(nil, addr, whole, rev, hold))
-	l, _, err := protocol.ReadList(bufio.NewReader(conn))
+	conn.Write(protocol.AppendDiscoveryCall(nil, addr, whole, rev, hold))
+	l, _, err := protocol.ReadEndpointList(bufio.NewReader(conn))
 	return l, err
 }
 
@@ -91,14 +91,14 @@
 	}
 	defer a.close()
 	addr := a.nodes[1].addr
-	if l, err := call(t, addr, true, 0, 0); err != nil || !l.All || len(l.Targets) != 3 || l.Rev != 1 {
+	if l, err := call(t, addr, true, 0, 0); err != nil || !l.Full || len(l.Endpoints) != 3 || l.Revision != 1 {
 		t.Errorf("at first %+v, %v", l, err)
 	}
-	if l, err := call(t, addr, false, 1, time.Millisecond); err != nil || l.All || len(l.Targets) != 0 || l.Rev != 1 {
+	if l, err := call(t, addr, false, 1, time.Millisecond); err != nil || l.Full || len(l.Endpoints) != 0 || l.Revision != 1 {
 		t.Errorf("nothing new: %+v, %v", l, err)
 	}
 	type got struct {
-		l   protocol.List
+		l   protocol.EndpointList
 		err error
 	}
 	waits := make(chan got, 1)
@@ -107,14 +107,14 @@
 		waits <- got{l, err}
 	}()
 	rev, at := a.publish(func(e *entry) { e.State = "terminating" }, 2)
-	if w := <-waits; w.err != nil || w.l.All || len(w.l.Targets) != 1 || w.l.Targets[0].State != protocol.Terminating || w.l.Rev != rev {
+	if w := <-waits; w.err != nil || w.l.Full || len(w.l.Endpoints) != 1 || w.l.Endpoints[0].State != protocol.Terminating || w.l.Revision != rev {
 		t.Errorf("a change: %+v", w)
 	}
 	if !a.inForce(1, rev, at).IsZero() || !a.inForce(0, rev, at).IsZero() {
 		t.Error("in force before the node calls again")
 	}
 	a.publish(func(e *entry) {}, 3)
-	if l, err := call(t, addr, false, rev, 0); err != nil || len(l.Targets) != 1 || l.Targets[0].UID != "s3" {
+	if l, err := call(t, addr, false, rev, 0); err != nil || len(l.Endpoints) != 1 || l.Endpoints[0].UID != "s3" {
 		t.Errorf("one that comes: %+v, %v", l, err)
 	}
 	if a.inForce(1, rev, at).IsZero() || !a.inForce(0, rev, at).IsZero() {
@@ -125,7 +125,7 @@
 		t.Errorf("told while broken: %+v", l)
 	}
 	a.mend()
-	if l, err := call(t, addr, false, 3, 0); err != nil || !l.All || len(l.Targets) != 4 {
+	if l, err := call(t, addr, false, 3, 0); err != nil || !l.Full || len(l.Endpoints) != 4 {
 		t.Errorf("after the break %+v, %v", l, err)
 	}
 }
@@ -144,22 +144,22 @@
 		}
 	}()
 	n := h.nodes[0]
-	n.life.Store(n.begin(1, protocol.NewPeers(nil, netip.AddrPort{})))
+	n.life.Store(n.begin(1, protocol.NewPeerTable(nil, netip.AddrPort{})))
 	defer n.life.Load().timer.Stop()
-	target := func(i int, s protocol.State) protocol.Target {
-		return protocol.Target{UID: fmt.Sprint(i), Endpoint: netip.MustParseAddrPort(h.cfg.Servers[i]), State: s, Weight: 1}
+	target := func(i int, s protocol.EndpointState) protocol.Endpoint {
+		return protocol.Endpoint{UID: fmt.Sprint(i), Addr: netip.MustParseAddrPort(h.cfg.Servers[i]), State: s, Weight: 1}
 	}
-	h.listed(&protocol.List{Rev: 1, All: true, Targets: []protocol.Target{target(0, protocol.InService), target(1, protocol.InService)}})
+	h.listed(&protocol.EndpointList{Revision: 1, Full: true, Endpoints: []protocol.Endpoint{target(0, protocol.InService), target(1, protocol.InService)}})
 	r := n.life.Load().router
 	one := r.Servers()[0]
 	i := h.number[one.Addr]
-	h.listed(&protocol.List{Rev: 2, Targets: []protocol.Target{target(i, protocol.Terminating)}})
-	if r.MayStart(one) || len(n.life.Load().drained) != 1 {
+	h.listed(&protocol.EndpointList{Revision: 2, Endpoints: []protocol.Endpoint{target(i, protocol.Terminating)}})
+	if r.InService(one) || len(n.life.Load().drained) != 1 {
 		t.Error("it would send to a server that drains")
 	}
 	n.away.Store(true)
-	h.listed(&protocol.List{Rev: 3, Targets: []protocol.Target{target(i, protocol.InService)}})
-	if r.MayStart(one) {
+	h.listed(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{target(i, protocol.InService)}})
+	if r.InService(one) {
 		t.Error("it heard while it was away")
 	}
 	h.roll([]int{0}, 0)
--- a/internal/operator/operator.go
+++ b/internal/operatorfile/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operators' own file: everything that the platform's JSON configuration does not
+// Package operatorfile reads the operators' own file: everything that the platform's JSON configuration does not
 // carry, in TOML (BurntSushi/toml). Keys that nobody reads and values out of range are refused, each with its
 // key and line, so that a typo never passes as a default. The file and every key are documented in
 // docs/configuration.md; deploy/operator.toml is a commented example that passes the check.
-package operator
+package operatorfile
 
 import (
 	"errors"
--- a/internal/operator/shape.go
+++ b/internal/operatorfile/shape.go
@@ -1,4 +1,4 @@
-package operator
+package operatorfile
 
 import (
 	"fmt"
--- a/internal/protocol/execution.go
+++ b/internal/protocol/execution.go
@@ -13,43 +13,43 @@
 
 // The outcomes. TurnedAway, Unconnected and Unsent prove that the execution never ran.
 const (
-	Completed   Outcome = iota
-	Errored             // the app server answered with an error: it may have run
-	TurnedAway          // not looked at
-	TimedOut            // the node stopped waiting: it may have run, or may yet
-	Unconnected         // no connection, or it broke before the last byte was written
-	Broken              // the connection broke after that: it may have run
-	Withdrawn           // the node gave it up
-	Unsent              // the node held it back before its first byte
-	Spoilt              // what came can't be read, over a connection that stands: it may have run
-	Outcomes            // how many there are
+	Completed         Outcome = iota
+	Errored                   // the app server answered with an error: it may have run
+	Overloaded                // not looked at
+	TimedOut                  // the node stopped waiting: it may have run, or may yet
+	ConnectFailed             // no connection, or it broke before the last byte was written
+	ConnectionReset           // the connection broke after that: it may have run
+	Cancelled                 // the node gave it up
+	NotSent                   // the node held it back before its first byte
+	MalformedResponse         // what came can't be read, over a connection that stands: it may have run
+	OutcomeCount              // how many there are
 )
 
-var outcomeNames = [Outcomes]string{"completed", "errored", "turned_away", "timed_out", "unconnected",
+var outcomeNames = [OutcomeCount]string{"completed", "errored", "turned_away", "timed_out", "unconnected",
 	"broken", "withdrawn", "unsent", "spoilt"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Reply is an app server's answer.
-type Reply struct {
-	Outcome Outcome
-	Type    string
-	Body    []byte
-	Units   float64 // the true units; 0: not told
-	Close   bool    // the connection ends with it
+// ServerResponse is an app server's answer.
+type ServerResponse struct {
+	Outcome     Outcome
+	ContentType string
+	Body        []byte
+	Units       float64 // the true units; 0: not told
+	Close       bool    // the connection ends with it
 }
 
-// AppendExecution appends an execution's head; the request's body follows it.
-func AppendExecution(b []byte, r *Request, wait time.Duration) []byte {
+// AppendAttempt appends an execution's head; the request's body follows it.
+func AppendAttempt(b []byte, r *Request, wait time.Duration) []byte {
 	b = append(append(append(append(b, r.Method...), ' '), r.URI...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(append(b, r.Host...), "\r\nX-Call-Id: "...), r.ID...)
 	b = append(b, "\r\nX-Budget-Ms: "...)
 	b = strconv.AppendInt(b, wait.Milliseconds(), 10)
-	if r.Key != "" {
-		b = append(append(b, "\r\nIdempotency-Key: "...), r.Key...)
+	if r.IdempotencyKey != "" {
+		b = append(append(b, "\r\nIdempotency-Key: "...), r.IdempotencyKey...)
 	}
-	if r.Type != "" {
-		b = append(append(b, "\r\nContent-Type: "...), r.Type...)
+	if r.ContentType != "" {
+		b = append(append(b, "\r\nContent-Type: "...), r.ContentType...)
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b = append(b, "\r\nContent-Length: "...)
@@ -58,34 +58,34 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendProbe appends a probe of an app server. It carries no id: it is no ticket's execution.
-func AppendProbe(b []byte, host string) []byte {
+// AppendHealthCheck appends a probe of an app server. It carries no id: it is no ticket's execution.
+func AppendHealthCheck(b []byte, host string) []byte {
 	return append(append(append(b, "GET /healthz HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
-// ErrAnswer is an answer that an app server can't have meant.
-var ErrAnswer = errors.New("malformed answer")
+// ErrMalformedResponse is an answer that an app server can't have meant.
+var ErrMalformedResponse = errors.New("malformed answer")
 
-// ReadReply reads an app server's answer, its body appended to body[:0]. Where the connection broke, which
+// ReadServerResponse reads an app server's answer, its body appended to body[:0]. Where the connection broke, which
 // its reader knows, the error says nothing.
-func ReadReply(br *bufio.Reader, body []byte) (Reply, error) {
+func ReadServerResponse(br *bufio.Reader, body []byte) (ServerResponse, error) {
 	a, err := http.ReadResponse(br, nil)
 	for err == nil && a.StatusCode < 200 && a.StatusCode != http.StatusSwitchingProtocols {
 		a, err = http.ReadResponse(br, nil)
 	}
-	if err != nil || a.ContentLength > MostBody {
-		return Reply{}, ErrAnswer
+	if err != nil || a.ContentLength > MaxBody {
+		return ServerResponse{}, ErrMalformedResponse
 	}
-	r := Reply{Outcome: Errored, Type: a.Header.Get("Content-Type"), Close: a.Close}
+	r := ServerResponse{Outcome: Errored, ContentType: a.Header.Get("Content-Type"), Close: a.Close}
 	if r.Body, err = readBody(a.Body, body); err != nil {
-		return r, ErrAnswer
+		return r, ErrMalformedResponse
 	}
 	switch {
 	case a.StatusCode == http.StatusOK:
 		r.Outcome = Completed
 	case (a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusGatewayTimeout) &&
 		a.Header.Get("X-Rejected") == "1":
-		r.Outcome = TurnedAway
+		r.Outcome = Overloaded
 	}
 	if v, err := strconv.ParseFloat(a.Header.Get("X-True-Cost"), 64); err == nil && v > 0 && v < 1e9 {
 		r.Units = v
--- a/internal/protocol/lengths.go
+++ b/internal/protocol/lengths.go
@@ -2,17 +2,17 @@
 
 const lengthName = "content-length:"
 
-// Lengths counts the Content-Length lines of a head as its bytes pass, since the parser that follows tells of
+// ContentLengthScanner counts the Content-Length lines of a head as its bytes pass, since the parser that follows tells of
 // none where the body is chunked. The zero value is ready for a message.
-type Lengths struct {
+type ContentLengthScanner struct {
 	n, at int // lines; bytes of the line under way that are as in the name
 	other bool
 	over  bool // the head has ended
 	text  bool // the line under way has a byte
 }
 
-// Pass looks at the next bytes.
-func (l *Lengths) Pass(p []byte) {
+// Scan looks at the next bytes.
+func (l *ContentLengthScanner) Scan(p []byte) {
 	for _, c := range p {
 		switch {
 		case l.over:
@@ -36,4 +36,4 @@
 }
 
 // Count is how many lines there were.
-func (l *Lengths) Count() int { return l.n }
+func (l *ContentLengthScanner) Count() int { return l.n }
