--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -91,8 +91,10 @@
 		return nil, err
 	}
 	c.named = c.Discovery
-	for name, field := range map[string]*string{"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen,
-		"GW_DISCOVERY": &c.Discovery} {
+	for name, field := range map[string]*string{
+		"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen,
+		"GW_DISCOVERY": &c.Discovery,
+	} {
 		if v := env(name); v != "" {
 			*field = v
 		}
@@ -161,8 +163,10 @@
 		v, _ := strconv.ParseInt(c.set[name], 10, 64)
 		return time.Duration(v) * 100 * time.Microsecond
 	}
-	l := transport.Limits{Sockets: c.Limits.Sockets, MemoryMB: c.Limits.MemoryMB, Idle: span("idle"),
-		Connect: span("connect"), GRPC: c.grpc.Listen != ""}
+	l := transport.Limits{
+		Sockets: c.Limits.Sockets, MemoryMB: c.Limits.MemoryMB, Idle: span("idle"),
+		Connect: span("connect"), GRPC: c.grpc.Listen != "",
+	}
 	var own syscall.Rlimit // the process's, should it be lower
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own); err == nil && own.Cur < uint64(l.Sockets) {
 		l.Sockets = int(own.Cur)
@@ -187,8 +191,10 @@
 		v, _ := strconv.ParseFloat(c.set[name], 64)
 		return v
 	}
-	return healthcheck.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
-		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
+	return healthcheck.Config{
+		Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
+		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond)),
+	}
 }
 
 // bands lists the names and contract times of the module's bands.
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -216,8 +216,10 @@
 					return err
 				}
 			}
-			cfg := model.Config{Nodes: nodes, Seconds: seconds, Policy: model.Policy(policy), Seed: op.Lab.Seed,
-				Traffic: tr, Server: srv, Schedule: sched}
+			cfg := model.Config{
+				Nodes: nodes, Seconds: seconds, Policy: model.Policy(policy), Seed: op.Lab.Seed,
+				Traffic: tr, Server: srv, Schedule: sched,
+			}
 			if platform != "" {
 				raw, err := os.ReadFile(platform)
 				if err != nil {
@@ -427,14 +429,18 @@
 // newScaleServers and newScaleNodes are the children of lab scale.
 func newScaleServers() *cobra.Command {
 	many, seed := 0, uint64(0)
-	cmd := &cobra.Command{Use: "scale-servers", Hidden: true, Args: cobra.NoArgs, Short: "The hollow app servers of lab scale",
-		RunE: func(cmd *cobra.Command, _ []string) error { return scale.Servers(many, seed, os.Stdin, os.Stdout) }}
+	cmd := &cobra.Command{
+		Use: "scale-servers", Hidden: true, Args: cobra.NoArgs, Short: "The hollow app servers of lab scale",
+		RunE: func(cmd *cobra.Command, _ []string) error { return scale.Servers(many, seed, os.Stdin, os.Stdout) },
+	}
 	cmd.Flags().IntVar(&many, "many", 1, "how many")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the service times")
 	return cmd
 }
 
 func newScaleNodes() *cobra.Command {
-	return &cobra.Command{Use: "scale-nodes", Hidden: true, Args: cobra.NoArgs, Short: "The hollow nodes of lab scale",
-		RunE: func(*cobra.Command, []string) error { return scale.Hollow(os.Stdin, os.Stdout) }}
+	return &cobra.Command{
+		Use: "scale-nodes", Hidden: true, Args: cobra.NoArgs, Short: "The hollow nodes of lab scale",
+		RunE: func(*cobra.Command, []string) error { return scale.Hollow(os.Stdin, os.Stdout) },
+	}
 }
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -108,7 +108,8 @@
 		return err
 	}
 	defer alarm.Close()
-	cfg := routing.Config{Seed: c.seed, Settings: c.set, Shadow: c.watch, SetTimer: alarm.Set,
+	cfg := routing.Config{
+		Seed: c.seed, Settings: c.set, Shadow: c.watch, SetTimer: alarm.Set,
 		SendToPeer: func(int, []byte) { count.ToldFailed.Add(1) },
 		PollEndpoints: func() {
 			select {
@@ -166,14 +167,16 @@
 	if c.shares() {
 		shared = transport.NewHealthChecker(c.duties(), router, pool, cfg.SendToPeer, &log)
 	}
-	watch := &transport.DiscoveryClient{Addr: c.Discovery, Revision: c.known.Revision, Full: !known, Limits: limits, Log: &log,
+	watch := &transport.DiscoveryClient{
+		Addr: c.Discovery, Revision: c.known.Revision, Full: !known, Limits: limits, Log: &log,
 		Count: count, OnFailure: router.PollFailed, OnList: func(l *protocol.EndpointList) {
 			router.UpdateEndpoints(l, false)
 			pool.KeepOnly(router.InService)
 			if shared != nil {
 				shared.EndpointsChanged()
 			}
-		}}
+		},
+	}
 	if c.set["roster"] == "ask" {
 		watch.PollRequests = asked
 	}
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -42,8 +42,10 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("GW_CONFIG", file)
 	old, _ := parseConfig([]byte(good), os.Getenv)
-	for _, known := range []string{`7`, `{"rev":"x"}`, `{"rev":1,"targets":[{"uid":"s","state":"later"}]}`,
-		`{"rev":1,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service","pod_group":70000}]}`} {
+	for _, known := range []string{
+		`7`, `{"rev":"x"}`, `{"rev":1,"targets":[{"uid":"s","state":"later"}]}`,
+		`{"rev":1,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service","pod_group":70000}]}`,
+	} {
 		text := strings.Replace(good, `{"rev":41,"all":true,"targets":[]}`, known, 1)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -101,8 +103,15 @@
 
 func TestBadConfigurationIsOneError(t *testing.T) {
 	none := func(string) string { return "" }
-	for _, c := range [][2]string{{good, ""}, {`"127.0.0.4:9000"`, `"here"`}, {"8c1f30d27a5be964", "seed"}, {"192", "0"},
-		{`"rev":41`, `"rev":"x"`}, {`"127.0.0.5:7946"`, `"peer"`}, {`"settings":{`, `"settings":[{`}} {
+	for _, c := range [][2]string{
+		{good, ""},
+		{`"127.0.0.4:9000"`, `"here"`},
+		{"8c1f30d27a5be964", "seed"},
+		{"192", "0"},
+		{`"rev":41`, `"rev":"x"`},
+		{`"127.0.0.5:7946"`, `"peer"`},
+		{`"settings":{`, `"settings":[{`},
+	} {
 		_, err := parseConfig([]byte(strings.Replace(good, c[0], c[1], 1)), none)
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q for %.30q: %v", c[1], c[0], err)
@@ -283,8 +292,13 @@
 	for k, c := range []struct {
 		old, new string
 		on, want bool
-	}{{"", "", true, true}, {"", "", false, false}, {`"probes":true`, `"probes":false`, true, false},
-		{`"peers":true`, `"peers":false`, true, false}, {`"slot_no":2`, `"slot_no":3`, true, false}} {
+	}{
+		{"", "", true, true},
+		{"", "", false, false},
+		{`"probes":true`, `"probes":false`, true, false},
+		{`"peers":true`, `"peers":false`, true, false},
+		{`"slot_no":2`, `"slot_no":3`, true, false},
+	} {
 		conf, err := parseConfig([]byte(strings.Replace(text, c.old, c.new, 1)), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -45,9 +45,11 @@
 		Targets []target `json:"targets"`
 	}{Rev: rev, All: true}
 	for i := range manyServers {
-		l.Targets = append(l.Targets, target{UID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), State: "in_service", Weight: 1,
+		l.Targets = append(l.Targets, target{
+			UID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), State: "in_service", Weight: 1,
 			Endpoint: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Zone: string(rune('a' + i%3)),
-			Model: fmt.Sprintf("m%d", i%4), Cell: i / 8, BootMs: int64(i%7) * 1_700_000_000_000})
+			Model: fmt.Sprintf("m%d", i%4), Cell: i / 8, BootMs: int64(i%7) * 1_700_000_000_000,
+		})
 	}
 	text, _ := json.Marshal(l)
 	if indented {
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -172,8 +172,10 @@
 
 // Outcomes and states as the page numbers them; a code that it doesn't name is an error.
 func TestOutcomesAndStates(t *testing.T) {
-	for code, want := range map[uint16]decision.Outcome{0: decision.Succeeded, 255: decision.Failed, 254: decision.Overloaded, 253: decision.TimedOut,
-		252: decision.ConnectFailed, 251: decision.ConnectionReset, 250: decision.Cancelled, 249: decision.NotSent} {
+	for code, want := range map[uint16]decision.Outcome{
+		0: decision.Succeeded, 255: decision.Failed, 254: decision.Overloaded, 253: decision.TimedOut,
+		252: decision.ConnectFailed, 251: decision.ConnectionReset, 250: decision.Cancelled, 249: decision.NotSent,
+	} {
 		if got, ok := outcomes[code]; !ok || got != want {
 			t.Errorf("outcome %d: %d, %v", code, got, ok)
 		}
@@ -270,8 +272,10 @@
 
 func (p *play) beginRecords(inst uint16) [][]byte {
 	in := p.inst[inst]
-	return [][]byte{p.event(codeBegin, inst, p.rng.Uint64(), uint32(len(in.settings)), in.settings),
-		p.listRecord(inst, 1, p.servers...)}
+	return [][]byte{
+		p.event(codeBegin, inst, p.rng.Uint64(), uint32(len(in.settings)), in.settings),
+		p.listRecord(inst, 1, p.servers...),
+	}
 }
 
 func (p *play) requestRecord(inst uint16) []byte {
@@ -417,15 +421,19 @@
 	"specifics.largest=2\nspecifics.trued_up=true\nfeedback.columns=rif,busy\n"
 
 func newPlay() *play {
-	p := &play{rng: rand.New(rand.NewPCG(37, 1)), now: 7_000_000_000, inst: map[uint16]*playInst{},
-		requests: map[uint32]*playRequest{}, actions: map[byte]int{}, events: map[byte]int{}, order: []uint16{3, 5, 9}}
+	p := &play{
+		rng: rand.New(rand.NewPCG(37, 1)), now: 7_000_000_000, inst: map[uint16]*playInst{},
+		requests: map[uint32]*playRequest{}, actions: map[byte]int{}, events: map[byte]int{}, order: []uint16{3, 5, 9},
+	}
 	for i, k := range p.order {
 		mode := "automatic"
 		if k == 9 {
 			mode = "subscribe"
 		}
-		p.inst[k] = &playInst{number: uint32(i), asks: k == 9,
-			settings: fmt.Sprintf("%sreplicas_of_me=3\nslot_no=%d\nregistry_mode=%s\n", playSettings, i, mode)}
+		p.inst[k] = &playInst{
+			number: uint32(i), asks: k == 9,
+			settings: fmt.Sprintf("%sreplicas_of_me=3\nslot_no=%d\nregistry_mode=%s\n", playSettings, i, mode),
+		}
 	}
 	for i := range 8 {
 		p.servers = append(p.servers, playServer{id: uint32(1000 + 37*i), zone: byte(i % 3), state: 1, takes: 20000 + 5000*uint64(i)})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -121,8 +121,10 @@
 func (d *adapter) read(code byte, c *simproto.Cursor) (func(*decision.Engine), error) {
 	switch code {
 	case simproto.EvRequest:
-		a := decision.Request{ID: c.U32(), Class: int(c.U8()), Plan: int(c.U32()), Customer: c.U64(),
-			Timeout: tenths(c.U32()), Units: c.F32(), Spread: int(c.F32()), FirstNode: int(c.F32())}
+		a := decision.Request{
+			ID: c.U32(), Class: int(c.U8()), Plan: int(c.U32()), Customer: c.U64(),
+			Timeout: tenths(c.U32()), Units: c.F32(), Spread: int(c.F32()), FirstNode: int(c.F32()),
+		}
 		c.U8() // attributes
 		return func(n *decision.Engine) { n.AddRequest(a) }, nil
 	case simproto.EvFleet:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -46,8 +46,10 @@
 
 func TestTicketIsSentOnAndAnswered(t *testing.T) {
 	var out bytes.Buffer
-	in := bytes.Join([][]byte{frame(1e9), frame(1000004000, begin(3), fleet(3)),
-		frame(1000008000, request(3, 500), request(3, 501))}, nil)
+	in := bytes.Join([][]byte{
+		frame(1e9), frame(1000004000, begin(3), fleet(3)),
+		frame(1000008000, request(3, 500), request(3, 501)),
+	}, nil)
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -7,8 +7,10 @@
 )
 
 func gate(most int) *Gate {
-	return New(Config{Bands: []Band{{Contract: 400 * time.Millisecond, Open: true}, {Contract: 800 * time.Millisecond}}, Most: most,
-		Advice: time.Second})
+	return New(Config{
+		Bands: []Band{{Contract: 400 * time.Millisecond, Open: true}, {Contract: 800 * time.Millisecond}}, Most: most,
+		Advice: time.Second,
+	})
 }
 
 // Each ticket gets one verdict, after its check where one was asked for; silence leaves what its band says.
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -137,8 +137,10 @@
 		n.executionTime = slices.Min(n.intervalLatencies) // T
 		least := min(max(n.executionTime/float64(n.shortestObjective), minLatencyShare), 1/(1+latencySpan))
 		best := slices.Max(n.completedRates)
-		x := [4]float64{n.inFlightAtHealthy() / max(n.evenShare(minInFlight), n.canFinish(n.shortestObjective)), n.features[1],
-			(lat/least - 1) / latencySpan, n.features[3]}
+		x := [4]float64{
+			n.inFlightAtHealthy() / max(n.evenShare(minInFlight), n.canFinish(n.shortestObjective)), n.features[1],
+			(lat/least - 1) / latencySpan, n.features[3],
+		}
 		x[1] += featureDecay * (x[0] - x[1])
 		x[3] += featureDecay * (x[2] - x[3])
 		n.features = x
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -12,9 +12,11 @@
 		if int(i) == len(n.customers) {
 			n.customers = append(n.customers, customer{})
 		}
-		n.customers[i] = customer{key: key, live: true, plan: plan, firstSeen: n.now, levelAt: n.now,
+		n.customers[i] = customer{
+			key: key, live: true, plan: plan, firstSeen: n.now, levelAt: n.now,
 			ceilingAt: n.now, ownerCeilingAt: n.now, meanUnits: 1,
-			level: max(n.plans[plan].burst, float64(n.plans[plan].maxInFlight)), admitPart: 1}
+			level: max(n.plans[plan].burst, float64(n.plans[plan].maxInFlight)), admitPart: 1,
+		}
 	}
 	c := &n.customers[i]
 	c.spread, c.firstNode = min(max(spread, 1), n.nodes), max(first, 0)%n.nodes
@@ -106,8 +108,10 @@
 
 // sendGrant writes to a peer what may pass of a customer.
 func (n *Engine) sendGrant(c *customer, peer int, ref uint32, v ownerVerdict) {
-	n.outbox = append(n.outbox, peerMessage{peer, appendReport([]byte{kindGrant}, customerReport{key: c.key, demand: c.admitPart,
-		plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: ref, verdict: v, freePass: c.freePass})})
+	n.outbox = append(n.outbox, peerMessage{peer, appendReport([]byte{kindGrant}, customerReport{
+		key: c.key, demand: c.admitPart,
+		plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: ref, verdict: v, freePass: c.freePass,
+	})})
 }
 
 // releaseReservation notes that nothing of a ticket is out any more, for the cap of its customer.
@@ -119,8 +123,10 @@
 	if n.ownerOf(c) == n.self {
 		c.reservations = slices.DeleteFunc(c.reservations, func(h reservation) bool { return h.node == n.self && h.request == t.id })
 	} else {
-		n.outbox = append(n.outbox, peerMessage{n.ownerOf(c), appendReport([]byte{kindUse}, customerReport{key: c.key, plan: c.plan,
-			spread: c.spread, firstNode: c.firstNode, request: t.id, ended: 1})})
+		n.outbox = append(n.outbox, peerMessage{n.ownerOf(c), appendReport([]byte{kindUse}, customerReport{
+			key: c.key, plan: c.plan,
+			spread: c.spread, firstNode: c.firstNode, request: t.id, ended: 1,
+		})})
 	}
 }
 
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -74,9 +74,11 @@
 
 // fleetOf is the 77th node's module over many servers in zones, which each call of choose may take for another node's.
 func fleetOf(nodes, servers, zones int) *Engine {
-	n := New(7, Settings{"nodes": strconv.Itoa(nodes), "node": "77", "peers": "true", "peers.take": "40", "tick": "10",
+	n := New(7, Settings{
+		"nodes": strconv.Itoa(nodes), "node": "77", "peers": "true", "peers.take": "40", "tick": "10",
 		"band.count": "2", "band.0.contract": "6000", "band.1.contract": "6000", "band.0.repeats": "replayable",
-		"plan.count": "1", "idle": "300000"}, Second)
+		"plan.count": "1", "idle": "300000",
+	}, Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: uint32(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -21,11 +21,13 @@
 
 // New makes a node that knows its settings only.
 func New(seed uint64, set Settings, now Time) *Engine {
-	n := &Engine{now: now, intervalStart: now, startedAt: now, subsetRatio: 1, intervalEnd: now + interval,
+	n := &Engine{
+		now: now, intervalStart: now, startedAt: now, subsetRatio: 1, intervalEnd: now + interval,
 		reportAt: now + reportEvery, checkAt: now, lastLatency: minLatencyShare, suspicionAt: now + reportEvery, tokensAt: now,
 		quiet:       true,
 		peerHeardAt: now - peerSilence,
-		serverSlots: newSlotIndex[uint32](), requestSlots: newSlotIndex[uint32](), customerSlots: newSlotIndex[uint64]()}
+		serverSlots: newSlotIndex[uint32](), requestSlots: newSlotIndex[uint32](), customerSlots: newSlotIndex[uint64](),
+	}
 	n.random = mwc{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
 	n.applySettings(set)
 	if set["roster"] == "ask" {
@@ -66,8 +68,10 @@
 		i := n.serverSlots.find(l.Server)
 		if i < 0 {
 			// Nodes that start alike must not all begin at the same servers.
-			i = n.addServer(server{Endpoint: l, slowStartSent: n.random.unit(),
-				rotationCredit: (n.random.unit() - 0.5) * l.Weight * float64(min(max(len(list), n.ready), minView))})
+			i = n.addServer(server{
+				Endpoint: l, slowStartSent: n.random.unit(),
+				rotationCredit: (n.random.unit() - 0.5) * l.Weight * float64(min(max(len(list), n.ready), minView)),
+			})
 		}
 		s := &n.servers[i]
 		if s.Started != l.Started { // a new process: what the old one did says nothing
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -11,9 +11,11 @@
 
 // TestFreshNodeBoundsWhatIsOut sends a crowd at a node that has seen nothing yet.
 func TestFreshNodeBoundsWhatIsOut(t *testing.T) {
-	n := New(7, Settings{"nodes": "1", "tick": "10", "band.count": "1", "band.0.contract": "6000",
+	n := New(7, Settings{
+		"nodes": "1", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
-		"executions": "3"}, Second)
+		"executions": "3",
+	}, Second)
 	n.UpdateEndpoints(CachedList, []Endpoint{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
 	for id := range uint32(50) {
 		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: Second, Units: 1, Spread: 1})
@@ -63,9 +65,11 @@
 
 // plain is a node of one replayable band and one plan, with some servers, and what a test adds.
 func plain(servers int, more Settings) *Engine {
-	set := Settings{"nodes": "3", "tick": "10", "band.count": "1", "band.0.contract": "6000",
+	set := Settings{
+		"nodes": "3", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
-		"executions": "3", "withdraw": "true"}
+		"executions": "3", "withdraw": "true",
+	}
 	for k, v := range more {
 		set[k] = v
 	}
@@ -175,9 +179,11 @@
 	first := map[uint32]bool{}
 	cold := 0
 	for k := range nodes {
-		n := New(uint64(k)<<32|uint64(k*7919), Settings{"nodes": "300", "tick": "40", "band.count": "1",
+		n := New(uint64(k)<<32|uint64(k*7919), Settings{
+			"nodes": "300", "tick": "40", "band.count": "1",
 			"band.0.contract": "6000", "band.0.repeats": "replayable", "plan.count": "1", "cold.span": "180000",
-			"cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000"}, Second)
+			"cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000",
+		}, Second)
 		list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
 		for s := range uint32(20) {
 			list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
@@ -206,8 +212,10 @@
 
 // A server that fails one band serves the others: its answers there must not clear what failed.
 func TestServerFailingOneBandRestsForThatBand(t *testing.T) {
-	n := plain(2, Settings{"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
-		"band.1.contract": "6000", "band.1.repeats": "single-use"})
+	n := plain(2, Settings{
+		"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
+		"band.1.contract": "6000", "band.1.repeats": "single-use",
+	})
 	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
 	bad := pull(n, Forward)[0].Server
 	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
@@ -358,15 +366,19 @@
 
 // A hard ceiling of many nodes: home and set together stay under it from the first second on, after restarts too.
 func TestHomeAndSetKeepTheCeiling(t *testing.T) {
-	f := newFleet(t, Settings{"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-		"plan.0.ceiling.depth": "80"})
+	f := newFleet(t, Settings{
+		"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
+		"plan.0.ceiling.depth": "80",
+	})
 	r := rand.New(rand.NewSource(3))
 	f.lost = func(from, to int, text []byte) bool { return r.Intn(4) == 0 }
 	for k := range Time(4) {
 		f.ask(uint64(5), 200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
-		fresh := newFleet(t, Settings{"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-			"plan.0.ceiling.depth": "80"})
+		fresh := newFleet(t, Settings{
+			"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
+			"plan.0.ceiling.depth": "80",
+		})
 		fresh.lost, fresh.sent = f.lost, sent
 		f = fresh // all restart
 		for _, n := range f.nodes {
@@ -579,8 +591,10 @@
 				n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
 				continue
 			}
-			n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
-				Final: true})
+			n.AttemptEnded(AttemptResult{
+				Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
+				Final: true,
+			})
 		}
 	}
 	if sent > 40 || sent == 0 {
@@ -593,8 +607,10 @@
 	span := 10 * Second
 	var first []Time
 	r := rand.New(rand.NewSource(1))
-	set := Settings{"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-		"plan.count": "1", "ask.within": strconv.Itoa(int(span))}
+	set := Settings{
+		"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
+		"plan.count": "1", "ask.within": strconv.Itoa(int(span)),
+	}
 	for range 80 {
 		n := New(r.Uint64(), set, Second)
 		for k, now := 0, Second; k < 6; k++ {
@@ -626,8 +642,10 @@
 func TestDiscoveryIsAskedAgainWithinTheTerm(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
-		set := Settings{"nodes": "200", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-			"plan.count": "1", "ask.within": []string{"100000", "600000", "30000"}[seed%3]}
+		set := Settings{
+			"nodes": "200", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
+			"plan.count": "1", "ask.within": []string{"100000", "600000", "30000"}[seed%3],
+		}
 		n, now := New(uint64(seed)*7919, set, Second), Second
 		for k := range 15 {
 			asked := now
@@ -646,8 +664,10 @@
 	for seed := range 20 {
 		var again []Time
 		for i := range nodes {
-			n := New(uint64(seed*nodes+i)*7919+1, Settings{"nodes": "200", "band.count": "1", "band.0.contract": "6000",
-				"roster": "ask", "plan.count": "1", "ask.within": "100000"}, Second)
+			n := New(uint64(seed*nodes+i)*7919+1, Settings{
+				"nodes": "200", "band.count": "1", "band.0.contract": "6000",
+				"roster": "ask", "plan.count": "1", "ask.within": "100000",
+			}, Second)
 			now := Second
 			watches(n)
 			for n.UpdateEndpoints(PollFailed, nil); !watches(n); now += tick {
@@ -677,9 +697,11 @@
 	const warm, cold, nodes = 10, 10, 60
 	r, sent, allowed := rand.New(rand.NewSource(3)), 0, 0.0
 	for range nodes {
-		n := New(r.Uint64(), Settings{"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "15000",
+		n := New(r.Uint64(), Settings{
+			"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "15000",
 			"plan.count": "1", "cold.span": "170000", "cold.from": "0.2", "fall.multiple": "3", "fall.span": "20000",
-			"band.0.repeats": "replayable"}, Second)
+			"band.0.repeats": "replayable",
+		}, Second)
 		list := []Endpoint{}
 		for i := range uint32(warm) {
 			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
@@ -718,9 +740,11 @@
 	const servers, nodes = 60, 80
 	r, load, kept, sent := rand.New(rand.NewSource(5)), map[uint32]int{}, 0, 0
 	for me := range nodes {
-		n := New(r.Uint64(), Settings{"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
+		n := New(r.Uint64(), Settings{
+			"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
 			"band.count": "1", "band.0.contract": "15000", "plan.count": "1", "idle": "150000",
-			"band.0.repeats": "replayable"}, Second)
+			"band.0.repeats": "replayable",
+		}, Second)
 		list := []Endpoint{}
 		for i := range uint32(servers) {
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
@@ -770,11 +794,16 @@
 	const nodes = 30
 	sent := map[Time]int{}
 	for k := range nodes {
-		n := New(uint64(k)<<32|uint64(k*7919), Settings{"nodes": strconv.Itoa(nodes), "peers.take": "100", "tick": "40",
+		n := New(uint64(k)<<32|uint64(k*7919), Settings{
+			"nodes": strconv.Itoa(nodes), "peers.take": "100", "tick": "40",
 			"band.count": "1", "band.0.contract": "6000", "band.0.repeats": "replayable", "plan.count": "1",
-			"cold.span": "180000", "cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000"}, Second)
-		for i, step := range []struct{ at, started Time }{{Second, Second - 1}, {61 * Second, 61*Second - 1},
-			{71 * Second, 61*Second - 1}} {
+			"cold.span": "180000", "cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000",
+		}, Second)
+		for i, step := range []struct{ at, started Time }{
+			{Second, Second - 1},
+			{61 * Second, 61*Second - 1},
+			{71 * Second, 61*Second - 1},
+		} {
 			n.SetTime(step.at - 500) // a turn before, or the pause would pass for a stall
 			pull(n, Forward)
 			n.SetTime(step.at)
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -69,12 +69,14 @@
 
 func randomSettings(r *rand.Rand) Settings {
 	yes := func() string { return strconv.FormatBool(r.Intn(2) == 0) }
-	s := Settings{"node": "0",
+	s := Settings{
+		"node":  "0",
 		"nodes": strconv.Itoa([]int{1, 2, 3, 4, 60}[r.Intn(5)]), "peers.take": "40", "tick": strconv.Itoa(10 + r.Intn(40)),
 		"executions": strconv.Itoa(1 + r.Intn(6)), "copies": yes(), "withdraw": yes(), "peers": yes(), "advice": yes(),
 		"advice.most": "10000", "cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3", "fall.span": "20000", "connect": strconv.Itoa(r.Intn(3000)),
 		"band.count": "5", "plan.count": strconv.Itoa(testPlans),
-		"roster": []string{"push", "ask"}[r.Intn(2)]}
+		"roster": []string{"push", "ask"}[r.Intn(2)],
+	}
 	for i, repeats := range []string{"replayable", "single-use", "referenced", "referenced", "referenced"} {
 		b := "band." + strconv.Itoa(i) + "."
 		s[b+"repeats"], s[b+"contract"] = repeats, strconv.Itoa(3000+r.Intn(10000))
@@ -92,8 +94,10 @@
 	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, tickets: map[uint32]*asked{}, ceiling: map[uint64]*store{}}
 	h.start = h.now
 	for i := range 3 + r.Intn(8) {
-		h.servers = append(h.servers, &backServer{id: uint32(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
-			state: Ready, each: Time(200 + r.Intn(800))})
+		h.servers = append(h.servers, &backServer{
+			id: uint32(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
+			state: Ready, each: Time(200 + r.Intn(800)),
+		})
 	}
 	h.begin()
 	return h
@@ -162,8 +166,10 @@
 func (h *host) arrive() {
 	spread := 1 + h.rng.Intn(int(h.set.Number("nodes")))
 	customer := h.rng.Intn(12)
-	a := Request{ID: h.nextID, Class: h.rng.Intn(5), Plan: customer % testPlans, Customer: uint64(customer),
-		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread}
+	a := Request{
+		ID: h.nextID, Class: h.rng.Intn(5), Plan: customer % testPlans, Customer: uint64(customer),
+		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread,
+	}
 	h.nextID++
 	h.tickets[a.ID] = &asked{a: a, until: h.now + a.Timeout}
 	h.order = append(h.order, a.ID)
@@ -193,8 +199,10 @@
 		h.tickets = map[uint32]*asked{}
 		h.begin()
 	case 5: // a warm one takes its place, under a new id
-		h.servers[i] = &backServer{id: uint32(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
-			free: h.now}
+		h.servers[i] = &backServer{
+			id: uint32(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
+			free: h.now,
+		}
 		h.roster(FullList)
 	}
 }
@@ -213,8 +221,10 @@
 		} else if t.bound && !t.closed {
 			t.closed = true
 		}
-		h.n.AttemptEnded(AttemptResult{Request: id, Attempt: k, Server: x.server.id, Outcome: x.outcome, Duration: h.now - x.sent,
-			Final: t.closed, Units: float64(h.rng.Intn(3))})
+		h.n.AttemptEnded(AttemptResult{
+			Request: id, Attempt: k, Server: x.server.id, Outcome: x.outcome, Duration: h.now - x.sent,
+			Final: t.closed, Units: float64(h.rng.Intn(3)),
+		})
 		h.pull()
 	}
 }
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -30,8 +30,10 @@
 		if t.deadline-n.now < 2*(n.ownerTimeout+n.answerMargin()) {
 			t.askedOwnerAt -= n.ownerTimeout
 		}
-		n.outbox = append(n.outbox, peerMessage{home, appendReport([]byte{kindAsk}, customerReport{key: c.key, use: t.units,
-			demand: c.unreportedDemand, plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: t.id, class: t.class})})
+		n.outbox = append(n.outbox, peerMessage{home, appendReport([]byte{kindAsk}, customerReport{
+			key: c.key, use: t.units,
+			demand: c.unreportedDemand, plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: t.id, class: t.class,
+		})})
 		c.unreportedDemand = 0
 	}
 	if t.verdict != verdictPending || n.waitsForOwner(t) {
@@ -123,8 +125,10 @@
 			n.outbox = append(n.outbox, peerMessage{to, []byte{kindUse}})
 		}
 		m := &n.outbox[len(n.outbox)-1]
-		m.payload = appendReport(m.payload, customerReport{key: c.key, demand: c.reportDemand, use: c.reportUse, plan: c.plan,
-			spread: c.spread, firstNode: c.firstNode})
+		m.payload = appendReport(m.payload, customerReport{
+			key: c.key, demand: c.reportDemand, use: c.reportUse, plan: c.plan,
+			spread: c.spread, firstNode: c.firstNode,
+		})
 		c.reportDemand, c.reportUse = 0, 0
 	}
 	n.pendingReports = keep
--- a/internal/decision/pin_codec_test.go
+++ b/internal/decision/pin_codec_test.go
@@ -25,8 +25,10 @@
 		{kindUse, customerReport{demand: big, use: big}, "c800ffffffff0ffeffffff1f00000000000000"},
 		{kindUse, customerReport{demand: big, use: -big}, "c800ffffffff0ffdffffff1f00000000000000"},
 		{kindUse, customerReport{demand: math.MaxUint32 / 100.0, use: -math.MaxUint32 / 100.0}, "c800ffffffff0ffdffffff1f00000000000000"},
-		{kindUse, customerReport{plan: math.MaxUint32, spread: math.MaxUint32, firstNode: math.MaxUint32, request: math.MaxUint32,
-			class: math.MaxUint32, ended: math.MaxUint32}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
+		{kindUse, customerReport{
+			plan: math.MaxUint32, spread: math.MaxUint32, firstNode: math.MaxUint32, request: math.MaxUint32,
+			class: math.MaxUint32, ended: math.MaxUint32,
+		}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
 		{kindUse, customerReport{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
 		{kindAsk, customerReport{key: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
 		{kindGrant, customerReport{key: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictGranted}, "c94d0100020c0507000002"},
--- a/internal/decision/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -82,9 +82,11 @@
 const pinStep = 50
 
 func newPinPlay(seed int64, setup pinSetup) *pinPlay {
-	p := &pinPlay{pinSetup: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, begin: 3 * Second,
+	p := &pinPlay{
+		pinSetup: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, begin: 3 * Second,
 		byID: map[uint32]*pinServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), count: map[string]int{},
-		ids: setup.members, stalled: make([]Time, len(setup.members))}
+		ids: setup.members, stalled: make([]Time, len(setup.members)),
+	}
 	for i := range setup.servers {
 		p.addServer(i)
 	}
@@ -123,8 +125,10 @@
 }
 
 func (p *pinPlay) addServer(i int) *pinServer {
-	s := &pinServer{Endpoint: Endpoint{Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
-		Cell: uint16(i / p.perCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5]}}
+	s := &pinServer{Endpoint: Endpoint{
+		Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
+		Cell: uint16(i / p.perCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5],
+	}}
 	p.pinSetup.servers = max(p.pinSetup.servers, i+1)
 	p.servers = append(p.servers, s)
 	p.byID[s.Server] = s
@@ -211,8 +215,10 @@
 	if p.free && customer%7 > 0 {
 		plan = 4
 	}
-	a := Request{ID: id, Class: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Timeout: left,
-		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, FirstNode: first}
+	a := Request{
+		ID: id, Class: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Timeout: left,
+		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, FirstNode: first,
+	}
 	if p.rng.Intn(25) == 0 {
 		a.Spread, a.FirstNode = p.rng.Intn(2000)-20, p.rng.Intn(2000)-20
 	}
@@ -332,8 +338,10 @@
 	if len(p.first) < 400 {
 		p.first = append(p.first, line)
 	}
-	name := [...]string{Forward: "send", Reject: "bounce", Fail: "break off", CancelAttempt: "withdraw", SetTimer: "wake",
-		HealthCheck: "probe", SendPeerMessage: "tell", PollEndpoints: "watch", LogSummary: "note"}[d.Action]
+	name := [...]string{
+		Forward: "send", Reject: "bounce", Fail: "break off", CancelAttempt: "withdraw", SetTimer: "wake",
+		HealthCheck: "probe", SendPeerMessage: "tell", PollEndpoints: "watch", LogSummary: "note",
+	}[d.Action]
 	if d.Action == SendPeerMessage {
 		name = fmt.Sprintf("message %x", d.Payload[0])
 	}
@@ -414,7 +422,9 @@
 		units = float64(p.rng.Intn(300)) / 100
 	}
 	n.SetTime(p.now)
-	n.AttemptEnded(AttemptResult{Request: id, Attempt: nth, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sent,
-		Final: outcome == Succeeded || r.bound, Units: units, Load: nil})
+	n.AttemptEnded(AttemptResult{
+		Request: id, Attempt: nth, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sent,
+		Final: outcome == Succeeded || r.bound, Units: units, Load: nil,
+	})
 	p.pull(k)
 }
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%q reads as %s, not %s", text, got, want)
 		}
 	}
-	if got := (Settings)(nil).Number("a"); got != 0 {
+	if got := Settings(nil).Number("a"); got != 0 {
 		t.Errorf("missing reads as %v", got)
 	}
 	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b, ": {"a", "", "b", " "}} {
@@ -38,9 +38,11 @@
 
 // pinSettingNames are all the settings that the module reads.
 func pinSettingNames() []string {
-	names := []string{"node", "nodes", "tick", "connect", "cold.span", "cold.from", "peers.take", "peers", "executions",
+	names := []string{
+		"node", "nodes", "tick", "connect", "cold.span", "cold.from", "peers.take", "peers", "executions",
 		"withdraw", "advice", "advice.most", "fall.multiple", "fall.span", "idle", "roster", "ask.within", "band.count",
-		"plan.count"}
+		"plan.count",
+	}
 	for _, name := range []string{"contract", "window", "group", "repeats"} {
 		names = append(names, "band.0."+name, "band.4."+name)
 	}
@@ -65,8 +67,10 @@
 	if value == "missing" {
 		delete(set, name)
 	}
-	setup := pinSetup{set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
-		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, hung: 1, missed: true}
+	setup := pinSetup{
+		set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
+		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, hung: 1, missed: true,
+	}
 	if set["nodes"] == "18" {
 		setup.members, setup.spread = []int{1, 2}, 9
 	}
@@ -106,9 +110,22 @@
 	for _, c := range []struct {
 		nodes, take string
 		want        bool
-	}{{"1", "0", false}, {"2", "0", true}, {"10", "40", false}, {"11", "40", true}, {"100", "400", false}, {"101", "400", true},
-		{"100", "395", true}, {"2", "4", true}, {"2", "4.01", false}, {"830", "3316", true}, {"830", "3317", false}, {"5", "-3", true},
-		{"x", "", false}, {"40", "NaN", false}} {
+	}{
+		{"1", "0", false},
+		{"2", "0", true},
+		{"10", "40", false},
+		{"11", "40", true},
+		{"100", "400", false},
+		{"101", "400", true},
+		{"100", "395", true},
+		{"2", "4", true},
+		{"2", "4.01", false},
+		{"830", "3316", true},
+		{"830", "3317", false},
+		{"5", "-3", true},
+		{"x", "", false},
+		{"40", "NaN", false},
+	} {
 		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.ownersEnabled != c.want {
 			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.ownersEnabled)
 		}
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -27,8 +27,10 @@
 // TestPinnedSummaryLines: the exact text of the interval lines, of a fresh node, under each cause of refusal, and where
 // nothing came.
 func TestPinnedSummaryLines(t *testing.T) {
-	for _, name := range []string{"four nodes that all hear each other", "quota owners in a wide fleet",
-		"a node that hears no peer", "few requests at a slow server"} {
+	for _, name := range []string{
+		"four nodes that all hear each other", "quota owners in a wide fleet",
+		"a node that hears no peer", "few requests at a slow server",
+	} {
 		for i, line := range pinNotes(t, name, 14) {
 			pinCompare(t, fmt.Sprintf("%s, line %d", name, i), line)
 		}
@@ -94,8 +96,17 @@
 	for _, c := range []struct {
 		nodes, servers, zones int
 	}{
-		{1, 5, 1}, {3, 300, 3}, {12, 255, 3}, {12, 257, 3}, {60, 8, 2}, {90, 20, 3}, {300, 200, 3},
-		{420, 330, 12}, {500, 1000, 5}, {830, 3000, 12}, {40, 3500, 4},
+		{1, 5, 1},
+		{3, 300, 3},
+		{12, 255, 3},
+		{12, 257, 3},
+		{60, 8, 2},
+		{90, 20, 3},
+		{300, 200, 3},
+		{420, 330, 12},
+		{500, 1000, 5},
+		{830, 3000, 12},
+		{40, 3500, 4},
 	} {
 		got := []string{}
 		members := []int{0, 1, 7, 8, 9, c.nodes / 2, c.nodes - 1}
@@ -103,12 +114,16 @@
 			if me >= c.nodes || slices.Contains(members[:k], me) {
 				continue
 			}
-			n := New(uint64(me), Settings{"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true",
-				"peers.take": "40", "tick": "10", "band.0.contract": "6000", "idle": "300000"}, Second)
+			n := New(uint64(me), Settings{
+				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true",
+				"peers.take": "40", "tick": "10", "band.0.contract": "6000", "idle": "300000",
+			}, Second)
 			list := []Endpoint{}
 			for i := range c.servers {
-				list = append(list, Endpoint{Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
-					State: Ready, Weight: 1})
+				list = append(list, Endpoint{
+					Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
+					State: Ready, Weight: 1,
+				})
 			}
 			n.UpdateEndpoints(FullList, list)
 			at := pinSubset(n)
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -59,8 +59,10 @@
 		n.requests = append(n.requests, request{})
 	}
 	t := &n.requests[i]
-	*t = request{id: a.ID, live: true, class: min(a.Class, len(n.classes)-1), plan: min(a.Plan, len(n.plans)-1),
-		arrived: n.now, deadline: n.now + a.Timeout, units: a.Units, bucketPart: 1, attempts: t.attempts[:0]}
+	*t = request{
+		id: a.ID, live: true, class: min(a.Class, len(n.classes)-1), plan: min(a.Plan, len(n.plans)-1),
+		arrived: n.now, deadline: n.now + a.Timeout, units: a.Units, bucketPart: 1, attempts: t.attempts[:0],
+	}
 	t.customer = n.customerSlot(a.Customer, t.plan, a.Spread, a.FirstNode)
 	c := &n.customers[t.customer]
 	c.lastRequest = n.now
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -65,8 +65,10 @@
 // readClasses reads the bands; one whose repeats are not known is never run twice.
 func readClasses(set Settings) (out []requestClass) {
 	for i := range max(1, int(set.Number("band.count"))) {
-		b := requestClass{latencyObjective: set.Duration(set.Key("band", i, "contract")), keyWindow: set.Duration(set.Key("band", i, "window")),
-			keyGroup: set[set.Key("band", i, "group")], retrySafety: retryNever}
+		b := requestClass{
+			latencyObjective: set.Duration(set.Key("band", i, "contract")), keyWindow: set.Duration(set.Key("band", i, "window")),
+			keyGroup: set[set.Key("band", i, "group")], retrySafety: retryNever,
+		}
 		switch set[set.Key("band", i, "repeats")] {
 		case "referenced":
 			b.retrySafety = retryKeyed
@@ -82,8 +84,10 @@
 func readPlans(set Settings) (out []quotaPlan) {
 	for i := range max(1, int(set.Number("plan.count"))) {
 		f := func(name string) float64 { return set.Number(set.Key("plan", i, name)) }
-		out = append(out, quotaPlan{rate: f("rate"), burst: f("depth"), maxInFlight: int(f("open")),
-			ceilingRate: f("ceiling.rate"), ceilingBurst: f("ceiling.depth")})
+		out = append(out, quotaPlan{
+			rate: f("rate"), burst: f("depth"), maxInFlight: int(f("open")),
+			ceilingRate: f("ceiling.rate"), ceilingBurst: f("ceiling.depth"),
+		})
 	}
 	return out
 }
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -21,8 +21,10 @@
 			d.Payload = nil
 			did = append(did, d)
 			if d.Action == Forward {
-				r := AttemptResult{Request: d.Request, Attempt: len(n.requests[n.requestSlots.find(d.Request)].attempts) - 1, Server: d.Server,
-					Duration: 400, Final: true}
+				r := AttemptResult{
+					Request: d.Request, Attempt: len(n.requests[n.requestSlots.find(d.Request)].attempts) - 1, Server: d.Server,
+					Duration: 400, Final: true,
+				}
 				if d.Request%7 == 0 && r.Attempt == 0 {
 					r.Outcome, r.Final = Failed, false
 				}
--- a/internal/grpcfrontend/authorise.go
+++ b/internal/grpcfrontend/authorise.go
@@ -38,13 +38,17 @@
 // bands by name, as authz.Config has them.
 func Dial(addr string, cfg authz.Config, bands map[string]int) (*Authoriser, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6,
-			Jitter: 0.3, MaxDelay: time.Second}, MinConnectTimeout: time.Second}), grpc.WithDisableServiceConfig())
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{
+			BaseDelay: 50 * time.Millisecond, Multiplier: 1.6,
+			Jitter: 0.3, MaxDelay: time.Second,
+		}, MinConnectTimeout: time.Second}), grpc.WithDisableServiceConfig())
 	if err != nil {
 		return nil, err
 	}
-	return &Authoriser{conn: conn, client: auth.NewAuthorizationClient(conn), bands: bands, began: time.Now(),
-		gate: authz.New(cfg), took: hdrhistogram.New(1, mostTook.Microseconds(), 2)}, nil
+	return &Authoriser{
+		conn: conn, client: auth.NewAuthorizationClient(conn), bands: bands, began: time.Now(),
+		gate: authz.New(cfg), took: hdrhistogram.New(1, mostTook.Microseconds(), 2),
+	}, nil
 }
 
 // Close ends it.
@@ -76,12 +80,18 @@
 	call, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	r, err := a.client.Check(call, &auth.CheckRequest{Attributes: &auth.AttributeContext{
-		Source: &auth.AttributeContext_Peer{Principal: fmt.Sprintf("%016x", q.Customer),
-			Address: &core.Address{}},
-		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: q.ID, Method: q.Method, Path: q.URI,
-			Host: q.Host, Protocol: "HTTP/1.1", Size: int64(len(q.Body)), Headers: map[string]string{"x-tariff": q.Plan}}},
-		ContextExtensions: map[string]string{"band": q.Class, "plan": q.Plan, "customer": fmt.Sprintf("%016x", q.Customer),
-			"units": fmt.Sprint(q.Units)},
+		Source: &auth.AttributeContext_Peer{
+			Principal: fmt.Sprintf("%016x", q.Customer),
+			Address:   &core.Address{},
+		},
+		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{
+			Id: q.ID, Method: q.Method, Path: q.URI,
+			Host: q.Host, Protocol: "HTTP/1.1", Size: int64(len(q.Body)), Headers: map[string]string{"x-tariff": q.Plan},
+		}},
+		ContextExtensions: map[string]string{
+			"band": q.Class, "plan": q.Plan, "customer": fmt.Sprintf("%016x", q.Customer),
+			"units": fmt.Sprint(q.Units),
+		},
 	}})
 	switch {
 	case ctx.Err() != nil:
--- a/internal/grpcfrontend/front.go
+++ b/internal/grpcfrontend/front.go
@@ -110,9 +110,11 @@
 // request turns a call into the ticket that the HTTP front would have read.
 func (f *Front) request(t *Ticket) (*protocol.Request, error) {
 	method, known := f.methods[t.Band]
-	q := &protocol.Request{Method: method, URI: fmt.Sprintf("/%s/%016x", t.Band, t.Customer), Host: "gate", ContentType: t.Type, IdempotencyKey: t.Key,
+	q := &protocol.Request{
+		Method: method, URI: fmt.Sprintf("/%s/%016x", t.Band, t.Customer), Host: "gate", ContentType: t.Type, IdempotencyKey: t.Key,
 		ID: t.Id, Class: t.Band, Plan: t.Plan, Customer: t.Customer, Units: t.Units, Spread: int(t.Spread),
-		FirstNode: int(t.First), Body: t.Body}
+		FirstNode: int(t.First), Body: t.Body,
+	}
 	switch err := q.Validate(); {
 	case !known || !f.front.KnowsClassAndPlan(q):
 		return nil, status.Error(codes.NotFound, "unknown band or plan")
--- a/internal/grpcfrontend/gate_test.go
+++ b/internal/grpcfrontend/gate_test.go
@@ -51,20 +51,26 @@
 		n.mu.Unlock()
 		serve(w, q)
 	}))
-	set := map[string]string{"band.count": "2", "band.0.name": "look", "band.0.contract": "4000", "band.0.repeats": "replayable",
+	set := map[string]string{
+		"band.count": "2", "band.0.name": "look", "band.0.contract": "4000", "band.0.repeats": "replayable",
 		"band.1.name": "buy", "band.1.contract": "8000", "band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "team",
-		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true", "advice": "true", "advice.most": "20000", "largest": "6"}
+		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true", "advice": "true", "advice.most": "20000", "largest": "6",
+	}
 	alarm, err := transport.NewTimer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(alarm.Close)
 	log := zerolog.Nop()
-	router := routing.New(routing.Config{Seed: 3, Settings: set, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
-		LogSummary: func([]byte) {}})
+	router := routing.New(routing.Config{
+		Seed: 3, Settings: set, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
+		LogSummary: func([]byte) {},
+	})
 	go alarm.Run(router.Tick)
-	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
-		Addr: netip.MustParseAddrPort(app.Addr().String())}}}, true)
+	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
+		UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(app.Addr().String()),
+	}}}, true)
 	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
 	n.http = "127.0.0.1:0"
 	ln, _ := net.Listen("tcp", n.http) // a port that was free a moment ago
@@ -135,7 +141,8 @@
 	for _, bad := range []struct {
 		t    *Ticket
 		want codes.Code
-	}{{&Ticket{Id: "1", Band: "look", Plan: "team", Units: 1, Spread: 1}, codes.AlreadyExists},
+	}{
+		{&Ticket{Id: "1", Band: "look", Plan: "team", Units: 1, Spread: 1}, codes.AlreadyExists},
 		{&Ticket{Id: "9", Band: "fly", Plan: "team", Units: 1, Spread: 1}, codes.NotFound},
 		{&Ticket{Id: "9", Band: "look", Plan: "gold", Units: 1, Spread: 1}, codes.NotFound},
 		{&Ticket{Band: "look", Plan: "team", Units: 1, Spread: 1}, codes.InvalidArgument},
@@ -144,7 +151,8 @@
 		{&Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 2}, codes.InvalidArgument},
 		{&Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Customer: 1 << 33}, codes.InvalidArgument},
 		{&Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 1, Body: []byte("x")}, codes.InvalidArgument},
-		{&Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Key: "a\nb"}, codes.InvalidArgument}} {
+		{&Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Key: "a\nb"}, codes.InvalidArgument},
+	} {
 		if _, err := n.gate.Pass(context.Background(), bad.t); status.Code(err) != bad.want {
 			t.Errorf("%v: %v, want %v", bad.t, err, bad.want)
 		}
@@ -181,8 +189,10 @@
 }
 
 func dial(t *testing.T, addr string) *Authoriser {
-	a, err := Dial(addr, authz.Config{Most: 64, Advice: time.Second, Bands: []authz.Band{{Contract: 400 * time.Millisecond, Open: true},
-		{Contract: 800 * time.Millisecond}}}, map[string]int{"look": 0, "buy": 1})
+	a, err := Dial(addr, authz.Config{Most: 64, Advice: time.Second, Bands: []authz.Band{
+		{Contract: 400 * time.Millisecond, Open: true},
+		{Contract: 800 * time.Millisecond},
+	}}, map[string]int{"look": 0, "buy": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,8 +203,10 @@
 // Under load over both protocols, with an authoriser that lags past the deadline, drops calls, answers nonsense, denies
 // and restarts twice: no purchase runs without its check or twice, no denied ticket runs, each is answered in time.
 func TestLoadWithAnAuthoriserThatMisbehaves(t *testing.T) {
-	server, err := lab.Start("127.0.0.1:0", lab.Config{Seed: 2, DenyEvery: 5, Delay: time.Millisecond, Lag: 0.05,
-		LagFor: 300 * time.Millisecond, Drop: 0.05, Odd: 0.02, UpFor: 1500 * time.Millisecond, DownFor: 400 * time.Millisecond})
+	server, err := lab.Start("127.0.0.1:0", lab.Config{
+		Seed: 2, DenyEvery: 5, Delay: time.Millisecond, Lag: 0.05,
+		LagFor: 300 * time.Millisecond, Drop: 0.05, Odd: 0.02, UpFor: 1500 * time.Millisecond, DownFor: 400 * time.Millisecond,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,8 +253,10 @@
 						method, body = http.MethodPost, "two seats"
 					}
 					q, _ := http.NewRequest(method, fmt.Sprintf("http://%s/%s/%016x", n.http, band, customer), strings.NewReader(body))
-					for name, v := range map[string]string{"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000",
-						"X-Weight": "units=1,spread=1,first=0"} {
+					for name, v := range map[string]string{
+						"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000",
+						"X-Weight": "units=1,spread=1,first=0",
+					} {
 						q.Header.Set(name, v)
 					}
 					resp, err := http.DefaultClient.Do(q)
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -123,13 +123,20 @@
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Stop)
 	a := dial(t, ln.Addr().String())
-	q := &protocol.Request{Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
-		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain"}
+	q := &protocol.Request{
+		Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
+		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain",
+	}
 	for _, c := range []struct {
 		code codes.Code
 		want authz.Verdict
-	}{{codes.PermissionDenied, authz.Denied}, {codes.Unauthenticated, authz.Denied}, {codes.Internal, authz.Shut}, {99, authz.Shut},
-		{codes.OK, authz.Pass}} {
+	}{
+		{codes.PermissionDenied, authz.Denied},
+		{codes.Unauthenticated, authz.Denied},
+		{codes.Internal, authz.Shut},
+		{99, authz.Shut},
+		{codes.OK, authz.Pass},
+	} {
 		recorder.mu.Lock()
 		recorder.code = c.code
 		recorder.mu.Unlock()
@@ -141,9 +148,12 @@
 	defer recorder.mu.Unlock()
 	want := &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Source: &auth.AttributeContext_Peer{Principal: "00000000b4d65521", Address: &core.Address{}},
-		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: "9b1f", Method: "POST",
-			Path: "/buy/x/00000000b4d65521?a=1", Host: "api", Protocol: "HTTP/1.1", Size: 9, Headers: map[string]string{"x-tariff": "team"}}},
-		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"}}}
+		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{
+			Id: "9b1f", Method: "POST",
+			Path: "/buy/x/00000000b4d65521?a=1", Host: "api", Protocol: "HTTP/1.1", Size: 9, Headers: map[string]string{"x-tariff": "team"},
+		}},
+		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"},
+	}}
 	if raw, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || string(raw) != string(recorder.raw) {
 		t.Errorf("%q differs from %q, %v", recorder.raw, raw, err)
 	}
--- a/internal/healthcheck/duties.go
+++ b/internal/healthcheck/duties.go
@@ -142,8 +142,10 @@
 // New makes a node that takes every other for alive. It must be told the time (any origin, never back) in now.
 func New(cfg Config, now time.Duration) *Scheduler {
 	cfg.Nodes = min(max(cfg.Nodes, 1), mostNodes)
-	n := &Scheduler{cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))), roomAt: now, ownerAt: now,
-		members: make([]member, cfg.Nodes), taskOf: map[Check]int{}}
+	n := &Scheduler{
+		cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))), roomAt: now, ownerAt: now,
+		members: make([]member, cfg.Nodes), taskOf: map[Check]int{},
+	}
 	n.period = leastPeriod
 	if cfg.Take > 0 {
 		n.period = max(n.period, time.Duration(pingCost/(takeShare*cfg.Take)*float64(time.Second)))
@@ -186,8 +188,10 @@
 			k = len(n.tasks)
 			n.taskOf[d] = k
 			place := firstWithin * float64(d.hash(-1)%1024) / 1024
-			n.tasks = append(n.tasks, task{duty: d, order: d.ranked(n.cfg.Nodes),
-				last: now - time.Duration((1-place)*float64(n.cfg.Every))})
+			n.tasks = append(n.tasks, task{
+				duty: d, order: d.ranked(n.cfg.Nodes),
+				last: now - time.Duration((1-place)*float64(n.cfg.Every)),
+			})
 		}
 		n.tasks[k].listed = true
 	}
--- a/internal/healthcheck/duties_test.go
+++ b/internal/healthcheck/duties_test.go
@@ -141,8 +141,15 @@
 			t.Errorf("%d of %d bytes: %d, %v", k, len(good), read, parts)
 		}
 	}
-	for _, bad := range [][]byte{nil, {MessageMark}, {MessageMark, 9, 1, 0, 0, 0, 0}, {MessageMark, 3, 1, 0, 0, 0, 0, 200}, make([]byte, 300),
-		append(append([]byte(nil), good...), 77), {MessageMark, 1, 1, 0, 0, 0, 0, deadPart, 0, 255, 255, 3}} {
+	for _, bad := range [][]byte{
+		nil,
+		{MessageMark},
+		{MessageMark, 9, 1, 0, 0, 0, 0},
+		{MessageMark, 3, 1, 0, 0, 0, 0, 200},
+		make([]byte, 300),
+		append(append([]byte(nil), good...), 77),
+		{MessageMark, 1, 1, 0, 0, 0, 0, deadPart, 0, 255, 255, 3},
+	} {
 		if n.ReceivePeerMessage(0, 1, bad) {
 			t.Errorf("%v was taken", bad)
 		}
--- a/internal/healthcheck/members.go
+++ b/internal/healthcheck/members.go
@@ -130,8 +130,10 @@
 
 func (n *Scheduler) ping(to, for_ int, forSeq uint64) {
 	n.seq++
-	n.awaited = append(n.awaited, ping{to: to, seq: n.seq, sent: n.now, for_: for_, forSeq: forSeq,
-		within: n.now + time.Duration(directPart*float64(n.period)), last: n.now + n.period})
+	n.awaited = append(n.awaited, ping{
+		to: to, seq: n.seq, sent: n.now, for_: for_, forSeq: forSeq,
+		within: n.now + time.Duration(directPart*float64(n.period)), last: n.now + n.period,
+	})
 	n.replies = append(n.replies, outgoing{to: to, kind: pingMe, seq: n.seq})
 }
 
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -57,8 +57,10 @@
 		ln.Close()
 		return nil, fmt.Errorf("%s is not a loopback address", addr)
 	}
-	s := &Server{cfg: cfg, addr: ln.Addr().String(), stop: make(chan struct{}), said: map[string]bool{},
-		chance: rand.New(rand.NewPCG(cfg.Seed, 11))}
+	s := &Server{
+		cfg: cfg, addr: ln.Addr().String(), stop: make(chan struct{}), said: map[string]bool{},
+		chance: rand.New(rand.NewPCG(cfg.Seed, 11)),
+	}
 	s.done.Add(1)
 	go s.run(ln)
 	return s, nil
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -59,9 +59,11 @@
 		if ap.Port() != 0 {
 			addr = netip.AddrPortFrom(ap.Addr(), ap.Port()+uint16(i))
 		}
-		s := &Server{id: i, cfg: cfg, sched: sched, fleetStart: f.start, addr: addr.String(),
+		s := &Server{
+			id: i, cfg: cfg, sched: sched, fleetStart: f.start, addr: addr.String(),
 			rng: rand.New(rand.NewPCG(seed, uint64(i))), log: log.With().Int("server", i).Logger(),
-			runs: map[string]int{}, slots: make(chan struct{}, cfg.Concurrency)}
+			runs: map[string]int{}, slots: make(chan struct{}, cfg.Concurrency),
+		}
 		if err := s.open(); err != nil {
 			f.Close()
 			return nil, err
@@ -221,7 +223,8 @@
 		return err
 	}
 	ln := &capped{Listener: raw, most: int64(s.cfg.Connections)}
-	srv := &http.Server{Handler: s, IdleTimeout: time.Duration(s.cfg.IdleS * float64(time.Second)),
+	srv := &http.Server{
+		Handler: s, IdleTimeout: time.Duration(s.cfg.IdleS * float64(time.Second)),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, newConn{}, &atomic.Bool{})
 		},
@@ -230,7 +233,8 @@
 				ln.open.Add(-1)
 			}
 		},
-		ErrorLog: nil}
+		ErrorLog: nil,
+	}
 	s.mu.Lock()
 	s.addr, s.srv, s.ln, s.booted, s.draining = raw.Addr().String(), srv, ln, time.Now(), false
 	s.mu.Unlock()
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -27,8 +27,10 @@
 	Drain   Kind = "drain"   // from its start on, turns new work away and finishes what it holds (for_s unused)
 )
 
-var kinds = map[Kind]bool{Slow: true, Error: true, Reset: true, Spoil: true, Silence: true, Lose: true,
-	Refuse: true, Restart: true, Drain: true}
+var kinds = map[Kind]bool{
+	Slow: true, Error: true, Reset: true, Spoil: true, Silence: true, Lose: true,
+	Refuse: true, Restart: true, Drain: true,
+}
 
 // Fault is one entry of a schedule.
 type Fault struct {
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -115,8 +115,10 @@
 	if cfg.Vanish == 0 {
 		cfg.Vanish = 0.48
 	}
-	r := &run{cfg: cfg, chance: rand.New(rand.NewPCG(cfg.Seed, 7)),
-		last: make([]time.Duration, cfg.Servers), lastBy: make([]int, cfg.Servers)}
+	r := &run{
+		cfg: cfg, chance: rand.New(rand.NewPCG(cfg.Seed, 7)),
+		last: make([]time.Duration, cfg.Servers), lastBy: make([]int, cfg.Servers),
+	}
 	for k := range cfg.Servers {
 		r.duties = append(r.duties, healthcheck.Check{Kind: healthcheck.CheckServer, ID: uint64(k)*7919 + 1})
 		r.lastBy[k] = -1
@@ -134,8 +136,10 @@
 	n := r.nodes[k]
 	n.life++
 	n.up = true
-	n.duty = healthcheck.New(healthcheck.Config{Me: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), Take: r.cfg.Take,
-		Bytes: r.cfg.Bytes, Every: r.cfg.Every}, r.now)
+	n.duty = healthcheck.New(healthcheck.Config{
+		Me: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), Take: r.cfg.Take,
+		Bytes: r.cfg.Bytes, Every: r.cfg.Every,
+	}, r.now)
 	n.duty.SetChecks(r.now, r.duties)
 	n.wake = r.now
 	r.push(event{at: r.now, node: k, life: n.life})
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -14,8 +14,10 @@
 			seeds uint64
 		}{{12, 8}, {48, 2}} {
 			for seed := range c.seeds {
-				cfg := Config{Nodes: c.nodes, Servers: 40, For: 90 * time.Second, Seed: seed, Scenario: scenario, Take: 40,
-					Bytes: 4096, Every: 5 * time.Second}
+				cfg := Config{
+					Nodes: c.nodes, Servers: 40, For: 90 * time.Second, Seed: seed, Scenario: scenario, Take: 40,
+					Bytes: 4096, Every: 5 * time.Second,
+				}
 				r, err := Play(cfg)
 				if err != nil {
 					t.Fatal(err)
@@ -47,8 +49,11 @@
 	if b, _ := Play(cfg); a != b {
 		t.Errorf("%+v, then %+v", a, b)
 	}
-	for _, bad := range []Config{{}, {Nodes: 1, Servers: 9, For: time.Minute, Scenario: "calm"},
-		{Nodes: 12, Servers: 9, For: time.Minute, Scenario: "storm"}} {
+	for _, bad := range []Config{
+		{},
+		{Nodes: 1, Servers: 9, For: time.Minute, Scenario: "calm"},
+		{Nodes: 12, Servers: 9, For: time.Minute, Scenario: "storm"},
+	} {
 		if _, err := Play(bad); err == nil {
 			t.Errorf("%+v played", bad)
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -155,8 +155,10 @@
 // Run sends the plan and waits for every ticket's end or ctx. It errors only when the series can't be written.
 func (t *Tool) Run(ctx context.Context) (Result, error) {
 	if t.Client == nil {
-		t.Client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: t.Cfg.Conns,
-			MaxIdleConnsPerHost: t.Cfg.Conns, DisableCompression: true}}
+		t.Client = &http.Client{Transport: &http.Transport{
+			MaxConnsPerHost:     t.Cfg.Conns,
+			MaxIdleConnsPerHost: t.Cfg.Conns, DisableCompression: true,
+		}}
 	}
 	t.rng = rand.New(rand.NewPCG(t.Seed, 0x6964))
 	t.res = Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3)}
@@ -292,8 +294,10 @@
 // flush writes the second that has passed.
 func (t *Tool) flush() error {
 	t.mu.Lock()
-	s := Second{T: t.seconds, Sent: t.sec.sent, Outcomes: map[string]int64{},
-		P50Ms: ms(t.sec.lat, 50), P95Ms: ms(t.sec.lat, 95), P99Ms: ms(t.sec.lat, 99), LagMs: float64(t.sec.lag) / 1e3}
+	s := Second{
+		T: t.seconds, Sent: t.sec.sent, Outcomes: map[string]int64{},
+		P50Ms: ms(t.sec.lat, 50), P95Ms: ms(t.sec.lat, 95), P99Ms: ms(t.sec.lat, 99), LagMs: float64(t.sec.lag) / 1e3,
+	}
 	for o, n := range t.sec.outcomes {
 		s.Outcomes[outcomeNames[o]] = n
 	}
@@ -333,8 +337,10 @@
 
 // Summary gives the result's summary.
 func (r Result) Summary() Summary {
-	s := Summary{Sent: r.Sent, Again: r.Again, Outcomes: map[string]int64{}, P50Ms: ms(r.Latency, 50),
-		P99Ms: ms(r.Latency, 99), P999Ms: ms(r.Latency, 99.9), LagP99Ms: ms(r.Lag, 99), Behind: r.Behind}
+	s := Summary{
+		Sent: r.Sent, Again: r.Again, Outcomes: map[string]int64{}, P50Ms: ms(r.Latency, 50),
+		P99Ms: ms(r.Latency, 99), P999Ms: ms(r.Latency, 99.9), LagP99Ms: ms(r.Lag, 99), Behind: r.Behind,
+	}
 	for o, n := range r.Outcomes {
 		s.Outcomes[outcomeNames[o]] = n
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -198,8 +198,10 @@
 	}
 	tr := cfg.Traffic
 	tr.DurationS = cfg.Seconds
-	s := &Sim{cfg: cfg, epoch: time.Unix(1_800_000_000, 0), byAddr: map[netip.AddrPort]*server{},
-		rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d6f64656c)), stream: load.NewStream(tr, cfg.Seed), out: rec}
+	s := &Sim{
+		cfg: cfg, epoch: time.Unix(1_800_000_000, 0), byAddr: map[netip.AddrPort]*server{},
+		rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d6f64656c)), stream: load.NewStream(tr, cfg.Seed), out: rec,
+	}
 	for _, b := range tr.Bands {
 		s.bands = append(s.bands, b.Name)
 	}
@@ -207,9 +209,13 @@
 	s.rev = 1
 	for i := range cfg.Server.Servers {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i >> 8), byte(i)}), 9000)
-		sv := &server{id: i, addr: addr, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(i)+1)), booted: -time.Hour,
-			toldAt: -1, target: protocol.Endpoint{UID: "s-" + strconv.Itoa(i), Addr: addr,
-				Zone: string(rune('a' + i%3)), Model: "m", Cell: i % 8, State: protocol.InService, Weight: 1}}
+		sv := &server{
+			id: i, addr: addr, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(i)+1)), booted: -time.Hour,
+			toldAt: -1, target: protocol.Endpoint{
+				UID: "s-" + strconv.Itoa(i), Addr: addr,
+				Zone: string(rune('a' + i%3)), Model: "m", Cell: i % 8, State: protocol.InService, Weight: 1,
+			},
+		}
 		s.servers = append(s.servers, sv)
 		s.byAddr[addr] = sv
 		list.Endpoints = append(list.Endpoints, sv.target)
@@ -226,10 +232,12 @@
 				own[k] = v
 			}
 			own["node"] = strconv.Itoa(i)
-			n.router = routing.New(routing.Config{Seed: cfg.Seed ^ uint64(i)*0x9e3779b97f4a7c15, Settings: own,
+			n.router = routing.New(routing.Config{
+				Seed: cfg.Seed ^ uint64(i)*0x9e3779b97f4a7c15, Settings: own,
 				Clock: s.clock, OnDecision: func(t *routing.Request) { n.ready = append(n.ready, t) },
 				SetTimer:   func(after time.Duration) { s.wake(n, after) },
-				SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+				SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+			})
 			n.router.UpdateEndpoints(list, false)
 		}
 		s.nodes = append(s.nodes, n)
@@ -337,8 +345,10 @@
 	first := int(a.Customer % uint64(s.cfg.Nodes))
 	n := s.nodes[(first+s.rng.IntN(spread))%s.cfg.Nodes]
 	s.ids++
-	tk := &ticket{id: s.ids, node: n, band: a.Band, due: s.now, again: again, customer: a.Customer, replayable: b.Repeats == "replayable",
-		deadline: s.now + time.Duration(b.BudgetMs)*time.Millisecond}
+	tk := &ticket{
+		id: s.ids, node: n, band: a.Band, due: s.now, again: again, customer: a.Customer, replayable: b.Repeats == "replayable",
+		deadline: s.now + time.Duration(b.BudgetMs)*time.Millisecond,
+	}
 	s.out.arrived(tk)
 	s.push(&event{at: tk.deadline, kind: evGiveUp, tk: tk})
 	if n.router == nil {
@@ -347,8 +357,10 @@
 	}
 	tk.rt = n.router.NewRequest(worker{s, tk})
 	n.tickets[tk.rt] = tk
-	tk.rt.Start(&protocol.Request{Class: b.Name, Plan: s.cfg.Traffic.Plan, Customer: a.Customer, Units: b.Units,
-		Spread: spread, FirstNode: first, Timeout: tk.deadline - s.now}, tk.deadline-s.now)
+	tk.rt.Start(&protocol.Request{
+		Class: b.Name, Plan: s.cfg.Traffic.Plan, Customer: a.Customer, Units: b.Units,
+		Spread: spread, FirstNode: first, Timeout: tk.deadline - s.now,
+	}, tk.deadline-s.now)
 	s.poll(n)
 }
 
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -104,8 +104,10 @@
 // flush writes the second that ends at now, and refreshes what the Late baseline sees.
 func (r *Recorder) flush(now time.Duration, s *Sim) {
 	r.policy, r.nodes, r.servers, r.last = string(s.cfg.Policy), s.cfg.Nodes, len(s.servers), now
-	line := Second{T: r.t, Arrived: r.arrivedSec, Outcomes: map[string]int64{}, P50Ms: q(r.latSec, 50),
-		P95Ms: q(r.latSec, 95), P99Ms: q(r.latSec, 99), Open: r.open, Twice: r.twice}
+	line := Second{
+		T: r.t, Arrived: r.arrivedSec, Outcomes: map[string]int64{}, P50Ms: q(r.latSec, 50),
+		P95Ms: q(r.latSec, 95), P99Ms: q(r.latSec, 99), Open: r.open, Twice: r.twice,
+	}
 	for i, n := range r.sec {
 		line.Outcomes[outNames[i]] = n
 	}
@@ -135,9 +137,11 @@
 // Totals sums the run up.
 func (r *Recorder) Totals(events int64) Totals {
 	real := time.Since(r.began).Seconds()
-	t := Totals{Policy: r.policy, Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(), Tickets: r.total,
+	t := Totals{
+		Policy: r.policy, Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(), Tickets: r.total,
 		Outcomes: map[string]int64{}, P50Ms: q(r.lat, 50), P99Ms: q(r.lat, 99), Twice: r.twice, Unanswered: r.open, LateDrained: r.lateToDrained,
-		Events: events, RealS: real}
+		Events: events, RealS: real,
+	}
 	for i, n := range r.outcomes {
 		t.Outcomes[outNames[i]] = n
 	}
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -14,11 +14,13 @@
 // budget; the plan gives each customer 100 units a second with a bucket of 200. A run may instead carry the
 // settings of a real deployment (Config.Settings), read from its JSON configuration.
 func DefaultSettings(nodes int, tr operatorfile.Traffic) map[string]string {
-	set := map[string]string{"node": "0", "nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push",
+	set := map[string]string{
+		"node": "0", "nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push",
 		"executions": "3", "copies": "false", "withdraw": "true", "peers": "false", "advice": "true",
 		"advice.most": "20000", "cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3",
 		"fall.span": "20000", "band.count": strconv.Itoa(len(tr.Bands)), "plan.count": "1",
-		"plan.0.name": tr.Plan, "plan.0.rate": strconv.Itoa(defaultRate), "plan.0.depth": strconv.Itoa(defaultDepth)}
+		"plan.0.name": tr.Plan, "plan.0.rate": strconv.Itoa(defaultRate), "plan.0.depth": strconv.Itoa(defaultDepth),
+	}
 	for i, b := range tr.Bands {
 		p := "band." + strconv.Itoa(i) + "."
 		set[p+"name"], set[p+"repeats"] = b.Name, b.Repeats
--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -13,8 +13,10 @@
 )
 
 // stateNames are the states on the wire.
-var stateNames = map[protocol.EndpointState]string{protocol.InService: "in_service", protocol.Terminating: "terminating",
-	protocol.Terminated: "terminated"}
+var stateNames = map[protocol.EndpointState]string{
+	protocol.InService: "in_service", protocol.Terminating: "terminating",
+	protocol.Terminated: "terminated",
+}
 
 // entry is a server as discovery's agent tells it.
 type entry struct {
@@ -80,8 +82,10 @@
 			return nil, err
 		}
 		t := &told{addr: ln.Addr().String(), conns: map[net.Conn]struct{}{}}
-		t.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { a.answer(t, w, q) }),
-			ConnState: func(c net.Conn, s http.ConnState) { a.conn(t, c, s) }}
+		t.srv = &http.Server{
+			Handler:   http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { a.answer(t, w, q) }),
+			ConnState: func(c net.Conn, s http.ConnState) { a.conn(t, c, s) },
+		}
 		a.nodes = append(a.nodes, t)
 		go t.srv.Serve(ln)
 	}
--- a/internal/lab/scale/child.go
+++ b/internal/lab/scale/child.go
@@ -177,10 +177,12 @@
 
 // config is what the node is started with.
 func (n *realNode) config(c *Config, known json.RawMessage, start int) ([]byte, error) {
-	return json.Marshal(map[string]any{"name": "real" + strconv.Itoa(n.number), "listen": n.listen, "discovery": n.agent,
+	return json.Marshal(map[string]any{
+		"name": "real" + strconv.Itoa(n.number), "listen": n.listen, "discovery": n.agent,
 		"seed":   strconv.FormatUint(c.Seed<<20|uint64(start)<<10|uint64(n.number), 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": c.MemoryMB, "sockets": c.Sockets}, "peer_listen": n.peer,
-		"peers": n.peers, "peers_all": n.all, "known": known, "settings": platformSettings(*c, n.number)})
+		"peers": n.peers, "peers_all": n.all, "known": known, "settings": platformSettings(*c, n.number),
+	})
 }
 
 // begin starts the node and waits until it can take requests.
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -126,10 +126,12 @@
 }
 
 func newClients(c *Config, nodes []*realNode, servers []string) *clients {
-	return &clients{cfg: c, nodes: nodes, servers: servers, lag: newHist(),
+	return &clients{
+		cfg: c, nodes: nodes, servers: servers, lag: newHist(),
 		crowds:  crowds(*c, func(node int) bool { return node < c.Real }),
 		toNodes: &wires{most: c.Real * c.Sockets / 2, idle: map[string][]*wire{}},
-		toApps:  &wires{most: straightMax, idle: map[string][]*wire{}}}
+		toApps:  &wires{most: straightMax, idle: map[string][]*wire{}},
+	}
 }
 
 func (c *clients) lagged(due time.Time) {
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -52,8 +52,10 @@
 
 // Default is the target size.
 func Default() Config {
-	return Config{Nodes: 830, Real: 3, Hollow: -1, Servers: 13000, Tenants: 43000, Rate: 85, HollowRate: 2, Straight: 0.2,
-		Take: 100, For: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192}
+	return Config{
+		Nodes: 830, Real: 3, Hollow: -1, Servers: 13000, Tenants: 43000, Rate: 85, HollowRate: 2, Straight: 0.2,
+		Take: 100, For: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192,
+	}
 }
 
 const (
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -65,8 +65,10 @@
 // The lines between the lab and its children: one program writes and reads both, so that their keys may change, but a key
 // that only one side knows would be lost in silence.
 func TestChildLinesSurvive(t *testing.T) {
-	for name, v := range map[string]any{"hollow order": &hollowOrder{}, "hollow word": &hollowWord{Section: &hollowSection{},
-		Report: &hollowReport{}}, "server order": &serverOrder{}, "server word": &serverWord{}} {
+	for name, v := range map[string]any{"hollow order": &hollowOrder{}, "hollow word": &hollowWord{
+		Section: &hollowSection{},
+		Report:  &hollowReport{},
+	}, "server order": &serverOrder{}, "server word": &serverWord{}} {
 		next := 0
 		for i := range reflect.ValueOf(v).Elem().NumField() {
 			f := reflect.ValueOf(v).Elem().Field(i)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -164,8 +164,10 @@
 // Hollow plays the hollow nodes until standard input ends.
 func Hollow(in io.Reader, out io.Writer) error {
 	dec, enc := json.NewDecoder(in), json.NewEncoder(out)
-	h := &hollow{number: map[netip.AddrPort]int{}, realBy: map[netip.AddrPort]int{}, toAll: make(chan broadcast, waitingAll),
-		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist()}
+	h := &hollow{
+		number: map[netip.AddrPort]int{}, realBy: map[netip.AddrPort]int{}, toAll: make(chan broadcast, waitingAll),
+		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist(),
+	}
 	if err := dec.Decode(&h.cfg); err != nil {
 		return err
 	}
@@ -293,8 +295,10 @@
 	go h.tellAll()
 	none := zerolog.Nop()
 	var once sync.Once
-	watch := &transport.DiscoveryClient{Addr: o.Agent, Full: true, Limits: transport.Limits{Sockets: 64, MemoryMB: 64,
-		Connect: time.Second}, Log: &none, Count: &transport.Counters{}, OnList: func(l *protocol.EndpointList) {
+	watch := &transport.DiscoveryClient{Addr: o.Agent, Full: true, Limits: transport.Limits{
+		Sockets: 64, MemoryMB: 64,
+		Connect: time.Second,
+	}, Log: &none, Count: &transport.Counters{}, OnList: func(l *protocol.EndpointList) {
 		h.listed(l)
 		once.Do(func() { close(h.ready) })
 	}, OnFailure: func() {
@@ -339,12 +343,14 @@
 			}
 		})
 	})
-	l.router = routing.New(routing.Config{Seed: rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
+	l.router = routing.New(routing.Config{
+		Seed:     rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
 		Settings: moduleSettings(n.h.cfg.Config, n.number), SetTimer: func(after time.Duration) {
 			l.due.Store(time.Now().Add(after).UnixNano())
 			l.timer.Reset(after)
 		},
-		SendToPeer: func(peer int, text []byte) { n.tell(peers, l, peer, text) }, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+		SendToPeer: func(peer int, text []byte) { n.tell(peers, l, peer, text) }, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+	})
 	return l
 }
 
@@ -623,8 +629,10 @@
 	defer l.open.Add(-1)
 	ticket := l.router.NewRequest(a)
 	h.gated(func() {
-		ticket.Start(&protocol.Request{Method: k.method, Class: k.name, Plan: plans[t.plan].name, Customer: t.key, Timeout: k.wait,
-			Units: 1, Spread: t.spread, FirstNode: t.first}, k.wait-time.Since(due))
+		ticket.Start(&protocol.Request{
+			Method: k.method, Class: k.name, Plan: plans[t.plan].name, Customer: t.key, Timeout: k.wait,
+			Units: 1, Spread: t.spread, FirstNode: t.first,
+		}, k.wait-time.Since(due))
 	})
 	answer, ran := 0, 0
 	for answer == 0 {
@@ -732,8 +740,10 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	h.cut()
-	r := &hollowReport{Unanswered: h.unanswered.Load(), Doubled: h.doubled.Load(), Late: h.lateRun.Load(),
-		Lost: h.lost.Load(), ForS: time.Since(h.began).Seconds(), Load: make([]int64, len(h.load))}
+	r := &hollowReport{
+		Unanswered: h.unanswered.Load(), Doubled: h.doubled.Load(), Late: h.lateRun.Load(),
+		Lost: h.lost.Load(), ForS: time.Since(h.began).Seconds(), Load: make([]int64, len(h.load)),
+	}
 	h.mu.Lock()
 	r.hollowSection = h.total
 	r.P50, r.P99, r.LagP99 = quantile(h.tookAll, 50), quantile(h.tookAll, 99), quantile(h.lag, 99)
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -120,19 +120,27 @@
 	type object = map[string]any
 	var services, tiers []object
 	for _, k := range classes {
-		services = append(services, object{"name": k.name, "semantics": k.kind, "slo": k.target.Microseconds(),
-			"deadline": k.wait.Microseconds(), "group": "all", "window": k.target.Microseconds(), "worth": 1})
+		services = append(services, object{
+			"name": k.name, "semantics": k.kind, "slo": k.target.Microseconds(),
+			"deadline": k.wait.Microseconds(), "group": "all", "window": k.target.Microseconds(), "worth": 1,
+		})
 	}
 	for _, p := range plans {
 		tiers = append(tiers, object{"name": p.name, "units_per_s": p.rate, "depth": p.depth})
 	}
-	raw, err := json.Marshal(object{"slot_no": node, "replicas_of_me": c.Nodes, "tick": 2000, "registry_mode": "automatic",
+	raw, err := json.Marshal(object{
+		"slot_no": node, "replicas_of_me": c.Nodes, "tick": 2000, "registry_mode": "automatic",
 		"services": services, "tiers_of_service": tiers,
-		"limits": object{"attempts_cap": 3, "second_copies": false, "cancel": true, "probes": false, "peers": true,
-			"retry_after": true, "max_retry_after": 2000000, "conn_idle": 15000000, "connect_timeout": 250000},
-		"safety": object{"cold": 10000000, "cold_from": 0.25, "fall_multiple": 3, "tip_after": 2000000,
-			"drain_grace": grace.Microseconds(), "answer_slack": 50000, "ask_within": 2000000},
-		"specifics": object{"largest": 100, "peer_in_per_s": c.Take}})
+		"limits": object{
+			"attempts_cap": 3, "second_copies": false, "cancel": true, "probes": false, "peers": true,
+			"retry_after": true, "max_retry_after": 2000000, "conn_idle": 15000000, "connect_timeout": 250000,
+		},
+		"safety": object{
+			"cold": 10000000, "cold_from": 0.25, "fall_multiple": 3, "tip_after": 2000000,
+			"drain_grace": grace.Microseconds(), "answer_slack": 50000, "ask_within": 2000000,
+		},
+		"specifics": object{"largest": 100, "peer_in_per_s": c.Take},
+	})
 	if err != nil {
 		panic(err) // of constants and numbers that were checked
 	}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -185,12 +185,14 @@
 		r.Unanswered += s.unanswered.Load()
 		r.StraightBad += s.straightFailed.Load()
 		s.mu.Lock()
-		r.Sections = append(r.Sections, Section{Name: s.name, ForS: s.ended.Sub(s.began).Seconds(), Sent: s.sent.Load(),
+		r.Sections = append(r.Sections, Section{
+			Name: s.name, ForS: s.ended.Sub(s.began).Seconds(), Sent: s.sent.Load(),
 			Completed: s.completed.Load(), Refused: s.refused.Load(), Failed: s.failed.Load(), Unanswered: s.unanswered.Load(),
 			P50: quantile(s.through, 50), P99: quantile(s.through, 99), Straight: s.straight.TotalCount(),
 			StraightP50: quantile(s.straight, 50), StraightP99: quantile(s.straight, 99),
 			AddedP50: quantile(s.through, 50) - quantile(s.straight, 50),
-			AddedP99: quantile(s.through, 99) - quantile(s.straight, 99), HollowP99: s.hollow.P99})
+			AddedP99: quantile(s.through, 99) - quantile(s.straight, 99), HollowP99: s.hollow.P99,
+		})
 		if k > 0 { // but for the warm-up
 			through.Merge(s.through)
 			straight.Merge(s.straight)
@@ -235,8 +237,10 @@
 	each := 1 / (h.ForS * float64(max(1, nodes)))
 	for _, p := range h.Peers {
 		if p.In+p.Out > 0 {
-			r.Peers[markNames[p.Mark]] = PeerBytes{float64(p.In) * each, float64(p.InBytes) * each, float64(p.Out) * each,
-				float64(p.OutBytes) * each}
+			r.Peers[markNames[p.Mark]] = PeerBytes{
+				float64(p.In) * each, float64(p.InBytes) * each, float64(p.Out) * each,
+				float64(p.OutBytes) * each,
+			}
 		}
 	}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -166,8 +166,10 @@
 		return nil, err
 	}
 	for _, name := range Troubles {
-		play := map[string]func(context.Context, time.Duration) error{Changes: l.playChanges, Roll: l.playRoll,
-			Zone: l.playZone, Watch: l.playWatch}[name]
+		play := map[string]func(context.Context, time.Duration) error{
+			Changes: l.playChanges, Roll: l.playRoll,
+			Zone: l.playZone, Watch: l.playWatch,
+		}[name]
 		if !slices.Contains(c.Troubles, name) {
 			continue
 		}
@@ -229,8 +231,10 @@
 		if err != nil {
 			return err
 		}
-		list[i] = entry{UID: fmt.Sprintf("app-%05d", i), Endpoint: addr, Zone: zoneName(i), Model: "m" + strconv.Itoa(i/7%3),
-			Cell: i / 24 % 4096, State: stateNames[protocol.InService], Weight: 1, listed: i < c.Servers}
+		list[i] = entry{
+			UID: fmt.Sprintf("app-%05d", i), Endpoint: addr, Zone: zoneName(i), Model: "m" + strconv.Itoa(i/7%3),
+			Cell: i / 24 % 4096, State: stateNames[protocol.InService], Weight: 1, listed: i < c.Servers,
+		}
 	}
 	if l.agent, err = newAgent(list, c.Real+1); err != nil {
 		return err
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -43,8 +43,11 @@
 // Every tenant comes in by the nodes of its set alone, which the settings number as the lab does, and the same seed deals
 // out the same tenants whoever asks.
 func TestTenantsComeInByTheirSets(t *testing.T) {
-	for _, c := range []Config{{Nodes: 830, Real: 3, Hollow: 827, Tenants: 43000, Rate: 85, Seed: 7},
-		{Nodes: 830, Real: 2, Hollow: 10, Tenants: 300, Rate: 85, Seed: 7}, {Nodes: 5, Real: 2, Hollow: 3, Tenants: 2, Rate: 85, Seed: 7}} {
+	for _, c := range []Config{
+		{Nodes: 830, Real: 3, Hollow: 827, Tenants: 43000, Rate: 85, Seed: 7},
+		{Nodes: 830, Real: 2, Hollow: 10, Tenants: 300, Rate: 85, Seed: 7},
+		{Nodes: 5, Real: 2, Hollow: 3, Tenants: 2, Rate: 85, Seed: 7},
+	} {
 		all := crowds(c, func(int) bool { return true })
 		some := crowds(c, func(n int) bool { return n == 1 })
 		live := c.Real + c.Hollow
@@ -82,8 +85,10 @@
 func TestAgentTells(t *testing.T) {
 	list := make([]entry, 4)
 	for i := range list {
-		list[i] = entry{UID: fmt.Sprint("s", i), Endpoint: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)),
-			State: "in_service", listed: i < 3}
+		list[i] = entry{
+			UID: fmt.Sprint("s", i), Endpoint: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)),
+			State: "in_service", listed: i < 3,
+		}
 	}
 	a, err := newAgent(list, 2)
 	if err != nil {
@@ -133,8 +138,10 @@
 // A hollow node may begin nothing at a server once it has taken in that it drains, and again once it is back.
 func TestHollowNodesTakeListsIn(t *testing.T) {
 	c := Config{Nodes: 2, Real: 1, Hollow: 1, Servers: 2, Tenants: 1, Rate: 1, Take: 10, Seed: 1}
-	h := &hollow{cfg: HollowConfig{Config: c, Servers: []string{"127.0.0.1:1", "127.0.0.1:2"}}, number: map[netip.AddrPort]int{},
-		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist()}
+	h := &hollow{
+		cfg: HollowConfig{Config: c, Servers: []string{"127.0.0.1:1", "127.0.0.1:2"}}, number: map[netip.AddrPort]int{},
+		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist(),
+	}
 	if _, err := h.open(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/store/golden_test.go
+++ b/internal/lab/store/golden_test.go
@@ -163,7 +163,8 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	table := [][2]string{{"SET a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
+	table := [][2]string{
+		{"SET a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"SETNX a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"INCRBY a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"HSET a 1 2", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
@@ -173,7 +174,8 @@
 		{"MULTI", "+OK\r\n"},
 		{"SET a 1", "+QUEUED\r\n"},
 		{"EXEC", "-EXECABORT Transaction discarded because of: OOM command not allowed when used memory > 'maxmemory'.\r\n"},
-		{"EXEC", "-ERR EXEC without MULTI\r\n"}}
+		{"EXEC", "-ERR EXEC without MULTI\r\n"},
+	}
 	commands := make([]string, len(table))
 	for k, row := range table {
 		commands[k] = row[0]
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -133,8 +133,10 @@
 		return nil, fmt.Errorf("%s is not a loopback address", addr)
 	}
 	d := newData()
-	s := &Server{ln: ln, began: time.Now(), stop: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 3)),
-		halves: [2]*data{d, d}, on: map[string]Fault{}, conns: map[redcon.Conn]bool{}, applied: map[string]int64{}}
+	s := &Server{
+		ln: ln, began: time.Now(), stop: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 3)),
+		halves: [2]*data{d, d}, on: map[string]Fault{}, conns: map[redcon.Conn]bool{}, applied: map[string]int64{},
+	}
 	for _, f := range faults {
 		if err := f.Check(); err != nil {
 			ln.Close()
--- a/internal/operatorfile/operator.go
+++ b/internal/operatorfile/operator.go
@@ -121,14 +121,21 @@
 		Quota:  Quota{Calls: 200},
 		Authz:  Authz{Most: 64},
 		GRPC:   GRPC{Calls: 256},
-		Lab: Lab{Seed: 1,
-			Emulator: Emulator{Listen: "127.0.0.1:0", Servers: 4, Concurrency: 8, Queue: 32, Connections: 64,
+		Lab: Lab{
+			Seed: 1,
+			Emulator: Emulator{
+				Listen: "127.0.0.1:0", Servers: 4, Concurrency: 8, Queue: 32, Connections: 64,
 				ServiceMs: 20, Spread: 0.4, HandshakeMs: 2, WarmupS: 10, ColdFactor: 4, IdleS: 30, DrainMs: 2000,
-				Reports: true, Probes: true},
-			Load: Traffic{Target: "127.0.0.1:8080", Rate: 200, DurationS: 10, Customers: 50, Skew: 1.2,
+				Reports: true, Probes: true,
+			},
+			Load: Traffic{
+				Target: "127.0.0.1:8080", Rate: 200, DurationS: 10, Customers: 50, Skew: 1.2,
 				BurstX: 1, AgainP: 0.5, Conns: 256, Plan: "team", Spread: 1,
-				Bands: []Band{{Name: "seat-lookup", Repeats: "replayable", Share: 0.8, BudgetMs: 500, Units: 1},
-					{Name: "seat-purchase", Repeats: "single-use", Share: 0.2, BudgetMs: 1500, Units: 3}}},
+				Bands: []Band{
+					{Name: "seat-lookup", Repeats: "replayable", Share: 0.8, BudgetMs: 500, Units: 1},
+					{Name: "seat-purchase", Repeats: "single-use", Share: 0.2, BudgetMs: 1500, Units: 3},
+				},
+			},
 		},
 	}
 }
--- a/internal/operatorfile/operator_test.go
+++ b/internal/operatorfile/operator_test.go
@@ -26,8 +26,10 @@
 	text := "[log]\nlevel = \"loud\"\n\n[lab.emulator]\nservers = 0\ncolour = 3\nlisten = \"10.0.0.1:80\"\n" +
 		"[[lab.load.band]]\nname = \"a\"\nrepeats = \"twice\"\n"
 	f, faults := Parse(text)
-	want := []string{"line 2: log.level", "line 5: lab.emulator.servers", "line 6: lab.emulator.colour: no such key",
-		"line 7: lab.emulator.listen", "line 10: lab.load.band.0.repeats"}
+	want := []string{
+		"line 2: log.level", "line 5: lab.emulator.servers", "line 6: lab.emulator.colour: no such key",
+		"line 7: lab.emulator.listen", "line 10: lab.load.band.0.repeats",
+	}
 	var got []string
 	for _, x := range faults {
 		got = append(got, x.String())
--- a/internal/operatorfile/shape.go
+++ b/internal/operatorfile/shape.go
@@ -64,8 +64,10 @@
 func (s *Shape) writes(number func(list, name string) int) (out []write) {
 	num := func(key, name string, v *float64, unit, lo, hi float64) {
 		if v != nil {
-			out = append(out, write{key: key, name: name, figure: *v, lo: lo, hi: hi,
-				value: strconv.FormatFloat(*v*unit, 'f', -1, 64)})
+			out = append(out, write{
+				key: key, name: name, figure: *v, lo: lo, hi: hi,
+				value: strconv.FormatFloat(*v*unit, 'f', -1, 64),
+			})
 		}
 	}
 	whole := func(key, name string, v *int, lo, hi float64) {
--- a/internal/operatorfile/shape_test.go
+++ b/internal/operatorfile/shape_test.go
@@ -6,9 +6,11 @@
 	"testing"
 )
 
-var platform = map[string]string{"band.count": "2", "band.0.name": "next-leg", "band.1.name": "stop-update",
+var platform = map[string]string{
+	"band.count": "2", "band.0.name": "next-leg", "band.1.name": "stop-update",
 	"band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "pro", "plan.0.rate": "12", "executions": "4",
-	"peers": "true"}
+	"peers": "true",
+}
 
 // Nothing given leaves the platform's settings as they are; what is given is written in the module's units.
 func TestShapeIsWrittenOverThePlatforms(t *testing.T) {
@@ -23,8 +25,10 @@
 		t.Fatal(faults)
 	}
 	want := maps.Clone(platform)
-	maps.Copy(want, map[string]string{"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
-		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5"})
+	maps.Copy(want, map[string]string{
+		"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
+		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5",
+	})
 	if set, err := f.Settings.Over(platform); err != nil || !maps.Equal(set, want) || !f.Watch.On {
 		t.Errorf("%v, want %v: %v", set, want, err)
 	}
--- a/internal/protocol/execution.go
+++ b/internal/protocol/execution.go
@@ -25,8 +25,10 @@
 	OutcomeCount              // how many there are
 )
 
-var outcomeNames = [OutcomeCount]string{"completed", "errored", "turned_away", "timed_out", "unconnected",
-	"broken", "withdrawn", "unsent", "spoilt"}
+var outcomeNames = [OutcomeCount]string{
+	"completed", "errored", "turned_away", "timed_out", "unconnected",
+	"broken", "withdrawn", "unsent", "spoilt",
+}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -161,9 +161,11 @@
 	if r, _ := reply("HTTP/1.1 200 OK\r\nX-True-Cost: 3\r\nX-Allowance-Used: 7\r\nContent-Length: 0\r\n\r\n"); r.Units != 3 {
 		t.Errorf("units read as %v", r.Units)
 	}
-	for _, text := range []string{"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "nonsense\r\n\r\n",
+	for _, text := range []string{
+		"", "HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "nonsense\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("a", 65537)} {
+		"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("a", 65537),
+	} {
 		if r, err := reply(text); err == nil {
 			t.Errorf("%.40q passed for %v", text, r.Outcome)
 		}
@@ -178,8 +180,15 @@
 		l.Endpoints[0].Addr.Port() != 9000 || l.Endpoints[0].Weight != 1.5 || l.Endpoints[0].BootMs != 7 {
 		t.Errorf("read as %+v, %v", l, err)
 	}
-	for _, c := range [][2]string{{"terminating", "asleep"}, {"10.1.0.18:9000", "here"}, {"s-5b", ""}, {":3,", ":-3,"},
-		{"1.5", "-1"}, {`"boot_ms":7`, `"boot_ms":-7`}, {"]}", ""}} {
+	for _, c := range [][2]string{
+		{"terminating", "asleep"},
+		{"10.1.0.18:9000", "here"},
+		{"s-5b", ""},
+		{":3,", ":-3,"},
+		{"1.5", "-1"},
+		{`"boot_ms":7`, `"boot_ms":-7`},
+		{"]}", ""},
+	} {
 		if _, err := ParseEndpointList([]byte(strings.Replace(ok, c[0], c[1], 1))); err == nil {
 			t.Errorf("%q for %q passed", c[1], c[0])
 		}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -28,8 +28,10 @@
 const goldenStep = 10 * time.Millisecond
 
 func newGoldenPlay(cfg Config, customers []Customer, now time.Duration) *goldenPlay {
-	p := &goldenPlay{cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
-		later: map[time.Duration][]func(){}, entries: map[string][]Entry{}}
+	p := &goldenPlay{
+		cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
+		later: map[time.Duration][]func(){}, entries: map[string][]Entry{},
+	}
 	for k := range cfg.Nodes {
 		cfg.Me = k
 		p.nodes = append(p.nodes, New(cfg, now))
@@ -98,8 +100,13 @@
 // Every exchange, every refusal and the room at each node are those of commit cf1acfb, which wrote the expected
 // values: nodes of both texts share one store.
 func TestGoldenExchanges(t *testing.T) {
-	customers := []Customer{{Key: 9, Rate: 100, Burst: 400, Spread: 4}, {Key: 1 << 60, Rate: 8, Burst: 2, FirstNode: 3, Spread: 2},
-		{Key: 3, Rate: 0, Burst: 1, Spread: 4}, {Key: 4, Rate: 40, Burst: 20, FirstNode: 1, Spread: 1}, {Key: 5, Rate: 30, Burst: 60, Spread: 90}}
+	customers := []Customer{
+		{Key: 9, Rate: 100, Burst: 400, Spread: 4},
+		{Key: 1 << 60, Rate: 8, Burst: 2, FirstNode: 3, Spread: 2},
+		{Key: 3, Rate: 0, Burst: 1, Spread: 4},
+		{Key: 4, Rate: 40, Burst: 20, FirstNode: 1, Spread: 1},
+		{Key: 5, Rate: 30, Burst: 60, Spread: 90},
+	}
 	for _, c := range []struct {
 		name   string
 		cfg    Config
@@ -109,7 +116,8 @@
 		digest string   // SHA-256 of all lines
 		first  []string // the first lines
 	}{
-		{name: "all well", cfg: Config{Nodes: 4, Seed: 21, Wait: 60 * time.Millisecond},
+		{
+			name: "all well", cfg: Config{Nodes: 4, Seed: 21, Wait: 60 * time.Millisecond},
 			play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
 				"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 				"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
@@ -117,8 +125,10 @@
 				"0.00 3: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 				"0.01 0: id 1, 1152921504606846976/0, entry 0:1 2.4, kept 1.5s, within 60ms",
 				"0.01 0: id 2, 5/0, entry 0:1 10.125, kept 3s, within 60ms",
-			}},
-		{name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, Calls: 9, Wait: 60 * time.Millisecond},
+			},
+		},
+		{
+			name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, Calls: 9, Wait: 60 * time.Millisecond},
 			from: 1_700_000_000_350 * time.Millisecond,
 			play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
 				"1700000000.35 0 refuses 9",
@@ -127,8 +137,10 @@
 				"1700000000.36 0 refuses 9",
 				"1700000000.36 0 refuses 5",
 				"1700000000.36 3 refuses 9",
-			}},
-		{name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, Calls: 400, Wait: 40 * time.Millisecond},
+			},
+		},
+		{
+			name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, Calls: 400, Wait: 40 * time.Millisecond},
 			play: func(p *goldenPlay) {
 				p.play(6*time.Second, 0.9)
 				p.lost, p.bad = 0.2, 0.1
@@ -151,7 +163,8 @@
 				"0.00 3: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
 				"0.00 4: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
 				"0.00 5: room [50 2 +Inf 19 4], [0 0 0 0 0 0 0]",
-			}},
+			},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newGoldenPlay(c.cfg, append([]Customer(nil), customers...), c.from)
@@ -171,14 +184,23 @@
 	for _, c := range []struct {
 		rate, depth float64
 		want        time.Duration
-	}{{0, 5, 2 * time.Second}, {-1, 5, 2 * time.Second}, {100, 1, 500 * time.Millisecond}, {100, 150, 750 * time.Millisecond},
-		{100, 400, 2 * time.Second}, {1, 400, 2 * time.Second}, {3, 4, 666666666}} {
+	}{
+		{0, 5, 2 * time.Second},
+		{-1, 5, 2 * time.Second},
+		{100, 1, 500 * time.Millisecond},
+		{100, 150, 750 * time.Millisecond},
+		{100, 400, 2 * time.Second},
+		{1, 400, 2 * time.Second},
+		{3, 4, 666666666},
+	} {
 		if got := (Customer{Rate: c.rate, Burst: c.depth}).Window(); got != c.want {
 			t.Errorf("%v a second, %v at once: %v, want %v", c.rate, c.depth, got, c.want)
 		}
 	}
-	for contract, want := range map[time.Duration]time.Duration{0: 20 * time.Millisecond, 333 * time.Millisecond: 66600 * time.Microsecond,
-		time.Second: 200 * time.Millisecond, 8 * time.Second: 250 * time.Millisecond} {
+	for contract, want := range map[time.Duration]time.Duration{
+		0: 20 * time.Millisecond, 333 * time.Millisecond: 66600 * time.Microsecond,
+		time.Second: 200 * time.Millisecond, 8 * time.Second: 250 * time.Millisecond,
+	} {
 		if got := ExchangeTimeout(contract); got != want {
 			t.Errorf("contract %v: %v, want %v", contract, got, want)
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -123,8 +123,10 @@
 // New makes a node. now is the time since an origin that all nodes share, as the Unix epoch.
 func New(cfg Config, now time.Duration) *Ledger {
 	cfg.Nodes = max(cfg.Nodes, 1)
-	return &Ledger{cfg: cfg, now: now, born: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))),
-		of: map[uint64]*account{}, tokenAt: now, tokens: 1}
+	return &Ledger{
+		cfg: cfg, now: now, born: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))),
+		of: map[uint64]*account{}, tokenAt: now, tokens: 1,
+	}
 }
 
 // Count is what the node did so far.
@@ -296,11 +298,15 @@
 	a.seq++
 	n.lastID++
 	a.next = n.now + time.Duration(oftenOf*float64(a.length)*(0.5+n.chance.Float64()))
-	n.out = append(n.out, call{id: n.lastID, key: a.Key, window: a.window, until: n.now + n.cfg.Wait,
-		put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap}})
+	n.out = append(n.out, call{
+		id: n.lastID, key: a.Key, window: a.window, until: n.now + n.cfg.Wait,
+		put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap},
+	})
 	n.count.Calls++
-	return Exchange{ID: n.lastID, Key: a.Key, Window: a.window, Put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap},
-		Keep: 3 * a.length, Wait: n.cfg.Wait}, true
+	return Exchange{
+		ID: n.lastID, Key: a.Key, Window: a.window, Put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap},
+		Keep: 3 * a.length, Wait: n.cfg.Wait,
+	}, true
 }
 
 // redo notes that the store may have an entry of this window that does not hold, or lack one that does.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -42,8 +42,10 @@
 
 func newDay(seed uint64, nodes int) *day {
 	s := &shared{id: 1, data: map[string][]Entry{}}
-	d := &day{rng: rand.New(rand.NewPCG(seed, 1)), stores: [2]*shared{s, s}, later: map[time.Duration][]func(){},
-		c: Customer{Key: 9, Rate: 100, Burst: 400, Spread: nodes}, spent: map[int64]float64{}}
+	d := &day{
+		rng: rand.New(rand.NewPCG(seed, 1)), stores: [2]*shared{s, s}, later: map[time.Duration][]func(){},
+		c: Customer{Key: 9, Rate: 100, Burst: 400, Spread: nodes}, spent: map[int64]float64{},
+	}
 	for k := range nodes {
 		d.nodes = append(d.nodes, New(Config{Me: k, Nodes: nodes, Seed: seed, Wait: 50 * time.Millisecond}, 0))
 	}
--- a/internal/quotastore/golden_test.go
+++ b/internal/quotastore/golden_test.go
@@ -126,14 +126,18 @@
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:7:0\r\n$4\r\n1500\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:7:0\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a fleet's", quota.Exchange{Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Entry{Node: 1234, Seq: 17, Cap: 12.5},
-			Keep: 6 * time.Second}, opening +
+		{"a fleet's", quota.Exchange{
+			Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Entry{Node: 1234, Seq: 17, Cap: 12.5},
+			Keep: 6 * time.Second,
+		}, opening +
 			"*4\r\n$4\r\nhset\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$7\r\n1234:17\r\n$4\r\n12.5\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$4\r\n6000\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a large cap, kept for part of a millisecond", quota.Exchange{Key: math.MaxUint64, Window: -3,
-			Put: quota.Entry{Node: 5, Seq: 2, Cap: 1e21}, Keep: 2000000500}, opening +
+		{"a large cap, kept for part of a millisecond", quota.Exchange{
+			Key: math.MaxUint64, Window: -3,
+			Put: quota.Entry{Node: 5, Seq: 2, Cap: 1e21}, Keep: 2000000500,
+		}, opening +
 			"*4\r\n$4\r\nhset\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$3\r\n5:2\r\n$5\r\n1e+21\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$4\r\n2000\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$25\r\nquota:ffffffffffffffff:-3\r\n" +
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -24,8 +24,13 @@
 // twice, every ticket has its answer in time, and the customer gets no more than a tenth over its quota.
 func TestPurchasesUnderLeasesWhileTheStoreFails(t *testing.T) {
 	const nodes, rate = 6, 100.0
-	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{{Kind: "cut", At: 3, For: 0.7}, {Kind: "split", At: 4.3, For: 1},
-		{Kind: "empty", At: 5.7}, {Kind: "stall", At: 6.5, For: 0.7}, {Kind: "forget", At: 7.5, For: 0.7, Chance: 0.3}})
+	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
+		{Kind: "cut", At: 3, For: 0.7},
+		{Kind: "split", At: 4.3, For: 1},
+		{Kind: "empty", At: 5.7},
+		{Kind: "stall", At: 6.5, For: 0.7},
+		{Kind: "forget", At: 7.5, For: 0.7, Chance: 0.3},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,16 +58,22 @@
 			t.Fatal(err)
 		}
 		defer alarm.Close()
-		set := map[string]string{"band.count": "1", "band.0.name": "buy", "band.0.contract": "8000", "band.0.repeats": "single-use",
+		set := map[string]string{
+			"band.count": "1", "band.0.name": "buy", "band.0.contract": "8000", "band.0.repeats": "single-use",
 			"plan.count": "1", "plan.0.name": "team", "plan.0.rate": fmt.Sprint(rate), "plan.0.depth": "200", "nodes": fmt.Sprint(nodes),
-			"node": fmt.Sprint(k), "tick": "20", "executions": "3"}
-		router := routing.New(routing.Config{Seed: uint64(k), Settings: set, Quota: q, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {},
-			PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+			"node": fmt.Sprint(k), "tick": "20", "executions": "3",
+		}
+		router := routing.New(routing.Config{
+			Seed: uint64(k), Settings: set, Quota: q, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {},
+			PollEndpoints: func() {}, LogSummary: func([]byte) {},
+		})
 		go alarm.Run(router.Tick)
 		list := &protocol.EndpointList{Full: true}
 		for s := range 30 { // one server under many names, so that no limit on the back end is met first
-			list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(s), Weight: 1,
-				Addr: netip.MustParseAddrPort(app.Addr().String())})
+			list.Endpoints = append(list.Endpoints, protocol.Endpoint{
+				UID: fmt.Sprint(s), Weight: 1,
+				Addr: netip.MustParseAddrPort(app.Addr().String()),
+			})
 		}
 		router.UpdateEndpoints(list, true)
 		limits, count := transport.Limits{Sockets: 512, MemoryMB: 64, Idle: 10 * time.Second, Connect: time.Second}, &transport.Counters{}
@@ -87,8 +98,10 @@
 		go func() {
 			defer all.Done()
 			q, _ := http.NewRequest(http.MethodPost, "http://"+fronts[node]+"/buy/0000000000000007", strings.NewReader("seats"))
-			for name, v := range map[string]string{"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000",
-				"X-Weight": fmt.Sprintf("units=1,spread=%d,first=0", nodes)} {
+			for name, v := range map[string]string{
+				"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000",
+				"X-Weight": fmt.Sprintf("units=1,spread=%d,first=0", nodes),
+			} {
 				q.Header.Set(name, v)
 			}
 			from := time.Now()
--- a/internal/quotastore/store.go
+++ b/internal/quotastore/store.go
@@ -43,9 +43,11 @@
 // Open makes a node's part. It does not wait for the store: one that is gone is called again by the module's word.
 func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	q := &Quotas{log: log, done: make(chan struct{}), node: quota.New(cfg, now())}
-	q.client = redis.NewClient(&redis.Options{Addr: addr, ClientName: name, Protocol: 2, DisableIndentity: true,
+	q.client = redis.NewClient(&redis.Options{
+		Addr: addr, ClientName: name, Protocol: 2, DisableIndentity: true,
 		MaxRetries: -1, PoolSize: connections, DialTimeout: cfg.Wait, ReadTimeout: cfg.Wait, WriteTimeout: cfg.Wait,
-		PoolTimeout: cfg.Wait, ContextTimeoutEnabled: true})
+		PoolTimeout: cfg.Wait, ContextTimeoutEnabled: true,
+	})
 	return q
 }
 
--- a/internal/quotastore/store_test.go
+++ b/internal/quotastore/store_test.go
@@ -20,9 +20,16 @@
 // gets no more than a tenth over it, no spending waits for the store, and afterwards its quota is used again.
 func TestQuotaHoldsWhateverTheStoreDoes(t *testing.T) {
 	const nodes = 6
-	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{{Kind: "cut", At: 2, For: 1}, {Kind: "split", At: 3.5, For: 1.5},
-		{Kind: "empty", At: 5.5}, {Kind: "failover", At: 6.5, For: 0.5, LoseMs: 300}, {Kind: "forget", At: 7.5, For: 1, Chance: 0.3},
-		{Kind: "full", At: 9, For: 0.7}, {Kind: "stall", At: 10, For: 1}, {Kind: "slow", At: 11, For: 0.5, DelayMs: 20}})
+	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
+		{Kind: "cut", At: 2, For: 1},
+		{Kind: "split", At: 3.5, For: 1.5},
+		{Kind: "empty", At: 5.5},
+		{Kind: "failover", At: 6.5, For: 0.5, LoseMs: 300},
+		{Kind: "forget", At: 7.5, For: 1, Chance: 0.3},
+		{Kind: "full", At: 9, For: 0.7},
+		{Kind: "stall", At: 10, For: 1},
+		{Kind: "slow", At: 11, For: 0.5, DelayMs: 20},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -151,8 +151,10 @@
 }
 
 func newColdPlay(nodes int, seed uint64) *coldPlay {
-	p := &coldPlay{rng: rand.New(rand.NewPCG(seed, uint64(nodes))), scene: coldScenes[seed%uint64(len(coldScenes))],
-		factor: 1, slow: 1, rev: 1}
+	p := &coldPlay{
+		rng: rand.New(rand.NewPCG(seed, uint64(nodes))), scene: coldScenes[seed%uint64(len(coldScenes))],
+		factor: 1, slow: 1, rev: 1,
+	}
 	if p.rng.IntN(2) == 0 {
 		p.also = []string{"nodes", "burst", "doubt", "weight", "shift", "flap", "slow", "even"}[p.rng.IntN(8)]
 	}
@@ -162,11 +164,13 @@
 	take := []int{0, 40, 60, 100}[p.rng.IntN(4)]
 	tenths := func(d time.Duration) string { return strconv.Itoa(int(d / tenth)) }
 	yes := func(chance float64) string { return strconv.FormatBool(p.rng.Float64() < chance) }
-	p.set = map[string]string{"nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push", "idle": "150000", "executions": "3",
+	p.set = map[string]string{
+		"nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push", "idle": "150000", "executions": "3",
 		"withdraw": yes(0.5), "advice": "true", "advice.most": "20000", "cold.from": fmt.Sprint(p.from), "cold.span": tenths(p.cold),
 		"fall.multiple": fmt.Sprint(p.multiple), "fall.span": tenths(p.span), "band.count": "1", "band.0.name": "b",
 		"band.0.repeats": "replayable", "band.0.contract": tenths(p.contract), "band.0.window": "20000", "band.0.group": "all",
-		"plan.count": "1", "plan.0.name": "p", "peers": strconv.FormatBool(take > 0), "peers.take": strconv.Itoa(take)}
+		"plan.count": "1", "plan.0.name": "p", "peers": strconv.FormatBool(take > 0), "peers.take": strconv.Itoa(take),
+	}
 	if p.rng.IntN(2) == 0 {
 		p.slow, p.again = 1.5, 0.5
 	}
@@ -186,8 +190,10 @@
 	mean := p.contract.Seconds() * math.Exp(p.chance(math.Log(0.03), math.Log(0.3)))
 	mean = max(mean, float64(count*slots)/160) // a play's length is its requests
 	for i := range count {
-		sv := &coldServer{uid: "s" + strconv.Itoa(i), size: 1, slots: slots, started: -1, listed: true,
-			addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, 0, byte(i)}), 9000)}
+		sv := &coldServer{
+			uid: "s" + strconv.Itoa(i), size: 1, slots: slots, started: -1, listed: true,
+			addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, 0, byte(i)}), 9000),
+		}
 		if p.is("weight") {
 			sv.size = math.Exp(p.chance(math.Log(0.3), math.Log(3)))
 		}
@@ -222,7 +228,8 @@
 	set := maps.Clone(p.set)
 	set["node"] = strconv.Itoa(id)
 	epoch := time.Unix(1_800_000_000, 0)
-	n.r = New(Config{Seed: p.rng.Uint64(), Settings: set, Clock: func() time.Time { return epoch.Add(p.now) },
+	n.r = New(Config{
+		Seed: p.rng.Uint64(), Settings: set, Clock: func() time.Time { return epoch.Add(p.now) },
 		OnDecision: func(t *Request) { n.ready = append(n.ready, t) },
 		SetTimer: func(after time.Duration) {
 			n.wakes++
@@ -243,7 +250,8 @@
 					})
 				}
 			}
-		}, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+		}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+	})
 	p.after(told, func() {
 		p.list(n)
 		n.r.Tick()
--- a/internal/routing/fleet.go
+++ b/internal/routing/fleet.go
@@ -29,8 +29,10 @@
 }
 
 func newEndpointTable() endpointTable {
-	return endpointTable{servers: map[uint32]*Server{}, ids: map[string]uint32{}, taken: map[uint32]string{},
-		zones: map[string]uint8{}, models: map[string]uint16{}}
+	return endpointTable{
+		servers: map[uint32]*Server{}, ids: map[string]uint32{}, taken: map[uint32]string{},
+		zones: map[string]uint8{}, models: map[string]uint16{},
+	}
 }
 
 // id is a server's number: its uid hashed, so that nodes which write to each other of a server mean the
@@ -68,8 +70,10 @@
 	return n
 }
 
-var states = [...]decision.EndpointState{protocol.InService: decision.Ready, protocol.Terminating: decision.Draining,
-	protocol.Terminated: decision.Gone}
+var states = [...]decision.EndpointState{
+	protocol.InService: decision.Ready, protocol.Terminating: decision.Draining,
+	protocol.Terminated: decision.Gone,
+}
 
 // take notes a message of discovery and turns it into the module's form. Only a whole list costs a look at each server
 // that is known.
@@ -88,9 +92,11 @@
 			f.servers[id] = s
 		}
 		s.state = t.State
-		f.list = append(f.list, decision.Endpoint{Server: id, Zone: number(f.zones, t.Zone),
+		f.list = append(f.list, decision.Endpoint{
+			Server: id, Zone: number(f.zones, t.Zone),
 			Kind: number(f.models, t.Model), Cell: uint16(t.Cell), State: states[t.State], Weight: t.Weight,
-			Started: decision.Time(t.BootMs) * decision.Second / 1000})
+			Started: decision.Time(t.BootMs) * decision.Second / 1000,
+		})
 	}
 	if l.Full {
 		for uid := range f.ids {
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -20,12 +20,22 @@
 		name string
 		list []numbered
 	}{
-		{"no collision", []numbered{{"s0", 122795830}, {"s1", 139573449}, {"srv-a", 1557935716},
-			{"srv-00000001-00001", 4288927964}, {"é", 513665217}, {" ", 621580159}}},
+		{"no collision", []numbered{
+			{"s0", 122795830},
+			{"s1", 139573449},
+			{"srv-a", 1557935716},
+			{"srv-00000001-00001", 4288927964},
+			{"é", 513665217},
+			{" ", 621580159},
+		}},
 		{"the first listed has the hash", []numbered{{"costarring", 1582148253}, {"liquid", 1582148254}}},
 		{"in the other order", []numbered{{"liquid", 1582148253}, {"costarring", 1582148254}}},
-		{"two pairs", []numbered{{"declinate", 3792586706}, {"altarage", 3831552182}, {"zinke", 3831552183},
-			{"macallums", 3792586707}}},
+		{"two pairs", []numbered{
+			{"declinate", 3792586706},
+			{"altarage", 3831552182},
+			{"zinke", 3831552183},
+			{"macallums", 3792586707},
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := &protocol.EndpointList{Revision: 1, Full: true}
@@ -85,16 +95,26 @@
 		target protocol.Endpoint
 		want   decision.Endpoint
 	}{
-		{protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
-			decision.Endpoint{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230}},
-		{protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0}},
-		{protocol.Endpoint{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
-			decision.Endpoint{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10}},
-		{protocol.Endpoint{UID: "s0", Addr: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
-			decision.Endpoint{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50}},
-		{protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0}},
+		{
+			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
+			decision.Endpoint{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230},
+		},
+		{
+			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0},
+		},
+		{
+			protocol.Endpoint{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
+			decision.Endpoint{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10},
+		},
+		{
+			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
+			decision.Endpoint{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50},
+		},
+		{
+			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0},
+		},
 	} {
 		got := f.take(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.target}})
 		if len(got) != 1 || got[0] != c.want {
@@ -105,10 +125,12 @@
 
 // TestOutcomesAsTheModuleTakesThem pins how the outcome of an attempt reads to the decision module.
 func TestOutcomesAsTheModuleTakesThem(t *testing.T) {
-	want := map[protocol.Outcome]decision.Outcome{protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
+	want := map[protocol.Outcome]decision.Outcome{
+		protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
 		protocol.Overloaded: decision.Overloaded, protocol.TimedOut: decision.TimedOut, protocol.ConnectFailed: decision.ConnectFailed,
 		protocol.ConnectionReset: decision.ConnectionReset, protocol.Cancelled: decision.Cancelled, protocol.NotSent: decision.NotSent,
-		protocol.MalformedResponse: decision.MalformedResponse}
+		protocol.MalformedResponse: decision.MalformedResponse,
+	}
 	if len(want) != int(protocol.OutcomeCount) {
 		t.Errorf("%d of %d outcomes pinned", len(want), protocol.OutcomeCount)
 	}
@@ -124,14 +146,18 @@
 
 // TestOutcomeNumbers pins the numbers of both lists of outcomes, which stand in messages and in records of runs.
 func TestOutcomeNumbers(t *testing.T) {
-	for i, o := range []protocol.Outcome{protocol.Completed, protocol.Errored, protocol.Overloaded, protocol.TimedOut,
-		protocol.ConnectFailed, protocol.ConnectionReset, protocol.Cancelled, protocol.NotSent, protocol.MalformedResponse, protocol.OutcomeCount} {
+	for i, o := range []protocol.Outcome{
+		protocol.Completed, protocol.Errored, protocol.Overloaded, protocol.TimedOut,
+		protocol.ConnectFailed, protocol.ConnectionReset, protocol.Cancelled, protocol.NotSent, protocol.MalformedResponse, protocol.OutcomeCount,
+	} {
 		if int(o) != i {
 			t.Errorf("the %d-th outcome of the protocol has the number %d", i, o)
 		}
 	}
-	for i, o := range []decision.Outcome{decision.Succeeded, decision.Failed, decision.Overloaded, decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
-		decision.Cancelled, decision.NotSent, decision.MalformedResponse} {
+	for i, o := range []decision.Outcome{
+		decision.Succeeded, decision.Failed, decision.Overloaded, decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
+		decision.Cancelled, decision.NotSent, decision.MalformedResponse,
+	} {
 		if int(o) != i {
 			t.Errorf("the %d-th outcome of the module has the number %d", i, o)
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -88,13 +88,17 @@
 		cfg.Clock = time.Now
 	}
 	now := cfg.Clock()
-	r := &Router{cfg: cfg, start: now, base: decision.Time(now.UnixNano() / int64(tenth)),
-		classes: names(cfg.Settings, "band"), plans: names(cfg.Settings, "plan"), fleet: newEndpointTable()}
+	r := &Router{
+		cfg: cfg, start: now, base: decision.Time(now.UnixNano() / int64(tenth)),
+		classes: names(cfg.Settings, "band"), plans: names(cfg.Settings, "plan"), fleet: newEndpointTable(),
+	}
 	set := decision.Settings(cfg.Settings)
 	r.nodes, r.largest = max(1, int(set.Number("nodes"))), set.Number("largest")
 	for i := range len(r.plans) {
-		r.quotas = append(r.quotas, quota.Customer{Rate: set.Number(set.Key("plan", i, "rate")),
-			Burst: set.Number(set.Key("plan", i, "depth"))})
+		r.quotas = append(r.quotas, quota.Customer{
+			Rate:  set.Number(set.Key("plan", i, "rate")),
+			Burst: set.Number(set.Key("plan", i, "depth")),
+		})
 	}
 	r.node = decision.New(cfg.Seed, cfg.Settings, r.base)
 	if cfg.Shadow != nil {
@@ -130,8 +134,10 @@
 				if t.nth++; t.nth == 0 && r.cfg.Quota != nil {
 					r.cfg.Quota.RecordUse(t.whose, t.units)
 				}
-				t.decide(Decision{Action: Forward, Attempt: t.nth, Server: r.fleet.servers[d.Server],
-					Timeout: time.Duration(d.Duration) * tenth})
+				t.decide(Decision{
+					Action: Forward, Attempt: t.nth, Server: r.fleet.servers[d.Server],
+					Timeout: time.Duration(d.Duration) * tenth,
+				})
 			}
 		case decision.Reject:
 			if t := r.request(d.Request); t != nil {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -26,22 +26,28 @@
 }
 
 func settingsOf(repeats string) map[string]string {
-	return map[string]string{"band.count": "1", "band.0.name": "seats", "band.0.contract": "5000", "band.0.repeats": repeats,
-		"plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20", "executions": "3", "withdraw": "true"}
+	return map[string]string{
+		"band.count": "1", "band.0.name": "seats", "band.0.contract": "5000", "band.0.repeats": repeats,
+		"plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20", "executions": "3", "withdraw": "true",
+	}
 }
 
 func listOf(n int, state protocol.EndpointState) *protocol.EndpointList {
 	l := &protocol.EndpointList{Revision: 1, Full: true}
 	for i := range n {
-		l.Endpoints = append(l.Endpoints, protocol.Endpoint{UID: "s" + strconv.Itoa(i), State: state, Weight: 1,
-			Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i))})
+		l.Endpoints = append(l.Endpoints, protocol.Endpoint{
+			UID: "s" + strconv.Itoa(i), State: state, Weight: 1,
+			Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i)),
+		})
 	}
 	return l
 }
 
 func startRouter(t *testing.T, repeats string, servers int) (*Router, *Request, *hand) {
-	r := New(Config{Seed: 7, Settings: settingsOf(repeats), SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {},
-		PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+	r := New(Config{
+		Seed: 7, Settings: settingsOf(repeats), SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {},
+		PollEndpoints: func() {}, LogSummary: func([]byte) {},
+	})
 	if servers > 0 {
 		r.UpdateEndpoints(listOf(servers, protocol.InService), true)
 	}
@@ -71,9 +77,11 @@
 }
 
 func TestSingleUseThatMayHaveRunIsBrokenOff(t *testing.T) {
-	for outcome, want := range map[protocol.Outcome]Action{protocol.Errored: Fail, protocol.ConnectionReset: Fail,
+	for outcome, want := range map[protocol.Outcome]Action{
+		protocol.Errored: Fail, protocol.ConnectionReset: Fail,
 		protocol.TimedOut: Fail, protocol.MalformedResponse: Fail, protocol.Cancelled: Fail, protocol.NotSent: Reject, protocol.ConnectFailed: Reject,
-		protocol.Overloaded: Reject} {
+		protocol.Overloaded: Reject,
+	} {
 		_, ticket, _ := startRouter(t, "single-use", 2)
 		ticket.Start(&request, 2*time.Second)
 		for c := ticket.Next(); ; c = ticket.Next() {
@@ -225,8 +233,10 @@
 func TestWatchedSettingsChangeNoAnswer(t *testing.T) {
 	play := func(compare map[string]string) (answers []Decision, r *Router) {
 		now := time.Unix(1000, 0)
-		r = New(Config{Seed: 7, Settings: settingsOf("replayable"), Shadow: compare, Clock: func() time.Time { return now },
-			SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+		r = New(Config{
+			Seed: 7, Settings: settingsOf("replayable"), Shadow: compare, Clock: func() time.Time { return now },
+			SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+		})
 		r.UpdateEndpoints(listOf(4, protocol.InService), true)
 		ticket := r.NewRequest(&hand{})
 		for k := range 60 {
@@ -268,8 +278,10 @@
 	set["nodes"], set["peers"], set["peers.take"] = "3", "true", "40"
 	now := time.Unix(1000, 0)
 	block, told := make(chan struct{}), atomic.Int64{}
-	r := New(Config{Seed: 7, Settings: set, SetTimer: func(time.Duration) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
-		SendToPeer: func(int, []byte) { told.Add(1); <-block }, Clock: func() time.Time { return now }})
+	r := New(Config{
+		Seed: 7, Settings: set, SetTimer: func(time.Duration) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+		SendToPeer: func(int, []byte) { told.Add(1); <-block }, Clock: func() time.Time { return now },
+	})
 	r.UpdateEndpoints(listOf(3, protocol.InService), true)
 	all := make(chan struct{})
 	go func() {
@@ -312,8 +324,10 @@
 	set["nodes"], set["peers"], set["peers.take"], set["roster"], set["ask.within"] = "3", "true", "40", "ask", "100000"
 	now := time.Unix(1000, 0)
 	block, told, asked := make(chan struct{}), atomic.Int64{}, make(chan struct{}, 99)
-	r := New(Config{Seed: 7, Settings: set, SetTimer: func(time.Duration) {}, PollEndpoints: func() { asked <- struct{}{} },
-		LogSummary: func([]byte) {}, SendToPeer: func(int, []byte) { told.Add(1); <-block }, Clock: func() time.Time { return now }})
+	r := New(Config{
+		Seed: 7, Settings: set, SetTimer: func(time.Duration) {}, PollEndpoints: func() { asked <- struct{}{} },
+		LogSummary: func([]byte) {}, SendToPeer: func(int, []byte) { told.Add(1); <-block }, Clock: func() time.Time { return now },
+	})
 	now = now.Add(time.Second)
 	var tick sync.WaitGroup
 	tick.Add(1)
@@ -347,8 +361,10 @@
 	set := settingsOf("replayable")
 	set["nodes"], set["plan.0.rate"], set["plan.0.depth"] = "3", "100", "100"
 	l := &lease{left: 3}
-	r := New(Config{Seed: 7, Settings: set, Quota: l, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {},
-		PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+	r := New(Config{
+		Seed: 7, Settings: set, Quota: l, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {},
+		PollEndpoints: func() {}, LogSummary: func([]byte) {},
+	})
 	r.UpdateEndpoints(listOf(3, protocol.InService), true)
 	ticket, q, passed := r.NewRequest(&hand{}), request, 0
 	q.Spread = 3
--- a/internal/routing/scale_bench_test.go
+++ b/internal/routing/scale_bench_test.go
@@ -61,17 +61,22 @@
 	name, repeats string
 	target, left  int
 	share         float64
-}{{"read", "replayable", 5000, 10000, 0.7}, {"lookup", "referenced", 6000, 12000, 0.2},
-	{"order", "single-use", 10000, 20000, 0.1}}
+}{
+	{"read", "replayable", 5000, 10000, 0.7},
+	{"lookup", "referenced", 6000, 12000, 0.2},
+	{"order", "single-use", 10000, 20000, 0.1},
+}
 
 // fleetSettings are a whole fleet's, as the platform gives them (compare internal/lab/model's DefaultSettings and
 // deploy/sites).
 func fleetSettings(s scale, node int) map[string]string {
-	set := map[string]string{"node": strconv.Itoa(node), "nodes": strconv.Itoa(s.Nodes), "tick": "20", "roster": "push",
+	set := map[string]string{
+		"node": strconv.Itoa(node), "nodes": strconv.Itoa(s.Nodes), "tick": "20", "roster": "push",
 		"executions": "3", "copies": "false", "withdraw": "true", "peers": "true", "peers.take": strconv.Itoa(takes),
 		"advice": "true", "advice.most": "20000", "idle": "300000", "connect": "2500", "largest": "6",
 		"cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3", "fall.span": "20000",
-		"band.count": strconv.Itoa(len(classes)), "plan.count": "3"}
+		"band.count": strconv.Itoa(len(classes)), "plan.count": "3",
+	}
 	for i, c := range classes {
 		p := "band." + strconv.Itoa(i) + "."
 		set[p+"name"], set[p+"repeats"], set[p+"group"], set[p+"gain"] = c.name, c.repeats, "all", "1"
@@ -79,9 +84,11 @@
 	}
 	more := s.Rate / 85 // so that quotas bind alike at all rates
 	units := func(v float64) string { return strconv.FormatFloat(v*more, 'f', 3, 64) }
-	for i, p := range []map[string]string{{"name": "team", "rate": units(100), "depth": units(200)},
+	for i, p := range []map[string]string{
+		{"name": "team", "rate": units(100), "depth": units(200)},
 		{"name": "solo", "rate": units(20), "depth": units(40)},
-		{"name": "metered", "rate": units(50), "depth": units(80), "ceiling.rate": units(60), "ceiling.depth": units(120)}} {
+		{"name": "metered", "rate": units(50), "depth": units(80), "ceiling.rate": units(60), "ceiling.depth": units(120)},
+	} {
 		for k, v := range p {
 			set["plan."+strconv.Itoa(i)+"."+k] = v
 		}
@@ -209,10 +216,12 @@
 // newTarget is an app server that started so long ago.
 func (w *world) newTarget(i int, ago time.Duration) protocol.Endpoint {
 	w.born++
-	return protocol.Endpoint{UID: fmt.Sprintf("srv-%08x-%05d", uint32(w.born)*2654435761, w.born),
+	return protocol.Endpoint{
+		UID:  fmt.Sprintf("srv-%08x-%05d", uint32(w.born)*2654435761, w.born),
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(w.born >> 16), byte(w.born >> 8), byte(w.born)}), 9000),
 		Zone: fmt.Sprintf("region-%d%c", i%2, 'a'+i/2%6), Model: "m" + strconv.Itoa(i%3), Cell: i % 64,
-		State: protocol.InService, Weight: float64(1 + i%3), BootMs: w.clock().Add(-ago).UnixMilli()}
+		State: protocol.InService, Weight: float64(1 + i%3), BootMs: w.clock().Add(-ago).UnixMilli(),
+	}
 }
 
 // raw is a whole list as discovery writes it.
@@ -233,8 +242,10 @@
 		Targets []target `json:"targets"`
 	}{Rev: 1, All: true}
 	for _, t := range w.targets {
-		list.Targets = append(list.Targets, target{t.UID, t.Addr, t.Zone, t.Model, t.Cell,
-			[]string{"in_service", "terminating", "terminated"}[t.State], t.Weight, t.BootMs})
+		list.Targets = append(list.Targets, target{
+			t.UID, t.Addr, t.Zone, t.Model, t.Cell,
+			[]string{"in_service", "terminating", "terminated"}[t.State], t.Weight, t.BootMs,
+		})
 	}
 	b, err := json.Marshal(list)
 	if err != nil {
@@ -264,13 +275,15 @@
 func (w *world) addNode(seed uint64, list *protocol.EndpointList) time.Duration {
 	e := &edge{id: len(w.nodes), w: w, open: map[*routing.Request]*request{}}
 	w.nodes = append(w.nodes, e)
-	e.router = routing.New(routing.Config{Seed: seed<<8 ^ uint64(e.id)*0x9e3779b97f4a7c15, Settings: fleetSettings(w.scale, e.id),
+	e.router = routing.New(routing.Config{
+		Seed: seed<<8 ^ uint64(e.id)*0x9e3779b97f4a7c15, Settings: fleetSettings(w.scale, e.id),
 		Clock: w.clock, OnDecision: func(t *routing.Request) { e.ready = append(e.ready, t) }, PollEndpoints: func() {},
 		LogSummary: func([]byte) { e.noted = true }, SendToPeer: e.tell,
 		SetTimer: func(after time.Duration) {
 			e.gen++
 			w.push(event{at: w.now + max(after, 0), kind: evTick, e: e, gen: e.gen})
-		}})
+		},
+	})
 	took := e.call("", nil, func() { e.router.UpdateEndpoints(list, false) })
 	e.call("", nil, e.router.Tick)
 	return took
@@ -288,8 +301,10 @@
 	for ; at < len(classes)-1 && u >= classes[at].share; at++ {
 		u -= classes[at].share
 	}
-	return protocol.Request{Class: classes[at].name, Plan: planOf(tenant), Customer: w.key(tenant), Units: units,
-		Spread: w.Spread, FirstNode: 0}, time.Duration(classes[at].left) * 100 * time.Microsecond
+	return protocol.Request{
+		Class: classes[at].name, Plan: planOf(tenant), Customer: w.key(tenant), Units: units,
+		Spread: w.Spread, FirstNode: 0,
+	}, time.Duration(classes[at].left) * 100 * time.Microsecond
 }
 
 // fill lets every tenant come once to every node, with no time left, so that the nodes know all and send nothing.
@@ -729,8 +744,10 @@
 			}
 			b.StopTimer()
 			w.figures(f, max(1e-3, (w.now-from).Seconds()))
-			for _, m := range []string{"pick p50 us", "pick p99 us", "report p50 us", "change p50 us", "beat mean us", "beat max us",
-				"interval max us", "core: calls %", "heap MB", "both ways but doubts B/s (computed)"} {
+			for _, m := range []string{
+				"pick p50 us", "pick p99 us", "report p50 us", "change p50 us", "beat mean us", "beat max us",
+				"interval max us", "core: calls %", "heap MB", "both ways but doubts B/s (computed)",
+			} {
 				b.ReportMetric(f[m], metricUnit(m))
 			}
 		})
--- a/internal/routing/slopes_test.go
+++ b/internal/routing/slopes_test.go
@@ -162,8 +162,10 @@
 	e := json.NewEncoder(w)
 	for _, m := range slices.Sorted(maps.Keys(p.figures)) {
 		for i, x := range p.x {
-			if err := e.Encode(map[string]any{"sweep": p.name, "x": x, "metric": m, "plays": p.at(m, i), "spread": spread(p.at(m, i)),
-				"scale": p.scales[i]}); err != nil {
+			if err := e.Encode(map[string]any{
+				"sweep": p.name, "x": x, "metric": m, "plays": p.at(m, i), "spread": spread(p.at(m, i)),
+				"scale": p.scales[i],
+			}); err != nil {
 				return err
 			}
 		}
@@ -278,8 +280,10 @@
 // The harness plays requests that are let out and end, changes, beats and intervals at small sizes, in a fleet where all
 // nodes hear all and in a wide one, and the same seed plays the same.
 func TestScaleHarness(t *testing.T) {
-	for _, s := range []scale{{Servers: 50, Nodes: 4, Spread: 3, Tenants: 40, Rate: 85, Failed: 0.03},
-		{Servers: 200, Nodes: 830, Spread: 830, Tenants: 200, Rate: 85, Failed: 0.03}} {
+	for _, s := range []scale{
+		{Servers: 50, Nodes: 4, Spread: 3, Tenants: 40, Rate: 85, Failed: 0.03},
+		{Servers: 200, Nodes: 830, Spread: 830, Tenants: 200, Rate: 85, Failed: 0.03},
+	} {
 		w, f := prepare(s, 3, 3*time.Second)
 		w.measure()
 		w.run(2 * time.Second)
--- a/internal/routing/ticket.go
+++ b/internal/routing/ticket.go
@@ -122,8 +122,10 @@
 	} else {
 		t.whose, t.units = quota.Customer{}, 0
 	}
-	r.node.AddRequest(decision.Request{ID: t.id, Class: r.classes[q.Class], Plan: r.plans[q.Plan], Customer: q.Customer,
-		Timeout: decision.Time(left / tenth), Units: q.Units, Spread: q.Spread, FirstNode: q.FirstNode})
+	r.node.AddRequest(decision.Request{
+		ID: t.id, Class: r.classes[q.Class], Plan: r.plans[q.Plan], Customer: q.Customer,
+		Timeout: decision.Time(left / tenth), Units: q.Units, Spread: q.Spread, FirstNode: q.FirstNode,
+	})
 	r.leave()
 }
 
@@ -181,8 +183,10 @@
 func (t *Request) Report(e AttemptResult) {
 	r := t.r
 	r.enter()
-	r.node.AttemptEnded(decision.AttemptResult{Request: t.id, Attempt: t.nth, Server: t.server.id, Outcome: outcomes[e.Outcome],
-		Duration: decision.Time(e.Duration / tenth), Final: e.Outcome == protocol.Completed, Units: e.Units})
+	r.node.AttemptEnded(decision.AttemptResult{
+		Request: t.id, Attempt: t.nth, Server: t.server.id, Outcome: outcomes[e.Outcome],
+		Duration: decision.Time(e.Duration / tenth), Final: e.Outcome == protocol.Completed, Units: e.Units,
+	})
 	r.leave()
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,8 +10,10 @@
 
 func TestSettingsTurnIntoOwnNames(t *testing.T) {
 	set := FromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
-	for name, want := range map[string]string{"band.0.contract": "6000", "band.0.repeats": "replayable",
-		"plan.0.rate": "5", "tick": "40", "roster": "ask", "load.fields": "open,used", "band.count": "1"} {
+	for name, want := range map[string]string{
+		"band.0.contract": "6000", "band.0.repeats": "replayable",
+		"plan.0.rate": "5", "tick": "40", "roster": "ask", "load.fields": "open,used", "band.count": "1",
+	} {
 		if set[name] != want {
 			t.Errorf("%s: got %q, want %q", name, set[name], want)
 		}
--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -97,10 +97,23 @@
 		name string
 		n    *atomic.Int64
 	}{
-		{"connections", &c.Conns}, {"taken", &c.Taken}, {"bad", &c.Bad}, {"completed", &c.Completed},
-		{"bounced", &c.Bounced}, {"broken_off", &c.BrokenOff}, {"gone", &c.Gone}, {"denied", &c.Denied}, {"unanswered", &c.Unanswered},
-		{"sent", &c.Sent}, {"dialled", &c.Dialled}, {"lists", &c.Lists}, {"lists_bad", &c.ListsBad},
-		{"told", &c.Told}, {"told_failed", &c.ToldFailed}, {"heard", &c.Heard}, {"heard_bad", &c.HeardBad},
+		{"connections", &c.Conns},
+		{"taken", &c.Taken},
+		{"bad", &c.Bad},
+		{"completed", &c.Completed},
+		{"bounced", &c.Bounced},
+		{"broken_off", &c.BrokenOff},
+		{"gone", &c.Gone},
+		{"denied", &c.Denied},
+		{"unanswered", &c.Unanswered},
+		{"sent", &c.Sent},
+		{"dialled", &c.Dialled},
+		{"lists", &c.Lists},
+		{"lists_bad", &c.ListsBad},
+		{"told", &c.Told},
+		{"told_failed", &c.ToldFailed},
+		{"heard", &c.Heard},
+		{"heard_bad", &c.HeardBad},
 		{"lines_lost", &c.LinesLost},
 	} {
 		e.Int64(f.name, f.n.Load())
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -249,8 +249,10 @@
 	if err != nil {
 		return answer{err: err}
 	}
-	c := &calls{conn: conn, addr: w.Addr, log: w.Log, count: w.Count, began: time.Now(),
-		in: newRing(conn, conn, w.Limits.ring()), out: newRing(conn, conn, leastRing)}
+	c := &calls{
+		conn: conn, addr: w.Addr, log: w.Log, count: w.Count, began: time.Now(),
+		in: newRing(conn, conn, w.Limits.ring()), out: newRing(conn, conn, leastRing),
+	}
 	if w.came != nil {
 		c.in.sock = &flow{Conn: conn, came: w.came, until: until, last: until.Add(hopeless - wait)}
 	}
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -111,8 +111,10 @@
 			a := &agent{up: true, rev: 1, conns: map[net.Conn]struct{}{}}
 			go a.serve(ln, c.mute, c.late)
 			log, revs := zerolog.Nop(), make(chan uint64, 99)
-			w := &DiscoveryClient{Addr: addr, Full: true, Limits: roomy, Log: &log, Count: &Counters{},
-				OnList: func(l *protocol.EndpointList) { revs <- l.Revision }, OnFailure: func() {}}
+			w := &DiscoveryClient{
+				Addr: addr, Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+				OnList: func(l *protocol.EndpointList) { revs <- l.Revision }, OnFailure: func() {},
+			}
 			go w.Run()
 			defer w.Stop()
 			heard := func(rev uint64, since time.Time, within time.Duration) {
@@ -172,8 +174,10 @@
 		}
 	}))
 	log := zerolog.Nop()
-	w := &DiscoveryClient{Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Count: &Counters{},
-		OnList: func(*protocol.EndpointList) {}, OnFailure: func() {}}
+	w := &DiscoveryClient{
+		Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Count: &Counters{},
+		OnList: func(*protocol.EndpointList) {}, OnFailure: func() {},
+	}
 	go w.Run()
 	defer w.Stop()
 	for _, want := range []string{"/v1/servers?from=90&hold_ms=1", "/v1/servers", "/v1/servers?from=3&hold_ms=1000"} {
@@ -203,8 +207,10 @@
 func TestWatchHearsOfAnAgentThatComesUp(t *testing.T) {
 	addr, empty := full(t)
 	log, listed := zerolog.Nop(), make(chan time.Time, 99)
-	w := &DiscoveryClient{Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
-		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {}}
+	w := &DiscoveryClient{
+		Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
+	}
 	go w.Run()
 	defer w.Stop()
 	time.Sleep(300 * time.Millisecond)
@@ -265,8 +271,10 @@
 				}
 			}()
 			log, listed := zerolog.Nop(), make(chan struct{}, 99)
-			w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
-				OnList: func(*protocol.EndpointList) { listed <- struct{}{} }, OnFailure: func() {}}
+			w := &DiscoveryClient{
+				Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+				OnList: func(*protocol.EndpointList) { listed <- struct{}{} }, OnFailure: func() {},
+			}
 			began := time.Now()
 			go w.Run()
 			defer w.Stop()
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -75,8 +75,10 @@
 		}
 		t.Cleanup(func() { ln.Close() })
 		go r.serve(ln, answer)
-		list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(k), Weight: 1,
-			Addr: netip.MustParseAddrPort(ln.Addr().String())})
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
+			UID: fmt.Sprint(k), Weight: 1,
+			Addr: netip.MustParseAddrPort(ln.Addr().String()),
+		})
 	}
 	b.front.router.UpdateEndpoints(list, false)
 }
@@ -207,14 +209,22 @@
 		repeats, app, answer string
 		attempts             int // a fresh node retries nothing
 	}{
-		"rejected by every server": {repeats: "single-use", app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1},
-		"unsafe, answered with an error": {repeats: "single-use", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
-			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1},
-		"safe, answered with errors": {repeats: "replayable", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
-			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1},
-		"no server": {repeats: "single-use",
-			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n"},
+		"rejected by every server": {
+			repeats: "single-use", app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
+		},
+		"unsafe, answered with an error": {
+			repeats: "single-use", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
+		},
+		"safe, answered with errors": {
+			repeats: "replayable", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
+		},
+		"no server": {
+			repeats: "single-use",
+			answer:  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			advice := map[string]string{"advice": "true", "advice.most": "10000"}
@@ -279,14 +289,20 @@
 	for name, c := range map[string]struct{ sent, answer string }{
 		"not HTTP": {"hello\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"no id":    {change("X-Call-Id: golden-7\r\n", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"figures outside the settings": {change("spread=1", "spread=9"),
-			"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"figures outside the settings": {
+			change("spread=1", "spread=9"),
+			"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		},
 		"unknown class": {change("seats", "stalls"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"unknown plan":  {change("team", "none"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"huge body": {change("Length: 1", "Length: 65537"),
-			"HTTP/1.1 413 Request Entity Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"huge head": {change("Host: a", "Host: a\r\nA: "+strings.Repeat("a", protocol.MaxHead)),
-			"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"huge body": {
+			change("Length: 1", "Length: 65537"),
+			"HTTP/1.1 413 Request Entity Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		},
+		"huge head": {
+			change("Host: a", "Host: a\r\nA: "+strings.Repeat("a", protocol.MaxHead)),
+			"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := exchange(t, b, c.sent); got != c.answer {
@@ -323,8 +339,10 @@
 		answer string
 	}{
 		{verdict{says: authz.Denied}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
-		{verdict{says: authz.Shut, advice: 1250 * time.Millisecond},
-			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n"},
+		{
+			verdict{says: authz.Shut, advice: 1250 * time.Millisecond},
+			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n",
+		},
 	} {
 		t.Run(fmt.Sprint(c.check.says), func(t *testing.T) {
 			b := start(t, "replayable", roomy, 1, echo)
@@ -350,12 +368,18 @@
 		before             func()
 	}{
 		{name: "no server known", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
-		{name: "ready", sent: health, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-			before: func() { r.add(t, b, 1, always(goldenAnswer)) }},
-		{name: "ready, asked to close", sent: strings.Replace(health, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
-			answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		{name: "draining", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-			before: func() { b.front.draining.Store(true) }},
+		{
+			name: "ready", sent: health, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+			before: func() { r.add(t, b, 1, always(goldenAnswer)) },
+		},
+		{
+			name: "ready, asked to close", sent: strings.Replace(health, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		},
+		{
+			name: "draining", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+			before: func() { b.front.draining.Store(true) },
+		},
 		{name: "a request while draining", sent: goldenRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
 			"Content-Type: application/json\r\nConnection: close\r\n\r\n{\"a\":1}"},
 	}
--- a/internal/transport/golden_wire_test.go
+++ b/internal/transport/golden_wire_test.go
@@ -81,26 +81,42 @@
 		answers []string
 		calls   []string
 	}{
-		"nothing is known": {answers: []string{listed(whole), listed(empty)},
-			calls: []string{call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000"), call("/v1/servers?from=8&hold_ms=1000")}},
-		"a version is known": {rev: 5, answers: []string{listed(empty)},
-			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")}},
-		"the largest version": {rev: 1<<64 - 1, answers: []string{listed(empty)},
-			calls: []string{call("/v1/servers?from=18446744073709551615&hold_ms=1"), call("/v1/servers")}},
-		"closed in good order": {rev: 5, answers: []string{closing(listed(empty))},
-			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")}},
-		"refused": {rev: 5, answers: []string{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n", listed(whole)},
-			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000")}},
-		"asked for": {rev: 5, asked: 1, answers: []string{listed(empty)},
-			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")}},
-		"asked for, of nothing known": {asked: 1, answers: []string{listed(whole)},
-			calls: []string{call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000")}},
+		"nothing is known": {
+			answers: []string{listed(whole), listed(empty)},
+			calls:   []string{call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000"), call("/v1/servers?from=8&hold_ms=1000")},
+		},
+		"a version is known": {
+			rev: 5, answers: []string{listed(empty)},
+			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")},
+		},
+		"the largest version": {
+			rev: 1<<64 - 1, answers: []string{listed(empty)},
+			calls: []string{call("/v1/servers?from=18446744073709551615&hold_ms=1"), call("/v1/servers")},
+		},
+		"closed in good order": {
+			rev: 5, answers: []string{closing(listed(empty))},
+			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")},
+		},
+		"refused": {
+			rev: 5, answers: []string{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n", listed(whole)},
+			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000")},
+		},
+		"asked for": {
+			rev: 5, asked: 1, answers: []string{listed(empty)},
+			calls: []string{call("/v1/servers?from=5&hold_ms=1"), call("/v1/servers?from=8&hold_ms=1000")},
+		},
+		"asked for, of nothing known": {
+			asked: 1, answers: []string{listed(whole)},
+			calls: []string{call("/v1/servers"), call("/v1/servers?from=7&hold_ms=1000")},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := zerolog.Nop()
 			addr, calls := discovered(t, c.answers...)
-			w := &DiscoveryClient{Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Count: &Counters{},
-				OnList: func(*protocol.EndpointList) {}, OnFailure: func() {}}
+			w := &DiscoveryClient{
+				Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Count: &Counters{},
+				OnList: func(*protocol.EndpointList) {}, OnFailure: func() {},
+			}
 			if c.asked > 0 {
 				asked := make(chan struct{}, c.asked)
 				for range c.asked {
@@ -148,8 +164,12 @@
 		text []byte
 		at   int // the peer that gets it; -1: nobody
 	}{
-		{to: 0, text: []byte{1, 0, 255}, at: 0}, {to: 1, text: []byte("text\r\n"), at: 1}, {to: -1, text: []byte("all"), at: 2},
-		{to: 0, text: append(long, 1), at: -1}, {to: 2, text: []byte("nobody"), at: -1}, {to: 1, text: long, at: 1},
+		{to: 0, text: []byte{1, 0, 255}, at: 0},
+		{to: 1, text: []byte("text\r\n"), at: 1},
+		{to: -1, text: []byte("all"), at: 2},
+		{to: 0, text: append(long, 1), at: -1},
+		{to: 2, text: []byte("nobody"), at: -1},
+		{to: 1, text: long, at: 1},
 	} {
 		m.Send(c.to, c.text)
 		if c.at < 0 {
@@ -204,8 +224,10 @@
 // The counters in the log: names, order, and that each is written under its own name.
 func TestGoldenCounters(t *testing.T) {
 	c := &Counters{}
-	fields := []*atomic.Int64{&c.Conns, &c.Taken, &c.Bad, &c.Completed, &c.Bounced, &c.BrokenOff, &c.Gone, &c.Denied,
-		&c.Unanswered, &c.Sent, &c.Dialled, &c.Lists, &c.ListsBad, &c.Told, &c.ToldFailed, &c.Heard, &c.HeardBad, &c.LinesLost}
+	fields := []*atomic.Int64{
+		&c.Conns, &c.Taken, &c.Bad, &c.Completed, &c.Bounced, &c.BrokenOff, &c.Gone, &c.Denied,
+		&c.Unanswered, &c.Sent, &c.Dialled, &c.Lists, &c.ListsBad, &c.Told, &c.ToldFailed, &c.Heard, &c.HeardBad, &c.LinesLost,
+	}
 	for o := range c.Ends {
 		fields = append(fields, &c.Ends[o])
 	}
@@ -238,8 +260,10 @@
 	if delete(line, "age_ms"); !ok || age < 3.6e6 || age > 3.7e6 {
 		t.Errorf("age_ms %v", age)
 	}
-	if want := map[string]any{"level": "info", "side": "server", "peer": "10.0.0.1:80", "reason": "server-late", "tickets": 3.0,
-		"message": "connection ended"}; !reflect.DeepEqual(line, want) {
+	if want := map[string]any{
+		"level": "info", "side": "server", "peer": "10.0.0.1:80", "reason": "server-late", "tickets": 3.0,
+		"message": "connection ended",
+	}; !reflect.DeepEqual(line, want) {
 		t.Errorf("got %v, not %v", line, want)
 	}
 	codes := []struct {
@@ -275,7 +299,8 @@
 	slices.SortFunc(codes, func(a, b struct {
 		is       reason
 		old, now string
-	}) int {
+	},
+	) int {
 		return strings.Compare(a.now, b.now)
 	})
 	for k := 1; k < len(codes); k++ {
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -32,9 +32,12 @@
 
 // NewHealthChecker makes the duties of one node; Run carries them out. tell sends a message to one peer.
 func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, tell func(to int, text []byte),
-	log *zerolog.Logger) *HealthChecker {
-	d := &HealthChecker{router: router, pool: pool, tell: tell, log: log, began: time.Now(), kick: make(chan struct{}, 1),
-		done: make(chan struct{}), servers: map[uint64]*routing.Server{}}
+	log *zerolog.Logger,
+) *HealthChecker {
+	d := &HealthChecker{
+		router: router, pool: pool, tell: tell, log: log, began: time.Now(), kick: make(chan struct{}, 1),
+		done: make(chan struct{}), servers: map[uint64]*routing.Server{},
+	}
 	d.node = healthcheck.New(cfg, 0)
 	d.EndpointsChanged()
 	return d
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -50,8 +50,10 @@
 		mu.Lock() // the network is no order that the race detector sees
 		last[k] = time.Now()
 		mu.Unlock()
-		list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(k), Weight: 1,
-			Addr: netip.MustParseAddrPort(ln.Addr().String())})
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
+			UID: fmt.Sprint(k), Weight: 1,
+			Addr: netip.MustParseAddrPort(ln.Addr().String()),
+		})
 	}
 	list.Endpoints[0].State = protocol.Terminating
 	addrs := make([]netip.AddrPort, nodes)
@@ -71,9 +73,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		router := routing.New(routing.Config{Seed: 3, Settings: map[string]string{"nodes": "12", "tick": "20",
-			"band.0.contract": "20000"}, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
-			LogSummary: func([]byte) {}})
+		router := routing.New(routing.Config{
+			Seed: 3, Settings: map[string]string{
+				"nodes": "12", "tick": "20",
+				"band.0.contract": "20000",
+			}, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
+			LogSummary: func([]byte) {},
+		})
 		router.UpdateEndpoints(list, true)
 		d := NewHealthChecker(healthcheck.Config{Me: k, Nodes: nodes, Seed: r.Uint64(), Take: 400, Bytes: 1 << 14, Every: time.Second},
 			router, NewPool(roomy, &log, &Counters{}), mail.Send, &log)
--- a/internal/transport/leave_test.go
+++ b/internal/transport/leave_test.go
@@ -420,8 +420,10 @@
 		}
 	}()
 	b := startWith(t, map[string]string{"withdraw": withdraw}, "replayable", roomy, 0, nil)
-	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
-		Addr: netip.MustParseAddrPort(ln.Addr().String())}}}, false)
+	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
+		UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(ln.Addr().String()),
+	}}}, false)
 	if !written { // connections that stand, which hold little of what is written
 		var links []*link
 		for range leaves {
--- a/internal/transport/notified_test.go
+++ b/internal/transport/notified_test.go
@@ -224,8 +224,10 @@
 // play brings on the trouble and ends it, and tells how long the node took to act on the change that discovery had from
 // then on. In ask mode it also counts calls out at once and in trouble, against a flood.
 func (w world) play(t *testing.T) (took time.Duration, err error) {
-	d := &registry{rev: 1, changed: make(chan struct{}), taken: make(chan struct{}, 99), conns: map[net.Conn]struct{}{},
-		rand: rand.New(rand.NewPCG(w.seed, 2))}
+	d := &registry{
+		rev: 1, changed: make(chan struct{}), taken: make(chan struct{}, 99), conns: map[net.Conn]struct{}{},
+		rand: rand.New(rand.NewPCG(w.seed, 2)),
+	}
 	// Of an address of its own, which nobody takes while it is closed.
 	host := fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
 	var empty func() net.Listener
@@ -250,15 +252,19 @@
 	}
 	defer alarm.Close()
 	asked := make(chan struct{}, 1)
-	router := routing.New(routing.Config{Seed: w.seed, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {}, LogSummary: func([]byte) {},
+	router := routing.New(routing.Config{
+		Seed: w.seed, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {}, LogSummary: func([]byte) {},
 		PollEndpoints: func() {
 			select {
 			case asked <- struct{}{}:
 			default:
 			}
-		}, Settings: map[string]string{"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000",
+		}, Settings: map[string]string{
+			"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000",
 			"band.0.repeats": "single-use", "plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20",
-			"executions": "3", "roster": w.mode, "ask.within": "100000"}})
+			"executions": "3", "roster": w.mode, "ask.within": "100000",
+		},
+	})
 	for range w.missed { // it has had its first word
 		router.PollFailed()
 	}
@@ -279,13 +285,15 @@
 		}
 	}
 	log, heard, follows := zerolog.Nop(), make(chan time.Time, 99), make(chan struct{})
-	watch := &DiscoveryClient{Addr: d.addr, Revision: known.Revision, Limits: roomy, Log: &log, Count: &Counters{}, OnFailure: router.PollFailed,
+	watch := &DiscoveryClient{
+		Addr: d.addr, Revision: known.Revision, Limits: roomy, Log: &log, Count: &Counters{}, OnFailure: router.PollFailed,
 		OnList: func(l *protocol.EndpointList) {
 			router.UpdateEndpoints(l, false)
 			if !router.InService(a) && router.InService(b) {
 				heard <- time.Now()
 			}
-		}}
+		},
+	}
 	if w.mode == "ask" {
 		watch.PollRequests = asked
 	}
@@ -423,8 +431,10 @@
 					worlds = append(worlds, world{mode: "ask", trouble: trouble, follows: follows, after: 4})
 				}
 				if !follows {
-					worlds = append(worlds, world{mode: "ask", trouble: trouble, missed: 8, after: 1,
-						lasts: time.Duration(seed%4) * 400 * time.Millisecond})
+					worlds = append(worlds, world{
+						mode: "ask", trouble: trouble, missed: 8, after: 1,
+						lasts: time.Duration(seed%4) * 400 * time.Millisecond,
+					})
 				}
 				for i := range worlds {
 					if worlds[i].seed == 0 {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -135,9 +135,11 @@
 	}
 	conn := c.(*net.TCPConn)
 	size, sock, now := p.limits.ring(), newSocket(conn), time.Now()
-	return &link{conn: conn, sock: sock, server: s, in: newRing(conn, sock, size),
+	return &link{
+		conn: conn, sock: sock, server: s, in: newRing(conn, sock, size),
 		out: newRing(conn, newSocket(conn), size), began: now, idleAt: now,
-		shows: min(max(breakTrips*now.Sub(asked), breakLeast), breakWithin)}, nil
+		shows: min(max(breakTrips*now.Sub(asked), breakLeast), breakWithin),
+	}, nil
 }
 
 // sound tells whether an idle connection can be used. It guards against servers that closed it, where an
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -103,8 +103,10 @@
 		}
 	}()
 	b := start(t, "single-use", roomy, 0, nil)
-	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
-		Addr: netip.MustParseAddrPort(ln.Addr().String())}}}, false)
+	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
+		UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(ln.Addr().String()),
+	}}}, false)
 	for range 4 {
 		if status, body, _ := ask(t, b.dial(t), ticketText(3000, "mine")); status != 200 || body != "mine" {
 			t.Errorf("status %d, %q", status, body)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -36,14 +36,17 @@
 
 // Listen starts to take in clients. Their tickets are checked by check, if there is one.
 func Listen(addr string, router *routing.Router, pool *Pool, limits Limits, check Authorizer, log *zerolog.Logger,
-	count *Counters) (*Server, error) {
+	count *Counters,
+) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	f := &Server{router: router, pool: pool, limits: limits, check: check, log: log, count: count, ln: ln.(*net.TCPListener),
+	f := &Server{
+		router: router, pool: pool, limits: limits, check: check, log: log, count: count, ln: ln.(*net.TCPListener),
 		ids: newIDs(), slots: make(chan struct{}, limits.clients()), clients: map[*client]struct{}{},
-		shut: make(chan struct{})}
+		shut: make(chan struct{}),
+	}
 	f.open.Add(1)
 	go f.accept()
 	return f, nil
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -69,7 +69,8 @@
 
 // startWith starts a node under further settings.
 func startWith(t *testing.T, more map[string]string, repeats string, limits Limits, servers int,
-	serve func(net.Conn, *http.Request) bool) *bench {
+	serve func(net.Conn, *http.Request) bool,
+) *bench {
 	t.Helper()
 	b := &bench{count: &Counters{}, log: &lines{}}
 	log := zerolog.New(b.log)
@@ -99,20 +100,26 @@
 				}()
 			}
 		}()
-		list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(i), Weight: 1,
-			Addr: netip.MustParseAddrPort(ln.Addr().String())})
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
+			UID: fmt.Sprint(i), Weight: 1,
+			Addr: netip.MustParseAddrPort(ln.Addr().String()),
+		})
 	}
-	set := map[string]string{"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000", "band.0.repeats": repeats,
+	set := map[string]string{
+		"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000", "band.0.repeats": repeats,
 		"plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20", "executions": "3", "withdraw": "true",
-		"largest": "6"}
+		"largest": "6",
+	}
 	maps.Copy(set, more)
 	alarm, err := NewTimer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(alarm.Close)
-	router := routing.New(routing.Config{Seed: 3, Settings: set, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {},
-		PollEndpoints: func() {}, LogSummary: func([]byte) {}})
+	router := routing.New(routing.Config{
+		Seed: 3, Settings: set, SetTimer: alarm.Set, SendToPeer: func(int, []byte) {},
+		PollEndpoints: func() {}, LogSummary: func([]byte) {},
+	})
 	go alarm.Run(router.Tick)
 	router.UpdateEndpoints(list, true)
 	b.pool = NewPool(limits, &log, b.count)
@@ -233,8 +240,10 @@
 // An answer that can't be read has run; what comes behind a good one is never the next ticket's answer.
 func TestSpoiltAnswersAreNotPassedOn(t *testing.T) {
 	long := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
-	for _, text := range []string{"noise\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", long, long + strings.Repeat("x", 1<<20),
-		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 1<<20), strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15)} {
+	for _, text := range []string{
+		"noise\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", long, long + strings.Repeat("x", 1<<20),
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 1<<20), strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15),
+	} {
 		b := start(t, "single-use", roomy, 1, func(conn net.Conn, q *http.Request) bool {
 			io.WriteString(conn, text)
 			conn.Read(make([]byte, 1)) // it stays open
@@ -345,8 +354,10 @@
 		}
 	}()
 	b := start(t, "single-use", roomy, 0, nil)
-	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
-		Addr: netip.MustParseAddrPort(ln.Addr().String())}}}, false)
+	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
+		UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(ln.Addr().String()),
+	}}}, false)
 	for range 2 {
 		if status, body, _ := ask(t, b.dial(t), ticketText(3000, "body")); status != 200 || body != "body" {
 			t.Errorf("status %d, %q", status, body)
@@ -377,8 +388,10 @@
 		}
 	}()
 	b := start(t, "single-use", roomy, 0, nil)
-	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
-		Addr: netip.MustParseAddrPort(ln.Addr().String())}}}, false)
+	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
+		UID: "s", Weight: 1,
+		Addr: netip.MustParseAddrPort(ln.Addr().String()),
+	}}}, false)
 	status, _, _ := ask(t, b.dial(t), ticketText(3000, "x"))
 	if k := b.count.Ends[protocol.ConnectFailed].Load(); status != 503 || k == 0 || came.Load() != mostFresh*k {
 		t.Errorf("status %d, %d connections in %d executions", status, came.Load(), k)
@@ -454,8 +467,10 @@
 	for k := range 20 {
 		p.Begin()
 		p.ClientGone()
-		q := protocol.Request{Method: "POST", URI: "/seats/0000000000000005", Host: "a", ID: fmt.Sprint("left", k), Class: "seats",
-			Plan: "team", Customer: 5, Units: 1, Spread: 1, Timeout: time.Second}
+		q := protocol.Request{
+			Method: "POST", URI: "/seats/0000000000000005", Host: "a", ID: fmt.Sprint("left", k), Class: "seats",
+			Plan: "team", Customer: 5, Units: 1, Spread: 1, Timeout: time.Second,
+		}
 		if a, stays := p.Handle(&q, time.Now()); stays {
 			t.Errorf("answered %d", a.Status)
 		}
@@ -844,8 +859,10 @@
 	defer ln.Close()
 	calls := make(chan string, 9)
 	go func() {
-		answers := []string{`{"rev":5,"all":true,"targets":[]}`, `{"rev":6,"targets":[]}`, `{"rev":"x"}`,
-			`{"rev":7,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"terminating"}]}`}
+		answers := []string{
+			`{"rev":5,"all":true,"targets":[]}`, `{"rev":6,"targets":[]}`, `{"rev":"x"}`,
+			`{"rev":7,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"terminating"}]}`,
+		}
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
@@ -862,13 +879,17 @@
 	}()
 	log, count := zerolog.New(io.Discard), &Counters{}
 	lists := make(chan *protocol.EndpointList, 9)
-	w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: count,
-		OnList: func(l *protocol.EndpointList) { lists <- l }, OnFailure: func() {}}
+	w := &DiscoveryClient{
+		Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: count,
+		OnList: func(l *protocol.EndpointList) { lists <- l }, OnFailure: func() {},
+	}
 	go w.Run()
 	defer w.Stop()
 	began := time.Now()
-	for _, want := range []string{"/v1/servers", "/v1/servers?from=5&hold_ms=1000", "/v1/servers?from=6&hold_ms=1000",
-		"/v1/servers?from=6&hold_ms=1"} { // the first on a connection is answered at once
+	for _, want := range []string{
+		"/v1/servers", "/v1/servers?from=5&hold_ms=1000", "/v1/servers?from=6&hold_ms=1000",
+		"/v1/servers?from=6&hold_ms=1",
+	} { // the first on a connection is answered at once
 		if got := <-calls; got != want {
 			t.Errorf("call %q, want %q", got, want)
 		}
@@ -928,8 +949,10 @@
 	}
 	var missed atomic.Bool
 	log := zerolog.New(io.Discard)
-	w := &DiscoveryClient{Addr: addrs[0], Full: true, Limits: roomy, Log: &log, Count: &Counters{},
-		OnList: func(*protocol.EndpointList) {}, OnFailure: func() { missed.Store(true) }}
+	w := &DiscoveryClient{
+		Addr: addrs[0], Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+		OnList: func(*protocol.EndpointList) {}, OnFailure: func() { missed.Store(true) },
+	}
 	go w.Run()
 	defer w.Stop()
 	for _, addr := range []string{addrs[0], addrs[1], addrs[0]} {
