--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,187 +1,178 @@
 package decision
 
 import (
-	"fmt"
 	"math"
-	"slices"
 )
 
-// admit is the ordinary path: λ first, then the customer's bucket, then a ceiling.
-func (n *Engine) admit(t *request) (bool, Time) {
-	if t.askedOwnerAt == 0 {
-		if why := n.admissionLimit(t); why < rejectReasons {
-			return n.countRejection(why, 0)
-		}
-	}
-	c := &n.customers[t.customer]
-	if ok, advice := n.inQuota(c, t); !ok && n.waitsForOwner(t) {
-		return false, 0
-	} else if !ok {
-		return n.countRejection(rejectQuota, advice)
-	}
-	if t.verdict != verdictGranted && !n.ceilingAllows(c, t) {
-		return n.countRejection(rejectCeiling, 0)
-	}
-	return true, 0
+// admissionLimit limits what all clients together may send to the back end: each interval it sets an
+// admission rate λ = a/T and refills a token bucket by it, and it limits what is in flight. T is the lowest
+// recent latency of an interval, a the network's output for in-flight, latency and their averages, times what
+// the back end completes in T. It guards against a back end that is sent more than it completes: queues there
+// outlast the clients. It could harm where requests differ by far, so that a few long ones look like a queue;
+// a never falls below a share of the best recent rate, nor, while latency is quiet, below what was admitted.
+type admissionLimit struct {
+	config      *config
+	rate        float64 // λ, requests a second; 0 while too little was seen
+	tokens      tokenBucket
+	quiet       bool       // latency is low
+	action      float64    // a
+	features    [4]float64 // the network's input
+	lastLatency float64    // of the last interval, over the objective
+	throughput  throughput
 }
 
-// admissionLimit is why a ticket can't pass the limits on the back end, or byKinds.
-func (n *Engine) admissionLimit(t *request) int {
-	// A ticket whose client leaves before an execution usually ends would be waste, and asked for again.
-	// Guards against crowds of the impatient; could harm a client that is often served quicker.
-	b := &n.classes[t.class]
-	if left := float64(t.deadline - n.now); left < minUsualLatencies*n.usualLatency(b) ||
-		n.pauseEndedAt == n.now && float64(t.arrived+b.latencyObjective-n.now) < minUsualLatencies*n.usualLatency(b) {
-		return rejectTooLate
+func newAdmissionLimit(now Time) admissionLimit {
+	return admissionLimit{quiet: true, lastLatency: minLatencyShare, tokens: tokenBucket{at: now}}
+}
+
+// policy is the network that gives a. Its hidden units are over {in-flight, its average, latency, its
+// average}, bias last. In-flight is over what completes in an objective, latency runs from 0 (as low as seen
+// lately) to 1 (latencySpan times that on top). Hand-set until fitted: flat while quiet, falling as either
+// rises.
+var policy = network{
+	hidden: [4][5]float64{
+		{0, 0, 1, 0, -quietLatency},
+		{0, 0, 0, 1, -quietLatency},
+		{1, 0, 0, 0, -quietLatency},
+		{0, 1, 0, 0, -quietLatency},
+	},
+	out: [5]float64{-0.4, -0.4, -0.4, -0.4, 1.2},
+}
+
+// hasToken tells whether a request may pass by the rate alone. After a pause the bucket holds what would have
+// passed meanwhile.
+func (l *admissionLimit) hasToken(now Time, p *pause) bool {
+	over := burstShare * seconds(interval)
+	if p.endedAt == now {
+		over = max(over, seconds(p.length))
 	}
-	if n.admissionRate == 0 { // fresh: a few executions a ready server
-		if n.inFlightAtHealthy() >= n.evenShare(coldStartAttempts) {
-			return rejectColdStart
-		}
-	} else {
-		burst := burstShare * seconds(interval)
-		if n.pauseEndedAt == n.now { // nothing passed meanwhile
-			burst = max(burst, seconds(n.pause))
-		}
-		most := n.admissionRate*burst + 1
-		if n.ownersEnabled {
-			most += chanceMargin * math.Sqrt(n.admissionRate)
-		}
-		n.tokens = min(n.tokens+n.admissionRate*seconds(n.now-n.tokensAt), most)
-		n.tokensAt = n.now
-		if n.tokens < 1 {
-			return rejectAdmissionRate
-		}
-		if n.inFlightAtHealthy() >= n.concurrencyLimit() {
-			return rejectConcurrency
-		}
+	burst := l.rate*over + 1
+	if l.config.owners {
+		burst += chanceMargin * math.Sqrt(l.rate)
 	}
-	return rejectReasons
+	l.tokens.refill(now, l.rate, burst)
+	return l.tokens.level >= 1
 }
 
-// countRejection counts a first execution refused on the ordinary path, by its reason, for the interval's note.
-func (n *Engine) countRejection(why int, advice Time) (bool, Time) {
-	n.rejected[why]++
-	return false, advice
+// evenShare is this node's even share of so many attempts a ready server, and a chance margin on top.
+func (l *admissionLimit) evenShare(each float64, ready int) float64 {
+	share := each * float64(ready) / float64(l.config.nodes)
+	return max(1, share+chanceMargin*math.Sqrt(share))
 }
 
-// evenShare is this node's even share of so many executions a ready server, and a chance swing on top.
-func (n *Engine) evenShare(each float64) float64 {
-	share := each * float64(n.ready) / float64(n.nodes)
-	return max(1, share+chanceMargin*math.Sqrt(share))
+// coldStartLimit is how much a fresh node, that has seen too little, may have in flight.
+func (l *admissionLimit) coldStartLimit(ready int) float64 {
+	return l.evenShare(coldStartAttempts, ready)
 }
 
-// concurrencyLimit is how much may be out: wide while latency is quiet, since a node may have to take over the
-// load of others that died within a second.
-func (n *Engine) concurrencyLimit() float64 {
-	least := n.evenShare(minInFlight)
-	if n.quiet {
-		least *= quietAllowance + quietNodeFactor*math.Sqrt(float64(n.nodes))
+// concurrencyLimit is how much may be in flight: much while latency is quiet, since a node may have to take
+// over the load of others that died within a second.
+func (l *admissionLimit) concurrencyLimit(ready int) float64 {
+	least := l.evenShare(minInFlight, ready)
+	if l.quiet {
+		least *= quietAllowance + quietNodeFactor*math.Sqrt(float64(l.config.nodes))
 	}
-	most := limitOverTime * n.canFinish(Time(max(n.executionTime, minLatencyShare*float64(n.shortestObjective))))
-	if n.ownersEnabled {
+	over := max(l.throughput.executionTime, minLatencyShare*float64(l.config.shortestObjective))
+	most := limitOverTime * l.throughput.canFinish(Time(over))
+	if l.config.owners {
 		most += chanceMargin * math.Sqrt(most)
 	}
 	return max(least, most)
 }
 
-// inFlightAtHealthy is what is out at servers in good standing: the in-flight that tells of the back end's queue.
-// Left out is what hangs on a suspected server, or waited so long that its answer must be lost, as where a
-// link swallows some; in a true jam the usual latency rises too, and they count. When over two thirds are
-// suspected the back end itself stands still: then all counts, or a node would fill what it can't see.
-func (n *Engine) inFlightAtHealthy() float64 {
-	sound, all, suspects := 0, 0, 0
-	for _, i := range n.view {
-		s := &n.servers[i]
-		all += s.inFlight
-		for k := range s.byClass {
-			if at := &s.byClass[k]; n.ejected(k, at) {
-				suspects++
-			} else {
-				sound += at.inFlight - at.lost
-			}
-		}
+// closeInterval learns from an interval of so many seconds, and sets λ.
+func (l *admissionLimit) closeInterval(now Time, span float64, seen *intervalStats, load intervalLoad) {
+	latency := l.intervalLatency(seen, load.requests)
+	l.throughput.closeInterval(float64(seen.completed)/span, load.requests)
+	if !l.throughput.known() {
+		return
 	}
-	if 3*suspects > 2*n.usable*len(n.classes) {
-		return float64(all)
+	l.observe(load.healthy, latency, load.ready)
+	over := seconds(Time(l.throughput.executionTime)) // T
+	best := max(l.throughput.bestRate()*over, l.evenShare(minInFlight, load.ready))
+	l.action = max(minAction, policy.evaluate(l.features)) * best
+	if l.quiet { // as for a fresh node, and not below what was admitted
+		l.action = max(l.action, l.coldStartLimit(load.ready), float64(seen.admitted)/span*over)
+	}
+	if l.rate == 0 {
+		l.tokens = tokenBucket{1, now}
 	}
-	return float64(sound)
+	l.rate = max(l.action/over, 1)
 }
 
-// closeInterval closes an interval and sets λ = a/T.
-func (n *Engine) closeInterval() {
-	span, lat := seconds(n.now-n.intervalStart), 0.0
-	if lack := float64(max(0, enoughEnds-n.ends)); n.ends > 0 { // few ends say little alone: the last
-		lat = (n.latencySum + lack*n.lastLatency) / (float64(n.ends) + lack) // latency stands for those that lack
-		n.lastLatency = lat
-	} else if n.requestsInFlight > 0 {
-		lat = 1 // nothing came back at all: a contract time at least
+// intervalLatency is the mean latency over the objective. Few ends say little alone: the last latency stands
+// for those that lack. Where nothing came back at all it is an objective at least.
+func (l *admissionLimit) intervalLatency(seen *intervalStats, requests int) float64 {
+	if seen.ends > 0 {
+		lack := float64(max(0, enoughEnds-seen.ends))
+		l.lastLatency = (seen.latencySum + lack*l.lastLatency) / (float64(seen.ends) + lack)
+		return l.lastLatency
 	}
-	// T takes enough ends, gathered over intervals if need be. The first few to come back are the short
-	// ones: a fresh or idle node that went by them would take every later latency for a jam.
-	if n.latencyCount >= enoughForTime && n.latencyCount >= n.requestsInFlight {
-		n.intervalLatencies = appendRecent(n.intervalLatencies, n.latencyTotal/float64(n.latencyCount), recentIntervals)
-		n.latencyTotal, n.latencyCount = 0, 0
+	if requests > 0 {
+		return 1
 	}
-	n.completedRates = appendRecent(n.completedRates, float64(n.completed)/span, bestRateIntervals)
-	// What a warm server lately completed at best: by what it does now a fleet that is mostly cold stays so.
-	warm, each := n.warmServers(), 0.0
-	n.warmServerRates = appendRecent(n.warmServerRates, float64(n.completed)/span/max(1, warm, n.lastWarmServers), 4)
-	n.lastWarmServers = warm
-	for k, r := range n.warmServerRates {
-		each += min(n.completedRates[len(n.completedRates)-len(n.warmServerRates)+k]/max(1, warm), maxRateRatio*r) / 4
-	}
-	n.warmServerRate = max(n.warmServerRate*(1-featureDecay/10), each)
-	admitted := float64(n.admitted) / span
-	if len(n.intervalLatencies) > 0 {
-		n.executionTime = slices.Min(n.intervalLatencies) // T
-		least := min(max(n.executionTime/float64(n.shortestObjective), minLatencyShare), 1/(1+latencySpan))
-		best := slices.Max(n.completedRates)
-		x := [4]float64{
-			n.inFlightAtHealthy() / max(n.evenShare(minInFlight), n.canFinish(n.shortestObjective)), n.features[1],
-			(lat/least - 1) / latencySpan, n.features[3],
-		}
-		x[1] += featureDecay * (x[0] - x[1])
-		x[3] += featureDecay * (x[2] - x[3])
-		n.features = x
-		n.quiet = x[2] < quietLatency
-		a := max(minAction, policy.evaluate(x)) * max(best*seconds(Time(n.executionTime)), n.evenShare(minInFlight))
-		if n.quiet { // as for a fresh node, and not below what was let in
-			a = max(a, n.evenShare(coldStartAttempts), admitted*seconds(Time(n.executionTime)))
-		}
-		n.action = a
-		if n.admissionRate == 0 {
-			n.tokens, n.tokensAt = 1, n.now
+	return 0
+}
+
+// observe brings the network's input up to date.
+func (l *admissionLimit) observe(healthy, latency float64, ready int) {
+	objective := float64(l.config.shortestObjective)
+	least := min(max(l.throughput.executionTime/objective, minLatencyShare), 1/(1+latencySpan))
+	f := &l.features
+	f[0] = healthy / max(l.evenShare(minInFlight, ready), l.throughput.canFinish(l.config.shortestObjective))
+	f[2] = (latency/least - 1) / latencySpan
+	f[1] += featureDecay * (f[0] - f[1])
+	f[3] += featureDecay * (f[2] - f[3])
+	l.quiet = f[2] < quietLatency
+}
+
+// tooLate tells whether a request's client leaves before an attempt usually ends: it would be waste, and
+// asked for again. It guards against crowds of the impatient; it could harm a client that is often served
+// quicker.
+func (e *Engine) tooLate(r *request) bool {
+	least := minUsualLatencies * e.usualLatency(r.class)
+	objective := e.config.classes[r.class].latencyObjective
+	return float64(r.deadline-e.now) < least ||
+		e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
+}
+
+// checkAdmission is why the limits on the back end reject a request, or notRejected.
+func (e *Engine) checkAdmission(r *request) rejectReason {
+	ready := e.endpoints.ready
+	switch {
+	case e.tooLate(r):
+		return rejectTooLate
+	case e.admission.rate == 0:
+		if e.inFlightAtHealthy() >= e.admission.coldStartLimit(ready) {
+			return rejectColdStart
 		}
-		n.admissionRate = max(a/seconds(Time(n.executionTime)), 1)
-	}
-	slices.Sort(n.latencies)
-	tail := 0.0
-	if k := len(n.latencies); k > 0 {
-		tail = n.latencies[k*95/100]
+	case !e.admission.hasToken(e.now, &e.pause):
+		return rejectAdmissionRate
+	case e.inFlightAtHealthy() >= e.admission.concurrencyLimit(ready):
+		return rejectConcurrency
 	}
-	n.scratch = fmt.Appendf(n.scratch[:0], "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
-		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", n.requestsInFlight, n.features[1], n.features[2], n.features[3],
-		n.admissionRate, n.action, admitted, float64(n.completed)/span, tail, int(n.executionTime), n.rejected)
-	n.rejected = [rejectReasons]int{}
-	n.summaryDue = true
-	n.admitted, n.completed, n.ends, n.latencySum, n.latencies = 0, 0, 0, 0, n.latencies[:0]
-	n.intervalStart, n.intervalEnd = n.now, n.now+interval
-	n.forgetIdleCustomers()
-	n.forgetDeparted()
-	n.chooseSubset()
+	return notRejected
 }
 
-// policy is the two-layer map: hidden units over {in-flight, its average, latency, its average}, bias
-// last, then one output. In-flight is over what completes in a contract time, latency runs from 0 (as
-// low as seen lately) to 1 (latSpan times that on top). Hand-set until fitted: flat
-// while quiet, falling as either rises.
-var policy = network{
-	hidden: [4][5]float64{
-		{0, 0, 1, 0, -quietLatency},
-		{0, 0, 0, 1, -quietLatency},
-		{1, 0, 0, 0, -quietLatency},
-		{0, 1, 0, 0, -quietLatency},
-	},
-	out: [5]float64{-0.4, -0.4, -0.4, -0.4, 1.2},
+// inFlightAtHealthy is what is in flight at servers in good standing: that tells of the back end's queue.
+// Left out is what hangs on an ejected server, or waited so long that its answer must be lost, as where a
+// link swallows some; in a true jam the usual latency rises too, and they count. When over two thirds are
+// ejected the back end itself stands still: then all counts, or a node would fill what it can't see.
+func (e *Engine) inFlightAtHealthy() float64 {
+	healthy, all, ejected := 0, 0, 0
+	for _, i := range e.endpoints.view {
+		s := &e.endpoints.servers[i]
+		all += s.inFlight
+		for k := range s.byClass {
+			if state := &s.byClass[k]; e.outliers.ejected(state, ClassID(k), e.now) {
+				ejected++
+			} else {
+				healthy += state.inFlight - state.lost
+			}
+		}
+	}
+	if 3*ejected > 2*e.endpoints.usable*len(e.classes) {
+		return float64(all)
+	}
+	return float64(healthy)
 }
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -1,39 +1,57 @@
 package decision
 
-// Time is in whole tenths of a millisecond. Instants are on the host's clock.
+// Time is an instant on the host's clock, or a duration, in tenths of a millisecond.
 type Time int64
 
 // Second is one second of Time.
 const Second Time = 10000
 
-// Outcome is how an execution, or a probe, ended.
+// ServerID is an app server's number, the same at all nodes.
+type ServerID = uint32
+
+// RequestID is a request's number, as its host gave it.
+type RequestID = uint32
+
+// CustomerID is a customer's key, the same at all nodes.
+type CustomerID = uint64
+
+// NodeID is a node's number, from 0; AllPeers is none of them.
+type NodeID = int
+
+// ClassID is the index of a request class in the settings.
+type ClassID = int
+
+// PlanID is the index of a quota plan in the settings.
+type PlanID = int
+
+// Outcome is how an attempt, or a health check, ended.
 type Outcome uint8
 
-// The outcomes. Full, Unreached and Moot prove that the execution never ran.
+// The outcomes. Overloaded, ConnectFailed and NotSent prove that the attempt never ran.
 const (
 	Succeeded         Outcome = iota
 	Failed                    // the app server answered with an error
-	Overloaded                // turned away without being looked at
+	Overloaded                // rejected by the app server without being looked at
 	TimedOut                  // no answer within the time allowed
 	ConnectFailed             // no connection
 	ConnectionReset           // the connection broke
-	Cancelled                 // called back by this node
+	Cancelled                 // cancelled by this node
 	NotSent                   // never sent
 	MalformedResponse         // an answer came that can't be read
 )
 
-// EndpointListKind is what a message of the server roster holds.
+// EndpointListKind is what a message of discovery holds.
 type EndpointListKind uint8
 
-// The kinds of roster message.
+// The kinds of endpoint list.
 const (
-	FullList   EndpointListKind = iota // the whole list
-	CachedList                         // the whole list as it was last seen, perhaps old
+	FullList   EndpointListKind = iota // the complete list
+	CachedList                         // the complete list as it was last seen, perhaps old
 	PollFailed                         // a call failed; nothing changes
 	ListUpdate                         // changed entries only
 )
 
-// EndpointState is what the roster says of an app server.
+// EndpointState is what discovery says of an app server.
 type EndpointState uint8
 
 // The states of an app server.
@@ -43,45 +61,45 @@
 	Gone
 )
 
-// Endpoint is one entry of the roster.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Server  uint32
+	Server  ServerID
 	Zone    uint8
 	Kind    uint16
 	Cell    uint16
 	State   EndpointState
-	Weight  float64
-	Started Time // latest start; 0 is long past
+	Weight  float64 // size, relative to other servers; 0 or less: not known
+	Started Time    // latest start; 0 is long past
 }
 
-// Request is a ticket as it comes in.
+// Request is a request as it comes in.
 type Request struct {
-	ID        uint32
-	Class     int
-	Plan      int
-	Customer  uint64
-	Timeout   Time // until the client gives up
-	Units     float64
-	Spread    int // how many nodes take in this customer
-	FirstNode int // the number of the first of them
+	ID        RequestID
+	Class     ClassID
+	Plan      PlanID
+	Customer  CustomerID
+	Timeout   Time    // until the client gives up
+	Units     float64 // of the customer's quota, as expected
+	Spread    int     // how many nodes take in this customer's requests
+	FirstNode NodeID  // the first of them
 }
 
-// AttemptResult is how an execution ended.
+// AttemptResult is how an attempt ended.
 type AttemptResult struct {
-	Request  uint32
-	Attempt  int // number of the execution of its ticket, from 0
-	Server   uint32
+	Request  RequestID
+	Attempt  int // number of the attempt of its request, from 0
+	Server   ServerID
 	Outcome  Outcome
 	Duration Time
-	Final    bool    // the ticket has its final answer
-	Units    float64 // the true units, once, with the first OK of plans settled afterwards
-	Load     []float64
+	Final    bool      // the request has its final answer
+	Units    float64   // the true units, once, with the first success of plans settled afterwards
+	Load     []float64 // the server's load report; no decision uses it
 }
 
 // Action is what a Decision asks of the host.
 type Action uint8
 
-// The verbs.
+// The actions.
 const (
 	Forward Action = iota + 1
 	Reject
@@ -94,16 +112,16 @@
 	LogSummary
 )
 
-// Decision is one answer of Next. Only the fields that its verb needs are set.
+// Decision is one answer of Next. Only the fields that its action needs are set.
 type Decision struct {
 	Action   Action
-	Request  uint32
-	Attempt  int    // Withdraw
-	Server   uint32 // Send, Probe
-	Duration Time   // Send: time-out; Bounce: retry advice; Wake: from now
-	Payload  []byte // Tell, Note; good until the next call
-	Peer     int    // Tell: to that node alone, or to all (Everyone)
+	Request  RequestID
+	Attempt  int      // CancelAttempt
+	Server   ServerID // Forward, HealthCheck
+	Duration Time     // Forward: time-out; Reject: Retry-After; SetTimer: from now
+	Payload  []byte   // SendPeerMessage, LogSummary; valid until the next call
+	Peer     NodeID   // SendPeerMessage: to that node alone, or to AllPeers
 }
 
 // AllPeers as a Peer is every other node.
-const AllPeers = -1
+const AllPeers NodeID = -1
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -1,178 +1,142 @@
 package decision
 
-import (
-	"slices"
-)
+import "slices"
 
-// customerSlot is the number of a customer, noted if it is new. A set that can't be is taken for what it can mean.
-func (n *Engine) customerSlot(key uint64, plan, spread, first int) int32 {
-	i := n.customerSlots.find(key)
-	if i < 0 {
-		i = n.customerSlots.add(key)
-		if int(i) == len(n.customers) {
-			n.customers = append(n.customers, customer{})
-		}
-		n.customers[i] = customer{
-			key: key, live: true, plan: plan, firstSeen: n.now, levelAt: n.now,
-			ceilingAt: n.now, ownerCeilingAt: n.now, meanUnits: 1,
-			level: max(n.plans[plan].burst, float64(n.plans[plan].maxInFlight)), admitPart: 1,
-		}
-	}
-	c := &n.customers[i]
-	c.spread, c.firstNode = min(max(spread, 1), n.nodes), max(first, 0)%n.nodes
-	return i
+// customerSlot is where a customer is kept.
+type customerSlot int32
+
+// customer lives until it has been idle for long.
+type customer struct {
+	id          CustomerID
+	live        bool // the slot is in use
+	plan        PlanID
+	spread      int    // nodes that take in its requests,
+	firstNode   NodeID // in a row from this one
+	firstSeen   Time
+	lastRequest Time
+	bucket      tokenBucket  // in the whole customer's terms, see tenantQuota
+	demand      decayingMean // units asked for here
+	peerDemand  decayingMean // units asked for at other nodes; at its owner, at all nodes
+	inFlight    int
+	leased      bool        // its bucket is what SetLease said, less what passed since
+	ceiling     tokenBucket // this node's part of the plan's hard ceiling
+
+	// Where customers have quota owners.
+	admitPart        float64       // the part of its requests that are asked for, as its owner said, or at its owner
+	admitPartAt      Time          // when the owner said so
+	unreportedDemand float64       // elsewhere: units asked for that its owner has not answered
+	freePass         bool          // its requests pass and are reported afterwards, as its owner said, or at its owner
+	meanUnits        float64       // at its owner: units of its requests of late
+	reservations     []reservation // at its owner: what it granted
+	ownerCeiling     tokenBucket   // at its owner: the part of the ceiling kept there
+
+	reportPending bool // waits for the next report to peers, of
+	reportDemand  float64
+	reportUse     float64
 }
 
-// forgetIdleCustomers forgets customers that have long been idle, once their stores are surely full. It looks at some at a time: of tens of
-// thousands, all at once would hold up the requests that come meanwhile.
-func (n *Engine) forgetIdleCustomers() {
-	for range min(idleScanCount, len(n.customers)) {
-		n.idleScanAt = (n.idleScanAt + 1) % len(n.customers)
-		c := &n.customers[n.idleScanAt]
-		if !c.live || c.reportPending || c.inFlight > 0 || n.now-c.lastRequest < customerIdleAfter {
-			continue
-		}
-		if p := n.plans[c.plan]; p.rate <= 0 || c.level+p.rate*seconds(n.now-c.levelAt) >= p.burst {
-			c.live = false
-			n.customerSlots.drop(c.key)
-		}
+// refill brings the bucket up to date; one that is leased is filled by SetLease alone.
+func (c *customer) refill(p *quotaPlan, now Time) {
+	if !c.leased {
+		c.bucket.refill(now, p.rate, p.burst)
 	}
 }
 
-func (n *Engine) inCustomerSet(node, first, spread int) bool {
-	return (node-first+n.nodes)%n.nodes < spread
+// report is the customer as messages to peers name it.
+func (c *customer) report() customerReport {
+	return customerReport{customer: c.id, plan: c.plan, spread: c.spread, firstNode: c.firstNode}
 }
 
-// ReceivePeerMessage takes in a peer's message. One that is malformed in any place is passed over whole, and so is what
-// comes from outside a customer's set. It tells whether the message could be read.
-func (n *Engine) ReceivePeerMessage(from int, b []byte) bool {
-	m, ok := decodeMessage(b, len(n.plans), n.nodes)
-	if !ok || from < 0 || from >= n.nodes || from == n.self {
-		return false
-	}
-	n.receiveSuspicions(m.suspicions)
-	n.peerHeardAt = n.now
-	n.peerMessages.add(1, n.now, demandMemory)
-	for _, t := range m.reports {
-		if !n.inCustomerSet(n.self, t.firstNode, t.spread) || !n.inCustomerSet(from, t.firstNode, t.spread) {
-			continue
-		}
-		i := n.customerSlot(t.key, t.plan, t.spread, t.firstNode)
-		switch c := &n.customers[i]; {
-		case m.kind == kindUse && n.ownersEnabled && n.ownerOf(c) == n.self:
-			c.lastRequest = n.now
-			c.level -= t.use
-			n.chargeShadowUse(c, t.use, false)
-			c.peerDemand.add(t.demand, n.now, demandMemory)
-			if t.ended > 0 {
-				c.reservations = slices.DeleteFunc(c.reservations, func(h reservation) bool { return h.node == from && h.request == t.request })
-			}
-			if n.updateGrant(c); t.demand > 0 && !c.freePass { // it took it for free
-				n.sendGrant(c, from, 0, verdictPending)
-			}
-		case m.kind == kindAsk && n.ownersEnabled && n.ownerOf(c) == n.self:
-			c.lastRequest = n.now
-			said := verdictDenied
-			if n.answerAsk(c, t, from) {
-				said = verdictGranted
-				n.chargeShadowUse(c, t.use, true)
-			}
-			n.sendGrant(c, from, t.request, said)
-		case m.kind == kindUse && !n.ownersEnabled:
-			c.peerDemand.add(t.demand, n.now, demandMemory)
-		case m.kind == kindGrant && n.ownerOf(c) == from:
-			c.lastRequest, c.admitPart, c.admitPartAt, c.freePass = n.now, min(t.demand, 1), n.now, t.freePass
-			if k := n.requestSlots.find(t.request); t.verdict != verdictPending && k >= 0 && n.requests[k].customer == i &&
-				n.requests[k].askedOwnerAt > 0 {
-				n.requests[k].verdict = t.verdict
-				n.enqueue(k)
-			}
-		}
-	}
-	return true
+// release drops the reservation of a node's request.
+func (c *customer) release(node NodeID, id RequestID) {
+	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.node == node && r.request == id })
 }
 
-// recordUse notes what is to be told of a customer's use: what was asked, to all, or, where not all nodes can
-// hear all (wide), what was passed on without asking and what has ended, to its home.
-func (n *Engine) recordUse(wide bool, i int32, asked, passed float64) {
-	c := &n.customers[i]
-	if wide != n.ownersEnabled || c.spread <= 1 || !n.settings.Enabled("peers") || n.ownersEnabled && n.ownerOf(c) == n.self {
-		return
-	}
-	c.reportDemand, c.reportUse = c.reportDemand+asked, c.reportUse+passed
-	if !c.reportPending {
-		c.reportPending = true
-		n.pendingReports = append(n.pendingReports, i)
-	}
+// reservation is a request that a customer's owner granted, and when it counts as ended in any case.
+type reservation struct {
+	node    NodeID
+	request RequestID
+	until   Time
 }
 
-// sendGrant writes to a peer what may pass of a customer.
-func (n *Engine) sendGrant(c *customer, peer int, ref uint32, v ownerVerdict) {
-	n.outbox = append(n.outbox, peerMessage{peer, appendReport([]byte{kindGrant}, customerReport{
-		key: c.key, demand: c.admitPart,
-		plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: ref, verdict: v, freePass: c.freePass,
-	})})
+// customerTable keeps the customers.
+type customerTable struct {
+	all    []customer
+	slots  slotIndex[CustomerID, customerSlot]
+	scanAt customerSlot // that was last looked at for being idle
 }
 
-// releaseReservation notes that nothing of a ticket is out any more, for the cap of its customer.
-func (n *Engine) releaseReservation(t *request) {
-	c := &n.customers[t.customer]
-	if n.plans[c.plan].maxInFlight == 0 || !n.hasOwner(c) || t.verdict != verdictGranted || len(t.attempts) == 0 {
-		return
-	}
-	if n.ownerOf(c) == n.self {
-		c.reservations = slices.DeleteFunc(c.reservations, func(h reservation) bool { return h.node == n.self && h.request == t.id })
-	} else {
-		n.outbox = append(n.outbox, peerMessage{n.ownerOf(c), appendReport([]byte{kindUse}, customerReport{
-			key: c.key, plan: c.plan,
-			spread: c.spread, firstNode: c.firstNode, request: t.id, ended: 1,
-		})})
+// slot is where a customer is kept; a new one starts with a full bucket and an empty ceiling. A set of nodes that can't
+// be is taken for what it can mean.
+func (t *customerTable) slot(cfg *config, now Time, id CustomerID, plan PlanID, spread int, first NodeID) customerSlot {
+	i := t.slots.find(id)
+	if i < 0 {
+		i = t.slots.add(id)
+		if int(i) == len(t.all) {
+			t.all = append(t.all, customer{})
+		}
+		p := &cfg.plans[plan]
+		empty := tokenBucket{at: now}
+		t.all[i] = customer{
+			id: id, live: true, plan: plan, firstSeen: now, meanUnits: 1, admitPart: 1,
+			bucket: tokenBucket{max(p.burst, float64(p.maxInFlight)), now}, ceiling: empty, ownerCeiling: empty,
+		}
 	}
+	c := &t.all[i]
+	c.spread, c.firstNode = min(max(spread, 1), cfg.nodes), max(first, 0)%NodeID(cfg.nodes)
+	return i
 }
 
-// refill brings a customer's bucket up to date.
-func (n *Engine) refill(c *customer) (rate, depth float64) {
-	p := n.plans[c.plan]
-	if c.leased {
-		return p.rate, p.burst
+// forgetIdle forgets customers that have long been idle, once their buckets are surely full. It looks at some at a
+// time: of tens of thousands, all at once would hold up the requests that come meanwhile.
+func (t *customerTable) forgetIdle(cfg *config, now Time) {
+	for range min(idleScanCount, len(t.all)) {
+		t.scanAt = (t.scanAt + 1) % customerSlot(len(t.all))
+		c := &t.all[t.scanAt]
+		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleAfter {
+			continue
+		}
+		p := &cfg.plans[c.plan]
+		if p.rate <= 0 || c.bucket.level+p.rate*seconds(now-c.bucket.at) >= p.burst {
+			c.live = false
+			t.slots.drop(c.id)
+		}
 	}
-	c.level = min(c.level+p.rate*seconds(n.now-c.levelAt), p.burst)
-	c.levelAt = n.now
-	return p.rate, p.burst
 }
 
-// ownerOf is the node of a customer's set that keeps its bucket where not all nodes can hear all.
-func (n *Engine) ownerOf(c *customer) int {
-	return (c.firstNode + int(c.key%uint64(c.spread))) % n.nodes
+// inSet tells whether a node is one of so many in a row from the first.
+func (c *config) inSet(node, first NodeID, spread int) bool {
+	return (int(node-first)+c.nodes)%c.nodes < spread
 }
 
-// hasOwner tells whether a customer's bucket is kept by its home: where not all nodes can hear all.
-func (n *Engine) hasOwner(c *customer) bool {
-	return n.ownersEnabled && c.spread > 1 && n.settings.Enabled("peers") && !c.leased
+// of is the node of a customer's set that owns its quota.
+func (o *quotaOwner) of(c *customer) NodeID {
+	return (c.firstNode + NodeID(uint64(c.id)%uint64(c.spread))) % NodeID(o.config.nodes)
 }
 
-// SetLease notes what of a customer's quota this node may use now, by whoever leases it from the whole: its bucket from
-// then on, until told again. It neither refills by itself nor is it divided by this node's part, and no home is asked.
-func (n *Engine) SetLease(key uint64, plan, spread, first int, units float64) {
-	c := &n.customers[n.customerSlot(key, min(max(plan, 0), len(n.plans)-1), spread, first)]
-	c.leased, c.level, c.levelAt = true, units, n.now
+// owned tells whether a customer's bucket is kept by its owner.
+func (o *quotaOwner) owned(c *customer) bool {
+	return o.config.owners && c.spread > 1 && o.config.peers && !c.leased
 }
 
-// waitsForOwner tells whether a ticket waits for its customer's home.
-func (n *Engine) waitsForOwner(t *request) bool {
-	return t.askedOwnerAt > 0 && t.verdict == verdictPending && n.now < t.askedOwnerAt+n.ownerTimeout
-}
+// isOwner tells whether this node is a customer's owner.
+func (o *quotaOwner) isOwner(c *customer) bool { return o.of(c) == o.config.self }
 
-// suspicionMessage names the servers that this node found at fault and that rest; all nodes fill a quarter of each.
-func (n *Engine) suspicionMessage() []byte {
-	n.scratch = append(n.scratch[:0], kindSuspicion)
-	for _, i := range n.view {
-		for k := range n.servers[i].byClass {
-			if at := &n.servers[i].byClass[k]; at.consecutiveFailures > 0 && !at.fromPeer && (n.ownersEnabled || n.now < at.ejectedUntil) &&
-				len(n.scratch)+maxEntry < maxMessage {
-				n.scratch = appendSuspicion(n.scratch, suspicion{n.servers[i].Server, k, max(0, at.ejectedUntil-n.now)})
-			}
-		}
+// note adds to what is to be reported of a customer.
+func (u *usageReports) note(c *customer, i customerSlot, demand, use float64) {
+	c.reportDemand, c.reportUse = c.reportDemand+demand, c.reportUse+use
+	if !c.reportPending {
+		c.reportPending = true
+		u.pending = append(u.pending, i)
 	}
-	return n.scratch
+}
+
+// waits tells whether a request waits for its owner.
+func (o *quotaOwner) waits(r *request, now Time) bool {
+	return r.askedOwnerAt > 0 && r.verdict == verdictPending && now < r.askedOwnerAt+o.config.ownerTimeout
+}
+
+// charge takes an admitted request off its customer's bucket, by the part that it was admitted by.
+func (q *tenantQuota) charge(c *customer, units, part float64) {
+	c.bucket.level = max(c.bucket.level, 0) - units/part
 }
--- a/internal/decision/decay.go
+++ b/internal/decision/decay.go
@@ -1,34 +1,34 @@
 package decision
 
-import (
-	"math"
-)
+import "math"
 
-// decayingMean is a sum and a count that fade with time.
+// decayingMean is a sum and a count that decay exponentially with time.
 type decayingMean struct {
 	sum, count float64
-	at         Time
+	at         Time // as of which they hold
 }
 
-func (f *decayingMean) decayTo(now, memory Time) {
-	if now > f.at {
-		k := math.Exp(-float64(now-f.at) / float64(memory))
-		f.sum, f.count, f.at = f.sum*k, f.count*k, now
+// decayTo brings the mean up to date. Memory is the time after which 1/e is left.
+func (m *decayingMean) decayTo(now, memory Time) {
+	if now > m.at {
+		left := math.Exp(-float64(now-m.at) / float64(memory))
+		m.sum, m.count, m.at = m.sum*left, m.count*left, now
 	}
 }
 
-func (f *decayingMean) add(v float64, now, memory Time) {
-	f.decayTo(now, memory)
-	f.sum, f.count = f.sum+v, f.count+1
+// add takes in one value.
+func (m *decayingMean) add(v float64, now, memory Time) {
+	m.decayTo(now, memory)
+	m.sum, m.count = m.sum+v, m.count+1
 }
 
-// perSecond is the faded sum a second.
-func (f *decayingMean) perSecond(now, memory Time) float64 {
-	f.decayTo(now, memory)
-	return f.sum / seconds(memory)
+// perSecond is the decaying sum a second.
+func (m *decayingMean) perSecond(now, memory Time) float64 {
+	m.decayTo(now, memory)
+	return m.sum / seconds(memory)
 }
 
-// appendRecent appends v to the last k.
+// appendRecent appends v to the last k values.
 func appendRecent(list []float64, v float64, k int) []float64 {
 	if len(list) >= k {
 		list = append(list[:0], list[1:]...)
--- a/internal/decision/endpointorder.go
+++ b/internal/decision/endpointorder.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// endpointOrder keeps the usable servers, by zone where that is asked for, each zone's in a shuffle that a group of nodes shares.
-// It is kept up by changes: one server that comes or goes costs a search and a move of eight bytes for each server of its
-// zone behind it. It decides nothing.
+// endpointOrder keeps the usable servers in an order that all nodes of a group share: a shuffle by a hash, by zone where
+// that is asked for. It is kept up by changes: one server that comes or goes costs a search and a move of eight bytes
+// for each server of its zone behind it. It decides nothing.
 type endpointOrder struct {
 	group  int  // whose shuffle it is, from 1; 0: none yet
-	byZone bool // zones are kept apart; else all is one
+	byZone bool // zones are kept apart; else all servers are in one
 	zones  [math.MaxUint8 + 1]zoneOrder
-	used   []uint8            // zones that have held a server, in order of first sight
-	cells  map[uint16][]int32 // slots by cell, rising
+	used   []uint8                 // zones that have held a server, in order of first sight
+	cells  map[uint16][]serverSlot // slots by cell, rising
 	count  int
 }
 
@@ -24,12 +24,12 @@
 	position float64 // and its place
 }
 
-func (o *endpointOrder) key(s *server, slot int32) uint64 {
-	return uint64(mix(s.Server, uint32(o.group-1)))<<32 | uint64(slot)
+func (o *endpointOrder) key(s *server, slot serverSlot) uint64 {
+	return uint64(mix(uint32(s.Server), uint32(o.group-1)))<<32 | uint64(slot)
 }
 
 // place keeps up whether, and in which zone, a server stands in the order: as its listing has it now.
-func (o *endpointOrder) place(s *server, slot int32) {
+func (o *endpointOrder) place(s *server, slot serverSlot) {
 	if s.ordered && (!s.usable() || s.orderZone != o.zoneOf(s) || s.orderCell != s.Cell) {
 		z := &o.zones[s.orderZone]
 		if k, ok := slices.BinarySearch(z.keys, o.key(s, slot)); ok {
@@ -72,7 +72,7 @@
 
 // build makes the order anew, for a group's shuffle, as after a whole list.
 func (o *endpointOrder) build(servers []server, group int, apart bool) {
-	o.group, o.byZone, o.count, o.cells = group, apart, 0, map[uint16][]int32{}
+	o.group, o.byZone, o.count, o.cells = group, apart, 0, map[uint16][]serverSlot{}
 	for _, zone := range o.used {
 		o.zones[zone].keys = o.zones[zone].keys[:0]
 	}
@@ -82,8 +82,8 @@
 		if s.ordered = s.usable(); s.ordered {
 			s.orderZone, s.orderCell = o.zoneOf(s), s.Cell
 			z := o.zone(s.orderZone)
-			z.keys = append(z.keys, o.key(s, int32(i)))
-			o.cells[s.Cell] = append(o.cells[s.Cell], int32(i))
+			z.keys = append(z.keys, o.key(s, serverSlot(i)))
+			o.cells[s.Cell] = append(o.cells[s.Cell], serverSlot(i))
 			o.count++
 		}
 	}
@@ -94,7 +94,7 @@
 
 // walk visits so many servers, each at most once, from a place on, in [0, 1): each zone's servers stand at even places
 // of a round, zones by turns, so that any stretch of it holds each zone's part, to one server.
-func (o *endpointOrder) walk(from float64, count int, visit func(slot int32)) {
+func (o *endpointOrder) walk(from float64, count int, visit func(slot serverSlot)) {
 	for k, zone := range o.used {
 		z := &o.zones[zone]
 		phase := (float64(k) + 0.5) / float64(len(o.used))
@@ -109,7 +109,7 @@
 				first, phase = z, (float64(k)+0.5)/float64(len(o.used))
 			}
 		}
-		visit(int32(uint32(first.keys[first.next%len(first.keys)])))
+		visit(serverSlot(uint32(first.keys[first.next%len(first.keys)])))
 		first.step(phase, 1)
 	}
 }
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -20,9 +20,9 @@
 		for range 5 * len(servers) {
 			k := r.Intn(len(servers))
 			s := &servers[k]
-			s.Endpoint = Endpoint{Server: uint32(k * 7919), Zone: uint8(r.Intn(zones)), Cell: uint16(r.Intn(9)), State: EndpointState(r.Intn(2))}
+			s.Endpoint = Endpoint{Server: ServerID(k * 7919), Zone: uint8(r.Intn(zones)), Cell: uint16(r.Intn(9)), State: EndpointState(r.Intn(2))}
 			s.listed = r.Intn(4) > 0
-			kept.place(s, int32(k))
+			kept.place(s, serverSlot(k))
 		}
 		var built endpointOrder
 		other := slices.Clone(servers)
@@ -50,8 +50,8 @@
 		if kept.count != usable || built.count != usable {
 			t.Fatalf("%d and %d of %d servers", kept.count, built.count, usable)
 		}
-		from, seen, count := r.Float64(), map[int32]int{}, make([]int, zones)
-		kept.walk(from, len(servers)+1, func(slot int32) {
+		from, seen, count := r.Float64(), map[serverSlot]int{}, make([]int, zones)
+		kept.walk(from, len(servers)+1, func(slot serverSlot) {
 			seen[slot]++
 			count[servers[slot].Zone]++
 			for zone, k := range count {
@@ -81,7 +81,7 @@
 	}, Second)
 	list := []Endpoint{}
 	for i := range servers {
-		list = append(list, Endpoint{Server: uint32(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
+		list = append(list, Endpoint{Server: ServerID(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
 	}
 	n.UpdateEndpoints(FullList, list)
 	return n
@@ -89,14 +89,14 @@
 
 // spreadOf is how many nodes use a server, over the mean: the most, and the 99th percentile.
 func spreadOf(n *Engine, traffic func(node int) float64) (most, p99, least float64) {
-	load := make([]float64, len(n.servers))
+	load := make([]float64, len(n.endpoints.servers))
 	all := 0.0
-	for me := range n.nodes {
-		n.self, n.attemptsSent = me, decayingMean{at: n.now}
-		n.attemptsSent.count = traffic(me) * seconds(interval)
+	for me := range n.config.nodes {
+		n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
+		n.subsets.attemptsSent.count = traffic(me) * seconds(interval)
 		n.chooseSubset()
-		for _, i := range n.subset {
-			load[i] += traffic(me) / float64(len(n.subset))
+		for _, i := range n.endpoints.subset {
+			load[i] += traffic(me) / float64(len(n.endpoints.subset))
 		}
 		all += traffic(me)
 	}
@@ -137,13 +137,13 @@
 		"a region": func(s *server) bool { return s.Zone%2 == 0 },
 		"racks":    func(s *server) bool { return s.Cell%3 == 1 },
 	} {
-		for me := range n.nodes {
-			n.self, n.attemptsSent = me, decayingMean{at: n.now}
+		for me := range n.config.nodes {
+			n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
 			n.chooseSubset()
-			for what, set := range map[string][]int32{"own": n.subset, "view": n.view} {
+			for what, set := range map[string][]serverSlot{"own": n.endpoints.subset, "view": n.endpoints.view} {
 				left, zones := 0, map[uint8]int{}
 				for _, i := range set {
-					if s := &n.servers[i]; !lost(s) {
+					if s := &n.endpoints.servers[i]; !lost(s) {
 						left++
 						zones[s.Zone]++
 					}
@@ -166,15 +166,15 @@
 func TestTheFirstListDealsForGood(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
-		first := slices.Clone(n.subset)
+		first := slices.Clone(n.endpoints.subset)
 		n.SetTime(n.now + interval)
 		pull(n, Forward)
-		if moved := diff(n.subset, first); moved > 0 || len(first) == 0 {
-			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.subset))
+		if moved := diff(n.endpoints.subset, first); moved > 0 || len(first) == 0 {
+			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.endpoints.subset))
 		}
 		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
-		if n.ready != servers+1 || n.order.count != n.ready {
-			t.Errorf("%d servers and one more: %d ready, %d in the order", servers, n.ready, n.order.count)
+		if n.endpoints.ready != servers+1 || n.endpoints.order.count != n.endpoints.ready {
+			t.Errorf("%d servers and one more: %d ready, %d in the order", servers, n.endpoints.ready, n.endpoints.order.count)
 		}
 	}
 }
@@ -183,15 +183,15 @@
 // view at once, its place is taken, and what is still out at it counts until it has ended.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	own, view := slices.Clone(n.subset), slices.Clone(n.view)
+	own, view := slices.Clone(n.endpoints.subset), slices.Clone(n.endpoints.view)
 	if len(own) < 13000/830*nodesPerShuffle || len(view) < minView || len(view) > max(minView, viewRatio*len(own)) {
 		t.Fatalf("%d own, %d in view", len(own), len(view))
 	}
-	far := n.servers[slices.IndexFunc(n.servers, func(s server) bool { return !slices.Contains(view, n.serverSlots.find(s.Server)) })]
+	far := n.endpoints.servers[slices.IndexFunc(n.endpoints.servers, func(s server) bool { return !slices.Contains(view, n.endpoints.slots.find(s.Server)) })]
 	last := far.Endpoint
 	last.State = Draining
 	n.UpdateEndpoints(ListUpdate, []Endpoint{last})
-	if moved := diff(n.subset, own); moved > 1 {
+	if moved := diff(n.endpoints.subset, own); moved > 1 {
 		t.Errorf("%d of the node's servers changed with one that it does not use", moved)
 	}
 	n.AddRequest(Request{ID: 1, Customer: 5, Timeout: 4 * Second, Units: 1, Spread: 1})
@@ -199,17 +199,17 @@
 	if len(sends) != 1 {
 		t.Fatalf("%d attempts", len(sends))
 	}
-	s := &n.servers[n.serverSlots.find(sends[0].Server)]
+	s := &n.endpoints.servers[n.endpoints.slots.find(sends[0].Server)]
 	before := n.inFlightAtHealthy()
 	drained := s.Endpoint
 	drained.State = Draining
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
-	i := n.serverSlots.find(drained.Server)
-	if s = &n.servers[i]; s.inSubset || slices.Contains(n.subset, i) || !slices.Contains(n.view, i) || n.inFlightAtHealthy() != before {
-		t.Errorf("a server that drains: own %v, in view %v; pressing %v of %v", s.inSubset, slices.Contains(n.view, i), n.inFlightAtHealthy(), before)
+	i := n.endpoints.slots.find(drained.Server)
+	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.view, i) || n.inFlightAtHealthy() != before {
+		t.Errorf("a server that drains: own %v, in view %v; pressing %v of %v", s.inSubset, slices.Contains(n.endpoints.view, i), n.inFlightAtHealthy(), before)
 	}
-	for id := range uint32(300) {
-		n.AddRequest(Request{ID: 10 + id, Customer: uint64(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+	for id := range RequestID(300) {
+		n.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
 			if d.Server == drained.Server {
 				t.Fatal("an attempt began at a server that drains")
@@ -220,7 +220,7 @@
 	drained.State = Gone
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	n.SetTime(n.now + interval)
-	if pull(n, Forward); slices.Contains(n.view, i) || n.serverSlots.find(drained.Server) >= 0 {
+	if pull(n, Forward); slices.Contains(n.endpoints.view, i) || n.endpoints.slots.find(drained.Server) >= 0 {
 		t.Error("a server that is gone stays in view with nothing out at it")
 	}
 }
@@ -229,21 +229,21 @@
 // others there are found all the same, and what goes out at them counts.
 func TestKeyedRequestsFindTheirCell(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	n.classes[0].retrySafety, n.classes[0].keyGroup, n.classes[0].keyWindow = retryKeyed, "cell", 60*Second
-	n.settings["executions"] = "3"
-	n.retryBudget = 99
+	n.config.classes[0].retrySafety, n.config.classes[0].keyGroup, n.config.classes[0].keyWindow = retryKeyed, groupCell, 60*Second
+	n.config.maxAttempts = 3
+	n.retries.left = 99
 	again := 0
-	for id := range uint32(60) {
-		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+	for id := range RequestID(60) {
+		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
 		first := pull(n, Forward)
 		if len(first) != 1 {
 			t.Fatalf("%d attempts", len(first))
 		}
 		n.AttemptEnded(AttemptResult{Request: id, Server: first[0].Server, Outcome: ConnectionReset, Duration: Second / 50})
 		if next := pull(n, Forward); len(next) == 1 {
-			a, b := n.serverSlots.find(first[0].Server), n.serverSlots.find(next[0].Server)
-			if again++; a == b || n.servers[a].Cell != n.servers[b].Cell || !slices.Contains(n.view, b) || n.servers[b].inFlight != 1 {
-				t.Fatalf("a keyed request of cell %d went on in %d", n.servers[a].Cell, n.servers[b].Cell)
+			a, b := n.endpoints.slots.find(first[0].Server), n.endpoints.slots.find(next[0].Server)
+			if again++; a == b || n.endpoints.servers[a].Cell != n.endpoints.servers[b].Cell || !slices.Contains(n.endpoints.view, b) || n.endpoints.servers[b].inFlight != 1 {
+				t.Fatalf("a keyed request of cell %d went on in %d", n.endpoints.servers[a].Cell, n.endpoints.servers[b].Cell)
 			}
 			n.AttemptEnded(AttemptResult{Request: id, Attempt: 1, Server: next[0].Server, Duration: Second / 50, Final: true})
 		}
@@ -253,7 +253,7 @@
 	}
 }
 
-func diff(a, b []int32) (n int) {
+func diff(a, b []serverSlot) (n int) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
 			n++
@@ -266,19 +266,19 @@
 func TestManyIdleCustomersAgeOut(t *testing.T) {
 	n := plain(3, nil)
 	const many = 5 * idleScanCount
-	for k := range uint32(many) {
-		n.customers[n.customerSlot(uint64(k), 0, 1, 0)].lastRequest = n.now
+	for k := range CustomerID(many) {
+		n.customers.all[n.customers.slot(n.config, n.now, k, 0, 1, 0)].lastRequest = n.now
 	}
 	now := n.now
 	for k := range 80 {
 		now += interval
 		n.SetTime(now)
 		pull(n, Forward)
-		if left := len(n.customerSlots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCount {
+		if left := len(n.customers.slots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCount {
 			t.Fatalf("%d of %d customers left after %d intervals", left, many, k)
 		}
 	}
-	if left := len(n.customerSlots.slots); left > 0 {
+	if left := len(n.customers.slots.slots); left > 0 {
 		t.Errorf("%d of %d idle customers left", left, many)
 	}
 }
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -1,246 +1,241 @@
 package decision
 
-import (
-	"slices"
-)
-
-// addServer gives a server that was not known a slot.
-func (n *Engine) addServer(s server) int32 {
-	i := n.serverSlots.add(s.Server)
-	if int(i) == len(n.servers) {
-		n.servers = append(n.servers, server{})
+import "slices"
+
+// serverSlot is where a server is kept.
+type serverSlot int32
+
+// server lives as long as the endpoint list, or an attempt, names it.
+type server struct {
+	Endpoint
+	listed         bool
+	live           bool   // the slot is in use
+	inSubset       bool   // among those that this node uses first
+	inView         bool   // among those that it may send to
+	departed       bool   // in endpointSet.departed
+	warming        bool   // in endpointSet.warming
+	ordered        bool   // in the order,
+	orderZone      uint8  // in this zone's, and
+	orderCell      uint16 // this cell's
+	referenced     bool   // by an open request, as of this sweep
+	inFlight       int
+	pace           decayingMean // attempts' durations over their class's usual latency
+	rotationCredit float64
+	weight         float64        // as of this selection; 0: no candidate
+	byClass        []outlierState // nil while nothing is known, out of view
+	slowStart      slowStartState
+}
+
+// usable tells whether attempts may go to the server.
+func (s *server) usable() bool { return s.listed && s.State == Ready }
+
+// size is the server's size by the endpoint list, 1 where that names none.
+func (s *server) size() float64 {
+	if s.Weight <= 0 {
+		return 1
 	}
-	n.servers[i], n.servers[i].live = s, true
-	return i
+	return s.Weight
 }
 
-// removeFromList notes that the roster names a server no more.
-func (n *Engine) removeFromList(i int32) {
-	s := &n.servers[i]
-	if s.listed = false; s.live && !s.departed {
-		s.departed = true
-		n.departed = append(n.departed, i)
+// outlierStates is what is known of the server, by class; room is made for it.
+func (s *server) outlierStates(classes int) []outlierState {
+	if s.byClass == nil {
+		s.byClass = make([]outlierState, classes)
 	}
+	return s.byClass
 }
 
-// forgetDeparted frees the slots of servers that the roster names no more, once no open request does, and drops from the cold
-// ones those that are warm by now. It guards against days on which new servers replace old ones all the time.
-func (n *Engine) forgetDeparted() {
-	name := func(named bool) {
-		for i := range n.requests {
-			for _, x := range n.requests[i].attempts {
-				if n.requests[i].live {
-					n.servers[x.server].referenced = named
-				}
-			}
-		}
-	}
-	if len(n.departed) > 0 {
-		name(true)
-		n.departed = slices.DeleteFunc(n.departed, func(i int32) bool {
-			s := &n.servers[i]
-			s.departed = !s.listed && s.referenced
-			if !s.listed && !s.referenced {
-				n.serverSlots.drop(s.Server)
-				*s = server{}
-			}
-			return !s.departed
-		})
-		name(false)
-	}
-	n.outOfView = slices.DeleteFunc(n.outOfView, func(i int32) bool {
-		s := &n.servers[i]
-		if !s.inView && !slices.ContainsFunc(s.byClass, n.informative) {
-			s.byClass = nil
-		}
-		return s.inView || s.byClass == nil
-	})
-	n.warming = slices.DeleteFunc(n.warming, func(i int32) bool {
-		s := &n.servers[i]
-		s.warming = s.warming && n.slowStartWeight(s) < 1
-		return !s.warming
-	})
+// endpointSet keeps the servers, and which of them this node uses.
+type endpointSet struct {
+	servers   []server
+	slots     slotIndex[ServerID, serverSlot]
+	ready     int           // servers listed as ready
+	usable    int           // servers in view that may be sent to
+	order     endpointOrder // of the usable servers
+	subset    []serverSlot  // that this node uses first, rising
+	view      []serverSlot  // that it may send to, and those with attempts in flight, rising
+	spareView []serverSlot  // room for the next view
+	warming   []serverSlot  // that started lately
+	outOfView []serverSlot  // of which something is known yet, as by peers' suspicions
+	departed  []serverSlot  // that the list named no more, when last looked at
+}
+
+// add gives a server that was not known a slot.
+func (e *endpointSet) add(s server) serverSlot {
+	i := e.slots.add(s.Server)
+	if int(i) == len(e.servers) {
+		e.servers = append(e.servers, server{})
+	}
+	e.servers[i], e.servers[i].live = s, true
+	return i
 }
 
-// outlierStates is what is known of a server, by class; room is made for it.
-func (n *Engine) outlierStates(i int32) []outlierState {
-	s := &n.servers[i]
-	if s.byClass == nil {
-		s.byClass = make([]outlierState, len(n.classes))
-		n.outOfView = append(n.outOfView, i)
+// remove notes that the list names a server no more.
+func (e *endpointSet) remove(i serverSlot) {
+	s := &e.servers[i]
+	if s.listed = false; s.live && !s.departed {
+		s.departed = true
+		e.departed = append(e.departed, i)
 	}
-	return s.byClass
 }
 
-// informative tells whether a standing says anything yet: what it does not is not worth its room, of thousands of servers.
-func (n *Engine) informative(at outlierState) bool {
-	at.peerSuspicion.decayTo(n.now, suspicionMemory)
-	return at.inFlight > 0 || at.consecutiveFailures > 0 || n.now < at.ejectedUntil || at.peerSuspicion.count > minReports
+// outlierStates is what is known of a server, by class; one out of view is noted to be looked over later.
+func (e *endpointSet) outlierStates(i serverSlot, classes int) []outlierState {
+	s := &e.servers[i]
+	if s.byClass == nil {
+		e.outOfView = append(e.outOfView, i)
+	}
+	return s.outlierStates(classes)
 }
 
-// countReady brings the number of usable servers up to date; after a whole list the order has to be built anew.
-func (n *Engine) countReady(whole bool) {
-	if n.ready = n.order.count; whole {
-		n.ready, n.order.group = 0, 0
-		for i := range n.servers {
-			if n.servers[i].usable() {
-				n.ready++
+// countReady brings the number of usable servers up to date; after a full list the order has to be built anew.
+func (e *endpointSet) countReady(full bool) {
+	if e.ready = e.order.count; full {
+		e.ready, e.order.group = 0, 0
+		for i := range e.servers {
+			if e.servers[i].usable() {
+				e.ready++
 			}
 		}
 	}
 }
 
-// arrangeOrder brings the order up to date: for a group of nodes' shuffle, from 0, zones kept apart or not.
-func (n *Engine) arrangeOrder(group int, apart bool) {
-	if n.order.group != group+1 || n.order.byZone != apart {
-		n.order.build(n.servers, group+1, apart)
+// setView takes the servers of a choice into view, and the first few as the subset. Those with attempts in flight stay
+// in view until these have ended, and those that drain or are gone until they are forgotten: where most that a node
+// uses fail just then, that tells of a standstill (see inFlightAtHealthy).
+func (e *endpointSet) setView(choice subsetChoice, classes int) {
+	if e.order.group != choice.group+1 || e.order.byZone != choice.byZone {
+		e.order.build(e.servers, choice.group+1, choice.byZone)
 	}
-}
-
-// setView takes so many servers into view, from a place in the order's round on, and the first few as the node's own. Those that
-// something is out at stay in view until it has ended, and those that drain or are gone until they are forgotten: where most
-// that a node uses fail just then, that tells of a standstill (pressing).
-func (n *Engine) setView(from float64, most, view int) {
-	for _, i := range n.subset {
-		n.servers[i].inSubset = false
+	for _, i := range e.subset {
+		e.servers[i].inSubset = false
 	}
-	for _, i := range n.view {
-		n.servers[i].inView = false
+	for _, i := range e.view {
+		e.servers[i].inView = false
 	}
-	old := n.view
-	n.subset, n.view, n.usable = n.subset[:0], n.spareView[:0], 0
-	n.order.walk(from, view, func(i int32) {
-		s := &n.servers[i]
-		if n.usable++; n.usable <= most {
+	old := e.view
+	e.subset, e.view, e.usable = e.subset[:0], e.spareView[:0], 0
+	e.order.walk(choice.from, choice.view, func(i serverSlot) {
+		s := &e.servers[i]
+		if e.usable++; e.usable <= choice.size {
 			s.inSubset = true
-			n.subset = append(n.subset, i)
+			e.subset = append(e.subset, i)
 		}
 		s.inView = true
-		n.outlierStates(i)
-		n.view = append(n.view, i)
+		e.outlierStates(i, classes)
+		e.view = append(e.view, i)
 	})
 	for _, i := range old {
-		if s := &n.servers[i]; !s.inView && s.live && (s.inFlight > 0 || !s.usable()) {
+		if s := &e.servers[i]; !s.inView && s.live && (s.inFlight > 0 || !s.usable()) {
 			s.inView = true
-			n.view = append(n.view, i)
+			e.view = append(e.view, i)
 		} else if !s.inView && s.byClass != nil {
-			n.outOfView = append(n.outOfView, i)
+			e.outOfView = append(e.outOfView, i)
 		}
 	}
-	n.spareView = old
-	slices.Sort(n.subset)
-	slices.Sort(n.view)
+	e.spareView = old
+	slices.Sort(e.subset)
+	slices.Sort(e.view)
 }
 
-// addToView takes a server into view that something goes out at.
-func (n *Engine) addToView(i int32) {
-	if s := &n.servers[i]; !s.inView {
+// addToView takes a server into view that an attempt goes to.
+func (e *endpointSet) addToView(i serverSlot) {
+	if s := &e.servers[i]; !s.inView {
 		s.inView = true
-		k, _ := slices.BinarySearch(n.view, i)
-		n.view = slices.Insert(n.view, k, i)
+		k, _ := slices.BinarySearch(e.view, i)
+		e.view = slices.Insert(e.view, k, i)
 	}
 }
 
-// candidatesBeyondSubset is which servers a request may go to past the node's own: those in view; or, where an attempt of a keyed one may
-// have run and binds it to its cell, that cell's, of which few may be in view.
-func (n *Engine) candidatesBeyondSubset(t *request, b *requestClass) []int32 {
-	for _, x := range t.attempts {
-		if s := &n.servers[x.server]; b.retrySafety == retryKeyed && b.keyGroup == "cell" && x.mayHaveRun {
-			return n.order.cells[s.Cell]
-		}
+// forgetDeparted frees the slots of servers that the list names no more, once no open request does. It guards against
+// days on which new servers replace old ones all the time.
+func (e *endpointSet) forgetDeparted(requests []request) {
+	if len(e.departed) == 0 {
+		return
 	}
-	return n.view
-}
-
-// weighAll weighs those of some servers that may have a request, the others by 0, and tells the sum, and what is out
-// at them.
-func (n *Engine) weighAll(t *request, b *requestClass, set []int32) (total, open float64) {
-	mean := n.meanPace()
-	for _, i := range set {
-		s := &n.servers[i]
-		n.outlierStates(i)
-		if s.weight = 0; s.usable() && n.inKeyGroup(t, b, s) && n.slowStartCapacity(s) {
-			s.weight = n.weigh(s, mean)
-			total, open = total+s.weight, open+float64(s.inFlight)
+	e.markReferenced(requests, true)
+	e.departed = slices.DeleteFunc(e.departed, func(i serverSlot) bool {
+		s := &e.servers[i]
+		s.departed = !s.listed && s.referenced
+		if !s.listed && !s.referenced {
+			e.slots.drop(s.Server)
+			*s = server{}
 		}
-	}
-	return total, open
+		return !s.departed
+	})
+	e.markReferenced(requests, false)
 }
 
-// warmServers is how many warm servers the usable ones are worth.
-func (n *Engine) warmServers() float64 {
-	sum := float64(n.ready)
-	for _, i := range n.warming {
-		if s := &n.servers[i]; s.warming && s.usable() {
-			sum -= 1 - n.slowStartWeight(s)
+func (e *endpointSet) markReferenced(requests []request, referenced bool) {
+	for i := range requests {
+		if !requests[i].live {
+			continue
+		}
+		for _, a := range requests[i].attempts {
+			e.servers[a.server].referenced = referenced
 		}
 	}
-	return sum
-}
-
-// meanPace is the mean pace of the usable servers in view.
-func (n *Engine) meanPace() float64 {
-	n.paces.decayTo(n.now, paceMemory)
-	if n.paces.count < 1 || n.paces.sum <= 0 {
-		return 1
-	}
-	return n.paces.sum / n.paces.count
 }
 
-// sumPaces adds up the paces of the usable servers in view.
-func (n *Engine) sumPaces() {
-	n.paces = decayingMean{at: n.now}
-	for _, i := range n.view {
-		if s := &n.servers[i]; s.usable() {
-			s.pace.decayTo(n.now, paceMemory)
-			n.paces.sum, n.paces.count = n.paces.sum+s.pace.sum, n.paces.count+s.pace.count
+// forgetOutOfView drops what is known of servers out of view, where it is not worth its room any more.
+func (e *endpointSet) forgetOutOfView(worthKeeping func(outlierState) bool) {
+	e.outOfView = slices.DeleteFunc(e.outOfView, func(i serverSlot) bool {
+		s := &e.servers[i]
+		if !s.inView && !slices.ContainsFunc(s.byClass, worthKeeping) {
+			s.byClass = nil
 		}
-	}
+		return s.inView || s.byClass == nil
+	})
 }
 
-// recordPace notes how long an attempt took at a server, over its class's usual latency.
-func (n *Engine) recordPace(s *server, slow float64) {
-	s.pace.add(slow, n.now, paceMemory)
-	if s.usable() {
-		n.paces.add(slow, n.now, paceMemory)
-	}
+// forgetWarm drops from the warming servers those that are warm by now.
+func (e *endpointSet) forgetWarm(isWarm func(*server) bool) {
+	e.warming = slices.DeleteFunc(e.warming, func(i serverSlot) bool {
+		s := &e.servers[i]
+		s.warming = s.warming && !isWarm(s)
+		return !s.warming
+	})
 }
 
-// drainSlowStart lets what counts as sent to a cold server drain, at the budget a span. A new process starts at what
-// Roster set, and a pause counts for a span at most: many nodes that were idle would else all send together.
-func (n *Engine) drainSlowStart(s *server) {
-	if span := n.settings.Duration("fall.span"); span > 0 && s.slowStartAt >= s.Started {
-		s.slowStartSent = max(0, s.slowStartSent-n.slowStartBudget(s)*float64(min(n.now-s.slowStartAt, span))/float64(span))
+// noteWarming keeps a server among the warming ones.
+func (e *endpointSet) noteWarming(i serverSlot) {
+	if s := &e.servers[i]; !s.warming {
+		s.warming, e.warming = true, append(e.warming, i)
 	}
-	s.slowStartAt = n.now
 }
 
-// recordCompletion counts an execution that a server completed.
-func (n *Engine) recordCompletion(s *server, took Time) {
-	n.completed++
-	n.latencyCount++
-	n.latencyTotal += float64(took)
-	n.completedSizes.add(s.listedSize(), n.now, sizeMemory)
+// outlierState is what is known of how a server serves one class.
+type outlierState struct {
+	inFlight      int
+	lost          int // in flight for so long that no answer is expected, as of the last check
+	failures      int // consecutive ends without an answer
+	ejectedUntil  Time
+	ejectedFor    Time         // how long the last ejection lasts
+	suspicions    decayingMean // peers' suspicions
+	fromPeer      bool         // ejected by a peer's word, not found here
+	trialInFlight bool         // one trial attempt is in flight after an ejection
+	answeredAt    Time         // last answer of any kind
+	countedFrom   Time         // what waited before has been counted
+	waited        float64      // usual latencies that what is in flight has waited since the last answer
 }
 
-// relativeSize is a server's listed size, over the mean of those that lately completed this node's executions.
-func (n *Engine) relativeSize(s *server) float64 {
-	if n.completedSizes.count < 1 {
-		return 1
-	}
-	return s.listedSize() / (n.completedSizes.sum / n.completedSizes.count)
+// slowStartState is what counts against one server's budget.
+type slowStartState struct {
+	sent float64 // attempts, as of
+	at   Time
 }
 
-func (s *server) usable() bool { return s.listed && s.State == Ready }
-
-func tried(t *request, s int32) bool {
-	return slices.ContainsFunc(t.attempts, func(x attempt) bool { return x.server == s })
+// subsetChoice is which servers of which shuffle a node uses.
+type subsetChoice struct {
+	group      int     // of nodes that share the shuffle, from 0
+	byZone     bool    // zones come by turns
+	from       float64 // place in the round, in [0, 1)
+	size, view int     // servers from there on in the subset and in view
 }
 
-// listedSize is a server's size by the roster, 1 where that names none.
-func (s *server) listedSize() float64 {
-	if s.Weight <= 0 {
-		return 1
-	}
-	return s.Weight
+// informative tells whether a state says anything yet: what it does not is not worth its room, of thousands of
+// servers. It looks at a copy, since decaying in steps rounds otherwise than at once.
+func (d *outlierDetector) informative(s outlierState, now Time) bool {
+	s.suspicions.decayTo(now, suspicionMemory)
+	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minReports
 }
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,283 +1,296 @@
-// Package decision decides for one edge node. A host makes a Node with New, sets the time with Clock,
-// reports what came in (Roster, Take, Ended, Started, Lapsed, Probed, Heard, Elapsed), which only
-// updates what is known, and then calls Next again and again until it says that there is no more.
-// The interface, the state types and the bookkeeping of messages stand in types.go, the watch in watch.go;
-// every decision and tuned value stands here.
-//
-// The design: each second a limit λ = a/T, a from a two-layer map of in-flight, latency and their
-// averages (limit, policy); then the customer's bucket, its quota times this node's part of its
-// demand (part, inQuota, byHome). Past either a ticket is bounced at once. Beside the design stand six:
-//  1. weighted rotation with warm-up (pick, weigh)
-//  2. the cold budget (coldRoom)
-//  3. suspicion of failing or silent servers, by band, own and told (judge, rest, beat, doubt, ill)
-//  4. budgeted further executions, time-outs, calls back from suspected servers (further, decide, beat)
-//  5. caps and ceilings (openCap, the soft cap of pick, allow, ceilingRoom)
-//  6. one home for a customer's bucket where not all nodes can hear all (byHome, allow, regrant)
 package decision
 
-import (
-	"slices"
-)
+// Engine decides for one node: it holds all that the node knows.
+type Engine struct {
+	config    *config
+	now       Time
+	random    random
+	shadow    *shadow // nil: off
+	classes   []classState
+	endpoints endpointSet
+	requests  requestTable
+	customers customerTable
+	outbox    outbox
+	scratch   []byte // of the last payload
 
-// New makes a node that knows its settings only.
+	admission admissionLimit
+	quota     tenantQuota
+	owner     quotaOwner
+	reports   usageReports
+	outliers  outlierDetector
+	slowStart slowStart
+	subsets   subsetChooser
+	selection selection
+	retries   retryBudget
+	timers    timers
+	pause     pause
+
+	interval   intervalStats
+	summaryDue bool // scratch holds an interval's summary
+}
+
+// classState is what was seen of a request class.
+type classState struct {
+	latency decayingMean // of completed attempts
+}
+
+// New makes an engine that knows its settings only. Engines with the same seed and input decide the same.
 func New(seed uint64, set Settings, now Time) *Engine {
-	n := &Engine{
-		now: now, intervalStart: now, startedAt: now, subsetRatio: 1, intervalEnd: now + interval,
-		reportAt: now + reportEvery, checkAt: now, lastLatency: minLatencyShare, suspicionAt: now + reportEvery, tokensAt: now,
-		quiet:       true,
-		peerHeardAt: now - peerSilence,
-		serverSlots: newSlotIndex[uint32](), requestSlots: newSlotIndex[uint32](), customerSlots: newSlotIndex[uint64](),
-	}
-	n.random = mwc{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
-	n.applySettings(set)
-	if set["roster"] == "ask" {
-		n.pollAt = now
+	e := &Engine{
+		now:       now,
+		random:    newRandom(seed),
+		endpoints: endpointSet{slots: newSlotIndex[ServerID, serverSlot]()},
+		requests:  requestTable{slots: newSlotIndex[RequestID, requestSlot]()},
+		customers: customerTable{slots: newSlotIndex[CustomerID, customerSlot]()},
+		admission: newAdmissionLimit(now),
+		quota:     tenantQuota{peerHeardAt: now - peerSilence},
+		subsets:   subsetChooser{startedAt: now, ratio: 1},
+		interval:  intervalStats{startedAt: now},
 	}
-	return n
+	e.configure(parseSettings(set))
+	e.timers = newTimers(now, e.config.pollEndpoints)
+	return e
+}
+
+// configure hands the settings to each mechanism; what is known of classes begins anew.
+func (e *Engine) configure(c *config) {
+	e.config = c
+	e.admission.config, e.quota.config, e.owner.config, e.reports.config = c, c, c, c
+	e.slowStart.config, e.subsets.config, e.selection.config, e.retries.config = c, c, c, c
+	e.outliers = outlierDetector{config: c, classes: make([]classOutliers, len(c.classes))}
+	e.classes = make([]classState, len(c.classes))
 }
 
-// applySettings takes in the settings.
-func (n *Engine) applySettings(set Settings) {
-	n.settings = set
-	n.self, n.nodes = int(set.Number("node")), max(1, int(set.Number("nodes")))
-	n.tick, n.connectTimeout = set.Duration("tick"), set.Duration("connect")
-	n.slowStartSpan, n.slowStartShare = set.Duration("cold.span"), set.Number("cold.from")
-	n.ownersEnabled = float64(n.nodes-1) > ownersAtShare*set.Number("peers.take")*seconds(reportEvery)
-	n.classes, n.plans = readClasses(set), readPlans(set)
-	n.shortestObjective = slices.MinFunc(n.classes, func(a, b requestClass) int { return int(a.latencyObjective - b.latencyObjective) }).latencyObjective
-	n.ownerTimeout = Time(ownerWaitShare * float64(n.shortestObjective))
+// SetTime sets the time, which must not go back.
+func (e *Engine) SetTime(now Time) {
+	if e.timers.hostAt > 0 {
+		e.pause.observe(e.now, now, e.config.shortestObjective)
+	}
+	e.now = now
 }
 
-// UpdateEndpoints takes in a message of the server roster.
-func (n *Engine) UpdateEndpoints(kind EndpointListKind, list []Endpoint) {
+// TimerFired notes that the host's timer went off; the time is all it tells.
+func (e *Engine) TimerFired() {}
+
+// UpdateEndpoints takes in a message of discovery.
+func (e *Engine) UpdateEndpoints(kind EndpointListKind, list []Endpoint) {
 	if kind == PollFailed {
-		// Ask again at a chance time within a span, or nodes that start together ask in step and keep discovery
-		// full of calls no one waits for. It does not grow: a change is told 6 s after discovery can be reached.
-		if n.polling {
-			span := min(pollSpan*float64(interval), max(float64(interval), n.settings.Number("ask.within")))
-			n.polling, n.pollAt = false, n.now+Time(span*(pollFromShare+(1-pollFromShare)*n.random.unit()))
-		}
+		e.timers.pollFailed(e.now, e.config.pollWithin, &e.random)
 		return
 	}
+	set := &e.endpoints
 	if kind != ListUpdate {
-		for i := range n.servers {
-			n.removeFromList(int32(i))
+		for i := range set.servers {
+			set.remove(serverSlot(i))
 		}
 	}
-	for _, l := range list {
-		i := n.serverSlots.find(l.Server)
-		if i < 0 {
-			// Nodes that start alike must not all begin at the same servers.
-			i = n.addServer(server{
-				Endpoint: l, slowStartSent: n.random.unit(),
-				rotationCredit: (n.random.unit() - 0.5) * l.Weight * float64(min(max(len(list), n.ready), minView)),
-			})
-		}
-		s := &n.servers[i]
-		if s.Started != l.Started { // a new process: what the old one did says nothing
-			s.pace, s.slowStartSent = decayingMean{}, n.random.unit()
-			for k := range s.byClass {
-				s.byClass[k] = outlierState{inFlight: s.byClass[k].inFlight}
-			}
-		}
-		if s.Endpoint, s.listed = l, true; l.State == Gone {
-			n.removeFromList(i)
-		}
+	for _, endpoint := range list {
+		i := e.updateServer(endpoint, max(len(list), set.ready))
 		if kind == ListUpdate {
-			n.order.place(s, i)
+			set.order.place(&set.servers[i], i)
 		}
-		if n.slowStartWeight(s) < 1 && !s.warming {
-			s.warming, n.warming = true, append(n.warming, i)
+		if e.slowStart.weight(&set.servers[i], e.now) < 1 {
+			set.noteWarming(i)
 		}
 	}
-	n.countReady(kind != ListUpdate)
-	n.chooseSubset()
+	set.countReady(kind != ListUpdate)
+	e.chooseSubset()
 }
 
-// AttemptEnded notes how an execution ended.
-func (n *Engine) AttemptEnded(r AttemptResult) {
-	i := n.requestSlots.find(r.Request)
-	if i < 0 || r.Attempt >= len(n.requests[i].attempts) || !n.requests[i].attempts[r.Attempt].inFlight {
-		return
+// updateServer takes in one entry of a list of so many servers.
+func (e *Engine) updateServer(endpoint Endpoint, servers int) serverSlot {
+	i := e.endpoints.slots.find(endpoint.Server)
+	if i < 0 {
+		s := server{Endpoint: endpoint}
+		e.slowStart.started(&s, &e.random)
+		e.selection.join(&s, servers, &e.random)
+		i = e.endpoints.add(s)
 	}
-	t := &n.requests[i]
-	x, b, c := &t.attempts[r.Attempt], &n.classes[t.class], &n.customers[t.customer]
-	x.inFlight = false
-	x.mayHaveRun = r.Outcome != Overloaded && r.Outcome != ConnectFailed && r.Outcome != NotSent
-	t.inFlight--
-	c.inFlight--
-	if t.inFlight == 0 {
-		n.requestsInFlight--
+	s := &e.endpoints.servers[i]
+	if s.Started != endpoint.Started { // a new process: what the old one did says nothing
+		s.pace = decayingMean{}
+		e.slowStart.started(s, &e.random)
+		for k := range s.byClass {
+			s.byClass[k] = outlierState{inFlight: s.byClass[k].inFlight}
+		}
 	}
-	s := &n.servers[x.server]
-	lone := n.now < s.byClass[t.class].ejectedUntil // its ends tell of that server, not of pressure
-	// A time-out that left the execution little time, as an impatient client's, says next to nothing: it
-	// is neither pressure nor a miss. Covers any short outer limit; could hide a server that hangs while
-	// all clients are impatient, which its silence then tells.
-	hasty := r.Outcome == TimedOut && r.Duration < b.latencyObjective/2
-	seen := r.Outcome
-	if hasty {
-		seen = NotSent
+	if s.Endpoint, s.listed = endpoint, true; s.State == Gone {
+		e.endpoints.remove(i)
 	}
-	n.recordOutcome(s, t.class, seen, r.Duration)
-	lost := r.Outcome == TimedOut && float64(r.Duration) > silentLatencies*n.usualLatency(b) // see pressing
-	if seen == Succeeded || !lone && !lost && (seen == Overloaded || seen == TimedOut) {     // a break tells of no queue
-		part := float64(r.Duration) / float64(b.latencyObjective)
-		if r.Outcome != Succeeded {
-			part = 1 // no answer: as much as a whole contract time, whatever time it took
+	return i
+}
+
+// chooseSubset brings up to date which servers this node uses.
+func (e *Engine) chooseSubset() {
+	e.endpoints.setView(e.subsets.choose(e.now, e.endpoints.ready), len(e.classes))
+}
+
+// forgetServers frees what is kept of servers that are gone, out of view or warm.
+func (e *Engine) forgetServers() {
+	e.endpoints.forgetDeparted(e.requests.all)
+	e.endpoints.forgetOutOfView(func(s outlierState) bool { return e.outliers.informative(s, e.now) })
+	e.endpoints.forgetWarm(func(s *server) bool { return e.slowStart.weight(s, e.now) >= 1 })
+}
+
+// HealthChecked notes the answer of a health check. One that failed changes nothing: attempts tell more.
+func (e *Engine) HealthChecked(id ServerID, o Outcome, _ []float64) {
+	if i := e.endpoints.slots.find(id); i >= 0 && o == Succeeded {
+		states := e.endpoints.servers[i].byClass
+		for k := range states {
+			states[k].answeredAt = e.now
 		}
-		n.ends++
-		n.latencySum += part
-		n.latencies = append(n.latencies, part)
 	}
-	if r.Outcome == Succeeded {
-		n.recordCompletion(s, r.Duration)
-		b.latency.add(float64(r.Duration), n.now, paceMemory)
-		if r.Units > 0 { // settled afterwards: the bucket may go below nothing
-			if !n.hasOwner(c) || n.ownerOf(c) == n.self {
-				c.level -= (r.Units - t.units) / t.bucketPart
-				n.chargeShadowUse(c, (r.Units-t.units)/t.bucketPart, false)
-			}
-			n.recordUse(true, t.customer, 0, r.Units-t.units)
-		}
+}
+
+// AddRequest notes a request that came in.
+func (e *Engine) AddRequest(a Request) {
+	r := request{
+		id: a.ID, live: true, class: min(a.Class, ClassID(len(e.classes)-1)),
+		plan: min(a.Plan, PlanID(len(e.config.plans)-1)), arrived: e.now, deadline: e.now + a.Timeout,
+		units: a.Units, bucketPart: 1,
 	}
-	if r.Final {
-		n.closeRequest(i)
+	r.customer = e.customers.slot(e.config, e.now, a.Customer, r.plan, a.Spread, a.FirstNode)
+	c := &e.customers.all[r.customer]
+	c.lastRequest = e.now
+	c.demand.add(a.Units, e.now, demandMemory)
+	if e.now == e.pause.endedAt {
+		e.pause.arrived++
 	}
-	switch {
-	case !t.closed:
-		n.enqueue(i)
-	case t.inFlight == 0:
-		n.freeRequest(i)
+	if !e.config.owners {
+		e.reportUse(c, r.customer, a.Units, 0)
 	}
+	e.requests.enqueue(e.requests.add(r))
 }
 
-// Next is the next decision, or false when there is none for now.
-func (n *Engine) Next() (Decision, bool) {
-	if n.now >= n.checkAt {
-		n.checkAttempts()
-	}
-	if n.arrivedInPause > 0 {
-		n.reorderAfterPause()
-	}
-	for {
-		if k := len(n.cancellations); k > 0 {
-			d := n.cancellations[k-1]
-			n.cancellations = n.cancellations[:k-1]
-			return d, true
-		}
-		if len(n.pending) == 0 {
-			break
-		}
-		i := n.pending[0]
-		n.pending = n.pending[1:]
-		t := &n.requests[i]
-		t.queued = false
-		if !t.live {
-			n.requestSlots.drop(t.id)
-		} else if d, ok := n.decideWithShadow(i); ok {
-			return d, true
-		}
+// SetLease notes what of a customer's quota this node may use now, by whoever leases it from the whole: its bucket from
+// then on, until told again. It neither refills by itself nor is it divided by this node's part, and no owner is asked.
+func (e *Engine) SetLease(id CustomerID, plan PlanID, spread int, first NodeID, units float64) {
+	plan = min(max(plan, 0), PlanID(len(e.config.plans)-1))
+	c := &e.customers.all[e.customers.slot(e.config, e.now, id, plan, spread, first)]
+	c.leased, c.bucket = true, tokenBucket{units, e.now}
+}
+
+// ResponseStarted notes that a response has begun: the client owns the attempt now.
+func (e *Engine) ResponseStarted(id RequestID) {
+	if i := e.requests.slots.find(id); i >= 0 {
+		e.requests.all[i].streaming = true
 	}
-	n.pending = n.pending[:0]
-	if n.summaryDue {
-		n.summaryDue = false
-		return Decision{Action: LogSummary, Payload: n.scratch}, true
+}
+
+// ClientGone notes that the client has gone.
+func (e *Engine) ClientGone(id RequestID) {
+	if i := e.requests.slots.find(id); i >= 0 {
+		e.closeRequest(i)
 	}
-	if n.nodes > 1 && n.settings.Enabled("peers") && (n.now >= n.reportAt || n.ownersEnabled && n.now > n.reportAt-reportEvery) {
-		n.reportAt = n.now + reportEvery
-		n.reportToPeers()
+}
+
+// AttemptEnded notes how an attempt ended. One that is not in flight is passed over.
+func (e *Engine) AttemptEnded(result AttemptResult) {
+	i := e.requests.slots.find(result.Request)
+	if i < 0 || result.Attempt >= len(e.requests.all[i].attempts) || !e.requests.all[i].attempts[result.Attempt].inFlight {
+		return
 	}
-	if n.now >= n.suspicionAt && n.settings.Enabled("peers") && n.nodes > 1 {
-		n.suspicionAt = n.now + interval
-		text, often := n.suspicionMessage(), reportShare*n.settings.Number("peers.take")/float64(n.nodes)
-		if len(text) > 1 && n.random.unit() < often {
-			return Decision{Action: SendPeerMessage, Payload: text, Peer: AllPeers}, true
-		}
+	r := &e.requests.all[i]
+	s := &e.endpoints.servers[r.attempts[result.Attempt].server]
+	usual := e.usualLatency(r.class)
+	seen, part, tells := e.judgeEnd(result, r.class, &s.byClass[r.class])
+	e.requests.attemptEnded(r, result.Attempt, result.Outcome)
+	e.customers.all[r.customer].inFlight--
+	s.inFlight--
+	e.outliers.attemptEnded(s.byClass, r.class, seen, e.now)
+	e.selection.attemptEnded(s, seen, float64(result.Duration)/usual, e.now)
+	if tells {
+		e.interval.attemptEnded(part)
 	}
-	if k := len(n.outbox); k > 0 {
-		m := n.outbox[k-1]
-		n.outbox = n.outbox[:k-1]
-		return Decision{Action: SendPeerMessage, Payload: m.payload, Peer: m.to}, true
+	if result.Outcome == Succeeded {
+		e.attemptCompleted(r, s, result)
 	}
-	if n.pollAt > 0 && n.now >= n.pollAt && !n.polling {
-		n.polling = true
-		return Decision{Action: PollEndpoints}, true
+	if result.Final {
+		e.closeRequest(i)
 	}
-	if n.timerAt <= n.now {
-		n.timerAt = n.checkAt
-		return Decision{Action: SetTimer, Duration: n.checkAt - n.now}, true
+	switch {
+	case !r.closed:
+		e.requests.enqueue(i)
+	case r.inFlight == 0:
+		e.freeRequest(i)
 	}
-	return Decision{}, false
 }
 
-// reorderAfterPause puts what came while this node stood still in order: the last first, since those are in time
-// yet, each with the time that it has waited by its place, as they came over the whole stall.
-func (n *Engine) reorderAfterPause() {
-	late := n.pending[max(0, len(n.pending)-n.arrivedInPause):]
-	for k, i := range late {
-		if t := &n.requests[i]; t.arrived == n.now {
-			t.arrived -= n.pause * Time(2*(len(late)-k)-1) / Time(2*len(late))
-		}
+// attemptCompleted counts a completed attempt, and what its request took of the quota in truth.
+func (e *Engine) attemptCompleted(r *request, s *server, result AttemptResult) {
+	e.interval.completed++
+	e.admission.throughput.completed(result.Duration)
+	e.slowStart.completed(s, e.now)
+	e.classes[r.class].latency.add(float64(result.Duration), e.now, paceMemory)
+	if result.Units > 0 {
+		e.settle(r, result.Units-r.units)
 	}
-	slices.Reverse(late)
-	n.arrivedInPause = 0
 }
 
-// decide settles what happens with a ticket now; nothing may be the answer while a copy is out.
-func (n *Engine) decide(i int32) (Decision, bool) {
-	t := &n.requests[i]
-	left := t.deadline - n.now - n.answerMargin()
-	if t.closed || t.streaming || t.inFlight > 0 {
-		return Decision{}, false
+// settle takes so many units more than expected off the quota: its bucket may go below 0.
+func (e *Engine) settle(r *request, more float64) {
+	c := &e.customers.all[r.customer]
+	if !e.owner.owned(c) || e.owner.isOwner(c) {
+		c.bucket.level -= more / r.bucketPart
+		e.chargeShadowUse(c, more/r.bucketPart, false)
 	}
-	ok, advice := left > 0, Time(0)
-	if first := len(t.attempts) == 0; ok && first {
-		if ok, advice = n.admit(t); !ok && n.waitsForOwner(t) {
-			return Decision{}, false
-		}
-	} else if ok {
-		ok = n.mayRetry(t)
+	if e.config.owners {
+		e.reportUse(c, r.customer, 0, more)
 	}
-	s := int32(-1)
-	if ok {
-		s = n.pick(t)
+}
+
+// startAttempt counts an attempt that goes to a server now.
+func (e *Engine) startAttempt(r *request, to serverSlot) {
+	s := &e.endpoints.servers[to]
+	state := &s.byClass[r.class]
+	s.inFlight++
+	state.inFlight++
+	e.endpoints.addToView(to)
+	e.slowStart.attemptSent(s, e.now, e.subsets.ratio)
+	e.outliers.attemptStarted(state, r.class, e.now)
+	e.subsets.attemptSent(e.now)
+	e.requests.attemptStarted(r, to, e.now)
+	e.customers.all[r.customer].inFlight++
+}
+
+// closeRequest closes a request and cancels the attempts that are in flight for it.
+func (e *Engine) closeRequest(i requestSlot) {
+	r := &e.requests.all[i]
+	if r.closed {
+		return
 	}
-	if s < 0 {
-		if ok {
-			n.rejected[rejectNoServer]++
-		}
-		return n.rejectOrFail(i, advice), true
+	r.closed = true
+	for k := range r.attempts {
+		e.cancelAttempt(r, k)
 	}
-	if len(t.attempts) == 0 {
-		n.charge(t)
-		n.admitted++
-		n.retryBudget = min(n.retryBudget+retryEarned, 2*float64(n.usable))
-	} else {
-		n.retryBudget--
+	if r.inFlight == 0 {
+		e.freeRequest(i)
 	}
-	srv := &n.servers[s]
-	at := &srv.byClass[t.class]
-	srv.inFlight++
-	at.inFlight++
-	n.addToView(s)
-	if n.slowStartWeight(srv) < 1 {
-		n.drainSlowStart(srv)
-		srv.slowStartSent++
+}
+
+// cancelAttempt cancels an attempt, where the settings allow that.
+func (e *Engine) cancelAttempt(r *request, k int) {
+	if e.config.cancel {
+		e.requests.cancel(r, k)
 	}
-	b := &n.classes[t.class]
-	b.trialBudget = min(b.trialBudget+trialEarned, 2)
-	if n.now < at.ejectedUntil || at.consecutiveFailures > 0 {
-		at.trialInFlight = true
-		if at.ejectionTime > n.shortestObjective || at.fromPeer {
-			b.trialBudget = max(0, b.trialBudget-1)
-		}
+}
+
+// freeRequest gives a request's slot back.
+func (e *Engine) freeRequest(i requestSlot) {
+	if r := &e.requests.all[i]; r.live {
+		e.releaseReservation(r)
+		e.requests.release(r)
 	}
-	n.attemptsSent.add(1, n.now, paceMemory)
-	t.attempts = append(t.attempts, attempt{server: s, sent: n.now, inFlight: true, mayHaveRun: true})
-	if t.inFlight++; t.inFlight == 1 {
-		n.requestsInFlight++
+}
+
+// summarise writes the summary of an interval of so many seconds.
+func (e *Engine) summarise(span float64) {
+	l, seen := &e.admission, &e.interval
+	summary := intervalSummary{
+		inFlight: e.requests.inFlight, inFlightAverage: l.features[1], latency: l.features[2], latencyAverage: l.features[3],
+		admissionRate: l.rate, action: l.action, admitted: float64(seen.admitted) / span,
+		completed: float64(seen.completed) / span, tail: seen.tail(), executionTime: Time(l.throughput.executionTime),
+		rejected: seen.rejected,
 	}
-	n.customers[t.customer].inFlight++
-	return Decision{Action: Forward, Request: t.id, Server: srv.Server, Duration: left}, true
+	e.scratch, e.summaryDue = summary.appendText(e.scratch[:0]), true
 }
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -17,8 +17,8 @@
 		"executions": "3",
 	}, Second)
 	n.UpdateEndpoints(CachedList, []Endpoint{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
-	for id := range uint32(50) {
-		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: Second, Units: 1, Spread: 1})
+	for id := range RequestID(50) {
+		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 	}
 	sent, bounced := 0, 0
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
@@ -65,6 +65,16 @@
 
 // plain is a node of one replayable band and one plan, with some servers, and what a test adds.
 func plain(servers int, more Settings) *Engine {
+	n := New(7, plainSettings(more), Second)
+	list := []Endpoint{}
+	for i := range servers {
+		list = append(list, Endpoint{Server: ServerID(i), State: Ready, Weight: 1})
+	}
+	n.UpdateEndpoints(CachedList, list)
+	return n
+}
+
+func plainSettings(more Settings) Settings {
 	set := Settings{
 		"nodes": "3", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
@@ -73,13 +83,7 @@
 	for k, v := range more {
 		set[k] = v
 	}
-	n := New(7, set, Second)
-	list := []Endpoint{}
-	for i := range servers {
-		list = append(list, Endpoint{Server: uint32(i), State: Ready, Weight: 1})
-	}
-	n.UpdateEndpoints(CachedList, list)
-	return n
+	return set
 }
 
 // pull gathers the decisions of one verb.
@@ -112,7 +116,7 @@
 // A restarted node sees the shortest answers first; by them every later latency is a jam.
 func TestFirstShortAnswersDoNotSetT(t *testing.T) {
 	n := plain(10, nil)
-	for id := range uint32(4) {
+	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	for _, d := range pull(n, Forward)[:2] {
@@ -121,8 +125,8 @@
 	}
 	n.SetTime(2*Second + 10)
 	pull(n, LogSummary)
-	if n.executionTime != 0 || n.admissionRate != 0 {
-		t.Fatalf("T is %.0f after two ends", n.executionTime)
+	if n.admission.throughput.executionTime != 0 || n.admission.rate != 0 {
+		t.Fatalf("T is %.0f after two ends", n.admission.throughput.executionTime)
 	}
 }
 
@@ -130,7 +134,7 @@
 // once that execution has ended.
 func TestHungExecutionIsCalledBackThenSentElsewhere(t *testing.T) {
 	n := plain(4, nil)
-	n.retryBudget = 5
+	n.retries.left = 5
 	n.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
 	n.AddRequest(Request{ID: 1, Timeout: 2 * Second, Units: 1, Spread: 1})
 	first := pull(n, Forward)
@@ -144,7 +148,7 @@
 	if len(again) != 1 || again[0].Server == first[0].Server {
 		t.Fatalf("sent again to %v after %v", again, first)
 	}
-	if !n.ejected(0, &n.servers[first[0].Server].byClass[0]) {
+	if !n.outliers.ejected(&n.endpoints.servers[first[0].Server].byClass[0], 0, n.now) {
 		t.Fatal("the silent server is in good standing")
 	}
 }
@@ -152,8 +156,8 @@
 // A large fleet's customers do not fit into one message: the next follows soon and names the others.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
 	n := plain(4, Settings{"peers": "true", "peers.take": "100", "plan.0.rate": "1"})
-	for id := range uint32(100) {
-		n.AddRequest(Request{ID: id, Customer: 1<<32 + uint64(id), Timeout: Second, Units: 3, Spread: 3})
+	for id := range RequestID(100) {
+		n.AddRequest(Request{ID: id, Customer: 1<<32 + CustomerID(id), Timeout: Second, Units: 3, Spread: 3})
 	}
 	pull(n, Forward)
 	peer := plain(4, Settings{"peers": "true", "peers.take": "100", "node": "1"})
@@ -164,8 +168,8 @@
 			peer.ReceivePeerMessage(0, d.Payload)
 		}
 	}
-	if len(peer.customers) != 100 {
-		t.Fatalf("%d customers of 100 were named", len(peer.customers))
+	if len(peer.customers.all) != 100 {
+		t.Fatalf("%d customers of 100 were named", len(peer.customers.all))
 	}
 	peer.ReceivePeerMessage(0, []byte{kindUse, 0x80})
 	peer.ReceivePeerMessage(9, []byte{kindUse})
@@ -176,7 +180,7 @@
 // of a start together, each its one execution to the cold server at once.
 func TestManyNodesSpreadFirstSends(t *testing.T) {
 	const nodes, span = 300, 20000
-	first := map[uint32]bool{}
+	first := map[ServerID]bool{}
 	cold := 0
 	for k := range nodes {
 		n := New(uint64(k)<<32|uint64(k*7919), Settings{
@@ -185,14 +189,14 @@
 			"cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000",
 		}, Second)
 		list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
-		for s := range uint32(20) {
+		for s := range ServerID(20) {
 			list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(CachedList, list)
-		for i := range uint32(60) {
+		for i := range RequestID(60) {
 			now := Second + Time(i)*span/60
 			n.SetTime(now)
-			n.AddRequest(Request{ID: i, Customer: uint64(i), Timeout: Second, Units: 1, Spread: 1})
+			n.AddRequest(Request{ID: i, Customer: CustomerID(i), Timeout: Second, Units: 1, Spread: 1})
 			for _, d := range pull(n, Forward) {
 				if i == 0 {
 					first[d.Server] = true
@@ -219,8 +223,8 @@
 	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
 	bad := pull(n, Forward)[0].Server
 	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
-	at := n.serverSlots.find(bad)
-	if s := n.servers[at].byClass; !n.ejected(1, &s[1]) || n.ejected(0, &s[0]) {
+	at := n.endpoints.slots.find(bad)
+	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
 		t.Fatal("the wrong band rests")
 	}
 	n.SetTime(Second + interval/2)
@@ -228,11 +232,11 @@
 	other := plain(2, Settings{"nodes": "40", "node": "3", "peers": "true", "band.count": "2", "band.1.contract": "6000"})
 	other.SetTime(Second + interval/2)
 	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
-	if other.ejected(1, &other.servers[at].byClass[1]) {
+	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
 		t.Fatal("malformed message counted")
 	}
 	other.ReceivePeerMessage(0, told[0].Payload)
-	if s := other.servers[at].byClass; told[0].Peer != AllPeers || !other.ejected(1, &s[1]) || other.ejected(0, &s[0]) {
+	if s := other.endpoints.servers[at].byClass; told[0].Peer != AllPeers || !other.outliers.ejected(&s[1], 1, other.now) || other.outliers.ejected(&s[0], 0, other.now) {
 		t.Fatal("the peer did not take in the doubt")
 	}
 }
@@ -240,9 +244,10 @@
 // fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
 type fleet struct {
 	nodes     []*Engine
+	sets      []Settings
 	sent, out int
 	most      int // out at once
-	lost      func(from, to int, text []byte) bool
+	lost      func(from int, to NodeID, text []byte) bool
 	t         *testing.T
 	ends      map[Time][]func()
 }
@@ -256,7 +261,8 @@
 	for k := range f.nodes {
 		set["node"] = strconv.Itoa(k)
 		f.nodes[k] = plain(4, set)
-		f.nodes[k].random = mwc{uint32(k) | 1, 77}
+		f.sets = append(f.sets, plainSettings(set))
+		f.nodes[k].random = random{uint32(k) | 1, 77}
 	}
 	return f
 }
@@ -286,7 +292,7 @@
 						f.t.Fatalf("told %d, outside the set", d.Peer)
 					}
 					if f.lost == nil || !f.lost(k, d.Peer, d.Payload) {
-						f.nodes[d.Peer].ReceivePeerMessage(k, slices.Clone(d.Payload))
+						f.nodes[d.Peer].ReceivePeerMessage(NodeID(k), slices.Clone(d.Payload))
 						again = true
 					}
 				}
@@ -296,8 +302,8 @@
 }
 
 // ask lets a customer ask by all its nodes in turn, so many units a second of one unit each.
-func (f *fleet) ask(customer uint64, rate int, from, until Time) {
-	id := uint32(customer) * 100000
+func (f *fleet) ask(customer CustomerID, rate int, from, until Time) {
+	id := RequestID(customer) * 100000
 	for now := from; now < until; now += 50 {
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
 			id++
@@ -318,15 +324,15 @@
 		t.Fatalf("%d sent", f.sent)
 	}
 	n := f.nodes[11]
-	before := n.customers[0].admitPart
-	n.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 40, firstNode: 10}))
-	n.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 40, firstNode: 10}))
-	n.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{key: 5, demand: 1, spread: 400, firstNode: 10}))
+	before := n.customers.all[0].admitPart
+	n.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
+	n.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
+	n.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 400, firstNode: 10}))
 	n.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
 	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
 	pull(n, Forward)
-	if n.customers[0].admitPart != before || before >= 1 {
-		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers[0].admitPart)
+	if n.customers.all[0].admitPart != before || before >= 1 {
+		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers.all[0].admitPart)
 	}
 }
 
@@ -338,14 +344,14 @@
 	if f.most > 2 || f.sent < 60 {
 		t.Fatalf("%d out at once, %d sent", f.most, f.sent)
 	}
-	home := f.nodes[f.nodes[10].ownerOf(&f.nodes[10].customers[0])]
-	c := &home.customers[home.customerSlots.find(5)]
+	home := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
+	c := &home.customers.all[home.customers.slots.find(5)]
 	c.reservations = []reservation{{11, 7, 9 * Second}}
-	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{key: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 1 {
 		t.Fatal("another node's end freed a hold")
 	}
-	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{key: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 0 {
 		t.Fatal("an end freed no hold")
 	}
@@ -356,7 +362,7 @@
 func TestSilentHomeLeavesTheSlice(t *testing.T) {
 	for rate, most := range map[int]int{2: 40, 400: 130} { // 20 s
 		f := newFleet(t, nil)
-		f.lost = func(from, to int, text []byte) bool { return true }
+		f.lost = func(from int, to NodeID, text []byte) bool { return true }
 		f.ask(5, rate, Second, 21*Second)
 		if f.sent < 20 || f.sent > most {
 			t.Errorf("%d of %d sent", f.sent, rate*20)
@@ -371,9 +377,9 @@
 		"plan.0.ceiling.depth": "80",
 	})
 	r := rand.New(rand.NewSource(3))
-	f.lost = func(from, to int, text []byte) bool { return r.Intn(4) == 0 }
+	f.lost = func(from int, to NodeID, text []byte) bool { return r.Intn(4) == 0 }
 	for k := range Time(4) {
-		f.ask(uint64(5), 200, (1+2*k)*Second, (3+2*k)*Second)
+		f.ask(5, 200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
 		fresh := newFleet(t, Settings{
 			"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
@@ -382,17 +388,17 @@
 		fresh.lost, fresh.sent = f.lost, sent
 		f = fresh // all restart
 		for _, n := range f.nodes {
-			n.now, n.intervalEnd, n.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
+			n.now, n.timers.intervalAt, n.timers.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
 		}
 	}
 	if f.sent > 8*20 || f.sent < 60 {
 		t.Fatalf("%d units in 8 s of 20 a second, all stores empty at the start", f.sent)
 	}
 	n := f.nodes[11] // all stores full hold the ceiling's and no more
-	c := &n.customers[n.customerSlot(5, 0, 40, 10)]
+	c := &n.customers.all[n.customers.slot(n.config, n.now, 5, 0, 40, 10)]
 	n.SetTime(99 * Second)
-	n.ceilingAllows(c, &request{units: 1})
-	if all := 40*c.ceiling + ownerCeilingPart*80; all > 80.01 || all < 79.99 {
+	n.quota.ceilingAllows(c, 1, n.owner.owned(c), n.now)
+	if all := 40*c.ceiling.level + ownerCeilingPart*80; all > 80.01 || all < 79.99 {
 		t.Fatalf("the stores hold %.2f of 80", all)
 	}
 }
@@ -401,15 +407,15 @@
 // once, and the limit's tokens cover the time that nothing passed.
 func TestAfterAStallTheLastComeFirst(t *testing.T) {
 	n := plain(10, nil)
-	n.admissionRate, n.executionTime, n.intervalEnd = 40, 500, 9*Second
-	n.intervalLatencies, n.completedRates = []float64{500}, []float64{40}
+	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 40, 500, 9*Second
+	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
 	n.SetTime(Second + Second) // 1 s without a turn; the contract time is 0.6 s
-	for id := range uint32(20) {
+	for id := range RequestID(20) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
-	var first, bounced []uint32
+	var first, bounced []RequestID
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		if d.Action == Forward {
 			first = append(first, d.Request)
@@ -427,12 +433,12 @@
 // client has no use for a late answer and the server's time is another's.
 func TestLateAfterAStallIsBouncedWithRoomLeft(t *testing.T) {
 	n := plain(10, nil)
-	n.admissionRate, n.executionTime, n.intervalEnd = 4000, 500, 9*Second
-	n.intervalLatencies, n.completedRates = []float64{500}, []float64{4000}
+	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 4000, 500, 9*Second
+	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{4000}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
 	n.SetTime(2 * Second)
-	for id := range uint32(20) {
+	for id := range RequestID(20) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	bounced := 0
@@ -452,9 +458,9 @@
 // larger server's queue, under that one's cap yet, while a smaller one stands idle.
 func TestOwnServerWithTheLeastOutComesFirst(t *testing.T) {
 	n := plain(2, Settings{"nodes": "60", "peers": "true", "peers.take": "40"})
-	n.servers[1].Weight, n.servers[1].inFlight, n.servers[1].rotationCredit = 4, 1, 100
+	n.endpoints.servers[1].Weight, n.endpoints.servers[1].inFlight, n.endpoints.servers[1].rotationCredit = 4, 1, 100
 	n.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
-	if got := n.pick(&n.requests[0]); got != 0 {
+	if got := n.pick(&n.requests.all[0]); got != 0 {
 		t.Fatalf("server %d was taken, with one out and the other idle", got)
 	}
 }
@@ -465,25 +471,25 @@
 	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40"}
 	n, alike := plain(20, set), plain(20, set)
 	for k := range 8 {
-		n.ReceivePeerMessage(20+k, appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
-		for s := range uint32(20) {
-			alike.ReceivePeerMessage(20+k, appendSuspicion([]byte{kindSuspicion}, suspicion{s, 0, 0}))
+		n.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
+		for s := range ServerID(20) {
+			alike.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{s, 0, 0}))
 		}
 	}
 	n.SetTime(3 * Second)
-	n.classes[0].trialBudget = 0
-	if !n.ejected(0, &n.servers[3].byClass[0]) || n.ejected(0, &n.servers[4].byClass[0]) {
+	n.outliers.classes[0].trials = 0
+	if !n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now) || n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now) {
 		t.Fatal("the words of peers did not tell the server that fails")
 	}
-	for i := range alike.servers {
-		if alike.ejected(0, &alike.servers[i].byClass[0]) {
+	for i := range alike.endpoints.servers {
+		if alike.outliers.ejected(&alike.endpoints.servers[i].byClass[0], 0, alike.now) {
 			t.Fatal("suspected where all miss alike")
 		}
 	}
 	trials := 0
-	for id := range uint32(100) { // a twentieth of the band's executions may try it
+	for id := range RequestID(100) { // a twentieth of the band's executions may try it
 		n.SetTime(3*Second + Time(id)*500)
-		n.AddRequest(Request{ID: id, Customer: uint64(id), Timeout: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
 			o := Succeeded
 			if d.Server == 3 {
@@ -500,7 +506,7 @@
 // When every server stands still, what hangs there must go on to count, or the node fills them up.
 func TestStandstillOfAllServersBoundsWhatIsOut(t *testing.T) {
 	n := plain(6, nil)
-	now, id, out := Second, uint32(0), 0
+	now, id, out := Second, RequestID(0), 0
 	var sent []Decision
 	for ; now < 12*Second; now += 100 {
 		n.SetTime(now)
@@ -525,14 +531,14 @@
 // An impatient client's time-out says nothing of its server, nor of the back end's latency.
 func TestShortTimeOutIsNoMiss(t *testing.T) {
 	n := plain(2, nil)
-	for id := range uint32(4) {
+	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
 	}
 	for _, d := range pull(n, Forward) {
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
-	if n.servers[0].byClass[0].consecutiveFailures+n.servers[1].byClass[0].consecutiveFailures+n.ends != 0 {
-		t.Fatalf("%d misses, %d ends counted", n.servers[0].byClass[0].consecutiveFailures+n.servers[1].byClass[0].consecutiveFailures, n.ends)
+	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.ends != 0 {
+		t.Fatalf("%d misses, %d ends counted", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.ends)
 	}
 }
 
@@ -541,10 +547,10 @@
 func TestOneBadAnswerRestsNoServer(t *testing.T) {
 	n := plain(1, Settings{"band.count": "2", "band.1.contract": "6000", "executions": "1"})
 	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
-		n.AddRequest(Request{ID: uint32(id), Timeout: 2 * Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
 		d := pull(n, Forward)[0]
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
-		if got := n.ejected(0, &n.servers[0].byClass[0]); got != (id == 5) || n.ejected(1, &n.servers[0].byClass[1]) || n.ends > 2 {
+		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.ends > 2 {
 			t.Fatalf("after end %d the server rests: %v", id, got)
 		}
 		if o != Succeeded && pull(n, Reject) == nil {
@@ -557,22 +563,22 @@
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
 	n := plain(0, nil)
 	now := Second
-	for k := range uint32(300) {
+	for k := range ServerID(300) {
 		now += interval / 3
 		n.SetTime(now)
 		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
-		n.AddRequest(Request{ID: k, Timeout: 4 * Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: RequestID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
 			if d.Server+4 <= k || d.Server > k {
 				t.Fatalf("sent to server %d at %d", d.Server, k)
 			}
 		}
 		if k >= 9 { // answers come late, from servers that are gone
-			n.AttemptEnded(AttemptResult{Request: k - 9, Outcome: Succeeded, Duration: 3 * Second, Final: true})
+			n.AttemptEnded(AttemptResult{Request: RequestID(k - 9), Outcome: Succeeded, Duration: 3 * Second, Final: true})
 		}
 	}
-	if len(n.servers) > 30 || len(n.serverSlots.slots) > 30 || len(n.requests) > 30 {
-		t.Errorf("%d servers, %d tickets", len(n.servers), len(n.requests))
+	if len(n.endpoints.servers) > 30 || len(n.endpoints.slots.slots) > 30 || len(n.requests.all) > 30 {
+		t.Errorf("%d servers, %d tickets", len(n.endpoints.servers), len(n.requests.all))
 	}
 }
 
@@ -581,18 +587,18 @@
 func TestServerThatTurnsAwayRests(t *testing.T) {
 	n := plain(4, nil)
 	now, sent := Second, 0
-	for id := range uint32(400) {
+	for id := range RequestID(400) {
 		now += Second / 40
 		n.SetTime(now)
 		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
 		for d := pull(n, Forward); len(d) > 0; d = pull(n, Forward) {
 			if d[0].Server == 2 {
 				sent++
-				n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
+				n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests.all[n.requests.slots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
 				continue
 			}
 			n.AttemptEnded(AttemptResult{
-				Request: id, Attempt: len(n.requests[n.requestSlots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
+				Request: id, Attempt: len(n.requests.all[n.requests.slots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
 				Final: true,
 			})
 		}
@@ -703,20 +709,20 @@
 			"band.0.repeats": "replayable",
 		}, Second)
 		list := []Endpoint{}
-		for i := range uint32(warm) {
+		for i := range ServerID(warm) {
 			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		for k := range uint32(28 * 5) { // five tickets a second, 20 s before the change and 8 s after
+		for k := range RequestID(28 * 5) { // five tickets a second, 20 s before the change and 8 s after
 			now := Second + Time(k)*Second/5
 			n.SetTime(now)
-			if now >= 21*Second && n.ready == warm {
-				for i := range uint32(cold) {
+			if now >= 21*Second && n.endpoints.ready == warm {
+				for i := range ServerID(cold) {
 					list = append(list, Endpoint{Server: 100 + i, State: Ready, Weight: 1, Started: now})
 				}
 				n.UpdateEndpoints(FullList, list)
 			}
-			n.AddRequest(Request{ID: k, Customer: uint64(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+			n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
 			for _, d := range pull(n, Forward) {
 				if d.Server >= 100 {
 					sent++
@@ -725,7 +731,7 @@
 				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
 			}
 			if now >= 21*Second {
-				allowed += n.slowStartBudget(&n.servers[warm]) * cold / (2 * 5)
+				allowed += n.slowStart.budget(&n.endpoints.servers[warm], n.now, n.subsets.ratio) * cold / (2 * 5)
 			}
 		}
 	}
@@ -738,7 +744,7 @@
 // goes changes no more than one of a node's servers, or connections and what is known of servers would be lost.
 func TestWideFleetUsesSubsets(t *testing.T) {
 	const servers, nodes = 60, 80
-	r, load, kept, sent := rand.New(rand.NewSource(5)), map[uint32]int{}, 0, 0
+	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
 	for me := range nodes {
 		n := New(r.Uint64(), Settings{
 			"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
@@ -746,15 +752,15 @@
 			"band.0.repeats": "replayable",
 		}, Second)
 		list := []Endpoint{}
-		for i := range uint32(servers) {
+		for i := range ServerID(servers) {
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		met, last := map[uint32]bool{}, Second
-		for k := range uint32(20 * 5) { // five tickets a second
+		met, last := map[ServerID]bool{}, Second
+		for k := range RequestID(20 * 5) { // five tickets a second
 			last += Second / 5
 			n.SetTime(last)
-			n.AddRequest(Request{ID: k, Customer: uint64(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+			n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
 			for _, d := range pull(n, Forward) {
 				met[d.Server] = true
 				load[d.Server]++
@@ -766,13 +772,13 @@
 		if len(met) < minSubset || len(met) > 20 {
 			t.Fatalf("node %d met %d servers", me, len(met))
 		}
-		before := map[uint32]bool{}
-		for _, s := range n.servers {
+		before := map[ServerID]bool{}
+		for _, s := range n.endpoints.servers {
 			before[s.Server] = s.inSubset
 		}
 		list[r.Intn(servers)].State = Draining
 		n.UpdateEndpoints(FullList, list)
-		for _, s := range n.servers {
+		for _, s := range n.endpoints.servers {
 			if s.inSubset && !before[s.Server] {
 				kept++
 			}
@@ -808,11 +814,11 @@
 			pull(n, Forward)
 			n.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
-			for s := range uint32(3) {
+			for s := range ServerID(3) {
 				list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
 			}
 			n.UpdateEndpoints(FullList, list)
-			n.AddRequest(Request{ID: uint32(i), Customer: 1, Timeout: Second, Units: 1, Spread: 1})
+			n.AddRequest(Request{ID: RequestID(i), Customer: 1, Timeout: Second, Units: 1, Spread: 1})
 			for _, d := range pull(n, Forward) {
 				if d.Server == 99 {
 					sent[step.at]++
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -15,10 +15,10 @@
 	now      Time
 	start    Time
 	servers  []*backServer
-	tickets  map[uint32]*asked
-	order    []uint32
-	nextID   uint32
-	ceiling  map[uint64]*store
+	tickets  map[RequestID]*asked
+	order    []RequestID
+	nextID   RequestID
+	ceiling  map[CustomerID]*store
 	idle     bool // no new tickets
 	bounced  int
 	sent     int
@@ -27,7 +27,7 @@
 }
 
 type backServer struct {
-	id      uint32
+	id      ServerID
 	zone    uint8
 	cell    uint16
 	state   EndpointState
@@ -91,11 +91,11 @@
 
 func newHost(seed int64) *host {
 	r := rand.New(rand.NewSource(seed))
-	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, tickets: map[uint32]*asked{}, ceiling: map[uint64]*store{}}
+	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, tickets: map[RequestID]*asked{}, ceiling: map[CustomerID]*store{}}
 	h.start = h.now
 	for i := range 3 + r.Intn(8) {
 		h.servers = append(h.servers, &backServer{
-			id: uint32(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
+			id: ServerID(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
 			state: Ready, each: Time(200 + r.Intn(800)),
 		})
 	}
@@ -167,7 +167,7 @@
 	spread := 1 + h.rng.Intn(int(h.set.Number("nodes")))
 	customer := h.rng.Intn(12)
 	a := Request{
-		ID: h.nextID, Class: h.rng.Intn(5), Plan: customer % testPlans, Customer: uint64(customer),
+		ID: h.nextID, Class: ClassID(h.rng.Intn(5)), Plan: PlanID(customer % testPlans), Customer: CustomerID(customer),
 		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread,
 	}
 	h.nextID++
@@ -193,21 +193,21 @@
 	case 3:
 		b := make([]byte, h.rng.Intn(20))
 		h.rng.Read(b)
-		h.n.ReceivePeerMessage(h.rng.Intn(6)-1, append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
+		h.n.ReceivePeerMessage(NodeID(h.rng.Intn(6)-1), append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
 	case 4: // killed outright: what it held is lost, the servers and ceilings are not
 		h.order = h.order[:0]
-		h.tickets = map[uint32]*asked{}
+		h.tickets = map[RequestID]*asked{}
 		h.begin()
 	case 5: // a warm one takes its place, under a new id
 		h.servers[i] = &backServer{
-			id: uint32(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
+			id: ServerID(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
 			free: h.now,
 		}
 		h.roster(FullList)
 	}
 }
 
-func (h *host) ends(id uint32) {
+func (h *host) ends(id RequestID) {
 	t := h.tickets[id]
 	for k, x := range t.runs {
 		if !x.out || x.end > h.now {
@@ -256,7 +256,7 @@
 		}
 		t.closed = true
 		h.bounced++
-		band := "band." + strconv.Itoa(t.a.Class) + "."
+		band := "band." + strconv.Itoa(int(t.a.Class)) + "."
 		for _, x := range t.runs {
 			if d.Action == Reject && x.mayRun && (h.set[band+"repeats"] == "single-use" ||
 				h.set[band+"repeats"] == "referenced" && h.set[band+"group"] != "all") {
@@ -273,7 +273,7 @@
 			x.outcome, x.end = Cancelled, h.now
 		}
 	case SendPeerMessage:
-		if nodes, _ := strconv.Atoi(h.set["nodes"]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= nodes {
+		if nodes, _ := strconv.Atoi(h.set["nodes"]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= NodeID(nodes) {
 			h.fail("message to node %d of %d", d.Peer, nodes)
 		}
 		if len(d.Payload) > 256 || h.set["peers"] != "true" {
@@ -298,7 +298,7 @@
 		return
 	}
 	h.sent++
-	band := "band." + strconv.Itoa(t.a.Class) + "."
+	band := "band." + strconv.Itoa(int(t.a.Class)) + "."
 	for _, x := range t.runs {
 		switch {
 		case x.out && h.set["copies"] != "true":
@@ -363,7 +363,7 @@
 			sum, k = sum+p.work, k+1
 		}
 	}
-	if h.n.ownersEnabled && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
+	if h.n.config.owners && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
 		return
 	}
 	most := h.set.Number("fall.multiple") * share * float64(span)
--- a/internal/decision/network.go
+++ b/internal/decision/network.go
@@ -1,20 +1,21 @@
 package decision
 
-// network is a two-layer map: weights of hidden units over a state, bias last, and of the output.
+// network is a two-layer perceptron of rectified linear units: the weights of hidden units over four features, bias
+// last, and those of the output over the units, bias last.
 type network struct {
 	hidden [4][5]float64
 	out    [5]float64
 }
 
-// evaluate is the two-layer network's output for a state.
-func (p network) evaluate(x [4]float64) float64 {
-	y := p.out[4]
-	for j, w := range p.hidden {
+// evaluate is the network's output for some features.
+func (n *network) evaluate(features [4]float64) float64 {
+	y := n.out[4]
+	for j, w := range n.hidden {
 		h := w[4]
-		for k, v := range x {
+		for k, v := range features {
 			h += w[k] * v
 		}
-		y += p.out[j] * max(0, h)
+		y += n.out[j] * max(0, h)
 	}
 	return y
 }
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -1,85 +1,66 @@
 package decision
 
-import (
-	"slices"
-)
+import "slices"
 
-// admitByOwner asks the home of a customer, a node of its set, for each of its tickets; the home keeps the one
-// bucket, what is out for the customer and half of its ceiling, so that the part of the demand that passes
-// here is the design's, ticket by ticket. While the bucket is well filled the home lets tickets pass freely
-// and is told afterwards; where far more is asked than fits, a node asks for a part of the tickets only. It
-// guards against a quota granted by each of many nodes that see too little of a customer for buckets of their
-// own. It could harm while a home is down or stands still: a ticket waits for it, then passes by the even
-// slice, over what this node was asked before.
-func (n *Engine) admitByOwner(c *customer, t *request) bool {
-	home := n.ownerOf(c)
-	if home == n.self {
-		if n.grantAsOwner(c, customerReport{demand: t.units, use: t.units, request: t.id, class: t.class}, n.self) {
-			t.verdict = verdictGranted
-		}
-		return t.verdict == verdictGranted
-	}
-	if c.freePass && t.askedOwnerAt == 0 {
-		return true
-	}
-	if t.askedOwnerAt == 0 {
-		if c.unreportedDemand += t.units; n.random.unit() >= max(c.admitPart, float64(n.now-c.admitPartAt)/float64(peerSilence)) {
-			return false
-		}
-		t.askedOwnerAt = n.now
-		if t.deadline-n.now < 2*(n.ownerTimeout+n.answerMargin()) {
-			t.askedOwnerAt -= n.ownerTimeout
-		}
-		n.outbox = append(n.outbox, peerMessage{home, appendReport([]byte{kindAsk}, customerReport{
-			key: c.key, use: t.units,
-			demand: c.unreportedDemand, plan: c.plan, spread: c.spread, firstNode: c.firstNode, request: t.id, class: t.class,
-		})})
-		c.unreportedDemand = 0
-	}
-	if t.verdict != verdictPending || n.waitsForOwner(t) {
-		return t.verdict == verdictGranted
-	}
-	p := &n.plans[c.plan]
-	slice := p.rate / float64(c.spread) / max(1e-9, c.demand.perSecond(n.now, demandMemory)-t.units/seconds(demandMemory))
-	return (p.maxInFlight == 0 || c.inFlight == 0) && (p.rate <= 0 || n.random.unit() < slice)
+// quotaOwner gives each customer one node of its set, the owner, that keeps its bucket, what is in flight for
+// it and half of its ceiling, where nodes are too many for each to hear all others. Each request is asked for
+// there, so that the part of the demand that passes here is right request by request. While the bucket is
+// well filled the owner lets requests pass freely and is told afterwards; where far more is asked than fits,
+// a node asks for a part of the requests only. It guards against a quota granted by each of many nodes that
+// see too little of a customer for buckets of their own. It could harm while an owner is down or stands
+// still: a request waits for it, then passes by the even part, over what this node was asked before.
+type quotaOwner struct {
+	config       *config
+	peerMessages decayingMean // received here
 }
 
-// grantAsOwner lets a ticket pass at its customer's home, and books it, if bucket, cap and ceiling have room.
-func (n *Engine) grantAsOwner(c *customer, a customerReport, from int) bool {
-	p, units := &n.plans[c.plan], a.use
-	c.peerDemand.add(a.demand, n.now, demandMemory)
-	c.meanUnits += featureDecay * (units - c.meanUnits)
-	rate, depth := n.refill(c)
-	c.reservations = slices.DeleteFunc(c.reservations, func(h reservation) bool { return h.until <= n.now })
-	ceiling := p.ceilingRate > 0 || p.ceilingBurst > 0
-	c.ownerCeiling = min(c.ownerCeiling+ownerCeilingPart*p.ceilingRate*seconds(n.now-c.ownerCeilingAt), ownerCeilingPart*p.ceilingBurst)
-	c.ownerCeilingAt = n.now
-	ok := (rate <= 0 || c.level >= min(units, depth)) && (p.maxInFlight == 0 || len(c.reservations) < p.maxInFlight) &&
-		(!ceiling || c.ownerCeiling >= units)
-	if ok {
-		c.level -= units
-		c.ownerCeiling -= units
-		if p.maxInFlight > 0 {
-			b := &n.classes[min(a.class, len(n.classes)-1)]
-			c.reservations = append(c.reservations, reservation{from, a.request, n.now + Time(reservationLatencies*n.usualLatency(b))})
-		}
+// ownersNeeded tells whether so many nodes can't all hear each other, each taking in so many messages a
+// second.
+func ownersNeeded(nodes int, peerRate float64) bool {
+	return float64(nodes-1) > ownersAtShare*peerRate*seconds(reportEvery)
+}
+
+// ownerTimeout is how long a request waits for its owner.
+func ownerTimeout(objective Time) Time { return Time(ownerWaitShare * float64(objective)) }
+
+// grant lets a request pass at its customer's owner, and books it, if bucket, in-flight limit and ceiling
+// have room.
+func (o *quotaOwner) grant(c *customer, ask customerReport, from NodeID, usual float64, now Time) bool {
+	p, units := &o.config.plans[c.plan], ask.use
+	c.peerDemand.add(ask.demand, now, demandMemory)
+	c.meanUnits += unitsDecay * (units - c.meanUnits)
+	c.refill(p, now)
+	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.until <= now })
+	c.ownerCeiling.refill(now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
+	hasCeiling := p.ceilingRate > 0 || p.ceilingBurst > 0
+	ok := (p.rate <= 0 || c.bucket.level >= min(units, p.burst)) &&
+		(p.maxInFlight == 0 || len(c.reservations) < p.maxInFlight) &&
+		(!hasCeiling || c.ownerCeiling.level >= units)
+	if !ok {
+		return false
 	}
-	n.updateGrant(c)
-	return ok
+	c.bucket.level -= units
+	c.ownerCeiling.level -= units
+	if p.maxInFlight > 0 {
+		until := now + Time(reservationLatencies*usual)
+		c.reservations = append(c.reservations, reservation{from, ask.request, until})
+	}
+	return true
 }
 
-// updateGrant settles at a customer's home whether its tickets pass freely, and else the part to ask for. What
-// ends it is told to the whole set at once.
-func (n *Engine) updateGrant(c *customer) {
-	p := &n.plans[c.plan]
-	rate, depth := n.refill(c)
+// update settles at a customer's owner whether its requests pass freely, and else the part to ask for. It
+// tells whether a free pass ended, of which the whole set is told at once.
+func (o *quotaOwner) update(c *customer, now Time) (revoked bool) {
+	p := &o.config.plans[c.plan]
+	c.refill(p, now)
+	demand := c.peerDemand.perSecond(now, demandMemory)
 	c.admitPart = 1
-	if want := c.peerDemand.perSecond(n.now, demandMemory); want > 0 {
-		take := n.settings.Number("peers.take")
-		others := n.peerMessages.perSecond(n.now, demandMemory) - c.peerDemand.count/seconds(demandMemory)
-		c.admitPart = min(1, max(minAskShare*take, maxAskShare*take-others)*c.meanUnits/want)
-		if rate > 0 {
-			c.admitPart = min(c.admitPart, askOverRoom*(rate+max(0, c.level)/seconds(interval))/want)
+	if demand > 0 {
+		others := o.peerMessages.perSecond(now, demandMemory) - c.peerDemand.count/seconds(demandMemory)
+		asks := max(minAskShare*o.config.peerRate, maxAskShare*o.config.peerRate-others)
+		c.admitPart = min(1, asks*c.meanUnits/demand)
+		if p.rate > 0 {
+			c.admitPart = min(c.admitPart, askOverRoom*(p.rate+max(0, c.bucket.level)/seconds(interval))/demand)
 		}
 		c.admitPart = max(minAdmitPart, c.admitPart)
 	}
@@ -88,48 +69,48 @@
 		least = (1 + freePassReserve) / 2
 	}
 	was := c.freePass
-	c.freePass = p.maxInFlight == 0 && p.ceilingRate <= 0 && p.ceilingBurst <= 0 && (rate <= 0 || c.level >= least*depth) &&
-		c.peerDemand.perSecond(n.now, demandMemory) > freePassMinRate*float64(c.spread)
-	for k := range c.spread {
-		if peer := (c.firstNode + k) % n.nodes; was && !c.freePass && peer != n.self {
-			n.sendGrant(c, peer, 0, verdictPending)
-		}
-	}
+	c.freePass = p.maxInFlight == 0 && p.noCeiling() && (p.rate <= 0 || c.bucket.level >= least*p.burst) &&
+		demand > freePassMinRate*float64(c.spread)
+	return was && !c.freePass
 }
 
-// reportToPeers writes the letters to peers: what was asked here, of customers with a rate past half their even
-// slice, to all; or, where not all nodes can hear all, what passed and ended here, to each customer's home.
-func (n *Engine) reportToPeers() {
-	if !n.ownersEnabled { // goes out even when empty, so that silence means something
-		n.outbox = append(n.outbox, peerMessage{AllPeers, []byte{kindUse}})
-	}
-	keep := n.pendingReports[:0]
-	most := len(n.outbox) + int(reportShare*n.settings.Number("peers.take")*seconds(reportEvery)/float64(n.nodes-1))
-	for k, i := range n.pendingReports {
-		if !n.ownersEnabled && len(n.outbox) > most { // the rest waits: peers take in no more
-			keep = append(keep, n.pendingReports[k:]...)
-			break
+// drawAsk draws whether a request is asked for: always unless the owner named a part, less so the older its
+// word is.
+func (o *quotaOwner) drawAsk(c *customer, now Time, rng *random) bool {
+	skipped := rng.unit() >= max(c.admitPart, float64(now-c.admitPartAt)/float64(peerSilence))
+	return !skipped
+}
+
+// drawAlone draws whether a request passes though the owner has not answered: by the even part of the rate,
+// over what was asked for here before.
+func (o *quotaOwner) drawAlone(c *customer, units float64, now Time, rng *random) bool {
+	p := &o.config.plans[c.plan]
+	before := c.demand.perSecond(now, demandMemory) - units/seconds(demandMemory)
+	part := p.rate / float64(c.spread) / max(1e-9, before)
+	return (p.maxInFlight == 0 || c.inFlight == 0) && (p.rate <= 0 || rng.unit() < part)
+}
+
+// admitByOwner tells whether a request passes by its customer's owner. It may have to wait for the answer.
+func (e *Engine) admitByOwner(c *customer, r *request) bool {
+	if e.owner.isOwner(c) {
+		ask := customerReport{demand: r.units, use: r.units, request: r.id, class: r.class}
+		if e.grantAsOwner(c, ask, e.config.self) {
+			r.verdict = verdictGranted
 		}
-		c := &n.customers[i]
-		c.reportPending = false
-		to := AllPeers
-		if n.ownersEnabled {
-			if to = n.ownerOf(c); to == n.self { // its set has changed
-				continue
-			}
-		} else if c.demand.perSecond(n.now, demandMemory) <= n.plans[c.plan].rate/float64(2*c.spread) {
-			c.reportDemand = 0
-			continue
+		return r.verdict == verdictGranted
+	}
+	if r.askedOwnerAt == 0 {
+		if c.freePass {
+			return true
 		}
-		if n.ownersEnabled || len(n.outbox[len(n.outbox)-1].payload)+maxEntry > maxMessage {
-			n.outbox = append(n.outbox, peerMessage{to, []byte{kindUse}})
+		c.unreportedDemand += r.units
+		if !e.owner.drawAsk(c, e.now, &e.random) {
+			return false
 		}
-		m := &n.outbox[len(n.outbox)-1]
-		m.payload = appendReport(m.payload, customerReport{
-			key: c.key, demand: c.reportDemand, use: c.reportUse, plan: c.plan,
-			spread: c.spread, firstNode: c.firstNode,
-		})
-		c.reportDemand, c.reportUse = 0, 0
+		e.askOwner(c, r)
+	}
+	if r.verdict != verdictPending || e.owner.waits(r, e.now) {
+		return r.verdict == verdictGranted
 	}
-	n.pendingReports = keep
+	return e.owner.drawAlone(c, r.units, e.now, &e.random)
 }
--- a/internal/decision/pin_codec_test.go
+++ b/internal/decision/pin_codec_test.go
@@ -17,11 +17,11 @@
 		want string
 	}{
 		{kindUse, customerReport{}, "c800000000000000000000"},
-		{kindUse, customerReport{key: 1, demand: 1, use: 1, plan: 1, spread: 1, firstNode: 1, request: 1, class: 1, ended: 1}, "c80164c80101010101010100"},
-		{kindUse, customerReport{key: math.MaxUint64, demand: 0.004, use: -0.004}, "c8ffffffffffffffffff01000000000000000000"},
-		{kindUse, customerReport{key: 1 << 32, demand: 0.005, use: -0.005}, "c88080808010010000000000000000"},
-		{kindUse, customerReport{key: 300, demand: 12.345, use: -12.345, plan: 3, spread: 40, firstNode: 829}, "c8ac02d309a3130328bd0600000000"},
-		{kindUse, customerReport{key: 300, demand: -5, use: 0.999}, "c8ac0200c60100000000000000"},
+		{kindUse, customerReport{customer: 1, demand: 1, use: 1, plan: 1, spread: 1, firstNode: 1, request: 1, class: 1, ended: 1}, "c80164c80101010101010100"},
+		{kindUse, customerReport{customer: math.MaxUint64, demand: 0.004, use: -0.004}, "c8ffffffffffffffffff01000000000000000000"},
+		{kindUse, customerReport{customer: 1 << 32, demand: 0.005, use: -0.005}, "c88080808010010000000000000000"},
+		{kindUse, customerReport{customer: 300, demand: 12.345, use: -12.345, plan: 3, spread: 40, firstNode: 829}, "c8ac02d309a3130328bd0600000000"},
+		{kindUse, customerReport{customer: 300, demand: -5, use: 0.999}, "c8ac0200c60100000000000000"},
 		{kindUse, customerReport{demand: big, use: big}, "c800ffffffff0ffeffffff1f00000000000000"},
 		{kindUse, customerReport{demand: big, use: -big}, "c800ffffffff0ffdffffff1f00000000000000"},
 		{kindUse, customerReport{demand: math.MaxUint32 / 100.0, use: -math.MaxUint32 / 100.0}, "c800ffffffff0ffdffffff1f00000000000000"},
@@ -30,12 +30,12 @@
 			class: math.MaxUint32, ended: math.MaxUint32,
 		}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
 		{kindUse, customerReport{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
-		{kindAsk, customerReport{key: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
-		{kindGrant, customerReport{key: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictGranted}, "c94d0100020c0507000002"},
-		{kindGrant, customerReport{key: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictDenied}, "c94d6400020c0507000004"},
-		{kindGrant, customerReport{key: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, verdict: verdictPending, freePass: true}, "c94d6400020c0500000001"},
-		{kindGrant, customerReport{key: 77, demand: 1, spread: 1, verdict: verdictGranted, freePass: true}, "c94d640000010000000003"},
-		{kindGrant, customerReport{key: 77, demand: 1, spread: 1, verdict: verdictDenied, freePass: true}, "c94d640000010000000005"},
+		{kindAsk, customerReport{customer: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
+		{kindGrant, customerReport{customer: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictGranted}, "c94d0100020c0507000002"},
+		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictDenied}, "c94d6400020c0507000004"},
+		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, verdict: verdictPending, freePass: true}, "c94d6400020c0500000001"},
+		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, verdict: verdictGranted, freePass: true}, "c94d640000010000000003"},
+		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, verdict: verdictDenied, freePass: true}, "c94d640000010000000005"},
 	} {
 		if got := hex.EncodeToString(appendReport([]byte{c.mark}, c.told)); got != c.want {
 			t.Errorf("%x %+v\nis %s\nat cf1acfb %s", c.mark, c.told, got, c.want)
@@ -107,7 +107,7 @@
 		if ok {
 			got = fmt.Sprintf("%x", m.kind)
 			for _, v := range m.reports {
-				got += fmt.Sprint(" ", v.key, " ", v.demand, " ", v.use, " ", v.plan, " ", v.spread, " ", v.firstNode, " ",
+				got += fmt.Sprint(" ", v.customer, " ", v.demand, " ", v.use, " ", v.plan, " ", v.spread, " ", v.firstNode, " ",
 					v.request, " ", v.class, " ", v.ended, " ", uint8(v.verdict), " ", v.freePass, ";")
 			}
 			for _, v := range m.suspicions {
--- a/internal/decision/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -23,10 +23,10 @@
 	ids     []int
 	stalled []Time // by node: it gets no turn until then
 	servers []*pinServer
-	byID    map[uint32]*pinServer
+	byID    map[ServerID]*pinServer
 	tasks   map[Time][]func()
-	open    []map[uint32]*pinRequest // by node
-	nextID  uint32
+	open    []map[RequestID]*pinRequest // by node
+	nextID  RequestID
 	digest  hash.Hash
 	first   []string       // the first decisions, in words
 	count   map[string]int // decisions and messages by kind
@@ -84,7 +84,7 @@
 func newPinPlay(seed int64, setup pinSetup) *pinPlay {
 	p := &pinPlay{
 		pinSetup: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, begin: 3 * Second,
-		byID: map[uint32]*pinServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), count: map[string]int{},
+		byID: map[ServerID]*pinServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), count: map[string]int{},
 		ids: setup.members, stalled: make([]Time, len(setup.members)),
 	}
 	for i := range setup.servers {
@@ -115,7 +115,7 @@
 			}
 			n.StartShadow(other)
 		}
-		p.nodes, p.open = append(p.nodes, n), append(p.open, map[uint32]*pinRequest{})
+		p.nodes, p.open = append(p.nodes, n), append(p.open, map[RequestID]*pinRequest{})
 		p.pull(k)
 		if setup.missed {
 			n.UpdateEndpoints(PollFailed, nil)
@@ -126,7 +126,7 @@
 
 func (p *pinPlay) addServer(i int) *pinServer {
 	s := &pinServer{Endpoint: Endpoint{
-		Server: uint32(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
+		Server: ServerID(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
 		Cell: uint16(i / p.perCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5],
 	}}
 	p.pinSetup.servers = max(p.pinSetup.servers, i+1)
@@ -199,7 +199,7 @@
 	if p.rng.Intn(3) == 0 {
 		customer = 1 // one that asks far more than others
 	}
-	spread, first := p.spread, int(customer)*5%max(1, int(p.set.Number("nodes")))
+	spread, first := p.spread, NodeID(int(customer)*5%max(1, int(p.set.Number("nodes"))))
 	if p.firstZero {
 		first = 0
 	}
@@ -211,16 +211,16 @@
 	if p.rng.Intn(12) == 0 {
 		left = Time(p.rng.Intn(900))
 	}
-	plan := int(customer % 5)
+	plan := PlanID(customer % 5)
 	if p.free && customer%7 > 0 {
 		plan = 4
 	}
 	a := Request{
-		ID: id, Class: p.rng.Intn(6), Plan: plan, Customer: customer<<20 + 77, Timeout: left,
+		ID: id, Class: ClassID(p.rng.Intn(6)), Plan: plan, Customer: CustomerID(customer<<20 + 77), Timeout: left,
 		Units: 0.25 + float64(p.rng.Intn(300))/100, Spread: spread, FirstNode: first,
 	}
 	if p.rng.Intn(25) == 0 {
-		a.Spread, a.FirstNode = p.rng.Intn(2000)-20, p.rng.Intn(2000)-20
+		a.Spread, a.FirstNode = p.rng.Intn(2000)-20, NodeID(p.rng.Intn(2000)-20)
 	}
 	if p.rng.Intn(60) == 0 {
 		a.Units = 0
@@ -357,12 +357,12 @@
 		text = text[:p.rng.Intn(len(text))]
 	}
 	for to, n := range p.nodes {
-		if to == k || d.Peer != AllPeers && d.Peer != p.ids[to] || p.rng.Intn(30) == 0 {
+		if to == k || d.Peer != AllPeers && d.Peer != NodeID(p.ids[to]) || p.rng.Intn(30) == 0 {
 			continue
 		}
 		p.at(max(p.now+Time(p.rng.Intn(120)), p.stalled[to]), func() {
 			n.SetTime(p.now)
-			if !n.ReceivePeerMessage(p.ids[k], text) {
+			if !n.ReceivePeerMessage(NodeID(p.ids[k]), text) {
 				p.count["unreadable"]++
 			}
 			p.pull(to)
@@ -408,7 +408,7 @@
 	}
 }
 
-func (p *pinPlay) end(k int, id uint32, r *pinRequest, nth int, outcome Outcome) {
+func (p *pinPlay) end(k int, id RequestID, r *pinRequest, nth int, outcome Outcome) {
 	n := p.nodes[k]
 	if r == nil || nth >= len(r.attempts) || !r.attempts[nth].out {
 		n.AttemptEnded(AttemptResult{Request: id, Attempt: nth + 7, Outcome: outcome})
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -77,7 +77,7 @@
 	p := newPinPlay(7, setup)
 	if name == "node" {
 		for _, n := range p.nodes {
-			n.applySettings(set)
+			n.configure(parseSettings(set))
 		}
 	}
 	return p.run()[1][:8]
@@ -126,8 +126,8 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.ownersEnabled != c.want {
-			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.ownersEnabled)
+		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.config.owners != c.want {
+			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.config.owners)
 		}
 	}
 }
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -79,15 +79,15 @@
 
 // pinSubset digests which servers a node uses first and which it has in view.
 func pinSubset(n *Engine) string {
-	h := uint32(len(n.subset))
-	for _, i := range n.subset {
-		h = mix(h, n.servers[i].Server)
+	h := uint32(len(n.endpoints.subset))
+	for _, i := range n.endpoints.subset {
+		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	h = mix(h, uint32(len(n.view)))
-	for _, i := range n.view {
-		h = mix(h, n.servers[i].Server)
+	h = mix(h, uint32(len(n.endpoints.view)))
+	for _, i := range n.endpoints.view {
+		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	return fmt.Sprintf("%d/%d:%08x", len(n.subset), len(n.view), h)
+	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.view), h)
 }
 
 // TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
@@ -121,7 +121,7 @@
 			list := []Endpoint{}
 			for i := range c.servers {
 				list = append(list, Endpoint{
-					Server: uint32(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
+					Server: ServerID(i) * 7919, Zone: uint8(i * i % c.zones), Cell: uint16(i / 40),
 					State: Ready, Weight: 1,
 				})
 			}
@@ -135,8 +135,8 @@
 				}
 			}
 			n.UpdateEndpoints(ListUpdate, changes)
-			n.attemptsSent.add(0, n.now, paceMemory)
-			n.attemptsSent.count = float64(400 * (k + 1))
+			n.subsets.attemptsSent.add(0, n.now, paceMemory)
+			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
 			watches(n)
 			got = append(got, at+" "+pinSubset(n))
--- a/internal/decision/pin_test.go
+++ b/internal/decision/pin_test.go
@@ -29,7 +29,7 @@
 }
 
 // pinCustomers is how many customers a node knows.
-func pinCustomers(n *Engine) int { return len(n.customerSlots.slots) }
+func pinCustomers(n *Engine) int { return len(n.customers.slots.slots) }
 
 func pinRange(n int) (list []int) {
 	for i := range n {
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -1,88 +1,79 @@
 package decision
 
-import (
-	"math"
-)
+import "math"
 
-// charge books an admitted ticket.
-func (n *Engine) charge(t *request) {
-	c := &n.customers[t.customer]
-	n.tokens--
-	if !n.hasOwner(c) {
-		c.level = max(c.level, 0) - t.units/t.bucketPart
-	} else if t.askedOwnerAt == 0 {
-		n.recordUse(true, t.customer, t.units, t.units)
-	}
-	if t.verdict != verdictGranted {
-		c.ceiling -= t.units
-	}
+// tenantQuota keeps a customer to its plan at this node: a token bucket in the whole customer's terms, which
+// refills at the whole quota, while a request here stands for 1/part requests at all nodes; that is a refill
+// of quota times part, this node's part of the customer's demand. It keeps a limit on what is in flight by
+// the same part, and a hard ceiling by an even part. It guards the quota against many nodes that each grant
+// it whole. It could harm for a few seconds where a customer's requests move from some nodes to others,
+// faster than peers' reports tell.
+type tenantQuota struct {
+	config      *config
+	peerHeardAt Time // last message of any peer
 }
 
-// inQuota is the customer's bucket, kept in the whole customer's terms: it refills at the whole quota
-// and a ticket here stands for 1/part tickets at all nodes, which is a refill of quota times part.
-func (n *Engine) inQuota(c *customer, t *request) (bool, Time) {
-	advice := Time(n.usualLatency(&n.classes[t.class]))
-	if n.hasOwner(c) {
-		return n.admitByOwner(c, t), interval
+// admit tells whether a customer's bucket and its limit on what is in flight have room for a request, and if
+// not, when they may have.
+func (q *tenantQuota) admit(c *customer, r *request, usualLatency float64, now Time) (ok bool, after Time) {
+	p := &q.config.plans[c.plan]
+	r.bucketPart = q.demandPart(c, now)
+	if p.maxInFlight > 0 && c.inFlight >= max(1, int(math.Round(r.bucketPart*float64(p.maxInFlight)))) {
+		return false, Time(usualLatency)
 	}
-	p := n.plans[c.plan]
-	t.bucketPart = n.demandPart(c)
-	if p.maxInFlight > 0 && c.inFlight >= max(1, int(math.Round(t.bucketPart*float64(p.maxInFlight)))) {
-		return false, advice
+	if c.leased { // its bucket is this node's own already
+		r.bucketPart = 1
 	}
-	if c.leased { // its level is this node's own already
-		t.bucketPart = 1
-	}
-	rate, depth := n.refill(c)
-	if rate <= 0 {
+	c.refill(p, now)
+	if p.rate <= 0 {
 		return true, 0
 	}
-	if short := min(t.units, depth) - c.level; short > 0 {
-		return false, Time(short / rate * float64(Second))
+	if short := min(r.units, p.burst) - c.bucket.level; short > 0 {
+		return false, Time(short / p.rate * float64(Second))
 	}
 	return true, 0
 }
 
 // demandPart is this node's part of a customer's recent demand.
-func (n *Engine) demandPart(c *customer) float64 {
+func (q *tenantQuota) demandPart(c *customer, now Time) float64 {
 	if c.spread <= 1 {
 		return 1
 	}
-	slice := 1 / float64(c.spread)
-	own := c.demand.perSecond(n.now, demandMemory)
-	all := own
-	if n.settings.Enabled("peers") {
-		if n.now-n.peerHeardAt > peerSilence || n.now-c.firstSeen < 2*reportEvery {
-			return slice
-		}
-		all += c.peerDemand.perSecond(n.now, demandMemory)
-		if c.peerDemand.count < minReports { // nobody reports the customer
-			return 1
-		}
-	} else {
-		return slice
+	even := 1 / float64(c.spread)
+	own := c.demand.perSecond(now, demandMemory)
+	if !q.config.peers || now-q.peerHeardAt > peerSilence || now-c.firstSeen < 2*reportEvery {
+		return even
 	}
-	// Peers tell late: some belief in the slice.
-	belief := evenSliceBelief * n.plans[c.plan].rate
+	all := own + c.peerDemand.perSecond(now, demandMemory)
+	if c.peerDemand.count < minReports { // nobody reports the customer
+		return 1
+	}
+	// Peers report late: some belief in the even part.
+	belief := evenPartBelief * q.config.plans[c.plan].rate
 	if all+belief <= 0 {
-		return slice
+		return even
 	}
-	return min(1, (own+belief*slice)/(all+belief))
+	return min(1, (own+belief*even)/(all+belief))
+}
+
+// farFrom tells whether a customer's rate here is under half of its even part, so that peers need not know of
+// it.
+func (q *tenantQuota) farFrom(c *customer, now Time) bool {
+	return c.demand.perSecond(now, demandMemory) <= q.config.plans[c.plan].rate/float64(2*c.spread)
 }
 
-// ceilingAllows keeps a plan's hard ceiling alone: 1/spread of it, or of what a home does not keep, as a
+// ceilingAllows keeps a plan's hard ceiling alone: 1/spread of it, or of what an owner does not keep, as a
 // customer comes in through no other nodes than its set. It starts empty, since a node can't tell a restart
-// from a first start; so does a home's part.
-func (n *Engine) ceilingAllows(c *customer, t *request) bool {
-	p := n.plans[c.plan]
-	if p.ceilingRate <= 0 && p.ceilingBurst <= 0 {
+// from a first start; so does an owner's part.
+func (q *tenantQuota) ceilingAllows(c *customer, units float64, owned bool, now Time) bool {
+	p := &q.config.plans[c.plan]
+	if p.noCeiling() {
 		return true
 	}
-	share := 1 / float64(c.spread)
-	if n.hasOwner(c) {
-		share *= 1 - ownerCeilingPart
+	part := 1 / float64(c.spread)
+	if owned {
+		part *= 1 - ownerCeilingPart
 	}
-	c.ceiling = min(c.ceiling+p.ceilingRate*share*seconds(n.now-c.ceilingAt), p.ceilingBurst*share)
-	c.ceilingAt = n.now
-	return c.ceiling >= t.units
+	c.ceiling.refill(now, p.ceilingRate*part, p.ceilingBurst*part)
+	return c.ceiling.level >= units
 }
--- a/internal/decision/random.go
+++ b/internal/decision/random.go
@@ -1,13 +1,18 @@
 package decision
 
-// mwc is a multiply-with-carry generator.
-type mwc struct{ x, c uint32 }
+// random is a multiply-with-carry generator: small, and the same on every host, so that a play can be repeated.
+type random struct{ x, carry uint32 }
+
+// newRandom makes a generator; every seed gives a valid state.
+func newRandom(seed uint64) random {
+	return random{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
+}
 
 // unit is a number from 0 up to 1.
-func (m *mwc) unit() float64 {
-	v := uint64(4294957665)*uint64(m.x) + uint64(m.c)
-	m.x, m.c = uint32(v), uint32(v>>32)
-	return float64(m.x) / (1 << 32)
+func (r *random) unit() float64 {
+	v := uint64(4294957665)*uint64(r.x) + uint64(r.carry)
+	r.x, r.carry = uint32(v), uint32(v>>32)
+	return float64(r.x) / (1 << 32)
 }
 
 // mix is a hash of two numbers, by the steps of splitmix64.
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -1,101 +1,149 @@
 package decision
 
-import (
-	"slices"
-)
+import "slices"
 
-// ResponseStarted notes that an answer has begun: the client owns the execution now.
-func (n *Engine) ResponseStarted(id uint32) {
-	if i := n.requestSlots.find(id); i >= 0 {
-		n.requests[i].streaming = true
-	}
+// requestSlot is where a request is kept.
+type requestSlot int32
+
+// attempt lives from its send until its end.
+type attempt struct {
+	server     serverSlot
+	sent       Time
+	inFlight   bool
+	mayHaveRun bool // not proven that it never ran
+	cancelled  bool
 }
 
-// ClientGone notes that the client has gone.
-func (n *Engine) ClientGone(id uint32) {
-	if i := n.requestSlots.find(id); i >= 0 {
-		n.closeRequest(i)
-	}
+// request lives from arrival until its final answer has gone and none of its attempts is in flight.
+type request struct {
+	id           RequestID
+	live         bool // the slot is in use
+	closed       bool // the final answer has gone
+	queued       bool // waits for Next
+	streaming    bool // a response has begun: the client owns the attempt
+	class        ClassID
+	plan         PlanID
+	customer     customerSlot
+	arrived      Time
+	deadline     Time // when the client gives up
+	units        float64
+	bucketPart   float64 // the part of the demand that its customer's bucket was charged by
+	attempts     []attempt
+	inFlight     int          // attempts
+	askedOwnerAt Time         // when its quota owner was asked; 0: not
+	verdict      ownerVerdict // of the owner
 }
 
-// closeRequest closes a ticket and calls back what is still out for it.
-func (n *Engine) closeRequest(i int32) {
-	t := &n.requests[i]
-	if t.closed {
-		return
-	}
-	t.closed = true
-	for k := range t.attempts {
-		n.cancelAttempt(t, k)
-	}
-	if t.inFlight == 0 {
-		n.freeRequest(i)
+// tried tells whether an attempt went to a server.
+func (r *request) tried(s serverSlot) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
+}
+
+// mayHaveRun tells whether an attempt is not proven never to have run.
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
+}
+
+// cancellation is an attempt that is to be cancelled.
+type cancellation struct {
+	request RequestID
+	attempt int
+}
+
+// requestTable keeps the requests, and which of them wait for a decision.
+type requestTable struct {
+	all           []request
+	slots         slotIndex[RequestID, requestSlot]
+	pending       []requestSlot // that wait for a decision, in order
+	cancellations []cancellation
+	inFlight      int // requests with an attempt in flight
+}
+
+// add gives a request a slot.
+func (t *requestTable) add(r request) requestSlot {
+	i := t.slots.add(r.id)
+	if int(i) == len(t.all) {
+		t.all = append(t.all, request{})
 	}
+	r.attempts = t.all[i].attempts[:0] // their room is used again
+	t.all[i] = r
+	return i
 }
 
-// enqueue queues a ticket for Next.
-func (n *Engine) enqueue(i int32) {
-	if t := &n.requests[i]; !t.queued {
-		t.queued = true
-		n.pending = append(n.pending, i)
+// enqueue lets a request wait for a decision.
+func (t *requestTable) enqueue(i requestSlot) {
+	if r := &t.all[i]; !r.queued {
+		r.queued = true
+		t.pending = append(t.pending, i)
 	}
 }
 
-// freeRequest gives a ticket's slot back, once it is not queued any more.
-func (n *Engine) freeRequest(i int32) {
-	if t := &n.requests[i]; t.live {
-		n.releaseReservation(t)
-		t.live, t.attempts = false, t.attempts[:0] // their servers may be forgotten from now on
-		if !t.queued {
-			n.requestSlots.drop(t.id)
+// dequeue is the next request that waits; one that ended meanwhile gives its slot back.
+func (t *requestTable) dequeue() (requestSlot, bool) {
+	for len(t.pending) > 0 {
+		i := t.pending[0]
+		t.pending = t.pending[1:]
+		r := &t.all[i]
+		r.queued = false
+		if r.live {
+			return i, true
 		}
+		t.slots.drop(r.id)
 	}
+	t.pending = t.pending[:0]
+	return -1, false
 }
 
-// AddRequest notes a ticket that came in.
-func (n *Engine) AddRequest(a Request) {
-	i := n.requestSlots.add(a.ID)
-	if int(i) == len(n.requests) {
-		n.requests = append(n.requests, request{})
-	}
-	t := &n.requests[i]
-	*t = request{
-		id: a.ID, live: true, class: min(a.Class, len(n.classes)-1), plan: min(a.Plan, len(n.plans)-1),
-		arrived: n.now, deadline: n.now + a.Timeout, units: a.Units, bucketPart: 1, attempts: t.attempts[:0],
+// release gives a request's slot back, once it waits for no decision any more.
+func (t *requestTable) release(r *request) {
+	r.live, r.attempts = false, r.attempts[:0] // their servers may be forgotten from now on
+	if !r.queued {
+		t.slots.drop(r.id)
 	}
-	t.customer = n.customerSlot(a.Customer, t.plan, a.Spread, a.FirstNode)
-	c := &n.customers[t.customer]
-	c.lastRequest = n.now
-	c.demand.add(a.Units, n.now, demandMemory)
-	if n.now == n.pauseEndedAt {
-		n.arrivedInPause++
+}
+
+// cancel notes that an attempt is to be cancelled, unless its response has begun.
+func (t *requestTable) cancel(r *request, k int) {
+	if a := &r.attempts[k]; a.inFlight && !a.cancelled && !r.streaming {
+		a.cancelled = true
+		t.cancellations = append(t.cancellations, cancellation{r.id, k})
 	}
-	n.recordUse(false, t.customer, a.Units, 0)
-	n.enqueue(i)
 }
 
-// canFinish is how many executions this node saw completed, of late, in a span. What is out over it is the
-// wait that a ticket let in now faces. The cap on it guards against a back end that fills within an
-// interval: a burst, a slowdown, a crowd of repeats. It could harm after a lull: openLeast lets it grow.
-func (n *Engine) canFinish(span Time) float64 {
-	best := 0.0
-	if len(n.completedRates) > 0 {
-		best = slices.Max(n.completedRates[max(0, len(n.completedRates)-3):])
+// nextCancellation takes the attempt to cancel now, if there is one.
+func (t *requestTable) nextCancellation() (cancellation, bool) {
+	k := len(t.cancellations) - 1
+	if k < 0 {
+		return cancellation{}, false
 	}
-	return best * seconds(span)
+	c := t.cancellations[k]
+	t.cancellations = t.cancellations[:k]
+	return c, true
 }
 
-// usualLatency is a band's usual completed latency, before any a quarter of the contract time.
-func (n *Engine) usualLatency(b *requestClass) float64 {
-	if b.latency.count < 1 {
-		return float64(b.latencyObjective) / 4
+// attemptStarted counts an attempt that is sent now.
+func (t *requestTable) attemptStarted(r *request, s serverSlot, now Time) {
+	r.attempts = append(r.attempts, attempt{server: s, sent: now, inFlight: true, mayHaveRun: true})
+	if r.inFlight++; r.inFlight == 1 {
+		t.inFlight++
 	}
-	return b.latency.sum / b.latency.count
 }
 
-func (n *Engine) cancelAttempt(t *request, k int) {
-	if x := &t.attempts[k]; x.inFlight && !x.cancelled && !t.streaming && n.settings.Enabled("withdraw") {
-		x.cancelled = true
-		n.cancellations = append(n.cancellations, Decision{Action: CancelAttempt, Request: t.id, Attempt: k})
+// attemptEnded notes that an attempt has ended.
+func (t *requestTable) attemptEnded(r *request, k int, o Outcome) {
+	a := &r.attempts[k]
+	a.inFlight = false
+	a.mayHaveRun = o != Overloaded && o != ConnectFailed && o != NotSent
+	if r.inFlight--; r.inFlight == 0 {
+		t.inFlight--
 	}
 }
+
+// ownerVerdict is what a customer's owner says of one request.
+type ownerVerdict uint8
+
+const (
+	verdictPending ownerVerdict = iota
+	verdictGranted
+	verdictDenied
+)
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -1,101 +1,65 @@
 package decision
 
-import (
-	"slices"
-)
+// retryBudget allows further attempts: by the request's class, by the limits on repeats and by a budget that
+// first attempts earn, which guards against a storm of repeats when much fails at once. It could harm when a
+// few servers fail outright under light load; the budget then holds a good reserve. An attempt that is late
+// at an ejected server is cancelled, and the request sent again once that has ended.
+type retryBudget struct {
+	config *config
+	left   float64
+}
 
-// answerMargin keeps final answers clear of the outer limit: an end is seen and answered a tick late each.
-func (n *Engine) answerMargin() Time { return 2*n.tick + n.shortestObjective/100 }
+// earn adds what a first attempt earns, where so many servers are usable.
+func (b *retryBudget) earn(usable int) { b.left = min(b.left+retryEarned, 2*float64(usable)) }
 
-// rejectOrFail answers a ticket at once: bounced where trying again is harmless, else broken off.
-func (n *Engine) rejectOrFail(i int32, advice Time) Decision {
-	t := &n.requests[i]
-	b := &n.classes[t.class]
-	harmless := b.retrySafety == retrySafe || b.retrySafety == retryKeyed && b.keyGroup == "all"
-	if !harmless {
-		harmless = !slices.ContainsFunc(t.attempts, func(x attempt) bool { return x.mayHaveRun })
-	}
-	d := Decision{Action: Fail, Request: t.id}
-	if harmless {
-		d.Action = Reject
-		if n.settings.Enabled("advice") {
-			d.Duration = min(max(advice, n.shortestObjective/4), n.settings.Duration("advice.most"))
-		}
-	}
-	n.closeRequest(i)
-	return d
-}
+// spend takes off a further attempt.
+func (b *retryBudget) spend() { b.left-- }
 
-// mayRetry tells whether a ticket may have another execution: by its band, by the rules on copies and by the
-// budget, which guards against a storm of repeats when much fails at once. It could harm when a few servers
-// fail outright under light load; the budget then holds a good reserve.
-func (n *Engine) mayRetry(t *request) bool {
-	if len(t.attempts) >= max(1, int(n.settings.Number("executions"))) || n.retryBudget < 1 {
+// allows tells whether a request may have another attempt.
+func (b *retryBudget) allows(r *request, now Time) bool {
+	if len(r.attempts) >= b.config.maxAttempts || b.left < 1 {
 		return false
 	}
-	b := &n.classes[t.class]
-	for _, x := range t.attempts {
-		if x.mayHaveRun && (b.retrySafety == retryNever || b.retrySafety == retryKeyed && n.now+n.connectTimeout >= x.sent+b.keyWindow) {
+	c := &b.config.classes[r.class]
+	for _, a := range r.attempts {
+		late := now+b.config.connectTimeout >= a.sent+c.keyWindow // past what servers know the key
+		if a.mayHaveRun && (c.retrySafety == retryNever || c.retrySafety == retryKeyed && late) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkAttempts looks over what is open. A server is silent when all that is out there has together waited for so
-// many usual latencies with nothing coming back, that chance hardly explains it; it
-// rests, then gets a trial. This guards against servers that stand still or hang without an error and
-// against cut links. It could harm where works differ far more than usual; others then take its turn.
-// An execution late at a suspected server is called back, and the ticket sent again once that has ended.
-func (n *Engine) checkAttempts() {
-	n.checkAt = n.now + max(n.tick, n.shortestObjective/checksPerObjective, 1)
-	n.sumPaces()
-	for _, i := range n.view {
-		for k := range n.servers[i].byClass {
-			n.servers[i].byClass[k].waited, n.servers[i].byClass[k].lost = 0, 0
-		}
-	}
-	for i := range n.requests {
-		t := &n.requests[i]
-		for _, x := range t.attempts {
-			if t.live && x.inFlight {
-				s, usual := &n.servers[x.server].byClass[t.class], n.usualLatency(&n.classes[t.class])
-				s.waited += float64(n.now-max(x.sent, s.answeredAt, s.countedFrom)) / usual
-				if float64(n.now-x.sent) > silentLatencies*usual {
-					s.lost++
-				}
-			}
-		}
-	}
-	for _, i := range n.view {
-		for k := range n.servers[i].byClass {
-			if s := &n.servers[i].byClass[k]; s.waited > silentLatencies && n.now >= s.ejectedUntil {
-				s.consecutiveFailures++
-				s.countedFrom, s.trialInFlight = n.now, false
-				n.eject(s)
-			}
-		}
+// hedgeAfter is how long an attempt at an ejected server may take before it is cancelled.
+func (b *retryBudget) hedgeAfter(class ClassID, usual float64) Time {
+	objective := b.config.classes[class].latencyObjective
+	return max(Time(hedgeAfterShare*float64(objective)), Time(hedgeAfterLatencies*usual))
+}
+
+// harmless tells whether a client may send a request again, though attempts may have run.
+func (c *classConfig) harmless(r *request) bool {
+	return c.retrySafety == retrySafe || c.retrySafety == retryKeyed && c.keyGroup == groupAll || !r.mayHaveRun()
+}
+
+// bound tells whether a request that may have run has to stay within the key group of an attempt, and so may
+// not go to a server.
+func (c *classConfig) bound(r *request, to *server, servers []server) bool {
+	if c.retrySafety != retryKeyed {
+		return false
 	}
-	for i := range n.requests {
-		t := &n.requests[i]
-		if t.live && !t.closed && t.askedOwnerAt > 0 && len(t.attempts) == 0 && !n.waitsForOwner(t) { // its home has not answered
-			n.enqueue(int32(i))
+	for _, a := range r.attempts {
+		if o := &servers[a.server]; a.mayHaveRun &&
+			(c.keyGroup == groupZone && o.Zone != to.Zone || c.keyGroup == groupCell && o.Cell != to.Cell) {
+			return true
 		}
-		if !t.live || t.inFlight == 0 {
-			continue
-		}
-		b := &n.classes[t.class]
-		due := max(Time(hedgeAfterShare*float64(b.latencyObjective)), Time(hedgeAfterLatencies*n.usualLatency(b)))
-		for k := range t.attempts {
-			x := &t.attempts[k]
-			if !x.inFlight || t.closed || t.streaming || n.now-x.sent < due ||
-				n.now >= t.arrived+b.latencyObjective || !n.ejected(t.class, &n.servers[x.server].byClass[t.class]) || !n.mayRetry(t) {
-				continue
-			}
-			n.cancelAttempt(t, k)
-		}
-	}
-	if n.now >= n.intervalEnd {
-		n.closeInterval()
 	}
+	return false
+}
+
+// pollDelay is how long after a failed call discovery is polled again: a random part of a span, or nodes that
+// start together poll in step and keep discovery full of calls no one waits for. It does not back off: a
+// change is to be known 6 s after discovery can be reached.
+func pollDelay(within float64, rng *random) Time {
+	span := min(pollSpan*float64(interval), max(float64(interval), within))
+	return Time(span * (pollFromShare + (1-pollFromShare)*rng.unit()))
 }
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -1,85 +1,142 @@
 package decision
 
-// pick is the smooth weighted rotation over the servers that may have the ticket: first those that this node
-// uses, in good standing, under their cap and not yet tried; then such ones of all; then any in good
-// standing; then suspected ones too.
-func (n *Engine) pick(t *request) int32 {
-	b := &n.classes[t.class]
-	set := n.subset
-	total, open := n.weighAll(t, b, set)
-	for level := range 4 {
-		best, due, sum := int32(-1), int32(-1), 0.0
-		if level == 1 && !n.ownersEnabled { // all in view are its own
+// selection is the smooth weighted rotation over the servers that may take a request. A server's weight is
+// its listed size over its pace: what its attempts take, over their class's usual latency. It guards against
+// servers that are slower or smaller than others and would queue; its cap on what is in flight at each, a
+// fair part of all, guards against one that slows down within a moment. It could harm where requests of one
+// class differ far: a server that drew long ones has less weight for a while.
+type selection struct {
+	config *config
+	paces  decayingMean // of the usable servers in view, as of the last check and ends since
+}
+
+// The passes over the servers, in turn: each takes more of them.
+const (
+	passSubset  = iota // of the subset, in good standing, under their cap, not yet tried
+	passView           // such ones of all in view
+	passTried          // any in good standing
+	passEjected        // ejected ones too
+	passes
+)
+
+// join gives a server that was not known its credit, one of so many: nodes that start alike must not all
+// begin at the same servers.
+func (l *selection) join(s *server, servers int, rng *random) {
+	s.rotationCredit = (rng.unit() - 0.5) * s.Weight * float64(min(servers, minView))
+}
+
+// attemptEnded learns a server's pace from an attempt that took so many usual latencies. Of one without an
+// answer it is known that it would have taken that long at least.
+func (l *selection) attemptEnded(s *server, o Outcome, latencies float64, now Time) {
+	switch {
+	case o == Succeeded:
+	case o == Cancelled && latencies > 1 || o == TimedOut || o == ConnectFailed || o == ConnectionReset:
+		latencies = max(1, latencies)
+	default:
+		return
+	}
+	s.pace.add(latencies, now, paceMemory)
+	if s.usable() {
+		l.paces.add(latencies, now, paceMemory)
+	}
+}
+
+// weigh follows what a server was seen to manage: its listed size over its pace.
+func (l *selection) weigh(s *server, mean float64, now Time) float64 {
+	s.pace.decayTo(now, paceMemory)
+	pace := (s.pace.sum + pacePrior*mean) / (s.pace.count + pacePrior) / mean
+	return s.size() / pace
+}
+
+// preferred tells whether a server is to be taken before another. A node that uses few servers takes the one
+// with the least in flight for its weight: by the rotation alone it would add to a larger one's queue while a
+// smaller idles.
+func (l *selection) preferred(a, b *server, pass int) bool {
+	x, y := float64(a.inFlight)*b.weight, float64(b.inFlight)*a.weight
+	if l.config.owners && pass == passSubset && x != y {
+		return x < y
+	}
+	return a.rotationCredit > b.rotationCredit
+}
+
+// capped tells whether a server has its fair part of what is in flight.
+func (c *candidates) capped(s *server) bool {
+	return float64(s.inFlight) >= max(1, (c.inFlight+1)*s.weight/c.weight)
+}
+
+// pick selects the server for a request's next attempt, or -1.
+func (e *Engine) pick(r *request) serverSlot {
+	c := e.weighAll(r, e.endpoints.subset)
+	for pass := range passes {
+		if pass == passView && !e.config.owners { // all in view are in the subset
 			continue
-		} else if level > 0 && len(set) == len(n.subset) {
-			set = n.candidatesBeyondSubset(t, b)
-			total, open = n.weighAll(t, b, set)
+		} else if pass > passSubset && len(c.slots) == len(e.endpoints.subset) {
+			c = e.weighAll(r, e.beyondSubset(r))
 		}
-		for _, i := range set {
-			s := &n.servers[i]
-			if s.weight <= 0 || level < 3 && n.ejected(t.class, &s.byClass[t.class]) {
-				continue
-			}
-			if fair := (open + 1) * s.weight / total; level < 2 &&
-				(float64(s.inFlight) >= max(1, fair) || tried(t, i)) {
+		if s := e.rotate(r, &c, pass); s >= 0 {
+			return s
+		}
+	}
+	return -1
+}
+
+// rotate gives each server that a pass takes its weight in credit, and takes all of that from the one that it
+// selects.
+func (e *Engine) rotate(r *request, c *candidates, pass int) serverSlot {
+	best, due, sum := serverSlot(-1), serverSlot(-1), 0.0
+	servers := e.endpoints.servers
+	for _, i := range c.slots {
+		s := &servers[i]
+		if s.weight <= 0 || pass < passEjected && e.outliers.ejected(&s.byClass[r.class], r.class, e.now) {
+			continue
+		}
+		if pass < passTried {
+			if c.capped(s) || r.tried(i) {
 				continue
 			}
-			// A fresh server is passed over by chance, less as it warms; one whose budget is a rate has its
-			// turn whenever that lets it: the rotation and chance on top would leave it all but idle.
-			if share := n.slowStartWeight(s); share < 1 && level < 2 {
-				if n.slowStartBudget(s) < 1 {
-					if due < 0 || s.rotationCredit > n.servers[due].rotationCredit {
-						due = i
-					}
-					continue
+			switch e.warmingTurn(s) {
+			case turnDue:
+				if due < 0 || s.rotationCredit > servers[due].rotationCredit {
+					due = i
 				}
-				if n.random.unit() > share {
-					continue
-				}
-			}
-			s.rotationCredit += s.weight
-			sum += s.weight
-			if best < 0 || n.preferred(s, &n.servers[best], level) {
-				best = i
+				continue
+			case turnSkipped:
+				continue
 			}
 		}
-		if due >= 0 {
-			return due
-		}
-		if best >= 0 {
-			n.servers[best].rotationCredit -= sum
-			return best
+		s.rotationCredit += s.weight
+		sum += s.weight
+		if best < 0 || e.selection.preferred(s, &servers[best], pass) {
+			best = i
 		}
 	}
-	return -1
-}
-
-// preferred tells whether a server is to be taken before another.
-func (n *Engine) preferred(a, b *server, level int) bool {
-	if x, y := float64(a.inFlight)*b.weight, float64(b.inFlight)*a.weight; n.ownersEnabled && level == 0 && x != y {
-		return x < y
+	if due >= 0 {
+		return due
 	}
-	return a.rotationCredit > b.rotationCredit
-}
-
-// inKeyGroup keeps a referenced ticket that may have run inside its group.
-func (n *Engine) inKeyGroup(t *request, b *requestClass, s *server) bool {
-	for _, x := range t.attempts {
-		if o := &n.servers[x.server]; b.retrySafety == retryKeyed && x.mayHaveRun &&
-			(b.keyGroup == "zone" && o.Zone != s.Zone || b.keyGroup == "cell" && o.Cell != s.Cell) {
-			return false
-		}
+	if best >= 0 {
+		servers[best].rotationCredit -= sum
 	}
-	return true
+	return best
 }
 
-// weigh follows what a server was seen to manage: its listed size over its pace.
-func (n *Engine) weigh(s *server, mean float64) float64 {
-	w := s.Weight
-	if w <= 0 {
-		w = 1
+// The turns of a server that may be warming.
+const (
+	turnUsual   = iota // it takes part in the rotation
+	turnSkipped        // it is passed over
+	turnDue            // it is to be taken at once
+)
+
+// warmingTurn passes a warming server over by chance, less as it warms; one whose budget is a rate has its
+// turn whenever that lets it: the rotation and chance on top would leave it all but idle.
+func (e *Engine) warmingTurn(s *server) int {
+	weight := e.slowStart.weight(s, e.now)
+	switch {
+	case weight >= 1:
+		return turnUsual
+	case e.slowStart.budget(s, e.now, e.subsets.ratio) < 1:
+		return turnDue
+	case e.random.unit() > weight:
+		return turnSkipped
 	}
-	s.pace.decayTo(n.now, paceMemory)
-	p := (s.pace.sum + pacePrior*mean) / (s.pace.count + pacePrior) / mean
-	return w / p
+	return turnUsual
 }
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 )
@@ -8,7 +9,7 @@
 // Settings are the figures handed over at start, by name.
 type Settings map[string]string
 
-// Number is a number, 0 where the name is missing.
+// Number is a number; 0 where the name is missing or its value can't be parsed.
 func (s Settings) Number(name string) float64 {
 	v, err := strconv.ParseFloat(s[name], 64)
 	if err != nil {
@@ -17,18 +18,18 @@
 	return v
 }
 
-// Duration is a stretch of time.
+// Duration is a duration in tenths of a millisecond, cut to whole ones.
 func (s Settings) Duration(name string) Time { return Time(s.Number(name)) }
 
-// Enabled tells whether a setting is on.
+// Enabled tells whether a setting is on: only the word true is.
 func (s Settings) Enabled(name string) bool { return s[name] == "true" }
 
-// Key names a field of the i-th band or plan.
+// Key names a field of the i-th class or plan.
 func (s Settings) Key(list string, i int, field string) string {
 	return list + "." + strconv.Itoa(i) + "." + field
 }
 
-// Words is a list of words.
+// Words is a list of words, separated by commas.
 func (s Settings) Words(name string) []string {
 	if s[name] == "" {
 		return nil
@@ -36,57 +37,127 @@
 	return strings.Split(s[name], ",")
 }
 
-// retrySafety is what a band allows.
+// retrySafety is whether a request may run more than once.
 type retrySafety uint8
 
 const (
-	retrySafe retrySafety = iota
-	retryKeyed
+	retrySafe  retrySafety = iota // idempotent
+	retryKeyed                    // idempotent within a key group and window
 	retryNever
 )
 
-// requestClass is a band's settings and what was seen of its work.
-type requestClass struct {
-	latencyObjective, keyWindow Time
-	retrySafety                 retrySafety
-	keyGroup                    string       // referenced: all, zone or cell
-	latency                     decayingMean // completed latencies
-	peerSuspicion               decayingMean // peers' words of misses
-	trialBudget                 float64      // trials at rested servers that it may spend
+// keyGroup is within which servers an idempotency key is known.
+type keyGroup uint8
+
+const (
+	groupOther keyGroup = iota // not known: bound to nothing, and no reason to reject harmlessly
+	groupAll
+	groupZone
+	groupCell
+)
+
+// config is the settings of one node, parsed once.
+type config struct {
+	self           NodeID
+	nodes          int
+	tick           Time // how late an end or a timer may be seen
+	connectTimeout Time
+	maxAttempts    int
+	cancel         bool // attempts may be cancelled
+	idleTimeout    Time // of a connection to a server
+
+	slowStartSpan    Time    // a server is warm so long after its start
+	slowStartShare   float64 // of its capacity that a server has at its start
+	recoveryMultiple float64 // of its capacity, that a warming server may be sent at most
+	recoverySpan     Time    // over which that counts
+
+	peers    bool    // nodes send each other messages
+	peerRate float64 // messages a second that a node takes in
+
+	retryAfter    bool // rejections carry a Retry-After
+	maxRetryAfter Time
+
+	pollEndpoints bool    // the endpoint list has to be asked for
+	pollWithin    float64 // the span in which discovery is asked again
+
+	classes           []classConfig
+	plans             []quotaPlan
+	shortestObjective Time
+	owners            bool // more nodes than can all hear each other: customers have quota owners
+	ownerTimeout      Time // that a request waits for its quota owner
 }
 
-// quotaPlan is a plan's settings.
+// classConfig is the settings of one request class.
+type classConfig struct {
+	latencyObjective Time
+	keyWindow        Time // for which a server knows an idempotency key
+	retrySafety      retrySafety
+	keyGroup         keyGroup
+}
+
+// quotaPlan is the settings of one quota plan. Rates are units a second.
 type quotaPlan struct {
 	rate, burst               float64
-	maxInFlight               int
+	maxInFlight               int // 0: no limit
 	ceilingRate, ceilingBurst float64
 }
 
-// readClasses reads the bands; one whose repeats are not known is never run twice.
-func readClasses(set Settings) (out []requestClass) {
+// noCeiling tells whether the plan has no hard ceiling. One that is not a number is a ceiling that nothing passes.
+func (p *quotaPlan) noCeiling() bool { return p.ceilingRate <= 0 && p.ceilingBurst <= 0 }
+
+// parseSettings reads all settings. Nothing is refused: what is missing or malformed reads as 0 or off.
+func parseSettings(set Settings) *config {
+	c := &config{
+		self: NodeID(set.Number("node")), nodes: max(1, int(set.Number("nodes"))),
+		tick: set.Duration("tick"), connectTimeout: set.Duration("connect"),
+		maxAttempts: max(1, int(set.Number("executions"))), cancel: set.Enabled("withdraw"),
+		idleTimeout:   set.Duration("idle"),
+		slowStartSpan: set.Duration("cold.span"), slowStartShare: set.Number("cold.from"),
+		recoveryMultiple: set.Number("fall.multiple"), recoverySpan: set.Duration("fall.span"),
+		peers: set.Enabled("peers"), peerRate: set.Number("peers.take"),
+		retryAfter: set.Enabled("advice"), maxRetryAfter: set.Duration("advice.most"),
+		pollEndpoints: set["roster"] == "ask", pollWithin: set.Number("ask.within"),
+		classes: parseClasses(set), plans: parsePlans(set),
+	}
+	c.shortestObjective = c.classes[0].latencyObjective
+	for _, class := range c.classes {
+		c.shortestObjective = min(c.shortestObjective, class.latencyObjective)
+	}
+	c.owners = ownersNeeded(c.nodes, c.peerRate)
+	c.ownerTimeout = ownerTimeout(c.shortestObjective)
+	return c
+}
+
+// parseClasses reads the request classes. One whose retry safety is not known is never run twice.
+func parseClasses(set Settings) (out []classConfig) {
 	for i := range max(1, int(set.Number("band.count"))) {
-		b := requestClass{
-			latencyObjective: set.Duration(set.Key("band", i, "contract")), keyWindow: set.Duration(set.Key("band", i, "window")),
-			keyGroup: set[set.Key("band", i, "group")], retrySafety: retryNever,
+		c := classConfig{
+			latencyObjective: max(set.Duration(set.Key("band", i, "contract")), 1),
+			keyWindow:        set.Duration(set.Key("band", i, "window")),
+			retrySafety:      retryNever,
 		}
 		switch set[set.Key("band", i, "repeats")] {
 		case "referenced":
-			b.retrySafety = retryKeyed
+			c.retrySafety = retryKeyed
 		case "replayable":
-			b.retrySafety = retrySafe
+			c.retrySafety = retrySafe
+		}
+		groups := []string{groupAll: "all", groupZone: "zone", groupCell: "cell"}
+		if g := slices.Index(groups, set[set.Key("band", i, "group")]); g > 0 {
+			c.keyGroup = keyGroup(g)
 		}
-		b.latencyObjective = max(b.latencyObjective, 1)
-		out = append(out, b)
+		out = append(out, c)
 	}
 	return out
 }
 
-func readPlans(set Settings) (out []quotaPlan) {
+// parsePlans reads the quota plans.
+func parsePlans(set Settings) (out []quotaPlan) {
 	for i := range max(1, int(set.Number("plan.count"))) {
-		f := func(name string) float64 { return set.Number(set.Key("plan", i, name)) }
+		number := func(field string) float64 { return set.Number(set.Key("plan", i, field)) }
 		out = append(out, quotaPlan{
-			rate: f("rate"), burst: f("depth"), maxInFlight: int(f("open")),
-			ceilingRate: f("ceiling.rate"), ceilingBurst: f("ceiling.depth"),
+			rate: number("rate"), burst: number("depth"), maxInFlight: int(number("open")),
+			ceilingRate: number("ceiling.rate"), ceilingBurst: number("ceiling.depth"),
 		})
 	}
 	return out
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -1,152 +1,149 @@
 package decision
 
-import "slices"
-
-// shadow counts where other settings would have decided otherwise. It never acts: each of the node's decisions
-// on a ticket is taken once more, just before, on a copy of all that bears on it, by the other settings and
-// with the same chance. The copy is dropped; so both start from what really happened, each time. Kept from
-// one to the next are only the customers' stores, as the other settings size and fill them; they are charged
-// for what really passed. So no second state goes its own way, and what is counted is single decisions, not
-// how a day under the other settings would have gone: after a first ticket let in or bounced otherwise,
-// queues, retries and what peers hear would be others too.
+import (
+	"maps"
+	"slices"
+)
+
+// shadow counts where other settings would have decided otherwise. It never acts: each of the node's decisions on a
+// request is taken once more, just before, on a copy of all that bears on it, by the other settings and with the same
+// random draws. The copy is dropped; so both start from what really happened, each time. Kept from one to the next are
+// only the customers' buckets, as the other settings size and fill them; they are charged for what really passed. So
+// no second state goes its own way, and what is counted is single decisions, not how a day under the other settings
+// would have gone: after a first request admitted or rejected otherwise, queues, retries and peers' reports would be
+// others too.
 type shadow struct {
-	settings Settings
-	seen     int64
-	differs  map[string]int64
-	levels   map[uint64]bucketLevels
-	plans    []quotaPlan
+	config  *config
+	seen    int64
+	differs map[string]int64
+	buckets map[CustomerID]customerBuckets
 }
 
-// bucketLevels are a customer's, under the watched settings.
-type bucketLevels struct {
-	level, ceiling, homeCeiling float64
-	filled, ceilingAt, homeAt   Time
-}
+// customerBuckets are a customer's buckets, under the other settings.
+type customerBuckets struct{ quota, ceiling, ownerCeiling tokenBucket }
 
-func (c *customer) bucketLevels() bucketLevels {
-	return bucketLevels{c.level, c.ceiling, c.ownerCeiling, c.levelAt, c.ceilingAt, c.ownerCeilingAt}
+func (c *customer) buckets() customerBuckets {
+	return customerBuckets{c.bucket, c.ceiling, c.ownerCeiling}
 }
 
-func (c *customer) setBucketLevels(s bucketLevels) {
-	c.level, c.ceiling, c.ownerCeiling = s.level, s.ceiling, s.homeCeiling
-	c.levelAt, c.ceilingAt, c.ownerCeilingAt = s.filled, s.ceilingAt, s.homeAt
+func (c *customer) setBuckets(b customerBuckets) {
+	c.bucket, c.ceiling, c.ownerCeiling = b.quota, b.ceiling, b.ownerCeiling
 }
 
 // StartShadow starts counting where settings would decide otherwise than the node's own. They must name the same
-// bands and plans in the same order. It costs a copy of the node's state a decision.
-func (n *Engine) StartShadow(set Settings) {
-	n.shadow = &shadow{settings: set, differs: map[string]int64{}, levels: map[uint64]bucketLevels{}, plans: readPlans(set)}
+// classes and plans in the same order. It costs a copy of the node's state a decision.
+func (e *Engine) StartShadow(set Settings) {
+	e.shadow = &shadow{
+		config: parseSettings(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
+	}
 }
 
-// ShadowCounts is how many decisions on tickets were compared, and in how many the other settings differed, by
-// kind: what was done, and what would have been. Both are 0 and nil while nothing is watched.
-func (n *Engine) ShadowCounts() (seen int64, differs map[string]int64) {
-	if n.shadow == nil {
+// ShadowCounts is how many decisions on requests were compared, and in how many the other settings differed, by kind:
+// what was done, and what would have been. Both are 0 and nil while nothing is compared.
+func (e *Engine) ShadowCounts() (seen int64, differs map[string]int64) {
+	if e.shadow == nil {
 		return 0, nil
 	}
-	differs = map[string]int64{}
-	for kind, k := range n.shadow.differs {
-		differs[kind] = k
-	}
-	return n.shadow.seen, differs
+	return e.shadow.seen, maps.Clone(e.shadow.differs)
 }
 
-// decideWithShadow decides on a ticket, and counts what other settings would have decided.
-func (n *Engine) decideWithShadow(i int32) (Decision, bool) {
-	if t := &n.requests[i]; n.shadow == nil || t.closed || t.streaming || t.inFlight > 0 {
-		return n.decide(i)
-	}
-	t := &n.requests[i]
-	c, first, w := t.customer, len(t.attempts) == 0, n.shadowCopy(i)
-	other := &w.customers[c]
-	kept := other.bucketLevels()
-	would := kindOf(w.decide(i))
-	d, ok := n.decide(i)
-	other.setBucketLevels(kept)
-	if other.plan < len(w.plans) && first && ok && d.Action == Forward {
-		w.chargeShadow(other, t)
-	}
-	n.shadow.keep(n, other)
-	n.shadow.seen++
+// decideWithShadow decides on a request, and counts what the other settings would have decided.
+func (e *Engine) decideWithShadow(i requestSlot) (Decision, bool) {
+	r := &e.requests.all[i]
+	if e.shadow == nil || r.closed || r.streaming || r.inFlight > 0 {
+		return e.decide(i)
+	}
+	first, other := len(r.attempts) == 0, e.shadowCopy(i)
+	c := &other.customers.all[r.customer]
+	buckets := c.buckets()
+	would := kindOf(other.decide(i))
+	d, ok := e.decide(i)
+	c.setBuckets(buckets)
+	if int(c.plan) < len(other.config.plans) && first && ok && d.Action == Forward {
+		other.chargeAdmitted(c, r)
+	}
+	e.shadow.keep(&e.customers, c)
+	e.shadow.seen++
 	switch did := kindOf(d, ok); {
 	case did.action != would.action:
-		n.shadow.differs[did.action+"_would_"+would.action]++
+		e.shadow.differs[did.action+"_would_"+would.action]++
 	case did.server != would.server:
-		n.shadow.differs["send_would_send_elsewhere"]++
+		e.shadow.differs["send_would_send_elsewhere"]++
 	}
 	return d, ok
 }
 
-// chargeShadow charges a customer's stores, under the watched settings, for a ticket that really passed.
-func (n *Engine) chargeShadow(c *customer, t *request) {
-	n.refill(c)
-	n.ceilingAllows(c, t)
-	share := 1.0
-	if !n.hasOwner(c) {
-		share = n.demandPart(c)
-	}
-	c.level = max(c.level, 0) - t.units/share
-	if p := n.plans[c.plan]; n.hasOwner(c) && n.ownerOf(c) == n.self {
-		gained := ownerCeilingPart * p.ceilingRate * seconds(n.now-c.ownerCeilingAt)
-		c.ownerCeiling, c.ownerCeilingAt = min(c.ownerCeiling+gained, ownerCeilingPart*p.ceilingBurst)-t.units, n.now
+// chargeAdmitted charges a customer's buckets, under the other settings, for a request that was admitted.
+func (e *Engine) chargeAdmitted(c *customer, r *request) {
+	p, owned := &e.config.plans[c.plan], e.owner.owned(c)
+	c.refill(p, e.now)
+	e.quota.ceilingAllows(c, r.units, owned, e.now)
+	part := 1.0
+	if !owned {
+		part = e.quota.demandPart(c, e.now)
+	}
+	e.quota.charge(c, r.units, part)
+	if owned && e.owner.isOwner(c) {
+		c.ownerCeiling.refill(e.now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
+		c.ownerCeiling.level -= r.units
 	} else {
-		c.ceiling -= t.units
+		c.ceiling.level -= r.units
 	}
 }
 
-// chargeShadowUse charges a customer's stores for units that passed by other ways than a decision here: what its home
+// chargeShadowUse charges a customer's buckets for units that passed by other ways than a decision here: what its owner
 // let pass elsewhere, asked for or told of, and what was settled afterwards.
-func (n *Engine) chargeShadowUse(c *customer, units float64, asked bool) {
-	if n.shadow == nil {
+func (e *Engine) chargeShadowUse(c *customer, units float64, asked bool) {
+	if e.shadow == nil {
 		return
 	}
-	p, held := n.shadow.plans[min(c.plan, len(n.shadow.plans)-1)], *c
-	n.shadow.load(&held, n.now)
-	s := held.bucketLevels()
+	plans := e.shadow.config.plans
+	p, b := &plans[min(int(c.plan), len(plans)-1)], e.shadow.bucketsOf(c, e.now)
 	if asked {
-		s.level, s.filled = min(s.level+p.rate*seconds(n.now-s.filled), p.burst), n.now
-		gained := ownerCeilingPart * p.ceilingRate * seconds(n.now-s.homeAt)
-		s.homeCeiling, s.homeAt = min(s.homeCeiling+gained, ownerCeilingPart*p.ceilingBurst)-units, n.now
+		b.quota.refill(e.now, p.rate, p.burst)
+		b.ownerCeiling.refill(e.now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
+		b.ownerCeiling.level -= units
 	}
-	s.level -= units
-	n.shadow.levels[c.key] = s
+	b.quota.level -= units
+	e.shadow.buckets[c.id] = b
 }
 
-// keep notes a customer's stores, and forgets those of customers that the node has.
-func (w *shadow) keep(n *Engine, c *customer) {
-	w.levels[c.key] = c.bucketLevels()
-	if len(w.levels) > 2*len(n.customers)+100 {
-		for key := range w.levels {
-			if n.customerSlots.find(key) < 0 {
-				delete(w.levels, key)
+// keep notes a customer's buckets, and forgets those of customers that the node has forgotten.
+func (s *shadow) keep(table *customerTable, c *customer) {
+	s.buckets[c.id] = c.buckets()
+	if len(s.buckets) > 2*len(table.all)+100 {
+		for id := range s.buckets {
+			if table.slots.find(id) < 0 {
+				delete(s.buckets, id)
 			}
 		}
 	}
 }
 
-// answerAsk lets a home decide on an ask, and counts where the watched settings would have answered otherwise.
-func (n *Engine) answerAsk(c *customer, a customerReport, from int) bool {
-	if n.shadow == nil {
-		return n.grantAsOwner(c, a, from)
+// grantWithShadow decides on an ask at the customer's owner, and counts where the other settings would have answered
+// otherwise.
+func (e *Engine) grantWithShadow(c *customer, ask customerReport, from NodeID) bool {
+	if e.shadow == nil {
+		return e.grantAsOwner(c, ask, from)
 	}
-	w, other := n.withShadowSettings(), *c
-	other.reservations = slices.Clone(c.reservations)
-	n.shadow.load(&other, n.now)
-	would, did := w.grantAsOwner(&other, a, from), n.grantAsOwner(c, a, from)
-	n.shadow.seen++
+	other, same := e.underShadowSettings(), *c
+	same.reservations = slices.Clone(c.reservations)
+	same.setBuckets(e.shadow.bucketsOf(c, e.now))
+	would, did := other.grantAsOwner(&same, ask, from), e.grantAsOwner(c, ask, from)
+	e.shadow.seen++
 	switch {
 	case did && !would:
-		n.shadow.differs["grant_would_deny"]++
+		e.shadow.differs["grant_would_deny"]++
 	case !did && would:
-		n.shadow.differs["deny_would_grant"]++
+		e.shadow.differs["deny_would_grant"]++
 	}
 	return did
 }
 
-// decisionKind is what a decision does with its ticket.
+// decisionKind is what a decision does with its request. The words are counters' names.
 type decisionKind struct {
 	action string
-	server uint32
+	server ServerID
 }
 
 func kindOf(d Decision, ok bool) decisionKind {
@@ -161,49 +158,52 @@
 	return decisionKind{action: "break_off"}
 }
 
-// shadowCopy is a copy of the node under the watched settings, good for one decision on a ticket.
-func (n *Engine) shadowCopy(i int32) *Engine {
-	w := n.withShadowSettings()
-	w.servers = slices.Clone(n.servers)
-	for k := range w.servers {
-		w.servers[k].byClass = slices.Clone(n.servers[k].byClass)
-	}
-	w.requests, w.customers = slices.Clone(n.requests), slices.Clone(n.customers)
-	t := &w.requests[i]
-	t.attempts, t.plan, t.class = slices.Clone(t.attempts), min(t.plan, len(w.plans)-1), min(t.class, len(w.classes)-1)
-	c := &w.customers[t.customer]
-	c.reservations = slices.Clone(c.reservations)
-	n.shadow.load(c, n.now)
-	w.requestSlots = newSlotIndex[uint32]()
-	w.requestSlots.slots[t.id], w.requestSlots.next = i, n.requestSlots.next
-	w.subset, w.view, w.spareView = slices.Clone(n.subset), slices.Clone(n.view), nil
-	if w.ownersEnabled != n.ownersEnabled {
-		w.order = endpointOrder{}
-		w.chooseSubset()
-	}
-	return w
-}
-
-// withShadowSettings is the node under the watched settings, with what was seen of bands; it shares the rest with the
-// node.
-func (n *Engine) withShadowSettings() *Engine {
-	w := *n
-	w.shadow, w.pending, w.cancellations, w.outbox, w.pendingReports, w.scratch = nil, nil, nil, nil, nil, nil
-	w.applySettings(n.shadow.settings)
-	for k := range w.classes {
-		if k < len(n.classes) {
-			w.classes[k].latency, w.classes[k].peerSuspicion, w.classes[k].trialBudget = n.classes[k].latency, n.classes[k].peerSuspicion, n.classes[k].trialBudget
-		}
+// shadowCopy is a copy of the engine under the other settings, good for one decision on a request.
+func (e *Engine) shadowCopy(i requestSlot) *Engine {
+	other := e.underShadowSettings()
+	set := &other.endpoints
+	set.servers = slices.Clone(set.servers)
+	for k := range set.servers {
+		set.servers[k].byClass = slices.Clone(set.servers[k].byClass)
 	}
-	return &w
-}
+	set.subset, set.view, set.spareView = slices.Clone(set.subset), slices.Clone(set.view), nil
 
-// load gives a customer its stores under the watched settings: those kept, or those of a first sight.
-func (w *shadow) load(c *customer, now Time) {
-	s, ok := w.levels[c.key]
-	if !ok {
-		p := w.plans[min(c.plan, len(w.plans)-1)]
-		s = bucketLevels{level: p.burst, filled: now, ceilingAt: now, homeAt: now}
-	}
-	c.setBucketLevels(s)
+	other.requests.all, other.customers.all = slices.Clone(e.requests.all), slices.Clone(e.customers.all)
+	r := &other.requests.all[i]
+	r.attempts = slices.Clone(r.attempts)
+	r.plan = min(r.plan, PlanID(len(other.config.plans)-1))
+	r.class = min(r.class, ClassID(len(other.classes)-1))
+	other.requests.slots = newSlotIndex[RequestID, requestSlot]()
+	other.requests.slots.slots[r.id], other.requests.slots.next = i, e.requests.slots.next
+
+	c := &other.customers.all[r.customer]
+	c.reservations = slices.Clone(c.reservations)
+	c.setBuckets(e.shadow.bucketsOf(c, e.now))
+	if other.config.owners != e.config.owners {
+		set.order = endpointOrder{}
+		other.chooseSubset()
+	}
+	return other
+}
+
+// underShadowSettings is the engine under the other settings, with what was seen of classes; it shares the rest with
+// the engine.
+func (e *Engine) underShadowSettings() *Engine {
+	other := *e
+	other.shadow, other.outbox, other.reports, other.scratch = nil, outbox{}, usageReports{}, nil
+	other.requests.pending, other.requests.cancellations = nil, nil
+	other.configure(e.shadow.config)
+	copy(other.classes, e.classes)
+	copy(other.outliers.classes, e.outliers.classes)
+	return &other
+}
+
+// bucketsOf are a customer's buckets under the other settings: those kept, or those of a first sight.
+func (s *shadow) bucketsOf(c *customer, now Time) customerBuckets {
+	if b, ok := s.buckets[c.id]; ok {
+		return b
+	}
+	plans, empty := s.config.plans, tokenBucket{at: now}
+	p := &plans[min(int(c.plan), len(plans)-1)]
+	return customerBuckets{quota: tokenBucket{p.burst, now}, ceiling: empty, ownerCeiling: empty}
 }
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -10,19 +10,19 @@
 func watchedRun(own, other Settings) (did []Decision, n *Engine) {
 	n = plain(6, own)
 	if other != nil {
-		all := maps.Clone(n.settings)
+		all := plainSettings(own)
 		maps.Copy(all, other)
 		n.StartShadow(all)
 	}
-	for id := range uint32(400) {
+	for id := range RequestID(400) {
 		n.SetTime(Second + Time(id)*200)
-		n.AddRequest(Request{ID: id, Customer: uint64(id % 3), Timeout: Second, Units: 1, Spread: 1})
+		n.AddRequest(Request{ID: id, Customer: CustomerID(id % 3), Timeout: Second, Units: 1, Spread: 1})
 		for d, ok := n.Next(); ok; d, ok = n.Next() {
 			d.Payload = nil
 			did = append(did, d)
 			if d.Action == Forward {
 				r := AttemptResult{
-					Request: d.Request, Attempt: len(n.requests[n.requestSlots.find(d.Request)].attempts) - 1, Server: d.Server,
+					Request: d.Request, Attempt: len(n.requests.all[n.requests.slots.find(d.Request)].attempts) - 1, Server: d.Server,
 					Duration: 400, Final: true,
 				}
 				if d.Request%7 == 0 && r.Attempt == 0 {
@@ -89,8 +89,8 @@
 func TestWatchOverAWideFleet(t *testing.T) {
 	for _, other := range []Settings{{}, {"plan.0.rate": "1", "plan.0.depth": "3"}} {
 		f := newFleet(t, Settings{"plan.0.rate": "4", "plan.0.depth": "12"})
-		for _, n := range f.nodes {
-			all := maps.Clone(n.settings)
+		for k, n := range f.nodes {
+			all := maps.Clone(f.sets[k])
 			maps.Copy(all, other)
 			n.StartShadow(all)
 		}
@@ -118,16 +118,16 @@
 		}
 		b.Run(name, func(b *testing.B) {
 			n := plain(100, nil)
-			for k := range uint64(2000) {
-				n.customerSlot(k, 0, 1, 0)
+			for k := range CustomerID(2000) {
+				n.customers.slot(n.config, n.now, k, 0, 1, 0)
 			}
 			if on {
-				n.StartShadow(n.settings)
+				n.StartShadow(plainSettings(nil))
 			}
 			b.ReportAllocs()
 			for i := range b.N {
 				n.SetTime(Second + Time(i)*100)
-				n.AddRequest(Request{ID: uint32(i), Customer: uint64(i % 2000), Timeout: Second, Units: 1, Spread: 1})
+				n.AddRequest(Request{ID: RequestID(i), Customer: CustomerID(i % 2000), Timeout: Second, Units: 1, Spread: 1})
 				for _, d := range pull(n, Forward) {
 					n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 400, Final: true})
 				}
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -1,28 +1,62 @@
 package decision
 
-// slowStartWeight is the least share of its capacity that a fresh server has by now.
-func (n *Engine) slowStartWeight(s *server) float64 {
-	if s.Started <= 0 || n.slowStartSpan <= 0 || n.now >= s.Started+n.slowStartSpan {
+// slowStart keeps what this node sends to servers that started lately to their share of what a warm server
+// completes, by the platform's budget: over recoverySpan all nodes together may send recoveryMultiple times
+// what the server can do. Half of the budget is used at once and as much again over the span. It guards
+// against a fleet that pushes a cold server, or one that comes back, into failing again. It could harm where
+// most of a fleet restarts at once: then servers stand idle while the warm ones drown, so that the rate of a
+// warm server is remembered from better times.
+type slowStart struct {
+	config          *config
+	warmRate        float64      // completed a second by a warm server for this node, at best of late
+	rates           []float64    // recent rates by a warm server, of those that there were then,
+	lastWarmServers float64      // or as of the interval before
+	completedSizes  decayingMean // listed sizes of the servers that completed attempts
+}
+
+// weight is the least share of its capacity that a server has by now; 1: it is warm.
+func (l *slowStart) weight(s *server, now Time) float64 {
+	span, least := l.config.slowStartSpan, l.config.slowStartShare
+	if s.Started <= 0 || span <= 0 || now >= s.Started+span {
 		return 1
 	}
-	return n.slowStartShare + (1-n.slowStartShare)*max(0, float64(n.now-s.Started)/float64(n.slowStartSpan))
+	return least + (1-least)*max(0, float64(now-s.Started)/float64(span))
 }
 
-// slowStartCapacity keeps the cold budget alone: this node's share, and few open at once. A share below one is a rate:
+// hasRoom keeps the budget alone: this node's share, and few in flight at once. A share below one is a rate:
 // what counts as sent starts at a chance part of one, so that many nodes spread their first ones.
-func (n *Engine) slowStartCapacity(s *server) bool {
-	share := n.slowStartWeight(s)
-	if share >= 1 {
+func (l *slowStart) hasRoom(s *server, now Time, subsetRatio float64) bool {
+	weight := l.weight(s, now)
+	if weight >= 1 {
 		return true
 	}
-	n.drainSlowStart(s)
-	return s.inSubset && s.inFlight < 1+int(share*2) && s.slowStartSent+1 <= max(1, n.slowStartBudget(s))
+	l.drain(s, now, subsetRatio)
+	budget := max(1, l.budget(s, now, subsetRatio))
+	return s.inSubset && s.inFlight < 1+int(weight*2) && s.slowStart.sent+1 <= budget
+}
+
+// budget is how many attempts a server may get from this node in a span. Of the nodes, one in subsetRatio
+// uses it.
+func (l *slowStart) budget(s *server, now Time, subsetRatio float64) float64 {
+	c := l.config
+	least := 1 / (float64(c.nodes) * seconds(c.shortestObjective)) // so that an all cold fleet warms
+	warm := l.relativeSize(s) * max(l.warmRate, least)
+	share := slowStartMargin * l.weight(s, now) * subsetRatio
+	return share * c.recoveryMultiple * warm * seconds(c.recoverySpan)
 }
 
-// slowStartBudget is how many executions a cold server may get from this node in a span.
-func (n *Engine) slowStartBudget(s *server) float64 {
-	least := 1 / (float64(n.nodes) * seconds(n.shortestObjective)) // so that an all cold fleet warms
-	warm := n.relativeSize(s) * max(n.warmServerRate, least)
-	share := slowStartMargin * n.slowStartWeight(s) * n.subsetRatio // of the nodes, one in reach uses it
-	return share * n.settings.Number("fall.multiple") * warm * seconds(n.settings.Duration("fall.span"))
+// started begins what counts against the budget of a new process.
+func (l *slowStart) started(s *server, rng *random) { s.slowStart.sent = rng.unit() }
+
+// closeInterval learns what a warm server completes at best, from the completed rates of the last intervals:
+// by what it does now, a fleet that is mostly cold would stay so.
+func (l *slowStart) closeInterval(warm float64, completedRates []float64) {
+	last := completedRates[len(completedRates)-1]
+	l.rates = appendRecent(l.rates, last/max(1, warm, l.lastWarmServers), warmRateIntervals)
+	l.lastWarmServers = warm
+	rate, recent := 0.0, completedRates[len(completedRates)-len(l.rates):]
+	for k, r := range l.rates {
+		rate += min(recent[k]/max(1, warm), maxRateRatio*r) / warmRateIntervals
+	}
+	l.warmRate = max(l.warmRate*(1-warmRateDecay), rate)
 }
