--- a/cmd/cherrygap/cli_test.go
+++ b/cmd/cherrygap/cli_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -11,7 +10,7 @@
 
 func cli(args ...string) (string, string, error) {
 	var out, errOut bytes.Buffer
-	root := newRoot()
+	root := newRootCommand()
 	root.SetArgs(args)
 	root.SetOut(&out)
 	root.SetErr(&errOut)
@@ -25,11 +24,9 @@
 		t.Fatalf("shipped file: %q %v", out, err)
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
-	if err := os.WriteFile(bad, []byte("[lab.load]\nrate = -1\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, bad, "[lab.load]\nrate = -1\n")
 	_, errOut, err := cli("config", "check", bad)
-	if !errors.Is(err, errShown) || !strings.Contains(errOut, "line 2: lab.load.rate") {
+	if !errors.Is(err, errReported) || !strings.Contains(errOut, "line 2: lab.load.rate") {
 		t.Fatalf("%q %v", errOut, err)
 	}
 	if _, _, err := cli("lab", "load", "--rate", "0"); err == nil || !strings.Contains(err.Error(), "lab.load.rate") {
--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -6,73 +6,92 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
-	"syscall"
-	"time"
 
 	"github.com/rs/zerolog"
 
-	"cherrygap/internal/authz"
-	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
-	"cherrygap/internal/quota"
 	"cherrygap/internal/settings"
-	"cherrygap/internal/transport"
 )
 
-// config is what the node is told at its start.
+// Environment variables that the node reads.
+const (
+	envConfig    = "GW_CONFIG"    // path of the platform's configuration
+	envName      = "GW_NAME"      // over "name" in it
+	envListen    = "GW_LISTEN"    // over "listen"
+	envDiscovery = "GW_DISCOVERY" // over "discovery", until a reload names another address
+	envOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
+)
+
+// keyKnown is the configuration's key of the endpoint list as last known.
+const keyKnown = "known"
+
+// config is what the node starts with: the platform's configuration (the exported fields, JSON) and what the operator file
+// adds to it. Go's name of this type stands in the messages on values of the wrong JSON type.
 type config struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
 	Discovery string           `json:"discovery"`
-	Seed      string           `json:"seed"`
+	Seed      string           `json:"seed"` // 64 bits, hexadecimal
 	Peer      netip.AddrPort   `json:"peer_listen"`
-	Peers     []netip.AddrPort `json:"peers"`
+	Peers     []netip.AddrPort `json:"peers"` // by node number
 	PeersAll  netip.AddrPort   `json:"peers_all"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
-
-	named string // the discovery that the file names
-	seed  uint64
-	known protocol.EndpointList
-	odd   error // why the known list can't be read, at a start
-	set   map[string]string
-	watch map[string]string   // settings to watch, from the operator file; nil for none
-	share operatorfile.Duties // from the operator file, and
-	quota operatorfile.Quota
-	authz operatorfile.Authz
-	grpc  operatorfile.GRPC
-	level zerolog.Level // from the operator file; the zero value is debug, so serve sets it
+	Known    json.RawMessage `json:"known"`    // endpoint list, in the form of the discovery service
+	Settings json.RawMessage `json:"settings"` // nested, by the platform's names
+
+	fileDiscovery string                // the address in the file, whatever the environment says
+	randomSeed    uint64                // Seed
+	known         protocol.EndpointList // Known; empty where it can't be read
+	knownErr      error                 // why Known can't be read
+	settings      map[string]string     // Settings by this program's names, the operator file's over them
+
+	shadowSettings map[string]string // for the shadow evaluation; nil for none
+	logLevel       zerolog.Level     // applyOperator sets it: the zero value would be debug
+	healthChecks   operatorfile.Duties
+	quota          operatorfile.Quota
+	authz          operatorfile.Authz
+	grpc           operatorfile.GRPC
+}
+
+// keyError is a key of the platform's configuration, or a part of the operator file, whose value can't be used.
+type keyError struct {
+	key string
+	err error
 }
 
-// errKnown is a known list that can't be read, in a file that is good otherwise.
-var errKnown = errors.New("known")
+func (e *keyError) Error() string { return e.key + ": " + e.err.Error() }
 
-// startConfig reads the file for a start, or on SIGHUP. A known list that can't be read is what discovery told once and
-// would tell again: the node starts as one that knows nothing, and says so, rather than not at all; one that runs does
-// not use it.
-func startConfig() (*config, error) {
+func (e *keyError) Unwrap() error { return e.err }
+
+// errNotPositive is a limit of the platform's that is missing, zero or negative.
+var errNotPositive = errors.New("cores, memory_mb and sockets must be above 0")
+
+// errNoConfigPath is a start without a configuration.
+var errNoConfigPath = errors.New(envConfig + " is not set")
+
+// loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. An endpoint list in it that can't be
+// read is no error but knownErr: discovery gave it once and will again, so that a node starts without endpoints rather
+// than not at all, and one that runs does not use it.
+func loadConfig() (*config, error) {
 	c, err := readConfig()
-	if c != nil && errors.Is(err, errKnown) {
-		c.odd, err = err, nil
+	if c != nil && isKnownListError(err) {
+		c.knownErr, err = err, nil
 	}
 	return c, err
 }
 
-// readConfig reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_DISCOVERY hold over it. With errKnown
-// it gives the rest of the file too.
+// readConfig reads the configuration that GW_CONFIG names, with the environment's values over it. With an error on the
+// endpoint list alone it returns the rest of the configuration too.
 func readConfig() (*config, error) {
-	path := os.Getenv("GW_CONFIG")
+	path := os.Getenv(envConfig)
 	if path == "" {
-		return nil, errors.New("GW_CONFIG is not set")
+		return nil, errNoConfigPath
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -85,150 +104,107 @@
 	return c, nil
 }
 
-func parseConfig(raw []byte, env func(string) string) (*config, error) {
+// isKnownListError reports whether the endpoint list is all that is wrong with a configuration.
+func isKnownListError(err error) bool {
+	var fault *keyError
+	return errors.As(err, &fault) && fault.key == keyKnown
+}
+
+// parseConfig reads a configuration's text, with the environment's values over it. With a keyError on "known" it returns
+// the rest of the configuration too; with any other error none.
+func parseConfig(raw []byte, env func(name string) string) (*config, error) {
 	c := &config{}
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, err
 	}
-	c.named = c.Discovery
-	for name, field := range map[string]*string{"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen,
-		"GW_DISCOVERY": &c.Discovery} {
-		if v := env(name); v != "" {
-			*field = v
-		}
-	}
-	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
+	c.fileDiscovery = c.Discovery
+	c.applyEnvironment(env)
+	if err := c.validate(); err != nil {
+		return nil, err
 	}
 	var err error
-	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
-	}
-	if c.Limits.Cores <= 0 || c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
-		return nil, errors.New("limits: cores, memory_mb and sockets must be above 0")
-	}
-	if c.set, err = settings.FromJSON(c.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if c.settings, err = settings.FromJSON(c.Settings); err != nil {
+		return nil, &keyError{"settings", err}
 	}
 	if len(c.Known) > 0 && string(c.Known) != "null" {
 		if c.known, err = protocol.ParseEndpointList(c.Known); err != nil {
-			return c, fmt.Errorf("%w: %w", errKnown, err)
+			return c, &keyError{keyKnown, err}
 		}
 	}
 	return c, nil
 }
 
-// take writes the operator file's settings over the platform's, and sets what is watched. Without any given it
-// changes nothing but the level of the log.
-func (c *config) take(op operatorfile.File) (err error) {
-	c.level, c.share, c.quota = logLevel(op.Log.Level), op.Duties, op.Quota
-	c.authz, c.grpc = op.Authz, op.GRPC
-	if c.set, err = op.Settings.Over(c.set); err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	if op.Watch.On {
-		if c.watch, err = op.Watch.Settings.Over(c.set); err != nil {
-			return fmt.Errorf("watch.settings: %w", err)
+// applyEnvironment writes the environment's values over the file's, but for empty ones.
+func (c *config) applyEnvironment(env func(name string) string) {
+	for name, field := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
+		if value := env(name); value != "" {
+			*field = value
 		}
 	}
-	return nil
 }
 
-// reload reads the file again, whole, and carries out what may change while the node runs: discovery's address.
-// A file that can't be read, or is no good anywhere but in its known list, changes nothing.
-func (c *config) reload(move func(addr string)) (*config, error) {
-	next, err := startConfig()
-	if err != nil {
-		return c, err
+// validate checks what the JSON types leave open, and reads the seed.
+func (c *config) validate() error {
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return err
 	}
-	if next.named != c.named {
-		if _, err := netip.ParseAddrPort(next.named); err != nil {
-			return c, fmt.Errorf("discovery: %w", err)
-		}
-		move(next.named) // over GW_DISCOVERY too, which is of the start
-	}
-	// What the node runs by until it restarts.
-	next.set, next.watch, next.share, next.quota, next.level = c.set, c.watch, c.share, c.quota, c.level
-	next.authz, next.grpc = c.authz, c.grpc
-	return next, nil
-}
-
-// limits are the node's own, for its sockets and buffers.
-func (c *config) limits() transport.Limits {
-	span := func(name string) time.Duration { // in tenths of a millisecond
-		v, _ := strconv.ParseInt(c.set[name], 10, 64)
-		return time.Duration(v) * 100 * time.Microsecond
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return err
 	}
-	l := transport.Limits{Sockets: c.Limits.Sockets, MemoryMB: c.Limits.MemoryMB, Idle: span("idle"),
-		Connect: span("connect"), GRPC: c.grpc.Listen != ""}
-	var own syscall.Rlimit // the process's, should it be lower
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own); err == nil && own.Cur < uint64(l.Sockets) {
-		l.Sockets = int(own.Cur)
+	var err error
+	if c.randomSeed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
+		return &keyError{"seed", err}
 	}
-	if l.Connect <= 0 {
-		l.Connect = time.Second
+	if c.Limits.Cores <= 0 || c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
+		return &keyError{"limits", errNotPositive}
 	}
-	return l
-}
-
-// shares tells whether this node takes part in the fleet's shared duties: where the operators want it and the
-// platform allows probes and messages between nodes.
-func (c *config) shares() bool {
-	me, err := strconv.Atoi(c.set["node"])
-	return c.share.On && c.set["probes"] == "true" && c.set["peers"] == "true" && c.Peer.IsValid() && len(c.Peers) > 1 &&
-		err == nil && me >= 0 && me < len(c.Peers)
+	return nil
 }
 
-// duties is what the shared duties are told at the start.
-func (c *config) duties() healthcheck.Config {
-	figure := func(name string) float64 {
-		v, _ := strconv.ParseFloat(c.set[name], 64)
-		return v
+// checkAddress checks that the value of a key is an IP address and a port.
+func checkAddress(key, address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return &keyError{key, err}
 	}
-	return healthcheck.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
-		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
+	return nil
 }
 
-// bands lists the names and contract times of the module's bands.
-func (c *config) bands() (names []string, contracts []time.Duration) {
-	count, _ := strconv.Atoi(c.set["band.count"])
-	for i := range count {
-		v, _ := strconv.ParseInt(c.set[fmt.Sprintf("band.%d.contract", i)], 10, 64) // in tenths of a millisecond
-		names = append(names, c.set[fmt.Sprintf("band.%d.name", i)])
-		contracts = append(contracts, time.Duration(v)*100*time.Microsecond)
-	}
-	return names, contracts
+// releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision module holds in its own form.
+func (c *config) releaseKnownList() {
+	c.Known, c.known.Endpoints = nil, nil
 }
 
-// leases is what leased quotas are told at the start.
-func (c *config) leases() quota.Config {
-	shortest := time.Duration(0)
-	if _, contracts := c.bands(); len(contracts) > 0 {
-		shortest = slices.Min(contracts)
+// applyOperator adds the operator file's part. A file that holds nothing changes nothing but the log's level.
+func (c *config) applyOperator(file operatorfile.File) error {
+	c.logLevel, c.healthChecks, c.quota = parseLogLevel(file.Log.Level), file.Duties, file.Quota
+	c.authz, c.grpc = file.Authz, file.GRPC
+	var err error
+	if c.settings, err = file.Settings.Over(c.settings); err != nil {
+		return &keyError{"settings", err}
+	}
+	if file.Watch.On {
+		if c.shadowSettings, err = file.Watch.Settings.Over(c.settings); err != nil {
+			return &keyError{"watch.settings", err}
+		}
 	}
-	me, _ := strconv.Atoi(c.set["node"])
-	nodes, _ := strconv.Atoi(c.set["nodes"])
-	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.Calls, Wait: quota.ExchangeTimeout(shortest)}
+	return nil
 }
 
-// checks is what the check of tickets is told at the start, and the numbers of bands by name. A band that the platform
-// does not name is an error.
-func (c *config) checks() (authz.Config, map[string]int, error) {
-	names, contracts := c.bands()
-	cfg, numbers := authz.Config{Most: c.authz.Most}, map[string]int{}
-	if v, _ := strconv.ParseInt(c.set["advice.most"], 10, 64); c.set["advice"] == "true" {
-		cfg.Advice = time.Duration(v) * 100 * time.Microsecond
-	}
-	for i, name := range names {
-		numbers[name] = i
-		cfg.Bands = append(cfg.Bands, authz.Band{Contract: contracts[i], Open: slices.Contains(c.authz.PassOpen, name)})
-	}
-	for _, name := range c.authz.PassOpen {
-		if _, ok := numbers[name]; !ok {
-			return cfg, nil, fmt.Errorf("authz.pass_open %q: the platform's settings name %s", name, strings.Join(names, ", "))
+// reload reads the configuration again and carries out what may change while the node runs: the address of the discovery
+// service, by a call of move, even where GW_DISCOVERY gave another at the start. It returns the new configuration, with
+// all else that the node runs by as it was; with an error nothing has changed. An endpoint list that can't be read is none.
+func (c *config) reload(move func(address string)) (*config, error) {
+	next, err := loadConfig()
+	if err != nil {
+		return c, err
+	}
+	if next.fileDiscovery != c.fileDiscovery {
+		if err := checkAddress("discovery", next.fileDiscovery); err != nil {
+			return c, err
 		}
+		move(next.fileDiscovery)
 	}
-	return cfg, numbers, nil
+	next.settings, next.shadowSettings, next.logLevel = c.settings, c.shadowSettings, c.logLevel
+	next.healthChecks, next.quota, next.authz, next.grpc = c.healthChecks, c.quota, c.authz, c.grpc
+	return next, nil
 }
--- /dev/null
+++ b/cmd/cherrygap/config_check.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+
+	"cherrygap/internal/operatorfile"
+)
+
+func newConfigCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "config", Short: "Work with configuration files"}
+	cmd.AddCommand(&cobra.Command{
+		Use:   "check FILE...",
+		Short: "Check operator files (.toml) or platform configurations (.json); exit 2 on any fault",
+		Long: `Check each file and print every fault with its key and, where known, its line. A .json file is
+read as the platform's configuration (as GW_CONFIG names it); anything else as an operator file.
+Exit code 0 when all are good, 2 when any is not.`,
+		Args: cobra.MinimumNArgs(1),
+		RunE: runConfigCheck,
+	})
+	return cmd
+}
+
+// runConfigCheck checks files one by one, and returns errReported when any is bad.
+func runConfigCheck(cmd *cobra.Command, paths []string) error {
+	var result error
+	for _, path := range paths {
+		if err := checkFile(path); err != nil {
+			cmd.PrintErrln(err)
+			result = errReported
+			continue
+		}
+		_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", path)
+	}
+	return result
+}
+
+// checkFile checks a platform configuration (.json) or an operator file. The environment's values are left out.
+func checkFile(path string) error {
+	if filepath.Ext(path) != ".json" {
+		_, err := operatorfile.Load(path)
+		return err
+	}
+	_, err := loadPlatformFile(path)
+	return err
+}
+
+// loadPlatformFile reads a platform configuration, whatever the environment says.
+func loadPlatformFile(path string) (*config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	c, err := parseConfig(raw, func(string) string { return "" })
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return c, nil
+}
--- /dev/null
+++ b/cmd/cherrygap/config_test.go
@@ -0,0 +1,168 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrygap/internal/operatorfile"
+)
+
+func TestConfigurationIsRead(t *testing.T) {
+	c, err := parseConfig([]byte(goodConfig), func(name string) string {
+		return map[string]string{"GW_LISTEN": "127.0.0.7:80"}[name]
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := c.transportLimits()
+	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings["node"] != "2" ||
+		l.Idle != 15*time.Second || l.Connect != 250*time.Millisecond || l.Sockets != 1024 {
+		t.Errorf("read as %+v, limits %+v", c, l)
+	}
+}
+
+// A known list that can't be read, by any of its entries, must not keep a node from its start, nor from following
+// discovery to another address on SIGHUP; all else must, and `config check` goes on refusing such a file.
+func TestOddKnownListIsNoReasonNotToStart(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv(envConfig, file)
+	old := mustParse(t, goodConfig)
+	for _, known := range []string{
+		`7`, `{"rev":"x"}`, `{"rev":1,"targets":[{"uid":"s","state":"later"}]}`,
+		`{"rev":1,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service","pod_group":70000}]}`,
+	} {
+		t.Run(known, func(t *testing.T) {
+			text := strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
+			writeFile(t, file, text)
+			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings["node"] != "2" {
+				t.Errorf("%v", err)
+			}
+			wantReload(t, old, "")
+			writeFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
+			wantReload(t, old, "127.0.0.8:8500")
+			writeFile(t, file, text)
+			if checkFile(file) == nil {
+				t.Errorf("passes the check")
+			}
+			writeFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
+			if _, err := loadConfig(); err == nil {
+				t.Errorf("started without a seed")
+			}
+			if next, err := old.reload(func(string) { t.Error("moved") }); err == nil || next != old {
+				t.Errorf("taken on SIGHUP without a seed")
+			}
+		})
+	}
+}
+
+// wantReload reloads a configuration whose known list can't be read, and checks where that moves discovery to.
+func wantReload(t *testing.T, old *config, want string) {
+	t.Helper()
+	moved := ""
+	next, err := old.reload(func(address string) { moved += address })
+	if err != nil || moved != want || next.knownErr == nil || next.settings["node"] != "2" {
+		t.Errorf("on SIGHUP: moved to %q, want %q, %v", moved, want, err)
+	}
+}
+
+// A new file changes nothing unless all of it is good, and discovery's address only where it names another.
+func TestNewConfiguration(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv(envConfig, file)
+	c, err := parseConfig([]byte(goodConfig), os.Getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for text, want := range map[string]string{
+		strings.Replace(goodConfig, "9:8500", "8:8500", 1):                                          "127.0.0.8:8500",
+		strings.NewReplacer("9:8500", "8:8500", "8c1f30d27a5be964", "seed").Replace(goodConfig):     "",
+		strings.NewReplacer("9:8500", "8:8500", `"settings":{`, `"settings":[`).Replace(goodConfig): "",
+		strings.Replace(goodConfig, "127.0.0.9:8500", "there", 1):                                   "",
+		goodConfig: "",
+	} {
+		writeFile(t, file, text)
+		moved := ""
+		next, err := c.reload(func(addr string) { moved = addr })
+		if moved != want || (err != nil) != (want == "" && text != goodConfig) || next == nil || err != nil && next != c {
+			t.Errorf("moved to %q, want %q: %v", moved, want, err)
+		}
+	}
+}
+
+func TestBadConfigurationIsOneError(t *testing.T) {
+	for _, c := range [][2]string{
+		{goodConfig, ""},
+		{`"127.0.0.4:9000"`, `"here"`},
+		{"8c1f30d27a5be964", "seed"},
+		{"192", "0"},
+		{`"rev":41`, `"rev":"x"`},
+		{`"127.0.0.5:7946"`, `"peer"`},
+		{`"settings":{`, `"settings":[{`},
+	} {
+		_, err := parseConfig([]byte(strings.Replace(goodConfig, c[0], c[1], 1)), noEnv)
+		if err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%.30q for %.30q: %v", c[1], c[0], err)
+		}
+	}
+}
+
+// The operator file's settings are written over the platform's; none given changes nothing, and a class that the
+// platform does not name ends the start with its name.
+func TestOperatorSettings(t *testing.T) {
+	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
+	for _, c := range []struct{ operator, repeats, shadow, fault string }{
+		{"", "single-use", "", ""},
+		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", "replayable", "", ""},
+		{"[watch.settings]\nexecutions = 2\n", "single-use", "", ""},
+		{"[watch]\non = true\n[[watch.settings.band]]\nname = \"seats\"\nrepeats = \"referenced\"\n", "single-use", "referenced", ""},
+		{"[[settings.band]]\nname = \"other\"\nrepeats = \"replayable\"\n", "", "", "settings: band \"other\": the platform's settings name seats"},
+	} {
+		conf := mustParse(t, text)
+		op, faults := operatorfile.Parse(c.operator)
+		if len(faults) > 0 {
+			t.Fatal(faults)
+		}
+		err := conf.applyOperator(op)
+		if c.fault != "" {
+			if err == nil || err.Error() != c.fault {
+				t.Errorf("%q: %v", c.operator, err)
+			}
+			continue
+		}
+		if err != nil || conf.settings["band.0.repeats"] != c.repeats || conf.shadowSettings["band.0.repeats"] != c.shadow {
+			t.Errorf("%q: %v, %v, shadow %v", c.operator, err, conf.settings, conf.shadowSettings)
+		}
+	}
+}
+
+// Shared health checks are done only where the operators want them and the platform allows probes and peers.
+func TestHealthChecksNeedThePlatformsLeave(t *testing.T) {
+	text := strings.NewReplacer(`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
+		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(goodConfig)
+	for k, c := range []struct {
+		old, new string
+		on, want bool
+	}{
+		{"", "", true, true},
+		{"", "", false, false},
+		{`"probes":true`, `"probes":false`, true, false},
+		{`"peers":true`, `"peers":false`, true, false},
+		{`"slot_no":2`, `"slot_no":3`, true, false},
+	} {
+		conf := mustParse(t, strings.Replace(text, c.old, c.new, 1))
+		op := operatorfile.Default()
+		op.Duties.On = c.on
+		if err := conf.applyOperator(op); err != nil {
+			t.Fatal(err)
+		}
+		if conf.sharesHealthChecks() != c.want {
+			t.Errorf("%d: shares %v", k, !c.want)
+		}
+		if d := conf.healthCheckConfig(); k == 0 && (d.Me != 2 || d.Nodes != 3 || d.Bytes != 4096 || d.Every != 5*time.Second) {
+			t.Errorf("told %+v", d)
+		}
+	}
+}
--- a/cmd/cherrygap/grpc.go
+++ b/cmd/cherrygap/grpc.go
@@ -3,82 +3,28 @@
 package main
 
 import (
-	"encoding/json"
-	"time"
-
-	"github.com/spf13/cobra"
-
 	"cherrygap/internal/grpcfrontend"
-	"cherrygap/internal/lab/authz"
 	"cherrygap/internal/transport"
 )
 
-func init() {
-	dialAuthoriser = func(c *config) (authoriser, error) {
-		cfg, bands, err := c.checks()
-		if err != nil {
-			return nil, err
-		}
-		return grpcfrontend.Dial(c.authz.Service, cfg, bands)
+// dialAuthorizer readies the client of the external authorizer. It does not wait for a connection.
+func dialAuthorizer(c *config) (authorizer, error) {
+	cfg, classes, err := c.authorizationConfig()
+	if err != nil {
+		return nil, err
 	}
-	listenGRPC = func(c *config, front *transport.Server) (func(), error) {
-		methods, err := grpcfrontend.Methods(c.set)
-		if err != nil {
-			return nil, err
-		}
-		f, err := grpcfrontend.Listen(c.grpc.Listen, front, methods, uint32(c.grpc.Calls))
-		if err != nil {
-			return nil, err
-		}
-		return f.Drain, nil
-	}
-	moreLab = append(moreLab, newAuthz)
+	return grpcfrontend.Dial(c.authz.Service, cfg, classes)
 }
 
-func newAuthz(opFile *string) *cobra.Command {
-	var cfg authz.Config
-	var listen string
-	var runFor time.Duration
-	cmd := &cobra.Command{
-		Use:   "authz",
-		Short: "Run a stand-in authoriser over gRPC that denies, lags, drops calls and restarts",
-		Long: `Run Envoy's Authorization service on loopback until SIGINT/SIGTERM or --for: allows all but every nth customer,
-answers late, drops calls, answers nonsense and restarts, from a seed (docs/grpc.md). Prints one JSON line with
-its address, and at the end one with its answers and starts.`,
-		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			op, err := loadOperator(*opFile)
-			if err != nil {
-				return err
-			}
-			if !cmd.Flags().Changed("seed") {
-				cfg.Seed = op.Lab.Seed
-			}
-			s, err := authz.Start(listen, cfg)
-			if err != nil {
-				return err
-			}
-			defer s.Close()
-			out := json.NewEncoder(cmd.OutOrStdout())
-			_ = out.Encode(map[string]any{"authoriser": s.Addr()})
-			ctx, stop := untilSignal(runFor)
-			defer stop()
-			<-ctx.Done()
-			answers, starts := s.Count()
-			return out.Encode(map[string]any{"answers": answers, "starts": starts})
-		},
+// listenGRPC starts the gRPC front end beside the HTTP one. drain stops it, and returns once its last request has ended.
+func listenGRPC(c *config, frontEnd *transport.Server) (drain func(), err error) {
+	methods, err := grpcfrontend.Methods(c.settings)
+	if err != nil {
+		return nil, err
+	}
+	server, err := grpcfrontend.Listen(c.grpc.Listen, frontEnd, methods, uint32(c.grpc.Calls))
+	if err != nil {
+		return nil, err
 	}
-	f := cmd.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:0", "loopback address; port 0 for a free one")
-	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of every random draw")
-	f.Uint64Var(&cfg.DenyEvery, "deny-every", 0, "deny customers whose number divides by this; 0 for none")
-	f.DurationVar(&cfg.Delay, "delay", time.Millisecond, "mean time of an answer")
-	f.Float64Var(&cfg.Lag, "lag", 0, "chance that an answer takes --lag-for longer")
-	f.DurationVar(&cfg.LagFor, "lag-for", time.Second, "how much longer")
-	f.Float64Var(&cfg.Drop, "drop", 0, "chance that a call ends without an answer")
-	f.Float64Var(&cfg.Odd, "odd", 0, "chance of an answer that makes no sense")
-	f.DurationVar(&cfg.UpFor, "up-for", 0, "restart after so long, each time; 0 for never")
-	f.DurationVar(&cfg.DownFor, "down-for", time.Second, "how long it is down then")
-	f.DurationVar(&runFor, "for", 0, "stop after this long (e.g. 30s); 0 waits for a signal")
-	return cmd
+	return server.Drain, nil
 }
--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -13,18 +13,15 @@
 
 // Bands that pass without an answer are the platform's, by name.
 func TestChecksAreByThePlatformsBands(t *testing.T) {
-	text := strings.Replace(good, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
+	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
 	for _, open := range []string{"look", "fly"} {
-		c, err := parseConfig([]byte(text), func(string) string { return "" })
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := mustParse(t, text)
 		op := operatorfile.Default()
 		op.Authz.PassOpen = []string{open}
-		if err := c.take(op); err != nil {
+		if err := c.applyOperator(op); err != nil {
 			t.Fatal(err)
 		}
-		cfg, bands, err := c.checks()
+		cfg, bands, err := c.authorizationConfig()
 		if open == "fly" {
 			if err == nil || !strings.Contains(err.Error(), "look, buy") {
 				t.Error(err)
@@ -49,6 +46,7 @@
 	"cherrygap lab authz --lag float64=0",
 	"cherrygap lab authz --lag-for duration=1s",
 	"cherrygap lab authz --listen string=127.0.0.1:0",
+	"cherrygap lab authz --malformed float64=0",
 	"cherrygap lab authz --odd float64=0",
 	"cherrygap lab authz --seed uint64=1",
 	"cherrygap lab authz --up-for duration=0s",
@@ -56,3 +54,8 @@
 
 // grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC.
 var grpcLabOutput = []struct{ args, want string }{{"lab authz --for 20ms", "authoriser|answers starts"}}
+
+// grpcDeprecatedNames are the old names that only a program with gRPC has.
+var grpcDeprecatedNames = []deprecatedName{
+	{"lab authz --odd 0.5 --for 1ms", "Flag --odd has been deprecated, write --malformed\n", ""},
+}
--- /dev/null
+++ b/cmd/cherrygap/lab_authz.go
@@ -0,0 +1,69 @@
+//go:build grpc
+
+package main
+
+import (
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cherrygap/internal/lab/authz"
+	"cherrygap/internal/operatorfile"
+)
+
+// newLabGRPCCommands are the laboratory's commands that need gRPC.
+func newLabGRPCCommands(operatorPath *string) []*cobra.Command {
+	return []*cobra.Command{newAuthzCommand(operatorPath)}
+}
+
+// authzFlags are the flags of `lab authz`.
+type authzFlags struct {
+	listen   string
+	duration time.Duration
+	faults   authz.Config
+}
+
+func newAuthzCommand(operatorPath *string) *cobra.Command {
+	var flags authzFlags
+	cmd := &cobra.Command{
+		Use:   "authz",
+		Short: "Run a fake authorizer over gRPC that denies, lags, drops calls and restarts",
+		Long: `Run Envoy's Authorization service on loopback until SIGINT/SIGTERM or --for: allows all but every nth customer,
+answers late, drops calls, sends malformed answers and restarts, from a seed (docs/grpc.md). Prints one JSON line with
+its address, and at the end one with its answers and starts.`,
+		Args: cobra.NoArgs,
+		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+			override(cmd, "seed", &file.Lab.Seed, flags.faults.Seed)
+			flags.faults.Seed = file.Lab.Seed
+			return runAuthz(cmd, flags)
+		}),
+	}
+	faults := &flags.faults
+	cmd.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:0", "loopback address; port 0 for a free one")
+	cmd.Flags().Uint64Var(&faults.Seed, "seed", 1, "seed of every random draw")
+	cmd.Flags().Uint64Var(&faults.DenyEvery, "deny-every", 0, "deny customers whose number divides by this; 0 for none")
+	cmd.Flags().DurationVar(&faults.Delay, "delay", time.Millisecond, "mean time of an answer")
+	cmd.Flags().Float64Var(&faults.Lag, "lag", 0, "chance that an answer takes --lag-for longer")
+	cmd.Flags().DurationVar(&faults.LagFor, "lag-for", time.Second, "how much longer")
+	cmd.Flags().Float64Var(&faults.Drop, "drop", 0, "chance that a call ends without an answer")
+	cmd.Flags().Float64Var(&faults.Odd, "malformed", 0, "chance of a malformed answer")
+	cmd.Flags().DurationVar(&faults.UpFor, "up-for", 0, "restart after so long, each time; 0 for never")
+	cmd.Flags().DurationVar(&faults.DownFor, "down-for", time.Second, "how long it is down then")
+	cmd.Flags().DurationVar(&flags.duration, "for", 0, "stop after this long (e.g. 30s); 0 waits for a signal")
+	addDeprecatedFlag(cmd.Flags(), "odd", "malformed")
+	return cmd
+}
+
+func runAuthz(cmd *cobra.Command, flags authzFlags) error {
+	service, err := authz.Start(flags.listen, flags.faults)
+	if err != nil {
+		return err
+	}
+	defer service.Close()
+	announce(cmd, map[string]any{"authoriser": service.Addr()})
+	ctx, stop := contextUntilSignal(flags.duration)
+	defer stop()
+	<-ctx.Done()
+	answers, starts := service.Count()
+	return printJSON(cmd, map[string]any{"answers": answers, "starts": starts})
+}
--- /dev/null
+++ b/cmd/cherrygap/lab_emulate.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"cherrygap/internal/lab/emulator"
+	"cherrygap/internal/operatorfile"
+)
+
+// emulateFlags are the flags of `lab emulate`.
+type emulateFlags struct {
+	servers  int
+	listen   string
+	schedule string
+	seed     uint64
+	duration time.Duration
+}
+
+func newEmulateCommand(operatorPath *string) *cobra.Command {
+	var flags emulateFlags
+	cmd := &cobra.Command{
+		Use:   "emulate",
+		Short: "Run emulated app servers with scripted faults until SIGINT/SIGTERM or --for",
+		Long: `Run app servers that speak the platform's HTTP/1.1 on loopback: bounded concurrency, queue and
+connections, log-normal service times (ms), warm-up, drain with grace, load reports and health checks,
+and the faults of a schedule file (docs/lab.md). Prints one JSON line with the servers' addresses, and at the
+end one with each server's counts. Defaults come from the operator file's [lab.emulator].`,
+		Args: cobra.NoArgs,
+		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+			return runEmulate(cmd, file, flags)
+		}),
+	}
+	cmd.Flags().IntVar(&flags.servers, "servers", 4, "how many servers (1 to 512)")
+	cmd.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:0", "loopback address of the first server; port 0 for free ports")
+	cmd.Flags().StringVar(&flags.schedule, "schedule", "", "fault schedule file (TOML); empty for none")
+	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of every random draw")
+	cmd.Flags().DurationVar(&flags.duration, "for", 0, "stop after this long (e.g. 30s); 0 waits for a signal")
+	return cmd
+}
+
+func runEmulate(cmd *cobra.Command, file operatorfile.File, flags emulateFlags) error {
+	servers := &file.Lab.Emulator
+	override(cmd, "servers", &servers.Servers, flags.servers)
+	override(cmd, "listen", &servers.Listen, flags.listen)
+	override(cmd, "schedule", &servers.Schedule, flags.schedule)
+	override(cmd, "seed", &file.Lab.Seed, flags.seed)
+	if err := checkFlags(file); err != nil {
+		return err
+	}
+	schedule, err := loadServerSchedule(servers.Schedule, servers.Servers)
+	if err != nil {
+		return err
+	}
+	fleet, err := emulator.Start(*servers, file.Lab.Seed, schedule, newLabLog(file))
+	if err != nil {
+		return err
+	}
+	defer fleet.Close()
+	announce(cmd, map[string]any{"servers": fleet.Addrs(), "faults": len(schedule.Faults)})
+	ctx, stop := contextUntilSignal(flags.duration)
+	defer stop()
+	<-ctx.Done()
+	stats := make([]emulator.Stats, len(fleet.Servers))
+	for i, server := range fleet.Servers {
+		stats[i] = server.Stats()
+	}
+	return printJSON(cmd, map[string]any{"stats": stats})
+}
+
+// loadServerSchedule reads the fault schedule of so many app servers; without a path there are no faults.
+func loadServerSchedule(path string, servers int) (emulator.Schedule, error) {
+	if path == "" {
+		return emulator.Schedule{}, nil
+	}
+	return emulator.LoadSchedule(path, servers)
+}
--- /dev/null
+++ b/cmd/cherrygap/lab_scale.go
@@ -0,0 +1,108 @@
+package main
+
+import (
+	"os"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"cherrygap/internal/lab/scale"
+	"cherrygap/internal/operatorfile"
+)
+
+func newScaleCommand(operatorPath *string) *cobra.Command {
+	cfg := scale.Default()
+	cmd := &cobra.Command{
+		Use:   "scale",
+		Short: "Play the target size on one machine: real and simulated nodes, simulated app servers, scripted faults",
+		Long: `Start a few real edge nodes (processes of this program), simulated nodes (the real module and real datagrams,
+but no client sockets; one process for all), simulated app servers (a listener each; one process for all), a fake
+discovery agent and open-loop clients, all on loopback; play faults one after another (changes, roll, zone,
+watch); end all that was started; and print one JSON line: what a node adds to a request (ms), its core share, memory,
+bytes by kind of message, seconds until a change is in force, and counts that must be 0 (docs/lab.md, "Scale").
+It says what descriptors it lacks, if any, before it starts anything, and raises no limit.`,
+		Args: cobra.NoArgs,
+		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
+			cfg.Seed = file.Lab.Seed
+			return runScale(cmd, file, cfg)
+		}),
+	}
+	addScaleFlags(cmd, &cfg)
+	return cmd
+}
+
+func addScaleFlags(cmd *cobra.Command, cfg *scale.Config) {
+	flags := cmd.Flags()
+	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "edge nodes of the tier")
+	flags.IntVar(&cfg.Real, "real", cfg.Real, "real ones, a process each (1 to 64)")
+	flags.IntVar(&cfg.Hollow, "simulated", cfg.Hollow, "simulated ones; below 0 for all the others")
+	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers; one in fifty more are ready to be added")
+	flags.IntVar(&cfg.Tenants, "tenants", cfg.Tenants, "tenants (Zipf)")
+	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second at a real node, mean")
+	flags.Float64Var(&cfg.HollowRate, "simulated-rate", cfg.HollowRate, "requests a second at a simulated node, mean")
+	flags.Float64Var(&cfg.Straight, "direct", cfg.Straight,
+		"part of the completed requests that is sent once more, directly to the same server")
+	flags.Float64Var(&cfg.Take, "peer-rate", cfg.Take, "messages a second that a node receives from peers, as the settings give it")
+	flags.DurationVar(&cfg.For, "for", cfg.For, "how long to play, from the first request on")
+	flags.DurationVar(&cfg.Hard, "time-limit", 0, "end everything after so long; 0 for two minutes more than --for")
+	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
+	flags.StringSliceVar(&cfg.Troubles, "fault", nil, "faults to play, of "+strings.Join(scale.Troubles, ", ")+"; default all")
+	flags.IntVar(&cfg.Sockets, "sockets", cfg.Sockets, "descriptors of each real node")
+	flags.IntVar(&cfg.MemoryMB, "memory-mb", cfg.MemoryMB, "memory limit of each real node, MiB")
+	flags.StringVar(&cfg.Dir, "dir", "", "folder for configuration files and children's logs, kept; default one that is removed")
+	addDeprecatedFlag(flags, "hollow", "simulated")
+	addDeprecatedFlag(flags, "hollow-rate", "simulated-rate")
+	addDeprecatedFlag(flags, "straight", "direct")
+	addDeprecatedFlag(flags, "take", "peer-rate")
+	addDeprecatedFlag(flags, "hard", "time-limit")
+	addDeprecatedFlag(flags, "trouble", "fault")
+}
+
+func runScale(cmd *cobra.Command, file operatorfile.File, cfg scale.Config) error {
+	log := newLabLog(file)
+	cfg.Log = &log
+	var err error
+	if cfg.Program, err = os.Executable(); err != nil {
+		return err
+	}
+	ctx, stop := contextUntilSignal(0)
+	defer stop()
+	result, err := scale.Run(ctx, cfg)
+	if err != nil {
+		return err
+	}
+	return printJSON(cmd, result)
+}
+
+// newScaleServersCommand makes the child process of lab scale that runs the simulated app servers.
+func newScaleServersCommand() *cobra.Command {
+	var count int
+	var seed uint64
+	cmd := &cobra.Command{
+		Use:    "scale-servers",
+		Short:  "The simulated app servers of lab scale",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			return scale.Servers(count, seed, os.Stdin, os.Stdout)
+		},
+	}
+	cmd.Flags().IntVar(&count, "count", 1, "how many")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the service times")
+	addDeprecatedFlag(cmd.Flags(), "many", "count")
+	return cmd
+}
+
+// newScaleNodesCommand makes the child process of lab scale that runs the simulated nodes.
+func newScaleNodesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:    "scale-simulated-nodes",
+		Short:  "The simulated nodes of lab scale",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			return scale.Hollow(os.Stdin, os.Stdout)
+		},
+	}
+}
--- /dev/null
+++ b/cmd/cherrygap/nogrpc.go
@@ -0,0 +1,22 @@
+//go:build !grpc
+
+package main
+
+import (
+	"errors"
+
+	"github.com/spf13/cobra"
+
+	"cherrygap/internal/transport"
+)
+
+// errNoGRPC is a part of the operator file that needs gRPC. The program is built without it by default: it is twice the
+// size with it, for what the platform has no use for.
+var errNoGRPC = errors.New("authz.service, grpc.listen: this program was built without the tag grpc (docs/grpc.md)")
+
+func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
+
+func listenGRPC(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
+
+// newLabGRPCCommands are the laboratory's commands that need gRPC: here none.
+func newLabGRPCCommands(*string) []*cobra.Command { return nil }
--- a/cmd/cherrygap/nogrpc_test.go
+++ b/cmd/cherrygap/nogrpc_test.go
@@ -14,15 +14,14 @@
 func TestWithoutGRPCItIsRefused(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
 		op, faults := operatorfile.Parse(text)
-		c, err := parseConfig([]byte(strings.NewReplacer("127.0.0.4:9000", port(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(good)),
-			func(string) string { return "" })
-		if err != nil || len(faults) > 0 {
-			t.Fatal(err, faults)
+		if len(faults) > 0 {
+			t.Fatal(faults)
 		}
-		if err := c.take(op); err != nil {
+		c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", freeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig))
+		if err := c.applyOperator(op); err != nil {
 			t.Fatal(err)
 		}
-		if err := run(c); !errors.Is(err, errNoGRPC) {
+		if err := runServer(c); !errors.Is(err, errNoGRPC) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -33,3 +32,6 @@
 
 // grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC: here nothing.
 var grpcLabOutput []struct{ args, want string }
+
+// grpcDeprecatedNames are the old names that only a program with gRPC has.
+var grpcDeprecatedNames []deprecatedName
--- a/cmd/cherrygap/pin_cli_test.go
+++ b/cmd/cherrygap/pin_cli_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"maps"
 	"slices"
 	"strings"
@@ -30,24 +31,20 @@
 
 // Every command and flag with its default: one that gets another name stays beside it under the old.
 func TestPinnedCommandLine(t *testing.T) {
-	t.Setenv("GW_OPERATOR", "")
-	want := strings.Split(strings.TrimSpace(pinnedCommandLine), "\n")
-	got := commandLine(newRoot())
+	t.Setenv(envOperator, "")
+	want := strings.Split(strings.TrimSpace(pinnedCommandLine+strings.TrimLeft(newCommandLine, "\n")), "\n")
+	want = append(want, grpcCommandLine...)
+	got := commandLine(newRootCommand())
 	for _, l := range want {
 		if !slices.Contains(got, l) {
 			t.Errorf("missing: %s", l)
 		}
 	}
 	for _, l := range got {
-		if !slices.Contains(want, l) && !slices.Contains(grpcCommandLine, l) {
+		if !slices.Contains(want, l) {
 			t.Errorf("new:     %s", l)
 		}
 	}
-	for _, l := range grpcCommandLine {
-		if !slices.Contains(got, l) {
-			t.Errorf("missing: %s", l)
-		}
-	}
 }
 
 const pinnedCommandLine = `
@@ -120,6 +117,80 @@
 cherrygap version
 `
 
+// newCommandLine is what came beside pinnedCommandLine since: the standard names of what had others, and their flags.
+const newCommandLine = `
+cherrygap lab duties --peer-rate float64=40
+cherrygap lab health-checks
+cherrygap lab health-checks --for duration=2m0s
+cherrygap lab health-checks --nodes int=80
+cherrygap lab health-checks --peer-rate float64=40
+cherrygap lab health-checks --scenario string=vanish
+cherrygap lab health-checks --seed uint64=1
+cherrygap lab health-checks --servers int=60
+cherrygap lab scale --direct float64=0.2
+cherrygap lab scale --fault stringSlice=[]
+cherrygap lab scale --peer-rate float64=100
+cherrygap lab scale --simulated int=-1
+cherrygap lab scale --simulated-rate float64=2
+cherrygap lab scale --time-limit duration=0s
+cherrygap lab scale-servers --count int=1
+cherrygap lab scale-simulated-nodes (hidden)
+`
+
+// deprecatedName is an old name: a command line, what it writes on standard error first, and the error that it ends with as
+// ever, on standard error too.
+type deprecatedName struct{ args, notice, fault string }
+
+const noRealNode = "cherrygap: real: 1 to 64 nodes\n" // before anything is started
+
+var deprecatedNames = []deprecatedName{
+	{"lab duties --nodes 2 --servers 1 --for 1s", "Command \"duties\" is deprecated, write lab health-checks\n", ""},
+	{
+		"lab duties --nodes 2 --servers 1 --for 1s --take 9",
+		"Command \"duties\" is deprecated, write lab health-checks\nFlag --take has been deprecated, write --peer-rate\n", "",
+	},
+	{"lab scale --hollow 1 --real 0", "Flag --hollow has been deprecated, write --simulated\n", noRealNode},
+	{"lab scale --hollow-rate 1 --real 0", "Flag --hollow-rate has been deprecated, write --simulated-rate\n", noRealNode},
+	{"lab scale --straight 0.1 --real 0", "Flag --straight has been deprecated, write --direct\n", noRealNode},
+	{"lab scale --take 1 --real 0", "Flag --take has been deprecated, write --peer-rate\n", noRealNode},
+	{"lab scale --hard 1m --real 0", "Flag --hard has been deprecated, write --time-limit\n", noRealNode},
+	{"lab scale --trouble roll --real 0", "Flag --trouble has been deprecated, write --fault\n", noRealNode},
+	{"lab scale-servers --many 1 --seed 1", "Flag --many has been deprecated, write --count\n", ""},
+	{"lab scale-nodes", "Command \"scale-nodes\" is deprecated, write lab scale-simulated-nodes\n", "cherrygap: EOF\n"},
+}
+
+// Each old name writes what to use instead, and then does what the new one does.
+func TestDeprecatedNames(t *testing.T) {
+	for _, c := range append(grpcDeprecatedNames, deprecatedNames...) {
+		t.Run(c.args, func(t *testing.T) {
+			cmd := program(t, t.TempDir(), nil, strings.Fields(c.args)...) // its standard input has ended
+			var errOut strings.Builder
+			cmd.Stderr = &errOut
+			out, err := cmd.Output()
+			if errOut.String() != c.notice+c.fault || (err != nil) != (c.fault != "") || err == nil && len(out) == 0 {
+				t.Errorf("%q, %v, wrote %q; want %q", errOut.String(), err, out, c.notice+c.fault)
+			}
+		})
+	}
+}
+
+// An old flag sets what the new one does.
+func TestDeprecatedFlagSetsTheValue(t *testing.T) {
+	flags, value := pflag.NewFlagSet("", pflag.ContinueOnError), 0
+	flags.IntVar(&value, "new", 7, "")
+	addDeprecatedFlag(flags, "old", "new")
+	for _, c := range []struct {
+		args string
+		want int
+	}{{"", 7}, {"--old 8", 8}, {"--new 9", 9}, {"--new 9 --old 8", 8}, {"--old 8 --new 9", 9}} {
+		value = 7
+		flags.SetOutput(io.Discard)
+		if err := flags.Parse(strings.Fields(c.args)); err != nil || value != c.want {
+			t.Errorf("%q: %d, %v; want %d", c.args, value, err, c.want)
+		}
+	}
+}
+
 // The keys of the JSON lines that this package writes for the lab's commands, each line's in order, for those who read them by
 // program. The others are the laboratory's own.
 func TestPinnedLabOutput(t *testing.T) {
--- /dev/null
+++ b/cmd/cherrygap/pin_errors_test.go
@@ -0,0 +1,196 @@
+package main
+
+import (
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+const goodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
+
+// Parts of the errors below.
+const (
+	wantPositive = "limits: cores, memory_mb and sockets must be above 0"
+	wantNumber   = "json: cannot unmarshal number into Go struct field config."
+	limitsType   = `struct { Cores float64 "json:\"cores\""; MemoryMB int "json:\"memory_mb\""; Sockets int "json:\"sockets\"" }`
+)
+
+// pinnedErrors are parts of the good configuration, what stands there instead, and what is wrong with that.
+var pinnedErrors = []struct{ name, old, new, want string }{
+	{"not JSON", goodConfig, "{", "unexpected end of JSON input"},
+	{"empty", goodConfig, "", "unexpected end of JSON input"},
+	{"a list", goodConfig, "[]", "json: cannot unmarshal array into Go value of type main.config"},
+	{"text behind", goodConfig, goodConfig + "x", "invalid character 'x' after top-level value"},
+	{"name a number", `"n3"`, "3", wantNumber + "name of type string"},
+	{"listen missing", `"listen":"127.0.0.4:9000",`, "", "listen: not an ip:port"},
+	{"listen a number", `"127.0.0.4:9000"`, "9000", wantNumber + "listen of type string"},
+	{"listen without a port", "127.0.0.4:9000", "127.0.0.4", "listen: not an ip:port"},
+	{"listen a name", "127.0.0.4:9000", "localhost:9000", `listen: ParseAddr("localhost"): unable to parse IP`},
+	{"listen port too large", "127.0.0.4:9000", "127.0.0.4:90000", `listen: invalid port "90000" parsing "127.0.0.4:90000"`},
+	{"listen a port alone", "127.0.0.4:9000", ":9000", "listen: no IP"},
+	{"listen empty", "127.0.0.4:9000", "", "listen: not an ip:port"},
+	{"discovery missing", `"discovery":"127.0.0.9:8500",`, "", "discovery: not an ip:port"},
+	{
+		"discovery a list", `"127.0.0.9:8500"`, `["127.0.0.9:8500"]`,
+		"json: cannot unmarshal array into Go struct field config.discovery of type string",
+	},
+	{"discovery a name", "127.0.0.9:8500", "there", "discovery: not an ip:port"},
+	{"seed missing", `"seed":"8c1f30d27a5be964",`, "", `seed: strconv.ParseUint: parsing "": invalid syntax`},
+	{"seed a number", `"8c1f30d27a5be964"`, "7", wantNumber + "seed of type string"},
+	{"seed not hexadecimal", "8c1f30d27a5be964", "seed", `seed: strconv.ParseUint: parsing "seed": invalid syntax`},
+	{
+		"seed too long", "8c1f30d27a5be964", "18c1f30d27a5be964",
+		`seed: strconv.ParseUint: parsing "18c1f30d27a5be964": value out of range`,
+	},
+	{"seed with a prefix", "8c1f30d27a5be964", "0x8c1f", `seed: strconv.ParseUint: parsing "0x8c1f": invalid syntax`},
+	{"seed negative", "8c1f30d27a5be964", "-1", `seed: strconv.ParseUint: parsing "-1": invalid syntax`},
+	{"limits missing", `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", wantPositive},
+	{
+		"limits a list", `{"cores":1.0,"memory_mb":192,"sockets":1024}`, "[]",
+		"json: cannot unmarshal array into Go struct field config.limits of type " + limitsType,
+	},
+	{"cores zero", `"cores":1.0`, `"cores":0`, wantPositive},
+	{"cores negative", `"cores":1.0`, `"cores":-1`, wantPositive},
+	{
+		"cores a text", `"cores":1.0`, `"cores":"1"`,
+		"json: cannot unmarshal string into Go struct field .limits.cores of type float64",
+	},
+	{
+		"cores too large", `"cores":1.0`, `"cores":1e999`,
+		"json: cannot unmarshal number 1e999 into Go struct field .limits.cores of type float64",
+	},
+	{"memory zero", `"memory_mb":192`, `"memory_mb":0`, wantPositive},
+	{
+		"memory a fraction", `"memory_mb":192`, `"memory_mb":192.5`,
+		"json: cannot unmarshal number 192.5 into Go struct field .limits.memory_mb of type int",
+	},
+	{
+		"memory too large", `"memory_mb":192`, `"memory_mb":99999999999999999999`,
+		"json: cannot unmarshal number 99999999999999999999 into Go struct field .limits.memory_mb of type int",
+	},
+	{"sockets missing", `,"sockets":1024`, "", wantPositive},
+	{"sockets negative", `"sockets":1024`, `"sockets":-1`, wantPositive},
+	{
+		"sockets a text", `"sockets":1024`, `"sockets":"1024"`,
+		"json: cannot unmarshal string into Go struct field .limits.sockets of type int",
+	},
+	{"peer_listen a name", `"127.0.0.4:7946"`, `"here"`, "not an ip:port"},
+	{"peer_listen a number", `"127.0.0.4:7946"`, "7946", wantNumber + "peer_listen of type netip.AddrPort"},
+	{
+		"peers a text", `["127.0.0.5:7946"]`, `"127.0.0.5:7946"`,
+		"json: cannot unmarshal string into Go struct field config.peers of type []netip.AddrPort",
+	},
+	{"peers with a name", `["127.0.0.5:7946"]`, `["127.0.0.5:7946","peer"]`, "not an ip:port"},
+	{"peers with a number", `["127.0.0.5:7946"]`, "[7]", wantNumber + "peers of type netip.AddrPort"},
+	{"peers_all a name", "127.0.0.6:7946", "all", "not an ip:port"},
+	{"settings missing", ",\n\t\"settings\":" + goodSettings, "", "settings: EOF"},
+	{"settings a list", goodSettings, "[]", "settings: json: cannot unmarshal array into Go value of type map[string]interface {}"},
+	{"settings a text", goodSettings, `"x"`, "settings: json: cannot unmarshal string into Go value of type map[string]interface {}"},
+}
+
+// Each configuration that can't be read is the same one line on standard error and the exit code 2, at the start
+// of a node and by `config check`.
+func TestPinnedConfigurationErrors(t *testing.T) {
+	for _, c := range pinnedErrors {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			if !strings.Contains(goodConfig, c.old) {
+				t.Fatalf("%q is no part of the good configuration", c.old)
+			}
+			dir := t.TempDir()
+			writeFile(t, filepath.Join(dir, "config.json"), strings.Replace(goodConfig, c.old, c.new, 1))
+			for _, run := range []struct {
+				want string
+				cmd  *exec.Cmd
+			}{
+				{"config.json: " + c.want + "\n", program(t, dir, nil, "config", "check", "config.json")},
+				{"cherrygap: config.json: " + c.want + "\n", program(t, dir, []string{"GW_CONFIG=config.json"})},
+			} {
+				out, err := run.cmd.CombinedOutput()
+				if code := run.cmd.ProcessState.ExitCode(); string(out) != run.want || code != 2 {
+					t.Errorf("%v: %q, exit code %d, %v; want %q", run.cmd.Args[1:], out, code, err, run.want)
+				}
+			}
+		})
+	}
+}
+
+// badOperatorFile is what is said of a bad operator file.
+const badOperatorFile = "bad.toml: line 2: log.level: \"loud\" is none of debug, info, warn, error\n" +
+	"bad.toml: line 3: nothing: no such key\nbad.toml: line 4: nothing.x: no such key\n"
+
+// pinnedStarts are command lines with what stands in the environment, what they write and their exit code.
+var pinnedStarts = []struct {
+	name, args string
+	env        []string
+	want       string
+	code       int
+}{
+	{"no file named", "", nil, "cherrygap: GW_CONFIG is not set\n", 2},
+	{"no such file", "serve", []string{"GW_CONFIG=none.json"}, "cherrygap: open none.json: no such file or directory\n", 2},
+	{"a directory", "serve", []string{"GW_CONFIG=."}, "cherrygap: read .: is a directory\n", 2},
+	{"GW_LISTEN bad", "serve", []string{"GW_CONFIG=good.json", "GW_LISTEN=here"}, "cherrygap: good.json: listen: not an ip:port\n", 2},
+	{
+		"GW_DISCOVERY bad", "serve",
+		[]string{"GW_CONFIG=good.json", "GW_DISCOVERY=127.0.0.1:x"},
+		"cherrygap: good.json: discovery: invalid port \"x\" parsing \"127.0.0.1:x\"\n", 2,
+	},
+	{
+		"null, addresses given beside", "serve",
+		[]string{"GW_CONFIG=null.json", "GW_LISTEN=127.0.0.1:0", "GW_DISCOVERY=127.0.0.1:1"},
+		"cherrygap: null.json: seed: strconv.ParseUint: parsing \"\": invalid syntax\n", 2,
+	},
+	{"operator file bad", "serve --operator bad.toml", []string{"GW_CONFIG=good.json"}, "cherrygap: " + badOperatorFile, 2},
+	{"GW_OPERATOR bad", "", []string{"GW_CONFIG=good.json", "GW_OPERATOR=bad.toml"}, "cherrygap: " + badOperatorFile, 2},
+	{
+		"no such operator file", "--operator none.toml",
+		[]string{"GW_CONFIG=good.json"},
+		"cherrygap: open none.toml: no such file or directory\n", 2,
+	},
+	{
+		"band not named", "--operator band.toml",
+		[]string{"GW_CONFIG=good.json"},
+		"cherrygap: settings: band \"other\": the platform's settings name \n", 2,
+	},
+	{
+		"plan not named", "--operator watch.toml",
+		[]string{"GW_CONFIG=good.json"},
+		"cherrygap: watch.settings: plan \"other\": the platform's settings name \n", 2,
+	},
+	{"check of all good", "config check good.json good.toml", nil, "good.json: good\ngood.toml: good\n", 0},
+	{"check of a known list", "config check known.json", nil, "known.json: known: malformed list\n", 2},
+	{"check of a known list's version", "config check rev.json", nil, "rev.json: known: malformed list\n", 2},
+	{"check of a known list's state", "config check state.json", nil, "state.json: known: malformed list\n", 2},
+	{"check of some bad", "config check bad.toml good.json none.toml none.json syntax.toml", nil, badOperatorFile + "good.json: good\n" +
+		"open none.toml: no such file or directory\nopen none.json: no such file or directory\n" +
+		"syntax.toml: line 2: (syntax): expected '.' or ']' to end table name, but got '\\n' instead\n", 2},
+	{"check of nothing", "config check", nil, "cherrygap: requires at least 1 arg(s), only received 0\n", 2},
+	{"no such command", "server", nil, "cherrygap: unknown command \"server\" for \"cherrygap\"\n", 2},
+	{"no such flag", "serve --fast", nil, "cherrygap: unknown flag: --fast\n", 2},
+}
+
+// What keeps a node from its start beside the configuration's text, and what `config check` says of each file.
+func TestPinnedStartErrors(t *testing.T) {
+	dir := t.TempDir()
+	for name, text := range map[string]string{
+		"good.json": goodConfig, "bad.toml": "[log]\nlevel = \"loud\"\n[nothing]\nx = 1\n",
+		"good.toml": "[log]\nlevel = \"warn\"\n", "band.toml": "[[settings.band]]\nname = \"other\"\n",
+		"watch.toml":  "[watch]\non = true\n[[watch.settings.plan]]\nname = \"other\"\nrate = 1.0\n",
+		"known.json":  strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, "7", 1),
+		"rev.json":    strings.Replace(goodConfig, `"rev":41`, `"rev":"x"`, 1),
+		"state.json":  strings.Replace(goodConfig, `"targets":[]`, `"targets":[{"uid":"s","state":"later"}]`, 1),
+		"syntax.toml": "[log\n", "null.json": "null",
+	} {
+		writeFile(t, filepath.Join(dir, name), text)
+	}
+	for _, c := range pinnedStarts {
+		t.Run(c.name, func(t *testing.T) {
+			cmd := program(t, dir, c.env, strings.Fields(c.args)...)
+			out, err := cmd.CombinedOutput()
+			if code := cmd.ProcessState.ExitCode(); string(out) != c.want || code != c.code {
+				t.Errorf("%q, exit code %d, %v; want %q and %d", out, code, err, c.want, c.code)
+			}
+		})
+	}
+}
--- a/cmd/cherrygap/pin_log_test.go
+++ b/cmd/cherrygap/pin_log_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -28,32 +27,25 @@
 	dir := t.TempDir()
 	p := &logged{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
 	p.configure(t, text)
-	if err := os.WriteFile(filepath.Join(dir, "operator.toml"), []byte(operator), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, filepath.Join(dir, "operator.toml"), operator)
 	out, err := os.Create(p.file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
+	defer closeNow(t, out) // the process has it
 	p.cmd = program(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
 	p.cmd.Stderr = out
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() {
-		p.cmd.Process.Kill()
-		p.cmd.Wait()
-	})
+	killAtEnd(t, p.cmd)
 	return p
 }
 
 // configure writes the node's configuration.
 func (p *logged) configure(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(p.conf, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, p.conf, text)
 }
 
 // lines gives the log's lines so far in short: level, message and the other fields' names, and for an error its text.
@@ -111,18 +103,14 @@
 	const all = "[watch]\non = true\n[duties]\non = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 	for _, c := range []struct{ name, operator, counters string }{
 		{"no operator file's part", "", "counters node time"},
-		{"all parts", all, "counters duties node quota time watch"},
+		{"all parts", all, "counters health_checks node quota shadow time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			listen, discovery := port(t), port(t)
-			held, err := net.ListenPacket("udp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer held.Close()
+			listenOn, discovery := freeAddress(t), freeAddress(t)
+			held := listenPacket(t)
 			peer := held.LocalAddr().String()
-			text := strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", discovery, `"127.0.0.4:7946"`, `"`+peer+`"`,
-				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(good)
+			text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, `"127.0.0.4:7946"`, `"`+peer+`"`,
+				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(goodConfig)
 			odd := strings.Replace(text, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
 			p := startLogged(t, odd, c.operator)
 			var want []string
@@ -132,23 +120,23 @@
 				p.await(t, want...)
 			}
 			more(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
-			held.Close()
-			more(`warn known list refused: error="config.json: known: malformed list" node time`, "info started: listen node time")
-			p.cmd.Process.Signal(syscall.SIGUSR1)
+			closeNow(t, held)
+			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info started: listen node time")
+			send(t, p.cmd.Process, syscall.SIGUSR1)
 			more("info counters: " + c.counters)
 			p.configure(t, text)
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			more("info new configuration: discovery node time")
+			send(t, p.cmd.Process, syscall.SIGHUP)
+			more("info configuration reloaded: discovery node time")
 			p.configure(t, odd)
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			more(`warn known list refused: error="config.json: known: malformed list" node time`, "info new configuration: discovery node time")
+			send(t, p.cmd.Process, syscall.SIGHUP)
+			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info configuration reloaded: discovery node time")
 			p.configure(t, text[:len(text)-9])
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			more(`error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
+			send(t, p.cmd.Process, syscall.SIGHUP)
+			more(`error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 			p.configure(t, strings.Replace(text, discovery, "there", 1))
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			more(`error new configuration refused: error="config.json: discovery: not an ip:port" node time`)
-			p.cmd.Process.Signal(syscall.SIGTERM)
+			send(t, p.cmd.Process, syscall.SIGHUP)
+			more(`error configuration reload failed: error="config.json: discovery: not an ip:port" node time`)
+			send(t, p.cmd.Process, syscall.SIGTERM)
 			more("info stopped: " + c.counters)
 			if err := p.cmd.Wait(); err != nil {
 				t.Error(err)
@@ -159,25 +147,16 @@
 
 // Under another level only lines of that level or above are written.
 func TestPinnedLogLevel(t *testing.T) {
-	listen := port(t)
-	text := strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", port(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(good)
+	listenOn := freeAddress(t)
+	text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", freeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)
 	p := startLogged(t, text, "[log]\nlevel = \"error\"\n")
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		conn, err := net.Dial("tcp", listen)
-		if err == nil {
-			conn.Close()
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatal(err)
-		}
-	}
+	eventually(t, 10*time.Second, "a listener", func() bool { return accepts(listenOn) })
 	p.configure(t, "{")
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.await(t, `error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	send(t, p.cmd.Process, syscall.SIGHUP)
+	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+	send(t, p.cmd.Process, syscall.SIGTERM)
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	p.await(t, `error new configuration refused: error="config.json: unexpected end of JSON input" node time`)
+	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 }
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -51,22 +51,54 @@
 	return cfg
 }
 
-// The small form of lab scale with all its troubles: nothing runs twice, all is answered, nothing goes to a server that was
+// The small form of lab scale with all its faults: nothing runs twice, all is answered, nothing goes to a server that was
 // drained, every change comes into force at every node, real nodes hear each other and the hollow ones, and every child ends.
 func TestScaleInSmall(t *testing.T) {
 	cfg := smallScale(t)
 	before := offspring(t)
-	r, err := scale.Run(context.Background(), cfg)
+	r, err := scale.Run(t.Context(), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	line, _ := json.Marshal(r)
+	line, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkScaleRequests(t, r)
+	checkScaleFleet(t, r)
+	for _, name := range []string{"servers", "hollow", "real0", "real1"} {
+		if log, err := os.ReadFile(filepath.Join(cfg.Dir, name+".log")); err != nil || bytes.Contains(log, []byte("DATA RACE")) {
+			t.Errorf("%v, %s", err, log)
+		}
+	}
+	for k := range cfg.Real {
+		received, bad := peerMessages(t, filepath.Join(cfg.Dir, fmt.Sprintf("real%d.log", k)))
+		if received < 50 || bad > 0 { // of each of seven peers, three a second
+			t.Errorf("real node %d received %v messages, and %v that it could not read", k, received, bad)
+		}
+	}
+	if after := offspring(t); !slices.Equal(before, after) {
+		t.Errorf("processes before %v, after %v", before, after)
+	}
+	if t.Failed() {
+		t.Logf("%s", line)
+	}
+}
+
+// checkScaleRequests checks how the requests of a small run ended.
+func checkScaleRequests(t *testing.T, r *scale.Result) {
+	t.Helper()
 	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.HollowRequests.Completed < 100 || r.Straight < 10 {
 		t.Error("too little was done")
 	}
 	if r.Duplicates+r.Unanswered+r.HollowRequests.Unanswered+r.Unreached+r.SendsToDrained+r.Other != 0 {
 		t.Error("duplicates, requests with no answer or no sense, or sends to drained servers")
 	}
+}
+
+// checkScaleFleet checks that the faults of a small run were played, and that all was measured.
+func checkScaleFleet(t *testing.T, r *scale.Result) {
+	t.Helper()
 	if r.Changes < 6 || r.NotInForce != 0 || r.InForceAllMost > 6 {
 		t.Error("changes not in force in time")
 	}
@@ -76,58 +108,48 @@
 	if r.ThroughP99 <= 0 || r.StraightP50 <= 0 || r.PeakMiB <= 0 || r.DiscoveryLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
 		t.Error("figures are missing")
 	}
-	for _, name := range []string{"servers", "hollow", "real0", "real1"} {
-		if log, err := os.ReadFile(filepath.Join(cfg.Dir, name+".log")); err != nil || bytes.Contains(log, []byte("DATA RACE")) {
-			t.Errorf("%v, %s", err, log)
-		}
+}
+
+// peerMessages is how many messages a node received from its peers, and how many it could not read, by its log over all
+// its starts.
+func peerMessages(t *testing.T, path string) (received, bad float64) {
+	t.Helper()
+	log, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for k := range cfg.Real {
-		heard, bad := 0.0, 0.0
-		log, err := os.ReadFile(filepath.Join(cfg.Dir, fmt.Sprintf("real%d.log", k)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for l := range bytes.Lines(log) {
-			var entry struct {
-				Message  string
-				Counters struct {
-					Heard float64
-					Bad   float64 `json:"heard_bad"`
-				}
-			}
-			if json.Unmarshal(l, &entry) == nil && entry.Message == "stopped" {
-				heard, bad = heard+entry.Counters.Heard, bad+entry.Counters.Bad
+	for line := range bytes.Lines(log) {
+		var entry struct {
+			Message  string
+			Counters struct {
+				Heard float64
+				Bad   float64 `json:"heard_bad"`
 			}
 		}
-		if heard < 50 || bad > 0 { // of each of seven peers, three a second
-			t.Errorf("real node %d heard %v messages, and %v that it could not read", k, heard, bad)
+		if json.Unmarshal(line, &entry) == nil && entry.Message == "stopped" {
+			received, bad = received+entry.Counters.Heard, bad+entry.Counters.Bad
 		}
 	}
-	if after := offspring(t); !slices.Equal(before, after) {
-		t.Errorf("processes before %v, after %v", before, after)
-	}
-	if t.Failed() {
-		t.Logf("%s", line)
-	}
+	return received, bad
 }
 
 // Interrupted half-way, at its start or where a child can't start, it leaves no process behind and says why.
 func TestScaleInterrupted(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
-		spoil func(*scale.Config)
+		spoil func(*testing.T, *scale.Config)
 		want  string
 	}{
-		"under way":    {time.Second, func(*scale.Config) {}, "stopped by"},
-		"at its start": {30 * time.Millisecond, func(*scale.Config) {}, "stopped by"},
-		"hard stop":    {time.Minute, func(c *scale.Config) { c.For, c.Hard = time.Second, time.Second }, "hard stop"},
-		"no node":      {time.Minute, func(c *scale.Config) { os.Mkdir(filepath.Join(c.Dir, "real1.json"), 0o700) }, "real1.json"},
+		"under way":    {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
+		"at its start": {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
+		"hard stop":    {time.Minute, func(_ *testing.T, c *scale.Config) { c.For, c.Hard = time.Second, time.Second }, "hard stop"},
+		"no node":      {time.Minute, blockNodeFile, "real1.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := smallScale(t)
-			c.spoil(&cfg)
+			c.spoil(t, &cfg)
 			before := offspring(t)
-			ctx, cancel := context.WithTimeout(context.Background(), c.after)
+			ctx, cancel := context.WithTimeout(t.Context(), c.after)
 			defer cancel()
 			r, err := scale.Run(ctx, cfg)
 			if err == nil || r != nil || !strings.Contains(err.Error(), c.want) {
@@ -140,6 +162,14 @@
 	}
 }
 
+// blockNodeFile puts a folder where a node's configuration is to be written.
+func blockNodeFile(t *testing.T, c *scale.Config) {
+	t.Helper()
+	if err := os.Mkdir(filepath.Join(c.Dir, "real1.json"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Where descriptors lack it says so in one line, and starts nothing.
 func TestScaleNamesTheDescriptorsItLacks(t *testing.T) {
 	cfg := smallScale(t)
--- /dev/null
+++ b/cmd/cherrygap/server.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/quotastore"
+	"cherrygap/internal/routing"
+	"cherrygap/internal/transport"
+)
+
+const (
+	drainAccept = 500 * time.Millisecond // that clients may still come for after SIGTERM; the platform's send for 0.4 s
+	heapShare   = 0.6                    // of the memory limit; the rest is for stacks, the kernel and the program
+	gcPercent   = 400                    // little is live, so that a roomy heap saves collections
+)
+
+// server is one running edge node: it owns the node's parts from start to close. Its methods are called by one goroutine,
+// that of runServer; the parts guard themselves.
+type server struct {
+	config   *config // replaced by reload
+	limits   transport.Limits
+	counters *transport.Counters
+	log      zerolog.Logger
+
+	timer     *transport.Timer
+	router    *routing.Router
+	pool      *transport.Pool
+	discovery *transport.DiscoveryClient
+	frontEnd  *transport.Server
+
+	// Parts that only some configurations have; nil without.
+	peers        *transport.PeerSocket
+	quotas       *quotastore.Quotas
+	healthChecks *transport.HealthChecker
+	authorizer   authorizer
+	drainGRPC    func() // stops the gRPC front end, and returns once its last request has ended
+
+	hasEndpoints bool          // the configuration held an endpoint list
+	pollRequests chan struct{} // the decision module asks for the endpoint list; one that waits is enough
+	closers      []func()      // what close calls, the last first
+}
+
+// runServer runs a node until it has drained after SIGTERM, or returns the error that ended its start.
+func runServer(c *config) error {
+	limitRuntime(c)
+	s := newServer(c)
+	defer s.close()
+	if err := s.start(); err != nil {
+		return err
+	}
+	s.handleSignals(catchSignals())
+	return nil
+}
+
+// limitRuntime keeps the Go runtime within the cores and the memory that the platform gives the node.
+func limitRuntime(c *config) {
+	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
+	debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.MemoryMB<<20)))
+	debug.SetGCPercent(gcPercent)
+}
+
+// newServer makes a node that has its log and counters and nothing else yet.
+func newServer(c *config) *server {
+	s := &server{config: c, counters: &transport.Counters{}, pollRequests: make(chan struct{}, 1)}
+	var closeLog func()
+	s.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { s.counters.LinesLost.Add(int64(lines)) })
+	s.onClose(closeLog)
+	s.limits = c.transportLimits()
+	return s
+}
+
+// start opens the parts in their order and begins to serve: descriptors of the node's own first, then the known endpoint
+// list, and clients only once all that decides about their requests is there. After an error close is still to be called.
+func (s *server) start() error {
+	for _, open := range []func() error{
+		s.openTimer,
+		s.openPeerSocket,
+		s.openQuotaStore,
+		s.buildRouter,
+		s.loadKnownEndpoints,
+		s.buildHealthChecks,
+		s.buildDiscovery,
+		s.dialAuthorizer,
+		s.listenHTTP,
+		s.listenGRPC,
+	} {
+		if err := open(); err != nil {
+			return err
+		}
+	}
+	s.startBackground()
+	s.router.Tick()
+	s.log.Info().Str("listen", s.config.Listen).Msg("started")
+	return nil
+}
+
+// startBackground starts the goroutines of the parts. Those of the timer and of the health checks end on close. Discovery
+// and the peers' socket are needed until the last request has ended, and end with the process.
+func (s *server) startBackground() {
+	go s.timer.Run(s.router.Tick)
+	go s.discovery.Run()
+	if s.healthChecks != nil {
+		go s.healthChecks.Run()
+		s.onClose(s.healthChecks.Close)
+	}
+	if s.peers != nil {
+		go s.peers.Receive(s.receivePeerMessage)
+	}
+}
+
+// handleSignals carries out the signals' requests, until the drain that SIGTERM begins is over.
+func (s *server) handleSignals(caught signals) {
+	drained := make(chan struct{})
+	for {
+		select {
+		case <-caught.counters:
+			s.logCounters("counters")
+		case <-caught.reload: // while draining too: open requests may still be forwarded
+			s.reload()
+		case <-caught.terminate:
+			caught.terminate = nil // one drain is enough
+			go func() {            // ends once all clients have gone
+				s.drain()
+				close(drained)
+			}()
+		case <-drained:
+			s.logCounters("stopped")
+			return
+		}
+	}
+}
+
+// reload reads the platform's configuration again. One that is no good changes nothing.
+func (s *server) reload() {
+	next, err := s.config.reload(s.discovery.Move)
+	if err != nil {
+		s.log.Error().Err(err).Msg("configuration reload failed")
+		return
+	}
+	s.config = next
+	s.warnOfKnownList()
+	s.config.releaseKnownList()
+	s.log.Info().Str("discovery", next.fileDiscovery).Msg("configuration reloaded")
+}
+
+// drain stops both front ends at once, and returns when the last of their requests has its response.
+func (s *server) drain() {
+	if s.drainGRPC == nil {
+		s.frontEnd.Drain(drainAccept)
+		return
+	}
+	ended := make(chan struct{})
+	go func() { // ends with the last gRPC request
+		s.drainGRPC()
+		close(ended)
+	}()
+	s.frontEnd.Drain(drainAccept)
+	<-ended
+}
+
+// onClose adds a step that undoes what was just opened.
+func (s *server) onClose(step func()) { s.closers = append(s.closers, step) }
+
+// close undoes what was opened, in the reverse order.
+func (s *server) close() {
+	for len(s.closers) > 0 {
+		last := len(s.closers) - 1
+		step := s.closers[last]
+		s.closers = s.closers[:last]
+		step()
+	}
+}
--- /dev/null
+++ b/cmd/cherrygap/server_test.go
@@ -0,0 +1,157 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// The whole node: it serves by its known list while discovery is down, follows a new file to another discovery
+// on SIGHUP, passes over a bad one, and SIGTERM ends it once it has answered what it took.
+func TestNodeServesAndDrains(t *testing.T) {
+	started, answer := make(chan struct{}), make(chan struct{})
+	server := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+		close(started)
+		<-answer
+		_, _ = io.Copy(w, q.Body)
+	})
+	listenOn := freeAddress(t)
+	text := nodeText(t, server.Addr(), listenOn, freeAddress(t))
+	c := mustParse(t, text)
+	ended := startNode(c)
+	eventually(t, 5*time.Second, "a listener", func() bool { return accepts(listenOn) })
+	conn := sendRequest(t, listenOn, "9", 9*time.Second)
+	<-started
+	asked := make(chan string, 1)
+	discovery := serveHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
+		asked <- q.RequestURI
+		<-answer
+	})
+	file := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv(envConfig, file)
+	t.Setenv(envDiscovery, c.Discovery)
+	moved := strings.Replace(text, c.Discovery, discovery.Addr().String(), 1)
+	for _, now := range []string{moved[:len(moved)-9], moved} {
+		writeFile(t, file, now)
+		signalSelf(t, syscall.SIGHUP)
+		time.Sleep(20 * time.Millisecond)
+	}
+	select {
+	case uri := <-asked:
+		if uri != "/v1/servers" {
+			t.Errorf("the new discovery was asked %s", uri)
+		}
+	case <-time.After(3 * time.Second):
+		t.Error("the new discovery was never asked")
+	}
+	signalSelf(t, syscall.SIGTERM)
+	time.Sleep(drainAccept + 100*time.Millisecond)
+	select {
+	case err := <-ended:
+		t.Fatalf("ended with a request open: %v", err)
+	default:
+	}
+	close(answer)
+	wantLastResponse(t, conn, "body")
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// wantLastResponse reads a complete response that closes its connection.
+func wantLastResponse(t *testing.T, conn net.Conn, want string) {
+	t.Helper()
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(response.Body)
+	if response.StatusCode != http.StatusOK || string(body) != want || !response.Close || err != nil {
+		t.Errorf("status %d, %q, closes %v, %v", response.StatusCode, body, response.Close, err)
+	}
+}
+
+// wantEnd waits for a node that drains, for 3 s longer than it still accepts clients.
+func wantEnd(t *testing.T, ended <-chan error) {
+	t.Helper()
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(drainAccept + 3*time.Second):
+		t.Error("the node does not end")
+	}
+}
+
+// Nobody reads the log: the node serves, and ends on SIGTERM, all the same.
+func TestAStuckLogHoldsUpNoEnd(t *testing.T) {
+	r, w, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, r)
+	closeAtEnd(t, w)
+	old := os.Stderr
+	os.Stderr = w
+	defer func() { os.Stderr = old }()
+	fillPipe(t, w)
+	listenOn := freeAddress(t)
+	ended := startNode(mustParse(t, strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", freeAddress(t),
+		"127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)))
+	eventually(t, 5*time.Second, "a listener", func() bool { return accepts(listenOn) })
+	signalSelf(t, syscall.SIGTERM)
+	wantEnd(t, ended)
+}
+
+// fillPipe writes until a pipe takes no more.
+func fillPipe(t *testing.T, w *os.File) {
+	t.Helper()
+	if err := w.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
+	var err error
+	for err == nil {
+		_, err = w.Write(make([]byte, 1<<12))
+	}
+	if err := w.SetWriteDeadline(time.Time{}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A node that is started while the process before it still holds its addresses waits for them; any other fault of an
+// address ends the start at once.
+func TestStartWaitsForItsAddresses(t *testing.T) {
+	tcp, udp := listen(t), listenPacket(t)
+	c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", tcp.Addr().String(), "127.0.0.9:8500", freeAddress(t),
+		"127.0.0.4:7946", udp.LocalAddr().String()).Replace(goodConfig))
+	ended := startNode(c)
+	time.Sleep(2 * addressRetry)
+	closeNow(t, udp)
+	time.Sleep(2 * addressRetry)
+	select {
+	case err := <-ended:
+		t.Fatal(err)
+	default:
+	}
+	closeNow(t, tcp)
+	eventually(t, 5*time.Second, "a listener", func() bool {
+		response, err := http.Get("http://" + c.Listen + "/healthz")
+		return err == nil && response.Body.Close() == nil
+	})
+	signalSelf(t, syscall.SIGTERM)
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+	if err := retryWhileInUse(nil, func() error { return syscall.EACCES }); !errors.Is(err, syscall.EACCES) {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/cmd/cherrygap/signals_test.go
@@ -0,0 +1,120 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// serveDiscovery is a discovery service that holds every call, and tells which host was asked.
+func serveDiscovery(t *testing.T, asked chan<- string) net.Listener {
+	t.Helper()
+	return serveHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
+		asked <- q.Host
+		<-q.Context().Done()
+	})
+}
+
+// wantAsked waits until a host was asked.
+func wantAsked(t *testing.T, asked <-chan string, host string) {
+	t.Helper()
+	for deadline := time.After(3 * time.Second); ; {
+		select {
+		case got := <-asked:
+			if got == host {
+				return
+			}
+		case <-deadline:
+			t.Fatal("discovery was not followed there")
+		}
+	}
+}
+
+// Signals that come before the node listens, many at once, and during the drain: none ends the process, none is lost
+// for another. A SIGHUP during the drain moves discovery, as open requests may still be forwarded.
+func TestSignalsAtAnyMoment(t *testing.T) {
+	file, asked := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
+	first, second := serveDiscovery(t, asked), serveDiscovery(t, asked)
+	got, answer := make(chan struct{}), make(chan struct{})
+	server := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+		close(got)
+		<-answer
+		_, _ = io.Copy(w, q.Body)
+	})
+	listenOn := freeAddress(t)
+	text := nodeText(t, server.Addr(), listenOn, freeAddress(t))
+	c := mustParse(t, text)
+	nameDiscovery := func(ln net.Listener) {
+		writeFile(t, file, strings.Replace(text, c.fileDiscovery, ln.Addr().String(), 1))
+	}
+	t.Setenv(envConfig, file)
+	nameDiscovery(first)
+	caught := catchSignals() // as main does, before it reads anything
+	for range 20 {
+		signalSelf(t, syscall.SIGUSR1)
+		signalSelf(t, syscall.SIGHUP)
+		time.Sleep(time.Millisecond)
+	}
+	if len(caught.reload) != 1 || len(caught.counters) != 1 || len(caught.terminate) != 0 {
+		t.Errorf("%d, %d, %d wait", len(caught.reload), len(caught.counters), len(caught.terminate))
+	}
+	ended := startNode(c)
+	wantAsked(t, asked, first.Addr().String())
+	conn := sendRequest(t, listenOn, "9", 9*time.Second)
+	<-got
+	signalSelf(t, syscall.SIGTERM)
+	time.Sleep(10 * time.Millisecond)
+	nameDiscovery(second)
+	for range 9 {
+		signalSelf(t, syscall.SIGUSR1)
+		signalSelf(t, syscall.SIGTERM)
+		signalSelf(t, syscall.SIGHUP)
+	}
+	wantAsked(t, asked, second.Addr().String())
+	close(answer)
+	wantLastResponse(t, conn, "body")
+	wantEnd(t, ended)
+	caught.discard()
+}
+
+// discard takes out what waits, which is no other test's.
+func (s signals) discard() {
+	for len(s.terminate)+len(s.reload)+len(s.counters) > 0 {
+		select {
+		case <-s.terminate:
+		case <-s.reload:
+		case <-s.counters:
+		}
+	}
+}
+
+// The log's reader goes, as when it restarts: a node is not ended by that. The test runs itself as the process that writes.
+func TestALogWhoseReaderWentEndsNoNode(t *testing.T) {
+	if os.Getenv("LOG_READER_WENT") != "" {
+		catchSignals()
+		for range 3 {
+			fmt.Fprintln(os.Stderr, "a line that nobody reads")
+		}
+		fmt.Println("goes on")
+		return
+	}
+	r, w, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeNow(t, r)
+	closeAtEnd(t, w)
+	cmd := exec.Command(os.Args[0], "-test.run=^TestALogWhoseReaderWentEndsNoNode$")
+	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_WENT=1"), w
+	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "goes on") {
+		t.Errorf("%q, %v", out, err)
+	}
+}
