--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -161,14 +161,14 @@
 		v, _ := strconv.ParseInt(c.set[name], 10, 64)
 		return time.Duration(v) * 100 * time.Microsecond
 	}
-	l := transport.Limits{Sockets: c.Limits.Sockets, MemoryMB: c.Limits.MemoryMB, Idle: span("idle"),
-		Connect: span("connect"), GRPC: c.grpc.Listen != ""}
+	l := transport.Limits{Sockets: c.Limits.Sockets, MemoryMB: c.Limits.MemoryMB, ServerIdleTimeout: span("idle"),
+		ConnectTimeout: span("connect"), GRPC: c.grpc.Listen != ""}
 	var own syscall.Rlimit // the process's, should it be lower
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own); err == nil && own.Cur < uint64(l.Sockets) {
 		l.Sockets = int(own.Cur)
 	}
-	if l.Connect <= 0 {
-		l.Connect = time.Second
+	if l.ConnectTimeout <= 0 {
+		l.ConnectTimeout = time.Second
 	}
 	return l
 }
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -91,7 +91,7 @@
 	debug.SetGCPercent(gcPercent)
 	count := &transport.Counters{}
 	// Who reads the log must not hold up tickets: lines that it is too slow for are lost and counted.
-	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(n int) { count.LinesLost.Add(int64(n)) })
+	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(n int) { count.LogLinesDropped.Add(int64(n)) })
 	defer func() { // the last lines, as far as someone reads them: an end must not wait for that
 		written := make(chan struct{})
 		go func() { out.Close(); close(written) }()
@@ -109,7 +109,7 @@
 	}
 	defer alarm.Close()
 	cfg := routing.Config{Seed: c.seed, Settings: c.set, Shadow: c.watch, SetTimer: alarm.Set,
-		SendToPeer: func(int, []byte) { count.ToldFailed.Add(1) },
+		SendToPeer: func(int, []byte) { count.PeerMessagesUnsent.Add(1) },
 		PollEndpoints: func() {
 			select {
 			case asked <- struct{}{}:
@@ -167,7 +167,7 @@
 		shared = transport.NewHealthChecker(c.duties(), router, pool, cfg.SendToPeer, &log)
 	}
 	watch := &transport.DiscoveryClient{Addr: c.Discovery, Revision: c.known.Revision, Full: !known, Limits: limits, Log: &log,
-		Count: count, OnFailure: router.PollFailed, OnList: func(l *protocol.EndpointList) {
+		Counters: count, OnFailure: router.PollFailed, OnList: func(l *protocol.EndpointList) {
 			router.UpdateEndpoints(l, false)
 			pool.KeepOnly(router.InService)
 			if shared != nil {
@@ -225,7 +225,7 @@
 		case <-s.count:
 			counters("counters")
 		case <-s.hup: // while it drains too: what is open may still be sent on
-			if c, err = c.reload(watch.Move); err != nil {
+			if c, err = c.reload(watch.SwitchTo); err != nil {
 				log.Error().Err(err).Msg("new configuration refused")
 				continue
 			}
--- a/internal/grpcfrontend/gate_test.go
+++ b/internal/grpcfrontend/gate_test.go
@@ -65,7 +65,7 @@
 	go alarm.Run(router.Tick)
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(app.Addr().String())}}}, true)
-	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
+	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	n.http = "127.0.0.1:0"
 	ln, _ := net.Listen("tcp", n.http) // a port that was free a moment ago
 	n.http = ln.Addr().String()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -294,7 +294,7 @@
 	none := zerolog.Nop()
 	var once sync.Once
 	watch := &transport.DiscoveryClient{Addr: o.Agent, Full: true, Limits: transport.Limits{Sockets: 64, MemoryMB: 64,
-		Connect: time.Second}, Log: &none, Count: &transport.Counters{}, OnList: func(l *protocol.EndpointList) {
+		ConnectTimeout: time.Second}, Log: &none, Counters: &transport.Counters{}, OnList: func(l *protocol.EndpointList) {
 		h.listed(l)
 		once.Do(func() { close(h.ready) })
 	}, OnFailure: func() {
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -65,7 +65,7 @@
 				Addr: netip.MustParseAddrPort(app.Addr().String())})
 		}
 		router.UpdateEndpoints(list, true)
-		limits, count := transport.Limits{Sockets: 512, MemoryMB: 64, Idle: 10 * time.Second, Connect: time.Second}, &transport.Counters{}
+		limits, count := transport.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}, &transport.Counters{}
 		ln, _ := net.Listen("tcp", "127.0.0.1:0") // a port that was free a moment ago
 		fronts[k] = ln.Addr().String()
 		ln.Close()
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -119,7 +119,7 @@
 func (w *attemptRunner) run(c routing.Decision, q *protocol.Request) (protocol.ServerResponse, routing.AttemptResult) {
 	began := time.Now()
 	reply := w.try(c, q, began.Add(c.Timeout))
-	w.pool.count.Ends[reply.Outcome].Add(1)
+	w.pool.count.AttemptOutcomes[reply.Outcome].Add(1)
 	took := time.Since(began)
 	return reply, routing.AttemptResult{Outcome: reply.Outcome, Duration: took, Units: reply.Units}
 }
@@ -156,7 +156,7 @@
 
 func (w *attemptRunner) try(c routing.Decision, q *protocol.Request, until time.Time) protocol.ServerResponse {
 	var l *link
-	up := earlier(until, time.Now().Add(w.pool.limits.Connect))
+	up := earlier(until, time.Now().Add(w.pool.limits.ConnectTimeout))
 	for fresh := 0; ; {
 		var o protocol.Outcome
 		if l, o = w.connect(c, until, up); l == nil {
@@ -187,7 +187,7 @@
 			return protocol.ServerResponse{Outcome: protocol.ConnectFailed}
 		}
 	}
-	w.pool.count.Sent.Add(1)
+	w.pool.count.Attempts.Add(1)
 	l.used++
 	sent, came := time.Now(), l.in.w
 	br := parsers.Get().(*bufio.Reader)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -157,8 +157,8 @@
 	}
 	c.asked.Store(true)
 	if !c.request.ForNode() && c.left() { // it waited unread until its client had gone: it runs for nobody
-		c.front.count.Taken.Add(1)
-		c.front.count.Gone.Add(1)
+		c.front.count.Requests.Add(1)
+		c.front.count.ClientsGone.Add(1)
 		c.front.ids.answered(c.request.ID)
 		c.end(leaving(c.in.err, clientGone))
 		return false
@@ -254,7 +254,7 @@
 // refuse answers what is no ticket and closes.
 func (c *client) refuse(err error) bool {
 	var bad *protocol.RequestError
-	c.front.count.Bad.Add(1)
+	c.front.count.MalformedRequests.Add(1)
 	if c.in.err != nil || !errors.As(err, &bad) {
 		c.end(leaving(c.in.err, clientBroken))
 		return false
@@ -316,7 +316,7 @@
 	a.Close = c.request.Close || c.front.draining.Load() || c.front.tight() || c.flood.Load()
 	c.conn.SetWriteDeadline(c.came.Add(c.request.Timeout + time.Second))
 	if !c.answer(&a) {
-		c.front.count.Unanswered.Add(1)
+		c.front.count.ResponsesUnwritten.Add(1)
 		c.end(answerBroken)
 	} else if c.flood.Load() { // its reader ends it
 	} else if a.Close && c.front.draining.Load() {
--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -39,11 +39,11 @@
 
 // Limits are the node's own, from its configuration.
 type Limits struct {
-	Sockets  int  // descriptors of all kinds
-	GRPC     bool // a front of that protocol takes connections too
-	MemoryMB int
-	Idle     time.Duration // an app server closes connections that stood idle for so long
-	Connect  time.Duration // a connection not up by then is given up
+	Sockets           int  // descriptors of all kinds
+	GRPC              bool // a front of that protocol takes connections too
+	MemoryMB          int
+	ServerIdleTimeout time.Duration // an app server closes connections that stood idle for so long
+	ConnectTimeout    time.Duration // a connection not up by then is given up
 }
 
 const againSoon = 10 * time.Millisecond // after a socket's error that is none of our own making
@@ -84,11 +84,11 @@
 
 // Counters count what the node takes in, sends and answers.
 type Counters struct {
-	Conns, Taken, Bad, Completed, Bounced, BrokenOff, Gone, Unanswered atomic.Int64
-	Denied                                                             atomic.Int64
-	Sent, Dialled                                                      atomic.Int64
-	Ends                                                               [protocol.OutcomeCount]atomic.Int64
-	Lists, ListsBad, Told, ToldFailed, Heard, HeardBad, LinesLost      atomic.Int64
+	Connections, Requests, MalformedRequests, Completed, Rejected, Failed, ClientsGone, ResponsesUnwritten                          atomic.Int64
+	Denied                                                                                                                          atomic.Int64
+	Attempts, Dials                                                                                                                 atomic.Int64
+	AttemptOutcomes                                                                                                                 [protocol.OutcomeCount]atomic.Int64
+	EndpointLists, MalformedLists, PeerMessagesSent, PeerMessagesUnsent, PeerMessagesReceived, PeerMessagesDropped, LogLinesDropped atomic.Int64
 }
 
 // MarshalZerologObject writes all counters.
@@ -97,16 +97,16 @@
 		name string
 		n    *atomic.Int64
 	}{
-		{"connections", &c.Conns}, {"taken", &c.Taken}, {"bad", &c.Bad}, {"completed", &c.Completed},
-		{"bounced", &c.Bounced}, {"broken_off", &c.BrokenOff}, {"gone", &c.Gone}, {"denied", &c.Denied}, {"unanswered", &c.Unanswered},
-		{"sent", &c.Sent}, {"dialled", &c.Dialled}, {"lists", &c.Lists}, {"lists_bad", &c.ListsBad},
-		{"told", &c.Told}, {"told_failed", &c.ToldFailed}, {"heard", &c.Heard}, {"heard_bad", &c.HeardBad},
-		{"lines_lost", &c.LinesLost},
+		{"connections", &c.Connections}, {"taken", &c.Requests}, {"bad", &c.MalformedRequests}, {"completed", &c.Completed},
+		{"bounced", &c.Rejected}, {"broken_off", &c.Failed}, {"gone", &c.ClientsGone}, {"denied", &c.Denied}, {"unanswered", &c.ResponsesUnwritten},
+		{"sent", &c.Attempts}, {"dialled", &c.Dials}, {"lists", &c.EndpointLists}, {"lists_bad", &c.MalformedLists},
+		{"told", &c.PeerMessagesSent}, {"told_failed", &c.PeerMessagesUnsent}, {"heard", &c.PeerMessagesReceived}, {"heard_bad", &c.PeerMessagesDropped},
+		{"lines_lost", &c.LogLinesDropped},
 	} {
 		e.Int64(f.name, f.n.Load())
 	}
-	for o := range c.Ends {
-		e.Int64("ended_"+protocol.Outcome(o).String(), c.Ends[o].Load())
+	for o := range c.AttemptOutcomes {
+		e.Int64("ended_"+protocol.Outcome(o).String(), c.AttemptOutcomes[o].Load())
 	}
 }
 
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -41,7 +41,7 @@
 	Full     bool   // nothing is known: ask for everything
 	Limits   Limits
 	Log      *zerolog.Logger
-	Count    *Counters
+	Counters *Counters
 
 	OnList       func(*protocol.EndpointList)
 	OnFailure    func()
@@ -57,9 +57,9 @@
 	ended bool
 }
 
-// Move makes the watch follow discovery at another address from now on. There it asks for the whole list: what
+// SwitchTo makes the watch follow discovery at another address from now on. There it asks for the whole list: what
 // one address told last need not be what the other counts from.
-func (w *DiscoveryClient) Move(addr string) {
+func (w *DiscoveryClient) SwitchTo(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addr = addr
@@ -146,7 +146,7 @@
 	defer context.AfterFunc(ctx, func() { c.conn.Close() })()
 	defer c.close()
 	for {
-		w.Count.Lists.Add(1)
+		w.Counters.EndpointLists.Add(1)
 		// A version that goes back is of a discovery which counts anew, as one that was restarted or stands in for another:
 		// changes since a version that it never had are not to be had.
 		back := !w.Full && !a.list.Full && a.list.Revision < w.Revision
@@ -238,18 +238,18 @@
 
 // at is where, and from what on, a look asks: of its own, as the watch may have moved on when it ends.
 func (w *DiscoveryClient) at() *DiscoveryClient {
-	return &DiscoveryClient{Addr: w.Addr, Revision: w.Revision, Full: w.Full, Limits: w.Limits, Log: w.Log, Count: w.Count}
+	return &DiscoveryClient{Addr: w.Addr, Revision: w.Revision, Full: w.Full, Limits: w.Limits, Log: w.Log, Counters: w.Counters}
 }
 
 // first opens a connection and makes its first call, both within a time.
 func (w *DiscoveryClient) first(ctx context.Context, hold, wait time.Duration) answer {
 	until := time.Now().Add(wait)
-	d := net.Dialer{Timeout: max(w.Limits.Connect, againLong), Deadline: until, KeepAlive: -1}
+	d := net.Dialer{Timeout: max(w.Limits.ConnectTimeout, againLong), Deadline: until, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", w.Addr)
 	if err != nil {
 		return answer{err: err}
 	}
-	c := &calls{conn: conn, addr: w.Addr, log: w.Log, count: w.Count, began: time.Now(),
+	c := &calls{conn: conn, addr: w.Addr, log: w.Log, count: w.Counters, began: time.Now(),
 		in: newRing(conn, conn, w.Limits.ring()), out: newRing(conn, conn, leastRing)}
 	if w.came != nil {
 		c.in.sock = &flow{Conn: conn, came: w.came, until: until, last: until.Add(hopeless - wait)}
@@ -316,7 +316,7 @@
 	if c.in.err != nil {
 		a.err = c.in.err
 	} else {
-		c.count.ListsBad.Add(1)
+		c.count.MalformedLists.Add(1)
 	}
 	return a
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -111,7 +111,7 @@
 			a := &agent{up: true, rev: 1, conns: map[net.Conn]struct{}{}}
 			go a.serve(ln, c.mute, c.late)
 			log, revs := zerolog.Nop(), make(chan uint64, 99)
-			w := &DiscoveryClient{Addr: addr, Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+			w := &DiscoveryClient{Addr: addr, Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(l *protocol.EndpointList) { revs <- l.Revision }, OnFailure: func() {}}
 			go w.Run()
 			defer w.Stop()
@@ -172,7 +172,7 @@
 		}
 	}))
 	log := zerolog.Nop()
-	w := &DiscoveryClient{Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Count: &Counters{},
+	w := &DiscoveryClient{Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Counters: &Counters{},
 		OnList: func(*protocol.EndpointList) {}, OnFailure: func() {}}
 	go w.Run()
 	defer w.Stop()
@@ -203,7 +203,7 @@
 func TestWatchHearsOfAnAgentThatComesUp(t *testing.T) {
 	addr, empty := full(t)
 	log, listed := zerolog.Nop(), make(chan time.Time, 99)
-	w := &DiscoveryClient{Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+	w := &DiscoveryClient{Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {}}
 	go w.Run()
 	defer w.Stop()
@@ -265,7 +265,7 @@
 				}
 			}()
 			log, listed := zerolog.Nop(), make(chan struct{}, 99)
-			w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+			w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(*protocol.EndpointList) { listed <- struct{}{} }, OnFailure: func() {}}
 			began := time.Now()
 			go w.Run()
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	ended(t, drained, 3*time.Second)
-	if n := b.count.Taken.Load(); n != 20 {
+	if n := b.count.Requests.Load(); n != 20 {
 		t.Errorf("%d tickets taken", n)
 	}
 }
@@ -123,7 +123,7 @@
 				n++
 			}
 		}
-		return n == 1 && len(b.front.clients) == 8 && b.count.Taken.Load() == 7
+		return n == 1 && len(b.front.clients) == 8 && b.count.Requests.Load() == 7
 	})
 	b.front.mu.Lock()
 	b.front.evicted = true // nobody makes room
@@ -148,7 +148,7 @@
 func TestDrainGivesNewConnectionsTimeToAsk(t *testing.T) {
 	b := start(t, "single-use", roomy, 1, echo)
 	silent, asks := b.dial(t), b.dial(t)
-	eventually(t, "both", func() bool { return b.count.Conns.Load() == 2 })
+	eventually(t, "both", func() bool { return b.count.Connections.Load() == 2 })
 	began := time.Now()
 	drained := b.drains(0)
 	eventually(t, "the close of what is idle", b.front.closing.Load)
@@ -172,7 +172,7 @@
 	})
 	conn := b.dial(t)
 	io.WriteString(conn, ticketText(700, ""))
-	eventually(t, "the execution", func() bool { return b.count.Sent.Load() == 1 })
+	eventually(t, "the execution", func() bool { return b.count.Attempts.Load() == 1 })
 	began, drained := time.Now(), b.drains(0)
 	if status, _, closes := ask(t, conn, ""); status != 502 || !closes {
 		t.Errorf("status %d, closes %v", status, closes)
--- a/internal/transport/golden_wire_test.go
+++ b/internal/transport/golden_wire_test.go
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			log := zerolog.Nop()
 			addr, calls := discovered(t, c.answers...)
-			w := &DiscoveryClient{Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Count: &Counters{},
+			w := &DiscoveryClient{Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(*protocol.EndpointList) {}, OnFailure: func() {}}
 			if c.asked > 0 {
 				asked := make(chan struct{}, c.asked)
@@ -204,10 +204,10 @@
 // The counters in the log: names, order, and that each is written under its own name.
 func TestGoldenCounters(t *testing.T) {
 	c := &Counters{}
-	fields := []*atomic.Int64{&c.Conns, &c.Taken, &c.Bad, &c.Completed, &c.Bounced, &c.BrokenOff, &c.Gone, &c.Denied,
-		&c.Unanswered, &c.Sent, &c.Dialled, &c.Lists, &c.ListsBad, &c.Told, &c.ToldFailed, &c.Heard, &c.HeardBad, &c.LinesLost}
-	for o := range c.Ends {
-		fields = append(fields, &c.Ends[o])
+	fields := []*atomic.Int64{&c.Connections, &c.Requests, &c.MalformedRequests, &c.Completed, &c.Rejected, &c.Failed, &c.ClientsGone, &c.Denied,
+		&c.ResponsesUnwritten, &c.Attempts, &c.Dials, &c.EndpointLists, &c.MalformedLists, &c.PeerMessagesSent, &c.PeerMessagesUnsent, &c.PeerMessagesReceived, &c.PeerMessagesDropped, &c.LogLinesDropped}
+	for o := range c.AttemptOutcomes {
+		fields = append(fields, &c.AttemptOutcomes[o])
 	}
 	if len(fields) != len(counterNames) {
 		t.Fatalf("%d counters, %d names", len(fields), len(counterNames))
--- a/internal/transport/leave_test.go
+++ b/internal/transport/leave_test.go
@@ -41,9 +41,9 @@
 		case <-time.After(3 * time.Second):
 			t.Fatalf("%d bytes behind it: the execution goes on", len(more))
 		}
-		eventually(t, "the end", func() bool { return b.count.Gone.Load() == 1 })
-		if b.count.Sent.Load() != 1 {
-			t.Errorf("%d bytes behind it: %d executions", len(more), b.count.Sent.Load())
+		eventually(t, "the end", func() bool { return b.count.ClientsGone.Load() == 1 })
+		if b.count.Attempts.Load() != 1 {
+			t.Errorf("%d bytes behind it: %d executions", len(more), b.count.Attempts.Load())
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	polite, rude := b.dial(t), b.dial(t)
 	io.WriteString(polite, ticketText(5000, "one")+ticketText(5000, "two"))
 	io.WriteString(rude, ticketText(5000, "one"))
-	eventually(t, "both executions", func() bool { return b.count.Sent.Load() == 2 })
+	eventually(t, "both executions", func() bool { return b.count.Attempts.Load() == 2 })
 	io.WriteString(rude, strings.Repeat("x", 200<<10))
 	close(answer)
 	br := bufio.NewReader(polite)
@@ -94,10 +94,10 @@
 	eventually(t, "all gone", func() bool {
 		b.front.mu.Lock()
 		defer b.front.mu.Unlock()
-		return len(b.front.clients) == 0 && b.count.Conns.Load() == 30
+		return len(b.front.clients) == 0 && b.count.Connections.Load() == 30
 	})
-	if ran.Load() > 0 || b.count.Sent.Load() > 0 || b.count.Taken.Load() != b.count.Gone.Load() {
-		t.Errorf("%d ran; %d taken, %d gone", ran.Load(), b.count.Taken.Load(), b.count.Gone.Load())
+	if ran.Load() > 0 || b.count.Attempts.Load() > 0 || b.count.Requests.Load() != b.count.ClientsGone.Load() {
+		t.Errorf("%d ran; %d taken, %d gone", ran.Load(), b.count.Requests.Load(), b.count.ClientsGone.Load())
 	}
 }
 
@@ -448,19 +448,19 @@
 			for _, stack := range b.pool.idle {
 				idle += len(stack)
 			}
-			return b.pool.total-idle == k+1 && (b.count.Sent.Load() == int64(k+1)) == written
+			return b.pool.total-idle == k+1 && (b.count.Attempts.Load() == int64(k+1)) == written
 		})
 		conns = append(conns, conn)
 	}
 	time.Sleep(10 * breakWithin) // the half written fill what takes them
-	if sent := b.count.Sent.Load(); (sent == leaves) != written {
+	if sent := b.count.Attempts.Load(); (sent == leaves) != written {
 		t.Fatalf("%d written whole", sent)
 	}
 	began := time.Now()
 	for _, conn := range conns {
 		conn.Close()
 	}
-	eventually(t, "the ends", func() bool { return b.count.Gone.Load() == leaves })
+	eventually(t, "the ends", func() bool { return b.count.ClientsGone.Load() == leaves })
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("given up after %v", took)
 	}
@@ -485,13 +485,13 @@
 // not begun does not begin.
 func TestLeavingDuringADialNeedsNoLeaveToWithdraw(t *testing.T) {
 	limits := roomy
-	limits.Connect = 3 * time.Second
+	limits.ConnectTimeout = 3 * time.Second
 	b := startWith(t, map[string]string{"withdraw": "false"}, "replayable", limits, 0, nil)
 	addr, empty := full(t)
 	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "full", Weight: 1, Addr: addr}}}, false)
 	conn := b.dial(t)
 	io.WriteString(conn, ticketText(5000, "x"))
-	eventually(t, "a dial", func() bool { return b.count.Dialled.Load() == 1 })
+	eventually(t, "a dial", func() bool { return b.count.Dials.Load() == 1 })
 	conn.Close()
 	ln, got := empty(), make(chan string, 9)
 	go func() {
@@ -507,7 +507,7 @@
 			}()
 		}
 	}()
-	eventually(t, "the ticket's end", func() bool { return b.count.Gone.Load() == 1 })
+	eventually(t, "the ticket's end", func() bool { return b.count.ClientsGone.Load() == 1 })
 	select {
 	case uri := <-got:
 		t.Errorf("%s was sent on", uri)
@@ -528,18 +528,18 @@
 	stays := ask1("")
 	for k := range 20 {
 		conn := ask1(strings.Repeat("more ", k%2*100))
-		eventually(t, "its ticket", func() bool { return b.count.Taken.Load() == int64(k+2) })
+		eventually(t, "its ticket", func() bool { return b.count.Requests.Load() == int64(k+2) })
 		conn.Close()
 	}
 	if status, body, _ := ask(t, stays, ""); status != 200 || body != "x" {
 		t.Errorf("the one that stayed got %d, %q", status, body)
 	}
-	eventually(t, "the others' ends", func() bool { return b.count.Gone.Load() == 20 })
+	eventually(t, "the others' ends", func() bool { return b.count.ClientsGone.Load() == 20 })
 	late := ask1("")
 	if status, _, _ := ask(t, late, ""); status != 200 { // which waits as long as any of them would have
 		t.Errorf("the next one got %d", status)
 	}
-	if n := b.count.Sent.Load(); n != 2 {
+	if n := b.count.Attempts.Load(); n != 2 {
 		t.Errorf("%d executions for two that stayed", n)
 	}
 }
--- a/internal/transport/notified_test.go
+++ b/internal/transport/notified_test.go
@@ -279,7 +279,7 @@
 		}
 	}
 	log, heard, follows := zerolog.Nop(), make(chan time.Time, 99), make(chan struct{})
-	watch := &DiscoveryClient{Addr: d.addr, Revision: known.Revision, Limits: roomy, Log: &log, Count: &Counters{}, OnFailure: router.PollFailed,
+	watch := &DiscoveryClient{Addr: d.addr, Revision: known.Revision, Limits: roomy, Log: &log, Counters: &Counters{}, OnFailure: router.PollFailed,
 		OnList: func(l *protocol.EndpointList) {
 			router.UpdateEndpoints(l, false)
 			if !router.InService(a) && router.InService(b) {
@@ -351,7 +351,7 @@
 		go next.serve(ln)
 		defer d.ln.Close()
 		ended := time.Now()
-		watch.Move(ln.Addr().String())
+		watch.SwitchTo(ln.Addr().String())
 		return w.hears(heard, ended)
 	}
 	d.mu.Lock()
--- a/internal/transport/peersocket.go
+++ b/internal/transport/peersocket.go
@@ -30,11 +30,11 @@
 	to, ok := m.peers.AddrOf(peer)
 	if ok && len(text) <= protocol.MaxDatagram {
 		if _, err := m.conn.WriteToUDPAddrPort(text, to); err == nil {
-			m.count.Told.Add(1)
+			m.count.PeerMessagesSent.Add(1)
 			return
 		}
 	}
-	m.count.ToldFailed.Add(1)
+	m.count.PeerMessagesUnsent.Add(1)
 }
 
 // Receive passes on what peers send, until the socket is closed. What is not theirs, or can't be read, is
@@ -48,14 +48,14 @@
 			return
 		}
 		if err != nil {
-			m.count.HeardBad.Add(1)
+			m.count.PeerMessagesDropped.Add(1)
 			time.Sleep(againSoon)
 			continue
 		}
 		if from, ok := m.peers.NumberOf(addr, n); ok && heard(from, buf[:n]) {
-			m.count.Heard.Add(1)
+			m.count.PeerMessagesReceived.Add(1)
 		} else {
-			m.count.HeardBad.Add(1)
+			m.count.PeerMessagesDropped.Add(1)
 		}
 	}
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -68,7 +68,9 @@
 	return p
 }
 
-func (p *Pool) retirement() time.Duration { return time.Duration(float64(p.limits.Idle) * retireAt) }
+func (p *Pool) retirement() time.Duration {
+	return time.Duration(float64(p.limits.ServerIdleTimeout) * retireAt)
+}
 
 // errFull is that no descriptor is left for one more connection.
 var errFull = errors.New("no descriptor left")
@@ -88,7 +90,7 @@
 		}
 		l := stack[i]
 		p.idle[s] = slices.Delete(stack, i, i+1)
-		if age := time.Since(l.idleAt); p.limits.Idle > 0 && age >= p.retirement() ||
+		if age := time.Since(l.idleAt); p.limits.ServerIdleTimeout > 0 && age >= p.retirement() ||
 			age >= p.trust && time.Now().Before(p.wary) {
 			p.drop(l, idled)
 		} else if !l.sound() {
@@ -124,8 +126,8 @@
 	}
 	p.total++
 	p.mu.Unlock()
-	p.count.Dialled.Add(1)
-	d, asked := net.Dialer{Timeout: p.limits.Connect, KeepAlive: -1}, time.Now()
+	p.count.Dials.Add(1)
+	d, asked := net.Dialer{Timeout: p.limits.ConnectTimeout, KeepAlive: -1}, time.Now()
 	c, err := d.DialContext(ctx, "tcp", s.Addr.String())
 	if err != nil {
 		p.mu.Lock()
@@ -160,7 +162,7 @@
 		return
 	}
 	p.idle[l.server] = append(p.idle[l.server], l)
-	if p.limits.Idle > 0 && !p.armed {
+	if p.limits.ServerIdleTimeout > 0 && !p.armed {
 		p.armed = true
 		p.timer.Reset(p.retirement())
 	}
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -35,7 +35,7 @@
 	b := start(t, "single-use", roomy, 1, echo)
 	s, l := kept(t, b)
 	b.pool.mu.Lock()
-	l.idleAt = time.Now().Add(-roomy.Idle / 2)
+	l.idleAt = time.Now().Add(-roomy.ServerIdleTimeout / 2)
 	since := l.idleAt
 	b.pool.mu.Unlock()
 	if b.pool.take(s) != l {
@@ -111,8 +111,8 @@
 		}
 		time.Sleep(2 * settleFor)
 	}
-	if !b.log.has(string(serverStale)) || b.count.Sent.Load() != 4 {
-		t.Errorf("%d executions", b.count.Sent.Load())
+	if !b.log.has(string(serverStale)) || b.count.Attempts.Load() != 4 {
+		t.Errorf("%d executions", b.count.Attempts.Load())
 	}
 }
 
--- a/internal/transport/requesthandler.go
+++ b/internal/transport/requesthandler.go
@@ -65,10 +65,10 @@
 // Handle takes a ticket that came at a time to its answer; it tells false once its client has gone, who is owed none.
 func (p *RequestHandler) Handle(q *protocol.Request, came time.Time) (a protocol.ClientResponse, stays bool) {
 	count := p.front.count
-	count.Taken.Add(1)
+	count.Requests.Add(1)
 	if answer, pass := p.checked(q, came); !pass {
 		if p.gone() {
-			count.Gone.Add(1)
+			count.ClientsGone.Add(1)
 			return a, false
 		}
 		return answer, true
@@ -92,13 +92,13 @@
 				return protocol.ClientResponse{Status: protocol.StatusCompleted, ContentType: reply.ContentType, Body: reply.Body}, true
 			}
 		case routing.Reject:
-			count.Bounced.Add(1)
+			count.Rejected.Add(1)
 			return protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: next.RetryAfter}, true
 		case routing.Fail:
-			count.BrokenOff.Add(1)
+			count.Failed.Add(1)
 			return protocol.ClientResponse{Status: protocol.StatusFailed}, true
 		default:
-			count.Gone.Add(1)
+			count.ClientsGone.Add(1)
 			return a, false
 		}
 	}
@@ -129,7 +129,7 @@
 		return protocol.ClientResponse{Status: protocol.StatusDenied}, false
 	}
 	if !p.gone() {
-		p.front.count.Bounced.Add(1)
+		p.front.count.Rejected.Add(1)
 	}
 	return protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: advice}, false
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -90,7 +90,7 @@
 			f.crowded.Store(false)
 			waited = true
 		}
-		f.count.Conns.Add(1)
+		f.count.Connections.Add(1)
 		c := newClient(f, conn)
 		if waited {
 			c.held = came
--- a/internal/transport/together_test.go
+++ b/internal/transport/together_test.go
@@ -160,9 +160,9 @@
 			t.Errorf("%s ran %d times", own, n)
 		}
 	}
-	if c := b.count; c.Taken.Load() != c.Completed.Load()+c.Bounced.Load()+c.BrokenOff.Load()+c.Gone.Load() {
-		t.Errorf("%d taken; %d completed, %d bounced, %d broken off, %d gone", c.Taken.Load(), c.Completed.Load(), c.Bounced.Load(),
-			c.BrokenOff.Load(), c.Gone.Load())
+	if c := b.count; c.Requests.Load() != c.Completed.Load()+c.Rejected.Load()+c.Failed.Load()+c.ClientsGone.Load() {
+		t.Errorf("%d taken; %d completed, %d bounced, %d broken off, %d gone", c.Requests.Load(), c.Completed.Load(), c.Rejected.Load(),
+			c.Failed.Load(), c.ClientsGone.Load())
 	}
-	t.Logf("%d answered, %d served, %d executions", answered.Load(), served.Load(), b.count.Sent.Load())
+	t.Logf("%d answered, %d served, %d executions", answered.Load(), served.Load(), b.count.Attempts.Load())
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -122,7 +122,7 @@
 	return b
 }
 
-var roomy = Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
+var roomy = Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 
 func (b *bench) dial(t *testing.T) net.Conn {
 	t.Helper()
@@ -176,7 +176,7 @@
 		}
 		time.Sleep(settleFor)
 	}
-	if n := b.count.Dialled.Load(); n != 1 {
+	if n := b.count.Dials.Load(); n != 1 {
 		t.Errorf("%d connections to the server", n)
 	}
 	if status, _, _ := ask(t, conn, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
@@ -207,7 +207,7 @@
 			t.Errorf("%.30q: %v instead of a close", text, err)
 		}
 	}
-	if b.count.Sent.Load() != 0 {
+	if b.count.Attempts.Load() != 0 {
 		t.Error("bad input was sent on")
 	}
 }
@@ -221,10 +221,10 @@
 	for repeats, want := range map[string]struct{ status, sent int }{"single-use": {502, 1}, "replayable": {503, 2}} {
 		b := start(t, repeats, roomy, 3, half)
 		status, _, _ := ask(t, b.dial(t), ticketText(3000, "x"))
-		if sent := int(b.count.Sent.Load()); status != want.status || sent > 3 || repeats == "single-use" && sent != 1 {
+		if sent := int(b.count.Attempts.Load()); status != want.status || sent > 3 || repeats == "single-use" && sent != 1 {
 			t.Errorf("%s: status %d after %d executions", repeats, status, sent)
 		}
-		if !b.log.has(string(serverBroken)) || b.count.Ends[protocol.ConnectionReset].Load() == 0 {
+		if !b.log.has(string(serverBroken)) || b.count.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
 			t.Errorf("%s: no broken connection noted", repeats)
 		}
 	}
@@ -240,7 +240,7 @@
 			conn.Read(make([]byte, 1)) // it stays open
 			return false
 		})
-		if status, _, _ := ask(t, b.dial(t), ticketText(3000, "x")); status != 502 || b.count.Ends[protocol.MalformedResponse].Load() != 1 {
+		if status, _, _ := ask(t, b.dial(t), ticketText(3000, "x")); status != 502 || b.count.AttemptOutcomes[protocol.MalformedResponse].Load() != 1 {
 			t.Errorf("%.40q: status %d", text, status)
 		}
 	}
@@ -353,7 +353,7 @@
 		}
 		time.Sleep(2 * settleFor)
 	}
-	if conns.Load() != 2 || !b.log.has(string(serverStale)) || b.count.Ends[protocol.ConnectFailed].Load() != 0 {
+	if conns.Load() != 2 || !b.log.has(string(serverStale)) || b.count.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
 		t.Errorf("%d connections", conns.Load())
 	}
 }
@@ -380,7 +380,7 @@
 	b.front.router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(ln.Addr().String())}}}, false)
 	status, _, _ := ask(t, b.dial(t), ticketText(3000, "x"))
-	if k := b.count.Ends[protocol.ConnectFailed].Load(); status != 503 || k == 0 || came.Load() != mostFresh*k {
+	if k := b.count.AttemptOutcomes[protocol.ConnectFailed].Load(); status != 503 || k == 0 || came.Load() != mostFresh*k {
 		t.Errorf("status %d, %d connections in %d executions", status, came.Load(), k)
 	}
 }
@@ -407,10 +407,10 @@
 
 func TestIdleConnectionsAreRetiredBeforeTheServerDoes(t *testing.T) {
 	limits := roomy
-	limits.Idle = 100 * time.Millisecond
+	limits.ServerIdleTimeout = 100 * time.Millisecond
 	b := start(t, "single-use", limits, 1, echo)
 	ask(t, b.dial(t), ticketText(3000, "x"))
-	if b.pool.retirement() >= limits.Idle {
+	if b.pool.retirement() >= limits.ServerIdleTimeout {
 		t.Errorf("retires after %v", b.pool.retirement())
 	}
 	eventually(t, "retirement", func() bool { return b.log.has(string(idled)) })
@@ -460,8 +460,8 @@
 			t.Errorf("answered %d", a.Status)
 		}
 	}
-	if ran.Load() > 0 || b.count.Gone.Load() != 20 {
-		t.Errorf("%d ran, %d gone", ran.Load(), b.count.Gone.Load())
+	if ran.Load() > 0 || b.count.ClientsGone.Load() != 20 {
+		t.Errorf("%d ran, %d gone", ran.Load(), b.count.ClientsGone.Load())
 	}
 }
 
@@ -693,7 +693,7 @@
 	b.pool.total = roomy.side()
 	b.pool.mu.Unlock()
 	status, _, _ := ask(t, b.dial(t), ticketText(3000, "x"))
-	if unsent := b.count.Ends[protocol.NotSent].Load(); status != 503 || unsent == 0 || b.count.Ends[protocol.ConnectFailed].Load() != 0 {
+	if unsent := b.count.AttemptOutcomes[protocol.NotSent].Load(); status != 503 || unsent == 0 || b.count.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
 		t.Errorf("status %d, %d unsent", status, unsent)
 	}
 	b.pool.mu.Lock()
@@ -804,13 +804,13 @@
 	if got := <-heard; got != "0yes" {
 		t.Errorf("heard %q", got)
 	}
-	eventually(t, "two dropped and one heard", func() bool { return count.HeardBad.Load() == 2 && count.Heard.Load() == 1 })
+	eventually(t, "two dropped and one heard", func() bool { return count.PeerMessagesDropped.Load() == 2 && count.PeerMessagesReceived.Load() == 1 })
 	m.Send(0, []byte("back"))
 	m.Send(-1, []byte("all"))
 	m.Send(5, []byte("nobody"))
 	m.Send(0, make([]byte, protocol.MaxDatagram+1))
-	if count.Told.Load() != 2 || count.ToldFailed.Load() != 2 {
-		t.Errorf("told %d, failed %d", count.Told.Load(), count.ToldFailed.Load())
+	if count.PeerMessagesSent.Load() != 2 || count.PeerMessagesUnsent.Load() != 2 {
+		t.Errorf("told %d, failed %d", count.PeerMessagesSent.Load(), count.PeerMessagesUnsent.Load())
 	}
 }
 
@@ -830,7 +830,7 @@
 	time.Sleep(20 * againSoon)
 	m.conn.Close()
 	<-done
-	if n := count.HeardBad.Load(); n < 1 || n > 21 {
+	if n := count.PeerMessagesDropped.Load(); n < 1 || n > 21 {
 		t.Errorf("%d errors in 20 pauses", n)
 	}
 }
@@ -862,7 +862,7 @@
 	}()
 	log, count := zerolog.New(io.Discard), &Counters{}
 	lists := make(chan *protocol.EndpointList, 9)
-	w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: count,
+	w := &DiscoveryClient{Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Counters: count,
 		OnList: func(l *protocol.EndpointList) { lists <- l }, OnFailure: func() {}}
 	go w.Run()
 	defer w.Stop()
@@ -876,8 +876,8 @@
 	if l := <-lists; !l.Full || l.Revision != 5 {
 		t.Errorf("first %+v", l)
 	}
-	if l := <-lists; l.Revision != 7 || len(l.Endpoints) != 1 || count.ListsBad.Load() != 1 || time.Since(began) > 2*time.Second {
-		t.Errorf("then %+v, %d bad, after %v", l, count.ListsBad.Load(), time.Since(began))
+	if l := <-lists; l.Revision != 7 || len(l.Endpoints) != 1 || count.MalformedLists.Load() != 1 || time.Since(began) > 2*time.Second {
+		t.Errorf("then %+v, %d bad, after %v", l, count.MalformedLists.Load(), time.Since(began))
 	}
 }
 
@@ -896,7 +896,7 @@
 		io.WriteString(w, `{"rev":5,"targets":[]}`)
 	}))
 	log := zerolog.New(io.Discard)
-	w := &DiscoveryClient{Addr: ln.Addr().String(), Limits: roomy, Log: &log, Count: &Counters{}, OnList: func(*protocol.EndpointList) {}}
+	w := &DiscoveryClient{Addr: ln.Addr().String(), Limits: roomy, Log: &log, Counters: &Counters{}, OnList: func(*protocol.EndpointList) {}}
 	began := time.Now()
 	go w.Run()
 	defer w.Stop()
@@ -928,7 +928,7 @@
 	}
 	var missed atomic.Bool
 	log := zerolog.New(io.Discard)
-	w := &DiscoveryClient{Addr: addrs[0], Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+	w := &DiscoveryClient{Addr: addrs[0], Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 		OnList: func(*protocol.EndpointList) {}, OnFailure: func() { missed.Store(true) }}
 	go w.Run()
 	defer w.Stop()
@@ -946,7 +946,7 @@
 		if missed.Load() {
 			t.Error("a call was missed")
 		}
-		w.Move(addrs[(slices.Index(addrs, addr)+1)%2])
+		w.SwitchTo(addrs[(slices.Index(addrs, addr)+1)%2])
 	}
 }
 
