--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -112,7 +112,7 @@
 			go a.serve(ln, c.mute, c.late)
 			log, revs := zerolog.Nop(), make(chan uint64, 99)
 			w := &DiscoveryClient{
-				Addr: addr, Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+				Addr: addr, Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(l *protocol.EndpointList) { revs <- l.Revision }, OnFailure: func() {},
 			}
 			go w.Run()
@@ -175,7 +175,7 @@
 	}))
 	log := zerolog.Nop()
 	w := &DiscoveryClient{
-		Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Count: &Counters{},
+		Addr: ln.Addr().String(), Revision: 90, Limits: roomy, Log: &log, Counters: &Counters{},
 		OnList: func(*protocol.EndpointList) {}, OnFailure: func() {},
 	}
 	go w.Run()
@@ -208,7 +208,7 @@
 	addr, empty := full(t)
 	log, listed := zerolog.Nop(), make(chan time.Time, 99)
 	w := &DiscoveryClient{
-		Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+		Addr: addr.String(), Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
 	}
 	go w.Run()
@@ -272,7 +272,7 @@
 			}()
 			log, listed := zerolog.Nop(), make(chan struct{}, 99)
 			w := &DiscoveryClient{
-				Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Count: &Counters{},
+				Addr: ln.Addr().String(), Full: true, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(*protocol.EndpointList) { listed <- struct{}{} }, OnFailure: func() {},
 			}
 			began := time.Now()
