--- a/internal/transport/golden_wire_test.go
+++ b/internal/transport/golden_wire_test.go
@@ -114,7 +114,7 @@
 			log := zerolog.Nop()
 			addr, calls := discovered(t, c.answers...)
 			w := &DiscoveryClient{
-				Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Count: &Counters{},
+				Addr: addr, Revision: c.rev, Full: c.rev == 0, Limits: roomy, Log: &log, Counters: &Counters{},
 				OnList: func(*protocol.EndpointList) {}, OnFailure: func() {},
 			}
 			if c.asked > 0 {
@@ -225,11 +225,11 @@
 func TestGoldenCounters(t *testing.T) {
 	c := &Counters{}
 	fields := []*atomic.Int64{
-		&c.Conns, &c.Taken, &c.Bad, &c.Completed, &c.Bounced, &c.BrokenOff, &c.Gone, &c.Denied,
-		&c.Unanswered, &c.Sent, &c.Dialled, &c.Lists, &c.ListsBad, &c.Told, &c.ToldFailed, &c.Heard, &c.HeardBad, &c.LinesLost,
+		&c.Connections, &c.Requests, &c.MalformedRequests, &c.Completed, &c.Rejected, &c.Failed, &c.ClientsGone, &c.Denied,
+		&c.ResponsesUnwritten, &c.Attempts, &c.Dials, &c.EndpointLists, &c.MalformedLists, &c.PeerMessagesSent, &c.PeerMessagesUnsent, &c.PeerMessagesReceived, &c.PeerMessagesDropped, &c.LogLinesDropped,
 	}
-	for o := range c.Ends {
-		fields = append(fields, &c.Ends[o])
+	for o := range c.AttemptOutcomes {
+		fields = append(fields, &c.AttemptOutcomes[o])
 	}
 	if len(fields) != len(counterNames) {
 		t.Fatalf("%d counters, %d names", len(fields), len(counterNames))
