--- /dev/null
+++ b/internal/routing/helpers_test.go
@@ -0,0 +1,87 @@
+package routing
+
+import (
+	"net/netip"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// cancelRecorder is a Canceller that records which attempts were cancelled.
+type cancelRecorder struct {
+	mu        sync.Mutex // guards cancelled
+	cancelled []int
+}
+
+func (c *cancelRecorder) Cancel(attempt int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelled = append(c.cancelled, attempt)
+}
+
+// settingsOf are the settings of one node with one plan and one class, whose requests repeat as named.
+func settingsOf(repeats string) map[string]string {
+	return map[string]string{
+		"band.count": "1", "band.0.name": "seats", "band.0.contract": "5000", "band.0.repeats": repeats,
+		"plan.count": "1", "plan.0.name": "team",
+		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true",
+	}
+}
+
+// seatRequest is a request of the class and the plan of settingsOf.
+var seatRequest = protocol.Request{Class: "seats", Plan: "team", Customer: 5, Units: 1, Spread: 1}
+
+// listOf is a whole list of servers "s0", "s1" and so on, all in one state.
+func listOf(count int, state protocol.EndpointState) *protocol.EndpointList {
+	list := &protocol.EndpointList{Revision: 1, Full: true}
+	for i := range count {
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
+			UID: "s" + strconv.Itoa(i), State: state, Weight: 1,
+			Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i)),
+		})
+	}
+	return list
+}
+
+// newRouter makes a Router whose functions do nothing where cfg leaves them out.
+func newRouter(t *testing.T, cfg Config) *Router {
+	t.Helper()
+	if cfg.Seed == 0 {
+		cfg.Seed = 7
+	}
+	if cfg.SetTimer == nil {
+		cfg.SetTimer = func(time.Duration) {}
+	}
+	if cfg.PollEndpoints == nil {
+		cfg.PollEndpoints = func() {}
+	}
+	if cfg.SendToPeer == nil {
+		cfg.SendToPeer = func(int, []byte) {}
+	}
+	if cfg.LogSummary == nil {
+		cfg.LogSummary = func([]byte) {}
+	}
+	return New(cfg)
+}
+
+// startRouter makes a Router with an endpoint list of so many servers, and room for requests in it.
+func startRouter(t *testing.T, repeats string, servers int) (*Router, *Request, *cancelRecorder) {
+	t.Helper()
+	r := newRouter(t, Config{Settings: settingsOf(repeats)})
+	if servers > 0 {
+		r.UpdateEndpoints(listOf(servers, protocol.InService), true)
+	}
+	c := &cancelRecorder{}
+	return r, r.NewRequest(c), c
+}
+
+// checkForwarded fails the test unless the decision is to make the attempt with that number.
+func checkForwarded(t *testing.T, d Decision, attempt int) {
+	t.Helper()
+	if d.Action != Forward || d.Attempt != attempt {
+		t.Errorf("decided on %+v, not on attempt %d", d, attempt)
+	}
+}
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -14,30 +14,40 @@
 func TestServerNumbers(t *testing.T) {
 	type numbered struct {
 		uid    string
-		number uint32
+		number ServerNumber
 	}
 	for _, c := range []struct {
 		name string
 		list []numbered
 	}{
-		{"no collision", []numbered{{"s0", 122795830}, {"s1", 139573449}, {"srv-a", 1557935716},
-			{"srv-00000001-00001", 4288927964}, {"é", 513665217}, {" ", 621580159}}},
+		{"no collision", []numbered{
+			{"s0", 122795830},
+			{"s1", 139573449},
+			{"srv-a", 1557935716},
+			{"srv-00000001-00001", 4288927964},
+			{"é", 513665217},
+			{" ", 621580159},
+		}},
 		{"the first listed has the hash", []numbered{{"costarring", 1582148253}, {"liquid", 1582148254}}},
 		{"in the other order", []numbered{{"liquid", 1582148253}, {"costarring", 1582148254}}},
-		{"two pairs", []numbered{{"declinate", 3792586706}, {"altarage", 3831552182}, {"zinke", 3831552183},
-			{"macallums", 3792586707}}},
+		{"two pairs", []numbered{
+			{"declinate", 3792586706},
+			{"altarage", 3831552182},
+			{"zinke", 3831552183},
+			{"macallums", 3792586707},
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := &protocol.EndpointList{Revision: 1, Full: true}
+			list := &protocol.EndpointList{Revision: 1, Full: true}
 			at := map[netip.AddrPort]numbered{}
 			for i, s := range c.list {
 				addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 9000)
-				l.Endpoints = append(l.Endpoints, protocol.Endpoint{UID: s.uid, Addr: addr, Weight: 1})
+				list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: s.uid, Addr: addr, Weight: 1})
 				at[addr] = s
 			}
 			r, _, _ := startRouter(t, "replayable", 0)
-			for range 2 { // and again with each list
-				r.UpdateEndpoints(l, false)
+			for range 2 { // again with the same list
+				r.UpdateEndpoints(list, false)
 				for _, s := range r.Servers() {
 					if want := at[s.Addr]; s.Number() != want.number {
 						t.Errorf("%s has the number %d, not %d", want.uid, s.Number(), want.number)
@@ -54,61 +64,73 @@
 // TestFreedServerNumber pins that the number of a server that is gone is free again, and that whoever had the next one
 // keeps it.
 func TestFreedServerNumber(t *testing.T) {
-	f := newEndpointTable()
-	target := func(uid string, s protocol.EndpointState) protocol.Endpoint {
+	table := newEndpointTable()
+	endpoint := func(uid string, s protocol.EndpointState) protocol.Endpoint {
 		return protocol.Endpoint{UID: uid, State: s, Weight: 1, Addr: netip.MustParseAddrPort("127.0.0.1:9000")}
 	}
 	for i, step := range []struct {
-		targets []protocol.Endpoint
-		numbers []uint32
+		endpoints []protocol.Endpoint
+		numbers   []uint32
 	}{
-		{[]protocol.Endpoint{target("costarring", protocol.InService), target("liquid", protocol.InService)}, []uint32{1582148253, 1582148254}},
-		{[]protocol.Endpoint{target("costarring", protocol.Terminated)}, []uint32{1582148253}},
-		{[]protocol.Endpoint{target("liquid", protocol.Terminating)}, []uint32{1582148254}},
-		{[]protocol.Endpoint{target("costarring", protocol.InService)}, []uint32{1582148253}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.InService), endpoint("liquid", protocol.InService)}, []uint32{1582148253, 1582148254}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.Terminated)}, []uint32{1582148253}},
+		{[]protocol.Endpoint{endpoint("liquid", protocol.Terminating)}, []uint32{1582148254}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.InService)}, []uint32{1582148253}},
 	} {
-		for k, l := range f.take(&protocol.EndpointList{Endpoints: step.targets}) {
-			if l.Server != step.numbers[k] {
-				t.Errorf("step %d: %s has the number %d, not %d", i, step.targets[k].UID, l.Server, step.numbers[k])
+		for k, e := range table.update(&protocol.EndpointList{Endpoints: step.endpoints}) {
+			if e.Server != step.numbers[k] {
+				t.Errorf("step %d: %s has the number %d, not %d", i, step.endpoints[k].UID, e.Server, step.numbers[k])
 			}
 		}
 	}
 }
 
-// TestListingOfTarget pins how an entry of discovery's list reads to the decision module: zones and models are numbered
+// TestEndpointsForTheEngine pins how an entry of discovery's list reads to the engine: zones and models are numbered
 // by order of first sight and keep their numbers, cells are their own numbers, times go from milliseconds since 1970 to
-// tenths of a millisecond.
-func TestListingOfTarget(t *testing.T) {
-	f := newEndpointTable()
+// ticks of a millisecond.
+func TestEndpointsForTheEngine(t *testing.T) {
+	table := newEndpointTable()
 	addr := netip.MustParseAddrPort("127.0.0.1:9000")
 	for i, c := range []struct {
-		target protocol.Endpoint
-		want   decision.Endpoint
+		endpoint protocol.Endpoint
+		want     decision.Endpoint
 	}{
-		{protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
-			decision.Endpoint{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230}},
-		{protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0}},
-		{protocol.Endpoint{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
-			decision.Endpoint{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10}},
-		{protocol.Endpoint{UID: "s0", Addr: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
-			decision.Endpoint{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50}},
-		{protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0}},
+		{
+			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
+			decision.Endpoint{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230},
+		},
+		{
+			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0},
+		},
+		{
+			protocol.Endpoint{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
+			decision.Endpoint{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10},
+		},
+		{
+			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
+			decision.Endpoint{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50},
+		},
+		{
+			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0},
+		},
 	} {
-		got := f.take(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.target}})
+		got := table.update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.endpoint}})
 		if len(got) != 1 || got[0] != c.want {
-			t.Errorf("%d: %+v reads as %+v, not %+v", i, c.target, got, c.want)
+			t.Errorf("%d: %+v reads as %+v, not %+v", i, c.endpoint, got, c.want)
 		}
 	}
 }
 
-// TestOutcomesAsTheModuleTakesThem pins how the outcome of an attempt reads to the decision module.
-func TestOutcomesAsTheModuleTakesThem(t *testing.T) {
-	want := map[protocol.Outcome]decision.Outcome{protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
+// TestOutcomesForTheEngine pins how the outcome of an attempt reads to the engine.
+func TestOutcomesForTheEngine(t *testing.T) {
+	want := map[protocol.Outcome]decision.Outcome{
+		protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
 		protocol.Overloaded: decision.Overloaded, protocol.TimedOut: decision.TimedOut, protocol.ConnectFailed: decision.ConnectFailed,
 		protocol.ConnectionReset: decision.ConnectionReset, protocol.Cancelled: decision.Cancelled, protocol.NotSent: decision.NotSent,
-		protocol.MalformedResponse: decision.MalformedResponse}
+		protocol.MalformedResponse: decision.MalformedResponse,
+	}
 	if len(want) != int(protocol.OutcomeCount) {
 		t.Errorf("%d of %d outcomes pinned", len(want), protocol.OutcomeCount)
 	}
@@ -124,37 +146,41 @@
 
 // TestOutcomeNumbers pins the numbers of both lists of outcomes, which stand in messages and in records of runs.
 func TestOutcomeNumbers(t *testing.T) {
-	for i, o := range []protocol.Outcome{protocol.Completed, protocol.Errored, protocol.Overloaded, protocol.TimedOut,
-		protocol.ConnectFailed, protocol.ConnectionReset, protocol.Cancelled, protocol.NotSent, protocol.MalformedResponse, protocol.OutcomeCount} {
+	for i, o := range []protocol.Outcome{
+		protocol.Completed, protocol.Errored, protocol.Overloaded, protocol.TimedOut,
+		protocol.ConnectFailed, protocol.ConnectionReset, protocol.Cancelled, protocol.NotSent, protocol.MalformedResponse, protocol.OutcomeCount,
+	} {
 		if int(o) != i {
 			t.Errorf("the %d-th outcome of the protocol has the number %d", i, o)
 		}
 	}
-	for i, o := range []decision.Outcome{decision.Succeeded, decision.Failed, decision.Overloaded, decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
-		decision.Cancelled, decision.NotSent, decision.MalformedResponse} {
+	for i, o := range []decision.Outcome{
+		decision.Succeeded, decision.Failed, decision.Overloaded, decision.TimedOut, decision.ConnectFailed, decision.ConnectionReset,
+		decision.Cancelled, decision.NotSent, decision.MalformedResponse,
+	} {
 		if int(o) != i {
-			t.Errorf("the %d-th outcome of the module has the number %d", i, o)
+			t.Errorf("the %d-th outcome of the engine has the number %d", i, o)
 		}
 	}
 	for i, s := range []decision.EndpointState{decision.Draining, decision.Ready, decision.Gone} {
 		if int(s) != i {
-			t.Errorf("the %d-th state of the module has the number %d", i, s)
+			t.Errorf("the %d-th state of the engine has the number %d", i, s)
 		}
 	}
 }
 
-// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole tenths of a millisecond on their
-// way in: 99 µs left is none, which is refused at once.
+// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole ticks of a millisecond on their
+// way in: a timeout of 99 µs is none, which is rejected at once.
 func TestTimesInTenthsOfMilliseconds(t *testing.T) {
 	for _, c := range []struct {
-		left time.Duration
-		want Action
+		timeout time.Duration
+		want    Action
 	}{{99 * time.Microsecond, Reject}, {2 * time.Second, Forward}} {
-		_, ticket, _ := startRouter(t, "replayable", 2)
-		ticket.Start(&request, c.left)
-		got := ticket.Next()
-		if got.Action != c.want || got.Timeout%tenth != 0 || got.RetryAfter%tenth != 0 {
-			t.Errorf("%v left: %+v", c.left, got)
+		_, req, _ := startRouter(t, "replayable", 2)
+		req.Start(&seatRequest, c.timeout)
+		got := req.Next()
+		if got.Action != c.want || got.Timeout%tick != 0 || got.RetryAfter%tick != 0 {
+			t.Errorf("timeout %v: %+v", c.timeout, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/routing/requestsettings.go
@@ -0,0 +1,67 @@
+package routing
+
+import (
+	"strconv"
+
+	"cherrygap/internal/decision"
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/quota"
+)
+
+// requestSettings is what the settings say of requests before the engine sees them. It does not change after New.
+type requestSettings struct {
+	classes, plans map[string]int   // numbers by name
+	quotas         []quota.Customer // by plan: only Rate and Burst are set
+	nodes          int
+	maxUnits       float64 // of a request; 0 or less: no bound
+}
+
+func newRequestSettings(set decision.Settings) requestSettings {
+	s := requestSettings{
+		classes:  numbersByName(set, "band"),
+		plans:    numbersByName(set, "plan"),
+		nodes:    max(1, int(set.Number("nodes"))),
+		maxUnits: set.Number("largest"),
+	}
+	for plan := range len(s.plans) {
+		s.quotas = append(s.quotas, quota.Customer{
+			Rate:  set.Number(set.Key("plan", plan, "rate")),
+			Burst: set.Number(set.Key("plan", plan, "depth")),
+		})
+	}
+	return s
+}
+
+// numbersByName maps the names of a list's entries to their numbers.
+func numbersByName(set decision.Settings, list string) map[string]int {
+	numbers := map[string]int{}
+	count, _ := strconv.Atoi(set[list+".count"]) // one that can't be read is an empty list
+	for i := range count {
+		numbers[set[set.Key(list, i, "name")]] = i
+	}
+	return numbers
+}
+
+// KnowsClassAndPlan returns whether the settings have the request's class and plan.
+func (r *Router) KnowsClassAndPlan(req *protocol.Request) bool {
+	_, class := r.settings.classes[req.Class]
+	_, plan := r.settings.plans[req.Plan]
+	return class && plan
+}
+
+// WithinLimits returns whether the request's units and set of nodes are such as the settings allow; a setting that is
+// missing allows anything. It protects a tenant's bucket and set from whoever writes odd figures under its name.
+func (r *Router) WithinLimits(req *protocol.Request) bool {
+	s := &r.settings
+	return (s.maxUnits <= 0 || req.Units <= s.maxUnits) && req.Spread <= s.nodes && req.FirstNode < s.nodes
+}
+
+// leased returns the tenant of a request under a plan whose quota can be leased, or false.
+func (s *requestSettings) leased(plan int, req *protocol.Request) (quota.Customer, bool) {
+	if plan < len(s.quotas) && s.quotas[plan].Rate > 0 {
+		c := s.quotas[plan]
+		c.Key, c.FirstNode, c.Spread = req.Customer, req.FirstNode, req.Spread
+		return c, true
+	}
+	return quota.Customer{}, false
+}
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -91,7 +91,7 @@
 			case healthcheck.Run:
 				go d.run(s)
 			case healthcheck.Ended:
-				d.router.HealthChecked(uint32(s.Check.ID), s.Good)
+				d.router.HealthChecked(routing.ServerNumber(s.Check.ID), s.Good)
 			}
 		}
 		d.mu.Lock()
