--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -6,98 +6,112 @@
 	"cherrygap/internal/protocol"
 )
 
-// The baselines decide here, in the model, and nowhere else: they are yardsticks, not policies of the node.
-// Both retry what never ran on another server and what may have run only when its band is replayable, up to
-// three executions, and bounce when they find no server.
+// The baselines decide here, in the model, and nowhere else: they are yardsticks, not policies of the node. Both retry
+// what never ran at another server, and what may have run only where its class is safe to repeat, up to
+// baselineAttempts, and reject when they find no server.
 
-const baselineTries = 3
+const baselineAttempts = 3
 
-// bucket is a baseline's plain quota: one per customer at each node, filled at the plan's rate.
+// minTimeLeft is the least time that a retry is worth.
+const minTimeLeft = time.Millisecond
+
+// bucket is a baseline's plain quota: one per tenant at each node, filled at the plan's rate.
 type bucket struct {
-	level float64
-	at    time.Duration
+	level    float64 // units
+	filledAt time.Duration
 }
 
-// baseline sends a new ticket of a baseline policy.
-func (s *Sim) baseline(tk *ticket) {
-	if tk.tries == 0 && !s.spend(tk) {
-		s.settle(tk, outBounced)
-		s.again(tk, 0)
+// decideByBaseline sends a request's next attempt, or rejects the request.
+func (s *Sim) decideByBaseline(req *request) {
+	if req.attempts == 0 && !s.takeFromBucket(req) {
+		s.rejectByBaseline(req)
 		return
 	}
-	sv := s.choose(tk.node)
+	sv := s.chooseServer(req.node)
 	if sv == nil {
-		s.settle(tk, outBounced)
-		s.again(tk, 0)
+		s.rejectByBaseline(req)
 		return
 	}
-	tk.tries++
-	tk.node.out[sv.id]++
-	s.execute(tk, tk.tries-1, sv, tk.deadline-s.now)
+	req.attempts++
+	req.node.inFlight[sv.id]++
+	s.send(req, req.attempts-1, sv, req.deadline-s.now)
+}
+
+func (s *Sim) rejectByBaseline(req *request) {
+	s.end(req, outcomeRejected)
+	s.scheduleRetry(req, 0)
 }
 
-// choose is the baseline's server: the next in rotation under the static limit, or the least busy as last seen.
-func (s *Sim) choose(n *node) *server {
-	m := len(s.servers)
-	switch s.cfg.Policy {
-	case RoundRobin:
-		for range m {
-			n.rr = (n.rr + 1) % m
-			if n.out[n.rr] < s.cfg.Limit {
-				return s.servers[n.rr]
-			}
+// chooseServer is the baseline's server, or nil.
+func (s *Sim) chooseServer(n *node) *server {
+	if s.cfg.Policy == RoundRobin {
+		return s.nextBelowLimit(n)
+	}
+	return s.leastBusy(n)
+}
+
+// nextBelowLimit is the next server in rotation with room under the static limit, or nil.
+func (s *Sim) nextBelowLimit(n *node) *server {
+	for range s.servers {
+		n.rotation = (n.rotation + 1) % len(s.servers)
+		if n.inFlight[n.rotation] < s.cfg.Limit {
+			return s.servers[n.rotation]
 		}
-		return nil
-	default: // Late
-		best := -1
-		for k := range m {
-			i := (n.rr + 1 + k) % m
-			if best < 0 || s.servers[i].lastBusy < s.servers[best].lastBusy {
-				best = i
-			}
+	}
+	return nil
+}
+
+// leastBusy is the server with the least work at the last sample, the next in rotation among equals.
+func (s *Sim) leastBusy(n *node) *server {
+	best := -1
+	for k := range s.servers {
+		i := (n.rotation + 1 + k) % len(s.servers)
+		if best < 0 || s.servers[i].sampledWork < s.servers[best].sampledWork {
+			best = i
 		}
-		n.rr = best
-		return s.servers[best]
 	}
+	n.rotation = best
+	return s.servers[best]
 }
 
-// baselineEnd takes an execution's end for a baseline policy.
-func (s *Sim) baselineEnd(tk *ticket, x *execution) {
-	tk.node.out[x.srv.id]--
-	if tk.done {
+// baselineResult takes in an attempt's result for a baseline policy.
+func (s *Sim) baselineResult(a *attempt) {
+	req := a.request
+	req.node.inFlight[a.server.id]--
+	if req.ended {
 		return
 	}
-	switch x.outcome {
+	switch a.outcome {
 	case protocol.Completed:
-		s.settle(tk, outCompleted)
+		s.end(req, outcomeCompleted)
 		return
 	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
 	default: // it may have run
-		if s.cfg.Traffic.Bands[tk.band].Repeats != "replayable" {
-			s.settle(tk, outBroken)
+		if !req.retrySafe {
+			s.end(req, outcomeFailed)
 			return
 		}
 	}
-	if tk.tries >= baselineTries || s.now >= tk.deadline-time.Millisecond {
-		s.settle(tk, outBroken)
+	if req.attempts >= baselineAttempts || s.now >= req.deadline-minTimeLeft {
+		s.end(req, outcomeFailed)
 		return
 	}
-	s.baseline(tk)
+	s.decideByBaseline(req)
 }
 
-// spend takes the ticket's units from its customer's bucket at its node, or tells that they are not there.
-// Each node of a customer's set holds an equal part of the quota, so the set together keeps it.
-func (s *Sim) spend(tk *ticket) bool {
-	part := 1 / float64(min(max(1, s.cfg.Traffic.Spread), s.cfg.Nodes))
-	depth := s.cfg.Depth * part
-	b, ok := tk.node.buckets[tk.customer]
+// takeFromBucket takes a request's units from its tenant's bucket at its node, and returns whether they were there. Each
+// node of a tenant's set has an equal part of the quota, so the set together keeps it.
+func (s *Sim) takeFromBucket(req *request) bool {
+	part := 1 / float64(s.spread())
+	burst := s.cfg.Burst * part
+	b, ok := req.node.buckets[req.tenant]
 	if !ok {
-		b = &bucket{level: depth, at: s.now}
-		tk.node.buckets[tk.customer] = b
+		b = &bucket{level: burst, filledAt: s.now}
+		req.node.buckets[req.tenant] = b
 	}
-	b.level = min(depth, b.level+s.cfg.Quota*part*(s.now-b.at).Seconds())
-	b.at = s.now
-	units := s.cfg.Traffic.Bands[tk.band].Units
+	b.level = min(burst, b.level+s.cfg.Quota*part*(s.now-b.filledAt).Seconds())
+	b.filledAt = s.now
+	units := s.cfg.Traffic.Bands[req.class].Units
 	if b.level < units {
 		return false
 	}
--- /dev/null
+++ b/internal/lab/model/events_test.go
@@ -0,0 +1,23 @@
+package model
+
+import (
+	"container/heap"
+	"slices"
+	"testing"
+	"time"
+)
+
+// Events are played by time, and in the order of scheduling at the same time.
+func TestEventQueue(t *testing.T) {
+	s := &Sim{}
+	for _, at := range []time.Duration{5, 3, 5, 1, 3, 1} {
+		s.schedule(&event{at: at})
+	}
+	var order []uint64
+	for s.queue.Len() > 0 {
+		order = append(order, heap.Pop(&s.queue).(*event).seq)
+	}
+	if want := []uint64{4, 6, 2, 5, 1, 3}; !slices.Equal(order, want) {
+		t.Errorf("played in the order %v, not %v", order, want)
+	}
+}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -2,42 +2,52 @@
 
 import (
 	"bytes"
+	"errors"
+	"io"
+	"math"
 	"testing"
 
 	"cherrygap/internal/lab/emulator"
 	"cherrygap/internal/operatorfile"
 )
 
-func config(t *testing.T, policy Policy, sched string) Config {
+// testConfig is a small fleet with a schedule of faults.
+func testConfig(t *testing.T, policy Policy, schedule string) Config {
 	t.Helper()
-	op := operatorfile.Default()
-	srv := op.Lab.Emulator
-	srv.Servers = 8
-	s, err := emulator.ParseSchedule(sched, srv.Servers)
+	defaults := operatorfile.Default().Lab
+	server, traffic := defaults.Emulator, defaults.Load
+	server.Servers = 8
+	faults, err := emulator.ParseSchedule(schedule, server.Servers)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := op.Lab.Load
-	tr.Rate, tr.Spread = 800, 2
-	return Config{Nodes: 6, Seconds: 20, Policy: policy, Seed: 5, Traffic: tr, Server: srv, Schedule: s}
+	traffic.Rate, traffic.Spread = 800, 2
+	return Config{Nodes: 6, Seconds: 20, Policy: policy, Seed: 5, Traffic: traffic, Server: server, Schedule: faults}
+}
+
+// newSim makes a run that can be run.
+func newSim(t *testing.T, cfg Config, series io.Writer) *Sim {
+	t.Helper()
+	s, err := New(cfg, NewRecorder(series))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
 }
 
 // A failing seed must reproduce exactly: the same run twice writes the same series, byte for byte.
 func TestSameSeedSameRun(t *testing.T) {
 	var a, b bytes.Buffer
-	for _, w := range []*bytes.Buffer{&a, &b} {
-		s, err := New(config(t, Module, faults), NewRecorder(w))
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.Run()
+	for _, series := range []*bytes.Buffer{&a, &b} {
+		newSim(t, testConfig(t, Module, testFaults), series).Run()
 	}
 	if a.Len() == 0 || !bytes.Equal(a.Bytes(), b.Bytes()) {
 		t.Fatalf("two runs of one seed differ (%d and %d bytes)", a.Len(), b.Len())
 	}
 }
 
-const faults = `
+// testFaults are some of each kind.
+const testFaults = `
 [[fault]]
 kind = "restart"
 server = 1
@@ -63,67 +73,85 @@
 x = 8
 `
 
-// Under restarts, resets, lost answers and a slow spell, every ticket gets its answer and no single-use
-// ticket runs twice, for the module and both baselines.
-func TestFaultsLeaveNoTicketAndNoSecondRun(t *testing.T) {
-	for _, p := range []Policy{Module, RoundRobin, Late} {
-		s, err := New(config(t, p, faults), NewRecorder(nil))
-		if err != nil {
-			t.Fatal(err)
-		}
-		tot := s.Run()
-		if tot.Twice != 0 || tot.Unanswered != 0 || tot.Tickets < 10000 {
-			t.Errorf("%s: %+v", p, tot)
-		}
-		if tot.Outcomes["broken"] == 0 && p != Module {
-			t.Errorf("%s: the faults broke nothing: %+v", p, tot.Outcomes)
-		}
+// Under restarts, resets, lost answers and a slow spell, every request gets its answer and no unsafe request runs twice,
+// with the engine and with both baselines.
+func TestFaultsLeaveNoRequestOpenAndNoSecondRun(t *testing.T) {
+	for _, policy := range []Policy{Module, RoundRobin, LeastBusy} {
+		t.Run(string(policy), func(t *testing.T) {
+			totals := newSim(t, testConfig(t, policy, testFaults), nil).Run()
+			if totals.Twice != 0 || totals.Unanswered != 0 || totals.Requests < 10000 {
+				t.Errorf("%+v", totals)
+			}
+			if totals.Outcomes["broken"] == 0 && policy != Module {
+				t.Errorf("the faults broke nothing: %+v", totals.Outcomes)
+			}
+		})
 	}
 }
 
-func TestBadConfigIsRefused(t *testing.T) {
-	c := config(t, "fastest", "")
-	if _, err := New(c, NewRecorder(nil)); err == nil {
-		t.Fatal("unknown policy taken")
-	}
-	c = config(t, Module, "")
-	c.Nodes = 0
-	if _, err := New(c, NewRecorder(nil)); err == nil {
-		t.Fatal("no nodes taken")
+func TestBadConfigIsRejected(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Config)
+		text   string
+	}{
+		{"policy", func(c *Config) { c.Policy = "fastest" }, `model: policy "fastest" is none of module, round-robin, late`},
+		{"nodes", func(c *Config) { c.Nodes = 0 }, "model: nodes, servers and seconds must be above 0"},
+		{"servers", func(c *Config) { c.Server.Servers = 0 }, "model: nodes, servers and seconds must be above 0"},
+		{"seconds", func(c *Config) { c.Seconds = math.NaN() }, "model: nodes, servers and seconds must be above 0"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig(t, Module, "")
+			c.change(&cfg)
+			_, err := New(cfg, NewRecorder(nil))
+			var bad *ConfigError
+			if !errors.As(err, &bad) {
+				t.Fatalf("taken, or with another error: %v", err)
+			}
+			if bad.Error() != c.text {
+				t.Errorf("the error is %q", bad)
+			}
+		})
 	}
 }
 
-// BenchmarkFleet300 is the speed target's yardstick: 300 nodes and 200 servers on the module, ten virtual
-// seconds at 20,000 tickets a second. It reports virtual seconds per real second.
+// BenchmarkFleet300 is the speed target's yardstick: 300 nodes and 200 servers with the engine, ten virtual seconds at
+// 20,000 requests a second. It reports virtual seconds per real second.
 func BenchmarkFleet300(b *testing.B) {
-	op := operatorfile.Default()
-	srv := op.Lab.Emulator
-	srv.Servers = 200
-	tr := op.Lab.Load
-	tr.Rate, tr.Customers, tr.Spread = 20000, 20000, 3
+	defaults := operatorfile.Default().Lab
+	server, traffic := defaults.Emulator, defaults.Load
+	server.Servers = 200
+	traffic.Rate, traffic.Customers, traffic.Spread = 20000, 20000, 3
 	for range b.N {
-		s, err := New(Config{Nodes: 300, Seconds: 10, Policy: Module, Seed: 1, Traffic: tr, Server: srv},
-			NewRecorder(nil))
+		s, err := New(Config{Nodes: 300, Seconds: 10, Policy: Module, Seed: 1, Traffic: traffic, Server: server}, NewRecorder(nil))
 		if err != nil {
 			b.Fatal(err)
 		}
-		tot := s.Run()
-		b.ReportMetric(tot.VirtualPerS, "virtual-s/s")
+		b.ReportMetric(s.Run().VirtualPerSecond, "virtual-s/s")
 	}
 }
 
-// Rule 3 in the model: once discovery has told the nodes of a drain, nothing new goes to that server past
-// 500 ms. The module hears it; round-robin, which does not listen, shows that the check can fail.
+// The platform's rule 3 in the model: once discovery has notified the nodes of a drain, nothing new goes to that server
+// past 500 ms. The engine is notified; round-robin, which does not listen, shows that the check can fail.
 func TestNothingNewToADrainedServer(t *testing.T) {
-	drains := "[[fault]]\nkind = \"drain\"\nserver = 3\nat_s = 5\nfor_s = 1\n[[fault]]\nkind = \"drain\"\nserver = 4\nat_s = 8\nfor_s = 1\n"
-	for _, p := range []Policy{Module, RoundRobin} {
-		s, err := New(config(t, p, drains), NewRecorder(nil))
-		if err != nil {
-			t.Fatal(err)
-		}
-		tot := s.Run()
-		if late := tot.LateDrained; (p == Module) != (late == 0) || tot.Unanswered != 0 {
-			t.Errorf("%s: %d executions late to drained servers, %d unanswered", p, late, tot.Unanswered)
-		}
+	const drains = `
+[[fault]]
+kind = "drain"
+server = 3
+at_s = 5
+for_s = 1
+[[fault]]
+kind = "drain"
+server = 4
+at_s = 8
+for_s = 1
+`
+	for _, policy := range []Policy{Module, RoundRobin} {
+		t.Run(string(policy), func(t *testing.T) {
+			totals := newSim(t, testConfig(t, policy, drains), nil).Run()
+			if late := totals.LateToDrained; (policy == Module) != (late == 0) || totals.Unanswered != 0 {
+				t.Errorf("%d attempts late to drained servers, %d unanswered", late, totals.Unanswered)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/lab/model/node.go
@@ -0,0 +1,133 @@
+package model
+
+import (
+	"maps"
+	"strconv"
+	"time"
+
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
+)
+
+// node is an edge node.
+type node struct {
+	id int
+
+	// With the Module policy.
+	router        *routing.Router // nil with a baseline
+	requests      map[*routing.Request]*request
+	decided       []*routing.Request // whose decisions are to be taken
+	timerSettings uint64             // how often the timer was set: only the last one counts
+
+	// With a baseline policy.
+	rotation int         // number of the server chosen last
+	inFlight map[int]int // attempts by server
+	buckets  map[tenant]*bucket
+}
+
+// seedStep sets the nodes' seeds apart.
+const seedStep = 0x9e3779b97f4a7c15
+
+// newNode starts a node, which has the endpoint list.
+func (s *Sim) newNode(id int, list *protocol.EndpointList) *node {
+	n := &node{id: id, requests: map[*routing.Request]*request{}, inFlight: map[int]int{}, buckets: map[tenant]*bucket{}}
+	if s.cfg.Policy != Module {
+		return n
+	}
+	settings := maps.Clone(s.cfg.Settings)
+	if settings == nil {
+		settings = DefaultSettings(s.cfg.Nodes, s.cfg.Traffic)
+	}
+	settings["node"] = strconv.Itoa(id)
+	n.router = routing.New(routing.Config{
+		Seed:          s.cfg.Seed ^ uint64(id)*seedStep,
+		Settings:      settings,
+		Clock:         s.clock,
+		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
+		SetTimer:      func(after time.Duration) { s.setTimer(n, after) },
+		PollEndpoints: func() {},
+		SendToPeer:    func(int, []byte) {},
+		LogSummary:    func([]byte) {},
+	})
+	n.router.UpdateEndpoints(list, false)
+	return n
+}
+
+// setTimer sets a node's one timer; earlier settings of it are void.
+func (s *Sim) setTimer(n *node, after time.Duration) {
+	n.timerSettings++
+	s.schedule(&event{at: s.now + max(after, 0), kind: eventTimer, node: n, timerSetting: n.timerSettings})
+}
+
+// takeDecisions carries out each decision that the node's engine has made.
+func (s *Sim) takeDecisions(n *node) {
+	for len(n.decided) > 0 {
+		next := n.decided[0]
+		n.decided = n.decided[1:]
+		req := n.requests[next]
+		if req == nil {
+			continue
+		}
+		if req.attempt != nil { // as on sockets: the attempt's result is reported before the next step is taken
+			req.decisionWaits = true
+			continue
+		}
+		d, ok := next.TryNext()
+		if !ok {
+			continue
+		}
+		switch d.Action {
+		case routing.Forward:
+			s.send(req, d.Attempt, s.byAddr[d.Server.Addr], d.Timeout)
+		case routing.Reject:
+			s.end(req, outcomeRejected)
+			s.scheduleRetry(req, d.RetryAfter)
+			s.release(req)
+		case routing.Fail:
+			s.end(req, outcomeFailed)
+			s.release(req)
+		case routing.Abandon:
+			s.release(req)
+		}
+	}
+}
+
+// attemptTimeout ends an attempt that its node has waited for long enough.
+func (s *Sim) attemptTimeout(a *attempt) {
+	if !a.ended {
+		a.ended, a.outcome = true, protocol.TimedOut
+		s.report(a)
+	}
+}
+
+// report reports an attempt's result to its node, unless its request has gone on without it.
+func (s *Sim) report(a *attempt) {
+	req := a.request
+	if req.attempt != a {
+		return
+	}
+	req.attempt = nil
+	a.ended = true
+	if s.cfg.Policy != Module {
+		s.baselineResult(a)
+		return
+	}
+	if req.routed == nil {
+		return
+	}
+	req.routed.Report(routing.AttemptResult{
+		Outcome:  a.outcome,
+		Duration: s.now - a.sentAt,
+		Units:    s.cfg.Traffic.Bands[req.class].Units,
+	})
+	if a.outcome == protocol.Completed { // the answer: no decision follows
+		s.end(req, outcomeCompleted)
+		s.release(req)
+		return
+	}
+	if req.decisionWaits {
+		req.decisionWaits = false
+		req.node.decided = append(req.node.decided, req.routed)
+	}
+	s.takeDecisions(req.node)
+}
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -2,157 +2,193 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"io"
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// How a ticket ended for its client.
+// requestOutcome is how a request ended for its client.
+type requestOutcome uint8
+
 const (
-	outCompleted = iota
-	outBounced
-	outBroken
-	outGaveUp
-	outKinds
+	outcomeCompleted requestOutcome = iota
+	outcomeRejected
+	outcomeFailed
+	outcomeGaveUp // the client stopped waiting
+	outcomeCount
 )
 
-var outNames = [outKinds]string{"completed", "bounced", "broken", "gave_up"}
+// outcomeKeys are the outcomes' keys in series and totals. Earlier runs have the same ones, so they stay.
+var outcomeKeys = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
 
-// Second is one line of a model run's series (JSON lines), for `lab report`.
+// Second is one line of a run's series (JSON lines), for `lab report`. The keys are those of earlier runs.
 type Second struct {
-	T         int              `json:"t"`         // virtual seconds since the start
-	Arrived   int64            `json:"arrived"`   // tickets that came, retries among them
-	Outcomes  map[string]int64 `json:"outcomes"`  // final answers of that second
-	P50Ms     float64          `json:"p50_ms"`    // of completed tickets, from arrival
-	P95Ms     float64          `json:"p95_ms"`    //
-	P99Ms     float64          `json:"p99_ms"`    //
-	LoadMean  float64          `json:"load_mean"` // servers' work in hand over their concurrency, at the second's end
-	LoadMax   float64          `json:"load_max"`  //
-	Open      int64            `json:"open"`      // tickets without a final answer yet
-	Twice     int64            `json:"twice"`     // single-use tickets that began to run more than once, so far
-	ServersUp int              `json:"servers_up"`
+	T         int              `json:"t"`          // virtual seconds since the start
+	Arrived   int64            `json:"arrived"`    // requests that came, retries among them
+	Outcomes  map[string]int64 `json:"outcomes"`   // final answers of that second, by outcome
+	P50Ms     float64          `json:"p50_ms"`     // latency of completed requests, from arrival
+	P95Ms     float64          `json:"p95_ms"`     // likewise
+	P99Ms     float64          `json:"p99_ms"`     // likewise
+	LoadMean  float64          `json:"load_mean"`  // servers' work in hand over their concurrency, at the second's end
+	LoadMax   float64          `json:"load_max"`   // that of the busiest server
+	Open      int64            `json:"open"`       // requests without a final answer yet
+	Twice     int64            `json:"twice"`      // unsafe requests that began to run more than once, so far
+	ServersUp int              `json:"servers_up"` // at the second's end
 }
 
-// Totals is a whole run's summary.
+// Totals is a whole run's summary. The keys are those of earlier runs.
 type Totals struct {
-	Policy      string           `json:"policy"`
-	Nodes       int              `json:"nodes"`
-	Servers     int              `json:"servers"`
-	Seconds     float64          `json:"virtual_s"`
-	Tickets     int64            `json:"tickets"`
-	Outcomes    map[string]int64 `json:"outcomes"`
-	Goodput     float64          `json:"goodput"` // completed over tickets
-	P50Ms       float64          `json:"p50_ms"`
-	P99Ms       float64          `json:"p99_ms"`
-	Twice       int64            `json:"twice"`           // single-use tickets run more than once: must be 0
-	Unanswered  int64            `json:"unanswered"`      // tickets still open at the end: must be 0
-	LateDrained int64            `json:"late_to_drained"` // executions sent over 500 ms after a drain was told: must be 0
-	Events      int64            `json:"events"`
-	RealS       float64          `json:"real_s"`
-	VirtualPerS float64          `json:"virtual_s_per_real_s"`
-	TicketsPerS float64          `json:"tickets_per_real_s"`
+	Policy            string           `json:"policy"`
+	Nodes             int              `json:"nodes"`
+	Servers           int              `json:"servers"`
+	Seconds           float64          `json:"virtual_s"`
+	Requests          int64            `json:"tickets"` // retries by clients among them
+	Outcomes          map[string]int64 `json:"outcomes"`
+	Goodput           float64          `json:"goodput"` // completed over all requests
+	P50Ms             float64          `json:"p50_ms"`
+	P99Ms             float64          `json:"p99_ms"`
+	Twice             int64            `json:"twice"`           // unsafe requests run more than once: must be 0
+	Unanswered        int64            `json:"unanswered"`      // requests still open at the end: must be 0
+	LateToDrained     int64            `json:"late_to_drained"` // attempts sent over 500 ms after the notice of a drain: must be 0
+	Events            int64            `json:"events"`
+	RealSeconds       float64          `json:"real_s"`
+	VirtualPerSecond  float64          `json:"virtual_s_per_real_s"`
+	RequestsPerSecond float64          `json:"tickets_per_real_s"` // of real time
 }
 
-// Recorder keeps a run's counts and writes its series.
+// Recorder keeps a run's counts and writes its series. It is for one run and one goroutine.
 type Recorder struct {
-	Series io.Writer // JSON lines; nil for none
-
-	policy             string
-	nodes, servers     int
-	open, twice, total int64
-	lateToDrained      int64
-	outcomes           [outKinds]int64
-	sec                [outKinds]int64
-	arrivedSec         int64
-	lat, latSec        *hdr.Histogram
-	t                  int
-	began              time.Time
-	last               time.Duration
-	err                error
+	// Series gets the JSON lines; nil for none.
+	Series io.Writer
+
+	policy         Policy
+	nodes, servers int
+	began          time.Time     // real
+	last           time.Duration // virtual time of the last sample
+	seconds        int           // of the series, so far
+
+	open, total   int64 // requests
+	ranTwice      int64 // unsafe requests that began to run more than once
+	lateToDrained int64 // attempts
+	outcomes      [outcomeCount]int64
+	latencies     *hdr.Histogram // µs
+
+	// Of the second under way.
+	secondArrived   int64
+	secondOutcomes  [outcomeCount]int64
+	secondLatencies *hdr.Histogram // µs
+
+	err error // the first that writing the series met
 }
 
-const maxMicros = 10 * 60 * 1e6
+// maxLatencyMicros is the longest latency that is told from longer ones.
+const maxLatencyMicros = 10 * 60 * 1e6
 
 // NewRecorder makes a recorder that writes its series to w (nil for none).
 func NewRecorder(w io.Writer) *Recorder {
-	return &Recorder{Series: w, lat: hdr.New(1, maxMicros, 3), latSec: hdr.New(1, maxMicros, 3), began: time.Now()}
+	return &Recorder{
+		Series: w, began: time.Now(),
+		latencies: hdr.New(1, maxLatencyMicros, 3), secondLatencies: hdr.New(1, maxLatencyMicros, 3),
+	}
 }
 
-// Err is the first error writing the series met.
+// Err returns the first error that writing the series met.
 func (r *Recorder) Err() error { return r.err }
 
-func (r *Recorder) arrived(*ticket) { r.open++; r.total++; r.arrivedSec++ }
+// begin notes what is run.
+func (r *Recorder) begin(cfg *Config) {
+	r.policy, r.nodes, r.servers = cfg.Policy, cfg.Nodes, cfg.Server.Servers
+}
+
+// arrived counts a request that came.
+func (r *Recorder) arrived() {
+	r.open++
+	r.total++
+	r.secondArrived++
+}
 
-func (r *Recorder) ran(tk *ticket) {
-	if tk.runs == 2 && !tk.replayable {
-		r.twice++
+// begun counts that a server began to work on a request.
+func (r *Recorder) begun(req *request) {
+	if req.begun == 2 && !req.retrySafe {
+		r.ranTwice++
 	}
 }
 
-func (r *Recorder) settled(tk *ticket, o int, now time.Duration) {
+// ended counts a request's final answer.
+func (r *Recorder) ended(req *request, outcome requestOutcome, now time.Duration) {
 	r.open--
-	r.outcomes[o]++
-	r.sec[o]++
-	if o == outCompleted {
-		us := min(max((now-tk.due).Microseconds(), 1), maxMicros)
-		_ = r.lat.RecordValue(us)
-		_ = r.latSec.RecordValue(us)
+	r.outcomes[outcome]++
+	r.secondOutcomes[outcome]++
+	if outcome == outcomeCompleted {
+		micros := min(max((now-req.arrivedAt).Microseconds(), 1), maxLatencyMicros)
+		_ = r.latencies.RecordValue(micros) // in the histogram's bounds by the line above
+		_ = r.secondLatencies.RecordValue(micros)
 	}
 }
 
-// flush writes the second that ends at now, and refreshes what the Late baseline sees.
-func (r *Recorder) flush(now time.Duration, s *Sim) {
-	r.policy, r.nodes, r.servers, r.last = string(s.cfg.Policy), s.cfg.Nodes, len(s.servers), now
-	line := Second{T: r.t, Arrived: r.arrivedSec, Outcomes: map[string]int64{}, P50Ms: q(r.latSec, 50),
-		P95Ms: q(r.latSec, 95), P99Ms: q(r.latSec, 99), Open: r.open, Twice: r.twice}
-	for i, n := range r.sec {
-		line.Outcomes[outNames[i]] = n
-	}
-	c := float64(s.cfg.Server.Concurrency)
-	for _, sv := range s.servers {
-		l := float64(sv.busy+len(sv.queue)) / c
-		line.LoadMean += l / float64(len(s.servers))
-		line.LoadMax = max(line.LoadMax, l)
-		sv.lastBusy = sv.busy + len(sv.queue)
-		if !sv.down {
-			line.ServersUp++
-		}
+// fleetSample is the servers' state at a second's end.
+type fleetSample struct {
+	loadMean, loadMax float64 // work in hand over concurrency
+	serversUp         int
+}
+
+// endSecond writes the second that ends at now.
+func (r *Recorder) endSecond(now time.Duration, servers fleetSample) {
+	line := Second{
+		T: r.seconds, Arrived: r.secondArrived, Outcomes: byKey(r.secondOutcomes),
+		P50Ms: quantileMs(r.secondLatencies, 50), P95Ms: quantileMs(r.secondLatencies, 95), P99Ms: quantileMs(r.secondLatencies, 99),
+		LoadMean: servers.loadMean, LoadMax: servers.loadMax,
+		Open: r.open, Twice: r.ranTwice, ServersUp: servers.serversUp,
 	}
-	r.t++
-	r.sec, r.arrivedSec = [outKinds]int64{}, 0
-	r.latSec.Reset()
+	r.last = now
+	r.seconds++
+	r.secondOutcomes, r.secondArrived = [outcomeCount]int64{}, 0
+	r.secondLatencies.Reset()
 	if r.Series == nil || r.err != nil {
 		return
 	}
-	b, err := json.Marshal(line)
+	text, err := json.Marshal(line)
 	if err == nil {
-		_, err = r.Series.Write(append(b, '\n'))
+		_, err = r.Series.Write(append(text, '\n'))
+	}
+	if err != nil {
+		r.err = fmt.Errorf("model: series: %w", err)
 	}
-	r.err = err
 }
 
-// Totals sums the run up.
+// Totals sums the run up, in which so many events were played.
 func (r *Recorder) Totals(events int64) Totals {
-	real := time.Since(r.began).Seconds()
-	t := Totals{Policy: r.policy, Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(), Tickets: r.total,
-		Outcomes: map[string]int64{}, P50Ms: q(r.lat, 50), P99Ms: q(r.lat, 99), Twice: r.twice, Unanswered: r.open, LateDrained: r.lateToDrained,
-		Events: events, RealS: real}
-	for i, n := range r.outcomes {
-		t.Outcomes[outNames[i]] = n
+	realSeconds := time.Since(r.began).Seconds()
+	t := Totals{
+		Policy: string(r.policy), Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(),
+		Requests: r.total, Outcomes: byKey(r.outcomes),
+		P50Ms: quantileMs(r.latencies, 50), P99Ms: quantileMs(r.latencies, 99),
+		Twice: r.ranTwice, Unanswered: r.open, LateToDrained: r.lateToDrained,
+		Events: events, RealSeconds: realSeconds,
 	}
 	if r.total > 0 {
-		t.Goodput = float64(r.outcomes[outCompleted]) / float64(r.total)
+		t.Goodput = float64(r.outcomes[outcomeCompleted]) / float64(r.total)
 	}
-	if real > 0 {
-		t.VirtualPerS, t.TicketsPerS = t.Seconds/real, float64(r.total)/real
+	if realSeconds > 0 {
+		t.VirtualPerSecond, t.RequestsPerSecond = t.Seconds/realSeconds, float64(r.total)/realSeconds
 	}
 	return t
 }
 
-func q(h *hdr.Histogram, p float64) float64 {
-	if h.TotalCount() == 0 {
+func byKey(counts [outcomeCount]int64) map[string]int64 {
+	keyed := map[string]int64{}
+	for i, n := range counts {
+		keyed[outcomeKeys[i]] = n
+	}
+	return keyed
+}
+
+// quantileMs is a percentile of latencies, in ms; 0 of none.
+func quantileMs(latencies *hdr.Histogram, percentile float64) float64 {
+	if latencies.TotalCount() == 0 {
 		return 0
 	}
-	return float64(h.ValueAtQuantile(p)) / 1e3
+	return float64(latencies.ValueAtQuantile(percentile)) / 1e3
 }
--- /dev/null
+++ b/internal/lab/model/recorder_test.go
@@ -0,0 +1,62 @@
+package model
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+)
+
+// A recorder's lines are of one second each, but for what is open and ran twice; its totals are of all.
+func TestRecorder(t *testing.T) {
+	var series bytes.Buffer
+	r := NewRecorder(&series)
+	r.begin(&Config{Policy: Module, Nodes: 2})
+	safe, unsafe := &request{retrySafe: true}, &request{}
+	for _, req := range []*request{safe, unsafe} {
+		r.arrived()
+		for range 3 {
+			req.begun++
+			r.begun(req)
+		}
+	}
+	r.ended(safe, outcomeCompleted, 20*time.Millisecond)
+	r.endSecond(time.Second, fleetSample{loadMean: 0.5, loadMax: 1, serversUp: 3})
+	r.ended(unsafe, outcomeFailed, time.Second)
+	r.endSecond(2*time.Second, fleetSample{serversUp: 2})
+	const want = `{"t":0,"arrived":2,"outcomes":{"bounced":0,"broken":0,"completed":1,"gave_up":0},"p50_ms":20.015,"p95_ms":20.015,"p99_ms":20.015,"load_mean":0.5,"load_max":1,"open":1,"twice":1,"servers_up":3}
+{"t":1,"arrived":0,"outcomes":{"bounced":0,"broken":1,"completed":0,"gave_up":0},"p50_ms":0,"p95_ms":0,"p99_ms":0,"load_mean":0,"load_max":0,"open":0,"twice":1,"servers_up":2}
+`
+	if series.String() != want {
+		t.Errorf("the series is\n%snot\n%s", &series, want)
+	}
+	totals := r.Totals(7)
+	if totals.Requests != 2 || totals.Goodput != 0.5 || totals.Twice != 1 || totals.Unanswered != 0 || totals.Events != 7 ||
+		totals.Seconds != 2 || totals.Outcomes["completed"] != 1 || totals.Outcomes["broken"] != 1 {
+		t.Errorf("%+v", totals)
+	}
+}
+
+var errFull = errors.New("full")
+
+// fullDisk is a writer that takes one line.
+type fullDisk struct{ lines int }
+
+func (d *fullDisk) Write(text []byte) (int, error) {
+	if d.lines++; d.lines > 1 {
+		return 0, errFull
+	}
+	return len(text), nil
+}
+
+// The first error of the series is kept, and nothing more is written after it.
+func TestRecorderKeepsTheFirstError(t *testing.T) {
+	disk := &fullDisk{}
+	r := NewRecorder(disk)
+	for i := range 4 {
+		r.endSecond(time.Duration(i)*time.Second, fleetSample{})
+	}
+	if !errors.Is(r.Err(), errFull) || disk.lines != 2 {
+		t.Errorf("%v after %d lines", r.Err(), disk.lines)
+	}
+}
--- a/internal/lab/model/series_test.go
+++ b/internal/lab/model/series_test.go
@@ -90,26 +90,29 @@
 		first  string // two lines
 		digest string // SHA-256 of numbersOf
 	}{
-		{Module, `{"t":0,"arrived":874,"outcomes":{"bounced":242,"broken":0,"completed":612,"gave_up":0},"p50_ms":22.591,"p95_ms":81.151,"p99_ms":106.559,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
+		{
+			Module, `{"t":0,"arrived":874,"outcomes":{"bounced":242,"broken":0,"completed":612,"gave_up":0},"p50_ms":22.591,"p95_ms":81.151,"p99_ms":106.559,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
 {"t":1,"arrived":905,"outcomes":{"bounced":228,"broken":0,"completed":675,"gave_up":0},"p50_ms":21.759,"p95_ms":82.111,"p99_ms":120.959,"load_mean":0.34375,"load_max":0.5,"open":22,"twice":0,"servers_up":8}
 `,
-			"1f053c6b7c15c867e512edbef621dde0c5f99757d2569321c2d3cea78770d54a"},
-		{RoundRobin, `{"t":0,"arrived":776,"outcomes":{"bounced":0,"broken":0,"completed":751,"gave_up":0},"p50_ms":22.591,"p95_ms":72.511,"p99_ms":106.623,"load_mean":0.390625,"load_max":0.625,"open":25,"twice":0,"servers_up":8}
+			"1f053c6b7c15c867e512edbef621dde0c5f99757d2569321c2d3cea78770d54a",
+		},
+		{
+			RoundRobin, `{"t":0,"arrived":776,"outcomes":{"bounced":0,"broken":0,"completed":751,"gave_up":0},"p50_ms":22.591,"p95_ms":72.511,"p99_ms":106.623,"load_mean":0.390625,"load_max":0.625,"open":25,"twice":0,"servers_up":8}
 {"t":1,"arrived":886,"outcomes":{"bounced":204,"broken":0,"completed":685,"gave_up":0},"p50_ms":22.031,"p95_ms":67.967,"p99_ms":94.271,"load_mean":0.328125,"load_max":0.5,"open":22,"twice":0,"servers_up":8}
 `,
-			"a82403059f72ceba786b49bb9d7c7f1de74599514a395ebc6460ac52d9a97452"},
-		{Late, `{"t":0,"arrived":776,"outcomes":{"bounced":0,"broken":0,"completed":752,"gave_up":0},"p50_ms":22.367,"p95_ms":74.943,"p99_ms":105.919,"load_mean":0.375,"load_max":0.75,"open":24,"twice":0,"servers_up":8}
+			"a82403059f72ceba786b49bb9d7c7f1de74599514a395ebc6460ac52d9a97452",
+		},
+		{
+			LeastBusy, `{"t":0,"arrived":776,"outcomes":{"bounced":0,"broken":0,"completed":752,"gave_up":0},"p50_ms":22.367,"p95_ms":74.943,"p99_ms":105.919,"load_mean":0.375,"load_max":0.75,"open":24,"twice":0,"servers_up":8}
 {"t":1,"arrived":886,"outcomes":{"bounced":204,"broken":0,"completed":686,"gave_up":0},"p50_ms":21.535,"p95_ms":68.031,"p99_ms":103.039,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
 `,
-			"85daa1acd8ac90acc38bf3c49b70fc1d6cbf2f6f66226d806faed399b765b3b0"},
+			"85daa1acd8ac90acc38bf3c49b70fc1d6cbf2f6f66226d806faed399b765b3b0",
+		},
 	} {
 		t.Run(string(c.policy), func(t *testing.T) {
 			var series bytes.Buffer
-			s, err := New(config(t, c.policy, faults+"[[fault]]\nkind = \"drain\"\nserver = 4\nat_s = 8\nfor_s = 1\n"), NewRecorder(&series))
-			if err != nil {
-				t.Fatal(err)
-			}
-			totals, err := json.Marshal(s.Run())
+			schedule := testFaults + "[[fault]]\nkind = \"drain\"\nserver = 4\nat_s = 8\nfor_s = 1\n"
+			totals, err := json.Marshal(newSim(t, testConfig(t, c.policy, schedule), &series).Run())
 			if err != nil {
 				t.Fatal(err)
 			}
