--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -153,7 +153,7 @@
 			if err := checkFlags(op); err != nil {
 				return err
 			}
-			tool := &load.Tool{Cfg: l, Seed: op.Lab.Seed}
+			tool := &load.Generator{Cfg: l, Seed: op.Lab.Seed}
 			if series != "" {
 				f, err := os.Create(series)
 				if err != nil {
@@ -407,17 +407,17 @@
 	f := cmd.Flags()
 	f.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "edge nodes of the tier")
 	f.IntVar(&cfg.Real, "real", cfg.Real, "real ones, a process each (1 to 64)")
-	f.IntVar(&cfg.Hollow, "hollow", cfg.Hollow, "hollow ones; below 0 for all the others")
+	f.IntVar(&cfg.Simulated, "hollow", cfg.Simulated, "hollow ones; below 0 for all the others")
 	f.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers; one in fifty more stand by to come in")
 	f.IntVar(&cfg.Tenants, "tenants", cfg.Tenants, "tenants (Zipf)")
 	f.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second at a real node, mean")
-	f.Float64Var(&cfg.HollowRate, "hollow-rate", cfg.HollowRate, "requests a second at a hollow node, mean")
-	f.Float64Var(&cfg.Straight, "straight", cfg.Straight, "part of the completed requests that is sent once more, straight to the same server")
-	f.Float64Var(&cfg.Take, "take", cfg.Take, "messages a second that a node takes in from peers, as the settings tell it")
-	f.DurationVar(&cfg.For, "for", cfg.For, "how long to play, from the first request on")
-	f.DurationVar(&cfg.Hard, "hard", 0, "end everything after so long; 0 for two minutes more than --for")
+	f.Float64Var(&cfg.SimulatedRate, "hollow-rate", cfg.SimulatedRate, "requests a second at a hollow node, mean")
+	f.Float64Var(&cfg.DirectShare, "straight", cfg.DirectShare, "part of the completed requests that is sent once more, straight to the same server")
+	f.Float64Var(&cfg.PeerRate, "take", cfg.PeerRate, "messages a second that a node takes in from peers, as the settings tell it")
+	f.DurationVar(&cfg.Duration, "for", cfg.Duration, "how long to play, from the first request on")
+	f.DurationVar(&cfg.TimeLimit, "hard", 0, "end everything after so long; 0 for two minutes more than --for")
 	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
-	f.StringSliceVar(&cfg.Troubles, "trouble", nil, "troubles to play, of "+strings.Join(scale.Troubles, ", ")+"; default all")
+	f.StringSliceVar(&cfg.Faults, "trouble", nil, "troubles to play, of "+strings.Join(scale.Faults, ", ")+"; default all")
 	f.IntVar(&cfg.Sockets, "sockets", cfg.Sockets, "descriptors of each real node")
 	f.IntVar(&cfg.MemoryMB, "memory-mb", cfg.MemoryMB, "memory that each real node is told it has, MiB")
 	f.StringVar(&cfg.Dir, "dir", "", "folder for configuration files and children's logs, kept; default one that is removed")
@@ -428,7 +428,7 @@
 func newScaleServers() *cobra.Command {
 	many, seed := 0, uint64(0)
 	cmd := &cobra.Command{Use: "scale-servers", Hidden: true, Args: cobra.NoArgs, Short: "The hollow app servers of lab scale",
-		RunE: func(cmd *cobra.Command, _ []string) error { return scale.Servers(many, seed, os.Stdin, os.Stdout) }}
+		RunE: func(cmd *cobra.Command, _ []string) error { return scale.RunServers(many, seed, os.Stdin, os.Stdout) }}
 	cmd.Flags().IntVar(&many, "many", 1, "how many")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the service times")
 	return cmd
@@ -436,5 +436,5 @@
 
 func newScaleNodes() *cobra.Command {
 	return &cobra.Command{Use: "scale-nodes", Hidden: true, Args: cobra.NoArgs, Short: "The hollow nodes of lab scale",
-		RunE: func(*cobra.Command, []string) error { return scale.Hollow(os.Stdin, os.Stdout) }}
+		RunE: func(*cobra.Command, []string) error { return scale.RunNodes(os.Stdin, os.Stdout) }}
 }
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -47,7 +47,7 @@
 	}
 	cfg.Dir = t.TempDir()
 	cfg.Nodes, cfg.Real, cfg.Servers, cfg.Tenants = 8, 2, 40, 200
-	cfg.Rate, cfg.HollowRate, cfg.For, cfg.Sockets = 40, 10, 6*time.Second, 256
+	cfg.Rate, cfg.SimulatedRate, cfg.Duration, cfg.Sockets = 40, 10, 6*time.Second, 256
 	return cfg
 }
 
@@ -61,19 +61,19 @@
 		t.Fatal(err)
 	}
 	line, _ := json.Marshal(r)
-	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.HollowRequests.Completed < 100 || r.Straight < 10 {
+	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.SimulatedRequests.Completed < 100 || r.Direct < 10 {
 		t.Error("too little was done")
 	}
-	if r.Duplicates+r.Unanswered+r.HollowRequests.Unanswered+r.Unreached+r.SendsToDrained+r.Other != 0 {
+	if r.Duplicates+r.Unanswered+r.SimulatedRequests.Unanswered+r.ConnectFailed+r.SendsToDrained+r.OtherStatus != 0 {
 		t.Error("duplicates, requests with no answer or no sense, or sends to drained servers")
 	}
-	if r.Changes < 6 || r.NotInForce != 0 || r.InForceAllMost > 6 {
+	if r.Changes < 6 || r.ChangesNotApplied != 0 || r.MaxAppliedAll > 6 {
 		t.Error("changes not in force in time")
 	}
-	if r.EndedItself+r.Killed != 0 || r.Restarts != 2 || r.HollowRestarts != 6 {
+	if r.Exited+r.Killed != 0 || r.Restarts != 2 || r.SimulatedRestarts != 6 {
 		t.Error("a node ended by itself, or not when told, or was not started anew")
 	}
-	if r.ThroughP99 <= 0 || r.StraightP50 <= 0 || r.PeakMiB <= 0 || r.DiscoveryLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
+	if r.ViaNodeP99 <= 0 || r.DirectP50 <= 0 || r.PeakRSSMiB <= 0 || r.DiscoveryFullLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
 		t.Error("figures are missing")
 	}
 	for _, name := range []string{"servers", "hollow", "real0", "real1"} {
@@ -120,7 +120,7 @@
 	}{
 		"under way":    {time.Second, func(*scale.Config) {}, "stopped by"},
 		"at its start": {30 * time.Millisecond, func(*scale.Config) {}, "stopped by"},
-		"hard stop":    {time.Minute, func(c *scale.Config) { c.For, c.Hard = time.Second, time.Second }, "hard stop"},
+		"hard stop":    {time.Minute, func(c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "hard stop"},
 		"no node":      {time.Minute, func(c *scale.Config) { os.Mkdir(filepath.Join(c.Dir, "real1.json"), 0o700) }, "real1.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -34,13 +34,22 @@
 	wg      sync.WaitGroup
 }
 
-// Stats is what one server saw, as counts.
+// Stats is what one server saw, as counts. The JSON keys are those of earlier versions.
 type Stats struct {
-	Requests, Completed, Errors, Rejected, Resets, Spoilt, Silent, Lost, NoID int64
-	Runs                                                                      int64 // executions begun
-	Twice                                                                     int64 // ids that began more than once
-	Connections, Refused                                                      int64 // accepted, reset at the cap
-	Restarts                                                                  int64
+	Requests    int64 `json:"Requests"`
+	Completed   int64 `json:"Completed"`
+	Errors      int64 `json:"Errors"`
+	Rejected    int64 `json:"Rejected"`
+	Resets      int64 `json:"Resets"`
+	Malformed   int64 `json:"Spoilt"`
+	Unanswered  int64 `json:"Silent"` // never run
+	AnswersLost int64 `json:"Lost"`   // run, not answered
+	NoID        int64 `json:"NoID"`
+	Begun       int64 `json:"Runs"`  // requests that began to run
+	BegunTwice  int64 `json:"Twice"` // IDs that began more than once
+	Connections int64 `json:"Connections"`
+	Refused     int64 `json:"Refused"` // connections reset at the limit
+	Restarts    int64 `json:"Restarts"`
 }
 
 // Start opens n servers from cfg, the first at cfg.Listen and each next one port higher (or all on free ports
@@ -112,9 +121,9 @@
 			}
 			switch fl.Kind {
 			case Restart:
-				events = append(events, event{fl.At(), s.id, false, false}, event{fl.End(), s.id, true, false})
+				events = append(events, event{fl.Start(), s.id, false, false}, event{fl.End(), s.id, true, false})
 			case Drain:
-				events = append(events, event{fl.At(), s.id, false, true})
+				events = append(events, event{fl.Start(), s.id, false, true})
 			}
 		}
 	}
@@ -188,8 +197,8 @@
 	return c
 }
 
-// Runs tells how often the ticket with this X-Call-Id began to run here.
-func (s *Server) Runs(id string) int {
+// TimesBegun tells how often the ticket with this X-Call-Id began to run here.
+func (s *Server) TimesBegun(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
@@ -304,7 +313,7 @@
 	faults := s.sched.active(s.id, since, nil)
 	var hit []Fault
 	for _, f := range faults {
-		if f.P >= 1 || s.rng.Float64() < f.P {
+		if f.Probability >= 1 || s.rng.Float64() < f.Probability {
 			hit = append(hit, f)
 		}
 	}
@@ -324,7 +333,7 @@
 		return
 	}
 	if has(hit, Silence) {
-		s.add(func(c *Stats) { c.Silent++ })
+		s.add(func(c *Stats) { c.Unanswered++ })
 		<-r.Context().Done() // the client gives up; nothing ran
 		return
 	}
@@ -339,9 +348,9 @@
 	defer func() { <-s.slots; s.working.Add(-1) }()
 	s.mu.Lock()
 	s.runs[id]++
-	s.count.Runs++
+	s.count.Begun++
 	if s.runs[id] == 2 {
-		s.count.Twice++
+		s.count.BegunTwice++
 	}
 	s.mu.Unlock()
 	select {
@@ -380,8 +389,8 @@
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string, hit []Fault) {
 	body := "done " + id + "\n"
 	switch {
-	case has(hit, Lose):
-		s.add(func(c *Stats) { c.Lost++ })
+	case has(hit, LoseAnswer):
+		s.add(func(c *Stats) { c.AnswersLost++ })
 		<-r.Context().Done()
 		return
 	case has(hit, Error):
@@ -393,8 +402,8 @@
 		s.add(func(c *Stats) { c.Resets++ })
 		s.resetMidBody(w, body)
 		return
-	case has(hit, Spoil):
-		s.add(func(c *Stats) { c.Spoilt++ })
+	case has(hit, Malform):
+		s.add(func(c *Stats) { c.Malformed++ })
 		body = "done " + strconv.FormatUint(rand.Uint64(), 16) + "\n"
 	default:
 		s.add(func(c *Stats) { c.Completed++ })
@@ -464,7 +473,7 @@
 	}
 	for _, f := range hit {
 		if f.Kind == Slow {
-			ms *= f.X
+			ms *= f.Factor
 		}
 	}
 	return time.Duration(ms * float64(time.Millisecond))
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -67,8 +67,8 @@
 	if err == nil {
 		t.Fatalf("no error; body %q", body)
 	}
-	if f.Servers[0].Runs("a1") != 1 || f.Servers[0].Stats().Resets != 1 {
-		t.Fatalf("runs %d, stats %+v", f.Servers[0].Runs("a1"), f.Servers[0].Stats())
+	if f.Servers[0].TimesBegun("a1") != 1 || f.Servers[0].Stats().Resets != 1 {
+		t.Fatalf("runs %d, stats %+v", f.Servers[0].TimesBegun("a1"), f.Servers[0].Stats())
 	}
 }
 
@@ -84,7 +84,7 @@
 	if resp, _, _ := get(addr, ""); resp.StatusCode != 404 {
 		t.Fatalf("no id: %d", resp.StatusCode)
 	}
-	if st := f.Servers[0].Stats(); st.Twice != 1 || st.Runs != 2 || st.NoID != 1 {
+	if st := f.Servers[0].Stats(); st.BegunTwice != 1 || st.Begun != 2 || st.NoID != 1 {
 		t.Fatalf("%+v", st)
 	}
 }
@@ -96,8 +96,8 @@
 	s.draining = true // as Drain does, without closing yet
 	s.mu.Unlock()
 	resp, _, err := get(s.Addr(), "c3")
-	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Rejected") != "1" || s.Runs("c3") != 0 {
-		t.Fatalf("%v %v runs %d", resp, err, s.Runs("c3"))
+	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Rejected") != "1" || s.TimesBegun("c3") != 0 {
+		t.Fatalf("%v %v runs %d", resp, err, s.TimesBegun("c3"))
 	}
 }
 
--- a/internal/lab/load/golden_test.go
+++ b/internal/lab/load/golden_test.go
@@ -15,7 +15,7 @@
 // A series of two seconds has the lines that testdata/series.jsonl keeps, byte for byte, and lab report reads it.
 func TestSeriesKeys(t *testing.T) {
 	var out bytes.Buffer
-	tool := &Tool{Series: &out, res: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, Again: 1},
+	tool := &Generator{Series: &out, res: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
 		sec: secondAcc{lat: hdr.New(1, maxMicros, 3), sent: 10, lag: 1500}}
 	for o, n := range []int{4, 3, 2, 1} {
 		for k := range n {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -31,9 +31,9 @@
 // The outcomes, as the protocol page counts them.
 const (
 	Completed Outcome = iota // 200
-	Bounced                  // 429 or 503
-	Broken                   // any other answer, or the connection broke
-	GaveUp                   // no answer within the budget
+	Rejected                 // 429 or 503
+	Failed                   // any other answer, or the connection broke
+	TimedOut                 // no answer within the budget
 	outcomes
 )
 
@@ -43,10 +43,10 @@
 
 // Arrival is one ticket due at an offset from the start.
 type Arrival struct {
-	At       time.Duration
-	Band     int
-	Customer uint64
-	Again    bool // a client's retry
+	At          time.Duration
+	Class       int
+	Customer    uint64
+	ClientRetry bool // a client's retry
 }
 
 // Plan draws the first arrivals of a run: Poisson at cfg.Rate, times BurstX during bursts. The same seed gives
@@ -99,7 +99,7 @@
 		}
 		pick -= b.Share
 	}
-	return Arrival{At: time.Duration(s.t * float64(time.Second)), Band: band, Customer: s.zipf.Uint64()}, true
+	return Arrival{At: time.Duration(s.t * float64(time.Second)), Class: band, Customer: s.zipf.Uint64()}, true
 }
 
 func inBurst(cfg operatorfile.Traffic, t float64) bool {
@@ -119,15 +119,15 @@
 
 // Result is the summary of a run.
 type Result struct {
-	Sent, Again int64
-	Outcomes    [outcomes]int64
-	Latency     *hdr.Histogram // of completed tickets, µs from when each was due
-	Lag         *hdr.Histogram // how late the tool sent, µs
-	Behind      bool           // the tool could not keep the rate: p99 of its lag above 10 ms
+	Sent, ClientRetries int64
+	Outcomes            [outcomes]int64
+	Latency             *hdr.Histogram // of completed tickets, µs from when each was due
+	Lag                 *hdr.Histogram // how late the tool sent, µs
+	Behind              bool           // the tool could not keep the rate: p99 of its lag above 10 ms
 }
 
-// Tool sends the load.
-type Tool struct {
+// Generator sends the load.
+type Generator struct {
 	Cfg    operatorfile.Traffic
 	Seed   uint64
 	Client *http.Client // nil for one with Cfg.Conns connections
@@ -153,7 +153,7 @@
 )
 
 // Run sends the plan and waits for every ticket's end or ctx. It errors only when the series can't be written.
-func (t *Tool) Run(ctx context.Context) (Result, error) {
+func (t *Generator) Run(ctx context.Context) (Result, error) {
 	if t.Client == nil {
 		t.Client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: t.Cfg.Conns,
 			MaxIdleConnsPerHost: t.Cfg.Conns, DisableCompression: true}}
@@ -194,9 +194,9 @@
 }
 
 // send carries one ticket and, if it is bounced, perhaps its client's next try.
-func (t *Tool) send(ctx context.Context, a Arrival, due, start time.Time) {
+func (t *Generator) send(ctx context.Context, a Arrival, due, start time.Time) {
 	lag := time.Since(due).Microseconds()
-	b := t.Cfg.Bands[a.Band]
+	b := t.Cfg.Bands[a.Class]
 	t.mu.Lock()
 	id := t.rng.Uint64()
 	again := t.rng.Float64() < t.Cfg.AgainP
@@ -204,8 +204,8 @@
 	t.res.Sent++
 	t.sec.sent++
 	t.sec.lag = max(t.sec.lag, lag)
-	if a.Again {
-		t.res.Again++
+	if a.ClientRetry {
+		t.res.ClientRetries++
 	}
 	t.mu.Unlock()
 	method := http.MethodGet
@@ -218,7 +218,7 @@
 	url := fmt.Sprintf("http://%s/%s/%016x", t.Cfg.Target, b.Name, a.Customer)
 	req, err := http.NewRequestWithContext(rctx, method, url, nil)
 	if err != nil {
-		t.end(Broken, 0)
+		t.end(Failed, 0)
 		return
 	}
 	req.Header.Set("X-Call-Id", fmt.Sprintf("%016x", id))
@@ -226,16 +226,16 @@
 	req.Header.Set("X-Budget-Ms", strconv.Itoa(b.BudgetMs))
 	req.Header.Set("X-Weight", fmt.Sprintf("units=%g,spread=%d,first=%d", b.Units, t.Cfg.Spread,
 		a.Customer%uint64(t.Cfg.Spread)))
-	if a.Again {
+	if a.ClientRetry {
 		req.Header.Set("X-Again", "1")
 	}
 	resp, err := t.Client.Do(req)
 	took := time.Since(due)
 	if err != nil {
 		if rctx.Err() != nil {
-			t.end(GaveUp, 0)
+			t.end(TimedOut, 0)
 		} else {
-			t.end(Broken, 0)
+			t.end(Failed, 0)
 		}
 		return
 	}
@@ -244,17 +244,17 @@
 	took = time.Since(due)
 	switch {
 	case err != nil && rctx.Err() != nil:
-		t.end(GaveUp, 0)
+		t.end(TimedOut, 0)
 	case err != nil:
-		t.end(Broken, 0)
+		t.end(Failed, 0)
 	case resp.StatusCode == http.StatusOK:
 		t.end(Completed, took)
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
-		t.end(Bounced, 0)
-		if again && !a.Again && ctx.Err() == nil {
+		t.end(Rejected, 0)
+		if again && !a.ClientRetry && ctx.Err() == nil {
 			after := retryAfter(resp.Header.Get("Retry-After"))
 			next := a
-			next.Again, next.At = true, time.Since(start)+after
+			next.ClientRetry, next.At = true, time.Since(start)+after
 			select {
 			case <-ctx.Done():
 			case <-time.After(after):
@@ -262,7 +262,7 @@
 			}
 		}
 	default:
-		t.end(Broken, 0)
+		t.end(Failed, 0)
 	}
 }
 
@@ -275,7 +275,7 @@
 	return min(time.Duration(v*float64(time.Second)), 10*time.Second)
 }
 
-func (t *Tool) end(o Outcome, took time.Duration) {
+func (t *Generator) end(o Outcome, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.res.Outcomes[o]++
@@ -290,7 +290,7 @@
 func clamp(us int64) int64 { return min(max(us, 1), maxMicros) }
 
 // flush writes the second that has passed.
-func (t *Tool) flush() error {
+func (t *Generator) flush() error {
 	t.mu.Lock()
 	s := Second{T: t.seconds, Sent: t.sec.sent, Outcomes: map[string]int64{},
 		P50Ms: ms(t.sec.lat, 50), P95Ms: ms(t.sec.lat, 95), P99Ms: ms(t.sec.lat, 99), LagMs: float64(t.sec.lag) / 1e3}
@@ -321,19 +321,19 @@
 
 // Summary is a Result in the form the lab's reports take: counts, shares and quantiles in ms.
 type Summary struct {
-	Sent     int64            `json:"sent"`
-	Again    int64            `json:"again"`
-	Outcomes map[string]int64 `json:"outcomes"`
-	P50Ms    float64          `json:"p50_ms"`
-	P99Ms    float64          `json:"p99_ms"`
-	P999Ms   float64          `json:"p999_ms"`
-	LagP99Ms float64          `json:"lag_p99_ms"`
-	Behind   bool             `json:"behind"`
+	Sent          int64            `json:"sent"`
+	ClientRetries int64            `json:"again"`
+	Outcomes      map[string]int64 `json:"outcomes"`
+	P50Ms         float64          `json:"p50_ms"`
+	P99Ms         float64          `json:"p99_ms"`
+	P999Ms        float64          `json:"p999_ms"`
+	LagP99Ms      float64          `json:"lag_p99_ms"`
+	Behind        bool             `json:"behind"`
 }
 
 // Summary gives the result's summary.
 func (r Result) Summary() Summary {
-	s := Summary{Sent: r.Sent, Again: r.Again, Outcomes: map[string]int64{}, P50Ms: ms(r.Latency, 50),
+	s := Summary{Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: map[string]int64{}, P50Ms: ms(r.Latency, 50),
 		P99Ms: ms(r.Latency, 99), P999Ms: ms(r.Latency, 99.9), LagP99Ms: ms(r.Lag, 99), Behind: r.Behind}
 	for o, n := range r.Outcomes {
 		s.Outcomes[outcomeNames[o]] = n
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -45,7 +45,7 @@
 	for i := range cfg.Bands {
 		cfg.Bands[i].BudgetMs = 60000
 	}
-	tool := &Tool{Cfg: cfg, Seed: 1}
+	tool := &Generator{Cfg: cfg, Seed: 1}
 	res, err := tool.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -65,14 +65,14 @@
 	cfg := operatorfile.Default().Lab.Load
 	cfg.Target = strings.TrimPrefix(srv.URL, "http://")
 	cfg.Rate, cfg.DurationS = 20, 0.2
-	tool := &Tool{Cfg: cfg, Seed: 1}
+	tool := &Generator{Cfg: cfg, Seed: 1}
 	tool.Client = srv.Client()
 	res, err := tool.Run(context.Background()) // sets up; its own plan is kept by a free tool
 	if err != nil || res.Behind {
 		t.Fatalf("an idle tool fell behind: %v %+v", err, res.Summary())
 	}
 	start := time.Now()
-	tool.send(context.Background(), Arrival{Band: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
+	tool.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
 	if lag, took := tool.res.Lag.Max(), tool.res.Latency.Max(); lag < 40_000 || took < 40_000 {
 		t.Fatalf("lag not seen: %d µs, latency %d µs", lag, took)
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -237,11 +237,11 @@
 	for _, f := range cfg.Schedule.Faults {
 		switch f.Kind {
 		case emulator.Restart:
-			s.push(&event{at: f.At(), kind: evFault, n: f.Server, gen: 1})
+			s.push(&event{at: f.Start(), kind: evFault, n: f.Server, gen: 1})
 			s.push(&event{at: f.End(), kind: evFault, n: f.Server, gen: 0})
 		case emulator.Drain:
-			s.push(&event{at: f.At(), kind: evDrain, n: f.Server})
-			s.push(&event{at: f.At() + drainTold, kind: evDrain, n: f.Server, gen: 1})
+			s.push(&event{at: f.Start(), kind: evDrain, n: f.Server})
+			s.push(&event{at: f.Start() + drainTold, kind: evDrain, n: f.Server, gen: 1})
 		}
 	}
 	s.next, s.more = s.stream.Next()
@@ -311,7 +311,7 @@
 		}
 		s.report(e.exec)
 	case evRetry:
-		s.arrive(load.Arrival{Band: e.tk.band, Customer: e.tk.customer}, true)
+		s.arrive(load.Arrival{Class: e.tk.band, Customer: e.tk.customer}, true)
 	case evGiveUp:
 		if tk := e.tk; !tk.done {
 			s.settle(tk, outGaveUp)
@@ -332,12 +332,12 @@
 
 // arrive brings a ticket to the node of its customer's set: the first node, or one of its spread.
 func (s *Sim) arrive(a load.Arrival, again bool) {
-	b := s.cfg.Traffic.Bands[a.Band]
+	b := s.cfg.Traffic.Bands[a.Class]
 	spread := min(max(1, s.cfg.Traffic.Spread), s.cfg.Nodes)
 	first := int(a.Customer % uint64(s.cfg.Nodes))
 	n := s.nodes[(first+s.rng.IntN(spread))%s.cfg.Nodes]
 	s.ids++
-	tk := &ticket{id: s.ids, node: n, band: a.Band, due: s.now, again: again, customer: a.Customer, replayable: b.Repeats == "replayable",
+	tk := &ticket{id: s.ids, node: n, band: a.Class, due: s.now, again: again, customer: a.Customer, replayable: b.Repeats == "replayable",
 		deadline: s.now + time.Duration(b.BudgetMs)*time.Millisecond}
 	s.out.arrived(tk)
 	s.push(&event{at: tk.deadline, kind: evGiveUp, tk: tk})
@@ -471,14 +471,14 @@
 	for _, f := range hit {
 		switch f.Kind {
 		case emulator.Slow:
-			ms *= f.X
+			ms *= f.Factor
 		case emulator.Error:
 			x.outcome = protocol.Errored
 		case emulator.Reset:
 			x.outcome = protocol.ConnectionReset
-		case emulator.Spoil:
+		case emulator.Malform:
 			x.outcome = protocol.MalformedResponse
-		case emulator.Lose:
+		case emulator.LoseAnswer:
 			x.drop = true
 		}
 	}
@@ -572,10 +572,10 @@
 func (s *Sim) faults(sv *server) []emulator.Fault {
 	var hit []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
-		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.At() || s.now >= f.End() {
+		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
 			continue
 		}
-		if f.P >= 1 || sv.rng.Float64() < f.P {
+		if f.Probability >= 1 || sv.rng.Float64() < f.Probability {
 			hit = append(hit, f)
 		}
 	}
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -160,7 +160,7 @@
 		for k := 0; k < len(c.nodes) && !c.nodes[to].taking(); k++ {
 			to = (to + 1) % len(c.nodes)
 		}
-		t, k, again := c.crowds[to].draw(rng), pickClass(rng), rng.Float64() < c.cfg.Straight
+		t, k, again := c.crowds[to].draw(rng), pickClass(rng), rng.Float64() < c.cfg.DirectShare
 		if !c.loaded.Load() || !c.nodes[to].taking() {
 			continue
 		}
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -18,42 +18,42 @@
 
 // The scripted troubles, in the order in which they are played.
 const (
-	Changes = "changes" // one server after another drains, goes, comes or changes
-	Roll    = "roll"    // a rolling restart of all nodes
-	Zone    = "zone"    // a zone is lost, told of later, and comes back cold
-	Watch   = "watch"   // discovery's agent breaks all watches at once and tells everything anew
+	FaultChanges        = "changes" // one server after another drains, goes, comes or changes
+	FaultRollingRestart = "roll"    // a rolling restart of all nodes
+	FaultZoneLoss       = "zone"    // a zone is lost, told of later, and comes back cold
+	FaultWatchLoss      = "watch"   // discovery's agent breaks all watches at once and tells everything anew
 )
 
-// Troubles lists them all.
-var Troubles = []string{Changes, Roll, Zone, Watch}
+// Faults lists them all.
+var Faults = []string{FaultChanges, FaultRollingRestart, FaultZoneLoss, FaultWatchLoss}
 
 // Config is one run.
 type Config struct {
-	Program    string        // this program, started anew for each child
-	Dir        string        // for configuration files and children's logs
-	Nodes      int           // edge nodes that the settings tell of
-	Real       int           // of these, processes with sockets
-	Hollow     int           // and routers that share a process; below 0: all others
-	Servers    int           // app servers
-	Tenants    int           // customers
-	Rate       float64       // requests/s at a real node, mean
-	HollowRate float64       // requests/s at a hollow node, mean
-	Straight   float64       // part of the real nodes' completed requests that is sent once more, straight to the same server
-	Take       float64       // messages/s that a node takes in, as the settings tell
-	For        time.Duration // the run's length, from the first request on
-	Hard       time.Duration // everything is ended after so long, whatever is under way
-	Seed       uint64
-	Troubles   []string // which; nil for all
-	Sockets    int      // of each real node
-	MemoryMB   int      // of each real node
+	Program       string        // this program, started anew for each child
+	Dir           string        // for configuration files and children's logs
+	Nodes         int           // edge nodes that the settings tell of
+	Real          int           // of these, processes with sockets
+	Simulated     int           // and routers that share a process; below 0: all others
+	Servers       int           // app servers
+	Tenants       int           // customers
+	Rate          float64       // requests/s at a real node, mean
+	SimulatedRate float64       // requests/s at a hollow node, mean
+	DirectShare   float64       // part of the real nodes' completed requests that is sent once more, straight to the same server
+	PeerRate      float64       // messages/s that a node takes in, as the settings tell
+	Duration      time.Duration // the run's length, from the first request on
+	TimeLimit     time.Duration // everything is ended after so long, whatever is under way
+	Seed          uint64
+	Faults        []string // which; nil for all
+	Sockets       int      // of each real node
+	MemoryMB      int      // of each real node
 
 	Log *zerolog.Logger `json:"-"` // a line for each section; nil for none
 }
 
 // Default is the target size.
 func Default() Config {
-	return Config{Nodes: 830, Real: 3, Hollow: -1, Servers: 13000, Tenants: 43000, Rate: 85, HollowRate: 2, Straight: 0.2,
-		Take: 100, For: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192}
+	return Config{Nodes: 830, Real: 3, Simulated: -1, Servers: 13000, Tenants: 43000, Rate: 85, SimulatedRate: 2, DirectShare: 0.2,
+		PeerRate: 100, Duration: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192}
 }
 
 const (
@@ -73,22 +73,22 @@
 
 // Check fills in what is left to default and tells of figures that can't be played.
 func (c *Config) Check() error {
-	if c.Hollow < 0 {
-		c.Hollow = max(0, c.Nodes-c.Real)
+	if c.Simulated < 0 {
+		c.Simulated = max(0, c.Nodes-c.Real)
 	}
-	if c.Hard <= 0 {
-		c.Hard = c.For + firstList + time.Minute
+	if c.TimeLimit <= 0 {
+		c.TimeLimit = c.Duration + firstList + time.Minute
 	}
-	if c.Troubles == nil {
-		c.Troubles = Troubles
+	if c.Faults == nil {
+		c.Faults = Faults
 	}
 	if c.Log == nil {
 		none := zerolog.Nop()
 		c.Log = &none
 	}
-	for _, t := range c.Troubles {
-		if !slices.Contains(Troubles, t) {
-			return fmt.Errorf("trouble %q: one of %s", t, strings.Join(Troubles, ", "))
+	for _, t := range c.Faults {
+		if !slices.Contains(Faults, t) {
+			return fmt.Errorf("trouble %q: one of %s", t, strings.Join(Faults, ", "))
 		}
 	}
 	switch {
@@ -96,15 +96,15 @@
 		return errors.New("no program to start")
 	case c.Real < 1 || c.Real > 64:
 		return errors.New("real: 1 to 64 nodes")
-	case c.Nodes < c.Real+c.Hollow || c.Nodes > 1<<15:
+	case c.Nodes < c.Real+c.Simulated || c.Nodes > 1<<15:
 		return errors.New("nodes: real and hollow ones at least, 32768 at most")
 	case c.Servers < 1 || c.Servers > 1<<17:
 		return errors.New("servers: 1 to 131072")
 	case c.Tenants < 1 || c.Tenants > 1<<20:
 		return errors.New("tenants: 1 to 1048576")
-	case !(c.Rate > 0 && c.Rate <= 1e4) || !(c.HollowRate >= 0 && c.HollowRate <= 1e4) || !(c.Straight >= 0 && c.Straight <= 1):
+	case !(c.Rate > 0 && c.Rate <= 1e4) || !(c.SimulatedRate >= 0 && c.SimulatedRate <= 1e4) || !(c.DirectShare >= 0 && c.DirectShare <= 1):
 		return errors.New("rate: above 0 to 10000 requests/s, hollow-rate: 0 to 10000, straight: 0 to 1")
-	case c.For < time.Second || c.Hard < c.For:
+	case c.Duration < time.Second || c.TimeLimit < c.Duration:
 		return errors.New("for: a second at least, and not more than the hard stop")
 	case c.Sockets < 64 || c.MemoryMB < 16:
 		return errors.New("sockets: 64 at least, memory-mb: 16 at least")
@@ -120,7 +120,7 @@
 	return []need{
 		{"the lab (agent and clients)", ownNeeds + c.Real*(c.Sockets/2+perWatch) + perWatch + straightMax, "--real"},
 		{"the hollow app servers", ownNeeds + c.Servers + c.spare() + c.Real*c.Sockets/2 + straightMax, "--servers"},
-		{"the hollow nodes", ownNeeds + c.Hollow + c.Real + 1 + perWatch, "--hollow"},
+		{"the hollow nodes", ownNeeds + c.Simulated + c.Real + 1 + perWatch, "--hollow"},
 		{"a real node", c.Sockets, "--sockets"},
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -22,8 +22,8 @@
 	"cherrygap/internal/transport"
 )
 
-// HollowConfig is the first line on the hollow nodes' standard input.
-type HollowConfig struct {
+// nodesConfig is the first line on the hollow nodes' standard input.
+type nodesConfig struct {
 	Config
 	Servers []string // addresses, by number
 }
@@ -102,7 +102,7 @@
 )
 
 type hollow struct {
-	cfg     HollowConfig
+	cfg     nodesConfig
 	nodes   []*hollowNode
 	crowds  []crowd
 	number  map[netip.AddrPort]int // of servers
@@ -161,8 +161,8 @@
 	drained map[int]time.Time // servers that it was told not to use, and when
 }
 
-// Hollow plays the hollow nodes until standard input ends.
-func Hollow(in io.Reader, out io.Writer) error {
+// RunNodes plays the hollow nodes until standard input ends.
+func RunNodes(in io.Reader, out io.Writer) error {
 	dec, enc := json.NewDecoder(in), json.NewEncoder(out)
 	h := &hollow{number: map[netip.AddrPort]int{}, realBy: map[netip.AddrPort]int{}, toAll: make(chan broadcast, waitingAll),
 		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist()}
@@ -213,7 +213,7 @@
 		}
 		return c, c.LocalAddr().String(), nil
 	}
-	for i := range h.cfg.Hollow {
+	for i := range h.cfg.Simulated {
 		c, addr, err := listen(64, i)
 		if err != nil {
 			return w, err
@@ -560,7 +560,7 @@
 
 // arrive begins requests at all hollow nodes, at times drawn in advance whatever becomes of those before.
 func (h *hollow) arrive() {
-	rate := h.cfg.HollowRate * float64(len(h.nodes))
+	rate := h.cfg.SimulatedRate * float64(len(h.nodes))
 	if rate <= 0 {
 		return
 	}
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -66,7 +66,7 @@
 // crowds deals the tenants out to the nodes that live (real ones first, then hollow ones), by the seed alone: a tenant's set
 // is a run of nodes, longer for one that asks more. It is given for the wanted nodes only.
 func crowds(c Config, wanted func(node int) bool) []crowd {
-	live := c.Real + c.Hollow
+	live := c.Real + c.Simulated
 	rng := rand.New(rand.NewPCG(c.Seed, 0x7465))
 	out := make([]crowd, live)
 	weights, sum := make([]float64, c.Tenants), 0.0
@@ -132,7 +132,7 @@
 			"retry_after": true, "max_retry_after": 2000000, "conn_idle": 15000000, "connect_timeout": 250000},
 		"safety": object{"cold": 10000000, "cold_from": 0.25, "fall_multiple": 3, "tip_after": 2000000,
 			"drain_grace": grace.Microseconds(), "answer_slack": 50000, "ask_within": 2000000},
-		"specifics": object{"largest": 100, "peer_in_per_s": c.Take}})
+		"specifics": object{"largest": 100, "peer_in_per_s": c.PeerRate}})
 	if err != nil {
 		panic(err) // of constants and numbers that were checked
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -73,7 +73,7 @@
 	} else if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, cfg.Hard, fmt.Errorf("the hard stop, %v after the start", cfg.Hard))
+	ctx, cancel := context.WithTimeoutCause(ctx, cfg.TimeLimit, fmt.Errorf("the hard stop, %v after the start", cfg.TimeLimit))
 	defer cancel()
 	l := &lab{cfg: cfg, touched: map[int]bool{}}
 	defer l.close()
@@ -143,8 +143,8 @@
 	for n := range l.nodes {
 		go l.clients.arrive(clientsCtx, n)
 	}
-	warm, idle := max(c.For/12, 500*time.Millisecond), c.For/6
-	share := (c.For - warm - idle) / time.Duration(1+len(c.Troubles))
+	warm, idle := max(c.Duration/12, 500*time.Millisecond), c.Duration/6
+	share := (c.Duration - warm - idle) / time.Duration(1+len(c.Faults))
 	l.begin("warm-up")
 	l.clients.loaded.Store(true)
 	if err := l.askHollow(hollowOrder{Do: "load"}, nil); err != nil {
@@ -165,10 +165,10 @@
 	if err := l.endSection(); err != nil {
 		return nil, err
 	}
-	for _, name := range Troubles {
-		play := map[string]func(context.Context, time.Duration) error{Changes: l.playChanges, Roll: l.playRoll,
-			Zone: l.playZone, Watch: l.playWatch}[name]
-		if !slices.Contains(c.Troubles, name) {
+	for _, name := range Faults {
+		play := map[string]func(context.Context, time.Duration) error{FaultChanges: l.playChanges, FaultRollingRestart: l.playRoll,
+			FaultZoneLoss: l.playZone, FaultWatchLoss: l.playWatch}[name]
+		if !slices.Contains(c.Faults, name) {
 			continue
 		}
 		l.begin(name)
@@ -219,7 +219,7 @@
 		return err
 	}
 	var hollow hollowWord
-	if err := l.hollow.ask(HollowConfig{Config: *c, Servers: apps.Addrs}, &hollow); err != nil {
+	if err := l.hollow.ask(nodesConfig{Config: *c, Servers: apps.Addrs}, &hollow); err != nil {
 		return err
 	}
 	l.nextNew = c.Servers
@@ -235,7 +235,7 @@
 	if l.agent, err = newAgent(list, c.Real+1); err != nil {
 		return err
 	}
-	peers := make([]netip.AddrPort, c.Real, c.Real+c.Hollow)
+	peers := make([]netip.AddrPort, c.Real, c.Real+c.Simulated)
 	for i, s := range append(append([]string(nil), hollow.Proxies...), hollow.Nodes...) {
 		addr, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -429,12 +429,12 @@
 	c := &l.cfg
 	done, began := make(chan error, 1), time.Now()
 	go func() {
-		for part := range min(rollParts, c.Hollow) {
+		for part := range min(rollParts, c.Simulated) {
 			if time.Since(began) > 2*share { // the machine does not keep up: the rest goes on as it is, and is not counted
 				break
 			}
 			o := hollowOrder{Do: "roll", Ms: int(min(share/rollParts/2, time.Second) / time.Millisecond)}
-			for i := part; i < c.Hollow; i += rollParts {
+			for i := part; i < c.Simulated; i += rollParts {
 				o.Nodes = append(o.Nodes, i)
 			}
 			if err := l.askHollow(o, nil); err != nil {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -17,13 +17,13 @@
 func TestFiguresThatCantBePlayed(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"no program":     func(c *Config) { c.Program = "" },
-		`trouble "rain"`: func(c *Config) { c.Troubles = []string{"rain"} },
+		`trouble "rain"`: func(c *Config) { c.Faults = []string{"rain"} },
 		"real:":          func(c *Config) { c.Real = 0 },
-		"nodes:":         func(c *Config) { c.Hollow = 900 },
+		"nodes:":         func(c *Config) { c.Simulated = 900 },
 		"servers:":       func(c *Config) { c.Servers = 0 },
 		"tenants:":       func(c *Config) { c.Tenants = 0 },
 		"rate:":          func(c *Config) { c.Rate = 0 },
-		"for:":           func(c *Config) { c.For = 0 },
+		"for:":           func(c *Config) { c.Duration = 0 },
 		"sockets:":       func(c *Config) { c.Sockets = 3 },
 	} {
 		c := Default()
@@ -35,7 +35,7 @@
 	}
 	c := Default()
 	c.Program = "cherrygap"
-	if err := c.Check(); err != nil || c.Hollow != 827 || c.Hard <= c.For {
+	if err := c.Check(); err != nil || c.Simulated != 827 || c.TimeLimit <= c.Duration {
 		t.Errorf("%v, %+v", err, c)
 	}
 }
@@ -43,11 +43,11 @@
 // Every tenant comes in by the nodes of its set alone, which the settings number as the lab does, and the same seed deals
 // out the same tenants whoever asks.
 func TestTenantsComeInByTheirSets(t *testing.T) {
-	for _, c := range []Config{{Nodes: 830, Real: 3, Hollow: 827, Tenants: 43000, Rate: 85, Seed: 7},
-		{Nodes: 830, Real: 2, Hollow: 10, Tenants: 300, Rate: 85, Seed: 7}, {Nodes: 5, Real: 2, Hollow: 3, Tenants: 2, Rate: 85, Seed: 7}} {
+	for _, c := range []Config{{Nodes: 830, Real: 3, Simulated: 827, Tenants: 43000, Rate: 85, Seed: 7},
+		{Nodes: 830, Real: 2, Simulated: 10, Tenants: 300, Rate: 85, Seed: 7}, {Nodes: 5, Real: 2, Simulated: 3, Tenants: 2, Rate: 85, Seed: 7}} {
 		all := crowds(c, func(int) bool { return true })
 		some := crowds(c, func(n int) bool { return n == 1 })
-		live := c.Real + c.Hollow
+		live := c.Real + c.Simulated
 		if len(all) != live || !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].upTo, some[1].upTo) {
 			t.Fatal("dealt out otherwise")
 		}
@@ -132,8 +132,8 @@
 
 // A hollow node may begin nothing at a server once it has taken in that it drains, and again once it is back.
 func TestHollowNodesTakeListsIn(t *testing.T) {
-	c := Config{Nodes: 2, Real: 1, Hollow: 1, Servers: 2, Tenants: 1, Rate: 1, Take: 10, Seed: 1}
-	h := &hollow{cfg: HollowConfig{Config: c, Servers: []string{"127.0.0.1:1", "127.0.0.1:2"}}, number: map[netip.AddrPort]int{},
+	c := Config{Nodes: 2, Real: 1, Simulated: 1, Servers: 2, Tenants: 1, Rate: 1, PeerRate: 10, Seed: 1}
+	h := &hollow{cfg: nodesConfig{Config: c, Servers: []string{"127.0.0.1:1", "127.0.0.1:2"}}, number: map[netip.AddrPort]int{},
 		ready: make(chan struct{}), took: newHist(), tookAll: newHist(), lag: newHist(), tickLag: newHist()}
 	if _, err := h.open(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/servers.go
+++ b/internal/lab/scale/servers.go
@@ -59,8 +59,8 @@
 	MostOpen int64    `json:"most_open"`      // most open at once
 }
 
-// Servers plays so many app servers until standard input ends.
-func Servers(many int, seed uint64, in io.Reader, out io.Writer) error {
+// RunServers plays so many app servers until standard input ends.
+func RunServers(many int, seed uint64, in io.Reader, out io.Writer) error {
 	f := &appServers{}
 	for i := range f.ids {
 		f.ids[i].runs = map[string]int{}
