--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -31,8 +31,9 @@
 	"tiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\ntiers_of_service.0.depth=10\n" +
 	"replicas_of_me=1\ntick=4000\nlimits.attempts_cap=2\nsome.new.key=7\n"
 
-func begin(inst uint16) []byte {
-	return record(11, inst, uint64(9), uint32(len(testSettings)), testSettings)
+// begin starts instance 3.
+func begin() []byte {
+	return record(11, uint16(3), uint64(9), uint32(len(testSettings)), testSettings)
 }
 
 func fleet(inst uint16) []byte {
@@ -44,10 +45,12 @@
 	return record(1, inst, id, uint8(0), uint32(0), uint64(3), uint32(900000), float32(1), float32(1), float32(0), uint8(0))
 }
 
-func TestTicketIsSentOnAndAnswered(t *testing.T) {
+func TestRequestIsForwardedAndAnswered(t *testing.T) {
 	var out bytes.Buffer
-	in := bytes.Join([][]byte{frame(1e9), frame(1000004000, begin(3), fleet(3)),
-		frame(1000008000, request(3, 500), request(3, 501))}, nil)
+	in := bytes.Join([][]byte{
+		frame(1e9), frame(1000004000, begin(), fleet(3)),
+		frame(1000008000, request(3, 500), request(3, 501)),
+	}, nil)
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +64,7 @@
 	}
 }
 
-func TestBadInputEndsWithAPlainLine(t *testing.T) {
+func TestMalformedInputIsNamedByItsOffset(t *testing.T) {
 	long := request(3, 1)
 	long[1] = 0xff
 	for name, c := range map[string]struct {
@@ -69,16 +72,16 @@
 		want string
 	}{
 		"header cut off":    {frame(1)[:5], "byte 0: frame header cut off after 5 bytes"},
-		"frame cut off":     {frame(1, begin(3))[:40], "byte 40: frame at byte 0 states"},
+		"frame cut off":     {frame(1, begin())[:40], "byte 40: frame at byte 0 states"},
 		"huge length":       {[]byte{255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1}, "states 4294967295 bytes, input ends early"},
 		"record overruns":   {frame(1, long), "byte 12: record 1 states 255 bytes"},
 		"record header cut": {frame(1, []byte{1, 2}), "byte 12: record header cut off"},
-		"unknown event":     {frame(1, begin(3), record(99, uint16(3))), "unknown event 99"},
-		"fields too short":  {frame(1, begin(3), record(4, uint16(3), uint8(1))), "4 bytes wanted, 1 left in the record"},
-		"list too short":    {frame(1, begin(3), record(2, uint16(3), uint32(1), uint8(1), uint32(1<<31))), "bytes wanted, 0 left"},
+		"unknown event":     {frame(1, begin(), record(99, uint16(3))), "unknown event 99"},
+		"fields too short":  {frame(1, begin(), record(4, uint16(3), uint8(1))), "4 bytes wanted, 1 left in the record"},
+		"list too short":    {frame(1, begin(), record(2, uint16(3), uint32(1), uint8(1), uint32(1<<31))), "bytes wanted, 0 left"},
 		"never begun":       {frame(1, request(8, 1)), "instance 8, which has not begun"},
 		"kill, never begun": {frame(1, record(8, uint16(8))), "instance 8, which has not begun"},
-		"unknown outcome":   {frame(1, begin(3), record(7, uint16(3), uint32(1), uint8(0), uint32(7), uint16(9), uint32(1), uint8(0), uint16(0), uint16(0), uint8(0))), "unknown outcome 9"},
+		"unknown outcome":   {frame(1, begin(), record(7, uint16(3), uint32(1), uint8(0), uint32(7), uint16(9), uint32(1), uint8(0), uint16(0), uint16(0), uint8(0))), "unknown outcome 9"},
 	} {
 		err := run(bytes.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
--- /dev/null
+++ b/internal/simproto/simproto_test.go
@@ -0,0 +1,143 @@
+package simproto
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+)
+
+func fromHex(t *testing.T, s string) []byte {
+	t.Helper()
+	raw, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// The example of the protocol page, field by field, after an empty batch.
+func TestReadBatch(t *testing.T) {
+	reader := NewReader(bytes.NewReader(fromHex(t, `00000000 5a5c800000000000
+		3f000000 5b5c800000000000
+		01 24000000 0300 c4913a5d 00 00000000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 01
+		0a 06000000 0300 4d000000
+		04 06000000 0500 192b6f0e`)))
+	clock, c, err := reader.Next()
+	checkRead(t, "empty batch", err, "0x805c5a at 12, more: false", fmt.Sprintf("%#x at %d, more: %v", clock, c.Offset(), c.More()))
+	clock, c, err = reader.Next()
+	checkRead(t, "batch", err, "0x805c5b at 24, more: true", fmt.Sprintf("%#x at %d, more: %v", clock, c.Offset(), c.More()))
+
+	code, r, err := c.Record()
+	got := fmt.Sprintf("%d at %d:", code, r.Offset())
+	got += fmt.Sprintf(" %d %#x %d %d", r.Uint16(), r.Uint32(), r.Uint8(), r.Uint32())
+	got += fmt.Sprintf(" %#x %d", r.Uint64(), r.Uint32())
+	got += fmt.Sprintf(" %v %v %v %d, more: %v, %v", r.Float32(), r.Float32(), r.Float32(), r.Uint8(), r.More(), r.Err())
+	checkRead(t, "request", err, "1 at 29: 3 0x5d3a91c4 0 0 0x91f03b7c55d20a64 240000 2 3 1 1, more: false, <nil>", got)
+	code, r, err = c.Record()
+	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", code, r.Uint16(), r.Uint32(), r.More(), c.More())
+	checkRead(t, "elapsed", err, "10: 3 0x4d, more: false, true", got)
+	code, r, err = c.Record()
+	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", code, r.Uint16(), r.Uint32(), r.More(), c.More())
+	checkRead(t, "lapsed", err, "4: 5 0xe6f2b19, more: false, false", got)
+
+	if _, _, err = reader.Next(); !errors.Is(err, io.EOF) {
+		t.Errorf("at the end: %v", err)
+	}
+}
+
+func checkRead(t *testing.T, what string, err error, want, got string) {
+	t.Helper()
+	if err != nil || got != want {
+		t.Fatalf("%s: got %s, want %s (%v)", what, got, want, err)
+	}
+}
+
+// Input that breaks off is a FormatError with the place; its words are those of the adapter's last line.
+func TestFormatErrors(t *testing.T) {
+	for name, c := range map[string]struct {
+		in     string
+		offset int64
+		want   string
+	}{
+		"header cut off":        {"0000000001", 0, "byte 0: frame header cut off after 5 bytes"},
+		"body cut off":          {"04000000 0000000000000000 0102", 14, "byte 14: frame at byte 0 states 4 bytes, input ends early"},
+		"record header cut off": {"02000000 0000000000000000 0102", 12, "byte 12: record header cut off"},
+		"record overruns":       {"06000000 0000000000000000 01 02000000 03", 12, "byte 12: record 1 states 2 bytes, the frame has 1 left"},
+		"fields overrun":        {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: 2 bytes wanted, 1 left in the record"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, records, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
+			if err == nil {
+				var fields *Cursor
+				if _, fields, err = records.Record(); err == nil {
+					fields.Uint16()
+					err = fields.Err()
+				}
+			}
+			var format *FormatError
+			if !errors.As(err, &format) || format.Offset != c.offset || err.Error() != c.want {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+}
+
+func TestReadLists(t *testing.T) {
+	c := &Cursor{data: fromHex(t, "03 0000803f 000000bf 00000040 00 0200 6869 05")}
+	if got := c.Float32s(make([]float64, 9)); !slices.Equal(got, []float64{1, -0.5, 2}) {
+		t.Errorf("floats %v", got)
+	}
+	if got := c.Float32s(nil); len(got) != 0 {
+		t.Errorf("no floats: %v", got)
+	}
+	if got := c.Bytes(uint32(c.Uint16())); string(got) != "hi" {
+		t.Errorf("bytes %q", got)
+	}
+	// The first error sticks; what is read after it is zero.
+	if got := c.Float32s(nil); len(got) != 1 || got[0] != 0 {
+		t.Errorf("floats cut off: %v", got)
+	}
+	const want = "byte 19: 4 bytes wanted, 0 left in the record"
+	if c.Uint8() != 0 || c.Uint64() != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
+		t.Errorf("%v, want %s", c.Err(), want)
+	}
+}
+
+// The example reply of the protocol page, as bytes.
+func TestWriteReply(t *testing.T) {
+	var r Reply
+	for range 2 { // a reply is emptied for the next
+		r.Reset()
+		r.Begin(ActionPassOn, 3).Uint32(0x5d3a91c4).Uint32(80000).Uint32(0x03124a07)
+		r.End()
+		r.Begin(ActionWakeAt, 3).Uint32(500000).Uint32(77)
+		r.End()
+		r.Begin(ActionNoteDown, 3).Text([]byte("two servers known"))
+		r.End()
+		r.Begin(ActionRecall, 3).Uint32(0x5d3a91c4).Uint8(0)
+		r.End()
+		want := fromHex(t, `48000000 04000000
+			0a 0e000000 0300 c4913a5d 80380100 074a1203
+			0d 0a000000 0300 20a10700 4d000000
+			04 15000000 0300 1100 74776f2073657276657273206b6e6f776e
+			02 07000000 0300 c4913a5d 00`)
+		if got := r.Finish(); !bytes.Equal(got, want) {
+			t.Errorf("got  %x\nwant %x", got, want)
+		}
+	}
+	r.Reset()
+	if got := r.Finish(); !bytes.Equal(got, make([]byte, 8)) {
+		t.Errorf("empty: %x", got)
+	}
+	r.Reset()
+	r.Begin(ActionFault, 1).Text(bytes.Repeat([]byte{'x'}, 70000)) // cut to what its length can state
+	r.End()
+	if got := r.Finish(); len(got) != 8+5+2+2+65535 || !bytes.Equal(got[:17], fromHex(t, "08000100 01000000 08 03000100 0100 ffff")) {
+		t.Errorf("%d bytes, %x", len(got), got[:17])
+	}
+}
