--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -76,7 +76,7 @@
 	if r.ViaNodeP99 <= 0 || r.DirectP50 <= 0 || r.PeakRSSMiB <= 0 || r.DiscoveryFullLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
 		t.Error("figures are missing")
 	}
-	for _, name := range []string{"servers", "hollow", "real0", "real1"} {
+	for _, name := range []string{"servers", "nodes", "real0", "real1"} {
 		if log, err := os.ReadFile(filepath.Join(cfg.Dir, name+".log")); err != nil || bytes.Contains(log, []byte("DATA RACE")) {
 			t.Errorf("%v, %s", err, log)
 		}
@@ -147,7 +147,7 @@
 		cfg.Program, cfg.Dir)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 ||
-		string(out) != "cherrygap: the hollow app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
+		string(out) != "cherrygap: the simulated app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
 		t.Errorf("%q, %v", out, err)
 	}
 	if files, _ := os.ReadDir(cfg.Dir); len(files) > 0 {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -12,11 +12,12 @@
 	"cherrygap/internal/operatorfile"
 )
 
-func fleet(t *testing.T, servers int, sched string) *Fleet {
+// startServer starts a fleet of one server with a schedule.
+func startServer(t *testing.T, schedule string) *Fleet {
 	t.Helper()
 	cfg := operatorfile.Default().Lab.Emulator
-	cfg.Servers, cfg.ServiceMs, cfg.WarmupS, cfg.HandshakeMs, cfg.DrainMs = servers, 1, 0, 0, 200
-	s, err := ParseSchedule(sched, servers)
+	cfg.Servers, cfg.ServiceMs, cfg.WarmupS, cfg.HandshakeMs, cfg.DrainMs = 1, 1, 0, 0, 200
+	s, err := ParseSchedule(schedule, cfg.Servers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +40,12 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return resp, string(body), err
 }
 
-func TestBadSchedulesAreRefused(t *testing.T) {
+func TestInvalidSchedules(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[fault]]\nkind = \"melt\"\nat_s = 0\nfor_s = 1\n":             "unknown",
 		"[[fault]]\nkind = \"slow\"\nserver = 9\nat_s = 0\nfor_s = 1\n": "server 9",
@@ -59,10 +60,10 @@
 	}
 }
 
-// A server that resets in mid-body leaves the client with a short body and an error, and the ticket counted
-// as run: the edge node must treat it as "may have run".
+// A server that resets in mid-body leaves the client with a short body and an error, and the request
+// counted as run: the edge node must treat it as "may have run".
 func TestResetInMidBody(t *testing.T) {
-	f := fleet(t, 1, "[[fault]]\nkind = \"reset\"\nat_s = 0\nfor_s = 60\n")
+	f := startServer(t, "[[fault]]\nkind = \"reset\"\nat_s = 0\nfor_s = 60\n")
 	_, body, err := get(f.Servers[0].Addr(), "a1")
 	if err == nil {
 		t.Fatalf("no error; body %q", body)
@@ -72,9 +73,9 @@
 	}
 }
 
-// The same id twice is counted, so that a test can prove that no single-use ticket ran twice.
+// The same id twice is counted, so that a test can prove that no unsafe request ran twice.
 func TestRunsAreCountedAndNoIDIs404(t *testing.T) {
-	f := fleet(t, 1, "")
+	f := startServer(t, "")
 	addr := f.Servers[0].Addr()
 	for range 2 {
 		if resp, body, err := get(addr, "b2"); err != nil || resp.StatusCode != 200 || body != "done b2\n" {
@@ -89,8 +90,8 @@
 	}
 }
 
-func TestDrainTurnsAwayAndNeverRuns(t *testing.T) {
-	f := fleet(t, 1, "")
+func TestDrainRejectsAndNeverRuns(t *testing.T) {
+	f := startServer(t, "")
 	s := f.Servers[0]
 	s.mu.Lock()
 	s.draining = true // as Drain does, without closing yet
@@ -103,7 +104,7 @@
 
 // A restart refuses connections for its length and comes back at the same address, cold.
 func TestRestartRefusesThenReturns(t *testing.T) {
-	f := fleet(t, 1, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
+	f := startServer(t, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(150 * time.Millisecond)
 	if _, _, err := get(addr, "d4"); err == nil {
@@ -118,9 +119,9 @@
 	}
 }
 
-// A scheduled drain turns new work away while it still takes connections, and closes after its grace.
+// A scheduled drain rejects new work while it still takes connections, and closes after its grace.
 func TestScheduledDrain(t *testing.T) {
-	f := fleet(t, 1, "[[fault]]\nkind = \"drain\"\nat_s = 0.05\nfor_s = 1\n")
+	f := startServer(t, "[[fault]]\nkind = \"drain\"\nat_s = 0.05\nfor_s = 1\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(100 * time.Millisecond)
 	resp, _, err := get(addr, "e6")
--- a/internal/lab/emulator/golden_test.go
+++ b/internal/lab/emulator/golden_test.go
@@ -75,8 +75,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Fault{{Slow, -1, 1, 2, 1, 3}, {Error, 1, 2, 2, 0.5, 5}, {Reset, 0, 3, 2, 1, 5}, {Malform, 0, 4, 2, 1, 5},
-		{Silence, 0, 5, 2, 1, 5}, {LoseAnswer, 0, 6, 2, 1, 5}, {Refuse, 0, 7, 2, 1, 5}, {Restart, 0, 8, 2, 1, 5}, {Drain, 0, 9, 2, 1, 5}}
+	want := []Fault{
+		{Slow, -1, 1, 2, 1, 3},
+		{Error, 1, 2, 2, 0.5, 5},
+		{Reset, 0, 3, 2, 1, 5},
+		{Malform, 0, 4, 2, 1, 5},
+		{Silence, 0, 5, 2, 1, 5},
+		{LoseAnswer, 0, 6, 2, 1, 5},
+		{Refuse, 0, 7, 2, 1, 5},
+		{Restart, 0, 8, 2, 1, 5},
+		{Drain, 0, 9, 2, 1, 5},
+	}
 	if !reflect.DeepEqual(s.Faults, want) {
 		t.Errorf("%+v", s.Faults)
 	}
--- /dev/null
+++ b/internal/lab/scale/collect.go
@@ -0,0 +1,208 @@
+package scale
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const behindLagMs = 10.0 // p99 of the lag, as in lab load
+
+// recordQuiet notes the CPU shares of the section without faults.
+func (r *Result) recordQuiet(run *run, since cpuUsage) {
+	shares := run.cpuSharesSince(since)
+	r.CoreShare, r.MaxCoreShare = shares.meanReal, shares.maxReal
+	r.LabCores, r.ServerCores, r.SimulatedCores = shares.lab, shares.servers, shares.nodes
+	sent := float64(run.clients.section.Load().sent.Load())
+	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
+}
+
+// recordIdle notes the shares of the last part, in which the real nodes have no requests.
+func (r *Result) recordIdle(run *run, since cpuUsage) {
+	shares := run.cpuSharesSince(since)
+	r.ControlShare, r.MaxControlShare = shares.meanReal, shares.maxReal
+	if r.QuietRequestRate > 0 {
+		r.CPUMsPerRequest = max(0, r.CoreShare-r.ControlShare) / r.QuietRequestRate * 1e3
+	}
+}
+
+// collect asks the workers for their counts and fills in the rest of the result.
+func (r *Result) collect(run *run) error {
+	var nodes nodesReply
+	if err := run.commandNodes(nodesCommand{Verb: nodesResult}, &nodes); err != nil {
+		return err
+	}
+	var servers serversReply
+	if err := run.commandServers(serversCommand{Verb: serversReport}, &servers); err != nil {
+		return err
+	}
+	report := nodes.Report
+	r.collectConfig(&run.cfg)
+	r.collectRequests(run.sections)
+	r.Duplicates, r.SafeRepeats = servers.Duplicates+report.Duplicates, servers.SafeRepeats
+	r.SendsToDrained = servers.LateSends + report.LateSends
+	r.ServerConns, r.MaxOpenServerConns = servers.Connections, servers.MaxOpenConns
+	r.SimulatedRequests = NodeRequests{report.nodesSection, report.Unanswered}
+	r.LagP99, r.SimulatedLagP99, r.TimerLagP99 = run.clients.lagP99(), report.LagP99, report.TimerLagP99
+	r.Behind = r.LagP99 > behindLagMs
+	r.SimulatedBehind = max(r.SimulatedLagP99, r.TimerLagP99) > behindLagMs || report.Skipped > 0
+	r.collectProcesses(run)
+	r.collectPeerTraffic(report, run.cfg.Simulated)
+	r.collectDiscoveryTraffic(run, report.DurationS)
+	r.collectChangeDelays(run, report.Lists)
+	r.collectServerLoad(run, servers.Begun, report.AttemptsBegun)
+	return nil
+}
+
+func (r *Result) collectConfig(cfg *Config) {
+	r.Nodes, r.Real, r.Simulated = cfg.Nodes, cfg.Real, cfg.Simulated
+	r.Servers, r.Tenants, r.Seed = cfg.Servers, cfg.Tenants, cfg.Seed
+	r.DurationS, r.Faults = cfg.Duration.Seconds(), cfg.Faults
+}
+
+// collectRequests sums the clients' counts. The latencies leave out the warm-up, which is the first section.
+func (r *Result) collectRequests(sections []section) {
+	viaNode, direct := newHistogram(), newHistogram()
+	for i, s := range sections {
+		r.Sent += s.sent.Load()
+		r.Completed += s.completed.Load()
+		r.Rejected += s.rejected.Load()
+		r.Failed += s.failed.Load()
+		r.OtherStatus += s.otherStatus.Load()
+		r.LateAnswers += s.lateAnswers.Load()
+		r.ConnectFailed += s.connectFailed.Load()
+		r.Unanswered += s.unanswered.Load()
+		r.DirectFailed += s.directFailed.Load()
+		line := s.result()
+		line.SimulatedP99 = s.simulated.P99
+		r.Sections = append(r.Sections, line)
+		if i > 0 {
+			s.mu.Lock()
+			viaNode.Merge(s.viaNode)
+			direct.Merge(s.direct)
+			s.mu.Unlock()
+		}
+	}
+	r.Direct = direct.TotalCount()
+	r.ViaNodeP50, r.ViaNodeP99 = quantileMs(viaNode, 50), quantileMs(viaNode, 99)
+	r.DirectP50, r.DirectP99 = quantileMs(direct, 50), quantileMs(direct, 99)
+	r.AddedP50, r.AddedP99 = r.ViaNodeP50-r.DirectP50, r.ViaNodeP99-r.DirectP99
+}
+
+// collectProcesses fills in memory and restarts.
+func (r *Result) collectProcesses(run *run) {
+	for _, n := range run.nodes {
+		memory := n.recordMemory()
+		r.RSSMiB = max(r.RSSMiB, float64(memory.now)/kibPerMiB)
+		r.PeakRSSMiB = max(r.PeakRSSMiB, float64(memory.peak)/kibPerMiB)
+		exits, _ := n.exitCounts()
+		r.Exited += exits
+	}
+	r.Restarts, r.SimulatedRestarts = run.realRestarts, run.simulatedRestarts
+	r.SimulatedMiB, r.ServersMiB = peakRSSMiB(run.nodesWorker.pid()), peakRSSMiB(run.serversWorker.pid())
+}
+
+// collectPeerTraffic fills in what a simulated node sent and received a second.
+func (r *Result) collectPeerTraffic(report *nodesReport, nodes int) {
+	r.Peers, r.BroadcastsLost = map[string]PeerBytes{}, report.BroadcastsLost
+	perNode := 1 / (report.DurationS * float64(max(1, nodes)))
+	for _, p := range report.Peers {
+		if p.In+p.Out > 0 {
+			r.Peers[kindName(p.Kind)] = PeerBytes{
+				In: float64(p.In) * perNode, InBytes: float64(p.InBytes) * perNode,
+				Out: float64(p.Out) * perNode, OutBytes: float64(p.OutBytes) * perNode,
+			}
+		}
+	}
+}
+
+// collectDiscoveryTraffic fills in what the agent sent a real node a second.
+func (r *Result) collectDiscoveryTraffic(run *run, seconds float64) {
+	run.agent.mu.Lock()
+	defer run.agent.mu.Unlock()
+	nodes := float64(len(run.nodes))
+	perNode := 1 / (seconds * nodes)
+	for _, watch := range run.agent.watches[:len(run.nodes)] {
+		r.DiscoveryFullBytes += float64(watch.fullBytes) * perNode
+		r.DiscoveryChangeBytes += float64(watch.deltaBytes) * perNode
+		r.DiscoveryFullLists += float64(watch.fullLists) / nodes
+	}
+}
+
+// collectChangeDelays fills in how long changes took until 99% of the nodes, all nodes and all real nodes had applied
+// them: medians and maxima over the changes.
+func (r *Result) collectChangeDelays(run *run, lists []listApplied) {
+	var to99, toAll, toReal []float64
+	for _, change := range run.changes {
+		r.Changes++
+		delays, missing := run.realDelays(change)
+		if len(delays) > 0 {
+			toReal = append(toReal, slices.Max(delays))
+		}
+		simulated, found := simulatedDelays(change, lists)
+		if missing || !found && run.cfg.Simulated > 0 {
+			r.ChangesNotApplied++
+			continue
+		}
+		delays = append(delays, simulated...)
+		if len(delays) == 0 {
+			continue
+		}
+		slices.Sort(delays)
+		to99 = append(to99, delays[int(math.Ceil(0.99*float64(len(delays))))-1])
+		toAll = append(toAll, delays[len(delays)-1])
+	}
+	r.Applied99, r.MaxApplied99 = medianAndMax(to99)
+	r.AppliedAll, r.MaxAppliedAll = medianAndMax(toAll)
+	r.AppliedReal, r.MaxAppliedReal = medianAndMax(toReal)
+}
+
+// realDelays is how long a change took to each real node that had to apply it, s, and whether one never did.
+func (r *run) realDelays(change measuredChange) (delays []float64, missing bool) {
+	for i, expected := range change.expected {
+		if !expected {
+			continue
+		}
+		at := r.agent.appliedAt(i, change.revision, change.at)
+		if at.IsZero() {
+			missing = true
+			continue
+		}
+		delays = append(delays, at.Sub(change.at).Seconds())
+	}
+	return delays, missing
+}
+
+// simulatedDelays is how long a change took to each simulated node that was not away, s; false where no list had it.
+func simulatedDelays(change measuredChange, lists []listApplied) (delays []float64, found bool) {
+	i := slices.IndexFunc(lists, func(l listApplied) bool { return l.Revision >= change.revision })
+	if i < 0 {
+		return nil, false
+	}
+	for _, at := range lists[i].At {
+		if at > 0 {
+			delays = append(delays, max(0, float64(at-change.at.UnixMicro())/1e6))
+		}
+	}
+	return delays, true
+}
+
+// collectServerLoad fills in how evenly attempts fell on the servers that were in service all along.
+func (r *Result) collectServerLoad(run *run, fromReal, fromSimulated []int64) {
+	var loads []float64
+	sum := 0.0
+	for i := range run.cfg.Servers {
+		if !run.changedServers[i] {
+			load := float64(fromReal[i] + fromSimulated[i])
+			loads = append(loads, load)
+			sum += load
+		}
+	}
+	if sum == 0 {
+		return
+	}
+	slices.Sort(loads)
+	r.LoadMean = sum / float64(len(loads))
+	r.LoadMax = loads[len(loads)-1] / r.LoadMean
+	r.LoadP99 = loads[min(len(loads)*99/100, len(loads)-1)] / r.LoadMean
+}
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -1,7 +1,8 @@
-// Package scale plays the target size on one machine: a few real edge nodes (processes of this program), many hollow ones
-// that share a process (the real module through internal/routing, real datagrams, no client sockets), many hollow app
-// servers that share another, a stand-in for discovery's agent, and open-loop clients. It measures what the size costs a
-// node and what a client notices. Everything binds to loopback; what is and isn't imitated stands in docs/lab.md.
+// Package scale plays the target size on one machine: a few real edge nodes (processes of this program), many simulated
+// nodes that share a process (the real decision engine through internal/routing and real datagrams, but no client
+// sockets), many simulated app servers that share another, a stand-in for discovery's agent, and open-loop clients. It
+// measures what the size costs a node and what a client notices. Everything binds to loopback. What is and isn't
+// imitated stands in docs/lab.md.
 package scale
 
 import (
@@ -10,18 +11,17 @@
 	"runtime"
 	"slices"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
 )
 
-// The scripted troubles, in the order in which they are played.
+// The scripted faults, as the flag and the result name them, in the order in which they are played.
 const (
 	FaultChanges        = "changes" // one server after another drains, goes, comes or changes
 	FaultRollingRestart = "roll"    // a rolling restart of all nodes
-	FaultZoneLoss       = "zone"    // a zone is lost, told of later, and comes back cold
-	FaultWatchLoss      = "watch"   // discovery's agent breaks all watches at once and tells everything anew
+	FaultZoneLoss       = "zone"    // a zone is lost, is reported later, and comes back cold
+	FaultWatchLoss      = "watch"   // discovery's agent breaks all watches at once and sends full lists anew
 )
 
 // Faults lists them all.
@@ -30,54 +30,75 @@
 // Config is one run.
 type Config struct {
 	Program       string        // this program, started anew for each child
-	Dir           string        // for configuration files and children's logs
-	Nodes         int           // edge nodes that the settings tell of
+	Dir           string        // for configuration files and children's logs; empty for one that is removed
+	Nodes         int           // edge nodes that the settings state
 	Real          int           // of these, processes with sockets
-	Simulated     int           // and routers that share a process; below 0: all others
+	Simulated     int           // and nodes that share a process; below 0: all others
 	Servers       int           // app servers
 	Tenants       int           // customers
 	Rate          float64       // requests/s at a real node, mean
-	SimulatedRate float64       // requests/s at a hollow node, mean
-	DirectShare   float64       // part of the real nodes' completed requests that is sent once more, straight to the same server
-	PeerRate      float64       // messages/s that a node takes in, as the settings tell
-	Duration      time.Duration // the run's length, from the first request on
-	TimeLimit     time.Duration // everything is ended after so long, whatever is under way
+	SimulatedRate float64       // requests/s at a simulated node, mean
+	DirectShare   float64       // part of the real nodes' completed requests that is sent once more, directly to the same server
+	PeerRate      float64       // messages/s that a node accepts from peers, as the settings state
+	Duration      time.Duration // of the run, from the first request on
+	TimeLimit     time.Duration // everything is stopped after so long, whatever is in progress; 0 for a default
 	Seed          uint64
-	Faults        []string // which; nil for all
-	Sockets       int      // of each real node
-	MemoryMB      int      // of each real node
+	Faults        []string // which to play; nil for all
+	Sockets       int      // descriptors of each real node
+	MemoryMB      int      // memory that each real node is configured with
 
 	Log *zerolog.Logger `json:"-"` // a line for each section; nil for none
 }
 
 // Default is the target size.
 func Default() Config {
-	return Config{Nodes: 830, Real: 3, Simulated: -1, Servers: 13000, Tenants: 43000, Rate: 85, SimulatedRate: 2, DirectShare: 0.2,
-		PeerRate: 100, Duration: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192}
+	return Config{
+		Nodes: 830, Real: 3, Simulated: -1, Servers: 13000, Tenants: 43000, Rate: 85, SimulatedRate: 2, DirectShare: 0.2,
+		PeerRate: 100, Duration: time.Minute, Seed: 1, Sockets: 1024, MemoryMB: 192,
+	}
 }
 
 const (
-	regions     = 2
-	zones       = 6  // a region
-	spareOf     = 50 // one server more for each so many, not listed at first: changes bring them in
-	ownNeeds    = 64 // descriptors of any process beside those counted below
-	perWatch    = 8  // connections of one watch at the agent: it looks for an answer over several
-	straightMax = 512
+	regions         = 2
+	zonesPerRegion  = 6
+	serversPerSpare = 50 // there is one server more for each so many, not listed at first: changes add them
 )
 
-// grace is how long after its drain was told a server may be sent requests, and slack what the count allows on top.
+// An app server may be sent requests for drainGrace after its drain was published; the count of late sends allows
+// countSlack on top.
 const (
-	grace = 500 * time.Millisecond
-	slack = 50 * time.Millisecond
+	drainGrace = 500 * time.Millisecond
+	countSlack = 50 * time.Millisecond
 )
 
-// Check fills in what is left to default and tells of figures that can't be played.
+// Check fills in defaults and returns an error that names the first flag whose value can't be played.
 func (c *Config) Check() error {
+	c.fillDefaults()
+	for _, fault := range c.Faults {
+		if !slices.Contains(Faults, fault) {
+			return fmt.Errorf("fault %q: one of %s", fault, strings.Join(Faults, ", "))
+		}
+	}
+	if err := c.checkSizes(); err != nil {
+		return err
+	}
+	switch {
+	case !within(c.SimulatedRate, 0, 1e4) || !within(c.DirectShare, 0, 1) || c.Rate == 0 || !within(c.Rate, 0, 1e4):
+		return errors.New("rate: above 0 to 10000 requests/s, simulated-rate: 0 to 10000, direct: 0 to 1")
+	case c.Duration < time.Second || c.TimeLimit < c.Duration:
+		return errors.New("for: a second at least, and not more than the hard stop")
+	case c.Sockets < 64 || c.MemoryMB < 16:
+		return errors.New("sockets: 64 at least, memory-mb: 16 at least")
+	}
+	return nil
+}
+
+func (c *Config) fillDefaults() {
 	if c.Simulated < 0 {
 		c.Simulated = max(0, c.Nodes-c.Real)
 	}
 	if c.TimeLimit <= 0 {
-		c.TimeLimit = c.Duration + firstList + time.Minute
+		c.TimeLimit = c.Duration + firstListTimeout + time.Minute
 	}
 	if c.Faults == nil {
 		c.Faults = Faults
@@ -86,66 +107,33 @@
 		none := zerolog.Nop()
 		c.Log = &none
 	}
-	for _, t := range c.Faults {
-		if !slices.Contains(Faults, t) {
-			return fmt.Errorf("trouble %q: one of %s", t, strings.Join(Faults, ", "))
-		}
-	}
+}
+
+func (c *Config) checkSizes() error {
 	switch {
 	case c.Program == "":
 		return errors.New("no program to start")
 	case c.Real < 1 || c.Real > 64:
 		return errors.New("real: 1 to 64 nodes")
 	case c.Nodes < c.Real+c.Simulated || c.Nodes > 1<<15:
-		return errors.New("nodes: real and hollow ones at least, 32768 at most")
+		return errors.New("nodes: real and simulated ones at least, 32768 at most")
 	case c.Servers < 1 || c.Servers > 1<<17:
 		return errors.New("servers: 1 to 131072")
 	case c.Tenants < 1 || c.Tenants > 1<<20:
 		return errors.New("tenants: 1 to 1048576")
-	case !(c.Rate > 0 && c.Rate <= 1e4) || !(c.SimulatedRate >= 0 && c.SimulatedRate <= 1e4) || !(c.DirectShare >= 0 && c.DirectShare <= 1):
-		return errors.New("rate: above 0 to 10000 requests/s, hollow-rate: 0 to 10000, straight: 0 to 1")
-	case c.Duration < time.Second || c.TimeLimit < c.Duration:
-		return errors.New("for: a second at least, and not more than the hard stop")
-	case c.Sockets < 64 || c.MemoryMB < 16:
-		return errors.New("sockets: 64 at least, memory-mb: 16 at least")
 	}
 	return nil
 }
 
-// spare is how many servers there are beside those listed at first.
-func (c *Config) spare() int { return max(2, c.Servers/spareOf) }
-
-// need is how many descriptors each kind of process needs.
-func (c *Config) need() []need {
-	return []need{
-		{"the lab (agent and clients)", ownNeeds + c.Real*(c.Sockets/2+perWatch) + perWatch + straightMax, "--real"},
-		{"the hollow app servers", ownNeeds + c.Servers + c.spare() + c.Real*c.Sockets/2 + straightMax, "--servers"},
-		{"the hollow nodes", ownNeeds + c.Simulated + c.Real + 1 + perWatch, "--hollow"},
-		{"a real node", c.Sockets, "--sockets"},
-	}
-}
+// within is false for a NaN too.
+func within(v, least, most float64) bool { return v >= least && v <= most }
 
-type need struct {
-	who  string
-	many int
-	flag string
-}
+// spareServers is how many servers there are beside those listed at first.
+func (c *Config) spareServers() int { return max(2, c.Servers/serversPerSpare) }
 
-// CheckDescriptors refuses a run whose processes would need more descriptors than they may have (ulimit -n). Go raises its
-// own soft limit to the hard one at its start, as do the children; the lab raises none.
-func (c *Config) CheckDescriptors() error {
-	var l syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
-		return err
-	}
-	for _, n := range c.need() {
-		if uint64(n.many) > l.Cur {
-			return fmt.Errorf("%s need %d descriptors in one process, which may have %d (ulimit -n): lower %s",
-				n.who, n.many, l.Cur, n.flag)
-		}
-	}
-	return nil
-}
+// liveNodes is how many of the nodes run, real ones first.
+func (c *Config) liveNodes() int { return c.Real + c.Simulated }
 
-// cores is how many cores the hollow nodes may take: the real nodes have one each, and the app servers and the lab one.
-func (c *Config) cores() int { return max(1, runtime.NumCPU()-c.Real-1) }
+// simulatedCores is how many cores the simulated nodes may use: each real node has one, and the app servers and the lab
+// share one.
+func (c *Config) simulatedCores() int { return max(1, runtime.NumCPU()-c.Real-1) }
--- /dev/null
+++ b/internal/lab/scale/discovery_test.go
@@ -0,0 +1,123 @@
+package scale
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// discoveryCall makes one call to the agent over a connection of its own, as a node's watch would.
+func discoveryCall(t *testing.T, addr string, full bool, revision uint64, hold time.Duration) (protocol.EndpointList, error) {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Write(protocol.AppendDiscoveryCall(nil, addr, full, revision, hold)); err != nil {
+		t.Fatal(err)
+	}
+	list, _, err := protocol.ReadEndpointList(bufio.NewReader(conn))
+	return list, err
+}
+
+// testAgent is an agent with four servers, three of them listed, and two watches.
+func testAgent(t *testing.T) *discoveryAgent {
+	t.Helper()
+	list := make([]agentEndpoint, 4)
+	for i := range list {
+		list[i] = agentEndpoint{
+			UID: fmt.Sprint("s", i), Addr: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", i+1)),
+			State: "in_service", listed: i < 3,
+		}
+	}
+	agent, err := startAgent(list, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(agent.close)
+	return agent
+}
+
+// checkList compares what a call was answered with, by UID and state.
+func checkList(t *testing.T, what string, list protocol.EndpointList, err error, full bool, revision uint64, want ...string) {
+	t.Helper()
+	got := []string{}
+	for _, e := range list.Endpoints {
+		got = append(got, fmt.Sprintf("%s %d", e.UID, e.State))
+	}
+	if err != nil || list.Full != full || list.Revision != revision || !slices.Equal(got, want) {
+		t.Errorf("%s: full %v, revision %d, %v, %v; want full %v, revision %d, %v",
+			what, list.Full, list.Revision, got, err, full, revision, want)
+	}
+}
+
+// The agent sends the full list, then changes as they come, and nothing when a call's time is over.
+func TestAgentSendsChanges(t *testing.T) {
+	agent := testAgent(t)
+	addr := agent.watches[1].addr
+	inService := func(uid string) string { return fmt.Sprintf("%s %d", uid, protocol.InService) }
+	list, err := discoveryCall(t, addr, true, 0, 0)
+	checkList(t, "at first", list, err, true, 1, inService("s0"), inService("s1"), inService("s2"))
+	list, err = discoveryCall(t, addr, false, 1, time.Millisecond)
+	checkList(t, "nothing new", list, err, false, 1)
+	type answer struct {
+		list protocol.EndpointList
+		err  error
+	}
+	answered := make(chan answer, 1)
+	go func() {
+		list, err := discoveryCall(t, addr, false, 1, 3*time.Second)
+		answered <- answer{list, err}
+	}()
+	revision, _ := agent.publish(func(e *agentEndpoint) { e.State = "terminating" }, 2)
+	got := <-answered
+	checkList(t, "a change", got.list, got.err, false, revision, fmt.Sprintf("s2 %d", protocol.Terminating))
+	agent.publish(func(*agentEndpoint) {}, 3)
+	list, err = discoveryCall(t, addr, false, revision, 0)
+	checkList(t, "one that comes", list, err, false, revision+1, inService("s3"))
+}
+
+// A change is applied at a node once the node calls again with its revision, and at no other node.
+func TestChangeIsAppliedWithTheNextCall(t *testing.T) {
+	agent := testAgent(t)
+	addr := agent.watches[1].addr
+	revision, at := agent.publish(func(e *agentEndpoint) { e.State = "terminating" }, 2)
+	if _, err := discoveryCall(t, addr, false, 1, 3*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if !agent.appliedAt(1, revision, at).IsZero() || !agent.appliedAt(0, revision, at).IsZero() {
+		t.Error("applied before the node calls again")
+	}
+	if _, err := discoveryCall(t, addr, false, revision, 0); err != nil {
+		t.Fatal(err)
+	}
+	if agent.appliedAt(1, revision, at).IsZero() || !agent.appliedAt(0, revision, at).IsZero() {
+		t.Error("not applied once the node calls again, or at another node")
+	}
+}
+
+// While watches are disconnected nothing is answered; after that every call gets the full list.
+func TestAgentDisconnects(t *testing.T) {
+	agent := testAgent(t)
+	addr := agent.watches[1].addr
+	agent.publish(func(e *agentEndpoint) { e.State = "terminating" }, 2)
+	agent.publish(func(*agentEndpoint) {}, 3)
+	agent.disconnectAll()
+	if l, err := discoveryCall(t, addr, false, 2, 0); err == nil {
+		t.Errorf("answered while disconnected: %+v", l)
+	}
+	agent.reconnect()
+	if l, err := discoveryCall(t, addr, false, 3, 0); err != nil || !l.Full || len(l.Endpoints) != 4 {
+		t.Errorf("after that %+v, %v", l, err)
+	}
+}
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -65,15 +65,17 @@
 // The lines between the lab and its children: one program writes and reads both, so that their keys may change, but a key
 // that only one side knows would be lost in silence.
 func TestChildLinesSurvive(t *testing.T) {
-	for name, v := range map[string]any{"hollow order": &hollowOrder{}, "hollow word": &hollowWord{Section: &hollowSection{},
-		Report: &hollowReport{}}, "server order": &serverOrder{}, "server word": &serverWord{}} {
+	for name, v := range map[string]any{"nodes command": &nodesCommand{}, "nodes reply": &nodesReply{
+		Section: &nodesSection{},
+		Report:  &nodesReport{},
+	}, "servers command": &serversCommand{}, "servers reply": &serversReply{}} {
 		next := 0
 		for i := range reflect.ValueOf(v).Elem().NumField() {
 			f := reflect.ValueOf(v).Elem().Field(i)
 			if f.Kind() == reflect.Pointer {
-				if r, ok := f.Interface().(*hollowReport); ok {
-					r.Lists, r.Peers, r.Load = []listTaken{{7, []int64{8, 0}}}, []peersBytes{{1, 2, 3, 4, 5}}, []int64{9}
-					r.Sent, r.P99, r.Unanswered, r.TickLag = 10, 11, 12, 13
+				if r, ok := f.Interface().(*nodesReport); ok {
+					r.Lists, r.Peers, r.AttemptsBegun = []listApplied{{7, []int64{8, 0}}}, []peerTraffic{{1, 2, 3, 4, 5}}, []int64{9}
+					r.Sent, r.P99, r.Unanswered, r.TimerLagP99 = 10, 11, 12, 13
 				} else {
 					fill(f.Elem(), &next)
 				}
--- /dev/null
+++ b/internal/lab/scale/nodelists.go
@@ -0,0 +1,91 @@
+package scale
+
+import (
+	"sync"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// endpointHistory is what discovery has sent so far, for nodes that start anew, and when each node had applied it.
+type endpointHistory struct {
+	listMu    sync.Mutex          // held while a list is handed out; guards what follows
+	endpoints []protocol.Endpoint // latest state, by server
+	listed    []bool              // by server
+	history   []*protocol.EndpointList
+	applied   []listApplied
+}
+
+// record takes a list into the latest state. The caller holds listMu.
+func (h *endpointHistory) record(list *protocol.EndpointList, serverNumbers func(protocol.Endpoint) (int, bool)) {
+	if list.Full {
+		clear(h.listed)
+	}
+	for _, endpoint := range list.Endpoints {
+		if i, ok := serverNumbers(endpoint); ok {
+			h.endpoints[i], h.listed[i] = endpoint, true
+		}
+	}
+	h.history = append(h.history, list)
+}
+
+// knownList is the full list as of now. The caller holds listMu.
+func (h *endpointHistory) knownList() *protocol.EndpointList {
+	list := &protocol.EndpointList{Full: true}
+	for i, endpoint := range h.endpoints {
+		if h.listed[i] && endpoint.State != protocol.Terminated {
+			list.Endpoints = append(list.Endpoints, endpoint)
+		}
+	}
+	return list
+}
+
+// applyList hands a list to all nodes that are not away and notes when each had applied it.
+func (f *nodeFleet) applyList(list *protocol.EndpointList) {
+	f.listMu.Lock()
+	defer f.listMu.Unlock()
+	f.record(list, func(e protocol.Endpoint) (int, bool) {
+		i, ok := f.serverNumbers[e.Addr]
+		return i, ok
+	})
+	applied := listApplied{Revision: list.Revision, At: make([]int64, len(f.nodes))}
+	forEachNode(f.nodes, func(n *simulatedNode) {
+		if !n.away.Load() {
+			n.current.Load().applyList(list, f.serverNumbers, false)
+			applied.At[n.number-f.cfg.Real] = time.Now().UnixMicro()
+		}
+	})
+	f.applied = append(f.applied, applied)
+}
+
+// restart starts nodes anew: they are away for a time, and then know nothing but the list.
+func (f *nodeFleet) restart(numbers []int, away time.Duration) {
+	var nodes []*simulatedNode
+	for _, i := range numbers {
+		if i >= 0 && i < len(f.nodes) {
+			nodes = append(nodes, f.nodes[i])
+			f.nodes[i].away.Store(true)
+		}
+	}
+	time.Sleep(away)
+	f.listMu.Lock()
+	known, taken := f.knownList(), len(f.history)
+	f.listMu.Unlock()
+	started := make([]*incarnation, len(f.nodes))
+	forEachNode(nodes, func(n *simulatedNode) {
+		inc := n.newIncarnation(f.cfg.Seed + uint64(taken))
+		inc.applyList(known, f.serverNumbers, true)
+		started[n.number-f.cfg.Real] = inc
+	})
+	f.listMu.Lock() // what came meanwhile, as the node's own watch would bring it
+	defer f.listMu.Unlock()
+	forEachNode(nodes, func(n *simulatedNode) {
+		inc := started[n.number-f.cfg.Real]
+		for _, list := range f.history[taken:] {
+			inc.applyList(list, f.serverNumbers, false)
+		}
+		n.current.Swap(inc).ended.Store(true)
+		n.away.Store(false)
+		inc.router.Tick()
+	})
+}
--- /dev/null
+++ b/internal/lab/scale/nodelists_test.go
@@ -0,0 +1,67 @@
+package scale
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"testing"
+
+	"cherrygap/internal/protocol"
+)
+
+// testFleet is a fleet of one simulated node beside a real one, with two servers, which discovery has listed.
+func testFleet(t *testing.T) (*nodeFleet, *simulatedNode) {
+	t.Helper()
+	f := newNodeFleet()
+	f.cfg = nodesConfig{
+		Config:  Config{Nodes: 2, Real: 1, Simulated: 1, Servers: 2, Tenants: 1, Rate: 1, PeerRate: 10, Seed: 1},
+		Servers: []string{"127.0.0.1:1", "127.0.0.1:2"},
+	}
+	if _, err := f.open(); err != nil {
+		t.Fatal(err)
+	}
+	n := f.nodes[0]
+	t.Cleanup(func() {
+		for _, conn := range []*net.UDPConn{n.conn, f.proxies[0], f.broadcastConn} {
+			_ = conn.Close()
+		}
+	})
+	f.peerTable = protocol.NewPeerTable(nil, netip.AddrPort{})
+	n.current.Store(n.newIncarnation(1))
+	t.Cleanup(func() { n.current.Load().timer.Stop() })
+	f.applyList(&protocol.EndpointList{Revision: 1, Full: true, Endpoints: []protocol.Endpoint{
+		testEndpoint(f, 0, protocol.InService), testEndpoint(f, 1, protocol.InService),
+	}})
+	return f, n
+}
+
+func testEndpoint(f *nodeFleet, server int, state protocol.EndpointState) protocol.Endpoint {
+	return protocol.Endpoint{
+		UID: fmt.Sprint(server), Addr: netip.MustParseAddrPort(f.cfg.Servers[server]), State: state, Weight: 1,
+	}
+}
+
+// A simulated node may begin nothing at a server once it has applied that it drains. Away it hears of nothing, and it
+// comes back with the list as of then.
+func TestSimulatedNodeAppliesLists(t *testing.T) {
+	f, n := testFleet(t)
+	router := n.current.Load().router
+	server := router.Servers()[0]
+	i := f.serverNumbers[server.Addr]
+	f.applyList(&protocol.EndpointList{Revision: 2, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.Terminating)}})
+	if router.InService(server) || len(n.current.Load().drained) != 1 {
+		t.Error("it would send to a server that drains")
+	}
+	n.away.Store(true)
+	f.applyList(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.InService)}})
+	if router.InService(server) {
+		t.Error("it heard while it was away")
+	}
+	f.restart([]int{0}, 0)
+	if inc := n.current.Load(); n.away.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
+		t.Error("it came back without the list")
+	}
+	if len(f.applied) != 3 || f.applied[0].At[0] == 0 || f.applied[2].At[0] != 0 {
+		t.Errorf("noted %+v", f.applied)
+	}
+}
--- /dev/null
+++ b/internal/lab/scale/nodesreport.go
@@ -0,0 +1,115 @@
+package scale
+
+import (
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	hdr "github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const answerCheckInterval = 10 * time.Millisecond
+
+// requestCounts counts the simulated nodes' requests.
+type requestCounts struct {
+	inFlight   atomic.Int64 // requests
+	duplicates atomic.Int64 // unsafe requests that began more than once
+	lateSends  atomic.Int64 // attempts begun after the server's drain and its grace
+
+	countMu      sync.Mutex // guards what follows; histograms are in µs
+	section      nodesSection
+	total        nodesSection
+	latency      *hdr.Histogram // since the last section
+	totalLatency *hdr.Histogram
+	lag          *hdr.Histogram // how late requests were begun
+	timerLag     *hdr.Histogram // how late engines' timers went off
+}
+
+func newRequestCounts() requestCounts {
+	return requestCounts{
+		latency: newHistogram(), totalLatency: newHistogram(), lag: newHistogram(), timerLag: newHistogram(),
+	}
+}
+
+// recordSent counts a request that is begun, or returns false where too many are in flight.
+func (c *requestCounts) recordSent(due time.Time) bool {
+	c.countMu.Lock()
+	defer c.countMu.Unlock()
+	if c.inFlight.Load() >= maxInFlight {
+		c.section.Skipped++
+		return false
+	}
+	c.section.Sent++
+	recordMicros(c.lag, time.Since(due))
+	c.inFlight.Add(1)
+	return true
+}
+
+// recordAnswer counts a request's answer by its HTTP status.
+func (c *requestCounts) recordAnswer(status int, took time.Duration, class *requestClass, begun int) {
+	c.inFlight.Add(-1)
+	if begun > 1 && !class.idempotent {
+		c.duplicates.Add(1)
+	}
+	c.countMu.Lock()
+	defer c.countMu.Unlock()
+	if took > class.timeout+countSlack {
+		c.section.LateAnswers++
+	}
+	switch status {
+	case http.StatusOK:
+		c.section.Completed++
+		recordMicros(c.latency, took)
+		recordMicros(c.totalLatency, took)
+	case http.StatusServiceUnavailable:
+		c.section.Rejected++
+	default:
+		c.section.Failed++
+	}
+}
+
+func (c *requestCounts) recordTimerLag(due time.Time) {
+	late := time.Since(due)
+	c.countMu.Lock()
+	recordMicros(c.timerLag, late)
+	c.countMu.Unlock()
+}
+
+// cutSection gives the requests counted since the last section.
+func (c *requestCounts) cutSection() nodesSection {
+	c.countMu.Lock()
+	defer c.countMu.Unlock()
+	section := c.section
+	section.P50, section.P99 = quantileMs(c.latency, 50), quantileMs(c.latency, 99)
+	c.total.add(section)
+	c.section = nodesSection{}
+	c.latency.Reset()
+	return section
+}
+
+// report stops new requests, waits for the last answers as long as a client would, and gives all counts.
+func (f *nodeFleet) report() *nodesReport {
+	f.sending.Store(false)
+	for end := time.Now().Add(lastAnswerTimeout()); f.inFlight.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(answerCheckInterval)
+	}
+	f.cutSection()
+	r := &nodesReport{
+		Unanswered: f.inFlight.Load(), Duplicates: f.duplicates.Load(), LateSends: f.lateSends.Load(),
+		BroadcastsLost: f.broadcastsLost.Load(), DurationS: time.Since(f.startedAt).Seconds(),
+		AttemptsBegun: make([]int64, len(f.attemptsBegun)), Peers: f.counts(),
+	}
+	for i := range f.attemptsBegun {
+		r.AttemptsBegun[i] = f.attemptsBegun[i].Load()
+	}
+	f.countMu.Lock()
+	r.nodesSection = f.total
+	r.P50, r.P99 = quantileMs(f.totalLatency, 50), quantileMs(f.totalLatency, 99)
+	r.LagP99, r.TimerLagP99 = quantileMs(f.lag, 99), quantileMs(f.timerLag, 99)
+	f.countMu.Unlock()
+	f.listMu.Lock()
+	r.Lists = f.applied
+	f.listMu.Unlock()
+	return r
+}
--- /dev/null
+++ b/internal/lab/scale/procfs.go
@@ -0,0 +1,64 @@
+package scale
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	clockTicksPerSecond = 100 // of /proc's CPU times: the same on all of Linux
+	kibPerMiB           = 1024
+)
+
+var errNoCPUTime = errors.New("no CPU time in /proc")
+
+// memoryUse is a process's resident memory, KiB.
+type memoryUse struct {
+	now, peak int64
+}
+
+// readMemory is 0 where the process is gone.
+func readMemory(pid int) memoryUse {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return memoryUse{}
+	}
+	return memoryUse{now: statusField(raw, "VmRSS:"), peak: statusField(raw, "VmHWM:")}
+}
+
+// statusField is a number of a /proc status file; 0 where it is missing.
+func statusField(raw []byte, name string) int64 {
+	for line := range bytes.Lines(raw) {
+		if fields := strings.Fields(string(line)); len(fields) > 1 && fields[0] == name {
+			v, _ := strconv.ParseInt(fields[1], 10, 64)
+			return v
+		}
+	}
+	return 0
+}
+
+func peakRSSMiB(pid int) float64 { return float64(readMemory(pid).peak) / kibPerMiB }
+
+// cpuTime is the CPU time that a process has used so far.
+func cpuTime(pid int) (time.Duration, error) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return 0, err
+	}
+	_, rest, ok := strings.Cut(string(raw), ") ") // behind the name, which may hold anything
+	fields := strings.Fields(rest)
+	if !ok || len(fields) < 13 {
+		return 0, errNoCPUTime
+	}
+	user, userErr := strconv.ParseInt(fields[11], 10, 64)
+	system, systemErr := strconv.ParseInt(fields[12], 10, 64)
+	if userErr != nil || systemErr != nil {
+		return 0, errNoCPUTime
+	}
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond, nil
+}
--- /dev/null
+++ b/internal/lab/scale/setup.go
@@ -0,0 +1,127 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+
+	"cherrygap/internal/protocol"
+)
+
+// setUp starts everything: app servers and simulated nodes, discovery's agent, real nodes, clients. It returns once all
+// nodes have an endpoint list.
+func (r *run) setUp(ctx context.Context) error {
+	servers, addresses, err := r.startWorkers(ctx)
+	if err != nil {
+		return err
+	}
+	endpoints, err := r.agentEndpoints(servers)
+	if err != nil {
+		return err
+	}
+	r.nextSpare = r.cfg.Servers
+	if r.agent, err = startAgent(endpoints, r.cfg.Real+1); err != nil {
+		return err
+	}
+	if err := r.makeRealNodes(addresses); err != nil {
+		return err
+	}
+	r.clients = newClientSimulator(&r.cfg, r.nodes, servers)
+	command := nodesCommand{Verb: nodesStart, Agent: r.agent.watches[r.cfg.Real].addr}
+	for _, n := range r.nodes {
+		command.Real = append(command.Real, n.peerAddr)
+	}
+	if err := r.commandNodes(command, nil); err != nil {
+		return err
+	}
+	if err := r.startRealNodes(ctx); err != nil {
+		return err
+	}
+	return r.commandNodes(nodesCommand{Verb: nodesReady}, nil)
+}
+
+// startWorkers starts the processes of the app servers and the simulated nodes and gives the addresses of both.
+func (r *run) startWorkers(ctx context.Context) (servers []string, nodes nodesReply, err error) {
+	cfg := &r.cfg
+	count := strconv.Itoa(cfg.Servers + cfg.spareServers())
+	seed := strconv.FormatUint(cfg.Seed, 10)
+	if r.serversWorker, err = startWorker(ctx, cfg, "servers", "lab", "scale-servers", "--many", count, "--seed", seed); err != nil {
+		return nil, nodes, err
+	}
+	if r.nodesWorker, err = startWorker(ctx, cfg, "nodes", "lab", "scale-nodes"); err != nil {
+		return nil, nodes, err
+	}
+	var first serversReply
+	if err := r.serversWorker.call(nil, &first); err != nil {
+		return nil, nodes, err
+	}
+	err = r.nodesWorker.call(nodesConfig{Config: *cfg, Servers: first.Addrs}, &nodes)
+	return first.Addrs, nodes, err
+}
+
+// agentEndpoints is discovery's list of all servers. Those past the configured ones are listed by changes alone.
+func (r *run) agentEndpoints(servers []string) ([]agentEndpoint, error) {
+	endpoints := make([]agentEndpoint, len(servers))
+	for i, s := range servers {
+		addr, err := netip.ParseAddrPort(s)
+		if err != nil {
+			return nil, err
+		}
+		endpoints[i] = agentEndpoint{
+			UID: fmt.Sprintf("app-%05d", i), Addr: addr, Zone: zoneName(i), Model: "m" + strconv.Itoa(i/7%3),
+			Cell: i / 24 % 4096, State: stateNames[protocol.InService], Weight: 1, listed: i < r.cfg.Servers,
+		}
+	}
+	return endpoints, nil
+}
+
+// zoneName is a server's zone.
+func zoneName(server int) string {
+	zone := server % (regions * zonesPerRegion)
+	return fmt.Sprintf("r%d-z%d", zone/zonesPerRegion, zone%zonesPerRegion)
+}
+
+// makeRealNodes gives the real nodes their addresses and tells each how it reaches its peers.
+func (r *run) makeRealNodes(nodes nodesReply) error {
+	peers := make([]netip.AddrPort, 0, r.cfg.liveNodes())
+	for _, s := range slices.Concat(nodes.Proxies, nodes.Nodes) {
+		addr, err := netip.ParseAddrPort(s)
+		if err != nil {
+			return err
+		}
+		peers = append(peers, addr)
+	}
+	for i := range r.cfg.Real {
+		n := &realNode{
+			number: i, agentAddr: r.agent.watches[i].addr, broadcastAddr: nodes.Broadcast, peerAddrs: slices.Clone(peers),
+		}
+		var err error
+		if n.clientAddr, err = freeAddress("tcp", realNodeBlock, i); err != nil {
+			return err
+		}
+		if n.peerAddr, err = freeAddress("udp", realNodeBlock, i); err != nil {
+			return err
+		}
+		if n.peerAddrs[i], err = netip.ParseAddrPort(n.peerAddr); err != nil {
+			return err
+		}
+		r.nodes = append(r.nodes, n)
+	}
+	return nil
+}
+
+// startRealNodes starts all real nodes at once.
+func (r *run) startRealNodes(ctx context.Context) error {
+	started := make(chan error, len(r.nodes))
+	for _, n := range r.nodes {
+		go func() { started <- n.start(ctx, &r.cfg, r.agent.snapshot(), 0) }() // ends within startTimeout
+	}
+	var err error
+	for range r.nodes {
+		err = errors.Join(err, <-started)
+	}
+	return err
+}
