--- /dev/null
+++ b/internal/lab/load/arrivals.go
@@ -0,0 +1,88 @@
+package load
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"cherrygap/internal/operatorfile"
+)
+
+// Seeds' second halves, one a purpose, so that the draws of one don't shift those of another.
+const (
+	arrivalStream = 0x6c6f6164
+	requestStream = 0x6964
+)
+
+// Arrival is one request that is due at an offset from the start.
+type Arrival struct {
+	At          time.Duration
+	Class       int // index of the traffic's classes
+	Customer    uint64
+	ClientRetry bool // a client tries again after a rejection
+}
+
+// Plan draws the first arrivals of a run: a Poisson process at cfg.Rate, multiplied by BurstX during bursts. The same
+// seed gives the same plan.
+func Plan(cfg operatorfile.Traffic, seed uint64) []Arrival {
+	var out []Arrival
+	for s := NewStream(cfg, seed); ; {
+		a, ok := s.Next()
+		if !ok {
+			return out
+		}
+		out = append(out, a)
+	}
+}
+
+// Stream draws a plan's arrivals one at a time, for runs too long to hold them all.
+type Stream struct {
+	cfg         operatorfile.Traffic
+	rng         *rand.Rand
+	customers   *rand.Zipf
+	totalShares float64 // of the classes
+	now         float64 // s
+}
+
+// NewStream starts the plan of cfg and seed.
+func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
+	rng := rand.New(rand.NewPCG(seed, arrivalStream))
+	s := &Stream{cfg: cfg, rng: rng, customers: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
+	for _, class := range cfg.Bands {
+		s.totalShares += class.Share
+	}
+	return s
+}
+
+// Next gives the next arrival, or false once the plan's duration has passed.
+func (s *Stream) Next() (Arrival, bool) {
+	rate := s.cfg.Rate
+	if inBurst(s.cfg, s.now) {
+		rate *= s.cfg.BurstX
+	}
+	s.now += s.rng.ExpFloat64() / rate
+	if s.now >= s.cfg.DurationS {
+		return Arrival{}, false
+	}
+	return Arrival{
+		At:       time.Duration(s.now * float64(time.Second)),
+		Class:    s.drawClass(),
+		Customer: s.customers.Uint64(),
+	}, true
+}
+
+// drawClass draws a class by the classes' shares.
+func (s *Stream) drawClass() int {
+	pick := s.rng.Float64() * s.totalShares
+	for i, class := range s.cfg.Bands {
+		if pick < class.Share {
+			return i
+		}
+		pick -= class.Share
+	}
+	return max(0, len(s.cfg.Bands)-1)
+}
+
+func inBurst(cfg operatorfile.Traffic, now float64) bool {
+	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(now, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
+}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/generator_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// A server that is slow on one connection must show in the latency: it counts from when each ticket was
-// due, so tickets waiting for the connection are not hidden (no coordinated omission).
+// A server that is slow on one connection must show in the latency: it counts from when each request was
+// due, so requests waiting for the connection are not hidden (no coordinated omission).
 func TestLatencyCountsFromDue(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, "/seat-") || r.Header.Get("X-Call-Id") == "" {
@@ -45,35 +45,35 @@
 	for i := range cfg.Bands {
 		cfg.Bands[i].BudgetMs = 60000
 	}
-	tool := &Generator{Cfg: cfg, Seed: 1}
-	res, err := tool.Run(context.Background())
+	generator := &Generator{Cfg: cfg, Seed: 1}
+	res, err := generator.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := res.Summary()
-	// ~100 tickets through one connection at 20 ms each take ~2 s: the last waited ~1.5 s past its due time.
+	// ~100 requests through one connection at 20 ms each take ~2 s: the last waited ~1.5 s past its due time.
 	if s.Outcomes["completed"] != s.Sent || s.P99Ms < 1000 {
 		t.Fatalf("%+v", s)
 	}
 }
 
-// A tool that falls behind says so: a ticket sent 50 ms after it was due shows in the tool's own lag, and in
-// the ticket's latency.
+// A generator that falls behind says so: a request sent 50 ms after it was due shows in its own lag, and
+// in the request's latency.
 func TestFallingBehindIsReported(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
 	cfg := operatorfile.Default().Lab.Load
 	cfg.Target = strings.TrimPrefix(srv.URL, "http://")
 	cfg.Rate, cfg.DurationS = 20, 0.2
-	tool := &Generator{Cfg: cfg, Seed: 1}
-	tool.Client = srv.Client()
-	res, err := tool.Run(context.Background()) // sets up; its own plan is kept by a free tool
+	generator := &Generator{Cfg: cfg, Seed: 1}
+	generator.Client = srv.Client()
+	res, err := generator.Run(context.Background()) // sets up; its own plan is kept by an idle generator
 	if err != nil || res.Behind {
-		t.Fatalf("an idle tool fell behind: %v %+v", err, res.Summary())
+		t.Fatalf("an idle generator fell behind: %v %+v", err, res.Summary())
 	}
 	start := time.Now()
-	tool.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
-	if lag, took := tool.res.Lag.Max(), tool.res.Latency.Max(); lag < 40_000 || took < 40_000 {
+	generator.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
+	if lag, took := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || took < 40_000 {
 		t.Fatalf("lag not seen: %d µs, latency %d µs", lag, took)
 	}
 }
--- a/internal/lab/load/golden_test.go
+++ b/internal/lab/load/golden_test.go
@@ -15,15 +15,17 @@
 // A series of two seconds has the lines that testdata/series.jsonl keeps, byte for byte, and lab report reads it.
 func TestSeriesKeys(t *testing.T) {
 	var out bytes.Buffer
-	tool := &Generator{Series: &out, res: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
-		sec: secondAcc{lat: hdr.New(1, maxMicros, 3), sent: 10, lag: 1500}}
+	generator := &Generator{
+		Series: &out, result: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
+		second: secondCounts{latency: hdr.New(1, maxMicros, 3), sent: 10, lagMicros: 1500},
+	}
 	for o, n := range []int{4, 3, 2, 1} {
 		for k := range n {
-			tool.end(Outcome(o), time.Duration(k+1)*time.Millisecond)
+			generator.recordOutcome(Outcome(o), time.Duration(k+1)*time.Millisecond)
 		}
 	}
 	for range 2 { // the second one is empty
-		if err := tool.flush(); err != nil {
+		if err := generator.flushSecond(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,9 +36,9 @@
 	if !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("got\n%s", out.String())
 	}
-	_ = tool.res.Lag.RecordValue(1500)
-	tool.res.Behind = true
-	raw, err := json.Marshal(tool.res.Summary())
+	_ = generator.result.Lag.RecordValue(1500)
+	generator.result.Behind = true
+	raw, err := json.Marshal(generator.result.Summary())
 	const summary = `{"sent":10,"again":1,"outcomes":{"bounced":3,"broken":2,"completed":4,"gave_up":1},"p50_ms":2,` +
 		`"p99_ms":4.001,"p999_ms":4.001,"lag_p99_ms":1.5,"behind":true}`
 	if err != nil || string(raw) != summary {
