--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -177,8 +177,8 @@
 	none := zerolog.Nop()
 	var first sync.Once
 	return &transport.DiscoveryClient{
-		Addr: agent, Full: true, Log: &none, Count: &transport.Counters{},
-		Limits: transport.Limits{Sockets: 64, MemoryMB: 64, Connect: time.Second},
+		Addr: agent, Full: true, Log: &none, Counters: &transport.Counters{},
+		Limits: transport.Limits{Sockets: 64, MemoryMB: 64, ConnectTimeout: time.Second},
 		OnList: func(list *protocol.EndpointList) {
 			f.applyList(list)
 			first.Do(func() { close(f.ready) })
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -48,10 +48,10 @@
 	cfg := &r.cfg
 	count := strconv.Itoa(cfg.Servers + cfg.spareServers())
 	seed := strconv.FormatUint(cfg.Seed, 10)
-	if r.serversWorker, err = startWorker(ctx, cfg, "servers", "lab", "scale-servers", "--many", count, "--seed", seed); err != nil {
+	if r.serversWorker, err = startWorker(ctx, cfg, "servers", "lab", "scale-servers", "--count", count, "--seed", seed); err != nil {
 		return nil, nodes, err
 	}
-	if r.nodesWorker, err = startWorker(ctx, cfg, "nodes", "lab", "scale-nodes"); err != nil {
+	if r.nodesWorker, err = startWorker(ctx, cfg, "nodes", "lab", "scale-simulated-nodes"); err != nil {
 		return nil, nodes, err
 	}
 	var first serversReply
