--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -40,18 +40,18 @@
 // platform says.
 func (c *config) transportLimits() transport.Limits {
 	limits := transport.Limits{
-		Sockets:  c.Limits.Sockets,
-		MemoryMB: c.Limits.MemoryMB,
-		Idle:     c.durationSetting("idle"),
-		Connect:  c.durationSetting("connect"),
-		GRPC:     c.grpc.Listen != "",
+		Sockets:           c.Limits.Sockets,
+		MemoryMB:          c.Limits.MemoryMB,
+		ServerIdleTimeout: c.durationSetting("idle"),
+		ConnectTimeout:    c.durationSetting("connect"),
+		GRPC:              c.grpc.Listen != "",
 	}
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(limits.Sockets) {
 		limits.Sockets = int(files.Cur)
 	}
-	if limits.Connect <= 0 {
-		limits.Connect = defaultConnectTimeout
+	if limits.ConnectTimeout <= 0 {
+		limits.ConnectTimeout = defaultConnectTimeout
 	}
 	return limits
 }
--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -19,7 +19,7 @@
 	}
 	l := c.transportLimits()
 	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings["node"] != "2" ||
-		l.Idle != 15*time.Second || l.Connect != 250*time.Millisecond || l.Sockets != 1024 {
+		l.ServerIdleTimeout != 15*time.Second || l.ConnectTimeout != 250*time.Millisecond || l.Sockets != 1024 {
 		t.Errorf("read as %+v, limits %+v", c, l)
 	}
 }
--- a/cmd/cherrygap/pin_values_test.go
+++ b/cmd/cherrygap/pin_values_test.go
@@ -27,7 +27,7 @@
 		"peer": fmt.Sprint(c.Peer), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeersAll),
 		"given":   fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
 		"known":   fmt.Sprint(c.known.Revision, c.known.Full, len(c.known.Endpoints)),
-		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.Idle), "connect": fmt.Sprint(l.Connect),
+		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.ServerIdleTimeout), "connect": fmt.Sprint(l.ConnectTimeout),
 		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
 		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Me, d.Nodes, d.Seed, d.Take, d.Bytes, d.Every),
 		"names":     fmt.Sprintf("%q", names),
--- a/cmd/cherrygap/server.go
+++ b/cmd/cherrygap/server.go
@@ -67,7 +67,7 @@
 func newServer(c *config) *server {
 	s := &server{config: c, counters: &transport.Counters{}, pollRequests: make(chan struct{}, 1)}
 	var closeLog func()
-	s.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { s.counters.LinesLost.Add(int64(lines)) })
+	s.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { s.counters.LogLinesDropped.Add(int64(lines)) })
 	s.onClose(closeLog)
 	s.limits = c.transportLimits()
 	return s
@@ -136,7 +136,7 @@
 
 // reload reads the platform's configuration again. One that is no good changes nothing.
 func (s *server) reload() {
-	next, err := s.config.reload(s.discovery.Move)
+	next, err := s.config.reload(s.discovery.SwitchTo)
 	if err != nil {
 		s.log.Error().Err(err).Msg("configuration reload failed")
 		return
--- a/cmd/cherrygap/server_parts.go
+++ b/cmd/cherrygap/server_parts.go
@@ -64,7 +64,7 @@
 // sendToPeer sends a message to one node, or to all below 0. Without a socket it counts as failed.
 func (s *server) sendToPeer(peer int, payload []byte) {
 	if s.peers == nil {
-		s.counters.ToldFailed.Add(1)
+		s.counters.PeerMessagesUnsent.Add(1)
 		return
 	}
 	s.peers.Send(peer, payload)
@@ -120,7 +120,7 @@
 		Full:      !s.hasEndpoints,
 		Limits:    s.limits,
 		Log:       &s.log,
-		Count:     s.counters,
+		Counters:  s.counters,
 		OnFailure: s.router.PollFailed,
 		OnList:    s.updateEndpoints,
 	}
