--- a/cmd/cherrygap/lab_load.go
+++ b/cmd/cherrygap/lab_load.go
@@ -49,7 +49,7 @@
 	if err := checkFlags(file); err != nil {
 		return err
 	}
-	tool := &load.Tool{Cfg: *traffic, Seed: file.Lab.Seed}
+	tool := &load.Generator{Cfg: *traffic, Seed: file.Lab.Seed}
 	return withSeries(flags.series, func(series io.Writer) error {
 		tool.Series = series
 		ctx, stop := contextUntilSignal(0)
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -47,12 +47,12 @@
 	}
 	cfg.Dir = t.TempDir()
 	cfg.Nodes, cfg.Real, cfg.Servers, cfg.Tenants = 8, 2, 40, 200
-	cfg.Rate, cfg.HollowRate, cfg.For, cfg.Sockets = 40, 10, 6*time.Second, 256
+	cfg.Rate, cfg.SimulatedRate, cfg.Duration, cfg.Sockets = 40, 10, 6*time.Second, 256
 	return cfg
 }
 
 // The small form of lab scale with all its faults: nothing runs twice, all is answered, nothing goes to a server that was
-// drained, every change comes into force at every node, real nodes hear each other and the hollow ones, and every child ends.
+// drained, every change comes into force at every node, real nodes hear each other and the simulated ones, and every child ends.
 func TestScaleInSmall(t *testing.T) {
 	cfg := smallScale(t)
 	before := offspring(t)
@@ -66,7 +66,7 @@
 	}
 	checkScaleRequests(t, r)
 	checkScaleFleet(t, r)
-	for _, name := range []string{"servers", "hollow", "real0", "real1"} {
+	for _, name := range []string{"servers", "nodes", "real0", "real1"} {
 		if log, err := os.ReadFile(filepath.Join(cfg.Dir, name+".log")); err != nil || bytes.Contains(log, []byte("DATA RACE")) {
 			t.Errorf("%v, %s", err, log)
 		}
@@ -88,10 +88,10 @@
 // checkScaleRequests checks how the requests of a small run ended.
 func checkScaleRequests(t *testing.T, r *scale.Result) {
 	t.Helper()
-	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.HollowRequests.Completed < 100 || r.Straight < 10 {
+	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.SimulatedRequests.Completed < 100 || r.Direct < 10 {
 		t.Error("too little was done")
 	}
-	if r.Duplicates+r.Unanswered+r.HollowRequests.Unanswered+r.Unreached+r.SendsToDrained+r.Other != 0 {
+	if r.Duplicates+r.Unanswered+r.SimulatedRequests.Unanswered+r.ConnectFailed+r.SendsToDrained+r.OtherStatus != 0 {
 		t.Error("duplicates, requests with no answer or no sense, or sends to drained servers")
 	}
 }
@@ -99,13 +99,13 @@
 // checkScaleFleet checks that the faults of a small run were played, and that all was measured.
 func checkScaleFleet(t *testing.T, r *scale.Result) {
 	t.Helper()
-	if r.Changes < 6 || r.NotInForce != 0 || r.InForceAllMost > 6 {
+	if r.Changes < 6 || r.ChangesNotApplied != 0 || r.MaxAppliedAll > 6 {
 		t.Error("changes not in force in time")
 	}
-	if r.EndedItself+r.Killed != 0 || r.Restarts != 2 || r.HollowRestarts != 6 {
+	if r.Exited+r.Killed != 0 || r.Restarts != 2 || r.SimulatedRestarts != 6 {
 		t.Error("a node ended by itself, or not when told, or was not started anew")
 	}
-	if r.ThroughP99 <= 0 || r.StraightP50 <= 0 || r.PeakMiB <= 0 || r.DiscoveryLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
+	if r.ViaNodeP99 <= 0 || r.DirectP50 <= 0 || r.PeakRSSMiB <= 0 || r.DiscoveryFullLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
 		t.Error("figures are missing")
 	}
 }
@@ -142,7 +142,7 @@
 	}{
 		"under way":    {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
 		"at its start": {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
-		"hard stop":    {time.Minute, func(_ *testing.T, c *scale.Config) { c.For, c.Hard = time.Second, time.Second }, "hard stop"},
+		"hard stop":    {time.Minute, func(_ *testing.T, c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "hard stop"},
 		"no node":      {time.Minute, blockNodeFile, "real1.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,7 +177,7 @@
 		cfg.Program, cfg.Dir)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 ||
-		string(out) != "cherrygap: the hollow app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
+		string(out) != "cherrygap: the simulated app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
 		t.Errorf("%q, %v", out, err)
 	}
 	if files, _ := os.ReadDir(cfg.Dir); len(files) > 0 {
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -33,7 +33,7 @@
 // arrive plays an arrival and schedules the next.
 func (s *Sim) arrive() {
 	a := s.nextArrival
-	s.addRequest(a.Band, tenant(a.Customer), false)
+	s.addRequest(a.Class, tenant(a.Customer), false)
 	s.scheduleArrival()
 }
 
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -117,14 +117,14 @@
 	for _, f := range faults {
 		switch f.Kind {
 		case emulator.Slow:
-			ms *= f.X
+			ms *= f.Factor
 		case emulator.Error:
 			a.outcome = protocol.Errored
 		case emulator.Reset:
 			a.outcome = protocol.ConnectionReset
-		case emulator.Spoil:
+		case emulator.Malform:
 			a.outcome = protocol.MalformedResponse
-		case emulator.Lose:
+		case emulator.LoseAnswer:
 			a.lost = true
 		}
 	}
@@ -216,10 +216,10 @@
 func (s *Sim) activeFaults(sv *server) []emulator.Fault {
 	var active []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
-		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.At() || s.now >= f.End() {
+		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
 			continue
 		}
-		if f.P >= 1 || sv.random.Float64() < f.P {
+		if f.Probability >= 1 || sv.random.Float64() < f.Probability {
 			active = append(active, f)
 		}
 	}
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -94,11 +94,11 @@
 	for _, f := range s.cfg.Schedule.Faults {
 		switch f.Kind {
 		case emulator.Restart:
-			s.schedule(&event{at: f.At(), kind: eventRestart, server: f.Server, down: true})
+			s.schedule(&event{at: f.Start(), kind: eventRestart, server: f.Server, down: true})
 			s.schedule(&event{at: f.End(), kind: eventRestart, server: f.Server})
 		case emulator.Drain:
-			s.schedule(&event{at: f.At(), kind: eventDrain, server: f.Server})
-			s.schedule(&event{at: f.At() + drainNotice, kind: eventDrainNotified, server: f.Server})
+			s.schedule(&event{at: f.Start(), kind: eventDrain, server: f.Server})
+			s.schedule(&event{at: f.Start() + drainNotice, kind: eventDrainNotified, server: f.Server})
 		}
 	}
 }
