--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -53,7 +53,7 @@
 
 	shadowSettings map[string]string // for the shadow evaluation; nil for none
 	logLevel       zerolog.Level     // applyOperator sets it: the zero value would be debug
-	healthChecks   operatorfile.Duties
+	healthChecks   operatorfile.HealthChecks
 	quota          operatorfile.Quota
 	authz          operatorfile.Authz
 	grpc           operatorfile.GRPC
@@ -176,14 +176,14 @@
 
 // applyOperator adds the operator file's part. A file that holds nothing changes nothing but the log's level.
 func (c *config) applyOperator(file operatorfile.File) error {
-	c.logLevel, c.healthChecks, c.quota = parseLogLevel(file.Log.Level), file.Duties, file.Quota
+	c.logLevel, c.healthChecks, c.quota = parseLogLevel(file.Log.Level), file.HealthChecks, file.Quota
 	c.authz, c.grpc = file.Authz, file.GRPC
 	var err error
-	if c.settings, err = file.Settings.Over(c.settings); err != nil {
+	if c.settings, err = file.Settings.Apply(c.settings); err != nil {
 		return &keyError{"settings", err}
 	}
-	if file.Watch.On {
-		if c.shadowSettings, err = file.Watch.Settings.Over(c.settings); err != nil {
+	if file.Shadow.Enabled {
+		if c.shadowSettings, err = file.Shadow.Settings.Apply(c.settings); err != nil {
 			return &keyError{"watch.settings", err}
 		}
 	}
--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -63,7 +63,7 @@
 // sharesHealthChecks reports whether this node takes part in the fleet's shared health checks: where the operators want it,
 // the platform allows health checks and messages between nodes, and this node is one of several with an address.
 func (c *config) sharesHealthChecks() bool {
-	wanted := c.healthChecks.On && c.settings["probes"] == "true" && c.settings["peers"] == "true"
+	wanted := c.healthChecks.Enabled && c.settings["probes"] == "true" && c.settings["peers"] == "true"
 	self, err := strconv.Atoi(c.settings["node"])
 	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && err == nil && self >= 0 && self < len(c.Peers)
 }
@@ -71,12 +71,12 @@
 // healthCheckConfig is what the shared health checks start with.
 func (c *config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
-		Me:    int(c.floatSetting("node")),
-		Nodes: len(c.Peers),
-		Seed:  c.randomSeed,
-		Take:  c.floatSetting("peers.take"),
-		Bytes: c.healthChecks.Bytes,
-		Every: time.Duration(c.healthChecks.CheckMs * float64(time.Millisecond)),
+		Self:        int(c.floatSetting("node")),
+		Nodes:       len(c.Peers),
+		Seed:        c.randomSeed,
+		ReceiveRate: c.floatSetting("peers.take"),
+		SendRate:    c.healthChecks.MaxBytesPerS,
+		Interval:    time.Duration(c.healthChecks.IntervalMs * float64(time.Millisecond)),
 	}
 }
 
@@ -96,11 +96,11 @@
 		shortest = slices.Min(objectives)
 	}
 	return quota.Config{
-		Me:    c.intSetting("node"),
-		Nodes: c.intSetting("nodes"),
-		Seed:  c.randomSeed,
-		Calls: c.quota.Calls,
-		Wait:  quota.ExchangeTimeout(shortest),
+		Self:         c.intSetting("node"),
+		Nodes:        c.intSetting("nodes"),
+		Seed:         c.randomSeed,
+		ExchangeRate: c.quota.MaxCallsPerS,
+		Timeout:      quota.ExchangeTimeout(shortest),
 	}
 }
 
@@ -118,15 +118,15 @@
 // name. A class that the platform does not name is an unknownClassError.
 func (c *config) authorizationConfig() (authz.Config, map[string]int, error) {
 	names, objectives := c.requestClasses()
-	cfg, numbers := authz.Config{Most: c.authz.Most}, map[string]int{}
+	cfg, numbers := authz.Config{MaxInFlight: c.authz.MaxInFlight}, map[string]int{}
 	if c.settings["advice"] == "true" {
-		cfg.Advice = c.durationSetting("advice.most")
+		cfg.MaxRetryAfter = c.durationSetting("advice.most")
 	}
 	for i, name := range names {
 		numbers[name] = i
-		cfg.Bands = append(cfg.Bands, authz.Band{Contract: objectives[i], Open: slices.Contains(c.authz.PassOpen, name)})
+		cfg.Classes = append(cfg.Classes, authz.Class{LatencyObjective: objectives[i], FailOpen: slices.Contains(c.authz.FailOpen, name)})
 	}
-	for _, name := range c.authz.PassOpen {
+	for _, name := range c.authz.FailOpen {
 		if _, ok := numbers[name]; !ok {
 			return cfg, nil, &unknownClassError{key: "authz.pass_open", class: name, known: names}
 		}
--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -154,14 +154,14 @@
 	} {
 		conf := mustParse(t, strings.Replace(text, c.old, c.new, 1))
 		op := operatorfile.Default()
-		op.Duties.On = c.on
+		op.HealthChecks.Enabled = c.on
 		if err := conf.applyOperator(op); err != nil {
 			t.Fatal(err)
 		}
 		if conf.sharesHealthChecks() != c.want {
 			t.Errorf("%d: shares %v", k, !c.want)
 		}
-		if d := conf.healthCheckConfig(); k == 0 && (d.Me != 2 || d.Nodes != 3 || d.Bytes != 4096 || d.Every != 5*time.Second) {
+		if d := conf.healthCheckConfig(); k == 0 && (d.Self != 2 || d.Nodes != 3 || d.SendRate != 4096 || d.Interval != 5*time.Second) {
 			t.Errorf("told %+v", d)
 		}
 	}
--- a/cmd/cherrygap/grpc.go
+++ b/cmd/cherrygap/grpc.go
@@ -13,16 +13,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return grpcfrontend.Dial(c.authz.Service, cfg, classes)
+	return grpcfrontend.DialAuthorizer(c.authz.Service, cfg, classes)
 }
 
 // listenGRPC starts the gRPC front end beside the HTTP one. drain stops it, and returns once its last request has ended.
 func listenGRPC(c *config, frontEnd *transport.Server) (drain func(), err error) {
-	methods, err := grpcfrontend.Methods(c.settings)
+	methods, err := grpcfrontend.HTTPMethods(c.settings)
 	if err != nil {
 		return nil, err
 	}
-	server, err := grpcfrontend.Listen(c.grpc.Listen, frontEnd, methods, uint32(c.grpc.Calls))
+	server, err := grpcfrontend.Listen(c.grpc.Listen, frontEnd, methods, uint32(c.grpc.MaxCalls))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -75,13 +75,13 @@
 
 // checkFlags runs the values of flags through the operator file's checks, so that a bad one names itself as a key.
 func checkFlags(file operatorfile.File) error {
-	faults := file.Check()
+	faults := file.Validate()
 	if len(faults) == 0 {
 		return nil
 	}
 	texts := make([]string, len(faults))
 	for i, fault := range faults {
-		texts[i] = fault.String()
+		texts[i] = fault.Error()
 	}
 	return errors.New(strings.Join(texts, "; "))
 }
--- a/cmd/cherrygap/lab_healthchecks.go
+++ b/cmd/cherrygap/lab_healthchecks.go
@@ -21,8 +21,8 @@
 the fault all agree on which nodes live. The check interval and the byte limit come from the operator file's [duties].`,
 		Args: cobra.NoArgs,
 		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
-			cfg.Every = time.Duration(file.Duties.CheckMs * float64(time.Millisecond))
-			cfg.Bytes = file.Duties.Bytes
+			cfg.Interval = time.Duration(file.HealthChecks.IntervalMs * float64(time.Millisecond))
+			cfg.SendRate = file.HealthChecks.MaxBytesPerS
 			result, err := healthlab.Play(cfg)
 			if err != nil {
 				return err
@@ -33,10 +33,10 @@
 	flags := cmd.Flags()
 	flags.IntVar(&cfg.Nodes, "nodes", 80, "edge nodes, 2 or more")
 	flags.IntVar(&cfg.Servers, "servers", 60, "app servers, 1 or more")
-	flags.DurationVar(&cfg.For, "for", 2*time.Minute, "virtual time")
+	flags.DurationVar(&cfg.Duration, "for", 2*time.Minute, "virtual time")
 	flags.Uint64Var(&cfg.Seed, "seed", 1, "seed of every random draw")
 	flags.StringVar(&cfg.Scenario, "scenario", "vanish", strings.Join(healthlab.Scenarios, ", "))
-	flags.Float64Var(&cfg.Take, "peer-rate", 40, "messages a second that a node receives from peers, of all kinds")
+	flags.Float64Var(&cfg.ReceiveRate, "peer-rate", 40, "messages a second that a node receives from peers, of all kinds")
 	return cmd
 }
 
--- a/cmd/cherrygap/pin_values_test.go
+++ b/cmd/cherrygap/pin_values_test.go
@@ -29,13 +29,13 @@
 		"known":   fmt.Sprint(c.known.Revision, c.known.Full, len(c.known.Endpoints)),
 		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.ServerIdleTimeout), "connect": fmt.Sprint(l.ConnectTimeout),
 		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
-		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Me, d.Nodes, d.Seed, d.Take, d.Bytes, d.Every),
+		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Self, d.Nodes, d.Seed, d.ReceiveRate, d.SendRate, d.Interval),
 		"names":     fmt.Sprintf("%q", names),
 		"contracts": fmt.Sprint(contracts),
-		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Me, q.Nodes, q.Seed, q.Calls, q.Wait),
-		"checks":    fmt.Sprint(checks.Most, " ", checks.Advice, " ", checks.Bands, " ", numbers, " ", err),
-		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.logLevel, c.quota.Store, c.authz.Service, c.authz.PassOpen, c.grpc.Listen,
-			c.grpc.Calls),
+		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Self, q.Nodes, q.Seed, q.ExchangeRate, q.Timeout),
+		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", numbers, " ", err),
+		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.logLevel, c.quota.Store, c.authz.Service, c.authz.FailOpen, c.grpc.Listen,
+			c.grpc.MaxCalls),
 	}
 }
 
--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -33,9 +33,9 @@
 
 // Each kind of message, with each kind of part, is read and written as before.
 func TestGoldenMessages(t *testing.T) {
-	three := Config{Me: 0, Nodes: 3, Seed: 1, Take: 40, Every: 5 * time.Second}
-	nine := Config{Me: 4, Nodes: 9, Seed: 2, Take: 40, Bytes: 4096, Every: 5 * time.Second}
-	large := Config{Me: 7, Nodes: 2500, Seed: 3, Take: 400, Every: 5 * time.Second}
+	three := Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 40, Interval: 5 * time.Second}
+	nine := Config{Self: 4, Nodes: 9, Seed: 2, ReceiveRate: 40, SendRate: 4096, Interval: 5 * time.Second}
+	large := Config{Self: 7, Nodes: 2500, Seed: 3, ReceiveRate: 400, Interval: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
 		cfg    Config
@@ -165,7 +165,7 @@
 
 func (p *transcript) start(k int, duties []Check) {
 	cfg := p.cfg
-	cfg.Me, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
+	cfg.Self, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
 	p.nodes[k] = New(cfg, p.now)
 	p.nodes[k].SetChecks(p.now, duties)
 }
@@ -238,7 +238,7 @@
 		first  []string // the first messages
 	}{
 		{
-			name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, Take: 40, Every: 2 * time.Second},
+			name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, ReceiveRate: 40, Interval: 2 * time.Second},
 			play: func(p *transcript) { p.play(20 * time.Second) }, lines: 190, digest: "295d7a00564149d3a2c1f4fa022cc6e5ede31de5d2e9ab2980b3676037e9c15d", first: []string{
 				"0.08 0>1 d00101db052768",
 				"0.08 0>1 d00102db052768",
@@ -247,7 +247,7 @@
 			},
 		},
 		{
-			name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, Take: 40, Every: 2 * time.Second},
+			name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, ReceiveRate: 40, Interval: 2 * time.Second},
 			play: func(p *transcript) {
 				p.play(10 * time.Second)
 				p.nodes[1] = nil
@@ -262,7 +262,7 @@
 			},
 		},
 		{
-			name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, Take: 80, Bytes: 400, Every: time.Second},
+			name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
 			play: func(p *transcript) {
 				p.loss = 0.2
 				p.play(15 * time.Second)
@@ -281,7 +281,7 @@
 			},
 		},
 		{
-			name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, Take: 4000, Every: time.Second},
+			name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, ReceiveRate: 4000, Interval: time.Second},
 			play: func(p *transcript) {
 				for k := range p.nodes {
 					if k%100 > 0 && k != 1099 {
@@ -300,7 +300,7 @@
 			},
 		},
 		{
-			name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, Take: 20, Every: 9 * time.Second},
+			name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
 			play: func(p *transcript) {
 				many := make([]Check, 1500)
 				for k := range many {
@@ -327,7 +327,7 @@
 			},
 		},
 		{
-			name: "one node", cfg: Config{Nodes: 1, Seed: 15, Every: time.Second},
+			name: "one node", cfg: Config{Nodes: 1, Seed: 15, Interval: time.Second},
 			play: func(p *transcript) { p.play(6 * time.Second) }, lines: 36, digest: "d83b4fbbab643fd42ad01acdd65aeac1bb3541d8081db9b2df4a41eb7fdef710", first: []string{},
 		},
 	} {
@@ -392,7 +392,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := New(Config{Nodes: 9, Seed: 2, Take: 40}, 0)
+		n := New(Config{Nodes: 9, Seed: 2, ReceiveRate: 40}, 0)
 		if read := n.ReceivePeerMessage(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
 			t.Errorf("%s: read %v", c.text, read)
 		}
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -96,7 +96,7 @@
 func (s *Server) serviceTime(units float64, faults []Fault) time.Duration {
 	ms := s.cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(s.cfg.Spread*s.rng.NormFloat64())
 	if up := time.Since(s.bootedAt).Seconds(); s.cfg.WarmupS > 0 && up < s.cfg.WarmupS {
-		ms *= 1 + (s.cfg.ColdFactor-1)*(1-up/s.cfg.WarmupS)
+		ms *= 1 + (s.cfg.WarmupFactor-1)*(1-up/s.cfg.WarmupS)
 	}
 	for _, fault := range faults {
 		if fault.Kind == Slow {
@@ -192,7 +192,7 @@
 }
 
 func (s *Server) answerHealthCheck(w http.ResponseWriter, r *http.Request) {
-	if !s.cfg.Probes {
+	if !s.cfg.HealthChecks {
 		http.NotFound(w, r)
 		return
 	}
@@ -207,7 +207,7 @@
 }
 
 func (s *Server) addLoadReport(w http.ResponseWriter) {
-	if s.cfg.Reports {
+	if s.cfg.LoadReports {
 		w.Header().Set("X-Load-Report", s.loadReport())
 	}
 }
--- a/internal/lab/healthlab/golden_test.go
+++ b/internal/lab/healthlab/golden_test.go
@@ -18,8 +18,8 @@
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			r, err := Play(Config{
-				Nodes: 20, Servers: 30, For: 60 * time.Second, Seed: 4, Scenario: scenario, Take: 40, Bytes: 700,
-				Every: 5 * time.Second,
+				Nodes: 20, Servers: 30, Duration: 60 * time.Second, Seed: 4, Scenario: scenario, ReceiveRate: 40, SendRate: 700,
+				Interval: 5 * time.Second,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -48,7 +48,7 @@
 func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
 	rng := rand.New(rand.NewPCG(seed, arrivalStream))
 	s := &Stream{cfg: cfg, rng: rng, customers: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
-	for _, class := range cfg.Bands {
+	for _, class := range cfg.Classes {
 		s.totalShares += class.Share
 	}
 	return s
@@ -74,13 +74,13 @@
 // drawClass draws a class by the classes' shares.
 func (s *Stream) drawClass() int {
 	pick := s.rng.Float64() * s.totalShares
-	for i, class := range s.cfg.Bands {
+	for i, class := range s.cfg.Classes {
 		if pick < class.Share {
 			return i
 		}
 		pick -= class.Share
 	}
-	return max(0, len(s.cfg.Bands)-1)
+	return max(0, len(s.cfg.Classes)-1)
 }
 
 func inBurst(cfg operatorfile.Traffic, now float64) bool {
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -47,7 +47,7 @@
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
 		g.Client = &http.Client{Transport: &http.Transport{
-			MaxConnsPerHost: g.Cfg.Conns, MaxIdleConnsPerHost: g.Cfg.Conns, DisableCompression: true,
+			MaxConnsPerHost: g.Cfg.Connections, MaxIdleConnsPerHost: g.Cfg.Connections, DisableCompression: true,
 		}}
 	}
 	g.rng = rand.New(rand.NewPCG(g.Seed, requestStream))
@@ -115,7 +115,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	id = g.rng.Uint64()
-	retries = g.rng.Float64() < g.Cfg.AgainP
+	retries = g.rng.Float64() < g.Cfg.RetryProbability
 	recordMicros(g.result.Lag, lag)
 	g.result.Sent++
 	g.second.sent++
@@ -135,7 +135,7 @@
 
 // roundTrip sends a request and reads its answer, for as long as its client waits.
 func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) response {
-	class := g.Cfg.Bands[a.Class]
+	class := g.Cfg.Classes[a.Class]
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(class.BudgetMs)*time.Millisecond))
 	defer cancel()
 	failure := func() response {
@@ -168,9 +168,9 @@
 }
 
 func (g *Generator) newRequest(ctx context.Context, a Arrival, id uint64) (*http.Request, error) {
-	class := g.Cfg.Bands[a.Class]
+	class := g.Cfg.Classes[a.Class]
 	method := http.MethodGet
-	if class.Repeats == unsafeClass {
+	if class.RetrySafety == unsafeClass {
 		method = http.MethodPost
 	}
 	url := fmt.Sprintf("http://%s/%s/%016x", g.Cfg.Target, class.Name, a.Customer)
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -111,7 +111,7 @@
 	}
 	b.level = min(burst, b.level+s.cfg.Quota*part*(s.now-b.filledAt).Seconds())
 	b.filledAt = s.now
-	units := s.cfg.Traffic.Bands[req.class].Units
+	units := s.cfg.Traffic.Classes[req.class].Units
 	if b.level < units {
 		return false
 	}
--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -58,7 +58,7 @@
 func TestBaselineBucket(t *testing.T) {
 	cfg := testConfig(t, RoundRobin, "") // two nodes take in a tenant
 	cfg.Quota, cfg.Burst = 20, 8
-	cfg.Traffic.Bands[0].Units = 1
+	cfg.Traffic.Classes[0].Units = 1
 	s := newSim(t, cfg, nil)
 	for i, step := range []struct {
 		at       time.Duration
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -118,7 +118,7 @@
 	req.routed.Report(routing.AttemptResult{
 		Outcome:  a.outcome,
 		Duration: s.now - a.sentAt,
-		Units:    s.cfg.Traffic.Bands[req.class].Units,
+		Units:    s.cfg.Traffic.Classes[req.class].Units,
 	})
 	if a.outcome == protocol.Completed { // the answer: no decision follows
 		s.end(req, outcomeCompleted)
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -39,13 +39,13 @@
 
 // addRequest brings a request to a node of its tenant's set.
 func (s *Sim) addRequest(class int, from tenant, retry bool) {
-	cfg := s.cfg.Traffic.Bands[class]
+	cfg := s.cfg.Traffic.Classes[class]
 	spread := s.spread()
 	first := int(uint64(from) % uint64(s.cfg.Nodes))
 	n := s.nodes[(first+s.random.IntN(spread))%s.cfg.Nodes]
 	timeout := time.Duration(cfg.BudgetMs) * time.Millisecond
 	req := &request{
-		node: n, class: class, tenant: from, retry: retry, retrySafe: cfg.Repeats == "replayable",
+		node: n, class: class, tenant: from, retry: retry, retrySafe: cfg.RetrySafety == "replayable",
 		arrivedAt: s.now, deadline: s.now + timeout,
 	}
 	s.recorder.arrived()
@@ -94,7 +94,7 @@
 // scheduleRetry brings the client of a rejected request back once, with the chance that the traffic sets, after the time
 // that it was advised.
 func (s *Sim) scheduleRetry(req *request, retryAfter time.Duration) {
-	if req.retry || s.random.Float64() >= s.cfg.Traffic.AgainP {
+	if req.retry || s.random.Float64() >= s.cfg.Traffic.RetryProbability {
 		return
 	}
 	if retryAfter <= 0 {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -108,10 +108,10 @@
 	a.inWork = true
 	a.request.begun++
 	s.recorder.begun(a.request)
-	units := s.cfg.Traffic.Bands[a.request.class].Units
+	units := s.cfg.Traffic.Classes[a.request.class].Units
 	ms := cfg.ServiceMs * math.Max(units, 0.1) * math.Exp(cfg.Spread*sv.random.NormFloat64())
 	if up := (s.now - sv.startedAt).Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
-		ms *= 1 + (cfg.ColdFactor-1)*(1-up/cfg.WarmupS)
+		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
 	a.outcome = protocol.Completed
 	for _, f := range faults {
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -25,14 +25,14 @@
 		"executions": "3", "copies": "false", "withdraw": "true", "peers": "false",
 		"advice": "true", "advice.most": "20000",
 		"cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3", "fall.span": "20000",
-		"band.count": strconv.Itoa(len(traffic.Bands)),
+		"band.count": strconv.Itoa(len(traffic.Classes)),
 		"plan.count": "1", "plan.0.name": traffic.Plan,
 		"plan.0.rate": strconv.Itoa(defaultRate), "plan.0.depth": strconv.Itoa(defaultBurst),
 	}
-	for i, class := range traffic.Bands {
+	for i, class := range traffic.Classes {
 		prefix := "band." + strconv.Itoa(i) + "."
 		settings[prefix+"name"] = class.Name
-		settings[prefix+"repeats"] = class.Repeats
+		settings[prefix+"repeats"] = class.RetrySafety
 		settings[prefix+"contract"] = strconv.Itoa(class.BudgetMs * ticksPerMs / 2)
 		settings[prefix+"outer"] = strconv.Itoa(class.BudgetMs * ticksPerMs)
 		settings[prefix+"window"] = "20000"
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -33,7 +33,7 @@
 		later: map[time.Duration][]func(){}, entries: map[string][]Entry{},
 	}
 	for k := range cfg.Nodes {
-		cfg.Me = k
+		cfg.Self = k
 		p.nodes = append(p.nodes, New(cfg, now))
 	}
 	return p
@@ -117,7 +117,7 @@
 		first  []string // the first lines
 	}{
 		{
-			name: "all well", cfg: Config{Nodes: 4, Seed: 21, Wait: 60 * time.Millisecond},
+			name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
 			play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
 				"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 				"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
@@ -128,7 +128,7 @@
 			},
 		},
 		{
-			name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, Calls: 9, Wait: 60 * time.Millisecond},
+			name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
 			from: 1_700_000_000_350 * time.Millisecond,
 			play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
 				"1700000000.35 0 refuses 9",
@@ -140,7 +140,7 @@
 			},
 		},
 		{
-			name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, Calls: 400, Wait: 40 * time.Millisecond},
+			name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
 			play: func(p *goldenPlay) {
 				p.play(6*time.Second, 0.9)
 				p.lost, p.bad = 0.2, 0.1
