--- /dev/null
+++ b/internal/membership/codec_test.go
@@ -0,0 +1,76 @@
+package membership
+
+import (
+	"encoding/hex"
+	"errors"
+	"math"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// Every message is written as the bytes of commit cf1acfb, and read back.
+func TestCodecRoundTrip(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		in   message
+		want string // hexadecimal
+	}{
+		{"ping", message{header: header{kind: ping, sequence: 1, deadHash: 0xdb052768}}, "d00101db052768"},
+		{"ack with a large sequence", message{header: header{kind: ack, sequence: numberLimit - 1}},
+			"d002ffffffffffffffff3f00000000"},
+		{"ping request", message{header: header{kind: pingRequest, sequence: 255, target: 300}}, "d003ff0100000000ac02"},
+		{"correct", message{header: header{kind: correct}, parts: []part{
+			{kind: memberPart, member: memberUpdate{id: 5, state: Suspect, incarnation: 300}},
+			{kind: memberPart, member: memberUpdate{id: MaxNodes - 1, state: Dead}},
+		}}, "d004000000000001" + "15ac02" + "01feff0f00"},
+		{"object with events", message{header: header{kind: object}, parts: []part{
+			{kind: eventPart, event: Event{Kind: 1, ID: 99, OK: true}, age: 100 * time.Millisecond},
+			{kind: eventPart, event: Event{Kind: 3, ID: math.MaxUint64 - 1}, age: time.Minute},
+		}}, "d0050000000000" + "02036364" + "0206" + "feffffffffffffffff01" + "e0d403"},
+		{"bitmap", message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, first: 1024, bitmap: []byte{0x81, 2}}}},
+			"d0020000000000" + "038008" + "02" + "8102"},
+		{"empty bitmap", message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, bitmap: []byte{}}}},
+			"d0020000000000" + "030000"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			text := appendHeader(nil, c.in.header)
+			for _, p := range c.in.parts {
+				switch p.kind {
+				case memberPart:
+					text = appendMemberUpdate(text, p.member)
+				case eventPart:
+					text = appendEvent(text, p.event, p.age)
+				case bitmapPart:
+					text = appendBitmap(text, p.first, p.bitmap)
+				}
+			}
+			if got := hex.EncodeToString(text); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+			if back, err := decode(text, MaxNodes, 3); err != nil || !reflect.DeepEqual(back, c.in) {
+				t.Errorf("%+v, %v, want %+v", back, err, c.in)
+			}
+			for size := range text { // no prefix reads beyond its end
+				if _, err := decode(text[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
+					t.Errorf("%d bytes: %v", size, err)
+				}
+			}
+		})
+	}
+}
+
+// An update and an event never take more than what is set aside for one.
+func TestUpdatesFitTheirSize(t *testing.T) {
+	if size := len(appendMemberUpdate(nil, memberUpdate{id: MaxNodes - 1, state: Dead, incarnation: numberLimit - 1})); size > maxUpdateSize {
+		t.Errorf("an update takes %d bytes", size)
+	}
+	if size := len(appendEvent(nil, Event{Kind: 127, ID: math.MaxUint64, OK: true}, maxEventAge)); size > maxUpdateSize {
+		t.Errorf("an event takes %d bytes", size)
+	}
+	header := appendHeader(nil, header{kind: pingRequest, sequence: numberLimit - 1, target: MaxNodes - 1})
+	bitmap := appendBitmap(nil, MaxNodes-1, make([]byte, maxBitmapSize))
+	if size := len(header) + maxUpdateSize + len(bitmap); size > MaxMessageSize {
+		t.Errorf("a bitmap's message takes %d bytes", size)
+	}
+}
--- /dev/null
+++ b/internal/membership/member_test.go
@@ -0,0 +1,106 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+// An update overrides what is known by its incarnation, then by its state, and is passed on where it does.
+func TestUpdatesOverrideByIncarnation(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		have, in  memberUpdate
+		want      memberUpdate
+		passedOn  bool
+		suspected int64
+		died      int64
+		rejoined  int64
+	}{
+		{name: "suspicion", in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}, passedOn: true, suspected: 1},
+		{name: "death at once", in: memberUpdate{state: Dead}, want: memberUpdate{state: Dead}, passedOn: true, died: 1},
+		{name: "known", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}},
+		{name: "alive does not refute at the same incarnation", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Alive},
+			want: memberUpdate{state: Suspect}},
+		{name: "alive refutes at a higher one", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true},
+		{name: "back from the dead", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true, rejoined: 1},
+		{name: "out of date", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Dead, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 6}},
+		{name: "the same state, higher", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Alive, incarnation: 9},
+			want: memberUpdate{state: Alive, incarnation: 9}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := New(Config{Self: 0, Nodes: 4}, 0)
+			m := &p.members[2]
+			m.state, m.incarnation = c.have.state, c.have.incarnation
+			version, hash := p.Version(), p.deadHash
+			c.in.id = 2
+			p.apply(c.in)
+			if m.state != c.want.state || m.incarnation != c.want.incarnation || p.State(2) != c.want.state {
+				t.Errorf("%+v, want %+v", *m, c.want)
+			}
+			if passedOn := len(p.gossip.updates) == 1; passedOn != c.passedOn || (p.Version() != version) != c.passedOn {
+				t.Errorf("passed on %v, version %d after %d", passedOn, p.Version(), version)
+			}
+			if isDead := c.want.state == Dead; (p.deadHash != hash) != isDead {
+				t.Errorf("hash %x after %x", p.deadHash, hash)
+			}
+			if n := p.Counters(); n.Suspected != c.suspected || n.Died != c.died || n.Rejoined != c.rejoined {
+				t.Errorf("%+v", n)
+			}
+		})
+	}
+}
+
+// A node refutes what others say of it with a higher incarnation, once.
+func TestRefuteRaisesTheIncarnation(t *testing.T) {
+	p := New(Config{Self: 1, Nodes: 4}, 0)
+	for _, c := range []struct {
+		in      memberUpdate
+		want    incarnation
+		refuted int64
+	}{
+		{memberUpdate{id: 1, state: Alive, incarnation: 7}, 0, 0},
+		{memberUpdate{id: 1, state: Suspect, incarnation: 7}, 8, 1},
+		{memberUpdate{id: 1, state: Dead, incarnation: 7}, 8, 1},
+		{memberUpdate{id: 1, state: Dead, incarnation: 8}, 9, 2},
+	} {
+		p.apply(c.in)
+		if p.members[1].incarnation != c.want || p.Counters().Refuted != c.refuted || p.members[1].state != Alive {
+			t.Errorf("%+v: %+v, refuted %d", c.in, p.members[1], p.Counters().Refuted)
+		}
+	}
+}
+
+// Who differs on the dead is told which of them live, and this node's own death is refuted.
+func TestCompareDead(t *testing.T) {
+	p := New(Config{Self: 1, Nodes: 11}, 0)
+	p.apply(memberUpdate{id: 9, state: Dead})
+	if bitmap := p.deadBitmap(0, 11); len(bitmap) != 2 || bitmap[0] != 0 || bitmap[1] != 1<<1 {
+		t.Errorf("bitmap %x", bitmap)
+	}
+	if bitmap := p.deadBitmap(8, 3); len(bitmap) != 1 || bitmap[0] != 1<<1 {
+		t.Errorf("bitmap from 8 on %x", bitmap)
+	}
+	alive := map[NodeID]bool{}
+	for _, id := range p.compareDead(0, []byte{1<<1 | 1<<4, 1<<0 | 1<<1 | 1<<7}) { // 1, 4, 8, 9 and 15, beyond the last
+		alive[id] = true
+	}
+	if len(alive) != 2 || !alive[4] || !alive[8] || p.Counters().Refuted != 1 || p.members[1].incarnation != 1 {
+		t.Errorf("alive %v, %+v, %+v", alive, p.Counters(), p.members[1])
+	}
+}
+
+// Only a member that was dead is new, and only for so long.
+func TestAliveFor(t *testing.T) {
+	p := New(Config{Self: 0, Nodes: 3}, 5*time.Second)
+	p.apply(memberUpdate{id: 2, state: Dead})
+	p.Advance(6 * time.Second)
+	p.apply(memberUpdate{id: 2, state: Alive, incarnation: 1})
+	p.Advance(8 * time.Second)
+	p.Advance(7 * time.Second) // a clock that runs back is not followed
+	if !p.AliveFor(1, time.Hour) || !p.AliveFor(2, 2*time.Second) || p.AliveFor(2, 2*time.Second+1) {
+		t.Error("wrong")
+	}
+}
--- /dev/null
+++ b/internal/membership/probe.go
@@ -0,0 +1,171 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// pendingPing is a ping whose ack is awaited.
+type pendingPing struct {
+	target    NodeID
+	sequence  uint64
+	directEnd time.Duration // until then the target itself is to answer; then others are asked to ping it
+	end       time.Duration // given up then
+	indirect  bool          // others were asked
+
+	requester         NodeID // who asked for this ping; noNode for this node itself
+	requesterSequence uint64 // of the requester's own ping, which its ack names
+}
+
+// dueAt is when it is to be looked at again.
+func (p *pendingPing) dueAt() time.Duration {
+	if p.indirect {
+		return p.end
+	}
+	return p.directEnd
+}
+
+// probe brings the probes under way and the suspicions up to date, and sends the pings that are due.
+func (p *Protocol) probe() {
+	if p.cfg.Nodes < 2 {
+		p.nextPingAt = p.now + p.period
+		return
+	}
+	p.checkProbes()
+	p.expireSuspicions()
+	if p.now < p.nextPingAt {
+		return
+	}
+	p.nextPingAt = max(p.nextPingAt+p.period, p.now+p.period/2)
+	p.pingNext()
+	p.pingSomeDead()
+}
+
+// checkProbes asks others to ping who has not answered directly, and suspects who has not answered them either.
+func (p *Protocol) checkProbes() {
+	pending := p.probes[:0]
+	for _, probe := range p.probes {
+		switch {
+		case probe.requester != noNode:
+			if p.now >= probe.end {
+				continue // the requester gives up by itself
+			}
+		case !probe.indirect && p.now >= probe.directEnd:
+			probe.indirect = true
+			p.requestPings(&probe)
+		case p.now >= probe.end:
+			if m := &p.members[probe.target]; m.state == Alive {
+				p.apply(memberUpdate{id: probe.target, state: Suspect, incarnation: m.incarnation})
+			}
+			continue
+		}
+		pending = append(pending, probe)
+	}
+	p.probes = pending
+}
+
+// requestPings asks some members to ping a silent one.
+func (p *Protocol) requestPings(probe *pendingPing) {
+	for range indirectProbes {
+		if helper := p.randomAlive(probe.target); helper != noNode {
+			p.send(outgoing{to: helper, kind: pingRequest, sequence: probe.sequence, target: probe.target})
+		}
+	}
+}
+
+// expireSuspicions takes suspects for dead that had time enough to refute it.
+func (p *Protocol) expireSuspicions() {
+	timeout := time.Duration(suspicionRounds * p.GossipRounds() * float64(p.period))
+	for i := range p.members {
+		if m := &p.members[i]; m.state == Suspect && p.now-m.since >= timeout {
+			p.apply(memberUpdate{id: NodeID(i), state: Dead, incarnation: m.incarnation})
+		}
+	}
+}
+
+// pingNext pings whose turn it is.
+func (p *Protocol) pingNext() {
+	pings := 1
+	if p.heardNobody { // the others know who is dead; until one tells, tasks of the dead seem to have owners
+		pings = lonelyPings
+	}
+	for range pings {
+		if target := p.nextTarget(); target != noNode {
+			p.ping(target, noNode, 0)
+		}
+	}
+}
+
+// pingSomeDead pings a dead member now and then: it may have been cut off only.
+func (p *Protocol) pingSomeDead() {
+	if p.random.Float64() >= deadPingChance {
+		return
+	}
+	var dead []NodeID
+	for i := range p.members {
+		if id := NodeID(i); p.members[i].state == Dead && id != p.cfg.Self {
+			dead = append(dead, id)
+		}
+	}
+	if len(dead) > 0 {
+		p.ping(dead[p.random.IntN(len(dead))], noNode, 0)
+	}
+}
+
+// nextTarget is the next member to ping: all by turns, in an order shuffled anew each time round, so that each is
+// pinged by someone about once a period and none is missed for more than two rounds. It is noNode if all are dead.
+func (p *Protocol) nextTarget() NodeID {
+	for range 2 * p.cfg.Nodes {
+		if p.pingIndex >= len(p.pingOrder) {
+			p.pingOrder, p.pingIndex = p.random.Perm(p.cfg.Nodes), 0
+		}
+		id := NodeID(p.pingOrder[p.pingIndex])
+		p.pingIndex++
+		if id != p.cfg.Self && p.members[id].state != Dead {
+			return id
+		}
+	}
+	return noNode
+}
+
+// randomAlive is a member taken for alive, other than the one named, or noNode if a few draws find none.
+func (p *Protocol) randomAlive(except NodeID) NodeID {
+	const draws = 8
+	for range draws {
+		id := NodeID(p.random.IntN(p.cfg.Nodes))
+		if id != except && id != p.cfg.Self && p.members[id].state == Alive {
+			return id
+		}
+	}
+	return noNode
+}
+
+// ping sends a ping, on another's behalf if requester is not noNode.
+func (p *Protocol) ping(target, requester NodeID, requesterSequence uint64) {
+	p.lastSequence++
+	p.probes = append(p.probes, pendingPing{
+		target:            target,
+		sequence:          p.lastSequence,
+		directEnd:         p.now + time.Duration(directTimeoutShare*float64(p.period)),
+		end:               p.now + p.period,
+		requester:         requester,
+		requesterSequence: requesterSequence,
+	})
+	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
+}
+
+// acked takes in an ack, and passes it on to who asked for the ping.
+func (p *Protocol) acked(from NodeID, sequence uint64) {
+	i := slices.IndexFunc(p.probes, func(probe pendingPing) bool { return probe.sequence == sequence })
+	if i < 0 {
+		return
+	}
+	probe := p.probes[i]
+	if probe.target != from && !probe.indirect { // others ack in its place only once they were asked
+		return
+	}
+	p.probes = slices.Delete(p.probes, i, i+1)
+	if probe.requester != noNode {
+		p.send(outgoing{to: probe.requester, kind: ack, sequence: probe.requesterSequence})
+	}
+}
--- /dev/null
+++ b/internal/membership/probe_test.go
@@ -0,0 +1,138 @@
+package membership
+
+import (
+	"testing"
+	"time"
+)
+
+// sent lists the kinds of message that a node gives out now.
+func sent(p *Protocol, now time.Duration) (kinds []messageKind, to []NodeID) {
+	for m, ok := p.Next(now); ok; m, ok = p.Next(now) {
+		kinds, to = append(kinds, messageKind(m.Text[1])), append(to, m.To)
+	}
+	return kinds, to
+}
+
+// receive hands in a message that only has a header.
+func receive(t *testing.T, p *Protocol, now time.Duration, from NodeID, h header) {
+	t.Helper()
+	h.deadHash = p.deadHash
+	if err := p.Receive(now, from, appendHeader(nil, h), ignoreEvents); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A silent member is pinged directly, then by others, then suspected, then taken for dead.
+func TestSilentMemberIsProbedThenSuspectedThenDead(t *testing.T) {
+	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
+	p.heardNobody = false
+	now := p.nextPingAt
+	kinds, to := sent(p, now)
+	if len(kinds) != 1 || kinds[0] != ping || len(p.probes) != 1 {
+		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.probes))
+	}
+	target, probe := to[0], p.probes[0]
+	if probe.dueAt() != now+time.Duration(directTimeoutShare*float64(p.period)) || p.WakeAt() != probe.dueAt() {
+		t.Errorf("due at %v, wake at %v", probe.dueAt(), p.WakeAt())
+	}
+	if kinds, _ = sent(p, probe.directEnd-1); len(kinds) > 0 {
+		t.Errorf("%v before its time", kinds)
+	}
+	kinds, to = sent(p, probe.directEnd)
+	for i, kind := range kinds {
+		if kind != pingRequest || to[i] == target || to[i] == 0 {
+			t.Errorf("kind %d to %d", kind, to[i])
+		}
+	}
+	if len(kinds) == 0 || p.probes[0].dueAt() != probe.end {
+		t.Errorf("%d asked, due at %v", len(kinds), p.probes[0].dueAt())
+	}
+	sent(p, probe.end)
+	if p.State(target) != Suspect {
+		t.Fatalf("state %v", p.State(target))
+	}
+	timeout := time.Duration(suspicionRounds * 3 * float64(p.period)) // 4 nodes: three rounds
+	sent(p, probe.end+timeout-1)
+	if p.State(target) != Suspect {
+		t.Errorf("state %v before its time", p.State(target))
+	}
+	sent(p, probe.end+timeout)
+	if p.State(target) != Dead {
+		t.Errorf("state %v", p.State(target))
+	}
+}
+
+// An ack ends a probe only if it comes from its target, or others were asked; one on another's behalf is passed on.
+func TestAcks(t *testing.T) {
+	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
+	p.ping(2, noNode, 0)
+	p.ping(3, 1, 99)
+	sent(p, 0)
+	receive(t, p, 0, 1, header{kind: ack, sequence: 1})
+	if len(p.probes) != 2 {
+		t.Error("an ack that nobody asked for was taken")
+	}
+	receive(t, p, 0, 2, header{kind: ack, sequence: 7})
+	if len(p.probes) != 2 {
+		t.Error("an ack of an unknown sequence number was taken")
+	}
+	p.probes[0].indirect = true
+	receive(t, p, 0, 1, header{kind: ack, sequence: 1})
+	if len(p.probes) != 1 {
+		t.Error("an ack on another's behalf was not taken")
+	}
+	receive(t, p, 0, 3, header{kind: ack, sequence: 2})
+	m, ok := p.Next(0)
+	if got, err := decode(m.Text, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
+		t.Errorf("to %d %+v, %v", m.To, got, err)
+	}
+}
+
+// What was asked for on another's behalf is given up without a suspicion here.
+func TestRequestedPingThatIsNotAnswered(t *testing.T) {
+	p := New(Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 400}, 0)
+	p.nextPingAt = time.Hour
+	receive(t, p, 0, 1, header{kind: pingRequest, sequence: 5, target: 2})
+	receive(t, p, 0, 1, header{kind: pingRequest, sequence: 6, target: 0}) // this node itself
+	if kinds, to := sent(p, 0); len(kinds) != 1 || kinds[0] != ping || to[0] != 2 {
+		t.Errorf("%v to %v", kinds, to)
+	}
+	if kinds, _ := sent(p, p.period-1); len(kinds) > 0 || len(p.probes) != 1 {
+		t.Errorf("%v, %d probes", kinds, len(p.probes))
+	}
+	if kinds, _ := sent(p, p.period); len(kinds) > 0 || len(p.probes) > 0 || p.State(2) != Alive {
+		t.Errorf("%v, %d probes, %v", kinds, len(p.probes), p.State(2))
+	}
+}
+
+// All members are pinged by turns, the dead excepted.
+func TestTargetsTakeTurns(t *testing.T) {
+	p := New(Config{Self: 2, Nodes: 6, Seed: 3}, 0)
+	p.apply(memberUpdate{id: 4, state: Dead})
+	count := map[NodeID]int{}
+	for range 40 {
+		count[p.nextTarget()]++
+	}
+	for id, want := range map[NodeID]int{0: 10, 1: 10, 2: 0, 3: 10, 4: 0, 5: 10, noNode: 0} {
+		if count[id] != want {
+			t.Errorf("%d was pinged %d times, want %d", id, count[id], want)
+		}
+	}
+	for id := range NodeID(6) {
+		p.apply(memberUpdate{id: id, state: Dead})
+	}
+	if id := p.nextTarget(); id != noNode {
+		t.Errorf("%d of none is next", id)
+	}
+	if id := p.randomAlive(0); id != noNode {
+		t.Errorf("%d of none is alive", id)
+	}
+}
+
+// A node alone pings nobody.
+func TestSingleNode(t *testing.T) {
+	p := New(Config{Nodes: 1}, 0)
+	if kinds, _ := sent(p, time.Second); len(kinds) > 0 || p.WakeAt() != time.Second+p.Period() {
+		t.Errorf("%v, wakes at %v", kinds, p.WakeAt())
+	}
+}
