--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -187,8 +187,8 @@
 		v, _ := strconv.ParseFloat(c.set[name], 64)
 		return v
 	}
-	return healthcheck.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
-		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
+	return healthcheck.Config{Self: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, ReceiveRate: figure("peers.take"),
+		SendRate: c.share.Bytes, Interval: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
 }
 
 // bands lists the names and contract times of the module's bands.
@@ -210,7 +210,7 @@
 	}
 	me, _ := strconv.Atoi(c.set["node"])
 	nodes, _ := strconv.Atoi(c.set["nodes"])
-	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.Calls, Wait: quota.ExchangeTimeout(shortest)}
+	return quota.Config{Self: me, Nodes: nodes, Seed: c.seed, ExchangeRate: c.quota.Calls, Timeout: quota.ExchangeTimeout(shortest)}
 }
 
 // checks is what the check of tickets is told at the start, and the numbers of bands by name. A band that the platform
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -310,7 +310,7 @@
 			if err != nil {
 				return err
 			}
-			cfg.Every, cfg.Bytes = time.Duration(op.Duties.CheckMs*float64(time.Millisecond)), op.Duties.Bytes
+			cfg.Interval, cfg.SendRate = time.Duration(op.Duties.CheckMs*float64(time.Millisecond)), op.Duties.Bytes
 			res, err := healthlab.Play(cfg)
 			if err != nil {
 				return err
@@ -320,10 +320,10 @@
 	}
 	cmd.Flags().IntVar(&cfg.Nodes, "nodes", 80, "edge nodes, 2 or more")
 	cmd.Flags().IntVar(&cfg.Servers, "servers", 60, "app servers, 1 or more")
-	cmd.Flags().DurationVar(&cfg.For, "for", 2*time.Minute, "virtual time")
+	cmd.Flags().DurationVar(&cfg.Duration, "for", 2*time.Minute, "virtual time")
 	cmd.Flags().Uint64Var(&cfg.Seed, "seed", 1, "seed of every random draw")
 	cmd.Flags().StringVar(&cfg.Scenario, "scenario", "vanish", strings.Join(healthlab.Scenarios, ", "))
-	cmd.Flags().Float64Var(&cfg.Take, "take", 40, "messages a second that a node takes in, of all kinds")
+	cmd.Flags().Float64Var(&cfg.ReceiveRate, "take", 40, "messages a second that a node takes in, of all kinds")
 	return cmd
 }
 
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -297,7 +297,7 @@
 		if conf.shares() != c.want {
 			t.Errorf("%d: shares %v", k, !c.want)
 		}
-		if d := conf.duties(); k == 0 && (d.Me != 2 || d.Nodes != 3 || d.Bytes != 4096 || d.Every != 5*time.Second) {
+		if d := conf.duties(); k == 0 && (d.Self != 2 || d.Nodes != 3 || d.SendRate != 4096 || d.Interval != 5*time.Second) {
 			t.Errorf("told %+v", d)
 		}
 	}
--- a/internal/healthcheck/duties.go
+++ b/internal/healthcheck/duties.go
@@ -63,11 +63,11 @@
 
 // Config is what a Node is told at its start.
 type Config struct {
-	Me, Nodes int           // this node's number, from 0, and how many there are
-	Seed      uint64        // of its chance
-	Take      float64       // messages a second that a node takes in, of all kinds; 0 for no limit known
-	Bytes     float64       // a second that this node sends at most, whatever the fleet's size; 0 for none
-	Every     time.Duration // between two runs of one duty
+	Self, Nodes int           // this node's number, from 0, and how many there are
+	Seed        uint64        // of its chance
+	ReceiveRate float64       // messages a second that a node takes in, of all kinds; 0 for no limit known
+	SendRate    float64       // a second that this node sends at most, whatever the fleet's size; 0 for none
+	Interval    time.Duration // between two runs of one duty
 }
 
 // StepKind is what a Step asks of the host.
@@ -142,20 +142,20 @@
 // New makes a node that takes every other for alive. It must be told the time (any origin, never back) in now.
 func New(cfg Config, now time.Duration) *Scheduler {
 	cfg.Nodes = min(max(cfg.Nodes, 1), mostNodes)
-	n := &Scheduler{cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))), roomAt: now, ownerAt: now,
+	n := &Scheduler{cfg: cfg, now: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), roomAt: now, ownerAt: now,
 		members: make([]member, cfg.Nodes), taskOf: map[Check]int{}}
 	n.period = leastPeriod
-	if cfg.Take > 0 {
-		n.period = max(n.period, time.Duration(pingCost/(takeShare*cfg.Take)*float64(time.Second)))
+	if cfg.ReceiveRate > 0 {
+		n.period = max(n.period, time.Duration(pingCost/(takeShare*cfg.ReceiveRate)*float64(time.Second)))
 	}
-	n.cfg.Every = max(cfg.Every, time.Duration(everyLeast*n.doublings()*float64(n.period)))
+	n.cfg.Interval = max(cfg.Interval, time.Duration(everyLeast*n.doublings()*float64(n.period)))
 	// A change of members has reached most of the fleet within so many periods, and what it brings is settled.
 	n.window = time.Duration(float64(n.period) * (2 + everyLeast*n.doublings()))
 	for k := range n.members {
 		n.members[k].came = now - n.window // as alive for long
 	}
 	n.pingAt = now + time.Duration(n.chance.Int64N(int64(n.period/4)))
-	n.room, n.alone = cfg.Bytes, true
+	n.room, n.alone = cfg.SendRate, true
 	n.view = n.viewHash()
 	return n
 }
@@ -167,8 +167,8 @@
 // longer where members can't be watched closely enough for it.
 func (n *Scheduler) Period() time.Duration { return n.period }
 
-// Every is the time between two runs of one duty.
-func (n *Scheduler) Every() time.Duration { return n.cfg.Every }
+// Interval is the time between two runs of one duty.
+func (n *Scheduler) Every() time.Duration { return n.cfg.Interval }
 
 // Count is what the node did so far.
 func (n *Scheduler) Count() Counters { return n.count }
@@ -187,7 +187,7 @@
 			n.taskOf[d] = k
 			place := firstWithin * float64(d.hash(-1)%1024) / 1024
 			n.tasks = append(n.tasks, task{duty: d, order: d.ranked(n.cfg.Nodes),
-				last: now - time.Duration((1-place)*float64(n.cfg.Every))})
+				last: now - time.Duration((1-place)*float64(n.cfg.Interval))})
 		}
 		n.tasks[k].listed = true
 	}
@@ -231,7 +231,7 @@
 	for _, of := range order {
 		k := int(of)
 		m := &n.members[k]
-		me := k == n.cfg.Me
+		me := k == n.cfg.Self
 		if m.state == dead && !me {
 			continue
 		}
@@ -245,7 +245,7 @@
 			break
 		}
 	}
-	return settled == n.cfg.Me || likely == n.cfg.Me, likely == n.cfg.Me
+	return settled == n.cfg.Self || likely == n.cfg.Self, likely == n.cfg.Self
 }
 
 // ranked is the rendezvous order of a duty: who of all the members comes first has it, if that one lives; else the
@@ -281,9 +281,9 @@
 
 // due is when an owned duty is to be run here: a period after its last run by anyone, and later by who stands in.
 func (n *Scheduler) due(t *task) time.Duration {
-	at := t.last + n.cfg.Every
+	at := t.last + n.cfg.Interval
 	if !t.first {
-		at += time.Duration(standIn * float64(n.cfg.Every))
+		at += time.Duration(standIn * float64(n.cfg.Interval))
 	}
 	return at
 }
--- a/internal/healthcheck/duties_test.go
+++ b/internal/healthcheck/duties_test.go
@@ -20,7 +20,7 @@
 func newFleet(nodes int, bytes float64) *fleet {
 	f := &fleet{hears: func(int, int) bool { return true }, runs: map[Check][]int{}, ran: map[Check]time.Duration{}}
 	for k := range nodes {
-		f.nodes = append(f.nodes, New(Config{Me: k, Nodes: nodes, Seed: 5, Take: 40, Bytes: bytes, Every: 5 * time.Second}, 0))
+		f.nodes = append(f.nodes, New(Config{Self: k, Nodes: nodes, Seed: 5, ReceiveRate: 40, SendRate: bytes, Interval: 5 * time.Second}, 0))
 		f.nodes[k].SetChecks(0, checks)
 	}
 	return f
@@ -69,7 +69,7 @@
 	if next == old || f.now-f.ran[d] > 2*f.nodes[next].Every() {
 		t.Fatalf("%v: %v, last at %v", d, f.runs[d], f.ran[d])
 	}
-	f.nodes[old] = New(Config{Me: old, Nodes: 9, Seed: 6, Take: 40, Every: 5 * time.Second}, f.now)
+	f.nodes[old] = New(Config{Self: old, Nodes: 9, Seed: 6, ReceiveRate: 40, Interval: 5 * time.Second}, f.now)
 	f.nodes[old].SetChecks(f.now, checks)
 	f.play(f.now + 3*time.Second)
 	if owns, first := f.nodes[next].Owns(f.now, d); !owns || first {
--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -33,9 +33,9 @@
 
 // Each kind of message, with each kind of part, is read and written as before.
 func TestGoldenMessages(t *testing.T) {
-	three := Config{Me: 0, Nodes: 3, Seed: 1, Take: 40, Every: 5 * time.Second}
-	nine := Config{Me: 4, Nodes: 9, Seed: 2, Take: 40, Bytes: 4096, Every: 5 * time.Second}
-	large := Config{Me: 7, Nodes: 2500, Seed: 3, Take: 400, Every: 5 * time.Second}
+	three := Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 40, Interval: 5 * time.Second}
+	nine := Config{Self: 4, Nodes: 9, Seed: 2, ReceiveRate: 40, SendRate: 4096, Interval: 5 * time.Second}
+	large := Config{Self: 7, Nodes: 2500, Seed: 3, ReceiveRate: 400, Interval: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
 		cfg    Config
@@ -145,7 +145,7 @@
 
 func (p *transcript) start(k int, duties []Check) {
 	cfg := p.cfg
-	cfg.Me, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
+	cfg.Self, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
 	p.nodes[k] = New(cfg, p.now)
 	p.nodes[k].SetChecks(p.now, duties)
 }
@@ -217,14 +217,14 @@
 		digest string   // SHA-256 of all lines
 		first  []string // the first messages
 	}{
-		{name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, Take: 40, Every: 2 * time.Second},
+		{name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, ReceiveRate: 40, Interval: 2 * time.Second},
 			play: func(p *transcript) { p.play(20 * time.Second) }, lines: 190, digest: "295d7a00564149d3a2c1f4fa022cc6e5ede31de5d2e9ab2980b3676037e9c15d", first: []string{
 				"0.08 0>1 d00101db052768",
 				"0.08 0>1 d00102db052768",
 				"0.08 0>1 d00103db052768",
 				"0.10 1>0 d00201db05276802020200",
 			}},
-		{name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, Take: 40, Every: 2 * time.Second},
+		{name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, ReceiveRate: 40, Interval: 2 * time.Second},
 			play: func(p *transcript) {
 				p.play(10 * time.Second)
 				p.nodes[1] = nil
@@ -237,7 +237,7 @@
 				"0.06 2>0 d00103db052768",
 				"0.08 0>2 d00202db052768",
 			}},
-		{name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, Take: 80, Bytes: 400, Every: time.Second},
+		{name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
 			play: func(p *transcript) {
 				p.loss = 0.2
 				p.play(15 * time.Second)
@@ -254,7 +254,7 @@
 				"0.02 1>2 d00103fa2da101",
 				"0.02 4>7 d00101fa2da101",
 			}},
-		{name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, Take: 4000, Every: time.Second},
+		{name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, ReceiveRate: 4000, Interval: time.Second},
 			play: func(p *transcript) {
 				for k := range p.nodes {
 					if k%100 > 0 && k != 1099 {
@@ -271,7 +271,7 @@
 				"0.02 100>656 d001030414188b",
 				"0.02 300>142 d001010414188b",
 			}},
-		{name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, Take: 20, Every: 9 * time.Second},
+		{name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
 			play: func(p *transcript) {
 				many := make([]Check, 1500)
 				for k := range many {
@@ -296,7 +296,7 @@
 				"0.04 3>0 d00103db052768",
 				"0.08 0>3 d00203db052768",
 			}},
-		{name: "one node", cfg: Config{Nodes: 1, Seed: 15, Every: time.Second},
+		{name: "one node", cfg: Config{Nodes: 1, Seed: 15, Interval: time.Second},
 			play: func(p *transcript) { p.play(6 * time.Second) }, lines: 36, digest: "d83b4fbbab643fd42ad01acdd65aeac1bb3541d8081db9b2df4a41eb7fdef710", first: []string{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -360,7 +360,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := New(Config{Nodes: 9, Seed: 2, Take: 40}, 0)
+		n := New(Config{Nodes: 9, Seed: 2, ReceiveRate: 40}, 0)
 		if read := n.ReceivePeerMessage(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
 			t.Errorf("%s: read %v", c.text, read)
 		}
--- a/internal/healthcheck/members.go
+++ b/internal/healthcheck/members.go
@@ -92,7 +92,7 @@
 	if n.chance.Float64() < deadAgain {
 		var gone []int
 		for k := range n.members {
-			if n.members[k].state == dead && k != n.cfg.Me {
+			if n.members[k].state == dead && k != n.cfg.Self {
 				gone = append(gone, k)
 			}
 		}
@@ -111,7 +111,7 @@
 		}
 		k := n.order[n.next]
 		n.next++
-		if k != n.cfg.Me && n.members[k].state != dead {
+		if k != n.cfg.Self && n.members[k].state != dead {
 			return k
 		}
 	}
@@ -121,7 +121,7 @@
 // anyone is a member at random that is taken for alive, and not the one named; -1 for none found in some tries.
 func (n *Scheduler) anyone(but int) int {
 	for range 8 {
-		if k := n.chance.IntN(n.cfg.Nodes); k != but && k != n.cfg.Me && n.members[k].state == alive {
+		if k := n.chance.IntN(n.cfg.Nodes); k != but && k != n.cfg.Self && n.members[k].state == alive {
 			return k
 		}
 	}
@@ -155,7 +155,7 @@
 // contradicted by a higher count.
 func (n *Scheduler) hold(k int, s state, inc uint64) {
 	m := &n.members[k]
-	if k == n.cfg.Me {
+	if k == n.cfg.Self {
 		if s != alive && inc >= m.inc {
 			m.inc = inc + 1
 			n.count.Defended++
@@ -193,7 +193,7 @@
 func (n *Scheduler) deadBits(first, count int) []byte {
 	b := make([]byte, (count+7)/8)
 	for k := range count {
-		if n.members[first+k].state == dead && first+k != n.cfg.Me {
+		if n.members[first+k].state == dead && first+k != n.cfg.Self {
 			b[k/8] |= 1 << (k % 8)
 		}
 	}
@@ -207,7 +207,7 @@
 func (n *Scheduler) doubted(first int, b []byte) (lives []int) {
 	for k := range 8 * len(b) {
 		if i := first + k; b[k/8]>>(k%8)&1 == 1 && i < n.cfg.Nodes {
-			if i == n.cfg.Me {
+			if i == n.cfg.Self {
 				n.hold(i, dead, n.members[i].inc)
 			} else if n.members[i].state != dead {
 				lives = append(lives, i)
--- a/internal/healthcheck/message.go
+++ b/internal/healthcheck/message.go
@@ -80,8 +80,8 @@
 // write makes a message's text, with as many words as fit, members before duties and those told least first; nil
 // where the bytes that may be sent are used up, as for any datagram that is lost.
 func (n *Scheduler) write(o outgoing) []byte {
-	if n.cfg.Bytes > 0 {
-		n.room = min(n.room+n.cfg.Bytes*(n.now-n.roomAt).Seconds(), n.cfg.Bytes)
+	if n.cfg.SendRate > 0 {
+		n.room = min(n.room+n.cfg.SendRate*(n.now-n.roomAt).Seconds(), n.cfg.SendRate)
 		n.roomAt = n.now
 		if n.room < MaxMessage {
 			n.count.Held++
@@ -227,7 +227,7 @@
 func (n *Scheduler) ReceivePeerMessage(now time.Duration, from int, text []byte) bool {
 	n.clock(now)
 	kind, seq, view, other, parts, ok := read(text, n.cfg.Nodes)
-	if !ok || from < 0 || from >= n.cfg.Nodes || from == n.cfg.Me {
+	if !ok || from < 0 || from >= n.cfg.Nodes || from == n.cfg.Self {
 		n.count.Bad++
 		return false
 	}
@@ -263,7 +263,7 @@
 	case answer:
 		n.answered(from, seq)
 	case askPing:
-		if other != n.cfg.Me {
+		if other != n.cfg.Self {
 			n.ping(other, from, seq)
 		}
 	}
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -18,13 +18,13 @@
 
 // Config is one run.
 type Config struct {
-	Nodes, Servers int
-	For            time.Duration // virtual
-	Seed           uint64
-	Scenario       string
-	Take, Bytes    float64       // as healthcheck.Config has them
-	Every          time.Duration // between two checks of a server
-	Vanish         float64       // share of the nodes that vanish at once: 0.48 where not set
+	Nodes, Servers        int
+	Duration              time.Duration // virtual
+	Seed                  uint64
+	Scenario              string
+	ReceiveRate, SendRate float64       // as healthcheck.Config has them
+	Interval              time.Duration // between two checks of a server
+	VanishShare           float64       // share of the nodes that vanish at once: 0.48 where not set
 }
 
 // Result is what a run showed. Times are seconds, figures those of simulated nodes.
@@ -33,15 +33,15 @@
 	Nodes        int     `json:"nodes"`
 	Servers      int     `json:"servers"`
 	Period       float64 `json:"ping_period_s"`
-	Every        float64 `json:"check_period_s"`
+	Interval     float64 `json:"check_period_s"`
 	WorstGap     float64 `json:"worst_gap_s"`    // longest time that a server went unchecked
-	WorstGapIn   float64 `json:"worst_gap_at_s"` // and when it ended
+	WorstGapAt   float64 `json:"worst_gap_at_s"` // and when it ended
 	Checks       int64   `json:"checks"`
 	Doubled      int64   `json:"doubled"` // checks within half a check period of the last one by another node
 	BytesMean    float64 `json:"bytes_a_node_a_second"`
 	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
 	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
-	Held         int64   `json:"held_back"`
+	Withheld     int64   `json:"held_back"`
 	WrongDeaths  int     `json:"wrong_deaths"` // at the end: members taken for dead, of all nodes; all are up then
 	Settled      float64 `json:"settled_s"`    // from the end of the trouble until all agree on who is alive; -1: never
 }
@@ -109,11 +109,11 @@
 	if !known {
 		return Result{}, fmt.Errorf("scenario %q is none of %v", cfg.Scenario, Scenarios)
 	}
-	if cfg.Nodes < 2 || cfg.Servers < 1 || cfg.For < time.Second {
-		return Result{}, fmt.Errorf("%d nodes, %d servers, %v: at least 2, 1 and 1s", cfg.Nodes, cfg.Servers, cfg.For)
+	if cfg.Nodes < 2 || cfg.Servers < 1 || cfg.Duration < time.Second {
+		return Result{}, fmt.Errorf("%d nodes, %d servers, %v: at least 2, 1 and 1s", cfg.Nodes, cfg.Servers, cfg.Duration)
 	}
-	if cfg.Vanish == 0 {
-		cfg.Vanish = 0.48
+	if cfg.VanishShare == 0 {
+		cfg.VanishShare = 0.48
 	}
 	r := &run{cfg: cfg, chance: rand.New(rand.NewPCG(cfg.Seed, 7)),
 		last: make([]time.Duration, cfg.Servers), lastBy: make([]int, cfg.Servers)}
@@ -134,8 +134,8 @@
 	n := r.nodes[k]
 	n.life++
 	n.up = true
-	n.duty = healthcheck.New(healthcheck.Config{Me: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), Take: r.cfg.Take,
-		Bytes: r.cfg.Bytes, Every: r.cfg.Every}, r.now)
+	n.duty = healthcheck.New(healthcheck.Config{Self: k, Nodes: r.cfg.Nodes, Seed: r.chance.Uint64(), ReceiveRate: r.cfg.ReceiveRate,
+		SendRate: r.cfg.SendRate, Interval: r.cfg.Interval}, r.now)
 	n.duty.SetChecks(r.now, r.duties)
 	n.wake = r.now
 	r.push(event{at: r.now, node: k, life: n.life})
@@ -177,14 +177,14 @@
 }
 
 func (r *run) play() {
-	third := r.cfg.For / 3
+	third := r.cfg.Duration / 3
 	r.push(event{at: third, node: trouble})
 	r.push(event{at: 2 * third, node: trouble})
 	r.push(event{at: 2*third + time.Second, node: sample})
 	var vanished []int
 	for r.heap.Len() > 0 {
 		e := heap.Pop(&r.heap).(event)
-		if e.at > r.cfg.For {
+		if e.at > r.cfg.Duration {
 			break
 		}
 		r.now = e.at
@@ -212,18 +212,18 @@
 		r.pull(e.node)
 	}
 	for k, at := range r.last {
-		r.gap(k, at, r.cfg.For)
+		r.gap(k, at, r.cfg.Duration)
 	}
 	r.sum()
 }
 
 // trouble begins or ends the scenario's trouble.
 func (r *run) trouble(vanished []int) []int {
-	r.bad = !r.bad && r.now < 2*(r.cfg.For/3)
+	r.bad = !r.bad && r.now < 2*(r.cfg.Duration/3)
 	switch r.cfg.Scenario {
 	case "vanish":
 		if r.bad {
-			vanished = r.chance.Perm(r.cfg.Nodes)[:int(r.cfg.Vanish*float64(r.cfg.Nodes))]
+			vanished = r.chance.Perm(r.cfg.Nodes)[:int(r.cfg.VanishShare*float64(r.cfg.Nodes))]
 			for _, k := range vanished {
 				r.stop(k)
 			}
@@ -233,7 +233,7 @@
 			}
 		}
 	case "flap": // one node in twenty, each a few seconds down and up by turns
-		if r.now >= 2*(r.cfg.For/3) {
+		if r.now >= 2*(r.cfg.Duration/3) {
 			break
 		}
 		r.bad = true
@@ -246,7 +246,7 @@
 		}
 		r.push(event{at: r.now + time.Duration(1+r.chance.IntN(3))*time.Second, node: trouble})
 	}
-	if r.now >= 2*(r.cfg.For/3) {
+	if r.now >= 2*(r.cfg.Duration/3) {
 		for k, n := range r.nodes {
 			if !n.up && r.cfg.Scenario == "flap" {
 				r.start(k)
@@ -290,7 +290,7 @@
 
 func (r *run) gap(server int, from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > r.res.WorstGap {
-		r.res.WorstGap, r.res.WorstGapIn = gap, to.Seconds()
+		r.res.WorstGap, r.res.WorstGapAt = gap, to.Seconds()
 	}
 }
 
@@ -298,8 +298,8 @@
 func (r *run) sum() {
 	first := r.nodes[0].duty
 	r.res.Scenario, r.res.Nodes, r.res.Servers = r.cfg.Scenario, r.cfg.Nodes, r.cfg.Servers
-	r.res.Period, r.res.Every = first.Period().Seconds(), first.Every().Seconds()
-	span, in := r.cfg.For.Seconds(), int64(0)
+	r.res.Period, r.res.Interval = first.Period().Seconds(), first.Every().Seconds()
+	span, in := r.cfg.Duration.Seconds(), int64(0)
 	for _, n := range r.nodes {
 		c := healthcheck.Counters{}
 		if n.up {
@@ -309,7 +309,7 @@
 		r.res.BytesMean += b / float64(r.cfg.Nodes)
 		r.res.BytesMost = max(r.res.BytesMost, b)
 		in = max(in, n.in)
-		r.res.Held += n.held + c.Held
+		r.res.Withheld += n.held + c.Held
 	}
 	r.res.MessagesMost = float64(in) / span
 }
@@ -326,7 +326,7 @@
 	if wrong > 0 {
 		r.res.Settled = -1
 	} else if r.res.Settled < 0 {
-		r.res.Settled = (r.now - 2*(r.cfg.For/3)).Seconds()
+		r.res.Settled = (r.now - 2*(r.cfg.Duration/3)).Seconds()
 	}
 	r.push(event{at: r.now + time.Second, node: sample})
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -31,7 +31,7 @@
 	p := &goldenPlay{cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
 		later: map[time.Duration][]func(){}, entries: map[string][]Entry{}}
 	for k := range cfg.Nodes {
-		cfg.Me = k
+		cfg.Self = k
 		p.nodes = append(p.nodes, New(cfg, now))
 	}
 	return p
@@ -109,7 +109,7 @@
 		digest string   // SHA-256 of all lines
 		first  []string // the first lines
 	}{
-		{name: "all well", cfg: Config{Nodes: 4, Seed: 21, Wait: 60 * time.Millisecond},
+		{name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
 			play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
 				"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 				"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
@@ -118,7 +118,7 @@
 				"0.01 0: id 1, 1152921504606846976/0, entry 0:1 2.4, kept 1.5s, within 60ms",
 				"0.01 0: id 2, 5/0, entry 0:1 10.125, kept 3s, within 60ms",
 			}},
-		{name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, Calls: 9, Wait: 60 * time.Millisecond},
+		{name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
 			from: 1_700_000_000_350 * time.Millisecond,
 			play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
 				"1700000000.35 0 refuses 9",
@@ -128,7 +128,7 @@
 				"1700000000.36 0 refuses 5",
 				"1700000000.36 3 refuses 9",
 			}},
-		{name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, Calls: 400, Wait: 40 * time.Millisecond},
+		{name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
 			play: func(p *goldenPlay) {
 				p.play(6*time.Second, 0.9)
 				p.lost, p.bad = 0.2, 0.1
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -44,10 +44,10 @@
 
 // Config is what a Node is told at its start.
 type Config struct {
-	Me, Nodes int
-	Seed      uint64
-	Calls     float64       // exchanges a second at most, for all customers; 0 for no limit
-	Wait      time.Duration // an exchange is given up after so long
+	Self, Nodes  int
+	Seed         uint64
+	ExchangeRate float64       // exchanges a second at most, for all customers; 0 for no limit
+	Timeout      time.Duration // an exchange is given up after so long
 }
 
 // Entry is one commitment as it stands in the store: node Node will use no more than Cap in the window. Of a node's
@@ -123,7 +123,7 @@
 // New makes a node. now is the time since an origin that all nodes share, as the Unix epoch.
 func New(cfg Config, now time.Duration) *Ledger {
 	cfg.Nodes = max(cfg.Nodes, 1)
-	return &Ledger{cfg: cfg, now: now, born: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Me))),
+	return &Ledger{cfg: cfg, now: now, born: now, chance: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
 		of: map[uint64]*account{}, tokenAt: now, tokens: 1}
 }
 
@@ -247,8 +247,8 @@
 	if n.now < n.alone || n.fails >= failsMost && len(n.out) > 0 { // one trial at a time
 		return Exchange{}, false
 	}
-	if n.cfg.Calls > 0 {
-		n.tokens = min(n.tokens+n.cfg.Calls*(n.now-n.tokenAt).Seconds(), max(1, n.cfg.Calls/10))
+	if n.cfg.ExchangeRate > 0 {
+		n.tokens = min(n.tokens+n.cfg.ExchangeRate*(n.now-n.tokenAt).Seconds(), max(1, n.cfg.ExchangeRate/10))
 		n.tokenAt = n.now
 		if n.tokens < 1 {
 			return Exchange{}, false
@@ -296,11 +296,11 @@
 	a.seq++
 	n.lastID++
 	a.next = n.now + time.Duration(oftenOf*float64(a.length)*(0.5+n.chance.Float64()))
-	n.out = append(n.out, call{id: n.lastID, key: a.Key, window: a.window, until: n.now + n.cfg.Wait,
-		put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap}})
+	n.out = append(n.out, call{id: n.lastID, key: a.Key, window: a.window, until: n.now + n.cfg.Timeout,
+		put: Entry{Node: n.cfg.Self, Seq: a.seq, Cap: cap}})
 	n.count.Calls++
-	return Exchange{ID: n.lastID, Key: a.Key, Window: a.window, Put: Entry{Node: n.cfg.Me, Seq: a.seq, Cap: cap},
-		Keep: 3 * a.length, Wait: n.cfg.Wait}, true
+	return Exchange{ID: n.lastID, Key: a.Key, Window: a.window, Put: Entry{Node: n.cfg.Self, Seq: a.seq, Cap: cap},
+		Keep: 3 * a.length, Wait: n.cfg.Timeout}, true
 }
 
 // redo notes that the store may have an entry of this window that does not hold, or lack one that does.
@@ -314,7 +314,7 @@
 func (n *Ledger) failed() {
 	n.count.Failed++
 	if n.fails++; n.fails >= failsMost {
-		wait := float64(n.cfg.Wait) * math.Exp2(float64(min(n.fails-failsMost, 10)))
+		wait := float64(n.cfg.Timeout) * math.Exp2(float64(min(n.fails-failsMost, 10)))
 		n.alone = n.now + min(time.Duration(wait*(0.5+n.chance.Float64())), aloneMost*leastWindow)
 	}
 }
@@ -346,7 +346,7 @@
 	}
 	own := 0
 	for _, e := range entries {
-		if e.Node == n.cfg.Me {
+		if e.Node == n.cfg.Self {
 			own = max(own, e.Seq)
 		} else if e.Node >= 0 && e.Node < n.cfg.Nodes && e.Cap >= 0 && e.Seq > a.others[e.Node].Seq {
 			a.others[e.Node] = e
@@ -367,7 +367,7 @@
 	sum := c.put.Cap
 	for k := range a.Spread {
 		node := (a.FirstNode + k) % n.cfg.Nodes
-		if node == n.cfg.Me {
+		if node == n.cfg.Self {
 			continue
 		}
 		if e, ok := a.others[node]; ok {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -45,7 +45,7 @@
 	d := &day{rng: rand.New(rand.NewPCG(seed, 1)), stores: [2]*shared{s, s}, later: map[time.Duration][]func(){},
 		c: Customer{Key: 9, Rate: 100, Burst: 400, Spread: nodes}, spent: map[int64]float64{}}
 	for k := range nodes {
-		d.nodes = append(d.nodes, New(Config{Me: k, Nodes: nodes, Seed: seed, Wait: 50 * time.Millisecond}, 0))
+		d.nodes = append(d.nodes, New(Config{Self: k, Nodes: nodes, Seed: seed, Timeout: 50 * time.Millisecond}, 0))
 	}
 	return d
 }
@@ -169,7 +169,7 @@
 // A node that starts again does not know what it spent before: it waits for the next window.
 func TestARestartFillsNothing(t *testing.T) {
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
-	n := New(Config{Nodes: 2, Wait: time.Second}, 3*time.Second)
+	n := New(Config{Nodes: 2, Timeout: time.Second}, 3*time.Second)
 	if n.TrySpend(3*time.Second, c, 1) || n.TrySpend(3900*time.Millisecond, c, 1) {
 		t.Error("it spent in the window in which it started")
 	}
@@ -183,7 +183,7 @@
 
 // A store that does not answer is left alone for longer and longer, and tried again.
 func TestADeadStoreIsLeftAlone(t *testing.T) {
-	n := New(Config{Nodes: 4, Wait: 100 * time.Millisecond}, 0)
+	n := New(Config{Nodes: 4, Timeout: 100 * time.Millisecond}, 0)
 	calls := 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 		for k := range uint64(20) {
--- a/internal/quotastore/golden_test.go
+++ b/internal/quotastore/golden_test.go
@@ -146,7 +146,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, log := startScripted(t, exec), zerolog.Nop()
-			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Wait: 5 * time.Second}, &log)
+			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
 			id, entries, err := q.exchange(context.Background(), c.x)
 			if err != nil {
@@ -188,7 +188,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, log := startScripted(t, c.exec), zerolog.Nop()
-			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Wait: 5 * time.Second}, &log)
+			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
 			if id, entries, err := q.exchange(context.Background(), quota.Exchange{Keep: time.Second}); (err == nil) != c.ok ||
 				err == nil && id != 9 || err != nil && (id != 0 || entries != nil) {
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -45,7 +45,7 @@
 	}))
 	log, fronts := zerolog.Nop(), make([]string, nodes)
 	for k := range nodes {
-		q := Open(server.Addr(), fmt.Sprint("n", k), quota.Config{Me: k, Nodes: nodes, Seed: 9, Wait: 60 * time.Millisecond}, &log)
+		q := Open(server.Addr(), fmt.Sprint("n", k), quota.Config{Self: k, Nodes: nodes, Seed: 9, Timeout: 60 * time.Millisecond}, &log)
 		go q.Run()
 		defer q.Close()
 		alarm, err := transport.NewTimer()
--- a/internal/quotastore/store.go
+++ b/internal/quotastore/store.go
@@ -44,8 +44,8 @@
 func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	q := &Quotas{log: log, done: make(chan struct{}), node: quota.New(cfg, now())}
 	q.client = redis.NewClient(&redis.Options{Addr: addr, ClientName: name, Protocol: 2, DisableIndentity: true,
-		MaxRetries: -1, PoolSize: connections, DialTimeout: cfg.Wait, ReadTimeout: cfg.Wait, WriteTimeout: cfg.Wait,
-		PoolTimeout: cfg.Wait, ContextTimeoutEnabled: true})
+		MaxRetries: -1, PoolSize: connections, DialTimeout: cfg.Timeout, ReadTimeout: cfg.Timeout, WriteTimeout: cfg.Timeout,
+		PoolTimeout: cfg.Timeout, ContextTimeoutEnabled: true})
 	return q
 }
 
--- a/internal/quotastore/store_test.go
+++ b/internal/quotastore/store_test.go
@@ -35,7 +35,7 @@
 	done := make(chan *Quotas, nodes)
 	for k := range nodes {
 		go func() {
-			q := Open(server.Addr(), fmt.Sprint("n", k), quota.Config{Me: k, Nodes: nodes, Seed: 9, Wait: 60 * time.Millisecond}, &log)
+			q := Open(server.Addr(), fmt.Sprint("n", k), quota.Config{Self: k, Nodes: nodes, Seed: 9, Timeout: 60 * time.Millisecond}, &log)
 			go q.Run()
 			r := rand.New(rand.NewSource(int64(k)))
 			time.Sleep(time.Until(began))
--- a/internal/transport/golden_healthcheck_test.go
+++ b/internal/transport/golden_healthcheck_test.go
@@ -20,7 +20,7 @@
 		SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {}})
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(addr)}}}, true)
-	d := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, Take: 400, Bytes: 1 << 14, Every: time.Second}, router,
+	d := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
 		NewPool(roomy, &log, &Counters{}), func(int, []byte) {}, &log)
 	go d.Run()
 	defer d.Close()
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -75,7 +75,7 @@
 			"band.0.contract": "20000"}, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
 			LogSummary: func([]byte) {}})
 		router.UpdateEndpoints(list, true)
-		d := NewHealthChecker(healthcheck.Config{Me: k, Nodes: nodes, Seed: r.Uint64(), Take: 400, Bytes: 1 << 14, Every: time.Second},
+		d := NewHealthChecker(healthcheck.Config{Self: k, Nodes: nodes, Seed: r.Uint64(), ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second},
 			router, NewPool(roomy, &log, &Counters{}), mail.Send, &log)
 		every = d.node.Every()
 		go d.Run()
