--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -187,7 +187,7 @@
 		v, _ := strconv.ParseFloat(c.set[name], 64)
 		return v
 	}
-	return healthcheck.Config{Self: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, ReceiveRate: figure("peers.take"),
+	return healthcheck.Config{Self: healthcheck.NodeID(figure("node")), Nodes: len(c.Peers), Seed: c.seed, ReceiveRate: figure("peers.take"),
 		SendRate: c.share.Bytes, Interval: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
 }
 
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -164,7 +164,7 @@
 	}
 	c.Known, c.known.Endpoints = nil, nil // some MB in a large fleet, which the module holds in its own form
 	if c.shares() {
-		shared = transport.NewHealthChecker(c.duties(), router, pool, cfg.SendToPeer, &log)
+		shared = transport.NewHealthChecker(c.duties(), router, pool, cfg.SendToPeer)
 	}
 	watch := &transport.DiscoveryClient{Addr: c.Discovery, Revision: c.known.Revision, Full: !known, Limits: limits, Log: &log,
 		Count: count, OnFailure: router.PollFailed, OnList: func(l *protocol.EndpointList) {
--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -17,7 +18,7 @@
 // input is one message that a node takes in.
 type input struct {
 	at   time.Duration
-	from int
+	from NodeID
 	text string // hexadecimal
 }
 
@@ -103,8 +104,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !n.ReceivePeerMessage(in.at, in.from, text) {
-					t.Errorf("%s from %d was not read", in.text, in.from)
+				if err := n.ReceivePeerMessage(in.at, in.from, text); err != nil {
+					t.Errorf("%s from %d: %v", in.text, in.from, err)
 				}
 			}
 			got := []string{}
@@ -145,7 +146,7 @@
 
 func (p *transcript) start(k int, duties []Check) {
 	cfg := p.cfg
-	cfg.Self, cfg.Seed = k, cfg.Seed+uint64(p.now/time.Second)
+	cfg.Self, cfg.Seed = NodeID(k), cfg.Seed+uint64(p.now/time.Second)
 	p.nodes[k] = New(cfg, p.now)
 	p.nodes[k].SetChecks(p.now, duties)
 }
@@ -167,7 +168,7 @@
 	}
 	for range 1 + p.rng.IntN(50)/49 {
 		p.after(step*time.Duration(1+p.rng.IntN(3)), func() {
-			if n := p.nodes[to]; n != nil && !n.ReceivePeerMessage(p.now, from, text) {
+			if n := p.nodes[to]; n != nil && n.ReceivePeerMessage(p.now, NodeID(from), text) != nil {
 				p.write("%d did not read it", to)
 			}
 		})
@@ -187,20 +188,23 @@
 			for s, ok := n.Next(p.now); ok; s, ok = n.Next(p.now) {
 				switch s.Kind {
 				case Send:
-					p.send(k, s.To, append([]byte(nil), s.Text...))
+					p.send(k, int(s.To), append([]byte(nil), s.Text...))
 				case Run:
-					p.write("%d runs %d/%d within %v", k, s.Check.Kind, s.Check.ID, s.Wait)
+					p.write("%d runs %d/%d within %v", k, s.Check.Kind, s.Check.ID, s.Timeout)
 					if k != p.idle {
 						p.after(step, func() { n.CheckEnded(p.now, s.Check, s.Check.ID%2 > 0) })
 					}
 				case Ended:
-					p.write("%d hears of %d/%d %v", k, s.Check.Kind, s.Check.ID, s.Good)
+					p.write("%d hears of %d/%d %v", k, s.Check.Kind, s.Check.ID, s.OK)
 				}
 			}
 			if p.now%time.Second == 0 {
-				c := n.Count()
-				p.write("%d: %v %v %v, %d owned, %d dead, %v", k, n.Period(), n.Every(), n.Wake(p.now), n.Owned(p.now), n.Dead(),
-					[]int64{c.Sent, c.SentBytes, c.Held, c.Heard, c.Bad, c.Runs, c.StoodIn, c.Suspected, c.Died, c.Came, c.Defended})
+				c := n.Counters()
+				p.write("%d: %v %v %v, %d owned, %d dead, %v", k, n.Period(), n.Interval(), n.Wake(p.now), n.OwnedCount(p.now), n.DeadCount(),
+					[]int64{
+						c.Sent, c.SentBytes, c.Withheld, c.Received, c.Malformed, c.Checks, c.BackupChecks,
+						c.Suspected, c.Died, c.Rejoined, c.Refuted,
+					})
 			}
 		}
 	}
@@ -245,7 +249,7 @@
 				p.play(60 * time.Second)
 				p.cut = false
 				for k, n := range p.nodes {
-					n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, uint64(1000 + k/5)}))
+					n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, CheckID(1000 + k/5)}))
 				}
 				p.play(120 * time.Second)
 			}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
@@ -275,7 +279,7 @@
 			play: func(p *transcript) {
 				many := make([]Check, 1500)
 				for k := range many {
-					many[k] = Check{CheckServer, uint64(k)}
+					many[k] = Check{CheckServer, CheckID(k)}
 				}
 				p.play(time.Second)
 				p.nodes[2] = nil
@@ -361,8 +365,10 @@
 			t.Fatal(err)
 		}
 		n := New(Config{Nodes: 9, Seed: 2, ReceiveRate: 40}, 0)
-		if read := n.ReceivePeerMessage(0, 1, text); read != c.read || n.Count().Bad != map[bool]int64{false: 1}[read] {
-			t.Errorf("%s: read %v", c.text, read)
+		err = n.ReceivePeerMessage(0, 1, text)
+		read := err == nil
+		if read != c.read || !read && !errors.Is(err, ErrMalformed) || n.Counters().Malformed != map[bool]int64{false: 1}[read] {
+			t.Errorf("%s: %v", c.text, err)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/healthlab/simulation.go
@@ -0,0 +1,216 @@
+package healthlab
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"cherrygap/internal/healthcheck"
+)
+
+const (
+	checkDuration  = 20 * time.Millisecond
+	sampleInterval = time.Second
+	idStep         = 7919 // between the numbers of two servers: any will do, but for those that share a pattern
+	noNode         = -1
+)
+
+// node is one simulated node.
+type node struct {
+	scheduler *healthcheck.Scheduler // of its present life
+	life      int                    // how often it has started
+	up        bool
+	wakeAt    time.Duration
+	received  int64 // messages, over all lives
+	sentBytes int64 // of earlier lives
+	withheld  int64 // of earlier lives
+}
+
+// server is what is known of one app server.
+type server struct {
+	checkedAt time.Duration
+	checkedBy int // noNode before the first check
+}
+
+// simulation is one run.
+type simulation struct {
+	cfg     Config
+	random  *rand.Rand
+	now     time.Duration
+	queue   eventQueue
+	nodes   []*node
+	servers []server
+	checks  []healthcheck.Check // one a server
+	faulty  bool                // the scenario's fault is on
+	down    []int               // vanish: the nodes that are gone
+	result  Result
+}
+
+func newSimulation(cfg Config) *simulation {
+	s := &simulation{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 7)), servers: make([]server, cfg.Servers)}
+	for i := range s.servers {
+		s.checks = append(s.checks, healthcheck.Check{Kind: healthcheck.CheckServer, ID: healthcheck.CheckID(i*idStep + 1)})
+		s.servers[i].checkedBy = noNode
+	}
+	for i := range cfg.Nodes {
+		s.nodes = append(s.nodes, &node{})
+		s.start(i)
+	}
+	s.result.Settled = -1
+	return s
+}
+
+// faultBegins and faultEnds are the times at which the scenario's fault does.
+func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
+
+func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
+
+// start begins a new life of a node, which knows nothing of the earlier ones.
+func (s *simulation) start(id int) {
+	n := s.nodes[id]
+	n.life++
+	n.up = true
+	n.scheduler = healthcheck.New(healthcheck.Config{
+		Self:        healthcheck.NodeID(id),
+		Nodes:       s.cfg.Nodes,
+		Seed:        s.random.Uint64(),
+		ReceiveRate: s.cfg.ReceiveRate,
+		SendRate:    s.cfg.SendRate,
+		Interval:    s.cfg.Interval,
+	}, s.now)
+	n.scheduler.SetChecks(s.now, s.checks)
+	n.wakeAt = s.now
+	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, life: n.life})
+}
+
+func (s *simulation) stop(id int) {
+	n := s.nodes[id]
+	if !n.up {
+		return
+	}
+	n.up = false
+	counters := n.scheduler.Counters()
+	n.sentBytes += counters.SentBytes
+	n.withheld += counters.Withheld
+}
+
+// play runs the whole simulation.
+func (s *simulation) play() {
+	s.queue.schedule(event{at: s.faultBegins(), kind: moveFault})
+	s.queue.schedule(event{at: s.faultEnds(), kind: moveFault})
+	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleView})
+	for s.queue.Len() > 0 {
+		e := s.queue.next()
+		if e.at > s.cfg.Duration {
+			break
+		}
+		s.now = e.at
+		s.handle(e)
+	}
+	for _, server := range s.servers {
+		s.recordGap(server.checkedAt, s.cfg.Duration)
+	}
+}
+
+// handle has one event happen.
+func (s *simulation) handle(e event) {
+	switch e.kind {
+	case sampleView:
+		s.sample()
+		return
+	case moveFault:
+		s.moveFault()
+		return
+	}
+	n := s.nodes[e.node]
+	if !n.up || n.life != e.life && e.kind != receive {
+		return
+	}
+	switch e.kind {
+	case receive:
+		n.received++
+		// An error is counted by the node; only what the fleet does with its messages matters here.
+		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text)
+	case endCheck:
+		n.scheduler.CheckEnded(s.now, e.check, true)
+	default:
+		if e.at < n.wakeAt { // another timer was set meanwhile
+			return
+		}
+	}
+	s.carryOut(e.node)
+}
+
+// carryOut does what a node wants now, and sets its timer.
+func (s *simulation) carryOut(id int) {
+	n := s.nodes[id]
+	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
+		switch step.Kind {
+		case healthcheck.Send:
+			s.send(id, int(step.To), slices.Clone(step.Text))
+		case healthcheck.Run:
+			s.recordCheck(int((step.Check.ID-1)/idStep), id)
+			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, life: n.life, check: step.Check})
+		case healthcheck.Ended: // nothing: a router would take over the result
+		}
+	}
+	n.wakeAt = s.now + n.scheduler.Wake(s.now)
+	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, life: n.life})
+}
+
+// recordCheck notes that a node checks a server now.
+func (s *simulation) recordCheck(index, by int) {
+	server := &s.servers[index]
+	s.result.Checks++
+	halfInterval := s.nodes[by].scheduler.Interval() / 2
+	if server.checkedBy != noNode && server.checkedBy != by && s.now-server.checkedAt < halfInterval {
+		s.result.Doubled++
+	}
+	s.recordGap(server.checkedAt, s.now)
+	server.checkedAt, server.checkedBy = s.now, by
+}
+
+// recordGap notes that a server went unchecked from one time to another.
+func (s *simulation) recordGap(from, to time.Duration) {
+	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
+		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
+	}
+}
+
+// sample looks whether all nodes that are up agree on who is alive. After the fault all are up again.
+func (s *simulation) sample() {
+	wrong := 0
+	for _, n := range s.nodes {
+		if n.up {
+			wrong += n.scheduler.DeadCount()
+		}
+	}
+	s.result.WrongDeaths = wrong
+	if wrong > 0 {
+		s.result.Settled = -1
+	} else if s.result.Settled < 0 {
+		s.result.Settled = (s.now - s.faultEnds()).Seconds()
+	}
+	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleView})
+}
+
+// summarize is the result of a run that has ended.
+func (s *simulation) summarize() Result {
+	r, first := s.result, s.nodes[0].scheduler
+	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
+	r.Period, r.Interval = first.Period().Seconds(), first.Interval().Seconds()
+	seconds, received := s.cfg.Duration.Seconds(), int64(0)
+	for _, n := range s.nodes {
+		var current healthcheck.Counters
+		if n.up {
+			current = n.scheduler.Counters()
+		}
+		bytes := float64(n.sentBytes+current.SentBytes) / seconds
+		r.BytesMean += bytes / float64(s.cfg.Nodes)
+		r.BytesMost = max(r.BytesMost, bytes)
+		r.Withheld += n.withheld + current.Withheld
+		received = max(received, n.received)
+	}
+	r.MessagesMost = float64(received) / seconds
+	return r
+}
--- a/internal/transport/golden_healthcheck_test.go
+++ b/internal/transport/golden_healthcheck_test.go
@@ -21,7 +21,7 @@
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(addr)}}}, true)
 	d := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
-		NewPool(roomy, &log, &Counters{}), func(int, []byte) {}, &log)
+		NewPool(roomy, &log, &Counters{}), func(int, []byte) {})
 	go d.Run()
 	defer d.Close()
 	select {
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -1,185 +1,151 @@
 package transport
 
 import (
-	"bufio"
-	"context"
+	"slices"
 	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"cherrygap/internal/healthcheck"
-	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
 )
 
-// HealthChecker carries out the shared duties that one node has: the module in internal/duties says whom to write to and what
-// to run, this sends, probes and reports. Probes go over the pool, so that a server in use is checked over a
-// connection that stands anyway.
+// HealthChecker carries out this node's part of the fleet's health checks: healthcheck.Scheduler decides what is sent
+// to which node and which server is probed when; this sends, probes and reports. Probes go over the pool, so that a
+// server in use is checked over a connection that stands anyway. It is safe for concurrent use.
 type HealthChecker struct {
-	router *routing.Router
-	pool   *Pool
-	tell   func(to int, text []byte)
-	log    *zerolog.Logger
-	began  time.Time
-	kick   chan struct{}
-	done   chan struct{}
-
-	mu      sync.Mutex
-	node    *healthcheck.Scheduler
-	servers map[uint64]*routing.Server
+	router  *routing.Router
+	pool    *Pool
+	send    func(to int, text []byte)
+	started time.Time     // the origin of the scheduler's clock
+	changed chan struct{} // holds one element if the scheduler was told something since Run last asked it
+	done    chan struct{} // closed by Close
+
+	// mu guards the scheduler, and servers with the contents of the map.
+	mu        sync.Mutex
+	scheduler *healthcheck.Scheduler
+	servers   map[healthcheck.CheckID]*routing.Server // in service, by number
 }
 
-// NewHealthChecker makes the duties of one node; Run carries them out. tell sends a message to one peer.
-func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, tell func(to int, text []byte),
-	log *zerolog.Logger) *HealthChecker {
-	d := &HealthChecker{router: router, pool: pool, tell: tell, log: log, began: time.Now(), kick: make(chan struct{}, 1),
-		done: make(chan struct{}), servers: map[uint64]*routing.Server{}}
-	d.node = healthcheck.New(cfg, 0)
-	d.EndpointsChanged()
-	return d
+// NewHealthChecker makes the health checks of one node for the servers that the router has in service now; Run carries them
+// out. send sends a message to one peer; it is called by one goroutine at a time, without a lock.
+func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, text []byte)) *HealthChecker {
+	h := &HealthChecker{
+		router:    router,
+		pool:      pool,
+		send:      send,
+		started:   time.Now(),
+		changed:   make(chan struct{}, 1),
+		done:      make(chan struct{}),
+		scheduler: healthcheck.New(cfg, 0),
+		servers:   map[healthcheck.CheckID]*routing.Server{},
+	}
+	h.EndpointsChanged()
+	return h
 }
 
-func (d *HealthChecker) now() time.Duration { return time.Since(d.began) }
+func (h *HealthChecker) now() time.Duration { return time.Since(h.started) }
 
-func (d *HealthChecker) poke() {
+// notifyRun has Run ask the scheduler again.
+func (h *HealthChecker) notifyRun() {
 	select {
-	case d.kick <- struct{}{}:
+	case h.changed <- struct{}{}:
 	default:
 	}
 }
 
-// EndpointsChanged takes over the app servers in service from the router, each to be checked.
-func (d *HealthChecker) EndpointsChanged() {
-	list := d.router.Servers()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	clear(d.servers)
-	due := make([]healthcheck.Check, len(list))
-	for k, s := range list {
-		due[k] = healthcheck.Check{Kind: healthcheck.CheckServer, ID: uint64(s.Number())}
-		d.servers[due[k].ID] = s
+// EndpointsChanged takes over the servers in service from the router, each to be checked.
+func (h *HealthChecker) EndpointsChanged() {
+	list := h.router.Servers()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	clear(h.servers)
+	checks := make([]healthcheck.Check, len(list))
+	for i, server := range list {
+		checks[i] = healthcheck.Check{Kind: healthcheck.CheckServer, ID: healthcheck.CheckID(server.Number())}
+		h.servers[checks[i].ID] = server
 	}
-	d.node.SetChecks(d.now(), due)
-	d.poke()
+	h.scheduler.SetChecks(h.now(), checks)
+	h.notifyRun()
 }
 
-// ReceivePeerMessage takes in a peer's message and tells whether it could be read. It must begin with healthcheck.Mark.
-func (d *HealthChecker) ReceivePeerMessage(from int, text []byte) bool {
-	d.mu.Lock()
-	ok := d.node.ReceivePeerMessage(d.now(), from, text)
-	d.mu.Unlock()
-	d.poke()
-	return ok
+// ReceivePeerMessage takes in a peer's message, which begins with healthcheck.MessageMark, and tells whether it could be read.
+func (h *HealthChecker) ReceivePeerMessage(from int, text []byte) bool {
+	h.mu.Lock()
+	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), text)
+	h.mu.Unlock()
+	h.notifyRun()
+	return err == nil
 }
 
-// Run carries the duties out until Close.
-func (d *HealthChecker) Run() {
+// Run carries out the scheduler's decisions until Close. Each probe has a goroutine of its own, which ends within the
+// time that the scheduler gives it, also after Close.
+func (h *HealthChecker) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-d.done:
+		case <-h.done:
 			return
 		case <-timer.C:
-		case <-d.kick:
+		case <-h.changed:
 		}
-		for s, ok := d.next(); ok; s, ok = d.next() {
-			switch s.Kind {
-			case healthcheck.Send:
-				d.tell(s.To, s.Text)
-			case healthcheck.Run:
-				go d.run(s)
-			case healthcheck.Ended:
-				d.router.HealthChecked(uint32(s.Check.ID), s.Good)
-			}
+		for step, ok := h.next(); ok; step, ok = h.next() {
+			h.carryOut(step)
 		}
-		d.mu.Lock()
-		wait := d.node.Wake(d.now())
-		d.mu.Unlock()
+		h.mu.Lock()
+		wait := h.scheduler.Wake(h.now())
+		h.mu.Unlock()
 		timer.Reset(wait)
 	}
 }
 
-func (d *HealthChecker) next() (healthcheck.Step, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s, ok := d.node.Next(d.now())
-	s.Text = append([]byte(nil), s.Text...)
-	return s, ok
+// next is the scheduler's next step, with a text of its own.
+func (h *HealthChecker) next() (healthcheck.Step, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	step, ok := h.scheduler.Next(h.now())
+	step.Text = slices.Clone(step.Text)
+	return step, ok
 }
 
-// Close ends Run.
-func (d *HealthChecker) Close() { close(d.done) }
-
-// MarshalZerologObject writes what the duties did so far, and how many of them this node has.
-func (d *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c := d.node.Count()
-	e.Int("owned", d.node.Owned(d.now())).Int("servers", len(d.servers)).Int("dead", d.node.Dead()).
-		Int64("runs", c.Runs).Int64("stood_in", c.StoodIn).Int64("sent", c.Sent).Int64("bytes", c.SentBytes).
-		Int64("held", c.Held).Int64("heard", c.Heard).Int64("bad", c.Bad).Int64("suspected", c.Suspected).
-		Int64("died", c.Died).Int64("came", c.Came).Int64("defended", c.Defended)
+func (h *HealthChecker) carryOut(step healthcheck.Step) {
+	switch step.Kind {
+	case healthcheck.Send:
+		h.send(int(step.To), step.Text)
+	case healthcheck.Run:
+		go h.check(step)
+	case healthcheck.Ended:
+		h.router.HealthChecked(uint32(step.Check.ID), step.OK)
+	}
 }
 
-// run checks one server and reports how that ended.
-func (d *HealthChecker) run(s healthcheck.Step) {
-	d.mu.Lock()
-	server := d.servers[s.Check.ID]
-	d.mu.Unlock()
-	good := server != nil && d.probe(server, time.Now().Add(s.Wait))
+// check probes one server and reports how that ended.
+func (h *HealthChecker) check(step healthcheck.Step) {
+	h.mu.Lock()
+	server := h.servers[step.Check.ID]
+	h.mu.Unlock()
+	ok := server != nil && h.probe(server, time.Now().Add(step.Timeout))
 	if server != nil {
-		d.router.HealthChecked(server.Number(), good)
+		h.router.HealthChecked(server.Number(), ok)
 	}
-	d.mu.Lock()
-	d.node.CheckEnded(d.now(), s.Check, good)
-	d.mu.Unlock()
-	d.poke()
+	h.mu.Lock()
+	h.scheduler.CheckEnded(h.now(), step.Check, ok)
+	h.mu.Unlock()
+	h.notifyRun()
 }
 
-// probe asks a server whether it is ready. Nothing is sent to one that is not in service any more.
-func (d *HealthChecker) probe(s *routing.Server, until time.Time) bool {
-	l := d.pool.take(s)
-	if l == nil {
-		ctx, cancel := context.WithDeadline(context.Background(), until)
-		defer cancel()
-		var err error
-		if l, err = d.pool.dial(ctx, s); err != nil {
-			return false
-		}
-	}
-	if !d.router.InService(s) {
-		d.pool.put(l)
-		return false
-	}
-	l.conn.SetDeadline(until)
-	l.out.took(protocol.AppendHealthCheck(l.out.room(), s.Addr.String()))
-	if l.out.Flush() != nil {
-		d.pool.end(l, serverBroken)
-		return false
-	}
-	l.used++
-	br := parsers.Get().(*bufio.Reader)
-	br.Reset(&l.in)
-	l.in.Allow(protocol.MaxHead + 4*protocol.MaxBody)
-	l.in.patient = true // the probe's own time guards it
-	reply, err := protocol.ReadServerResponse(br, nil)
-	l.in.patient = false
-	l.in.done(br)
-	br.Reset(nil)
-	parsers.Put(br)
-	switch {
-	case err == nil && !reply.Close && l.in.r == l.in.w:
-		d.pool.put(l)
-	case err == nil:
-		d.pool.end(l, serverLast)
-	case timedOut(l.in.err):
-		d.pool.end(l, serverLate)
-	case l.in.err == nil:
-		d.pool.end(l, serverBad)
-	default:
-		d.pool.end(l, serverBroken)
-	}
-	return err == nil && reply.Outcome == protocol.Completed
+// Close ends Run. It must be called once.
+func (h *HealthChecker) Close() { close(h.done) }
+
+// MarshalZerologObject writes how many tasks and servers there are here, and what was done so far.
+func (h *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := h.scheduler.Counters()
+	e.Int("owned", h.scheduler.OwnedCount(h.now())).Int("servers", len(h.servers)).Int("dead", h.scheduler.DeadCount()).
+		Int64("checks", c.Checks).Int64("backup_checks", c.BackupChecks).Int64("sent", c.Sent).Int64("bytes", c.SentBytes).
+		Int64("withheld", c.Withheld).Int64("received", c.Received).Int64("malformed", c.Malformed).
+		Int64("suspected", c.Suspected).Int64("died", c.Died).Int64("rejoined", c.Rejoined).Int64("refuted", c.Refuted)
 }
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -17,100 +17,174 @@
 	"cherrygap/internal/routing"
 )
 
-// Twelve nodes on loopback, killed and started again at random: no app server goes unchecked for more than two
-// periods, few are checked twice, and a drained one is not checked at all.
-func TestSharedChecksSurviveTheirOwners(t *testing.T) {
-	const nodes, servers = 12, 8
-	r := rand.New(rand.NewSource(4))
-	var mu sync.Mutex
-	last, worst, checks := [servers]time.Time{}, [servers]time.Duration{}, [servers]int{}
-	seen := func(k int) {
-		mu.Lock()
-		defer mu.Unlock()
-		now := time.Now()
-		worst[k] = max(worst[k], now.Sub(last[k]))
-		last[k] = now
+// checkedServers are app servers on loopback that note when each was checked.
+type checkedServers struct {
+	list *protocol.EndpointList
+
+	mu     sync.Mutex
+	last   []time.Time
+	worst  []time.Duration // between two checks of a server
+	checks []int
+}
+
+// startCheckedServers starts so many servers, of which the first one is draining.
+func startCheckedServers(t *testing.T, count int) *checkedServers {
+	t.Helper()
+	s := &checkedServers{
+		list:   &protocol.EndpointList{Full: true},
+		last:   make([]time.Time, count),
+		worst:  make([]time.Duration, count),
+		checks: make([]int, count),
 	}
-	list := &protocol.EndpointList{Full: true}
-	for k := range servers {
+	for i := range count {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer ln.Close()
-		go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
 			if q.URL.Path != "/healthz" || q.Header.Get("X-Call-Id") != "" {
 				t.Errorf("%s with id %q", q.URL, q.Header.Get("X-Call-Id"))
 			}
-			seen(k)
-			mu.Lock()
-			checks[k]++
-			mu.Unlock()
-		}))
-		mu.Lock() // the network is no order that the race detector sees
-		last[k] = time.Now()
-		mu.Unlock()
-		list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(k), Weight: 1,
-			Addr: netip.MustParseAddrPort(ln.Addr().String())})
+			s.checked(i)
+		})}
+		t.Cleanup(func() { _ = server.Close() })
+		s.last[i] = time.Now()
+		go func() { _ = server.Serve(ln) }() // until Close
+		s.list.Endpoints = append(s.list.Endpoints, protocol.Endpoint{
+			UID:    fmt.Sprint(i),
+			Weight: 1,
+			Addr:   netip.MustParseAddrPort(ln.Addr().String()),
+		})
 	}
-	list.Endpoints[0].State = protocol.Terminating
-	addrs := make([]netip.AddrPort, nodes)
-	for k := range addrs {
+	s.list.Endpoints[0].State = protocol.Terminating
+	return s
+}
+
+func (s *checkedServers) checked(i int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.noteGap(i)
+	s.checks[i]++
+}
+
+// noteGap notes that a server went unchecked until now; the lock is held.
+func (s *checkedServers) noteGap(i int) {
+	now := time.Now()
+	s.worst[i] = max(s.worst[i], now.Sub(s.last[i]))
+	s.last[i] = now
+}
+
+// checkingNodes are nodes on loopback that check servers together.
+type checkingNodes struct {
+	t        *testing.T
+	addrs    []netip.AddrPort
+	peers    *protocol.PeerTable
+	list     *protocol.EndpointList
+	random   *rand.Rand
+	interval time.Duration
+	stop     []func() // nil for a node that is down
+}
+
+func newCheckingNodes(t *testing.T, count int, list *protocol.EndpointList) *checkingNodes {
+	t.Helper()
+	n := &checkingNodes{t: t, list: list, random: rand.New(rand.NewSource(4)), stop: make([]func(), count)}
+	for range count {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs[k] = netip.MustParseAddrPort(c.LocalAddr().String())
-		c.Close()
-	}
-	peers, log := protocol.NewPeerTable(addrs, netip.AddrPort{}), zerolog.Nop()
-	running := make([]func(), nodes)
-	var every time.Duration
-	startNode := func(k int) {
-		mail, err := OpenPeerSocket(addrs[k], peers, &Counters{})
-		if err != nil {
+		n.addrs = append(n.addrs, netip.MustParseAddrPort(c.LocalAddr().String()))
+		if err := c.Close(); err != nil {
 			t.Fatal(err)
 		}
-		router := routing.New(routing.Config{Seed: 3, Settings: map[string]string{"nodes": "12", "tick": "20",
-			"band.0.contract": "20000"}, SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
-			LogSummary: func([]byte) {}})
-		router.UpdateEndpoints(list, true)
-		d := NewHealthChecker(healthcheck.Config{Self: k, Nodes: nodes, Seed: r.Uint64(), ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second},
-			router, NewPool(roomy, &log, &Counters{}), mail.Send, &log)
-		every = d.node.Every()
-		go d.Run()
-		go mail.Receive(d.ReceivePeerMessage)
-		running[k] = func() { d.Close(); mail.conn.Close() }
 	}
-	for k := range nodes {
-		startNode(k)
+	n.peers = protocol.NewPeerTable(n.addrs, netip.AddrPort{})
+	return n
+}
+
+func (n *checkingNodes) start(i int) {
+	n.t.Helper()
+	log := zerolog.Nop()
+	socket, err := OpenPeerSocket(n.addrs[i], n.peers, &Counters{})
+	if err != nil {
+		n.t.Fatal(err)
 	}
-	began := time.Now()
-	for time.Since(began) < 8*time.Second {
-		time.Sleep(time.Duration(200+r.Intn(400)) * time.Millisecond)
-		if k := r.Intn(nodes); running[k] != nil {
-			running[k]()
-			running[k] = nil
+	settings := map[string]string{"nodes": fmt.Sprint(len(n.addrs)), "tick": "20", "band.0.contract": "20000"}
+	router := routing.New(routing.Config{
+		Seed:          3,
+		Settings:      settings,
+		SetTimer:      func(time.Duration) {},
+		SendToPeer:    func(int, []byte) {},
+		PollEndpoints: func() {},
+		LogSummary:    func([]byte) {},
+	})
+	router.UpdateEndpoints(n.list, true)
+	checker := NewHealthChecker(healthcheck.Config{
+		Self:        healthcheck.NodeID(i),
+		Nodes:       len(n.addrs),
+		Seed:        n.random.Uint64(),
+		ReceiveRate: 400,
+		SendRate:    1 << 14,
+		Interval:    time.Second,
+	}, router, NewPool(roomy, &log, &Counters{}), socket.Send)
+	n.interval = checker.scheduler.Interval()
+	go checker.Run()
+	go socket.Receive(checker.ReceivePeerMessage)
+	n.stop[i] = func() {
+		checker.Close()
+		_ = socket.conn.Close()
+		n.stop[i] = nil
+	}
+}
+
+// stopAll stops the nodes that are up.
+func (n *checkingNodes) stopAll() {
+	for _, stop := range n.stop {
+		if stop != nil {
+			stop()
+		}
+	}
+}
+
+// disturb kills and starts nodes at random for so long.
+func (n *checkingNodes) disturb(span time.Duration) {
+	n.t.Helper()
+	for began := time.Now(); time.Since(began) < span; {
+		time.Sleep(time.Duration(200+n.random.Intn(400)) * time.Millisecond)
+		if i := n.random.Intn(len(n.stop)); n.stop[i] != nil {
+			n.stop[i]()
 		} else {
-			startNode(k)
+			n.start(i)
 		}
-		if k := r.Intn(nodes); running[k] == nil && r.Intn(2) == 0 {
-			startNode(k)
+		if i := n.random.Intn(len(n.stop)); n.stop[i] == nil && n.random.Intn(2) == 0 {
+			n.start(i)
 		}
 	}
-	for k := range nodes {
-		if running[k] != nil {
-			running[k]()
-		}
+}
+
+// Twelve nodes on loopback, killed and started again at random: no app server goes unchecked for more than two
+// intervals, few are checked twice, and a draining one is not checked at all.
+func TestSharedChecksSurviveTheirOwners(t *testing.T) {
+	const nodeCount, serverCount = 12, 8
+	servers := startCheckedServers(t, serverCount)
+	nodes := newCheckingNodes(t, nodeCount, servers.list)
+	for i := range nodeCount {
+		nodes.start(i)
 	}
-	span := time.Since(began)
-	for k := 1; k < servers; k++ {
-		seen(k)
-		if worst[k] > 2*every+every/4 || checks[k] < int(span/every/2) || checks[k] > int(3*span/every) {
-			t.Errorf("server %d: unchecked for %v, checked %d times in %v; the period is %v", k, worst[k], checks[k], span, every)
+	began := time.Now()
+	nodes.disturb(8 * time.Second)
+	nodes.stopAll()
+	span, interval := time.Since(began), nodes.interval
+	servers.mu.Lock()
+	defer servers.mu.Unlock()
+	for i := 1; i < serverCount; i++ {
+		servers.noteGap(i)
+		worst, checks := servers.worst[i], servers.checks[i]
+		if worst > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
+			t.Errorf("server %d: unchecked for %v, checked %d times in %v; the interval is %v", i, worst, checks, span, interval)
 		}
 	}
-	if checks[0] > 0 {
-		t.Errorf("a draining server was checked %d times", checks[0])
+	if servers.checks[0] > 0 {
+		t.Errorf("a draining server was checked %d times", servers.checks[0])
 	}
 }
