--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -32,70 +32,94 @@
 	return list
 }
 
+var (
+	three = Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 40, Interval: 5 * time.Second}
+	nine  = Config{Self: 4, Nodes: 9, Seed: 2, ReceiveRate: 40, SendRate: 4096, Interval: 5 * time.Second}
+	large = Config{Self: 7, Nodes: 2500, Seed: 3, ReceiveRate: 400, Interval: 5 * time.Second}
+)
+
+// goldenMessages are what a node sends, by what it has taken in.
+var goldenMessages = []struct {
+	name   string
+	cfg    Config
+	duties []Check
+	in     []input
+	pulls  []time.Duration // when Next is called, after all of in
+	want   []string
+}{
+	{name: "first pings", cfg: three, pulls: []time.Duration{0, 400 * time.Millisecond}, want: []string{
+		"1:d00101db052768",
+		"2:d00102db052768",
+		"1:d00103db052768",
+	}},
+	{
+		name: "a ping of the same view is answered", cfg: three, in: []input{{0, 1, "d00105db052768"}},
+		pulls: []time.Duration{0}, want: []string{
+			"1:d00205db052768",
+		},
+	},
+	{
+		name: "a ping of another view is answered with who is dead", cfg: three,
+		in: []input{{0, 1, "d001ac0200000000" + "010a03"}}, pulls: []time.Duration{0}, want: []string{
+			"1:d002ac02d69d673203000104010a03",
+		},
+	},
+	{
+		name: "suspicions are passed on, the sender's first", cfg: nine,
+		in: []input{{0, 1, "d0010700000000" + "010900" + "010502"}}, pulls: []time.Duration{0}, want: []string{
+			"1:d00100fa2da101010502010900010502",
+			"1:d00207fa2da1010105020300020000010900010502",
+		},
+	},
+	{
+		name: "word of this node's own death is contradicted", cfg: nine,
+		in: []input{{0, 1, "d0010900000000" + "011205"}}, pulls: []time.Duration{0}, want: []string{
+			"1:d00209fa2da1010300020000011006",
+		},
+	},
+	{
+		name: "a ping in another's place", cfg: nine,
+		in:    []input{{0, 1, "d003ff010000000008"}, {time.Millisecond, 8, "d0020100000000"}},
+		pulls: []time.Duration{time.Millisecond}, want: []string{
+			"8:d00101fa2da101",
+			"1:d002ff01fa2da101",
+		},
+	},
+	{
+		name: "a bitmap of living members is corrected", cfg: nine, in: []input{{0, 1, "d0020000000000" + "0300027001"}},
+		pulls: []time.Duration{0}, want: []string{
+			"1:d00400fa2da101012000011800011400011001",
+		},
+	},
+	{
+		name: "a correction is objected to", cfg: nine,
+		in:    []input{{0, 1, "d0020000000000" + "010a00"}, {0, 2, "d0040000000000" + "010800" + "010d8080808001"}},
+		pulls: []time.Duration{0}, want: []string{
+			"2:d005007d984a54010a00010900010a00010d8080808001",
+		},
+	},
+	{
+		name: "ends of runs are passed on with their age", cfg: nine, duties: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
+		in:    []input{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
+		pulls: []time.Duration{30 * time.Second}, want: []string{
+			"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
+			"0:d00101fa2da1010203636402048080808080208020020707e807",
+		},
+	},
+	{
+		name: "a large fleet's bitmap goes in parts", cfg: large,
+		in:    []input{{0, 1, "d0010100000000" + "01a61f00" + "01e64c07"}, {0, 2, "d0010200000000"}, {0, 3, "d0010300000000"}},
+		pulls: []time.Duration{0}, want: []string{
+			"1:d00201338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
+			"2:d00202338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
+			"3:d00203338f6d570380088001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000001a61f0001e64c07",
+		},
+	},
+}
+
 // Each kind of message, with each kind of part, is read and written as before.
 func TestGoldenMessages(t *testing.T) {
-	three := Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 40, Interval: 5 * time.Second}
-	nine := Config{Self: 4, Nodes: 9, Seed: 2, ReceiveRate: 40, SendRate: 4096, Interval: 5 * time.Second}
-	large := Config{Self: 7, Nodes: 2500, Seed: 3, ReceiveRate: 400, Interval: 5 * time.Second}
-	for _, c := range []struct {
-		name   string
-		cfg    Config
-		duties []Check
-		in     []input
-		pulls  []time.Duration // when Next is called, after all of in
-		want   []string
-	}{
-		{name: "first pings", cfg: three, pulls: []time.Duration{0, 400 * time.Millisecond}, want: []string{
-			"1:d00101db052768",
-			"2:d00102db052768",
-			"1:d00103db052768",
-		}},
-		{name: "a ping of the same view is answered", cfg: three, in: []input{{0, 1, "d00105db052768"}},
-			pulls: []time.Duration{0}, want: []string{
-				"1:d00205db052768",
-			}},
-		{name: "a ping of another view is answered with who is dead", cfg: three,
-			in: []input{{0, 1, "d001ac0200000000" + "010a03"}}, pulls: []time.Duration{0}, want: []string{
-				"1:d002ac02d69d673203000104010a03",
-			}},
-		{name: "suspicions are passed on, the sender's first", cfg: nine,
-			in: []input{{0, 1, "d0010700000000" + "010900" + "010502"}}, pulls: []time.Duration{0}, want: []string{
-				"1:d00100fa2da101010502010900010502",
-				"1:d00207fa2da1010105020300020000010900010502",
-			}},
-		{name: "word of this node's own death is contradicted", cfg: nine,
-			in: []input{{0, 1, "d0010900000000" + "011205"}}, pulls: []time.Duration{0}, want: []string{
-				"1:d00209fa2da1010300020000011006",
-			}},
-		{name: "a ping in another's place", cfg: nine,
-			in:    []input{{0, 1, "d003ff010000000008"}, {time.Millisecond, 8, "d0020100000000"}},
-			pulls: []time.Duration{time.Millisecond}, want: []string{
-				"8:d00101fa2da101",
-				"1:d002ff01fa2da101",
-			}},
-		{name: "a bitmap of living members is corrected", cfg: nine, in: []input{{0, 1, "d0020000000000" + "0300027001"}},
-			pulls: []time.Duration{0}, want: []string{
-				"1:d00400fa2da101012000011800011400011001",
-			}},
-		{name: "a correction is objected to", cfg: nine,
-			in:    []input{{0, 1, "d0020000000000" + "010a00"}, {0, 2, "d0040000000000" + "010800" + "010d8080808001"}},
-			pulls: []time.Duration{0}, want: []string{
-				"2:d005007d984a54010a00010900010a00010d8080808001",
-			}},
-		{name: "ends of runs are passed on with their age", cfg: nine, duties: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
-			in:    []input{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
-			pulls: []time.Duration{30 * time.Second}, want: []string{
-				"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
-				"0:d00101fa2da1010203636402048080808080208020020707e807",
-			}},
-		{name: "a large fleet's bitmap goes in parts", cfg: large,
-			in:    []input{{0, 1, "d0010100000000" + "01a61f00" + "01e64c07"}, {0, 2, "d0010200000000"}, {0, 3, "d0010300000000"}},
-			pulls: []time.Duration{0}, want: []string{
-				"1:d00201338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
-				"2:d00202338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
-				"3:d00203338f6d570380088001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000001a61f0001e64c07",
-			}},
-	} {
+	for _, c := range goldenMessages {
 		t.Run(c.name, func(t *testing.T) {
 			n := New(c.cfg, 0)
 			n.SetChecks(0, c.duties)
@@ -136,8 +160,10 @@
 const step = 20 * time.Millisecond
 
 func newTranscript(cfg Config, duties []Check) *transcript {
-	p := &transcript{cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
-		later: map[time.Duration][]func(){}, idle: -1}
+	p := &transcript{
+		cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
+		later: map[time.Duration][]func(){}, idle: -1,
+	}
 	for k := range p.nodes {
 		p.start(k, duties)
 	}
@@ -210,99 +236,115 @@
 	}
 }
 
+var tasks = []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
+
+// goldenPlays are fleets with and without faults, with what they said by commit cf1acfb.
+var goldenPlays = []struct {
+	name   string
+	cfg    Config
+	play   func(p *transcript)
+	lines  int
+	digest string   // SHA-256 of all lines
+	first  []string // the first messages
+}{
+	{
+		name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, ReceiveRate: 40, Interval: 2 * time.Second},
+		play: func(p *transcript) { p.play(20 * time.Second) }, lines: 190, digest: "295d7a00564149d3a2c1f4fa022cc6e5ede31de5d2e9ab2980b3676037e9c15d", first: []string{
+			"0.08 0>1 d00101db052768",
+			"0.08 0>1 d00102db052768",
+			"0.08 0>1 d00103db052768",
+			"0.10 1>0 d00201db05276802020200",
+		},
+	},
+	{
+		name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, ReceiveRate: 40, Interval: 2 * time.Second},
+		play: func(p *transcript) {
+			p.play(10 * time.Second)
+			p.nodes[1] = nil
+			p.play(40 * time.Second)
+			p.start(1, tasks)
+			p.play(80 * time.Second)
+		}, lines: 1168, digest: "f03e59598b940533a2b907aeb4f59dff834e1098e47a665df5d075746bcaa571", first: []string{
+			"0.06 2>1 d00101db052768",
+			"0.06 2>0 d00102db052768",
+			"0.06 2>0 d00103db052768",
+			"0.08 0>2 d00202db052768",
+		},
+	},
+	{
+		name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
+		play: func(p *transcript) {
+			p.loss = 0.2
+			p.play(15 * time.Second)
+			p.cut = true
+			p.play(60 * time.Second)
+			p.cut = false
+			for k, n := range p.nodes {
+				n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, CheckID(1000 + k/5)}))
+			}
+			p.play(120 * time.Second)
+		}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
+			"0.02 1>5 d00101fa2da101",
+			"0.02 1>0 d00102fa2da101",
+			"0.02 1>2 d00103fa2da101",
+			"0.02 4>7 d00101fa2da101",
+		},
+	},
+	{
+		name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, ReceiveRate: 4000, Interval: time.Second},
+		play: func(p *transcript) {
+			for k := range p.nodes {
+				if k%100 > 0 && k != 1099 {
+					p.nodes[k] = nil
+				}
+			}
+			p.play(8 * time.Second)
+			p.nodes[300] = nil
+			p.start(777, tasks)
+			p.play(20 * time.Second)
+		}, lines: 13296, digest: "611f584044feaf0761b6aa03f4253becab7442d881e9ab27b1ccd733ac8321eb", first: []string{
+			"0.02 100>776 d001010414188b",
+			"0.02 100>415 d001020414188b",
+			"0.02 100>656 d001030414188b",
+			"0.02 300>142 d001010414188b",
+		},
+	},
+	{
+		name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
+		play: func(p *transcript) {
+			many := make([]Check, 1500)
+			for k := range many {
+				many[k] = Check{CheckServer, CheckID(k)}
+			}
+			p.play(time.Second)
+			p.nodes[2] = nil
+			for _, k := range []int{0, 1, 3} {
+				p.nodes[k].SetChecks(p.now, many)
+			}
+			p.play(45 * time.Second)
+			p.start(2, many)
+			p.idle = 2
+			p.play(75 * time.Second)
+			for _, n := range p.nodes {
+				n.CheckEnded(p.now, Check{CheckList, 5}, true)
+			}
+			p.play(80 * time.Second)
+		}, lines: 18771, digest: "720163bc2cc35ad8b9fd9e97dcdf5cfb604208a02e9eedd46750152fddd45e38", first: []string{
+			"0.04 3>1 d00101db052768",
+			"0.04 3>2 d00102db052768",
+			"0.04 3>0 d00103db052768",
+			"0.08 0>3 d00203db052768",
+		},
+	},
+	{
+		name: "one node", cfg: Config{Nodes: 1, Seed: 15, Interval: time.Second},
+		play: func(p *transcript) { p.play(6 * time.Second) }, lines: 36, digest: "d83b4fbbab643fd42ad01acdd65aeac1bb3541d8081db9b2df4a41eb7fdef710", first: []string{},
+	},
+}
+
 // The whole run of messages and decisions, of fleets with and without faults, is as before.
 func TestGoldenPlays(t *testing.T) {
-	tasks := []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
-	for _, c := range []struct {
-		name   string
-		cfg    Config
-		play   func(p *transcript)
-		lines  int
-		digest string   // SHA-256 of all lines
-		first  []string // the first messages
-	}{
-		{name: "two nodes", cfg: Config{Nodes: 2, Seed: 11, ReceiveRate: 40, Interval: 2 * time.Second},
-			play: func(p *transcript) { p.play(20 * time.Second) }, lines: 190, digest: "295d7a00564149d3a2c1f4fa022cc6e5ede31de5d2e9ab2980b3676037e9c15d", first: []string{
-				"0.08 0>1 d00101db052768",
-				"0.08 0>1 d00102db052768",
-				"0.08 0>1 d00103db052768",
-				"0.10 1>0 d00201db05276802020200",
-			}},
-		{name: "three nodes, one killed and started again", cfg: Config{Nodes: 3, Seed: 12, ReceiveRate: 40, Interval: 2 * time.Second},
-			play: func(p *transcript) {
-				p.play(10 * time.Second)
-				p.nodes[1] = nil
-				p.play(40 * time.Second)
-				p.start(1, tasks)
-				p.play(80 * time.Second)
-			}, lines: 1168, digest: "f03e59598b940533a2b907aeb4f59dff834e1098e47a665df5d075746bcaa571", first: []string{
-				"0.06 2>1 d00101db052768",
-				"0.06 2>0 d00102db052768",
-				"0.06 2>0 d00103db052768",
-				"0.08 0>2 d00202db052768",
-			}},
-		{name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
-			play: func(p *transcript) {
-				p.loss = 0.2
-				p.play(15 * time.Second)
-				p.cut = true
-				p.play(60 * time.Second)
-				p.cut = false
-				for k, n := range p.nodes {
-					n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, CheckID(1000 + k/5)}))
-				}
-				p.play(120 * time.Second)
-			}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
-				"0.02 1>5 d00101fa2da101",
-				"0.02 1>0 d00102fa2da101",
-				"0.02 1>2 d00103fa2da101",
-				"0.02 4>7 d00101fa2da101",
-			}},
-		{name: "1,100 nodes, twelve of them up", cfg: Config{Nodes: 1100, Seed: 14, ReceiveRate: 4000, Interval: time.Second},
-			play: func(p *transcript) {
-				for k := range p.nodes {
-					if k%100 > 0 && k != 1099 {
-						p.nodes[k] = nil
-					}
-				}
-				p.play(8 * time.Second)
-				p.nodes[300] = nil
-				p.start(777, tasks)
-				p.play(20 * time.Second)
-			}, lines: 13296, digest: "611f584044feaf0761b6aa03f4253becab7442d881e9ab27b1ccd733ac8321eb", first: []string{
-				"0.02 100>776 d001010414188b",
-				"0.02 100>415 d001020414188b",
-				"0.02 100>656 d001030414188b",
-				"0.02 300>142 d001010414188b",
-			}},
-		{name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
-			play: func(p *transcript) {
-				many := make([]Check, 1500)
-				for k := range many {
-					many[k] = Check{CheckServer, CheckID(k)}
-				}
-				p.play(time.Second)
-				p.nodes[2] = nil
-				for _, k := range []int{0, 1, 3} {
-					p.nodes[k].SetChecks(p.now, many)
-				}
-				p.play(45 * time.Second)
-				p.start(2, many)
-				p.idle = 2
-				p.play(75 * time.Second)
-				for _, n := range p.nodes {
-					n.CheckEnded(p.now, Check{CheckList, 5}, true)
-				}
-				p.play(80 * time.Second)
-			}, lines: 18771, digest: "720163bc2cc35ad8b9fd9e97dcdf5cfb604208a02e9eedd46750152fddd45e38", first: []string{
-				"0.04 3>1 d00101db052768",
-				"0.04 3>2 d00102db052768",
-				"0.04 3>0 d00103db052768",
-				"0.08 0>3 d00203db052768",
-			}},
-		{name: "one node", cfg: Config{Nodes: 1, Seed: 15, Interval: time.Second},
-			play: func(p *transcript) { p.play(6 * time.Second) }, lines: 36, digest: "d83b4fbbab643fd42ad01acdd65aeac1bb3541d8081db9b2df4a41eb7fdef710", first: []string{}},
-	} {
+	for _, c := range goldenPlays {
 		t.Run(c.name, func(t *testing.T) {
 			p := newTranscript(c.cfg, tasks)
 			c.play(p)
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -74,10 +74,9 @@
 // last is the last run of a task.
 func (f *fleet) last(c Check) run { return f.ran[c][len(f.ran[c])-1] }
 
-// Each task has one owner where all is well; a dead one's is taken over, and given back once it has been up for long.
-func TestTasksHaveOneOwnerAndAreTakenOver(t *testing.T) {
-	f := newFleet(9)
-	f.play(t, 40*time.Second)
+// checkOneOwnerEach tells whether every task was run some times, always by the same node.
+func (f *fleet) checkOneOwnerEach(t *testing.T) {
+	t.Helper()
 	if len(f.ran) != len(checks) {
 		t.Errorf("%d of %d tasks were run", len(f.ran), len(checks))
 	}
@@ -91,6 +90,13 @@
 			}
 		}
 	}
+}
+
+// Each task has one owner where all is well; a dead one's is taken over, and given back once it has been up for long.
+func TestTasksHaveOneOwnerAndAreTakenOver(t *testing.T) {
+	f := newFleet(9)
+	f.play(t, 40*time.Second)
+	f.checkOneOwnerEach(t)
 	check := checks[0]
 	former := f.ran[check][0].by
 	f.nodes[former] = nil
@@ -166,7 +172,7 @@
 			if !again {
 				first[step.Check] = now
 				places[now/(100*time.Millisecond)]++
-			} else if gap := now - at; gap%(4*time.Second) > time.Duration(2)*time.Millisecond {
+			} else if gap := now - at; gap%(4*time.Second) > 2*time.Millisecond {
 				t.Errorf("%v was run %v after its first run", step.Check, gap)
 			}
 			s.CheckEnded(now, step.Check, true)
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -1,11 +1,12 @@
 package healthlab
 
 import (
+	"errors"
 	"testing"
 	"time"
 )
 
-// Through every trouble no server goes unchecked for more than two check periods, all agree again afterwards, and
+// Through every fault no server goes unchecked for more than two intervals, all agree again afterwards, and
 // what a node sends does not grow with the fleet.
 func TestNoServerGoesUncheckedForLong(t *testing.T) {
 	for _, scenario := range Scenarios {
@@ -14,14 +15,16 @@
 			seeds uint64
 		}{{12, 8}, {48, 2}} {
 			for seed := range c.seeds {
-				cfg := Config{Nodes: c.nodes, Servers: 40, Duration: 90 * time.Second, Seed: seed, Scenario: scenario, ReceiveRate: 40,
-					SendRate: 4096, Interval: 5 * time.Second}
+				cfg := Config{
+					Nodes: c.nodes, Servers: 40, Duration: 90 * time.Second, Seed: seed, Scenario: scenario, ReceiveRate: 40,
+					SendRate: 4096, Interval: 5 * time.Second,
+				}
 				r, err := Play(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if r.WorstGap > 2*r.Interval {
-					t.Errorf("%s, %d nodes, seed %d: a server unchecked for %.1f s, the period is %.1f", scenario, c.nodes, seed,
+					t.Errorf("%s, %d nodes, seed %d: a server unchecked for %.1f s, the interval is %.1f", scenario, c.nodes, seed,
 						r.WorstGap, r.Interval)
 				}
 				if r.WrongDeaths > 0 || r.Settled < 0 {
@@ -47,10 +50,33 @@
 	if b, _ := Play(cfg); a != b {
 		t.Errorf("%+v, then %+v", a, b)
 	}
-	for _, bad := range []Config{{}, {Nodes: 1, Servers: 9, Duration: time.Minute, Scenario: "calm"},
-		{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}} {
-		if _, err := Play(bad); err == nil {
-			t.Errorf("%+v played", bad)
+	for _, c := range []struct {
+		bad  Config
+		want error
+	}{
+		{Config{}, ErrUnknownScenario},
+		{Config{Nodes: 1, Servers: 9, Duration: time.Minute, Scenario: calm}, ErrTooSmall},
+		{Config{Nodes: 12, Servers: 0, Duration: time.Minute, Scenario: calm}, ErrTooSmall},
+		{Config{Nodes: 12, Servers: 9, Duration: time.Millisecond, Scenario: calm}, ErrTooSmall},
+		{Config{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}, ErrUnknownScenario},
+	} {
+		if _, err := Play(c.bad); !errors.Is(err, c.want) {
+			t.Errorf("%+v: %v, want %v", c.bad, err, c.want)
+		}
+	}
+}
+
+// Events come in the order of their times, and of one time in the order in which they were scheduled.
+func TestEventsComeInOrder(t *testing.T) {
+	var q eventQueue
+	for i := range 200 {
+		q.schedule(event{at: time.Duration(i * 7 % 20), node: i})
+	}
+	for last := (event{node: noNode}); q.Len() > 0; {
+		e := q.next()
+		if e.at < last.at || e.at == last.at && e.node <= last.node {
+			t.Errorf("%+v after %+v", e, last)
 		}
+		last = e
 	}
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -17,8 +17,11 @@
 		want string // hexadecimal
 	}{
 		{"ping", message{header: header{kind: ping, sequence: 1, deadHash: 0xdb052768}}, "d00101db052768"},
-		{"ack with a large sequence", message{header: header{kind: ack, sequence: numberLimit - 1}},
-			"d002ffffffffffffffff3f00000000"},
+		{
+			"ack with a large sequence",
+			message{header: header{kind: ack, sequence: numberLimit - 1}},
+			"d002ffffffffffffffff3f00000000",
+		},
 		{"ping request", message{header: header{kind: pingRequest, sequence: 255, target: 300}}, "d003ff0100000000ac02"},
 		{"correct", message{header: header{kind: correct}, parts: []part{
 			{kind: memberPart, member: memberUpdate{id: 5, state: Suspect, incarnation: 300}},
@@ -28,10 +31,16 @@
 			{kind: eventPart, event: Event{Kind: 1, ID: 99, OK: true}, age: 100 * time.Millisecond},
 			{kind: eventPart, event: Event{Kind: 3, ID: math.MaxUint64 - 1}, age: time.Minute},
 		}}, "d0050000000000" + "02036364" + "0206" + "feffffffffffffffff01" + "e0d403"},
-		{"bitmap", message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, first: 1024, bitmap: []byte{0x81, 2}}}},
-			"d0020000000000" + "038008" + "02" + "8102"},
-		{"empty bitmap", message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, bitmap: []byte{}}}},
-			"d0020000000000" + "030000"},
+		{
+			"bitmap",
+			message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, first: 1024, bitmap: []byte{0x81, 2}}}},
+			"d0020000000000" + "038008" + "02" + "8102",
+		},
+		{
+			"empty bitmap",
+			message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, bitmap: []byte{}}}},
+			"d0020000000000" + "030000",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			text := appendHeader(nil, c.in.header)
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -19,16 +19,26 @@
 		{name: "suspicion", in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}, passedOn: true, suspected: 1},
 		{name: "death at once", in: memberUpdate{state: Dead}, want: memberUpdate{state: Dead}, passedOn: true, died: 1},
 		{name: "known", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}},
-		{name: "alive does not refute at the same incarnation", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Alive},
-			want: memberUpdate{state: Suspect}},
-		{name: "alive refutes at a higher one", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
-			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true},
-		{name: "back from the dead", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
-			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true, rejoined: 1},
-		{name: "out of date", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Dead, incarnation: 5},
-			want: memberUpdate{state: Alive, incarnation: 6}},
-		{name: "the same state, higher", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Alive, incarnation: 9},
-			want: memberUpdate{state: Alive, incarnation: 9}},
+		{
+			name: "alive does not refute at the same incarnation", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Alive},
+			want: memberUpdate{state: Suspect},
+		},
+		{
+			name: "alive refutes at a higher one", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true,
+		},
+		{
+			name: "back from the dead", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true, rejoined: 1,
+		},
+		{
+			name: "out of date", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Dead, incarnation: 5},
+			want: memberUpdate{state: Alive, incarnation: 6},
+		},
+		{
+			name: "the same state, higher", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Alive, incarnation: 9},
+			want: memberUpdate{state: Alive, incarnation: 9},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := New(Config{Self: 0, Nodes: 4}, 0)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -155,13 +155,17 @@
 	}
 }
 
-// Whatever arrives is taken whole or not at all, and leaves a node that goes on.
+// goodMessage is one with a bitmap, an update and an event, from node 1 of 20.
+func goodMessage() []byte {
+	sender := New(Config{Self: 1, Nodes: 20, Seed: 5, ReceiveRate: 40, EventKinds: 3}, 0)
+	sender.apply(memberUpdate{id: 7, state: Dead})
+	sender.Publish(Event{Kind: 1, ID: 1, OK: true})
+	return sender.encode(outgoing{to: 0, kind: ack, sequence: 3, withBitmap: true})
+}
+
+// Whatever arrives is taken whole or not at all.
 func TestBadMessagesChangeNothing(t *testing.T) {
-	f := newFleet(20, 0)
-	node, random := f.nodes[0], rand.New(rand.NewPCG(1, 2))
-	f.nodes[1].apply(memberUpdate{id: 7, state: Dead})
-	f.nodes[1].Publish(Event{Kind: 1, ID: 1, OK: true})
-	good := slices.Clone(f.nodes[1].encode(outgoing{to: 0, kind: ack, sequence: 3, withBitmap: true}))
+	node, good := newFleet(20, 0).nodes[0], goodMessage()
 	for size := 1; size < len(good); size++ { // cut anywhere
 		if m, err := decode(good[:size], 20, 3); err == nil && len(m.parts) > 3 || err != nil && !errors.Is(err, ErrMalformed) {
 			t.Errorf("%d of %d bytes: %+v, %v", size, len(good), m, err)
@@ -188,21 +192,27 @@
 	if c := node.Counters(); c.Malformed != 10 || c.Received != 0 {
 		t.Errorf("%+v", c)
 	}
+}
+
+// Whatever arrives leaves a node that goes on.
+func TestBadMessagesLeaveANodeThatGoesOn(t *testing.T) {
+	node, good := newFleet(20, 0).nodes[0], goodMessage()
+	random, now := rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for range 20000 {
 		mutated := slices.Clone(good)
 		for range 1 + random.IntN(4) {
 			mutated[1+random.IntN(len(mutated)-1)] = byte(random.IntN(256))
 		}
-		_ = node.Receive(f.now, NodeID(1+random.IntN(19)), mutated, ignoreEvents)
+		_ = node.Receive(now, NodeID(1+random.IntN(19)), mutated, ignoreEvents)
 		for sent := true; sent; {
-			_, sent = node.Next(f.now)
+			_, sent = node.Next(now)
 		}
-		f.now += time.Millisecond
+		now += time.Millisecond
 	}
-	if node.WakeAt() <= f.now-time.Millisecond {
-		t.Errorf("at %v it is to wake at %v", f.now, node.WakeAt())
+	if node.WakeAt() <= now-time.Millisecond {
+		t.Errorf("at %v it is to wake at %v", now, node.WakeAt())
 	}
-	if err := node.Receive(f.now, 1, good, ignoreEvents); err != nil {
+	if err := node.Receive(now, 1, good, ignoreEvents); err != nil {
 		t.Errorf("it does not go on: %v", err)
 	}
 }
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -14,10 +14,10 @@
 }
 
 // receive hands in a message that only has a header.
-func receive(t *testing.T, p *Protocol, now time.Duration, from NodeID, h header) {
+func receive(t *testing.T, p *Protocol, from NodeID, h header) {
 	t.Helper()
 	h.deadHash = p.deadHash
-	if err := p.Receive(now, from, appendHeader(nil, h), ignoreEvents); err != nil {
+	if err := p.Receive(p.now, from, appendHeader(nil, h), ignoreEvents); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -32,21 +32,10 @@
 		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.probes))
 	}
 	target, probe := to[0], p.probes[0]
-	if probe.dueAt() != now+time.Duration(directTimeoutShare*float64(p.period)) || p.WakeAt() != probe.dueAt() {
-		t.Errorf("due at %v, wake at %v", probe.dueAt(), p.WakeAt())
-	}
-	if kinds, _ = sent(p, probe.directEnd-1); len(kinds) > 0 {
-		t.Errorf("%v before its time", kinds)
-	}
-	kinds, to = sent(p, probe.directEnd)
-	for i, kind := range kinds {
-		if kind != pingRequest || to[i] == target || to[i] == 0 {
-			t.Errorf("kind %d to %d", kind, to[i])
-		}
-	}
-	if len(kinds) == 0 || p.probes[0].dueAt() != probe.end {
-		t.Errorf("%d asked, due at %v", len(kinds), p.probes[0].dueAt())
+	if due := now + time.Duration(directTimeoutShare*float64(p.period)); probe.dueAt() != due || p.WakeAt() != due {
+		t.Errorf("due at %v, wake at %v, want %v", probe.dueAt(), p.WakeAt(), due)
 	}
+	checkIndirectPings(t, p, probe)
 	sent(p, probe.end)
 	if p.State(target) != Suspect {
 		t.Fatalf("state %v", p.State(target))
@@ -62,26 +51,43 @@
 	}
 }
 
+// checkIndirectPings tells whether others are asked to ping a silent member, once it is time.
+func checkIndirectPings(t *testing.T, p *Protocol, probe pendingPing) {
+	t.Helper()
+	if kinds, _ := sent(p, probe.directEnd-1); len(kinds) > 0 {
+		t.Errorf("%v before its time", kinds)
+	}
+	kinds, to := sent(p, probe.directEnd)
+	for i, kind := range kinds {
+		if kind != pingRequest || to[i] == probe.target || to[i] == 0 {
+			t.Errorf("kind %d to %d", kind, to[i])
+		}
+	}
+	if len(kinds) == 0 || p.probes[0].dueAt() != probe.end {
+		t.Errorf("%d asked, due at %v", len(kinds), p.probes[0].dueAt())
+	}
+}
+
 // An ack ends a probe only if it comes from its target, or others were asked; one on another's behalf is passed on.
 func TestAcks(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
 	p.ping(2, noNode, 0)
 	p.ping(3, 1, 99)
 	sent(p, 0)
-	receive(t, p, 0, 1, header{kind: ack, sequence: 1})
+	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 2 {
 		t.Error("an ack that nobody asked for was taken")
 	}
-	receive(t, p, 0, 2, header{kind: ack, sequence: 7})
+	receive(t, p, 2, header{kind: ack, sequence: 7})
 	if len(p.probes) != 2 {
 		t.Error("an ack of an unknown sequence number was taken")
 	}
 	p.probes[0].indirect = true
-	receive(t, p, 0, 1, header{kind: ack, sequence: 1})
+	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 1 {
 		t.Error("an ack on another's behalf was not taken")
 	}
-	receive(t, p, 0, 3, header{kind: ack, sequence: 2})
+	receive(t, p, 3, header{kind: ack, sequence: 2})
 	m, ok := p.Next(0)
 	if got, err := decode(m.Text, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
 		t.Errorf("to %d %+v, %v", m.To, got, err)
@@ -92,8 +98,8 @@
 func TestRequestedPingThatIsNotAnswered(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 400}, 0)
 	p.nextPingAt = time.Hour
-	receive(t, p, 0, 1, header{kind: pingRequest, sequence: 5, target: 2})
-	receive(t, p, 0, 1, header{kind: pingRequest, sequence: 6, target: 0}) // this node itself
+	receive(t, p, 1, header{kind: pingRequest, sequence: 5, target: 2})
+	receive(t, p, 1, header{kind: pingRequest, sequence: 6, target: 0}) // this node itself
 	if kinds, to := sent(p, 0); len(kinds) != 1 || kinds[0] != ping || to[0] != 2 {
 		t.Errorf("%v to %v", kinds, to)
 	}
