--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -45,8 +45,8 @@
 	known protocol.EndpointList
 	odd   error // why the known list can't be read, at a start
 	set   map[string]string
-	watch map[string]string   // settings to watch, from the operator file; nil for none
-	share operatorfile.Duties // from the operator file, and
+	watch map[string]string         // settings to watch, from the operator file; nil for none
+	share operatorfile.HealthChecks // from the operator file, and
 	quota operatorfile.Quota
 	authz operatorfile.Authz
 	grpc  operatorfile.GRPC
@@ -123,13 +123,13 @@
 // take writes the operator file's settings over the platform's, and sets what is watched. Without any given it
 // changes nothing but the level of the log.
 func (c *config) take(op operatorfile.File) (err error) {
-	c.level, c.share, c.quota = logLevel(op.Log.Level), op.Duties, op.Quota
+	c.level, c.share, c.quota = logLevel(op.Log.Level), op.HealthChecks, op.Quota
 	c.authz, c.grpc = op.Authz, op.GRPC
-	if c.set, err = op.Settings.Over(c.set); err != nil {
+	if c.set, err = op.Settings.Apply(c.set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if op.Watch.On {
-		if c.watch, err = op.Watch.Settings.Over(c.set); err != nil {
+	if op.Shadow.Enabled {
+		if c.watch, err = op.Shadow.Settings.Apply(c.set); err != nil {
 			return fmt.Errorf("watch.settings: %w", err)
 		}
 	}
@@ -177,7 +177,7 @@
 // platform allows probes and messages between nodes.
 func (c *config) shares() bool {
 	me, err := strconv.Atoi(c.set["node"])
-	return c.share.On && c.set["probes"] == "true" && c.set["peers"] == "true" && c.Peer.IsValid() && len(c.Peers) > 1 &&
+	return c.share.Enabled && c.set["probes"] == "true" && c.set["peers"] == "true" && c.Peer.IsValid() && len(c.Peers) > 1 &&
 		err == nil && me >= 0 && me < len(c.Peers)
 }
 
@@ -188,7 +188,7 @@
 		return v
 	}
 	return healthcheck.Config{Me: int(figure("node")), Nodes: len(c.Peers), Seed: c.seed, Take: figure("peers.take"),
-		Bytes: c.share.Bytes, Every: time.Duration(c.share.CheckMs * float64(time.Millisecond))}
+		Bytes: c.share.MaxBytesPerS, Every: time.Duration(c.share.IntervalMs * float64(time.Millisecond))}
 }
 
 // bands lists the names and contract times of the module's bands.
@@ -210,22 +210,22 @@
 	}
 	me, _ := strconv.Atoi(c.set["node"])
 	nodes, _ := strconv.Atoi(c.set["nodes"])
-	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.Calls, Wait: quota.ExchangeTimeout(shortest)}
+	return quota.Config{Me: me, Nodes: nodes, Seed: c.seed, Calls: c.quota.MaxCallsPerS, Wait: quota.ExchangeTimeout(shortest)}
 }
 
 // checks is what the check of tickets is told at the start, and the numbers of bands by name. A band that the platform
 // does not name is an error.
 func (c *config) checks() (authz.Config, map[string]int, error) {
 	names, contracts := c.bands()
-	cfg, numbers := authz.Config{Most: c.authz.Most}, map[string]int{}
+	cfg, numbers := authz.Config{MaxInFlight: c.authz.MaxInFlight}, map[string]int{}
 	if v, _ := strconv.ParseInt(c.set["advice.most"], 10, 64); c.set["advice"] == "true" {
-		cfg.Advice = time.Duration(v) * 100 * time.Microsecond
+		cfg.MaxRetryAfter = time.Duration(v) * 100 * time.Microsecond
 	}
 	for i, name := range names {
 		numbers[name] = i
-		cfg.Bands = append(cfg.Bands, authz.Band{Contract: contracts[i], Open: slices.Contains(c.authz.PassOpen, name)})
+		cfg.Classes = append(cfg.Classes, authz.Class{LatencyObjective: contracts[i], FailOpen: slices.Contains(c.authz.FailOpen, name)})
 	}
-	for _, name := range c.authz.PassOpen {
+	for _, name := range c.authz.FailOpen {
 		if _, ok := numbers[name]; !ok {
 			return cfg, nil, fmt.Errorf("authz.pass_open %q: the platform's settings name %s", name, strings.Join(names, ", "))
 		}
--- a/cmd/cherrygap/grpc.go
+++ b/cmd/cherrygap/grpc.go
@@ -19,14 +19,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return grpcfrontend.Dial(c.authz.Service, cfg, bands)
+		return grpcfrontend.DialAuthorizer(c.authz.Service, cfg, bands)
 	}
 	listenGRPC = func(c *config, front *transport.Server) (func(), error) {
-		methods, err := grpcfrontend.Methods(c.set)
+		methods, err := grpcfrontend.HTTPMethods(c.set)
 		if err != nil {
 			return nil, err
 		}
-		f, err := grpcfrontend.Listen(c.grpc.Listen, front, methods, uint32(c.grpc.Calls))
+		f, err := grpcfrontend.Listen(c.grpc.Listen, front, methods, uint32(c.grpc.MaxCalls))
 		if err != nil {
 			return nil, err
 		}
@@ -64,7 +64,7 @@
 			ctx, stop := untilSignal(runFor)
 			defer stop()
 			<-ctx.Done()
-			answers, starts := s.Count()
+			answers, starts := s.Counts()
 			return out.Encode(map[string]any{"answers": answers, "starts": starts})
 		},
 	}
@@ -72,13 +72,13 @@
 	f.StringVar(&listen, "listen", "127.0.0.1:0", "loopback address; port 0 for a free one")
 	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of every random draw")
 	f.Uint64Var(&cfg.DenyEvery, "deny-every", 0, "deny customers whose number divides by this; 0 for none")
-	f.DurationVar(&cfg.Delay, "delay", time.Millisecond, "mean time of an answer")
-	f.Float64Var(&cfg.Lag, "lag", 0, "chance that an answer takes --lag-for longer")
-	f.DurationVar(&cfg.LagFor, "lag-for", time.Second, "how much longer")
-	f.Float64Var(&cfg.Drop, "drop", 0, "chance that a call ends without an answer")
-	f.Float64Var(&cfg.Odd, "odd", 0, "chance of an answer that makes no sense")
-	f.DurationVar(&cfg.UpFor, "up-for", 0, "restart after so long, each time; 0 for never")
-	f.DurationVar(&cfg.DownFor, "down-for", time.Second, "how long it is down then")
+	f.DurationVar(&cfg.MeanDelay, "delay", time.Millisecond, "mean time of an answer")
+	f.Float64Var(&cfg.SlowProbability, "lag", 0, "chance that an answer takes --lag-for longer")
+	f.DurationVar(&cfg.SlowDelay, "lag-for", time.Second, "how much longer")
+	f.Float64Var(&cfg.DropProbability, "drop", 0, "chance that a call ends without an answer")
+	f.Float64Var(&cfg.MalformedProbability, "odd", 0, "chance of an answer that makes no sense")
+	f.DurationVar(&cfg.Uptime, "up-for", 0, "restart after so long, each time; 0 for never")
+	f.DurationVar(&cfg.Downtime, "down-for", time.Second, "how long it is down then")
 	f.DurationVar(&runFor, "for", 0, "stop after this long (e.g. 30s); 0 waits for a signal")
 	return cmd
 }
--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 		op := operatorfile.Default()
-		op.Authz.PassOpen = []string{open}
+		op.Authz.FailOpen = []string{open}
 		if err := c.take(op); err != nil {
 			t.Fatal(err)
 		}
@@ -31,8 +31,8 @@
 			}
 			continue
 		}
-		want := []authz.Band{{Contract: 400 * time.Millisecond, Open: true}, {Contract: 800 * time.Millisecond}}
-		if err != nil || bands["buy"] != 1 || cfg.Bands[0] != want[0] || cfg.Bands[1] != want[1] || cfg.Most != 64 {
+		want := []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}
+		if err != nil || bands["buy"] != 1 || cfg.Classes[0] != want[0] || cfg.Classes[1] != want[1] || cfg.MaxInFlight != 64 {
 			t.Errorf("%+v, %v, %v", cfg, bands, err)
 		}
 	}
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -57,13 +57,13 @@
 
 // checkFlags runs flags through the operator file's checks, so that a bad one names itself as a key.
 func checkFlags(op operatorfile.File) error {
-	faults := op.Check()
+	faults := op.Validate()
 	if len(faults) == 0 {
 		return nil
 	}
 	msgs := make([]string, len(faults))
 	for i, f := range faults {
-		msgs[i] = f.String()
+		msgs[i] = f.Error()
 	}
 	return fmt.Errorf("%s", strings.Join(msgs, "; "))
 }
@@ -310,7 +310,7 @@
 			if err != nil {
 				return err
 			}
-			cfg.Every, cfg.Bytes = time.Duration(op.Duties.CheckMs*float64(time.Millisecond)), op.Duties.Bytes
+			cfg.Every, cfg.Bytes = time.Duration(op.HealthChecks.IntervalMs*float64(time.Millisecond)), op.HealthChecks.MaxBytesPerS
 			res, err := healthlab.Play(cfg)
 			if err != nil {
 				return err
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -290,7 +290,7 @@
 			t.Fatal(err)
 		}
 		op := operatorfile.Default()
-		op.Duties.On = c.on
+		op.HealthChecks.Enabled = c.on
 		if err := conf.take(op); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/cherrygap/pin_config_test.go
+++ b/cmd/cherrygap/pin_config_test.go
@@ -196,9 +196,9 @@
 		"names":     fmt.Sprintf("%q", names),
 		"contracts": fmt.Sprint(contracts),
 		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Me, q.Nodes, q.Seed, q.Calls, q.Wait),
-		"checks":    fmt.Sprint(checks.Most, " ", checks.Advice, " ", checks.Bands, " ", numbers, " ", err),
-		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.level, c.quota.Store, c.authz.Service, c.authz.PassOpen, c.grpc.Listen,
-			c.grpc.Calls),
+		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", numbers, " ", err),
+		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.level, c.quota.Store, c.authz.Service, c.authz.FailOpen, c.grpc.Listen,
+			c.grpc.MaxCalls),
 	}
 }
 
--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-func gate(most int) *Gate {
-	return New(Config{Bands: []Band{{Contract: 400 * time.Millisecond, Open: true}, {Contract: 800 * time.Millisecond}}, Most: most,
-		Advice: time.Second})
+func gate(most int) *Policy {
+	return New(Config{Classes: []Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}, MaxInFlight: most,
+		MaxRetryAfter: time.Second})
 }
 
 // Each ticket gets one verdict, after its check where one was asked for; silence leaves what its band says.
 func TestVerdicts(t *testing.T) {
-	for band, silent := range []Verdict{Pass, Shut} {
-		for o, want := range map[Outcome]Verdict{Allowed: Pass, Refused: Denied, Silent: silent, Broken: silent, Left: Shut} {
+	for band, silent := range []Verdict{Allow, Reject} {
+		for o, want := range map[Outcome]Verdict{Allowed: Allow, Denied: Deny, TimedOut: silent, Failed: silent, ClientGone: Reject} {
 			g := gate(4)
-			if v, wait := g.Begin(0, band, time.Hour); v != Ask || wait != g.cfg.Bands[band].Contract/4 {
+			if v, wait := g.Begin(0, band, time.Hour); v != CheckNeeded || wait != g.config.Classes[band].LatencyObjective/4 {
 				t.Fatalf("%v, %v", v, wait)
 			}
-			if v := g.Ended(0, band, o, g.cfg.Bands[band].Contract/4); v != want || g.Out() != 0 {
+			if v := g.End(0, band, o, g.config.Classes[band].LatencyObjective/4); v != want || g.InFlight() != 0 {
 				t.Errorf("band %d, outcome %d: %v", band, o, v)
 			}
 		}
 		g := gate(0)
-		if v, _ := g.Begin(0, band, time.Hour); v != silent || g.Count().Overrun != 1 {
+		if v, _ := g.Begin(0, band, time.Hour); v != silent || g.Counters().OverLimit != 1 {
 			t.Errorf("with no room, band %d: %v", band, v)
 		}
 	}
-	if v, wait := gate(4).Begin(0, 1, 100*time.Millisecond); v != Ask || wait != 50*time.Millisecond {
+	if v, wait := gate(4).Begin(0, 1, 100*time.Millisecond); v != CheckNeeded || wait != 50*time.Millisecond {
 		t.Errorf("little time left: %v, %v", v, wait)
 	}
 	hasty := gate(4)
-	for range 3 * failsMost { // clients with little time left say nothing of the authoriser
+	for range 3 * maxFailures { // clients with little time left say nothing of the authoriser
 		hasty.Begin(0, 1, 100*time.Millisecond)
-		hasty.Ended(0, 1, Silent, 50*time.Millisecond)
+		hasty.End(0, 1, TimedOut, 50*time.Millisecond)
 	}
-	if v, _ := hasty.Begin(0, 1, time.Hour); v != Ask {
+	if v, _ := hasty.Begin(0, 1, time.Hour); v != CheckNeeded {
 		t.Errorf("after hasty clients: %v", v)
 	}
-	if v, _ := gate(4).Begin(0, 1, -1); v != Shut {
+	if v, _ := gate(4).Begin(0, 1, -1); v != Reject {
 		t.Errorf("no time left: %v", v)
 	}
 }
@@ -50,32 +50,32 @@
 	type check struct{ at time.Duration }
 	var out []check
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * time.Millisecond {
-		if v, wait := g.Begin(now, 1, time.Second); v == Ask {
+		if v, wait := g.Begin(now, 1, time.Second); v == CheckNeeded {
 			asked++
 			out = append(out, check{now + wait})
-		} else if v != Shut {
+		} else if v != Reject {
 			t.Fatal(v)
 		}
 		for len(out) > 0 && out[0].at <= now {
 			out = out[1:]
-			g.Ended(now, 1, Silent, 200*time.Millisecond)
+			g.End(now, 1, TimedOut, 200*time.Millisecond)
 		}
-		if g.Out() > 16 {
-			t.Fatalf("%d out", g.Out())
+		if g.InFlight() > 16 {
+			t.Fatalf("%d out", g.InFlight())
 		}
 	}
-	if asked > 16+40 || g.Count().Rests < 4 { // the first ones at once, then trials
-		t.Errorf("%d asked in 30 s, %+v", asked, g.Count())
+	if asked > 16+40 || g.Counters().BreakerOpened < 4 { // the first ones at once, then trials
+		t.Errorf("%d asked in 30 s, %+v", asked, g.Counters())
 	}
 	for now := 30 * time.Second; now < 45*time.Second; now += 5 * time.Millisecond {
-		if v, _ := g.Begin(now, 1, time.Second); v == Ask {
-			g.Ended(now, 1, []Outcome{Allowed, Refused, Left}[r.IntN(3)], 0)
+		if v, _ := g.Begin(now, 1, time.Second); v == CheckNeeded {
+			g.End(now, 1, []Outcome{Allowed, Denied, ClientGone}[r.IntN(3)], 0)
 		}
 	}
-	if v, _ := g.Begin(45*time.Second, 1, time.Second); v != Ask || g.fails > 0 {
+	if v, _ := g.Begin(45*time.Second, 1, time.Second); v != CheckNeeded || g.consecutiveFailures > 0 {
 		t.Error("it answers again and is not asked")
 	}
-	if a := g.Advice(45*time.Second, 1); a != 200*time.Millisecond {
+	if a := g.RetryAfter(45*time.Second, 1); a != 200*time.Millisecond {
 		t.Errorf("advice %v", a)
 	}
 }
--- a/internal/grpcfrontend/authorise.go
+++ b/internal/grpcfrontend/authorise.go
@@ -19,60 +19,60 @@
 	"cherrygap/internal/protocol"
 )
 
-// Authoriser asks an external authoriser about tickets, as the module in internal/authz wants. It is a
+// Authorizer asks an external authoriser about tickets, as the module in internal/authz wants. It is a
 // transport.Checker.
-type Authoriser struct {
-	conn   *grpc.ClientConn
-	client auth.AuthorizationClient
-	bands  map[string]int
-	began  time.Time
+type Authorizer struct {
+	conn      *grpc.ClientConn
+	client    auth.AuthorizationClient
+	classes   map[string]int
+	startedAt time.Time
 
-	mu   sync.Mutex
-	gate *authz.Gate
-	took *hdrhistogram.Histogram // microseconds of ended checks
+	mu        sync.Mutex
+	policy    *authz.Policy
+	latencies *hdrhistogram.Histogram // microseconds of ended checks
 }
 
-const mostTook = time.Minute // longer ones count as that
+const maxLatency = time.Minute // longer ones count as that
 
-// Dial readies an authoriser at an address and port; it does not wait for it. Bands are the numbers of the module's
+// DialAuthorizer readies an authoriser at an address and port; it does not wait for it. Bands are the numbers of the module's
 // bands by name, as authz.Config has them.
-func Dial(addr string, cfg authz.Config, bands map[string]int) (*Authoriser, error) {
+func DialAuthorizer(addr string, cfg authz.Config, bands map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6,
 			Jitter: 0.3, MaxDelay: time.Second}, MinConnectTimeout: time.Second}), grpc.WithDisableServiceConfig())
 	if err != nil {
 		return nil, err
 	}
-	return &Authoriser{conn: conn, client: auth.NewAuthorizationClient(conn), bands: bands, began: time.Now(),
-		gate: authz.New(cfg), took: hdrhistogram.New(1, mostTook.Microseconds(), 2)}, nil
+	return &Authorizer{conn: conn, client: auth.NewAuthorizationClient(conn), classes: bands, startedAt: time.Now(),
+		policy: authz.New(cfg), latencies: hdrhistogram.New(1, maxLatency.Microseconds(), 2)}, nil
 }
 
 // Close ends it.
-func (a *Authoriser) Close() { a.conn.Close() }
+func (a *Authorizer) Close() { a.conn.Close() }
 
-func (a *Authoriser) now() time.Duration { return time.Since(a.began) }
+func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
 
 // Check asks about a ticket, and gives its verdict and when a bounced one does best to come again.
-func (a *Authoriser) Check(ctx context.Context, q *protocol.Request, left time.Duration) (authz.Verdict, time.Duration) {
-	band := a.bands[q.Class]
+func (a *Authorizer) Check(ctx context.Context, q *protocol.Request, left time.Duration) (authz.Verdict, time.Duration) {
+	band := a.classes[q.Class]
 	a.mu.Lock()
-	v, wait := a.gate.Begin(a.now(), band, left)
-	advice := a.gate.Advice(a.now(), band)
+	v, wait := a.policy.Begin(a.now(), band, left)
+	advice := a.policy.RetryAfter(a.now(), band)
 	a.mu.Unlock()
-	if v != authz.Ask {
+	if v != authz.CheckNeeded {
 		return v, advice
 	}
 	began := time.Now()
-	o := a.ask(ctx, q, wait)
+	o := a.call(ctx, q, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = a.took.RecordValue(min(time.Since(began), mostTook).Microseconds())
-	v = a.gate.Ended(a.now(), band, o, wait)
-	return v, a.gate.Advice(a.now(), band)
+	_ = a.latencies.RecordValue(min(time.Since(began), maxLatency).Microseconds())
+	v = a.policy.End(a.now(), band, o, wait)
+	return v, a.policy.RetryAfter(a.now(), band)
 }
 
-// ask makes one call.
-func (a *Authoriser) ask(ctx context.Context, q *protocol.Request, wait time.Duration) authz.Outcome {
+// call makes one call.
+func (a *Authorizer) call(ctx context.Context, q *protocol.Request, wait time.Duration) authz.Outcome {
 	call, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	r, err := a.client.Check(call, &auth.CheckRequest{Attributes: &auth.AttributeContext{
@@ -85,35 +85,35 @@
 	}})
 	switch {
 	case ctx.Err() != nil:
-		return authz.Left
+		return authz.ClientGone
 	case call.Err() != nil:
-		return authz.Silent
+		return authz.TimedOut
 	case err != nil || r.GetStatus() == nil:
-		return authz.Broken
+		return authz.Failed
 	}
 	switch codes.Code(r.Status.Code) {
 	case codes.OK:
 		return authz.Allowed
 	case codes.PermissionDenied, codes.Unauthenticated:
-		return authz.Refused
+		return authz.Denied
 	}
-	return authz.Broken
+	return authz.Failed
 }
 
-// Within is how long that share of the checks took at most; 0 before the first.
-func (a *Authoriser) Within(share float64) time.Duration {
+// LatencyQuantile is how long that share of the checks took at most; 0 before the first.
+func (a *Authorizer) LatencyQuantile(share float64) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Duration(a.took.ValueAtQuantile(100*share)) * time.Microsecond
+	return time.Duration(a.latencies.ValueAtQuantile(100*share)) * time.Microsecond
 }
 
 // MarshalZerologObject writes what was done so far.
-func (a *Authoriser) MarshalZerologObject(e *zerolog.Event) {
-	p50, p99 := a.Within(0.5), a.Within(0.99)
+func (a *Authorizer) MarshalZerologObject(e *zerolog.Event) {
+	p50, p99 := a.LatencyQuantile(0.5), a.LatencyQuantile(0.99)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := a.gate.Count()
-	e.Int("out", a.gate.Out()).Int64("asked", c.Asked).Int64("allowed", c.Allowed).Int64("refused", c.Refused).
-		Int64("silent", c.Silent).Int64("left", c.Left).Int64("opened", c.Opened).Int64("closed", c.Closed).
-		Int64("overrun", c.Overrun).Int64("rests", c.Rests).Dur("p50_ms", p50).Dur("p99_ms", p99)
+	c := a.policy.Counters()
+	e.Int("out", a.policy.InFlight()).Int64("asked", c.Checks).Int64("allowed", c.Allowed).Int64("refused", c.Denied).
+		Int64("silent", c.Unanswered).Int64("left", c.ClientGone).Int64("opened", c.FailedOpen).Int64("closed", c.FailedClosed).
+		Int64("overrun", c.OverLimit).Int64("rests", c.BreakerOpened).Dur("p50_ms", p50).Dur("p99_ms", p99)
 }
--- a/internal/grpcfrontend/front.go
+++ b/internal/grpcfrontend/front.go
@@ -23,65 +23,65 @@
 	"cherrygap/internal/transport"
 )
 
-// Front serves the Gate service.
-type Front struct {
+// Server serves the Gate service.
+type Server struct {
 	UnimplementedGateServer
-	front   *transport.Server
-	methods map[string]string // by band
-	server  *grpc.Server
-	ln      net.Listener
+	requests *transport.Server
+	methods  map[string]string // by band
+	server   *grpc.Server
+	listener net.Listener
 }
 
 // Connections hold descriptors, of which there are few: who says nothing at first, or has had no call open for a while, is
 // closed. gRPC's clients connect again by themselves.
 const (
-	greetBy = 2 * time.Second
-	idleFor = 10 * time.Second
+	handshakeTimeout = 2 * time.Second
+	idleTimeout      = 10 * time.Second
 )
 
 // Listen starts to take tickets over gRPC, beside the HTTP front and through it. Methods is the HTTP method of each
 // band, as app servers want it. At most so many calls are under way at once on one connection.
-func Listen(addr string, front *transport.Server, methods map[string]string, most uint32) (*Front, error) {
+func Listen(addr string, front *transport.Server, methods map[string]string, most uint32) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	ln = front.LimitListener(ln)
-	f := &Front{front: front, methods: methods, ln: ln, server: grpc.NewServer(grpc.MaxConcurrentStreams(most),
-		grpc.MaxRecvMsgSize(2*protocol.MaxBody), grpc.ConnectionTimeout(greetBy),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleFor}))}
+	f := &Server{requests: front, methods: methods, listener: ln, server: grpc.NewServer(grpc.MaxConcurrentStreams(most),
+		grpc.MaxRecvMsgSize(2*protocol.MaxBody), grpc.ConnectionTimeout(handshakeTimeout),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}))}
 	RegisterGateServer(f.server, f)
 	go f.server.Serve(ln)
 	return f, nil
 }
 
 // Addr is where it listens.
-func (f *Front) Addr() string { return f.ln.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
 // Drain takes nothing new and returns once all calls have their answers.
-func (f *Front) Drain() { f.server.GracefulStop() }
+func (f *Server) Drain() { f.server.GracefulStop() }
 
-const defaultBudget = 10 * time.Second // of a call without a deadline
+const defaultTimeout = 10 * time.Second // of a call without a deadline
 
 // Pass takes one ticket to its answer.
-func (f *Front) Pass(ctx context.Context, t *Ticket) (*Answer, error) {
+func (f *Server) Pass(ctx context.Context, t *Ticket) (*Answer, error) {
 	came := time.Now()
 	q, err := f.request(t)
 	if err != nil {
 		return nil, err
 	}
-	q.Timeout = defaultBudget
+	q.Timeout = defaultTimeout
 	if by, ok := ctx.Deadline(); ok {
 		q.Timeout = time.Until(by)
 	}
 	if err := ctx.Err(); err != nil { // cancelled before its turn
 		return nil, status.FromContextError(err).Err()
 	}
-	if !f.front.ClaimRequestID(q.ID) {
+	if !f.requests.ClaimRequestID(q.ID) {
 		return nil, status.Error(codes.AlreadyExists, "id of another ticket")
 	}
-	defer f.front.ReleaseRequestID(q.ID)
-	p := f.front.NewRequestHandler(func() bool { return ctx.Err() != nil })
+	defer f.requests.ReleaseRequestID(q.ID)
+	p := f.requests.NewRequestHandler(func() bool { return ctx.Err() != nil })
 	defer p.Release()
 	p.Begin()
 	stop := context.AfterFunc(ctx, p.ClientGone)
@@ -108,26 +108,26 @@
 }
 
 // request turns a call into the ticket that the HTTP front would have read.
-func (f *Front) request(t *Ticket) (*protocol.Request, error) {
+func (f *Server) request(t *Ticket) (*protocol.Request, error) {
 	method, known := f.methods[t.Band]
 	q := &protocol.Request{Method: method, URI: fmt.Sprintf("/%s/%016x", t.Band, t.Customer), Host: "gate", ContentType: t.Type, IdempotencyKey: t.Key,
 		ID: t.Id, Class: t.Band, Plan: t.Plan, Customer: t.Customer, Units: t.Units, Spread: int(t.Spread),
 		FirstNode: int(t.First), Body: t.Body}
 	switch err := q.Validate(); {
-	case !known || !f.front.KnowsClassAndPlan(q):
+	case !known || !f.requests.KnowsClassAndPlan(q):
 		return nil, status.Error(codes.NotFound, "unknown band or plan")
 	case err != nil:
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case method == http.MethodGet && len(t.Body) > 0:
 		return nil, status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
-	case !f.front.WithinLimits(q):
+	case !f.requests.WithinLimits(q):
 		return nil, status.Error(codes.InvalidArgument, "figures outside the settings")
 	}
 	return q, nil
 }
 
-// Methods gives each band's HTTP method by what it may repeat, from the module's settings.
-func Methods(set map[string]string) (map[string]string, error) {
+// HTTPMethods gives each band's HTTP method by what it may repeat, from the module's settings.
+func HTTPMethods(set map[string]string) (map[string]string, error) {
 	out := map[string]string{}
 	for i := 0; ; i++ {
 		name, ok := set[fmt.Sprintf("band.%d.name", i)]
--- a/internal/grpcfrontend/gate_test.go
+++ b/internal/grpcfrontend/gate_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	methods, err := Methods(set)
+	methods, err := HTTPMethods(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 
 // A client that gives up while its check is out, or before it, is owed nothing and nothing runs.
 func TestClientThatLeavesDuringItsCheck(t *testing.T) {
-	server, err := lab.Start("127.0.0.1:0", lab.Config{Lag: 1, LagFor: 60 * time.Millisecond})
+	server, err := lab.Start("127.0.0.1:0", lab.Config{SlowProbability: 1, SlowDelay: 60 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,9 +180,9 @@
 	}
 }
 
-func dial(t *testing.T, addr string) *Authoriser {
-	a, err := Dial(addr, authz.Config{Most: 64, Advice: time.Second, Bands: []authz.Band{{Contract: 400 * time.Millisecond, Open: true},
-		{Contract: 800 * time.Millisecond}}}, map[string]int{"look": 0, "buy": 1})
+func dial(t *testing.T, addr string) *Authorizer {
+	a, err := DialAuthorizer(addr, authz.Config{MaxInFlight: 64, MaxRetryAfter: time.Second, Classes: []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true},
+		{LatencyObjective: 800 * time.Millisecond}}}, map[string]int{"look": 0, "buy": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,8 +193,8 @@
 // Under load over both protocols, with an authoriser that lags past the deadline, drops calls, answers nonsense, denies
 // and restarts twice: no purchase runs without its check or twice, no denied ticket runs, each is answered in time.
 func TestLoadWithAnAuthoriserThatMisbehaves(t *testing.T) {
-	server, err := lab.Start("127.0.0.1:0", lab.Config{Seed: 2, DenyEvery: 5, Delay: time.Millisecond, Lag: 0.05,
-		LagFor: 300 * time.Millisecond, Drop: 0.05, Odd: 0.02, UpFor: 1500 * time.Millisecond, DownFor: 400 * time.Millisecond})
+	server, err := lab.Start("127.0.0.1:0", lab.Config{Seed: 2, DenyEvery: 5, MeanDelay: time.Millisecond, SlowProbability: 0.05,
+		SlowDelay: 300 * time.Millisecond, DropProbability: 0.05, MalformedProbability: 0.02, Uptime: 1500 * time.Millisecond, Downtime: 400 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,7 +254,7 @@
 					resp.Body.Close()
 					code = fmt.Sprint(resp.StatusCode)
 				}
-				allowed, said := server.Said(id)
+				allowed, said := server.LastAnswer(id)
 				runs := n.runs(id)
 				switch {
 				case band == "buy" && runs > 1, band == "buy" && runs > 0 && !(said && allowed), said && !allowed && code == "403" && runs > 0,
@@ -267,14 +267,14 @@
 	}
 	all.Wait()
 	slices.Sort(took)
-	answers, starts := server.Count()
-	c := a.gate.Count()
-	t.Logf("%v, %d answers, %d starts, %+v, checks p50 %v p99 %v, slowest ticket %v", got, answers, starts, c, a.Within(0.5), a.Within(0.99),
+	answers, starts := server.Counts()
+	c := a.policy.Counters()
+	t.Logf("%v, %d answers, %d starts, %+v, checks p50 %v p99 %v, slowest ticket %v", got, answers, starts, c, a.LatencyQuantile(0.5), a.LatencyQuantile(0.99),
 		took[len(took)-1])
 	if len(took) != 3200 || took[len(took)-1] > time.Second {
 		t.Errorf("%d answered, the slowest after %v", len(took), took[len(took)-1])
 	}
-	if starts < 2 || c.Silent == 0 || c.Refused == 0 || c.Opened == 0 || c.Closed == 0 || got["buy503"] == 0 || got["look200"] < 500 {
+	if starts < 2 || c.Unanswered == 0 || c.Denied == 0 || c.FailedOpen == 0 || c.FailedClosed == 0 || got["buy503"] == 0 || got["look200"] < 500 {
 		t.Errorf("the run shows too little: %v, %+v", got, c)
 	}
 }
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -128,8 +128,8 @@
 	for _, c := range []struct {
 		code codes.Code
 		want authz.Verdict
-	}{{codes.PermissionDenied, authz.Denied}, {codes.Unauthenticated, authz.Denied}, {codes.Internal, authz.Shut}, {99, authz.Shut},
-		{codes.OK, authz.Pass}} {
+	}{{codes.PermissionDenied, authz.Deny}, {codes.Unauthenticated, authz.Deny}, {codes.Internal, authz.Reject}, {99, authz.Reject},
+		{codes.OK, authz.Allow}} {
 		recorder.mu.Lock()
 		recorder.code = c.code
 		recorder.mu.Unlock()
@@ -166,7 +166,7 @@
 func TestPinnedAnswers(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]string{}
-	n := start(t, checkStub{"look": authz.Pass, "buy": authz.Pass}, func(w http.ResponseWriter, q *http.Request) {
+	n := start(t, checkStub{"look": authz.Allow, "buy": authz.Allow}, func(w http.ResponseWriter, q *http.Request) {
 		mu.Lock()
 		q.Header.Set("X-Budget-Ms", fmt.Sprint(q.Header.Get("X-Budget-Ms") != ""))
 		seen[q.Header.Get("X-Call-Id")] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
@@ -185,7 +185,7 @@
 			fmt.Fprint(w, "ok")
 		}
 	})
-	denied := start(t, checkStub{"look": authz.Denied, "buy": authz.Shut}, func(http.ResponseWriter, *http.Request) {})
+	denied := start(t, checkStub{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
 	call := func(n *node, q *Ticket) string {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -247,7 +247,7 @@
 		{"three", map[string]string{"band.0.name": "look", "band.0.repeats": "replayable", "band.1.name": "buy", "band.1.repeats": "referenced", "band.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
 		{"no path part", map[string]string{"band.0.name": "a/b"}, "map[] band a/b is no path part"},
 	} {
-		got, err := Methods(c.set)
+		got, err := HTTPMethods(c.set)
 		pinned(t, c.name, fmt.Sprint(got, err), c.want)
 	}
 }
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -20,15 +20,15 @@
 
 // Config is how it answers.
 type Config struct {
-	Seed      uint64
-	DenyEvery uint64        // customers whose number divides by it are denied; 0 for none
-	Delay     time.Duration // of each answer, mean of an exponential
-	Lag       float64       // chance that an answer takes LagFor on top
-	LagFor    time.Duration
-	Drop      float64       // chance that a call ends without an answer
-	Odd       float64       // chance of an answer that makes no sense
-	UpFor     time.Duration // it restarts after so long, each time; 0 for never
-	DownFor   time.Duration
+	Seed                 uint64
+	DenyEvery            uint64        // customers whose number divides by it are denied; 0 for none
+	MeanDelay            time.Duration // of each answer, mean of an exponential
+	SlowProbability      float64       // chance that an answer takes LagFor on top
+	SlowDelay            time.Duration
+	DropProbability      float64       // chance that a call ends without an answer
+	MalformedProbability float64       // chance of an answer that makes no sense
+	Uptime               time.Duration // it restarts after so long, each time; 0 for never
+	Downtime             time.Duration
 }
 
 // Server is a stand-in authoriser.
@@ -39,12 +39,12 @@
 	stop chan struct{}
 	done sync.WaitGroup
 
-	mu      sync.Mutex
-	chance  *rand.Rand
-	server  *grpc.Server
-	said    map[string]bool // by the ticket's id: what was answered last, whether or not in time
-	answers int64
-	starts  int64
+	mu         sync.Mutex
+	random     *rand.Rand
+	server     *grpc.Server
+	lastAnswer map[string]bool // by the ticket's id: what was answered last, whether or not in time
+	answers    int64
+	starts     int64
 }
 
 // Start starts one on a loopback address (port 0 for a free one).
@@ -57,8 +57,8 @@
 		ln.Close()
 		return nil, fmt.Errorf("%s is not a loopback address", addr)
 	}
-	s := &Server{cfg: cfg, addr: ln.Addr().String(), stop: make(chan struct{}), said: map[string]bool{},
-		chance: rand.New(rand.NewPCG(cfg.Seed, 11))}
+	s := &Server{cfg: cfg, addr: ln.Addr().String(), stop: make(chan struct{}), lastAnswer: map[string]bool{},
+		random: rand.New(rand.NewPCG(cfg.Seed, 11))}
 	s.done.Add(1)
 	go s.run(ln)
 	return s, nil
@@ -79,8 +79,8 @@
 		s.mu.Unlock()
 		go server.Serve(ln)
 		up := make(<-chan time.Time)
-		if s.cfg.UpFor > 0 {
-			up = time.After(s.cfg.UpFor)
+		if s.cfg.Uptime > 0 {
+			up = time.After(s.cfg.Uptime)
 		}
 		select {
 		case <-s.stop:
@@ -92,7 +92,7 @@
 		select {
 		case <-s.stop:
 			return
-		case <-time.After(s.cfg.DownFor):
+		case <-time.After(s.cfg.Downtime):
 		}
 		for err := error(nil); ; time.Sleep(10 * time.Millisecond) {
 			if ln, err = net.Listen("tcp", s.addr); err == nil {
@@ -113,16 +113,16 @@
 	s.done.Wait()
 }
 
-// Said tells what it answered for a ticket, and whether it did.
-func (s *Server) Said(id string) (allowed, said bool) {
+// LastAnswer tells what it answered for a ticket, and whether it did.
+func (s *Server) LastAnswer(id string) (allowed, said bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	allowed, said = s.said[id]
+	allowed, said = s.lastAnswer[id]
 	return allowed, said
 }
 
-// Count is how many answers it gave, and how often it started.
-func (s *Server) Count() (answers, starts int64) {
+// Counts is how many answers it gave, and how often it started.
+func (s *Server) Counts() (answers, starts int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answers, s.starts
@@ -136,18 +136,18 @@
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
 	s.mu.Lock()
-	wait := time.Duration(s.chance.ExpFloat64() * float64(s.cfg.Delay))
-	if s.chance.Float64() < s.cfg.Lag {
-		wait += s.cfg.LagFor
+	wait := time.Duration(s.random.ExpFloat64() * float64(s.cfg.MeanDelay))
+	if s.random.Float64() < s.cfg.SlowProbability {
+		wait += s.cfg.SlowDelay
 	}
-	drop, odd := s.chance.Float64() < s.cfg.Drop, s.chance.Float64() < s.cfg.Odd
+	drop, odd := s.random.Float64() < s.cfg.DropProbability, s.random.Float64() < s.cfg.MalformedProbability
 	s.mu.Unlock()
 	time.Sleep(wait) // on after the caller gave up, as a slow one does
 	allowed := s.cfg.DenyEvery == 0 || customer%s.cfg.DenyEvery != 0
 	s.mu.Lock()
 	s.answers++
 	if !drop && !odd {
-		s.said[a.GetRequest().GetHttp().GetId()] = allowed
+		s.lastAnswer[a.GetRequest().GetHttp().GetId()] = allowed
 	}
 	s.mu.Unlock()
 	switch {
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -427,7 +427,7 @@
 }
 
 func (s *Server) probe(w http.ResponseWriter, r *http.Request) {
-	if !s.cfg.Probes {
+	if !s.cfg.HealthChecks {
 		http.NotFound(w, r)
 		return
 	}
@@ -445,7 +445,7 @@
 }
 
 func (s *Server) report(w http.ResponseWriter) {
-	if s.cfg.Reports {
+	if s.cfg.LoadReports {
 		w.Header().Set("X-Load-Report", s.loadReport())
 	}
 }
@@ -460,7 +460,7 @@
 func (s *Server) serviceTime(units float64, hit []Fault) time.Duration {
 	ms := s.cfg.ServiceMs * math.Max(units, 0.1) * math.Exp(s.cfg.Spread*s.rng.NormFloat64())
 	if up := time.Since(s.booted).Seconds(); s.cfg.WarmupS > 0 && up < s.cfg.WarmupS {
-		ms *= 1 + (s.cfg.ColdFactor-1)*(1-up/s.cfg.WarmupS)
+		ms *= 1 + (s.cfg.WarmupFactor-1)*(1-up/s.cfg.WarmupS)
 	}
 	for _, f := range hit {
 		if f.Kind == Slow {
--- a/internal/lab/load/golden_test.go
+++ b/internal/lab/load/golden_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	var table bytes.Buffer
-	if err := report.Table(&table, "t", []report.Run{run}); err != nil {
+	if err := report.WriteTable(&table, "t", []report.Run{run}); err != nil {
 		t.Fatal(err)
 	}
 	const tableWant = "# t\n\n| run | seconds | bounced | broken | completed | gave_up | completed share | worst p99 ms |\n" +
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -75,7 +75,7 @@
 func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
 	rng := rand.New(rand.NewPCG(seed, 0x6c6f6164))
 	s := &Stream{cfg: cfg, rng: rng, zipf: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
-	for _, b := range cfg.Bands {
+	for _, b := range cfg.Classes {
 		s.total += b.Share
 	}
 	return s
@@ -92,7 +92,7 @@
 		return Arrival{}, false
 	}
 	pick, band := s.rng.Float64()*s.total, 0
-	for i, b := range s.cfg.Bands {
+	for i, b := range s.cfg.Classes {
 		band = i
 		if pick < b.Share {
 			break
@@ -155,8 +155,8 @@
 // Run sends the plan and waits for every ticket's end or ctx. It errors only when the series can't be written.
 func (t *Tool) Run(ctx context.Context) (Result, error) {
 	if t.Client == nil {
-		t.Client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: t.Cfg.Conns,
-			MaxIdleConnsPerHost: t.Cfg.Conns, DisableCompression: true}}
+		t.Client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: t.Cfg.Connections,
+			MaxIdleConnsPerHost: t.Cfg.Connections, DisableCompression: true}}
 	}
 	t.rng = rand.New(rand.NewPCG(t.Seed, 0x6964))
 	t.res = Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3)}
@@ -196,10 +196,10 @@
 // send carries one ticket and, if it is bounced, perhaps its client's next try.
 func (t *Tool) send(ctx context.Context, a Arrival, due, start time.Time) {
 	lag := time.Since(due).Microseconds()
-	b := t.Cfg.Bands[a.Band]
+	b := t.Cfg.Classes[a.Band]
 	t.mu.Lock()
 	id := t.rng.Uint64()
-	again := t.rng.Float64() < t.Cfg.AgainP
+	again := t.rng.Float64() < t.Cfg.RetryProbability
 	_ = t.res.Lag.RecordValue(clamp(lag))
 	t.res.Sent++
 	t.sec.sent++
@@ -209,7 +209,7 @@
 	}
 	t.mu.Unlock()
 	method := http.MethodGet
-	if b.Repeats == "single-use" {
+	if b.RetrySafety == "single-use" {
 		method = http.MethodPost
 	}
 	budget := time.Duration(b.BudgetMs) * time.Millisecond
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -41,9 +41,9 @@
 	defer srv.Close()
 	cfg := operatorfile.Default().Lab.Load
 	cfg.Target = strings.TrimPrefix(srv.URL, "http://")
-	cfg.Rate, cfg.DurationS, cfg.Conns = 200, 0.5, 1
-	for i := range cfg.Bands {
-		cfg.Bands[i].BudgetMs = 60000
+	cfg.Rate, cfg.DurationS, cfg.Connections = 200, 0.5, 1
+	for i := range cfg.Classes {
+		cfg.Classes[i].BudgetMs = 60000
 	}
 	tool := &Tool{Cfg: cfg, Seed: 1}
 	res, err := tool.Run(context.Background())
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -73,7 +73,7 @@
 		return
 	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
 	default: // it may have run
-		if s.cfg.Traffic.Bands[tk.band].Repeats != "replayable" {
+		if s.cfg.Traffic.Classes[tk.band].RetrySafety != "replayable" {
 			s.settle(tk, outBroken)
 			return
 		}
@@ -97,7 +97,7 @@
 	}
 	b.level = min(depth, b.level+s.cfg.Quota*part*(s.now-b.at).Seconds())
 	b.at = s.now
-	units := s.cfg.Traffic.Bands[tk.band].Units
+	units := s.cfg.Traffic.Classes[tk.band].Units
 	if b.level < units {
 		return false
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -200,7 +200,7 @@
 	tr.DurationS = cfg.Seconds
 	s := &Sim{cfg: cfg, epoch: time.Unix(1_800_000_000, 0), byAddr: map[netip.AddrPort]*server{},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0x6d6f64656c)), stream: load.NewStream(tr, cfg.Seed), out: rec}
-	for _, b := range tr.Bands {
+	for _, b := range tr.Classes {
 		s.bands = append(s.bands, b.Name)
 	}
 	list := &protocol.EndpointList{Revision: 1, Full: true}
@@ -332,12 +332,12 @@
 
 // arrive brings a ticket to the node of its customer's set: the first node, or one of its spread.
 func (s *Sim) arrive(a load.Arrival, again bool) {
-	b := s.cfg.Traffic.Bands[a.Band]
+	b := s.cfg.Traffic.Classes[a.Band]
 	spread := min(max(1, s.cfg.Traffic.Spread), s.cfg.Nodes)
 	first := int(a.Customer % uint64(s.cfg.Nodes))
 	n := s.nodes[(first+s.rng.IntN(spread))%s.cfg.Nodes]
 	s.ids++
-	tk := &ticket{id: s.ids, node: n, band: a.Band, due: s.now, again: again, customer: a.Customer, replayable: b.Repeats == "replayable",
+	tk := &ticket{id: s.ids, node: n, band: a.Band, due: s.now, again: again, customer: a.Customer, replayable: b.RetrySafety == "replayable",
 		deadline: s.now + time.Duration(b.BudgetMs)*time.Millisecond}
 	s.out.arrived(tk)
 	s.push(&event{at: tk.deadline, kind: evGiveUp, tk: tk})
@@ -408,7 +408,7 @@
 
 // again brings a bounced client back once, with the set chance, after the advice (100 ms without one).
 func (s *Sim) again(tk *ticket, advice time.Duration) {
-	if tk.again || s.rng.Float64() >= s.cfg.Traffic.AgainP {
+	if tk.again || s.rng.Float64() >= s.cfg.Traffic.RetryProbability {
 		return
 	}
 	if advice <= 0 {
@@ -462,10 +462,10 @@
 	x.running = true
 	x.tk.runs++
 	s.out.ran(x.tk)
-	units := s.cfg.Traffic.Bands[x.tk.band].Units
+	units := s.cfg.Traffic.Classes[x.tk.band].Units
 	ms := e.ServiceMs * math.Max(units, 0.1) * math.Exp(e.Spread*sv.rng.NormFloat64())
 	if up := (s.now - sv.booted).Seconds(); e.WarmupS > 0 && up < e.WarmupS {
-		ms *= 1 + (e.ColdFactor-1)*(1-up/e.WarmupS)
+		ms *= 1 + (e.WarmupFactor-1)*(1-up/e.WarmupS)
 	}
 	x.outcome = protocol.Completed
 	for _, f := range hit {
@@ -538,7 +538,7 @@
 	if tk.rt == nil {
 		return
 	}
-	tk.rt.Report(routing.AttemptResult{Outcome: x.outcome, Duration: s.now - x.sent, Units: s.cfg.Traffic.Bands[tk.band].Units})
+	tk.rt.Report(routing.AttemptResult{Outcome: x.outcome, Duration: s.now - x.sent, Units: s.cfg.Traffic.Classes[tk.band].Units})
 	if x.outcome == protocol.Completed { // its answer: the connection takes its next ticket without a step
 		s.settle(tk, outCompleted)
 		s.free(tk)
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -33,11 +33,11 @@
 		{{0, 69.823, 262.911, 469.247, none, none}, {1, 83.711, 315.391, 399.103, none, none},
 			{2, 73.983, 190.719, 333.567, none, none}},
 	} {
-		if len(runs[i].Lines) != len(want) {
-			t.Fatalf("%s: %d seconds, not %d", runs[i].Name, len(runs[i].Lines), len(want))
+		if len(runs[i].Samples) != len(want) {
+			t.Fatalf("%s: %d seconds, not %d", runs[i].Name, len(runs[i].Samples), len(want))
 		}
-		for k, l := range runs[i].Lines {
-			got := second{l.T, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
+		for k, l := range runs[i].Samples {
+			got := second{l.Second, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
 			if l.LoadMean != nil && l.LoadMax != nil {
 				got.mean, got.busiest = *l.LoadMean, *l.LoadMax
 			}
@@ -54,7 +54,7 @@
 | earlier-load | 3 | 0 | 0 | 137 | 0 | 1.000 | 469.2 |
 `
 	var b strings.Builder
-	if err := Table(&b, "runs", runs); err != nil {
+	if err := WriteTable(&b, "runs", runs); err != nil {
 		t.Fatal(err)
 	}
 	if b.String() != table {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -19,9 +19,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one second of a series: the fields both the model and the load tool write, and the model's load.
-type Line struct {
-	T        int              `json:"t"`
+// Sample is one second of a series: the fields both the model and the load tool write, and the model's load.
+type Sample struct {
+	Second   int              `json:"t"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50Ms    float64          `json:"p50_ms"`
 	P95Ms    float64          `json:"p95_ms"`
@@ -32,8 +32,8 @@
 
 // Run is one series with its name.
 type Run struct {
-	Name  string
-	Lines []Line
+	Name    string
+	Samples []Sample
 }
 
 // Read reads a series file; a line that is no JSON is an error naming file and line.
@@ -50,16 +50,16 @@
 		if strings.TrimSpace(sc.Text()) == "" {
 			continue
 		}
-		var l Line
+		var l Sample
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
 			return Run{}, fmt.Errorf("%s: line %d: %w", path, n, err)
 		}
-		r.Lines = append(r.Lines, l)
+		r.Samples = append(r.Samples, l)
 	}
 	if err := sc.Err(); err != nil {
 		return Run{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(r.Lines) == 0 {
+	if len(r.Samples) == 0 {
 		return Run{}, fmt.Errorf("%s: no lines", path)
 	}
 	return r, nil
@@ -80,16 +80,16 @@
 		files = append(files, path)
 		return nil
 	}
-	series := func(ylabel, what string, y func(Line) (float64, bool)) *plot.Plot {
+	series := func(ylabel, what string, y func(Sample) (float64, bool)) *plot.Plot {
 		p := plot.New()
 		p.Title.Text = title + ": " + what
 		p.X.Label.Text, p.Y.Label.Text = "seconds", ylabel
 		p.Legend.Top = true
 		for i, r := range runs {
 			pts := plotter.XYs{}
-			for _, l := range r.Lines {
+			for _, l := range r.Samples {
 				if v, ok := y(l); ok {
-					pts = append(pts, plotter.XY{X: float64(l.T), Y: v})
+					pts = append(pts, plotter.XY{X: float64(l.Second), Y: v})
 				}
 			}
 			if len(pts) == 0 {
@@ -110,26 +110,26 @@
 		name string
 		p    *plot.Plot
 	}{
-		{"goodput.png", series("completed / s", "completed tickets a second", func(l Line) (float64, bool) {
+		{"goodput.png", series("completed / s", "completed tickets a second", func(l Sample) (float64, bool) {
 			return float64(l.Outcomes["completed"]), true
 		})},
-		{"latency.png", series("ms", "p99 latency of completed tickets", func(l Line) (float64, bool) {
+		{"latency.png", series("ms", "p99 latency of completed tickets", func(l Sample) (float64, bool) {
 			return l.P99Ms, l.Outcomes["completed"] > 0
 		})},
 		{"outcomes.png", series("bounced + broken + gave up / s", "tickets not completed a second",
-			func(l Line) (float64, bool) {
+			func(l Sample) (float64, bool) {
 				return float64(l.Outcomes["bounced"] + l.Outcomes["broken"] + l.Outcomes["gave_up"]), true
 			})},
 	}
 	hasLoad := false
 	for _, r := range runs {
-		hasLoad = hasLoad || r.Lines[0].LoadMax != nil
+		hasLoad = hasLoad || r.Samples[0].LoadMax != nil
 	}
 	if hasLoad {
 		steps = append(steps, struct {
 			name string
 			p    *plot.Plot
-		}{"load.png", series("work in hand / concurrency", "load of the busiest server", func(l Line) (float64, bool) {
+		}{"load.png", series("work in hand / concurrency", "load of the busiest server", func(l Sample) (float64, bool) {
 			if l.LoadMax == nil {
 				return 0, false
 			}
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	if err := Table(f, title, runs); err != nil {
+	if err := WriteTable(f, title, runs); err != nil {
 		return nil, err
 	}
 	return append(files, md), nil
@@ -159,12 +159,12 @@
 	color.RGBA{R: 0x94, G: 0x67, B: 0xbd, A: 0xff}, color.RGBA{R: 0x8c, G: 0x56, B: 0x4b, A: 0xff},
 }
 
-// Table writes the runs' totals as Markdown: counts of each outcome, the completed share, and the worst
+// WriteTable writes the runs' totals as Markdown: counts of each outcome, the completed share, and the worst
 // second's p99.
-func Table(w io.Writer, title string, runs []Run) error {
+func WriteTable(w io.Writer, title string, runs []Run) error {
 	kinds := map[string]bool{}
 	for _, r := range runs {
-		for _, l := range r.Lines {
+		for _, l := range r.Samples {
 			for k := range l.Outcomes {
 				kinds[k] = true
 			}
@@ -182,7 +182,7 @@
 		sum := map[string]int64{}
 		var total int64
 		worst := 0.0
-		for _, l := range r.Lines {
+		for _, l := range r.Samples {
 			for k, v := range l.Outcomes {
 				sum[k] += v
 				total += v
@@ -197,7 +197,7 @@
 		if total > 0 {
 			share = float64(sum["completed"]) / float64(total)
 		}
-		fmt.Fprintf(&b, "| %s | %d | %s | %.3f | %.1f |\n", r.Name, len(r.Lines), strings.Join(cells, " | "), share, worst)
+		fmt.Fprintf(&b, "| %s | %d | %s | %.3f | %.1f |\n", r.Name, len(r.Samples), strings.Join(cells, " | "), share, worst)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/operatorfile/operator_test.go
+++ b/internal/operatorfile/operator_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("shipped file has faults: %v", faults)
 	}
 	d := Default()
-	if f.Lab.Emulator != d.Lab.Emulator || len(f.Lab.Load.Bands) != len(d.Lab.Load.Bands) || f.Log != d.Log {
+	if f.Lab.Emulator != d.Lab.Emulator || len(f.Lab.Load.Classes) != len(d.Lab.Load.Classes) || f.Log != d.Log {
 		t.Fatalf("shipped file is not the defaults:\n%+v\n%+v", f, d)
 	}
 }
@@ -30,7 +30,7 @@
 		"line 7: lab.emulator.listen", "line 10: lab.load.band.0.repeats"}
 	var got []string
 	for _, x := range faults {
-		got = append(got, x.String())
+		got = append(got, x.Error())
 	}
 	for _, w := range want {
 		found := false
@@ -56,7 +56,7 @@
 // Bands given in the file replace the defaults whole rather than mixing with them.
 func TestBandsReplaceDefaults(t *testing.T) {
 	f, faults := Parse("[[lab.load.band]]\nname = \"only\"\nrepeats = \"replayable\"\nshare = 1.0\nbudget_ms = 100\n")
-	if len(faults) > 0 || len(f.Lab.Load.Bands) != 1 || f.Lab.Load.Bands[0].Name != "only" {
-		t.Fatalf("got %+v %v", f.Lab.Load.Bands, faults)
+	if len(faults) > 0 || len(f.Lab.Load.Classes) != 1 || f.Lab.Load.Classes[0].Name != "only" {
+		t.Fatalf("got %+v %v", f.Lab.Load.Classes, faults)
 	}
 }
--- a/internal/operatorfile/pinned_test.go
+++ b/internal/operatorfile/pinned_test.go
@@ -28,22 +28,22 @@
 // describeFile gives every value of a file but those of settings, of which describeSettings gives what they write.
 func describeFile(f File) string {
 	e, l := f.Lab.Emulator, f.Lab.Load
-	s := fmt.Sprintf("log %s; watch %v; duties %v %v %v; quota %q %v; authz %q %d %q; grpc %q %d; seed %d; ", f.Log.Level, f.Watch.On, f.Duties.On,
-		f.Duties.CheckMs, f.Duties.Bytes, f.Quota.Store, f.Quota.Calls, f.Authz.Service, f.Authz.Most, f.Authz.PassOpen, f.GRPC.Listen,
-		f.GRPC.Calls, f.Lab.Seed)
+	s := fmt.Sprintf("log %s; watch %v; duties %v %v %v; quota %q %v; authz %q %d %q; grpc %q %d; seed %d; ", f.Log.Level, f.Shadow.Enabled, f.HealthChecks.Enabled,
+		f.HealthChecks.IntervalMs, f.HealthChecks.MaxBytesPerS, f.Quota.Store, f.Quota.MaxCallsPerS, f.Authz.Service, f.Authz.MaxInFlight, f.Authz.FailOpen, f.GRPC.Listen,
+		f.GRPC.MaxCalls, f.Lab.Seed)
 	s += fmt.Sprintf("emulator %q %d %d %d %d %v %v %v %v %v %v %v %v %v %q; ", e.Listen, e.Servers, e.Concurrency, e.Queue, e.Connections,
-		e.ServiceMs, e.Spread, e.HandshakeMs, e.WarmupS, e.ColdFactor, e.IdleS, e.DrainMs, e.Reports, e.Probes, e.Schedule)
+		e.ServiceMs, e.Spread, e.HandshakeMs, e.WarmupS, e.WarmupFactor, e.IdleS, e.DrainMs, e.LoadReports, e.HealthChecks, e.Schedule)
 	s += fmt.Sprintf("load %q %v %v %d %v %v %v %v %v %d %q %d", l.Target, l.Rate, l.DurationS, l.Customers, l.Skew, l.BurstS, l.BurstLenS,
-		l.BurstX, l.AgainP, l.Conns, l.Plan, l.Spread)
-	for _, b := range l.Bands {
-		s += fmt.Sprintf(" {%q %s %v %d %v}", b.Name, b.Repeats, b.Share, b.BudgetMs, b.Units)
+		l.BurstX, l.RetryProbability, l.Connections, l.Plan, l.Spread)
+	for _, b := range l.Classes {
+		s += fmt.Sprintf(" {%q %s %v %d %v}", b.Name, b.RetrySafety, b.Share, b.BudgetMs, b.Units)
 	}
 	return s
 }
 
 // describeSettings gives what a part of the file writes over settings that name two classes and a plan.
-func describeSettings(s *Shape) string {
-	set, err := s.Over(map[string]string{"band.count": "2", "band.0.name": "seats", "band.1.name": "buy", "plan.count": "1", "plan.0.name": "team"})
+func describeSettings(s *SettingsOverride) string {
+	set, err := s.Apply(map[string]string{"band.count": "2", "band.0.name": "seats", "band.1.name": "buy", "plan.count": "1", "plan.0.name": "team"})
 	if err != nil {
 		return "error " + err.Error()
 	}
@@ -59,7 +59,7 @@
 func TestPinnedDefaults(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"of the program", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3}"},
-		{"of its settings", describeSettings(&Shape{}), ""},
+		{"of its settings", describeSettings(&SettingsOverride{}), ""},
 	} {
 		pinned(t, c.name, c.got, c.want)
 	}
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if f, faults := Parse(string(raw)); len(faults) > 0 || describeFile(f) != describeFile(Default()) ||
-		describeSettings(&f.Settings) != "" || describeSettings(&f.Watch.Settings) != "" {
+		describeSettings(&f.Settings) != "" || describeSettings(&f.Shadow.Settings) != "" {
 		t.Errorf("the shipped file gives %v, %v", describeFile(f), faults)
 	}
 }
@@ -180,7 +180,7 @@
 	for _, c := range []struct{ name, got, want string }{
 		{"file", describeFile(f), "log debug; watch true; duties true 4000 2048; quota \"10.2.0.6:6379\" 100; authz \"10.2.0.7:9191\" 32 [\"seats\" \"buy\"]; grpc \"10.0.0.4:9500\" 128; seed 9223372036854775807; emulator \"[::1]:9000\" 5 9 33 65 21 0.5 3 11 5 31 2001 false false \"faults.toml\"; load \"127.0.0.2:8081\" 201 11 51 1.3 5 1 2 0.6 257 \"pro\" 2 {\"a\" replayable 0.7 501 2} {\"b\" single-use 0.3 502 0}"},
 		{"settings", describeSettings(&f.Settings), "advice=true;advice.most=20000;band.1.contract=8000;band.1.group=cell;band.1.repeats=referenced;band.1.window=30000;cold.from=0.25;cold.span=15005;executions=3;fall.multiple=3;fall.span=20000;idle=300000;peers=false;peers.take=60.5;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25.5;plan.0.depth=40;plan.0.open=2;plan.0.rate=12.5;withdraw=true;"},
-		{"watched settings", describeSettings(&f.Watch.Settings), "band.0.repeats=single-use;executions=2;plan.0.open=0;"},
+		{"watched settings", describeSettings(&f.Shadow.Settings), "band.0.repeats=single-use;executions=2;plan.0.open=0;"},
 	} {
 		pinned(t, c.name, c.got, c.want)
 	}
@@ -201,15 +201,15 @@
 		if len(faults) > 0 {
 			t.Errorf("%s: %v", c.name, faults)
 		}
-		pinned(t, c.name, describeFile(f)+" | "+describeSettings(&f.Settings)+" | "+describeSettings(&f.Watch.Settings), c.want)
+		pinned(t, c.name, describeFile(f)+" | "+describeSettings(&f.Settings)+" | "+describeSettings(&f.Shadow.Settings), c.want)
 	}
 }
 
 // describeFaults gives faults as the program tells them, a line each.
-func describeFaults(faults []Fault) string {
+func describeFaults(faults []KeyError) string {
 	parts := make([]string, len(faults))
 	for i, f := range faults {
-		parts[i] = f.String()
+		parts[i] = f.Error()
 	}
 	return strings.Join(parts, "\n")
 }
@@ -310,8 +310,8 @@
 // What is said of a key in a table's place names the Go type, which may change.
 func TestPinnedFaultOfATable(t *testing.T) {
 	_, faults := Parse("duties = true\n")
-	if len(faults) != 1 || faults[0].Key != "(file)" || !strings.HasPrefix(faults[0].What, `toml: line 1 (last key "duties"): type mismatch for `) ||
-		!strings.HasSuffix(faults[0].What, ": expected table but found bool") {
+	if len(faults) != 1 || faults[0].Key != "(file)" || !strings.HasPrefix(faults[0].Reason, `toml: line 1 (last key "duties"): type mismatch for `) ||
+		!strings.HasSuffix(faults[0].Reason, ": expected table but found bool") {
 		t.Error(faults)
 	}
 }
@@ -320,8 +320,8 @@
 func TestPinnedFaultsOfFlags(t *testing.T) {
 	f := Default()
 	f.Authz.Service, f.GRPC.Listen, f.Lab.Load.Rate, f.Log.Level = "a", "b", 0, ""
-	faults := f.Check()
-	slices.SortFunc(faults, func(a, b Fault) int { return strings.Compare(a.Key, b.Key) })
+	faults := f.Validate()
+	slices.SortFunc(faults, func(a, b KeyError) int { return strings.Compare(a.Key, b.Key) })
 	pinned(t, "flags", describeFaults(faults), `authz.service: "a" is no address and port: not an ip:port
 grpc.listen: "b" is no address and port: not an ip:port
 lab.load.rate: 0 is out of range 0.01 to 1e+06
@@ -335,8 +335,8 @@
 		t.Fatal(err)
 	}
 	f, err := Load(bad)
-	var faults *Faults
-	if !errors.As(err, &faults) || faults.Path != bad || len(faults.List) != 2 || describeFile(f) != describeFile(Default()) {
+	var faults *FileError
+	if !errors.As(err, &faults) || faults.Path != bad || len(faults.Errors) != 2 || describeFile(f) != describeFile(Default()) {
 		t.Fatalf("%v, %v", describeFile(f), err)
 	}
 	pinned(t, "faults", err.Error(), bad+": line 2: lab.load.rate: -1 is out of range 0.01 to 1e+06\n"+bad+": line 3: lab.load.new: no such key")
@@ -346,8 +346,8 @@
 	}
 	word := "all"
 	for _, c := range []struct{ name, got, want string }{
-		{"unknown band", describeSettings(&Shape{Bands: []Kind{{Name: "x", Group: &word}}}), "error band \"x\": the platform's settings name seats, buy"},
-		{"unknown plan", describeSettings(&Shape{Plans: []Plan{{Name: "y"}}, Bands: []Kind{{Name: "x"}}}), "error band \"x\": the platform's settings name seats, buy"},
+		{"unknown band", describeSettings(&SettingsOverride{Classes: []ClassOverride{{Name: "x", Group: &word}}}), "error band \"x\": the platform's settings name seats, buy"},
+		{"unknown plan", describeSettings(&SettingsOverride{Plans: []PlanOverride{{Name: "y"}}, Classes: []ClassOverride{{Name: "x"}}}), "error band \"x\": the platform's settings name seats, buy"},
 	} {
 		pinned(t, c.name, c.got, c.want)
 	}
--- a/internal/operatorfile/shape.go
+++ b/internal/operatorfile/shape.go
@@ -8,47 +8,47 @@
 	"strings"
 )
 
-// Shape holds settings of a deployment's shape: what the decision module reads, over what the platform's JSON says.
+// SettingsOverride holds settings of a deployment's shape: what the decision module reads, over what the platform's JSON says.
 // A key that is not given leaves the platform's word as it is.
-type Shape struct {
-	Executions   *int     `toml:"executions"`     // most executions of a ticket
-	Withdraw     *bool    `toml:"withdraw"`       // executions may be called back
-	Peers        *bool    `toml:"peers"`          // nodes may write to each other
-	PeersTake    *float64 `toml:"peers_take"`     // messages a second that a node takes in
-	Advice       *bool    `toml:"advice"`         // a bounce may say when to come back
-	AdviceMostMs *float64 `toml:"advice_most_ms"` // longest such advice, ms
-	IdleMs       *float64 `toml:"idle_ms"`        // idle connections to app servers are closed after so long, ms
-	ColdFrom     *float64 `toml:"cold_from"`      // least share of its capacity that a started app server has
-	ColdMs       *float64 `toml:"cold_ms"`        // it is warm after so long at the latest, ms
-	FallMultiple *float64 `toml:"fall_multiple"`  // sent more than so many times its present capacity
-	FallMs       *float64 `toml:"fall_ms"`        // for so long it falls over, ms
-	Bands        []Kind   `toml:"band"`
-	Plans        []Plan   `toml:"plan"`
+type SettingsOverride struct {
+	MaxAttempts      *int            `toml:"executions"`     // most executions of a ticket
+	CancelAttempts   *bool           `toml:"withdraw"`       // executions may be called back
+	Peers            *bool           `toml:"peers"`          // nodes may write to each other
+	PeerMessagesPerS *float64        `toml:"peers_take"`     // messages a second that a node takes in
+	RetryAfter       *bool           `toml:"advice"`         // a bounce may say when to come back
+	MaxRetryAfterMs  *float64        `toml:"advice_most_ms"` // longest such advice, ms
+	IdleMs           *float64        `toml:"idle_ms"`        // idle connections to app servers are closed after so long, ms
+	SlowStartFrom    *float64        `toml:"cold_from"`      // least share of its capacity that a started app server has
+	SlowStartMs      *float64        `toml:"cold_ms"`        // it is warm after so long at the latest, ms
+	OverloadMultiple *float64        `toml:"fall_multiple"`  // sent more than so many times its present capacity
+	OverloadMs       *float64        `toml:"fall_ms"`        // for so long it falls over, ms
+	Classes          []ClassOverride `toml:"band"`
+	Plans            []PlanOverride  `toml:"plan"`
 }
 
-// Kind is one band, by the platform's name of it.
-type Kind struct {
-	Name       string   `toml:"name"`
-	Repeats    *string  `toml:"repeats"`     // replayable, referenced or single-use
-	Group      *string  `toml:"group"`       // referenced: which servers drop a repeat, all, zone or cell
-	WindowMs   *float64 `toml:"window_ms"`   // referenced: for how long after the first send, ms
-	ContractMs *float64 `toml:"contract_ms"` // an answer within it earns the whole gain, ms
+// ClassOverride is one band, by the platform's name of it.
+type ClassOverride struct {
+	Name               string   `toml:"name"`
+	RetrySafety        *string  `toml:"repeats"`     // replayable, referenced or single-use
+	Group              *string  `toml:"group"`       // referenced: which servers drop a repeat, all, zone or cell
+	WindowMs           *float64 `toml:"window_ms"`   // referenced: for how long after the first send, ms
+	LatencyObjectiveMs *float64 `toml:"contract_ms"` // an answer within it earns the whole gain, ms
 }
 
-// Plan is one plan, by the platform's name of it.
-type Plan struct {
+// PlanOverride is one plan, by the platform's name of it.
+type PlanOverride struct {
 	Name         string   `toml:"name"`
 	Rate         *float64 `toml:"rate"`          // quota, units a second; 0 for none
-	Depth        *float64 `toml:"depth"`         // units that may be used at once
-	Open         *int     `toml:"open"`          // executions out at once; 0 for no cap
+	Burst        *float64 `toml:"depth"`         // units that may be used at once
+	MaxInFlight  *int     `toml:"open"`          // executions out at once; 0 for no cap
 	CeilingRate  *float64 `toml:"ceiling_rate"`  // hard ceiling, units a second; 0 for none
-	CeilingDepth *float64 `toml:"ceiling_depth"` // units that it lets pass at once
+	CeilingBurst *float64 `toml:"ceiling_depth"` // units that it lets pass at once
 }
 
-// Watch is the mode in which the node decides as ever and counts where other settings would decide otherwise.
-type Watch struct {
-	On       bool  `toml:"on"`
-	Settings Shape `toml:"settings"` // those, over the settings that the node decides by
+// Shadow is the mode in which the node decides as ever and counts where other settings would decide otherwise.
+type Shadow struct {
+	Enabled  bool             `toml:"on"`
+	Settings SettingsOverride `toml:"settings"` // those, over the settings that the node decides by
 }
 
 const perMs = 10 // the module's time is in tenths of a millisecond
@@ -60,8 +60,8 @@
 	words            []string // accepted, where it is a word
 }
 
-// writes lists what is given, whatever the numbers of bands and plans; number finds those by name.
-func (s *Shape) writes(number func(list, name string) int) (out []write) {
+// entries lists what is given, whatever the numbers of bands and plans; number finds those by name.
+func (s *SettingsOverride) entries(number func(list, name string) int) (out []write) {
 	num := func(key, name string, v *float64, unit, lo, hi float64) {
 		if v != nil {
 			out = append(out, write{key: key, name: name, figure: *v, lo: lo, hi: hi,
@@ -85,38 +85,38 @@
 		}
 	}
 	const hour = 3.6e6 // ms
-	whole("executions", "executions", s.Executions, 1, 100)
-	yes("withdraw", "withdraw", s.Withdraw)
+	whole("executions", "executions", s.MaxAttempts, 1, 100)
+	yes("withdraw", "withdraw", s.CancelAttempts)
 	yes("peers", "peers", s.Peers)
-	num("peers_take", "peers.take", s.PeersTake, 1, 0, 1e6)
-	yes("advice", "advice", s.Advice)
-	num("advice_most_ms", "advice.most", s.AdviceMostMs, perMs, 0, hour)
+	num("peers_take", "peers.take", s.PeerMessagesPerS, 1, 0, 1e6)
+	yes("advice", "advice", s.RetryAfter)
+	num("advice_most_ms", "advice.most", s.MaxRetryAfterMs, perMs, 0, hour)
 	num("idle_ms", "idle", s.IdleMs, perMs, 0, hour)
-	num("cold_from", "cold.from", s.ColdFrom, 1, 0.001, 1)
-	num("cold_ms", "cold.span", s.ColdMs, perMs, 0, hour)
-	num("fall_multiple", "fall.multiple", s.FallMultiple, 1, 0.1, 1000)
-	num("fall_ms", "fall.span", s.FallMs, perMs, 1, hour)
-	for i, b := range s.Bands {
+	num("cold_from", "cold.from", s.SlowStartFrom, 1, 0.001, 1)
+	num("cold_ms", "cold.span", s.SlowStartMs, perMs, 0, hour)
+	num("fall_multiple", "fall.multiple", s.OverloadMultiple, 1, 0.1, 1000)
+	num("fall_ms", "fall.span", s.OverloadMs, perMs, 1, hour)
+	for i, b := range s.Classes {
 		key, at := fmt.Sprintf("band.%d.", i), fmt.Sprintf("band.%d.", number("band", b.Name))
-		word(key+"repeats", at+"repeats", b.Repeats, "replayable", "referenced", "single-use")
+		word(key+"repeats", at+"repeats", b.RetrySafety, "replayable", "referenced", "single-use")
 		word(key+"group", at+"group", b.Group, "all", "zone", "cell")
 		num(key+"window_ms", at+"window", b.WindowMs, perMs, 0, hour)
-		num(key+"contract_ms", at+"contract", b.ContractMs, perMs, 1, hour)
+		num(key+"contract_ms", at+"contract", b.LatencyObjectiveMs, perMs, 1, hour)
 	}
 	for i, p := range s.Plans {
 		key, at := fmt.Sprintf("plan.%d.", i), fmt.Sprintf("plan.%d.", number("plan", p.Name))
 		num(key+"rate", at+"rate", p.Rate, 1, 0, 1e9)
-		num(key+"depth", at+"depth", p.Depth, 1, 0, 1e9)
-		whole(key+"open", at+"open", p.Open, 0, 1e6)
+		num(key+"depth", at+"depth", p.Burst, 1, 0, 1e9)
+		whole(key+"open", at+"open", p.MaxInFlight, 0, 1e6)
 		num(key+"ceiling_rate", at+"ceiling.rate", p.CeilingRate, 1, 0, 1e9)
-		num(key+"ceiling_depth", at+"ceiling.depth", p.CeilingDepth, 1, 0, 1e9)
+		num(key+"ceiling_depth", at+"ceiling.depth", p.CeilingBurst, 1, 0, 1e9)
 	}
 	return out
 }
 
-// check tells each value that can't be, whatever the platform's names are.
-func (s *Shape) check(prefix string, bad func(key, what string, args ...any)) {
-	for _, w := range s.writes(func(string, string) int { return 0 }) {
+// validate tells each value that can't be, whatever the platform's names are.
+func (s *SettingsOverride) validate(prefix string, bad func(key, what string, args ...any)) {
+	for _, w := range s.entries(func(string, string) int { return 0 }) {
 		switch {
 		case w.words != nil && !slices.Contains(w.words, w.value):
 			bad(prefix+"."+w.key, "%q is none of %s", w.value, strings.Join(w.words, ", "))
@@ -134,7 +134,7 @@
 		}
 		seen[list+name] = true
 	}
-	for i, b := range s.Bands {
+	for i, b := range s.Classes {
 		name("band", i, b.Name)
 	}
 	for i, p := range s.Plans {
@@ -142,9 +142,9 @@
 	}
 }
 
-// Over is a copy of the module's settings with what is given written over it. A band or plan that the settings do
+// Apply is a copy of the module's settings with what is given written over it. A band or plan that the settings do
 // not name is an error that tells which they do; then nothing is written.
-func (s *Shape) Over(set map[string]string) (map[string]string, error) {
+func (s *SettingsOverride) Apply(set map[string]string) (map[string]string, error) {
 	out := maps.Clone(set)
 	if out == nil {
 		out = map[string]string{}
@@ -162,7 +162,7 @@
 		}
 		return i
 	}
-	for _, w := range s.writes(number) {
+	for _, w := range s.entries(number) {
 		out[w.name] = w.value
 	}
 	if err != nil {
--- a/internal/operatorfile/shape_test.go
+++ b/internal/operatorfile/shape_test.go
@@ -13,7 +13,7 @@
 // Nothing given leaves the platform's settings as they are; what is given is written in the module's units.
 func TestShapeIsWrittenOverThePlatforms(t *testing.T) {
 	d := Default()
-	if set, err := d.Settings.Over(platform); err != nil || !maps.Equal(set, platform) || d.Watch.On {
+	if set, err := d.Settings.Apply(platform); err != nil || !maps.Equal(set, platform) || d.Shadow.Enabled {
 		t.Fatalf("the defaults change %v to %v, %v", platform, set, err)
 	}
 	f, faults := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
@@ -25,7 +25,7 @@
 	want := maps.Clone(platform)
 	maps.Copy(want, map[string]string{"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
 		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5"})
-	if set, err := f.Settings.Over(platform); err != nil || !maps.Equal(set, want) || !f.Watch.On {
+	if set, err := f.Settings.Apply(platform); err != nil || !maps.Equal(set, want) || !f.Shadow.Enabled {
 		t.Errorf("%v, want %v: %v", set, want, err)
 	}
 	if platform["executions"] != "4" {
@@ -51,16 +51,16 @@
 		_, faults := Parse(text)
 		got := ""
 		for _, f := range faults {
-			got += f.String() + "\n"
+			got += f.Error() + "\n"
 		}
 		if !strings.Contains(got, want) {
 			t.Errorf("%q: %q lacks %q", text, got, want)
 		}
 	}
-	s := Shape{Bands: []Kind{{Name: "dock"}, {Name: "stop-update"}}, Plans: []Plan{{Name: "gold"}}}
+	s := SettingsOverride{Classes: []ClassOverride{{Name: "dock"}, {Name: "stop-update"}}, Plans: []PlanOverride{{Name: "gold"}}}
 	word := "all"
-	s.Bands[0].Group = &word
-	if set, err := s.Over(platform); set != nil || err == nil || !strings.Contains(err.Error(), "next-leg, stop-update") {
+	s.Classes[0].Group = &word
+	if set, err := s.Apply(platform); set != nil || err == nil || !strings.Contains(err.Error(), "next-leg, stop-update") {
 		t.Errorf("%v, %v", set, err)
 	}
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -322,8 +322,8 @@
 		check  verdict
 		answer string
 	}{
-		{verdict{says: authz.Denied}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
-		{verdict{says: authz.Shut, advice: 1250 * time.Millisecond},
+		{verdict{says: authz.Deny}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
+		{verdict{says: authz.Reject, advice: 1250 * time.Millisecond},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n"},
 	} {
 		t.Run(fmt.Sprint(c.check.says), func(t *testing.T) {
--- a/internal/transport/requesthandler.go
+++ b/internal/transport/requesthandler.go
@@ -122,9 +122,9 @@
 	p.cancel = nil
 	p.mu.Unlock()
 	switch verdict {
-	case authz.Pass:
+	case authz.Allow:
 		return a, !p.gone()
-	case authz.Denied:
+	case authz.Deny:
 		p.front.count.Denied.Add(1)
 		return protocol.ClientResponse{Status: protocol.StatusDenied}, false
 	}
