--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,13 +8,17 @@
 const testSettings = "services.count=1\nservices.0.slo=600000\nservices.0.semantics=idempotent\n" +
 	"tiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\ntick=4000\nsome.new.key=7\n"
 
-func TestSettingsTurnIntoOwnNames(t *testing.T) {
+func TestFromText(t *testing.T) {
 	set := FromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
-	for name, want := range map[string]string{"band.0.contract": "6000", "band.0.repeats": "replayable",
-		"plan.0.rate": "5", "tick": "40", "roster": "ask", "load.fields": "open,used", "band.count": "1"} {
-		if set[name] != want {
-			t.Errorf("%s: got %q, want %q", name, set[name], want)
-		}
+	for name, want := range map[string]string{
+		"band.0.contract": "6000", "band.0.repeats": "replayable",
+		"plan.0.rate": "5", "tick": "40", "roster": "ask", "load.fields": "open,used", "band.count": "1",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if set[name] != want {
+				t.Errorf("got %q, want %q", set[name], want)
+			}
+		})
 	}
 }
 
