--- /dev/null
+++ b/internal/operatorfile/deprecated.go
@@ -0,0 +1,266 @@
+package operatorfile
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+)
+
+// Keys have had other names. Those are still read, into the structs below, each of which is embedded beside the standard
+// keys of its table; adoptDeprecated then moves what they hold to the standard keys, so that they are nil in a File that
+// Parse returns.
+
+// Deprecation is a key that a file gives under an earlier name.
+type Deprecation struct {
+	Key      string // as the file has it
+	Line     int    // that it is on, from 1; 0 where unknown
+	Standard string // what to write in its place
+}
+
+// String is the notice for the operator.
+func (d Deprecation) String() string {
+	return KeyError{Key: d.Key, Line: d.Line, Reason: "deprecated; write " + d.Standard}.Error()
+}
+
+type deprecatedTables struct {
+	Duties *deprecatedHealthChecks `toml:"duties"`
+	Watch  *deprecatedShadow       `toml:"watch"`
+}
+
+type deprecatedHealthChecks struct {
+	On      *bool    `toml:"on"`
+	CheckMs *float64 `toml:"check_ms"`
+	Bytes   *float64 `toml:"bytes"`
+}
+
+type deprecatedShadow struct {
+	On       *bool            `toml:"on"`
+	Settings SettingsOverride `toml:"settings"`
+}
+
+type deprecatedSettings struct {
+	Executions   *int            `toml:"executions"`
+	Withdraw     *bool           `toml:"withdraw"`
+	PeersTake    *float64        `toml:"peers_take"`
+	Advice       *bool           `toml:"advice"`
+	AdviceMostMs *float64        `toml:"advice_most_ms"`
+	ColdFrom     *float64        `toml:"cold_from"`
+	ColdMs       *float64        `toml:"cold_ms"`
+	FallMultiple *float64        `toml:"fall_multiple"`
+	FallMs       *float64        `toml:"fall_ms"`
+	Bands        []ClassOverride `toml:"band"`
+}
+
+type deprecatedClassOverride struct {
+	Repeats    *string  `toml:"repeats"`
+	ContractMs *float64 `toml:"contract_ms"`
+}
+
+type deprecatedPlanOverride struct {
+	Depth        *float64 `toml:"depth"`
+	Open         *int     `toml:"open"`
+	CeilingDepth *float64 `toml:"ceiling_depth"`
+}
+
+type deprecatedAuthz struct {
+	Most     *int      `toml:"most"`
+	PassOpen *[]string `toml:"pass_open"`
+}
+
+type deprecatedEmulator struct {
+	ColdFactor *float64 `toml:"cold_factor"`
+	Reports    *bool    `toml:"reports"`
+	Probes     *bool    `toml:"probes"`
+}
+
+type deprecatedTraffic struct {
+	AgainP *float64       `toml:"again_p"`
+	Conns  *int           `toml:"conns"`
+	Bands  []TrafficClass `toml:"band"`
+}
+
+type deprecatedClass struct {
+	Repeats *string `toml:"repeats"`
+}
+
+// keyNames has the keys that a file gives under another name than the standard one, tables and lists too.
+type keyNames map[string]string
+
+// of is a standard key as the file has it.
+func (n keyNames) of(key string) string {
+	for table, rest := key, ""; table != ""; {
+		if name, ok := n[table]; ok {
+			return name + rest
+		}
+		table = parent(table)
+		rest = key[len(table):]
+	}
+	return key
+}
+
+// adopter moves what a file gives under earlier names to the standard keys.
+type adopter struct {
+	defined      map[string]bool // keys that the file has, in small letters, lists without numbers
+	written      keyNames
+	deprecations []Deprecation
+	errors       []KeyError
+}
+
+// adoptDeprecated moves what was given under earlier names to the standard keys, and returns those that are given
+// under both.
+func (f *File) adoptDeprecated(meta toml.MetaData) []KeyError {
+	a := adopter{defined: map[string]bool{}, written: keyNames{}}
+	for _, key := range meta.Keys() {
+		a.defined[strings.ToLower(key.String())] = true
+	}
+	a.settings("settings", &f.Settings)
+	a.shadow(f)
+	a.healthChecks(f)
+	adopt(&a, "authz.max_in_flight", "most", &f.Authz.Most, &f.Authz.MaxInFlight)
+	adopt(&a, "authz.fail_open", "pass_open", &f.Authz.PassOpen, &f.Authz.FailOpen)
+	e := &f.Lab.Emulator
+	adopt(&a, "lab.emulator.warmup_factor", "cold_factor", &e.ColdFactor, &e.WarmupFactor)
+	adopt(&a, "lab.emulator.load_reports", "reports", &e.Reports, &e.LoadReports)
+	adopt(&a, "lab.emulator.health_checks", "probes", &e.Probes, &e.HealthChecks)
+	a.traffic("lab.load", &f.Lab.Load)
+	f.written, f.Deprecations = a.written, a.deprecations
+	return a.errors
+}
+
+// given reports whether the file has a standard key, or a key below it.
+func (a *adopter) given(standard string) bool {
+	for key := range a.defined {
+		if key == standard || strings.HasPrefix(key, standard+".") {
+			return true
+		}
+	}
+	return false
+}
+
+// earlier notes that a standard key was given under an earlier name, and reports whether it is not given under both.
+func (a *adopter) earlier(standard, name string, given bool) bool {
+	a.written[standard] = name
+	a.deprecations = append(a.deprecations, Deprecation{Key: name, Standard: standard})
+	if given {
+		a.errors = append(a.errors, KeyError{Key: name, Reason: "deprecated name of " + standard + ", which is given too; keep that one"})
+	}
+	return !given
+}
+
+// sibling is the key of an earlier name beside a standard key, as the file has its table.
+func (a *adopter) sibling(standard, name string) string {
+	return a.written.of(parent(standard)) + "." + name
+}
+
+// adopt moves a value from the field of an earlier name to that of a standard key.
+func adopt[T any](a *adopter, standard, name string, from **T, to *T) {
+	if *from != nil && a.earlier(standard, a.sibling(standard, name), a.given(standard)) {
+		*to = **from
+	}
+	*from = nil
+}
+
+// adoptPointer is adopt where the field of the standard key is nil as long as that is not given.
+func adoptPointer[T any](a *adopter, standard, name string, from, to **T) {
+	if *from != nil && a.earlier(standard, a.sibling(standard, name), *to != nil) {
+		*to = *from
+	}
+	*from = nil
+}
+
+// adoptList is adopt for a list of tables.
+func adoptList[T any](a *adopter, standard, name string, from, to *[]T) {
+	if *from != nil && a.earlier(standard, a.sibling(standard, name), *to != nil) {
+		*to = *from
+	}
+	*from = nil
+}
+
+func (a *adopter) shadow(f *File) {
+	if f.Watch != nil && a.earlier("shadow", "watch", a.given("shadow")) {
+		f.Shadow.Settings = f.Watch.Settings
+		adopt(a, "shadow.enabled", "on", &f.Watch.On, &f.Shadow.Enabled)
+	}
+	f.Watch = nil
+	a.settings("shadow.settings", &f.Shadow.Settings)
+}
+
+func (a *adopter) healthChecks(f *File) {
+	if old := f.Duties; old != nil && a.earlier("health_checks", "duties", a.given("health_checks")) {
+		adopt(a, "health_checks.enabled", "on", &old.On, &f.HealthChecks.Enabled)
+		adopt(a, "health_checks.interval_ms", "check_ms", &old.CheckMs, &f.HealthChecks.IntervalMs)
+		adopt(a, "health_checks.max_bytes_per_s", "bytes", &old.Bytes, &f.HealthChecks.MaxBytesPerS)
+	}
+	f.Duties = nil
+}
+
+func (a *adopter) settings(prefix string, s *SettingsOverride) {
+	adoptPointer(a, prefix+".max_attempts", "executions", &s.Executions, &s.MaxAttempts)
+	adoptPointer(a, prefix+".cancel_attempts", "withdraw", &s.Withdraw, &s.CancelAttempts)
+	adoptPointer(a, prefix+".peer_messages_per_s", "peers_take", &s.PeersTake, &s.PeerMessagesPerS)
+	adoptPointer(a, prefix+".retry_after", "advice", &s.Advice, &s.RetryAfter)
+	adoptPointer(a, prefix+".max_retry_after_ms", "advice_most_ms", &s.AdviceMostMs, &s.MaxRetryAfterMs)
+	adoptPointer(a, prefix+".slow_start_from", "cold_from", &s.ColdFrom, &s.SlowStartFrom)
+	adoptPointer(a, prefix+".slow_start_ms", "cold_ms", &s.ColdMs, &s.SlowStartMs)
+	adoptPointer(a, prefix+".overload_multiple", "fall_multiple", &s.FallMultiple, &s.OverloadMultiple)
+	adoptPointer(a, prefix+".overload_ms", "fall_ms", &s.FallMs, &s.OverloadMs)
+	adoptList(a, prefix+".class", "band", &s.Bands, &s.Classes)
+	for i := range s.Classes {
+		c, key := &s.Classes[i], entryKey(prefix+".class", i)
+		adoptPointer(a, key+".retry_safety", "repeats", &c.Repeats, &c.RetrySafety)
+		if c.RetrySafety != nil {
+			*c.RetrySafety = a.retrySafety(key+".retry_safety", *c.RetrySafety)
+		}
+		adoptPointer(a, key+".latency_objective_ms", "contract_ms", &c.ContractMs, &c.LatencyObjectiveMs)
+	}
+	for i := range s.Plans {
+		p, key := &s.Plans[i], entryKey(prefix+".plan", i)
+		adoptPointer(a, key+".burst", "depth", &p.Depth, &p.Burst)
+		adoptPointer(a, key+".max_in_flight", "open", &p.Open, &p.MaxInFlight)
+		adoptPointer(a, key+".ceiling_burst", "ceiling_depth", &p.CeilingDepth, &p.CeilingBurst)
+	}
+}
+
+func (a *adopter) traffic(prefix string, t *Traffic) {
+	adopt(a, prefix+".retry_p", "again_p", &t.AgainP, &t.RetryProbability)
+	adopt(a, prefix+".connections", "conns", &t.Conns, &t.Connections)
+	adoptList(a, prefix+".class", "band", &t.Bands, &t.Classes)
+	for i := range t.Classes {
+		c, key := &t.Classes[i], entryKey(prefix+".class", i)+".retry_safety"
+		if c.Repeats != nil && a.earlier(key, a.sibling(key, "repeats"), c.RetrySafety != "") {
+			c.RetrySafety = *c.Repeats
+		} else if _, earlier := a.written[prefix+".class"]; earlier && c.RetrySafety == "" {
+			a.written[key] = a.sibling(key, "repeats") // that it lacks
+		}
+		c.Repeats = nil
+		c.RetrySafety = a.retrySafety(key, c.RetrySafety)
+	}
+}
+
+// retrySafety reads the word of a class, whose key is given, into the decision module's. Its own words, which the file used
+// to have, are still taken.
+func (a *adopter) retrySafety(key, word string) string {
+	if meant, ok := retrySafetyWords[word]; ok {
+		return meant
+	}
+	for standard, meant := range retrySafetyWords {
+		if word == meant {
+			a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, standard))
+		}
+	}
+	return word
+}
+
+// deprecatedWord notes what to write for a word, together with what was noted of its key.
+func (a *adopter) deprecatedWord(key, standard string) {
+	written := a.written.of(key)
+	if last := len(a.deprecations) - 1; last >= 0 && a.deprecations[last].Key == written {
+		a.deprecations[last].Standard = standard
+		return
+	}
+	a.deprecations = append(a.deprecations, Deprecation{Key: written, Standard: standard})
+}
+
+func entryKey(list string, i int) string { return list + "." + strconv.Itoa(i) }
--- /dev/null
+++ b/internal/operatorfile/load.go
@@ -0,0 +1,122 @@
+package operatorfile
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"regexp"
+	"sort"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+)
+
+// Load reads the file at path over the defaults. It returns a *FileError when the file is read but wrong, and
+// another error when it can't be read; either way the returned File is the defaults, so nothing is half set.
+func Load(path string) (File, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return Default(), err
+	}
+	f, errs := Parse(string(raw))
+	if len(errs) > 0 {
+		return Default(), &FileError{Path: path, Errors: errs}
+	}
+	return f, nil
+}
+
+// Parse reads a file's text over the defaults and returns it with everything found wrong, in the order of the lines, or
+// the defaults when there is any.
+func Parse(text string) (File, []KeyError) {
+	f := Default()
+	defaultClasses := f.Lab.Load.Classes
+	f.Lab.Load.Classes = nil // classes that are given replace the defaults whole
+	meta, err := toml.Decode(text, &f)
+	if err != nil {
+		return Default(), []KeyError{decodeError(err)}
+	}
+	var errs []KeyError
+	for _, key := range meta.Undecoded() {
+		errs = append(errs, KeyError{Key: key.String(), Reason: "no such key"})
+	}
+	errs = append(errs, f.adoptDeprecated(meta)...)
+	if !meta.IsDefined("lab", "load", "class") && !meta.IsDefined("lab", "load", "band") {
+		f.Lab.Load.Classes = defaultClasses
+	}
+	errs = append(errs, f.Validate()...)
+	lines := locate(text)
+	for i := range errs {
+		errs[i].Line = lines.of(errs[i].Key)
+	}
+	for i := range f.Deprecations {
+		f.Deprecations[i].Line = lines.of(f.Deprecations[i].Key)
+	}
+	sort.SliceStable(f.Deprecations, func(i, j int) bool { return f.Deprecations[i].Line < f.Deprecations[j].Line })
+	sort.SliceStable(errs, func(i, j int) bool { return errs[i].Line < errs[j].Line })
+	if len(errs) > 0 {
+		return Default(), errs
+	}
+	return f, nil
+}
+
+func decodeError(err error) KeyError {
+	var syntax toml.ParseError
+	if errors.As(err, &syntax) {
+		return KeyError{Key: "(syntax)", Line: syntax.Position.Line, Reason: syntax.Message}
+	}
+	return KeyError{Key: "(file)", Reason: err.Error()}
+}
+
+// keyLines maps a dotted key to the line where it is set, from the text alone: a table header sets the prefix,
+// an array-of-tables header counts its entries.
+type keyLines map[string]int
+
+var (
+	tableHeader = regexp.MustCompile(`^\s*\[\s*([A-Za-z0-9_.\-]+)\s*\]`)
+	arrayHeader = regexp.MustCompile(`^\s*\[\[\s*([A-Za-z0-9_.\-]+)\s*\]\]`)
+	assignment  = regexp.MustCompile(`^\s*([A-Za-z0-9_\-]+)\s*=`)
+)
+
+func locate(text string) keyLines {
+	lines := keyLines{}
+	prefix := ""
+	entries := map[string]int{}
+	for i, line := range strings.Split(text, "\n") {
+		number := i + 1
+		if m := arrayHeader.FindStringSubmatch(line); m != nil {
+			prefix = fmt.Sprintf("%s.%d", m[1], entries[m[1]])
+			entries[m[1]]++
+			lines[m[1]], lines[prefix] = number, number
+		} else if m := tableHeader.FindStringSubmatch(line); m != nil {
+			prefix = m[1]
+			lines[prefix] = number
+		} else if m := assignment.FindStringSubmatch(line); m != nil {
+			key := m[1]
+			if prefix != "" {
+				key = prefix + "." + key
+			}
+			lines[key] = number
+		}
+	}
+	return lines
+}
+
+// of is the line of key, or of the nearest table above it that is written, or 0.
+func (l keyLines) of(key string) int {
+	for key != "" {
+		if number, ok := l[key]; ok {
+			return number
+		}
+		key = parent(key)
+	}
+	return 0
+}
+
+// parent is the table that a dotted key is in, or empty.
+func parent(key string) string {
+	dot := strings.LastIndexByte(key, '.')
+	if dot < 0 {
+		return ""
+	}
+	return key[:dot]
+}
--- a/internal/operatorfile/shape_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -1,30 +1,35 @@
 package operatorfile
 
 import (
+	"errors"
 	"maps"
 	"strings"
 	"testing"
 )
 
-var platform = map[string]string{"band.count": "2", "band.0.name": "next-leg", "band.1.name": "stop-update",
+var platform = map[string]string{
+	"band.count": "2", "band.0.name": "next-leg", "band.1.name": "stop-update",
 	"band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "pro", "plan.0.rate": "12", "executions": "4",
-	"peers": "true"}
+	"peers": "true",
+}
 
 // Nothing given leaves the platform's settings as they are; what is given is written in the module's units.
-func TestShapeIsWrittenOverThePlatforms(t *testing.T) {
+func TestApply(t *testing.T) {
 	d := Default()
 	if set, err := d.Settings.Apply(platform); err != nil || !maps.Equal(set, platform) || d.Shadow.Enabled {
 		t.Fatalf("the defaults change %v to %v, %v", platform, set, err)
 	}
-	f, faults := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
+	f, errs := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
 		"repeats = \"referenced\"\ngroup = \"cell\"\nwindow_ms = 3000\n[[settings.plan]]\nname = \"pro\"\nopen = 2\n" +
 		"ceiling_rate = 25.5\n[watch]\non = true\n[watch.settings]\nadvice = true\n")
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	want := maps.Clone(platform)
-	maps.Copy(want, map[string]string{"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
-		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5"})
+	maps.Copy(want, map[string]string{
+		"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
+		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5",
+	})
 	if set, err := f.Settings.Apply(platform); err != nil || !maps.Equal(set, want) || !f.Shadow.Enabled {
 		t.Errorf("%v, want %v: %v", set, want, err)
 	}
@@ -33,8 +38,8 @@
 	}
 }
 
-// A bad value is told with its key and what would do; an unknown band or plan with those there are.
-func TestBadShapeNamesWhatWouldDo(t *testing.T) {
+// A bad value is named with its key and what would do; an unknown class or plan with those there are.
+func TestErrorsNameWhatWouldDo(t *testing.T) {
 	for text, want := range map[string]string{
 		"[settings]\nexecutions = 0\n":                                            "line 2: settings.executions: 0 is out of range 1 to 100",
 		"[watch.settings]\ncold_from = 1.5\n":                                     "line 2: watch.settings.cold_from: 1.5 is out of range",
@@ -48,19 +53,18 @@
 		"[[watch.settings.band]]\nname = \"a\"\nwindow_ms = 1e9\n":                "watch.settings.band.0.window_ms",
 		"[[watch.settings.band]]\nname = \"a\"\n[[watch.settings.plan]]\nx = 1\n": "no such key",
 	} {
-		_, faults := Parse(text)
-		got := ""
-		for _, f := range faults {
-			got += f.Error() + "\n"
-		}
-		if !strings.Contains(got, want) {
-			t.Errorf("%q: %q lacks %q", text, got, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, errs := Parse(text)
+			if got := describeErrors(errs); !strings.Contains(got, want) {
+				t.Errorf("%q lacks %q", got, want)
+			}
+		})
 	}
 	s := SettingsOverride{Classes: []ClassOverride{{Name: "dock"}, {Name: "stop-update"}}, Plans: []PlanOverride{{Name: "gold"}}}
 	word := "all"
 	s.Classes[0].Group = &word
-	if set, err := s.Apply(platform); set != nil || err == nil || !strings.Contains(err.Error(), "next-leg, stop-update") {
+	var unknown *UnknownNameError
+	if set, err := s.Apply(platform); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
 		t.Errorf("%v, %v", set, err)
 	}
 }
--- /dev/null
+++ b/internal/operatorfile/validate.go
@@ -0,0 +1,192 @@
+package operatorfile
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Ranges that several keys share.
+const (
+	hourMs    = 3.6e6 // ms
+	maxCount  = 1 << 16
+	maxLabMs  = 600_000 // ms
+	maxDayS   = 86_400  // s
+	maxHourS  = 3600    // s
+	maxAtOnce = 1e6
+	maxUnits  = 1e9
+)
+
+// Validate returns each value out of its range, with its key as the file has it and no line. Parse calls it; callers do
+// after they have changed a value, as by a flag.
+func (f *File) Validate() []KeyError {
+	v := validator{written: f.written}
+	v.oneOf("log.level", f.Log.Level, "debug", "info", "warn", "error")
+	v.settings("settings", &f.Settings)
+	v.settings("shadow.settings", &f.Shadow.Settings)
+	v.within("health_checks.interval_ms", f.HealthChecks.IntervalMs, 200, hourMs)
+	v.within("authz.max_in_flight", float64(f.Authz.MaxInFlight), 1, maxCount)
+	v.within("grpc.calls", float64(f.GRPC.MaxCalls), 1, maxCount)
+	v.addressOrNone("authz.service", f.Authz.Service)
+	v.addressOrNone("grpc.listen", f.GRPC.Listen)
+	v.within("quota.calls", f.Quota.MaxCallsPerS, 1, 1e6)
+	v.addressOrNone("quota.store", f.Quota.Store)
+	v.within("health_checks.max_bytes_per_s", f.HealthChecks.MaxBytesPerS, 512, 1e6)
+	v.emulator(&f.Lab.Emulator)
+	v.traffic(&f.Lab.Load)
+	return v.errors
+}
+
+// validator collects what is wrong.
+type validator struct {
+	written keyNames
+	errors  []KeyError
+}
+
+// add notes what is wrong with a key.
+func (v *validator) add(key, format string, args ...any) {
+	v.errors = append(v.errors, KeyError{Key: v.written.of(key), Reason: fmt.Sprintf(format, args...)})
+}
+
+func (v *validator) within(key string, value, lowest, highest float64) {
+	if !(value >= lowest && value <= highest) { // a NaN is in no range
+		v.add(key, "%v is out of range %v to %v", value, lowest, highest)
+	}
+}
+
+func (v *validator) oneOf(key, value string, words ...string) {
+	if !slices.Contains(words, value) {
+		v.add(key, "%q is none of %s", value, strings.Join(v.fileWords(key, words), ", "))
+	}
+}
+
+// fileWords are the words that the file has for the decision module's of retry safety, which it had for its own under the
+// key's earlier name; other words are the same in both.
+func (v *validator) fileWords(key string, words []string) []string {
+	if lastPart(v.written.of(key)) != "retry_safety" {
+		return words
+	}
+	out := slices.Clone(words)
+	for i, word := range words {
+		for standard, meant := range retrySafetyWords {
+			if word == meant {
+				out[i] = standard
+			}
+		}
+	}
+	return out
+}
+
+func (v *validator) addressOrNone(key, address string) {
+	if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
+		v.add(key, "%q is no address and port: %v", address, err)
+	}
+}
+
+// loopback refuses any address that is not on this machine's loopback: the lab sends traffic nowhere else.
+func (v *validator) loopback(key, address string) {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil {
+		v.add(key, "%q is no address and port: %v", address, err)
+	} else if !parsed.Addr().IsLoopback() {
+		v.add(key, "%s is not a loopback address", parsed.Addr())
+	}
+}
+
+// settings looks at each value that is given, whatever the platform's names are.
+func (v *validator) settings(prefix string, s *SettingsOverride) {
+	for _, e := range s.entries(func(string, string) int { return 0 }) {
+		if e.words != nil {
+			v.oneOf(prefix+"."+e.key, e.value, e.words...)
+		} else {
+			v.within(prefix+"."+e.key, e.number, e.lowest, e.highest)
+		}
+	}
+	classes := make([]string, len(s.Classes))
+	for i, c := range s.Classes {
+		classes[i] = c.Name
+	}
+	plans := make([]string, len(s.Plans))
+	for i, p := range s.Plans {
+		plans[i] = p.Name
+	}
+	v.names(prefix+".class", classes)
+	v.names(prefix+".plan", plans)
+}
+
+// names wants each entry of a list to have a name, and no name twice.
+func (v *validator) names(list string, names []string) {
+	for i, name := range names {
+		key := list + "." + strconv.Itoa(i) + ".name"
+		if name == "" {
+			v.add(key, "is empty; it is the platform's name of the %s", lastPart(v.written.of(list)))
+		} else if slices.Contains(names[:i], name) {
+			v.add(key, "%q is given twice", name)
+		}
+	}
+}
+
+func (v *validator) emulator(e *Emulator) {
+	const prefix = "lab.emulator."
+	v.loopback(prefix+"listen", e.Listen)
+	v.within(prefix+"servers", float64(e.Servers), 1, 512)
+	v.within(prefix+"concurrency", float64(e.Concurrency), 1, 4096)
+	v.within(prefix+"queue", float64(e.Queue), 0, maxCount)
+	v.within(prefix+"connections", float64(e.Connections), 1, maxCount)
+	v.within(prefix+"service_ms", e.ServiceMs, 0.01, 60000)
+	v.within(prefix+"spread", e.Spread, 0, 3)
+	v.within(prefix+"handshake_ms", e.HandshakeMs, 0, 10000)
+	v.within(prefix+"warmup_s", e.WarmupS, 0, maxHourS)
+	v.within(prefix+"warmup_factor", e.WarmupFactor, 1, 100)
+	v.within(prefix+"idle_s", e.IdleS, 0.1, maxHourS)
+	v.within(prefix+"drain_ms", e.DrainMs, 0, maxLabMs)
+}
+
+func (v *validator) traffic(t *Traffic) {
+	const prefix = "lab.load."
+	v.loopback(prefix+"target", t.Target)
+	v.within(prefix+"rate", t.Rate, 0.01, 1e6)
+	v.within(prefix+"duration_s", t.DurationS, 0.1, maxDayS)
+	v.within(prefix+"customers", float64(t.Customers), 1, 1<<33)
+	v.within(prefix+"skew", t.Skew, 1.0001, 10)
+	v.within(prefix+"burst_s", t.BurstS, 0, maxDayS)
+	v.within(prefix+"burst_len_s", t.BurstLenS, 0, maxDayS)
+	v.within(prefix+"burst_x", t.BurstX, 1, 1000)
+	v.within(prefix+"retry_p", t.RetryProbability, 0, 1)
+	v.within(prefix+"connections", float64(t.Connections), 1, maxCount)
+	v.within(prefix+"spread", float64(t.Spread), 1, 1024)
+	if t.Plan == "" {
+		v.add(prefix+"plan", "is empty")
+	}
+	v.trafficClasses(prefix+"class", t.Classes)
+}
+
+func (v *validator) trafficClasses(list string, classes []TrafficClass) {
+	if len(classes) == 0 {
+		v.add(list, "no %s is given", lastPart(v.written.of(list)))
+		return
+	}
+	total := 0.0
+	for i, c := range classes {
+		prefix := fmt.Sprintf("%s.%d.", list, i)
+		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#") {
+			v.add(prefix+"name", "%q is no path part", c.Name)
+		}
+		if c.RetrySafety != RetrySafe && c.RetrySafety != RetryUnsafe {
+			words := v.fileWords(prefix+"retry_safety", []string{c.RetrySafety, RetrySafe, RetryUnsafe})
+			v.add(prefix+"retry_safety", "%q is neither %s nor %s", words[0], words[1], words[2])
+		}
+		v.within(prefix+"share", c.Share, 0, 1e6)
+		v.within(prefix+"budget_ms", float64(c.BudgetMs), 1, maxLabMs)
+		v.within(prefix+"units", c.Units, 0, maxUnits)
+		total += c.Share
+	}
+	if !(total > 0) { // a NaN is not
+		v.add(list, "shares add up to %v", total)
+	}
+}
+
+// lastPart is the last part of a dotted key.
+func lastPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
