--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,43 +1,38 @@
-// Package authz decides how tickets are checked by an outside authoriser that may be late, gone or overrun: whether a ticket
-// is asked for, how long its answer is awaited, how many checks are out at once, and what holds where none came. It holds
-// no I/O and no clock. A ticket is executed only once its check is final; what a check took is gone from the ticket's time.
+// Package authz decides how requests are checked by an external authoriser that may be late, gone or overloaded: whether it
+// is asked about a request, how long its answer is awaited, how many checks are in flight, and what holds where none came.
+// It holds no I/O and no clock: times are given, as spans since any moment that stays the same. A request is sent to an app
+// server only once its check is final; what a check took is gone from the request's time.
 package authz
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Tuned values, as ratios to settings.
 const (
-	waitShare    = 0.25 // of a band's contract time, that an answer is awaited
-	timeoutShare = 0.5  // of what the ticket has left, that a check may take at most
-	maxFailures  = 5    // checks in a row that came to nothing, until the authoriser is left alone
-	openWaits    = 2.0  // of the wait, that it is left alone first; doubled each time a trial fails
-	maxOpen      = 5 * time.Second
+	waitShare    = 0.25 // of a class's latency objective, that an answer is awaited
+	timeoutShare = 0.5  // of the time that the request has left, that a check may take at most
 )
 
-// Class is how a band is checked.
+// Class is how the requests of a class are checked.
 type Class struct {
 	LatencyObjective time.Duration
-	FailOpen         bool // where no answer comes its tickets pass; else they are bounced
+	FailOpen         bool // where no answer comes its requests pass; else they are rejected
 }
 
-// Config is what a Gate is told at its start.
+// Config is what a Policy starts from.
 type Config struct {
-	Classes     []Class
-	MaxInFlight int // checks out at once
-
-	MaxRetryAfter time.Duration // longest advice on when to come back; 0 where none may be given
+	Classes       []Class       // by their numbers
+	MaxInFlight   int           // checks at once
+	MaxRetryAfter time.Duration // the longest time that a rejection may name; 0 where it may name none
 }
 
-// Verdict is what holds for a ticket.
+// Verdict is what holds for a request.
 type Verdict uint8
 
-// The verdicts. Shut means that none came and the band is closed then: nothing has run, so trying again is harmless.
+// The verdicts. Reject means that no answer came and the class fails closed: nothing has run, so that trying again is
+// harmless.
 const (
-	CheckNeeded Verdict = iota // not yet: ask, and report the end
-	Allow                      // it may be executed
+	CheckNeeded Verdict = iota // not yet: check it, and report the outcome to End
+	Allow                      // it may be sent to an app server
 	Deny                       // the authoriser says no
 	Reject
 )
@@ -45,107 +40,99 @@
 // Outcome is how a check ended.
 type Outcome uint8
 
-// The outcomes. Any end but the first two leaves what holds without an answer.
+// The outcomes. Any but the first two leaves what holds without an answer.
 const (
 	Allowed Outcome = iota
 	Denied
-	TimedOut   // none in time
-	Failed     // the call broke, or its answer makes no sense
-	ClientGone // the client went first: says nothing of the authoriser
+	TimedOut
+	Failed     // the call failed, or its answer makes no sense
+	ClientGone // before the answer: says nothing of the authoriser
 )
 
-// Counters count what a Gate did, for the node's log.
+// Counters count what a Policy did, for the node's log.
 type Counters struct {
 	Checks, Allowed, Denied, Unanswered, ClientGone int64
-	FailedOpen, FailedClosed                        int64 // tickets that passed, and that were bounced, without an answer
-	OverLimit                                       int64 // of those, for too many checks out; the others for silence
-	BreakerOpened                                   int64 // times that the authoriser was left alone
+	FailedOpen, FailedClosed                        int64 // requests that passed, and that were rejected, without an answer
+	OverLimit                                       int64 // of those, for too many checks in flight
+	BreakerOpened                                   int64 // times that the authoriser was left alone after failures
 }
 
-// Policy is one node's part.
+// Policy is one node's part. Its methods must not run at the same time.
 type Policy struct {
-	config              Config
-	inFlight            int
-	consecutiveFailures int
-	openUntil           time.Duration // until then
-	trialInFlight       bool          // one check is out after that
-	counters            Counters
+	config   Config
+	inFlight int
+	breaker  breaker
+	counters Counters
 }
 
-// New makes a Gate.
+// New makes a Policy.
 func New(cfg Config) *Policy { return &Policy{config: cfg} }
 
-// Counters is what the gate did so far.
-func (g *Policy) Counters() Counters { return g.counters }
+// Counters are what the policy did so far.
+func (p *Policy) Counters() Counters { return p.counters }
+
+// InFlight is how many checks are in flight.
+func (p *Policy) InFlight() int { return p.inFlight }
 
-// RetryAfter is when a ticket of a band that found the gate shut does best to come again; 0 where that may not be said.
-func (g *Policy) RetryAfter(now time.Duration, band int) time.Duration {
-	return min(max(g.openUntil-now, time.Duration(waitShare*float64(g.config.Classes[band].LatencyObjective))), g.config.MaxRetryAfter)
+// RetryAfter is when a rejected request of a class does best to come again; 0 where that may not be said.
+func (p *Policy) RetryAfter(now time.Duration, class int) time.Duration {
+	return min(max(p.breaker.openUntil-now, p.config.Classes[class].wait()), p.config.MaxRetryAfter)
 }
 
-// InFlight is how many checks are out.
-func (g *Policy) InFlight() int { return g.inFlight }
-
-// Begin decides on a ticket of a band that has so much time left: a verdict at once, or Ask, with how long to wait.
-func (g *Policy) Begin(now time.Duration, band int, left time.Duration) (Verdict, time.Duration) {
-	b := g.config.Classes[band]
-	wait := min(time.Duration(waitShare*float64(b.LatencyObjective)), time.Duration(timeoutShare*float64(left)))
-	switch {
-	case wait <= 0:
-		return g.withoutAnswer(b), 0
-	case g.consecutiveFailures >= maxFailures && (now < g.openUntil || g.trialInFlight):
-		return g.withoutAnswer(b), 0
-	case g.inFlight >= g.config.MaxInFlight:
-		g.counters.OverLimit++
-		return g.withoutAnswer(b), 0
+// wait is how long an answer is awaited for a request with time enough.
+func (c Class) wait() time.Duration { return time.Duration(waitShare * float64(c.LatencyObjective)) }
+
+// Begin decides on a request of a class that has so much time left: a verdict at once, or CheckNeeded, with how long to
+// wait for the answer.
+func (p *Policy) Begin(now time.Duration, class int, left time.Duration) (Verdict, time.Duration) {
+	c := p.config.Classes[class]
+	wait := min(c.wait(), time.Duration(timeoutShare*float64(left)))
+	if wait <= 0 || !p.breaker.allows(now) {
+		return p.withoutAnswer(c), 0
+	}
+	if p.inFlight >= p.config.MaxInFlight {
+		p.counters.OverLimit++
+		return p.withoutAnswer(c), 0
 	}
-	g.trialInFlight = g.consecutiveFailures >= maxFailures
-	g.inFlight++
-	g.counters.Checks++
+	p.breaker.begin()
+	p.inFlight++
+	p.counters.Checks++
 	return CheckNeeded, wait
 }
 
-// withoutAnswer is what holds for a band without an answer.
-func (g *Policy) withoutAnswer(b Class) Verdict {
-	if b.FailOpen {
-		g.counters.FailedOpen++
+// withoutAnswer is what holds for a class without an answer.
+func (p *Policy) withoutAnswer(c Class) Verdict {
+	if c.FailOpen {
+		p.counters.FailedOpen++
 		return Allow
 	}
-	g.counters.FailedClosed++
+	p.counters.FailedClosed++
 	return Reject
 }
 
-// End reports how a check ended that Begin asked for, once for each, and gives the ticket's verdict. What comes after a
-// check was given up must not be reported: its ticket has its verdict. Waited is what Begin gave it: silence within less
-// than a band's usual wait, as of a ticket with little time left, tells nothing of the authoriser.
-func (g *Policy) End(now time.Duration, band int, o Outcome, waited time.Duration) Verdict {
-	g.inFlight--
-	b := g.config.Classes[band]
-	g.trialInFlight = false
-	switch o {
+// End reports how a check ended that Begin asked for, once for each, and returns the request's verdict. What comes after a
+// check was given up must not be reported: its request has its verdict. Waited is what Begin gave it: no answer within less
+// than a class's usual wait, as for a request with little time left, says nothing of the authoriser.
+func (p *Policy) End(now time.Duration, class int, outcome Outcome, waited time.Duration) Verdict {
+	c := p.config.Classes[class]
+	p.inFlight--
+	p.breaker.ended()
+	switch outcome {
 	case Allowed:
-		g.consecutiveFailures = 0
-		g.counters.Allowed++
+		p.breaker.succeeded()
+		p.counters.Allowed++
 		return Allow
 	case Denied:
-		g.consecutiveFailures = 0
-		g.counters.Denied++
+		p.breaker.succeeded()
+		p.counters.Denied++
 		return Deny
 	case ClientGone:
-		g.counters.ClientGone++
+		p.counters.ClientGone++
 		return Reject
 	}
-	g.counters.Unanswered++
-	if o == TimedOut && waited < time.Duration(waitShare*float64(b.LatencyObjective)) {
-		return g.withoutAnswer(b)
-	}
-	// A crowd whose checks were out together when it fell silent counts as one failure more, not as many.
-	if g.consecutiveFailures++; g.consecutiveFailures >= maxFailures && now >= g.openUntil {
-		g.counters.BreakerOpened++
-		rest := openWaits * waitShare * float64(b.LatencyObjective) * math.Exp2(float64(min(g.consecutiveFailures-maxFailures, 10)))
-		g.openUntil = now + min(time.Duration(rest), maxOpen)
-	} else if g.consecutiveFailures > maxFailures {
-		g.consecutiveFailures--
+	p.counters.Unanswered++
+	if hurried := outcome == TimedOut && waited < c.wait(); !hurried && p.breaker.failed(now, c.LatencyObjective) {
+		p.counters.BreakerOpened++
 	}
-	return g.withoutAnswer(b)
+	return p.withoutAnswer(c)
 }
