--- /dev/null
+++ b/internal/grpcfrontend/helpers_test.go
@@ -0,0 +1,153 @@
+package grpcfrontend
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"cherrygap/internal/authz"
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
+	"cherrygap/internal/transport"
+)
+
+// node is one node on loopback before an app server that notes what it runs.
+type node struct {
+	client GateClient
+	http   string // address of the HTTP server
+	grpc   string // address of the gRPC server
+
+	mu  sync.Mutex     // guards ran
+	ran map[string]int // attempts that the app server got, by the request's id
+}
+
+func testSettings() map[string]string {
+	return map[string]string{
+		"band.count": "2", "band.0.name": "look", "band.0.contract": "4000", "band.0.repeats": "replayable",
+		"band.1.name": "buy", "band.1.contract": "8000", "band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "team",
+		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true", "advice": "true", "advice.most": "20000", "largest": "6",
+	}
+}
+
+// startNode starts a node with an authoriser, or none, before an app server.
+func startNode(t *testing.T, authorizer transport.Authorizer, serve http.HandlerFunc) *node {
+	t.Helper()
+	n := &node{ran: map[string]int{}}
+	app := n.startAppServer(t, serve)
+	set := testSettings()
+	timer, err := transport.NewTimer()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(timer.Close)
+	log := zerolog.Nop()
+	router := routing.New(routing.Config{
+		Seed: 3, Settings: set, SetTimer: timer.Set, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
+		LogSummary: func([]byte) {},
+	})
+	go timer.Run(router.Tick)
+	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, true)
+	counters := &transport.Counters{}
+	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
+	n.http = freeAddress(t)
+	requests, err := transport.Listen(n.http, router, transport.NewPool(limits, &log, counters), limits, authorizer, &log, counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	methods, err := HTTPMethods(set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := Listen("127.0.0.1:0", requests, methods, 256)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.server.Stop)
+	conn, err := grpc.NewClient("passthrough:///"+server.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, conn)
+	n.client, n.grpc = NewGateClient(conn), server.Addr()
+	return n
+}
+
+// startAppServer starts an app server, and returns its address.
+func (n *node) startAppServer(t *testing.T, serve http.HandlerFunc) netip.AddrPort {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, listener)
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n.mu.Lock()
+		n.ran[r.Header.Get("X-Call-Id")]++
+		n.mu.Unlock()
+		serve(w, r)
+	})
+	go func() { _ = http.Serve(listener, handler) }() // until the listener closes
+	return netip.MustParseAddrPort(listener.Addr().String())
+}
+
+// freeAddress is a loopback address whose port was free a moment ago.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
+}
+
+func closeAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+}
+
+// runs is how many attempts of a request the app server got.
+func (n *node) runs(id string) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.ran[id]
+}
+
+// pass sends a request, whose client waits so long.
+func (n *node) pass(ctx context.Context, id, class string, customer uint64, wait time.Duration) (*Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait)
+	defer cancel()
+	call := &Ticket{Id: id, Band: class, Customer: customer, Plan: "team", Units: 1, Spread: 1}
+	if class == "buy" {
+		call.Body, call.Type = []byte("two seats"), "text/plain"
+	}
+	return n.client.Pass(ctx, call)
+}
+
+// dialTestAuthorizer readies an authoriser for the classes of startNode.
+func dialTestAuthorizer(t *testing.T, addr string) *Authorizer {
+	t.Helper()
+	a, err := DialAuthorizer(addr, authz.Config{
+		MaxInFlight: 64, MaxRetryAfter: time.Second,
+		Classes: []authz.Class{
+			{LatencyObjective: 400 * time.Millisecond, FailOpen: true},
+			{LatencyObjective: 800 * time.Millisecond},
+		},
+	}, map[string]int{"look": 0, "buy": 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(a.Close)
+	return a
+}
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -122,14 +122,21 @@
 	auth.RegisterAuthorizationServer(server, recorder)
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Stop)
-	a := dial(t, ln.Addr().String())
-	q := &protocol.Request{Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
-		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain"}
+	a := dialTestAuthorizer(t, ln.Addr().String())
+	q := &protocol.Request{
+		Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
+		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain",
+	}
 	for _, c := range []struct {
 		code codes.Code
 		want authz.Verdict
-	}{{codes.PermissionDenied, authz.Deny}, {codes.Unauthenticated, authz.Deny}, {codes.Internal, authz.Reject}, {99, authz.Reject},
-		{codes.OK, authz.Allow}} {
+	}{
+		{codes.PermissionDenied, authz.Deny},
+		{codes.Unauthenticated, authz.Deny},
+		{codes.Internal, authz.Reject},
+		{99, authz.Reject},
+		{codes.OK, authz.Allow},
+	} {
 		recorder.mu.Lock()
 		recorder.code = c.code
 		recorder.mu.Unlock()
@@ -141,9 +148,12 @@
 	defer recorder.mu.Unlock()
 	want := &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Source: &auth.AttributeContext_Peer{Principal: "00000000b4d65521", Address: &core.Address{}},
-		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: "9b1f", Method: "POST",
-			Path: "/buy/x/00000000b4d65521?a=1", Host: "api", Protocol: "HTTP/1.1", Size: 9, Headers: map[string]string{"x-tariff": "team"}}},
-		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"}}}
+		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{
+			Id: "9b1f", Method: "POST",
+			Path: "/buy/x/00000000b4d65521?a=1", Host: "api", Protocol: "HTTP/1.1", Size: 9, Headers: map[string]string{"x-tariff": "team"},
+		}},
+		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"},
+	}}
 	if raw, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || string(raw) != string(recorder.raw) {
 		t.Errorf("%q differs from %q, %v", recorder.raw, raw, err)
 	}
@@ -163,43 +173,52 @@
 	return s[q.Class], 0
 }
 
-func TestPinnedAnswers(t *testing.T) {
-	var mu sync.Mutex
-	seen := map[string]string{}
-	n := start(t, checkStub{"look": authz.Allow, "buy": authz.Allow}, func(w http.ResponseWriter, q *http.Request) {
-		mu.Lock()
-		q.Header.Set("X-Budget-Ms", fmt.Sprint(q.Header.Get("X-Budget-Ms") != ""))
-		seen[q.Header.Get("X-Call-Id")] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
-		mu.Unlock()
-		switch {
-		case strings.HasSuffix(q.URL.Path, "fe"): // breaks in its answer
-			conn, _, err := w.(http.Hijacker).Hijack()
-			if err == nil {
-				conn.Close()
-			}
-		case strings.HasSuffix(q.URL.Path, "ff"):
-			w.Header().Set("X-Rejected", "1")
-			w.WriteHeader(http.StatusServiceUnavailable)
-		default:
-			w.Header().Set("Content-Type", "text/plain")
-			fmt.Fprint(w, "ok")
-		}
-	})
-	denied := start(t, checkStub{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
-	call := func(n *node, q *Ticket) string {
-		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		defer cancel()
-		a, err := n.gate.Pass(ctx, q)
+// appRecorder is an app server that notes what it was sent, with any timeout as true.
+type appRecorder struct {
+	mu   sync.Mutex // guards seen
+	seen map[string]string
+}
+
+func (a *appRecorder) serve(w http.ResponseWriter, q *http.Request) {
+	a.mu.Lock()
+	q.Header.Set("X-Budget-Ms", fmt.Sprint(q.Header.Get("X-Budget-Ms") != ""))
+	a.seen[q.Header.Get("X-Call-Id")] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
+	a.mu.Unlock()
+	switch {
+	case strings.HasSuffix(q.URL.Path, "fe"): // breaks in its answer
+		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
-			return fmt.Sprintf("%q %q", a.Body, a.Type)
+			_ = conn.Close()
 		}
-		s := status.Convert(err)
-		got := fmt.Sprintf("%s %q", s.Code(), s.Message())
-		for _, d := range s.Proto().Details {
-			got += " " + d.TypeUrl
-		}
-		return got
+	case strings.HasSuffix(q.URL.Path, "ff"):
+		w.Header().Set("X-Rejected", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	default:
+		w.Header().Set("Content-Type", "text/plain")
+		_, _ = fmt.Fprint(w, "ok")
+	}
+}
+
+// describeCall gives the answer to a call, or its status with the types of its details.
+func describeCall(ctx context.Context, n *node, q *Ticket) string {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	a, err := n.client.Pass(ctx, q)
+	if err == nil {
+		return fmt.Sprintf("%q %q", a.Body, a.Type)
 	}
+	s := status.Convert(err)
+	got := fmt.Sprintf("%s %q", s.Code(), s.Message())
+	for _, d := range s.Proto().Details {
+		got += " " + d.TypeUrl
+	}
+	return got
+}
+
+func TestPinnedAnswers(t *testing.T) {
+	app := &appRecorder{seen: map[string]string{}}
+	n := startNode(t, checkStub{"look": authz.Allow, "buy": authz.Allow}, app.serve)
+	denied := startNode(t, checkStub{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
 	for _, c := range []struct {
 		name    string
 		node    *node
@@ -225,13 +244,13 @@
 		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MaxBody+1)}, "InvalidArgument \"body too large\""},
 		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MaxBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
 	} {
-		pinned(t, c.name, call(c.node, c.request), c.want)
+		pinned(t, c.name, describeCall(t.Context(), c.node, c.request), c.want)
 	}
-	mu.Lock()
-	defer mu.Unlock()
+	app.mu.Lock()
+	defer app.mu.Unlock()
 	for _, c := range []struct{ name, got, want string }{
-		{"buy as sent", seen["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
-		{"look as sent", seen["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
+		{"buy as sent", app.seen["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
+		{"look as sent", app.seen["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
 	} {
 		pinned(t, c.name, c.got, c.want)
 	}
