--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -29,7 +29,7 @@
 	Settings SettingsOverride `toml:"settings"` // those, over the settings that the node decides by
 }
 
-// HealthChecks are the shared health checks of app servers, each of which one node of the fleet does (docs/duties.md).
+// HealthChecks are the shared health checks of app servers, each of which one node of the fleet does (docs/healthcheck.md).
 // They are done only where the platform's settings allow probes and peers, whatever stands here.
 type HealthChecks struct {
 	Enabled      bool    `toml:"enabled"`
