--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -44,7 +44,7 @@
 			writeFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
 			wantReload(t, old, "127.0.0.8:8500")
 			writeFile(t, file, text)
-			if checkFile(file) == nil {
+			if _, err := checkFile(file); err == nil {
 				t.Errorf("passes the check")
 			}
 			writeFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
@@ -154,14 +154,14 @@
 	} {
 		conf := mustParse(t, strings.Replace(text, c.old, c.new, 1))
 		op := operatorfile.Default()
-		op.Duties.On = c.on
+		op.HealthChecks.Enabled = c.on
 		if err := conf.applyOperator(op); err != nil {
 			t.Fatal(err)
 		}
 		if conf.sharesHealthChecks() != c.want {
 			t.Errorf("%d: shares %v", k, !c.want)
 		}
-		if d := conf.healthCheckConfig(); k == 0 && (d.Me != 2 || d.Nodes != 3 || d.Bytes != 4096 || d.Every != 5*time.Second) {
+		if d := conf.healthCheckConfig(); k == 0 && (d.Self != 2 || d.Nodes != 3 || d.SendRate != 4096 || d.Interval != 5*time.Second) {
 			t.Errorf("told %+v", d)
 		}
 	}
--- a/cmd/cherrygap/lab_emulate.go
+++ b/cmd/cherrygap/lab_emulate.go
@@ -28,7 +28,7 @@
 and the faults of a schedule file (docs/lab.md). Prints one JSON line with the servers' addresses, and at the
 end one with each server's counts. Defaults come from the operator file's [lab.emulator].`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runEmulate(cmd, file, flags)
 		}),
 	}
--- a/cmd/cherrygap/lab_store.go
+++ b/cmd/cherrygap/lab_store.go
@@ -26,7 +26,7 @@
 --for, with the faults of a schedule file: stall, slow, cut, empty, failover, forget, full, split
 (docs/quota.md). Prints one JSON line with its address, and at the end one with the commands it carried out.`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runStore(cmd, file, flags)
 		}),
 	}
--- a/cmd/cherrygap/pin_log_test.go
+++ b/cmd/cherrygap/pin_log_test.go
@@ -100,7 +100,7 @@
 // The lines that a node writes at its start, on each signal and at its end, in their order and with the names of their
 // fields: without an operator file, and with all that it can switch on.
 func TestPinnedLogLines(t *testing.T) {
-	const all = "[watch]\non = true\n[duties]\non = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
+	const all = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 	for _, c := range []struct{ name, operator, counters string }{
 		{"no operator file's part", "", "counters node time"},
 		{"all parts", all, "counters health_checks node quota shadow time"},
@@ -160,3 +160,26 @@
 	}
 	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 }
+
+// A key that the operator file gives under an earlier name is taken, and the log, or standard error where there is none,
+// says what to write.
+func TestDeprecatedOperatorKeys(t *testing.T) {
+	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
+	text := strings.NewReplacer("127.0.0.4:9000", freeAddress(t), "127.0.0.9:8500", freeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)
+	p := startLogged(t, text, file)
+	const warning = "warn deprecated key in the operator file: key line node time write"
+	p.await(t, warning, warning, warning, "info started: listen node time")
+	const notices = "operator.toml: line 1: duties: deprecated; write health_checks\n" +
+		"operator.toml: line 2: duties.on: deprecated; write health_checks.enabled\n" +
+		"operator.toml: line 4: authz.most: deprecated; write authz.max_in_flight\n"
+	dir := filepath.Dir(p.file)
+	for args, want := range map[string]string{
+		"config check operator.toml": notices + "operator.toml: good\n",
+		"lab load --operator operator.toml --target 127.0.0.1:1 --rate 0": notices +
+			"cherrygap: lab.load.rate: 0 is out of range 0.01 to 1e+06\n",
+	} {
+		if out, err := program(t, dir, nil, strings.Fields(args)...).CombinedOutput(); string(out) != want {
+			t.Errorf("%s: %q, %v; want %q", args, out, err, want)
+		}
+	}
+}
--- a/cmd/cherrygap/server.go
+++ b/cmd/cherrygap/server.go
@@ -76,6 +76,7 @@
 // start opens the parts in their order and begins to serve: descriptors of the node's own first, then the known endpoint
 // list, and clients only once all that decides about their requests is there. After an error close is still to be called.
 func (s *server) start() error {
+	s.warnOfDeprecations()
 	for _, open := range []func() error{
 		s.openTimer,
 		s.openPeerSocket,
