--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -28,7 +28,7 @@
 const keyKnown = "known"
 
 // config is what the node starts with: the platform's configuration (the exported fields, JSON) and what the operator file
-// adds to it. Go's name of this type stands in the messages on values of the wrong JSON type.
+// adds to it. The errors of encoding/json on values of the wrong type name this type.
 type config struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
@@ -77,8 +77,8 @@
 var errNoConfigPath = errors.New(envConfig + " is not set")
 
 // loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. An endpoint list in it that can't be
-// read is no error but knownErr: discovery gave it once and will again, so that a node starts without endpoints rather
-// than not at all, and one that runs does not use it.
+// read is no error but knownErr: the discovery service will send the list again, so a node
+// starts without endpoints rather than not at all, and one that runs does not use this list.
 func loadConfig() (*config, error) {
 	c, err := readConfig()
 	if c != nil && isKnownListError(err) {
--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -14,6 +14,26 @@
 	"cherrygap/internal/transport"
 )
 
+// Names of the settings that the node itself reads, as package settings gives them; the decision module reads the others.
+const (
+	settingNode           = "node"  // this node's number
+	settingNodes          = "nodes" // how many there are
+	settingEndpointMode   = "roster"
+	settingHealthChecks   = "probes"
+	settingPeers          = "peers"
+	settingPeerRate       = "peers.take" // messages a second that a node receives
+	settingRetryAfter     = "advice"
+	settingMaxRetryAfter  = "advice.most"
+	settingIdleTimeout    = "idle"
+	settingConnectTimeout = "connect"
+	settingClassCount     = "band.count"
+	settingClassName      = "band.%d.name"
+	settingClassObjective = "band.%d.contract"
+
+	settingOn         = "true" // of those that are on or off
+	endpointModePolls = "ask"  // of settingEndpointMode
+)
+
 const (
 	settingsTick          = 100 * time.Microsecond // the unit of times in the settings
 	defaultConnectTimeout = time.Second            // where the settings give none above 0
@@ -21,6 +41,8 @@
 
 // A number in the settings that can't be read counts as 0, as the decision module has it.
 
+func (c *config) boolSetting(name string) bool { return c.settings[name] == settingOn }
+
 func (c *config) intSetting(name string) int {
 	value, _ := strconv.Atoi(c.settings[name])
 	return value
@@ -42,8 +64,8 @@
 	limits := transport.Limits{
 		Sockets:           c.Limits.Sockets,
 		MemoryMB:          c.Limits.MemoryMB,
-		ServerIdleTimeout: c.durationSetting("idle"),
-		ConnectTimeout:    c.durationSetting("connect"),
+		ServerIdleTimeout: c.durationSetting(settingIdleTimeout),
+		ConnectTimeout:    c.durationSetting(settingConnectTimeout),
 		GRPC:              c.grpc.Listen != "",
 	}
 	var files syscall.Rlimit
@@ -58,23 +80,23 @@
 
 // pollsDiscovery reports whether the node asks the discovery service for lists when the decision module says so; else the
 // service pushes them.
-func (c *config) pollsDiscovery() bool { return c.settings["roster"] == "ask" }
+func (c *config) pollsDiscovery() bool { return c.settings[settingEndpointMode] == endpointModePolls }
 
 // sharesHealthChecks reports whether this node takes part in the fleet's shared health checks: where the operators want it,
 // the platform allows health checks and messages between nodes, and this node is one of several with an address.
 func (c *config) sharesHealthChecks() bool {
-	wanted := c.healthChecks.Enabled && c.settings["probes"] == "true" && c.settings["peers"] == "true"
-	self, err := strconv.Atoi(c.settings["node"])
+	wanted := c.healthChecks.Enabled && c.boolSetting(settingHealthChecks) && c.boolSetting(settingPeers)
+	self, err := strconv.Atoi(c.settings[settingNode])
 	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && err == nil && self >= 0 && self < len(c.Peers)
 }
 
 // healthCheckConfig is what the shared health checks start with.
 func (c *config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
-		Self:        healthcheck.NodeID(int(c.floatSetting("node"))),
+		Self:        healthcheck.NodeID(int(c.floatSetting(settingNode))),
 		Nodes:       len(c.Peers),
 		Seed:        c.randomSeed,
-		ReceiveRate: c.floatSetting("peers.take"),
+		ReceiveRate: c.floatSetting(settingPeerRate),
 		SendRate:    c.healthChecks.MaxBytesPerS,
 		Interval:    time.Duration(c.healthChecks.IntervalMs * float64(time.Millisecond)),
 	}
@@ -82,9 +104,9 @@
 
 // requestClasses lists the names and latency objectives of the request classes, by number.
 func (c *config) requestClasses() (names []string, objectives []time.Duration) {
-	for i := range c.intSetting("band.count") {
-		names = append(names, c.settings[fmt.Sprintf("band.%d.name", i)])
-		objectives = append(objectives, c.durationSetting(fmt.Sprintf("band.%d.contract", i)))
+	for i := range c.intSetting(settingClassCount) {
+		names = append(names, c.settings[fmt.Sprintf(settingClassName, i)])
+		objectives = append(objectives, c.durationSetting(fmt.Sprintf(settingClassObjective, i)))
 	}
 	return names, objectives
 }
@@ -96,8 +118,8 @@
 		shortest = slices.Min(objectives)
 	}
 	return quota.Config{
-		Self:         c.intSetting("node"),
-		Nodes:        c.intSetting("nodes"),
+		Self:         c.intSetting(settingNode),
+		Nodes:        c.intSetting(settingNodes),
 		Seed:         c.randomSeed,
 		ExchangeRate: c.quota.MaxCallsPerS,
 		Timeout:      quota.ExchangeTimeout(shortest),
@@ -109,8 +131,8 @@
 func (c *config) authorizationConfig() (authz.Config, map[string]int, error) {
 	names, objectives := c.requestClasses()
 	cfg, numbers := authz.Config{MaxInFlight: c.authz.MaxInFlight}, map[string]int{}
-	if c.settings["advice"] == "true" {
-		cfg.MaxRetryAfter = c.durationSetting("advice.most")
+	if c.boolSetting(settingRetryAfter) {
+		cfg.MaxRetryAfter = c.durationSetting(settingMaxRetryAfter)
 	}
 	for i, name := range names {
 		numbers[name] = i
--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -1,13 +1,16 @@
 package main
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
 
 	"cherrygap/internal/operatorfile"
+	"cherrygap/internal/protocol"
 )
 
 func TestConfigurationIsRead(t *testing.T) {
@@ -162,7 +165,34 @@
 			t.Errorf("%d: shares %v", k, !c.want)
 		}
 		if d := conf.healthCheckConfig(); k == 0 && (d.Self != 2 || d.Nodes != 3 || d.SendRate != 4096 || d.Interval != 5*time.Second) {
-			t.Errorf("told %+v", d)
+			t.Errorf("configured as %+v", d)
 		}
 	}
 }
+
+// Errors on a key can be told by their type, with their cause.
+func TestConfigurationErrorTypes(t *testing.T) {
+	for _, c := range []struct {
+		old, new, key string
+		cause         error
+	}{
+		{`"127.0.0.4:9000"`, `"here"`, "listen", nil},
+		{"8c1f30d27a5be964", "seed", "seed", strconv.ErrSyntax},
+		{"8c1f30d27a5be964", "18c1f30d27a5be964", "seed", strconv.ErrRange},
+		{`"sockets":1024`, `"sockets":0`, "limits", errNotPositive},
+		{`"rev":41`, `"rev":"x"`, keyKnown, protocol.ErrMalformedList},
+	} {
+		_, err := parseConfig([]byte(strings.Replace(goodConfig, c.old, c.new, 1)), noEnv)
+		var fault *keyError
+		if !errors.As(err, &fault) || fault.key != c.key || c.cause != nil && !errors.Is(err, c.cause) {
+			t.Errorf("%s: %#v", c.key, err)
+		}
+		if isKnownListError(err) != (c.key == keyKnown) {
+			t.Errorf("%s: taken for an error of the known list, or not", c.key)
+		}
+	}
+	t.Setenv(envConfig, "")
+	if _, err := loadConfig(); !errors.Is(err, errNoConfigPath) {
+		t.Error(err)
+	}
+}
--- a/cmd/cherrygap/crowd_test.go
+++ b/cmd/cherrygap/crowd_test.go
@@ -256,6 +256,6 @@
 		full > sockets/2+16 || again > fresh/8 || short {
 		t.Errorf("list after %v, limit on descriptors reached: %v", listed, short)
 	}
-	t.Logf("%d descriptors in the crowd, %d at most of %d; list told %v after discovery's return, ready after %v; new clients got %v, %d of them at their second try, %d attempts",
+	t.Logf("%d descriptors in the crowd, %d at most of %d; list sent %v after discovery's return, ready after %v; new clients got %v, %d of them at their second try, %d attempts",
 		full, c.peak, sockets, listed.Round(time.Millisecond), ready.Round(time.Millisecond), got, again, attempts)
 }
--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -11,8 +11,8 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Bands that pass without an answer are the platform's, by name.
-func TestChecksAreByThePlatformsBands(t *testing.T) {
+// Request classes that fail open are the platform's, by name.
+func TestAuthorizationIsByThePlatformsClasses(t *testing.T) {
 	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
 	for _, open := range []string{"look", "fly"} {
 		c := mustParse(t, text)
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -58,7 +58,7 @@
 	return json.NewEncoder(cmd.OutOrStdout()).Encode(value)
 }
 
-// announce writes the JSON line by which a command that serves tells its addresses. It serves without a reader too.
+// announce writes the JSON line with a serving command's addresses. An error is no reason not to serve.
 func announce(cmd *cobra.Command, value any) { _ = printJSON(cmd, value) }
 
 // contextUntilSignal gives a context that ends on SIGINT or SIGTERM, or after the time limit when that is above 0.
--- a/cmd/cherrygap/lab_healthchecks.go
+++ b/cmd/cherrygap/lab_healthchecks.go
@@ -18,7 +18,7 @@
 		Long: `Run the real membership and health checks of N nodes over datagrams that are late, lost, duplicated and out of
 order, through a scenario (calm, vanish, flap, split, lossy) in the middle third of the run. Prints one JSON
 line: worst time a server went unchecked (s), duplicate checks, bytes a node and second, and how long after
-the fault all agree on which nodes live. The check interval and the byte limit come from the operator file's [duties].`,
+the fault all agree on which nodes live. The check interval and the byte limit come from the operator file's [health_checks].`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			cfg.Interval = time.Duration(file.HealthChecks.IntervalMs * float64(time.Millisecond))
--- a/cmd/cherrygap/logging.go
+++ b/cmd/cherrygap/logging.go
@@ -14,9 +14,9 @@
 	logFlushTimeout = 200 * time.Millisecond // for the lines that still wait at the end of the process
 )
 
-// openLog opens the node's log on standard error. A reader that is too slow must not hold up requests: lines that it
-// leaves unread for too long are dropped, and dropped is called with their number. closeLog writes what still waits, for
-// logFlushTimeout at most: the end of the process must not wait for a reader either.
+// openLog opens the node's log on standard error. Its lines are buffered, because a reader that is too slow must not hold up
+// requests: lines that find no room are dropped, and dropped is called with their number. closeLog writes what is left in the
+// buffer, for logFlushTimeout at most, because the end of the process must not wait for a reader either.
 func openLog(level zerolog.Level, node string, dropped func(lines int)) (log zerolog.Logger, closeLog func()) {
 	// The wrapper hides Close, by which the buffer would close standard error.
 	buffer := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logBufferLines, 0, dropped)
--- a/cmd/cherrygap/nogrpc_test.go
+++ b/cmd/cherrygap/nogrpc_test.go
@@ -10,7 +10,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// A program without gRPC must not start as if tickets were checked.
+// A program without gRPC must not start as if requests were authorized.
 func TestWithoutGRPCItIsRefused(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
 		op, faults := operatorfile.Parse(text)
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -118,7 +118,7 @@
 	return p
 }
 
-// ready waits until the node says that it is, and tells how long that took.
+// ready waits until the node says that it is, and returns how long that took.
 func (p *restarted) ready(since time.Time) (time.Duration, bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(since) < 3*readyIn {
@@ -195,7 +195,7 @@
 }
 
 // Nine in ten of the processes that are restarted at once, as a tenth of a fleet on one machine, are ready in time: by a
-// known list of 13,000 servers, indented or not, while discovery is silent or gone; by what discovery tells where the known
+// known list of 13,000 servers, indented or not, while discovery is silent or gone; by what discovery sends where the known
 // list can't be read. None takes more memory than the platform's smallest limit.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	plain, indented := listText(t, false), listText(t, true)
@@ -206,9 +206,9 @@
 		{"known, discovery silent", "automatic", plain, func() string { return serveList(t, "", 0) }},
 		{"known, discovery gone", "subscribe", plain, func() string { return freeAddress(t) }},
 		{"known, indented", "automatic", indented, func() string { return serveList(t, indented, 0) }},
-		{"odd list, told at once", "automatic", odd, func() string { return serveList(t, plain, 0) }},
-		{"odd list, told indented", "subscribe", odd, func() string { return serveList(t, indented, 0) }},
-		{"odd list, told late", "subscribe", odd, func() string { return serveList(t, plain, 500*time.Millisecond) }},
+		{"odd list, sent at once", "automatic", odd, func() string { return serveList(t, plain, 0) }},
+		{"odd list, sent indented", "subscribe", odd, func() string { return serveList(t, indented, 0) }},
+		{"odd list, sent late", "subscribe", odd, func() string { return serveList(t, plain, 500*time.Millisecond) }},
 	} {
 		testRestart(t, c) // no test of its own: those of the cases before run on
 	}
@@ -250,7 +250,7 @@
 	t.Logf("%s: ready after %v to %v; %d KiB, %d at most", c.name, took[0], took[together-1], now, most)
 }
 
-// Discovery tells 13,000 servers anew again and again, as where it restarts and counts anew: the node's memory stays under
+// Discovery sends 13,000 servers in full again and again, as where it restarts and counts anew: the node's memory stays under
 // the platform's smallest limit, and it goes on saying that it is ready.
 func TestListsToldAgainAndAgainFitTheMemory(t *testing.T) {
 	const times = 30
--- a/cmd/cherrygap/server.go
+++ b/cmd/cherrygap/server.go
@@ -18,8 +18,9 @@
 	gcPercent   = 400                    // little is live, so that a roomy heap saves collections
 )
 
-// server is one running edge node: it owns the node's parts from start to close. Its methods are called by one goroutine,
-// that of runServer; the parts guard themselves.
+// server is one running edge node: it owns the node's parts from start to close. Its fields belong to the goroutine of
+// runServer, which alone calls start, handleSignals and close, and are not written once the parts' goroutines run, except
+// config, which these do not read. The parts are safe for concurrent use.
 type server struct {
 	config   *config // replaced by reload
 	limits   transport.Limits
@@ -73,8 +74,8 @@
 	return s
 }
 
-// start opens the parts in their order and begins to serve: descriptors of the node's own first, then the known endpoint
-// list, and clients only once all that decides about their requests is there. After an error close is still to be called.
+// start opens the parts in their order and begins to serve: the node's own descriptors first, then the known endpoint list,
+// and the listeners last, once everything that decides on requests is there. close is to be called after an error too.
 func (s *server) start() error {
 	s.warnOfDeprecations()
 	for _, open := range []func() error{
@@ -148,7 +149,7 @@
 	s.log.Info().Str("discovery", next.fileDiscovery).Msg("configuration reloaded")
 }
 
-// drain stops both front ends at once, and returns when the last of their requests has its response.
+// drain stops both front ends at the same time, and returns when the last of their requests has its response.
 func (s *server) drain() {
 	if s.drainGRPC == nil {
 		s.frontEnd.Drain(drainAccept)
--- a/cmd/cherrygap/server_test.go
+++ b/cmd/cherrygap/server_test.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -155,3 +156,30 @@
 		t.Error(err)
 	}
 }
+
+// A part that was opened last is closed first, each once, also where closing is asked for again.
+func TestPartsAreClosedInReverse(t *testing.T) {
+	var s server
+	var closed []int
+	for i := range 3 {
+		s.onClose(func() { closed = append(closed, i) })
+	}
+	s.close()
+	s.close()
+	if !slices.Equal(closed, []int{2, 1, 0}) {
+		t.Errorf("closed %v", closed)
+	}
+}
+
+// A start that fails closes what it has opened: here the timer, when the peers' address is no address of this machine.
+func TestFailedStartIsClosed(t *testing.T) {
+	s := newServer(mustParse(t, strings.Replace(goodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
+	err := s.start()
+	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(s.closers) != 2 || s.router != nil {
+		t.Errorf("%v, %d to close", err, len(s.closers))
+	}
+	s.close()
+	if len(s.closers) != 0 {
+		t.Errorf("%d left to close", len(s.closers))
+	}
+}
--- a/cmd/cherrygap/signals_test.go
+++ b/cmd/cherrygap/signals_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// serveDiscovery is a discovery service that holds every call, and tells which host was asked.
+// serveDiscovery is a discovery service that holds every call, and reports which host was asked.
 func serveDiscovery(t *testing.T, asked chan<- string) net.Listener {
 	t.Helper()
 	return serveHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
