--- a/cmd/cherrygap/grpc_test.go
+++ b/cmd/cherrygap/grpc_test.go
@@ -11,8 +11,8 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Bands that pass without an answer are the platform's, by name.
-func TestChecksAreByThePlatformsBands(t *testing.T) {
+// Request classes that fail open are the platform's, by name.
+func TestAuthorizationIsByThePlatformsClasses(t *testing.T) {
 	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
 	for _, open := range []string{"look", "fly"} {
 		c := mustParse(t, text)
@@ -21,7 +21,7 @@
 		if err := c.applyOperator(op); err != nil {
 			t.Fatal(err)
 		}
-		cfg, bands, err := c.authorizationConfig()
+		cfg, classes, err := c.authorizationConfig()
 		if open == "fly" {
 			if err == nil || !strings.Contains(err.Error(), "look, buy") {
 				t.Error(err)
@@ -29,8 +29,8 @@
 			continue
 		}
 		want := []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}
-		if err != nil || bands["buy"] != 1 || cfg.Classes[0] != want[0] || cfg.Classes[1] != want[1] || cfg.MaxInFlight != 64 {
-			t.Errorf("%+v, %v, %v", cfg, bands, err)
+		if err != nil || classes["buy"] != 1 || cfg.Classes[0] != want[0] || cfg.Classes[1] != want[1] || cfg.MaxInFlight != 64 {
+			t.Errorf("%+v, %v, %v", cfg, classes, err)
 		}
 	}
 }
--- a/cmd/cherrygap/lab_authz.go
+++ b/cmd/cherrygap/lab_authz.go
@@ -32,7 +32,7 @@
 answers late, drops calls, sends malformed answers and restarts, from a seed (docs/grpc.md). Prints one JSON line with
 its address, and at the end one with its answers and starts.`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, flags.faults.Seed)
 			flags.faults.Seed = file.Lab.Seed
 			return runAuthz(cmd, flags)
--- a/cmd/cherrygap/root.go
+++ b/cmd/cherrygap/root.go
@@ -83,3 +83,11 @@
 	}
 	return operatorfile.Load(path)
 }
+
+// printDeprecations writes on standard error which keys an operator file gives under an earlier name, a line each. (A node
+// writes that into its log.)
+func printDeprecations(cmd *cobra.Command, path string, keys []operatorfile.Deprecation) {
+	for _, key := range keys {
+		cmd.PrintErrf("%s: %v\n", path, key)
+	}
+}
--- a/internal/transport/golden_healthcheck_test.go
+++ b/internal/transport/golden_healthcheck_test.go
@@ -25,7 +25,7 @@
 		Addr: netip.MustParseAddrPort(addr),
 	}}}, true)
 	d := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
-		NewPool(roomy, &log, &Counters{}), func(int, []byte) {}, &log)
+		NewPool(roomy, &log, &Counters{}), func(int, []byte) {})
 	go d.Run()
 	defer d.Close()
 	select {
