--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -216,7 +216,7 @@
 	}
 	me, _ := strconv.Atoi(c.set["node"])
 	nodes, _ := strconv.Atoi(c.set["nodes"])
-	return quota.Config{Self: me, Nodes: nodes, Seed: c.seed, ExchangeRate: c.quota.Calls, Timeout: quota.ExchangeTimeout(shortest)}
+	return quota.Config{Self: quota.NodeID(me), Nodes: nodes, Seed: c.seed, ExchangeRate: c.quota.Calls, Timeout: quota.ExchangeTimeout(shortest)}
 }
 
 // checks is what the check of tickets is told at the start, and the numbers of bands by name. A band that the platform
--- /dev/null
+++ b/internal/quota/account_test.go
@@ -0,0 +1,80 @@
+package quota
+
+import (
+	"math"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// A forecast follows the demand of the windows that ended, and fades over those without any.
+func TestDemandForecast(t *testing.T) {
+	d := demand{forecast: 10}
+	for _, c := range []struct {
+		inWindow float64
+		windows  WindowNumber
+		want     float64
+	}{
+		{20, 1, 15},
+		{15, 0, 15}, // a window that began anew
+		{15, 1, 15},
+		{0, 1, 7.5},
+		{10.5, 3, 2.25}, // 9, then two windows without demand
+		{0, 1000, 2.25 / (1 << 20)},
+	} {
+		d.inWindow = c.inWindow
+		d.endWindows(c.windows)
+		if d.forecast != c.want || d.inWindow != 0 {
+			t.Errorf("%v in the window, %d windows: %+v, want %v", c.inWindow, c.windows, d, c.want)
+		}
+	}
+}
+
+// A window begins with an even slice, all of the former one's state gone, and what the store's silence says.
+func TestEnterWindow(t *testing.T) {
+	l := New(Config{Nodes: 4}, 0)
+	a := l.account(Customer{Key: 1, Rate: 10, Burst: 40, Spread: 4})
+	if a.number != 0 || a.allowance != 20 || a.cap != 5 || a.storedCap != 5 || a.demand.forecast != 5 {
+		t.Errorf("%+v", a)
+	}
+	a.demand.inWindow = 9
+	a.used, a.sequence, a.stored, a.deniedUntil, a.cap = 4, 3, 2, time.Hour, 1
+	a.others[2] = Commitment{Node: 2, Sequence: 1, Cap: 1}
+	l.advance(1999 * time.Millisecond)
+	l.enterWindow(a)
+	if a.number != 0 || a.used != 4 {
+		t.Errorf("a new window before its time: %+v", a)
+	}
+	l.advance(2 * time.Second)
+	l.enterWindow(a)
+	if late := a.exchangeAt - l.now; late < 0 || late > 100*time.Millisecond { // a twentieth of a window
+		t.Errorf("the first exchange %v after the begin", late)
+	}
+	if a.demand.forecast != 7 || a.begin() != 2*time.Second || len(a.others) != 0 {
+		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecast, a.begin(), a.others)
+	}
+	a.others = nil
+	want := window{number: 1, allowance: 20, cap: 5, storedCap: 5}
+	if got := a.window; !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+}
+
+// The cap that is wanted covers what is forecast or was asked for already, with some to spare, and what was used.
+func TestWantedCap(t *testing.T) {
+	for _, c := range []struct {
+		forecast, inWindow, used, want float64
+	}{
+		{0, 0, 0, 0.5}, // a tenth of a slice of 5
+		{4, 0, 0, 5.5},
+		{4, 8, 0, 10.5},
+		{0, 0, 7, 7},
+	} {
+		a := newAccount(Customer{Spread: 4})
+		a.allowance, a.used = 20, c.used
+		a.demand = demand{forecast: c.forecast, inWindow: c.inWindow}
+		if got := a.wantedCap(); math.Abs(got-c.want) > 1e-12 {
+			t.Errorf("%+v: %v", c, got)
+		}
+	}
+}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/sha256"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strings"
@@ -17,8 +18,8 @@
 	now       time.Duration
 	rng       *rand.Rand
 	later     map[time.Duration][]func()
-	id        uint64 // of the store
-	entries   map[string][]Entry
+	id        StoreID
+	entries   map[string][]Commitment
 	lost      float64 // share of the exchanges that get no answer
 	bad       float64 // and of those that end badly
 	forgets   float64 // and of the entries that the store forgets
@@ -30,10 +31,10 @@
 func newGoldenPlay(cfg Config, customers []Customer, now time.Duration) *goldenPlay {
 	p := &goldenPlay{
 		cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
-		later: map[time.Duration][]func(){}, entries: map[string][]Entry{},
+		later: map[time.Duration][]func(){}, entries: map[string][]Commitment{},
 	}
 	for k := range cfg.Nodes {
-		cfg.Self = k
+		cfg.Self = NodeID(k)
 		p.nodes = append(p.nodes, New(cfg, now))
 	}
 	return p
@@ -57,9 +58,12 @@
 	if p.rng.Float64() >= p.forgets {
 		p.entries[key] = append(p.entries[key], x.Put)
 	}
-	entries := append([]Entry{{Node: -1, Seq: 1}, {Node: 1 << 20, Seq: 1, Cap: 3}}, p.entries[key]...)
-	ok := p.rng.Float64() >= p.bad
-	p.after(1+p.rng.IntN(6), func() { n.HandleReply(p.now, x.ID, store, entries, ok) })
+	entries := append([]Commitment{{Node: -1, Sequence: 1}, {Node: 1 << 20, Sequence: 1, Cap: 3}}, p.entries[key]...)
+	var err error
+	if p.rng.Float64() < p.bad {
+		err = errors.New("bad")
+	}
+	p.after(1+p.rng.IntN(6), func() { n.HandleReply(p.now, x.ID, store, entries, err) })
 }
 
 func (p *goldenPlay) play(until time.Duration, load float64) {
@@ -81,91 +85,95 @@
 				}
 			}
 			for x, ok := n.Next(p.now); ok; x, ok = n.Next(p.now) {
-				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", k, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Seq, x.Put.Cap,
-					x.Keep, x.Wait)
+				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", k, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Sequence, x.Put.Cap,
+					x.Keep, x.Timeout)
 				p.put(n, x)
 			}
 			if p.now%(500*time.Millisecond) == 0 {
-				c := n.Count()
+				c := n.Counters()
 				room := []float64{}
 				for _, of := range p.customers {
 					room = append(room, n.Available(p.now, of))
 				}
-				p.write("%d: room %v, %v", k, room, []int64{c.Calls, c.Failed, c.Late, c.Lost, c.Borrowed, c.Ceded, c.Refused})
+				p.write("%d: room %v, %v", k, room, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
 			}
 		}
 	}
 }
 
-// Every exchange, every refusal and the room at each node are those of commit cf1acfb, which wrote the expected
-// values: nodes of both texts share one store.
-func TestGoldenExchanges(t *testing.T) {
-	customers := []Customer{
-		{Key: 9, Rate: 100, Burst: 400, Spread: 4},
-		{Key: 1 << 60, Rate: 8, Burst: 2, FirstNode: 3, Spread: 2},
-		{Key: 3, Rate: 0, Burst: 1, Spread: 4},
-		{Key: 4, Rate: 40, Burst: 20, FirstNode: 1, Spread: 1},
-		{Key: 5, Rate: 30, Burst: 60, Spread: 90},
-	}
-	for _, c := range []struct {
-		name   string
-		cfg    Config
-		from   time.Duration
-		play   func(p *goldenPlay)
-		lines  int
-		digest string   // SHA-256 of all lines
-		first  []string // the first lines
-	}{
-		{
-			name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
-			play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
-				"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
-				"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
-				"0.00 2: room [50 2 +Inf 18 7.5], [0 0 0 0 0 0 0]",
-				"0.00 3: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
-				"0.01 0: id 1, 1152921504606846976/0, entry 0:1 2.4, kept 1.5s, within 60ms",
-				"0.01 0: id 2, 5/0, entry 0:1 10.125, kept 3s, within 60ms",
-			},
+var customers = []Customer{
+	{Key: 9, Rate: 100, Burst: 400, Spread: 4},
+	{Key: 1 << 60, Rate: 8, Burst: 2, FirstNode: 3, Spread: 2},
+	{Key: 3, Rate: 0, Burst: 1, Spread: 4},
+	{Key: 4, Rate: 40, Burst: 20, FirstNode: 1, Spread: 1},
+	{Key: 5, Rate: 30, Burst: 60, Spread: 90},
+}
+
+// goldenPlays are fleets and what their store does, with what they said by commit cf1acfb.
+var goldenPlays = []struct {
+	name   string
+	cfg    Config
+	from   time.Duration
+	play   func(p *goldenPlay)
+	lines  int
+	digest string   // SHA-256 of all lines
+	first  []string // the first lines
+}{
+	{
+		name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
+		play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
+			"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+			"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+			"0.00 2: room [50 2 +Inf 18 7.5], [0 0 0 0 0 0 0]",
+			"0.00 3: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
+			"0.01 0: id 1, 1152921504606846976/0, entry 0:1 2.4, kept 1.5s, within 60ms",
+			"0.01 0: id 2, 5/0, entry 0:1 10.125, kept 3s, within 60ms",
 		},
-		{
-			name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
-			from: 1_700_000_000_350 * time.Millisecond,
-			play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
-				"1700000000.35 0 refuses 9",
-				"1700000000.35 0 refuses 1152921504606846976",
-				"1700000000.35 0 refuses 5",
-				"1700000000.36 0 refuses 9",
-				"1700000000.36 0 refuses 5",
-				"1700000000.36 3 refuses 9",
-			},
+	},
+	{
+		name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
+		from: 1_700_000_000_350 * time.Millisecond,
+		play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
+			"1700000000.35 0 refuses 9",
+			"1700000000.35 0 refuses 1152921504606846976",
+			"1700000000.35 0 refuses 5",
+			"1700000000.36 0 refuses 9",
+			"1700000000.36 0 refuses 5",
+			"1700000000.36 3 refuses 9",
 		},
-		{
-			name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
-			play: func(p *goldenPlay) {
-				p.play(6*time.Second, 0.9)
-				p.lost, p.bad = 0.2, 0.1
-				p.play(16*time.Second, 0.9)
-				p.lost, p.bad, p.forgets = 0, 0, 0.2
-				p.play(24*time.Second, 1.5)
-				p.id, p.forgets = 8, 0
-				clear(p.entries)
-				p.play(30*time.Second, 0.2)
-				p.lost = 1
-				p.play(50*time.Second, 0.8)
-				p.lost = 0
-				p.customers = p.customers[:1]
-				p.customers[0].Rate = 70
-				p.play(100*time.Second, 0.8)
-			}, lines: 10425, digest: "9b784e6889507ea217542f436c0bb0dad422f35e46bf0e92d89690715e1236eb", first: []string{
-				"0.00 0: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
-				"0.00 1: room [50 2 +Inf 18 5], [0 0 0 0 0 0 0]",
-				"0.00 2: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
-				"0.00 3: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
-				"0.00 4: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
-				"0.00 5: room [50 2 +Inf 19 4], [0 0 0 0 0 0 0]",
-			},
+	},
+	{
+		name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
+		play: func(p *goldenPlay) {
+			p.play(6*time.Second, 0.9)
+			p.lost, p.bad = 0.2, 0.1
+			p.play(16*time.Second, 0.9)
+			p.lost, p.bad, p.forgets = 0, 0, 0.2
+			p.play(24*time.Second, 1.5)
+			p.id, p.forgets = 8, 0
+			clear(p.entries)
+			p.play(30*time.Second, 0.2)
+			p.lost = 1
+			p.play(50*time.Second, 0.8)
+			p.lost = 0
+			p.customers = p.customers[:1]
+			p.customers[0].Rate = 70
+			p.play(100*time.Second, 0.8)
+		}, lines: 10425, digest: "9b784e6889507ea217542f436c0bb0dad422f35e46bf0e92d89690715e1236eb", first: []string{
+			"0.00 0: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+			"0.00 1: room [50 2 +Inf 18 5], [0 0 0 0 0 0 0]",
+			"0.00 2: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+			"0.00 3: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+			"0.00 4: room [50 2 +Inf 20 5], [0 0 0 0 0 0 0]",
+			"0.00 5: room [50 2 +Inf 19 4], [0 0 0 0 0 0 0]",
 		},
-	} {
+	},
+}
+
+// Every exchange, every refusal and the room at each node are those of commit cf1acfb, which wrote the expected
+// values: nodes of both texts share one store.
+func TestGoldenExchanges(t *testing.T) {
+	for _, c := range goldenPlays {
 		t.Run(c.name, func(t *testing.T) {
 			p := newGoldenPlay(c.cfg, append([]Customer(nil), customers...), c.from)
 			c.play(p)
--- a/internal/quotastore/golden_test.go
+++ b/internal/quotastore/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"fmt"
 	"io"
 	"math"
@@ -38,7 +37,7 @@
 		t.Fatal(err)
 	}
 	s := &scripted{Listener: ln}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -52,7 +51,7 @@
 }
 
 func (s *scripted) serve(c net.Conn, exec string) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	multi := false
 	for {
@@ -121,13 +120,13 @@
 		x    quota.Exchange
 		want string
 	}{
-		{"a first entry", quota.Exchange{Key: 7, Window: 0, Put: quota.Entry{Node: 0, Seq: 1, Cap: 0}, Keep: 1500 * time.Millisecond}, opening +
+		{"a first entry", quota.Exchange{Key: 7, Window: 0, Put: quota.Commitment{Node: 0, Sequence: 1, Cap: 0}, Keep: 1500 * time.Millisecond}, opening +
 			"*4\r\n$4\r\nhset\r\n$9\r\nquota:7:0\r\n$3\r\n0:1\r\n$1\r\n0\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:7:0\r\n$4\r\n1500\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:7:0\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
 		{"a fleet's", quota.Exchange{
-			Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Entry{Node: 1234, Seq: 17, Cap: 12.5},
+			Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Commitment{Node: 1234, Sequence: 17, Cap: 12.5},
 			Keep: 6 * time.Second,
 		}, opening +
 			"*4\r\n$4\r\nhset\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$7\r\n1234:17\r\n$4\r\n12.5\r\n" +
@@ -136,13 +135,13 @@
 			"*1\r\n$4\r\nexec\r\n"},
 		{"a large cap, kept for part of a millisecond", quota.Exchange{
 			Key: math.MaxUint64, Window: -3,
-			Put: quota.Entry{Node: 5, Seq: 2, Cap: 1e21}, Keep: 2000000500,
+			Put: quota.Commitment{Node: 5, Sequence: 2, Cap: 1e21}, Keep: 2000000500,
 		}, opening +
 			"*4\r\n$4\r\nhset\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$3\r\n5:2\r\n$5\r\n1e+21\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$4\r\n2000\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$25\r\nquota:ffffffffffffffff:-3\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a small cap", quota.Exchange{Key: 1, Window: 2, Put: quota.Entry{Node: 5, Seq: 3, Cap: 1.0 / 3e7}, Keep: 999999}, opening +
+		{"a small cap", quota.Exchange{Key: 1, Window: 2, Put: quota.Commitment{Node: 5, Sequence: 3, Cap: 1.0 / 3e7}, Keep: 999999}, opening +
 			"*4\r\n$4\r\nhset\r\n$9\r\nquota:1:2\r\n$3\r\n5:3\r\n$22\r\n3.3333333333333334e-08\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:1:2\r\n$1\r\n1\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:1:2\r\n" +
@@ -152,12 +151,12 @@
 			server, log := startScripted(t, exec), zerolog.Nop()
 			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			id, entries, err := q.exchange(context.Background(), c.x)
+			id, entries, err := putAndRead(t.Context(), q.client, c.x)
 			if err != nil {
 				t.Fatal(err)
 			}
-			slices.SortFunc(entries, func(a, b quota.Entry) int { return a.Node - b.Node })
-			if want := []quota.Entry{{Node: 0, Seq: 1, Cap: 12.5}, {Node: 2, Seq: 2, Cap: 1e-7}, {Node: 17, Seq: 30}}; id != math.MaxUint64 ||
+			slices.SortFunc(entries, func(a, b quota.Commitment) int { return int(a.Node - b.Node) })
+			if want := []quota.Commitment{{Node: 0, Sequence: 1, Cap: 12.5}, {Node: 2, Sequence: 2, Cap: 1e-7}, {Node: 17, Sequence: 30}}; id != math.MaxUint64 ||
 				!reflect.DeepEqual(entries, want) {
 				t.Errorf("store %d, %v, want %v", id, entries, want)
 			}
@@ -194,7 +193,7 @@
 			server, log := startScripted(t, c.exec), zerolog.Nop()
 			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			if id, entries, err := q.exchange(context.Background(), quota.Exchange{Keep: time.Second}); (err == nil) != c.ok ||
+			if id, entries, err := putAndRead(t.Context(), q.client, quota.Exchange{Keep: time.Second}); (err == nil) != c.ok ||
 				err == nil && id != 9 || err != nil && (id != 0 || entries != nil) {
 				t.Errorf("%v, %d, %v", err, id, entries)
 			}
--- a/internal/quotastore/store_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -34,57 +35,85 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	log := zerolog.Nop()
-	c := quota.Customer{Key: 7, Rate: 400, Burst: 800, Spread: nodes}
-	var spent, calm, slowest atomic.Int64
-	began := time.Now().Truncate(time.Second).Add(time.Second) // a window begins
-	end := began.Add(13 * time.Second)
-	done := make(chan *Quotas, nodes)
-	for k := range nodes {
-		go func() {
-			q := Open(server.Addr(), fmt.Sprint("n", k), quota.Config{Self: k, Nodes: nodes, Seed: 9, Timeout: 60 * time.Millisecond}, &log)
-			go q.Run()
-			r := rand.New(rand.NewSource(int64(k)))
-			time.Sleep(time.Until(began))
-			for at := began; at.Before(end); at = at.Add(time.Millisecond) {
-				time.Sleep(time.Until(at))
-				for n := 2 * c.Rate / 1000 * float64(int(1)<<k) / (1<<nodes - 1); n > 0; n-- {
-					if r.Float64() >= n {
-						break
-					}
-					before := time.Now()
-					q.RecordDemand(c, 1)
-					if q.TrySpend(c, 1) {
-						spent.Add(1)
-						if time.Now().After(end.Add(-time.Second)) {
-							calm.Add(1)
-						}
-					}
-					slowest.Store(max(slowest.Load(), int64(time.Since(before))))
-				}
-			}
-			done <- q
-		}()
-	}
-	calls, failed, borrowed := int64(0), int64(0), int64(0)
-	for range nodes {
-		q := <-done
-		n := q.node.Count()
-		calls, failed, borrowed = calls+n.Calls, failed+n.Failed, borrowed+n.Borrowed
+	spenders := startSpenders(t, server.Addr(), quota.Customer{Key: 7, Rate: 400, Burst: 800, Spread: nodes}, 13*time.Second)
+	spenders.running.Wait()
+	var total quota.Counters
+	for _, q := range spenders.quotas {
+		c := q.ledger.Counters()
+		total.Exchanges += c.Exchanges
+		total.Failed += c.Failed
+		total.Borrowed += c.Borrowed
 		q.Close()
 	}
-	used := float64(spent.Load()) / (c.Rate * end.Sub(began).Seconds())
-	t.Logf("%.3f of the quota, %d calls, %d failed, %d borrowed, %d in the last second, slowest %v", used, calls, failed,
-		borrowed, calm.Load(), time.Duration(slowest.Load()))
+	rate, slowest := spenders.customer.Rate, time.Duration(spenders.slowest.Load())
+	used := float64(spenders.spent.Load()) / (rate * spenders.end.Sub(spenders.begin).Seconds())
+	t.Logf("%.3f of the quota, %+v, %d in the last second, slowest %v", used, total, spenders.spentLast.Load(), slowest)
 	if used > 1.1 || used < 0.5 {
 		t.Errorf("%.3f of the quota was used", used)
 	}
-	if failed < 10 || borrowed < 20 || float64(calm.Load()) < 0.7*c.Rate {
-		t.Errorf("%d failed, %d borrowed, %d spent in the last second of 400", failed, borrowed, calm.Load())
+	if total.Failed < 10 || total.Borrowed < 20 || float64(spenders.spentLast.Load()) < 0.7*rate {
+		t.Errorf("%+v, %d spent in the last second of %v", total, spenders.spentLast.Load(), rate)
+	}
+	if slowest > 50*time.Millisecond { // the store's calls are given up after 60
+		t.Errorf("a spending took %v", slowest)
 	}
-	if time.Duration(slowest.Load()) > 50*time.Millisecond { // the store's calls are given up after 60
-		t.Errorf("a spending took %v", time.Duration(slowest.Load()))
+}
+
+// spenders ask for a customer's quota at some nodes, twice as much as it is.
+type spenders struct {
+	customer   quota.Customer
+	quotas     []*Quotas
+	begin, end time.Time
+	running    sync.WaitGroup
+
+	spent, spentLast atomic.Int64 // units, and those of the last second
+	slowest          atomic.Int64 // ns that a spending took
+}
+
+// startSpenders starts one node for each of the customer's set. They spend for so long, from the next full second on.
+func startSpenders(t *testing.T, store string, customer quota.Customer, span time.Duration) *spenders {
+	t.Helper()
+	log := zerolog.Nop()
+	begin := time.Now().Truncate(time.Second).Add(time.Second) // a window begins
+	s := &spenders{customer: customer, begin: begin, end: begin.Add(span)}
+	for i := range customer.Spread {
+		q := Open(store, fmt.Sprint("n", i), quota.Config{
+			Self: quota.NodeID(i), Nodes: customer.Spread, Seed: 9, Timeout: 60 * time.Millisecond,
+		}, &log)
+		s.quotas = append(s.quotas, q)
+		go q.Run()
+		s.running.Add(1)
+		go func() {
+			defer s.running.Done()
+			s.spend(q, i)
+		}()
+	}
+	return s
+}
+
+// spend spends at node i, which asks for 2^i parts of the demand.
+func (s *spenders) spend(q *Quotas, i int) {
+	random := rand.New(rand.NewSource(int64(i)))
+	share := float64(int(1)<<i) / float64(int(1)<<s.customer.Spread-1)
+	time.Sleep(time.Until(s.begin))
+	for at := s.begin; at.Before(s.end); at = at.Add(time.Millisecond) {
+		time.Sleep(time.Until(at))
+		for mean := 2 * s.customer.Rate / 1000 * share; mean > 0 && random.Float64() < mean; mean-- {
+			s.spendOne(q)
+		}
+	}
+}
+
+func (s *spenders) spendOne(q *Quotas) {
+	before := time.Now()
+	q.RecordDemand(s.customer, 1)
+	if q.TrySpend(s.customer, 1) {
+		s.spent.Add(1)
+		if time.Now().After(s.end.Add(-time.Second)) {
+			s.spentLast.Add(1)
+		}
 	}
+	s.slowest.Store(max(s.slowest.Load(), int64(time.Since(before))))
 }
 
 // The stand-in answers as the protocol says, and a client of another make gets on with it.
@@ -95,7 +124,7 @@
 	}
 	defer server.Close()
 	db := redis.NewClient(&redis.Options{Addr: server.Addr(), Protocol: 2, MaxRetries: -1})
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	ctx := context.Background()
 	db.Set(ctx, "a", "5", 0)
 	db.IncrBy(ctx, "a", 7)
--- a/internal/routing/ticket.go
+++ b/internal/routing/ticket.go
@@ -116,7 +116,7 @@
 	}
 	if plan := r.plans[q.Plan]; r.cfg.Quota != nil && plan < len(r.quotas) && r.quotas[plan].Rate > 0 {
 		t.whose, t.units = r.quotas[plan], q.Units
-		t.whose.Key, t.whose.FirstNode, t.whose.Spread = q.Customer, q.FirstNode, q.Spread
+		t.whose.Key, t.whose.FirstNode, t.whose.Spread = quota.CustomerKey(q.Customer), quota.NodeID(q.FirstNode), q.Spread
 		r.cfg.Quota.RecordDemand(t.whose, q.Units)
 		r.node.SetLease(q.Customer, plan, q.Spread, q.FirstNode, r.cfg.Quota.Available(t.whose))
 	} else {
