--- /dev/null
+++ b/internal/lab/store/commands.go
@@ -0,0 +1,199 @@
+package store
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// Errors as the protocol has them.
+const (
+	errFull       = "OOM command not allowed when used memory > 'maxmemory'."
+	errNotInteger = "ERR value is not an integer or out of range"
+)
+
+// command is one that the store knows.
+type command struct {
+	words  int  // at least, its name included
+	writes bool // a full store refuses it, a forgetful one may lose it
+	run    func(*call)
+}
+
+// commands are all, by name.
+var commands = map[string]command{
+	"PING":    {words: 1, run: (*call).ping},
+	"SELECT":  {words: 1, run: (*call).ok},
+	"CLIENT":  {words: 1, run: (*call).client},
+	"GET":     {words: 2, run: (*call).get},
+	"SET":     {words: 3, writes: true, run: (*call).set},
+	"SETNX":   {words: 3, writes: true, run: (*call).setIfAbsent},
+	"INCRBY":  {words: 3, writes: true, run: (*call).increment},
+	"HSET":    {words: 4, writes: true, run: (*call).setFields},
+	"HGETALL": {words: 2, run: (*call).getFields},
+	"EXPIRE":  {words: 3, run: func(c *call) { c.expire(time.Second) }},
+	"PEXPIRE": {words: 3, run: func(c *call) { c.expire(time.Millisecond) }},
+	"DEL":     {words: 2, run: (*call).del},
+}
+
+// call is one command as it is carried out.
+type call struct {
+	redcon.Conn // that the answer is written to
+	sender      *client
+	data        *data
+	words       []string
+	lost        bool // a write that is answered and forgotten
+}
+
+// run carries out one command; the lock is held.
+func (s *Server) run(conn redcon.Conn, sender *client, words []string) {
+	name := words[0]
+	s.applied[name]++
+	cmd, known := commands[name]
+	if s.isOn(full) && cmd.writes {
+		conn.WriteError(errFull)
+		return
+	}
+	c := &call{Conn: conn, sender: sender, data: s.half(sender), words: words}
+	if forgetful, on := s.faults[forget]; on && cmd.writes {
+		c.lost = s.random.Float64() < forgetful.Chance
+	}
+	if len(words) > 1 {
+		c.data.expire(words[1])
+	}
+	switch {
+	case !known:
+		conn.WriteError("ERR unknown command '" + name + "'")
+	case len(words) < cmd.words:
+		conn.WriteError("ERR wrong number of arguments for '" + strings.ToLower(name) + "' command")
+	default:
+		cmd.run(c)
+	}
+}
+
+// half is the data that a client sees: of a split store, by the last digit of its name.
+func (s *Server) half(c *client) *data {
+	if s.isOn(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
+		return s.halves[1]
+	}
+	return s.halves[0]
+}
+
+func (c *call) ping() { c.WriteString("PONG") }
+
+func (c *call) ok() { c.WriteString("OK") }
+
+// client takes over a connection's name; what else it says is of no account here.
+func (c *call) client() {
+	if len(c.words) > 2 && strings.EqualFold(c.words[1], "SETNAME") {
+		c.sender.name = c.words[2]
+	}
+	c.ok()
+}
+
+func (c *call) get() {
+	if value, ok := c.data.strings[c.words[1]]; ok {
+		c.WriteBulkString(value)
+	} else {
+		c.WriteNull()
+	}
+}
+
+// set knows the option NX, to set only what is not there, and passes over others.
+func (c *call) set() {
+	key := c.words[1]
+	for _, option := range c.words[3:] {
+		if _, ok := c.data.strings[key]; ok && strings.EqualFold(option, "NX") {
+			c.WriteNull()
+			return
+		}
+	}
+	if !c.lost {
+		c.data.strings[key] = c.words[2]
+		delete(c.data.expires, key)
+	}
+	c.ok()
+}
+
+// setIfAbsent is never lost: a store's number is set by it.
+func (c *call) setIfAbsent() {
+	key := c.words[1]
+	if _, ok := c.data.strings[key]; ok {
+		c.WriteInt(0)
+		return
+	}
+	c.data.strings[key] = c.words[2]
+	c.WriteInt(1)
+}
+
+func (c *call) increment() {
+	key := c.words[1]
+	by, err := strconv.ParseInt(c.words[2], 10, 64)
+	if err != nil {
+		c.WriteError(errNotInteger)
+		return
+	}
+	value := int64(0)
+	if text, ok := c.data.strings[key]; ok {
+		if value, err = strconv.ParseInt(text, 10, 64); err != nil {
+			c.WriteError(errNotInteger)
+			return
+		}
+	}
+	value += by
+	if !c.lost {
+		c.data.strings[key] = strconv.FormatInt(value, 10)
+	}
+	c.WriteInt64(value)
+}
+
+func (c *call) setFields() {
+	key, added := c.words[1], 0
+	for i := 2; i+1 < len(c.words); i += 2 {
+		field, value := c.words[i], c.words[i+1]
+		if c.lost {
+			added++
+			continue
+		}
+		if c.data.setField(key, field, value) {
+			added++
+		}
+		c.data.recordWrites(write{time.Now(), key, field, value})
+	}
+	c.WriteInt(added)
+}
+
+func (c *call) getFields() {
+	hash := c.data.hashes[c.words[1]]
+	c.WriteArray(2 * len(hash))
+	for field, value := range hash {
+		c.WriteBulkString(field)
+		c.WriteBulkString(value)
+	}
+}
+
+func (c *call) expire(unit time.Duration) {
+	key := c.words[1]
+	after, err := strconv.ParseInt(c.words[2], 10, 64)
+	switch {
+	case err != nil:
+		c.WriteError(errNotInteger)
+	case !c.data.has(key):
+		c.WriteInt(0)
+	default:
+		c.data.expires[key] = time.Now().Add(time.Duration(after) * unit)
+		c.WriteInt(1)
+	}
+}
+
+func (c *call) del() {
+	removed := 0
+	for _, key := range c.words[1:] {
+		if c.data.has(key) {
+			removed++
+		}
+		c.data.remove(key)
+	}
+	c.WriteInt(removed)
+}
--- a/internal/lab/store/golden_test.go
+++ b/internal/lab/store/golden_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	}
 	defer server.Close()
 	for range 1000 {
-		if server.faults() == 1 {
+		if server.faultCount() == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -187,9 +187,9 @@
 	}
 }
 
-// faults is how many faults are on.
-func (s *Server) faults() int {
+// faultCount is how many faults are on.
+func (s *Server) faultCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.on)
+	return len(s.faults)
 }
