--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -10,8 +10,8 @@
 
 // Errors as the protocol has them.
 const (
-	errFull       = "OOM command not allowed when used memory > 'maxmemory'."
-	errNotInteger = "ERR value is not an integer or out of range"
+	replyFull       = "OOM command not allowed when used memory > 'maxmemory'."
+	replyNotInteger = "ERR value is not an integer or out of range"
 )
 
 // command is one that the store knows.
@@ -52,7 +52,7 @@
 	s.applied[name]++
 	cmd, known := commands[name]
 	if s.isOn(full) && cmd.writes {
-		conn.WriteError(errFull)
+		conn.WriteError(replyFull)
 		return
 	}
 	c := &call{Conn: conn, sender: sender, data: s.half(sender), words: words}
@@ -131,13 +131,13 @@
 	key := c.words[1]
 	by, err := strconv.ParseInt(c.words[2], 10, 64)
 	if err != nil {
-		c.WriteError(errNotInteger)
+		c.WriteError(replyNotInteger)
 		return
 	}
 	value := int64(0)
 	if text, ok := c.data.strings[key]; ok {
 		if value, err = strconv.ParseInt(text, 10, 64); err != nil {
-			c.WriteError(errNotInteger)
+			c.WriteError(replyNotInteger)
 			return
 		}
 	}
@@ -178,7 +178,7 @@
 	after, err := strconv.ParseInt(c.words[2], 10, 64)
 	switch {
 	case err != nil:
-		c.WriteError(errNotInteger)
+		c.WriteError(replyNotInteger)
 	case !c.data.has(key):
 		c.WriteInt(0)
 	default:
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -153,7 +153,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isOn(full) {
-		c.WriteError("EXECABORT Transaction discarded because of: " + errFull)
+		c.WriteError("EXECABORT Transaction discarded because of: " + replyFull)
 		return
 	}
 	c.WriteArray(len(queued))
