--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -60,7 +60,7 @@
 func (s *requestSettings) leased(plan int, req *protocol.Request) (quota.Customer, bool) {
 	if plan < len(s.quotas) && s.quotas[plan].Rate > 0 {
 		c := s.quotas[plan]
-		c.Key, c.FirstNode, c.Spread = req.Customer, req.FirstNode, req.Spread
+		c.Key, c.FirstNode, c.Spread = quota.CustomerKey(req.Customer), quota.NodeID(req.FirstNode), req.Spread
 		return c, true
 	}
 	return quota.Customer{}, false
