--- a/internal/lab/store/golden_test.go
+++ b/internal/lab/store/golden_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -71,6 +71,65 @@
 	return line, nil
 }
 
+// goldenReplies are commands, sent one after the other, with the reply to each.
+var goldenReplies = [][2]string{
+	{"PING", "+PONG\r\n"},
+	{"ping x", "+PONG\r\n"},
+	{"SELECT 3", "+OK\r\n"},
+	{"CLIENT SETNAME n1", "+OK\r\n"},
+	{"client list", "+OK\r\n"},
+	{"HELLO 3", "-ERR unknown command 'HELLO'\r\n"},
+	{"GET none", "$-1\r\n"},
+	{"GET", "-ERR wrong number of arguments for 'get' command\r\n"},
+	{"get", "-ERR wrong number of arguments for 'get' command\r\n"},
+	{"SET a", "-ERR wrong number of arguments for 'set' command\r\n"},
+	{"SET a 1", "+OK\r\n"},
+	{"SET a 2 NX", "$-1\r\n"},
+	{"SET a 2 nx PX 1", "$-1\r\n"},
+	{"GET a", "$1\r\n1\r\n"},
+	{"SETNX a 3", ":0\r\n"},
+	{"SETNX b 3", ":1\r\n"},
+	{"SETNX b", "-ERR wrong number of arguments for 'setnx' command\r\n"},
+	{"get b", "$1\r\n3\r\n"},
+	{"INCRBY a 5", ":6\r\n"},
+	{"INCRBY c -5", ":-5\r\n"},
+	{"INCRBY a x", "-ERR value is not an integer or out of range\r\n"},
+	{"SET a x", "+OK\r\n"},
+	{"INCRBY a 1", "-ERR value is not an integer or out of range\r\n"},
+	{"INCRBY a", "-ERR wrong number of arguments for 'incrby' command\r\n"},
+	{"HSET h f 1", ":1\r\n"},
+	{"HSET h f 2", ":0\r\n"},
+	{"HSET h f", "-ERR wrong number of arguments for 'hset' command\r\n"},
+	{"HSET h f 4 f 5 odd", ":0\r\n"},
+	{"HGETALL h", "*2\r\n$1\r\nf\r\n$1\r\n5\r\n"},
+	{"HGETALL none", "*0\r\n"},
+	{"HGETALL", "-ERR wrong number of arguments for 'hgetall' command\r\n"},
+	{"EXPIRE h x", "-ERR value is not an integer or out of range\r\n"},
+	{"EXPIRE none 1", ":0\r\n"},
+	{"EXPIRE h", "-ERR wrong number of arguments for 'expire' command\r\n"},
+	{"PEXPIRE h 0", ":1\r\n"},
+	{"EXPIRE a 100", ":1\r\n"},
+	{"PEXPIRE b -1", ":1\r\n"},
+	{"GET b", "$-1\r\n"},
+	{"DEL", "-ERR wrong number of arguments for 'del' command\r\n"},
+	{"DEL a none c", ":2\r\n"},
+	{"fly away", "-ERR unknown command 'FLY'\r\n"},
+	{"EXEC", "-ERR EXEC without MULTI\r\n"},
+	{"DISCARD", "+OK\r\n"},
+	{"MULTI", "+OK\r\n"},
+	{"SET a 9", "+QUEUED\r\n"},
+	{"DISCARD", "+OK\r\n"},
+	{"GET a", "$-1\r\n"},
+	{"MULTI", "+OK\r\n"},
+	{"INCRBY n 4", "+QUEUED\r\n"},
+	{"BAD", "+QUEUED\r\n"},
+	{"HSET k x y", "+QUEUED\r\n"},
+	{"HGETALL k", "+QUEUED\r\n"},
+	{"GET", "+QUEUED\r\n"},
+	{"EXEC", "*5\r\n:4\r\n-ERR unknown command 'BAD'\r\n:1\r\n*2\r\n$1\r\nx\r\n$1\r\ny\r\n-ERR wrong number of arguments for 'get' command\r\n"},
+	{"EXEC", "-ERR EXEC without MULTI\r\n"},
+}
+
 // Each command is answered with the bytes of commit cf1acfb.
 func TestGoldenReplies(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
@@ -78,63 +137,7 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	table := [][2]string{
-		{"PING", "+PONG\r\n"},
-		{"ping x", "+PONG\r\n"},
-		{"SELECT 3", "+OK\r\n"},
-		{"CLIENT SETNAME n1", "+OK\r\n"},
-		{"client list", "+OK\r\n"},
-		{"HELLO 3", "-ERR unknown command 'HELLO'\r\n"},
-		{"GET none", "$-1\r\n"},
-		{"GET", "-ERR wrong number of arguments for 'get' command\r\n"},
-		{"get", "-ERR wrong number of arguments for 'get' command\r\n"},
-		{"SET a", "-ERR wrong number of arguments for 'set' command\r\n"},
-		{"SET a 1", "+OK\r\n"},
-		{"SET a 2 NX", "$-1\r\n"},
-		{"SET a 2 nx PX 1", "$-1\r\n"},
-		{"GET a", "$1\r\n1\r\n"},
-		{"SETNX a 3", ":0\r\n"},
-		{"SETNX b 3", ":1\r\n"},
-		{"SETNX b", "-ERR wrong number of arguments for 'setnx' command\r\n"},
-		{"get b", "$1\r\n3\r\n"},
-		{"INCRBY a 5", ":6\r\n"},
-		{"INCRBY c -5", ":-5\r\n"},
-		{"INCRBY a x", "-ERR value is not an integer or out of range\r\n"},
-		{"SET a x", "+OK\r\n"},
-		{"INCRBY a 1", "-ERR value is not an integer or out of range\r\n"},
-		{"INCRBY a", "-ERR wrong number of arguments for 'incrby' command\r\n"},
-		{"HSET h f 1", ":1\r\n"},
-		{"HSET h f 2", ":0\r\n"},
-		{"HSET h f", "-ERR wrong number of arguments for 'hset' command\r\n"},
-		{"HSET h f 4 f 5 odd", ":0\r\n"},
-		{"HGETALL h", "*2\r\n$1\r\nf\r\n$1\r\n5\r\n"},
-		{"HGETALL none", "*0\r\n"},
-		{"HGETALL", "-ERR wrong number of arguments for 'hgetall' command\r\n"},
-		{"EXPIRE h x", "-ERR value is not an integer or out of range\r\n"},
-		{"EXPIRE none 1", ":0\r\n"},
-		{"EXPIRE h", "-ERR wrong number of arguments for 'expire' command\r\n"},
-		{"PEXPIRE h 0", ":1\r\n"},
-		{"EXPIRE a 100", ":1\r\n"},
-		{"PEXPIRE b -1", ":1\r\n"},
-		{"GET b", "$-1\r\n"},
-		{"DEL", "-ERR wrong number of arguments for 'del' command\r\n"},
-		{"DEL a none c", ":2\r\n"},
-		{"fly away", "-ERR unknown command 'FLY'\r\n"},
-		{"EXEC", "-ERR EXEC without MULTI\r\n"},
-		{"DISCARD", "+OK\r\n"},
-		{"MULTI", "+OK\r\n"},
-		{"SET a 9", "+QUEUED\r\n"},
-		{"DISCARD", "+OK\r\n"},
-		{"GET a", "$-1\r\n"},
-		{"MULTI", "+OK\r\n"},
-		{"INCRBY n 4", "+QUEUED\r\n"},
-		{"BAD", "+QUEUED\r\n"},
-		{"HSET k x y", "+QUEUED\r\n"},
-		{"HGETALL k", "+QUEUED\r\n"},
-		{"GET", "+QUEUED\r\n"},
-		{"EXEC", "*5\r\n:4\r\n-ERR unknown command 'BAD'\r\n:1\r\n*2\r\n$1\r\nx\r\n$1\r\ny\r\n-ERR wrong number of arguments for 'get' command\r\n"},
-		{"EXEC", "-ERR EXEC without MULTI\r\n"},
-	}
+	table := goldenReplies
 	commands := make([]string, len(table))
 	for k, row := range table {
 		commands[k] = row[0]
@@ -158,7 +161,7 @@
 	}
 	defer server.Close()
 	for range 1000 {
-		if server.faults() == 1 {
+		if server.faultCount() == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -187,9 +190,9 @@
 	}
 }
 
-// faults is how many faults are on.
-func (s *Server) faults() int {
+// faultCount is how many faults are on.
+func (s *Server) faultCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.on)
+	return len(s.faults)
 }
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -14,7 +14,7 @@
 func TestServerNumbers(t *testing.T) {
 	type numbered struct {
 		uid    string
-		number uint32
+		number ServerNumber
 	}
 	for _, c := range []struct {
 		name string
@@ -38,16 +38,16 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := &protocol.EndpointList{Revision: 1, Full: true}
+			list := &protocol.EndpointList{Revision: 1, Full: true}
 			at := map[netip.AddrPort]numbered{}
 			for i, s := range c.list {
 				addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 9000)
-				l.Endpoints = append(l.Endpoints, protocol.Endpoint{UID: s.uid, Addr: addr, Weight: 1})
+				list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: s.uid, Addr: addr, Weight: 1})
 				at[addr] = s
 			}
 			r, _, _ := startRouter(t, "replayable", 0)
-			for range 2 { // and again with each list
-				r.UpdateEndpoints(l, false)
+			for range 2 { // again with the same list
+				r.UpdateEndpoints(list, false)
 				for _, s := range r.Servers() {
 					if want := at[s.Addr]; s.Number() != want.number {
 						t.Errorf("%s has the number %d, not %d", want.uid, s.Number(), want.number)
@@ -64,36 +64,36 @@
 // TestFreedServerNumber pins that the number of a server that is gone is free again, and that whoever had the next one
 // keeps it.
 func TestFreedServerNumber(t *testing.T) {
-	f := newEndpointTable()
-	target := func(uid string, s protocol.EndpointState) protocol.Endpoint {
+	table := newEndpointTable()
+	endpoint := func(uid string, s protocol.EndpointState) protocol.Endpoint {
 		return protocol.Endpoint{UID: uid, State: s, Weight: 1, Addr: netip.MustParseAddrPort("127.0.0.1:9000")}
 	}
 	for i, step := range []struct {
-		targets []protocol.Endpoint
-		numbers []uint32
+		endpoints []protocol.Endpoint
+		numbers   []uint32
 	}{
-		{[]protocol.Endpoint{target("costarring", protocol.InService), target("liquid", protocol.InService)}, []uint32{1582148253, 1582148254}},
-		{[]protocol.Endpoint{target("costarring", protocol.Terminated)}, []uint32{1582148253}},
-		{[]protocol.Endpoint{target("liquid", protocol.Terminating)}, []uint32{1582148254}},
-		{[]protocol.Endpoint{target("costarring", protocol.InService)}, []uint32{1582148253}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.InService), endpoint("liquid", protocol.InService)}, []uint32{1582148253, 1582148254}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.Terminated)}, []uint32{1582148253}},
+		{[]protocol.Endpoint{endpoint("liquid", protocol.Terminating)}, []uint32{1582148254}},
+		{[]protocol.Endpoint{endpoint("costarring", protocol.InService)}, []uint32{1582148253}},
 	} {
-		for k, l := range f.take(&protocol.EndpointList{Endpoints: step.targets}) {
-			if l.Server != step.numbers[k] {
-				t.Errorf("step %d: %s has the number %d, not %d", i, step.targets[k].UID, l.Server, step.numbers[k])
+		for k, e := range table.update(&protocol.EndpointList{Endpoints: step.endpoints}) {
+			if e.Server != step.numbers[k] {
+				t.Errorf("step %d: %s has the number %d, not %d", i, step.endpoints[k].UID, e.Server, step.numbers[k])
 			}
 		}
 	}
 }
 
-// TestListingOfTarget pins how an entry of discovery's list reads to the decision module: zones and models are numbered
+// TestEndpointsForTheEngine pins how an entry of discovery's list reads to the engine: zones and models are numbered
 // by order of first sight and keep their numbers, cells are their own numbers, times go from milliseconds since 1970 to
-// tenths of a millisecond.
-func TestListingOfTarget(t *testing.T) {
-	f := newEndpointTable()
+// ticks of a millisecond.
+func TestEndpointsForTheEngine(t *testing.T) {
+	table := newEndpointTable()
 	addr := netip.MustParseAddrPort("127.0.0.1:9000")
 	for i, c := range []struct {
-		target protocol.Endpoint
-		want   decision.Endpoint
+		endpoint protocol.Endpoint
+		want     decision.Endpoint
 	}{
 		{
 			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
@@ -116,15 +116,15 @@
 			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0},
 		},
 	} {
-		got := f.take(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.target}})
+		got := table.update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.endpoint}})
 		if len(got) != 1 || got[0] != c.want {
-			t.Errorf("%d: %+v reads as %+v, not %+v", i, c.target, got, c.want)
+			t.Errorf("%d: %+v reads as %+v, not %+v", i, c.endpoint, got, c.want)
 		}
 	}
 }
 
-// TestOutcomesAsTheModuleTakesThem pins how the outcome of an attempt reads to the decision module.
-func TestOutcomesAsTheModuleTakesThem(t *testing.T) {
+// TestOutcomesForTheEngine pins how the outcome of an attempt reads to the engine.
+func TestOutcomesForTheEngine(t *testing.T) {
 	want := map[protocol.Outcome]decision.Outcome{
 		protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
 		protocol.Overloaded: decision.Overloaded, protocol.TimedOut: decision.TimedOut, protocol.ConnectFailed: decision.ConnectFailed,
@@ -159,28 +159,28 @@
 		decision.Cancelled, decision.NotSent, decision.MalformedResponse,
 	} {
 		if int(o) != i {
-			t.Errorf("the %d-th outcome of the module has the number %d", i, o)
+			t.Errorf("the %d-th outcome of the engine has the number %d", i, o)
 		}
 	}
 	for i, s := range []decision.EndpointState{decision.Draining, decision.Ready, decision.Gone} {
 		if int(s) != i {
-			t.Errorf("the %d-th state of the module has the number %d", i, s)
+			t.Errorf("the %d-th state of the engine has the number %d", i, s)
 		}
 	}
 }
 
-// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole tenths of a millisecond on their
-// way in: 99 µs left is none, which is refused at once.
+// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole ticks of a millisecond on their
+// way in: a timeout of 99 µs is none, which is rejected at once.
 func TestTimesInTenthsOfMilliseconds(t *testing.T) {
 	for _, c := range []struct {
-		left time.Duration
-		want Action
+		timeout time.Duration
+		want    Action
 	}{{99 * time.Microsecond, Reject}, {2 * time.Second, Forward}} {
-		_, ticket, _ := startRouter(t, "replayable", 2)
-		ticket.Start(&request, c.left)
-		got := ticket.Next()
-		if got.Action != c.want || got.Timeout%tenth != 0 || got.RetryAfter%tenth != 0 {
-			t.Errorf("%v left: %+v", c.left, got)
+		_, req, _ := startRouter(t, "replayable", 2)
+		req.Start(&seatRequest, c.timeout)
+		got := req.Next()
+		if got.Action != c.want || got.Timeout%tick != 0 || got.RetryAfter%tick != 0 {
+			t.Errorf("timeout %v: %+v", c.timeout, got)
 		}
 	}
 }
