--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -13,17 +13,17 @@
 	begin := func(code simproto.ActionCode) *simproto.Reply { return a.reply.Begin(code, uint16(instance)) }
 	switch d.Action {
 	case decision.Forward:
-		begin(simproto.ActionPassOn).Uint32(d.Request).Uint32(wireMicros(d.Duration)).Uint32(d.Server)
+		begin(simproto.ActionPassOn).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration)).Uint32(uint32(d.Server))
 	case decision.Reject:
-		begin(simproto.ActionRefuse).Uint32(d.Request).Uint32(wireMicros(d.Duration))
+		begin(simproto.ActionRefuse).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration))
 	case decision.Fail:
-		begin(simproto.ActionSurrender).Uint32(d.Request)
+		begin(simproto.ActionSurrender).Uint32(uint32(d.Request))
 	case decision.CancelAttempt:
-		begin(simproto.ActionRecall).Uint32(d.Request).Uint8(uint8(d.Attempt))
+		begin(simproto.ActionRecall).Uint32(uint32(d.Request)).Uint8(uint8(d.Attempt))
 	case decision.SetTimer:
 		begin(simproto.ActionWakeAt).Uint32(wireMicros(d.Duration)).Uint32(timerToken)
 	case decision.HealthCheck:
-		begin(simproto.ActionSample).Uint32(d.Server)
+		begin(simproto.ActionSample).Uint32(uint32(d.Server))
 	case decision.SendPeerMessage:
 		begin(simproto.ActionWritePeer).Uint32(wirePeer(d.Peer)).Text(d.Payload)
 	case decision.PollEndpoints:
@@ -41,7 +41,7 @@
 	subscribe  = 1
 )
 
-func wirePeer(peer int) uint32 {
+func wirePeer(peer decision.NodeID) uint32 {
 	if peer == decision.AllPeers {
 		return simproto.AllPeers
 	}
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -32,11 +32,11 @@
 	case simproto.EventFleet:
 		return a.readEndpointList(fields)
 	case simproto.EventPeer:
-		from := int(fields.Uint32())
+		from := decision.NodeID(fields.Uint32())
 		text := fields.Bytes(uint32(fields.Uint16()))
 		return func(e *decision.Engine) { e.ReceivePeerMessage(from, text) }, nil
 	case simproto.EventLapsed:
-		request := fields.Uint32()
+		request := decision.RequestID(fields.Uint32())
 		return func(e *decision.Engine) { e.ClientGone(request) }, nil
 	case simproto.EventTallied:
 		return readTallied(fields), nil
@@ -55,14 +55,14 @@
 
 func readRequest(fields *simproto.Cursor) reportFunc {
 	r := decision.Request{
-		ID:        fields.Uint32(),
-		Class:     int(fields.Uint8()),
-		Plan:      int(fields.Uint32()),
-		Customer:  fields.Uint64(),
+		ID:        decision.RequestID(fields.Uint32()),
+		Class:     decision.ClassID(fields.Uint8()),
+		Plan:      decision.PlanID(fields.Uint32()),
+		Customer:  decision.CustomerID(fields.Uint64()),
 		Timeout:   engineTime(fields.Uint32()),
 		Units:     fields.Float32(),
 		Spread:    int(fields.Float32()),
-		FirstNode: int(fields.Float32()),
+		FirstNode: decision.NodeID(fields.Float32()),
 	}
 	fields.Uint8() // attributes: whether a client repeats changes no decision
 	return func(e *decision.Engine) { e.AddRequest(r) }
@@ -87,7 +87,7 @@
 
 func readEndpoint(fields *simproto.Cursor) (decision.Endpoint, error) {
 	endpoint := decision.Endpoint{
-		Server: fields.Uint32(),
+		Server: decision.ServerID(fields.Uint32()),
 		Zone:   fields.Uint8(),
 		Kind:   fields.Uint16(),
 		Cell:   fields.Uint16(),
@@ -112,7 +112,7 @@
 }
 
 func readStarted(fields *simproto.Cursor) reportFunc {
-	request := fields.Uint32()
+	request := decision.RequestID(fields.Uint32())
 	fields.Uint8()  // attempt
 	fields.Uint32() // server
 	fields.Uint32() // time since the send
@@ -121,9 +121,9 @@
 
 func (a *adapter) readEnded(fields *simproto.Cursor) (reportFunc, error) {
 	r := decision.AttemptResult{
-		Request: fields.Uint32(),
+		Request: decision.RequestID(fields.Uint32()),
 		Attempt: int(fields.Uint8()),
-		Server:  fields.Uint32(),
+		Server:  decision.ServerID(fields.Uint32()),
 	}
 	outcome := simproto.OutcomeCode(fields.Uint16())
 	r.Duration = engineTime(fields.Uint32())
@@ -140,7 +140,7 @@
 }
 
 func (a *adapter) readHealthCheck(fields *simproto.Cursor) (reportFunc, error) {
-	server, code := fields.Uint32(), simproto.OutcomeCode(fields.Uint16())
+	server, code := decision.ServerID(fields.Uint32()), simproto.OutcomeCode(fields.Uint16())
 	fields.Uint32() // time since the send
 	a.loadReport = fields.Float32s(a.loadReport)
 	outcome, known := outcomes[code]
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,8 +1,6 @@
 package decision
 
-import (
-	"math"
-)
+import "math"
 
 // admissionLimit limits what all clients together may send to the back end: each interval it sets an
 // admission rate λ = a/T and refills a token bucket by it, and it limits what is in flight. T is the lowest
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -7,22 +7,22 @@
 const Second Time = 10000
 
 // ServerID is an app server's number, the same at all nodes.
-type ServerID = uint32
+type ServerID uint32
 
 // RequestID is a request's number, as its host gave it.
-type RequestID = uint32
+type RequestID uint32
 
 // CustomerID is a customer's key, the same at all nodes.
-type CustomerID = uint64
+type CustomerID uint64
 
 // NodeID is a node's number, from 0; AllPeers is none of them.
-type NodeID = int
+type NodeID int
 
 // ClassID is the index of a request class in the settings.
-type ClassID = int
+type ClassID int
 
 // PlanID is the index of a quota plan in the settings.
-type PlanID = int
+type PlanID int
 
 // Outcome is how an attempt, or a health check, ended.
 type Outcome uint8
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -22,8 +22,8 @@
 	}
 	to := e.pick(r)
 	if to < 0 {
-		e.interval.rejected[rejectNoServer]++
-		return e.rejectOrFail(i, retryAfter), true
+		e.interval.reject(rejectNoServer, 0)
+		return e.rejectOrFail(i, 0), true
 	}
 	if first {
 		e.charge(r)
@@ -38,31 +38,27 @@
 // admit is a first attempt's way through the limits: those on the back end, then the customer's quota, then a
 // hard ceiling. What an owner granted has passed the ceiling there.
 func (e *Engine) admit(r *request) (ok bool, retryAfter Time) {
-	reason := notRejected
 	if r.askedOwnerAt == 0 {
-		reason = e.checkAdmission(r)
-	}
-	if reason == notRejected {
-		c := &e.customers.all[r.customer]
-		owned := e.owner.owned(c)
-		if owned {
-			ok, retryAfter = e.admitByOwner(c, r), interval
-		} else {
-			ok, retryAfter = e.quota.admit(c, r, e.usualLatency(r.class), e.now)
-		}
-		switch {
-		case !ok && e.owner.waits(r, e.now):
-			return false, 0
-		case !ok:
-			reason = rejectQuota
-		case r.verdict != verdictGranted && !e.quota.ceilingAllows(c, r.units, owned, e.now):
-			reason, retryAfter = rejectCeiling, 0
-		default:
-			return true, 0
+		if reason := e.checkAdmission(r); reason != notRejected {
+			return e.interval.reject(reason, 0)
 		}
 	}
-	e.interval.rejected[reason]++
-	return false, retryAfter
+	c := &e.customers.all[r.customer]
+	owned := e.owner.owned(c)
+	if owned {
+		ok, retryAfter = e.admitByOwner(c, r), interval
+	} else {
+		ok, retryAfter = e.quota.admit(c, r, e.usualLatency(r.class), e.now)
+	}
+	switch {
+	case !ok && e.owner.waits(r, e.now):
+		return false, 0
+	case !ok:
+		return e.interval.reject(rejectQuota, retryAfter)
+	case r.verdict != verdictGranted && !e.quota.ceilingAllows(c, r.units, owned, e.now):
+		return e.interval.reject(rejectCeiling, 0)
+	}
+	return true, 0
 }
 
 // answerMargin keeps final answers clear of the deadline: an end is seen and answered a tick late each.
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -46,6 +46,12 @@
 	ready    int     // servers
 }
 
+// reject counts a rejection; it gives back what the way through the limits answers then.
+func (s *intervalStats) reject(reason rejectReason, retryAfter Time) (ok bool, after Time) {
+	s.rejected[reason]++
+	return false, retryAfter
+}
+
 // tail is the 95th percentile of the latencies.
 func (s *intervalStats) tail() float64 {
 	slices.Sort(s.latencies)
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -29,7 +29,7 @@
 	case decision.PollEndpoints:
 		r.cfg.PollEndpoints()
 	case decision.SendPeerMessage:
-		r.outbox.addMessage(d.Peer, d.Payload)
+		r.outbox.addMessage(int(d.Peer), d.Payload)
 	case decision.LogSummary:
 		r.outbox.setSummary(d.Payload)
 	default:
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -26,7 +26,7 @@
 	}{
 		{
 			name:     "forward",
-			decision: decision.Decision{Action: decision.Forward, Server: uint32(server.Number()), Duration: 12345},
+			decision: decision.Decision{Action: decision.Forward, Server: decision.ServerID(server.Number()), Duration: 12345},
 			want:     Decision{Action: Forward, Attempt: 0, Server: server, Timeout: 1234500 * time.Microsecond},
 		},
 		{
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			req := r.NewRequest(&cancelRecorder{})
 			req.attempt = -1
-			c.decision.Request = uint32(req.number)
+			c.decision.Request = decision.RequestID(req.number)
 			carryOut(r, c.decision)
 			if got, ok := req.TryNext(); got != c.want || !ok {
 				t.Errorf("decided on %+v, not on %+v", got, c.want)
@@ -87,7 +87,7 @@
 		r, req, canceller := startRouter(t, "replayable", 1)
 		closed := req.number
 		req.number = req.number.next()
-		carryOut(r, decision.Decision{Action: action, Request: uint32(closed), Attempt: req.attempt})
+		carryOut(r, decision.Decision{Action: action, Request: decision.RequestID(closed), Attempt: req.attempt})
 		if d, ok := req.TryNext(); ok || len(canceller.cancelled) > 0 {
 			t.Errorf("action %d: decided on %+v, cancelled %v", action, d, canceller.cancelled)
 		}
@@ -99,7 +99,7 @@
 	r, req, canceller := startRouter(t, "replayable", 1)
 	req.attempt = 2
 	for attempt := range 4 {
-		carryOut(r, decision.Decision{Action: decision.CancelAttempt, Request: uint32(req.number), Attempt: attempt})
+		carryOut(r, decision.Decision{Action: decision.CancelAttempt, Request: decision.RequestID(req.number), Attempt: attempt})
 	}
 	if !slices.Equal(canceller.cancelled, []int{2}) {
 		t.Errorf("cancelled %v", canceller.cancelled)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -34,7 +34,7 @@
 		outcome = decision.Succeeded
 	}
 	r.enter()
-	r.engine.HealthChecked(uint32(server), outcome, nil)
+	r.engine.HealthChecked(decision.ServerID(server), outcome, nil)
 	r.leave()
 }
 
--- a/internal/routing/endpointtable.go
+++ b/internal/routing/endpointtable.go
@@ -119,7 +119,7 @@
 	}
 	s.state = e.State
 	return decision.Endpoint{
-		Server:  uint32(n),
+		Server:  decision.ServerID(n),
 		Zone:    numberOf(t.zones, e.Zone),
 		Kind:    numberOf(t.models, e.Model),
 		Cell:    uint16(e.Cell),
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -78,7 +78,7 @@
 		{[]protocol.Endpoint{endpoint("costarring", protocol.InService)}, []uint32{1582148253}},
 	} {
 		for k, e := range table.update(&protocol.EndpointList{Endpoints: step.endpoints}) {
-			if e.Server != step.numbers[k] {
+			if uint32(e.Server) != step.numbers[k] {
 				t.Errorf("step %d: %s has the number %d, not %d", i, step.endpoints[k].UID, e.Server, step.numbers[k])
 			}
 		}
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -127,7 +127,7 @@
 	r.outbox.setSummary([]byte("first"))
 	r.outbox.setSummary(scratch)
 	scratch[0] = 'b'
-	r.outbox.addMessage(decision.AllPeers, scratch)
+	r.outbox.addMessage(int(decision.AllPeers), scratch)
 	scratch[0] = 'x'
 	r.deliver()
 	if want := []string{"2 a", "-1 b", "summary s", "9 later"}; !slices.Equal(delivered, want) {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -75,14 +75,14 @@
 	plan := r.settings.plans[in.Plan]
 	req.lease(plan, in)
 	r.engine.AddRequest(decision.Request{
-		ID:        uint32(req.number),
-		Class:     r.settings.classes[in.Class],
-		Plan:      plan,
-		Customer:  in.Customer,
+		ID:        decision.RequestID(req.number),
+		Class:     decision.ClassID(r.settings.classes[in.Class]),
+		Plan:      decision.PlanID(plan),
+		Customer:  decision.CustomerID(in.Customer),
 		Timeout:   ticks(timeout),
 		Units:     in.Units,
 		Spread:    in.Spread,
-		FirstNode: in.FirstNode,
+		FirstNode: decision.NodeID(in.FirstNode),
 	})
 	r.leave()
 }
@@ -100,7 +100,8 @@
 	}
 	req.tenant, req.units = tenant, in.Units
 	r.cfg.Quota.RecordDemand(tenant, in.Units)
-	r.engine.SetLease(in.Customer, plan, in.Spread, in.FirstNode, r.cfg.Quota.Available(tenant))
+	available := r.cfg.Quota.Available(tenant)
+	r.engine.SetLease(decision.CustomerID(in.Customer), decision.PlanID(plan), in.Spread, decision.NodeID(in.FirstNode), available)
 }
 
 // decide passes a decision to whoever waits for it. The lock is held.
@@ -166,9 +167,9 @@
 	r := req.router
 	r.enter()
 	r.engine.AttemptEnded(decision.AttemptResult{
-		Request:  uint32(req.number),
+		Request:  decision.RequestID(req.number),
 		Attempt:  req.attempt,
-		Server:   uint32(req.server.number),
+		Server:   decision.ServerID(req.server.number),
 		Outcome:  outcomes[result.Outcome],
 		Duration: ticks(result.Duration),
 		Final:    result.Outcome == protocol.Completed,
@@ -183,6 +184,6 @@
 	r.enter()
 	req.clientGone = true
 	req.decide(req.decision) // wakes whoever waits in Next
-	r.engine.ClientGone(uint32(req.number))
+	r.engine.ClientGone(decision.RequestID(req.number))
 	r.leave()
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -91,7 +91,7 @@
 func (r *Router) ReceivePeerMessage(from int, payload []byte) bool {
 	r.enter()
 	defer r.leave()
-	return r.engine.ReceivePeerMessage(from, payload)
+	return r.engine.ReceivePeerMessage(decision.NodeID(from), payload)
 }
 
 // ShadowCounts returns how many decisions on requests were compared with those of Config.Shadow, and in how many the
