--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -87,11 +87,11 @@
 	servers := e.endpoints.servers
 	for _, i := range c.slots {
 		s := &servers[i]
-		if !e.mayTake(r, c, i, pass) {
+		if s.weight <= 0 || !e.mayTake(r, c, i, pass) {
 			continue
 		}
-		if pass < passTried {
-			skip, atOnce := e.passOver(s)
+		if weight := e.slowStart.weight(s, e.now); weight < 1 && pass < passTried {
+			skip, atOnce := e.passOver(s, weight)
 			if atOnce && (due < 0 || s.rotationCredit > servers[due].rotationCredit) {
 				due = i
 			}
@@ -114,23 +114,19 @@
 	return best
 }
 
-// mayTake tells whether a pass takes a server.
+// mayTake tells whether a pass takes a server that is a candidate.
 func (e *Engine) mayTake(r *request, c *candidates, i serverSlot, pass int) bool {
 	s := &e.endpoints.servers[i]
-	if s.weight <= 0 || pass < passEjected && e.outliers.ejected(&s.byClass[r.class], r.class, e.now) {
+	if pass < passEjected && e.outliers.ejected(&s.byClass[r.class], r.class, e.now) {
 		return false
 	}
 	return pass >= passTried || !c.capped(s) && !r.tried(i)
 }
 
-// passOver tells whether the rotation passes over a server: a warming one by chance, less as it warms; and one
-// whose budget is a rate always, as it is to be taken at once whenever that lets it: the rotation and chance on
-// top would leave it all but idle.
-func (e *Engine) passOver(s *server) (skip, atOnce bool) {
-	weight := e.slowStart.weight(s, e.now)
-	if weight >= 1 {
-		return false, false
-	}
+// passOver tells whether the rotation passes over a warming server: by chance, less as it warms; and one whose
+// budget is a rate always, as it is to be taken at once whenever that lets it: the rotation and chance on top
+// would leave it all but idle.
+func (e *Engine) passOver(s *server, weight float64) (skip, atOnce bool) {
 	if e.slowStart.budget(s, e.now, e.subsets.ratio) < 1 {
 		return true, true
 	}
