--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"math"
 	"testing"
 )
 
@@ -70,3 +71,125 @@
 		t.Fatalf("%d out at six servers that stand still", out)
 	}
 }
+
+// testConfig is a node's settings of four nodes that all hear each other, with one class and one plan.
+func testConfig() *config {
+	return parseSettings(Settings{
+		"nodes": "4", "node": "1", "peers": "true", "peers.take": "100", "tick": "10", "executions": "3", "connect": "500",
+		"cold.span": "100000", "cold.from": "0.25", "fall.multiple": "3", "fall.span": "20000", "idle": "300000",
+		"band.0.contract": "6000", "band.0.repeats": "replayable", "plan.0.rate": "10", "plan.0.depth": "20",
+	})
+}
+
+func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
+
+func TestEvenShare(t *testing.T) {
+	l := admissionLimit{config: testConfig()}
+	for _, c := range []struct {
+		each  float64
+		ready int
+		want  float64
+	}{{1.1, 0, 1}, {1.1, 1, 1}, {1.1, 8, 2.2 + 0.3*math.Sqrt(2.2)}, {3, 8, 6 + 0.3*math.Sqrt(6)}} {
+		if got := l.evenShare(c.each, c.ready); !near(got, c.want) {
+			t.Errorf("%v of %d servers: %v, not %v", c.each, c.ready, got, c.want)
+		}
+	}
+}
+
+// The bucket holds 15% of a second's tokens and one more; after a pause, what would have passed meanwhile.
+func TestAdmissionTokens(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		after Time
+		pause pause
+		want  float64
+	}{
+		{"too soon", 900, pause{}, 0.9},
+		{"one token", 1000, pause{}, 1},
+		{"idle for long", 10 * Second, pause{}, 2.5},
+		{"after a pause", 5 * Second, pause{length: 5 * Second, endedAt: 6 * Second}, 50},
+		{"long after a pause", 5 * Second, pause{length: 5 * Second, endedAt: 5 * Second}, 2.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := admissionLimit{config: testConfig(), rate: 10, tokens: tokenBucket{at: Second}}
+			if got := l.hasToken(Second+c.after, &c.pause); got != (c.want >= 1) || !near(l.tokens.level, c.want) {
+				t.Errorf("%v tokens, may pass: %v", l.tokens.level, got)
+			}
+		})
+	}
+}
+
+// closeIntervals ends so many intervals, each with so many attempts completed, and gives λ.
+func closeIntervals(l *admissionLimit, intervals, completed int, took Time, load intervalLoad) float64 {
+	for k := range intervals {
+		seen := &intervalStats{admitted: completed, completed: completed}
+		for range completed {
+			seen.attemptEnded(float64(took) / 6000)
+			l.throughput.completed(took)
+		}
+		l.closeInterval(Time(k)*Second, 1, seen, load)
+	}
+	return l.rate
+}
+
+func TestAdmissionRate(t *testing.T) {
+	fresh := func() *admissionLimit {
+		l := newAdmissionLimit(0)
+		l.config = testConfig()
+		return &l
+	}
+	load := intervalLoad{requests: 5, healthy: 5, ready: 8}
+	if got := closeIntervals(fresh(), 3, 9, 500, load); got != 0 {
+		t.Errorf("λ is %v after 27 ends", got)
+	}
+	l := fresh()
+	quiet := closeIntervals(l, 5, 100, 500, load)
+	if !l.quiet || quiet < 100 || l.throughput.executionTime != 500 {
+		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.executionTime)
+	}
+	if busy := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.quiet || busy > quiet/2 {
+		t.Errorf("λ is %v under pressure, %v while quiet", busy, quiet)
+	}
+	if l.throughput.executionTime != 500 {
+		t.Errorf("T rose to %v with the queue", l.throughput.executionTime)
+	}
+}
+
+// Few ends say little alone; nothing at all, with requests in flight, is an objective at least.
+func TestIntervalLatency(t *testing.T) {
+	for _, c := range []struct {
+		ends     int
+		sum      float64
+		requests int
+		want     float64
+	}{{0, 0, 0, 0}, {0, 0, 1, 1}, {20, 10, 1, 0.5}, {10, 5, 1, 0.5}, {1, 1, 1, (1 + 9*0.125) / 10}} {
+		l := newAdmissionLimit(0)
+		if got := l.intervalLatency(&intervalStats{ends: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
+			t.Errorf("%d ends of %v: %v, not %v", c.ends, c.sum, got, c.want)
+		}
+	}
+}
+
+// Under a wait of 1.5 times T there may be as much in flight as completes then; while latency is quiet, more.
+func TestConcurrencyLimit(t *testing.T) {
+	l := &admissionLimit{config: testConfig()}
+	l.throughput = throughput{executionTime: 2000, rates: []float64{500, 100, 100, 100}}
+	if got := l.concurrencyLimit(8); !near(got, 1.5*100*0.2) {
+		t.Errorf("%v under pressure", got)
+	}
+	l.quiet = true
+	if got, least := l.concurrencyLimit(80), (22+0.3*math.Sqrt(22))*(1.4+0.6*2); !near(got, least) {
+		t.Errorf("%v while quiet, not %v", got, least)
+	}
+}
+
+func TestNetwork(t *testing.T) {
+	for _, c := range []struct {
+		features [4]float64
+		want     float64
+	}{{[4]float64{}, 1.2}, {[4]float64{0.2, 0.2, 0.2, 0.2}, 1.2}, {[4]float64{1.2, 0, 0.7, 0}, 0.6}, {[4]float64{-9, -9, 1.2, 1.2}, 0.4}} {
+		if got := policy.evaluate(c.features); !near(got, c.want) {
+			t.Errorf("%v: %v, not %v", c.features, got, c.want)
+		}
+	}
+}
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -126,3 +126,106 @@
 		t.Errorf("%d of 400 tickets went to a server that turns them away", sent)
 	}
 }
+
+func testDetector() *outlierDetector {
+	return &outlierDetector{config: testConfig(), classes: []classOutliers{{trials: 1}, {trials: 1}}}
+}
+
+// Each further ejection lasts twice as long, up to eight objectives; an answer ends all.
+func TestEjectionTimes(t *testing.T) {
+	d, states, now := testDetector(), make([]outlierState, 2), 10*Second
+	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
+		states[0].inFlight = 1
+		d.attemptEnded(states, 0, Failed, now)
+		if states[0].ejectedUntil != now+want || !d.ejected(&states[0], 0, now+want-1) || d.ejected(&states[1], 1, now) {
+			t.Fatalf("ejection %d until %d", k, states[0].ejectedUntil-now)
+		}
+	}
+	d.classes[0].trials = 0
+	if !d.ejected(&states[0], 0, now+48000) {
+		t.Error("a trial without budget")
+	}
+	d.classes[0].trials = 1
+	if d.ejected(&states[0], 0, now+48000) {
+		t.Error("no trial with budget")
+	}
+	states[0].inFlight = 1
+	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialEarned+1e-9 || !d.ejected(&states[0], 0, now+48000) {
+		t.Errorf("%v trials left with one in flight", d.classes[0].trials)
+	}
+	d.attemptEnded(states, 0, Succeeded, now+49000)
+	if states[0] != (outlierState{answeredAt: now + 49000}) {
+		t.Errorf("after an answer: %+v", states[0])
+	}
+}
+
+// What an end says of a server, by its outcome.
+func TestOutcomesThatEject(t *testing.T) {
+	for _, c := range []struct {
+		outcome       Outcome
+		before        outlierState
+		class, others bool // ejected
+	}{
+		{Succeeded, outlierState{failures: 1}, false, false},
+		{Failed, outlierState{}, true, false},
+		{ConnectFailed, outlierState{}, true, true},
+		{Overloaded, outlierState{}, false, false},
+		{Overloaded, outlierState{failures: 1}, true, false},
+		{TimedOut, outlierState{}, false, false},
+		{TimedOut, outlierState{trialInFlight: true}, true, false},
+		{ConnectionReset, outlierState{failures: 1}, true, false},
+		{MalformedResponse, outlierState{failures: 1}, true, false},
+		{Cancelled, outlierState{failures: 1}, false, false},
+		{NotSent, outlierState{failures: 1}, false, false},
+	} {
+		d, states := testDetector(), []outlierState{c.before, {}}
+		states[0].inFlight = 1
+		d.attemptEnded(states, 0, c.outcome, Second)
+		if d.ejected(&states[0], 0, Second) != c.class || d.ejected(&states[1], 1, Second) != c.others || states[0].inFlight != 0 {
+			t.Errorf("outcome %d after %+v: %+v", c.outcome, c.before, states)
+		}
+	}
+}
+
+// Silence counts from the last answer on, over all that is in flight.
+func TestSilence(t *testing.T) {
+	d, s, now := testDetector(), &outlierState{answeredAt: 2 * Second}, 3*Second
+	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
+	d.checkSilence(s, now-2000, 2000, now) // one
+	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waited != 6 || s.lost != 0 {
+		t.Errorf("after 6 latencies: %+v", s)
+	}
+	d.checkSilence(s, Second, 500, now) // 20
+	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.countedFrom != now || s.lost != 1 {
+		t.Errorf("after 26 latencies: %+v", s)
+	}
+}
+
+// A peer's word ejects for as long as it says, unless the server just answered here or is ejected already.
+func TestPeersSuspicions(t *testing.T) {
+	const now = 20 * Second
+	for _, c := range []struct {
+		name   string
+		before outlierState
+		told   Time
+		until  Time
+		peer   bool
+	}{
+		{"ejected there", outlierState{}, 9000, now + 9000, true},
+		{"for less than an objective", outlierState{}, 1, now + 6000, true},
+		{"for very long", outlierState{}, 99 * Second, now + 48000, true},
+		{"just answered here", outlierState{answeredAt: now - 5999}, 9000, 0, false},
+		{"answered long ago", outlierState{answeredAt: now - 6000}, 9000, now + 9000, true},
+		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
+		{"one word of a failure", outlierState{}, 0, 0, false},
+		{"many words", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d, s := testDetector(), c.before
+			d.classes[0].suspicions = decayingMean{count: 40, at: now}
+			if d.receive(&s, suspicion{ejectedFor: c.told}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
+				t.Errorf("until %d, by a peer %v", s.ejectedUntil-now, s.fromPeer)
+			}
+		})
+	}
+}
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -168,3 +168,124 @@
 		t.Fatalf("the stores hold %.2f of 80", all)
 	}
 }
+
+// ownerOfAll is the owner mechanism of a node in a fleet too large for all to hear each other.
+func ownerOfAll(plan quotaPlan) *quotaOwner {
+	cfg := parseSettings(Settings{"nodes": "60", "node": "12", "peers": "true", "peers.take": "40", "band.0.contract": "6000"})
+	cfg.plans = []quotaPlan{plan}
+	return &quotaOwner{config: cfg}
+}
+
+// Each customer has one owner, a node of its set, and the same one wherever it is asked for.
+func TestOwnerIsOfTheSet(t *testing.T) {
+	o, owners := ownerOfAll(quotaPlan{}), map[NodeID]int{}
+	for id := range CustomerID(1000) {
+		c := &customer{id: id, spread: 7, firstNode: 57}
+		owner := o.of(c)
+		if !o.config.inSet(owner, 57, 7) {
+			t.Fatalf("customer %d: node %d", id, owner)
+		}
+		owners[owner]++
+	}
+	if len(owners) != 7 {
+		t.Errorf("owners %v", owners)
+	}
+	for _, c := range []struct {
+		customer customer
+		owned    bool
+	}{{customer{spread: 7}, true}, {customer{spread: 1}, false}, {customer{spread: 7, leased: true}, false}} {
+		if got := o.owned(&c.customer); got != c.owned {
+			t.Errorf("%+v: owned %v", c.customer, got)
+		}
+	}
+}
+
+func TestGrant(t *testing.T) {
+	const now = 50 * Second
+	for _, c := range []struct {
+		name     string
+		plan     quotaPlan
+		level    float64
+		reserved []Time // until when
+		ok       bool
+		left     float64
+		held     int
+	}{
+		{"room", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
+		{"no room", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
+		{"room in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now, now + 1}, true, -2, 2},
+		{"none in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now + 1, now + 1}, false, 0, 2},
+		{"under the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 4}, 0, nil, true, -2, 0},
+		{"over the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 3.9}, 0, nil, false, 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o, at := ownerOfAll(c.plan), &customer{spread: 7, bucket: tokenBucket{c.level, now}}
+			for _, until := range c.reserved {
+				at.reservations = append(at.reservations, reservation{until: until})
+			}
+			ok := o.grant(at, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
+			if ok != c.ok || !near(at.bucket.level, c.left) || len(at.reservations) != c.held || at.peerDemand.sum != 2 {
+				t.Errorf("granted %v, %v left, reserved %v", ok, at.bucket.level, at.reservations)
+			}
+			if c.held > 0 && ok && at.reservations[c.held-1] != (reservation{13, 9, now + 2100}) {
+				t.Errorf("reserved %v", at.reservations)
+			}
+		})
+	}
+}
+
+// While the bucket is well filled a frequent customer passes freely; once it is not, the set is told, and a part is
+// asked for.
+func TestFreePass(t *testing.T) {
+	const now = 50 * Second
+	for _, c := range []struct {
+		name        string
+		level       float64
+		was         bool
+		demand      float64 // a second
+		free, ended bool
+		part        float64
+	}{
+		{"full and frequent", 100, false, 5, true, false, 1},
+		{"rare", 100, false, 1, false, false, 1},
+		{"not full enough to begin", 84, false, 5, false, false, 1},
+		{"full enough to go on", 71, true, 5, true, false, 1},
+		{"not full enough to go on", 69, true, 5, false, true, 1},
+		{"far too much", 0, false, 500, false, false, 1.5 * 10 / 500},
+		{"hopelessly too much", 0, false, 5000, false, false, 0.01},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := ownerOfAll(quotaPlan{rate: 10, burst: 100})
+			o.config.peerRate = 1e6
+			at := &customer{
+				spread: 7, freePass: c.was, meanUnits: 1, bucket: tokenBucket{c.level, now},
+				peerDemand: decayingMean{sum: c.demand * seconds(demandMemory), at: now},
+			}
+			if ended := o.update(at, now); ended != c.ended || at.freePass != c.free || !near(at.admitPart, c.part) {
+				t.Errorf("free %v, ended %v, part %v", at.freePass, ended, at.admitPart)
+			}
+		})
+	}
+}
+
+// While the owner is silent, the even part of the rate passes, over what was asked for before; nothing beside a limit in
+// flight that is taken.
+func TestPassWithoutOwner(t *testing.T) {
+	for _, c := range []struct {
+		plan     quotaPlan
+		before   float64 // units a second
+		inFlight int
+		want     float64 // of the requests
+	}{{quotaPlan{rate: 14}, 8, 0, 0.25}, {quotaPlan{rate: 14}, 0, 0, 1}, {quotaPlan{}, 8, 0, 1}, {quotaPlan{maxInFlight: 1}, 8, 1, 0}} {
+		o, rng, passed := ownerOfAll(c.plan), newRandom(5), 0
+		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandMemory) + 1}}
+		for range 4000 {
+			if o.drawAlone(at, 1, 0, &rng) {
+				passed++
+			}
+		}
+		if got := float64(passed) / 4000; got < c.want-0.03 || got > c.want+0.03 {
+			t.Errorf("%+v: %v passed, not %v", c.plan, got, c.want)
+		}
+	}
+}
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -55,3 +55,21 @@
 		t.Fatalf("%d of 20 bounced, of which half waited past the contract time", bounced)
 	}
 }
+
+func TestPauseOrder(t *testing.T) {
+	p := pause{}
+	if p.observe(Second, Second+1500, 6000); p.endedAt != 0 {
+		t.Error("a quarter of an objective is a pause")
+	}
+	if p.observe(Second, Second+4000, 6000); p.length != 4000 || p.endedAt != Second+4000 {
+		t.Errorf("%+v", p)
+	}
+	now := p.endedAt
+	table := requestTable{all: []request{{arrived: 7}, {arrived: now}, {arrived: now}}, pending: []requestSlot{0, 1, 2}}
+	p.arrived = 2
+	p.reorder(&table, now)
+	if !slices.Equal(table.pending, []requestSlot{0, 2, 1}) || table.all[1].arrived != now-3000 || table.all[2].arrived != now-1000 ||
+		table.all[0].arrived != 7 || p.arrived != 0 {
+		t.Errorf("%v, %+v", table.pending, table.all)
+	}
+}
--- /dev/null
+++ b/internal/decision/quota_test.go
@@ -0,0 +1,103 @@
+package decision
+
+import "testing"
+
+// A node's part is its demand over all reported, with some belief in the even part; without reports, the even part.
+func TestDemandPart(t *testing.T) {
+	const now = 100 * Second
+	for _, c := range []struct {
+		name          string
+		spread        int
+		firstSeen     Time
+		heardAt       Time
+		peers         bool
+		own, reported float64
+		reports       float64
+		want          float64
+	}{
+		{"all requests come here", 1, 0, now, true, 40, 80, 9, 1},
+		{"no peers", 4, 0, now, false, 40, 80, 9, 0.25},
+		{"peers are silent", 4, 0, now - peerSilence - 1, true, 40, 80, 9, 0.25},
+		{"just seen", 4, now - 2*reportEvery + 1, now, true, 40, 80, 9, 0.25},
+		{"nobody reports it", 4, 0, now, true, 40, 0, 0, 1},
+		{"reported", 4, 0, now, true, 40, 80, 9, (20 + 30*0.25) / (60 + 30)},
+		{"no demand", 4, 0, now, true, 0, 0, 9, 0.25},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.peers = c.peers
+			q := tenantQuota{config: cfg, peerHeardAt: c.heardAt}
+			customer := &customer{
+				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.own, count: 9, at: now},
+				peerDemand: decayingMean{sum: c.reported, count: c.reports, at: now},
+			}
+			if got := q.demandPart(customer, now); !near(got, c.want) {
+				t.Errorf("%v, not %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A request here stands for 1/part requests at all nodes; what lacks in the bucket tells when it may pass.
+func TestTenantQuota(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		plan     quotaPlan
+		level    float64
+		leased   bool
+		inFlight int
+		units    float64
+		ok       bool
+		after    Time
+	}{
+		{"room", quotaPlan{rate: 10, burst: 20}, 3, false, 0, 3, true, 0},
+		{"no room", quotaPlan{rate: 10, burst: 20}, 1, false, 0, 3, false, 2000},
+		{"larger than the bucket", quotaPlan{rate: 10, burst: 20}, 20, false, 0, 99, true, 0},
+		{"no rate", quotaPlan{}, -5, false, 0, 3, true, 0},
+		{"at the limit in flight", quotaPlan{maxInFlight: 8}, 0, false, 2, 1, false, 700},
+		{"under the limit in flight", quotaPlan{maxInFlight: 8}, 0, false, 1, 1, true, 0},
+		{"a leased bucket does not refill", quotaPlan{rate: 10, burst: 20}, 2, true, 0, 3, false, 1000},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.peers, cfg.plans = false, []quotaPlan{c.plan}
+			q := tenantQuota{config: cfg}
+			at := 100 * Second
+			if c.leased {
+				at -= 50 * Second
+			}
+			customer := &customer{spread: 4, inFlight: c.inFlight, leased: c.leased, bucket: tokenBucket{c.level, at}}
+			r := &request{units: c.units}
+			if ok, after := q.admit(customer, r, 700, 100*Second); ok != c.ok || after != c.after {
+				t.Errorf("%v after %d", ok, after)
+			}
+			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.bucketPart != part {
+				t.Errorf("part %v", r.bucketPart)
+			}
+		})
+	}
+	c := &customer{bucket: tokenBucket{level: 6}}
+	if c.charge(1, 0.25); c.bucket.level != 2 {
+		t.Errorf("%v left", c.bucket.level)
+	}
+	c.bucket.level = -4
+	if c.charge(1, 0.5); c.bucket.level != -2 { // a debt is not added to
+		t.Errorf("%v left", c.bucket.level)
+	}
+}
+
+// A ceiling starts empty and fills by an even part, less what an owner keeps.
+func TestCeiling(t *testing.T) {
+	for _, c := range []struct {
+		owned bool
+		after Time
+		want  float64
+	}{{false, Second / 2, 5}, {false, 9 * Second, 15}, {true, Second / 2, 2.5}, {true, 9 * Second, 7.5}} {
+		cfg := testConfig()
+		cfg.plans = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}
+		q, customer := tenantQuota{config: cfg}, &customer{spread: 4}
+		if q.ceilingAllows(customer, 6, c.owned, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
+			t.Errorf("owned %v: %v after %d", c.owned, customer.ceiling.level, c.after)
+		}
+	}
+}
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"slices"
 	"testing"
 )
 
@@ -26,3 +27,49 @@
 	peer.ReceivePeerMessage(9, []byte{kindUse})
 	peer.ReceivePeerMessage(0, []byte("other"))
 }
+
+// Where all hear all, one message goes out even if empty; customers under half of their even part are not named, and
+// what peers don't take in waits. Where there are owners, each gets what is its own.
+func TestReports(t *testing.T) {
+	busy := decayingMean{sum: 99 * seconds(demandMemory), at: Second}
+	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
+	for _, c := range []struct {
+		name   string
+		owners bool
+		rate   float64
+		many   int
+		to     []NodeID
+		left   int
+	}{
+		{"nothing new", false, 100, 0, []NodeID{AllPeers}, 0},
+		{"busy and idle ones", false, 100, 3, []NodeID{AllPeers}, 0},
+		{"owners", true, 100, 3, []NodeID{2, 3}, 0}, // node 1 owns the first itself
+		{"little room", false, 0, 60, []NodeID{AllPeers, AllPeers}, 45},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.owners, cfg.peerRate = c.owners, c.rate
+			u, out, all := usageReports{config: cfg}, outbox{}, slices.Clone(customers)
+			for len(all) < c.many {
+				all = append(all, customer{id: CustomerID(1<<40 + len(all)), spread: 4, demand: busy})
+			}
+			for i := range c.many {
+				u.note(&all[i], customerSlot(i), 2, 1)
+				u.note(&all[i], customerSlot(i), 3, 1)
+			}
+			u.write(&out, all, &quotaOwner{config: cfg}, &tenantQuota{config: cfg}, Second)
+			to := []NodeID{}
+			for _, m := range out.messages {
+				to = append(to, m.to)
+				if decoded, ok := decodeMessage(m.payload, 1, 4); !ok || decoded.kind != kindUse || len(m.payload) > maxMessage {
+					t.Errorf("message %x", m.payload)
+				} else if len(decoded.reports) > 0 && (decoded.reports[0].demand != 5 || decoded.reports[0].use != 2) {
+					t.Errorf("reported %+v", decoded.reports[0])
+				}
+			}
+			if !slices.Equal(to, c.to) || len(u.pending) != c.left {
+				t.Errorf("to %v, %d wait", to, len(u.pending))
+			}
+		})
+	}
+}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -14,3 +14,89 @@
 		t.Fatalf("server %d was taken, with one out and the other idle", got)
 	}
 }
+
+// A server's weight is its size over its pace, with some belief that it is like the others.
+func TestWeights(t *testing.T) {
+	l := selection{config: testConfig()}
+	for _, c := range []struct {
+		size, sum, count, mean float64
+		want                   float64
+	}{{1, 0, 0, 1, 1}, {0, 0, 0, 1, 1}, {4, 0, 0, 2, 4}, {1, 18, 6, 1, 0.5}, {2, 6, 6, 2, 2 / 0.75}} {
+		s := &server{Endpoint: Endpoint{Weight: c.size}, pace: decayingMean{sum: c.sum, count: c.count, at: Second}}
+		if got := l.weigh(s, c.mean, Second); !near(got, c.want) {
+			t.Errorf("%+v: %v", c, got)
+		}
+	}
+}
+
+// Which ends tell of a server's pace, and how much.
+func TestPace(t *testing.T) {
+	for _, c := range []struct {
+		outcome   Outcome
+		latencies float64
+		count     float64
+		sum       float64
+	}{
+		{Succeeded, 0.4, 1, 0.4},
+		{TimedOut, 0.4, 1, 1},
+		{TimedOut, 5, 1, 5},
+		{ConnectFailed, 0, 1, 1},
+		{ConnectionReset, 2, 1, 2},
+		{Cancelled, 1, 0, 0},
+		{Cancelled, 2, 1, 2},
+		{Failed, 5, 0, 0},
+		{Overloaded, 5, 0, 0},
+		{MalformedResponse, 5, 0, 0},
+		{NotSent, 5, 0, 0},
+	} {
+		l, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
+		l.attemptEnded(s, c.outcome, c.latencies, Second)
+		if s.pace.count != c.count || s.pace.sum != c.sum || l.paces != s.pace {
+			t.Errorf("outcome %d after %v: %+v, of all %+v", c.outcome, c.latencies, s.pace, l.paces)
+		}
+	}
+}
+
+// Over many requests that end at once each server gets its weight's part; one that has its fair part in flight is left
+// out while others are not.
+func TestRotationByWeight(t *testing.T) {
+	n := plain(3, Settings{"plan.0.rate": "0"})
+	for i := range n.endpoints.servers {
+		n.endpoints.servers[i].Weight = float64(1 + i)
+	}
+	r, got := &request{}, [3]int{}
+	for range 600 {
+		got[n.pick(r)]++
+	}
+	if got != [3]int{100, 200, 300} {
+		t.Errorf("%v", got)
+	}
+	n.endpoints.servers[2].inFlight = 2 // fair is 1.5
+	for range 10 {
+		if n.pick(r) == 2 {
+			t.Fatal("taken over its fair part")
+		}
+	}
+}
+
+// The passes take ever more servers: tried ones only after all others, ejected ones last.
+func TestPasses(t *testing.T) {
+	n := plain(3, nil)
+	r := &request{attempts: []attempt{{server: 0}}}
+	n.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
+	if got := n.pick(r); got != 2 {
+		t.Errorf("server %d before the one that is in good standing", got)
+	}
+	n.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
+	if got := n.pick(r); got != 0 {
+		t.Errorf("server %d before the one that was tried", got)
+	}
+	n.endpoints.servers[0].byClass[0].ejectedUntil = 99 * Second
+	if got := n.pick(r); got < 0 {
+		t.Error("none of the ejected ones was taken")
+	}
+	n.UpdateEndpoints(FullList, nil)
+	if got := n.pick(r); got != -1 {
+		t.Errorf("server %d of none", got)
+	}
+}
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -127,3 +127,79 @@
 		}
 	}
 }
+
+// A server's weight rises from the settings' share to 1 over the span after its start.
+func TestSlowStartWeight(t *testing.T) {
+	for _, c := range []struct {
+		started, span, now Time
+		want               float64
+	}{{0, 100, 50, 1}, {10, 0, 10, 1}, {10, 100, 10, 0.25}, {10, 100, 60, 0.625}, {10, 100, 110, 1}, {10, 100, 5, 0.25}} {
+		l := slowStart{config: &config{slowStartSpan: c.span, slowStartShare: 0.25}}
+		if got := l.weight(&server{Endpoint: Endpoint{Started: c.started}}, c.now); !near(got, c.want) {
+			t.Errorf("started at %d, span %d: %v at %d", c.started, c.span, got, c.now)
+		}
+	}
+}
+
+// The budget of a span: 0.4 of three times what a warm server completes in 2 s, times the weight and the nodes that use it;
+// what counts drains at that rate, over a span at most.
+func TestSlowStartBudget(t *testing.T) {
+	l, now := slowStart{config: testConfig(), warmRate: 10}, 100*Second
+	s := &server{Endpoint: Endpoint{Started: now - 5*Second, Weight: 2}, inSubset: true}
+	if got, want := l.budget(s, now, 3), 0.4*0.625*3*3*10*2; !near(got, want) {
+		t.Errorf("budget %v, not %v", got, want)
+	}
+	l.completed(&server{Endpoint: Endpoint{Weight: 4}}, now)
+	if got, want := l.budget(s, now, 1), 0.4*0.625*3*0.5*10*2; !near(got, want) {
+		t.Errorf("budget %v of a server half the usual size, not %v", got, want)
+	}
+	l.completedSizes = decayingMean{}
+	s.slowStart = slowStartState{sent: 14.5, at: now}
+	if l.hasRoom(s, now, 1) {
+		t.Error("room with the budget of 15 taken")
+	}
+	if l.drain(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasRoom(s, now+Second, 1) {
+		t.Errorf("%v left after half a span", s.slowStart.sent)
+	}
+	s.slowStart = slowStartState{sent: 100, at: now - 9*Second}
+	if l.drain(s, now, 1); s.slowStart.sent != 100 { // counted for the process before
+		t.Errorf("%v left by a new process", s.slowStart.sent)
+	}
+	s.slowStart = slowStartState{at: now}
+	if s.inFlight = 1; !l.hasRoom(s, now, 1) {
+		t.Error("no room with one in flight at a server half warm")
+	}
+	if s.inFlight = 2; l.hasRoom(s, now, 1) {
+		t.Error("room with two in flight at a server half warm")
+	}
+	s.inSubset, s.inFlight = false, 0
+	if l.hasRoom(s, now+4*Second, 1) {
+		t.Error("room out of the subset")
+	}
+	if !l.hasRoom(s, now+5*Second, 1) {
+		t.Error("no room at a warm server")
+	}
+}
+
+// A warm server's rate is that of the best intervals, decaying slowly, by the servers that were warm then.
+func TestWarmRate(t *testing.T) {
+	l, rates := slowStart{}, []float64{}
+	for range 4 {
+		rates = append(rates, 80)
+		l.closeInterval(8, rates)
+	}
+	if !near(l.warmRate, 10) {
+		t.Errorf("%v a second, of 80 by 8", l.warmRate)
+	}
+	rates = append(rates, 20)
+	if l.closeInterval(2, rates); !near(l.warmRate, (3*16+4)/4) { // by those left: 40 and 10, at most 1.6 times 10 and 2.5
+		t.Errorf("%v a second after most restarted", l.warmRate)
+	}
+	for range 8 {
+		rates = append(rates, 0)
+	}
+	before := l.warmRate
+	if l.closeInterval(2, rates); !near(l.warmRate, 0.97*before) {
+		t.Errorf("%v a second when idle, %v before", l.warmRate, before)
+	}
+}
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -176,3 +176,33 @@
 		t.Errorf("%d servers used, %d new ones after one left each node's list", len(load), kept)
 	}
 }
+
+func TestSubsetChoice(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		nodes, self int
+		ready       int
+		owners      bool
+		sent        float64
+		want        subsetChoice
+	}{
+		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, false, 0, 9, 256}},
+		{"few nodes use all in view", 4, 3, 1000, false, 0, subsetChoice{0, true, 0.75, 1000, 2000}},
+		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, false, 9.0 / 16, 4, 256}},
+		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, false, 9.0 / 16, 40, 256}},
+		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, true, 9.0 / 80, 400, 800}},
+		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, false, 0.25, 16, 256}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.nodes, cfg.self, cfg.owners = c.nodes, NodeID(c.self), c.owners
+			chooser := subsetChooser{config: cfg, attemptsSent: decayingMean{count: c.sent, at: 10 * Second}}
+			if got := chooser.choose(10*Second, c.ready); got != c.want {
+				t.Errorf("%+v, not %+v", got, c.want)
+			}
+			if want := float64(c.ready) / float64(c.want.size); !near(chooser.ratio, want) {
+				t.Errorf("ratio %v, not %v", chooser.ratio, want)
+			}
+		})
+	}
+}
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -95,3 +95,64 @@
 	}
 	return asked
 }
+
+// Reports go out three times a second; to owners, whenever time went on.
+func TestReportTimes(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*config)
+		due    []Time
+	}{
+		{"all hear all", func(*config) {}, []Time{3333, 6666, 9999}},
+		{"owners", func(c *config) { c.owners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
+		{"one node", func(c *config) { c.nodes = 1 }, nil},
+		{"no peers", func(c *config) { c.peers = false }, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg, timers, due := testConfig(), newTimers(0, false), []Time(nil)
+			c.change(cfg)
+			for now := Time(1111); now <= 9999; now += 1111 {
+				for timers.startReport(now, cfg) {
+					due = append(due, now)
+				}
+			}
+			if !slices.Equal(due, c.due) {
+				t.Errorf("due at %v", due)
+			}
+		})
+	}
+}
+
+// The checks of attempts come 30 times in the shortest objective, but not more often than the tick.
+func TestCheckTimes(t *testing.T) {
+	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
+		timers := newTimers(Second, false)
+		if !timers.startCheck(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
+			t.Errorf("tick %d, objective %d: next check after %d", c.tick, c.objective, timers.checkAt-Second)
+		}
+		if after, ok := timers.setHost(Second); !ok || after != c.want {
+			t.Errorf("the host's timer is set to %d", after)
+		}
+		if _, ok := timers.setHost(Second); ok {
+			t.Error("the host's timer is set twice")
+		}
+	}
+}
+
+// A poll is under way until it failed, and never starts where none is asked for.
+func TestPolls(t *testing.T) {
+	rng := newRandom(1)
+	never, timers := newTimers(Second, false), newTimers(Second, true)
+	if never.startPoll(99 * Second) {
+		t.Error("polled where lists are pushed")
+	}
+	if !timers.startPoll(Second) || timers.startPoll(99*Second) {
+		t.Error("not one poll at the start")
+	}
+	timers.pollFailed(2*Second, 99999, &rng)
+	next := timers.pollAt
+	timers.pollFailed(3*Second, 99999, &rng)
+	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPoll(next-1) || !timers.startPoll(next) {
+		t.Errorf("the next poll after %d", next-2*Second)
+	}
+}
