--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFreshNodeBoundsWhatIsOut sends a crowd at a node that has seen nothing yet.
-func TestFreshNodeBoundsWhatIsOut(t *testing.T) {
+// TestFreshNodeBoundsInFlight sends a crowd at a node that has seen nothing yet.
+func TestFreshNodeBoundsInFlight(t *testing.T) {
 	n := New(7, Settings{
 		"nodes": "1", "tick": "10", "band.count": "1", "band.0.contract": "6000",
 		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
@@ -16,17 +16,17 @@
 	for id := range RequestID(50) {
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 	}
-	sent, bounced := 0, 0
+	sent, rejected := 0, 0
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		switch d.Action {
 		case Forward:
 			sent++
 		case Reject:
-			bounced++
+			rejected++
 		}
 	}
-	if sent < 2*coldStartAttempts || sent > 4*coldStartAttempts || sent+bounced != 50 {
-		t.Fatalf("sent %d, bounced %d of 50", sent, bounced)
+	if sent < 2*coldStartAttempts || sent > 4*coldStartAttempts || sent+rejected != 50 {
+		t.Fatalf("sent %d, rejected %d of 50", sent, rejected)
 	}
 }
 
@@ -48,7 +48,7 @@
 }
 
 // When every server stands still, what hangs there must go on to count, or the node fills them up.
-func TestStandstillOfAllServersBoundsWhatIsOut(t *testing.T) {
+func TestStandstillOfAllServersBoundsInFlight(t *testing.T) {
 	n := plain(6, nil)
 	now, id, out := Second, RequestID(0), 0
 	var sent []Decision
@@ -58,7 +58,7 @@
 			id++
 			n.AddRequest(Request{ID: id, Timeout: 8 * Second, Units: 1, Spread: 1})
 		}
-		if now < 4*Second { // every execution takes 20 ms until all stand still
+		if now < 4*Second { // every attempt takes 20 ms until all stand still
 			for _, d := range sent {
 				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: Succeeded, Duration: 200, Final: true})
 			}
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -5,7 +5,7 @@
 )
 
 // Of tens of thousands of customers that asked once, those long idle are forgotten, some at a time: no interval looks at all.
-func TestManyIdleCustomersAgeOut(t *testing.T) {
+func TestManyIdleCustomersAreForgotten(t *testing.T) {
 	n := plain(3, nil)
 	const many = 5 * idleScanCount
 	for k := range CustomerID(many) {
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -33,19 +33,7 @@
 				ofZone[s.Zone]++
 			}
 		}
-		if len(kept.cells) != len(built.cells) {
-			t.Fatalf("%d cells by changes, %d at once", len(kept.cells), len(built.cells))
-		}
-		for cell, slots := range built.cells {
-			if !slices.Equal(kept.cells[cell], slots) {
-				t.Fatalf("cell %d: %v by changes, %v at once", cell, kept.cells[cell], slots)
-			}
-		}
-		for zone := range kept.zones {
-			if !slices.Equal(kept.zones[zone].keys, built.zones[zone].keys) {
-				t.Fatalf("zone %d: %d servers by changes, %d at once", zone, len(kept.zones[zone].keys), len(built.zones[zone].keys))
-			}
-		}
+		sameOrder(t, &kept, &built)
 		if kept.count != usable || built.count != usable {
 			t.Fatalf("%d and %d of %d servers", kept.count, built.count, usable)
 		}
@@ -70,3 +58,20 @@
 		}
 	}
 }
+
+func sameOrder(t *testing.T, kept, built *endpointOrder) {
+	t.Helper()
+	if len(kept.cells) != len(built.cells) {
+		t.Fatalf("%d cells by changes, %d at once", len(kept.cells), len(built.cells))
+	}
+	for cell, slots := range built.cells {
+		if !slices.Equal(kept.cells[cell], slots) {
+			t.Fatalf("cell %d: %v by changes, %v at once", cell, kept.cells[cell], slots)
+		}
+	}
+	for zone := range kept.zones {
+		if !slices.Equal(kept.zones[zone].keys, built.zones[zone].keys) {
+			t.Fatalf("zone %d: %d servers by changes, %d at once", zone, len(kept.zones[zone].keys), len(built.zones[zone].keys))
+		}
+	}
+}
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -32,7 +32,7 @@
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	i := n.endpoints.slots.find(drained.Server)
 	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.view, i) || n.inFlightAtHealthy() != before {
-		t.Errorf("a server that drains: own %v, in view %v; pressing %v of %v", s.inSubset, slices.Contains(n.endpoints.view, i), n.inFlightAtHealthy(), before)
+		t.Errorf("a server that drains: own %v, in view %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.view, i), n.inFlightAtHealthy(), before)
 	}
 	for id := range RequestID(300) {
 		n.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
@@ -51,7 +51,7 @@
 	}
 }
 
-// New servers replace old ones all day: what is gone, with no ticket open that knows it, leaves no slot behind.
+// New servers replace old ones all day: what is gone, with no request open that knows it, leaves no slot behind.
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
 	n := plain(0, nil)
 	now := Second
@@ -70,6 +70,6 @@
 		}
 	}
 	if len(n.endpoints.servers) > 30 || len(n.endpoints.slots.slots) > 30 || len(n.requests.all) > 30 {
-		t.Errorf("%d servers, %d tickets", len(n.endpoints.servers), len(n.requests.all))
+		t.Errorf("%d servers, %d requests", len(n.endpoints.servers), len(n.requests.all))
 	}
 }
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -9,7 +9,7 @@
 // TestRulesHoldOnRandomRuns plays random days over settings of every kind and checks the rules on each
 // decision.
 func TestRulesHoldOnRandomRuns(t *testing.T) {
-	sent, complete, bounced := 0, 0, 0
+	sent, complete, rejected := 0, 0, 0
 	run := func(seed int64) bool {
 		h := newHost(seed)
 		for range 1500 {
@@ -24,18 +24,18 @@
 				return false
 			}
 		}
-		sent, complete, bounced = sent+h.sent, complete+h.complete, bounced+h.bounced
+		sent, complete, rejected = sent+h.sent, complete+h.complete, rejected+h.rejected
 		return true
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal(err)
 	}
-	if complete == 0 || bounced == 0 || sent < complete {
-		t.Fatalf("the runs show nothing: sent %d, completed %d, given up %d", sent, complete, bounced)
+	if complete == 0 || rejected == 0 || sent < complete {
+		t.Fatalf("the runs show nothing: sent %d, completed %d, given up %d", sent, complete, rejected)
 	}
 }
 
-// plain is a node of one replayable band and one plan, with some servers, and what a test adds.
+// plain is a node of one safe class and one plan, with some servers, and what a test adds.
 func plain(servers int, more Settings) *Engine {
 	n := New(7, plainSettings(more), Second)
 	list := []Endpoint{}
@@ -69,7 +69,7 @@
 	return out
 }
 
-// Without a tick and with a very short contract time the next look must lie ahead, or decisions never end.
+// Without a tick and with a very short objective the next look must lie ahead, or decisions never end.
 func TestDecisionsEndWhateverTheSettings(t *testing.T) {
 	for _, set := range []Settings{{"tick": "0", "band.0.contract": "10"}, {"tick": "-5"}, {"tick": "0", "band.0.contract": "0"}} {
 		n := plain(2, set)
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/host_test.go
@@ -6,63 +6,63 @@
 	"strconv"
 )
 
-// host plays clients, roster and app servers at random for one node and checks the five rules on every
+// host plays clients, endpoint list and app servers at random for one node and checks the five rules on every
 // decision.
 type host struct {
 	rng      *rand.Rand
 	set      Settings
-	n        *Engine
+	engine   *Engine
 	now      Time
 	start    Time
-	servers  []*backServer
-	tickets  map[RequestID]*asked
+	servers  []*hostServer
+	requests map[RequestID]*hostRequest
 	order    []RequestID
 	nextID   RequestID
-	ceiling  map[CustomerID]*store
-	idle     bool // no new tickets
-	bounced  int
+	ceiling  map[CustomerID]*hostBucket
+	idle     bool // no new requests
+	rejected int
 	sent     int
 	complete int
 	err      error
 }
 
-type backServer struct {
-	id      ServerID
-	zone    uint8
-	cell    uint16
-	state   EndpointState
-	known   bool
-	started Time
-	each    Time // one at a time, so much each, when warm
-	free    Time
-	pushes  []push
+type hostServer struct {
+	id           ServerID
+	zone         uint8
+	cell         uint16
+	state        EndpointState
+	known        bool
+	started      Time
+	each         Time // one at a time, so much each, when warm
+	free         Time
+	coldAttempts []coldAttempt
 }
 
-type push struct {
+type coldAttempt struct {
 	at   Time
 	work Time
 }
 
-type store struct {
+type hostBucket struct {
 	level float64
 	at    Time
 }
 
-type asked struct {
-	a      Request
-	until  Time
-	runs   []*run
-	closed bool
-	bound  bool
+type hostRequest struct {
+	request   Request
+	deadline  Time
+	attempts  []*hostAttempt
+	closed    bool
+	streaming bool
 }
 
-type run struct {
-	server  *backServer
-	sent    Time
-	end     Time
-	outcome Outcome
-	out     bool
-	mayRun  bool
+type hostAttempt struct {
+	server     *hostServer
+	sent       Time
+	end        Time
+	outcome    Outcome
+	inFlight   bool
+	mayHaveRun bool
 }
 
 const testPlans = 3
@@ -91,10 +91,10 @@
 
 func newHost(seed int64) *host {
 	r := rand.New(rand.NewSource(seed))
-	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, tickets: map[RequestID]*asked{}, ceiling: map[CustomerID]*store{}}
+	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, requests: map[RequestID]*hostRequest{}, ceiling: map[CustomerID]*hostBucket{}}
 	h.start = h.now
 	for i := range 3 + r.Intn(8) {
-		h.servers = append(h.servers, &backServer{
+		h.servers = append(h.servers, &hostServer{
 			id: ServerID(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
 			state: Ready, each: Time(200 + r.Intn(800)),
 		})
@@ -104,18 +104,18 @@
 }
 
 func (h *host) begin() {
-	h.n = New(uint64(h.rng.Int63()), h.set, h.now)
-	h.roster(CachedList)
+	h.engine = New(uint64(h.rng.Int63()), h.set, h.now)
+	h.update(CachedList)
 }
 
-func (h *host) roster(kind EndpointListKind) {
+func (h *host) update(kind EndpointListKind) {
 	list := []Endpoint{}
 	for _, s := range h.servers {
 		s.known = true
 		list = append(list, Endpoint{Server: s.id, Zone: s.zone, Cell: s.cell, State: s.state, Weight: 1, Started: s.started})
 	}
-	h.n.SetTime(h.now)
-	h.n.UpdateEndpoints(kind, list)
+	h.engine.SetTime(h.now)
+	h.engine.UpdateEndpoints(kind, list)
 	h.pull()
 }
 
@@ -128,35 +128,35 @@
 // step lets one tick pass.
 func (h *host) step() {
 	h.now += Time(h.set.Number("tick"))
-	h.n.SetTime(h.now)
-	h.n.TimerFired()
+	h.engine.SetTime(h.now)
+	h.engine.TimerFired()
 	for _, id := range h.order {
 		h.ends(id)
 	}
 	kept := h.order[:0]
 	for _, id := range h.order {
-		if t := h.tickets[id]; !t.closed || t.anyOut() {
+		if t := h.requests[id]; !t.closed || t.anyInFlight() {
 			kept = append(kept, id)
 		}
 	}
 	h.order = kept
 	if h.rng.Intn(80) == 0 {
-		h.upset()
+		h.disturb()
 	}
 	for h.rng.Intn(3) > 0 && !h.idle {
 		h.arrive()
 	}
 	h.pull()
 	for _, id := range h.order {
-		if t := h.tickets[id]; !t.closed && !t.bound && h.now > t.until {
-			h.fail("ticket %d has no final answer in time", id)
+		if t := h.requests[id]; !t.closed && !t.streaming && h.now > t.deadline {
+			h.fail("request %d has no final answer in time", id)
 		}
 	}
 }
 
-func (t *asked) anyOut() bool {
-	for _, x := range t.runs {
-		if x.out {
+func (t *hostRequest) anyInFlight() bool {
+	for _, x := range t.attempts {
+		if x.inFlight {
 			return true
 		}
 	}
@@ -171,57 +171,57 @@
 		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread,
 	}
 	h.nextID++
-	h.tickets[a.ID] = &asked{a: a, until: h.now + a.Timeout}
+	h.requests[a.ID] = &hostRequest{request: a, deadline: h.now + a.Timeout}
 	h.order = append(h.order, a.ID)
-	h.n.AddRequest(a)
+	h.engine.AddRequest(a)
 }
 
-// upset changes what the node is told, or restarts it.
-func (h *host) upset() {
+// disturb changes what the node is told, or restarts it.
+func (h *host) disturb() {
 	i := h.rng.Intn(len(h.servers))
 	s := h.servers[i]
 	switch h.rng.Intn(6) {
 	case 0:
 		s.state = []EndpointState{Draining, Gone}[h.rng.Intn(2)]
-		h.roster([]EndpointListKind{FullList, ListUpdate}[h.rng.Intn(2)])
+		h.update([]EndpointListKind{FullList, ListUpdate}[h.rng.Intn(2)])
 	case 1:
-		s.state, s.started, s.pushes = Ready, h.now, nil
+		s.state, s.started, s.coldAttempts = Ready, h.now, nil
 		s.free = h.now
-		h.roster(ListUpdate)
+		h.update(ListUpdate)
 	case 2:
-		h.n.UpdateEndpoints(PollFailed, nil)
+		h.engine.UpdateEndpoints(PollFailed, nil)
 	case 3:
 		b := make([]byte, h.rng.Intn(20))
 		h.rng.Read(b)
-		h.n.ReceivePeerMessage(NodeID(h.rng.Intn(6)-1), append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
+		h.engine.ReceivePeerMessage(NodeID(h.rng.Intn(6)-1), append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
 	case 4: // killed outright: what it held is lost, the servers and ceilings are not
 		h.order = h.order[:0]
-		h.tickets = map[RequestID]*asked{}
+		h.requests = map[RequestID]*hostRequest{}
 		h.begin()
 	case 5: // a warm one takes its place, under a new id
-		h.servers[i] = &backServer{
+		h.servers[i] = &hostServer{
 			id: ServerID(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
 			free: h.now,
 		}
-		h.roster(FullList)
+		h.update(FullList)
 	}
 }
 
 func (h *host) ends(id RequestID) {
-	t := h.tickets[id]
-	for k, x := range t.runs {
-		if !x.out || x.end > h.now {
+	t := h.requests[id]
+	for k, x := range t.attempts {
+		if !x.inFlight || x.end > h.now {
 			continue
 		}
-		x.out = false
-		x.mayRun = x.outcome != Overloaded && x.outcome != ConnectFailed && x.outcome != NotSent
+		x.inFlight = false
+		x.mayHaveRun = x.outcome != Overloaded && x.outcome != ConnectFailed && x.outcome != NotSent
 		if x.outcome == Succeeded && !t.closed {
 			t.closed = true
 			h.complete++
-		} else if t.bound && !t.closed {
+		} else if t.streaming && !t.closed {
 			t.closed = true
 		}
-		h.n.AttemptEnded(AttemptResult{
+		h.engine.AttemptEnded(AttemptResult{
 			Request: id, Attempt: k, Server: x.server.id, Outcome: x.outcome, Duration: h.now - x.sent,
 			Final: t.closed, Units: float64(h.rng.Intn(3)),
 		})
@@ -232,7 +232,7 @@
 // pull takes decisions until there is none and checks each.
 func (h *host) pull() {
 	for k := 0; ; k++ {
-		d, ok := h.n.Next()
+		d, ok := h.engine.Next()
 		if !ok {
 			return
 		}
@@ -245,31 +245,16 @@
 }
 
 func (h *host) check(d Decision) {
-	t := h.tickets[d.Request]
+	t := h.requests[d.Request]
 	switch d.Action {
 	case Forward:
 		h.send(t, d)
 	case Reject, Fail:
-		if t == nil || t.closed || t.bound {
-			h.fail("second final answer for ticket %d", d.Request)
-			return
-		}
-		t.closed = true
-		h.bounced++
-		band := "band." + strconv.Itoa(int(t.a.Class)) + "."
-		for _, x := range t.runs {
-			if d.Action == Reject && x.mayRun && (h.set[band+"repeats"] == "single-use" ||
-				h.set[band+"repeats"] == "referenced" && h.set[band+"group"] != "all") {
-				h.fail("ticket %d bounced though it may have run", d.Request)
-			}
-		}
-		if h.now > t.until {
-			h.fail("final answer for %d after the outer limit", d.Request)
-		}
+		h.checkAnswer(t, d)
 	case CancelAttempt:
-		if h.set["withdraw"] != "true" || d.Attempt >= len(t.runs) {
-			h.fail("withdrawal that is not allowed")
-		} else if x := t.runs[d.Attempt]; x.out {
+		if h.set["withdraw"] != "true" || d.Attempt >= len(t.attempts) {
+			h.fail("cancellation that is not allowed")
+		} else if x := t.attempts[d.Attempt]; x.inFlight {
 			x.outcome, x.end = Cancelled, h.now
 		}
 	case SendPeerMessage:
@@ -282,45 +267,53 @@
 	}
 }
 
-func (h *host) send(t *asked, d Decision) {
-	if t == nil || t.closed || t.bound || h.now+d.Duration > t.until || d.Duration <= 0 {
-		h.fail("send for ticket %d, closed or past its outer limit", d.Request)
+// checkAnswer checks a final answer that the node gives by itself.
+func (h *host) checkAnswer(t *hostRequest, d Decision) {
+	if t == nil || t.closed || t.streaming {
+		h.fail("second final answer for request %d", d.Request)
 		return
 	}
-	var s *backServer
-	for _, v := range h.servers {
-		if v.id == d.Server {
-			s = v
+	t.closed = true
+	h.rejected++
+	for _, x := range t.attempts {
+		if d.Action == Reject && x.mayHaveRun && (h.class(t, "repeats") == "single-use" ||
+			h.class(t, "repeats") == "referenced" && h.class(t, "group") != "all") {
+			h.fail("request %d rejected though it may have run", d.Request)
 		}
 	}
+	if h.now > t.deadline {
+		h.fail("final answer for %d after its deadline", d.Request)
+	}
+}
+
+// class is a setting of a request's class.
+func (h *host) class(t *hostRequest, name string) string {
+	return h.set["band."+strconv.Itoa(int(t.request.Class))+"."+name]
+}
+
+// send checks an attempt and plays its server.
+func (h *host) send(t *hostRequest, d Decision) {
+	if t == nil || t.closed || t.streaming || h.now+d.Duration > t.deadline || d.Duration <= 0 {
+		h.fail("attempt of request %d, closed or past its deadline", d.Request)
+		return
+	}
+	s := h.server(d.Server)
 	if s == nil || s.state != Ready {
 		h.fail("send to a server that is draining, gone or unknown")
 		return
 	}
 	h.sent++
-	band := "band." + strconv.Itoa(int(t.a.Class)) + "."
-	for _, x := range t.runs {
-		switch {
-		case x.out && h.set["copies"] != "true":
-			h.fail("two executions of %d out at once", d.Request)
-		case !x.mayRun || h.set[band+"repeats"] == "replayable":
-		case h.set[band+"repeats"] == "single-use":
-			h.fail("single-use ticket %d may run twice", d.Request)
-		case h.now+h.set.Duration("connect") >= x.sent+h.set.Duration(band+"window"): // a new connection may take so long
-			h.fail("referenced ticket %d may come after its window", d.Request)
-		case h.set[band+"group"] == "zone" && x.server.zone != s.zone,
-			h.set[band+"group"] == "cell" && x.server.cell != s.cell:
-			h.fail("referenced ticket %d sent outside its group", d.Request)
-		}
+	for _, x := range t.attempts {
+		h.checkRepeat(t, x, s)
 	}
-	if len(t.runs) >= int(h.set.Number("executions")) {
-		h.fail("too many executions of %d", d.Request)
+	if len(t.attempts) >= int(h.set.Number("executions")) {
+		h.fail("too many attempts of %d", d.Request)
 	}
-	if len(t.runs) == 0 && t.a.Plan == 2 {
-		h.drawCeiling(t)
+	if len(t.attempts) == 0 && t.request.Plan == 2 {
+		h.checkCeiling(t)
 	}
-	h.cold(s)
-	x := &run{server: s, sent: h.now, out: true, mayRun: true, outcome: Succeeded}
+	h.checkSlowStart(s)
+	x := &hostAttempt{server: s, sent: h.now, inFlight: true, mayHaveRun: true, outcome: Succeeded}
 	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number("nodes")) // the other nodes take their part
 	s.free = max(s.free, h.now) + work
 	x.end = s.free
@@ -331,39 +324,65 @@
 	if x.end > h.now+d.Duration {
 		x.outcome, x.end = TimedOut, h.now+d.Duration
 	}
-	t.runs = append(t.runs, x)
+	t.attempts = append(t.attempts, x)
+}
+
+func (h *host) server(id ServerID) *hostServer {
+	for _, s := range h.servers {
+		if s.id == id {
+			return s
+		}
+	}
+	return nil
+}
+
+// checkRepeat checks an attempt against an earlier one of its request.
+func (h *host) checkRepeat(t *hostRequest, x *hostAttempt, s *hostServer) {
+	window := Settings{"window": h.class(t, "window")}.Duration("window")
+	switch {
+	case x.inFlight && h.set["copies"] != "true":
+		h.fail("two attempts of %d in flight at once", t.request.ID)
+	case !x.mayHaveRun || h.class(t, "repeats") == "replayable":
+	case h.class(t, "repeats") == "single-use":
+		h.fail("unsafe request %d may run twice", t.request.ID)
+	case h.now+h.set.Duration("connect") >= x.sent+window: // a new connection may take so long
+		h.fail("keyed request %d may come after its window", t.request.ID)
+	case h.class(t, "group") == "zone" && x.server.zone != s.zone,
+		h.class(t, "group") == "cell" && x.server.cell != s.cell:
+		h.fail("keyed request %d sent outside its group", t.request.ID)
+	}
 }
 
-func (h *host) drawCeiling(t *asked) {
-	c := h.ceiling[t.a.Customer]
+func (h *host) checkCeiling(t *hostRequest) {
+	c := h.ceiling[t.request.Customer]
 	depth := h.set.Number("plan.2.ceiling.depth")
 	if c == nil {
-		c = &store{level: depth, at: h.start}
-		h.ceiling[t.a.Customer] = c
+		c = &hostBucket{level: depth, at: h.start}
+		h.ceiling[t.request.Customer] = c
 	}
 	c.level = min(depth, c.level+h.set.Number("plan.2.ceiling.rate")*float64(h.now-c.at)/float64(Second))
 	c.at = h.now
-	if c.level -= t.a.Units; c.level < 0 {
+	if c.level -= t.request.Units; c.level < 0 {
 		h.fail("ceiling passed by %.2f units", -c.level)
 	}
 }
 
-// cold counts the work sent to a fresh server by all nodes: this one's, as often as there are nodes.
-func (h *host) cold(s *backServer) {
+// checkSlowStart counts the work sent to a fresh server by all nodes: this one's, as often as there are nodes.
+func (h *host) checkSlowStart(s *hostServer) {
 	span, warm := h.set.Duration("fall.span"), h.set.Duration("cold.span")
 	if s.started == 0 || h.now >= s.started+warm {
 		return
 	}
-	s.pushes = append(s.pushes, push{h.now, s.each})
+	s.coldAttempts = append(s.coldAttempts, coldAttempt{h.now, s.each})
 	from := h.set.Number("cold.from")
 	share := from + (1-from)*float64(h.now-s.started)/float64(warm)
 	sum, k := Time(0), 0
-	for _, p := range s.pushes {
+	for _, p := range s.coldAttempts {
 		if p.at > h.now-span {
 			sum, k = sum+p.work, k+1
 		}
 	}
-	if h.n.config.owners && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
+	if h.engine.config.owners && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
 		return
 	}
 	most := h.set.Number("fall.multiple") * share * float64(span)
--- a/internal/decision/measures_test.go
+++ b/internal/decision/measures_test.go
@@ -47,11 +47,11 @@
 	}
 	interval(29, 100, 0)
 	if tp.known() {
-		t.Error("T rests on 29 ends")
+		t.Error("T is ejected on 29 ends")
 	}
 	interval(1, 400, 31)
 	if tp.known() {
-		t.Error("T rests on fewer ends than are in flight")
+		t.Error("T is ejected on fewer ends than are in flight")
 	}
 	interval(10, 110, 3)
 	if !tp.known() || tp.executionTime != (29*100+400+10*110)/40.0 {
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A server that fails one band serves the others: its answers there must not clear what failed.
-func TestServerFailingOneBandRestsForThatBand(t *testing.T) {
+// A server that fails one class serves the others: its answers there must not clear what failed.
+func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
 	n := plain(2, Settings{
 		"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
 		"band.1.contract": "6000", "band.1.repeats": "single-use",
@@ -16,7 +16,7 @@
 	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
 	at := n.endpoints.slots.find(bad)
 	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
-		t.Fatal("the wrong band rests")
+		t.Fatal("the wrong class is ejected")
 	}
 	n.SetTime(Second + interval/2)
 	told := pull(n, SendPeerMessage)
@@ -34,7 +34,7 @@
 
 // Peers' words of one miss each add up: a server of which they tell clearly more than of others is suspected, and
 // gets trials by budget; where all servers miss alike, as for want of room, none is.
-func TestMissesToldByPeersAddUp(t *testing.T) {
+func TestSuspicionsOfPeersAddUp(t *testing.T) {
 	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40"}
 	n, alike := plain(20, set), plain(20, set)
 	for k := range 8 {
@@ -54,7 +54,7 @@
 		}
 	}
 	trials := 0
-	for id := range RequestID(100) { // a twentieth of the band's executions may try it
+	for id := range RequestID(100) { // a twentieth of the class's attempts may try it
 		n.SetTime(3*Second + Time(id)*500)
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
@@ -66,12 +66,12 @@
 		}
 	}
 	if trials > 7 {
-		t.Fatalf("%d trials in 100 executions", trials)
+		t.Fatalf("%d trials in 100 attempts", trials)
 	}
 }
 
 // An impatient client's time-out says nothing of its server, nor of the back end's latency.
-func TestShortTimeOutIsNoMiss(t *testing.T) {
+func TestShortTimeOutIsNoFailure(t *testing.T) {
 	n := plain(2, nil)
 	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
@@ -84,16 +84,16 @@
 	}
 }
 
-// Where any server's answers are spoilt or broken off now and then, one says little of it: it stays in the rotation,
-// and its time is no sign of pressure. Two in a row tell, of that band.
-func TestOneBadAnswerRestsNoServer(t *testing.T) {
+// Where any server's answers are malformed or broken off now and then, one says little of it: it stays in the rotation,
+// and its time is no sign of pressure. Two in a row tell, of that class.
+func TestOneBadAnswerEjectsNoServer(t *testing.T) {
 	n := plain(1, Settings{"band.count": "2", "band.1.contract": "6000", "executions": "1"})
 	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
 		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
 		d := pull(n, Forward)[0]
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
 		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.ends > 2 {
-			t.Fatalf("after end %d the server rests: %v", id, got)
+			t.Fatalf("after end %d the server is ejected: %v", id, got)
 		}
 		if o != Succeeded && pull(n, Reject) == nil {
 			t.Fatal("no answer at once")
@@ -101,9 +101,9 @@
 	}
 }
 
-// A server that turns away all, as one that drains before the roster says so, is quick at it and would draw ever
-// more tickets; each counts as pressure, and the limit falls. Two in a row rest it, as time-outs do.
-func TestServerThatTurnsAwayRests(t *testing.T) {
+// A server that rejects all, as one that drains before the endpoint list says so, is quick at it and would draw ever
+// more requests; each counts as pressure, and the limit falls. Two in a row eject it, as time-outs do.
+func TestServerThatRejectsIsEjected(t *testing.T) {
 	n := plain(4, nil)
 	now, sent := Second, 0
 	for id := range RequestID(400) {
@@ -123,7 +123,7 @@
 		}
 	}
 	if sent > 40 || sent == 0 {
-		t.Errorf("%d of 400 tickets went to a server that turns them away", sent)
+		t.Errorf("%d of 400 requests went to a server that rejects them", sent)
 	}
 }
 
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -9,13 +9,13 @@
 
 // fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
 type fleet struct {
-	nodes     []*Engine
-	sets      []Settings
-	sent, out int
-	most      int // out at once
-	lost      func(from int, to NodeID, text []byte) bool
-	t         *testing.T
-	ends      map[Time][]func()
+	nodes          []*Engine
+	sets           []Settings
+	sent, inFlight int
+	mostInFlight   int // out at once
+	lost           func(from int, to NodeID, text []byte) bool
+	t              *testing.T
+	ends           map[Time][]func()
 }
 
 func newFleet(t *testing.T, more Settings) *fleet {
@@ -33,7 +33,7 @@
 	return f
 }
 
-// settle carries out what all nodes want now; executions take so long.
+// settle carries out what all nodes want now; attempts take so long.
 func (f *fleet) settle(now, took Time) {
 	for _, end := range f.ends[now] {
 		end()
@@ -46,10 +46,10 @@
 				switch d.Action {
 				case Forward:
 					f.sent++
-					f.out++
-					f.most = max(f.most, f.out)
+					f.inFlight++
+					f.mostInFlight = max(f.mostInFlight, f.inFlight)
 					f.ends[now+took] = append(f.ends[now+took], func() {
-						f.out--
+						f.inFlight--
 						n.SetTime(now + took)
 						n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: took, Final: true})
 					})
@@ -67,25 +67,28 @@
 	}
 }
 
-// ask lets a customer ask by all its nodes in turn, so many units a second of one unit each.
-func (f *fleet) ask(customer CustomerID, rate int, from, until Time) {
-	id := RequestID(customer) * 100000
+// fleetCustomer is the customer that asks.
+const fleetCustomer CustomerID = 5
+
+// ask lets the customer ask by all its nodes in turn, so many requests a second of one unit each.
+func (f *fleet) ask(rate int, from, until Time) {
+	id := RequestID(fleetCustomer) * 100000
 	for now := from; now < until; now += 50 {
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
 			id++
 			n := f.nodes[10+int(id)*7%40]
 			n.SetTime(now)
-			n.AddRequest(Request{ID: id, Customer: customer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
+			n.AddRequest(Request{ID: id, Customer: fleetCustomer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
 		}
 		f.settle(now, 500)
 	}
 }
 
-// A customer over its quota that comes in by many nodes, at each of which it is rare: its home holds the quota
-// ticket by ticket, and nobody else's word counts.
-func TestHomeHoldsQuotaOfManyNodes(t *testing.T) {
+// A customer over its quota that comes in by many nodes, at each of which it is rare: its owner holds the quota
+// request by request, and nobody else's word counts.
+func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
-	f.ask(5, 30, Second, 11*Second)
+	f.ask(30, Second, 11*Second)
 	if f.sent < 20 || f.sent > 30 { // 26 are inside the quota, 300 were asked
 		t.Fatalf("%d sent", f.sent)
 	}
@@ -102,50 +105,50 @@
 	}
 }
 
-// A cap on open executions beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
-// An end that is told late, after its hold has run out, must not free another's.
-func TestHomeHoldsCapOfManyNodes(t *testing.T) {
+// A cap on open attempts beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
+// An end that is told late, after its reservation has run out, must not free another's.
+func TestOwnerHoldsInFlightOfManyNodes(t *testing.T) {
 	f := newFleet(t, Settings{"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.open": "2"})
-	f.ask(5, 200, Second, 4*Second)
-	if f.most > 2 || f.sent < 60 {
-		t.Fatalf("%d out at once, %d sent", f.most, f.sent)
+	f.ask(200, Second, 4*Second)
+	if f.mostInFlight > 2 || f.sent < 60 {
+		t.Fatalf("%d out at once, %d sent", f.mostInFlight, f.sent)
 	}
 	home := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
 	c := &home.customers.all[home.customers.slots.find(5)]
 	c.reservations = []reservation{{11, 7, 9 * Second}}
 	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 1 {
-		t.Fatal("another node's end freed a hold")
+		t.Fatal("another node's end freed a reservation")
 	}
 	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 0 {
-		t.Fatal("an end freed no hold")
+		t.Fatal("an end freed no reservation")
 	}
 }
 
-// While a home is silent a rare customer's tickets still pass, after a short wait, and one that asks far more than
-// its slice is held to about that.
-func TestSilentHomeLeavesTheSlice(t *testing.T) {
+// While an owner is silent a rare customer's requests still pass, after a short wait, and one that asks far more than
+// its even part is held to about that.
+func TestSilentOwnerLeavesTheEvenPart(t *testing.T) {
 	for rate, most := range map[int]int{2: 40, 400: 130} { // 20 s
 		f := newFleet(t, nil)
-		f.lost = func(from int, to NodeID, text []byte) bool { return true }
-		f.ask(5, rate, Second, 21*Second)
+		f.lost = func(int, NodeID, []byte) bool { return true }
+		f.ask(rate, Second, 21*Second)
 		if f.sent < 20 || f.sent > most {
 			t.Errorf("%d of %d sent", f.sent, rate*20)
 		}
 	}
 }
 
-// A hard ceiling of many nodes: home and set together stay under it from the first second on, after restarts too.
-func TestHomeAndSetKeepTheCeiling(t *testing.T) {
+// A hard ceiling of many nodes: owner and set together stay under it from the first second on, after restarts too.
+func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
 		"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
 		"plan.0.ceiling.depth": "80",
 	})
 	r := rand.New(rand.NewSource(3))
-	f.lost = func(from int, to NodeID, text []byte) bool { return r.Intn(4) == 0 }
+	f.lost = func(int, NodeID, []byte) bool { return r.Intn(4) == 0 }
 	for k := range Time(4) {
-		f.ask(5, 200, (1+2*k)*Second, (3+2*k)*Second)
+		f.ask(200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
 		fresh := newFleet(t, Settings{
 			"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -5,35 +5,36 @@
 	"testing"
 )
 
-// After a stall what came last is in time yet and goes first; what waited past its contract time is answered at
+// After a pause what came last is in time yet and goes first; what waited past its objective is answered at
 // once, and the limit's tokens cover the time that nothing passed.
-func TestAfterAStallTheLastComeFirst(t *testing.T) {
+func TestAfterAPauseTheLastComeFirst(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 40, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
-	n.SetTime(Second + Second) // 1 s without a turn; the contract time is 0.6 s
+	n.SetTime(Second + Second) // 1 s without a turn; the objective is 0.6 s
 	for id := range RequestID(20) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
-	var first, bounced []RequestID
+	var first, rejected []RequestID
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		if d.Action == Forward {
+		switch d.Action {
+		case Forward:
 			first = append(first, d.Request)
-		} else if d.Action == Reject {
-			bounced = append(bounced, d.Request)
+		case Reject:
+			rejected = append(rejected, d.Request)
 		}
 	}
-	if len(first) < 9 || first[0] != 19 || slices.Contains(first, 0) || !slices.Contains(bounced, 0) ||
-		len(first)+len(bounced) != 20 {
-		t.Fatalf("sent %v, bounced %v", first, bounced)
+	if len(first) < 9 || first[0] != 19 || slices.Contains(first, 0) || !slices.Contains(rejected, 0) ||
+		len(first)+len(rejected) != 20 {
+		t.Fatalf("sent %v, rejected %v", first, rejected)
 	}
 }
 
-// A ticket that waited past its contract time is bounced at once though limit and quota have room for it, since its
+// A request that waited past its objective is rejected at once though limit and quota have room for it, since its
 // client has no use for a late answer and the server's time is another's.
-func TestLateAfterAStallIsBouncedWithRoomLeft(t *testing.T) {
+func TestLateAfterAPauseIsRejectedWithRoomLeft(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 4000, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{4000}
@@ -43,16 +44,16 @@
 	for id := range RequestID(20) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
-	bounced := 0
+	rejected := 0
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		if d.Action == Reject {
-			if bounced++; d.Request > 12 {
-				t.Errorf("ticket %d of 20, which is in time yet, was bounced", d.Request)
+			if rejected++; d.Request > 12 {
+				t.Errorf("request %d of 20, which is in time yet, was rejected", d.Request)
 			}
 		}
 	}
-	if bounced < 8 {
-		t.Fatalf("%d of 20 bounced, of which half waited past the contract time", bounced)
+	if rejected < 8 {
+		t.Fatalf("%d of 20 rejected, of which half waited past the objective", rejected)
 	}
 }
 
--- a/internal/decision/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -16,22 +16,21 @@
 // from commit cf1acfb: a change of the package that is meant to leave behaviour alone must leave all of them alone.
 type pinPlay struct {
 	pinSetup
-	rng     *rand.Rand
-	now     Time
-	begin   Time
-	nodes   []*Engine
-	ids     []int
-	stalled []Time // by node: it gets no turn until then
-	servers []*pinServer
-	byID    map[ServerID]*pinServer
-	tasks   map[Time][]func()
-	open    []map[RequestID]*pinRequest // by node
-	nextID  RequestID
-	digest  hash.Hash
-	first   []string       // the first decisions, in words
-	count   map[string]int // decisions and messages by kind
-	notes   []string
-	shadow  Settings
+	rng         *rand.Rand
+	now         Time
+	begin       Time
+	nodes       []*Engine
+	ids         []int
+	pausedUntil []Time // by node: it gets no turn until then
+	servers     []*pinServer
+	byID        map[ServerID]*pinServer
+	tasks       map[Time][]func()
+	open        []map[RequestID]*pinRequest // by node
+	nextID      RequestID
+	digest      hash.Hash
+	first       []string       // the first decisions, in words
+	count       map[string]int // decisions and messages by kind
+	notes       []string
 }
 
 type pinSetup struct {
@@ -53,10 +52,11 @@
 	resets    int    // percent of all attempts
 	outage    bool   // all servers stand still for two seconds
 	restarted int    // servers that have started just before
-	hung      int    // servers that answer nothing
+	silent    int    // servers that answer nothing
 	missed    bool   // the first call to discovery fails
 	period    Time   // of the load, 8 s if 0
 	slowing   int    // seconds after which all servers take half as long again
+	parallel  bool   // a server's requests don't queue
 	firstZero bool   // all customers come in by nodes from number 0 on
 }
 
@@ -69,14 +69,14 @@
 }
 
 type pinRequest struct {
-	attempts []*pinAttempt
-	bound    bool
+	attempts  []*pinAttempt
+	streaming bool
 }
 
 type pinAttempt struct {
-	server *pinServer
-	sent   Time
-	out    bool
+	server   *pinServer
+	sent     Time
+	inFlight bool
 }
 
 const pinStep = 50
@@ -85,7 +85,7 @@
 	p := &pinPlay{
 		pinSetup: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, begin: 3 * Second,
 		byID: map[ServerID]*pinServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), count: map[string]int{},
-		ids: setup.members, stalled: make([]Time, len(setup.members)),
+		ids: setup.members, pausedUntil: make([]Time, len(setup.members)),
 	}
 	for i := range setup.servers {
 		p.addServer(i)
@@ -93,7 +93,7 @@
 	for _, s := range p.servers[:setup.restarted] {
 		s.Started = p.begin - Second
 	}
-	for _, s := range p.servers[len(p.servers)-setup.hung:] {
+	for _, s := range p.servers[len(p.servers)-setup.silent:] {
 		s.free = p.begin + 999*Second
 	}
 	for k, id := range p.ids {
@@ -155,7 +155,7 @@
 			p.step()
 		}
 		for _, n := range p.nodes {
-			fmt.Fprintln(p.digest, pinCustomers(n))
+			p.digest.Write(fmt.Appendln(nil, pinCustomers(n)))
 		}
 		digests = append(digests, hex.EncodeToString(p.digest.Sum(nil))[:12])
 	}
@@ -170,7 +170,7 @@
 		task()
 	}
 	if r := p.rng.Intn(map[bool]int{false: 25, true: 150}[p.mild]); r == 0 {
-		p.upset()
+		p.disturb()
 	}
 	if p.outage && p.now == p.begin+5*Second {
 		for _, s := range p.servers {
@@ -185,7 +185,7 @@
 		p.arrive()
 	}
 	for k, n := range p.nodes {
-		if p.now < p.stalled[k] {
+		if p.now < p.pausedUntil[k] {
 			continue
 		}
 		n.SetTime(p.now)
@@ -232,12 +232,12 @@
 		}
 		p.open[k][id] = &pinRequest{}
 		n.AddRequest(a)
-		if p.now >= p.stalled[k] {
+		if p.now >= p.pausedUntil[k] {
 			p.pull(k)
 		}
 	}
-	if p.now < p.stalled[k] {
-		p.at(p.stalled[k], task)
+	if p.now < p.pausedUntil[k] {
+		p.at(p.pausedUntil[k], task)
 	} else {
 		task()
 	}
@@ -250,8 +250,8 @@
 	}
 }
 
-// upset changes something in the world.
-func (p *pinPlay) upset() {
+// disturb changes something in the world.
+func (p *pinPlay) disturb() {
 	s := p.servers[p.rng.Intn(len(p.servers))]
 	switch p.rng.Intn(12) {
 	case 0, 1, 2:
@@ -264,33 +264,18 @@
 	case 4: // it stands still
 		s.free = max(s.free, p.now) + Time(p.rng.Intn(40000))
 	case 5:
-		s.State = Draining
-		p.tell(ListUpdate, s)
-		p.at(p.now+Time(p.rng.Intn(20000)), func() {
-			s.State, s.Started, s.free = Ready, p.now, p.now
-			p.tell(ListUpdate, s)
-		})
+		p.restart(s)
 	case 6:
-		s.State = Gone
-		p.tell(ListUpdate, s)
-		fresh := p.addServer(p.pinSetup.servers)
-		p.servers = slices.DeleteFunc(p.servers, func(v *pinServer) bool { return v == s })
-		fresh.Started = p.now
-		p.at(p.now+Time(p.rng.Intn(5000)), func() { p.tell(ListUpdate, fresh) })
+		p.replace(s)
 	case 7:
-		p.tell(FullList, p.servers...)
+		p.listTo(FullList, p.servers...)
 	case 8:
-		p.tell(PollFailed)
+		p.listTo(PollFailed)
 	case 9: // a node gets no turn
 		k := p.rng.Intn(len(p.nodes))
-		p.stalled[k] = p.now + Time(2000+p.rng.Intn(9000))
-	case 10: // a third of all servers restart
-		for i, v := range p.servers {
-			if i%3 == 0 && v.State == Ready && !p.mild {
-				v.Started = p.now
-			}
-		}
-		p.tell(FullList, p.servers...)
+		p.pausedUntil[k] = p.now + Time(2000+p.rng.Intn(9000))
+	case 10:
+		p.restartMany()
 	case 11:
 		for _, n := range p.nodes {
 			n.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
@@ -298,8 +283,38 @@
 	}
 }
 
-// tell hands a message of discovery to the nodes, to some of them late.
-func (p *pinPlay) tell(kind EndpointListKind, servers ...*pinServer) {
+// restart drains a server, which comes back cold.
+func (p *pinPlay) restart(s *pinServer) {
+	s.State = Draining
+	p.listTo(ListUpdate, s)
+	p.at(p.now+Time(p.rng.Intn(20000)), func() {
+		s.State, s.Started, s.free = Ready, p.now, p.now
+		p.listTo(ListUpdate, s)
+	})
+}
+
+// replace puts a cold server in one's place.
+func (p *pinPlay) replace(s *pinServer) {
+	s.State = Gone
+	p.listTo(ListUpdate, s)
+	fresh := p.addServer(p.pinSetup.servers)
+	p.servers = slices.DeleteFunc(p.servers, func(v *pinServer) bool { return v == s })
+	fresh.Started = p.now
+	p.at(p.now+Time(p.rng.Intn(5000)), func() { p.listTo(ListUpdate, fresh) })
+}
+
+// restartMany restarts a third of all servers.
+func (p *pinPlay) restartMany() {
+	for i, v := range p.servers {
+		if i%3 == 0 && v.State == Ready && !p.mild {
+			v.Started = p.now
+		}
+	}
+	p.listTo(FullList, p.servers...)
+}
+
+// listTo hands a message of discovery to the nodes, to some of them late.
+func (p *pinPlay) listTo(kind EndpointListKind, servers ...*pinServer) {
 	list := p.listings(servers...)
 	for k, n := range p.nodes {
 		p.at(p.now+Time(p.rng.Intn(3000)), func() {
@@ -334,7 +349,7 @@
 func (p *pinPlay) note(k int, d Decision) {
 	line := fmt.Sprintf("%d node=%d verb=%d ticket=%d nth=%d server=%d span=%d peer=%d text=%x", p.now, p.ids[k], d.Action,
 		d.Request, d.Attempt, d.Server, d.Duration, d.Peer, d.Payload)
-	fmt.Fprintln(p.digest, line)
+	p.digest.Write([]byte(line + "\n"))
 	if len(p.first) < 400 {
 		p.first = append(p.first, line)
 	}
@@ -353,14 +368,14 @@
 
 func (p *pinPlay) deliver(k int, d Decision) {
 	text := slices.Clone(d.Payload)
-	if p.rng.Intn(60) == 0 { // spoilt on the way
+	if p.rng.Intn(60) == 0 { // malformed on the way
 		text = text[:p.rng.Intn(len(text))]
 	}
 	for to, n := range p.nodes {
 		if to == k || d.Peer != AllPeers && d.Peer != NodeID(p.ids[to]) || p.rng.Intn(30) == 0 {
 			continue
 		}
-		p.at(max(p.now+Time(p.rng.Intn(120)), p.stalled[to]), func() {
+		p.at(max(p.now+Time(p.rng.Intn(120)), p.pausedUntil[to]), func() {
 			n.SetTime(p.now)
 			if !n.ReceivePeerMessage(NodeID(p.ids[k]), text) {
 				p.count["unreadable"]++
@@ -373,7 +388,7 @@
 func (p *pinPlay) send(k int, d Decision) {
 	r, s := p.open[k][d.Request], p.byID[d.Server]
 	nth := len(r.attempts)
-	r.attempts = append(r.attempts, &pinAttempt{server: s, sent: p.now, out: true})
+	r.attempts = append(r.attempts, &pinAttempt{server: s, sent: p.now, inFlight: true})
 	if nth > 0 {
 		p.count["retry"]++
 	}
@@ -387,6 +402,9 @@
 		if p.slowing > 0 && p.now > p.begin+Time(p.slowing)*Second {
 			s.slow = 1
 		}
+		if p.parallel {
+			s.free = p.now
+		}
 		s.free = max(s.free, p.now) + p.work*(1+s.slow)*Time(40+p.rng.Intn(120))/100
 		end = s.free
 	}
@@ -399,10 +417,10 @@
 	p.at(end, func() { p.end(k, d.Request, r, nth, outcome) })
 	if p.rng.Intn(20) == 0 { // a stream begins, and breaks or is completed
 		p.at(p.now+Time(p.rng.Intn(1000)), func() {
-			if r.attempts[nth].out {
+			if r.attempts[nth].inFlight {
 				p.nodes[k].SetTime(p.now)
 				p.nodes[k].ResponseStarted(d.Request)
-				r.bound = true
+				r.streaming = true
 			}
 		})
 	}
@@ -410,12 +428,12 @@
 
 func (p *pinPlay) end(k int, id RequestID, r *pinRequest, nth int, outcome Outcome) {
 	n := p.nodes[k]
-	if r == nil || nth >= len(r.attempts) || !r.attempts[nth].out {
+	if r == nil || nth >= len(r.attempts) || !r.attempts[nth].inFlight {
 		n.AttemptEnded(AttemptResult{Request: id, Attempt: nth + 7, Outcome: outcome})
 		return
 	}
 	a := r.attempts[nth]
-	a.out = false
+	a.inFlight = false
 	p.count[fmt.Sprintf("end %d", outcome)]++
 	units := 0.0
 	if p.rng.Intn(3) == 0 {
@@ -424,7 +442,7 @@
 	n.SetTime(p.now)
 	n.AttemptEnded(AttemptResult{
 		Request: id, Attempt: nth, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sent,
-		Final: outcome == Succeeded || r.bound, Units: units, Load: nil,
+		Final: outcome == Succeeded || r.streaming, Units: units, Load: nil,
 	})
 	p.pull(k)
 }
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -26,7 +26,7 @@
 	if got := Settings(nil).Number("a"); got != 0 {
 		t.Errorf("missing reads as %v", got)
 	}
-	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b, ": {"a", "", "b", " "}} {
+	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b,\t": {"a", "", "b", "\t"}} {
 		if got := (Settings{"a": text}).Words("a"); !slices.Equal(got, want) {
 			t.Errorf("%q reads as %q", text, got)
 		}
@@ -69,7 +69,7 @@
 	}
 	setup := pinSetup{
 		set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
-		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, hung: 1, missed: true,
+		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, silent: 1, missed: true,
 	}
 	if set["nodes"] == "18" {
 		setup.members, setup.spread = []int{1, 2}, 9
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -45,7 +45,7 @@
 			n := New(seed*7919+3, Settings{"nodes": "3", "band.0.contract": "6000", "roster": "ask", "ask.within": within}, Second)
 			for now := Second; now < 20*Second; now += 10 {
 				n.SetTime(now)
-				if watches(n) {
+				if pollsDiscovery(n) {
 					polls = append(polls, strconv.Itoa(int(now)))
 					if len(polls)%3 == 0 {
 						n.UpdateEndpoints(PollFailed, nil)
@@ -138,7 +138,7 @@
 			n.subsets.attemptsSent.add(0, n.now, paceMemory)
 			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
-			watches(n)
+			pollsDiscovery(n)
 			got = append(got, at+" "+pinSubset(n))
 		}
 		pinCompare(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
--- a/internal/decision/pin_test.go
+++ b/internal/decision/pin_test.go
@@ -117,6 +117,14 @@
 		members: pinRange(3), servers: 9, zones: 3, perCell: 2, work: 250, perStep: 1, customers: 300, spread: 3,
 		seconds: 16, listAt0: FullList, mild: true,
 	}},
+	{"servers that work in parallel", pinSetup{
+		set: pinSettings(Settings{"nodes": "1"}), members: []int{0}, servers: 5, zones: 2, perCell: 2, work: 1500, perStep: 1.2,
+		customers: 30, spread: 1, seconds: 44, listAt0: FullList, mild: true, free: true, period: 21 * Second, parallel: true,
+	}},
+	{"many suspicions among many nodes", pinSetup{
+		set: pinSettings(Settings{"nodes": "60"}), members: pinRange(12), servers: 12, zones: 3, perCell: 4, work: 200, perStep: 3,
+		customers: 40, spread: 12, seconds: 12, listAt0: FullList, firstZero: true, free: true, resets: 10,
+	}},
 }
 
 // TestPinnedPlays compares all decisions and message bytes of the plays with those of cf1acfb.
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Where copies are barred a ticket that hangs on a silent server is called back, and sent elsewhere only
-// once that execution has ended.
-func TestHungExecutionIsCalledBackThenSentElsewhere(t *testing.T) {
+// Where hedged requests are not allowed a request that hangs on a silent server is cancelled, and sent elsewhere only
+// once that attempt has ended.
+func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
 	n := plain(4, nil)
 	n.retries.left = 5
 	n.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// watchedRun plays 400 tickets of one customer, of which some fail, and tells what was decided.
-func watchedRun(own, other Settings) (did []Decision, n *Engine) {
+// shadowedRun plays 400 requests of one customer, of which some fail, and tells what was decided.
+func shadowedRun(own, other Settings) (did []Decision, n *Engine) {
 	n = plain(6, own)
 	if other != nil {
 		all := plainSettings(own)
@@ -36,8 +36,8 @@
 }
 
 // A watch counts none where settings are equal, a known difference by its kind, and never changes a decision.
-func TestWatchCountsAndNeverActs(t *testing.T) {
-	want, _ := watchedRun(nil, nil)
+func TestShadowCountsAndNeverActs(t *testing.T) {
+	want, _ := shadowedRun(nil, nil)
 	for _, c := range []struct {
 		other Settings
 		kind  string
@@ -53,9 +53,9 @@
 		if other == nil {
 			other = Settings{}
 		}
-		did, n := watchedRun(nil, other)
+		did, n := shadowedRun(nil, other)
 		if !reflect.DeepEqual(did, want) {
-			t.Errorf("%v: the watch changed what was decided", other)
+			t.Errorf("%v: the shadow changed what was decided", other)
 		}
 		seen, differs := n.ShadowCounts()
 		if seen < 400 || differs[c.kind] < c.least || (c.kind == "") != (len(differs) == 0) {
@@ -63,30 +63,30 @@
 		}
 	}
 	if seen, differs := plain(1, nil).ShadowCounts(); seen != 0 || differs != nil {
-		t.Error("counted with no watch")
+		t.Error("counted without a shadow")
 	}
 }
 
-// Random days with a watch on keep the rules and go as without it, whatever it watches.
-func TestWatchedDaysGoAsOthers(t *testing.T) {
+// Random days with a shadow on keep the rules and go as without it, whatever it watches.
+func TestShadowedDaysGoAsOthers(t *testing.T) {
 	for seed := range int64(12) {
 		a, b := newHost(seed), newHost(seed)
 		other := maps.Clone(b.set)
 		maps.Copy(other, Settings{"nodes": "60", "plan.0.rate": "1", "plan.2.open": "1", "band.0.repeats": "single-use"})
 		for range 600 {
-			b.n.StartShadow(other)
+			b.engine.StartShadow(other)
 			a.step()
 			b.step()
 		}
-		if a.err != nil || b.err != nil || a.sent != b.sent || a.complete != b.complete || a.bounced != b.bounced {
-			t.Fatalf("seed %d: %d, %d, %d without, %d, %d, %d with a watch: %v", seed, a.sent, a.complete, a.bounced,
-				b.sent, b.complete, b.bounced, b.err)
+		if a.err != nil || b.err != nil || a.sent != b.sent || a.complete != b.complete || a.rejected != b.rejected {
+			t.Fatalf("seed %d: %d, %d, %d without, %d, %d, %d with a shadow: %v", seed, a.sent, a.complete, a.rejected,
+				b.sent, b.complete, b.rejected, b.err)
 		}
 	}
 }
 
-// Over a wide fleet too, equal settings count none: the stores at a home are charged for what it lets pass elsewhere.
-func TestWatchOverAWideFleet(t *testing.T) {
+// Over a wide fleet too, equal settings count none: the stores at an owner are charged for what it lets pass elsewhere.
+func TestShadowOverAWideFleet(t *testing.T) {
 	for _, other := range []Settings{{}, {"plan.0.rate": "1", "plan.0.depth": "3"}} {
 		f := newFleet(t, Settings{"plan.0.rate": "4", "plan.0.depth": "12"})
 		for k, n := range f.nodes {
@@ -94,7 +94,7 @@
 			maps.Copy(all, other)
 			n.StartShadow(all)
 		}
-		f.ask(5, 10, Second, 9*Second)
+		f.ask(10, Second, 9*Second)
 		differs := int64(0)
 		for _, n := range f.nodes {
 			_, kinds := n.ShadowCounts()
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkDecision is what a ticket costs at a node of a hundred servers and two thousand customers, without and
-// with a watch.
+// BenchmarkDecision is what a request costs at a node of a hundred servers and two thousand customers, without and
+// with a shadow.
 func BenchmarkDecision(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		name := "off"
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Hundreds of nodes that start alike must not all send their first tickets to the same servers, nor, hearing
-// of a start together, each its one execution to the cold server at once.
+// Hundreds of nodes that start alike must not all send their first requests to the same servers, nor, hearing
+// of a start together, each its one attempt to the cold server at once.
 func TestManyNodesSpreadFirstSends(t *testing.T) {
 	const nodes, span = 300, 20000
 	first := map[ServerID]bool{}
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	// 30 tickets a second a node over 21 servers, all of which a warm one completes
+	// 30 requests a second a node over 21 servers, all of which a warm one completes
 	if most := 4 * 0.25 * (30.0 * nodes / 21) * 2; len(first) < 10 || float64(cold) > most || cold == 0 {
 		t.Fatalf("first sends to %d servers; %d to the cold one, %.0f allowed", len(first), cold, most)
 	}
@@ -61,7 +61,7 @@
 			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		for k := range RequestID(28 * 5) { // five tickets a second, 20 s before the change and 8 s after
+		for k := range RequestID(28 * 5) { // five requests a second, 20 s before the change and 8 s after
 			now := Second + Time(k)*Second/5
 			n.SetTime(now)
 			if now >= 21*Second && n.endpoints.ready == warm {
@@ -84,11 +84,11 @@
 		}
 	}
 	if got := float64(sent) / allowed; got < 0.6 || got > 1.2 {
-		t.Fatalf("%d executions to cold servers, %.0f allowed", sent, allowed)
+		t.Fatalf("%d attempts to cold servers, %.0f allowed", sent, allowed)
 	}
 }
 
-// Nodes that stood idle must not all have one execution to spare for a cold server: not at its second start under
+// Nodes that stood idle must not all have one attempt to spare for a cold server: not at its second start under
 // the same uid, and not after a pause within its cold span. The bound is N + 2√N + 2, N by the least that is assumed.
 func TestIdleNodesHoldNoCreditForColdServers(t *testing.T) {
 	const nodes = 30
@@ -104,7 +104,7 @@
 			{61 * Second, 61*Second - 1},
 			{71 * Second, 61*Second - 1},
 		} {
-			n.SetTime(step.at - 500) // a turn before, or the pause would pass for a stall
+			n.SetTime(step.at - 500) // a turn before, or the gap would pass for a pause
 			pull(n, Forward)
 			n.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
@@ -123,7 +123,7 @@
 	}
 	for at, share := range map[Time]float64{Second: 0.25, 61 * Second: 0.25, 71 * Second: 0.25 + 0.75*10/18} {
 		if most := 4 * share * 2 / 0.6; float64(sent[at]) > most+2*math.Sqrt(most)+2 {
-			t.Errorf("%d executions at once at %d, where N is %.1f", sent[at], at, most)
+			t.Errorf("%d attempts at once at %d, where N is %.1f", sent[at], at, most)
 		}
 	}
 }
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -98,7 +98,7 @@
 
 // The first list gives the servers that a node goes on with: dealt for another number of servers, it would drop its
 // connections again a second later.
-func TestTheFirstListDealsForGood(t *testing.T) {
+func TestFirstListChoosesTheSubsetForGood(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
 		first := slices.Clone(n.endpoints.subset)
@@ -139,18 +139,10 @@
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		met, last := map[ServerID]bool{}, Second
-		for k := range RequestID(20 * 5) { // five tickets a second
-			last += Second / 5
-			n.SetTime(last)
-			n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Forward) {
-				met[d.Server] = true
-				load[d.Server]++
-				sent++
-				n.SetTime(last + Second/10)
-				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
-			}
+		met := fiveASecond(n, 20)
+		for s, k := range met {
+			load[s] += k
+			sent += k
 		}
 		if len(met) < minSubset || len(met) > 20 {
 			t.Fatalf("node %d met %d servers", me, len(met))
@@ -177,6 +169,22 @@
 	}
 }
 
+// fiveASecond plays so many seconds of five requests each, which take 0.1 s, and gives the attempts by server.
+func fiveASecond(n *Engine, seconds int) map[ServerID]int {
+	met, last := map[ServerID]int{}, Second
+	for k := range RequestID(seconds * 5) {
+		last += Second / 5
+		n.SetTime(last)
+		n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(n, Forward) {
+			met[d.Server]++
+			n.SetTime(last + Second/10)
+			n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
+		}
+	}
+	return met
+}
+
 func TestSubsetChoice(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -20,7 +20,7 @@
 		n := New(r.Uint64(), set, Second)
 		for k, now := 0, Second; k < 6; k++ {
 			asked := now
-			for !watches(n) {
+			for !pollsDiscovery(n) {
 				now += Second / 50
 				n.SetTime(now)
 			}
@@ -44,7 +44,7 @@
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls before: however
 // many failed, the next comes within 3 s, since a call without hope may take 2 s before it and its own answer 1 s; not
 // sooner than 1 s, as discovery may have too much to do. 200 nodes whose calls failed together ask again in no step.
-func TestDiscoveryIsAskedAgainWithinTheTerm(t *testing.T) {
+func TestDiscoveryIsPolledAgainWithinTheTerm(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
 		set := Settings{
@@ -54,7 +54,7 @@
 		n, now := New(uint64(seed)*7919, set, Second), Second
 		for k := range 15 {
 			asked := now
-			for !watches(n) {
+			for !pollsDiscovery(n) {
 				now += tick
 				n.SetTime(now)
 			}
@@ -74,8 +74,8 @@
 				"roster": "ask", "plan.count": "1", "ask.within": "100000",
 			}, Second)
 			now := Second
-			watches(n)
-			for n.UpdateEndpoints(PollFailed, nil); !watches(n); now += tick {
+			pollsDiscovery(n)
+			for n.UpdateEndpoints(PollFailed, nil); !pollsDiscovery(n); now += tick {
 				n.SetTime(now)
 			}
 			again = append(again, now)
@@ -89,7 +89,7 @@
 	}
 }
 
-func watches(n *Engine) (asked bool) {
+func pollsDiscovery(n *Engine) (asked bool) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		asked = asked || d.Action == PollEndpoints
 	}
