--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -52,7 +52,8 @@
 }
 
 // The small form of lab scale with all its faults: nothing runs twice, all is answered, nothing goes to a server that was
-// drained, every change comes into force at every node, real nodes hear each other and the simulated ones, and every child ends.
+// drained, every change comes into force at every node, real nodes receive messages from each other and from simulated ones,
+// and every child ends.
 func TestScaleInSmall(t *testing.T) {
 	cfg := smallScale(t)
 	before := offspring(t)
@@ -103,7 +104,7 @@
 		t.Error("changes not in force in time")
 	}
 	if r.Exited+r.Killed != 0 || r.Restarts != 2 || r.SimulatedRestarts != 6 {
-		t.Error("a node ended by itself, or not when told, or was not started anew")
+		t.Error("a node ended by itself, or not on SIGTERM, or was not started again")
 	}
 	if r.ViaNodeP99 <= 0 || r.DirectP50 <= 0 || r.PeakRSSMiB <= 0 || r.DiscoveryFullLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
 		t.Error("figures are missing")
@@ -136,9 +137,9 @@
 // Interrupted half-way, at its start or where a child can't start, it leaves no process behind and says why.
 func TestScaleInterrupted(t *testing.T) {
 	for name, c := range map[string]struct {
-		after time.Duration
-		spoil func(*testing.T, *scale.Config)
-		want  string
+		after  time.Duration
+		change func(*testing.T, *scale.Config)
+		want   string
 	}{
 		"under way":    {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
 		"at its start": {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
@@ -147,7 +148,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := smallScale(t)
-			c.spoil(t, &cfg)
+			c.change(t, &cfg)
 			before := offspring(t)
 			ctx, cancel := context.WithTimeout(t.Context(), c.after)
 			defer cancel()
