--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -58,6 +58,10 @@
 	}
 	cmd := exec.CommandContext(t.Context(), self, args...)
 	cmd.Dir = dir
-	cmd.Env = append([]string{asProgram + "=1", "GORACE=atexit_sleep_ms=0", "HOME=" + dir}, env...)
+	cmd.Env = append([]string{
+		asProgram + "=1", "HOME=" + dir,
+		"GORACE=atexit_sleep_ms=0",              // else each end takes a second under the race detector
+		"GOCOVERDIR=" + os.Getenv("GOCOVERDIR"), // else the end is noted on standard error where coverage is measured
+	}, env...)
 	return cmd
 }
