--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestInvalidConfig(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"no program":   func(c *Config) { c.Program = "" },
 		`fault "rain"`: func(c *Config) { c.Faults = []string{"rain"} },
 		"real:":        func(c *Config) { c.Real = 0 },
@@ -21,7 +21,7 @@
 	} {
 		c := Default()
 		c.Program = "cherrygap"
-		spoil(&c)
+		invalidate(&c)
 		if err := c.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
