--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -111,7 +111,7 @@
 // Under load over both protocols, with an authoriser that lags past the deadline, drops calls, answers nonsense, denies
 // and restarts twice: no purchase runs without its check or twice, no denied request runs, each is answered in time.
 func TestLoadWithAnAuthorizerThatMisbehaves(t *testing.T) {
-	const clients, requests = 8, 400
+	const clients, requests = 8, 600 // so many that the run outlasts the restart after 1.9 s
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{
 		Seed: 2, DenyEvery: 5, MeanDelay: time.Millisecond, SlowProbability: 0.05,
 		SlowDelay: 300 * time.Millisecond, DropProbability: 0.05, MalformedProbability: 0.02,
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -1,10 +1,9 @@
-// Package authz is the laboratory's stand-in for an external authoriser: Envoy's published Authorization service over
-// gRPC on loopback, which allows, denies, lags, errs, drops calls and restarts, from a seed and a schedule.
+// Package authz is the laboratory's stand-in for an external authorizer: Envoy's published Authorization service over
+// gRPC on loopback, which allows, denies, is slow, errs, drops calls and restarts, from a seed and a schedule.
 package authz
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"strconv"
@@ -18,109 +17,138 @@
 	"google.golang.org/grpc/status"
 )
 
-// Config is how it answers.
+const (
+	randomStream   = 11                    // of the seed's, that this package draws from
+	relistenAfter  = 10 * time.Millisecond // between two tries to listen again after a restart
+	malformedCode  = 99                    // a status that gRPC doesn't have
+	customerRadix  = 16                    // of the customer in a check
+	customerLength = 64                    // in bits, at most
+)
+
+// Config is how it answers. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
 	DenyEvery            uint64        // customers whose number divides by it are denied; 0 for none
 	MeanDelay            time.Duration // of each answer, mean of an exponential
-	SlowProbability      float64       // chance that an answer takes LagFor on top
+	SlowProbability      float64       // that an answer takes SlowDelay on top
 	SlowDelay            time.Duration
-	DropProbability      float64       // chance that a call ends without an answer
-	MalformedProbability float64       // chance of an answer that makes no sense
+	DropProbability      float64       // that a call ends without an answer
+	MalformedProbability float64       // of an answer that makes no sense
 	Uptime               time.Duration // it restarts after so long, each time; 0 for never
-	Downtime             time.Duration
+	Downtime             time.Duration // for which it is gone then
 }
 
-// Server is a stand-in authoriser.
+// Server is a stand-in authorizer.
 type Server struct {
 	auth.UnimplementedAuthorizationServer
-	cfg  Config
-	addr string
-	stop chan struct{}
-	done sync.WaitGroup
 
-	mu         sync.Mutex
+	config Config
+	addr   string
+	stop   chan struct{}  // closed by Close
+	done   sync.WaitGroup // run
+
+	mu         sync.Mutex // guards the rest
 	random     *rand.Rand
-	server     *grpc.Server
-	lastAnswer map[string]bool // by the ticket's id: what was answered last, whether or not in time
+	lastAnswer map[string]bool // by the request's id: what was answered last, whether or not in time
 	answers    int64
 	starts     int64
 }
 
-// Start starts one on a loopback address (port 0 for a free one).
+// NotLoopbackError is an address that isn't on this machine's loopback: the lab listens nowhere else.
+type NotLoopbackError struct{ Addr string }
+
+// Error has the address.
+func (e *NotLoopbackError) Error() string { return e.Addr + " is not a loopback address" }
+
+// Start starts one on a loopback address (port 0 for a free one); another is a *NotLoopbackError. Its goroutine ends with
+// Close.
 func Start(addr string, cfg Config) (*Server, error) {
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if !ln.Addr().(*net.TCPAddr).IP.IsLoopback() {
-		ln.Close()
-		return nil, fmt.Errorf("%s is not a loopback address", addr)
+	if local, ok := listener.Addr().(*net.TCPAddr); !ok || !local.IP.IsLoopback() {
+		_ = listener.Close() // nothing has used it
+		return nil, &NotLoopbackError{Addr: addr}
 	}
 	s := &Server{
-		cfg: cfg, addr: ln.Addr().String(), stop: make(chan struct{}), lastAnswer: map[string]bool{},
-		random: rand.New(rand.NewPCG(cfg.Seed, 11)),
+		config: cfg, addr: listener.Addr().String(), stop: make(chan struct{}), lastAnswer: map[string]bool{},
+		random: rand.New(rand.NewPCG(cfg.Seed, randomStream)),
 	}
 	s.done.Add(1)
-	go s.run(ln)
+	go s.run(listener)
 	return s, nil
 }
 
 // Addr is where it listens, when it is up.
 func (s *Server) Addr() string { return s.addr }
 
-// run serves, and restarts where the configuration wants it: calls under way are broken off.
-func (s *Server) run(ln net.Listener) {
+// Close ends it; calls in flight fail.
+func (s *Server) Close() {
+	close(s.stop)
+	s.done.Wait()
+}
+
+// run serves, and restarts where the configuration wants it, until Close.
+func (s *Server) run(listener net.Listener) {
 	defer s.done.Done()
-	for {
-		server := grpc.NewServer()
-		auth.RegisterAuthorizationServer(server, s)
-		s.mu.Lock()
-		s.server = server
-		s.starts++
-		s.mu.Unlock()
-		go server.Serve(ln)
-		up := make(<-chan time.Time)
-		if s.cfg.Uptime > 0 {
-			up = time.After(s.cfg.Uptime)
-		}
-		select {
-		case <-s.stop:
-			server.Stop()
+	for listener != nil && s.serve(listener) {
+		if !s.wait(s.config.Downtime) {
 			return
-		case <-up:
-			server.Stop()
 		}
-		select {
-		case <-s.stop:
-			return
-		case <-time.After(s.cfg.Downtime):
+		listener = s.listenAgain()
+	}
+}
+
+// serve serves until the end of the uptime, and reports whether that came before Close. Calls in flight fail.
+func (s *Server) serve(listener net.Listener) (restart bool) {
+	server := grpc.NewServer()
+	auth.RegisterAuthorizationServer(server, s)
+	s.mu.Lock()
+	s.starts++
+	s.mu.Unlock()
+	go func() { _ = server.Serve(listener) }() // until Stop, which closes the listener
+	defer server.Stop()
+	var up <-chan time.Time
+	if s.config.Uptime > 0 {
+		up = time.After(s.config.Uptime)
+	}
+	select {
+	case <-s.stop:
+		return false
+	case <-up:
+		return true
+	}
+}
+
+// listenAgain listens at the same address, which another may hold for a while. It returns nil after Close.
+func (s *Server) listenAgain() net.Listener {
+	for {
+		if listener, err := net.Listen("tcp", s.addr); err == nil {
+			return listener
 		}
-		for err := error(nil); ; time.Sleep(10 * time.Millisecond) {
-			if ln, err = net.Listen("tcp", s.addr); err == nil {
-				break
-			}
-			select {
-			case <-s.stop:
-				return
-			default:
-			}
+		if !s.wait(relistenAfter) {
+			return nil
 		}
 	}
 }
 
-// Close ends it.
-func (s *Server) Close() {
-	close(s.stop)
-	s.done.Wait()
+// wait waits, and reports whether that was not cut short by Close.
+func (s *Server) wait(d time.Duration) bool {
+	select {
+	case <-s.stop:
+		return false
+	case <-time.After(d):
+		return true
+	}
 }
 
-// LastAnswer tells what it answered for a ticket, and whether it did.
-func (s *Server) LastAnswer(id string) (allowed, said bool) {
+// LastAnswer is what it answered for a request, and whether it did.
+func (s *Server) LastAnswer(id string) (allowed, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	allowed, said = s.lastAnswer[id]
-	return allowed, said
+	allowed, answered = s.lastAnswer[id]
+	return allowed, answered
 }
 
 // Counts is how many answers it gave, and how often it started.
@@ -130,33 +158,44 @@
 	return s.answers, s.starts
 }
 
-// Check answers one call.
-func (s *Server) Check(ctx context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
-	a := r.GetAttributes()
-	customer, err := strconv.ParseUint(a.GetContextExtensions()["customer"], 16, 64)
+// fate is what becomes of one call.
+type fate struct {
+	delay           time.Duration
+	drop, malformed bool
+}
+
+func (s *Server) drawFate() fate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f := fate{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
+	if s.random.Float64() < s.config.SlowProbability {
+		f.delay += s.config.SlowDelay
+	}
+	f.drop, f.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
+	return f
+}
+
+// Check answers one call. It works on after the caller gave up, as a slow authorizer does.
+func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
+	attributes := r.GetAttributes()
+	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerRadix, customerLength)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
-	s.mu.Lock()
-	wait := time.Duration(s.random.ExpFloat64() * float64(s.cfg.MeanDelay))
-	if s.random.Float64() < s.cfg.SlowProbability {
-		wait += s.cfg.SlowDelay
-	}
-	drop, odd := s.random.Float64() < s.cfg.DropProbability, s.random.Float64() < s.cfg.MalformedProbability
-	s.mu.Unlock()
-	time.Sleep(wait) // on after the caller gave up, as a slow one does
-	allowed := s.cfg.DenyEvery == 0 || customer%s.cfg.DenyEvery != 0
+	f := s.drawFate()
+	time.Sleep(f.delay)
+	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
 	s.answers++
-	if !drop && !odd {
-		s.lastAnswer[a.GetRequest().GetHttp().GetId()] = allowed
+	if !f.drop && !f.malformed {
+		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
 	s.mu.Unlock()
 	switch {
-	case drop:
+	case f.drop:
 		return nil, status.Error(codes.Unavailable, "dropped")
-	case odd:
-		return &auth.CheckResponse{Status: &rpc.Status{Code: 99}}, nil
+	case f.malformed:
+		return &auth.CheckResponse{Status: &rpc.Status{Code: malformedCode}}, nil
 	case allowed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)}}, nil
 	}
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestEarlierSeriesStayReadable reads series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
-// `lab model --series` and `lab load --series`) and checks every figure that a report takes from them.
-func TestEarlierSeriesStayReadable(t *testing.T) {
+// readEarlier reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
+// `lab model --series` and `lab load --series`).
+func readEarlier(t *testing.T) []Run {
+	t.Helper()
 	var runs []Run
 	for _, name := range []string{"earlier-model", "earlier-load"} {
 		r, err := Read(filepath.Join("testdata", name+".jsonl"))
@@ -21,38 +22,56 @@
 		}
 		runs = append(runs, r)
 	}
-	type second struct {
-		t                            int
-		p50, p95, p99, mean, busiest float64
-	}
-	const none = -1 // a load tool's series carries no servers' load
-	for i, want := range [][]second{
-		{
-			{0, 22.783, 70.079, 121.599, 0.34375, 0.5},
-			{1, 23.935, 77.503, 109.951, 0.3125, 0.375},
-			{2, 22.703, 81.279, 108.415, 0.21875, 0.375},
-			{3, 24.783, 82.815, 116.351, 0.5, 0.75},
-			{4, 50.879, 294.655, 341.503, 0, 0},
-		},
-		{
-			{0, 69.823, 262.911, 469.247, none, none},
-			{1, 83.711, 315.391, 399.103, none, none},
-			{2, 73.983, 190.719, 333.567, none, none},
-		},
-	} {
-		if len(runs[i].Samples) != len(want) {
-			t.Fatalf("%s: %d seconds, not %d", runs[i].Name, len(runs[i].Samples), len(want))
-		}
-		for k, l := range runs[i].Samples {
-			got := second{l.Second, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
-			if l.LoadMean != nil && l.LoadMax != nil {
-				got.mean, got.busiest = *l.LoadMean, *l.LoadMax
+	return runs
+}
+
+// earlierSecond is a second of a series, as it is read.
+type earlierSecond struct {
+	t                            int
+	p50, p95, p99, mean, busiest float64
+}
+
+const none = -1 // a load tool's series carries no servers' load
+
+var earlierSeconds = [][]earlierSecond{
+	{
+		{0, 22.783, 70.079, 121.599, 0.34375, 0.5},
+		{1, 23.935, 77.503, 109.951, 0.3125, 0.375},
+		{2, 22.703, 81.279, 108.415, 0.21875, 0.375},
+		{3, 24.783, 82.815, 116.351, 0.5, 0.75},
+		{4, 50.879, 294.655, 341.503, 0, 0},
+	},
+	{
+		{0, 69.823, 262.911, 469.247, none, none},
+		{1, 83.711, 315.391, 399.103, none, none},
+		{2, 73.983, 190.719, 333.567, none, none},
+	},
+}
+
+// Series of an earlier version stay readable: every figure that a report takes from them.
+func TestEarlierSeriesStayReadable(t *testing.T) {
+	for i, run := range readEarlier(t) {
+		t.Run(run.Name, func(t *testing.T) {
+			want := earlierSeconds[i]
+			if len(run.Samples) != len(want) {
+				t.Fatalf("%d seconds, not %d", len(run.Samples), len(want))
 			}
-			if got != want[k] {
-				t.Errorf("%s: second %d is %+v, not %+v", runs[i].Name, k, got, want[k])
+			for k, l := range run.Samples {
+				got := earlierSecond{l.Second, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
+				if l.LoadMean != nil && l.LoadMax != nil {
+					got.mean, got.busiest = *l.LoadMean, *l.LoadMax
+				}
+				if got != want[k] {
+					t.Errorf("second %d is %+v, not %+v", k, got, want[k])
+				}
 			}
-		}
+		})
 	}
+}
+
+// The table and the files of earlier series are as they were.
+func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
+	runs := readEarlier(t)
 	const table = `# runs
 
 | run | seconds | bounced | broken | completed | gave_up | completed share | worst p99 ms |
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -2,46 +2,72 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
+// writeSeries writes a series file to a directory, and returns its path.
+func writeSeries(t *testing.T, dir, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, "run.jsonl")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
 func TestBadLineIsNamed(t *testing.T) {
-	p := filepath.Join(t.TempDir(), "s.jsonl")
-	os.WriteFile(p, []byte("{\"t\":0,\"outcomes\":{\"completed\":3}}\n{oops\n"), 0o600)
-	if _, err := Read(p); err == nil || !strings.Contains(err.Error(), "line 2") {
+	path := writeSeries(t, t.TempDir(), "{\"t\":0,\"outcomes\":{\"completed\":3}}\n{oops\n")
+	var series *SeriesError
+	if _, err := Read(path); !errors.As(err, &series) || series.Line != 2 || !strings.Contains(err.Error(), "line 2") {
 		t.Fatalf("got %v", err)
 	}
+	if _, err := Read(writeSeries(t, t.TempDir(), "\n")); !errors.Is(err, ErrNoLines) {
+		t.Errorf("a series without lines: %v", err)
+	}
+	if _, err := Read(filepath.Join(t.TempDir(), "none.jsonl")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
 }
 
 // The same series give the same files, byte for byte.
 func TestSameSeriesSameReport(t *testing.T) {
 	dir := t.TempDir()
-	p := filepath.Join(dir, "run.jsonl")
 	var text strings.Builder
 	for i := range 30 {
 		text.WriteString(`{"t":` + string(rune('0'+i%10)) + `,"outcomes":{"completed":10,"bounced":2},"p99_ms":12.5,"load_max":0.5}` + "\n")
 	}
-	os.WriteFile(p, []byte(text.String()), 0o600)
-	r, err := Read(p)
+	run, err := Read(writeSeries(t, dir, text.String()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	first, err := Write(filepath.Join(dir, "a"), "t", []Run{run})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := Write(filepath.Join(dir, "a"), "t", []Run{r})
+	second, err := Write(filepath.Join(dir, "b"), "t", []Run{run})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := Write(filepath.Join(dir, "b"), "t", []Run{r})
-	if len(a) != 5 || len(a) != len(b) {
-		t.Fatalf("files %v %v", a, b)
+	if len(first) != 5 || len(first) != len(second) {
+		t.Fatalf("files %v %v", first, second)
 	}
-	for i := range a {
-		x, _ := os.ReadFile(a[i])
-		y, _ := os.ReadFile(b[i])
-		if len(x) == 0 || !bytes.Equal(x, y) {
-			t.Errorf("%s differs", filepath.Base(a[i]))
-		}
+	for i := range first {
+		t.Run(filepath.Base(first[i]), func(t *testing.T) {
+			x, err := os.ReadFile(first[i])
+			if err != nil {
+				t.Fatal(err)
+			}
+			y, err := os.ReadFile(second[i])
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(x) == 0 || !bytes.Equal(x, y) {
+				t.Error("differs")
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/lab/report/table.go
@@ -0,0 +1,82 @@
+package report
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+)
+
+// WriteTable writes the runs' totals as Markdown: counts of each outcome, the completed share, and the worst
+// second's p99.
+func WriteTable(w io.Writer, title string, runs []Run) error {
+	outcomes := outcomesOf(runs)
+	var b strings.Builder
+	fmt.Fprintf(&b, "# %s\n\n| run | seconds | %s | completed share | worst p99 ms |\n|---|---|%s---|---|\n",
+		title, strings.Join(outcomes, " | "), strings.Repeat("---|", len(outcomes)))
+	for _, run := range runs {
+		totals := totalsOf(run)
+		cells := make([]string, len(outcomes))
+		for i, outcome := range outcomes {
+			cells[i] = fmt.Sprint(totals.outcomes[outcome])
+		}
+		fmt.Fprintf(&b, "| %s | %d | %s | %.3f | %.1f |\n", run.Name, len(run.Samples), strings.Join(cells, " | "),
+			totals.completedShare(), totals.worstP99Ms)
+	}
+	_, err := io.WriteString(w, b.String())
+	return err
+}
+
+func writeTableFile(path, title string, runs []Run) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if err := WriteTable(f, title, runs); err != nil {
+		_ = f.Close() // the error before it says more
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return f.Close()
+}
+
+// outcomesOf are the outcomes that any run has, in the order of their names.
+func outcomesOf(runs []Run) []string {
+	names := map[string]bool{}
+	for _, run := range runs {
+		for _, s := range run.Samples {
+			for name := range s.Outcomes {
+				names[name] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(names))
+}
+
+// totals are the figures of a whole run.
+type totals struct {
+	outcomes   map[string]int64
+	requests   int64
+	worstP99Ms float64
+}
+
+func totalsOf(run Run) totals {
+	t := totals{outcomes: map[string]int64{}}
+	for _, s := range run.Samples {
+		for name, count := range s.Outcomes {
+			t.outcomes[name] += count
+			t.requests += count
+		}
+		t.worstP99Ms = max(t.worstP99Ms, s.P99Ms)
+	}
+	return t
+}
+
+// completedShare is the share of the requests that completed; 0 without any.
+func (t totals) completedShare() float64 {
+	if t.requests <= 0 {
+		return 0
+	}
+	return float64(t.outcomes[outcomeCompleted]) / float64(t.requests)
+}
