--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -57,7 +57,7 @@
 	go timer.Run(router.Tick)
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, true)
 	counters := &transport.Counters{}
-	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, Idle: 10 * time.Second, Connect: time.Second}
+	limits := transport.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	n.http = freeAddress(t)
 	requests, err := transport.Listen(n.http, router, transport.NewPool(limits, &log, counters), limits, authorizer, &log, counters)
 	if err != nil {
