--- a/cmd/cherrygap/config_check.go
+++ b/cmd/cherrygap/config_check.go
@@ -28,24 +28,27 @@
 func runConfigCheck(cmd *cobra.Command, paths []string) error {
 	var result error
 	for _, path := range paths {
-		if err := checkFile(path); err != nil {
+		deprecations, err := checkFile(path)
+		if err != nil {
 			cmd.PrintErrln(err)
 			result = errReported
 			continue
 		}
+		printDeprecations(cmd, path, deprecations)
 		_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", path)
 	}
 	return result
 }
 
-// checkFile checks a platform configuration (.json) or an operator file. The environment's values are left out.
-func checkFile(path string) error {
-	if filepath.Ext(path) != ".json" {
-		_, err := operatorfile.Load(path)
-		return err
+// checkFile checks a platform configuration (.json) or an operator file, and gives the keys that the latter has under an
+// earlier name. The environment's values are left out.
+func checkFile(path string) ([]operatorfile.Deprecation, error) {
+	if filepath.Ext(path) == ".json" {
+		_, err := loadPlatformFile(path)
+		return nil, err
 	}
-	_, err := loadPlatformFile(path)
-	return err
+	file, err := operatorfile.Load(path)
+	return file.Deprecations, err
 }
 
 // loadPlatformFile reads a platform configuration, whatever the environment says.
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -40,6 +40,14 @@
 	return lab
 }
 
+// withLabFile is withOperatorFile for the laboratory's commands, which write the file's deprecated keys on standard error.
+func withLabFile(path *string, run func(cmd *cobra.Command, file operatorfile.File) error) commandFunc {
+	return withOperatorFile(path, func(cmd *cobra.Command, file operatorfile.File) error {
+		printDeprecations(cmd, *path, file.Deprecations)
+		return run(cmd, file)
+	})
+}
+
 // newLabLog opens the laboratory's own log on standard error.
 func newLabLog(file operatorfile.File) zerolog.Logger {
 	return zerolog.New(os.Stderr).Level(parseLogLevel(file.Log.Level)).With().Timestamp().Logger()
@@ -50,7 +58,7 @@
 	return json.NewEncoder(cmd.OutOrStdout()).Encode(value)
 }
 
-// announce writes the JSON line by which a command that serves tells its addresses. It serves without a reader too.
+// announce writes the JSON line with a serving command's addresses. An error is no reason not to serve.
 func announce(cmd *cobra.Command, value any) { _ = printJSON(cmd, value) }
 
 // contextUntilSignal gives a context that ends on SIGINT or SIGTERM, or after the time limit when that is above 0.
--- a/cmd/cherrygap/server_parts.go
+++ b/cmd/cherrygap/server_parts.go
@@ -8,6 +8,13 @@
 	"cherrygap/internal/transport"
 )
 
+// warnOfDeprecations logs the keys that the operator file gives under an earlier name.
+func (s *server) warnOfDeprecations() {
+	for _, key := range s.config.deprecations {
+		s.log.Warn().Str("key", key.Key).Int("line", key.Line).Str("write", key.Standard).Msg("deprecated key in the operator file")
+	}
+}
+
 // openTimer opens the one timer of the decision module.
 func (s *server) openTimer() error {
 	timer, err := transport.NewTimer()
@@ -107,7 +114,7 @@
 // buildHealthChecks makes this node's part of the fleet's shared health checks, where it takes part in them.
 func (s *server) buildHealthChecks() error {
 	if s.config.sharesHealthChecks() {
-		s.healthChecks = transport.NewHealthChecker(s.config.healthCheckConfig(), s.router, s.pool, s.sendToPeer, &s.log)
+		s.healthChecks = transport.NewHealthChecker(s.config.healthCheckConfig(), s.router, s.pool, s.sendToPeer)
 	}
 	return nil
 }
