--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,4 +1,4 @@
-// Package authz decides how requests are checked by an external authoriser that may be late, gone or overloaded: whether it
+// Package authz decides how requests are checked by an external authorizer that may be late, gone or overloaded: whether it
 // is asked about a request, how long its answer is awaited, how many checks are in flight, and what holds where none came.
 // It holds no I/O and no clock: times are given, as spans since any moment that stays the same. A request is sent to an app
 // server only once its check is final; what a check took is gone from the request's time.
@@ -33,7 +33,7 @@
 const (
 	CheckNeeded Verdict = iota // not yet: check it, and report the outcome to End
 	Allow                      // it may be sent to an app server
-	Deny                       // the authoriser says no
+	Deny                       // the authorizer says no
 	Reject
 )
 
@@ -46,7 +46,7 @@
 	Denied
 	TimedOut
 	Failed     // the call failed, or its answer makes no sense
-	ClientGone // before the answer: says nothing of the authoriser
+	ClientGone // before the answer: says nothing of the authorizer
 )
 
 // Counters count what a Policy did, for the node's log.
@@ -54,7 +54,7 @@
 	Checks, Allowed, Denied, Unanswered, ClientGone int64
 	FailedOpen, FailedClosed                        int64 // requests that passed, and that were rejected, without an answer
 	OverLimit                                       int64 // of those, for too many checks in flight
-	BreakerOpened                                   int64 // times that the authoriser was left alone after failures
+	BreakerOpened                                   int64 // times that the authorizer was left alone after failures
 }
 
 // Policy is one node's part. Its methods must not run at the same time.
@@ -112,7 +112,7 @@
 
 // End reports how a check ended that Begin asked for, once for each, and returns the request's verdict. What comes after a
 // check was given up must not be reported: its request has its verdict. Waited is what Begin gave it: no answer within less
-// than a class's usual wait, as for a request with little time left, says nothing of the authoriser.
+// than a class's usual wait, as for a request with little time left, says nothing of the authorizer.
 func (p *Policy) End(now time.Duration, class int, outcome Outcome, waited time.Duration) Verdict {
 	c := p.config.Classes[class]
 	p.inFlight--
--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("little time left: %v, %v", v, wait)
 	}
 	p := newPolicy(4)
-	for range 3 * maxFailures { // clients with little time left say nothing of the authoriser
+	for range 3 * maxFailures { // clients with little time left say nothing of the authorizer
 		p.Begin(0, 1, 100*time.Millisecond)
 		p.End(0, 1, TimedOut, 50*time.Millisecond)
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// An authoriser that does not answer is left alone, then tried by one check at a time, and asked again once it answers.
-func TestSilentAuthoriserIsLeftAlone(t *testing.T) {
+// An authorizer that does not answer is left alone, then tried by one check at a time, and asked again once it answers.
+func TestSilentAuthorizerIsLeftAlone(t *testing.T) {
 	p, random, checks := newPolicy(16), rand.New(rand.NewPCG(1, 1)), 0
 	var timeouts []time.Duration // of the checks in flight
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * time.Millisecond {
--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -7,21 +7,21 @@
 
 // Tuned values of the circuit breaker.
 const (
-	maxFailures  = 5   // in a row, until the authoriser is left alone
+	maxFailures  = 5   // in a row, until the authorizer is left alone
 	openWaits    = 2.0 // times the wait for an answer, that it is left alone first; doubled each time a trial fails
 	maxDoublings = 10  // of that
 	maxOpen      = 5 * time.Second
 )
 
-// breaker leaves the authoriser alone after failures in a row, then tries it with one check at a time. The zero value lets
+// breaker leaves the authorizer alone after failures in a row, then tries it with one check at a time. The zero value lets
 // all pass.
 type breaker struct {
 	consecutiveFailures int
-	openUntil           time.Duration // the authoriser is left alone until then
+	openUntil           time.Duration // the authorizer is left alone until then
 	trialInFlight       bool          // one check is in flight after that
 }
 
-// broken reports whether the authoriser has failed so often that it gets trials at most.
+// broken reports whether the authorizer has failed so often that it gets trials at most.
 func (b *breaker) broken() bool { return b.consecutiveFailures >= maxFailures }
 
 // allows reports whether a check may begin.
@@ -38,7 +38,7 @@
 // succeeded notes an answer.
 func (b *breaker) succeeded() { b.consecutiveFailures = 0 }
 
-// failed notes that a check of a class came to nothing, and reports whether the authoriser is left alone from now on. Checks
+// failed notes that a check of a class came to nothing, and reports whether the authorizer is left alone from now on. Checks
 // that were in flight together when it failed count as one failure more, not as many.
 func (b *breaker) failed(now, latencyObjective time.Duration) (opened bool) {
 	b.consecutiveFailures++
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -19,7 +19,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// Of connections to the authoriser, which gRPC makes anew by itself, and of the latencies that are kept.
+// Of connections to the authorizer, which gRPC makes anew by itself, and of the latencies that are kept.
 const (
 	firstReconnect   = 50 * time.Millisecond
 	reconnectGrowth  = 1.6
@@ -30,7 +30,7 @@
 	latencyPrecision = 2           // significant digits
 )
 
-// Authorizer asks an external authoriser about requests, as an authz.Policy decides. It is a transport.Authorizer, for any
+// Authorizer asks an external authorizer about requests, as an authz.Policy decides. It is a transport.Authorizer, for any
 // number of goroutines.
 type Authorizer struct {
 	conn      *grpc.ClientConn
@@ -43,7 +43,7 @@
 	latencies *hdrhistogram.Histogram // of checks that ended, microseconds
 }
 
-// DialAuthorizer readies an authoriser at an address and port; it does not wait for it. Classes are the numbers of the
+// DialAuthorizer readies an authorizer at an address and port; it does not wait for it. Classes are the numbers of the
 // decision module's classes by name, as cfg has them. Close ends it.
 func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -54,7 +54,7 @@
 			MinConnectTimeout: connectTimeout,
 		}), grpc.WithDisableServiceConfig())
 	if err != nil {
-		return nil, fmt.Errorf("authoriser %s: %w", addr, err)
+		return nil, fmt.Errorf("authorizer %s: %w", addr, err)
 	}
 	return &Authorizer{
 		conn: conn, client: auth.NewAuthorizationClient(conn), classes: classes, startedAt: time.Now(),
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// Close ends the connection to the authoriser, and with it the checks in flight.
+// Close ends the connection to the authorizer, and with it the checks in flight.
 func (a *Authorizer) Close() { _ = a.conn.Close() } // its error says that it was closed before
 
 func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
@@ -109,7 +109,7 @@
 	return authz.Failed
 }
 
-// checkRequest is what the authoriser is sent. Its names are on the wire.
+// checkRequest is what the authorizer is sent. Its names are on the wire.
 func checkRequest(r *protocol.Request) *auth.CheckRequest {
 	customer := fmt.Sprintf("%016x", r.Customer)
 	return &auth.CheckRequest{Attributes: &auth.AttributeContext{
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// startNode starts a node with an authoriser, or none, before an app server.
+// startNode starts a node with an authorizer, or none, before an app server.
 func startNode(t *testing.T, authorizer transport.Authorizer, serve http.HandlerFunc) *node {
 	t.Helper()
 	n := &node{ran: map[string]int{}}
@@ -135,7 +135,7 @@
 	return n.client.Pass(ctx, call)
 }
 
-// dialTestAuthorizer readies an authoriser for the classes of startNode.
+// dialTestAuthorizer readies an authorizer for the classes of startNode.
 func dialTestAuthorizer(t *testing.T, addr string) *Authorizer {
 	t.Helper()
 	a, err := DialAuthorizer(addr, authz.Config{
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -17,7 +17,7 @@
 	labauthz "cherrygap/internal/lab/authz"
 )
 
-// loadRun is load over both protocols against a node whose authoriser misbehaves.
+// loadRun is load over both protocols against a node whose authorizer misbehaves.
 type loadRun struct {
 	node       *node
 	authorizer *labauthz.Server
@@ -108,7 +108,7 @@
 	}
 }
 
-// Under load over both protocols, with an authoriser that lags past the deadline, drops calls, answers nonsense, denies
+// Under load over both protocols, with an authorizer that lags past the deadline, drops calls, answers nonsense, denies
 // and restarts twice: no purchase runs without its check or twice, no denied request runs, each is answered in time.
 func TestLoadWithAnAuthorizerThatMisbehaves(t *testing.T) {
 	const clients, requests = 8, 600 // so many that the run outlasts the restart after 1.9 s
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -25,7 +25,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// The tests of this file hold what passes over gRPC to the bytes of commit cf1acfb: clients and authorisers know this
+// The tests of this file hold what passes over gRPC to the bytes of commit cf1acfb: clients and authorizers know this
 // service by them.
 
 // pinned fails a case whose rendering is not the one written out.
@@ -92,8 +92,8 @@
 	}
 }
 
-// authoriserRecorder is an authoriser that notes what it was sent.
-type authoriserRecorder struct {
+// authorizerRecorder is an authorizer that notes what it was sent.
+type authorizerRecorder struct {
 	auth.UnimplementedAuthorizationServer
 	mu     sync.Mutex // guards the rest: each call has a goroutine of its own
 	method string
@@ -102,7 +102,7 @@
 	code   codes.Code
 }
 
-func (r *authoriserRecorder) Check(ctx context.Context, q *auth.CheckRequest) (*auth.CheckResponse, error) {
+func (r *authorizerRecorder) Check(ctx context.Context, q *auth.CheckRequest) (*auth.CheckResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	md, _ := metadata.FromIncomingContext(ctx)
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, recorder := grpc.NewServer(), &authoriserRecorder{}
+	server, recorder := grpc.NewServer(), &authorizerRecorder{}
 	auth.RegisterAuthorizationServer(server, recorder)
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(server.Stop)
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -1,5 +1,5 @@
 // Package grpcfrontend is what the node speaks over gRPC: a server that takes the same requests as the HTTP one and passes
-// them through the same transport.RequestHandler, and the client of an external authoriser (Envoy's published
+// them through the same transport.RequestHandler, and the client of an external authorizer (Envoy's published
 // envoy.service.auth.v3.Authorization). It decides nothing: internal/authz and the decision module do.
 package grpcfrontend
 
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -93,7 +93,7 @@
 			t.Errorf("%v", err)
 		}
 	}
-	time.Sleep(150 * time.Millisecond) // the authoriser has allowed them all by now
+	time.Sleep(150 * time.Millisecond) // the authorizer has allowed them all by now
 	for k := range 20 {
 		if n.runs(fmt.Sprint("gone", k)) > 0 {
 			t.Errorf("request %d ran for nobody", k)
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -44,7 +44,7 @@
 	MaxCallsPerS float64 `toml:"calls"` // exchanges that this node makes with it
 }
 
-// Authz names an external authoriser (docs/grpc.md) that each request is checked by before it is sent to an app server.
+// Authz names an external authorizer (docs/grpc.md) that each request is checked by before it is sent to an app server.
 type Authz struct {
 	Service     string   `toml:"service"`       // address and port of Envoy's Authorization service; empty for none
 	MaxInFlight int      `toml:"max_in_flight"` // checks at once
