--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -91,7 +91,7 @@
 	})
 	go timer.Run(router.Tick)
 	router.UpdateEndpoints(app.endpoints(), true)
-	limits, counters := transport.Limits{Sockets: 512, MemoryMB: 64, Idle: 10 * time.Second, Connect: time.Second}, &transport.Counters{}
+	limits, counters := transport.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}, &transport.Counters{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port that was free a moment ago
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -117,7 +117,7 @@
 	case healthcheck.Run:
 		go h.check(step)
 	case healthcheck.Ended:
-		h.router.HealthChecked(uint32(step.Check.ID), step.OK)
+		h.router.HealthChecked(routing.ServerNumber(step.Check.ID), step.OK)
 	}
 }
 
