--- a/cmd/cherrygap/lab_load.go
+++ b/cmd/cherrygap/lab_load.go
@@ -28,7 +28,7 @@
 come from the operator file's [lab.load]. Writes a JSON line a second to --series and a summary to standard
 output; "behind": true says the tool itself could not keep the rate (p99 of its lag above 10 ms).`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runLoad(cmd, file, flags)
 		}),
 	}
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -22,7 +22,7 @@
 bytes by kind of message, seconds until a change is in force, and counts that must be 0 (docs/lab.md, "Scale").
 It says what descriptors it lacks, if any, before it starts anything, and raises no limit.`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
 			cfg.Seed = file.Lab.Seed
 			return runScale(cmd, file, cfg)
--- a/cmd/cherrygap/pin_errors_test.go
+++ b/cmd/cherrygap/pin_errors_test.go
@@ -156,7 +156,7 @@
 	{
 		"plan not named", "--operator watch.toml",
 		[]string{"GW_CONFIG=good.json"},
-		"cherrygap: watch.settings: plan \"other\": the platform's settings name \n", 2,
+		"cherrygap: shadow.settings: plan \"other\": the platform's settings name \n", 2,
 	},
 	{"check of all good", "config check good.json good.toml", nil, "good.json: good\ngood.toml: good\n", 0},
 	{"check of a known list", "config check known.json", nil, "known.json: known: malformed list\n", 2},
--- a/cmd/cherrygap/pin_values_test.go
+++ b/cmd/cherrygap/pin_values_test.go
@@ -237,7 +237,7 @@
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]
 quota: 2/0 8c1f30d27a5be964 17 80ms
 shares: true`},
-	{"a band that passes open is not named", "[authz]\npass_open = [\"fly\"]\n", `checks: 64 0s [{400ms false} {800ms false}] map[] authz.pass_open "fly": the platform's settings name look, buy
+	{"a band that passes open is not named", "[authz]\npass_open = [\"fly\"]\n", `checks: 64 0s [{400ms false} {800ms false}] map[] authz.fail_open "fly": the platform's settings name look, buy
 contracts: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
 names: ["look" "buy"]
--- a/cmd/cherrygap/server_parts.go
+++ b/cmd/cherrygap/server_parts.go
@@ -8,6 +8,13 @@
 	"cherrygap/internal/transport"
 )
 
+// warnOfDeprecations logs the keys that the operator file gives under an earlier name.
+func (s *server) warnOfDeprecations() {
+	for _, key := range s.config.deprecations {
+		s.log.Warn().Str("key", key.Key).Int("line", key.Line).Str("write", key.Standard).Msg("deprecated key in the operator file")
+	}
+}
+
 // openTimer opens the one timer of the decision module.
 func (s *server) openTimer() error {
 	timer, err := transport.NewTimer()
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -135,7 +135,7 @@
 	return s.members.Receive(now, from, text, s.receiveEvent)
 }
 
-// receiveEvent takes in the end of a run elsewhere, once for each run, and tells whether it is news here.
+// receiveEvent takes in the end of a run elsewhere, once for each run, and reports whether it is news here.
 func (s *Scheduler) receiveEvent(e membership.Event) (isNews bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -74,7 +74,7 @@
 // last is the last run of a task.
 func (f *fleet) last(c Check) run { return f.ran[c][len(f.ran[c])-1] }
 
-// checkOneOwnerEach tells whether every task was run some times, always by the same node.
+// checkOneOwnerEach reports whether every task was run some times, always by the same node.
 func (f *fleet) checkOneOwnerEach(t *testing.T) {
 	t.Helper()
 	if len(f.ran) != len(checks) {
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// setField sets a field of a hash, and tells whether it is new.
+// setField sets a field of a hash, and reports whether it is new.
 func (d *data) setField(key, field, value string) (added bool) {
 	hash := d.hashes[key]
 	if hash == nil {
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -73,7 +73,7 @@
 	return file.Fault, nil
 }
 
-// isOn tells whether a fault is on; the lock is held.
+// isOn reports whether a fault is on; the lock is held.
 func (s *Server) isOn(kind FaultKind) bool {
 	_, on := s.faults[kind]
 	return on
@@ -90,7 +90,7 @@
 	}
 }
 
-// waitUntil waits until so many seconds after the start, and tells whether the server still runs then.
+// waitUntil waits until so many seconds after the start, and reports whether the server still runs then.
 func (s *Server) waitUntil(seconds float64) bool {
 	select {
 	case <-s.stop:
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -39,7 +39,7 @@
 // State is what this node takes a member for. Its own entry says nothing.
 func (p *Protocol) State(id NodeID) State { return p.members[id].state }
 
-// AliveFor tells whether a member has not been back from the dead for less than the time given.
+// AliveFor reports whether a member has not been back from the dead for less than the time given.
 func (p *Protocol) AliveFor(id NodeID, least time.Duration) bool {
 	m := &p.members[id]
 	return !m.rejoined || p.now-m.rejoinedAt >= least
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -114,7 +114,7 @@
 	a.exchangeAt = l.now + time.Duration(l.random.Float64()*exchangeGap*float64(a.windowLength))
 }
 
-// startedWithin tells whether this node started within an account's present window. Commitments that the store has of
+// startedWithin reports whether this node started within an account's present window. Commitments that the store has of
 // it there are an earlier life's.
 func (l *Ledger) startedWithin(a *account) bool { return a.begin() < l.started }
 
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -57,7 +57,7 @@
 	return own
 }
 
-// hasForgotten tells whether the store has lost what it had, or what was put just now, or was not there when the window
+// hasForgotten reports whether the store has lost what it had, or what was put just now, or was not there when the window
 // began. Others may have entries then that it does not know, and nothing that it says can be borrowed on.
 func (l *Ledger) hasForgotten(a *account, exchange pendingExchange, own Sequence) bool {
 	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeMet
