--- a/internal/healthcheck/ownership.go
+++ b/internal/healthcheck/ownership.go
@@ -66,7 +66,7 @@
 	return ownership{owner: settled == self || likely == self, primary: likely == self}
 }
 
-// Owns tells whether this node owns a task now, and whether as its primary owner.
+// Owns reports whether this node owns a task now, and whether as its primary owner.
 func (s *Scheduler) Owns(now time.Duration, c Check) (owner, primary bool) {
 	s.advance(now)
 	index, known := s.index[c]
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// arrives tells whether a datagram between two nodes does.
+// arrives reports whether a datagram between two nodes does.
 func (s *simulation) arrives(from, to int) bool {
 	half := s.cfg.Nodes / 2
 	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -30,7 +30,7 @@
 
 func (u *update) isEvent() bool { return u.event.Kind != 0 }
 
-// sameSubject tells whether one update takes the place of the other.
+// sameSubject reports whether one update takes the place of the other.
 func (u *update) sameSubject(other *update) bool {
 	if u.event.Kind != other.event.Kind || u.event.ID != other.event.ID {
 		return false
@@ -104,7 +104,7 @@
 	refilledAt time.Duration
 }
 
-// allows tells whether a message of the largest size may be sent now.
+// allows reports whether a message of the largest size may be sent now.
 func (b *byteBudget) allows(now time.Duration) bool {
 	if b.rate <= 0 {
 		return true
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -19,7 +19,7 @@
 	until    time.Duration // no exchange before
 }
 
-// allows tells whether an exchange may begin. A store that has failed gets one at a time.
+// allows reports whether an exchange may begin. A store that has failed gets one at a time.
 func (b *backoff) allows(now time.Duration, pending int) bool {
 	return now >= b.until && (b.failures < failuresAllowed || pending == 0)
 }
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -70,7 +70,7 @@
 	h.notifyRun()
 }
 
-// ReceivePeerMessage takes in a peer's message, which begins with healthcheck.MessageMark, and tells whether it could be read.
+// ReceivePeerMessage takes in a peer's message, which begins with healthcheck.MessageMark, and reports whether it could be read.
 func (h *HealthChecker) ReceivePeerMessage(from int, text []byte) bool {
 	h.mu.Lock()
 	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), text)
