--- /dev/null
+++ b/internal/transport/arrivals_test.go
@@ -0,0 +1,105 @@
+package transport
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+	"unsafe"
+
+	"cherrygap/internal/protocol"
+)
+
+// arrival is when an attempt's first and last byte came to an app server, by the kernel's own stamps: what the test's
+// goroutines are late by is no lateness of the node's. Bytes with a close or more bytes right behind have the stamp of
+// those. Of an attempt that never came whole there is no last.
+type arrival struct{ first, last time.Time }
+
+// arrivalRecorder is app servers that note each attempt's arrival by its request's id.
+type arrivalRecorder struct {
+	mu           sync.Mutex // guards both below
+	arrivals     map[string][]arrival
+	unattributed int // what can't be told whose it was
+}
+
+// timestampedReader reads a connection with the kernel's stamps of when bytes came.
+type timestampedReader struct {
+	raw         syscall.RawConn
+	first, last time.Time
+}
+
+func (r *timestampedReader) Read(p []byte) (n int, err error) {
+	control, controlSize := make([]byte, 128), 0
+	if rawErr := r.raw.Read(func(fd uintptr) bool {
+		n, controlSize, _, _, err = syscall.Recvmsg(int(fd), p, control, 0)
+		return !errors.Is(err, syscall.EAGAIN)
+	}); rawErr != nil {
+		return 0, rawErr
+	}
+	if err != nil {
+		return 0, err
+	}
+	if n == 0 {
+		return 0, io.EOF
+	}
+	r.last = time.Now().Round(0)
+	if messages, err := syscall.ParseSocketControlMessage(control[:controlSize]); err == nil {
+		for _, message := range messages {
+			if message.Header.Type == syscall.SO_TIMESTAMPNS {
+				stamp := *(*syscall.Timespec)(unsafe.Pointer(&message.Data[0]))
+				r.last = time.Unix(stamp.Unix())
+			}
+		}
+	}
+	if r.first.IsZero() {
+		r.first = r.last
+	}
+	return n, nil
+}
+
+// listen runs an app server whose attempts, once whole, are answered by answer, which tells whether the connection stays.
+func (r *arrivalRecorder) listen(listener net.Listener, answer func(net.Conn) bool) {
+	serveConns(listener, func(conn net.Conn) {
+		raw, _ := conn.(*net.TCPConn).SyscallConn()
+		_ = raw.Control(func(fd uintptr) { // without stamps the moment of the read counts, which is later
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1)
+		})
+		stamped := &timestampedReader{raw: raw}
+		for reader := bufio.NewReader(stamped); ; stamped.first = (time.Time{}) {
+			request, err := http.ReadRequest(reader)
+			if err != nil {
+				if !stamped.first.IsZero() {
+					r.mu.Lock()
+					r.unattributed++
+					r.mu.Unlock()
+				}
+				return
+			}
+			attempt := arrival{first: stamped.first}
+			_, err = io.Copy(io.Discard, request.Body)
+			if err == nil {
+				attempt.last = stamped.last
+			}
+			id := request.Header.Get("X-Call-Id")
+			r.mu.Lock()
+			r.arrivals[id] = append(r.arrivals[id], attempt)
+			r.mu.Unlock()
+			if err != nil || !answer(conn) {
+				return
+			}
+		}
+	})
+}
+
+// app is an app server of a node's list.
+func (r *arrivalRecorder) app(t *testing.T, answer func(net.Conn) bool) protocol.Endpoint {
+	t.Helper()
+	listener := listen(t)
+	go r.listen(listener, answer)
+	return endpoint(listener.Addr().String(), listener)
+}
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"sync"
@@ -12,260 +11,277 @@
 	"cherrygap/internal/routing"
 )
 
-// attemptRunner runs the executions of one client connection's tickets, one at a time.
-type attemptRunner struct {
-	pool   *Pool
-	router *routing.Router
-	body   []byte
+// clientCheckAge is how old the last look at a client may be where something is sent on for it: a tenth of the 0.1 s
+// after its disconnecting in which something may begin yet.
+const clientCheckAge = 10 * time.Millisecond
 
-	mu     sync.Mutex
-	nth    int                // the execution under way, or -1
-	called int                // the last that was withdrawn, or -1
-	left   bool               // the ticket's client went: nothing more begins
-	link   *link              // what it waits on, or
-	cancel context.CancelFunc // its dial
-	whole  bool               // its request's last byte has gone
+// staleResetWithin is how soon after a request was written a reset shows that the connection was stale before.
+const staleResetWithin = 10 * time.Millisecond
 
-	away  func() bool // looks whether the client has gone by now, itself
-	there time.Time   // when it had not, last
-}
+// maxNewConns is how many new connections one attempt may use, as it has not begun before its last byte.
+const maxNewConns = 2
+
+// noAttempt is the number of no attempt.
+const noAttempt = -1
+
+// attemptRunner runs the attempts of one client connection's requests, one at a time, on the goroutine of the
+// RequestHandler's caller. Others may call Cancel (the Router, under its lock) and stop, which both wake it.
+type attemptRunner struct {
+	pool       *Pool
+	router     *routing.Router
+	peerClosed func() bool // looks whether the client has disconnected by now; does not block
+	body       []byte      // of the last response, kept for the next
 
-// lookAfter is how old the last look at a client may be where something is sent on for it: a tenth of the 0.1 s after
-// its leaving in which something may begin yet.
-const lookAfter = 10 * time.Millisecond
+	mu           sync.Mutex         // guards all below
+	current      int                // the attempt under way, or noAttempt
+	cancelled    int                // the last that was cancelled, or noAttempt
+	clientLeft   bool               // the request's client disconnected: nothing more begins
+	conn         *upstreamConn      // what the attempt waits on, or
+	cancelDial   context.CancelFunc // its dial
+	written      bool               // its request's last byte was written
+	clientSeenAt time.Time          // when the client was still there, last
+}
 
-// fresh readies the worker for a ticket whose client was there at a time.
-func (w *attemptRunner) fresh(there time.Time) {
-	w.mu.Lock()
-	w.nth, w.called, w.left, w.there = -1, -1, false, there
-	w.mu.Unlock()
-	w.body = trim(w.body)
+// reset readies the runner for a request whose client was there at a time.
+func (r *attemptRunner) reset(seenAt time.Time) {
+	r.mu.Lock()
+	r.current, r.cancelled, r.clientLeft, r.clientSeenAt = noAttempt, noAttempt, false, seenAt
+	r.mu.Unlock()
+	r.body = trimBuffer(r.body)
 }
 
-// gone tells whether the client has gone, by a look of its own where the last is old. It guards against a leaving that
-// has come but that its reader has not been at yet, as when the node stood still: what then makes it go on, an answer or
-// a timer, may have its turn first.
-func (w *attemptRunner) gone() bool {
-	w.mu.Lock()
-	left, there := w.left, w.there
-	w.mu.Unlock()
-	if left || time.Since(there) < lookAfter {
+// clientGone reports whether the client has disconnected, by a look of its own where the last is old. It guards against
+// a close that has come but that the connection's reader has not been at yet, as when the node was paused: what then
+// makes the request go on, a response or a timer, may have its turn first.
+func (r *attemptRunner) clientGone() bool {
+	r.mu.Lock()
+	left, seenAt := r.clientLeft, r.clientSeenAt
+	r.mu.Unlock()
+	if left || time.Since(seenAt) < clientCheckAge {
 		return left
 	}
 	now := time.Now()
-	if w.away() {
-		w.leave()
+	if r.peerClosed() {
+		r.stop()
 		return true
 	}
-	w.mu.Lock()
-	w.there = now
-	w.mu.Unlock()
+	r.mu.Lock()
+	r.clientSeenAt = now
+	r.mu.Unlock()
 	return false
 }
 
-// Cancel ends the nth execution: its wait is cut short, and its connection closed by who waits.
-func (w *attemptRunner) Cancel(nth int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.called = nth
-	if nth != w.nth {
+// Cancel ends an attempt by its number: its wait is cut short, and its connection closed by who waits. It does not block.
+func (r *attemptRunner) Cancel(attempt int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cancelled = attempt
+	if attempt != r.current {
 		return
 	}
-	if w.cancel != nil {
-		w.cancel()
+	if r.cancelDial != nil {
+		r.cancelDial()
 	}
-	if w.link != nil {
-		w.link.conn.SetDeadline(time.Unix(1, 0))
+	if r.conn != nil {
+		setDeadline(r.conn.conn, pastDeadline)
 	}
 }
 
-// leave lets nothing more begin: the ticket's client went. What has begun is the module's to withdraw, where that is
-// allowed; a dial or a request that is not whole yet is given up in any case, as it has not run.
-func (w *attemptRunner) leave() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.left = true
-	if w.cancel != nil {
-		w.cancel()
+// stop lets nothing more begin: the request's client disconnected. What has begun is the Router's to cancel, where that
+// is allowed; a dial or a request that is not written whole is given up in any case, as it has not run.
+func (r *attemptRunner) stop() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.clientLeft = true
+	if r.cancelDial != nil {
+		r.cancelDial()
 	}
-	if w.link != nil && !w.whole {
-		w.link.conn.SetDeadline(time.Unix(1, 0))
+	if r.conn != nil && !r.written {
+		setDeadline(r.conn.conn, pastDeadline)
 	}
 }
 
-// begin notes what the nth execution waits on, unless it was withdrawn or its client left.
-func (w *attemptRunner) begin(nth int, l *link, cancel context.CancelFunc) bool {
-	if w.gone() {
+// begin notes what an attempt waits on, and returns false if it was cancelled or its client disconnected.
+func (r *attemptRunner) begin(attempt int, conn *upstreamConn, cancelDial context.CancelFunc) bool {
+	if r.clientGone() {
 		return false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.called == nth || w.left {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cancelled == attempt || r.clientLeft {
 		return false
 	}
-	w.nth, w.link, w.cancel, w.whole = nth, l, cancel, false
+	r.current, r.conn, r.cancelDial, r.written = attempt, conn, cancelDial, false
 	return true
 }
 
-// end tells whether the execution was withdrawn, or its client left; from here on it can't be.
-func (w *attemptRunner) end() (called, left bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.link, w.cancel = nil, nil
-	return w.called == w.nth, w.left
+// end reports whether the attempt was cancelled, or its client disconnected; from here on it can't be.
+func (r *attemptRunner) end() (cancelled, clientLeft bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.conn, r.cancelDial = nil, nil
+	return r.cancelled == r.current, r.clientLeft
+}
+
+// run carries out the attempt that the Router decided on. The response's body is good until the next attempt.
+func (r *attemptRunner) run(decision routing.Decision, request *protocol.Request) (protocol.ServerResponse, routing.AttemptResult) {
+	startedAt := time.Now()
+	response := r.attempt(decision, request, startedAt.Add(decision.Timeout))
+	r.pool.counters.AttemptOutcomes[response.Outcome].Add(1)
+	took := time.Since(startedAt)
+	return response, routing.AttemptResult{Outcome: response.Outcome, Duration: took, Units: response.Units}
+}
+
+func (r *attemptRunner) attempt(decision routing.Decision, request *protocol.Request, deadline time.Time) protocol.ServerResponse {
+	conn, outcome := r.send(decision, request, deadline)
+	if conn == nil {
+		return protocol.ServerResponse{Outcome: outcome}
+	}
+	r.pool.counters.Attempts.Add(1)
+	conn.requests++
+	return r.receive(conn)
 }
 
-// run carries out an execution.
-func (w *attemptRunner) run(c routing.Decision, q *protocol.Request) (protocol.ServerResponse, routing.AttemptResult) {
-	began := time.Now()
-	reply := w.try(c, q, began.Add(c.Timeout))
-	w.pool.count.AttemptOutcomes[reply.Outcome].Add(1)
-	took := time.Since(began)
-	return reply, routing.AttemptResult{Outcome: reply.Outcome, Duration: took, Units: reply.Units}
+// send writes the request to the decision's server, over another connection where one breaks before the last byte, and
+// returns the connection that it was written to whole; or none, and how the attempt ended.
+func (r *attemptRunner) send(decision routing.Decision, request *protocol.Request, deadline time.Time) (*upstreamConn, protocol.Outcome) {
+	connectBy := earlier(deadline, time.Now().Add(r.pool.limits.ConnectTimeout))
+	for newConns := 0; ; {
+		conn, outcome := r.connect(decision, deadline, connectBy)
+		if conn == nil {
+			return nil, outcome
+		}
+		if conn.requests == 0 {
+			newConns++
+		}
+		conn.out.appended(protocol.AppendAttempt(conn.out.space(), request, time.Until(deadline)))
+		conn.out.write(request.Body)
+		written, early := r.writeRequest(conn, deadline)
+		if written {
+			return conn, protocol.Completed
+		}
+		if outcome, again := r.giveUp(conn, early, newConns); !again {
+			return nil, outcome
+		}
+	}
 }
 
-// connect finds a connection to the choice's server, kept or new; without one it tells how the execution ended.
-// All dials of an execution end by a time: what repeats a referenced ticket has to be whole within a window, and the
-// module leaves the time of one dial for that.
-func (w *attemptRunner) connect(c routing.Decision, until, up time.Time) (*link, protocol.Outcome) {
-	l := w.pool.take(c.Server)
-	if l == nil {
-		ctx, cancel := context.WithDeadline(context.Background(), up)
+// connect finds a connection to the decision's server, idle or new; without one it returns how the attempt ended.
+// All dials of an attempt end by connectBy: what retries a keyed request has to be whole within a window, and the
+// decision leaves the time of one dial for that.
+func (r *attemptRunner) connect(decision routing.Decision, deadline, connectBy time.Time) (*upstreamConn, protocol.Outcome) {
+	conn := r.pool.get(decision.Server)
+	if conn == nil {
+		ctx, cancel := context.WithDeadline(context.Background(), connectBy)
 		defer cancel()
-		if !w.begin(c.Attempt, nil, cancel) {
+		if !r.begin(decision.Attempt, nil, cancel) {
 			return nil, protocol.NotSent
 		}
 		var err error
-		l, err = w.pool.dial(ctx, c.Server)
-		// What this node lacks says nothing of the server, which would rest for it.
-		if called, left := w.end(); err != nil && (called || left || errors.Is(err, errFull) || errors.Is(err, syscall.EMFILE)) {
+		conn, err = r.pool.dial(ctx, decision.Server)
+		cancelled, clientLeft := r.end()
+		// What this node lacks says nothing of the server, which would be ejected for it.
+		if err != nil && (cancelled || clientLeft || errors.Is(err, errNoDescriptors) || errors.Is(err, syscall.EMFILE)) {
 			return nil, protocol.NotSent
 		}
 		if err != nil {
 			return nil, protocol.ConnectFailed
 		}
 	}
-	l.conn.SetDeadline(until)
-	// A dial takes time, in which the server may have begun to drain, or the execution been withdrawn, or its client left.
-	if !w.router.InService(c.Server) || !w.begin(c.Attempt, l, nil) {
-		w.pool.put(l)
+	setDeadline(conn.conn, deadline)
+	// A dial takes time, in which the server may have begun to drain, or the attempt been cancelled, or its client left.
+	if !r.router.InService(decision.Server) || !r.begin(decision.Attempt, conn, nil) {
+		r.pool.put(conn)
 		return nil, protocol.NotSent
 	}
-	return l, protocol.Completed
+	return conn, protocol.Completed
 }
 
-func (w *attemptRunner) try(c routing.Decision, q *protocol.Request, until time.Time) protocol.ServerResponse {
-	var l *link
-	up := earlier(until, time.Now().Add(w.pool.limits.ConnectTimeout))
-	for fresh := 0; ; {
-		var o protocol.Outcome
-		if l, o = w.connect(c, until, up); l == nil {
-			return protocol.ServerResponse{Outcome: o}
-		}
-		if l.used == 0 {
-			fresh++
-		}
-		l.out.took(protocol.AppendAttempt(l.out.room(), q, time.Until(until)))
-		l.out.Write(q.Body)
-		whole, early := w.send(l, until)
-		if whole {
-			break
-		}
-		switch called, left := w.end(); { // not whole: it never ran
-		case called || left:
-			w.pool.end(l, withdrawn)
-			return protocol.ServerResponse{Outcome: protocol.NotSent}
-		case l.used > 0: // it had died since its last answer, and says nothing of the server
-			if !early {
-				w.pool.distrust(time.Since(l.idleAt))
-			}
-			w.pool.end(l, serverStale)
-		case fresh < mostFresh: // one that breaks at once may be chance; where servers do it, two seldom are
-			w.pool.end(l, serverBroken)
-		default:
-			w.pool.end(l, serverBroken)
-			return protocol.ServerResponse{Outcome: protocol.ConnectFailed}
-		}
+// writeRequest writes a request, its last byte by itself: what breaks before that has never run, and a connection that
+// a server has given up breaks as soon as the rest comes. Written at once, it would break after the last byte and so
+// may have run, which costs an unsafe request. It reports whether all was written. Bytes that come before the last is
+// written are of an earlier request's response, or of a second one to it, where the connection has carried any, and would
+// pass for this request's: early. On a new one they are left to receive.
+func (r *attemptRunner) writeRequest(conn *upstreamConn, deadline time.Time) (written, early bool) {
+	if r.clientGone() || conn.out.flushExcept(1) != nil { // nothing comes between a look and the write behind it
+		return false, false
 	}
-	w.pool.count.Attempts.Add(1)
-	l.used++
-	sent, came := time.Now(), l.in.w
-	br := parsers.Get().(*bufio.Reader)
-	br.Reset(&l.in)
-	l.in.Allow(protocol.MaxHead + 4*protocol.MaxBody)
-	l.in.patient = true // the execution's own time guards it
-	reply, err := protocol.ReadServerResponse(br, w.body)
-	l.in.patient = false
-	l.in.done(br)
-	br.Reset(nil)
-	parsers.Put(br)
-	if reply.Body != nil {
-		w.body = reply.Body
+	setReadDeadline(conn.conn, time.Now().Add(conn.resetWait))
+	readable, ended := conn.reader.waitReadable()
+	early = readable && conn.requests > 0
+	r.mu.Lock()
+	stopped := r.cancelled == r.current || r.clientLeft
+	if !stopped { // else the deadline is past, and stays so
+		setDeadline(conn.conn, deadline)
 	}
-	called, _ := w.end()
-	switch {
-	case err == nil && (reply.Close || l.in.r != l.in.w):
-		w.pool.end(l, serverLast)
-	case err == nil:
-		w.pool.put(l)
-	case called:
-		reply = protocol.ServerResponse{Outcome: protocol.Cancelled}
-		w.pool.end(l, withdrawn)
-	case l.in.err == nil:
-		reply = protocol.ServerResponse{Outcome: protocol.MalformedResponse}
-		w.pool.end(l, serverBad)
-	case timedOut(l.in.err):
-		reply = protocol.ServerResponse{Outcome: protocol.TimedOut}
-		w.pool.end(l, serverLate)
-	default:
-		if age := time.Since(sent); l.used > 1 && l.in.w == came && age < diedWithin {
-			w.pool.distrust(sent.Sub(l.idleAt))
-		}
-		reply = protocol.ServerResponse{Outcome: protocol.ConnectionReset}
-		w.pool.end(l, serverBroken)
+	r.mu.Unlock()
+	if ended || early || stopped || r.clientGone() {
+		return false, early
+	}
+	written = conn.out.flush() == nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.written = written; written && r.clientLeft && r.cancelled != r.current { // the client left just now: this has begun
+		setDeadline(conn.conn, deadline)
 	}
-	return reply
+	return written, false
 }
 
-// send writes a request, its last byte by itself: what breaks before that has never run, and a connection that a
-// server has given up breaks as soon as the rest comes. Written at once, it would break after the last byte and so
-// may have run, which costs a single-use ticket. It tells whether all was written. Bytes that come before it are of
-// an earlier ticket's answer, or of a second one to it, where the connection has carried any, and would pass for this
-// ticket's: early. On a new one they are left to the reader.
-func (w *attemptRunner) send(l *link, until time.Time) (whole, early bool) {
-	if w.gone() || l.out.FlushBut(1) != nil { // nothing comes between a look and the write behind it
-		return false, false
-	}
-	l.conn.SetReadDeadline(time.Now().Add(l.shows))
-	some, broken := l.sock.ready()
-	early = some && l.used > 0
-	w.mu.Lock()
-	called := w.called == w.nth || w.left
-	if !called { // else the deadline is past, and stays so
-		l.conn.SetDeadline(until)
+// giveUp closes a connection that a request was not written to whole, so that it never ran, and reports whether to try
+// another; if not, how the attempt ended.
+func (r *attemptRunner) giveUp(conn *upstreamConn, early bool, newConns int) (outcome protocol.Outcome, again bool) {
+	switch cancelled, clientLeft := r.end(); {
+	case cancelled || clientLeft:
+		r.pool.close(conn, reasonAttemptCancelled)
+		return protocol.NotSent, false
+	case conn.requests > 0: // it was stale since its last response, and says nothing of the server
+		if !early {
+			r.pool.distrust(time.Since(conn.idleSince))
+		}
+		r.pool.close(conn, reasonServerStale)
+		return protocol.NotSent, true
 	}
-	w.mu.Unlock()
-	if broken || early || called || w.gone() {
-		return false, early
+	// One that breaks at once may be chance; where servers do it, two seldom are.
+	r.pool.close(conn, reasonServerReset)
+	return protocol.ConnectFailed, newConns < maxNewConns
+}
+
+// receive reads the response to a request that was written whole, and puts the connection back or closes it.
+func (r *attemptRunner) receive(conn *upstreamConn) protocol.ServerResponse {
+	sentAt, receivedBefore := time.Now(), conn.in.w
+	response, err := conn.readResponse(r.body)
+	if response.Body != nil {
+		r.body = response.Body
 	}
-	whole = l.out.Flush() == nil
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.whole = whole; whole && w.left && w.called != w.nth { // the client left just now: this has begun
-		l.conn.SetDeadline(until)
+	cancelled, _ := r.end()
+	switch {
+	case err == nil && (response.Close || !conn.in.empty()):
+		r.pool.close(conn, reasonServerRequestedClose)
+	case err == nil:
+		r.pool.put(conn)
+	case cancelled:
+		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
+		r.pool.close(conn, reasonAttemptCancelled)
+	case conn.in.err == nil:
+		response = protocol.ServerResponse{Outcome: protocol.MalformedResponse}
+		r.pool.close(conn, reasonServerMalformed)
+	case timedOut(conn.in.err):
+		response = protocol.ServerResponse{Outcome: protocol.TimedOut}
+		r.pool.close(conn, reasonServerTimeout)
+	default:
+		if age := time.Since(sentAt); conn.requests > 1 && conn.in.w == receivedBefore && age < staleResetWithin {
+			r.pool.distrust(sentAt.Sub(conn.idleSince))
+		}
+		response = protocol.ServerResponse{Outcome: protocol.ConnectionReset}
+		r.pool.close(conn, reasonServerReset)
 	}
-	return whole, false
+	return response
 }
 
-// trim gives up a buffer that one large body made large.
-func trim(b []byte) []byte {
-	if cap(b) > leastRing {
+// trimBuffer gives up a buffer that one large body made large.
+func trimBuffer(b []byte) []byte {
+	if cap(b) > minBuffer {
 		return nil
 	}
 	return b
 }
-
-func timedOut(err error) bool {
-	t, ok := err.(interface{ Timeout() bool })
-	return ok && t.Timeout()
-}
--- /dev/null
+++ b/internal/transport/attempt_test.go
@@ -0,0 +1,126 @@
+package transport
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// A request whose response was cut off may have run: an unsafe one is neither retried nor rejected.
+func TestResponsesCutOff(t *testing.T) {
+	half := func(conn net.Conn, _ *http.Request) bool {
+		writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
+		return false
+	}
+	for repeats, want := range map[string]struct{ status, sent int }{"single-use": {502, 1}, "replayable": {503, 2}} {
+		node := startNode(t, repeats, roomyLimits, 3, half)
+		status, _, _ := roundTrip(t, node.dial(t), requestText(3000, "x"))
+		if sent := int(node.counters.Attempts.Load()); status != want.status || sent > 3 || repeats == "single-use" && sent != 1 {
+			t.Errorf("%s: status %d after %d attempts", repeats, status, sent)
+		}
+		if !node.log.closedFor(reasonServerReset) || node.counters.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
+			t.Errorf("%s: no reset connection logged", repeats)
+		}
+	}
+}
+
+// A request whose response is malformed has run; what comes behind a good one is never the next request's response.
+func TestMalformedResponsesAreNotPassedOn(t *testing.T) {
+	long := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
+	for _, text := range []string{
+		"noise\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
+		long,
+		long + strings.Repeat("x", 1<<20),
+		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 1<<20),
+		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15),
+	} {
+		node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+			writeString(conn, text)
+			waitForClose(conn) // it stays open
+			return false
+		})
+		status, _, _ := roundTrip(t, node.dial(t), requestText(3000, "x"))
+		if malformed := node.counters.AttemptOutcomes[protocol.MalformedResponse].Load(); status != 502 || malformed != 1 {
+			t.Errorf("%.40q: status %d, %d malformed", text, status, malformed)
+		}
+	}
+	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+		writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?")
+		return true
+	})
+	for range 20 {
+		if status, body, _ := roundTrip(t, node.dial(t), requestText(3000, "mine")); status == 200 && body != "mine" {
+			t.Fatalf("body %q", body)
+		}
+	}
+}
+
+// What breaks before a request's last byte has never run, and the attempt goes on over a new connection.
+func TestConnectionThatBreaksBeforeTheLastByte(t *testing.T) {
+	var conns atomic.Int64
+	listener := listen(t)
+	go serveConns(listener, func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
+		for served := 0; ; served++ {
+			if _, err := reader.Peek(1); err != nil || conns.Load() == 1 && served == 1 {
+				return // reset at the second request's first bytes
+			}
+			request, err := http.ReadRequest(reader)
+			if err != nil {
+				return
+			}
+			if served == 0 {
+				conns.Add(1)
+			}
+			echo(conn, request)
+		}
+	})
+	node := startNode(t, "single-use", roomyLimits, 0, nil)
+	node.listOnly(endpoint("s", listener))
+	for range 2 {
+		if status, body, _ := roundTrip(t, node.dial(t), requestText(3000, "body")); status != 200 || body != "body" {
+			t.Errorf("status %d, %q", status, body)
+		}
+		time.Sleep(2 * settleTime)
+	}
+	if conns.Load() != 2 || !node.log.closedFor(reasonServerStale) || node.counters.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
+		t.Errorf("%d connections", conns.Load())
+	}
+}
+
+// A server that accepts and closes is tried twice; then it is as if no connection came up.
+func TestNewConnectionsThatBreak(t *testing.T) {
+	listener := listen(t)
+	var accepted atomic.Int64
+	go serveConns(listener, func(net.Conn) { accepted.Add(1) })
+	node := startNode(t, "single-use", roomyLimits, 0, nil)
+	node.listOnly(endpoint("s", listener))
+	status, _, _ := roundTrip(t, node.dial(t), requestText(3000, "x"))
+	if failed := node.counters.AttemptOutcomes[protocol.ConnectFailed].Load(); status != 503 || failed == 0 || accepted.Load() != maxNewConns*failed {
+		t.Errorf("status %d, %d connections in %d attempts", status, accepted.Load(), failed)
+	}
+}
+
+func TestSilentServerTimesOut(t *testing.T) {
+	deadlines := make(chan string, 1)
+	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+		deadlines <- request.Header.Get("X-Budget-Ms")
+		waitForClose(conn)
+		return false
+	})
+	status, _, _ := roundTrip(t, node.dial(t), requestText(700, ""))
+	if ms, err := strconv.Atoi(<-deadlines); status != 502 || err != nil || ms < 300 || ms >= 700 {
+		t.Errorf("status %d, the server was given %d ms, %v", status, ms, err)
+	}
+	if !node.log.closedFor(reasonServerTimeout) {
+		t.Error("no line for the server that timed out")
+	}
+}
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -9,164 +9,165 @@
 	"cherrygap/internal/protocol"
 )
 
-const (
-	lookahead = 2 << 10 // bytes a parser may read ahead of a message's end, and give back
-	leastRing = 2 * lookahead
-	mostRing  = 64 << 10
-)
-
-// Times of clients, who are owed an answer or a close within 3 s of connecting.
-const (
-	messageBy   = 2 * time.Second        // for the first message from the connection on, for others from their begin
-	askWithin   = 100 * time.Millisecond // for the first byte of the first, before others' needs go first
-	lastLook    = 2 * time.Millisecond   // for who stands before a door that closes
-	breakWithin = 3 * time.Millisecond   // in which a connection that has died shows it, once written to, at most:
-	breakTrips  = 3                      // so many of the round trips that its dial took, as the reset takes one
-	breakLeast  = 300 * time.Microsecond // and at least so long, for machines that are late
-	lingerFor   = 250 * time.Millisecond // for who was refused to take the answer in
-)
+// messageTimeout is how long a message may take: the first from the connection's begin on, others from their own.
+// Clients are owed a response or a close within 3 s of connecting.
+const messageTimeout = 2 * time.Second
+
+// parserPool holds the readers that messages are parsed by. They are lent for one message, as idle connections are
+// many and a reader's buffer is large.
+var parserPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, parserBuffer) }}
+
+// borrowParser lends a reader over source, until returnParser.
+func borrowParser(source io.Reader) *bufio.Reader {
+	parser := parserPool.Get().(*bufio.Reader)
+	parser.Reset(source)
+	return parser
+}
 
-var parsers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, lookahead) }}
-
-// ring is the buffer of one direction of a connection. One goroutine uses it at a time.
-type ring struct {
-	conn    deadliner
-	sock    io.ReadWriter
-	buf     []byte
-	r, w    int // bytes taken out and put in, ever
-	allowed int // bytes that a message may still take
-	err     error
-	patient bool // a read deadline guards the message under way
+func returnParser(parser *bufio.Reader) {
+	parser.Reset(nil)
+	parserPool.Put(parser)
 }
 
-type deadliner interface{ SetReadDeadline(time.Time) error }
+// ringBuffer is the buffer of one direction of a connection. One goroutine uses it at a time.
+type ringBuffer struct {
+	conn        readDeadliner // whose read deadline bounds a message
+	stream      io.ReadWriter // what is read from or written to
+	buf         []byte        // nil until allocate
+	r, w        int           // bytes taken out and put in, ever
+	allowed     int           // bytes that a message may still take
+	err         error         // of the stream: once set, it stays
+	deadlineSet bool          // a read deadline bounds the message being read
+}
 
-func newRing(conn deadliner, sock io.ReadWriter, size int) ring {
-	return ring{conn: conn, sock: sock, buf: make([]byte, size)}
+func newRingBuffer(conn readDeadliner, stream io.ReadWriter, size int) ringBuffer {
+	return ringBuffer{conn: conn, stream: stream, buf: make([]byte, size)}
 }
 
-// make gives a ring its buffer, if it has none yet.
-func (g *ring) make(size int) {
-	if g.buf == nil {
-		g.buf = make([]byte, size)
+// allocate gives a ring its buffer, if it has none yet.
+func (b *ringBuffer) allocate(size int) {
+	if b.buf == nil {
+		b.buf = make([]byte, size)
 	}
 }
 
-// Wait waits until a byte is there.
-func (g *ring) Wait() error {
-	for g.r == g.w && g.err == nil {
-		g.fill()
+// empty reports whether there is nothing to take out.
+func (b *ringBuffer) empty() bool { return b.r == b.w }
+
+// wait waits until there is a byte to take out.
+func (b *ringBuffer) wait() error {
+	for b.empty() && b.err == nil {
+		b.fill()
 	}
-	if g.r < g.w {
+	if !b.empty() {
 		return nil
 	}
-	return g.err
+	return b.err
 }
 
-// fill reads once, but never over the last bytes that were taken out, which may be given back.
-func (g *ring) fill() {
-	at := g.w % len(g.buf)
-	n, err := g.sock.Read(g.buf[at:min(len(g.buf), at+len(g.buf)-lookahead-(g.w-g.r))])
-	g.w += n
+// fill reads once, but never over the last bytes that were taken out, which endMessage may give back.
+func (b *ringBuffer) fill() {
+	at := b.w % len(b.buf)
+	n, err := b.stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-parserBuffer-(b.w-b.r))])
+	b.w += n
 	if n == 0 {
-		g.err = err
+		b.err = err
 	}
 }
 
-// Read hands out what is there, or waits. A message that comes in pieces has messageBy to come.
-func (g *ring) Read(p []byte) (int, error) {
-	if g.allowed <= 0 {
+// Read hands out what is there, or waits. A message that comes in pieces has messageTimeout to arrive. Past what
+// allow set the error is protocol.ErrHeadTooLarge.
+func (b *ringBuffer) Read(p []byte) (int, error) {
+	if b.allowed <= 0 {
 		return 0, protocol.ErrHeadTooLarge
 	}
-	if g.r == g.w {
-		if !g.patient {
-			g.patient = true
-			g.conn.SetReadDeadline(time.Now().Add(messageBy))
+	if b.empty() {
+		if !b.deadlineSet {
+			b.deadlineSet = true
+			setReadDeadline(b.conn, time.Now().Add(messageTimeout))
 		}
-		if err := g.Wait(); err != nil {
+		if err := b.wait(); err != nil {
 			return 0, err
 		}
 	}
-	at := g.r % len(g.buf)
-	n := copy(p[:min(len(p), g.allowed)], g.buf[at:min(len(g.buf), at+g.w-g.r)])
-	g.r += n
-	g.allowed -= n
+	at := b.r % len(b.buf)
+	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.w-b.r)])
+	b.r += n
+	b.allowed -= n
 	return n, nil
 }
 
-// More reads once behind what is there, which must leave room, and tells of an end; a deadline that passes is none.
-func (g *ring) More() error {
-	if g.err == nil {
-		g.fill()
+// readMore reads once behind what is there, which must leave room, and returns the stream's end, if it came. A deadline
+// that passes is none.
+func (b *ringBuffer) readMore() error {
+	if b.err == nil {
+		b.fill()
 	}
-	if timedOut(g.err) {
-		g.err = nil
+	if timedOut(b.err) {
+		b.err = nil
 	}
-	return g.err
+	return b.err
 }
 
-// full tells whether nothing more can be read before something is taken out.
-func (g *ring) full() bool { return g.w-g.r >= len(g.buf)-lookahead }
+// full reports whether nothing more can be read before something is taken out.
+func (b *ringBuffer) full() bool { return b.w-b.r >= len(b.buf)-parserBuffer }
 
-// drop forgets what is there.
-func (g *ring) drop() { g.r = g.w }
+// discard drops what is there.
+func (b *ringBuffer) discard() { b.r = b.w }
 
-// Allow sets how much a message may take from now on.
-func (g *ring) Allow(bytes int) { g.allowed = bytes }
+// allow sets how many bytes a message may take from now on.
+func (b *ringBuffer) allow(bytes int) { b.allowed = bytes }
 
-// done ends a message: what the parser read past it goes back.
-func (g *ring) done(br *bufio.Reader) {
-	g.r -= br.Buffered()
-	if g.patient {
-		g.patient = false
-		g.conn.SetReadDeadline(time.Time{})
+// endMessage ends a message: what the parser read past it is given back.
+func (b *ringBuffer) endMessage(parser *bufio.Reader) {
+	b.r -= parser.Buffered()
+	if b.deadlineSet {
+		b.deadlineSet = false
+		setReadDeadline(b.conn, time.Time{})
 	}
 }
 
-// room is space for an append, the whole of an empty ring; took notes what was appended to it.
-func (g *ring) room() []byte {
-	if g.r == g.w {
-		g.r, g.w = 0, 0
+// space is an empty slice to append to, over the whole of an empty ring; appended has to follow.
+func (b *ringBuffer) space() []byte {
+	if b.empty() {
+		b.r, b.w = 0, 0
 	}
-	at := g.w % len(g.buf)
-	return g.buf[at:at:min(len(g.buf), at+len(g.buf)-(g.w-g.r))]
+	at := b.w % len(b.buf)
+	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.w-b.r))]
 }
 
-func (g *ring) took(b []byte) {
-	if len(b) > 0 && &b[0] == &g.buf[g.w%len(g.buf)] {
-		g.w += len(b)
+// appended takes over what was appended to space, which is another array where the ring had too little room.
+func (b *ringBuffer) appended(p []byte) {
+	if len(p) > 0 && &p[0] == &b.buf[b.w%len(b.buf)] {
+		b.w += len(p)
 		return
 	}
-	g.Write(b)
+	b.write(p)
 }
 
-// Write puts bytes in and writes to the connection whenever the ring is full.
-func (g *ring) Write(p []byte) (int, error) {
+// write puts bytes in, and writes to the stream whenever the ring is full. An error of that is flush's to return.
+func (b *ringBuffer) write(p []byte) {
 	for n := 0; n < len(p); {
-		if g.w-g.r == len(g.buf) {
-			g.Flush()
-		}
-		if g.err != nil {
-			return n, g.err
+		if b.w-b.r == len(b.buf) && b.flush() != nil || b.err != nil {
+			return
 		}
-		at := g.w % len(g.buf)
-		k := copy(g.buf[at:min(len(g.buf), at+len(g.buf)-(g.w-g.r))], p[n:])
-		g.w += k
-		n += k
+		at := b.w % len(b.buf)
+		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.w-b.r))], p[n:])
+		b.w += copied
+		n += copied
 	}
-	return len(p), nil
 }
 
-// Flush writes all that is in the ring. An error stays.
-func (g *ring) Flush() error { return g.FlushBut(0) }
+// flush writes all that is in the ring to the stream. An error stays.
+func (b *ringBuffer) flush() error { return b.flushExcept(0) }
 
-// FlushBut writes all but the last bytes.
-func (g *ring) FlushBut(k int) error {
-	for g.r < g.w-k && g.err == nil {
-		at := g.r % len(g.buf)
-		n, err := g.sock.Write(g.buf[at:min(len(g.buf), at+g.w-k-g.r)])
-		g.r += n
-		g.err = err
+// flushExcept writes all but the last bytes.
+func (b *ringBuffer) flushExcept(last int) error {
+	for b.r < b.w-last && b.err == nil {
+		at := b.r % len(b.buf)
+		n, err := b.stream.Write(b.buf[at:min(len(b.buf), at+b.w-last-b.r)])
+		b.r += n
+		b.err = err
 	}
-	return g.err
+	return b.err
 }
--- /dev/null
+++ b/internal/transport/buffer_test.go
@@ -0,0 +1,65 @@
+package transport
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"math/rand"
+	"net"
+	"testing"
+	"testing/quick"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// pieces is a connection that reads and writes at random sizes.
+type pieces struct {
+	net.Conn
+	random *rand.Rand
+	in     []byte
+	out    bytes.Buffer
+}
+
+func (c *pieces) Read(p []byte) (int, error) {
+	if len(c.in) == 0 {
+		return 0, io.EOF
+	}
+	n := copy(p[:min(len(p), 1+c.random.Intn(3000))], c.in)
+	c.in = c.in[n:]
+	return n, nil
+}
+
+func (c *pieces) Write(p []byte) (int, error) { return c.out.Write(p) }
+
+func (c *pieces) SetReadDeadline(time.Time) error { return nil }
+
+// What goes through a ring buffer comes out as it went in, with what parsers read ahead given back.
+func TestRingBufferKeepsBytes(t *testing.T) {
+	if err := quick.Check(func(seed int64) bool {
+		random := rand.New(rand.NewSource(seed))
+		sent := make([]byte, 40000)
+		random.Read(sent)
+		conn := &pieces{random: random, in: sent}
+		in, out := newRingBuffer(conn, conn, minBuffer), newRingBuffer(conn, conn, minBuffer)
+		for in.wait() == nil {
+			in.allow(1 + random.Intn(9000))
+			parser := bufio.NewReaderSize(&in, parserBuffer)
+			got := make([]byte, 1+random.Intn(5000))
+			n, err := io.ReadFull(parser, got)
+			if err != nil && !errors.Is(err, protocol.ErrHeadTooLarge) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				return false
+			}
+			in.endMessage(parser)
+			if random.Intn(2) == 0 {
+				out.appended(append(out.space(), got[:n]...))
+			} else {
+				out.write(got[:n])
+			}
+		}
+		return out.flush() == nil && bytes.Equal(conn.out.Bytes(), sent)
+	}, &quick.Config{MaxCount: 300}); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/transport/clientconn.go
@@ -0,0 +1,303 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// lingerTimeout is how long a client that is refused has to read the response, before its connection is closed.
+const lingerTimeout = 250 * time.Millisecond
+
+// clientConn is one HTTP connection of a client. Two goroutines work on it. serve, started by the Server, reads it
+// throughout, so that a client that disconnects is noticed while its request waits; it ends with the connection.
+// handleRequests, started with the first request, takes requests to their responses; it ends once serve closes pending.
+//
+// They take turns: pending and handled pass the request over and back, and what is no atomic belongs to whose turn it
+// is, but for in, reader and the request's end, which stay with serve.
+type clientConn struct {
+	server  *Server
+	conn    *net.TCPConn
+	reader  *socket // under in
+	writer  *socket // under out
+	in, out ringBuffer
+
+	handler     *RequestHandler // nil before the first request
+	request     protocol.Request
+	lengthLines protocol.ContentLengthScanner // of the head being read
+	body        []byte                        // kept from request to request
+	receivedAt  time.Time                     // when the request's first byte was read
+	acceptedAt  time.Time
+	waitedSince time.Time // it waited for a slot since, and its first request with it; zero: it did not
+	requests    int       // so far
+	handedOver  bool      // handleRequests has the request
+	evicted     bool      // to make room; guarded by Server.mu
+
+	pending chan struct{} // a request is to be handled
+	handled chan struct{} // it was
+
+	responseDue    atomic.Bool // a request is open
+	idle           atomic.Bool // between requests, or before the first is whole: who sets it to false may close
+	hasRequested   atomic.Bool // a whole request was read
+	requestStarted atomic.Bool // the first bytes of the first request were read
+	readingAhead   atomic.Bool // the request waits, and serve reads what the client sent behind it
+	overflowed     atomic.Bool // that was more than the buffer holds: the response is the connection's last
+	idleSince      atomic.Int64
+
+	closeOnce sync.Once // guards reason
+	reason    closeReason
+}
+
+func newClientConn(server *Server, conn *net.TCPConn) *clientConn {
+	c := &clientConn{server: server, conn: conn, acceptedAt: time.Now(), reader: newSocket(conn), writer: newSocket(conn)}
+	c.in, c.out = ringBuffer{conn: conn, stream: c.reader}, ringBuffer{conn: conn, stream: c.writer}
+	_ = conn.SetKeepAlive(false)                            // fails for a closed connection only
+	setReadDeadline(conn, c.acceptedAt.Add(messageTimeout)) // who sends nothing, or never all of it, is closed
+	c.in.deadlineSet = true
+	return c
+}
+
+// startHandler makes what requests need. Before the first a connection has none of it, and no buffers before its first
+// byte, so that crowds of connections that send nothing cost next to nothing.
+func (c *clientConn) startHandler() {
+	c.pending, c.handled = make(chan struct{}, 1), make(chan struct{}, 1)
+	c.handler = c.server.NewRequestHandler(c.peerClosed)
+	go c.handleRequests()
+}
+
+// close closes the connection; the first reason stays.
+func (c *clientConn) close(reason closeReason) {
+	c.closeOnce.Do(func() {
+		c.reason = reason
+		closeConn(c.conn)
+	})
+}
+
+// serve reads one request after another and hands them over, until the connection is closed.
+func (c *clientConn) serve() {
+	c.markIdle()
+	c.reader.waitReadable()
+	c.in.allocate(c.server.limits.bufferSize())
+	for c.serveNext() {
+	}
+	if c.handler != nil {
+		close(c.pending)
+		<-c.handled // closed as handleRequests returns
+		c.handler.Release()
+	}
+	c.server.remove(c)
+	logClose(c.server.log, sideClient, c.conn.RemoteAddr().String(), c.reason, c.acceptedAt, c.requests)
+}
+
+// markIdle marks the connection as one that may be closed to make room.
+func (c *clientConn) markIdle() {
+	c.idleSince.Store(time.Now().UnixNano())
+	c.idle.Store(true)
+	if c.server.atLimit.Load() {
+		c.server.evict()
+	}
+}
+
+// leaveIdle reports whether the connection is still open; from then on it is not closed to make room.
+func (c *clientConn) leaveIdle() bool { return c.idle.CompareAndSwap(true, false) }
+
+// serveNext waits for the next request, reads it and hands it over, and reports whether there may be another. While a
+// request is being handled it waits too, and so notices a client that disconnects.
+func (c *clientConn) serveNext() bool {
+	err, receivedAt, abandoned := c.in.wait(), time.Now(), false
+	if c.handedOver {
+		abandoned, err = c.awaitResponse(err)
+		if c.overflowed.Load() && (err == nil || timedOut(err)) {
+			return c.linger()
+		}
+	}
+	if !c.waitedSince.IsZero() { // the client's time ran while its connection waited for a slot
+		receivedAt, c.waitedSince = c.waitedSince, time.Time{}
+	}
+	c.requestStarted.Store(err == nil)
+	// Until its first request is whole a connection may be closed for others: half of one must hold no slot.
+	if c.hasRequested.Load() && !c.leaveIdle() {
+		return false
+	}
+	if err != nil {
+		reason := reasonClientClosed
+		if abandoned {
+			reason = reasonClientDisconnected
+		}
+		c.close(closeReasonFor(err, reason))
+		return false
+	}
+	c.receivedAt = receivedAt
+	err = c.readRequest()
+	if !c.hasRequested.Load() && !c.leaveIdle() {
+		return false
+	}
+	return c.takeRequest(err)
+}
+
+// takeRequest answers or hands over a request that was read, or refuses it where err says that it could not be. It
+// reports whether there may be another.
+func (c *clientConn) takeRequest(err error) bool {
+	if cap(c.request.Body) > 0 {
+		c.body = trimBuffer(c.request.Body)
+	}
+	if err == nil {
+		err = c.checkRequest()
+	}
+	if err != nil {
+		return c.rejectMalformed(err)
+	}
+	c.hasRequested.Store(true)
+	if c.request.ForNode() {
+		return c.answerHealthCheck()
+	}
+	return c.handOver()
+}
+
+// awaitResponse waits until the request that was handed over is handled, reading ahead meanwhile unless err says that
+// the connection has ended. It returns whether the client disconnected before its response, and the connection's end.
+func (c *clientConn) awaitResponse(err error) (abandoned bool, _ error) {
+	if err == nil {
+		err = c.readAhead()
+	}
+	abandoned = err != nil && c.responseDue.Load()
+	if abandoned {
+		c.handler.ClientGone()
+	}
+	<-c.handled
+	c.handedOver = false
+	if c.readingAhead.CompareAndSwap(true, false) {
+		setReadDeadline(c.conn, time.Time{}) // handleRequests may have let it pass
+	}
+	return abandoned, err
+}
+
+// readRequest reads the request that has begun to arrive.
+func (c *clientConn) readRequest() error {
+	parser := borrowParser(c)
+	c.lengthLines = protocol.ContentLengthScanner{}
+	err := protocol.ReadRequest(parser, c, &c.request, c.body)
+	c.in.endMessage(parser)
+	returnParser(parser)
+	return err
+}
+
+// checkRequest returns what a request that was read well is refused for, as a *protocol.RequestError. It claims the
+// request's id.
+func (c *clientConn) checkRequest() error {
+	switch router := c.server.router; {
+	case c.request.ForNode():
+		return nil
+	case !router.KnowsClassAndPlan(&c.request):
+		return &protocol.RequestError{Status: http.StatusNotFound, Reason: "unknown class or plan"}
+	case !router.WithinLimits(&c.request):
+		return &protocol.RequestError{Status: http.StatusBadRequest, Reason: "figures outside the settings"}
+	case !c.server.requestIDs.claim(c.request.ID):
+		return &protocol.RequestError{Status: http.StatusConflict, Reason: "id of another request"}
+	}
+	return nil
+}
+
+// handOver passes the request to handleRequests, unless it lay unread until its client had gone: then it runs for nobody.
+func (c *clientConn) handOver() bool {
+	if c.disconnected() {
+		c.server.counters.Requests.Add(1)
+		c.server.counters.ClientsGone.Add(1)
+		c.server.requestIDs.release(c.request.ID)
+		c.close(closeReasonFor(c.in.err, reasonClientDisconnected))
+		return false
+	}
+	if c.handler == nil {
+		c.startHandler()
+	}
+	c.handler.Begin()
+	c.requests++
+	c.handedOver = true
+	c.responseDue.Store(true)
+	c.pending <- struct{}{}
+	return true
+}
+
+// disconnected reports whether the client has closed its connection by now, be it behind further bytes.
+func (c *clientConn) disconnected() bool {
+	for c.in.err == nil && !c.reader.isIdle() {
+		c.makeSpace()
+		_ = c.in.readMore() // which stays in c.in.err
+	}
+	return c.in.err != nil
+}
+
+// peerClosed reports the same while serve reads, by a look that takes nothing.
+func (c *clientConn) peerClosed() bool { return c.writer.hungUp() }
+
+// readAhead reads what a client sends while its request waits, as its close shows only behind that. It returns once the
+// request waits no more, with the connection's end if that came first. It guards against requests that are forwarded
+// for clients which sent more than one request and disconnected.
+func (c *clientConn) readAhead() error {
+	c.readingAhead.Store(true) // handleRequests wakes it
+	for c.responseDue.Load() {
+		c.makeSpace()
+		if err := c.in.readMore(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// makeSpace lets the client send more. What it has sent behind its request waits for its turn as far as the buffer
+// holds it; past that nothing of it is a request any more, and the connection ends with its response.
+func (c *clientConn) makeSpace() {
+	if c.in.full() {
+		c.overflowed.Store(true)
+		c.in.discard()
+	}
+}
+
+// linger lets a client whose connection ends read its response: bytes that nobody reads would reset the connection.
+func (c *clientConn) linger() bool {
+	setReadDeadline(c.conn, time.Now().Add(lingerTimeout))
+	_ = c.conn.CloseWrite()     // fails for a connection that has ended already, as the copy does then
+	c.hasRequested.Store(false) // from here on it may be closed for others
+	c.idle.Store(true)
+	_, _ = io.Copy(io.Discard, c.conn) // until the client closes, or its time is over
+	c.close(reasonClientMalformed)
+	return false
+}
+
+// Read, Allow, ContentLengthLines and Continue make it the protocol.Source that a request is read from.
+func (c *clientConn) Read(p []byte) (int, error) {
+	n, err := c.in.Read(p)
+	c.lengthLines.Scan(p[:n])
+	return n, err
+}
+
+// Allow sets how many bytes may be read from now on.
+func (c *clientConn) Allow(bytes int) { c.in.allow(bytes) }
+
+// ContentLengthLines is how many Content-Length lines the head had.
+func (c *clientConn) ContentLengthLines() int { return c.lengthLines.Count() }
+
+// Continue tells the client to send its body.
+func (c *clientConn) Continue() error {
+	setWriteDeadline(c.conn, time.Now().Add(messageTimeout))
+	c.out.allocate(c.server.limits.bufferSize())
+	c.out.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	return c.out.flush()
+}
+
+// closeReasonFor is why a connection whose read returned err is closed; closed is the reason for a plain end.
+func closeReasonFor(err error, closed closeReason) closeReason {
+	switch {
+	case errors.Is(err, io.EOF):
+		return closed
+	case timedOut(err):
+		return reasonClientTimeout
+	}
+	return reasonClientReset
+}
--- /dev/null
+++ b/internal/transport/clientresponse.go
@@ -0,0 +1,90 @@
+package transport
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// responseTimeout is how long after a request's own time its response may take to be written.
+const responseTimeout = time.Second
+
+// rejectMalformed answers what is no request that can be handled, and closes. It returns false: no other follows.
+func (c *clientConn) rejectMalformed(err error) bool {
+	var malformed *protocol.RequestError
+	c.server.counters.MalformedRequests.Add(1)
+	if c.in.err != nil || !errors.As(err, &malformed) {
+		c.close(closeReasonFor(c.in.err, reasonClientReset))
+		return false
+	}
+	setWriteDeadline(c.conn, time.Now().Add(lingerTimeout))
+	c.writeResponse(&protocol.ClientResponse{Status: malformed.Status, Close: true})
+	return c.linger()
+}
+
+// answerHealthCheck tells whether the node can take requests, and reports whether the connection stays.
+func (c *clientConn) answerHealthCheck() bool {
+	response := protocol.ClientResponse{Status: http.StatusOK, Close: c.request.Close || c.server.draining.Load()}
+	if c.server.draining.Load() || !c.server.router.HasServers() {
+		response.Status = http.StatusServiceUnavailable
+	}
+	setWriteDeadline(c.conn, time.Now().Add(messageTimeout)) // the last request's may have passed
+	if !c.writeResponse(&response) {
+		c.close(reasonClientReset)
+		return false
+	}
+	if response.Close {
+		c.close(reasonClientRequestedClose)
+	}
+	c.markIdle()
+	return !response.Close
+}
+
+// writeResponse reports whether a response was written whole.
+func (c *clientConn) writeResponse(response *protocol.ClientResponse) bool {
+	c.out.allocate(c.server.limits.bufferSize())
+	c.out.appended(protocol.AppendResponseHead(c.out.space(), response))
+	c.out.write(response.Body)
+	return c.out.flush() == nil
+}
+
+// handleRequests takes requests to their responses, one for each that serve hands over, until serve closes pending.
+func (c *clientConn) handleRequests() {
+	for range c.pending {
+		c.handleRequest()
+		if !c.responseDue.Load() && (c.readingAhead.Load() || c.overflowed.Load()) {
+			setReadDeadline(c.conn, pastDeadline) // wakes serve: it reads ahead no more
+		}
+		if !c.overflowed.Load() {
+			c.markIdle()
+		}
+		c.handled <- struct{}{}
+	}
+	close(c.handled)
+}
+
+// handleRequest takes a request to its response.
+func (c *clientConn) handleRequest() {
+	defer c.server.requestIDs.release(c.request.ID)
+	response, owed := c.handler.Handle(&c.request, c.receivedAt)
+	if !owed {
+		return
+	}
+	c.responseDue.Store(false)
+	response.Close = c.request.Close || c.server.draining.Load() || c.server.nearLimit() || c.overflowed.Load()
+	setWriteDeadline(c.conn, c.receivedAt.Add(c.request.Timeout+responseTimeout))
+	switch {
+	case !c.writeResponse(&response):
+		c.server.counters.ResponsesUnwritten.Add(1)
+		c.close(reasonResponseUnwritten)
+	case c.overflowed.Load(): // serve closes it
+	case response.Close && c.server.draining.Load():
+		c.close(reasonNodeDraining)
+	case response.Close && !c.request.Close:
+		c.close(reasonNodeNearLimit)
+	case response.Close:
+		c.close(reasonClientRequestedClose)
+	}
+}
--- a/internal/transport/connlimit.go
+++ b/internal/transport/connlimit.go
@@ -5,50 +5,54 @@
 	"sync"
 )
 
-// guarded is a listener of a front of another protocol that takes no more connections at once than the clients' part of the
-// descriptors leaves it; the rest wait in the kernel. It guards discovery's descriptors and the app servers' against crowds
-// that come that way.
-type guarded struct {
+// limitedListener is a listener of another protocol's front end that takes no more connections at once than its part
+// of the clients' descriptors; the rest wait in the kernel. It keeps discovery's descriptors and the app servers' from
+// crowds that come that way.
+type limitedListener struct {
 	net.Listener
-	slots chan struct{}
-	ended chan struct{}
-	once  sync.Once
+	slots     chan struct{} // holds one for each open connection
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// LimitListener limits a listener of another front.
-func (f *Server) LimitListener(ln net.Listener) net.Listener {
-	return &guarded{Listener: ln, slots: make(chan struct{}, f.limits.channels()), ended: make(chan struct{})}
+// LimitListener limits the connections of another protocol's front end.
+func (s *Server) LimitListener(listener net.Listener) net.Listener {
+	return &limitedListener{
+		Listener: listener,
+		slots:    make(chan struct{}, s.limits.grpcConnections()),
+		closed:   make(chan struct{}),
+	}
 }
 
-// Accept waits for a slot first, so that none is taken over the limit.
-func (g *guarded) Accept() (net.Conn, error) {
+// Accept waits for a slot first, so that no connection is accepted over the limit. After Close the error is net.ErrClosed.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case g.slots <- struct{}{}:
-	case <-g.ended:
+	case l.slots <- struct{}{}:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
-	conn, err := g.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-g.slots
+		<-l.slots
 		return nil, err
 	}
-	return &slotted{Conn: conn, free: sync.OnceFunc(func() { <-g.slots })}, nil
+	return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
 // Close ends Accept.
-func (g *guarded) Close() error {
-	g.once.Do(func() { close(g.ended) })
-	return g.Listener.Close()
+func (l *limitedListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
 
-// slotted gives its slot back once it is closed.
-type slotted struct {
+// limitedConn gives its slot back once it is closed.
+type limitedConn struct {
 	net.Conn
-	free func()
+	release func()
 }
 
-func (s *slotted) Close() error {
-	err := s.Conn.Close()
-	s.free()
+func (c *limitedConn) Close() error {
+	err := c.Conn.Close()
+	c.release()
 	return err
 }
--- /dev/null
+++ b/internal/transport/disconnectrandom_test.go
@@ -0,0 +1,221 @@
+package transport
+
+import (
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// Clients disconnect at chance moments, by a close, a reset or an end of what they send, with bytes behind their request
+// or without: while a connection is being made, while an attempt is out that then is rejected, fails or is reset, between
+// two, while a quota owner is asked, while no connection is free, on one core. No attempt's first or last byte comes to an
+// app server more than 0.1 s after.
+func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
+	few := roomyLimits
+	few.Sockets = minReserved + 16
+	for _, test := range []randomDisconnects{
+		{name: "many", seed: 30, most: 200, pool: roomyLimits},
+		{
+			name: "quota owner", seed: 31, most: 60, pool: roomyLimits,
+			settings: map[string]string{"nodes": "60", "node": "0", "peers": "true", "peers.take": "40"},
+		},
+		{name: "few connections", seed: 32, most: 60, pool: few},
+		{name: "no cancelling", seed: 33, most: 60, pool: roomyLimits, settings: map[string]string{"withdraw": "false"}},
+		{name: "one core", seed: 34, most: 100, pool: roomyLimits, oneCore: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if test.oneCore {
+				defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
+			}
+			test.run(t)
+		})
+	}
+}
+
+const (
+	startTerm = 100 * time.Millisecond // in which something may begin yet for a client that disconnected
+	unsureBy  = 5 * time.Millisecond   // a close that takes longer has no moment that is known
+)
+
+// randomDisconnects plays clients that disconnect from one node.
+type randomDisconnects struct {
+	name     string
+	seed     int64
+	most     int // clients whose request waits as they disconnect
+	settings map[string]string
+	pool     Limits // of the connections to app servers
+	oneCore  bool
+}
+
+// disconnects is what a run has seen.
+type disconnects struct {
+	*randomDisconnects
+	node     *testNode
+	arrivals *arrivalRecorder
+	clients  sync.WaitGroup
+
+	mu      sync.Mutex // guards all below
+	rand    *rand.Rand
+	at      map[string]time.Time // by request id
+	unclear int                  // moments known to more than unsureBy only
+}
+
+func (d *disconnects) chance(n int) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.rand.Intn(n)
+}
+
+func (d *disconnects) enough() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.at) >= d.most
+}
+
+func (r *randomDisconnects) run(t *testing.T) {
+	d := &disconnects{
+		randomDisconnects: r, node: startNodeWith(t, r.settings, "replayable", roomyLimits, 0, nil),
+		arrivals: &arrivalRecorder{arrivals: map[string][]arrival{}},
+		rand:     rand.New(rand.NewSource(r.seed)), at: map[string]time.Time{},
+	}
+	d.node.pool.limits = r.pool
+	list := &protocol.EndpointList{}
+	for range 20 {
+		list.Endpoints = append(list.Endpoints, d.arrivals.app(t, d.answer))
+	}
+	addr, empty := fullServer(t)
+	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
+	d.node.server.router.UpdateEndpoints(list, false)
+	within := 400 // ms; a quota owner is waited for longer
+	if r.settings["peers"] == "true" {
+		within = 1600
+	}
+	for range 3000 {
+		client := leavingClient{after: time.Duration(d.chance(within)) * time.Millisecond}
+		pause := time.Duration(d.chance(10)) * time.Millisecond
+		client.how = d.chance(6)
+		client.more = strings.Repeat("more ", d.chance(2)*(1+d.chance(4000)))
+		if d.enough() {
+			break
+		}
+		client.text = strings.Replace(requestText(4000, "x"), "spread=1", fmt.Sprint("spread=", min(2, 1+len(r.settings)/4)), 1)
+		client.id = fmt.Sprint(lastID.Load())
+		d.clients.Add(1)
+		go d.play(t, client)
+		time.Sleep(pause)
+	}
+	go d.arrivals.listen(empty(), func(net.Conn) bool { return false }) // what came up late would take in what is dialled yet
+	d.clients.Wait()
+	eventually(t, "all ended", func() bool { return d.node.openClients() == 0 })
+	time.Sleep(2 * startTerm) // what still comes
+	d.check(t)
+}
+
+// answer is an app server's answer to an attempt; it reports whether the connection stays.
+func (d *disconnects) answer(conn net.Conn) bool {
+	does := d.chance(10)
+	time.Sleep(time.Duration(50+d.chance(600)) * time.Millisecond)
+	text := "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+	switch {
+	case does < 4:
+		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	case does < 5:
+		text = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+	case does < 6:
+		resetOnClose(conn)
+		return false
+	}
+	_, err := io.WriteString(conn, text)
+	return err == nil
+}
+
+// leavingClient is one client, which disconnects after a time unless it was answered.
+type leavingClient struct {
+	id, text, more string // the request, and what is sent behind it
+	after          time.Duration
+	how            int
+}
+
+func (d *disconnects) play(t *testing.T, client leavingClient) {
+	defer d.clients.Done()
+	conn, err := net.Dial("tcp", d.node.server.listener.Addr().String())
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	defer closeConn(conn)
+	writeString(conn, client.text)
+	writeString(conn, client.more)
+	setReadDeadline(conn, time.Now().Add(client.after))
+	_, err = conn.Read(make([]byte, 1))
+	if !timedOut(err) { // else its request waits
+		return
+	}
+	before := time.Now()
+	switch {
+	case client.how < 2:
+		resetOnClose(conn)
+		closeConn(conn)
+	case client.how < 3:
+		closeWrite(conn)
+	default:
+		closeConn(conn)
+	}
+	gone := time.Now()
+	d.note(client.id, before, gone)
+	if client.how == 2 {
+		discardAll(conn)
+	}
+}
+
+// note notes when a client disconnected.
+func (d *disconnects) note(id string, before, gone time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.at[id] = before.Round(0); gone.Sub(before) > unsureBy { // when it left in between can't be told
+		d.at[id] = gone.Round(0)
+		d.unclear++
+	}
+}
+
+// check looks at when each attempt came.
+func (d *disconnects) check(t *testing.T) {
+	t.Helper()
+	d.arrivals.mu.Lock()
+	defer d.arrivals.mu.Unlock()
+	late, unsent, again, after, worst := 0, 0, 0, 0, time.Duration(0)
+	for id, at := range d.at {
+		arrivals := d.arrivals.arrivals[id]
+		if len(arrivals) == 0 {
+			unsent++
+		}
+		again += max(0, len(arrivals)-1)
+		for _, arrival := range arrivals {
+			past := arrival.first.Sub(at)
+			if !arrival.last.IsZero() {
+				past = arrival.last.Sub(at)
+			}
+			if worst = max(worst, past); past > 0 {
+				after++
+			}
+			if past > startTerm {
+				late++
+				t.Errorf("%s: an attempt %v after", id, past)
+			}
+		}
+	}
+	if late > 0 || len(d.at) < d.most || unsent == 0 || d.most >= 200 && again == 0 {
+		t.Errorf("%d left, %d unsent, %d again", len(d.at), unsent, again)
+	}
+	t.Logf("%d left while their request waited (%d at a moment known to more than %v only), %d of them never sent, %d sent again; %d attempts "+
+		"came after, worst %v, %d later than %v; %d of no request known", len(d.at), d.unclear, unsureBy, unsent, again, after, worst, late, startTerm,
+		d.arrivals.unattributed)
+}
--- /dev/null
+++ b/internal/transport/discoveryagent_test.go
@@ -0,0 +1,191 @@
+package transport
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+// agent is discovery's agent: up or down, it answers with a list of its revision.
+type agent struct {
+	mute  int           // connections at the start that are never answered
+	late  time.Duration // of every answer
+	calls atomic.Int64
+
+	mu       sync.Mutex // guards all below
+	up       bool
+	revision int
+	conns    map[net.Conn]struct{}
+}
+
+func newAgent(mute int, late time.Duration) *agent {
+	return &agent{mute: mute, late: late, up: true, revision: 1, conns: map[net.Conn]struct{}{}}
+}
+
+// serve answers calls on a listener until that is closed.
+func (a *agent) serve(listener net.Listener) {
+	for accepted := 0; ; accepted++ {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		a.mu.Lock()
+		a.conns[conn] = struct{}{}
+		a.mu.Unlock()
+		go a.answer(conn, accepted < a.mute)
+	}
+}
+
+// answer answers the calls of one connection. One that comes while the agent is down never is.
+func (a *agent) answer(conn net.Conn, mute bool) {
+	defer closeConn(conn)
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		a.calls.Add(1)
+		for from := request.FormValue("from"); ; time.Sleep(time.Millisecond) {
+			a.mu.Lock()
+			up, revision := a.up, a.revision
+			a.mu.Unlock()
+			if !up || mute {
+				waitForClose(conn) // the node gives it up
+				return
+			}
+			if hold := request.FormValue("hold_ms"); from == "" || from != fmt.Sprint(revision) || hold == "1" {
+				break
+			}
+		}
+		time.Sleep(a.late)
+		a.mu.Lock()
+		text := fmt.Sprintf(`{"rev":%d,"all":true,"targets":[]}`, a.revision)
+		a.mu.Unlock()
+		writeString(conn, listResponse(text))
+	}
+}
+
+func (a *agent) set(up bool, revision int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.up, a.revision = up, revision
+}
+
+// reset ends all connections.
+func (a *agent) reset() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for conn := range a.conns {
+		resetOnClose(conn)
+		closeConn(conn)
+	}
+	clear(a.conns)
+}
+
+// agentTerm is the smallest grace of a drain that any settings name: what the agent has must be known well before.
+const agentTerm = 200 * time.Millisecond
+
+// An agent whose connections don't come up, and then do.
+func TestDiscoveryClientHearsOfAnAgentThatComesUp(t *testing.T) {
+	addr, empty := fullServer(t)
+	listed := make(chan time.Time, 99)
+	startDiscoveryClient(t, &DiscoveryClient{
+		Addr: addr.String(), Full: true,
+		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
+	})
+	time.Sleep(300 * time.Millisecond)
+	listener := empty()
+	for range 2 { // those that filled its queue
+		if conn, err := listener.Accept(); err == nil {
+			closeConn(conn)
+		}
+	}
+	up := time.Now()
+	go newAgent(0, 0).serve(listener)
+	if took := (<-listed).Sub(up); took > agentTerm {
+		t.Errorf("known after %v", took)
+	}
+}
+
+// What discovery's agent has counts as known, whether or not a call is open. The client hears of it in good time, whatever
+// became of its calls before: never answered, refused, without a connection, or reset.
+func TestDiscoveryClientHearsInTimeOfWhatTheAgentHas(t *testing.T) {
+	for name, test := range map[string]struct {
+		mute  int
+		late  time.Duration
+		fault func(*agent, net.Listener) net.Listener // brings on the fault and ends it; returns the listener from then on
+	}{
+		"calls made while it is down are never answered": {fault: func(a *agent, listener net.Listener) net.Listener {
+			a.set(false, 1)
+			a.reset()
+			time.Sleep(1500 * time.Millisecond)
+			return listener
+		}},
+		"refused": {fault: func(a *agent, listener net.Listener) net.Listener {
+			closeConn(listener)
+			a.reset()
+			time.Sleep(2500 * time.Millisecond)
+			again, _ := net.Listen("tcp", listener.Addr().String())
+			return again
+		}},
+		"reset":                         {fault: func(a *agent, listener net.Listener) net.Listener { a.reset(); return listener }},
+		"its first call is lost":        {mute: 1},
+		"its first four calls are lost": {mute: 4},
+		"slow, but not down":            {late: 500 * time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			listener, agent := listen(t), newAgent(test.mute, test.late)
+			go agent.serve(listener)
+			revisions := make(chan uint64, 99)
+			startDiscoveryClient(t, &DiscoveryClient{
+				Addr: listener.Addr().String(), Full: true,
+				OnList: func(list *protocol.EndpointList) { revisions <- list.Revision }, OnFailure: func() {},
+			})
+			awaitRevision(t, revisions, 1, agentTerm+test.late+time.Duration(test.mute)*raceInterval)
+			if test.fault != nil {
+				again := test.fault(agent, listener)
+				if again == nil {
+					t.Fatal("no listener")
+				}
+				if again != listener {
+					defer closeConn(again)
+					go agent.serve(again)
+				}
+			}
+			agent.set(true, 2)
+			awaitRevision(t, revisions, 2, agentTerm+2*test.late)
+			if calls := agent.calls.Load(); calls > 60 {
+				t.Errorf("%d calls", calls)
+			}
+		})
+	}
+}
+
+// awaitRevision waits until a revision is known, which may take a time from now on.
+func awaitRevision(t *testing.T, revisions <-chan uint64, want uint64, within time.Duration) {
+	t.Helper()
+	since := time.Now()
+	for end := time.After(5 * time.Second); ; {
+		select {
+		case got := <-revisions:
+			if got < want {
+				continue
+			}
+			if took := time.Since(since); took > within {
+				t.Errorf("revision %d known after %v", want, took)
+			}
+			return
+		case <-end:
+			t.Fatalf("revision %d never known", want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/transport/discoverycall.go
@@ -0,0 +1,122 @@
+package transport
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/protocol"
+)
+
+// callTarget is where to call discovery, and what to ask for: a copy of the client's, which may have moved on when a
+// racer's call ends.
+type callTarget struct {
+	addr     string
+	revision uint64
+	full     bool
+	limits   Limits
+	log      *zerolog.Logger
+	counters *Counters
+}
+
+// callResult is what came of one call.
+type callResult struct {
+	conn    *discoveryConn
+	list    protocol.EndpointList
+	last    bool // the connection ends with it
+	err     error
+	patient bool        // of the one racer that waits long
+	keep    func() bool // keeps the connection open past the first call's context; false where that has ended it
+}
+
+// firstCall opens a connection and makes its first call, both within a timeout and until ctx ends. Where received is set
+// the bytes of the answer are added to it, and an answer that goes on coming in has more time.
+func (t callTarget) firstCall(ctx context.Context, hold, timeout time.Duration, received *atomic.Int64) callResult {
+	deadline := time.Now().Add(timeout)
+	dialer := net.Dialer{Timeout: max(t.limits.ConnectTimeout, minConnectTimeout), Deadline: deadline, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", t.addr)
+	if err != nil {
+		return callResult{err: err}
+	}
+	c := &discoveryConn{
+		conn: conn, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
+		in: newRingBuffer(conn, conn, t.limits.bufferSize()), out: newRingBuffer(conn, conn, minBuffer),
+	}
+	if received != nil {
+		c.in.stream = &progressConn{Conn: conn, received: received, deadline: deadline, lastDeadline: deadline.Add(pollTimeout - timeout)}
+	}
+	c.parser = bufio.NewReaderSize(&c.in, parserBuffer)
+	keep := context.AfterFunc(ctx, func() { closeConn(conn) })
+	result := c.call(t.full, t.revision, hold, time.Until(deadline))
+	c.in.stream = conn // progressConn's time is over
+	if result.keep = keep; result.err != nil {
+		keep()
+		c.close()
+	}
+	return result
+}
+
+// progressConn is a racer's connection during its first call. An answer that goes on coming in has raceInterval more for
+// each raceProgress bytes, up to the time that a call has in any case.
+type progressConn struct {
+	net.Conn
+	received               *atomic.Int64
+	deadline, lastDeadline time.Time
+	progress               int // bytes since the deadline was last put off
+}
+
+func (c *progressConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.received.Add(int64(n))
+	if c.progress += n; c.progress >= raceProgress && c.deadline.Before(c.lastDeadline) {
+		c.deadline, c.progress = c.deadline.Add(raceInterval), c.progress-raceProgress
+		if c.deadline.After(c.lastDeadline) {
+			c.deadline = c.lastDeadline
+		}
+		setReadDeadline(c.Conn, c.deadline)
+	}
+	return n, err
+}
+
+// discoveryConn is one connection to discovery.
+type discoveryConn struct {
+	conn     net.Conn
+	addr     string
+	log      *zerolog.Logger
+	counters *Counters
+	in, out  ringBuffer
+	parser   *bufio.Reader // over in
+	openedAt time.Time
+	calls    int
+}
+
+// call asks for what is newer than a revision, or for everything, and waits for so long at most.
+func (c *discoveryConn) call(full bool, revision uint64, hold, timeout time.Duration) callResult {
+	result := callResult{conn: c}
+	c.out.appended(protocol.AppendDiscoveryCall(c.out.space(), c.addr, full, revision, hold))
+	setDeadline(c.conn, time.Now().Add(timeout))
+	if result.err = c.out.flush(); result.err != nil {
+		return result
+	}
+	c.in.deadlineSet = true // the one above
+	c.in.allow(protocol.MaxListBytes)
+	c.calls++
+	if result.list, result.last, result.err = protocol.ReadEndpointList(c.parser); result.err == nil { // also where its end is the connection's
+		return result
+	}
+	if c.in.err != nil {
+		result.err = c.in.err
+	} else {
+		c.counters.MalformedLists.Add(1)
+	}
+	return result
+}
+
+func (c *discoveryConn) close() {
+	closeConn(c.conn)
+	logClose(c.log, sideDiscovery, c.addr, reasonDiscoveryClosed, c.openedAt, c.calls)
+}
--- /dev/null
+++ b/internal/transport/discoveryrecovery_test.go
@@ -0,0 +1,365 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
+)
+
+// The term: whatever happened to a call to discovery, a change counts as known so long after discovery had it and could be
+// reached. The node must have it a margin before, as a busy machine is late.
+const (
+	recoveryTerm   = 6 * time.Second
+	recoveryMargin = 500 * time.Millisecond
+)
+
+// Faults that are no matter of one call.
+const (
+	faultRefused      = "refused"       // its listener is closed
+	faultNoConnection = "no connection" // its listener's queue is full
+	faultNewCount     = "counts anew"
+	faultNewStrict    = "counts anew, strictly"
+	faultMoved        = "moved"
+	faultMovedWaiting = "moved while it waits"
+)
+
+// recovery is one node and its discovery, and the fault between them.
+type recovery struct {
+	mode    string // how lists come: ask or push
+	fault   string
+	follows bool // a call was held when the fault began; else it began with the node
+	failed  int  // calls that failed before
+	after   int  // the fault ends with so many calls taken in it, or where it takes none,
+	lasts   time.Duration
+	seed    uint64
+}
+
+func (r recovery) String() string {
+	return fmt.Sprintf("%s, %s, follows %v, %d failed, ends after %d calls and %v, seed %d", r.mode, r.fault, r.follows,
+		r.failed, r.after, r.lasts, r.seed)
+}
+
+// timed reports whether the fault takes no calls, so that it ends by time alone.
+func (r recovery) timed() bool { return r.fault == faultRefused || r.fault == faultNoConnection }
+
+// newCount reports whether discovery counts anew, from a lower revision.
+func (r recovery) newCount() bool { return r.fault == faultNewCount || r.fault == faultNewStrict }
+
+// recoveryRun is a run of one.
+type recoveryRun struct {
+	recovery
+	discovery *fakeDiscovery
+	host      string
+	empty     func() net.Listener // makes connections come up, where they don't
+	router    *routing.Router
+	timer     *Timer
+	client    *DiscoveryClient
+	known     chan time.Time // when the node acts on the change
+}
+
+// run brings on the fault and ends it, and returns how long the node took to act on the change that discovery had from
+// then on. In ask mode it also counts calls out at once and during the fault, against a flood.
+func (r recovery) run(t *testing.T) (time.Duration, error) {
+	run := &recoveryRun{recovery: r, known: make(chan time.Time, 99)}
+	if err := run.startDiscovery(t); err != nil {
+		return 0, err
+	}
+	defer run.discovery.reset()
+	var err error
+	if run.timer, err = NewTimer(); err != nil {
+		return 0, err
+	}
+	defer run.timer.Close()
+	run.makeNode()
+	startedAt, err := run.beginFault()
+	defer run.client.Stop()
+	if err != nil {
+		return 0, err
+	}
+	time.Sleep(r.lasts)
+	// From here on discovery has the change and can be reached.
+	if strings.HasPrefix(r.fault, faultMoved) {
+		return run.move()
+	}
+	return run.endFault(startedAt)
+}
+
+func (r *recoveryRun) startDiscovery(t *testing.T) (err error) {
+	d := &fakeDiscovery{
+		revision: 1, changed: make(chan struct{}), faultyCalls: make(chan struct{}, 99), conns: map[net.Conn]struct{}{},
+		rand: rand.New(rand.NewPCG(r.seed, 2)), strict: r.fault == faultNewStrict,
+	}
+	r.discovery = d
+	// Of an address of its own, which nobody takes while it is closed.
+	r.host = fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
+	if r.fault == faultNoConnection {
+		var addr netip.AddrPort
+		addr, r.empty = fullServer(t)
+		d.addr = addr.String()
+	} else {
+		if d.listener, err = net.Listen("tcp", r.host+":0"); err != nil {
+			return err
+		}
+		d.addr = d.listener.Addr().String()
+		go d.serve(d.listener)
+	}
+	if r.newCount() {
+		d.revision = 40
+	}
+	return nil
+}
+
+// makeNode makes a node that knows what discovery has.
+func (r *recoveryRun) makeNode() {
+	polls := make(chan struct{}, 1)
+	r.router = routing.New(routing.Config{
+		Seed: r.seed, SetTimer: r.timer.Set, SendToPeer: func(int, []byte) {}, LogSummary: func([]byte) {},
+		PollEndpoints: func() {
+			select {
+			case polls <- struct{}{}:
+			default:
+			}
+		},
+		Settings: map[string]string{
+			"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000",
+			"band.0.repeats": "single-use", "plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20",
+			"executions": "3", "roster": r.mode, "ask.within": "100000",
+		},
+	})
+	for range r.failed {
+		r.router.PollFailed()
+	}
+	if r.failed > 0 { // it has polled for the first time
+		select {
+		case <-polls:
+		default:
+		}
+	}
+	list, _ := protocol.ParseEndpointList([]byte(r.discovery.list(true, 0)))
+	r.router.UpdateEndpoints(&list, true)
+	var drains, stays *routing.Server
+	for _, server := range r.router.Servers() {
+		if server.Addr.Port() == 1 {
+			drains = server
+		} else {
+			stays = server
+		}
+	}
+	log := zerolog.Nop()
+	r.client = &DiscoveryClient{
+		Addr: r.discovery.addr, Revision: list.Revision, Limits: roomyLimits, Log: &log, Counters: &Counters{},
+		OnFailure: r.router.PollFailed,
+		OnList: func(list *protocol.EndpointList) {
+			r.router.UpdateEndpoints(list, false)
+			if !r.router.InService(drains) && r.router.InService(stays) {
+				r.known <- time.Now()
+			}
+		},
+	}
+	if r.mode == "ask" {
+		r.client.PollRequests = polls
+	}
+}
+
+// callFault is the fault of single calls.
+func (r *recoveryRun) callFault() fault {
+	if r.fault == faultMovedWaiting {
+		return faults["503 at once"]
+	}
+	if fault := faults[r.fault]; fault != nil {
+		return fault
+	}
+	return faults["never answered"]
+}
+
+func (r *recoveryRun) setFault() {
+	if r.fault == faultRefused {
+		closeConn(r.discovery.listener)
+		r.discovery.reset()
+	}
+	r.discovery.set(r.callFault(), r.discovery.revision, false)
+}
+
+// beginFault starts the node, brings on the fault, and waits until it has taken its calls.
+func (r *recoveryRun) beginFault() (startedAt time.Time, err error) {
+	holdsFirst, follows := r.follows && r.empty == nil, make(chan struct{})
+	if holdsFirst {
+		go func() {
+			for r.discovery.openCalls() == 0 { // until it holds a call
+				time.Sleep(time.Millisecond)
+			}
+			close(follows)
+		}()
+	} else {
+		r.setFault()
+		close(follows)
+	}
+	go r.timer.Run(r.router.Tick)
+	go r.client.Run()
+	r.router.Tick()
+	<-follows
+	if holdsFirst {
+		time.Sleep(time.Duration(r.discovery.rand.IntN(1000)) * time.Millisecond)
+		r.setFault()
+	}
+	startedAt = time.Now()
+	if r.timed() {
+		return startedAt, nil
+	}
+	for range r.after {
+		select {
+		case <-r.discovery.faultyCalls:
+		case <-time.After(30 * time.Second):
+			return startedAt, errors.New("no call for 30 s")
+		}
+	}
+	return startedAt, nil
+}
+
+// move moves discovery; the old address stays as it was.
+func (r *recoveryRun) move() (time.Duration, error) {
+	next := &fakeDiscovery{revision: 2, drains: true, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	listener, err := net.Listen("tcp", r.host+":0")
+	if err != nil {
+		return 0, err
+	}
+	defer closeConn(listener)
+	defer next.reset()
+	go next.serve(listener)
+	defer closeConn(r.discovery.listener)
+	endedAt := time.Now()
+	r.client.SwitchTo(listener.Addr().String())
+	return r.await(endedAt)
+}
+
+// endFault ends the fault with the change.
+func (r *recoveryRun) endFault(startedAt time.Time) (time.Duration, error) {
+	d := r.discovery
+	d.mu.Lock()
+	mostOpen, faulty := d.mostOpen, d.faulty
+	d.mu.Unlock()
+	lasted := time.Since(startedAt)
+	d.set(nil, 2, true)
+	switch {
+	case r.fault == faultRefused:
+		var err error
+		if d.listener, err = net.Listen("tcp", d.addr); err != nil {
+			return 0, err
+		}
+		go d.serve(d.listener)
+	case r.empty != nil:
+		d.listener = r.empty()
+		go d.serve(d.listener)
+	}
+	defer closeConn(d.listener)
+	endedAt := time.Now()
+	if r.mode == "ask" && (mostOpen > 1 || faulty > 2+int(lasted/time.Second)) {
+		return 0, fmt.Errorf("%d calls at once, %d in %v", mostOpen, faulty, lasted)
+	}
+	return r.await(endedAt)
+}
+
+// await waits until the node acts on the change.
+func (r *recoveryRun) await(since time.Time) (time.Duration, error) {
+	select {
+	case at := <-r.known:
+		return at.Sub(since), nil
+	case <-time.After(5 * recoveryTerm):
+		return 0, fmt.Errorf("not known in %v", 5*recoveryTerm)
+	}
+}
+
+// recoveries are what is run with so many seeds: the fault ends just as a call that will fail was taken, and at other phases.
+func recoveries(seeds uint64) (all []recovery) {
+	names := []string{faultRefused, faultNoConnection, faultNewCount, faultNewStrict, faultMoved, faultMovedWaiting}
+	names = slices.AppendSeq(names, maps.Keys(faults))
+	slices.Sort(names)
+	for _, name := range names {
+		for _, follows := range []bool{false, true} {
+			if follows && name == faultNoConnection {
+				continue
+			}
+			for seed := range seeds {
+				all = append(all, (recovery{fault: name, follows: follows}).variants(seed)...)
+			}
+		}
+	}
+	for i := range all {
+		all[i].seed = uint64(i) + 1
+	}
+	return all
+}
+
+// variants are the modes and phases of one fault.
+func (r recovery) variants(seed uint64) (all []recovery) {
+	add := func(mode string, after int, lasts time.Duration) {
+		all = append(all, recovery{mode: mode, fault: r.fault, follows: r.follows, after: after, lasts: lasts})
+	}
+	if r.timed() {
+		for _, lasts := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 2100 * time.Millisecond, 3300 * time.Millisecond} {
+			add("ask", 0, lasts)
+			add("push", 0, lasts)
+		}
+	} else {
+		add("ask", 1, 0)
+		add("ask", 1, time.Second)
+		add("ask", 2, 0)
+		add("push", 1, 0)
+		add("push", 12, 10*time.Millisecond)
+		if seed > 0 { // beyond CI's time
+			add("ask", 4, 0)
+		}
+	}
+	if !r.follows {
+		add("ask", 1, time.Duration(seed%4)*400*time.Millisecond)
+		all[len(all)-1].failed = 8
+	}
+	return all
+}
+
+// Whatever became of the calls before, the node acts on a change within the term, less a margin, from the moment on that
+// discovery has it and can be reached. In ask mode no two calls are out at once, and a discovery that rejects calls gets one
+// a second at most. RECOVERY_SEEDS in the environment sets how many seeds are run, 1 by default.
+func TestAChangeIsKnownWithinTheTerm(t *testing.T) {
+	seeds := uint64(1)
+	if text := os.Getenv("RECOVERY_SEEDS"); text != "" {
+		var err error
+		if seeds, err = strconv.ParseUint(text, 10, 64); err != nil {
+			t.Fatal(err)
+		}
+	}
+	all := recoveries(seeds)
+	var runs sync.WaitGroup
+	var mu sync.Mutex // guards both below
+	worst, late := map[string]time.Duration{}, map[string]int{}
+	for _, recovery := range all {
+		runs.Add(1)
+		go func() {
+			defer runs.Done()
+			took, err := recovery.run(t)
+			mu.Lock()
+			defer mu.Unlock()
+			if worst[recovery.mode] = max(worst[recovery.mode], took); err != nil || took > recoveryTerm-recoveryMargin {
+				late[recovery.mode]++
+				t.Errorf("%v: known after %v, %v", recovery, took, err)
+			}
+		}()
+	}
+	runs.Wait()
+	t.Logf("%d runs, late %v, worst %v", len(all), late, worst)
+}
--- /dev/null
+++ b/internal/transport/faults_test.go
@@ -0,0 +1,213 @@
+package transport
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// All of it together, by seed: app servers that answer twice, reset, hang, reject, send malformed responses, trickle and
+// close, clients that disconnect, send more, send half and too much, and a drain under way. Whoever stays gets one response
+// in time, its own; an unsafe request runs once at most, and is rejected only where it has not run.
+func TestRareFaultsTogether(t *testing.T) {
+	for _, seed := range []int64{1, 2, 3} {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { faultsTogether(t, seed) })
+	}
+}
+
+// faultMix is one run: a node, its app servers and clients.
+type faultMix struct {
+	t                *testing.T
+	node             *testNode
+	clients          sync.WaitGroup
+	stop             atomic.Bool // clients send no more
+	answered, served atomic.Int64
+
+	mu   sync.Mutex // guards all below
+	rand *rand.Rand
+	runs map[string]int // by body: how often a request ran
+}
+
+func (m *faultMix) chance(n int) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.rand.Intn(n)
+}
+
+func faultsTogether(t *testing.T, seed int64) {
+	t.Helper()
+	m := &faultMix{t: t, rand: rand.New(rand.NewSource(seed)), runs: map[string]int{}}
+	m.node = startNode(t, "single-use", roomyLimits, 24, m.serve)
+	for range 50 {
+		m.clients.Add(1)
+		go func() {
+			defer m.clients.Done()
+			(&faultyClient{mix: m}).run()
+		}()
+	}
+	eventually(t, "requests", func() bool { return m.answered.Load() > 400 })
+	drained := m.node.startDrain(200 * time.Millisecond)
+	time.Sleep(100 * time.Millisecond)
+	m.stop.Store(true)
+	waitDrained(t, drained, 5*time.Second)
+	m.clients.Wait()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for body, runs := range m.runs {
+		if runs > 1 {
+			t.Errorf("%s ran %d times", body, runs)
+		}
+	}
+	if c := m.node.counters; c.Requests.Load() != c.Completed.Load()+c.Rejected.Load()+c.Failed.Load()+c.ClientsGone.Load() {
+		t.Errorf("%d requests; %d completed, %d rejected, %d failed, %d clients gone", c.Requests.Load(), c.Completed.Load(),
+			c.Rejected.Load(), c.Failed.Load(), c.ClientsGone.Load())
+	}
+	t.Logf("%d answered, %d served, %d attempts", m.answered.Load(), m.served.Load(), m.node.counters.Attempts.Load())
+}
+
+// serve is an app server.
+func (m *faultMix) serve(conn net.Conn, request *http.Request) bool {
+	body, err := io.ReadAll(request.Body)
+	if err != nil {
+		return false
+	}
+	does := m.chance(100)
+	if does >= 5 { // all others run it
+		m.mu.Lock()
+		m.runs[string(body)]++
+		m.mu.Unlock()
+	}
+	time.Sleep(time.Duration(m.chance(8)) * time.Millisecond)
+	good := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	switch {
+	case does < 5:
+		writeString(conn, "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+	case does < 8:
+		resetOnClose(conn)
+		return false
+	case does < 11:
+		writeString(conn, "noise\r\n\r\n")
+		return false
+	case does < 14:
+		waitForClose(conn) // the node gives it up
+		return false
+	case does < 16:
+		trickle(conn)
+		return false
+	case does < 30:
+		startedAt := time.Now()
+		writeString(conn, good)
+		time.Sleep(time.Duration(1000+m.chance(6000)) * time.Microsecond)
+		if time.Since(startedAt) < 20*time.Millisecond { // a busy machine is no app server's fault
+			writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
+		}
+	case does < 40:
+		writeString(conn, good)
+		return false
+	default:
+		writeString(conn, good)
+	}
+	return true
+}
+
+// trickle begins a response that never ends.
+func trickle(conn net.Conn) {
+	writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
+	for {
+		if _, err := io.WriteString(conn, "x"); err != nil {
+			return
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// faultyClient sends one request after another, on one connection as long as that stays.
+type faultyClient struct {
+	mix    *faultMix
+	conn   net.Conn // nil: none
+	reader *bufio.Reader
+	fresh  bool // the connection has carried no response
+}
+
+func (c *faultyClient) run() {
+	for ; !c.mix.stop.Load(); time.Sleep(time.Duration(c.mix.chance(15)) * time.Millisecond) {
+		if c.conn == nil {
+			conn, err := net.Dial("tcp", c.mix.node.server.listener.Addr().String())
+			if err != nil {
+				return
+			}
+			c.conn, c.reader, c.fresh = conn, bufio.NewReader(conn), true
+		}
+		c.send()
+	}
+	c.close()
+}
+
+func (c *faultyClient) close() {
+	if c.conn != nil {
+		closeConn(c.conn)
+		c.conn = nil
+	}
+}
+
+// send sends one request, and reads its response unless the client disconnects before.
+func (c *faultyClient) send() {
+	timeout := time.Duration(300+c.mix.chance(600)) * time.Millisecond
+	own := fmt.Sprint("own", lastID.Add(1))
+	text := requestText(int(timeout/time.Millisecond), own)
+	does := c.mix.chance(100)
+	switch {
+	case does < 10:
+		text += strings.Repeat("more ", 1+c.mix.chance(3000))
+	case does < 15:
+		text = text[:c.mix.chance(len(text))]
+	}
+	sentAt := time.Now()
+	writeString(c.conn, text)
+	if does < 8 || does >= 10 && does < 25 { // it disconnects
+		setReadDeadline(c.conn, sentAt.Add(time.Duration(c.mix.chance(60))*time.Millisecond))
+		waitForClose(c.conn)
+		c.close()
+		return
+	}
+	setReadDeadline(c.conn, sentAt.Add(timeout+2*time.Second))
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		if c.fresh || timedOut(err) {
+			c.mix.t.Errorf("no response after %v of %v: %v", time.Since(sentAt), timeout, err)
+		}
+		c.close()
+		return
+	}
+	body, err := io.ReadAll(response.Body)
+	if took := time.Since(sentAt); err != nil || took > timeout+100*time.Millisecond {
+		c.mix.t.Errorf("%v after %v of %v", err, took, timeout)
+	}
+	c.mix.check(own, response.StatusCode, string(body))
+	if c.fresh = false; response.Close || does < 10 {
+		c.close()
+	}
+}
+
+// check looks at the response to a request with a body of its own.
+func (m *faultMix) check(own string, status int, body string) {
+	m.mu.Lock()
+	ran := m.runs[own]
+	m.mu.Unlock()
+	switch {
+	case status == 200 && body == own:
+		m.served.Add(1)
+	case status == 502 || status == 503 && ran == 0:
+	default:
+		m.t.Errorf("%s: status %d, body %.20q, ran %d times", own, status, body, ran)
+	}
+	m.answered.Add(1)
+}
--- /dev/null
+++ b/internal/transport/fullserver_test.go
@@ -0,0 +1,54 @@
+package transport
+
+import (
+	"net"
+	"net/netip"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// fullServer is an app server whose connections don't come up until its queue is emptied.
+func fullServer(t *testing.T) (addr netip.AddrPort, empty func() net.Listener) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	bound, _ := syscall.Getsockname(fd)
+	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*syscall.SockaddrInet4).Port))
+	for range 4 { // until one does not come up
+		conn, err := net.DialTimeout("tcp", addr.String(), 50*time.Millisecond)
+		if err != nil {
+			break
+		}
+		t.Cleanup(func() { closeConn(conn) })
+	}
+	closed := false
+	t.Cleanup(func() {
+		if !closed {
+			_ = syscall.Close(fd) // the test is over
+		}
+	})
+	return addr, func() net.Listener {
+		closed = true
+		if err := syscall.SetNonblock(fd, true); err != nil {
+			t.Fatal(err)
+		}
+		file := os.NewFile(uintptr(fd), "full")
+		defer closeConn(file)
+		listener, err := net.FileListener(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { closeConn(listener) })
+		return listener
+	}
+}
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"bufio"
 	"context"
 	"sync"
 	"time"
@@ -140,7 +139,7 @@
 
 // probe asks a server whether it is ready. Nothing is sent to one that is not in service any more.
 func (d *HealthChecker) probe(s *routing.Server, until time.Time) bool {
-	l := d.pool.take(s)
+	l := d.pool.get(s)
 	if l == nil {
 		ctx, cancel := context.WithDeadline(context.Background(), until)
 		defer cancel()
@@ -154,32 +153,24 @@
 		return false
 	}
 	l.conn.SetDeadline(until)
-	l.out.took(protocol.AppendHealthCheck(l.out.room(), s.Addr.String()))
-	if l.out.Flush() != nil {
-		d.pool.end(l, serverBroken)
+	l.out.appended(protocol.AppendHealthCheck(l.out.space(), s.Addr.String()))
+	if l.out.flush() != nil {
+		d.pool.close(l, reasonServerReset)
 		return false
 	}
-	l.used++
-	br := parsers.Get().(*bufio.Reader)
-	br.Reset(&l.in)
-	l.in.Allow(protocol.MaxHead + 4*protocol.MaxBody)
-	l.in.patient = true // the probe's own time guards it
-	reply, err := protocol.ReadServerResponse(br, nil)
-	l.in.patient = false
-	l.in.done(br)
-	br.Reset(nil)
-	parsers.Put(br)
+	l.requests++
+	reply, err := l.readResponse(nil)
 	switch {
-	case err == nil && !reply.Close && l.in.r == l.in.w:
+	case err == nil && !reply.Close && l.in.empty():
 		d.pool.put(l)
 	case err == nil:
-		d.pool.end(l, serverLast)
+		d.pool.close(l, reasonServerRequestedClose)
 	case timedOut(l.in.err):
-		d.pool.end(l, serverLate)
+		d.pool.close(l, reasonServerTimeout)
 	case l.in.err == nil:
-		d.pool.end(l, serverBad)
+		d.pool.close(l, reasonServerMalformed)
 	default:
-		d.pool.end(l, serverBroken)
+		d.pool.close(l, reasonServerReset)
 	}
 	return err == nil && reply.Outcome == protocol.Completed
 }
--- /dev/null
+++ b/internal/transport/limits.go
@@ -0,0 +1,53 @@
+package transport
+
+import "time"
+
+// Limits are the node's own, from its configuration.
+type Limits struct {
+	Sockets           int           // file descriptors of all kinds
+	GRPC              bool          // a gRPC front end takes connections too
+	MemoryMB          int           // of the whole process
+	ServerIdleTimeout time.Duration // an app server closes connections that were idle for so long; 0: never
+	ConnectTimeout    time.Duration // a connection to an app server not up by then is given up
+}
+
+// Descriptors that are lent to no client and no app server, by what they are for: crowds of clients may take all that
+// they can get, and discovery be silent meanwhile.
+const (
+	reservedForProcess   = 10            // standard streams, the poller's two, the timer, two listeners, the peers' socket, a file
+	reservedForDiscovery = 2 * maxRacers // those of before a change of address may be closing yet
+	reservedForServices  = 6             // the quota store's four, the authorizer's, with one that is made anew
+	reservedForAccept    = 4             // a client accepted before it has a slot, and what is closed beside
+	minReserved          = reservedForProcess + reservedForDiscovery + reservedForServices + reservedForAccept
+	maxReserved          = 2 * minReserved // with spare ones, as for what the process inherits; where they are few a quarter
+	minPerSide           = 4
+)
+
+// Sizes of one direction's buffer of a connection, in bytes.
+const (
+	parserBuffer = 2 << 10 // what a parser may read past a message's end, and give back
+	minBuffer    = 2 * parserBuffer
+	maxBuffer    = 64 << 10
+)
+
+// reserved is how many descriptors are lent to no connection of a client or an app server.
+func (l Limits) reserved() int { return min(max(minReserved, l.Sockets/4), maxReserved) }
+
+// perSide is how many connections there may be to clients, and as many to app servers: half each of what is not reserved.
+func (l Limits) perSide() int { return max(minPerSide, (l.Sockets-l.reserved())/2) }
+
+// grpcConnections is how many of the clients' connections may be of gRPC, which carry many calls each.
+func (l Limits) grpcConnections() int { return max(1, l.perSide()/4) }
+
+// httpConnections is how many of the clients' connections may be of HTTP.
+func (l Limits) httpConnections() int {
+	if l.GRPC {
+		return l.perSide() - l.grpcConnections()
+	}
+	return l.perSide()
+}
+
+// bufferSize is the size of one direction's buffer, in bytes: an eighth of the memory is for all of them.
+func (l Limits) bufferSize() int {
+	return min(max(l.MemoryMB<<20/8/(2*max(1, l.Sockets))&^1023, minBuffer), maxBuffer)
+}
--- a/internal/transport/peersocket.go
+++ b/internal/transport/peersocket.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"net/netip"
 	"time"
@@ -9,53 +10,54 @@
 	"cherrygap/internal/protocol"
 )
 
-// PeerSocket is the socket of the peers' datagrams.
+// PeerSocket is the UDP socket of the messages between nodes.
 type PeerSocket struct {
-	conn  *net.UDPConn
-	peers *protocol.PeerTable
-	count *Counters
+	conn     *net.UDPConn
+	table    *protocol.PeerTable
+	counters *Counters
 }
 
-// OpenPeerSocket opens the socket.
-func OpenPeerSocket(addr netip.AddrPort, peers *protocol.PeerTable, count *Counters) (*PeerSocket, error) {
+// OpenPeerSocket opens the socket at an address of the node's own.
+func OpenPeerSocket(addr netip.AddrPort, table *protocol.PeerTable, counters *Counters) (*PeerSocket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("peers' socket: %w", err)
 	}
-	return &PeerSocket{conn: conn, peers: peers, count: count}, nil
+	return &PeerSocket{conn: conn, table: table, counters: counters}, nil
 }
 
-// Send sends a message to one peer, or to all. What can't be sent is lost, as any datagram may be.
-func (m *PeerSocket) Send(peer int, text []byte) {
-	to, ok := m.peers.AddrOf(peer)
+// Send sends a message to one peer, or to all (below 0). What can't be sent is counted and lost, as any datagram may be.
+func (s *PeerSocket) Send(peer int, text []byte) {
+	to, ok := s.table.AddrOf(peer)
 	if ok && len(text) <= protocol.MaxDatagram {
-		if _, err := m.conn.WriteToUDPAddrPort(text, to); err == nil {
-			m.count.PeerMessagesSent.Add(1)
+		if _, err := s.conn.WriteToUDPAddrPort(text, to); err == nil {
+			s.counters.PeerMessagesSent.Add(1)
 			return
 		}
 	}
-	m.count.PeerMessagesUnsent.Add(1)
+	s.counters.PeerMessagesUnsent.Add(1)
 }
 
-// Receive passes on what peers send, until the socket is closed. What is not theirs, or can't be read, is
-// counted and dropped. A socket that gives nothing but errors is asked again after a pause, as the listener is
-// (Front.accept): without it this loop would take the whole core for as long as they last.
-func (m *PeerSocket) Receive(heard func(from int, text []byte) bool) {
-	buf := make([]byte, protocol.MaxDatagram+1)
+// Receive passes each message of a peer to handle, on the caller's goroutine, until the socket is closed. handle
+// reports whether it could be read; text is good until it returns. What no peer sent, or can't be read, is counted and
+// dropped. A socket that gives nothing but errors is asked again after a pause, as the listener is
+// (Server.acceptLoop): without it this loop would take the whole core for as long as they last.
+func (s *PeerSocket) Receive(handle func(from int, text []byte) bool) {
+	buf := make([]byte, protocol.MaxDatagram+1) // one more, so that a longer one is seen to be
 	for {
-		n, addr, err := m.conn.ReadFromUDPAddrPort(buf)
+		n, addr, err := s.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			m.count.PeerMessagesDropped.Add(1)
-			time.Sleep(againSoon)
+			s.counters.PeerMessagesDropped.Add(1)
+			time.Sleep(errorPause)
 			continue
 		}
-		if from, ok := m.peers.NumberOf(addr, n); ok && heard(from, buf[:n]) {
-			m.count.PeerMessagesReceived.Add(1)
+		if from, ok := s.table.NumberOf(addr, n); ok && handle(from, buf[:n]) {
+			s.counters.PeerMessagesReceived.Add(1)
 		} else {
-			m.count.PeerMessagesDropped.Add(1)
+			s.counters.PeerMessagesDropped.Add(1)
 		}
 	}
 }
--- /dev/null
+++ b/internal/transport/peersocket_test.go
@@ -0,0 +1,75 @@
+package transport
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+func TestDatagramsOfStrangersAreDropped(t *testing.T) {
+	counters := &Counters{}
+	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer := netip.MustParseAddrPort(sender.LocalAddr().String())
+	socket, err := OpenPeerSocket(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable([]netip.AddrPort{peer}, peer), counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeConn(socket.conn)
+	received := make(chan string, 9)
+	go socket.Receive(func(from int, text []byte) bool {
+		received <- fmt.Sprint(from, string(text))
+		return true
+	})
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(socket.conn.LocalAddr().String()))
+	stranger, err := net.DialUDP("udp", nil, to)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeString(stranger, "no")
+	for _, text := range [][]byte{make([]byte, protocol.MaxDatagram+1), []byte("yes")} {
+		if _, err := sender.WriteToUDP(text, to); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got := <-received; got != "0yes" {
+		t.Errorf("received %q", got)
+	}
+	eventually(t, "two dropped and one received", func() bool {
+		return counters.PeerMessagesDropped.Load() == 2 && counters.PeerMessagesReceived.Load() == 1
+	})
+	socket.Send(0, []byte("back"))
+	socket.Send(-1, []byte("all"))
+	socket.Send(5, []byte("nobody"))
+	socket.Send(0, make([]byte, protocol.MaxDatagram+1))
+	if counters.PeerMessagesSent.Load() != 2 || counters.PeerMessagesUnsent.Load() != 2 {
+		t.Errorf("sent %d, unsent %d", counters.PeerMessagesSent.Load(), counters.PeerMessagesUnsent.Load())
+	}
+}
+
+// A socket that gives errors for as long as it is asked must not take the core for itself.
+func TestErrorsOfThePeerSocketArePaced(t *testing.T) {
+	counters := &Counters{}
+	socket, err := OpenPeerSocket(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(nil, netip.AddrPort{}), counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	setReadDeadline(socket.conn, pastDeadline) // every read fails from now on
+	done := make(chan struct{})
+	go func() {
+		socket.Receive(func(int, []byte) bool { return true })
+		close(done)
+	}()
+	time.Sleep(20 * errorPause)
+	closeConn(socket.conn)
+	<-done
+	if dropped := counters.PeerMessagesDropped.Load(); dropped < 1 || dropped > 21 {
+		t.Errorf("%d errors in 20 pauses", dropped)
+	}
+}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -13,183 +13,173 @@
 	"cherrygap/internal/routing"
 )
 
-// retireAt is the part of the app servers' idle time after which the node closes a connection itself, so
-// that no execution is written to one that its server closes at that moment and so may have run.
-const retireAt = 0.8
+// idleTimeoutShare is the part of the app servers' idle timeout after which the node closes a connection itself, so
+// that no attempt is written to one that its server closes at that moment and so may have run.
+const idleTimeoutShare = 0.8
 
-// settleFor is how long a connection stays out of use after an answer, so that a second one is seen before it would pass
-// for the next ticket's: six times as long as any was seen to take. It costs a connection for each execution that a
+// settleTime is how long a connection stays out of use after a response, so that a second one is seen before it would
+// pass for the next request's: six times as long as any was seen to take. It costs a connection for each attempt that a
 // server gets within that time, which is few: a node sends a server some ten a second.
-const settleFor = 30 * time.Millisecond
+const settleTime = 30 * time.Millisecond
 
-// A connection that breaks so soon after a request was written had died before; it is remembered for a while.
+// distrustFor is how long a stale connection makes others suspect.
+const distrustFor = 10 * time.Second
+
+// How long to wait for the reset of a stale connection, once most of a request was written to it.
 const (
-	diedWithin = 10 * time.Millisecond
-	waryFor    = 10 * time.Second
-	mostFresh  = 2 // new connections for one execution, which has not begun before its last byte
+	resetWaitRoundTrips = 3                      // of the connection's own, as its dial took: a reset takes one
+	minResetWait        = 300 * time.Microsecond // for machines that are late
+	maxResetWait        = 3 * time.Millisecond
 )
 
-// link is one connection to an app server.
-type link struct {
-	conn    *net.TCPConn
-	sock    *socket
-	server  *routing.Server
-	in, out ring
-	began   time.Time
-	shows   time.Duration // a connection that has died shows it so soon, once written to
-	idleAt  time.Time     // since when it carries nothing, as its server's clock has it
-	used    int
-	rested  int // its uses when it was last put back
-}
+// errNoDescriptors is that no descriptor is left for one more connection.
+var errNoDescriptors = errors.New("no descriptor left")
 
 // Pool keeps the connections to app servers, for each a stack of idle ones. They are of a server, not of an
 // address: one that is new may have the address of one that has gone, whose connections stand open and silent.
 type Pool struct {
-	limits Limits
-	log    *zerolog.Logger
-	count  *Counters
+	limits   Limits
+	log      *zerolog.Logger
+	counters *Counters
 
-	mu    sync.Mutex
-	idle  map[*routing.Server][]*link
-	total int // idle, in use and being dialled
-	timer *time.Timer
-	armed bool
+	mu       sync.Mutex                          // guards all below
+	idle     map[*routing.Server][]*upstreamConn // the last used is last
+	total    int                                 // idle, in use and being dialled
+	timer    *time.Timer                         // calls closeExpired
+	timerSet bool
 
-	serves func(*routing.Server) bool // as of the last list; nil before any
+	inService func(*routing.Server) bool // as of the last list; nil before any
 
-	wary  time.Time     // until then
-	trust time.Duration // what has been idle for so long is not used
+	distrustUntil  time.Time     // a stale connection was met: until then
+	maxTrustedIdle time.Duration // what has been idle for so long is not used
 }
 
 // NewPool makes an empty pool.
-func NewPool(limits Limits, log *zerolog.Logger, count *Counters) *Pool {
-	p := &Pool{limits: limits, log: log, count: count, idle: map[*routing.Server][]*link{}}
-	p.timer = time.AfterFunc(time.Hour, p.retire)
+func NewPool(limits Limits, log *zerolog.Logger, counters *Counters) *Pool {
+	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*upstreamConn{}}
+	p.timer = time.AfterFunc(time.Hour, p.closeExpired)
 	return p
 }
 
-func (p *Pool) retirement() time.Duration {
-	return time.Duration(float64(p.limits.ServerIdleTimeout) * retireAt)
+// idleLimit is how long a connection may be idle.
+func (p *Pool) idleLimit() time.Duration {
+	return time.Duration(float64(p.limits.ServerIdleTimeout) * idleTimeoutShare)
 }
 
-// errFull is that no descriptor is left for one more connection.
-var errFull = errors.New("no descriptor left")
-
-// take is the idle connection to a server that was last used, but for those that came back only just: bytes that
-// a server sends right behind an answer must be seen before the next execution, whose answer they would pass for.
-func (p *Pool) take(s *routing.Server) *link {
+// get takes the idle connection to a server that was last used, or nil. It passes over those that were put back only
+// just: bytes that a server sends right behind a response must be seen before the next attempt, whose response they would
+// pass for.
+func (p *Pool) get(server *routing.Server) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for stack := p.idle[s]; len(stack) > 0; stack = p.idle[s] {
+	for stack := p.idle[server]; len(stack) > 0; stack = p.idle[server] {
 		i := len(stack) - 1
-		for i >= 0 && time.Since(stack[i].idleAt) < settleFor {
+		for i >= 0 && time.Since(stack[i].idleSince) < settleTime {
 			i--
 		}
 		if i < 0 {
 			return nil
 		}
-		l := stack[i]
-		p.idle[s] = slices.Delete(stack, i, i+1)
-		if age := time.Since(l.idleAt); p.limits.ServerIdleTimeout > 0 && age >= p.retirement() ||
-			age >= p.trust && time.Now().Before(p.wary) {
-			p.drop(l, idled)
-		} else if !l.sound() {
-			p.drop(l, serverClosed)
-		} else {
-			return l
+		conn := stack[i]
+		p.idle[server] = slices.Delete(stack, i, i+1)
+		age := time.Since(conn.idleSince)
+		switch {
+		case p.limits.ServerIdleTimeout > 0 && age >= p.idleLimit(),
+			age >= p.maxTrustedIdle && time.Now().Before(p.distrustUntil):
+			p.closeLocked(conn, reasonIdle)
+		case !conn.usable():
+			p.closeLocked(conn, reasonServerClosed)
+		default:
+			return conn
 		}
 	}
 	return nil
 }
 
-// distrust notes that a connection broke as soon as it was used after it had been idle for so long: for a while
-// none that has been idle for half of that is used. It guards against servers, or what lies between, that give up
-// idle connections without a word long before the time in the settings; an execution on one may have run. It could
-// harm where connections break whatever their age: then new ones are made, which cost their servers a little.
+// distrust notes that a connection was stale, as it broke at once when used after it had been idle for so long: for a
+// while none that has been idle for half of that is used. It guards against servers, or what lies between, that give up
+// idle connections without a word long before the timeout in the settings; an attempt on one may have run. It could harm
+// where connections break whatever their age: then new ones are made, which cost their servers a little.
 func (p *Pool) distrust(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Before(p.wary) {
-		p.trust = min(p.trust, idle/2)
+	if now := time.Now(); now.Before(p.distrustUntil) {
+		p.maxTrustedIdle = min(p.maxTrustedIdle, idle/2)
 	} else {
-		p.trust = idle / 2
+		p.maxTrustedIdle = idle / 2
 	}
-	p.wary = time.Now().Add(waryFor)
+	p.distrustUntil = time.Now().Add(distrustFor)
 }
 
-// dial makes a new connection.
-func (p *Pool) dial(ctx context.Context, s *routing.Server) (*link, error) {
+// dial makes a new connection. The error is errNoDescriptors where the pool is full with connections in use.
+func (p *Pool) dial(ctx context.Context, server *routing.Server) (*upstreamConn, error) {
 	p.mu.Lock()
-	if p.total >= p.limits.side() && !p.evict() {
+	if p.total >= p.limits.perSide() && !p.evict() {
 		p.mu.Unlock()
-		return nil, errFull
+		return nil, errNoDescriptors
 	}
 	p.total++
 	p.mu.Unlock()
-	p.count.Dials.Add(1)
-	d, asked := net.Dialer{Timeout: p.limits.ConnectTimeout, KeepAlive: -1}, time.Now()
-	c, err := d.DialContext(ctx, "tcp", s.Addr.String())
+	p.counters.Dials.Add(1)
+	dialer, dialledAt := net.Dialer{Timeout: p.limits.ConnectTimeout, KeepAlive: -1}, time.Now()
+	dialled, err := dialer.DialContext(ctx, "tcp", server.Addr.String())
 	if err != nil {
 		p.mu.Lock()
 		p.total--
 		p.mu.Unlock()
 		return nil, err
 	}
-	conn := c.(*net.TCPConn)
-	size, sock, now := p.limits.ring(), newSocket(conn), time.Now()
-	return &link{conn: conn, sock: sock, server: s, in: newRing(conn, sock, size),
-		out: newRing(conn, newSocket(conn), size), began: now, idleAt: now,
-		shows: min(max(breakTrips*now.Sub(asked), breakLeast), breakWithin)}, nil
-}
-
-// sound tells whether an idle connection can be used. It guards against servers that closed it, where an
-// execution would end as one that may have run.
-func (l *link) sound() bool {
-	l.conn.SetDeadline(time.Time{})
-	return l.in.r == l.in.w && l.sock.silent()
+	conn := dialled.(*net.TCPConn)
+	size, reader, now := p.limits.bufferSize(), newSocket(conn), time.Now()
+	return &upstreamConn{
+		conn: conn, reader: reader, server: server,
+		in: newRingBuffer(conn, reader, size), out: newRingBuffer(conn, newSocket(conn), size),
+		openedAt: now, idleSince: now,
+		resetWait: min(max(resetWaitRoundTrips*now.Sub(dialledAt), minResetWait), maxResetWait),
+	}, nil
 }
 
-// put takes a connection back. One that carried nothing since it was taken has been idle all along: its server's clock
-// has run on. One whose server went out of service meanwhile is closed: no later sweep would find its stack.
-func (p *Pool) put(l *link) {
-	if l.used > l.rested {
-		l.idleAt, l.rested = time.Now(), l.used
+// put takes a connection back. One that carried nothing since get has been idle all along: its server's clock has run on.
+// One whose server went out of service meanwhile is closed: no later sweep would find its stack.
+func (p *Pool) put(conn *upstreamConn) {
+	if conn.requests > conn.requestsAtPut {
+		conn.idleSince, conn.requestsAtPut = time.Now(), conn.requests
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.serves != nil && !p.serves(l.server) {
-		p.drop(l, serverDropped)
+	if p.inService != nil && !p.inService(conn.server) {
+		p.closeLocked(conn, reasonServerUnlisted)
 		return
 	}
-	p.idle[l.server] = append(p.idle[l.server], l)
-	if p.limits.ServerIdleTimeout > 0 && !p.armed {
-		p.armed = true
-		p.timer.Reset(p.retirement())
+	p.idle[conn.server] = append(p.idle[conn.server], conn)
+	if p.limits.ServerIdleTimeout > 0 && !p.timerSet {
+		p.timerSet = true
+		p.timer.Reset(p.idleLimit())
 	}
 }
 
-// end closes a connection that is not idle. One that is given up takes along what its server's machine has not taken yet,
-// which else would come there later, behind the node's back, and might run for nobody.
-func (p *Pool) end(l *link, why reason) {
-	if (why == withdrawn || why == serverLate) && l.sock.untaken() {
-		l.conn.SetLinger(0)
+// close closes a connection that is not idle. One that is given up takes along what its server's machine has not
+// acknowledged yet, which else would come there later, behind the node's back, and might run for nobody.
+func (p *Pool) close(conn *upstreamConn, reason closeReason) {
+	if (reason == reasonAttemptCancelled || reason == reasonServerTimeout) && conn.reader.hasUnacknowledged() {
+		_ = conn.conn.SetLinger(0) // a reset; fails for a connection that is closed already
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(l, why)
+	p.closeLocked(conn, reason)
 }
 
-func (p *Pool) drop(l *link, why reason) {
+func (p *Pool) closeLocked(conn *upstreamConn, reason closeReason) {
 	p.total--
-	l.conn.Close()
-	logEnd(p.log, "server", l.server.Addr.String(), why, l.began, l.used)
+	closeConn(conn.conn)
+	logClose(p.log, sideServer, conn.server.Addr.String(), reason, conn.openedAt, conn.requests)
 }
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest, and reports whether there was one. p.mu is held.
 func (p *Pool) evict() bool {
-	var oldest *link
+	var oldest *upstreamConn
 	for _, stack := range p.idle {
-		if len(stack) > 0 && (oldest == nil || stack[0].idleAt.Before(oldest.idleAt)) {
+		if len(stack) > 0 && (oldest == nil || stack[0].idleSince.Before(oldest.idleSince)) {
 			oldest = stack[0]
 		}
 	}
@@ -197,54 +187,55 @@
 		return false
 	}
 	p.idle[oldest.server] = p.idle[oldest.server][1:]
-	p.drop(oldest, evicted)
+	p.closeLocked(oldest, reasonEvicted)
 	return true
 }
 
-// retire closes what has been idle for too long, and what its server closed.
-func (p *Pool) retire() {
+// closeExpired closes what has been idle for too long, and what its server closed. The timer calls it on a goroutine of
+// its own, and is set again as long as any connection is idle.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := time.Duration(-1)
-	for s, stack := range p.idle {
+	next := time.Duration(-1) // until the next one expires
+	for server, stack := range p.idle {
 		kept := stack[:0]
-		for _, l := range stack {
-			age := time.Since(l.idleAt)
+		for _, conn := range stack {
+			age := time.Since(conn.idleSince)
 			switch {
-			case age >= p.retirement():
-				p.drop(l, idled)
+			case age >= p.idleLimit():
+				p.closeLocked(conn, reasonIdle)
 				continue
-			case !l.sound():
-				p.drop(l, serverClosed)
+			case !conn.usable():
+				p.closeLocked(conn, reasonServerClosed)
 				continue
 			}
-			if left := p.retirement() - age; next < 0 || left < next {
+			if left := p.idleLimit() - age; next < 0 || left < next {
 				next = left
 			}
-			kept = append(kept, l)
+			kept = append(kept, conn)
 		}
 		if clear(stack[len(kept):]); len(kept) == 0 {
-			delete(p.idle, s)
+			delete(p.idle, server)
 		} else {
-			p.idle[s] = kept
+			p.idle[server] = kept
 		}
 	}
-	if p.armed = next >= 0; p.armed {
-		p.timer.Reset(max(next, p.retirement()/8))
+	if p.timerSet = next >= 0; p.timerSet {
+		p.timer.Reset(max(next, p.idleLimit()/8))
 	}
 }
 
-// KeepOnly closes what is idle to servers that are not in service any more, from now on as it comes back.
+// KeepOnly closes what is idle to servers that are not in service any more, from now on as it is put back.
 func (p *Pool) KeepOnly(inService func(*routing.Server) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.serves = inService
-	for s, stack := range p.idle {
-		if !inService(s) {
-			for _, l := range stack {
-				p.drop(l, serverDropped)
+	p.inService = inService
+	for server, stack := range p.idle {
+		if !inService(server) {
+			for _, conn := range stack {
+				p.closeLocked(conn, reasonServerUnlisted)
 			}
-			delete(p.idle, s)
+			delete(p.idle, server)
 		}
 	}
 }
--- a/internal/transport/requestids.go
+++ b/internal/transport/requestids.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	idsFor  = 8 * time.Second // an answered ticket's id is kept at least so long,
-	mostIDs = 4 << 10         // unless more come than this
+	idMemory         = 8 * time.Second // an answered request's id is remembered at least so long,
+	maxRememberedIDs = 4 << 10         // unless more come than this
 )
 
-// ids are those of the tickets that are open or were lately answered. A stranger may send one that it has seen;
-// an execution under it would count as a second of the ticket's own.
-type ids struct {
-	mu       sync.Mutex
-	open     map[string]struct{}
-	now, old map[string]struct{} // answered
-	turned   time.Time
+// requestIDs are the ids of requests that are open or were lately answered. Anyone may send an id that it has seen;
+// an attempt under it would count as a second one of the request's own.
+type requestIDs struct {
+	mu               sync.Mutex // guards all below
+	open             map[string]struct{}
+	recent, previous map[string]struct{} // answered; recent becomes previous by and by, and is then forgotten
+	rotatedAt        time.Time
 }
 
-func newIDs() *ids {
-	return &ids{open: map[string]struct{}{}, now: map[string]struct{}{}, turned: time.Now()}
+func newRequestIDs() *requestIDs {
+	return &requestIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}, rotatedAt: time.Now()}
 }
 
-// take notes an id, unless it is known.
-func (s *ids) take(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, m := range [...]map[string]struct{}{s.open, s.now, s.old} {
-		if _, known := m[id]; known {
+// claim notes an id as open and reports whether it was unknown.
+func (ids *requestIDs) claim(id string) bool {
+	ids.mu.Lock()
+	defer ids.mu.Unlock()
+	for _, known := range [...]map[string]struct{}{ids.open, ids.recent, ids.previous} {
+		if _, found := known[id]; found {
 			return false
 		}
 	}
-	s.open[id] = struct{}{}
+	ids.open[id] = struct{}{}
 	return true
 }
 
-// answered notes that a ticket is open no more.
-func (s *ids) answered(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.open, id)
-	if len(s.now) >= mostIDs || time.Since(s.turned) >= idsFor {
-		s.old, s.now, s.turned = s.now, make(map[string]struct{}, len(s.now)), time.Now()
+// release notes that a request was answered.
+func (ids *requestIDs) release(id string) {
+	ids.mu.Lock()
+	defer ids.mu.Unlock()
+	delete(ids.open, id)
+	if len(ids.recent) >= maxRememberedIDs || time.Since(ids.rotatedAt) >= idMemory {
+		ids.previous, ids.recent, ids.rotatedAt = ids.recent, make(map[string]struct{}, len(ids.recent)), time.Now()
 	}
-	s.now[id] = struct{}{}
+	ids.recent[id] = struct{}{}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -12,190 +13,222 @@
 	"cherrygap/internal/routing"
 )
 
-// Server takes in clients.
+// Times of clients' connections.
+const (
+	firstByteTimeout = 100 * time.Millisecond // of a new connection, before others' needs go first
+	finalAcceptWait  = 2 * time.Millisecond   // for connections that wait in the listener's queue when it is to close
+	finalAccepts     = 2                      // so many of these waits have to find nobody
+)
+
+// Server accepts clients' HTTP connections and serves them.
 type Server struct {
-	router *routing.Router
-	pool   *Pool
-	limits Limits
-	check  Authorizer
-	log    *zerolog.Logger
-	count  *Counters
-
-	ln       *net.TCPListener
-	ids      *ids
-	slots    chan struct{} // one for each connection there may be, beside one that waits
-	draining atomic.Bool   // answers close their connections
-	closing  atomic.Bool   // idle connections are closed
-	shut     chan struct{} // accept has taken in all that had come
-	crowded  atomic.Bool   // accept waits for a connection to end
-	open     sync.WaitGroup
-	mu       sync.Mutex
-	clients  map[*client]struct{}
-	evicted  bool // one is being evicted
+	router     *routing.Router
+	pool       *Pool
+	limits     Limits
+	authorizer Authorizer // nil where no request is checked
+	log        *zerolog.Logger
+	counters   *Counters
+	listener   *net.TCPListener
+	requestIDs *requestIDs
+
+	slots       chan struct{}  // holds one for each open connection, but for one that waits
+	acceptDone  chan struct{}  // closed once acceptLoop has returned
+	conns       sync.WaitGroup // acceptLoop and each connection
+	draining    atomic.Bool    // responses close their connections
+	closingIdle atomic.Bool    // idle connections are closed
+	atLimit     atomic.Bool    // acceptLoop waits for a slot
+
+	mu       sync.Mutex // guards all below, and clientConn.evicted
+	clients  map[*clientConn]struct{}
+	evicting bool // one of them is being evicted
 }
 
-// Listen starts to take in clients. Their tickets are checked by check, if there is one.
-func Listen(addr string, router *routing.Router, pool *Pool, limits Limits, check Authorizer, log *zerolog.Logger,
-	count *Counters) (*Server, error) {
-	ln, err := net.Listen("tcp", addr)
+// Listen starts to serve clients on an address. Their requests are checked by authorizer, if there is one. Drain ends it.
+func Listen(addr string, router *routing.Router, pool *Pool, limits Limits, authorizer Authorizer, log *zerolog.Logger,
+	counters *Counters,
+) (*Server, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("clients' listener: %w", err)
+	}
+	s := &Server{
+		router: router, pool: pool, limits: limits, authorizer: authorizer, log: log, counters: counters,
+		listener: listener.(*net.TCPListener), requestIDs: newRequestIDs(),
+		slots:      make(chan struct{}, limits.httpConnections()),
+		acceptDone: make(chan struct{}),
+		clients:    map[*clientConn]struct{}{},
 	}
-	f := &Server{router: router, pool: pool, limits: limits, check: check, log: log, count: count, ln: ln.(*net.TCPListener),
-		ids: newIDs(), slots: make(chan struct{}, limits.clients()), clients: map[*client]struct{}{},
-		shut: make(chan struct{})}
-	f.open.Add(1)
-	go f.accept()
-	return f, nil
+	s.conns.Add(1)
+	go s.acceptLoop()
+	return s, nil
 }
 
-// accept takes one connection after another. At the limit a new one waits while the client that has been idle
-// longest makes room, which may ask again on a new connection; the rest wait in the kernel.
-func (f *Server) accept() {
-	defer f.open.Done()
-	defer close(f.shut)
-	var last time.Time // the door closes: nobody is taken in from then on
-	for looks := 0; ; {
-		// What stands before the door when it closes would be reset, so it is taken in first. Past its deadline a
-		// listener is not even asked, so each look has a short one of its own, until two find nobody.
-		if !last.IsZero() {
-			f.ln.SetDeadline(earlier(last, time.Now().Add(lastLook)))
+// acceptLoop accepts one connection after another until Drain has closed the listener, on a goroutine that Listen starts.
+func (s *Server) acceptLoop() {
+	defer s.conns.Done()
+	defer close(s.acceptDone)
+	var acceptUntil time.Time // set once the listener is to close
+	for emptyAccepts := 0; ; {
+		// Connections that wait in the listener's queue when it closes would be reset, so they are accepted first. Past its
+		// deadline a listener's queue is not even looked at, so each look has a short deadline of its own.
+		if !acceptUntil.IsZero() {
+			setAcceptDeadline(s.listener, earlier(acceptUntil, time.Now().Add(finalAcceptWait)))
 		}
-		conn, err := f.ln.AcceptTCP()
+		conn, err := s.listener.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if timedOut(err) {
-			if last.IsZero() {
-				last = time.Now().Add(askWithin)
-			} else if looks++; looks > 1 {
-				f.ln.Close()
+			if acceptUntil.IsZero() {
+				acceptUntil = time.Now().Add(firstByteTimeout)
+			} else if emptyAccepts++; emptyAccepts >= finalAccepts {
+				closeConn(s.listener)
 				return
 			}
 			continue
 		}
-		looks = 0
-		if err != nil { // none of our own making; never a reason to stop
-			f.log.Warn().Err(err).Msg("accept failed")
-			time.Sleep(againSoon)
+		emptyAccepts = 0
+		if err != nil { // none of the node's own making; never a reason to stop
+			s.log.Warn().Err(err).Msg("accept failed")
+			time.Sleep(errorPause)
 			continue
 		}
-		came, waited := time.Now(), false
-		select {
-		case f.slots <- struct{}{}:
-		default:
-			f.crowded.Store(true) // whoever falls idle from now on makes room too
-			f.evict()
-			f.slots <- struct{}{}
-			f.crowded.Store(false)
-			waited = true
-		}
-		f.count.Connections.Add(1)
-		c := newClient(f, conn)
-		if waited {
-			c.held = came
-		}
-		f.mu.Lock()
-		f.clients[c] = struct{}{}
-		f.mu.Unlock()
-		f.open.Add(1)
-		go c.read()
+		s.add(conn)
+	}
+}
+
+// add starts to serve an accepted connection. At the limit it waits for a slot while the client that has been idle
+// longest is closed, which may come again on a new connection; further ones wait in the kernel meanwhile.
+func (s *Server) add(conn *net.TCPConn) {
+	acceptedAt, waited := time.Now(), false
+	select {
+	case s.slots <- struct{}{}:
+	default:
+		s.atLimit.Store(true) // who falls idle from now on makes room too
+		s.evict()
+		s.slots <- struct{}{}
+		s.atLimit.Store(false)
+		waited = true
+	}
+	s.counters.Connections.Add(1)
+	client := newClientConn(s, conn)
+	if waited {
+		client.waitedSince = acceptedAt
 	}
+	s.mu.Lock()
+	s.clients[client] = struct{}{}
+	s.mu.Unlock()
+	s.conns.Add(1)
+	go client.serve()
+}
+
+// remove forgets a connection that was closed.
+func (s *Server) remove(client *clientConn) {
+	s.mu.Lock()
+	delete(s.clients, client)
+	s.evicting = s.evicting && !client.evicted
+	s.mu.Unlock()
+	<-s.slots
+	s.conns.Done()
 }
 
 // evict closes the connection that has been idle longest, if one is idle and none is being evicted; those that
-// never sent a whole request go first, or a crowd of them would push out the clients that ask.
-func (f *Server) evict() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.evicted {
+// never sent a whole request go first, or a crowd of them would push out the clients that do.
+func (s *Server) evict() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.evicting {
 		return
 	}
-	var oldest *client
-	for c := range f.clients {
-		if c.idle.Load() && (oldest == nil || c.before(oldest)) {
-			oldest = c
+	var first *clientConn
+	for client := range s.clients {
+		if client.idle.Load() && (first == nil || client.evictedBefore(first)) {
+			first = client
 		}
 	}
-	if oldest != nil && oldest.idle.CompareAndSwap(true, false) {
-		f.evicted, oldest.leaves = true, true
-		oldest.end(evicted)
+	if first != nil && first.leaveIdle() {
+		s.evicting, first.evicted = true, true
+		first.close(reasonEvicted)
 	}
 }
 
-// before tells which of two idle connections is closed first: one that had its time to ask and did not, then the
-// one that has been idle longest, and last one that has only come, whose request may be on its way.
-func (c *client) before(o *client) bool {
-	if a, b := c.standing(), o.standing(); a != b {
-		return a < b
+// evictionRank orders connections by what they did since they came. The lowest is evicted first.
+type evictionRank int
+
+const (
+	rankNeverRequested evictionRank = iota // though it had the time to
+	rankRequested
+	rankNew // its request may be on its way
+)
+
+func (c *clientConn) evictionRank() evictionRank {
+	switch {
+	case c.hasRequested.Load():
+		return rankRequested
+	case time.Since(c.acceptedAt) >= firstByteTimeout:
+		return rankNeverRequested
 	}
-	return c.idleAt.Load() < o.idleAt.Load()
+	return rankNew
 }
 
-func (c *client) standing() int {
-	switch {
-	case c.asked.Load():
-		return 1
-	case time.Since(c.began) >= askWithin:
-		return 0
+// evictedBefore reports which of two idle connections is closed first: by rank, then the one that has been idle longer.
+func (c *clientConn) evictedBefore(other *clientConn) bool {
+	if mine, others := c.evictionRank(), other.evictionRank(); mine != others {
+		return mine < others
 	}
-	return 2
+	return c.idleSince.Load() < other.idleSince.Load()
 }
 
-// tight tells whether so many connections are open that each answer is to be its connection's last: among clients
-// that ask once and stay, one that may go again keeps nobody out. Calm days are far below it.
-func (f *Server) tight() bool { return 2*len(f.slots) > cap(f.slots) }
+// nearLimit reports whether so many connections are open that each response is to be its connection's last: among
+// clients that ask once and stay, one that may go again keeps nobody out. Usual loads are far below it.
+func (s *Server) nearLimit() bool { return 2*len(s.slots) > cap(s.slots) }
 
-// Drain answers what comes with a close, goes on accepting for a while, takes in what stands before the door, then
-// closes what is idle, and returns once every client has its answer.
-func (f *Server) Drain(accept time.Duration) {
-	f.draining.Store(true)
-	f.ln.SetDeadline(time.Now().Add(accept))
+// Drain shuts the server down. It answers what comes with a close, goes on accepting for a while, accepts what waits
+// in the listener's queue, then closes what is idle, and returns once every client has its response.
+func (s *Server) Drain(accept time.Duration) {
+	s.draining.Store(true)
+	setAcceptDeadline(s.listener, time.Now().Add(accept))
 	select {
-	case <-f.shut:
-	case <-time.After(accept + 2*askWithin): // it waits for a slot
-		f.ln.Close()
+	case <-s.acceptDone:
+	case <-time.After(accept + 2*firstByteTimeout): // it waits for a slot
+		closeConn(s.listener)
 	}
 	empty := make(chan struct{})
-	go func() { f.open.Wait(); close(empty) }()
-	for f.closing.Store(true); ; {
-		f.letGo()
+	go func() { // ends once the last connection is closed, which the loop below waits for
+		s.conns.Wait()
+		close(empty)
+	}()
+	for s.closingIdle.Store(true); ; {
+		s.closeIdle()
 		select {
 		case <-empty:
 			return
-		case <-time.After(askWithin / 10):
+		case <-time.After(firstByteTimeout / 10):
 		}
 	}
 }
 
-// letGo closes the connections that are idle, but for those with a request on the way: one that has only come has its
-// time to ask, one whose first request has begun may finish it, and where bytes wait unread they are read first.
-func (f *Server) letGo() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.clients {
-		if !c.idle.Load() || !c.asked.Load() && time.Since(c.began) < askWithin || unread(c.conn) {
+// closeIdle closes the connections that are idle, but for those with a request on the way: one that has only come has
+// its time to send one, one whose first request has begun may finish it, and where bytes wait unread they are read first.
+func (s *Server) closeIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for client := range s.clients {
+		if !client.idle.Load() || client.mayStillSend() || hasUnread(client.conn) {
 			continue
 		}
-		// What came before that look is there no more because it has been read: then its reader is at it, or has said so.
-		if !c.sock.taking.Load() && (c.asked.Load() || !c.half.Load()) && c.idle.CompareAndSwap(true, false) {
-			c.end(nodeDrains)
+		// Bytes that came before that look and are there no more have been read: then serve is at them, or has said so.
+		// The order of these looks is serve's own backwards.
+		if !client.reader.reading.Load() && !client.sendsFirst() && client.leaveIdle() {
+			client.close(reasonNodeDraining)
 		}
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
-	}
-	return b
+// mayStillSend reports whether a connection has only come, and has its time to send a first request.
+func (c *clientConn) mayStillSend() bool {
+	return !c.hasRequested.Load() && time.Since(c.acceptedAt) < firstByteTimeout
 }
 
-func (f *Server) gone(c *client) {
-	f.mu.Lock()
-	delete(f.clients, c)
-	f.evicted = f.evicted && !c.leaves
-	f.mu.Unlock()
-	<-f.slots
-	f.open.Done()
-}
+// sendsFirst reports whether the first request has come in part.
+func (c *clientConn) sendsFirst() bool { return !c.hasRequested.Load() && c.requestStarted.Load() }
