--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -9,43 +9,51 @@
 	"unsafe"
 )
 
-// socket is one direction of a TCP connection. Its calls go to the kernel without telling the scheduler, as
-// they never block: net waits for the socket to be ready. On one core each call that the scheduler hears of
-// wakes its monitor thread, which took a quarter of the node's CPU time (docs/results.md).
+// socket is one direction of a TCP connection. Its calls go to the kernel without telling the scheduler, as they
+// never block: net waits for the socket to be ready. On one core each call that the scheduler hears of wakes its
+// monitor thread, which took a quarter of the node's CPU time (docs/results.md).
+//
+// One goroutine uses a socket at a time, but for reading, which any may load. What a call needs and gives is passed in
+// fields, and the functions are made once, so that no call allocates.
 type socket struct {
-	raw        syscall.RawConn
-	p          []byte
-	n          int
-	err        error
-	in, out    func(fd uintptr) bool
-	look       func(fd uintptr) bool
-	peek       func(fd uintptr)
-	hangUp     func(fd uintptr)
-	quiet      bool // as of the last look
-	ended      bool
-	lookedInto [1]byte
-	taking     atomic.Bool // bytes are being read, or were and nobody has waited for more since
+	raw syscall.RawConn
+
+	p   []byte // what is to be read into or written
+	n   int    // how much was
+	err error
+
+	idle      bool // as of the last peek: open with nothing to read
+	ended     bool // as of the last peek or hang-up check: closed or reset by the other side
+	peekedAt  [1]byte
+	reading   atomic.Bool // bytes are being read, or were and nobody has waited for more since
+	readFD    func(fd uintptr) bool
+	writeFD   func(fd uintptr) bool
+	peekFD    func(fd uintptr) bool // for RawConn.Read
+	controlFD func(fd uintptr)      // the same for RawConn.Control
+	hangUpFD  func(fd uintptr)
 }
 
 func newSocket(conn *net.TCPConn) *socket {
 	s := &socket{}
 	s.raw, _ = conn.SyscallConn() // fails for a nil connection only
-	s.in, s.out, s.look, s.hangUp = s.tryRead, s.tryWrite, s.tryLook, s.tryHangUp
-	s.peek = func(fd uintptr) { s.tryLook(fd) }
+	s.readFD, s.writeFD, s.peekFD, s.hangUpFD = s.tryRead, s.tryWrite, s.tryPeek, s.checkHangUp
+	s.controlFD = func(fd uintptr) { s.tryPeek(fd) }
 	return s
 }
 
+// Read waits until there is something to read, and reads once.
 func (s *socket) Read(p []byte) (int, error) {
 	s.p = p
-	if err := s.raw.Read(s.in); err != nil {
+	if err := s.raw.Read(s.readFD); err != nil {
 		return 0, err
 	}
 	return s.n, s.err
 }
 
+// Write writes all of p.
 func (s *socket) Write(p []byte) (int, error) {
 	for s.p = p; len(s.p) > 0; s.p = s.p[s.n:] {
-		if err := s.raw.Write(s.out); err != nil {
+		if err := s.raw.Write(s.writeFD); err != nil {
 			return len(p) - len(s.p), err
 		}
 		if s.err != nil {
@@ -55,80 +63,85 @@
 	return len(p), nil
 }
 
-// ready waits until there is something to read or the connection ended, and tells which.
-func (s *socket) ready() (some, ended bool) {
+// waitReadable waits until there is something to read or the connection ended, and reports which; neither where the
+// read deadline passed.
+func (s *socket) waitReadable() (readable, ended bool) {
 	err := s.raw.Read(func(fd uintptr) bool {
-		s.tryLook(fd)
-		return !s.quiet
+		s.tryPeek(fd)
+		return !s.idle
 	})
 	return err == nil && !s.ended, err == nil && s.ended
 }
 
-// silent tells whether the connection is open with nothing to read.
-func (s *socket) silent() bool {
-	return s.raw.Read(s.look) == nil && s.quiet
+// isIdle reports whether the connection is open with nothing to read.
+func (s *socket) isIdle() bool {
+	return s.raw.Read(s.peekFD) == nil && s.idle
 }
 
-// unread tells whether bytes, or an end, wait on a connection that another goroutine reads.
-func unread(conn *net.TCPConn) bool {
+// hasUnread reports whether bytes, or an end, wait on a connection that another goroutine reads.
+func hasUnread(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
 	}
 	s := socket{}
-	return raw.Control(func(fd uintptr) { s.tryLook(fd) }) == nil && !s.quiet
+	return raw.Control(func(fd uintptr) { s.tryPeek(fd) }) == nil && !s.idle
 }
 
-// hungUp tells whether the other side has closed the connection, or reset it, be it behind bytes that wait. It leaves
-// reading to whoever reads, and takes one look more only where bytes wait.
+// hungUp reports whether the other side has closed the connection, or reset it, be it behind bytes that wait. It leaves
+// reading to whoever reads, and makes a second system call only where bytes wait.
 func (s *socket) hungUp() bool {
-	if s.raw.Control(s.peek) != nil {
+	if s.raw.Control(s.controlFD) != nil {
 		return true
 	}
-	if !s.quiet && !s.ended {
-		_ = s.raw.Control(s.hangUp)
+	if !s.idle && !s.ended {
+		_ = s.raw.Control(s.hangUpFD) // fails where the connection was closed meanwhile: the next call sees it
 	}
 	return s.ended
 }
 
+// Bits of ppoll(2).
 const (
-	pollAsked = 0x2000        // POLLRDHUP, of ppoll(2)
-	pollEnded = 0x2000 | 0x18 // and POLLERR, POLLHUP
+	pollRDHUP = 0x2000
+	pollEnded = pollRDHUP | 0x18 // and POLLERR, POLLHUP
 )
 
-// tryHangUp asks ppoll, without a wait. Where it can't tell, the connection counts as open.
-func (s *socket) tryHangUp(fd uintptr) {
+// checkHangUp asks ppoll(2), without waiting. Where that fails the connection counts as open.
+func (s *socket) checkHangUp(fd uintptr) {
 	asked := struct {
 		fd           int32
 		want, events int16
-	}{int32(fd), pollAsked, 0}
-	var now syscall.Timespec
-	n, _, err := syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&asked)), 1,
-		uintptr(unsafe.Pointer(&now)), 0, 0, 0)
-	s.ended = err == 0 && n == 1 && asked.events&pollEnded != 0
+	}{int32(fd), pollRDHUP, 0}
+	var timeout syscall.Timespec
+	n, _, errno := syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&asked)), 1,
+		uintptr(unsafe.Pointer(&timeout)), 0, 0, 0)
+	s.ended = errno == 0 && n == 1 && asked.events&pollEnded != 0
 }
 
-// untaken tells whether bytes were written that the other side's machine has not taken yet. Where it can't be told, none.
-func (s *socket) untaken() bool {
+// hasUnacknowledged reports whether bytes were written that the other side's machine has not acknowledged yet. Where
+// that can't be found out, none.
+func (s *socket) hasUnacknowledged() bool {
 	const outQueue = 0x5411 // SIOCOUTQ, of tcp(7)
-	var n int32
+	var queued int32
 	err := s.raw.Control(func(fd uintptr) {
-		if _, _, e := syscall.RawSyscall(syscall.SYS_IOCTL, fd, outQueue, uintptr(unsafe.Pointer(&n))); e != 0 {
-			n = 0
+		if _, _, errno := syscall.RawSyscall(syscall.SYS_IOCTL, fd, outQueue, uintptr(unsafe.Pointer(&queued))); errno != 0 {
+			queued = 0
 		}
 	})
-	return err == nil && n > 0
+	return err == nil && queued > 0
 }
 
+// The functions below make one system call each; they return false where the socket has to be waited for.
+
 func (s *socket) tryRead(fd uintptr) bool {
-	s.taking.Store(true)
-	n, err := call(syscall.SYS_READ, fd, s.p, 0)
-	if err == syscall.EAGAIN {
-		s.taking.Store(false)
+	s.reading.Store(true)
+	n, errno := call(syscall.SYS_READ, fd, s.p, 0)
+	if errno == syscall.EAGAIN {
+		s.reading.Store(false)
 		return false
 	}
-	if s.n, s.err = n, nil; err != 0 {
-		s.n, s.err = 0, os.NewSyscallError("read", err)
+	if s.n, s.err = n, nil; errno != 0 {
+		s.n, s.err = 0, os.NewSyscallError("read", errno)
 	} else if n == 0 {
 		s.err = io.EOF
 	}
@@ -136,29 +149,30 @@
 }
 
 func (s *socket) tryWrite(fd uintptr) bool {
-	n, err := call(syscall.SYS_SENDTO, fd, s.p, syscall.MSG_NOSIGNAL)
-	if err == syscall.EAGAIN {
+	n, errno := call(syscall.SYS_SENDTO, fd, s.p, syscall.MSG_NOSIGNAL)
+	if errno == syscall.EAGAIN {
 		return false
 	}
-	if s.n, s.err = n, nil; err != 0 {
-		s.n, s.err = 0, os.NewSyscallError("write", err)
+	if s.n, s.err = n, nil; errno != 0 {
+		s.n, s.err = 0, os.NewSyscallError("write", errno)
 	}
 	return true
 }
 
-func (s *socket) tryLook(fd uintptr) bool {
-	n, err := call(syscall.SYS_RECVFROM, fd, s.lookedInto[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	s.quiet = err == syscall.EAGAIN
-	s.ended = err != 0 && !s.quiet || err == 0 && n == 0
+// tryPeek never has to wait: what it finds is in idle and ended.
+func (s *socket) tryPeek(fd uintptr) bool {
+	n, errno := call(syscall.SYS_RECVFROM, fd, s.peekedAt[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	s.idle = errno == syscall.EAGAIN
+	s.ended = errno != 0 && !s.idle || errno == 0 && n == 0
 	return true
 }
 
-// call makes one system call on a non-blocking socket; p is not empty.
+// call makes one system call on a non-blocking socket, again where a signal interrupts it; p is not empty.
 func call(trap, fd uintptr, p []byte, flags uintptr) (int, syscall.Errno) {
 	for {
-		n, _, err := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)), flags, 0, 0)
-		if err != syscall.EINTR {
-			return int(n), err
+		n, _, errno := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)), flags, 0, 0)
+		if errno != syscall.EINTR {
+			return int(n), errno
 		}
 	}
 }
