--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -36,7 +36,7 @@
 virtual seconds per real second); --series writes one JSON line per virtual second for "lab report".
 The same flags and seed give the same run. Figures are of simulated servers.`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runModel(cmd, file, flags)
 		}),
 	}
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -22,7 +22,7 @@
 bytes by kind of message, seconds until a change is in force, and counts that must be 0 (docs/lab.md, "Scale").
 It says what descriptors it lacks, if any, before it starts anything, and raises no limit.`,
 		Args: cobra.NoArgs,
-		RunE: withOperatorFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
+		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
 			cfg.Seed = file.Lab.Seed
 			return runScale(cmd, file, cfg)
@@ -36,18 +36,18 @@
 	flags := cmd.Flags()
 	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "edge nodes of the tier")
 	flags.IntVar(&cfg.Real, "real", cfg.Real, "real ones, a process each (1 to 64)")
-	flags.IntVar(&cfg.Hollow, "simulated", cfg.Hollow, "simulated ones; below 0 for all the others")
+	flags.IntVar(&cfg.Simulated, "simulated", cfg.Simulated, "simulated ones; below 0 for all the others")
 	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers; one in fifty more are ready to be added")
 	flags.IntVar(&cfg.Tenants, "tenants", cfg.Tenants, "tenants (Zipf)")
 	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second at a real node, mean")
-	flags.Float64Var(&cfg.HollowRate, "simulated-rate", cfg.HollowRate, "requests a second at a simulated node, mean")
-	flags.Float64Var(&cfg.Straight, "direct", cfg.Straight,
+	flags.Float64Var(&cfg.SimulatedRate, "simulated-rate", cfg.SimulatedRate, "requests a second at a simulated node, mean")
+	flags.Float64Var(&cfg.DirectShare, "direct", cfg.DirectShare,
 		"part of the completed requests that is sent once more, directly to the same server")
-	flags.Float64Var(&cfg.Take, "peer-rate", cfg.Take, "messages a second that a node receives from peers, as the settings give it")
-	flags.DurationVar(&cfg.For, "for", cfg.For, "how long to play, from the first request on")
-	flags.DurationVar(&cfg.Hard, "time-limit", 0, "end everything after so long; 0 for two minutes more than --for")
+	flags.Float64Var(&cfg.PeerRate, "peer-rate", cfg.PeerRate, "messages a second that a node receives from peers, as the settings give it")
+	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "how long to play, from the first request on")
+	flags.DurationVar(&cfg.TimeLimit, "time-limit", 0, "end everything after so long; 0 for two minutes more than --for")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
-	flags.StringSliceVar(&cfg.Troubles, "fault", nil, "faults to play, of "+strings.Join(scale.Troubles, ", ")+"; default all")
+	flags.StringSliceVar(&cfg.Faults, "fault", nil, "faults to play, of "+strings.Join(scale.Faults, ", ")+"; default all")
 	flags.IntVar(&cfg.Sockets, "sockets", cfg.Sockets, "descriptors of each real node")
 	flags.IntVar(&cfg.MemoryMB, "memory-mb", cfg.MemoryMB, "memory limit of each real node, MiB")
 	flags.StringVar(&cfg.Dir, "dir", "", "folder for configuration files and children's logs, kept; default one that is removed")
@@ -85,7 +85,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return scale.Servers(count, seed, os.Stdin, os.Stdout)
+			return scale.RunServers(count, seed, os.Stdin, os.Stdout)
 		},
 	}
 	cmd.Flags().IntVar(&count, "count", 1, "how many")
@@ -102,7 +102,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return scale.Hollow(os.Stdin, os.Stdout)
+			return scale.RunNodes(os.Stdin, os.Stdout)
 		},
 	}
 }
--- a/cmd/cherrygap/pin_values_test.go
+++ b/cmd/cherrygap/pin_values_test.go
@@ -29,13 +29,13 @@
 		"known":   fmt.Sprint(c.known.Revision, c.known.Full, len(c.known.Endpoints)),
 		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.ServerIdleTimeout), "connect": fmt.Sprint(l.ConnectTimeout),
 		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
-		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Me, d.Nodes, d.Seed, d.Take, d.Bytes, d.Every),
+		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Self, d.Nodes, d.Seed, d.ReceiveRate, d.SendRate, d.Interval),
 		"names":     fmt.Sprintf("%q", names),
 		"contracts": fmt.Sprint(contracts),
-		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Me, q.Nodes, q.Seed, q.Calls, q.Wait),
-		"checks":    fmt.Sprint(checks.Most, " ", checks.Advice, " ", checks.Bands, " ", numbers, " ", err),
-		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.logLevel, c.quota.Store, c.authz.Service, c.authz.PassOpen, c.grpc.Listen,
-			c.grpc.Calls),
+		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Self, q.Nodes, q.Seed, q.ExchangeRate, q.Timeout),
+		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", numbers, " ", err),
+		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.logLevel, c.quota.Store, c.authz.Service, c.authz.FailOpen, c.grpc.Listen,
+			c.grpc.MaxCalls),
 	}
 }
 
@@ -237,7 +237,7 @@
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]
 quota: 2/0 8c1f30d27a5be964 17 80ms
 shares: true`},
-	{"a band that passes open is not named", "[authz]\npass_open = [\"fly\"]\n", `checks: 64 0s [{400ms false} {800ms false}] map[] authz.pass_open "fly": the platform's settings name look, buy
+	{"a band that passes open is not named", "[authz]\npass_open = [\"fly\"]\n", `checks: 64 0s [{400ms false} {800ms false}] map[] authz.fail_open "fly": the platform's settings name look, buy
 contracts: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
 names: ["look" "buy"]
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -325,9 +325,9 @@
 		check  fixedVerdict
 		answer string
 	}{
-		{fixedVerdict{verdict: authz.Denied}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
+		{fixedVerdict{verdict: authz.Deny}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
 		{
-			fixedVerdict{verdict: authz.Shut, retryAfter: 1250 * time.Millisecond},
+			fixedVerdict{verdict: authz.Reject, retryAfter: 1250 * time.Millisecond},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n",
 		},
 	} {
--- a/internal/transport/peersocket.go
+++ b/internal/transport/peersocket.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"net/netip"
 	"time"
@@ -21,7 +20,7 @@
 func OpenPeerSocket(addr netip.AddrPort, table *protocol.PeerTable, counters *Counters) (*PeerSocket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, fmt.Errorf("peers' socket: %w", err)
+		return nil, err // which names the address
 	}
 	return &PeerSocket{conn: conn, table: table, counters: counters}, nil
 }
--- a/internal/transport/requesthandler.go
+++ b/internal/transport/requesthandler.go
@@ -125,9 +125,9 @@
 	h.cancelCheck = nil
 	h.mu.Unlock()
 	switch verdict {
-	case authz.Pass:
+	case authz.Allow:
 		return refusal, !h.clientGone()
-	case authz.Denied:
+	case authz.Deny:
 		h.server.counters.Denied.Add(1)
 		return protocol.ClientResponse{Status: protocol.StatusDenied}, false
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -49,7 +48,7 @@
 ) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("clients' listener: %w", err)
+		return nil, err // which names the address
 	}
 	s := &Server{
 		router: router, pool: pool, limits: limits, authorizer: authorizer, log: log, counters: counters,
