--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -118,7 +118,7 @@
 		shortest = slices.Min(objectives)
 	}
 	return quota.Config{
-		Self:         c.intSetting(settingNode),
+		Self:         quota.NodeID(c.intSetting(settingNode)),
 		Nodes:        c.intSetting(settingNodes),
 		Seed:         c.randomSeed,
 		ExchangeRate: c.quota.MaxCallsPerS,
