--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -122,12 +122,12 @@
 		var entry struct {
 			Message  string
 			Counters struct {
-				Heard float64
-				Bad   float64 `json:"heard_bad"`
+				Received float64 `json:"peer_messages_received"`
+				Dropped  float64 `json:"peer_messages_dropped"`
 			}
 		}
 		if json.Unmarshal(line, &entry) == nil && entry.Message == "stopped" {
-			received, bad = received+entry.Counters.Heard, bad+entry.Counters.Bad
+			received, bad = received+entry.Counters.Received, bad+entry.Counters.Dropped
 		}
 	}
 	return received, bad
--- a/internal/transport/golden_healthcheck_test.go
+++ b/internal/transport/golden_healthcheck_test.go
@@ -14,7 +14,7 @@
 
 // A health check as the app server sees it.
 func TestGoldenHealthCheck(t *testing.T) {
-	addr, probes := discovered(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	addr, probes := recordingDiscovery(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
 		Seed: 3, Settings: map[string]string{"nodes": "1", "tick": "20"},
@@ -24,10 +24,10 @@
 		UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(addr),
 	}}}, true)
-	d := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
-		NewPool(roomy, &log, &Counters{}), func(int, []byte) {})
-	go d.Run()
-	defer d.Close()
+	checker := NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
+		NewPool(roomyLimits, &log, &Counters{}), func(int, []byte) {})
+	go checker.Run()
+	defer checker.Close()
 	select {
 	case got := <-probes:
 		if want := "GET /healthz HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"; got != want {
--- a/internal/transport/probe.go
+++ b/internal/transport/probe.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"bufio"
 	"context"
 	"time"
 
@@ -11,7 +10,7 @@
 
 // probe asks a server whether it is ready. Nothing is sent to one that is not in service any more.
 func (h *HealthChecker) probe(server *routing.Server, deadline time.Time) bool {
-	conn := h.pool.take(server)
+	conn := h.pool.get(server)
 	if conn == nil {
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
@@ -24,33 +23,25 @@
 		h.pool.put(conn)
 		return false
 	}
-	conn.conn.SetDeadline(deadline)
-	conn.out.took(protocol.AppendHealthCheck(conn.out.room(), server.Addr.String()))
-	if conn.out.Flush() != nil {
-		h.pool.end(conn, serverBroken)
+	setDeadline(conn.conn, deadline)
+	conn.out.appended(protocol.AppendHealthCheck(conn.out.space(), server.Addr.String()))
+	if conn.out.flush() != nil {
+		h.pool.close(conn, reasonServerReset)
 		return false
 	}
-	conn.used++
-	br := parsers.Get().(*bufio.Reader)
-	br.Reset(&conn.in)
-	conn.in.Allow(protocol.MaxHead + 4*protocol.MaxBody)
-	conn.in.patient = true // the probe's own time guards it
-	reply, err := protocol.ReadServerResponse(br, nil)
-	conn.in.patient = false
-	conn.in.done(br)
-	br.Reset(nil)
-	parsers.Put(br)
+	conn.requests++
+	response, err := conn.readResponse(nil)
 	switch {
-	case err == nil && !reply.Close && conn.in.r == conn.in.w:
+	case err == nil && !response.Close && conn.in.empty():
 		h.pool.put(conn)
 	case err == nil:
-		h.pool.end(conn, serverLast)
+		h.pool.close(conn, reasonServerRequestedClose)
 	case timedOut(conn.in.err):
-		h.pool.end(conn, serverLate)
+		h.pool.close(conn, reasonServerTimeout)
 	case conn.in.err == nil:
-		h.pool.end(conn, serverBad)
+		h.pool.close(conn, reasonServerMalformed)
 	default:
-		h.pool.end(conn, serverBroken)
+		h.pool.close(conn, reasonServerReset)
 	}
-	return err == nil && reply.Outcome == protocol.Completed
+	return err == nil && response.Outcome == protocol.Completed
 }
