--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,7 +1,7 @@
-// Package healthcheck splits a fleet's periodic tasks (health checks of app servers first of all) among its edge nodes:
-// it decides which node carries out a task, and when. A task belongs to the first of its members that is alive, by
-// rendezvous hashing over internal/membership; who is next in order stands in while members come and go. The end of
-// each run is gossiped, so that every node learns of it and whoever takes over knows when the last run was.
+// Package healthcheck distributes a fleet's periodic tasks (above all the health checks of app servers) among its edge
+// nodes: it decides which node runs a task, and when. The owner of a task is the first member in the task's rendezvous
+// order that internal/membership considers alive; the next one is a backup while members join and leave. The end of each
+// run is gossiped, so that every node learns the result and a new owner knows when the last run was.
 //
 // The package holds no I/O, no clock and no goroutine. The host passes the time with each call, reports what happened
 // (ReceivePeerMessage, SetChecks, CheckEnded), which only updates what is known, and pulls decisions with Next until there
@@ -22,10 +22,10 @@
 // NodeID is the number of a node of the fleet.
 type NodeID = membership.NodeID
 
-// ErrMalformed is returned for a peer's message that can't be read.
+// ErrMalformed is returned for a peer's message that can't be decoded.
 var ErrMalformed = membership.ErrMalformed
 
-// Kind is what a task does. The values are those on the wire.
+// Kind is the kind of a task. The values are those on the wire.
 type Kind uint8
 
 // The kinds of task.
@@ -37,10 +37,10 @@
 	kinds = CheckCounter
 )
 
-// CheckID tells the tasks of one kind apart: of a CheckServer it is the server's number.
+// CheckID identifies a task among those of its kind. For CheckServer it is the server's number.
 type CheckID uint64
 
-// Check is one task that one node of the fleet is to carry out again and again.
+// Check is a task that one node of the fleet has to run periodically.
 type Check struct {
 	Kind Kind
 	ID   CheckID
@@ -63,7 +63,7 @@
 const (
 	Send  StepKind = iota + 1 // Text to node To
 	Run                       // Check, within Timeout, and report it with CheckEnded
-	Ended                     // Check was run elsewhere; OK tells how it ended
+	Ended                     // Check was run by another node, with the result OK
 )
 
 // Step is one decision. Only the fields that its Kind names are set.
@@ -79,6 +79,6 @@
 // Counters count what a Scheduler did since it was made.
 type Counters struct {
 	membership.Counters
-	Checks       int64 // tasks run here,
-	BackupChecks int64 // and those of them that were run as the second owner
+	Checks       int64 // runs of tasks by this node
+	BackupChecks int64 // runs among them as the backup owner
 }
--- a/internal/healthcheck/ownership.go
+++ b/internal/healthcheck/ownership.go
@@ -11,13 +11,13 @@
 	"cherrygap/internal/membership"
 )
 
-// ownership is which part this node has in a task.
+// ownership is the role of this node for a task.
 type ownership struct {
-	owner   bool // this node carries it out,
-	primary bool // as the first owner; else it stands in
+	owner   bool // this node runs it,
+	primary bool // as the primary owner, not as the backup
 }
 
-// hash places a task at a node: of all nodes the one with the highest hash comes first.
+// hash is the rendezvous hash of a task and a node. The node with the highest hash comes first.
 func (c Check) hash(node NodeID) uint64 {
 	var b [17]byte
 	b[0] = byte(c.Kind)
@@ -26,11 +26,11 @@
 	return xxhash.Sum64(b[:])
 }
 
-// ranking is the order in which nodes would own a task (rendezvous hashing): the first has it, if it is alive; else the
-// next. A node's number takes two bytes here, since a large fleet ranks as many nodes for each task.
+// ranking is the rendezvous order of the nodes for a task: the owner is the first one that is alive. Node numbers are
+// stored in two bytes because each task has a ranking of the whole fleet.
 type ranking []uint16
 
-// rank orders the nodes of a fleet for a task.
+// rank returns the order of a fleet's nodes for a task.
 func (c Check) rank(nodes int) ranking {
 	hashes, order := make([]uint64, nodes), make(ranking, nodes)
 	for i := range nodes {
@@ -40,9 +40,9 @@
 	return order
 }
 
-// ownership goes down a task's ranking. While members come and go a task has two owners: the first of all but
-// newcomers, suspects included, and the first of newcomers too, but without suspects. The latter is the primary one:
-// should a suspect be dead, its tasks are run without waiting for the proof.
+// ownership determines this node's role from a task's ranking. While members join and leave, a task has two owners: the
+// first member without those that rejoined recently but with suspects, and the first one with the rejoined but without
+// suspects. The latter is the primary owner, so that the tasks of a suspect are run before it is known to be dead.
 func (s *Scheduler) ownership(order ranking) ownership {
 	const none NodeID = -1
 	settled, likely := none, none
@@ -77,7 +77,7 @@
 	return part.owner, part.primary
 }
 
-// OwnedCount is how many tasks this node owns now.
+// OwnedCount returns how many tasks this node owns now.
 func (s *Scheduler) OwnedCount(now time.Duration) int {
 	s.advance(now)
 	count := 0
@@ -89,8 +89,8 @@
 	return count
 }
 
-// updateOwnership brings up to date which tasks are this node's, if members or tasks changed, and once a period:
-// newcomers become settled by time alone.
+// updateOwnership recomputes the owners if members or tasks changed, and once a period, as members that rejoined become
+// settled by the passage of time.
 func (s *Scheduler) updateOwnership() {
 	if version := s.members.Version(); s.tasksChanged || version != s.ownershipVersion || s.now >= s.ownershipDueAt {
 		s.tasksChanged, s.ownershipVersion, s.ownershipDueAt = false, version, s.now+s.members.Period()
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -8,16 +8,16 @@
 
 // Pacing of the tasks.
 const (
-	minIntervalRounds = 3    // ping periods a gossip round, between two runs of a task: by then all know of a death
-	handoverRounds    = 3    // periods a gossip round, for which a newcomer shares its tasks with who had them,
-	handoverPeriods   = 2    // and so many periods more: a change of members has reached most of the fleet by then
-	firstRunWithin    = 0.25 // of the interval, in which a task that is new here is run first
-	firstRunPlaces    = 1024 // at which, by the task's hash: servers that start together are not all probed at once
-	backupDelayShare  = 0.25 // of the interval, that a second owner leaves the primary one to run a task
+	minIntervalRounds = 3    // ping periods per gossip round, between two runs: by then all know of a death
+	handoverRounds    = 3    // ping periods per gossip round, for which the tasks of a member that rejoined have two owners,
+	handoverPeriods   = 2    // and so many periods more: by then its return has reached most of the fleet
+	firstRunWithin    = 0.25 // share of the interval, within which a new task is run first,
+	firstRunPlaces    = 1024 // at one of so many points by the task's hash: new servers are not all probed at once
+	backupDelayShare  = 0.25 // share of the interval, by which the backup owner runs a task later than the primary one
 	sameRunShare      = 8    // ends within this part (1/n) of a period of each other are those of one run
 )
 
-// task is a Check as this node knows it.
+// task is a Check with this node's state of it.
 type task struct {
 	check     Check
 	ranking   ranking
@@ -27,7 +27,7 @@
 	listed    bool          // in the last SetChecks
 }
 
-// Scheduler is one node's part in carrying out the fleet's tasks.
+// Scheduler decides what one node of the fleet runs and sends.
 type Scheduler struct {
 	members  *membership.Protocol
 	now      time.Duration
@@ -37,15 +37,15 @@
 
 	tasks []task
 	index map[Check]int // into tasks
-	ended []Step        // runs elsewhere, which the host has yet to be told
+	ended []Step        // runs by other nodes that Next has not returned yet
 
 	tasksChanged     bool          // since the last updateOwnership
 	ownershipVersion uint64        // of the members, at that time
 	ownershipDueAt   time.Duration // the next one
 }
 
-// New makes a Scheduler without tasks that takes every other node for alive. now is the time by any origin; it never runs
-// back.
+// New returns a Scheduler without tasks that considers every other node alive. now is the time since any origin; it must not
+// decrease.
 func New(cfg Config, now time.Duration) *Scheduler {
 	members := membership.New(membership.Config{
 		Self:        cfg.Self,
@@ -62,17 +62,17 @@
 	return s
 }
 
-// Period is the time between two pings of this node.
+// Period returns the time between two pings of this node.
 func (s *Scheduler) Period() time.Duration { return s.members.Period() }
 
-// Interval is the time between two runs of one task: Config.Interval, or longer where the members can't be watched closely
+// Interval returns the time between two runs of one task: Config.Interval, or longer where the members can't be watched closely
 // enough for it.
 func (s *Scheduler) Interval() time.Duration { return s.interval }
 
-// DeadCount is how many nodes are taken for dead here.
+// DeadCount returns the number of nodes that are considered dead.
 func (s *Scheduler) DeadCount() int { return s.members.DeadCount() }
 
-// Counters is what this node did since New.
+// Counters returns the counts since New.
 func (s *Scheduler) Counters() Counters {
 	counters := s.counters
 	counters.Counters = s.members.Counters()
@@ -81,8 +81,7 @@
 
 func (s *Scheduler) advance(now time.Duration) { s.now = s.members.Advance(now) }
 
-// SetChecks takes over which tasks there are now. A new one is run first within a quarter of an interval, at a place of it
-// that follows from the task.
+// SetChecks replaces the tasks. A new one is run first within a quarter of an interval, at a point that depends on its hash.
 func (s *Scheduler) SetChecks(now time.Duration, checks []Check) {
 	s.advance(now)
 	for i := range s.tasks {
@@ -110,13 +109,13 @@
 }
 
 func (s *Scheduler) newTask(c Check) task {
-	const noNode NodeID = -1 // a place that is the same at all nodes
+	const noNode NodeID = -1 // so that the point is the same at all nodes
 	place := firstRunWithin * float64(c.hash(noNode)%firstRunPlaces) / firstRunPlaces
 	lastRunAt := s.now - time.Duration((1-place)*float64(s.interval))
 	return task{check: c, ranking: c.rank(s.members.Nodes()), lastRunAt: lastRunAt}
 }
 
-// CheckEnded reports that a task that Next gave out has ended, well or not. The other nodes are told.
+// CheckEnded reports the result of a Run step. It is gossiped to the other nodes.
 func (s *Scheduler) CheckEnded(now time.Duration, c Check, ok bool) {
 	s.advance(now)
 	i, known := s.index[c]
@@ -128,14 +127,13 @@
 	s.members.Publish(membership.Event{Kind: uint8(c.Kind), ID: uint64(c.ID), OK: ok, At: now})
 }
 
-// ReceivePeerMessage takes in a message of another node. The error wraps ErrMalformed; such a message is ignored as a
-// whole.
+// ReceivePeerMessage processes a message of another node. An error wraps ErrMalformed; the message is ignored then.
 func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, text []byte) error {
 	s.advance(now)
 	return s.members.Receive(now, from, text, s.receiveEvent)
 }
 
-// receiveEvent takes in the end of a run elsewhere, once for each run, and reports whether it is news here.
+// receiveEvent processes the result of another node's run, once per run, and reports whether it is news.
 func (s *Scheduler) receiveEvent(e membership.Event) (isNews bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
@@ -147,8 +145,8 @@
 	return true
 }
 
-// dueAt is when a task that this node owns is to be run here: an interval after its last run by anyone, and later by
-// who stands in.
+// dueAt returns when this node has to run a task that it owns: an interval after the last run by any node, or later if this
+// node is the backup owner.
 func (s *Scheduler) dueAt(t *task) time.Duration {
 	at := t.lastRunAt + s.interval
 	if !t.ownership.primary {
@@ -157,7 +155,7 @@
 	return at
 }
 
-// Next is the next decision, or false when there is none for now.
+// Next returns the next decision, or false if there is none now.
 func (s *Scheduler) Next(now time.Duration) (Step, bool) {
 	s.advance(now)
 	if len(s.ended) > 0 {
@@ -184,7 +182,7 @@
 	return Step{}, false
 }
 
-// Wake is how long the host may wait before it has to call Next again, if nothing comes in before.
+// Wake returns how long the host may wait until it has to call Next again, if it reports nothing before.
 func (s *Scheduler) Wake(now time.Duration) time.Duration {
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -45,10 +45,10 @@
 
 func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
-// Push is for package heap; see schedule.
+// Push implements heap.Interface; use schedule.
 func (q *eventQueue) Push(x any) { q.events = append(q.events, x.(event)) }
 
-// Pop is for package heap; see next.
+// Pop implements heap.Interface; use next.
 func (q *eventQueue) Pop() any {
 	last := len(q.events) - 1
 	e := q.events[last]
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -36,7 +36,7 @@
 	return s.random.Float64() >= loss
 }
 
-// delay is how long a datagram is under way: usually some milliseconds, at times so long that others overtake it.
+// delay returns how long a datagram is under way: usually some milliseconds, at times so long that others overtake it.
 func (s *simulation) delay() time.Duration {
 	delay := time.Duration(minDelay+s.random.ExpFloat64()*usualDelay) * time.Millisecond
 	if s.random.Float64() < lateShare {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -194,7 +194,7 @@
 	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleView})
 }
 
-// summarize is the result of a run that has ended.
+// summarize returns the result of a run that has ended.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// half is the data that a client sees: of a split store, by the last digit of its name.
+// half returns the data that a client sees: of a split store, by the last digit of its name.
 func (s *Server) half(c *client) *data {
 	if s.isOn(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
 		return s.halves[1]
@@ -116,7 +116,7 @@
 	c.ok()
 }
 
-// setIfAbsent is never lost: a store's number is set by it.
+// setIfAbsent ignores the forget fault: a store's number is set by it.
 func (c *call) setIfAbsent() {
 	key := c.words[1]
 	if _, ok := c.data.strings[key]; ok {
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -25,7 +25,7 @@
 	return &data{strings: map[string]string{}, hashes: map[string]map[string]string{}, expires: map[string]time.Time{}}
 }
 
-// clone is a copy without the recent writes.
+// clone returns a copy without the recent writes.
 func (d *data) clone() *data {
 	c := &data{strings: maps.Clone(d.strings), hashes: map[string]map[string]string{}, expires: maps.Clone(d.expires)}
 	for key, hash := range d.hashes {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns where it listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close ends the server, its faults and its connections. It must be called once.
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -10,7 +10,7 @@
 
 // Sizes and marks of a message.
 const (
-	MessageMark    = 0xD0 // the first byte of each message; those of other protocols on the same socket begin otherwise
+	MessageMark    = 0xD0 // the first byte of each message; other protocols on the same socket use other bytes
 	MaxMessageSize = 256  // bytes
 
 	maxUpdateSize = 30  // bytes of one update
@@ -20,15 +20,15 @@
 	stateBits     = 2       // the low bits of a number that holds a member and its state
 )
 
-// messageKind is what a message asks or answers.
+// messageKind is what a message is for. The values are those on the wire.
 type messageKind uint8
 
 const (
 	ping        messageKind = iota + 1
-	ack                     // to the ping of that sequence number
-	pingRequest             // ping the target for me, and ack in its place
-	correct                 // you take these members for dead: they live here, at these incarnations
-	object                  // at as high an incarnation they are dead here: let them refute it themselves
+	ack                     // of the ping with that sequence number
+	pingRequest             // ping the target on the sender's behalf, and ack in its place
+	correct                 // the receiver considers these members dead; here they are alive, at these incarnations
+	object                  // these members are dead here at as high an incarnation; they have to refute it themselves
 )
 
 // The parts that follow a message's header.
@@ -38,7 +38,7 @@
 	bitmapPart
 )
 
-// ErrMalformed is returned for a message that can't be read. It is ignored as a whole.
+// ErrMalformed is returned for a message that can't be decoded. Such a message is ignored as a whole.
 var ErrMalformed = errors.New("malformed membership message")
 
 // header is what each message begins with: mark, kind, sequence (uvarint), dead hash (4 bytes, big endian), and for a
@@ -50,7 +50,7 @@
 	target   NodeID
 }
 
-// message is one as decoded.
+// message is a decoded message.
 type message struct {
 	header
 	parts []part
@@ -60,8 +60,8 @@
 type part struct {
 	kind   int
 	member memberUpdate
-	event  Event         // without At,
-	age    time.Duration // which is so long ago
+	event  Event         // without At, which was
+	age    time.Duration // so long ago
 	first  NodeID        // bitmap: the member of the first bit
 	bitmap []byte
 }
@@ -99,7 +99,7 @@
 	return append(text, bitmap...)
 }
 
-// decode reads a message from a fleet of so many nodes, whole or not at all; an error wraps ErrMalformed.
+// decode decodes a message of a fleet of so many nodes. An error wraps ErrMalformed.
 func decode(text []byte, nodes int, eventKinds uint8) (message, error) {
 	if len(text) < 2 || len(text) > MaxMessageSize || text[0] != MessageMark {
 		return message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(text))
@@ -126,7 +126,7 @@
 	return m, nil
 }
 
-// reader reads a message from its front. After the first error, which it keeps, all that it reads is zero.
+// reader reads the fields of a message in order. It keeps the first error; what it reads after that is zero.
 type reader struct {
 	rest       []byte
 	nodes      int
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	maxUpdates         = 512 // that wait to be passed on
-	memberUpdateRounds = 3   // gossip rounds for which an update about a member is passed on; an event for one
+	maxUpdates         = 512 // in the queue
+	memberUpdateRounds = 3   // gossip rounds for which an update about a member is sent; an event is sent for one
 	maxEventAge        = time.Minute
 )
 
-// Event is an application's news that rides along with the messages: how something ended, and when. Of one subject
-// (Kind and ID) only the last event is passed on.
+// Event is an application's event that is gossiped along with the updates about members: how something ended, and when. Of
+// each subject (Kind and ID) only the last event is gossiped.
 type Event struct {
 	Kind uint8 // 1 to Config.EventKinds
 	ID   uint64
 	OK   bool
-	At   time.Duration // by this node's clock. An event older than a minute is not passed on
+	At   time.Duration // by this node's clock. An event older than a minute is not sent
 }
 
 // update is one piece of gossip: about a member, or an event.
@@ -30,7 +30,7 @@
 
 func (u *update) isEvent() bool { return u.event.Kind != 0 }
 
-// sameSubject reports whether one update takes the place of the other.
+// sameSubject reports whether the newer of two updates replaces the older one.
 func (u *update) sameSubject(other *update) bool {
 	if u.event.Kind != other.event.Kind || u.event.ID != other.event.ID {
 		return false
@@ -38,7 +38,7 @@
 	return u.isEvent() || u.member.id == other.member.id
 }
 
-// gossipQueue holds the updates that are to be passed on with the next messages.
+// gossipQueue holds the updates that are to be sent with the next messages.
 type gossipQueue struct {
 	updates []update
 }
@@ -47,8 +47,8 @@
 
 func (q *gossipQueue) addEvent(e Event) { q.add(update{event: e}) }
 
-// add takes in an update in place of an older one of its subject. If the queue is full it takes the place of the one
-// that was sent most: that is known best.
+// add queues an update in place of an older one of its subject. If the queue is full it replaces the update that was sent
+// most often, as that has spread furthest.
 func (q *gossipQueue) add(u update) {
 	for i := range q.updates {
 		if q.updates[i].sameSubject(&u) {
@@ -69,8 +69,8 @@
 	q.updates[mostSent] = u
 }
 
-// appendTo appends as many updates to a message as fit, those about members first and those sent least first, and
-// forgets what has been sent often enough. rounds is Protocol.GossipRounds.
+// appendTo appends as many updates to a message as fit, members before events and the least sent first, and drops those
+// that have been sent often enough. rounds is Protocol.GossipRounds.
 func (q *gossipQueue) appendTo(text []byte, now time.Duration, rounds float64) []byte {
 	slices.SortStableFunc(q.updates, func(a, b update) int {
 		return cmp.Or(cmp.Compare(min(a.event.Kind, 1), min(b.event.Kind, 1)), cmp.Compare(a.sent, b.sent))
@@ -97,14 +97,14 @@
 	return text
 }
 
-// byteBudget bounds the bytes that are sent: a token bucket that holds one second's worth.
+// byteBudget limits the bytes that are sent: a token bucket with a capacity of one second.
 type byteBudget struct {
 	rate       float64 // bytes a second; 0 for no limit
 	available  float64 // bytes
 	refilledAt time.Duration
 }
 
-// allows reports whether a message of the largest size may be sent now.
+// allows reports whether a message of maximum size may be sent now.
 func (b *byteBudget) allows(now time.Duration) bool {
 	if b.rate <= 0 {
 		return true
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what a node takes a member for. The values are those on the wire.
+// State is what a node considers a member to be. The values are those on the wire.
 type State uint8
 
 // The states, in the order in which the later ones override the earlier ones at the same incarnation.
@@ -16,7 +16,7 @@
 	Dead
 )
 
-// incarnation counts how often a member has refuted updates that had it for suspect or dead. An update of a lower
+// incarnation counts how often a member has refuted updates that said that it is suspect or dead. An update with a lower
 // incarnation is out of date.
 type incarnation uint64
 
@@ -36,10 +36,10 @@
 	incarnation incarnation
 }
 
-// State is what this node takes a member for. Its own entry says nothing.
+// State returns the state of a member. The state of this node itself is meaningless.
 func (p *Protocol) State(id NodeID) State { return p.members[id].state }
 
-// AliveFor reports whether a member has not been back from the dead for less than the time given.
+// AliveFor reports whether it is at least the given time since a member rejoined; true if it was never dead.
 func (p *Protocol) AliveFor(id NodeID, least time.Duration) bool {
 	m := &p.members[id]
 	return !m.rejoined || p.now-m.rejoinedAt >= least
@@ -48,7 +48,7 @@
 // Version changes whenever the state of a member does.
 func (p *Protocol) Version() uint64 { return p.version }
 
-// DeadCount is how many members this node takes for dead.
+// DeadCount returns the number of members that are considered dead.
 func (p *Protocol) DeadCount() int {
 	count := 0
 	for i := range p.members {
@@ -59,8 +59,7 @@
 	return count
 }
 
-// apply takes over an update about a member and passes it on. This node refutes updates that have itself for suspect
-// or dead.
+// apply applies an update about a member and gossips it if it is news. Updates about this node itself are refuted.
 func (p *Protocol) apply(u memberUpdate) {
 	if u.id == p.cfg.Self {
 		p.refute(u)
@@ -68,7 +67,7 @@
 	}
 	m := &p.members[u.id]
 	if u.incarnation < m.incarnation || u.incarnation == m.incarnation && u.state <= m.state {
-		return // out of date, or known
+		return // out of date or already known
 	}
 	if u.state == m.state {
 		m.incarnation = u.incarnation
@@ -100,8 +99,8 @@
 	p.gossip.addMember(memberUpdate{id: p.cfg.Self, state: Alive, incarnation: self.incarnation})
 }
 
-// hashDead is a hash of whom this node takes for dead. Nodes whose hashes differ tell each other whom: an update is
-// passed on a few times only, so a member that was away at that time would never hear of it.
+// hashDead returns a hash of the set of dead members. Nodes whose hashes differ exchange the sets: an update is gossiped a
+// few times only, so a member that was unreachable at that time would never receive it.
 func (p *Protocol) hashDead() uint32 { return uint32(xxhash.Sum64(p.deadBitmap(0, p.cfg.Nodes))) }
 
 // deadBitmap has one bit for each of count members from first on, set for the dead ones.
@@ -116,10 +115,10 @@
 	return bitmap
 }
 
-// compareDead takes in whom a peer takes for dead, and returns those of them that live here, so that the peer can be
-// sent their incarnations (correct). If the peer's are as high, it objects: the members are suspected here too, hear
-// of it, and refute it or die. A peer that has this node itself for dead is refuted at once. So nodes that were cut
-// off from each other agree again, and one that has just started learns who is dead.
+// compareDead compares a peer's set of dead members with this node's, and returns those that are not dead here, so that the
+// peer can be sent their incarnations (correct). If its incarnations are as high, the peer objects: the members become
+// suspect here too, receive that update, and refute it or die. If the peer considers this node itself dead, that is refuted
+// at once. So nodes that were cut off from each other converge, and one that has just started learns who is dead.
 func (p *Protocol) compareDead(first NodeID, bitmap []byte) (alive []NodeID) {
 	for i := range 8 * len(bitmap) {
 		id := first + NodeID(i)
@@ -132,7 +131,7 @@
 			alive = append(alive, id)
 		}
 	}
-	// Not all may fit into one message: each time others come first.
+	// Not all may fit into one message: other ones come first each time.
 	p.random.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	return alive
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership keeps, at each node of a fleet, the list of the other nodes with what they are taken for: alive,
+// Package membership keeps, at each node of a fleet, the list of the other nodes and whether each is considered alive,
 // suspect or dead. It follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
 // Group Membership Protocol", 2002): each period a node pings a few others, has a silent one pinged indirectly,
-// suspects it, and takes it for dead unless it refutes the suspicion with a higher incarnation. Updates about members
+// suspects it, and considers it dead unless it refutes the suspicion with a higher incarnation. Updates about members
 // are gossiped: they ride on the pings and acks that are sent anyway. An application's events ride along with them.
 //
 // The package holds no I/O, no clock and no goroutine. The host passes the time with each call, hands in what it
@@ -46,7 +46,7 @@
 	Seed        uint64  // of the random draws; nodes draw differently by their number
 	ReceiveRate float64 // messages a second that a node takes in, of all kinds; 0 for no known limit
 	SendRate    float64 // bytes a second that this node sends at most, whatever the fleet's size; 0 for no limit
-	EventKinds  uint8   // events are of the kinds 1 to EventKinds; a message with another is malformed
+	EventKinds  uint8   // kinds of Event are 1 to EventKinds; a message with another kind is malformed
 }
 
 // Counters count what a Protocol did since it was made.
@@ -56,10 +56,10 @@
 	Withheld  int64 // messages that were not sent because of Config.SendRate
 	Received  int64 // messages
 	Malformed int64 // messages that could not be read, or came from no other member
-	Suspected int64 // members, as this node learnt it
-	Died      int64 // members
+	Suspected int64 // members that became suspect
+	Died      int64 // members that became dead
 	Rejoined  int64 // members that were dead and are alive again
-	Refuted   int64 // updates that had this node itself for suspect or dead
+	Refuted   int64 // updates that said that this node itself is suspect or dead
 }
 
 // Protocol is one node's side of the membership protocol.
@@ -72,8 +72,8 @@
 
 	members      []member
 	version      uint64 // changes with each change of a member's state
-	deadHash     uint32 // of who is dead here, sent with each message
-	heardNobody  bool   // no message came in yet: who is dead is not known
+	deadHash     uint32 // of the members considered dead, sent with each message
+	heardNobody  bool   // no message came in yet, so this node does not know who is dead
 	gossip       gossipQueue
 	budget       byteBudget
 	outbox       []outgoing
@@ -91,7 +91,7 @@
 	Text []byte // valid until the next call
 }
 
-// New makes a Protocol that takes every other member for alive. now is the time by any origin; it never runs back.
+// New returns a Protocol that considers every other member alive. now is the time since any origin; it must not decrease.
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
@@ -112,28 +112,29 @@
 	return p
 }
 
-// Advance sets the clock and returns it. A time before the last one is taken for the last one.
+// Advance sets the clock and returns it. The clock never runs back: an earlier time is ignored.
 func (p *Protocol) Advance(now time.Duration) time.Duration {
 	p.now = max(p.now, now)
 	return p.now
 }
 
-// Nodes is the size of the fleet, this node included.
+// Nodes returns the size of the fleet, this node included.
 func (p *Protocol) Nodes() int { return p.cfg.Nodes }
 
-// Self is this node's number.
+// Self returns this node's number.
 func (p *Protocol) Self() NodeID { return p.cfg.Self }
 
-// Period is the time between two pings of this node.
+// Period returns the time between two pings of this node.
 func (p *Protocol) Period() time.Duration { return p.period }
 
-// Counters is what this node did since New.
+// Counters returns the counts since New.
 func (p *Protocol) Counters() Counters { return p.counters }
 
-// GossipRounds is how many times an update is passed on, each node that has it telling one more, until all have it.
+// GossipRounds returns how many rounds of gossip an update takes to reach all members if each member that has it passes it
+// on to one more in each round.
 func (p *Protocol) GossipRounds() float64 { return float64(bits.Len(uint(p.cfg.Nodes))) }
 
-// Next is the next message to send, or false when there is none for now.
+// Next returns the next message to send, or false when there is none for now.
 func (p *Protocol) Next(now time.Duration) (Message, bool) {
 	p.Advance(now)
 	p.probe()
@@ -147,7 +148,7 @@
 	return Message{}, false
 }
 
-// WakeAt is the time at which Next has to be called again at the latest, if nothing comes in before.
+// WakeAt returns the time at which Next has to be called again at the latest, if nothing comes in before.
 func (p *Protocol) WakeAt() time.Duration {
 	at := p.nextPingAt
 	for i := range p.probes {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// outgoing is a message that waits to be written. What it says of the members is taken from what this node knows when
-// it is written.
+// outgoing is a message that waits to be encoded. The states of members in it are those at the time of encoding.
 type outgoing struct {
 	to         NodeID
 	kind       messageKind
 	sequence   uint64
 	target     NodeID   // of a pingRequest
-	withBitmap bool     // tell whom this node takes for dead
-	members    []NodeID // correct, object: which
+	withBitmap bool     // include the set of dead members
+	members    []NodeID // of correct and object
 }
 
 // send queues a message for Next.
 func (p *Protocol) send(o outgoing) { p.outbox = append(p.outbox, o) }
 
-// encode writes a message, filled up with gossip. It returns nil if the bytes that may be sent are used up: the message
-// is lost then, as any datagram may be. The text is valid until the next call.
+// encode encodes a message and fills it up with gossip. It returns nil if Config.SendRate does not allow it: the message is
+// lost then, as any datagram may be. The result is valid until the next call.
 func (p *Protocol) encode(o outgoing) []byte {
 	if !p.budget.allows(p.now) {
 		p.counters.Withheld++
 		return nil
 	}
 	text := appendHeader(p.writeBuffer[:0], header{kind: o.kind, sequence: o.sequence, deadHash: p.deadHash, target: o.target})
-	if m := &p.members[o.to]; m.state != Alive { // it must hear what is said of it, to refute it
+	if m := &p.members[o.to]; m.state != Alive { // the receiver must learn of it, to refute it
 		text = appendMemberUpdate(text, memberUpdate{id: o.to, state: m.state, incarnation: m.incarnation})
 	}
 	if o.withBitmap {
@@ -47,7 +46,7 @@
 	return text
 }
 
-// appendDead appends the bitmap of whom this node takes for dead, or a random part of it in a large fleet.
+// appendDead appends the set of dead members, or a random part of it in a large fleet.
 func (p *Protocol) appendDead(text []byte) []byte {
 	first, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
 	if parts := (p.cfg.Nodes + count - 1) / count; parts > 1 {
@@ -57,12 +56,12 @@
 	return appendBitmap(text, NodeID(first), p.deadBitmap(NodeID(first), count))
 }
 
-// Publish has an event passed on to the other nodes, in place of an older one of its subject.
+// Publish gossips an event to the other nodes, in place of an older one of its subject.
 func (p *Protocol) Publish(e Event) { p.gossip.addEvent(e) }
 
-// Receive takes in a message of another member. It calls deliver for each event in it, with the time at which it
-// happened by this node's clock; deliver returns whether the event is news here and is to be passed on. The error wraps
-// ErrMalformed; a message with an error changes nothing but the counters.
+// Receive processes a message of another member. It calls deliver for each event in it, with At by this node's clock; if
+// deliver reports that the event is news, it is gossiped on. An error wraps ErrMalformed; the message is ignored then, but
+// for the counters.
 func (p *Protocol) Receive(now time.Duration, from NodeID, text []byte, deliver func(Event) (isNews bool)) error {
 	p.Advance(now)
 	m, err := decode(text, p.cfg.Nodes, p.cfg.EventKinds)
@@ -79,12 +78,12 @@
 	if len(disputed) > 0 {
 		p.send(outgoing{to: from, kind: object, members: disputed})
 	}
-	if p.members[from].state == Suspect { // it lives, but must say so itself: others have heard of the suspicion
+	if p.members[from].state == Suspect { // only the member itself can refute the suspicion, which others may have received
 		p.send(outgoing{to: from, kind: ping, sequence: 0})
 	}
 	switch m.kind {
 	case ping:
-		if m.sequence > 0 { // 0 only carries gossip
+		if m.sequence > 0 { // a ping with 0 only carries gossip
 			p.send(outgoing{to: from, kind: ack, sequence: m.sequence, withBitmap: m.deadHash != p.deadHash})
 		}
 	case ack:
@@ -97,8 +96,7 @@
 	return nil
 }
 
-// receiveParts takes in what follows a message's header, and returns the members that the sender corrects but that
-// stay dead here.
+// receiveParts processes the parts of a message, and returns the members that the sender corrects but that stay dead here.
 func (p *Protocol) receiveParts(from NodeID, m message, deliver func(Event) bool) (disputed []NodeID) {
 	for _, part := range m.parts {
 		switch part.kind {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,15 +9,15 @@
 type pendingPing struct {
 	target    NodeID
 	sequence  uint64
-	directEnd time.Duration // until then the target itself is to answer; then others are asked to ping it
-	end       time.Duration // given up then
-	indirect  bool          // others were asked
+	directEnd time.Duration // if there is no ack by then, other members are asked to ping the target
+	end       time.Duration // if there is none by then, the target becomes suspect
+	indirect  bool          // other members were asked
 
-	requester         NodeID // who asked for this ping; noNode for this node itself
-	requesterSequence uint64 // of the requester's own ping, which its ack names
+	requester         NodeID // the member that asked for this ping; noNode for a ping of this node's own
+	requesterSequence uint64 // of the requester's ping, for the ack to it
 }
 
-// dueAt is when it is to be looked at again.
+// dueAt returns the time at which the probe has to be checked next.
 func (p *pendingPing) dueAt() time.Duration {
 	if p.indirect {
 		return p.end
@@ -25,7 +25,7 @@
 	return p.directEnd
 }
 
-// probe brings the probes under way and the suspicions up to date, and sends the pings that are due.
+// probe updates the pending probes and suspicions, and sends the pings that are due.
 func (p *Protocol) probe() {
 	if p.cfg.Nodes < 2 {
 		p.nextPingAt = p.now + p.period
@@ -41,14 +41,14 @@
 	p.pingSomeDead()
 }
 
-// checkProbes asks others to ping who has not answered directly, and suspects who has not answered them either.
+// checkProbes starts indirect pings of targets that did not answer directly, and suspects those that answered neither.
 func (p *Protocol) checkProbes() {
 	pending := p.probes[:0]
 	for _, probe := range p.probes {
 		switch {
 		case probe.requester != noNode:
 			if p.now >= probe.end {
-				continue // the requester gives up by itself
+				continue // the requester has its own timeout
 			}
 		case !probe.indirect && p.now >= probe.directEnd:
 			probe.indirect = true
@@ -64,7 +64,7 @@
 	p.probes = pending
 }
 
-// requestPings asks some members to ping a silent one.
+// requestPings asks some members to ping the target of a probe.
 func (p *Protocol) requestPings(probe *pendingPing) {
 	for range indirectProbes {
 		if helper := p.randomAlive(probe.target); helper != noNode {
@@ -73,7 +73,7 @@
 	}
 }
 
-// expireSuspicions takes suspects for dead that had time enough to refute it.
+// expireSuspicions declares suspects dead that did not refute it in time.
 func (p *Protocol) expireSuspicions() {
 	timeout := time.Duration(suspicionRounds * p.GossipRounds() * float64(p.period))
 	for i := range p.members {
@@ -83,10 +83,10 @@
 	}
 }
 
-// pingNext pings whose turn it is.
+// pingNext pings the next member in turn, or several while nobody has been heard of.
 func (p *Protocol) pingNext() {
 	pings := 1
-	if p.heardNobody { // the others know who is dead; until one tells, tasks of the dead seem to have owners
+	if p.heardNobody { // until a peer answers, this node considers dead members alive
 		pings = lonelyPings
 	}
 	for range pings {
@@ -96,7 +96,7 @@
 	}
 }
 
-// pingSomeDead pings a dead member now and then: it may have been cut off only.
+// pingSomeDead pings a dead member now and then, so that halves of a partitioned fleet find each other again.
 func (p *Protocol) pingSomeDead() {
 	if p.random.Float64() >= deadPingChance {
 		return
@@ -112,8 +112,8 @@
 	}
 }
 
-// nextTarget is the next member to ping: all by turns, in an order shuffled anew each time round, so that each is
-// pinged by someone about once a period and none is missed for more than two rounds. It is noNode if all are dead.
+// nextTarget returns the next member to ping, or noNode if all are dead. Members take turns in an order that is shuffled
+// anew for each round, so that each is pinged by someone about once a period and none is left out for over two rounds.
 func (p *Protocol) nextTarget() NodeID {
 	for range 2 * p.cfg.Nodes {
 		if p.pingIndex >= len(p.pingOrder) {
@@ -128,7 +128,7 @@
 	return noNode
 }
 
-// randomAlive is a member taken for alive, other than the one named, or noNode if a few draws find none.
+// randomAlive returns a random member that is alive and not the given one, or noNode if a few draws find none.
 func (p *Protocol) randomAlive(except NodeID) NodeID {
 	const draws = 8
 	for range draws {
@@ -154,14 +154,14 @@
 	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
 }
 
-// acked takes in an ack, and passes it on to who asked for the ping.
+// acked ends the probe that an ack answers, and acks the member that requested it, if any.
 func (p *Protocol) acked(from NodeID, sequence uint64) {
 	i := slices.IndexFunc(p.probes, func(probe pendingPing) bool { return probe.sequence == sequence })
 	if i < 0 {
 		return
 	}
 	probe := p.probes[i]
-	if probe.target != from && !probe.indirect { // others ack in its place only once they were asked
+	if probe.target != from && !probe.indirect { // an ack from a helper counts only once helpers were asked
 		return
 	}
 	p.probes = slices.Delete(p.probes, i, i+1)
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,53 +6,53 @@
 )
 
 const (
-	windowShare = 0.5 // of the time in which a quota fills its burst: two windows' worth is a burst
+	windowShare = 0.5 // of the time in which the rate fills the burst
 	minWindow   = 500 * time.Millisecond
-	maxWindow   = 2 * time.Second // a node that starts waits for the next window
-	idleWindows = 20              // without a request, after which a customer is forgotten
+	maxWindow   = 2 * time.Second // a node waits for the next window after its start
+	idleWindows = 20              // without a request, after which an account is dropped
 
-	demandDecay = 0.5  // of the difference between forecast and demand, a window
-	spareShare  = 0.25 // of the demand forecast, kept on top of it
-	minRelease  = 0.1  // of a slice, see releaseMargin
+	demandDecay = 0.5  // weight of a window in the demand forecast
+	spareShare  = 0.25 // of the demand forecast, added to it
+	minRelease  = 0.1  // share of a slice, see releaseMargin
 
-	exchangeGap = 0.05 // of a window, between two exchanges for one customer
-	deniedFor   = 0.2  // of a window, between two tries to borrow where nothing was left
+	exchangeGap = 0.05 // share of a window, between two exchanges for one customer
+	deniedFor   = 0.2  // share of a window, for which nothing is borrowed after the store had nothing to lend
 
 	noWindow WindowNumber = -1 // before the first
 )
 
-// account is one customer at this node.
+// account is this node's state for a customer.
 type account struct {
 	customer      Customer
 	windowLength  time.Duration
 	demand        demand
 	lastRequestAt time.Duration
-	exchangeAt    time.Duration // no exchange before
-	forgottenIn   WindowNumber  // the last window in which the store had forgotten entries
+	exchangeAt    time.Duration // earliest time of the next exchange
+	forgottenIn   WindowNumber  // last window in which the store had lost entries
 	window
 }
 
-// window is what belongs to one window of a customer's and is gone with it.
+// window is the state of an account that is reset in each window.
 type window struct {
 	number    WindowNumber
 	allowance float64 // units for the whole fleet
 	cap       float64 // units that this node may use,
 	used      float64 // and has used
 
-	others      map[NodeID]Commitment // of the other nodes, as the store last told
+	others      map[NodeID]Commitment // of the other nodes, by the last reply
 	sequence    Sequence              // of the last commitment put
-	stored      Sequence              // the last one that the store is known to have had
-	storedCap   float64               // what the store has for this node, as far as is known; NaN if that is uncertain
-	deniedUntil time.Duration         // there is nothing to borrow before
+	stored      Sequence              // last one that the store is known to have had
+	storedCap   float64               // this node's cap according to the store; NaN if that is uncertain
+	deniedUntil time.Duration         // nothing is borrowed before
 }
 
-// demand is how much a customer asks for at this node.
+// demand is a customer's demand at this node.
 type demand struct {
 	inWindow float64 // units in the present window, so far
 	forecast float64 // units a window: an exponentially weighted mean
 }
 
-// endWindows moves the forecast on by so many windows, of which the first had the recorded demand and the others none.
+// endWindows updates the forecast for so many windows: the first with the recorded demand, the others without any.
 func (d *demand) endWindows(count WindowNumber) {
 	for range min(max(count, 1), idleWindows) {
 		d.forecast += demandDecay * (d.inWindow - d.forecast)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Window is how long a customer's windows are.
+// Window returns the length of a customer's windows.
 func (c Customer) Window() time.Duration {
 	if c.Rate <= 0 {
 		return maxWindow
@@ -72,28 +72,28 @@
 	return &account{customer: c, forgottenIn: noWindow - 1, window: window{number: noWindow}}
 }
 
-// reset takes over a changed quota, as if its windows had just begun.
+// reset sets the quota of an account. Its state begins anew.
 func (a *account) reset(c Customer) {
 	a.customer, a.windowLength, a.number = c, c.Window(), noWindow
 }
 
-// slice is each node's even part of the allowance.
+// slice returns the even part of the allowance per node.
 func (a *account) slice() float64 { return a.allowance / float64(a.customer.Spread) }
 
-// releaseMargin is how much of a slice must be left over to be worth an exchange.
+// releaseMargin returns the least reduction of the cap that is worth an exchange.
 func (a *account) releaseMargin() float64 {
 	return minRelease * a.allowance / float64(a.customer.Spread)
 }
 
-// begin is when the account's present window began.
+// begin returns when the account's present window began.
 func (a *account) begin() time.Duration { return time.Duration(a.number) * a.windowLength }
 
-// wantedCap is the cap that an account would have: for the demand forecast in this window, with some to spare.
+// wantedCap returns the cap for the forecast demand, with some to spare.
 func (a *account) wantedCap() float64 {
 	return max(a.used, (1+spareShare)*max(a.demand.forecast, a.demand.inWindow)+a.releaseMargin())
 }
 
-// enterWindow begins a new window for an account, if it is time.
+// enterWindow resets an account's window if a new one has begun.
 func (l *Ledger) enterWindow(a *account) {
 	number := WindowNumber(l.now / a.windowLength)
 	if number == a.number {
@@ -103,21 +103,20 @@
 	a.demand.endWindows(number - a.number)
 	a.window = window{number: number, allowance: a.customer.Rate * a.windowLength.Seconds(), others: map[NodeID]Commitment{}}
 	a.cap = a.slice()
-	if l.startedWithin(a) { // what it used before its start is not known: a restart is no refill
+	if l.startedWithin(a) { // the use before the start is unknown: a restart must not refill the quota
 		a.cap = 0
 	}
-	a.storedCap = a.slice() // which is what the store's silence says
-	if isFirst {            // nothing is forecast yet, and nothing released
+	a.storedCap = a.slice() // a node without an entry counts with a slice
+	if isFirst {            // no demand is known yet: nothing is released
 		a.demand.forecast = a.slice()
 	}
-	// Not all nodes are to call at the first moment of a window.
+	// Spread the first exchanges of the nodes.
 	a.exchangeAt = l.now + time.Duration(l.random.Float64()*exchangeGap*float64(a.windowLength))
 }
 
-// startedWithin reports whether this node started within an account's present window. Commitments that the store has of
-// it there are an earlier life's.
+// startedWithin reports whether this node started within an account's window. Its entries in the store may be those of the
+// process before.
 func (l *Ledger) startedWithin(a *account) bool { return a.begin() < l.started }
 
-// doubtStored notes that the store may have a commitment that does not hold, or lack one that does. The next exchange
-// puts it again.
+// doubtStored notes that the store may lack the last commitment or have a later one. The next exchange puts it again.
 func (a *account) doubtStored() { a.storedCap = math.NaN() }
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	leaseShare  = 0.1 // of an allowance, borrowed at once: also the most that one forgotten entry can let through
+	leaseShare  = 0.1 // of an allowance, that is borrowed at once: also the overuse that one lost entry can cause
 	keepWindows = 3   // for which the store keeps the entries of a window
 )
 
-// pendingExchange is one that was given out and not reported yet.
+// pendingExchange is an exchange that Next returned and whose reply is awaited.
 type pendingExchange struct {
 	id       ExchangeID
 	key      CustomerKey
@@ -19,7 +19,7 @@
 	deadline time.Duration
 }
 
-// Next is the next exchange with the store, or false when there is none for now. The customers take turns.
+// Next returns the next exchange with the store, or false if there is none now. The customers take turns.
 func (l *Ledger) Next(now time.Duration) (Exchange, bool) {
 	l.advance(now)
 	l.expirePending()
@@ -44,7 +44,7 @@
 	return Exchange{}, false
 }
 
-// expirePending gives up the exchanges that took too long.
+// expirePending fails the exchanges that have timed out.
 func (l *Ledger) expirePending() {
 	l.pending = slices.DeleteFunc(l.pending, func(e pendingExchange) bool {
 		expired := l.now >= e.deadline
@@ -55,7 +55,7 @@
 	})
 }
 
-// failed notes an exchange that came to nothing, or of which that is not known.
+// failed handles the failure of an exchange, which the store may have carried out all the same.
 func (l *Ledger) failed(e pendingExchange) {
 	l.counters.Failed++
 	l.backoff.failed(l.now, l.cfg.Timeout, l.random)
@@ -64,8 +64,8 @@
 	}
 }
 
-// exchange is what an account wants of the store now. A cap that is lowered holds at once, before anybody is told; one
-// that is to be raised holds once the store has granted it.
+// exchange returns an account's next exchange, or false if it needs none. A lower cap is in force at once, before the store
+// has it; a higher one only once the reply grants it.
 func (l *Ledger) exchange(a *account) (Exchange, bool) {
 	if a.customer.Rate <= 0 || a.customer.Spread <= 1 {
 		return Exchange{}, false
@@ -80,7 +80,7 @@
 		a.cap, put = wanted, wanted
 		l.counters.Released++
 	case wanted > a.cap && a.cap < a.allowance && a.number > a.forgottenIn+1 && l.now >= a.deniedUntil:
-		// In steps of a lease: what one entry grants is what one forgotten entry can cost.
+		// One lease at a time: it is what one lost entry can cost.
 		put = min(wanted, a.cap+leaseShare*a.allowance, a.allowance)
 	case a.storedCap == a.cap:
 		return Exchange{}, false
@@ -92,7 +92,7 @@
 	return slices.ContainsFunc(l.pending, func(e pendingExchange) bool { return e.key == a.customer.Key })
 }
 
-// begin gives out an exchange that puts a cap.
+// begin starts an exchange that puts a cap.
 func (l *Ledger) begin(a *account, put float64) Exchange {
 	a.sequence++
 	l.lastID++
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Ledger is one node's part in keeping the quotas.
+// Ledger enforces the quotas at one node.
 type Ledger struct {
 	cfg      Config
 	now      time.Duration
@@ -16,17 +16,17 @@
 	counters Counters
 
 	accounts  map[CustomerKey]*account
-	turns     []*account // in the order in which they get to exchange
+	turns     []*account // in the order in which they exchange
 	nextTurn  int        // into turns
 	pending   []pendingExchange
 	lastID    ExchangeID
 	rateLimit rateLimiter
 	backoff   backoff
-	store     StoreID       // that answered last; 0 before the first answer
-	storeMet  time.Duration // when this node first met it
+	store     StoreID       // that answered last; 0 before the first reply
+	storeMet  time.Duration // time of its first reply
 }
 
-// New makes a Ledger without customers. now is the time since an origin that all nodes share, as the Unix epoch.
+// New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch.
 func New(cfg Config, now time.Duration) *Ledger {
 	cfg.Nodes = max(cfg.Nodes, 1)
 	return &Ledger{
@@ -39,12 +39,13 @@
 	}
 }
 
-// Counters is what this node did since New.
+// Counters returns the counts since New.
 func (l *Ledger) Counters() Counters { return l.counters }
 
 func (l *Ledger) advance(now time.Duration) { l.now = max(l.now, now) }
 
-// account is a customer's, in its present window. It is made if there is none, and begins anew if the quota changed.
+// account returns the account of a customer, in its present window. It is created if there is none, and reset if the quota
+// has changed.
 func (l *Ledger) account(c Customer) *account {
 	a := l.accounts[c.Key]
 	if a == nil {
@@ -60,7 +61,7 @@
 	return a
 }
 
-// RecordDemand notes a request of a customer, whether it is admitted or not.
+// RecordDemand records a request of a customer, whether it is admitted or not.
 func (l *Ledger) RecordDemand(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	a := l.account(c)
@@ -68,7 +69,7 @@
 	a.lastRequestAt = l.now
 }
 
-// Available is how many units a customer may still use here in this window; +Inf for one without a quota.
+// Available returns the units that a customer may still use at this node in this window; +Inf without a quota.
 func (l *Ledger) Available(now time.Duration, c Customer) float64 {
 	l.advance(now)
 	if c.Rate <= 0 {
@@ -78,7 +79,7 @@
 	return max(0, a.cap-a.used)
 }
 
-// TrySpend uses units of what is available to a customer. It returns false, and uses nothing, where there is less.
+// TrySpend uses units of what is available to a customer, and reports whether there was enough; else it uses nothing.
 func (l *Ledger) TrySpend(now time.Duration, c Customer, units float64) bool {
 	if l.Available(now, c) < units {
 		l.counters.Rejected++
@@ -90,7 +91,7 @@
 	return true
 }
 
-// RecordUse notes units that were used in any case, also beyond what was available.
+// RecordUse records units that were used, also beyond what was available.
 func (l *Ledger) RecordUse(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	if c.Rate > 0 {
@@ -98,7 +99,7 @@
 	}
 }
 
-// forgetIdle drops customers that have not been asked for in a long time.
+// forgetIdle drops the accounts of customers without requests for a long time.
 func (l *Ledger) forgetIdle() {
 	l.turns = slices.DeleteFunc(l.turns, func(a *account) bool {
 		idle := l.now-a.lastRequestAt > idleWindows*a.windowLength
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	failuresAllowed = 3  // in a row, until the store is left alone
+	failuresAllowed = 3  // in a row, before the backoff
 	maxDoublings    = 10 // of the pause
-	maxPauseWindows = 16 // of the shortest length: the longest pause
-	burstsPerSecond = 10 // at the rate limit: a tenth of a second's worth may be begun at once
+	maxPauseWindows = 16 // of minimum length: the longest pause
+	burstsPerSecond = 10 // the rate limiter's burst is this part (1/n) of a second's exchanges
 )
 
-// backoff leaves a store alone that does not answer, each time for twice as long.
+// backoff pauses the exchanges with a store that fails, twice as long each time.
 type backoff struct {
 	failures int           // in a row
-	until    time.Duration // no exchange before
+	until    time.Duration // no exchange begins before
 }
 
-// allows reports whether an exchange may begin. A store that has failed gets one at a time.
+// allows reports whether an exchange may begin. After failures there is one at a time.
 func (b *backoff) allows(now time.Duration, pending int) bool {
 	return now >= b.until && (b.failures < failuresAllowed || pending == 0)
 }
@@ -35,7 +35,7 @@
 	b.until = now + min(time.Duration(pause*(0.5+random.Float64())), maxPauseWindows*minWindow)
 }
 
-// rateLimiter bounds the exchanges a second: a token bucket.
+// rateLimiter limits the exchanges a second: a token bucket.
 type rateLimiter struct {
 	rate       float64 // exchanges a second; 0 for no limit
 	tokens     float64
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// HandleReply reports how an exchange ended: which store answered, and all its entries of that customer and window; or,
-// with err, that nothing came that can be relied on. A reply to an exchange that was given up meanwhile, or of a window
-// that is over, says nothing: its entry may stand in the store, but the cap that it asked for was never used.
+// HandleReply processes the reply to an exchange: the store that answered and all its entries of the customer and window, or
+// an error. A reply to an exchange that has timed out, or of a window that is over, is ignored: its entry may be in the
+// store, but the cap that it asked for is never used.
 func (l *Ledger) HandleReply(now time.Duration, id ExchangeID, store StoreID, entries []Commitment, err error) {
 	l.advance(now)
 	i := slices.IndexFunc(l.pending, func(e pendingExchange) bool { return e.id == id })
@@ -22,7 +22,7 @@
 		return
 	}
 	l.backoff.succeeded()
-	if store != l.store { // another in its place: what the former one was told, this one does not know
+	if store != l.store { // it may lack what the former one had
 		l.store, l.storeMet = store, l.now
 	}
 	a := l.accounts[exchange.key]
@@ -42,7 +42,7 @@
 	}
 }
 
-// takeEntries takes over the other nodes' commitments, and returns the sequence of this node's last one.
+// takeEntries records the other nodes' commitments, and returns the sequence of this node's last one.
 func (l *Ledger) takeEntries(a *account, entries []Commitment) (own Sequence) {
 	for _, entry := range entries {
 		if entry.Node == l.cfg.Self {
@@ -57,13 +57,13 @@
 	return own
 }
 
-// hasForgotten reports whether the store has lost what it had, or what was put just now, or was not there when the window
-// began. Others may have entries then that it does not know, and nothing that it says can be borrowed on.
+// hasForgotten reports whether the store has lost an entry of this node, or did not exist when the window began. Then it may
+// lack other nodes' entries as well, and nothing must be borrowed on its word.
 func (l *Ledger) hasForgotten(a *account, exchange pendingExchange, own Sequence) bool {
 	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeMet
 }
 
-// borrow raises the cap to the one that was put, as far as the other nodes' commitments leave it.
+// borrow raises the cap up to the one that was put, as far as the other nodes' commitments allow.
 func (l *Ledger) borrow(a *account, wanted float64) {
 	sum := wanted
 	for i := range a.customer.Spread {
@@ -79,9 +79,9 @@
 	}
 	free := a.allowance - (sum - wanted) // rounded as by the nodes of earlier versions
 	if free < wanted {
-		a.deniedUntil = l.now + time.Duration(deniedFor*float64(a.windowLength)) // its entry is put right first
+		a.deniedUntil = l.now + time.Duration(deniedFor*float64(a.windowLength)) // the entry is corrected first
 	}
-	if free > a.cap { // perhaps less than was put: whoever looks meanwhile sees more than is used
+	if free > a.cap { // if it is less than was put, the other nodes count too much until the next exchange
 		l.counters.Borrowed++
 		a.cap = min(free, wanted)
 	}
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -20,8 +20,8 @@
 	maxPollInterval = 100 * time.Millisecond // while there is nothing to exchange
 )
 
-// Quotas is one node's part of the fleet's quotas over a store. Its methods may be called from any goroutine; none but
-// Run and Close waits for the store.
+// Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use; only Run and Close wait for
+// the store.
 type Quotas struct {
 	client *redis.Client
 	log    *zerolog.Logger
@@ -34,8 +34,8 @@
 	down   bool // the last exchange failed: logged once, not each time
 }
 
-// Open makes a node's part, which shows its name to the store. It does not wait for the store: one that is gone is called
-// again when the ledger says so.
+// Open returns the Quotas of a node, whose connections have its name. It does not wait for the store, which may be
+// unreachable.
 func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	return &Quotas{
 		log:    log,
@@ -57,31 +57,31 @@
 	}
 }
 
-// now is the time on the clock that all nodes share, since the Unix epoch.
+// now returns the time on the clock that all nodes share, since the Unix epoch.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// RecordDemand notes a request of a customer, whether it is admitted or not.
+// RecordDemand records a request of a customer, whether it is admitted or not.
 func (q *Quotas) RecordDemand(c quota.Customer, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.RecordDemand(now(), c, units)
 }
 
-// Available is how many units a customer may still use here now; +Inf for one without a quota.
+// Available returns the units that a customer may still use at this node in this window; +Inf without a quota.
 func (q *Quotas) Available(c quota.Customer) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Available(now(), c)
 }
 
-// TrySpend uses units of what is available to a customer. It returns false, and uses nothing, where there is less.
+// TrySpend uses units of what is available to a customer, and reports whether there was enough; else it uses nothing.
 func (q *Quotas) TrySpend(c quota.Customer, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.TrySpend(now(), c, units)
 }
 
-// RecordUse notes units that were used in any case.
+// RecordUse records units that were used, also beyond what was available.
 func (q *Quotas) RecordUse(c quota.Customer, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -124,7 +124,7 @@
 func (q *Quotas) Close() {
 	close(q.done)
 	q.active.Wait()
-	_ = q.client.Close() // connections that nothing is sent over any more
+	_ = q.client.Close() // nothing is sent any more
 }
 
 // exchange carries out one exchange and reports it.
@@ -146,7 +146,7 @@
 	}
 }
 
-// MarshalZerologObject writes what was done so far.
+// MarshalZerologObject writes the counters to a log event.
 func (q *Quotas) MarshalZerologObject(e *zerolog.Event) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// next is the scheduler's next step, with a text of its own.
+// next returns the scheduler's next step, with a text of its own.
 func (h *HealthChecker) next() (healthcheck.Step, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
