--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -15,7 +15,7 @@
 // every decision to the same order: nodes of both texts run side by side. The expected values were written by that
 // commit.
 
-// input is one message that a node takes in.
+// input is one message that a node receives.
 type input struct {
 	at   time.Duration
 	from NodeID
@@ -23,10 +23,10 @@
 }
 
 // sends pulls all decisions that there are at a time, and lists the messages, each as "receiver:hexadecimal".
-func sends(n *Scheduler, at time.Duration) (list []string) {
-	for s, ok := n.Next(at); ok; s, ok = n.Next(at) {
-		if s.Kind == Send {
-			list = append(list, fmt.Sprintf("%d:%x", s.To, s.Text))
+func sends(node *Scheduler, at time.Duration) (list []string) {
+	for decision, ok := node.Next(at); ok; decision, ok = node.Next(at) {
+		if decision.Kind == Send {
+			list = append(list, fmt.Sprintf("%d:%x", decision.To, decision.Text))
 		}
 	}
 	return list
@@ -143,25 +143,25 @@
 	}
 }
 
-// transcript plays some nodes over a network with losses, doublings and delays, all from a seed, and writes down
-// every decision of theirs and, each second, what else they tell.
+// transcript plays some nodes over a network with losses, duplicates and delays, all from a seed, and records every
+// decision of theirs and, each second, their state.
 type transcript struct {
-	cfg   Config
-	nodes []*Scheduler // nil for one that is down
-	now   time.Duration
-	rng   *rand.Rand
-	later map[time.Duration][]func()
-	loss  float64
-	cut   bool // between the lower and the upper half
-	idle  int  // a node whose runs never end; -1 for none
-	lines []string
+	cfg    Config
+	nodes  []*Scheduler // nil for one that is down
+	now    time.Duration
+	random *rand.Rand
+	later  map[time.Duration][]func()
+	loss   float64
+	cut    bool // between the lower and the upper half
+	idle   int  // a node whose runs never end; -1 for none
+	lines  []string
 }
 
 const step = 20 * time.Millisecond
 
 func newTranscript(cfg Config, duties []Check) *transcript {
 	p := &transcript{
-		cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), rng: rand.New(rand.NewPCG(cfg.Seed, 99)),
+		cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), random: rand.New(rand.NewPCG(cfg.Seed, 99)),
 		later: map[time.Duration][]func(){}, idle: -1,
 	}
 	for k := range p.nodes {
@@ -189,11 +189,11 @@
 func (p *transcript) send(from, to int, text []byte) {
 	p.write("%d>%d %x", from, to, text)
 	half := len(p.nodes) / 2
-	if p.rng.Float64() < p.loss || p.cut && (from < half) != (to < half) {
+	if p.random.Float64() < p.loss || p.cut && (from < half) != (to < half) {
 		return
 	}
-	for range 1 + p.rng.IntN(50)/49 {
-		p.after(step*time.Duration(1+p.rng.IntN(3)), func() {
+	for range 1 + p.random.IntN(50)/49 {
+		p.after(step*time.Duration(1+p.random.IntN(3)), func() {
 			if n := p.nodes[to]; n != nil && n.ReceivePeerMessage(p.now, NodeID(from), text) != nil {
 				p.write("%d did not read it", to)
 			}
@@ -207,29 +207,29 @@
 			f()
 		}
 		delete(p.later, p.now)
-		for k, n := range p.nodes {
-			if n == nil {
+		for i, node := range p.nodes {
+			if node == nil {
 				continue
 			}
-			for s, ok := n.Next(p.now); ok; s, ok = n.Next(p.now) {
-				switch s.Kind {
+			for decision, ok := node.Next(p.now); ok; decision, ok = node.Next(p.now) {
+				switch decision.Kind {
 				case Send:
-					p.send(k, int(s.To), append([]byte(nil), s.Text...))
+					p.send(i, int(decision.To), append([]byte(nil), decision.Text...))
 				case Run:
-					p.write("%d runs %d/%d within %v", k, s.Check.Kind, s.Check.ID, s.Timeout)
-					if k != p.idle {
-						p.after(step, func() { n.CheckEnded(p.now, s.Check, s.Check.ID%2 > 0) })
+					p.write("%d runs %d/%d within %v", i, decision.Check.Kind, decision.Check.ID, decision.Timeout)
+					if i != p.idle {
+						p.after(step, func() { node.CheckEnded(p.now, decision.Check, decision.Check.ID%2 > 0) })
 					}
 				case Ended:
-					p.write("%d hears of %d/%d %v", k, s.Check.Kind, s.Check.ID, s.OK)
+					p.write("%d hears of %d/%d %v", i, decision.Check.Kind, decision.Check.ID, decision.OK)
 				}
 			}
 			if p.now%time.Second == 0 {
-				c := n.Counters()
-				p.write("%d: %v %v %v, %d owned, %d dead, %v", k, n.Period(), n.Interval(), n.Wake(p.now), n.OwnedCount(p.now), n.DeadCount(),
+				counters := node.Counters()
+				p.write("%d: %v %v %v, %d owned, %d dead, %v", i, node.Period(), node.Interval(), node.Wake(p.now), node.OwnedCount(p.now), node.DeadCount(),
 					[]int64{
-						c.Sent, c.SentBytes, c.Withheld, c.Received, c.Malformed, c.Checks, c.BackupChecks,
-						c.Suspected, c.Died, c.Rejoined, c.Refuted,
+						counters.Sent, counters.SentBytes, counters.Withheld, counters.Received, counters.Malformed, counters.Checks, counters.BackupChecks,
+						counters.Suspected, counters.Died, counters.Rejoined, counters.Refuted,
 					})
 			}
 		}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -16,7 +16,7 @@
 	nodes     []*Ledger
 	customers []Customer
 	now       time.Duration
-	rng       *rand.Rand
+	random    *rand.Rand
 	later     map[time.Duration][]func()
 	id        StoreID
 	entries   map[string][]Commitment
@@ -30,7 +30,7 @@
 
 func newGoldenPlay(cfg Config, customers []Customer, now time.Duration) *goldenPlay {
 	p := &goldenPlay{
-		cfg: cfg, customers: customers, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
+		cfg: cfg, customers: customers, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
 		later: map[time.Duration][]func(){}, entries: map[string][]Commitment{},
 	}
 	for k := range cfg.Nodes {
@@ -51,19 +51,19 @@
 
 // put has the store take one exchange, if it gets there, and its answer come back.
 func (p *goldenPlay) put(n *Ledger, x Exchange) {
-	if p.rng.Float64() < p.lost {
+	if p.random.Float64() < p.lost {
 		return
 	}
 	key, store := fmt.Sprint(x.Key, x.Window), p.id
-	if p.rng.Float64() >= p.forgets {
+	if p.random.Float64() >= p.forgets {
 		p.entries[key] = append(p.entries[key], x.Put)
 	}
 	entries := append([]Commitment{{Node: -1, Sequence: 1}, {Node: 1 << 20, Sequence: 1, Cap: 3}}, p.entries[key]...)
 	var err error
-	if p.rng.Float64() < p.bad {
+	if p.random.Float64() < p.bad {
 		err = errors.New("bad")
 	}
-	p.after(1+p.rng.IntN(6), func() { n.HandleReply(p.now, x.ID, store, entries, err) })
+	p.after(1+p.random.IntN(6), func() { n.HandleReply(p.now, x.ID, store, entries, err) })
 }
 
 func (p *goldenPlay) play(until time.Duration, load float64) {
@@ -72,30 +72,30 @@
 			f()
 		}
 		delete(p.later, p.now)
-		for k, n := range p.nodes {
+		for i, node := range p.nodes {
 			for _, c := range p.customers {
-				units := float64(1 + p.rng.IntN(3))
-				if p.rng.Float64()*units < c.Rate*load*goldenStep.Seconds()/float64(1+k) {
-					n.RecordDemand(p.now, c, units)
-					if p.rng.IntN(20) == 0 {
-						n.RecordUse(p.now, c, units)
-					} else if spent := n.TrySpend(p.now, c, units); !spent {
-						p.write("%d refuses %d", k, c.Key)
+				units := float64(1 + p.random.IntN(3))
+				if p.random.Float64()*units < c.Rate*load*goldenStep.Seconds()/float64(1+i) {
+					node.RecordDemand(p.now, c, units)
+					if p.random.IntN(20) == 0 {
+						node.RecordUse(p.now, c, units)
+					} else if spent := node.TrySpend(p.now, c, units); !spent {
+						p.write("%d refuses %d", i, c.Key)
 					}
 				}
 			}
-			for x, ok := n.Next(p.now); ok; x, ok = n.Next(p.now) {
-				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", k, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Sequence, x.Put.Cap,
+			for x, ok := node.Next(p.now); ok; x, ok = node.Next(p.now) {
+				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", i, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Sequence, x.Put.Cap,
 					x.Keep, x.Timeout)
-				p.put(n, x)
+				p.put(node, x)
 			}
 			if p.now%(500*time.Millisecond) == 0 {
-				c := n.Counters()
+				c := node.Counters()
 				room := []float64{}
 				for _, of := range p.customers {
-					room = append(room, n.Available(p.now, of))
+					room = append(room, node.Available(p.now, of))
 				}
-				p.write("%d: room %v, %v", k, room, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
+				p.write("%d: room %v, %v", i, room, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
 			}
 		}
 	}
