--- a/internal/transport/healthcheck.go
+++ b/internal/transport/healthcheck.go
@@ -12,14 +12,14 @@
 )
 
 // HealthChecker carries out this node's part of the fleet's health checks: healthcheck.Scheduler decides what is sent
-// to which node and which server is probed when; this sends, probes and reports. Probes go over the pool, so that a
+// to which node and which server is checked when; this sends, checks and reports. Checks go over the pool, so that a
 // server in use is checked over a connection that stands anyway. It is safe for concurrent use.
 type HealthChecker struct {
 	router  *routing.Router
 	pool    *Pool
 	send    func(to int, text []byte)
 	started time.Time     // the origin of the scheduler's clock
-	changed chan struct{} // holds one element if the scheduler was told something since Run last asked it
+	changed chan struct{} // holds one element if the scheduler may have a new step for Run
 	done    chan struct{} // closed by Close
 
 	// mu guards the scheduler, and servers with the contents of the map.
@@ -79,7 +79,7 @@
 	return err == nil
 }
 
-// Run carries out the scheduler's decisions until Close. Each probe has a goroutine of its own, which ends within the
+// Run carries out the scheduler's decisions until Close. Each check has a goroutine of its own, which ends within the
 // time that the scheduler gives it, also after Close.
 func (h *HealthChecker) Run() {
 	timer := time.NewTimer(0)
@@ -121,12 +121,12 @@
 	}
 }
 
-// check probes one server and reports how that ended.
+// check carries out one health check and reports its result.
 func (h *HealthChecker) check(step healthcheck.Step) {
 	h.mu.Lock()
 	server := h.servers[step.Check.ID]
 	h.mu.Unlock()
-	ok := server != nil && h.probe(server, time.Now().Add(step.Timeout))
+	ok := server != nil && h.requestHealth(server, time.Now().Add(step.Timeout))
 	if server != nil {
 		h.router.HealthChecked(server.Number(), ok)
 	}
--- a/internal/transport/probe.go
+++ b/internal/transport/healthrequest.go
@@ -8,8 +8,9 @@
 	"cherrygap/internal/routing"
 )
 
-// probe asks a server whether it is ready. Nothing is sent to one that is not in service any more.
-func (h *HealthChecker) probe(server *routing.Server, deadline time.Time) bool {
+// requestHealth asks a server whether it is ready, over an idle connection or a new one, and reports whether it said so before the
+// deadline. Nothing is sent to a server that is not in service any more.
+func (h *HealthChecker) requestHealth(server *routing.Server, deadline time.Time) bool {
 	conn := h.pool.get(server)
 	if conn == nil {
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- /dev/null
+++ b/internal/transport/healthrequest_test.go
@@ -0,0 +1,83 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
+)
+
+// answerAll answers whatever comes over each connection with the same text, or never if it is empty.
+func answerAll(t *testing.T, text string) netip.AddrPort {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return // closed
+			}
+			go func() {
+				defer func() { _ = conn.Close() }()
+				request := make([]byte, 1024)
+				for {
+					if _, err := conn.Read(request); err != nil {
+						return
+					}
+					if _, err := io.WriteString(conn, text); err != nil {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return netip.MustParseAddrPort(ln.Addr().String())
+}
+
+// What a server answers to a health check tells whether it is healthy, and whether its connection is kept.
+func TestHealthRequest(t *testing.T) {
+	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	for _, c := range []struct {
+		name, answer string
+		ok, kept     bool
+	}{
+		{"healthy", healthy, true, true},
+		{"healthy, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true, false},
+		{"healthy, with more than an answer", healthy + "HTTP", true, false},
+		{"not ready", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", false, true},
+		{"malformed", "no HTTP at all\r\n\r\n", false, false},
+		{"silent", "", false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			log := zerolog.Nop()
+			router := routing.New(routing.Config{
+				Seed: 3, Settings: map[string]string{"nodes": "1", "tick": "20"},
+				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
+			})
+			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
+			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, true)
+			pool := NewPool(roomyLimits, &log, &Counters{})
+			checker := NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
+			server := router.Servers()[0]
+			if ok := checker.requestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.ok {
+				t.Errorf("healthy %v", ok)
+			}
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			if kept := len(pool.idle[server]) == 1; kept != c.kept {
+				t.Errorf("connection kept %v", kept)
+			}
+		})
+	}
+}
