--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/healthcheck"
 )
 
-// eventKind is what happens.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -15,22 +15,22 @@
 	receive                     // a datagram arrives
 	endCheck                    // a node's health check of a server ends
 	moveFault                   // the scenario's fault begins, ends or, in flap, moves on
-	sampleView                  // who agrees on the living; each second after the fault
+	sampleView                  // a sample of the nodes' views of the members, each second after the fault
 )
 
-// event is something that happens to a node at a time, or for moveFault and sampleView to the whole fleet.
+// event happens to a node at a time, or to the whole fleet for moveFault and sampleView.
 type event struct {
 	at       time.Duration
-	sequence int // events of one time happen in the order in which they were scheduled
+	sequence int // events at the same time happen in the order in which they were scheduled
 	kind     eventKind
 	node     int
-	life     int // of the node: timers and checks of an earlier one don't happen
+	life     int // of the node: timers and checks of a former life are dropped
 	from     int
 	text     []byte
 	check    healthcheck.Check
 }
 
-// eventQueue holds the events to come, the first one first; it implements heap.Interface.
+// eventQueue is a priority queue of the events to come; it implements heap.Interface.
 type eventQueue struct {
 	events       []event
 	lastSequence int
@@ -62,5 +62,5 @@
 	heap.Push(q, e)
 }
 
-// next takes out the first event; there must be one.
+// next removes and returns the first event; there must be one.
 func (q *eventQueue) next() event { return heap.Pop(q).(event) }
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -14,7 +14,7 @@
 	maxFlapSecs   = 3    // between two times
 )
 
-// send takes a datagram over the network.
+// send sends a datagram over the simulated network.
 func (s *simulation) send(from, to int, text []byte) {
 	for range 1 + s.random.IntN(doubledOneIn)/(doubledOneIn-1) {
 		if s.nodes[to].up && s.arrives(from, to) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// arrives reports whether a datagram between two nodes does.
+// arrives reports whether a datagram between two nodes arrives.
 func (s *simulation) arrives(from, to int) bool {
 	half := s.cfg.Nodes / 2
 	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
@@ -36,7 +36,7 @@
 	return s.random.Float64() >= loss
 }
 
-// delay returns how long a datagram is under way: usually some milliseconds, at times so long that others overtake it.
+// delay returns the delay of a datagram: usually a few milliseconds, sometimes so long that others overtake it.
 func (s *simulation) delay() time.Duration {
 	delay := time.Duration(minDelay+s.random.ExpFloat64()*usualDelay) * time.Millisecond
 	if s.random.Float64() < lateShare {
@@ -45,7 +45,7 @@
 	return delay
 }
 
-// moveFault begins or ends the scenario's fault, or moves it on.
+// moveFault begins or ends the scenario's fault, or its next step.
 func (s *simulation) moveFault() {
 	over := s.now >= s.faultEnds()
 	s.faulty = !s.faulty && !over
@@ -83,7 +83,7 @@
 	}
 }
 
-// flap stops or starts one node in twenty, and does so again a few seconds later.
+// flap stops or starts one node in twenty, and schedules the next time a few seconds later.
 func (s *simulation) flap() {
 	for range max(1, s.cfg.Nodes/flappingOneIn) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -1,7 +1,7 @@
-// Package healthlab plays a fleet's shared health checks in virtual time: N nodes that each run the real
-// internal/healthcheck, datagrams that are late, lost, doubled and out of order, and nodes that vanish, flap or can't hear
-// each other. One goroutine and one queue of events ordered by time and sequence; the same configuration gives the same
-// run. It tells how long each app server went unchecked, how often two nodes checked one, and what a node sent.
+// Package healthlab simulates a fleet's shared health checks in virtual time: N nodes that each run the real
+// internal/healthcheck, datagrams that are late, lost, duplicated and reordered, and nodes that vanish, flap or are
+// partitioned. It uses one goroutine and one queue of events ordered by time and sequence; the same configuration gives the
+// same run. A Result shows how long app servers went unchecked, how often two nodes checked one, and what the nodes sent.
 package healthlab
 
 import (
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// The scenarios: the faults that a run can bring. Each begins a third into the run and ends at two thirds.
+// The scenarios, by their fault. It begins after a third of the run and ends after two thirds.
 const (
 	calm   = "calm"   // none
-	vanish = "vanish" // a part of the nodes is gone
-	flap   = "flap"   // nodes go and come back every few seconds
-	split  = "split"  // two halves can't hear each other
+	vanish = "vanish" // some of the nodes stop
+	flap   = "flap"   // nodes stop and start every few seconds
+	split  = "split"  // the fleet is partitioned into two halves
 	lossy  = "lossy"  // a quarter of the datagrams is lost
 )
 
-// Scenarios are the names of all scenarios.
+// Scenarios lists the names of all scenarios.
 var Scenarios = []string{calm, vanish, flap, split, lossy}
 
 const defaultVanishShare = 0.48
@@ -44,7 +44,7 @@
 	VanishShare float64       // share of the nodes that vanish at once; 0.48 where not set
 }
 
-// check returns the configuration with its defaults. The error wraps ErrUnknownScenario or ErrTooSmall.
+// check validates a configuration and returns it with its defaults set. An error wraps ErrUnknownScenario or ErrTooSmall.
 func (c Config) check() (Config, error) {
 	if !slices.Contains(Scenarios, c.Scenario) {
 		return c, fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, c.Scenario, Scenarios)
@@ -58,14 +58,14 @@
 	return c, nil
 }
 
-// Result is what a run showed. Times are seconds, figures those of simulated nodes.
+// Result is the result of a run. Times are in seconds.
 type Result struct {
 	Scenario     string  `json:"scenario"`
 	Nodes        int     `json:"nodes"`
 	Servers      int     `json:"servers"`
 	Period       float64 `json:"ping_period_s"`
 	Interval     float64 `json:"check_period_s"`
-	WorstGap     float64 `json:"worst_gap_s"`    // longest time that a server went unchecked
+	WorstGap     float64 `json:"worst_gap_s"`    // longest time between two checks of a server
 	WorstGapAt   float64 `json:"worst_gap_at_s"` // and when it ended
 	Checks       int64   `json:"checks"`
 	Doubled      int64   `json:"doubled"` // checks within half an interval of the last one by another node
@@ -73,11 +73,11 @@
 	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
 	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
 	Withheld     int64   `json:"held_back"`
-	WrongDeaths  int     `json:"wrong_deaths"` // at the end: members taken for dead, of all nodes; all are up then
-	Settled      float64 `json:"settled_s"`    // from the end of the fault until all agree on who is alive; -1: never
+	WrongDeaths  int     `json:"wrong_deaths"` // members considered dead at the end, summed over all nodes; all are up then
+	Settled      float64 `json:"settled_s"`    // from the end of the fault until all members are considered alive by all; -1 for never
 }
 
-// Play plays a run. The error wraps ErrUnknownScenario or ErrTooSmall.
+// Play simulates a run. An error wraps ErrUnknownScenario or ErrTooSmall.
 func Play(cfg Config) (Result, error) {
 	cfg, err := cfg.check()
 	if err != nil {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -11,14 +11,14 @@
 const (
 	checkDuration  = 20 * time.Millisecond
 	sampleInterval = time.Second
-	idStep         = 7919 // between the numbers of two servers: any will do, but for those that share a pattern
+	idStep         = 7919 // between the IDs of two servers, so that they have no pattern
 	noNode         = -1
 )
 
 // node is one simulated node.
 type node struct {
 	scheduler *healthcheck.Scheduler // of its present life
-	life      int                    // how often it has started
+	life      int                    // number of starts
 	up        bool
 	wakeAt    time.Duration
 	received  int64 // messages, over all lives
@@ -26,7 +26,7 @@
 	withheld  int64 // of earlier lives
 }
 
-// server is what is known of one app server.
+// server is the state of an app server.
 type server struct {
 	checkedAt time.Duration
 	checkedBy int // noNode before the first check
@@ -42,7 +42,7 @@
 	servers []server
 	checks  []healthcheck.Check // one a server
 	faulty  bool                // the scenario's fault is on
-	down    []int               // vanish: the nodes that are gone
+	down    []int               // vanish: the nodes that were stopped
 	result  Result
 }
 
@@ -60,12 +60,13 @@
 	return s
 }
 
-// faultBegins and faultEnds are the times at which the scenario's fault does.
+// faultBegins is the time at which the scenario's fault begins.
 func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
 
+// faultEnds is the time at which it ends.
 func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
-// start begins a new life of a node, which knows nothing of the earlier ones.
+// start starts a node with no state of its former lives.
 func (s *simulation) start(id int) {
 	n := s.nodes[id]
 	n.life++
@@ -112,7 +113,7 @@
 	}
 }
 
-// handle has one event happen.
+// handle processes an event.
 func (s *simulation) handle(e event) {
 	switch e.kind {
 	case sampleView:
@@ -129,19 +130,19 @@
 	switch e.kind {
 	case receive:
 		n.received++
-		// An error is counted by the node; only what the fleet does with its messages matters here.
+		// The node counts messages with errors; there are none to handle here.
 		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text)
 	case endCheck:
 		n.scheduler.CheckEnded(s.now, e.check, true)
 	default:
-		if e.at < n.wakeAt { // another timer was set meanwhile
+		if e.at < n.wakeAt { // the timer was set anew since
 			return
 		}
 	}
 	s.carryOut(e.node)
 }
 
-// carryOut does what a node wants now, and sets its timer.
+// carryOut carries out a node's steps, and sets its timer.
 func (s *simulation) carryOut(id int) {
 	n := s.nodes[id]
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
@@ -151,14 +152,14 @@
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/idStep), id)
 			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, life: n.life, check: step.Check})
-		case healthcheck.Ended: // nothing: a router would take over the result
+		case healthcheck.Ended: // there is no router to be given the result
 		}
 	}
 	n.wakeAt = s.now + n.scheduler.Wake(s.now)
 	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, life: n.life})
 }
 
-// recordCheck notes that a node checks a server now.
+// recordCheck records that a node checks a server now.
 func (s *simulation) recordCheck(index, by int) {
 	server := &s.servers[index]
 	s.result.Checks++
@@ -170,14 +171,14 @@
 	server.checkedAt, server.checkedBy = s.now, by
 }
 
-// recordGap notes that a server went unchecked from one time to another.
+// recordGap records that a server went unchecked between two times.
 func (s *simulation) recordGap(from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
 		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
 	}
 }
 
-// sample looks whether all nodes that are up agree on who is alive. After the fault all are up again.
+// sample counts the members that are considered dead. After the fault all are up.
 func (s *simulation) sample() {
 	wrong := 0
 	for _, n := range s.nodes {
@@ -194,7 +195,7 @@
 	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleView})
 }
 
-// summarize returns the result of a run that has ended.
+// summarize returns the result of the run after play.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -14,14 +14,14 @@
 	replyNotInteger = "ERR value is not an integer or out of range"
 )
 
-// command is one that the store knows.
+// command is a command of the protocol.
 type command struct {
 	words  int  // at least, its name included
-	writes bool // a full store refuses it, a forgetful one may lose it
+	writes bool // a full store rejects it, a forgetful one may lose it
 	run    func(*call)
 }
 
-// commands are all, by name.
+// commands are the known commands, by name.
 var commands = map[string]command{
 	"PING":    {words: 1, run: (*call).ping},
 	"SELECT":  {words: 1, run: (*call).ok},
@@ -37,16 +37,16 @@
 	"DEL":     {words: 2, run: (*call).del},
 }
 
-// call is one command as it is carried out.
+// call is a command that is being run.
 type call struct {
-	redcon.Conn // that the answer is written to
+	redcon.Conn // the reply is written to it
 	sender      *client
 	data        *data
 	words       []string
-	lost        bool // a write that is answered and forgotten
+	lost        bool // reply to the write, but don't carry it out
 }
 
-// run carries out one command; the lock is held.
+// run runs a command; the lock is held.
 func (s *Server) run(conn redcon.Conn, sender *client, words []string) {
 	name := words[0]
 	s.applied[name]++
@@ -84,7 +84,7 @@
 
 func (c *call) ok() { c.WriteString("OK") }
 
-// client takes over a connection's name; what else it says is of no account here.
+// client handles SETNAME and accepts the other sub-commands.
 func (c *call) client() {
 	if len(c.words) > 2 && strings.EqualFold(c.words[1], "SETNAME") {
 		c.sender.name = c.words[2]
@@ -100,7 +100,7 @@
 	}
 }
 
-// set knows the option NX, to set only what is not there, and passes over others.
+// set handles the option NX (only if absent) and ignores others.
 func (c *call) set() {
 	key := c.words[1]
 	for _, option := range c.words[3:] {
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -7,18 +7,18 @@
 
 const maxRecentWrites = 4096 // that a failover may lose
 
-// write is one of a hash's field.
+// write is a write of a field of a hash.
 type write struct {
 	at                time.Time
 	key, field, value string
 }
 
-// data is what one store, or one half of a split one, holds. A key stands in strings or in hashes.
+// data is the data of a store, or of one half of a split one. A key is in strings or in hashes.
 type data struct {
 	strings map[string]string
 	hashes  map[string]map[string]string
-	expires map[string]time.Time // by key; not there for those that stay
-	recent  []write              // the last ones
+	expires map[string]time.Time // by key; none for those without expiry
+	recent  []write              // most recent writes
 }
 
 func newData() *data {
@@ -46,7 +46,7 @@
 	delete(d.expires, key)
 }
 
-// expire drops a key whose time is over.
+// expire removes a key that has expired.
 func (d *data) expire(key string) {
 	if at, ok := d.expires[key]; ok && time.Now().After(at) {
 		d.remove(key)
@@ -65,7 +65,7 @@
 	return !had
 }
 
-// recordWrites notes the writes that a failover may lose.
+// recordWrites records the writes that a failover may lose.
 func (d *data) recordWrites(writes ...write) {
 	d.recent = append(d.recent, writes...)
 	if len(d.recent) > maxRecentWrites {
@@ -73,7 +73,7 @@
 	}
 }
 
-// loseWrites takes back the fields written since a time, and returns those writes.
+// loseWrites removes the fields written since a time, and returns those writes.
 func (d *data) loseWrites(since time.Time) (lost []write) {
 	for _, w := range d.recent {
 		if w.at.After(since) {
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -9,13 +9,13 @@
 	"github.com/BurntSushi/toml"
 )
 
-// FaultKind is what goes wrong with a store.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	stall    FaultKind = "stall"    // no answer until it is over
-	slow     FaultKind = "slow"     // each answer is late
+	stall    FaultKind = "stall"    // no reply until it is over
+	slow     FaultKind = "slow"     // each reply is late
 	cut      FaultKind = "cut"      // no connection
 	empty    FaultKind = "empty"    // another, empty store in its place
 	failover FaultKind = "failover" // another that lacks the last writes; some of them come late
@@ -24,13 +24,13 @@
 	split    FaultKind = "split"    // two halves, of which the first one lasts
 )
 
-// Kinds are the faults that a store can have.
+// Kinds lists the kinds of fault.
 var Kinds = []FaultKind{stall, slow, cut, empty, failover, forget, full, split}
 
-// ErrBadFault is returned for a fault that can't be.
+// ErrBadFault is returned for an invalid fault or schedule.
 var ErrBadFault = errors.New("bad fault")
 
-// Fault is one fault, from At after the start for For (seconds).
+// Fault is a fault from At seconds after the start, for For seconds.
 type Fault struct {
 	Kind    FaultKind `toml:"kind"`
 	At      float64   `toml:"at_s"`
@@ -40,7 +40,7 @@
 	LoseMs  float64   `toml:"lose_ms"`  // failover: writes of so long before it are gone; half come back at its end
 }
 
-// Check tells what is wrong with a fault. The error wraps ErrBadFault.
+// Check validates a fault. An error wraps ErrBadFault.
 func (f Fault) Check() error {
 	if !slices.Contains(Kinds, f.Kind) {
 		return fmt.Errorf("%w: kind %q is none of %v", ErrBadFault, f.Kind, Kinds)
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table each). It refuses keys that nobody reads
-// and faults that can't be, and names them; such an error wraps ErrBadFault.
+// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table each). For unknown keys and invalid faults the
+// error wraps ErrBadFault.
 func LoadSchedule(path string) ([]Fault, error) {
 	var file struct {
 		Fault []Fault `toml:"fault"`
@@ -79,7 +79,7 @@
 	return on
 }
 
-// runFault switches one fault on and off. It ends once the fault is over, or with Close.
+// runFault begins and ends a fault at its times. It returns once the fault is over, or with Close.
 func (s *Server) runFault(f Fault) {
 	if !s.waitUntil(f.At) {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// beginFault returns the writes that are lost by it.
+// beginFault begins a fault and returns the writes that it loses.
 func (s *Server) beginFault(f Fault) (lost []write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,9 +127,9 @@
 	defer s.mu.Unlock()
 	delete(s.faults, f.Kind)
 	switch f.Kind {
-	case split: // what the first half has holds
+	case split: // the first half's data prevails
 		s.halves[1] = s.halves[0]
-	case failover: // late and doubled: what was taken for lost
+	case failover: // some of the lost writes arrive late
 		for _, w := range lost {
 			if s.random.IntN(2) == 0 {
 				s.halves[0].setField(w.key, w.field, w.value)
@@ -138,7 +138,7 @@
 	}
 }
 
-// delay waits as long as a fault wants an answer to.
+// delay waits for as long as the faults delay a reply.
 func (s *Server) delay() {
 	const pollInterval = 10 * time.Millisecond // of whether a stall is over
 	for {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the laboratory's stand-in for a shared store that speaks Redis's protocol (RESP2, on the wire by
-// redcon): the few commands that the project uses, on loopback, and faults on a schedule from a seed. It is written from
-// the protocol's public specification and holds no code of a store.
+// Package store is the laboratory's stand-in for a shared store that speaks Redis's protocol (RESP2, by redcon): the few
+// commands that the project uses, on loopback, with faults on a schedule. It is written from the protocol's public
+// specification and contains no code of a store.
 package store
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrNotLoopback is returned for an address that other machines could reach.
+// ErrNotLoopback is returned for an address that other hosts could reach.
 var ErrNotLoopback = errors.New("not a loopback address")
 
 // Server is a stand-in store.
@@ -35,15 +35,15 @@
 	applied map[string]int64
 }
 
-// client is what is known of one connection. Only the connection's own goroutine uses it.
+// client is the state of a connection. Only the connection's own goroutine uses it.
 type client struct {
-	name   string     // as it says
+	name   string     // by CLIENT SETNAME
 	multi  bool       // in a transaction
-	queued [][]string // commands of it
+	queued [][]string // the commands of the transaction
 }
 
-// Start starts a store on a loopback address (port 0 for a free one), whose clock its faults go by. Connections are served
-// by goroutines that end with Close, or with their connection.
+// Start starts a store on a loopback address (port 0 for a free one); the times of the faults count from now. Connections
+// are served by goroutines that end with their connection, at the latest with Close.
 func Start(addr string, seed uint64, faults []Fault) (*Server, error) {
 	for _, fault := range faults {
 		if err := fault.Check(); err != nil {
@@ -80,7 +80,7 @@
 // Addr returns where it listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server, its faults and its connections. It must be called once.
+// Close stops the server, its faults and its connections. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
 	_ = s.redcon.Close() // a listener that is closed already is as good
@@ -93,7 +93,7 @@
 	return maps.Clone(s.applied)
 }
 
-// accept takes in a connection, unless the store is cut off.
+// accept accepts a connection, unless the store is cut off.
 func (s *Server) accept(c redcon.Conn) bool {
 	c.SetContext(&client{})
 	s.mu.Lock()
@@ -109,7 +109,7 @@
 	delete(s.conns, c)
 }
 
-// handle takes in one command. Each connection has its own goroutine, which a stall holds up.
+// handle processes a command. Each connection has its own goroutine, which a stall blocks.
 func (s *Server) handle(c redcon.Conn, received redcon.Command) {
 	words := make([]string, len(received.Args))
 	for i, arg := range received.Args {
@@ -141,7 +141,7 @@
 	s.run(c, cl, words)
 }
 
-// exec carries out a transaction.
+// exec runs a transaction.
 func (s *Server) exec(c redcon.Conn, cl *client) {
 	if !cl.multi {
 		c.WriteError("ERR EXEC without MULTI")
