--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -248,7 +248,7 @@
 
 // receive reads the response to a request that was written whole, and puts the connection back or closes it.
 func (r *attemptRunner) receive(conn *upstreamConn) protocol.ServerResponse {
-	sentAt, receivedBefore := time.Now(), conn.in.w
+	sentAt, receivedBefore := time.Now(), conn.in.filled
 	response, err := conn.readResponse(r.body)
 	if response.Body != nil {
 		r.body = response.Body
@@ -269,7 +269,7 @@
 		response = protocol.ServerResponse{Outcome: protocol.TimedOut}
 		r.pool.close(conn, reasonServerTimeout)
 	default:
-		if age := time.Since(sentAt); conn.requests > 1 && conn.in.w == receivedBefore && age < staleResetWithin {
+		if age := time.Since(sentAt); conn.requests > 1 && conn.in.filled == receivedBefore && age < staleResetWithin {
 			r.pool.distrust(sentAt.Sub(conn.idleSince))
 		}
 		response = protocol.ServerResponse{Outcome: protocol.ConnectionReset}
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -31,13 +31,13 @@
 
 // ringBuffer is the buffer of one direction of a connection. One goroutine uses it at a time.
 type ringBuffer struct {
-	conn        readDeadliner // whose read deadline bounds a message
-	stream      io.ReadWriter // what is read from or written to
-	buf         []byte        // nil until allocate
-	r, w        int           // bytes taken out and put in, ever
-	allowed     int           // bytes that a message may still take
-	err         error         // of the stream: once set, it stays
-	deadlineSet bool          // a read deadline bounds the message being read
+	conn          readDeadliner // whose read deadline bounds a message
+	stream        io.ReadWriter // what is read from or written to
+	buf           []byte        // nil until allocate
+	taken, filled int           // bytes taken out and put in, ever
+	allowed       int           // bytes that a message may still take
+	err           error         // of the stream: it stays, but for readMore
+	deadlineSet   bool          // a read deadline bounds the message being read
 }
 
 func newRingBuffer(conn readDeadliner, stream io.ReadWriter, size int) ringBuffer {
@@ -52,7 +52,7 @@
 }
 
 // empty reports whether there is nothing to take out.
-func (b *ringBuffer) empty() bool { return b.r == b.w }
+func (b *ringBuffer) empty() bool { return b.taken == b.filled }
 
 // wait waits until there is a byte to take out.
 func (b *ringBuffer) wait() error {
@@ -67,9 +67,9 @@
 
 // fill reads once, but never over the last bytes that were taken out, which endMessage may give back.
 func (b *ringBuffer) fill() {
-	at := b.w % len(b.buf)
-	n, err := b.stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-parserBuffer-(b.w-b.r))])
-	b.w += n
+	at := b.filled % len(b.buf)
+	n, err := b.stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-parserBuffer-(b.filled-b.taken))])
+	b.filled += n
 	if n == 0 {
 		b.err = err
 	}
@@ -90,9 +90,9 @@
 			return 0, err
 		}
 	}
-	at := b.r % len(b.buf)
-	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.w-b.r)])
-	b.r += n
+	at := b.taken % len(b.buf)
+	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.filled-b.taken)])
+	b.taken += n
 	b.allowed -= n
 	return n, nil
 }
@@ -110,17 +110,17 @@
 }
 
 // full reports whether nothing more can be read before something is taken out.
-func (b *ringBuffer) full() bool { return b.w-b.r >= len(b.buf)-parserBuffer }
+func (b *ringBuffer) full() bool { return b.filled-b.taken >= len(b.buf)-parserBuffer }
 
 // discard drops what is there.
-func (b *ringBuffer) discard() { b.r = b.w }
+func (b *ringBuffer) discard() { b.taken = b.filled }
 
 // allow sets how many bytes a message may take from now on.
 func (b *ringBuffer) allow(bytes int) { b.allowed = bytes }
 
 // endMessage ends a message: what the parser read past it is given back.
 func (b *ringBuffer) endMessage(parser *bufio.Reader) {
-	b.r -= parser.Buffered()
+	b.taken -= parser.Buffered()
 	if b.deadlineSet {
 		b.deadlineSet = false
 		setReadDeadline(b.conn, time.Time{})
@@ -130,16 +130,16 @@
 // space is an empty slice to append to, over the whole of an empty ring; appended has to follow.
 func (b *ringBuffer) space() []byte {
 	if b.empty() {
-		b.r, b.w = 0, 0
+		b.taken, b.filled = 0, 0
 	}
-	at := b.w % len(b.buf)
-	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.w-b.r))]
+	at := b.filled % len(b.buf)
+	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))]
 }
 
 // appended takes over what was appended to space, which is another array where the ring had too little room.
 func (b *ringBuffer) appended(p []byte) {
-	if len(p) > 0 && &p[0] == &b.buf[b.w%len(b.buf)] {
-		b.w += len(p)
+	if len(p) > 0 && &p[0] == &b.buf[b.filled%len(b.buf)] {
+		b.filled += len(p)
 		return
 	}
 	b.write(p)
@@ -148,12 +148,12 @@
 // write puts bytes in, and writes to the stream whenever the ring is full. An error of that is flush's to return.
 func (b *ringBuffer) write(p []byte) {
 	for n := 0; n < len(p); {
-		if b.w-b.r == len(b.buf) && b.flush() != nil || b.err != nil {
+		if b.filled-b.taken == len(b.buf) && b.flush() != nil || b.err != nil {
 			return
 		}
-		at := b.w % len(b.buf)
-		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.w-b.r))], p[n:])
-		b.w += copied
+		at := b.filled % len(b.buf)
+		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))], p[n:])
+		b.filled += copied
 		n += copied
 	}
 }
@@ -163,10 +163,10 @@
 
 // flushExcept writes all but the last bytes.
 func (b *ringBuffer) flushExcept(last int) error {
-	for b.r < b.w-last && b.err == nil {
-		at := b.r % len(b.buf)
-		n, err := b.stream.Write(b.buf[at:min(len(b.buf), at+b.w-last-b.r)])
-		b.r += n
+	for b.taken < b.filled-last && b.err == nil {
+		at := b.taken % len(b.buf)
+		n, err := b.stream.Write(b.buf[at:min(len(b.buf), at+b.filled-last-b.taken)])
+		b.taken += n
 		b.err = err
 	}
 	return b.err
--- a/internal/transport/clientconn.go
+++ b/internal/transport/clientconn.go
@@ -19,8 +19,8 @@
 // throughout, so that a client that disconnects is noticed while its request waits; it ends with the connection.
 // handleRequests, started with the first request, takes requests to their responses; it ends once serve closes pending.
 //
-// They take turns: pending and handled pass the request over and back, and what is no atomic belongs to whose turn it
-// is, but for in, reader and the request's end, which stay with serve.
+// They take turns: pending and handled pass the request over and back. A field that is not atomic belongs to whose turn
+// it is, but for in and reader, which stay with serve.
 type clientConn struct {
 	server  *Server
 	conn    *net.TCPConn
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -13,7 +13,7 @@
 
 // Times of calls to discovery.
 const (
-	pollHold           = time.Second             // a call waits so long for news: one that is lost leaves the node deaf for as long
+	pollHold           = time.Second             // a call waits so long for news: one that is lost leaves the node without for as long
 	pollGrace          = 1300 * time.Millisecond // and its answer may be so much later: discovery may reject a call 2 s after it came, or answer then
 	pollTimeout        = pollHold + pollGrace    // then it is given up: this, the engine's poll interval and the next call's answer stay under 6 s
 	minConnectTimeout  = time.Second
@@ -54,7 +54,7 @@
 }
 
 // SwitchTo makes the client follow discovery at another address from now on. There it asks for the full list: what
-// one address told last need not be what the other counts from.
+// one address sent last need not be what the other counts from.
 func (d *DiscoveryClient) SwitchTo(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +170,7 @@
 }
 
 // forgetRevision gives up the revision that is known where discovery rejects the call itself, and reports whether it did:
-// asked for what is newer than a revision that it never had, discovery may reject each call, and the node never be told.
+// asked for what is newer than a revision that it never had, discovery may reject each call, and the node never learn of a change.
 func (d *DiscoveryClient) forgetRevision(err error) bool {
 	forgotten := !d.Full && errors.Is(err, protocol.ErrCallRejected)
 	d.Full = d.Full || forgotten
--- a/internal/transport/discoveryrace.go
+++ b/internal/transport/discoveryrace.go
@@ -16,7 +16,7 @@
 )
 
 // connRace opens connections one after another until the first call on one of them is answered. It belongs to the
-// goroutine of DiscoveryClient.Run, but for results and received, by which the racers' goroutines tell of themselves.
+// goroutine of DiscoveryClient.Run, but for results and received, which the racers' goroutines write to.
 type connRace struct {
 	client   *DiscoveryClient
 	results  chan callResult
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -4,6 +4,6 @@
 //
 // A client's connection is served by two goroutines (clientConn). Its requests go one at a time through a
 // RequestHandler, which asks the authorizer, runs the attempts that the Router decides on, and returns the client's
-// response. Reads and writes go through ring buffers (ringBuffer) and system calls that the scheduler need not
-// hear of (socket).
+// response. Reads and writes go through ring buffers (ringBuffer) and system calls that bypass the scheduler
+// (socket).
 package transport
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -9,18 +9,18 @@
 	"unsafe"
 )
 
-// socket is one direction of a TCP connection. Its calls go to the kernel without telling the scheduler, as they
-// never block: net waits for the socket to be ready. On one core each call that the scheduler hears of wakes its
-// monitor thread, which took a quarter of the node's CPU time (docs/results.md).
+// socket is one direction of a TCP connection. Its calls go to the kernel without notifying the scheduler, as
+// they never block: net waits for the socket to be ready. On one core each call that the scheduler is notified of wakes
+// its monitor thread, which took a quarter of the node's CPU time (docs/results.md).
 //
 // One goroutine uses a socket at a time, but for reading, which any may load. What a call needs and gives is passed in
 // fields, and the functions are made once, so that no call allocates.
 type socket struct {
 	raw syscall.RawConn
 
-	p   []byte // what is to be read into or written
-	n   int    // how much was
-	err error
+	buf   []byte // what is to be read into or written
+	moved int    // how much was
+	err   error
 
 	idle      bool // as of the last peek: open with nothing to read
 	ended     bool // as of the last peek or hang-up check: closed or reset by the other side
@@ -43,21 +43,21 @@
 
 // Read waits until there is something to read, and reads once.
 func (s *socket) Read(p []byte) (int, error) {
-	s.p = p
+	s.buf = p
 	if err := s.raw.Read(s.readFD); err != nil {
 		return 0, err
 	}
-	return s.n, s.err
+	return s.moved, s.err
 }
 
 // Write writes all of p.
 func (s *socket) Write(p []byte) (int, error) {
-	for s.p = p; len(s.p) > 0; s.p = s.p[s.n:] {
+	for s.buf = p; len(s.buf) > 0; s.buf = s.buf[s.moved:] {
 		if err := s.raw.Write(s.writeFD); err != nil {
-			return len(p) - len(s.p), err
+			return len(p) - len(s.buf), err
 		}
 		if s.err != nil {
-			return len(p) - len(s.p), s.err
+			return len(p) - len(s.buf), s.err
 		}
 	}
 	return len(p), nil
@@ -135,13 +135,13 @@
 
 func (s *socket) tryRead(fd uintptr) bool {
 	s.reading.Store(true)
-	n, errno := call(syscall.SYS_READ, fd, s.p, 0)
+	n, errno := call(syscall.SYS_READ, fd, s.buf, 0)
 	if errno == syscall.EAGAIN {
 		s.reading.Store(false)
 		return false
 	}
-	if s.n, s.err = n, nil; errno != 0 {
-		s.n, s.err = 0, os.NewSyscallError("read", errno)
+	if s.moved, s.err = n, nil; errno != 0 {
+		s.moved, s.err = 0, os.NewSyscallError("read", errno)
 	} else if n == 0 {
 		s.err = io.EOF
 	}
@@ -149,12 +149,12 @@
 }
 
 func (s *socket) tryWrite(fd uintptr) bool {
-	n, errno := call(syscall.SYS_SENDTO, fd, s.p, syscall.MSG_NOSIGNAL)
+	n, errno := call(syscall.SYS_SENDTO, fd, s.buf, syscall.MSG_NOSIGNAL)
 	if errno == syscall.EAGAIN {
 		return false
 	}
-	if s.n, s.err = n, nil; errno != 0 {
-		s.n, s.err = 0, os.NewSyscallError("write", errno)
+	if s.moved, s.err = n, nil; errno != 0 {
+		s.moved, s.err = 0, os.NewSyscallError("write", errno)
 	}
 	return true
 }
