--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -18,8 +18,9 @@
 )
 
 var outcomeNames = [OutcomeCount]string{
-	"completed", "errored", "turned_away", "timed_out", "unconnected", "broken", "withdrawn", "unsent", "spoilt",
+	"completed", "errored", "rejected", "timed_out", "connect_failed", "connection_reset", "cancelled", "not_sent",
+	"malformed_response",
 }
 
-// String is the outcome's name in the counters of the log.
+// String is the outcome's name, as the counters of the log have it behind "attempts_".
 func (o Outcome) String() string { return outcomeNames[o] }
