--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkIndirectPings tells whether others are asked to ping a silent member, once it is time.
+// checkIndirectPings reports whether others are asked to ping a silent member, once it is time.
 func checkIndirectPings(t *testing.T, p *Protocol, probe pendingPing) {
 	t.Helper()
 	if kinds, _ := sent(p, probe.directEnd-1); len(kinds) > 0 {
