--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -39,20 +39,22 @@
 	defaultConnectTimeout = time.Second            // where the settings give none above 0
 )
 
-// A number in the settings that can't be read counts as 0, as the decision module has it.
-
+// boolSetting reports whether a setting is on.
 func (c *config) boolSetting(name string) bool { return c.settings[name] == settingOn }
 
+// intSetting is a setting that is a whole number; one that can't be read counts as 0, as the decision module has it.
 func (c *config) intSetting(name string) int {
 	value, _ := strconv.Atoi(c.settings[name])
 	return value
 }
 
+// floatSetting is a setting that is a number; one that can't be read counts as 0.
 func (c *config) floatSetting(name string) float64 {
 	value, _ := strconv.ParseFloat(c.settings[name], 64)
 	return value
 }
 
+// durationSetting is a setting that is a time; one that can't be read counts as 0.
 func (c *config) durationSetting(name string) time.Duration {
 	ticks, _ := strconv.ParseInt(c.settings[name], 10, 64)
 	return time.Duration(ticks) * settingsTick
