--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -7,7 +7,7 @@
 // (ReceivePeerMessage, SetChecks, CheckEnded), which only updates what is known, and pulls decisions with Next until there
 // is none. The same calls with the same seed give the same decisions. A Scheduler is not safe for concurrent use.
 //
-// docs/design-duties.md has the options considered, docs/duties.md is the operators' page.
+// docs/design-healthcheck.md has the options considered, docs/healthcheck.md is the operators' page.
 package healthcheck
 
 import (
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -8,7 +8,7 @@
 // received (Receive), and sends what Next gives out. The same calls with the same seed give the same messages. A
 // Protocol is not safe for concurrent use.
 //
-// docs/design-duties.md has the options that were considered and where this differs from SWIM, with why.
+// docs/design-healthcheck.md has the options that were considered and where this differs from SWIM, with why.
 package membership
 
 import (
