--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// inTheMiddle tells whether it is the time of the faults.
+// inTheMiddle reports whether it is the time of the faults.
 func inTheMiddle(f *fleet) bool { return f.now > 21300*time.Millisecond && f.now < 40*time.Second }
 
 // replaceStore puts another, empty one in place of the store every 4 s.
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -126,7 +126,7 @@
 		ReceiveRate: 400,
 		SendRate:    1 << 14,
 		Interval:    time.Second,
-	}, router, NewPool(roomy, &log, &Counters{}), socket.Send)
+	}, router, NewPool(roomyLimits, &log, &Counters{}), socket.Send)
 	n.interval = checker.scheduler.Interval()
 	go checker.Run()
 	go socket.Receive(checker.ReceivePeerMessage)
