--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -78,15 +78,15 @@
 	return d
 }
 
-// judgeEnd is what an attempt's end tells of its server and of the back end's latency, as a part of the
-// objective.
+// judgeEnd is what an attempt's end tells of its server, what of the back end's latency, as a part of the
+// objective, and whether it tells of that at all.
 //
 // A time-out that left the attempt little time, as an impatient client's, says next to nothing: it is neither
 // pressure nor a failure. It covers any short deadline; it could hide a server that hangs while all clients
 // are impatient, which its silence then tells. Ends at an ejected server tell of that server, not of
 // pressure, and a connection that breaks tells of no queue. No answer counts as much as a whole objective,
 // whatever time it took.
-func (e *Engine) judgeEnd(r AttemptResult, class ClassID, s *outlierState) (o Outcome, part float64, ok bool) {
+func (e *Engine) judgeEnd(r AttemptResult, class ClassID, s *outlierState) (Outcome, float64, bool) {
 	objective := e.config.classes[class].latencyObjective
 	switch {
 	case r.Outcome == Succeeded:
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -212,7 +212,7 @@
 	ejectedUntil  Time
 	ejectedFor    Time         // how long the last ejection lasts
 	suspicions    decayingMean // peers' suspicions
-	fromPeer      bool         // ejected by a peer's word, not found here
+	fromPeer      bool         // ejected by a peer's suspicion, not found here
 	trialInFlight bool         // one trial attempt is in flight after an ejection
 	answeredAt    Time         // last answer of any kind
 	countedFrom   Time         // what waited before has been counted
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -163,7 +163,7 @@
 }
 
 // SetLease notes what of a customer's quota this node may use now, by whoever leases it from the whole: its bucket from
-// then on, until told again. It neither refills by itself nor is it divided by this node's part, and no owner is asked.
+// then on, until the next call. It neither refills by itself nor is it divided by this node's part, and no owner is asked.
 func (e *Engine) SetLease(id CustomerID, plan PlanID, spread int, first NodeID, units float64) {
 	plan = min(max(plan, 0), PlanID(len(e.config.plans)-1))
 	c := &e.customers.all[e.customers.slot(e.config, e.now, id, plan, spread, first)]
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -17,7 +17,7 @@
 // The kinds of message.
 const (
 	kindUse       = 0xC8 // customers' demand and use since the last report; use may be below 0
-	kindGrant     = 0xC9 // the owner's answer to an ask, or its word on all of a customer's requests
+	kindGrant     = 0xC9 // the owner's answer to an ask, or what it lets pass of a customer's requests
 	kindSuspicion = 0xCA // servers that the sender ejected
 	kindAsk       = 0xCB // may one request pass?
 )
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -6,7 +6,7 @@
 // alone: a server may fail one and serve the others. It knows of them by how this node's attempts end, by
 // what is in flight with no answer, and by peers' suspicions. An ejection lasts an objective and each further
 // one twice as long; past it a server gets one trial at a time, and those that failed longer or of which only
-// peers told get trials by a budget.
+// peers reported get trials by a budget.
 //
 // It guards against servers that fail, cut links and processes that hang; it covers a lost zone too. It could
 // harm where errors come from the requests themselves: then servers are ejected for an objective by turns,
@@ -105,22 +105,22 @@
 
 // receive takes in what a peer suspects. Of many nodes each sees a server seldom and would spend one attempt
 // on each that fails. What it saw answer lately it goes on using. It covers dead servers still listed; it
-// could harm where one node's links alone are cut: servers are then ejected until its word runs out.
-func (d *outlierDetector) receive(s *outlierState, told suspicion, ready int, now Time) {
-	c, least := &d.classes[told.class], d.config.shortestObjective
+// could harm where one node's links alone are cut: servers are then ejected until that has run out.
+func (d *outlierDetector) receive(s *outlierState, reported suspicion, ready int, now Time) {
+	c, least := &d.classes[reported.class], d.config.shortestObjective
 	s.suspicions.add(1, now, suspicionMemory)
 	c.suspicions.add(1, now, suspicionMemory)
 	if s.failures > 0 && !s.fromPeer && now < s.ejectedUntil || now-s.answeredAt < least && s.answeredAt > 0 {
 		return
 	}
-	if told.ejectedFor > 0 || d.suspectedByPeers(s, told.class, ready, now) {
+	if reported.ejectedFor > 0 || d.suspectedByPeers(s, reported.class, ready, now) {
 		s.failures, s.fromPeer = max(s.failures, 1), true
-		s.ejectedUntil = max(s.ejectedUntil, now+min(max(told.ejectedFor, least), maxEjection*least))
+		s.ejectedUntil = max(s.ejectedUntil, now+min(max(reported.ejectedFor, least), maxEjection*least))
 	}
 }
 
-// suspectedByPeers tells whether peers told of clearly more failures of a server than of one on average: what
-// a whole fleet fails for want of room falls on all alike. Such a server gets trials by the budget only.
+// suspectedByPeers tells whether peers reported clearly more failures of a server than of one on average:
+// what a whole fleet fails for want of room falls on all alike. Such a server gets trials by the budget only.
 func (d *outlierDetector) suspectedByPeers(s *outlierState, class ClassID, ready int, now Time) bool {
 	if s.suspicions.count == 0 {
 		return false
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -5,9 +5,9 @@
 // quotaOwner gives each customer one node of its set, the owner, that keeps its bucket, what is in flight for
 // it and half of its ceiling, where nodes are too many for each to hear all others. Each request is asked for
 // there, so that the part of the demand that passes here is right request by request. While the bucket is
-// well filled the owner lets requests pass freely and is told afterwards; where far more is asked than fits,
-// a node asks for a part of the requests only. It guards against a quota granted by each of many nodes that
-// see too little of a customer for buckets of their own. It could harm while an owner is down or stands
+// well filled the owner lets requests pass freely and is notified afterwards; where far more is asked than
+// fits, a node asks for a part of the requests only. It guards against a quota granted by each of many nodes
+// that see too little of a customer for buckets of their own. It could harm while an owner is down or stands
 // still: a request waits for it, then passes by the even part, over what this node was asked before.
 type quotaOwner struct {
 	config       *config
@@ -49,7 +49,7 @@
 }
 
 // update settles at a customer's owner whether its requests pass freely, and else the part to ask for. It
-// tells whether a free pass ended, of which the whole set is told at once.
+// tells whether a free pass ended, of which the whole set is notified at once.
 func (o *quotaOwner) update(c *customer, now Time) (revoked bool) {
 	p := &o.config.plans[c.plan]
 	c.refill(p, now)
@@ -74,8 +74,8 @@
 	return was && !c.freePass
 }
 
-// drawAsk draws whether a request is asked for: always unless the owner named a part, less so the older its
-// word is.
+// drawAsk draws whether a request is asked for: always unless the owner named a part, less so the older that
+// is.
 func (o *quotaOwner) drawAsk(c *customer, now Time, rng *random) bool {
 	skipped := rng.unit() >= max(c.admitPart, float64(now-c.admitPartAt)/float64(peerSilence))
 	return !skipped
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -72,13 +72,13 @@
 
 // receiveSuspicions takes in which servers a peer ejected.
 func (e *Engine) receiveSuspicions(list []suspicion) {
-	for _, told := range list {
-		i := e.endpoints.slots.find(told.server)
-		if i < 0 || int(told.class) >= len(e.classes) {
+	for _, reported := range list {
+		i := e.endpoints.slots.find(reported.server)
+		if i < 0 || int(reported.class) >= len(e.classes) {
 			continue
 		}
-		state := &e.endpoints.outlierStates(i, len(e.classes))[told.class]
-		e.outliers.receive(state, told, e.endpoints.ready, e.now)
+		state := &e.endpoints.outlierStates(i, len(e.classes))[reported.class]
+		e.outliers.receive(state, reported, e.endpoints.ready, e.now)
 	}
 }
 
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -123,9 +123,9 @@
 	return pass >= passTried || !c.capped(s) && !r.tried(i)
 }
 
-// passOver tells whether the rotation passes over a warming server: by chance, less as it warms; and one whose
-// budget is a rate always, as it is to be taken at once whenever that lets it: the rotation and chance on top
-// would leave it all but idle.
+// passOver tells whether the rotation passes over a warming server: by chance, less as it warms; and one
+// whose budget is a rate always, as it is to be taken at once whenever that lets it: the rotation and chance
+// on top would leave it all but idle.
 func (e *Engine) passOver(s *server, weight float64) (skip, atOnce bool) {
 	if e.slowStart.budget(s, e.now, e.subsets.ratio) < 1 {
 		return true, true
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -92,7 +92,7 @@
 }
 
 // chargeShadowUse charges a customer's buckets for units that passed by other ways than a decision here: what its owner
-// let pass elsewhere, asked for or told of, and what was settled afterwards.
+// let pass elsewhere, asked for or reported, and what was settled afterwards.
 func (e *Engine) chargeShadowUse(c *customer, units float64, asked bool) {
 	if e.shadow == nil {
 		return
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -2,10 +2,10 @@
 
 // slowStart keeps what this node sends to servers that started lately to their share of what a warm server
 // completes, by the platform's budget: over recoverySpan all nodes together may send recoveryMultiple times
-// what the server can do. Half of the budget is used at once and as much again over the span. It guards
-// against a fleet that pushes a cold server, or one that comes back, into failing again. It could harm where
-// most of a fleet restarts at once: then servers stand idle while the warm ones drown, so that the rate of a
-// warm server is remembered from better times.
+// what the server can do. Of that, slowStartMargin is used at once, and as much again over the span. It
+// guards against a fleet that pushes a cold server, or one that comes back, into failing again. It could harm
+// where most of a fleet restarts at once: then servers stand idle while the warm ones drown, so that the rate
+// of a warm server is remembered from better times.
 type slowStart struct {
 	config          *config
 	warmRate        float64      // completed a second by a warm server for this node, at best of late
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-// startReport tells whether a report to peers is due, and sets the next one. Owners are told at once: of a customer's
+// startReport tells whether a report to peers is due, and sets the next one. Owners are notified at once: of a customer's
 // use they have no other sign.
 func (t *timers) startReport(now Time, c *config) bool {
 	if c.nodes <= 1 || !c.peers || now < t.reportAt && (!c.owners || now <= t.reportAt-reportEvery) {
@@ -55,7 +55,7 @@
 	return due
 }
 
-// pollFailed sets the next poll. A failure that is told twice counts once.
+// pollFailed sets the next poll. A failure that is reported twice counts once.
 func (t *timers) pollFailed(now Time, within float64, rng *random) {
 	if t.polling {
 		t.polling, t.pollAt = false, now+pollDelay(within, rng)
--- a/internal/decision/tuning.go
+++ b/internal/decision/tuning.go
@@ -44,7 +44,7 @@
 	askOverRoom          = 1.5  // requests asked for, of each that the bucket has room for
 	reservationLatencies = 3.0  // usual latencies that a request is in flight for its owner, at most
 	minAdmitPart         = 0.01 // of a customer's requests
-	freePassReserve      = 0.7  // of a bucket, kept for what passes until word gets round
+	freePassReserve      = 0.7  // of a bucket, kept for what passes until the set is notified
 	ownerCeilingPart     = 0.5  // of a ceiling, kept by the owner; the rest is for when that can't be asked
 	ownersAtShare        = 0.75 // of what a peer takes in, when all report to all: past it not all can hear all
 	unitsDecay           = 0.3  // of the mean units of a customer's requests, a request
