--- a/internal/decision/pin_test.go
+++ b/internal/decision/pin_test.go
@@ -150,7 +150,11 @@
 // pinCompare compares a value with what it was at cf1acfb.
 func pinCompare(t *testing.T, name, got string) {
 	t.Helper()
-	if want, ok := pinned[name]; !ok || got != want {
+	want, ok := pinned[name]
+	if !ok {
+		want, ok = pinnedPlays[name]
+	}
+	if !ok || got != want {
 		t.Errorf("%s: is\n%s\nat cf1acfb\n%s", name, got, want)
 	}
 }
