--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"fmt"
 	"slices"
 	"strconv"
 	"syscall"
@@ -11,36 +10,17 @@
 	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/quota"
+	"cherrygap/internal/settings"
 	"cherrygap/internal/transport"
 )
 
-// Names of the settings that the node itself reads, as package settings gives them; the decision module reads the others.
-const (
-	settingNode           = "node"  // this node's number
-	settingNodes          = "nodes" // how many there are
-	settingEndpointMode   = "roster"
-	settingHealthChecks   = "probes"
-	settingPeers          = "peers"
-	settingPeerRate       = "peers.take" // messages a second that a node receives
-	settingRetryAfter     = "advice"
-	settingMaxRetryAfter  = "advice.most"
-	settingIdleTimeout    = "idle"
-	settingConnectTimeout = "connect"
-	settingClassCount     = "band.count"
-	settingClassName      = "band.%d.name"
-	settingClassObjective = "band.%d.contract"
-
-	settingOn         = "true" // of those that are on or off
-	endpointModePolls = "ask"  // of settingEndpointMode
-)
-
 const (
 	settingsTick          = 100 * time.Microsecond // the unit of times in the settings
 	defaultConnectTimeout = time.Second            // where the settings give none above 0
 )
 
 // boolSetting reports whether a setting is on.
-func (c *config) boolSetting(name string) bool { return c.settings[name] == settingOn }
+func (c *config) boolSetting(name string) bool { return c.settings[name] == settings.On }
 
 // intSetting is a setting that is a whole number; one that can't be read counts as 0, as the decision module has it.
 func (c *config) intSetting(name string) int {
@@ -66,8 +46,8 @@
 	limits := transport.Limits{
 		Sockets:           c.Limits.Sockets,
 		MemoryMB:          c.Limits.MemoryMB,
-		ServerIdleTimeout: c.durationSetting(settingIdleTimeout),
-		ConnectTimeout:    c.durationSetting(settingConnectTimeout),
+		ServerIdleTimeout: c.durationSetting(settings.IdleTimeout),
+		ConnectTimeout:    c.durationSetting(settings.ConnectTimeout),
 		GRPC:              c.grpc.Listen != "",
 	}
 	var files syscall.Rlimit
@@ -82,23 +62,25 @@
 
 // pollsDiscovery reports whether the node asks the discovery service for lists when the decision module says so; else the
 // service pushes them.
-func (c *config) pollsDiscovery() bool { return c.settings[settingEndpointMode] == endpointModePolls }
+func (c *config) pollsDiscovery() bool {
+	return c.settings[settings.EndpointList] == settings.EndpointListPoll
+}
 
 // sharesHealthChecks reports whether this node takes part in the fleet's shared health checks: where the operators want it,
 // the platform allows health checks and messages between nodes, and this node is one of several with an address.
 func (c *config) sharesHealthChecks() bool {
-	wanted := c.healthChecks.Enabled && c.boolSetting(settingHealthChecks) && c.boolSetting(settingPeers)
-	self, err := strconv.Atoi(c.settings[settingNode])
+	wanted := c.healthChecks.Enabled && c.boolSetting(settings.HealthChecks) && c.boolSetting(settings.Peers)
+	self, err := strconv.Atoi(c.settings[settings.Node])
 	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && err == nil && self >= 0 && self < len(c.Peers)
 }
 
 // healthCheckConfig is what the shared health checks start with.
 func (c *config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
-		Self:        healthcheck.NodeID(int(c.floatSetting(settingNode))),
+		Self:        healthcheck.NodeID(int(c.floatSetting(settings.Node))),
 		Nodes:       len(c.Peers),
 		Seed:        c.randomSeed,
-		ReceiveRate: c.floatSetting(settingPeerRate),
+		ReceiveRate: c.floatSetting(settings.PeerRate),
 		SendRate:    c.healthChecks.MaxBytesPerS,
 		Interval:    time.Duration(c.healthChecks.IntervalMs * float64(time.Millisecond)),
 	}
@@ -106,9 +88,9 @@
 
 // requestClasses lists the names and latency objectives of the request classes, by number.
 func (c *config) requestClasses() (names []string, objectives []time.Duration) {
-	for i := range c.intSetting(settingClassCount) {
-		names = append(names, c.settings[fmt.Sprintf(settingClassName, i)])
-		objectives = append(objectives, c.durationSetting(fmt.Sprintf(settingClassObjective, i)))
+	names = settings.ClassNames(c.settings)
+	for i := range names {
+		objectives = append(objectives, c.durationSetting(settings.ClassKey(i, settings.ClassLatencyObjective)))
 	}
 	return names, objectives
 }
@@ -120,8 +102,8 @@
 		shortest = slices.Min(objectives)
 	}
 	return quota.Config{
-		Self:         quota.NodeID(c.intSetting(settingNode)),
-		Nodes:        c.intSetting(settingNodes),
+		Self:         quota.NodeID(c.intSetting(settings.Node)),
+		Nodes:        c.intSetting(settings.Nodes),
 		Seed:         c.randomSeed,
 		ExchangeRate: c.quota.MaxCallsPerS,
 		Timeout:      quota.ExchangeTimeout(shortest),
@@ -133,8 +115,8 @@
 func (c *config) authorizationConfig() (authz.Config, map[string]int, error) {
 	names, objectives := c.requestClasses()
 	cfg, numbers := authz.Config{MaxInFlight: c.authz.MaxInFlight}, map[string]int{}
-	if c.boolSetting(settingRetryAfter) {
-		cfg.MaxRetryAfter = c.durationSetting(settingMaxRetryAfter)
+	if c.boolSetting(settings.RetryAfter) {
+		cfg.MaxRetryAfter = c.durationSetting(settings.MaxRetryAfter)
 	}
 	for i, name := range names {
 		numbers[name] = i
--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -11,6 +11,7 @@
 
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 func TestConfigurationIsRead(t *testing.T) {
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	l := c.transportLimits()
-	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings["node"] != "2" ||
+	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings[settings.Node] != "2" ||
 		l.ServerIdleTimeout != 15*time.Second || l.ConnectTimeout != 250*time.Millisecond || l.Sockets != 1024 {
 		t.Errorf("read as %+v, limits %+v", c, l)
 	}
@@ -40,7 +41,7 @@
 		t.Run(known, func(t *testing.T) {
 			text := strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
 			writeFile(t, file, text)
-			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings["node"] != "2" {
+			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings[settings.Node] != "2" {
 				t.Errorf("%v", err)
 			}
 			wantReload(t, old, "")
@@ -66,7 +67,7 @@
 	t.Helper()
 	moved := ""
 	next, err := old.reload(func(address string) { moved += address })
-	if err != nil || moved != want || next.knownErr == nil || next.settings["node"] != "2" {
+	if err != nil || moved != want || next.knownErr == nil || next.settings[settings.Node] != "2" {
 		t.Errorf("on SIGHUP: moved to %q, want %q, %v", moved, want, err)
 	}
 }
@@ -117,10 +118,10 @@
 func TestOperatorSettings(t *testing.T) {
 	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
 	for _, c := range []struct{ operator, repeats, shadow, fault string }{
-		{"", "single-use", "", ""},
-		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", "replayable", "", ""},
-		{"[watch.settings]\nexecutions = 2\n", "single-use", "", ""},
-		{"[watch]\non = true\n[[watch.settings.band]]\nname = \"seats\"\nrepeats = \"referenced\"\n", "single-use", "referenced", ""},
+		{"", settings.RetryUnsafe, "", ""},
+		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", settings.RetrySafe, "", ""},
+		{"[watch.settings]\nexecutions = 2\n", settings.RetryUnsafe, "", ""},
+		{"[watch]\non = true\n[[watch.settings.band]]\nname = \"seats\"\nrepeats = \"referenced\"\n", settings.RetryUnsafe, settings.RetryKeyed, ""},
 		{"[[settings.band]]\nname = \"other\"\nrepeats = \"replayable\"\n", "", "", "settings: band \"other\": the platform's settings name seats"},
 	} {
 		conf := mustParse(t, text)
@@ -135,7 +136,8 @@
 			}
 			continue
 		}
-		if err != nil || conf.settings["band.0.repeats"] != c.repeats || conf.shadowSettings["band.0.repeats"] != c.shadow {
+		key := settings.ClassKey(0, settings.ClassRetrySafety)
+		if err != nil || conf.settings[key] != c.repeats || conf.shadowSettings[key] != c.shadow {
 			t.Errorf("%q: %v, %v, shadow %v", c.operator, err, conf.settings, conf.shadowSettings)
 		}
 	}
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -3,14 +3,18 @@
 import (
 	"math"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // TestFreshNodeBoundsInFlight sends a crowd at a node that has seen nothing yet.
 func TestFreshNodeBoundsInFlight(t *testing.T) {
 	n := New(7, Settings{
-		"nodes": "1", "tick": "10", "band.count": "1", "band.0.contract": "6000",
-		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
-		"executions": "3",
+		settings.Nodes: "1", settings.Tick: "10", settings.ClassCount: "1",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.MaxAttempts: "3",
 	}, Second)
 	n.UpdateEndpoints(CachedList, []Endpoint{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
 	for id := range RequestID(50) {
@@ -75,9 +79,13 @@
 // testConfig is a node's settings of four nodes that all hear each other, with one class and one plan.
 func testConfig() *config {
 	return parseSettings(Settings{
-		"nodes": "4", "node": "1", "peers": "true", "peers.take": "100", "tick": "10", "executions": "3", "connect": "500",
-		"cold.span": "100000", "cold.from": "0.25", "fall.multiple": "3", "fall.span": "20000", "idle": "300000",
-		"band.0.contract": "6000", "band.0.repeats": "replayable", "plan.0.rate": "10", "plan.0.depth": "20",
+		settings.Nodes: "4", settings.Node: "1", settings.Peers: settings.On, settings.PeerRate: "100",
+		settings.Tick: "10", settings.MaxAttempts: "3", settings.ConnectTimeout: "500",
+		settings.SlowStartSpan: "100000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "3",
+		settings.OverloadSpan: "20000", settings.IdleTimeout: "300000",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe,
+		settings.PlanKey(0, settings.PlanRate):               "10", settings.PlanKey(0, settings.PlanBurst): "20",
 	})
 }
 
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -4,6 +4,8 @@
 	"math/rand"
 	"testing"
 	"testing/quick"
+
+	"cherrygap/internal/settings"
 )
 
 // TestRulesHoldOnRandomRuns plays random days over settings of every kind and checks the rules on each
@@ -48,9 +50,11 @@
 
 func plainSettings(more Settings) Settings {
 	set := Settings{
-		"nodes": "3", "tick": "10", "band.count": "1", "band.0.contract": "6000",
-		"band.0.repeats": "replayable", "plan.count": "1", "plan.0.rate": "1000", "plan.0.depth": "1000",
-		"executions": "3", "withdraw": "true",
+		settings.Nodes: "3", settings.Tick: "10", settings.ClassCount: "1",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On,
 	}
 	for k, v := range more {
 		set[k] = v
@@ -71,7 +75,10 @@
 
 // Without a tick and with a very short objective the next look must lie ahead, or decisions never end.
 func TestDecisionsEndWhateverTheSettings(t *testing.T) {
-	for _, set := range []Settings{{"tick": "0", "band.0.contract": "10"}, {"tick": "-5"}, {"tick": "0", "band.0.contract": "0"}} {
+	objective := settings.ClassKey(0, settings.ClassLatencyObjective)
+	for _, set := range []Settings{
+		{settings.Tick: "0", objective: "10"}, {settings.Tick: "-5"}, {settings.Tick: "0", objective: "0"},
+	} {
 		n := plain(2, set)
 		for now := Second; now < Second+50; now++ {
 			n.SetTime(now)
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math/rand"
 	"strconv"
+
+	"cherrygap/internal/settings"
 )
 
 // host plays clients, endpoint list and app servers at random for one node and checks the five rules on every
@@ -70,22 +72,28 @@
 func randomSettings(r *rand.Rand) Settings {
 	yes := func() string { return strconv.FormatBool(r.Intn(2) == 0) }
 	s := Settings{
-		"node":  "0",
-		"nodes": strconv.Itoa([]int{1, 2, 3, 4, 60}[r.Intn(5)]), "peers.take": "40", "tick": strconv.Itoa(10 + r.Intn(40)),
-		"executions": strconv.Itoa(1 + r.Intn(6)), "copies": yes(), "withdraw": yes(), "peers": yes(), "advice": yes(),
-		"advice.most": "10000", "cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3", "fall.span": "20000", "connect": strconv.Itoa(r.Intn(3000)),
-		"band.count": "5", "plan.count": strconv.Itoa(testPlans),
-		"roster": []string{"push", "ask"}[r.Intn(2)],
-	}
-	for i, repeats := range []string{"replayable", "single-use", "referenced", "referenced", "referenced"} {
-		b := "band." + strconv.Itoa(i) + "."
-		s[b+"repeats"], s[b+"contract"] = repeats, strconv.Itoa(3000+r.Intn(10000))
-		s[b+"window"], s[b+"group"] = strconv.Itoa(2000+r.Intn(20000)), []string{"all", "all", "all", "zone", "cell"}[i]
-	}
-	s["plan.0.rate"], s["plan.0.depth"] = "20", "40"
-	s["plan.1.open"] = "3"
-	s["plan.2.rate"], s["plan.2.depth"] = "50", "80"
-	s["plan.2.ceiling.rate"], s["plan.2.ceiling.depth"] = "4", "8"
+		settings.Node: "0", settings.Nodes: strconv.Itoa([]int{1, 2, 3, 4, 60}[r.Intn(5)]), settings.PeerRate: "40",
+		settings.Tick: strconv.Itoa(10 + r.Intn(40)), settings.MaxAttempts: strconv.Itoa(1 + r.Intn(6)),
+		settings.Hedging: yes(), settings.CancelAttempts: yes(), settings.Peers: yes(), settings.RetryAfter: yes(),
+		settings.MaxRetryAfter: "10000", settings.SlowStartShare: "0.25", settings.SlowStartSpan: "100000",
+		settings.OverloadMultiple: "3", settings.OverloadSpan: "20000",
+		settings.ConnectTimeout: strconv.Itoa(r.Intn(3000)), settings.ClassCount: "5",
+		settings.PlanCount:    strconv.Itoa(testPlans),
+		settings.EndpointList: []string{settings.EndpointListPush, settings.EndpointListPoll}[r.Intn(2)],
+	}
+	groups := []string{settings.GroupAll, settings.GroupAll, settings.GroupAll, settings.GroupZone, settings.GroupCell}
+	for i, repeats := range []string{
+		settings.RetrySafe, settings.RetryUnsafe, settings.RetryKeyed, settings.RetryKeyed, settings.RetryKeyed,
+	} {
+		s[settings.ClassKey(i, settings.ClassRetrySafety)] = repeats
+		s[settings.ClassKey(i, settings.ClassLatencyObjective)] = strconv.Itoa(3000 + r.Intn(10000))
+		s[settings.ClassKey(i, settings.ClassIdempotencyWindow)] = strconv.Itoa(2000 + r.Intn(20000))
+		s[settings.ClassKey(i, settings.ClassIdempotencyGroup)] = groups[i]
+	}
+	s[settings.PlanKey(0, settings.PlanRate)], s[settings.PlanKey(0, settings.PlanBurst)] = "20", "40"
+	s[settings.PlanKey(1, settings.PlanMaxInFlight)] = "3"
+	s[settings.PlanKey(2, settings.PlanRate)], s[settings.PlanKey(2, settings.PlanBurst)] = "50", "80"
+	s[settings.PlanKey(2, settings.PlanCeilingRate)], s[settings.PlanKey(2, settings.PlanCeilingBurst)] = "4", "8"
 	return s
 }
 
@@ -127,7 +135,7 @@
 
 // step lets one tick pass.
 func (h *host) step() {
-	h.now += Time(h.set.Number("tick"))
+	h.now += Time(h.set.Number(settings.Tick))
 	h.engine.SetTime(h.now)
 	h.engine.TimerFired()
 	for _, id := range h.order {
@@ -164,7 +172,7 @@
 }
 
 func (h *host) arrive() {
-	spread := 1 + h.rng.Intn(int(h.set.Number("nodes")))
+	spread := 1 + h.rng.Intn(int(h.set.Number(settings.Nodes)))
 	customer := h.rng.Intn(12)
 	a := Request{
 		ID: h.nextID, Class: ClassID(h.rng.Intn(5)), Plan: PlanID(customer % testPlans), Customer: CustomerID(customer),
@@ -252,16 +260,16 @@
 	case Reject, Fail:
 		h.checkAnswer(t, d)
 	case CancelAttempt:
-		if h.set["withdraw"] != "true" || d.Attempt >= len(t.attempts) {
+		if h.set[settings.CancelAttempts] != settings.On || d.Attempt >= len(t.attempts) {
 			h.fail("cancellation that is not allowed")
 		} else if x := t.attempts[d.Attempt]; x.inFlight {
 			x.outcome, x.end = Cancelled, h.now
 		}
 	case SendPeerMessage:
-		if nodes, _ := strconv.Atoi(h.set["nodes"]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= NodeID(nodes) {
+		if nodes, _ := strconv.Atoi(h.set[settings.Nodes]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= NodeID(nodes) {
 			h.fail("message to node %d of %d", d.Peer, nodes)
 		}
-		if len(d.Payload) > 256 || h.set["peers"] != "true" {
+		if len(d.Payload) > 256 || h.set[settings.Peers] != settings.On {
 			h.fail("message of %d bytes", len(d.Payload))
 		}
 	}
@@ -276,8 +284,9 @@
 	t.closed = true
 	h.rejected++
 	for _, x := range t.attempts {
-		if d.Action == Reject && x.mayHaveRun && (h.class(t, "repeats") == "single-use" ||
-			h.class(t, "repeats") == "referenced" && h.class(t, "group") != "all") {
+		repeats, group := h.class(t, settings.ClassRetrySafety), h.class(t, settings.ClassIdempotencyGroup)
+		if d.Action == Reject && x.mayHaveRun &&
+			(repeats == settings.RetryUnsafe || repeats == settings.RetryKeyed && group != settings.GroupAll) {
 			h.fail("request %d rejected though it may have run", d.Request)
 		}
 	}
@@ -287,8 +296,8 @@
 }
 
 // class is a setting of a request's class.
-func (h *host) class(t *hostRequest, name string) string {
-	return h.set["band."+strconv.Itoa(int(t.request.Class))+"."+name]
+func (h *host) class(t *hostRequest, field settings.ClassField) string {
+	return h.set[settings.ClassKey(int(t.request.Class), field)]
 }
 
 // send checks an attempt and plays its server.
@@ -306,7 +315,7 @@
 	for _, x := range t.attempts {
 		h.checkRepeat(t, x, s)
 	}
-	if len(t.attempts) >= int(h.set.Number("executions")) {
+	if len(t.attempts) >= int(h.set.Number(settings.MaxAttempts)) {
 		h.fail("too many attempts of %d", d.Request)
 	}
 	if len(t.attempts) == 0 && t.request.Plan == 2 {
@@ -314,7 +323,7 @@
 	}
 	h.checkSlowStart(s)
 	x := &hostAttempt{server: s, sent: h.now, inFlight: true, mayHaveRun: true, outcome: Succeeded}
-	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number("nodes")) // the other nodes take their part
+	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number(settings.Nodes)) // the other nodes take their part
 	s.free = max(s.free, h.now) + work
 	x.end = s.free
 	if k := h.rng.Intn(12); k < 4 {
@@ -338,29 +347,29 @@
 
 // checkRepeat checks an attempt against an earlier one of its request.
 func (h *host) checkRepeat(t *hostRequest, x *hostAttempt, s *hostServer) {
-	window := Settings{"window": h.class(t, "window")}.Duration("window")
+	window := h.set.Duration(settings.ClassKey(int(t.request.Class), settings.ClassIdempotencyWindow))
 	switch {
-	case x.inFlight && h.set["copies"] != "true":
+	case x.inFlight && h.set[settings.Hedging] != settings.On:
 		h.fail("two attempts of %d in flight at once", t.request.ID)
-	case !x.mayHaveRun || h.class(t, "repeats") == "replayable":
-	case h.class(t, "repeats") == "single-use":
+	case !x.mayHaveRun || h.class(t, settings.ClassRetrySafety) == settings.RetrySafe:
+	case h.class(t, settings.ClassRetrySafety) == settings.RetryUnsafe:
 		h.fail("unsafe request %d may run twice", t.request.ID)
-	case h.now+h.set.Duration("connect") >= x.sent+window: // a new connection may take so long
+	case h.now+h.set.Duration(settings.ConnectTimeout) >= x.sent+window: // a new connection may take so long
 		h.fail("keyed request %d may come after its window", t.request.ID)
-	case h.class(t, "group") == "zone" && x.server.zone != s.zone,
-		h.class(t, "group") == "cell" && x.server.cell != s.cell:
+	case h.class(t, settings.ClassIdempotencyGroup) == settings.GroupZone && x.server.zone != s.zone,
+		h.class(t, settings.ClassIdempotencyGroup) == settings.GroupCell && x.server.cell != s.cell:
 		h.fail("keyed request %d sent outside its group", t.request.ID)
 	}
 }
 
 func (h *host) checkCeiling(t *hostRequest) {
 	c := h.ceiling[t.request.Customer]
-	depth := h.set.Number("plan.2.ceiling.depth")
+	depth := h.set.Number(settings.PlanKey(2, settings.PlanCeilingBurst))
 	if c == nil {
 		c = &hostBucket{level: depth, at: h.start}
 		h.ceiling[t.request.Customer] = c
 	}
-	c.level = min(depth, c.level+h.set.Number("plan.2.ceiling.rate")*float64(h.now-c.at)/float64(Second))
+	c.level = min(depth, c.level+h.set.Number(settings.PlanKey(2, settings.PlanCeilingRate))*float64(h.now-c.at)/float64(Second))
 	c.at = h.now
 	if c.level -= t.request.Units; c.level < 0 {
 		h.fail("ceiling passed by %.2f units", -c.level)
@@ -369,12 +378,12 @@
 
 // checkSlowStart counts the work sent to a fresh server by all nodes: this one's, as often as there are nodes.
 func (h *host) checkSlowStart(s *hostServer) {
-	span, warm := h.set.Duration("fall.span"), h.set.Duration("cold.span")
+	span, warm := h.set.Duration(settings.OverloadSpan), h.set.Duration(settings.SlowStartSpan)
 	if s.started == 0 || h.now >= s.started+warm {
 		return
 	}
 	s.coldAttempts = append(s.coldAttempts, coldAttempt{h.now, s.each})
-	from := h.set.Number("cold.from")
+	from := h.set.Number(settings.SlowStartShare)
 	share := from + (1-from)*float64(h.now-s.started)/float64(warm)
 	sum, k := Time(0), 0
 	for _, p := range s.coldAttempts {
@@ -385,8 +394,8 @@
 	if h.engine.config.owners && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
 		return
 	}
-	most := h.set.Number("fall.multiple") * share * float64(span)
-	if float64(sum)*h.set.Number("nodes") > most*1.1 {
-		h.fail("cold server pushed: %d of %.0f by %s nodes", sum, most, h.set["nodes"])
+	most := h.set.Number(settings.OverloadMultiple) * share * float64(span)
+	if float64(sum)*h.set.Number(settings.Nodes) > most*1.1 {
+		h.fail("cold server pushed: %d of %.0f by %s nodes", sum, most, h.set[settings.Nodes])
 	}
 }
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -3,13 +3,16 @@
 import (
 	"slices"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // A server that fails one class serves the others: its answers there must not clear what failed.
 func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
 	n := plain(2, Settings{
-		"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
-		"band.1.contract": "6000", "band.1.repeats": "single-use",
+		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(1, settings.ClassRetrySafety):      settings.RetryUnsafe,
 	})
 	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
 	bad := pull(n, Forward)[0].Server
@@ -20,7 +23,10 @@
 	}
 	n.SetTime(Second + interval/2)
 	told := pull(n, SendPeerMessage)
-	other := plain(2, Settings{"nodes": "40", "node": "3", "peers": "true", "band.count": "2", "band.1.contract": "6000"})
+	other := plain(2, Settings{
+		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+	})
 	other.SetTime(Second + interval/2)
 	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
 	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
@@ -35,7 +41,7 @@
 // Peers' words of one miss each add up: a server of which they tell clearly more than of others is suspected, and
 // gets trials by budget; where all servers miss alike, as for want of room, none is.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
-	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40"}
+	set := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
 	n, alike := plain(20, set), plain(20, set)
 	for k := range 8 {
 		n.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
@@ -87,7 +93,10 @@
 // Where any server's answers are malformed or broken off now and then, one says little of it: it stays in the rotation,
 // and its time is no sign of pressure. Two in a row tell, of that class.
 func TestOneBadAnswerEjectsNoServer(t *testing.T) {
-	n := plain(1, Settings{"band.count": "2", "band.1.contract": "6000", "executions": "1"})
+	n := plain(1, Settings{
+		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.MaxAttempts: "1",
+	})
 	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
 		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
 		d := pull(n, Forward)[0]
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
@@ -20,12 +22,15 @@
 
 func newFleet(t *testing.T, more Settings) *fleet {
 	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Engine, 60)}
-	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40", "plan.0.rate": "2", "plan.0.depth": "6"}
+	set := Settings{
+		settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.PlanKey(0, settings.PlanRate): "2", settings.PlanKey(0, settings.PlanBurst): "6",
+	}
 	for k, v := range more {
 		set[k] = v
 	}
 	for k := range f.nodes {
-		set["node"] = strconv.Itoa(k)
+		set[settings.Node] = strconv.Itoa(k)
 		f.nodes[k] = plain(4, set)
 		f.sets = append(f.sets, plainSettings(set))
 		f.nodes[k].random = random{uint32(k) | 1, 77}
@@ -108,7 +113,10 @@
 // A cap on open attempts beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
 // An end that is told late, after its reservation has run out, must not free another's.
 func TestOwnerHoldsInFlightOfManyNodes(t *testing.T) {
-	f := newFleet(t, Settings{"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.open": "2"})
+	f := newFleet(t, Settings{
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.PlanKey(0, settings.PlanMaxInFlight): "2",
+	})
 	f.ask(200, Second, 4*Second)
 	if f.mostInFlight > 2 || f.sent < 60 {
 		t.Fatalf("%d out at once, %d sent", f.mostInFlight, f.sent)
@@ -142,8 +150,8 @@
 // A hard ceiling of many nodes: owner and set together stay under it from the first second on, after restarts too.
 func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
-		"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-		"plan.0.ceiling.depth": "80",
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 	})
 	r := rand.New(rand.NewSource(3))
 	f.lost = func(int, NodeID, []byte) bool { return r.Intn(4) == 0 }
@@ -151,8 +159,8 @@
 		f.ask(200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
 		fresh := newFleet(t, Settings{
-			"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-			"plan.0.ceiling.depth": "80",
+			settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+			settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 		})
 		fresh.lost, fresh.sent = f.lost, sent
 		f = fresh // all restart
@@ -174,7 +182,10 @@
 
 // ownerOfAll is the owner mechanism of a node in a fleet too large for all to hear each other.
 func ownerOfAll(plan quotaPlan) *quotaOwner {
-	cfg := parseSettings(Settings{"nodes": "60", "node": "12", "peers": "true", "peers.take": "40", "band.0.contract": "6000"})
+	cfg := parseSettings(Settings{
+		settings.Nodes: "60", settings.Node: "12", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+	})
 	cfg.plans = []quotaPlan{plan}
 	return &quotaOwner{config: cfg}
 }
--- a/internal/decision/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -392,7 +392,7 @@
 	if nth > 0 {
 		p.count["retry"]++
 	}
-	if s.Started > 0 && p.now < s.Started+p.set.Duration("cold.span") {
+	if s.Started > 0 && p.now < s.Started+p.set.Duration("slow_start_span") {
 		p.count["to a cold server"]++
 	}
 	outcome, end := Succeeded, Time(0)
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // TestPinnedNumbers: a number that can't be parsed reads as 0, whatever is wrong with it.
@@ -31,7 +33,7 @@
 			t.Errorf("%q reads as %q", text, got)
 		}
 	}
-	if got := (Settings{}).Key("band", 3, "window"); got != "band.3.window" {
+	if got := settings.ClassKey(3, settings.ClassIdempotencyWindow); got != "class.3.idempotency_window" {
 		t.Errorf("%q", got)
 	}
 }
@@ -39,14 +41,14 @@
 // pinSettingNames are all the settings that the module reads.
 func pinSettingNames() []string {
 	names := []string{
-		"node", "nodes", "tick", "connect", "cold.span", "cold.from", "peers.take", "peers", "executions",
-		"withdraw", "advice", "advice.most", "fall.multiple", "fall.span", "idle", "roster", "ask.within", "band.count",
-		"plan.count",
+		"node", "nodes", "tick", "connect_timeout", "slow_start_span", "slow_start_share", "peer_messages_per_s", "peers",
+		"max_attempts", "cancel_attempts", "retry_after", "max_retry_after", "overload_multiple", "overload_span",
+		"idle_timeout", "endpoint_list", "poll_within", "class.count", "plan.count",
 	}
-	for _, name := range []string{"contract", "window", "group", "repeats"} {
-		names = append(names, "band.0."+name, "band.4."+name)
+	for _, name := range []string{"latency_objective", "idempotency_window", "idempotency_group", "retry_safety"} {
+		names = append(names, "class.0."+name, "class.4."+name)
 	}
-	for _, name := range []string{"rate", "depth", "open", "ceiling.rate", "ceiling.depth"} {
+	for _, name := range []string{"rate", "burst", "max_in_flight", "ceiling_rate", "ceiling_burst"} {
 		names = append(names, "plan.0."+name, "plan.3."+name)
 	}
 	return names
@@ -89,7 +91,10 @@
 		usual := pinOddPlay(base, "none", "")
 		names := pinSettingNames()
 		if len(base) > 0 {
-			names = []string{"node", "nodes", "idle", "peers.take", "plan.3.open", "plan.3.ceiling.rate", "plan.3.ceiling.depth"}
+			names = []string{
+				"node", "nodes", "idle_timeout", "peer_messages_per_s",
+				"plan.3.max_in_flight", "plan.3.ceiling_rate", "plan.3.ceiling_burst",
+			}
 		}
 		for _, name := range names {
 			var got []string
@@ -126,7 +131,7 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peers.take": c.take}, Second); n.config.owners != c.want {
+		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.take}, Second); n.config.owners != c.want {
 			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.config.owners)
 		}
 	}
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -42,7 +42,9 @@
 	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
 		var polls []string
 		for seed := range uint64(2) {
-			n := New(seed*7919+3, Settings{"nodes": "3", "band.0.contract": "6000", "roster": "ask", "ask.within": within}, Second)
+			n := New(seed*7919+3, Settings{
+				"nodes": "3", "class.0.latency_objective": "6000", "endpoint_list": "poll", "poll_within": within,
+			}, Second)
 			for now := Second; now < 20*Second; now += 10 {
 				n.SetTime(now)
 				if pollsDiscovery(n) {
@@ -115,8 +117,8 @@
 				continue
 			}
 			n := New(uint64(me), Settings{
-				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true",
-				"peers.take": "40", "tick": "10", "band.0.contract": "6000", "idle": "300000",
+				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true", "peer_messages_per_s": "40",
+				"tick": "10", "class.0.latency_objective": "6000", "idle_timeout": "300000",
 			}, Second)
 			list := []Endpoint{}
 			for i := range c.servers {
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -3,16 +3,20 @@
 import (
 	"slices"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // A large fleet's customers do not fit into one message: the next follows soon and names the others.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
-	n := plain(4, Settings{"peers": "true", "peers.take": "100", "plan.0.rate": "1"})
+	n := plain(4, Settings{
+		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
+	})
 	for id := range RequestID(100) {
 		n.AddRequest(Request{ID: id, Customer: 1<<32 + CustomerID(id), Timeout: Second, Units: 3, Spread: 3})
 	}
 	pull(n, Forward)
-	peer := plain(4, Settings{"peers": "true", "peers.take": "100", "node": "1"})
+	peer := plain(4, Settings{settings.Peers: settings.On, settings.PeerRate: "100", settings.Node: "1"})
 	for now := Second; now < 2*Second; now += 100 {
 		n.SetTime(now)
 		peer.SetTime(now)
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // A node that uses few servers takes the one with the least out for its weight: by its turn alone it would add to a
 // larger server's queue, under that one's cap yet, while a smaller one stands idle.
 func TestSubsetServerWithTheLeastInFlightComesFirst(t *testing.T) {
-	n := plain(2, Settings{"nodes": "60", "peers": "true", "peers.take": "40"})
+	n := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
 	n.endpoints.servers[1].Weight, n.endpoints.servers[1].inFlight, n.endpoints.servers[1].rotationCredit = 4, 1, 100
 	n.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
 	if got := n.pick(&n.requests.all[0]); got != 0 {
@@ -60,7 +62,7 @@
 // Over many requests that end at once each server gets its weight's part; one that has its fair part in flight is left
 // out while others are not.
 func TestRotationByWeight(t *testing.T) {
-	n := plain(3, Settings{"plan.0.rate": "0"})
+	n := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
 	for i := range n.endpoints.servers {
 		n.endpoints.servers[i].Weight = float64(1 + i)
 	}
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -4,9 +4,11 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"cherrygap/internal/settings"
 )
 
-// Settings are the figures handed over at start, by name.
+// Settings are the figures handed over at start, by the keys of package settings.
 type Settings map[string]string
 
 // Number is a number; 0 where the name is missing or its value can't be parsed.
@@ -22,12 +24,7 @@
 func (s Settings) Duration(name string) Time { return Time(s.Number(name)) }
 
 // Enabled tells whether a setting is on: only the word true is.
-func (s Settings) Enabled(name string) bool { return s[name] == "true" }
-
-// Key names a field of the i-th class or plan.
-func (s Settings) Key(list string, i int, field string) string {
-	return list + "." + strconv.Itoa(i) + "." + field
-}
+func (s Settings) Enabled(name string) bool { return s[name] == settings.On }
 
 // Words is a list of words, separated by commas.
 func (s Settings) Words(name string) []string {
@@ -108,15 +105,15 @@
 // parseSettings reads all settings. Nothing is refused: what is missing or malformed reads as 0 or off.
 func parseSettings(set Settings) *config {
 	c := &config{
-		self: NodeID(set.Number("node")), nodes: max(1, int(set.Number("nodes"))),
-		tick: set.Duration("tick"), connectTimeout: set.Duration("connect"),
-		maxAttempts: max(1, int(set.Number("executions"))), cancel: set.Enabled("withdraw"),
-		idleTimeout:   set.Duration("idle"),
-		slowStartSpan: set.Duration("cold.span"), slowStartShare: set.Number("cold.from"),
-		recoveryMultiple: set.Number("fall.multiple"), recoverySpan: set.Duration("fall.span"),
-		peers: set.Enabled("peers"), peerRate: set.Number("peers.take"),
-		retryAfter: set.Enabled("advice"), maxRetryAfter: set.Duration("advice.most"),
-		pollEndpoints: set["roster"] == "ask", pollWithin: set.Number("ask.within"),
+		self: NodeID(set.Number(settings.Node)), nodes: max(1, int(set.Number(settings.Nodes))),
+		tick: set.Duration(settings.Tick), connectTimeout: set.Duration(settings.ConnectTimeout),
+		maxAttempts: max(1, int(set.Number(settings.MaxAttempts))), cancel: set.Enabled(settings.CancelAttempts),
+		idleTimeout:   set.Duration(settings.IdleTimeout),
+		slowStartSpan: set.Duration(settings.SlowStartSpan), slowStartShare: set.Number(settings.SlowStartShare),
+		recoveryMultiple: set.Number(settings.OverloadMultiple), recoverySpan: set.Duration(settings.OverloadSpan),
+		peers: set.Enabled(settings.Peers), peerRate: set.Number(settings.PeerRate),
+		retryAfter: set.Enabled(settings.RetryAfter), maxRetryAfter: set.Duration(settings.MaxRetryAfter),
+		pollEndpoints: set[settings.EndpointList] == settings.EndpointListPoll, pollWithin: set.Number(settings.PollWithin),
 		classes: parseClasses(set), plans: parsePlans(set),
 	}
 	c.shortestObjective = c.classes[0].latencyObjective
@@ -130,20 +127,20 @@
 
 // parseClasses reads the request classes. One whose retry safety is not known is never run twice.
 func parseClasses(set Settings) (out []classConfig) {
-	for i := range max(1, int(set.Number("band.count"))) {
+	for i := range max(1, int(set.Number(settings.ClassCount))) {
 		c := classConfig{
-			latencyObjective: max(set.Duration(set.Key("band", i, "contract")), 1),
-			keyWindow:        set.Duration(set.Key("band", i, "window")),
+			latencyObjective: max(set.Duration(settings.ClassKey(i, settings.ClassLatencyObjective)), 1),
+			keyWindow:        set.Duration(settings.ClassKey(i, settings.ClassIdempotencyWindow)),
 			retrySafety:      retryNever,
 		}
-		switch set[set.Key("band", i, "repeats")] {
-		case "referenced":
+		switch set[settings.ClassKey(i, settings.ClassRetrySafety)] {
+		case settings.RetryKeyed:
 			c.retrySafety = retryKeyed
-		case "replayable":
+		case settings.RetrySafe:
 			c.retrySafety = retrySafe
 		}
-		groups := []string{groupAll: "all", groupZone: "zone", groupCell: "cell"}
-		if g := slices.Index(groups, set[set.Key("band", i, "group")]); g > 0 {
+		groups := []string{groupAll: settings.GroupAll, groupZone: settings.GroupZone, groupCell: settings.GroupCell}
+		if g := slices.Index(groups, set[settings.ClassKey(i, settings.ClassIdempotencyGroup)]); g > 0 {
 			c.keyGroup = keyGroup(g)
 		}
 		out = append(out, c)
@@ -153,11 +150,12 @@
 
 // parsePlans reads the quota plans.
 func parsePlans(set Settings) (out []quotaPlan) {
-	for i := range max(1, int(set.Number("plan.count"))) {
-		number := func(field string) float64 { return set.Number(set.Key("plan", i, field)) }
+	for i := range max(1, int(set.Number(settings.PlanCount))) {
+		number := func(field settings.PlanField) float64 { return set.Number(settings.PlanKey(i, field)) }
 		out = append(out, quotaPlan{
-			rate: number("rate"), burst: number("depth"), maxInFlight: int(number("open")),
-			ceilingRate: number("ceiling.rate"), ceilingBurst: number("ceiling.depth"),
+			rate: number(settings.PlanRate), burst: number(settings.PlanBurst),
+			maxInFlight: int(number(settings.PlanMaxInFlight)),
+			ceilingRate: number(settings.PlanCeilingRate), ceilingBurst: number(settings.PlanCeilingBurst),
 		})
 	}
 	return out
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -4,6 +4,8 @@
 	"maps"
 	"reflect"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // shadowedRun plays 400 requests of one customer, of which some fail, and tells what was decided.
@@ -44,10 +46,14 @@
 		least int64
 	}{
 		{nil, "", 0},
-		{Settings{"plan.0.rate": "2", "plan.0.depth": "2"}, "send_would_bounce", 200},
-		{Settings{"band.0.repeats": "single-use"}, "send_would_break_off", 30},
-		{Settings{"executions": "1"}, "send_would_bounce", 30},
-		{Settings{"plan.0.ceiling.rate": "1", "plan.0.ceiling.depth": "1"}, "send_would_bounce", 200},
+		{Settings{
+			settings.PlanKey(0, settings.PlanRate): "2", settings.PlanKey(0, settings.PlanBurst): "2",
+		}, "send_would_bounce", 200},
+		{Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe}, "send_would_break_off", 30},
+		{Settings{settings.MaxAttempts: "1"}, "send_would_bounce", 30},
+		{Settings{
+			settings.PlanKey(0, settings.PlanCeilingRate): "1", settings.PlanKey(0, settings.PlanCeilingBurst): "1",
+		}, "send_would_bounce", 200},
 	} {
 		other := c.other
 		if other == nil {
@@ -72,7 +78,11 @@
 	for seed := range int64(12) {
 		a, b := newHost(seed), newHost(seed)
 		other := maps.Clone(b.set)
-		maps.Copy(other, Settings{"nodes": "60", "plan.0.rate": "1", "plan.2.open": "1", "band.0.repeats": "single-use"})
+		maps.Copy(other, Settings{
+			settings.Nodes: "60", settings.PlanKey(0, settings.PlanRate): "1",
+			settings.PlanKey(2, settings.PlanMaxInFlight):   "1",
+			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe,
+		})
 		for range 600 {
 			b.engine.StartShadow(other)
 			a.step()
@@ -87,8 +97,12 @@
 
 // Over a wide fleet too, equal settings count none: the stores at an owner are charged for what it lets pass elsewhere.
 func TestShadowOverAWideFleet(t *testing.T) {
-	for _, other := range []Settings{{}, {"plan.0.rate": "1", "plan.0.depth": "3"}} {
-		f := newFleet(t, Settings{"plan.0.rate": "4", "plan.0.depth": "12"})
+	for _, other := range []Settings{
+		{}, {settings.PlanKey(0, settings.PlanRate): "1", settings.PlanKey(0, settings.PlanBurst): "3"},
+	} {
+		f := newFleet(t, Settings{
+			settings.PlanKey(0, settings.PlanRate): "4", settings.PlanKey(0, settings.PlanBurst): "12",
+		})
 		for k, n := range f.nodes {
 			all := maps.Clone(f.sets[k])
 			maps.Copy(all, other)
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -5,6 +5,8 @@
 	"math/rand"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // Hundreds of nodes that start alike must not all send their first requests to the same servers, nor, hearing
@@ -15,9 +17,11 @@
 	cold := 0
 	for k := range nodes {
 		n := New(uint64(k)<<32|uint64(k*7919), Settings{
-			"nodes": "300", "tick": "40", "band.count": "1",
-			"band.0.contract": "6000", "band.0.repeats": "replayable", "plan.count": "1", "cold.span": "180000",
-			"cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000",
+			settings.Nodes: "300", settings.Tick: "40", settings.ClassCount: "1",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
+			settings.SlowStartSpan: "180000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "4",
+			settings.OverloadSpan: "20000",
 		}, Second)
 		list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
 		for s := range ServerID(20) {
@@ -52,9 +56,10 @@
 	r, sent, allowed := rand.New(rand.NewSource(3)), 0, 0.0
 	for range nodes {
 		n := New(r.Uint64(), Settings{
-			"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "15000",
-			"plan.count": "1", "cold.span": "170000", "cold.from": "0.2", "fall.multiple": "3", "fall.span": "20000",
-			"band.0.repeats": "replayable",
+			settings.Nodes: "80", settings.Tick: "10", settings.ClassCount: "1",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "15000", settings.PlanCount: "1",
+			settings.SlowStartSpan: "170000", settings.SlowStartShare: "0.2", settings.OverloadMultiple: "3",
+			settings.OverloadSpan: "20000", settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
 		}, Second)
 		list := []Endpoint{}
 		for i := range ServerID(warm) {
@@ -95,9 +100,11 @@
 	sent := map[Time]int{}
 	for k := range nodes {
 		n := New(uint64(k)<<32|uint64(k*7919), Settings{
-			"nodes": strconv.Itoa(nodes), "peers.take": "100", "tick": "40",
-			"band.count": "1", "band.0.contract": "6000", "band.0.repeats": "replayable", "plan.count": "1",
-			"cold.span": "180000", "cold.from": "0.25", "fall.multiple": "4", "fall.span": "20000",
+			settings.Nodes: strconv.Itoa(nodes), settings.PeerRate: "100", settings.Tick: "40",
+			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe, settings.PlanCount: "1",
+			settings.SlowStartSpan: "180000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "4",
+			settings.OverloadSpan: "20000",
 		}, Second)
 		for i, step := range []struct{ at, started Time }{
 			{Second, Second - 1},
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -5,14 +5,18 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // fleetOf is the 77th node's module over many servers in zones, which each call of choose may take for another node's.
 func fleetOf(nodes, servers, zones int) *Engine {
 	n := New(7, Settings{
-		"nodes": strconv.Itoa(nodes), "node": "77", "peers": "true", "peers.take": "40", "tick": "10",
-		"band.count": "2", "band.0.contract": "6000", "band.1.contract": "6000", "band.0.repeats": "replayable",
-		"plan.count": "1", "idle": "300000",
+		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.Tick: "10", settings.ClassCount: "2", settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
+		settings.IdleTimeout: "300000",
 	}, Second)
 	list := []Endpoint{}
 	for i := range servers {
@@ -130,9 +134,10 @@
 	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
 	for me := range nodes {
 		n := New(r.Uint64(), Settings{
-			"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
-			"band.count": "1", "band.0.contract": "15000", "plan.count": "1", "idle": "150000",
-			"band.0.repeats": "replayable",
+			settings.Nodes: strconv.Itoa(nodes), settings.Node: strconv.Itoa(me), settings.Tick: "10",
+			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassLatencyObjective): "15000",
+			settings.PlanCount: "1", settings.IdleTimeout: "150000",
+			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
 		}, Second)
 		list := []Endpoint{}
 		for i := range ServerID(servers) {
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // Nodes that discovery turned away together must not ask again together, nor ever faster than the span allows.
@@ -13,8 +15,9 @@
 	var first []Time
 	r := rand.New(rand.NewSource(1))
 	set := Settings{
-		"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-		"plan.count": "1", "ask.within": strconv.Itoa(int(span)),
+		settings.Nodes: "80", settings.Tick: "10", settings.ClassCount: "1",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000", settings.EndpointList: settings.EndpointListPoll,
+		settings.PlanCount: "1", settings.PollWithin: strconv.Itoa(int(span)),
 	}
 	for range 80 {
 		n := New(r.Uint64(), set, Second)
@@ -48,8 +51,10 @@
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
 		set := Settings{
-			"nodes": "200", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-			"plan.count": "1", "ask.within": []string{"100000", "600000", "30000"}[seed%3],
+			settings.Nodes: "200", settings.Tick: "10", settings.ClassCount: "1",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+			settings.EndpointList:                                settings.EndpointListPoll, settings.PlanCount: "1",
+			settings.PollWithin: []string{"100000", "600000", "30000"}[seed%3],
 		}
 		n, now := New(uint64(seed)*7919, set, Second), Second
 		for k := range 15 {
@@ -70,8 +75,10 @@
 		var again []Time
 		for i := range nodes {
 			n := New(uint64(seed*nodes+i)*7919+1, Settings{
-				"nodes": "200", "band.count": "1", "band.0.contract": "6000",
-				"roster": "ask", "plan.count": "1", "ask.within": "100000",
+				settings.Nodes: "200", settings.ClassCount: "1",
+				settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+				settings.EndpointList:                                settings.EndpointListPoll,
+				settings.PlanCount:                                   "1", settings.PollWithin: "100000",
 			}, Second)
 			now := Second
 			pollsDiscovery(n)
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -17,6 +17,7 @@
 	"cherrygap/internal/authz"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 	"cherrygap/internal/transport"
 )
 
@@ -32,9 +33,15 @@
 
 func testSettings() map[string]string {
 	return map[string]string{
-		"band.count": "2", "band.0.name": "look", "band.0.contract": "4000", "band.0.repeats": "replayable",
-		"band.1.name": "buy", "band.1.contract": "8000", "band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "team",
-		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true", "advice": "true", "advice.most": "20000", "largest": "6",
+		settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "look",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "4000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe,
+		settings.ClassKey(1, settings.ClassName):             "buy",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "8000",
+		settings.ClassKey(1, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
+		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On, settings.RetryAfter: settings.On,
+		settings.MaxRetryAfter: "20000", settings.MaxUnits: "6",
 	}
 }
 
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -263,8 +263,8 @@
 		want string
 	}{
 		{"none", nil, "map[] <nil>"},
-		{"three", map[string]string{"band.0.name": "look", "band.0.repeats": "replayable", "band.1.name": "buy", "band.1.repeats": "referenced", "band.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
-		{"no path part", map[string]string{"band.0.name": "a/b"}, "map[] band a/b is no path part"},
+		{"three", map[string]string{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
+		{"no path part", map[string]string{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
 	} {
 		got, err := HTTPMethods(c.set)
 		pinned(t, c.name, fmt.Sprint(got, err), c.want)
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -19,13 +19,13 @@
 	"time"
 
 	"cherrygap/internal/operatorfile"
+	"cherrygap/internal/settings"
 )
 
 const (
 	behindLagMicros   = 10_000 // p99 of the lag past which the generator didn't keep the rate
 	defaultRetryAfter = 100 * time.Millisecond
 	maxRetryAfter     = 10 * time.Second
-	unsafeClass       = "single-use" // in the operator file
 )
 
 // Generator sends the load.
@@ -170,7 +170,7 @@
 func (g *Generator) newRequest(ctx context.Context, a Arrival, id uint64) (*http.Request, error) {
 	class := g.Cfg.Classes[a.Class]
 	method := http.MethodGet
-	if class.RetrySafety == unsafeClass {
+	if class.RetrySafety == settings.RetryUnsafe {
 		method = http.MethodPost
 	}
 	url := fmt.Sprintf("http://%s/%s/%016x", g.Cfg.Target, class.Name, a.Customer)
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -7,6 +7,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // node is an edge node.
@@ -34,14 +35,14 @@
 	if s.cfg.Policy != Module {
 		return n
 	}
-	settings := maps.Clone(s.cfg.Settings)
-	if settings == nil {
-		settings = DefaultSettings(s.cfg.Nodes, s.cfg.Traffic)
+	set := maps.Clone(s.cfg.Settings)
+	if set == nil {
+		set = DefaultSettings(s.cfg.Nodes, s.cfg.Traffic)
 	}
-	settings["node"] = strconv.Itoa(id)
+	set[settings.Node] = strconv.Itoa(id)
 	n.router = routing.New(routing.Config{
 		Seed:          s.cfg.Seed ^ uint64(id)*seedStep,
-		Settings:      settings,
+		Settings:      set,
 		Clock:         s.clock,
 		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
 		SetTimer:      func(after time.Duration) { s.setTimer(n, after) },
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -5,6 +5,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // tenant is the number of a customer, by which its quota and its set of nodes are found.
@@ -45,7 +46,7 @@
 	n := s.nodes[(first+s.random.IntN(spread))%s.cfg.Nodes]
 	timeout := time.Duration(cfg.BudgetMs) * time.Millisecond
 	req := &request{
-		node: n, class: class, tenant: from, retry: retry, retrySafe: cfg.RetrySafety == "replayable",
+		node: n, class: class, tenant: from, retry: retry, retrySafe: cfg.RetrySafety == settings.RetrySafe,
 		arrivedAt: s.now, deadline: s.now + timeout,
 	}
 	s.recorder.arrived()
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -39,12 +39,12 @@
 	return raw
 }
 
-// engineSettings are the same in the project's own names.
+// engineSettings are the same by the keys of package settings.
 func engineSettings(cfg Config, node int) map[string]string {
 	set, err := settings.FromJSON(platformSettings(cfg, node))
 	if err != nil {
 		panic(err) // it was written just now
 	}
-	set["node"] = strconv.Itoa(node)
+	set[settings.Node] = strconv.Itoa(node)
 	return set
 }
--- a/internal/operatorfile/deprecated.go
+++ b/internal/operatorfile/deprecated.go
@@ -6,6 +6,8 @@
 	"strings"
 
 	"github.com/BurntSushi/toml"
+
+	"cherrygap/internal/settings"
 )
 
 // Keys have had other names. Those are still read, into the structs below, each of which is embedded beside the standard
@@ -81,6 +83,9 @@
 	Bands  []TrafficClass `toml:"band"`
 }
 
+// earlierRetrySafetyKey is what the key of a class's retry safety was.
+const earlierRetrySafetyKey = "repeats"
+
 type deprecatedClass struct {
 	Repeats *string `toml:"repeats"`
 }
@@ -209,7 +214,7 @@
 	adoptList(a, prefix+".class", "band", &s.Bands, &s.Classes)
 	for i := range s.Classes {
 		c, key := &s.Classes[i], entryKey(prefix+".class", i)
-		adoptPointer(a, key+".retry_safety", "repeats", &c.Repeats, &c.RetrySafety)
+		adoptPointer(a, key+".retry_safety", earlierRetrySafetyKey, &c.Repeats, &c.RetrySafety)
 		if c.RetrySafety != nil {
 			*c.RetrySafety = a.retrySafety(key+".retry_safety", *c.RetrySafety)
 		}
@@ -229,28 +234,29 @@
 	adoptList(a, prefix+".class", "band", &t.Bands, &t.Classes)
 	for i := range t.Classes {
 		c, key := &t.Classes[i], entryKey(prefix+".class", i)+".retry_safety"
-		if c.Repeats != nil && a.earlier(key, a.sibling(key, "repeats"), c.RetrySafety != "") {
+		if c.Repeats != nil && a.earlier(key, a.sibling(key, earlierRetrySafetyKey), c.RetrySafety != "") {
 			c.RetrySafety = *c.Repeats
 		} else if _, earlier := a.written[prefix+".class"]; earlier && c.RetrySafety == "" {
-			a.written[key] = a.sibling(key, "repeats") // that it lacks
+			a.written[key] = a.sibling(key, earlierRetrySafetyKey) // that it lacks
 		}
 		c.Repeats = nil
 		c.RetrySafety = a.retrySafety(key, c.RetrySafety)
 	}
 }
 
-// retrySafety reads the word of a class, whose key is given, into the decision module's. Its own words, which the file used
-// to have, are still taken.
+// earlierRetrySafety are the words that files used to have for the retry safety of a class, and what they mean.
+var earlierRetrySafety = map[string]string{
+	"replayable": settings.RetrySafe, "referenced": settings.RetryKeyed, "single-use": settings.RetryUnsafe,
+}
+
+// retrySafety reads the word of a class, whose key is given. The earlier words are still taken.
 func (a *adopter) retrySafety(key, word string) string {
-	if meant, ok := retrySafetyWords[word]; ok {
-		return meant
-	}
-	for standard, meant := range retrySafetyWords {
-		if word == meant {
-			a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, standard))
-		}
+	meant, earlier := earlierRetrySafety[word]
+	if !earlier {
+		return word
 	}
-	return word
+	a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, meant))
+	return meant
 }
 
 // deprecatedWord notes what to write for a word, together with what was noted of its key.
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -1,5 +1,7 @@
 package operatorfile
 
+import "cherrygap/internal/settings"
+
 // File is the whole operator file. The zero value is not valid; start from Default.
 type File struct {
 	Log          Log              `toml:"log"`
@@ -109,7 +111,7 @@
 // TrafficClass is one kind of request in the load.
 type TrafficClass struct {
 	Name        string  `toml:"name"`         // the path's first part
-	RetrySafety string  `toml:"retry_safety"` // RetrySafe (GET) or RetryUnsafe (POST); in the file, safe or unsafe
+	RetrySafety string  `toml:"retry_safety"` // settings.RetrySafe (GET) or settings.RetryUnsafe (POST)
 	Share       float64 `toml:"share"`        // of arrivals; shares are normalised
 	BudgetMs    int     `toml:"budget_ms"`    // X-Budget-Ms: how long the client waits
 	Units       float64 `toml:"units"`        // X-Weight units
@@ -136,8 +138,8 @@
 				Target: "127.0.0.1:8080", Rate: 200, DurationS: 10, Customers: 50, Skew: 1.2,
 				BurstX: 1, RetryProbability: 0.5, Connections: 256, Plan: "team", Spread: 1,
 				Classes: []TrafficClass{
-					{Name: "seat-lookup", RetrySafety: RetrySafe, Share: 0.8, BudgetMs: 500, Units: 1},
-					{Name: "seat-purchase", RetrySafety: RetryUnsafe, Share: 0.2, BudgetMs: 1500, Units: 3},
+					{Name: "seat-lookup", RetrySafety: settings.RetrySafe, Share: 0.8, BudgetMs: 500, Units: 1},
+					{Name: "seat-purchase", RetrySafety: settings.RetryUnsafe, Share: 0.2, BudgetMs: 1500, Units: 3},
 				},
 			},
 		},
--- a/internal/operatorfile/pinned_test.go
+++ b/internal/operatorfile/pinned_test.go
@@ -43,7 +43,7 @@
 
 // describeSettings gives what a part of the file writes over settings that name two classes and a plan.
 func describeSettings(s *SettingsOverride) string {
-	set, err := s.Apply(map[string]string{"band.count": "2", "band.0.name": "seats", "band.1.name": "buy", "plan.count": "1", "plan.0.name": "team"})
+	set, err := s.Apply(map[string]string{"class.count": "2", "class.0.name": "seats", "class.1.name": "buy", "plan.count": "1", "plan.0.name": "team"})
 	if err != nil {
 		return "error " + err.Error()
 	}
@@ -58,7 +58,7 @@
 
 func TestPinnedDefaults(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"of the program", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3}"},
+		{"of the program", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3}"},
 		{"of its settings", describeSettings(&SettingsOverride{}), ""},
 	} {
 		pinned(t, c.name, c.got, c.want)
@@ -178,9 +178,9 @@
 		t.Fatal(errs)
 	}
 	for _, c := range []struct{ name, got, want string }{
-		{"file", describeFile(f), "log debug; watch true; duties true 4000 2048; quota \"10.2.0.6:6379\" 100; authz \"10.2.0.7:9191\" 32 [\"seats\" \"buy\"]; grpc \"10.0.0.4:9500\" 128; seed 9223372036854775807; emulator \"[::1]:9000\" 5 9 33 65 21 0.5 3 11 5 31 2001 false false \"faults.toml\"; load \"127.0.0.2:8081\" 201 11 51 1.3 5 1 2 0.6 257 \"pro\" 2 {\"a\" replayable 0.7 501 2} {\"b\" single-use 0.3 502 0}"},
-		{"settings", describeSettings(&f.Settings), "advice=true;advice.most=20000;band.1.contract=8000;band.1.group=cell;band.1.repeats=referenced;band.1.window=30000;cold.from=0.25;cold.span=15005;executions=3;fall.multiple=3;fall.span=20000;idle=300000;peers=false;peers.take=60.5;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25.5;plan.0.depth=40;plan.0.open=2;plan.0.rate=12.5;withdraw=true;"},
-		{"watched settings", describeSettings(&f.Shadow.Settings), "band.0.repeats=single-use;executions=2;plan.0.open=0;"},
+		{"file", describeFile(f), "log debug; watch true; duties true 4000 2048; quota \"10.2.0.6:6379\" 100; authz \"10.2.0.7:9191\" 32 [\"seats\" \"buy\"]; grpc \"10.0.0.4:9500\" 128; seed 9223372036854775807; emulator \"[::1]:9000\" 5 9 33 65 21 0.5 3 11 5 31 2001 false false \"faults.toml\"; load \"127.0.0.2:8081\" 201 11 51 1.3 5 1 2 0.6 257 \"pro\" 2 {\"a\" safe 0.7 501 2} {\"b\" unsafe 0.3 502 0}"},
+		{"settings", describeSettings(&f.Settings), "cancel_attempts=true;class.1.idempotency_group=cell;class.1.idempotency_window=30000;class.1.latency_objective=8000;class.1.retry_safety=keyed;idle_timeout=300000;max_attempts=3;max_retry_after=20000;overload_multiple=3;overload_span=20000;peer_messages_per_s=60.5;peers=false;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25.5;plan.0.max_in_flight=2;plan.0.rate=12.5;retry_after=true;slow_start_share=0.25;slow_start_span=15005;"},
+		{"watched settings", describeSettings(&f.Shadow.Settings), "class.0.retry_safety=unsafe;max_attempts=2;plan.0.max_in_flight=0;"},
 	} {
 		pinned(t, c.name, c.got, c.want)
 	}
@@ -188,14 +188,14 @@
 
 func TestPinnedForms(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"dotted keys", "duties.on = true\nquota = {store = \"1.2.3.4:5\", calls = 7}\nlab.load.band = [{name = \"x\", repeats = \"replayable\", share = 1, budget_ms = 5}]\n", "log info; watch false; duties true 5000 4096; quota \"1.2.3.4:5\" 7; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"x\" replayable 1 5 0} |  | "},
-		{"names in other letters", "[DUTIES]\nON = true\nCheck_Ms = 4000\n[Lab.Load]\nRATE = 5\n", "log info; watch false; duties true 4000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 5 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | "},
-		{"a band replaces all", "[[lab.load.band]]\nname = \"only\"\nrepeats = \"replayable\"\nshare = 1.0\nbudget_ms = 100\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"only\" replayable 1 100 0} |  | "},
-		{"integers for floats", "[quota]\ncalls = 5\n[lab.load]\nrate = 7\n", "log info; watch false; duties false 5000 4096; quota \"\" 5; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 7 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | "},
-		{"empty tables", "[settings]\n[watch]\n[watch.settings]\n[duties]\n[quota]\n[authz]\n[grpc]\n[lab]\n[lab.emulator]\n[lab.load]\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | "},
-		{"empty list", "[authz]\npass_open = []\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | "},
-		{"watched, not on", "[watch.settings]\nexecutions = 2\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | executions=2;"},
-		{"seed below 0", "[lab]\nseed = -1\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 18446744073709551615; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" replayable 0.8 500 1} {\"seat-purchase\" single-use 0.2 1500 3} |  | "},
+		{"dotted keys", "duties.on = true\nquota = {store = \"1.2.3.4:5\", calls = 7}\nlab.load.band = [{name = \"x\", repeats = \"replayable\", share = 1, budget_ms = 5}]\n", "log info; watch false; duties true 5000 4096; quota \"1.2.3.4:5\" 7; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"x\" safe 1 5 0} |  | "},
+		{"names in other letters", "[DUTIES]\nON = true\nCheck_Ms = 4000\n[Lab.Load]\nRATE = 5\n", "log info; watch false; duties true 4000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 5 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
+		{"a band replaces all", "[[lab.load.band]]\nname = \"only\"\nrepeats = \"replayable\"\nshare = 1.0\nbudget_ms = 100\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"only\" safe 1 100 0} |  | "},
+		{"integers for floats", "[quota]\ncalls = 5\n[lab.load]\nrate = 7\n", "log info; watch false; duties false 5000 4096; quota \"\" 5; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 7 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
+		{"empty tables", "[settings]\n[watch]\n[watch.settings]\n[duties]\n[quota]\n[authz]\n[grpc]\n[lab]\n[lab.emulator]\n[lab.load]\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
+		{"empty list", "[authz]\npass_open = []\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
+		{"watched, not on", "[watch.settings]\nexecutions = 2\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | max_attempts=2;"},
+		{"seed below 0", "[lab]\nseed = -1\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 18446744073709551615; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
 	} {
 		f, errs := Parse(c.text)
 		if len(errs) > 0 {
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"cherrygap/internal/settings"
 )
 
 // SettingsOverride holds settings that the decision module reads, over what the platform's JSON says. A key that is not
@@ -31,7 +33,7 @@
 // ClassOverride is one request class, by the platform's name of it.
 type ClassOverride struct {
 	Name               string   `toml:"name"`
-	RetrySafety        *string  `toml:"retry_safety"`         // RetrySafe, RetryKeyed or RetryUnsafe; in the file, safe, keyed or unsafe
+	RetrySafety        *string  `toml:"retry_safety"`         // settings.RetrySafe, RetryKeyed or RetryUnsafe
 	Group              *string  `toml:"group"`                // keyed: which servers drop a repeat, all, zone or cell
 	WindowMs           *float64 `toml:"window_ms"`            // keyed: for how long after the first attempt, ms
 	LatencyObjectiveMs *float64 `toml:"latency_objective_ms"` // a response within it earns the whole priority weight, ms
@@ -51,23 +53,13 @@
 	deprecatedPlanOverride
 }
 
-// What a class says of its requests' retries, in the decision module's words.
-const (
-	RetrySafe   = "replayable" // safe to repeat
-	RetryKeyed  = "referenced" // repeats with the same idempotency key are dropped
-	RetryUnsafe = "single-use" // must not run twice
-)
-
-// retrySafetyWords are the words that the file has for them.
-var retrySafetyWords = map[string]string{"safe": RetrySafe, "keyed": RetryKeyed, "unsafe": RetryUnsafe}
-
 // tenthsPerMs is how many of the decision module's units of time a millisecond has.
 const tenthsPerMs = 10
 
 // entry is one setting that is given.
 type entry struct {
 	key   string // below [settings]
-	name  string // in the decision module's settings
+	name  string // the key in the decision module's settings
 	value string // there
 
 	words           []string // that the value may be; nil for a number
@@ -106,53 +98,58 @@
 	}
 }
 
-// entries lists what is given, whatever the numbers of classes and plans; indexOf finds those by list and name.
-func (s *SettingsOverride) entries(indexOf func(list, name string) int) []entry {
+// entries lists what is given, whatever the numbers of classes and plans; classIndex and planIndex find those by name.
+func (s *SettingsOverride) entries(classIndex, planIndex func(name string) int) []entry {
 	var l entryList
-	l.count("max_attempts", "executions", s.MaxAttempts, 1, 100)
-	l.flag("cancel_attempts", "withdraw", s.CancelAttempts)
-	l.flag("peers", "peers", s.Peers)
-	l.number("peer_messages_per_s", "peers.take", s.PeerMessagesPerS, 1, 0, 1e6)
-	l.flag("retry_after", "advice", s.RetryAfter)
-	l.number("max_retry_after_ms", "advice.most", s.MaxRetryAfterMs, tenthsPerMs, 0, hourMs)
-	l.number("idle_ms", "idle", s.IdleMs, tenthsPerMs, 0, hourMs)
-	l.number("slow_start_from", "cold.from", s.SlowStartFrom, 1, 0.001, 1)
-	l.number("slow_start_ms", "cold.span", s.SlowStartMs, tenthsPerMs, 0, hourMs)
-	l.number("overload_multiple", "fall.multiple", s.OverloadMultiple, 1, 0.1, 1000)
-	l.number("overload_ms", "fall.span", s.OverloadMs, tenthsPerMs, 1, hourMs)
+	l.count("max_attempts", settings.MaxAttempts, s.MaxAttempts, 1, 100)
+	l.flag("cancel_attempts", settings.CancelAttempts, s.CancelAttempts)
+	l.flag("peers", settings.Peers, s.Peers)
+	l.number("peer_messages_per_s", settings.PeerRate, s.PeerMessagesPerS, 1, 0, 1e6)
+	l.flag("retry_after", settings.RetryAfter, s.RetryAfter)
+	l.number("max_retry_after_ms", settings.MaxRetryAfter, s.MaxRetryAfterMs, tenthsPerMs, 0, hourMs)
+	l.number("idle_ms", settings.IdleTimeout, s.IdleMs, tenthsPerMs, 0, hourMs)
+	l.number("slow_start_from", settings.SlowStartShare, s.SlowStartFrom, 1, 0.001, 1)
+	l.number("slow_start_ms", settings.SlowStartSpan, s.SlowStartMs, tenthsPerMs, 0, hourMs)
+	l.number("overload_multiple", settings.OverloadMultiple, s.OverloadMultiple, 1, 0.1, 1000)
+	l.number("overload_ms", settings.OverloadSpan, s.OverloadMs, tenthsPerMs, 1, hourMs)
 	for i, c := range s.Classes {
-		c.entries(&l, fmt.Sprintf("class.%d.", i), fmt.Sprintf("%s.%d.", classList, indexOf(classList, c.Name)))
+		c.entries(&l, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
 	}
 	for i, p := range s.Plans {
-		p.entries(&l, fmt.Sprintf("plan.%d.", i), fmt.Sprintf("%s.%d.", planList, indexOf(planList, p.Name)))
+		p.entries(&l, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
 	}
 	return l
 }
 
-// The decision module's names of the lists.
-const (
-	classList = "band"
-	planList  = "plan"
-)
-
-func (c *ClassOverride) entries(l *entryList, key, name string) {
-	l.word(key+"retry_safety", name+"repeats", c.RetrySafety, RetrySafe, RetryKeyed, RetryUnsafe)
-	l.word(key+"group", name+"group", c.Group, "all", "zone", "cell")
-	l.number(key+"window_ms", name+"window", c.WindowMs, tenthsPerMs, 0, hourMs)
-	l.number(key+"latency_objective_ms", name+"contract", c.LatencyObjectiveMs, tenthsPerMs, 1, hourMs)
+// entries adds what is given of the class with that number; its keys in the file begin with prefix.
+func (c *ClassOverride) entries(l *entryList, prefix string, class int) {
+	name := func(field settings.ClassField) string { return settings.ClassKey(class, field) }
+	l.word(prefix+"retry_safety", name(settings.ClassRetrySafety), c.RetrySafety,
+		settings.RetrySafe, settings.RetryKeyed, settings.RetryUnsafe)
+	l.word(prefix+"group", name(settings.ClassIdempotencyGroup), c.Group, settings.GroupAll, settings.GroupZone, settings.GroupCell)
+	l.number(prefix+"window_ms", name(settings.ClassIdempotencyWindow), c.WindowMs, tenthsPerMs, 0, hourMs)
+	l.number(prefix+"latency_objective_ms", name(settings.ClassLatencyObjective), c.LatencyObjectiveMs, tenthsPerMs, 1, hourMs)
 }
 
-func (p *PlanOverride) entries(l *entryList, key, name string) {
-	l.number(key+"rate", name+"rate", p.Rate, 1, 0, maxUnits)
-	l.number(key+"burst", name+"depth", p.Burst, 1, 0, maxUnits)
-	l.count(key+"max_in_flight", name+"open", p.MaxInFlight, 0, maxAtOnce)
-	l.number(key+"ceiling_rate", name+"ceiling.rate", p.CeilingRate, 1, 0, maxUnits)
-	l.number(key+"ceiling_burst", name+"ceiling.depth", p.CeilingBurst, 1, 0, maxUnits)
+// entries adds what is given of the plan with that number; its keys in the file begin with prefix.
+func (p *PlanOverride) entries(l *entryList, prefix string, plan int) {
+	name := func(field settings.PlanField) string { return settings.PlanKey(plan, field) }
+	l.number(prefix+"rate", name(settings.PlanRate), p.Rate, 1, 0, maxUnits)
+	l.number(prefix+"burst", name(settings.PlanBurst), p.Burst, 1, 0, maxUnits)
+	l.count(prefix+"max_in_flight", name(settings.PlanMaxInFlight), p.MaxInFlight, 0, maxAtOnce)
+	l.number(prefix+"ceiling_rate", name(settings.PlanCeilingRate), p.CeilingRate, 1, 0, maxUnits)
+	l.number(prefix+"ceiling_burst", name(settings.PlanCeilingBurst), p.CeilingBurst, 1, 0, maxUnits)
 }
 
+// What UnknownNameError calls the lists. The word for a class is that of earlier releases, which scripts may look for.
+const (
+	classLabel = "band"
+	planLabel  = "plan"
+)
+
 // UnknownNameError is a class or plan that the platform's settings do not name.
 type UnknownNameError struct {
-	List  string   // that it should be in, by the decision module's name
+	List  string   // that it should be in
 	Name  string   // that was given
 	Known []string // that would do
 }
@@ -170,15 +167,18 @@
 		out = map[string]string{}
 	}
 	var unknown error
-	indexOf := func(list, name string) int {
-		known := listNames(set, list)
-		i := slices.Index(known, name)
-		if i < 0 && unknown == nil {
-			unknown = &UnknownNameError{List: list, Name: name, Known: known}
+	indexIn := func(label string, known []string) func(string) int {
+		return func(name string) int {
+			i := slices.Index(known, name)
+			if i < 0 && unknown == nil {
+				unknown = &UnknownNameError{List: label, Name: name, Known: known}
+			}
+			return i
 		}
-		return i
 	}
-	for _, e := range s.entries(indexOf) {
+	classIndex := indexIn(classLabel, settings.ClassNames(set))
+	planIndex := indexIn(planLabel, settings.PlanNames(set))
+	for _, e := range s.entries(classIndex, planIndex) {
 		out[e.name] = e.value
 	}
 	if unknown != nil {
@@ -186,13 +186,3 @@
 	}
 	return out, nil
 }
-
-// listNames are the names of a list's entries, by their numbers.
-func listNames(set map[string]string, list string) []string {
-	count, _ := strconv.Atoi(set[list+".count"]) // no count, or none that can be read, is no entry
-	var names []string
-	for i := range count {
-		names = append(names, set[fmt.Sprintf("%s.%d.name", list, i)])
-	}
-	return names
-}
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -5,12 +5,16 @@
 	"maps"
 	"strings"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 var platform = map[string]string{
-	"band.count": "2", "band.0.name": "next-leg", "band.1.name": "stop-update",
-	"band.1.repeats": "single-use", "plan.count": "1", "plan.0.name": "pro", "plan.0.rate": "12", "executions": "4",
-	"peers": "true",
+	settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "next-leg",
+	settings.ClassKey(1, settings.ClassName):        "stop-update",
+	settings.ClassKey(1, settings.ClassRetrySafety): settings.RetryUnsafe, settings.PlanCount: "1",
+	settings.PlanKey(0, settings.PlanName): "pro", settings.PlanKey(0, settings.PlanRate): "12",
+	settings.MaxAttempts: "4", settings.Peers: settings.On,
 }
 
 // Nothing given leaves the platform's settings as they are; what is given is written in the module's units.
@@ -27,13 +31,17 @@
 	}
 	want := maps.Clone(platform)
 	maps.Copy(want, map[string]string{
-		"executions": "3", "peers": "false", "cold.span": "15005", "band.1.repeats": "referenced",
-		"band.1.group": "cell", "band.1.window": "30000", "plan.0.open": "2", "plan.0.ceiling.rate": "25.5",
+		settings.MaxAttempts: "3", settings.Peers: "false", settings.SlowStartSpan: "15005",
+		settings.ClassKey(1, settings.ClassRetrySafety):       settings.RetryKeyed,
+		settings.ClassKey(1, settings.ClassIdempotencyGroup):  settings.GroupCell,
+		settings.ClassKey(1, settings.ClassIdempotencyWindow): "30000",
+		settings.PlanKey(0, settings.PlanMaxInFlight):         "2",
+		settings.PlanKey(0, settings.PlanCeilingRate):         "25.5",
 	})
 	if set, err := f.Settings.Apply(platform); err != nil || !maps.Equal(set, want) || !f.Shadow.Enabled {
 		t.Errorf("%v, want %v: %v", set, want, err)
 	}
-	if platform["executions"] != "4" {
+	if platform[settings.MaxAttempts] != "4" {
 		t.Error("the platform's own settings were written to")
 	}
 }
--- a/internal/operatorfile/validate.go
+++ b/internal/operatorfile/validate.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"cherrygap/internal/settings"
 )
 
 // Ranges that several keys share.
@@ -62,17 +64,17 @@
 	}
 }
 
-// fileWords are the words that the file has for the decision module's of retry safety, which it had for its own under the
-// key's earlier name; other words are the same in both.
+// fileWords are the words that the file has for those of retry safety: the earlier ones under the earlier key. Other words
+// are the same under any key.
 func (v *validator) fileWords(key string, words []string) []string {
-	if lastPart(v.written.of(key)) != "retry_safety" {
+	if lastPart(v.written.of(key)) != earlierRetrySafetyKey {
 		return words
 	}
 	out := slices.Clone(words)
 	for i, word := range words {
-		for standard, meant := range retrySafetyWords {
+		for earlier, meant := range earlierRetrySafety {
 			if word == meant {
-				out[i] = standard
+				out[i] = earlier
 			}
 		}
 	}
@@ -97,7 +99,8 @@
 
 // settings looks at each value that is given, whatever the platform's names are.
 func (v *validator) settings(prefix string, s *SettingsOverride) {
-	for _, e := range s.entries(func(string, string) int { return 0 }) {
+	first := func(string) int { return 0 } // the keys are not looked at
+	for _, e := range s.entries(first, first) {
 		if e.words != nil {
 			v.oneOf(prefix+"."+e.key, e.value, e.words...)
 		} else {
@@ -174,8 +177,8 @@
 		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#") {
 			v.add(prefix+"name", "%q is no path part", c.Name)
 		}
-		if c.RetrySafety != RetrySafe && c.RetrySafety != RetryUnsafe {
-			words := v.fileWords(prefix+"retry_safety", []string{c.RetrySafety, RetrySafe, RetryUnsafe})
+		if c.RetrySafety != settings.RetrySafe && c.RetrySafety != settings.RetryUnsafe {
+			words := v.fileWords(prefix+"retry_safety", []string{c.RetrySafety, settings.RetrySafe, settings.RetryUnsafe})
 			v.add(prefix+"retry_safety", "%q is neither %s nor %s", words[0], words[1], words[2])
 		}
 		v.within(prefix+"share", c.Share, 0, 1e6)
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -17,6 +17,7 @@
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 	"cherrygap/internal/transport"
 )
 
@@ -79,9 +80,13 @@
 	router := routing.New(routing.Config{
 		Seed: uint64(id),
 		Settings: map[string]string{
-			"band.count": "1", "band.0.name": "buy", "band.0.contract": "8000", "band.0.repeats": "single-use",
-			"plan.count": "1", "plan.0.name": "team", "plan.0.rate": fmt.Sprint(teamRate), "plan.0.depth": "200",
-			"nodes": fmt.Sprint(fleetNodes), "node": fmt.Sprint(id), "tick": "20", "executions": "3",
+			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "buy",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "8000",
+			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
+			settings.PlanKey(0, settings.PlanName):  "team",
+			settings.PlanKey(0, settings.PlanRate):  fmt.Sprint(teamRate),
+			settings.PlanKey(0, settings.PlanBurst): "200", settings.Nodes: fmt.Sprint(fleetNodes),
+			settings.Node: fmt.Sprint(id), settings.Tick: "20", settings.MaxAttempts: "3",
 		},
 		Quota:         quotas,
 		SetTimer:      timer.Set,
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cherrygap/internal/decision"
+	"cherrygap/internal/settings"
 )
 
 // carryOut has the Router carry out a decision.
@@ -17,7 +18,7 @@
 
 // Decisions on a request reach whoever waits for it; durations come out in the engine's unit.
 func TestDecisionsOnRequests(t *testing.T) {
-	r, _, _ := startRouter(t, "replayable", 1)
+	r, _, _ := startRouter(t, settings.RetrySafe, 1)
 	server := r.Servers()[0]
 	for _, c := range []struct {
 		name     string
@@ -62,7 +63,7 @@
 	var timer time.Duration
 	polls := 0
 	r := newRouter(t, Config{
-		Settings:      settingsOf("replayable"),
+		Settings:      settingsOf(settings.RetrySafe),
 		SetTimer:      func(after time.Duration) { timer = after },
 		PollEndpoints: func() { polls++ },
 	})
@@ -84,7 +85,7 @@
 // What the engine decides on a request that is closed must not meet the next one in its slot.
 func TestDecisionsOnClosedRequestsAreDropped(t *testing.T) {
 	for _, action := range []decision.Action{decision.Forward, decision.Reject, decision.Fail, decision.CancelAttempt} {
-		r, req, canceller := startRouter(t, "replayable", 1)
+		r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 		closed := req.number
 		req.number = req.number.next()
 		carryOut(r, decision.Decision{Action: action, Request: decision.RequestID(closed), Attempt: req.attempt})
@@ -96,7 +97,7 @@
 
 // Only the last attempt can be in flight, so only it is cancelled.
 func TestOnlyTheLastAttemptIsCancelled(t *testing.T) {
-	r, req, canceller := startRouter(t, "replayable", 1)
+	r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 	req.attempt = 2
 	for attempt := range 4 {
 		carryOut(r, decision.Decision{Action: decision.CancelAttempt, Request: decision.RequestID(req.number), Attempt: attempt})
@@ -108,7 +109,7 @@
 
 func TestUnknownActionPanics(t *testing.T) {
 	for _, action := range []decision.Action{0, decision.HealthCheck, 255} {
-		r, _, _ := startRouter(t, "replayable", 1)
+		r, _, _ := startRouter(t, settings.RetrySafe, 1)
 		func() {
 			defer func() {
 				if recover() == nil {
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 func TestNothingStartsAtServersThatDrain(t *testing.T) {
-	r, req, _ := startRouter(t, "replayable", 1)
+	r, req, _ := startRouter(t, settings.RetrySafe, 1)
 	req.Start(&seatRequest, 2*time.Second)
 	d := req.Next()
 	r.UpdateEndpoints(listOf(1, protocol.Terminating), false)
@@ -74,7 +75,7 @@
 
 // Only servers in service are given out, but any that is listed counts as known.
 func TestServersInService(t *testing.T) {
-	r, _, _ := startRouter(t, "replayable", 0)
+	r, _, _ := startRouter(t, settings.RetrySafe, 0)
 	if r.HasServers() {
 		t.Error("has servers without a list")
 	}
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // cancelRecorder is a Canceller that records which attempts were cancelled.
@@ -25,9 +26,11 @@
 // settingsOf are the settings of one node with one plan and one class, whose requests repeat as named.
 func settingsOf(repeats string) map[string]string {
 	return map[string]string{
-		"band.count": "1", "band.0.name": "seats", "band.0.contract": "5000", "band.0.repeats": repeats,
-		"plan.count": "1", "plan.0.name": "team",
-		"nodes": "1", "tick": "20", "executions": "3", "withdraw": "true",
+		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "5000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      repeats, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
+		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On,
 	}
 }
 
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -7,6 +7,7 @@
 
 	"cherrygap/internal/decision"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // TestServerNumbers pins the number that a server gets from its uid: FNV-1a of 32 bits, and the next free number
@@ -45,7 +46,7 @@
 				list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: s.uid, Addr: addr, Weight: 1})
 				at[addr] = s
 			}
-			r, _, _ := startRouter(t, "replayable", 0)
+			r, _, _ := startRouter(t, settings.RetrySafe, 0)
 			for range 2 { // again with the same list
 				r.UpdateEndpoints(list, false)
 				for _, s := range r.Servers() {
@@ -176,7 +177,7 @@
 		timeout time.Duration
 		want    Action
 	}{{99 * time.Microsecond, Reject}, {2 * time.Second, Forward}} {
-		_, req, _ := startRouter(t, "replayable", 2)
+		_, req, _ := startRouter(t, settings.RetrySafe, 2)
 		req.Start(&seatRequest, c.timeout)
 		got := req.Next()
 		if got.Action != c.want || got.Timeout%tick != 0 || got.RetryAfter%tick != 0 {
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -10,12 +10,13 @@
 
 	"cherrygap/internal/decision"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // While a message to peers can't be sent, requests go on: whoever waits for the peers' socket holds no lock.
 func TestBlockedMessagesHoldUpNoRequest(t *testing.T) {
-	set := settingsOf("replayable")
-	set["nodes"], set["peers"], set["peers.take"] = "3", "true", "40"
+	set := settingsOf(settings.RetrySafe)
+	set[settings.Nodes], set[settings.Peers], set[settings.PeerRate] = "3", settings.On, "40"
 	now := time.Unix(1000, 0)
 	unblock, sent := make(chan struct{}), atomic.Int64{}
 	r := newRouter(t, Config{
@@ -62,8 +63,9 @@
 // While a message to peers can't be sent, the call to poll discovery again passes it: a change is to be notified within
 // its term.
 func TestBlockedMessagesHoldUpNoPoll(t *testing.T) {
-	set := settingsOf("replayable")
-	set["nodes"], set["peers"], set["peers.take"], set["roster"], set["ask.within"] = "3", "true", "40", "ask", "100000"
+	set := settingsOf(settings.RetrySafe)
+	set[settings.Nodes], set[settings.Peers], set[settings.PeerRate] = "3", settings.On, "40"
+	set[settings.EndpointList], set[settings.PollWithin] = settings.EndpointListPoll, "100000"
 	now := time.Unix(1000, 0)
 	unblock, sent, polls := make(chan struct{}), atomic.Int64{}, make(chan struct{}, 99)
 	r := newRouter(t, Config{
@@ -105,7 +107,7 @@
 		r.mu.Unlock()
 	}
 	r = newRouter(t, Config{
-		Settings: settingsOf("replayable"),
+		Settings: settingsOf(settings.RetrySafe),
 		SendToPeer: func(peer int, payload []byte) {
 			unlocked()
 			delivered = append(delivered, fmt.Sprintf("%d %s", peer, payload))
@@ -147,7 +149,7 @@
 	var r *Router
 	var delivered []int
 	r = newRouter(t, Config{
-		Settings: settingsOf("replayable"),
+		Settings: settingsOf(settings.RetrySafe),
 		SendToPeer: func(peer int, _ []byte) {
 			if delivered = append(delivered, peer); len(delivered) > 1 {
 				return
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -6,10 +6,11 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 func TestRequestGoesThroughItsAttempts(t *testing.T) {
-	r, req, _ := startRouter(t, "replayable", 3)
+	r, req, _ := startRouter(t, settings.RetrySafe, 3)
 	for range 50 {
 		req.Start(&seatRequest, 2*time.Second)
 		d := req.Next()
@@ -40,7 +41,7 @@
 		protocol.Overloaded:        Reject,
 	} {
 		t.Run(outcome.String(), func(t *testing.T) {
-			_, req, _ := startRouter(t, "single-use", 2)
+			_, req, _ := startRouter(t, settings.RetryUnsafe, 2)
 			req.Start(&seatRequest, 2*time.Second)
 			d := req.Next()
 			for d.Action == Forward && d.Attempt < 3 {
@@ -55,7 +56,7 @@
 }
 
 func TestClientThatLeavesIsAbandoned(t *testing.T) {
-	_, req, canceller := startRouter(t, "replayable", 2)
+	_, req, canceller := startRouter(t, settings.RetrySafe, 2)
 	req.Start(&seatRequest, 2*time.Second)
 	req.Next()
 	req.ClientGone()
@@ -70,7 +71,7 @@
 
 // A client that leaves before its first attempt begins must not count as one in flight for ever.
 func TestClientThatLeavesAtOnceLeavesNothingInFlight(t *testing.T) {
-	_, req, _ := startRouter(t, "replayable", 2)
+	_, req, _ := startRouter(t, settings.RetrySafe, 2)
 	for range 200 {
 		req.Start(&seatRequest, 2*time.Second)
 		req.ClientGone()
@@ -85,7 +86,7 @@
 }
 
 func TestTryNextDoesNotWait(t *testing.T) {
-	_, req, _ := startRouter(t, "replayable", 2)
+	_, req, _ := startRouter(t, settings.RetrySafe, 2)
 	if d, ok := req.TryNext(); ok {
 		t.Errorf("decided on %+v before the start", d)
 	}
@@ -114,7 +115,7 @@
 func TestOnDecision(t *testing.T) {
 	var decided []*Request
 	r := newRouter(t, Config{
-		Settings:   settingsOf("replayable"),
+		Settings:   settingsOf(settings.RetrySafe),
 		OnDecision: func(req *Request) { decided = append(decided, req) },
 	})
 	r.UpdateEndpoints(listOf(2, protocol.InService), true)
@@ -140,7 +141,7 @@
 
 // Requests come and go on many connections at once, with results of all kinds; each gets one final decision.
 func TestManyRequestsAtOnce(t *testing.T) {
-	r, _, _ := startRouter(t, "replayable", 4)
+	r, _, _ := startRouter(t, settings.RetrySafe, 4)
 	var clients sync.WaitGroup
 	for client := range 16 {
 		clients.Add(1)
--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -1,11 +1,10 @@
 package routing
 
 import (
-	"strconv"
-
 	"cherrygap/internal/decision"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
+	"cherrygap/internal/settings"
 )
 
 // requestSettings is what the settings say of requests before the engine sees them. It does not change after New.
@@ -18,26 +17,25 @@
 
 func newRequestSettings(set decision.Settings) requestSettings {
 	s := requestSettings{
-		classes:  numbersByName(set, "band"),
-		plans:    numbersByName(set, "plan"),
-		nodes:    max(1, int(set.Number("nodes"))),
-		maxUnits: set.Number("largest"),
+		classes:  numbersByName(settings.ClassNames(set)),
+		plans:    numbersByName(settings.PlanNames(set)),
+		nodes:    max(1, int(set.Number(settings.Nodes))),
+		maxUnits: set.Number(settings.MaxUnits),
 	}
 	for plan := range len(s.plans) {
 		s.quotas = append(s.quotas, quota.Customer{
-			Rate:  set.Number(set.Key("plan", plan, "rate")),
-			Burst: set.Number(set.Key("plan", plan, "depth")),
+			Rate:  set.Number(settings.PlanKey(plan, settings.PlanRate)),
+			Burst: set.Number(settings.PlanKey(plan, settings.PlanBurst)),
 		})
 	}
 	return s
 }
 
-// numbersByName maps the names of a list's entries to their numbers.
-func numbersByName(set decision.Settings, list string) map[string]int {
+// numbersByName maps the names of a list's entries to their numbers; of a name given twice it is the last.
+func numbersByName(names []string) map[string]int {
 	numbers := map[string]int{}
-	count, _ := strconv.Atoi(set[list+".count"]) // one that can't be read is an empty list
-	for i := range count {
-		numbers[set[set.Key(list, i, "name")]] = i
+	for i, name := range names {
+		numbers[name] = i
 	}
 	return numbers
 }
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -6,6 +6,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
+	"cherrygap/internal/settings"
 )
 
 func TestKnowsClassAndPlan(t *testing.T) {
@@ -13,7 +14,7 @@
 		class, plan string
 		want        bool
 	}{{"seats", "team", true}, {"seats", "solo", false}, {"rows", "team", false}, {"", "", false}} {
-		r, _, _ := startRouter(t, "replayable", 0)
+		r, _, _ := startRouter(t, settings.RetrySafe, 0)
 		if got := r.KnowsClassAndPlan(&protocol.Request{Class: c.class, Plan: c.plan}); got != c.want {
 			t.Errorf("class %q and plan %q: %t", c.class, c.plan, got)
 		}
@@ -38,8 +39,8 @@
 		{"nodes missing are not two", "", "6", protocol.Request{Units: 1, Spread: 2}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			set := settingsOf("replayable")
-			set["nodes"], set["largest"] = c.nodes, c.largest
+			set := settingsOf(settings.RetrySafe)
+			set[settings.Nodes], set[settings.MaxUnits] = c.nodes, c.largest
 			if got := newRouter(t, Config{Settings: set}).WithinLimits(&c.request); got != c.want {
 				t.Errorf("%+v: %t", c.request, got)
 			}
@@ -57,8 +58,9 @@
 // Where quotas are leased the engine admits what the lease allows: no less for this node's part, no more for its own
 // bucket's burst, and retries of a request take nothing.
 func TestTheEngineDecidesByTheLease(t *testing.T) {
-	set := settingsOf("replayable")
-	set["nodes"], set["plan.0.rate"], set["plan.0.depth"] = "3", "100", "100"
+	set := settingsOf(settings.RetrySafe)
+	set[settings.Nodes] = "3"
+	set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = "100", "100"
 	lease := &leaseOf{left: 3}
 	r := newRouter(t, Config{Settings: set, Quota: lease})
 	r.UpdateEndpoints(listOf(3, protocol.InService), true)
@@ -88,8 +90,8 @@
 func TestPlansWithoutARateAreNotLeased(t *testing.T) {
 	for _, rate := range []string{"", "0", "-1", "NaN", "fast"} {
 		t.Run(rate, func(t *testing.T) {
-			set := settingsOf("replayable")
-			set["plan.0.rate"], set["plan.0.depth"] = rate, "100"
+			set := settingsOf(settings.RetrySafe)
+			set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = rate, "100"
 			s := newRequestSettings(set)
 			if tenant, ok := s.leased(0, &seatRequest); ok {
 				t.Errorf("leased: %+v", tenant)
--- a/internal/routing/scale_world_test.go
+++ b/internal/routing/scale_world_test.go
@@ -12,6 +12,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // fleetSize is the size of what is played.
@@ -53,36 +54,45 @@
 	objective, deadline int
 	share               float64
 }{
-	{"read", "replayable", 5000, 10000, 0.7},
-	{"lookup", "referenced", 6000, 12000, 0.2},
-	{"order", "single-use", 10000, 20000, 0.1},
+	{"read", settings.RetrySafe, 5000, 10000, 0.7},
+	{"lookup", settings.RetryKeyed, 6000, 12000, 0.2},
+	{"order", settings.RetryUnsafe, 10000, 20000, 0.1},
 }
 
 // fleetSettings are a whole fleet's, as the platform gives them (compare internal/lab/model's DefaultSettings and
 // deploy/sites).
 func fleetSettings(size fleetSize, node int) map[string]string {
 	set := map[string]string{
-		"node": strconv.Itoa(node), "nodes": strconv.Itoa(size.Nodes), "tick": "20", "roster": "push",
-		"executions": "3", "copies": "false", "withdraw": "true", "peers": "true", "peers.take": strconv.Itoa(peerMessagesPerSecond),
-		"advice": "true", "advice.most": "20000", "idle": "300000", "connect": "2500", "largest": "6",
-		"cold.from": "0.25", "cold.span": "100000", "fall.multiple": "3", "fall.span": "20000",
-		"band.count": strconv.Itoa(len(classes)), "plan.count": "3",
+		settings.Node: strconv.Itoa(node), settings.Nodes: strconv.Itoa(size.Nodes), settings.Tick: "20",
+		settings.EndpointList: settings.EndpointListPush, settings.MaxAttempts: "3", settings.Hedging: "false",
+		settings.CancelAttempts: settings.On, settings.Peers: settings.On,
+		settings.PeerRate: strconv.Itoa(peerMessagesPerSecond), settings.RetryAfter: settings.On,
+		settings.MaxRetryAfter: "20000", settings.IdleTimeout: "300000", settings.ConnectTimeout: "2500",
+		settings.MaxUnits: "6", settings.SlowStartShare: "0.25", settings.SlowStartSpan: "100000",
+		settings.OverloadMultiple: "3", settings.OverloadSpan: "20000", settings.ClassCount: strconv.Itoa(len(classes)),
+		settings.PlanCount: "3",
 	}
 	for i, c := range classes {
-		prefix := "band." + strconv.Itoa(i) + "."
-		set[prefix+"name"], set[prefix+"repeats"], set[prefix+"group"], set[prefix+"gain"] = c.name, c.repeats, "all", "1"
-		set[prefix+"contract"], set[prefix+"outer"] = strconv.Itoa(c.objective), strconv.Itoa(c.deadline)
-		set[prefix+"window"] = "20000"
+		for field, value := range map[settings.ClassField]string{
+			settings.ClassName: c.name, settings.ClassRetrySafety: c.repeats, settings.ClassPriorityWeight: "1",
+			settings.ClassLatencyObjective: strconv.Itoa(c.objective), settings.ClassDeadline: strconv.Itoa(c.deadline),
+			settings.ClassIdempotencyGroup: settings.GroupAll, settings.ClassIdempotencyWindow: "20000",
+		} {
+			set[settings.ClassKey(i, field)] = value
+		}
 	}
 	factor := size.Rate / 85 // so that quotas bind alike at all rates
 	units := func(v float64) string { return strconv.FormatFloat(v*factor, 'f', 3, 64) }
-	for i, plan := range []map[string]string{
-		{"name": "team", "rate": units(100), "depth": units(200)},
-		{"name": "solo", "rate": units(20), "depth": units(40)},
-		{"name": "metered", "rate": units(50), "depth": units(80), "ceiling.rate": units(60), "ceiling.depth": units(120)},
+	for i, plan := range []map[settings.PlanField]string{
+		{settings.PlanName: "team", settings.PlanRate: units(100), settings.PlanBurst: units(200)},
+		{settings.PlanName: "solo", settings.PlanRate: units(20), settings.PlanBurst: units(40)},
+		{
+			settings.PlanName: "metered", settings.PlanRate: units(50), settings.PlanBurst: units(80),
+			settings.PlanCeilingRate: units(60), settings.PlanCeilingBurst: units(120),
+		},
 	} {
-		for key, value := range plan {
-			set["plan."+strconv.Itoa(i)+"."+key] = value
+		for field, value := range plan {
+			set[settings.PlanKey(i, field)] = value
 		}
 	}
 	return set
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // slowStartPlay is a fleet in virtual time: nodes that each run the engine, servers that count what reaches them. The
@@ -128,14 +129,18 @@
 	messagesPerSecond := []int{0, 40, 60, 100}[p.rng.IntN(4)]
 	ticksOf := func(d time.Duration) string { return strconv.Itoa(int(ticks(d))) }
 	return map[string]string{
-		"nodes": strconv.Itoa(nodes), "tick": "500", "roster": "push", "idle": "150000", "executions": "3",
-		"withdraw": strconv.FormatBool(p.rng.Float64() < 0.5), "advice": "true", "advice.most": "20000",
-		"cold.from": fmt.Sprint(p.startShare), "cold.span": ticksOf(p.slowStartSpan),
-		"fall.multiple": fmt.Sprint(p.multiple), "fall.span": ticksOf(p.span),
-		"band.count": "1", "band.0.name": "b", "band.0.repeats": "replayable", "band.0.contract": ticksOf(p.objective),
-		"band.0.window": "20000", "band.0.group": "all",
-		"plan.count": "1", "plan.0.name": "p",
-		"peers": strconv.FormatBool(messagesPerSecond > 0), "peers.take": strconv.Itoa(messagesPerSecond),
+		settings.Nodes: strconv.Itoa(nodes), settings.Tick: "500", settings.EndpointList: settings.EndpointListPush,
+		settings.IdleTimeout: "150000", settings.MaxAttempts: "3",
+		settings.CancelAttempts: strconv.FormatBool(p.rng.Float64() < 0.5), settings.RetryAfter: settings.On,
+		settings.MaxRetryAfter: "20000", settings.SlowStartShare: fmt.Sprint(p.startShare),
+		settings.SlowStartSpan: ticksOf(p.slowStartSpan), settings.OverloadMultiple: fmt.Sprint(p.multiple),
+		settings.OverloadSpan: ticksOf(p.span), settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "b",
+		settings.ClassKey(0, settings.ClassRetrySafety):       settings.RetrySafe,
+		settings.ClassKey(0, settings.ClassLatencyObjective):  ticksOf(p.objective),
+		settings.ClassKey(0, settings.ClassIdempotencyWindow): "20000",
+		settings.ClassKey(0, settings.ClassIdempotencyGroup):  settings.GroupAll, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanName): "p", settings.Peers: strconv.FormatBool(messagesPerSecond > 0),
+		settings.PeerRate: strconv.Itoa(messagesPerSecond),
 	}
 }
 
@@ -181,11 +186,11 @@
 // newNode starts a node, which has its endpoint list after a while.
 func (p *slowStartPlay) newNode(id int, listAfter time.Duration) *playNode {
 	n := &playNode{play: p, id: id, requests: map[*Request]*playRequest{}, knownStart: map[*playServer]time.Duration{}}
-	settings := maps.Clone(p.settings)
-	settings["node"] = strconv.Itoa(id)
+	set := maps.Clone(p.settings)
+	set[settings.Node] = strconv.Itoa(id)
 	n.router = New(Config{
 		Seed:          p.rng.Uint64(),
-		Settings:      settings,
+		Settings:      set,
 		Clock:         func() time.Time { return playEpoch.Add(p.clock) },
 		OnDecision:    func(req *Request) { n.ready = append(n.ready, req) },
 		SetTimer:      n.setTimer,
--- /dev/null
+++ b/internal/settings/earliernames_test.go
@@ -0,0 +1,159 @@
+package settings
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// earlierKeys are the keys that the settings had up to commit cf1acfb, for readers of older notes, and those of now. Those
+// of a class and a plan stand for any number.
+var earlierKeys = []struct{ earlier, key string }{
+	{"node", Node},
+	{"nodes", Nodes},
+	{"tick", Tick},
+	{"roster", EndpointList},
+	{"ask.within", PollWithin},
+	{"load.fields", LoadReportFields},
+	{"load.how", LoadReportChannel},
+	{"executions", MaxAttempts},
+	{"copies", Hedging},
+	{"withdraw", CancelAttempts},
+	{"probes", HealthChecks},
+	{"peers", Peers},
+	{"peers.take", PeerRate},
+	{"advice", RetryAfter},
+	{"advice.most", MaxRetryAfter},
+	{"tickets.most", MaxRequests},
+	{"idle", IdleTimeout},
+	{"connect", ConnectTimeout},
+	{"cold.span", SlowStartSpan},
+	{"cold.from", SlowStartShare},
+	{"fall.multiple", OverloadMultiple},
+	{"fall.span", OverloadSpan},
+	{"drain.grace", DrainGrace},
+	{"answer.slack", ResponseSlack},
+	{"settled", EstimatedUnits},
+	{"largest", MaxUnits},
+	{"band.count", ClassCount},
+	{"plan.count", PlanCount},
+	{"band", classList},
+	{"plan", planList},
+	{"band.0.name", ClassKey(0, ClassName)},
+	{"band.0.repeats", ClassKey(0, ClassRetrySafety)},
+	{"band.0.contract", ClassKey(0, ClassLatencyObjective)},
+	{"band.0.outer", ClassKey(0, ClassDeadline)},
+	{"band.0.group", ClassKey(0, ClassIdempotencyGroup)},
+	{"band.0.window", ClassKey(0, ClassIdempotencyWindow)},
+	{"band.0.gain", ClassKey(0, ClassPriorityWeight)},
+	{"band.0.late", ClassKey(0, ClassLateShare)},
+	{"band.0.stream", ClassKey(0, ClassStreaming)},
+	{"band.0.stretch", ClassKey(0, ClassObjectiveStretch)},
+	{"plan.0.name", PlanKey(0, PlanName)},
+	{"plan.0.depth", PlanKey(0, PlanBurst)},
+	{"plan.0.rate", PlanKey(0, PlanRate)},
+	{"plan.0.open", PlanKey(0, PlanMaxInFlight)},
+	{"plan.0.price", PlanKey(0, PlanPriorityFactor)},
+	{"plan.0.over.gain", PlanKey(0, PlanOverQuotaShare)},
+	{"plan.0.over.cost", PlanKey(0, PlanOverQuotaCost)},
+	{"plan.0.ceiling.rate", PlanKey(0, PlanCeilingRate)},
+	{"plan.0.ceiling.depth", PlanKey(0, PlanCeilingBurst)},
+	{"plan.0.ceiling.slack", PlanKey(0, PlanCeilingSlack)},
+}
+
+// earlierWords are the words that the settings had for values then, and those of now.
+var earlierWords = []struct{ earlier, word string }{
+	{"replayable", RetrySafe},
+	{"referenced", RetryKeyed},
+	{"single-use", RetryUnsafe},
+	{"ask", EndpointListPoll},
+	{"push", EndpointListPush},
+	{"open", LoadInFlight},
+	{"waiting", LoadQueued},
+	{"used", LoadUtilization},
+	{"latency", LoadLatency},
+	{"rate", LoadRate},
+	{"errors", LoadErrorRate},
+}
+
+// inEarlierNames gives settings, sorted, by the keys and words that they had.
+func inEarlierNames(t *testing.T, set map[string]string) string {
+	t.Helper()
+	entries := make([]string, 0, len(set))
+	for key, value := range set {
+		first := strings.Replace(key, ".1.", ".0.", 1)
+		i := slices.IndexFunc(earlierKeys, func(k struct{ earlier, key string }) bool { return k.key == first })
+		if i < 0 {
+			t.Fatalf("%s is not in the table", key)
+		}
+		earlier := earlierKeys[i].earlier
+		if first != key {
+			earlier = strings.Replace(earlier, ".0.", ".1.", 1)
+		}
+		words := strings.Split(value, ",")
+		for i, word := range words {
+			for _, w := range earlierWords {
+				if w.word == word {
+					words[i] = w.earlier
+				}
+			}
+		}
+		entries = append(entries, earlier+"="+strings.Join(words, ",")+";")
+	}
+	slices.Sort(entries)
+	return strings.Join(entries, "")
+}
+
+// Every setting is what it was at cf1acfb, under another name: these are the literal expectations of that commit.
+func TestEarlierNames(t *testing.T) {
+	fromJSON, err := FromJSON([]byte(fullJSON))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		set  map[string]string
+		want string
+	}{
+		"text": {FromText([]byte(fullText)), "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		"JSON": {fromJSON, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=single-use;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=push;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			want := strings.SplitAfter(strings.TrimSuffix(c.want, ";"), ";")
+			want[len(want)-1] += ";"
+			slices.Sort(want)
+			if got := inEarlierNames(t, c.set); got != strings.Join(want, "") {
+				t.Errorf("got  %s\nwant %s", got, strings.Join(want, ""))
+			}
+		})
+	}
+}
+
+// Each key has one earlier name, and the table has no key that nothing reads.
+func TestEarlierKeysAreOneToOne(t *testing.T) {
+	set := FromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
+	byEarlier, byKey := map[string]bool{}, map[string]bool{}
+	for _, k := range earlierKeys {
+		if _, ok := set[k.key]; !ok || byEarlier[k.earlier] || byKey[k.key] {
+			t.Errorf("%s is %s: read %v", k.earlier, k.key, ok)
+		}
+		byEarlier[k.earlier], byKey[k.key] = true, true
+	}
+	for key := range maps.Keys(set) {
+		if !byKey[strings.Replace(key, ".1.", ".0.", 1)] {
+			t.Errorf("%s is not in the table", key)
+		}
+	}
+}
+
+// The program's own keys, those of now and the earlier ones, are none of the platform's names; only the tick's is both.
+func TestOwnKeysAreNotTaken(t *testing.T) {
+	for _, k := range earlierKeys {
+		for _, key := range []string{k.earlier, k.key} {
+			if set := FromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
+				t.Errorf("%s gave %v", key, set)
+			}
+		}
+	}
+}
--- a/internal/settings/pinned_test.go
+++ b/internal/settings/pinned_test.go
@@ -8,7 +8,8 @@
 )
 
 // The tests of this file hold what is read from the platform's JSON and from the simulator's text to what commit cf1acfb
-// read: a name that is lost, or read otherwise, changes the decisions of a node without an error.
+// read: a name that is lost, or read otherwise, changes the decisions of a node without an error. The program's own
+// keys and words had other names then: earliernames_test.go.
 
 // pinned fails a case whose settings, in the order of their names, are not those written out.
 func pinned(t *testing.T, name string, set map[string]string, want string) {
@@ -92,22 +93,22 @@
 
 func TestPinnedText(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"full", fullText, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		{"full", fullText, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=keyed;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=poll;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
 		{"nothing", "", ""},
-		{"unknown names", "some.new.key=7\nbands=3\nservices.0.new=1\nlimits=4\nlimits.new=5\nband.0.name=x\nplan=1\n", ""},
-		{"own names are not taken", "node=1\nroster=ask\nband.count=3\nplan.count=2\nexecutions=9\n", ""},
-		{"no sign, sign first, two signs", "tick\n=4\nlimits.attempts_cap=3=4\n", "executions=3=4;"},
+		{"unknown names", "some.new.key=7\nclasses=3\nservices.0.new=1\nlimits=4\nlimits.new=5\nclass.0.name=x\nplan=1\n", ""},
+		{"own names are not taken", "node=1\nendpoint_list=poll\nclass.count=3\nplan.count=2\nmax_attempts=9\n", ""},
+		{"no sign, sign first, two signs", "tick\n=4\nlimits.attempts_cap=3=4\n", "max_attempts=3=4;"},
 		{"blanks", "  tick=4000  \r\nslot_no = 3\nreplicas_of_me= 4\n", "nodes= 4;tick=40;"},
 		{"given twice", "slot_no=1\nslot_no=2\n", "node=2;"},
-		{"empty values", "slot_no=\ntick=\nregistry_mode=\nfeedback.columns=\nservices.0.semantics=\n", "band.0.repeats=;load.fields=;node=;roster=;tick=;"},
-		{"unknown words", "registry_mode=other\nservices.0.semantics=sometimes\nfeedback.columns=rif,new,q\n", "band.0.repeats=;load.fields=open,,waiting;roster=;"},
-		{"words of the other list", "registry_mode=idempotent\nservices.0.semantics=subscribe\n", "band.0.repeats=ask;roster=replayable;"},
+		{"empty values", "slot_no=\ntick=\nregistry_mode=\nfeedback.columns=\nservices.0.semantics=\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=;node=;tick=;"},
+		{"unknown words", "registry_mode=other\nservices.0.semantics=sometimes\nfeedback.columns=rif,new,q\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=in_flight,,queued;"},
+		{"words of the other list", "registry_mode=idempotent\nservices.0.semantics=subscribe\n", "class.0.retry_safety=poll;endpoint_list=safe;"},
 		// What a float past an int64 becomes is the processor's: these two are amd64's.
-		{"no times", "tick=soon\nsafety.cold=NaN\nsafety.drain_grace=1e400\n", "cold.span=-92233720368547758;drain.grace=1e400;tick=soon;"},
-		{"time past 64 bits", "tick=1e300\nsafety.cold=Inf\n", "cold.span=-92233720368547758;tick=-92233720368547758;"},
-		{"odd times", "tick=4099.9\nsafety.cold=1e7\nsafety.tip_after=-250\nsafety.ask_within=0x10p4\nsafety.drain_grace=99\n", "ask.within=2;cold.span=100000;drain.grace=0;fall.span=-2;tick=40;"},
-		{"lists without a number", "services=3\nservices.count=2\nservices.x.slo=1000\nservices..slo=2000\nservices.0=1\ntiers_of_service.name=x\n", "band=3;band..contract=20;band.count=2;band.x.contract=10;"},
-		{"lists past their count", "services.count=1\nservices.7.slo=1000\n", "band.7.contract=10;band.count=1;"},
+		{"no times", "tick=soon\nsafety.cold=NaN\nsafety.drain_grace=1e400\n", "drain_grace=1e400;slow_start_span=-92233720368547758;tick=soon;"},
+		{"time past 64 bits", "tick=1e300\nsafety.cold=Inf\n", "slow_start_span=-92233720368547758;tick=-92233720368547758;"},
+		{"odd times", "tick=4099.9\nsafety.cold=1e7\nsafety.tip_after=-250\nsafety.ask_within=0x10p4\nsafety.drain_grace=99\n", "drain_grace=0;overload_span=-2;poll_within=2;slow_start_span=100000;tick=40;"},
+		{"lists without a number", "services=3\nservices.count=2\nservices.x.slo=1000\nservices..slo=2000\nservices.0=1\ntiers_of_service.name=x\n", "class=3;class..latency_objective=20;class.count=2;class.x.latency_objective=10;"},
+		{"lists past their count", "services.count=1\nservices.7.slo=1000\n", "class.7.latency_objective=10;class.count=1;"},
 		{"deep names", "services.0.slo.more=1\nlimits.peers.more=true\ntiers_of_service.0.depth.x=2\n", ""},
 		{"capitals", "TICK=4000\nLimits.Peers=true\n", ""},
 	} {
@@ -117,20 +118,20 @@
 
 func TestPinnedJSON(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"full", fullJSON, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=single-use;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=push;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		{"full", fullJSON, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=unsafe;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=push;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
 		{"nothing", `{}`, ""},
 		{"null", `null`, ""},
 		{"nulls inside", `{"tick":null,"services":null,"limits":{"peers":null},"slot_no":1}`, "node=1;"},
-		{"empty lists", `{"services":[],"tiers_of_service":[],"feedback":{"columns":[]}}`, "band=;load.fields=;plan=;"},
-		{"lists of words", `{"services":["a","b"],"slot_no":[1,2],"feedback":{"columns":["rif"]}}`, "band=a,b;load.fields=open;node=1,2;"},
-		{"lists of both", `{"services":["a",{"slo":1000},"b"],"tiers_of_service":[{"depth":1},"x"]}`, "band.1.contract=10;band.count=3;plan.0.depth=1;plan.count=2;"},
-		{"lists of nulls", `{"slot_no":[null,1],"services":[null,{"slo":1000}]}`, "band.1.contract=10;band.count=2;node=<nil>,1;"},
+		{"empty lists", `{"services":[],"tiers_of_service":[],"feedback":{"columns":[]}}`, "class=;load_report.fields=;plan=;"},
+		{"lists of words", `{"services":["a","b"],"slot_no":[1,2],"feedback":{"columns":["rif"]}}`, "class=a,b;load_report.fields=in_flight;node=1,2;"},
+		{"lists of both", `{"services":["a",{"slo":1000},"b"],"tiers_of_service":[{"depth":1},"x"]}`, "class.1.latency_objective=10;class.count=3;plan.0.burst=1;plan.count=2;"},
+		{"lists of nulls", `{"slot_no":[null,1],"services":[null,{"slo":1000}]}`, "class.1.latency_objective=10;class.count=2;node=<nil>,1;"},
 		{"lists in lists", `{"slot_no":[[1,2],3]}`, "node=[1 2],3;"},
 		{"objects for words", `{"slot_no":{"x":1},"registry_mode":{"y":2}}`, ""},
-		{"numbers as written", `{"slot_no":1.0,"replicas_of_me":1e2,"tick":4.0e3,"limits":{"max_open":12345678901234567890}}`, "node=1.0;nodes=1e2;tick=40;tickets.most=12345678901234567890;"},
+		{"numbers as written", `{"slot_no":1.0,"replicas_of_me":1e2,"tick":4.0e3,"limits":{"max_open":12345678901234567890}}`, "max_requests=12345678901234567890;node=1.0;nodes=1e2;tick=40;"},
 		{"numbers as strings", `{"slot_no":"1","tick":"4000","limits":{"peers":"true"}}`, "node=1;peers=true;tick=40;"},
-		{"names with dots", `{"limits.peers":true,"services.0.slo":1000,"services.count":4}`, "band.0.contract=10;band.count=4;peers=true;"},
-		{"unknown names", `{"some":{"new":{"key":7}},"services":[{"new":1}]}`, "band.count=1;"},
+		{"names with dots", `{"limits.peers":true,"services.0.slo":1000,"services.count":4}`, "class.0.latency_objective=10;class.count=4;peers=true;"},
+		{"unknown names", `{"some":{"new":{"key":7}},"services":[{"new":1}]}`, "class.count=1;"},
 		{"more after", `{"slot_no":1} trailing`, "node=1;"},
 	} {
 		set, err := FromJSON([]byte(c.text))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,21 +70,24 @@
 	}
 }
 
-// add adds one setting under the decision module's name, if it is known.
+// add adds one setting of the platform under its key here, if it is known.
 func add(set map[string]string, name, value string) {
-	prefix := ""
 	parts := strings.SplitN(name, ".", 3) // of a list: its name, the entry's number, the entry's setting
-	if list, ok := lists[parts[0]]; ok && len(parts) > 1 {
-		if name == parts[0]+".count" {
-			set[list+".count"] = value
-			return
+	list, ok := lists[parts[0]]
+	if !ok || len(parts) == 1 {
+		if known, ok := translations[name]; ok {
+			set[known.key] = known.value(value)
 		}
-		if len(parts) < 3 {
-			return
-		}
-		name, prefix = parts[0]+"."+parts[2], list+"."+parts[1]+"."
+		return
+	}
+	if name == parts[0]+countField {
+		set[list+countField] = value
+		return
+	}
+	if len(parts) < 3 {
+		return
 	}
-	if known, ok := translations[name]; ok {
-		set[prefix+known.name] = known.value(value)
+	if known, ok := translations[parts[0]+"."+parts[2]]; ok {
+		set[entryKey(list, parts[1], known.key)] = known.value(value)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,9 @@
 func TestFromText(t *testing.T) {
 	set := FromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
 	for name, want := range map[string]string{
-		"band.0.contract": "6000", "band.0.repeats": "replayable",
-		"plan.0.rate": "5", "tick": "40", "roster": "ask", "load.fields": "open,used", "band.count": "1",
+		ClassKey(0, ClassLatencyObjective): "6000", ClassKey(0, ClassRetrySafety): RetrySafe, ClassCount: "1",
+		PlanKey(0, PlanRate): "5", Tick: "40", EndpointList: EndpointListPoll,
+		LoadReportFields: LoadInFlight + "," + LoadUtilization,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if set[name] != want {
--- a/internal/transport/attempt_test.go
+++ b/internal/transport/attempt_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // A request whose response was cut off may have run: an unsafe one is neither retried nor rejected.
@@ -19,10 +20,12 @@
 		writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
 		return false
 	}
-	for repeats, want := range map[string]struct{ status, sent int }{"single-use": {502, 1}, "replayable": {503, 2}} {
+	for repeats, want := range map[string]struct{ status, sent int }{
+		settings.RetryUnsafe: {502, 1}, settings.RetrySafe: {503, 2},
+	} {
 		node := startNode(t, repeats, roomyLimits, 3, half)
 		status, _, _ := roundTrip(t, node.dial(t), requestText(3000, "x"))
-		if sent := int(node.counters.Attempts.Load()); status != want.status || sent > 3 || repeats == "single-use" && sent != 1 {
+		if sent := int(node.counters.Attempts.Load()); status != want.status || sent > 3 || repeats == settings.RetryUnsafe && sent != 1 {
 			t.Errorf("%s: status %d after %d attempts", repeats, status, sent)
 		}
 		if !node.log.closedFor(reasonServerReset) || node.counters.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
@@ -42,7 +45,7 @@
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 1<<20),
 		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15),
 	} {
-		node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+		node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
 			writeString(conn, text)
 			waitForClose(conn) // it stays open
 			return false
@@ -52,7 +55,7 @@
 			t.Errorf("%.40q: status %d, %d malformed", text, status, malformed)
 		}
 	}
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
 		writeString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n?")
 		return true
 	})
@@ -83,7 +86,7 @@
 			echo(conn, request)
 		}
 	})
-	node := startNode(t, "single-use", roomyLimits, 0, nil)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 0, nil)
 	node.listOnly(endpoint("s", listener))
 	for range 2 {
 		if status, body, _ := roundTrip(t, node.dial(t), requestText(3000, "body")); status != 200 || body != "body" {
@@ -101,7 +104,7 @@
 	listener := listen(t)
 	var accepted atomic.Int64
 	go serveConns(listener, func(net.Conn) { accepted.Add(1) })
-	node := startNode(t, "single-use", roomyLimits, 0, nil)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 0, nil)
 	node.listOnly(endpoint("s", listener))
 	status, _, _ := roundTrip(t, node.dial(t), requestText(3000, "x"))
 	if failed := node.counters.AttemptOutcomes[protocol.ConnectFailed].Load(); status != 503 || failed == 0 || accepted.Load() != maxNewConns*failed {
@@ -111,7 +114,7 @@
 
 func TestSilentServerTimesOut(t *testing.T) {
 	deadlines := make(chan string, 1)
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		deadlines <- request.Header.Get("X-Budget-Ms")
 		waitForClose(conn)
 		return false
--- a/internal/transport/clientconn_test.go
+++ b/internal/transport/clientconn_test.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 func TestRequestsAreAnsweredOnOneConnection(t *testing.T) {
-	node := startNode(t, "replayable", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, echo)
 	conn := node.dial(t)
 	for _, size := range []int{0, 1, 5000, 20000, protocol.MaxBody} {
 		body := strings.Repeat("x", size)
@@ -31,7 +32,7 @@
 }
 
 func TestMalformedInputGetsAStatusAndAClose(t *testing.T) {
-	node := startNode(t, "replayable", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, echo)
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
 		strings.Replace(requestText(100, ""), "seats", "stalls", 1):      404,
@@ -59,7 +60,7 @@
 // Clients are owed a response or a close within 3 s of connecting, also where a message never ends. One that has sent
 // a request may stay.
 func TestClientsThatNeverRequestAreClosedInTime(t *testing.T) {
-	node := startNode(t, "replayable", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, echo)
 	stays := node.dial(t)
 	roundTrip(t, stays, requestText(100, "x"))
 	startedAt := time.Now()
--- a/internal/transport/disconnect_test.go
+++ b/internal/transport/disconnect_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // A client that disconnects is noticed behind whatever it sent after its request, be it more than the buffer holds: its
@@ -19,7 +20,7 @@
 func TestDisconnectBehindFurtherBytesIsNoticed(t *testing.T) {
 	for _, more := range []string{"GET /", strings.Repeat("GET /seats ", 4<<10), requestText(900, "x")} {
 		received, closed := make(chan struct{}, 9), make(chan struct{}, 9)
-		node := startNode(t, "replayable", roomyLimits, 2, func(conn net.Conn, _ *http.Request) bool {
+		node := startNode(t, settings.RetrySafe, roomyLimits, 2, func(conn net.Conn, _ *http.Request) bool {
 			received <- struct{}{}
 			waitForClose(conn)
 			closed <- struct{}{}
@@ -45,7 +46,7 @@
 // connection's last, and comes whole.
 func TestBytesSentBehindARequest(t *testing.T) {
 	answer := make(chan struct{})
-	node := startNode(t, "replayable", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		<-answer
 		return echo(conn, request)
 	})
@@ -76,7 +77,7 @@
 // A request that lay unread until its client had gone, as while the node was paused, runs for nobody.
 func TestRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
 	var ran atomic.Int64
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		ran.Add(1)
 		return echo(conn, request)
 	})
@@ -101,7 +102,7 @@
 func TestDisconnectDuringADial(t *testing.T) {
 	limits := roomyLimits
 	limits.ConnectTimeout = 3 * time.Second
-	node := startNodeWith(t, map[string]string{"withdraw": "false"}, "replayable", limits, 0, nil)
+	node := startNodeWith(t, map[string]string{settings.CancelAttempts: "false"}, settings.RetrySafe, limits, 0, nil)
 	addr, empty := fullServer(t)
 	node.listOnly(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
 	conn := node.dial(t)
@@ -125,8 +126,10 @@
 // Clients that disconnect while their requests wait for the verdict of their customer's quota owner, a node that does not
 // answer: what would be admitted by the even share once that wait is over is not forwarded.
 func TestDisconnectWhileTheQuotaOwnerIsAsked(t *testing.T) {
-	wide := map[string]string{"nodes": "60", "node": "0", "peers": "true", "peers.take": "40"}
-	node := startNodeWith(t, wide, "replayable", roomyLimits, 4, echo)
+	wide := map[string]string{
+		settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
+	}
+	node := startNodeWith(t, wide, settings.RetrySafe, roomyLimits, 4, echo)
 	send := func(more string) net.Conn {
 		conn := node.dial(t)
 		writeString(conn, strings.Replace(requestText(4000, "x"), "spread=1", "spread=2", 1)+more)
@@ -154,7 +157,7 @@
 // A client that disconnects is noticed while its request waits, and the attempt's connection is closed.
 func TestDisconnectIsNoticed(t *testing.T) {
 	received, closed := make(chan struct{}, 1), make(chan struct{}, 1)
-	node := startNode(t, "replayable", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
 		received <- struct{}{}
 		waitForClose(conn)
 		closed <- struct{}{}
@@ -177,7 +180,7 @@
 // A client that disconnects before the Router knows of its request: nothing runs for nobody.
 func TestDisconnectBeforeTheRequestIsStarted(t *testing.T) {
 	var ran atomic.Int64
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		ran.Add(1)
 		return echo(conn, request)
 	})
--- a/internal/transport/disconnectrandom_test.go
+++ b/internal/transport/disconnectrandom_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // Clients disconnect at chance moments, by a close, a reset or an end of what they send, with bytes behind their request
@@ -25,10 +26,12 @@
 		{name: "many", seed: 30, most: 200, pool: roomyLimits},
 		{
 			name: "quota owner", seed: 31, most: 60, pool: roomyLimits,
-			settings: map[string]string{"nodes": "60", "node": "0", "peers": "true", "peers.take": "40"},
+			settings: map[string]string{
+				settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
+			},
 		},
 		{name: "few connections", seed: 32, most: 60, pool: few},
-		{name: "no cancelling", seed: 33, most: 60, pool: roomyLimits, settings: map[string]string{"withdraw": "false"}},
+		{name: "no cancelling", seed: 33, most: 60, pool: roomyLimits, settings: map[string]string{settings.CancelAttempts: "false"}},
 		{name: "one core", seed: 34, most: 100, pool: roomyLimits, oneCore: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,7 +85,7 @@
 
 func (r *randomDisconnects) run(t *testing.T) {
 	d := &disconnects{
-		randomDisconnects: r, node: startNodeWith(t, r.settings, "replayable", roomyLimits, 0, nil),
+		randomDisconnects: r, node: startNodeWith(t, r.settings, settings.RetrySafe, roomyLimits, 0, nil),
 		arrivals: &arrivalRecorder{arrivals: map[string][]arrival{}},
 		rand:     rand.New(rand.NewSource(r.seed)), at: map[string]time.Time{},
 	}
@@ -95,7 +98,7 @@
 	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
 	d.node.server.router.UpdateEndpoints(list, false)
 	within := 400 // ms; a quota owner is waited for longer
-	if r.settings["peers"] == "true" {
+	if r.settings[settings.Peers] == settings.On {
 		within = 1600
 	}
 	for range 3000 {
--- a/internal/transport/disconnectunread_test.go
+++ b/internal/transport/disconnectunread_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // A request that its app server's machine has not taken whole when the client disconnects, as while that server reads
@@ -36,7 +37,7 @@
 		}
 		whole <- err == nil
 	})
-	node := startNodeWith(t, map[string]string{"withdraw": cancelling}, "replayable", roomyLimits, 0, nil)
+	node := startNodeWith(t, map[string]string{settings.CancelAttempts: cancelling}, settings.RetrySafe, roomyLimits, 0, nil)
 	node.listOnly(endpoint("s", listener))
 	if !written {
 		node.openSmallConns(t)
--- a/internal/transport/discoveryrecovery_test.go
+++ b/internal/transport/discoveryrecovery_test.go
@@ -19,6 +19,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // The term: whatever happened to a call to discovery, a change counts as known so long after discovery had it and could be
@@ -136,9 +137,11 @@
 			}
 		},
 		Settings: map[string]string{
-			"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000",
-			"band.0.repeats": "single-use", "plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20",
-			"executions": "3", "roster": r.mode, "ask.within": "100000",
+			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
+			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
+			settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
+			settings.MaxAttempts: "3", settings.EndpointList: r.mode, settings.PollWithin: "100000",
 		},
 	})
 	for range r.failed {
@@ -171,7 +174,7 @@
 			}
 		},
 	}
-	if r.mode == "ask" {
+	if r.mode == settings.EndpointListPoll {
 		r.client.PollRequests = polls
 	}
 }
@@ -268,7 +271,7 @@
 	}
 	defer closeConn(d.listener)
 	endedAt := time.Now()
-	if r.mode == "ask" && (mostOpen > 1 || faulty > 2+int(lasted/time.Second)) {
+	if r.mode == settings.EndpointListPoll && (mostOpen > 1 || faulty > 2+int(lasted/time.Second)) {
 		return 0, fmt.Errorf("%d calls at once, %d in %v", mostOpen, faulty, lasted)
 	}
 	return r.await(endedAt)
@@ -312,21 +315,21 @@
 	}
 	if r.timed() {
 		for _, lasts := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 2100 * time.Millisecond, 3300 * time.Millisecond} {
-			add("ask", 0, lasts)
-			add("push", 0, lasts)
+			add(settings.EndpointListPoll, 0, lasts)
+			add(settings.EndpointListPush, 0, lasts)
 		}
 	} else {
-		add("ask", 1, 0)
-		add("ask", 1, time.Second)
-		add("ask", 2, 0)
-		add("push", 1, 0)
-		add("push", 12, 10*time.Millisecond)
+		add(settings.EndpointListPoll, 1, 0)
+		add(settings.EndpointListPoll, 1, time.Second)
+		add(settings.EndpointListPoll, 2, 0)
+		add(settings.EndpointListPush, 1, 0)
+		add(settings.EndpointListPush, 12, 10*time.Millisecond)
 		if seed > 0 { // beyond CI's time
-			add("ask", 4, 0)
+			add(settings.EndpointListPoll, 4, 0)
 		}
 	}
 	if !r.follows {
-		add("ask", 1, time.Duration(seed%4)*400*time.Millisecond)
+		add(settings.EndpointListPoll, 1, time.Duration(seed%4)*400*time.Millisecond)
 		all[len(all)-1].failed = 8
 	}
 	return all
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 // startDrain begins a drain and returns a channel that is closed at its end.
@@ -37,7 +39,7 @@
 // Connections that wait in the listener's queue when it is to close are accepted: closing a listener resets them, with the
 // request that they may have sent.
 func TestDrainAcceptsWhatIsQueued(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	node.server.mu.Lock() // acceptLoop is held here, with the first of them
 	var conns []net.Conn
 	for range 20 {
@@ -64,7 +66,7 @@
 // close, and only then is the connection closed.
 func TestDrainReadsWhatIsThereBeforeItCloses(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no reader runs between the write and the look
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	lost := 0
 	for range 20 {
 		idle := node.dial(t)
@@ -105,7 +107,7 @@
 // only come: each is answered with a close. One that says nothing holds up no end.
 func TestDrainWaitsForRequestsOnTheWay(t *testing.T) {
 	answer := make(chan struct{})
-	node := startNode(t, "single-use", limitsForEight(), 8, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, limitsForEight(), 8, func(conn net.Conn, request *http.Request) bool {
 		<-answer
 		return echo(conn, request)
 	})
@@ -149,7 +151,7 @@
 
 // One that comes as the listener closes has its time to send a request; one that never does holds up no end.
 func TestDrainGivesNewConnectionsTimeToSend(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	silent, sends := node.dial(t), node.dial(t)
 	eventually(t, "both", func() bool { return node.counters.Connections.Load() == 2 })
 	startedAt := time.Now()
@@ -169,7 +171,7 @@
 
 // A request at an app server that hangs ends within its deadline, and the drain with it.
 func TestDrainEndsWhereAppServersHang(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, _ *http.Request) bool {
 		waitForClose(conn)
 		return false
 	})
@@ -198,7 +200,7 @@
 // connection was accepted and sent a request gets its response. A kept one may be closed as a request crosses that, which
 // the client sends once more elsewhere.
 func TestDrainUnderLoadLosesNothing(t *testing.T) {
-	node := startNode(t, "replayable", roomyLimits, 4, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetrySafe, roomyLimits, 4, func(conn net.Conn, request *http.Request) bool {
 		time.Sleep(2 * time.Millisecond)
 		return echo(conn, request)
 	})
@@ -262,7 +264,7 @@
 
 func TestDrainAnswersAllOpenRequests(t *testing.T) {
 	received, answer := make(chan struct{}), make(chan struct{})
-	node := startNode(t, "replayable", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		close(received)
 		<-answer
 		return echo(conn, request)
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 // All of it together, by seed: app servers that answer twice, reset, hang, reject, send malformed responses, trickle and
@@ -45,7 +47,7 @@
 func faultsTogether(t *testing.T, seed int64) {
 	t.Helper()
 	m := &faultMix{t: t, rand: rand.New(rand.NewSource(seed)), runs: map[string]int{}}
-	m.node = startNode(t, "single-use", roomyLimits, 24, m.serve)
+	m.node = startNode(t, settings.RetryUnsafe, roomyLimits, 24, m.serve)
 	for range 50 {
 		m.clients.Add(1)
 		go func() {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -19,6 +19,7 @@
 
 	"cherrygap/internal/authz"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // The golden tests hold what goes over the sockets as a whole, byte for byte as written by commit cf1acfb: old and new
@@ -169,7 +170,7 @@
 func TestGoldenCompleted(t *testing.T) {
 	for name, test := range goldenRequests {
 		t.Run(name, func(t *testing.T) {
-			node, recorder := startNode(t, "replayable", roomyLimits, 0, nil), &attemptRecorder{}
+			node, recorder := startNode(t, settings.RetrySafe, roomyLimits, 0, nil), &attemptRecorder{}
 			recorder.add(t, node, 1, always(goldenAnswer))
 			if got := exchange(t, node, test.sent); got != test.answer {
 				t.Errorf("the client got\n%q, not\n%q", got, test.answer)
@@ -197,24 +198,24 @@
 		attempts             int // a fresh node retries nothing
 	}{
 		"rejected by every server": {
-			repeats: "single-use", app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+			repeats: settings.RetryUnsafe, app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"unsafe, answered with an error": {
-			repeats: "single-use", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			repeats: settings.RetryUnsafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
 		},
 		"safe, answered with errors": {
-			repeats: "replayable", app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			repeats: settings.RetrySafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"no server": {
-			repeats: "single-use",
+			repeats: settings.RetryUnsafe,
 			answer:  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			advice := map[string]string{"advice": "true", "advice.most": "10000"}
+			advice := map[string]string{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
 			node, recorder := startNodeWith(t, advice, test.repeats, roomyLimits, 0, nil), &attemptRecorder{}
 			if test.app != "" {
 				recorder.add(t, node, 3, always(test.app))
@@ -239,7 +240,7 @@
 // A retry has the bytes of the first attempt, but for its time.
 func TestGoldenRetry(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
-	node, recorder := startNode(t, "single-use", roomyLimits, 0, nil), &attemptRecorder{}
+	node, recorder := startNode(t, settings.RetryUnsafe, roomyLimits, 0, nil), &attemptRecorder{}
 	recorder.add(t, node, 3, func(id string) string {
 		if id == "golden-7" {
 			return "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -271,7 +272,7 @@
 // How malformed requests are answered; nothing of them is sent on.
 func TestGoldenMalformed(t *testing.T) {
 	change := func(old, now string) string { return strings.Replace(goldenRequest, old, now, 1) }
-	node, recorder := startNode(t, "replayable", roomyLimits, 0, nil), &attemptRecorder{}
+	node, recorder := startNode(t, settings.RetrySafe, roomyLimits, 0, nil), &attemptRecorder{}
 	recorder.add(t, node, 1, always(goldenAnswer))
 	for name, test := range map[string]struct{ sent, answer string }{
 		"not HTTP": {"hello\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
@@ -332,7 +333,7 @@
 		},
 	} {
 		t.Run(fmt.Sprint(test.check.verdict), func(t *testing.T) {
-			node := startNode(t, "replayable", roomyLimits, 1, echo)
+			node := startNode(t, settings.RetrySafe, roomyLimits, 1, echo)
 			log := zerolog.New(node.log)
 			front, err := Listen("127.0.0.1:0", node.server.router, node.pool, roomyLimits, test.check, &log, node.counters)
 			if err != nil {
@@ -349,7 +350,7 @@
 // The node's own health as a load balancer asks for it, and answers while the node drains.
 func TestGoldenHealthAndDraining(t *testing.T) {
 	const health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
-	node, recorder := startNode(t, "replayable", roomyLimits, 0, nil), &attemptRecorder{}
+	node, recorder := startNode(t, settings.RetrySafe, roomyLimits, 0, nil), &attemptRecorder{}
 	steps := []struct {
 		name, sent, answer string
 		before             func()
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -15,6 +15,7 @@
 	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // checkedServers are app servers on loopback that note when each was checked.
@@ -109,10 +110,13 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	settings := map[string]string{"nodes": fmt.Sprint(len(n.addrs)), "tick": "20", "band.0.contract": "20000"}
+	set := map[string]string{
+		settings.Nodes: fmt.Sprint(len(n.addrs)), settings.Tick: "20",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
+	}
 	router := routing.New(routing.Config{
 		Seed:          3,
-		Settings:      settings,
+		Settings:      set,
 		SetTimer:      func(time.Duration) {},
 		SendToPeer:    func(int, []byte) {},
 		PollEndpoints: func() {},
--- a/internal/transport/healthrequest_test.go
+++ b/internal/transport/healthrequest_test.go
@@ -12,6 +12,7 @@
 	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // answerAll answers whatever comes over each connection with the same text, or never if it is empty.
@@ -62,7 +63,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			log := zerolog.Nop()
 			router := routing.New(routing.Config{
-				Seed: 3, Settings: map[string]string{"nodes": "1", "tick": "20"},
+				Seed: 3, Settings: map[string]string{settings.Nodes: "1", settings.Tick: "20"},
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
 			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -19,6 +19,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // logBuffer is a log that tests look into.
@@ -115,9 +116,11 @@
 		list.Endpoints = append(list.Endpoints, endpoint(fmt.Sprint(i), listener))
 	}
 	set := map[string]string{
-		"band.count": "1", "band.0.name": "seats", "band.0.contract": "20000", "band.0.repeats": repeats,
-		"plan.count": "1", "plan.0.name": "team", "nodes": "1", "tick": "20", "executions": "3", "withdraw": "true",
-		"largest": "6",
+		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      repeats, settings.PlanCount: "1",
+		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
+		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On, settings.MaxUnits: "6",
 	}
 	maps.Copy(set, more)
 	timer, err := NewTimer()
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -11,6 +11,7 @@
 
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
+	"cherrygap/internal/settings"
 )
 
 // idleConn is the one idle connection of a pool, once a request has used it.
@@ -31,7 +32,7 @@
 // A connection that was taken and carried nothing, as its server had begun to drain, has been idle all along: its
 // server closes it by its own clock.
 func TestUnusedConnectionStaysIdleSince(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	server, conn := idleConn(t, node)
 	node.pool.mu.Lock()
 	conn.idleSince = time.Now().Add(-roomyLimits.ServerIdleTimeout / 2)
@@ -53,7 +54,7 @@
 // A connection that comes back once its server has gone is closed: no list names that server any more, so no sweep
 // would find it.
 func TestConnectionOfAnUnlistedServerIsClosedOnPut(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	server, conn := idleConn(t, node)
 	eventually(t, "its settling", func() bool { return time.Since(conn.idleSince) > settleTime })
 	if node.pool.get(server) != conn {
@@ -88,7 +89,7 @@
 			}
 		}
 	})
-	node := startNode(t, "single-use", roomyLimits, 0, nil)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 0, nil)
 	node.listOnly(endpoint("s", listener))
 	for range 4 {
 		if status, body, _ := roundTrip(t, node.dial(t), requestText(3000, "mine")); status != 200 || body != "mine" {
@@ -105,7 +106,7 @@
 // adds little (2.1 ms at 99 in 100 is what a large deployment allows for all). Half of the requests are looked at, as a
 // busy machine delays some.
 func TestTheWaitForAResetIsAFewRoundTrips(t *testing.T) {
-	node := startNode(t, "replayable", roomyLimits, 2, echo)
+	node := startNode(t, settings.RetrySafe, roomyLimits, 2, echo)
 	conn := node.dial(t)
 	var took []time.Duration
 	for range 60 {
@@ -123,7 +124,7 @@
 
 // A server may close idle connections at any time; an attempt written to one would count as run.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		echo(conn, request)
 		return false
 	})
@@ -157,7 +158,7 @@
 func TestStaleConnectionsAreNotTrusted(t *testing.T) {
 	first := map[string]bool{}
 	var mu sync.Mutex
-	node := startNode(t, "single-use", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		from := conn.RemoteAddr().String()
@@ -182,7 +183,7 @@
 
 // A second copy of a response, a moment late, would pass for the next request's: a connection first settles.
 func TestConnectionSettlesAfterAResponse(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 1, echo)
 	server, conn := idleConn(t, node)
 	node.pool.mu.Lock()
 	conn.idleSince = time.Now().Add(time.Hour)
@@ -199,7 +200,7 @@
 func TestIdleConnectionsAreClosedBeforeTheServerDoes(t *testing.T) {
 	limits := roomyLimits
 	limits.ServerIdleTimeout = 100 * time.Millisecond
-	node := startNode(t, "single-use", limits, 1, echo)
+	node := startNode(t, settings.RetryUnsafe, limits, 1, echo)
 	roundTrip(t, node.dial(t), requestText(3000, "x"))
 	if node.pool.idleLimit() >= limits.ServerIdleTimeout {
 		t.Errorf("closed after %v", node.pool.idleLimit())
@@ -214,7 +215,7 @@
 
 func TestPoolNeverHoldsMoreThanItsLimit(t *testing.T) {
 	limits := limitsForEight()
-	node := startNode(t, "replayable", limits, 12, echo)
+	node := startNode(t, settings.RetrySafe, limits, 12, echo)
 	var all sync.WaitGroup
 	for range 4 {
 		conn := node.dial(t)
@@ -242,7 +243,7 @@
 
 // What the node itself lacks is no fault of a server's, which would be ejected for it, by peers too.
 func TestFullPoolBlamesNoServer(t *testing.T) {
-	node := startNode(t, "single-use", roomyLimits, 2, echo)
+	node := startNode(t, settings.RetryUnsafe, roomyLimits, 2, echo)
 	node.pool.mu.Lock()
 	node.pool.total = roomyLimits.perSide()
 	node.pool.mu.Unlock()
--- a/internal/transport/requestids_test.go
+++ b/internal/transport/requestids_test.go
@@ -5,12 +5,14 @@
 	"net/http"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // A stranger may send the id of another client's request, open or lately answered: that must not run.
 func TestIDOfAnotherRequestIsRefused(t *testing.T) {
 	received, answer := make(chan struct{}, 9), make(chan struct{})
-	node := startNode(t, "replayable", roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
+	node := startNode(t, settings.RetrySafe, roomyLimits, 1, func(conn net.Conn, request *http.Request) bool {
 		received <- struct{}{}
 		<-answer
 		return echo(conn, request)
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -5,11 +5,13 @@
 	"sync"
 	"testing"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 // With few descriptors, clients that send nothing, or half a request, are closed for one that sends a request.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	node := startNode(t, "replayable", limitsForEight(), 1, echo)
+	node := startNode(t, settings.RetrySafe, limitsForEight(), 1, echo)
 	for range 30 {
 		conn := node.dial(t)
 		if status, _, _ := roundTrip(t, conn, requestText(3000, "x")); status != 200 {
@@ -23,7 +25,7 @@
 
 // At the limit those who never sent a whole request are closed first, at once, however many they are.
 func TestCrowdsThatNeverRequestAreEvicted(t *testing.T) {
-	node := startNode(t, "replayable", limitsForEight(), 1, echo)
+	node := startNode(t, settings.RetrySafe, limitsForEight(), 1, echo)
 	stays := node.dial(t)
 	if status, _, _ := roundTrip(t, stays, requestText(3000, "x")); status != 200 {
 		t.Fatalf("status %d", status)
@@ -46,7 +48,7 @@
 // Many clients send one request and stay: past half of the slots each response is its connection's last, before any has to
 // be evicted.
 func TestResponsesCloseNearTheLimit(t *testing.T) {
-	node := startNode(t, "replayable", limitsForEight(), 1, echo)
+	node := startNode(t, settings.RetrySafe, limitsForEight(), 1, echo)
 	for k := range 6 {
 		if _, _, closes := roundTrip(t, node.dial(t), requestText(3000, "x")); closes != (k > 3) {
 			t.Errorf("response %d closes: %v", k, closes)
@@ -56,7 +58,7 @@
 
 // A client that has only come is not evicted: its request is on its way.
 func TestNewClientsAreNotEvicted(t *testing.T) {
-	node := startNode(t, "replayable", limitsForEight(), 1, echo)
+	node := startNode(t, settings.RetrySafe, limitsForEight(), 1, echo)
 	var all sync.WaitGroup
 	for range 40 {
 		conn := node.dial(t)
