--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,6 +1,9 @@
 package decision
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 // admissionLimit limits what all clients together may send to the back end: each interval it sets an
 // admission rate λ = a/T and refills a token bucket by it, and it limits what is in flight. T is the lowest
@@ -58,11 +61,6 @@
 	return max(1, share+chanceMargin*math.Sqrt(share))
 }
 
-// coldStartLimit is how much a fresh node, that has seen too little, may have in flight.
-func (l *admissionLimit) coldStartLimit(ready int) float64 {
-	return l.evenShare(coldStartAttempts, ready)
-}
-
 // concurrencyLimit is how much may be in flight: much while latency is quiet, since a node may have to take
 // over the load of others that died within a second.
 func (l *admissionLimit) concurrencyLimit(ready int) float64 {
@@ -90,7 +88,7 @@
 	best := max(l.throughput.bestRate()*over, l.evenShare(minInFlight, load.ready))
 	l.action = max(minAction, policy.evaluate(l.features)) * best
 	if l.quiet { // as for a fresh node, and not below what was admitted
-		l.action = max(l.action, l.coldStartLimit(load.ready), float64(seen.admitted)/span*over)
+		l.action = max(l.action, l.evenShare(coldStartAttempts, load.ready), float64(seen.admitted)/span*over)
 	}
 	if l.rate == 0 {
 		l.tokens = tokenBucket{1, now}
@@ -98,6 +96,19 @@
 	l.rate = max(l.action/over, 1)
 }
 
+// closeInterval takes in an interval's completed rate, with so many requests in flight. T takes enough ends,
+// of more intervals if need be: by the first ones, which are short, a fresh node would see a jam later.
+func (t *throughput) closeInterval(rate float64, requests int) {
+	if t.timeCount >= enoughForTime && t.timeCount >= requests {
+		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), recentIntervals)
+		t.timeSum, t.timeCount = 0, 0
+	}
+	t.rates = appendRecent(t.rates, rate, bestRateIntervals)
+	if t.known() {
+		t.executionTime = slices.Min(t.times)
+	}
+}
+
 // intervalLatency is the mean latency over the objective. Few ends say little alone: the last latency stands
 // for those that lack. Where nothing came back at all it is an objective at least.
 func (l *admissionLimit) intervalLatency(seen *intervalStats, requests int) float64 {
@@ -141,7 +152,7 @@
 	case e.tooLate(r):
 		return rejectTooLate
 	case e.admission.rate == 0:
-		if e.inFlightAtHealthy() >= e.admission.coldStartLimit(ready) {
+		if e.inFlightAtHealthy() >= e.admission.evenShare(coldStartAttempts, ready) {
 			return rejectColdStart
 		}
 	case !e.admission.hasToken(e.now, &e.pause):
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -47,11 +47,6 @@
 	return customerReport{customer: c.id, plan: c.plan, spread: c.spread, firstNode: c.firstNode}
 }
 
-// charge takes an admitted request off the bucket, by the part of the demand that it was admitted by.
-func (c *customer) charge(units, part float64) {
-	c.bucket.level = max(c.bucket.level, 0) - units/part
-}
-
 // release drops the reservation of a node's request.
 func (c *customer) release(node NodeID, id RequestID) {
 	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.node == node && r.request == id })
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -219,6 +219,12 @@
 	waited        float64      // usual latencies that what is in flight has waited since the last answer
 }
 
+// classOutliers is what is known of all servers, for one class.
+type classOutliers struct {
+	suspicions decayingMean // peers' suspicions
+	trials     float64      // at ejected servers that the class may spend
+}
+
 // slowStartState is what counts against one server's budget.
 type slowStartState struct {
 	sent float64 // attempts, as of
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -16,12 +16,6 @@
 	classes []classOutliers
 }
 
-// classOutliers is what is known of all servers, for one class.
-type classOutliers struct {
-	suspicions decayingMean // peers' suspicions
-	trials     float64      // at ejected servers that the class may spend
-}
-
 // attemptStarted notes an attempt, which is a trial where the server failed before.
 func (d *outlierDetector) attemptStarted(s *outlierState, class ClassID, now Time) {
 	c := &d.classes[class]
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -107,6 +107,10 @@
 		if !e.owner.drawAsk(c, e.now, &e.random) {
 			return false
 		}
+		r.askedOwnerAt = e.now
+		if r.deadline-e.now < 2*(e.config.ownerTimeout+e.answerMargin()) { // too little time to wait
+			r.askedOwnerAt -= e.config.ownerTimeout
+		}
 		e.askOwner(c, r)
 	}
 	if r.verdict != verdictPending || e.owner.waits(r, e.now) {
--- a/internal/decision/ownership.go
+++ b/internal/decision/ownership.go
@@ -18,12 +18,8 @@
 	return r.askedOwnerAt > 0 && r.verdict == verdictPending && now < r.askedOwnerAt+o.config.ownerTimeout
 }
 
-// askOwner asks a customer's owner for a request; one with too little time left does not wait for the answer.
+// askOwner sends a customer's owner the question whether a request may pass.
 func (e *Engine) askOwner(c *customer, r *request) {
-	r.askedOwnerAt = e.now
-	if r.deadline-e.now < 2*(e.config.ownerTimeout+e.answerMargin()) {
-		r.askedOwnerAt -= e.config.ownerTimeout
-	}
 	report := c.report()
 	report.use, report.demand, report.request, report.class = r.units, c.unreportedDemand, r.id, r.class
 	e.outbox.add(e.owner.of(c), appendReport([]byte{kindAsk}, report))
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -34,6 +34,11 @@
 	return true, 0
 }
 
+// charge takes an admitted request off the bucket, by the part of the demand that it was admitted by.
+func (c *customer) charge(units, part float64) {
+	c.bucket.level = max(c.bucket.level, 0) - units/part
+}
+
 // demandPart is this node's part of a customer's recent demand.
 func (q *tenantQuota) demandPart(c *customer, now Time) float64 {
 	if c.spread <= 1 {
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -56,6 +56,9 @@
 	return false
 }
 
+// checkInterval is the time between two checks of the attempts in flight.
+func (c *config) checkInterval() Time { return max(c.tick, c.shortestObjective/checksPerObjective, 1) }
+
 // pollDelay is how long after a failed call discovery is polled again: a random part of a span, or nodes that
 // start together poll in step and keep discovery full of calls no one waits for. It does not back off: a
 // change is to be known 6 s after discovery can be reached.
--- a/internal/decision/throughput.go
+++ b/internal/decision/throughput.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// throughput measures what the back end completes for this node, and how long that takes at best.
+// throughput measures what the back end completes for this node, and how long that takes at best. What counts for that,
+// and for how long, stands with the admission limit.
 type throughput struct {
 	executionTime float64   // T, the lowest recent interval's mean duration, in Time
 	times         []float64 // recent intervals' mean durations, in Time
@@ -17,20 +18,6 @@
 	t.timeCount++
 }
 
-// closeInterval takes in the completed rate of an interval, with so many requests in flight. T takes enough ends,
-// gathered over intervals if need be. The first few to come back are the short ones: a fresh or idle node that went by
-// them would take every later latency for a jam.
-func (t *throughput) closeInterval(rate float64, requests int) {
-	if t.timeCount >= enoughForTime && t.timeCount >= requests {
-		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), recentIntervals)
-		t.timeSum, t.timeCount = 0, 0
-	}
-	t.rates = appendRecent(t.rates, rate, bestRateIntervals)
-	if t.known() {
-		t.executionTime = slices.Min(t.times)
-	}
-}
-
 // known tells whether enough was seen for T.
 func (t *throughput) known() bool { return len(t.times) > 0 }
 
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -25,7 +25,7 @@
 	if now < t.checkAt {
 		return false
 	}
-	t.checkAt = now + max(c.tick, c.shortestObjective/checksPerObjective, 1)
+	t.checkAt = now + c.checkInterval()
 	return true
 }
 
