--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/golden_test.go
@@ -72,7 +72,7 @@
 		},
 	},
 	{
-		name: "word of this node's own death is contradicted", cfg: nine,
+		name: "an update of this node's own death is refuted", cfg: nine,
 		in: []input{{0, 1, "d0010900000000" + "011205"}}, pulls: []time.Duration{0}, want: []string{
 			"1:d00209fa2da1010300020000011006",
 		},
@@ -310,7 +310,7 @@
 		},
 	},
 	{
-		name: "a newcomer that does not get on, and more words than wait", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
+		name: "a rejoined node whose runs never end, and more updates than the queue holds", cfg: Config{Nodes: 4, Seed: 16, ReceiveRate: 20, Interval: 9 * time.Second},
 		play: func(p *transcript) {
 			many := make([]Check, 1500)
 			for k := range many {
--- a/internal/healthcheck/ownership_test.go
+++ b/internal/healthcheck/ownership_test.go
@@ -57,7 +57,7 @@
 		{"behind a suspect", ranking{4, 0, 1}, []string{suspected}, 0, ownership{owner: true, primary: true}},
 		{"behind a suspect and another", ranking{4, 1, 0}, []string{suspected}, 0, ownership{}},
 		{"behind a dead one", ranking{4, 0, 1}, []string{died}, 0, ownership{owner: true, primary: true}},
-		{"behind a newcomer", ranking{4, 0, 1}, []string{died, back}, 0, ownership{owner: true}},
+		{"behind one that rejoined", ranking{4, 0, 1}, []string{died, back}, 0, ownership{owner: true}},
 		{"behind one that has been back for long", ranking{4, 0, 1}, []string{died, back}, time.Minute, ownership{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -32,7 +32,7 @@
 	members  *membership.Protocol
 	now      time.Duration
 	interval time.Duration // between two runs of a task
-	handover time.Duration // for which a newcomer's tasks have two owners
+	handover time.Duration // for which the tasks of a member that rejoined have two owners
 	counters Counters      // without those of members
 
 	tasks []task
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -66,7 +66,7 @@
 		f.nodes[id].CheckEnded(f.now, step.Check, true)
 	case Ended:
 		if runs := f.ran[step.Check]; len(runs) == 0 || runs[len(runs)-1].by == id || !step.OK {
-			t.Errorf("%d was told of %+v after %v", id, step, runs)
+			t.Errorf("%d was given %+v after %v", id, step, runs)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	}
 }
 
-// The end of a run elsewhere is told once, and puts off this node's own run.
+// The end of a run elsewhere is reported once, and puts off this node's own run.
 func TestRunElsewherePutsOffTheNext(t *testing.T) {
 	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0)
 	check := Check{CheckServer, 5}
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -34,7 +34,7 @@
 					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, r.BytesMost, r.MessagesMost)
 				}
 				// Two halves that can't hear each other check all twice for a third of the run; where a quarter of the
-				// datagrams is lost, so is some word of a run.
+				// datagrams is lost, so are some results of runs.
 				if part := map[string]int64{"split": 3, "lossy": 5}[scenario]; r.Doubled > r.Checks/max(part, 1)+5 ||
 					part == 0 && r.Doubled > r.Checks/10+5 {
 					t.Errorf("%s, %d nodes, seed %d: %d of %d checks doubled", scenario, c.nodes, seed, r.Doubled, r.Checks)
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Who differs on the dead is told which of them live, and this node's own death is refuted.
+// Who differs on the dead is sent those of them that live, and this node's own death is refuted.
 func TestCompareDead(t *testing.T) {
 	p := New(Config{Self: 1, Nodes: 11}, 0)
 	p.apply(memberUpdate{id: 9, state: Dead})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -73,7 +73,7 @@
 	members      []member
 	version      uint64 // changes with each change of a member's state
 	deadHash     uint32 // of the members considered dead, sent with each message
-	heardNobody  bool   // no message came in yet, so this node does not know who is dead
+	receivedNone bool   // no message came in yet, so this node does not know who is dead
 	gossip       gossipQueue
 	budget       byteBudget
 	outbox       []outgoing
@@ -107,7 +107,7 @@
 		p.period = max(p.period, perMessage)
 	}
 	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingWithin)))
-	p.heardNobody = true
+	p.receivedNone = true
 	p.deadHash = p.hashDead()
 	return p
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// fleet carries messages between nodes without delay, where hears lets them.
+// fleet carries messages between nodes without delay, where reaches lets them.
 type fleet struct {
-	nodes []*Protocol
-	now   time.Duration
-	hears func(from, to NodeID) bool
-	got   map[NodeID][]Event // news, by the node that had it
+	nodes   []*Protocol
+	now     time.Duration
+	reaches func(from, to NodeID) bool
+	got     map[NodeID][]Event // news, by the node that had it
 }
 
 func newFleet(nodes int, sendRate float64) *fleet {
-	f := &fleet{hears: func(_, _ NodeID) bool { return true }, got: map[NodeID][]Event{}}
+	f := &fleet{reaches: func(_, _ NodeID) bool { return true }, got: map[NodeID][]Event{}}
 	for i := range nodes {
 		cfg := Config{Self: NodeID(i), Nodes: nodes, Seed: 5, ReceiveRate: 40, SendRate: sendRate, EventKinds: 3}
 		f.nodes = append(f.nodes, New(cfg, 0))
@@ -33,7 +33,7 @@
 				continue
 			}
 			for m, ok := node.Next(f.now); ok; m, ok = node.Next(f.now) {
-				if f.nodes[m.To] != nil && f.hears(NodeID(i), m.To) {
+				if f.nodes[m.To] != nil && f.reaches(NodeID(i), m.To) {
 					f.deliver(NodeID(i), m)
 				}
 			}
@@ -83,7 +83,7 @@
 // A node that two others can't reach, but the rest can, is pinged by those and stays.
 func TestOneBadLinkKillsNobody(t *testing.T) {
 	f := newFleet(9, 0)
-	f.hears = func(from, to NodeID) bool { return (from >= 2 || to != 5) && (from != 5 || to >= 2) }
+	f.reaches = func(from, to NodeID) bool { return (from >= 2 || to != 5) && (from != 5 || to >= 2) }
 	f.play(90 * time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 || node.Counters().Died > 0 {
@@ -113,12 +113,12 @@
 // Halves that could not hear each other agree again, and an event of one half reaches the other.
 func TestHalvesFindEachOtherAgain(t *testing.T) {
 	f := newFleet(8, 0)
-	f.hears = func(from, to NodeID) bool { return (from < 4) == (to < 4) }
+	f.reaches = func(from, to NodeID) bool { return (from < 4) == (to < 4) }
 	f.play(60 * time.Second)
 	if dead := f.nodes[0].DeadCount(); dead != 4 {
 		t.Fatalf("%d dead while cut in two", dead)
 	}
-	f.hears = func(_, _ NodeID) bool { return true }
+	f.reaches = func(_, _ NodeID) bool { return true }
 	f.play(100 * time.Second)
 	f.nodes[1].Publish(Event{Kind: 2, ID: 77, OK: true, At: f.now})
 	published := f.now
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	p.counters.Received++
-	p.heardNobody = false
+	p.receivedNone = false
 	disputed := p.receiveParts(from, m, deliver)
 	if len(disputed) > 0 {
 		p.send(outgoing{to: from, kind: object, members: disputed})
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// pingNext pings the next member in turn, or several while nobody has been heard of.
+// pingNext pings the next member in turn, or several until the first message comes in.
 func (p *Protocol) pingNext() {
 	pings := 1
-	if p.heardNobody { // until a peer answers, this node considers dead members alive
+	if p.receivedNone { // until a peer answers, this node considers dead members alive
 		pings = lonelyPings
 	}
 	for range pings {
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -25,7 +25,7 @@
 // A silent member is pinged directly, then by others, then suspected, then taken for dead.
 func TestSilentMemberIsProbedThenSuspectedThenDead(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
-	p.heardNobody = false
+	p.receivedNone = false
 	now := p.nextPingAt
 	kinds, to := sent(p, now)
 	if len(kinds) != 1 || kinds[0] != ping || len(p.probes) != 1 {
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -27,7 +27,7 @@
 	return x
 }
 
-// What is not needed is released at once, before the store is told.
+// What is not needed is released at once, before the store has it.
 func TestReleaseHoldsAtOnce(t *testing.T) {
 	l, a := leased(t)
 	a.demand = demand{forecast: 1}
@@ -81,7 +81,7 @@
 	}
 }
 
-// A store that does not show what it was told, or that was not there when the window began, grants nothing, and is
+// A store that does not have what was put, or that was not there when the window began, grants nothing, and is
 // borrowed from again only after the next window.
 func TestForgottenEntries(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -58,7 +58,7 @@
 }
 
 // hasForgotten reports whether the store has lost an entry of this node, or did not exist when the window began. Then it may
-// lack other nodes' entries as well, and nothing must be borrowed on its word.
+// lack other nodes' entries as well, and nothing may be borrowed on the strength of its replies.
 func (l *Ledger) hasForgotten(a *account, exchange pendingExchange, own Sequence) bool {
 	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeMet
 }
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -16,7 +16,7 @@
 	"cherrygap/internal/quota"
 )
 
-// Six nodes and a store that is cut, split, swapped for an empty one, fails over with late and doubled entries, forgets,
+// Six nodes and a store that is cut, split, swapped for an empty one, fails over with late and duplicate entries, forgets,
 // is full and stands still, one after the other: a customer asked for at twice its quota, mostly through one node,
 // gets no more than a tenth over it, no spending waits for the store, and afterwards its quota is used again.
 func TestQuotaHoldsWhateverTheStoreDoes(t *testing.T) {
--- a/internal/transport/healthrequest_test.go
+++ b/internal/transport/healthrequest_test.go
@@ -45,7 +45,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// What a server answers to a health check tells whether it is healthy, and whether its connection is kept.
+// The response to a health check decides whether a server is healthy, and whether its connection is kept.
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
