--- a/Makefile
+++ b/Makefile
@@ -17,9 +17,8 @@
 fmt:
 	$(LINT) fmt
 
-# Formatting, vet and all linters of .golangci.yml, with each build tag.
+# Formatting and all linters of .golangci.yml (go vet among them), with each build tag.
 lint:
-	go vet ./... && go vet -tags grpc ./...
 	$(LINT) run ./...
 	$(LINT) run --build-tags grpc ./...
 
