--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -68,7 +68,7 @@
 	case did.action != would.action:
 		e.shadow.differs[did.action+"_would_"+would.action]++
 	case did.server != would.server:
-		e.shadow.differs["send_would_send_elsewhere"]++
+		e.shadow.differs["forward_would_forward_elsewhere"]++
 	}
 	return d, ok
 }
@@ -151,11 +151,11 @@
 	case !ok:
 		return decisionKind{action: "wait"}
 	case d.Action == Forward:
-		return decisionKind{"send", d.Server}
+		return decisionKind{"forward", d.Server}
 	case d.Action == Reject:
-		return decisionKind{action: "bounce"}
+		return decisionKind{action: "reject"}
 	}
-	return decisionKind{action: "break_off"}
+	return decisionKind{action: "fail"}
 }
 
 // shadowCopy is a copy of the engine under the other settings, good for one decision on a request.
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -48,12 +48,12 @@
 		{nil, "", 0},
 		{Settings{
 			settings.PlanKey(0, settings.PlanRate): "2", settings.PlanKey(0, settings.PlanBurst): "2",
-		}, "send_would_bounce", 200},
-		{Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe}, "send_would_break_off", 30},
-		{Settings{settings.MaxAttempts: "1"}, "send_would_bounce", 30},
+		}, "forward_would_reject", 200},
+		{Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe}, "forward_would_fail", 30},
+		{Settings{settings.MaxAttempts: "1"}, "forward_would_reject", 30},
 		{Settings{
 			settings.PlanKey(0, settings.PlanCeilingRate): "1", settings.PlanKey(0, settings.PlanCeilingBurst): "1",
-		}, "send_would_bounce", 200},
+		}, "forward_would_reject", 200},
 	} {
 		other := c.other
 		if other == nil {
--- a/internal/routing/shadow_test.go
+++ b/internal/routing/shadow_test.go
@@ -39,7 +39,7 @@
 		t.Error("counted without a shadow")
 	}
 	got, r := play(settingsOf(settings.RetryUnsafe))
-	if compared, differing := r.ShadowCounts(); !slices.Equal(got, want) || compared < 60 || differing["send_would_break_off"] < 10 {
+	if compared, differing := r.ShadowCounts(); !slices.Equal(got, want) || compared < 60 || differing["forward_would_fail"] < 10 {
 		t.Errorf("%d answers of %d the same; of %d decisions %v", len(got), len(want), compared, differing)
 	}
 	if got, r = play(settingsOf(settings.RetrySafe)); !slices.Equal(got, want) {
