--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -22,8 +22,8 @@
 	}
 	to := e.pick(r)
 	if to < 0 {
-		e.interval.rejected[rejectNoServer]++
-		return e.rejectOrFail(i, retryAfter), true
+		e.interval.reject(rejectNoServer, 0)
+		return e.rejectOrFail(i, 0), true
 	}
 	if first {
 		e.charge(r)
@@ -38,31 +38,27 @@
 // admit is a first attempt's way through the limits: those on the back end, then the customer's quota, then a
 // hard ceiling. What an owner granted has passed the ceiling there.
 func (e *Engine) admit(r *request) (ok bool, retryAfter Time) {
-	reason := notRejected
 	if r.askedOwnerAt == 0 {
-		reason = e.checkAdmission(r)
-	}
-	if reason == notRejected {
-		c := &e.customers.all[r.customer]
-		owned := e.owner.owned(c)
-		if owned {
-			ok, retryAfter = e.admitByOwner(c, r), interval
-		} else {
-			ok, retryAfter = e.quota.admit(c, r, e.usualLatency(r.class), e.now)
-		}
-		switch {
-		case !ok && e.owner.waits(r, e.now):
-			return false, 0
-		case !ok:
-			reason = rejectQuota
-		case r.verdict != verdictGranted && !e.quota.ceilingAllows(c, r.units, owned, e.now):
-			reason, retryAfter = rejectCeiling, 0
-		default:
-			return true, 0
+		if reason := e.checkAdmission(r); reason != notRejected {
+			return e.interval.reject(reason, 0)
 		}
 	}
-	e.interval.rejected[reason]++
-	return false, retryAfter
+	c := &e.customers.all[r.customer]
+	owned := e.owner.owned(c)
+	if owned {
+		ok, retryAfter = e.admitByOwner(c, r), interval
+	} else {
+		ok, retryAfter = e.quota.admit(c, r, e.usualLatency(r.class), e.now)
+	}
+	switch {
+	case !ok && e.owner.waits(r, e.now):
+		return false, 0
+	case !ok:
+		return e.interval.reject(rejectQuota, retryAfter)
+	case r.verdict != verdictGranted && !e.quota.ceilingAllows(c, r.units, owned, e.now):
+		return e.interval.reject(rejectCeiling, 0)
+	}
+	return true, 0
 }
 
 // answerMargin keeps final answers clear of the deadline: an end is seen and answered a tick late each.
@@ -82,15 +78,15 @@
 	return d
 }
 
-// judgeEnd is what an attempt's end tells of its server and of the back end's latency, as a part of the
-// objective.
+// judgeEnd is what an attempt's end tells of its server, what of the back end's latency, as a part of the
+// objective, and whether it tells of that at all.
 //
 // A time-out that left the attempt little time, as an impatient client's, says next to nothing: it is neither
 // pressure nor a failure. It covers any short deadline; it could hide a server that hangs while all clients
 // are impatient, which its silence then tells. Ends at an ejected server tell of that server, not of
 // pressure, and a connection that breaks tells of no queue. No answer counts as much as a whole objective,
 // whatever time it took.
-func (e *Engine) judgeEnd(r AttemptResult, class ClassID, s *outlierState) (o Outcome, part float64, ok bool) {
+func (e *Engine) judgeEnd(r AttemptResult, class ClassID, s *outlierState) (Outcome, float64, bool) {
 	objective := e.config.classes[class].latencyObjective
 	switch {
 	case r.Outcome == Succeeded:
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -212,13 +212,19 @@
 	ejectedUntil  Time
 	ejectedFor    Time         // how long the last ejection lasts
 	suspicions    decayingMean // peers' suspicions
-	fromPeer      bool         // ejected by a peer's word, not found here
+	fromPeer      bool         // ejected by a peer's suspicion, not found here
 	trialInFlight bool         // one trial attempt is in flight after an ejection
 	answeredAt    Time         // last answer of any kind
 	countedFrom   Time         // what waited before has been counted
 	waited        float64      // usual latencies that what is in flight has waited since the last answer
 }
 
+// classOutliers is what is known of all servers, for one class.
+type classOutliers struct {
+	suspicions decayingMean // peers' suspicions
+	trials     float64      // at ejected servers that the class may spend
+}
+
 // slowStartState is what counts against one server's budget.
 type slowStartState struct {
 	sent float64 // attempts, as of
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -3,24 +3,30 @@
 import (
 	"slices"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
-// A server that fails one band serves the others: its answers there must not clear what failed.
-func TestServerFailingOneBandRestsForThatBand(t *testing.T) {
+// A server that fails one class serves the others: its answers there must not clear what failed.
+func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
 	n := plain(2, Settings{
-		"nodes": "40", "peers": "true", "peers.take": "40", "band.count": "2",
-		"band.1.contract": "6000", "band.1.repeats": "single-use",
+		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(1, settings.ClassRetrySafety):      settings.RetryUnsafe,
 	})
 	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
 	bad := pull(n, Forward)[0].Server
 	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
 	at := n.endpoints.slots.find(bad)
 	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
-		t.Fatal("the wrong band rests")
+		t.Fatal("the wrong class is ejected")
 	}
 	n.SetTime(Second + interval/2)
 	told := pull(n, SendPeerMessage)
-	other := plain(2, Settings{"nodes": "40", "node": "3", "peers": "true", "band.count": "2", "band.1.contract": "6000"})
+	other := plain(2, Settings{
+		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+	})
 	other.SetTime(Second + interval/2)
 	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
 	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
@@ -34,8 +40,8 @@
 
 // Peers' words of one miss each add up: a server of which they tell clearly more than of others is suspected, and
 // gets trials by budget; where all servers miss alike, as for want of room, none is.
-func TestMissesToldByPeersAddUp(t *testing.T) {
-	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40"}
+func TestSuspicionsOfPeersAddUp(t *testing.T) {
+	set := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
 	n, alike := plain(20, set), plain(20, set)
 	for k := range 8 {
 		n.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
@@ -54,7 +60,7 @@
 		}
 	}
 	trials := 0
-	for id := range RequestID(100) { // a twentieth of the band's executions may try it
+	for id := range RequestID(100) { // a twentieth of the class's attempts may try it
 		n.SetTime(3*Second + Time(id)*500)
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
@@ -66,12 +72,12 @@
 		}
 	}
 	if trials > 7 {
-		t.Fatalf("%d trials in 100 executions", trials)
+		t.Fatalf("%d trials in 100 attempts", trials)
 	}
 }
 
 // An impatient client's time-out says nothing of its server, nor of the back end's latency.
-func TestShortTimeOutIsNoMiss(t *testing.T) {
+func TestShortTimeOutIsNoFailure(t *testing.T) {
 	n := plain(2, nil)
 	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
@@ -84,16 +90,19 @@
 	}
 }
 
-// Where any server's answers are spoilt or broken off now and then, one says little of it: it stays in the rotation,
-// and its time is no sign of pressure. Two in a row tell, of that band.
-func TestOneBadAnswerRestsNoServer(t *testing.T) {
-	n := plain(1, Settings{"band.count": "2", "band.1.contract": "6000", "executions": "1"})
+// Where any server's answers are malformed or broken off now and then, one says little of it: it stays in the rotation,
+// and its time is no sign of pressure. Two in a row tell, of that class.
+func TestOneBadAnswerEjectsNoServer(t *testing.T) {
+	n := plain(1, Settings{
+		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.MaxAttempts: "1",
+	})
 	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
 		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
 		d := pull(n, Forward)[0]
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
 		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.ends > 2 {
-			t.Fatalf("after end %d the server rests: %v", id, got)
+			t.Fatalf("after end %d the server is ejected: %v", id, got)
 		}
 		if o != Succeeded && pull(n, Reject) == nil {
 			t.Fatal("no answer at once")
@@ -101,9 +110,9 @@
 	}
 }
 
-// A server that turns away all, as one that drains before the roster says so, is quick at it and would draw ever
-// more tickets; each counts as pressure, and the limit falls. Two in a row rest it, as time-outs do.
-func TestServerThatTurnsAwayRests(t *testing.T) {
+// A server that rejects all, as one that drains before the endpoint list says so, is quick at it and would draw ever
+// more requests; each counts as pressure, and the limit falls. Two in a row eject it, as time-outs do.
+func TestServerThatRejectsIsEjected(t *testing.T) {
 	n := plain(4, nil)
 	now, sent := Second, 0
 	for id := range RequestID(400) {
@@ -123,6 +132,109 @@
 		}
 	}
 	if sent > 40 || sent == 0 {
-		t.Errorf("%d of 400 tickets went to a server that turns them away", sent)
+		t.Errorf("%d of 400 requests went to a server that rejects them", sent)
+	}
+}
+
+func testDetector() *outlierDetector {
+	return &outlierDetector{config: testConfig(), classes: []classOutliers{{trials: 1}, {trials: 1}}}
+}
+
+// Each further ejection lasts twice as long, up to eight objectives; an answer ends all.
+func TestEjectionTimes(t *testing.T) {
+	d, states, now := testDetector(), make([]outlierState, 2), 10*Second
+	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
+		states[0].inFlight = 1
+		d.attemptEnded(states, 0, Failed, now)
+		if states[0].ejectedUntil != now+want || !d.ejected(&states[0], 0, now+want-1) || d.ejected(&states[1], 1, now) {
+			t.Fatalf("ejection %d until %d", k, states[0].ejectedUntil-now)
+		}
+	}
+	d.classes[0].trials = 0
+	if !d.ejected(&states[0], 0, now+48000) {
+		t.Error("a trial without budget")
+	}
+	d.classes[0].trials = 1
+	if d.ejected(&states[0], 0, now+48000) {
+		t.Error("no trial with budget")
+	}
+	states[0].inFlight = 1
+	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialEarned+1e-9 || !d.ejected(&states[0], 0, now+48000) {
+		t.Errorf("%v trials left with one in flight", d.classes[0].trials)
+	}
+	d.attemptEnded(states, 0, Succeeded, now+49000)
+	if states[0] != (outlierState{answeredAt: now + 49000}) {
+		t.Errorf("after an answer: %+v", states[0])
+	}
+}
+
+// What an end says of a server, by its outcome.
+func TestOutcomesThatEject(t *testing.T) {
+	for _, c := range []struct {
+		outcome       Outcome
+		before        outlierState
+		class, others bool // ejected
+	}{
+		{Succeeded, outlierState{failures: 1}, false, false},
+		{Failed, outlierState{}, true, false},
+		{ConnectFailed, outlierState{}, true, true},
+		{Overloaded, outlierState{}, false, false},
+		{Overloaded, outlierState{failures: 1}, true, false},
+		{TimedOut, outlierState{}, false, false},
+		{TimedOut, outlierState{trialInFlight: true}, true, false},
+		{ConnectionReset, outlierState{failures: 1}, true, false},
+		{MalformedResponse, outlierState{failures: 1}, true, false},
+		{Cancelled, outlierState{failures: 1}, false, false},
+		{NotSent, outlierState{failures: 1}, false, false},
+	} {
+		d, states := testDetector(), []outlierState{c.before, {}}
+		states[0].inFlight = 1
+		d.attemptEnded(states, 0, c.outcome, Second)
+		if d.ejected(&states[0], 0, Second) != c.class || d.ejected(&states[1], 1, Second) != c.others || states[0].inFlight != 0 {
+			t.Errorf("outcome %d after %+v: %+v", c.outcome, c.before, states)
+		}
+	}
+}
+
+// Silence counts from the last answer on, over all that is in flight.
+func TestSilence(t *testing.T) {
+	d, s, now := testDetector(), &outlierState{answeredAt: 2 * Second}, 3*Second
+	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
+	d.checkSilence(s, now-2000, 2000, now) // one
+	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waited != 6 || s.lost != 0 {
+		t.Errorf("after 6 latencies: %+v", s)
+	}
+	d.checkSilence(s, Second, 500, now) // 20
+	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.countedFrom != now || s.lost != 1 {
+		t.Errorf("after 26 latencies: %+v", s)
+	}
+}
+
+// A peer's word ejects for as long as it says, unless the server just answered here or is ejected already.
+func TestPeersSuspicions(t *testing.T) {
+	const now = 20 * Second
+	for _, c := range []struct {
+		name   string
+		before outlierState
+		told   Time
+		until  Time
+		peer   bool
+	}{
+		{"ejected there", outlierState{}, 9000, now + 9000, true},
+		{"for less than an objective", outlierState{}, 1, now + 6000, true},
+		{"for very long", outlierState{}, 99 * Second, now + 48000, true},
+		{"just answered here", outlierState{answeredAt: now - 5999}, 9000, 0, false},
+		{"answered long ago", outlierState{answeredAt: now - 6000}, 9000, now + 9000, true},
+		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
+		{"one word of a failure", outlierState{}, 0, 0, false},
+		{"many words", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d, s := testDetector(), c.before
+			d.classes[0].suspicions = decayingMean{count: 40, at: now}
+			if d.receive(&s, suspicion{ejectedFor: c.told}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
+				t.Errorf("until %d, by a peer %v", s.ejectedUntil-now, s.fromPeer)
+			}
+		})
 	}
 }
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -5,27 +5,32 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
 type fleet struct {
-	nodes     []*Engine
-	sets      []Settings
-	sent, out int
-	most      int // out at once
-	lost      func(from int, to NodeID, text []byte) bool
-	t         *testing.T
-	ends      map[Time][]func()
+	nodes          []*Engine
+	sets           []Settings
+	sent, inFlight int
+	mostInFlight   int // out at once
+	lost           func(from int, to NodeID, text []byte) bool
+	t              *testing.T
+	ends           map[Time][]func()
 }
 
 func newFleet(t *testing.T, more Settings) *fleet {
 	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Engine, 60)}
-	set := Settings{"nodes": "60", "peers": "true", "peers.take": "40", "plan.0.rate": "2", "plan.0.depth": "6"}
+	set := Settings{
+		settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.PlanKey(0, settings.PlanRate): "2", settings.PlanKey(0, settings.PlanBurst): "6",
+	}
 	for k, v := range more {
 		set[k] = v
 	}
 	for k := range f.nodes {
-		set["node"] = strconv.Itoa(k)
+		set[settings.Node] = strconv.Itoa(k)
 		f.nodes[k] = plain(4, set)
 		f.sets = append(f.sets, plainSettings(set))
 		f.nodes[k].random = random{uint32(k) | 1, 77}
@@ -33,7 +38,7 @@
 	return f
 }
 
-// settle carries out what all nodes want now; executions take so long.
+// settle carries out what all nodes want now; attempts take so long.
 func (f *fleet) settle(now, took Time) {
 	for _, end := range f.ends[now] {
 		end()
@@ -46,10 +51,10 @@
 				switch d.Action {
 				case Forward:
 					f.sent++
-					f.out++
-					f.most = max(f.most, f.out)
+					f.inFlight++
+					f.mostInFlight = max(f.mostInFlight, f.inFlight)
 					f.ends[now+took] = append(f.ends[now+took], func() {
-						f.out--
+						f.inFlight--
 						n.SetTime(now + took)
 						n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: took, Final: true})
 					})
@@ -67,25 +72,28 @@
 	}
 }
 
-// ask lets a customer ask by all its nodes in turn, so many units a second of one unit each.
-func (f *fleet) ask(customer CustomerID, rate int, from, until Time) {
-	id := RequestID(customer) * 100000
+// fleetCustomer is the customer that asks.
+const fleetCustomer CustomerID = 5
+
+// ask lets the customer ask by all its nodes in turn, so many requests a second of one unit each.
+func (f *fleet) ask(rate int, from, until Time) {
+	id := RequestID(fleetCustomer) * 100000
 	for now := from; now < until; now += 50 {
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
 			id++
 			n := f.nodes[10+int(id)*7%40]
 			n.SetTime(now)
-			n.AddRequest(Request{ID: id, Customer: customer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
+			n.AddRequest(Request{ID: id, Customer: fleetCustomer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
 		}
 		f.settle(now, 500)
 	}
 }
 
-// A customer over its quota that comes in by many nodes, at each of which it is rare: its home holds the quota
-// ticket by ticket, and nobody else's word counts.
-func TestHomeHoldsQuotaOfManyNodes(t *testing.T) {
+// A customer over its quota that comes in by many nodes, at each of which it is rare: its owner holds the quota
+// request by request, and nobody else's word counts.
+func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
-	f.ask(5, 30, Second, 11*Second)
+	f.ask(30, Second, 11*Second)
 	if f.sent < 20 || f.sent > 30 { // 26 are inside the quota, 300 were asked
 		t.Fatalf("%d sent", f.sent)
 	}
@@ -102,54 +110,57 @@
 	}
 }
 
-// A cap on open executions beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
-// An end that is told late, after its hold has run out, must not free another's.
-func TestHomeHoldsCapOfManyNodes(t *testing.T) {
-	f := newFleet(t, Settings{"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.open": "2"})
-	f.ask(5, 200, Second, 4*Second)
-	if f.most > 2 || f.sent < 60 {
-		t.Fatalf("%d out at once, %d sent", f.most, f.sent)
+// A cap on open attempts beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
+// An end that is told late, after its reservation has run out, must not free another's.
+func TestOwnerHoldsInFlightOfManyNodes(t *testing.T) {
+	f := newFleet(t, Settings{
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.PlanKey(0, settings.PlanMaxInFlight): "2",
+	})
+	f.ask(200, Second, 4*Second)
+	if f.mostInFlight > 2 || f.sent < 60 {
+		t.Fatalf("%d out at once, %d sent", f.mostInFlight, f.sent)
 	}
 	home := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
 	c := &home.customers.all[home.customers.slots.find(5)]
 	c.reservations = []reservation{{11, 7, 9 * Second}}
 	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 1 {
-		t.Fatal("another node's end freed a hold")
+		t.Fatal("another node's end freed a reservation")
 	}
 	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 0 {
-		t.Fatal("an end freed no hold")
+		t.Fatal("an end freed no reservation")
 	}
 }
 
-// While a home is silent a rare customer's tickets still pass, after a short wait, and one that asks far more than
-// its slice is held to about that.
-func TestSilentHomeLeavesTheSlice(t *testing.T) {
+// While an owner is silent a rare customer's requests still pass, after a short wait, and one that asks far more than
+// its even part is held to about that.
+func TestSilentOwnerLeavesTheEvenPart(t *testing.T) {
 	for rate, most := range map[int]int{2: 40, 400: 130} { // 20 s
 		f := newFleet(t, nil)
-		f.lost = func(from int, to NodeID, text []byte) bool { return true }
-		f.ask(5, rate, Second, 21*Second)
+		f.lost = func(int, NodeID, []byte) bool { return true }
+		f.ask(rate, Second, 21*Second)
 		if f.sent < 20 || f.sent > most {
 			t.Errorf("%d of %d sent", f.sent, rate*20)
 		}
 	}
 }
 
-// A hard ceiling of many nodes: home and set together stay under it from the first second on, after restarts too.
-func TestHomeAndSetKeepTheCeiling(t *testing.T) {
+// A hard ceiling of many nodes: owner and set together stay under it from the first second on, after restarts too.
+func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
-		"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-		"plan.0.ceiling.depth": "80",
+		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+		settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 	})
 	r := rand.New(rand.NewSource(3))
-	f.lost = func(from int, to NodeID, text []byte) bool { return r.Intn(4) == 0 }
+	f.lost = func(int, NodeID, []byte) bool { return r.Intn(4) == 0 }
 	for k := range Time(4) {
-		f.ask(5, 200, (1+2*k)*Second, (3+2*k)*Second)
+		f.ask(200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
 		fresh := newFleet(t, Settings{
-			"plan.0.rate": "1000", "plan.0.depth": "1000", "plan.0.ceiling.rate": "20",
-			"plan.0.ceiling.depth": "80",
+			settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
+			settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 		})
 		fresh.lost, fresh.sent = f.lost, sent
 		f = fresh // all restart
@@ -168,3 +179,127 @@
 		t.Fatalf("the stores hold %.2f of 80", all)
 	}
 }
+
+// ownerOfAll is the owner mechanism of a node in a fleet too large for all to hear each other.
+func ownerOfAll(plan quotaPlan) *quotaOwner {
+	cfg := parseSettings(Settings{
+		settings.Nodes: "60", settings.Node: "12", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+	})
+	cfg.plans = []quotaPlan{plan}
+	return &quotaOwner{config: cfg}
+}
+
+// Each customer has one owner, a node of its set, and the same one wherever it is asked for.
+func TestOwnerIsOfTheSet(t *testing.T) {
+	o, owners := ownerOfAll(quotaPlan{}), map[NodeID]int{}
+	for id := range CustomerID(1000) {
+		c := &customer{id: id, spread: 7, firstNode: 57}
+		owner := o.of(c)
+		if !o.config.inSet(owner, 57, 7) {
+			t.Fatalf("customer %d: node %d", id, owner)
+		}
+		owners[owner]++
+	}
+	if len(owners) != 7 {
+		t.Errorf("owners %v", owners)
+	}
+	for _, c := range []struct {
+		customer customer
+		owned    bool
+	}{{customer{spread: 7}, true}, {customer{spread: 1}, false}, {customer{spread: 7, leased: true}, false}} {
+		if got := o.owned(&c.customer); got != c.owned {
+			t.Errorf("%+v: owned %v", c.customer, got)
+		}
+	}
+}
+
+func TestGrant(t *testing.T) {
+	const now = 50 * Second
+	for _, c := range []struct {
+		name     string
+		plan     quotaPlan
+		level    float64
+		reserved []Time // until when
+		ok       bool
+		left     float64
+		held     int
+	}{
+		{"room", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
+		{"no room", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
+		{"room in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now, now + 1}, true, -2, 2},
+		{"none in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now + 1, now + 1}, false, 0, 2},
+		{"under the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 4}, 0, nil, true, -2, 0},
+		{"over the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 3.9}, 0, nil, false, 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o, at := ownerOfAll(c.plan), &customer{spread: 7, bucket: tokenBucket{c.level, now}}
+			for _, until := range c.reserved {
+				at.reservations = append(at.reservations, reservation{until: until})
+			}
+			ok := o.grant(at, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
+			if ok != c.ok || !near(at.bucket.level, c.left) || len(at.reservations) != c.held || at.peerDemand.sum != 2 {
+				t.Errorf("granted %v, %v left, reserved %v", ok, at.bucket.level, at.reservations)
+			}
+			if c.held > 0 && ok && at.reservations[c.held-1] != (reservation{13, 9, now + 2100}) {
+				t.Errorf("reserved %v", at.reservations)
+			}
+		})
+	}
+}
+
+// While the bucket is well filled a frequent customer passes freely; once it is not, the set is told, and a part is
+// asked for.
+func TestFreePass(t *testing.T) {
+	const now = 50 * Second
+	for _, c := range []struct {
+		name        string
+		level       float64
+		was         bool
+		demand      float64 // a second
+		free, ended bool
+		part        float64
+	}{
+		{"full and frequent", 100, false, 5, true, false, 1},
+		{"rare", 100, false, 1, false, false, 1},
+		{"not full enough to begin", 84, false, 5, false, false, 1},
+		{"full enough to go on", 71, true, 5, true, false, 1},
+		{"not full enough to go on", 69, true, 5, false, true, 1},
+		{"far too much", 0, false, 500, false, false, 1.5 * 10 / 500},
+		{"hopelessly too much", 0, false, 5000, false, false, 0.01},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := ownerOfAll(quotaPlan{rate: 10, burst: 100})
+			o.config.peerRate = 1e6
+			at := &customer{
+				spread: 7, freePass: c.was, meanUnits: 1, bucket: tokenBucket{c.level, now},
+				peerDemand: decayingMean{sum: c.demand * seconds(demandMemory), at: now},
+			}
+			if ended := o.update(at, now); ended != c.ended || at.freePass != c.free || !near(at.admitPart, c.part) {
+				t.Errorf("free %v, ended %v, part %v", at.freePass, ended, at.admitPart)
+			}
+		})
+	}
+}
+
+// While the owner is silent, the even part of the rate passes, over what was asked for before; nothing beside a limit in
+// flight that is taken.
+func TestPassWithoutOwner(t *testing.T) {
+	for _, c := range []struct {
+		plan     quotaPlan
+		before   float64 // units a second
+		inFlight int
+		want     float64 // of the requests
+	}{{quotaPlan{rate: 14}, 8, 0, 0.25}, {quotaPlan{rate: 14}, 0, 0, 1}, {quotaPlan{}, 8, 0, 1}, {quotaPlan{maxInFlight: 1}, 8, 1, 0}} {
+		o, rng, passed := ownerOfAll(c.plan), newRandom(5), 0
+		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandMemory) + 1}}
+		for range 4000 {
+			if o.drawAlone(at, 1, 0, &rng) {
+				passed++
+			}
+		}
+		if got := float64(passed) / 4000; got < c.want-0.03 || got > c.want+0.03 {
+			t.Errorf("%+v: %v passed, not %v", c.plan, got, c.want)
+		}
+	}
+}
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -5,14 +5,18 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // fleetOf is the 77th node's module over many servers in zones, which each call of choose may take for another node's.
 func fleetOf(nodes, servers, zones int) *Engine {
 	n := New(7, Settings{
-		"nodes": strconv.Itoa(nodes), "node": "77", "peers": "true", "peers.take": "40", "tick": "10",
-		"band.count": "2", "band.0.contract": "6000", "band.1.contract": "6000", "band.0.repeats": "replayable",
-		"plan.count": "1", "idle": "300000",
+		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
+		settings.Tick: "10", settings.ClassCount: "2", settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
+		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
+		settings.IdleTimeout: "300000",
 	}, Second)
 	list := []Endpoint{}
 	for i := range servers {
@@ -98,7 +102,7 @@
 
 // The first list gives the servers that a node goes on with: dealt for another number of servers, it would drop its
 // connections again a second later.
-func TestTheFirstListDealsForGood(t *testing.T) {
+func TestFirstListChoosesTheSubsetForGood(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
 		first := slices.Clone(n.endpoints.subset)
@@ -130,27 +134,20 @@
 	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
 	for me := range nodes {
 		n := New(r.Uint64(), Settings{
-			"nodes": strconv.Itoa(nodes), "node": strconv.Itoa(me), "tick": "10",
-			"band.count": "1", "band.0.contract": "15000", "plan.count": "1", "idle": "150000",
-			"band.0.repeats": "replayable",
+			settings.Nodes: strconv.Itoa(nodes), settings.Node: strconv.Itoa(me), settings.Tick: "10",
+			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassLatencyObjective): "15000",
+			settings.PlanCount: "1", settings.IdleTimeout: "150000",
+			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
 		}, Second)
 		list := []Endpoint{}
 		for i := range ServerID(servers) {
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		met, last := map[ServerID]bool{}, Second
-		for k := range RequestID(20 * 5) { // five tickets a second
-			last += Second / 5
-			n.SetTime(last)
-			n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-			for _, d := range pull(n, Forward) {
-				met[d.Server] = true
-				load[d.Server]++
-				sent++
-				n.SetTime(last + Second/10)
-				n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
-			}
+		met := fiveASecond(n, 20)
+		for s, k := range met {
+			load[s] += k
+			sent += k
 		}
 		if len(met) < minSubset || len(met) > 20 {
 			t.Fatalf("node %d met %d servers", me, len(met))
@@ -176,3 +173,49 @@
 		t.Errorf("%d servers used, %d new ones after one left each node's list", len(load), kept)
 	}
 }
+
+// fiveASecond plays so many seconds of five requests each, which take 0.1 s, and gives the attempts by server.
+func fiveASecond(n *Engine, seconds int) map[ServerID]int {
+	met, last := map[ServerID]int{}, Second
+	for k := range RequestID(seconds * 5) {
+		last += Second / 5
+		n.SetTime(last)
+		n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(n, Forward) {
+			met[d.Server]++
+			n.SetTime(last + Second/10)
+			n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
+		}
+	}
+	return met
+}
+
+func TestSubsetChoice(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		nodes, self int
+		ready       int
+		owners      bool
+		sent        float64
+		want        subsetChoice
+	}{
+		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, false, 0, 9, 256}},
+		{"few nodes use all in view", 4, 3, 1000, false, 0, subsetChoice{0, true, 0.75, 1000, 2000}},
+		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, false, 9.0 / 16, 4, 256}},
+		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, false, 9.0 / 16, 40, 256}},
+		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, true, 9.0 / 80, 400, 800}},
+		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, false, 0.25, 16, 256}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.nodes, cfg.self, cfg.owners = c.nodes, NodeID(c.self), c.owners
+			chooser := subsetChooser{config: cfg, attemptsSent: decayingMean{count: c.sent, at: 10 * Second}}
+			if got := chooser.choose(10*Second, c.ready); got != c.want {
+				t.Errorf("%+v, not %+v", got, c.want)
+			}
+			if want := float64(c.ready) / float64(c.want.size); !near(chooser.ratio, want) {
+				t.Errorf("ratio %v, not %v", chooser.ratio, want)
+			}
+		})
+	}
+}
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // Nodes that discovery turned away together must not ask again together, nor ever faster than the span allows.
@@ -13,14 +15,15 @@
 	var first []Time
 	r := rand.New(rand.NewSource(1))
 	set := Settings{
-		"nodes": "80", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-		"plan.count": "1", "ask.within": strconv.Itoa(int(span)),
+		settings.Nodes: "80", settings.Tick: "10", settings.ClassCount: "1",
+		settings.ClassKey(0, settings.ClassLatencyObjective): "6000", settings.EndpointList: settings.EndpointListPoll,
+		settings.PlanCount: "1", settings.PollWithin: strconv.Itoa(int(span)),
 	}
 	for range 80 {
 		n := New(r.Uint64(), set, Second)
 		for k, now := 0, Second; k < 6; k++ {
 			asked := now
-			for !watches(n) {
+			for !pollsDiscovery(n) {
 				now += Second / 50
 				n.SetTime(now)
 			}
@@ -44,17 +47,19 @@
 // A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls before: however
 // many failed, the next comes within 3 s, since a call without hope may take 2 s before it and its own answer 1 s; not
 // sooner than 1 s, as discovery may have too much to do. 200 nodes whose calls failed together ask again in no step.
-func TestDiscoveryIsAskedAgainWithinTheTerm(t *testing.T) {
+func TestDiscoveryIsPolledAgainWithinTheTerm(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
 		set := Settings{
-			"nodes": "200", "tick": "10", "band.count": "1", "band.0.contract": "6000", "roster": "ask",
-			"plan.count": "1", "ask.within": []string{"100000", "600000", "30000"}[seed%3],
+			settings.Nodes: "200", settings.Tick: "10", settings.ClassCount: "1",
+			settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+			settings.EndpointList:                                settings.EndpointListPoll, settings.PlanCount: "1",
+			settings.PollWithin: []string{"100000", "600000", "30000"}[seed%3],
 		}
 		n, now := New(uint64(seed)*7919, set, Second), Second
 		for k := range 15 {
 			asked := now
-			for !watches(n) {
+			for !pollsDiscovery(n) {
 				now += tick
 				n.SetTime(now)
 			}
@@ -70,12 +75,14 @@
 		var again []Time
 		for i := range nodes {
 			n := New(uint64(seed*nodes+i)*7919+1, Settings{
-				"nodes": "200", "band.count": "1", "band.0.contract": "6000",
-				"roster": "ask", "plan.count": "1", "ask.within": "100000",
+				settings.Nodes: "200", settings.ClassCount: "1",
+				settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
+				settings.EndpointList:                                settings.EndpointListPoll,
+				settings.PlanCount:                                   "1", settings.PollWithin: "100000",
 			}, Second)
 			now := Second
-			watches(n)
-			for n.UpdateEndpoints(PollFailed, nil); !watches(n); now += tick {
+			pollsDiscovery(n)
+			for n.UpdateEndpoints(PollFailed, nil); !pollsDiscovery(n); now += tick {
 				n.SetTime(now)
 			}
 			again = append(again, now)
@@ -89,9 +96,70 @@
 	}
 }
 
-func watches(n *Engine) (asked bool) {
+func pollsDiscovery(n *Engine) (asked bool) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		asked = asked || d.Action == PollEndpoints
 	}
 	return asked
 }
+
+// Reports go out three times a second; to owners, whenever time went on.
+func TestReportTimes(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*config)
+		due    []Time
+	}{
+		{"all hear all", func(*config) {}, []Time{3333, 6666, 9999}},
+		{"owners", func(c *config) { c.owners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
+		{"one node", func(c *config) { c.nodes = 1 }, nil},
+		{"no peers", func(c *config) { c.peers = false }, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg, timers, due := testConfig(), newTimers(0, false), []Time(nil)
+			c.change(cfg)
+			for now := Time(1111); now <= 9999; now += 1111 {
+				for timers.startReport(now, cfg) {
+					due = append(due, now)
+				}
+			}
+			if !slices.Equal(due, c.due) {
+				t.Errorf("due at %v", due)
+			}
+		})
+	}
+}
+
+// The checks of attempts come 30 times in the shortest objective, but not more often than the tick.
+func TestCheckTimes(t *testing.T) {
+	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
+		timers := newTimers(Second, false)
+		if !timers.startCheck(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
+			t.Errorf("tick %d, objective %d: next check after %d", c.tick, c.objective, timers.checkAt-Second)
+		}
+		if after, ok := timers.setHost(Second); !ok || after != c.want {
+			t.Errorf("the host's timer is set to %d", after)
+		}
+		if _, ok := timers.setHost(Second); ok {
+			t.Error("the host's timer is set twice")
+		}
+	}
+}
+
+// A poll is under way until it failed, and never starts where none is asked for.
+func TestPolls(t *testing.T) {
+	rng := newRandom(1)
+	never, timers := newTimers(Second, false), newTimers(Second, true)
+	if never.startPoll(99 * Second) {
+		t.Error("polled where lists are pushed")
+	}
+	if !timers.startPoll(Second) || timers.startPoll(99*Second) {
+		t.Error("not one poll at the start")
+	}
+	timers.pollFailed(2*Second, 99999, &rng)
+	next := timers.pollAt
+	timers.pollFailed(3*Second, 99999, &rng)
+	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPoll(next-1) || !timers.startPoll(next) {
+		t.Errorf("the next poll after %d", next-2*Second)
+	}
+}
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cherrygap/internal/decision"
+	"cherrygap/internal/settings"
 )
 
 // carryOut has the Router carry out a decision.
@@ -17,7 +18,7 @@
 
 // Decisions on a request reach whoever waits for it; durations come out in the engine's unit.
 func TestDecisionsOnRequests(t *testing.T) {
-	r, _, _ := startRouter(t, "replayable", 1)
+	r, _, _ := startRouter(t, settings.RetrySafe, 1)
 	server := r.Servers()[0]
 	for _, c := range []struct {
 		name     string
@@ -26,7 +27,7 @@
 	}{
 		{
 			name:     "forward",
-			decision: decision.Decision{Action: decision.Forward, Server: uint32(server.Number()), Duration: 12345},
+			decision: decision.Decision{Action: decision.Forward, Server: decision.ServerID(server.Number()), Duration: 12345},
 			want:     Decision{Action: Forward, Attempt: 0, Server: server, Timeout: 1234500 * time.Microsecond},
 		},
 		{
@@ -48,7 +49,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			req := r.NewRequest(&cancelRecorder{})
 			req.attempt = -1
-			c.decision.Request = uint32(req.number)
+			c.decision.Request = decision.RequestID(req.number)
 			carryOut(r, c.decision)
 			if got, ok := req.TryNext(); got != c.want || !ok {
 				t.Errorf("decided on %+v, not on %+v", got, c.want)
@@ -62,7 +63,7 @@
 	var timer time.Duration
 	polls := 0
 	r := newRouter(t, Config{
-		Settings:      settingsOf("replayable"),
+		Settings:      settingsOf(settings.RetrySafe),
 		SetTimer:      func(after time.Duration) { timer = after },
 		PollEndpoints: func() { polls++ },
 	})
@@ -84,10 +85,10 @@
 // What the engine decides on a request that is closed must not meet the next one in its slot.
 func TestDecisionsOnClosedRequestsAreDropped(t *testing.T) {
 	for _, action := range []decision.Action{decision.Forward, decision.Reject, decision.Fail, decision.CancelAttempt} {
-		r, req, canceller := startRouter(t, "replayable", 1)
+		r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 		closed := req.number
 		req.number = req.number.next()
-		carryOut(r, decision.Decision{Action: action, Request: uint32(closed), Attempt: req.attempt})
+		carryOut(r, decision.Decision{Action: action, Request: decision.RequestID(closed), Attempt: req.attempt})
 		if d, ok := req.TryNext(); ok || len(canceller.cancelled) > 0 {
 			t.Errorf("action %d: decided on %+v, cancelled %v", action, d, canceller.cancelled)
 		}
@@ -96,10 +97,10 @@
 
 // Only the last attempt can be in flight, so only it is cancelled.
 func TestOnlyTheLastAttemptIsCancelled(t *testing.T) {
-	r, req, canceller := startRouter(t, "replayable", 1)
+	r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 	req.attempt = 2
 	for attempt := range 4 {
-		carryOut(r, decision.Decision{Action: decision.CancelAttempt, Request: uint32(req.number), Attempt: attempt})
+		carryOut(r, decision.Decision{Action: decision.CancelAttempt, Request: decision.RequestID(req.number), Attempt: attempt})
 	}
 	if !slices.Equal(canceller.cancelled, []int{2}) {
 		t.Errorf("cancelled %v", canceller.cancelled)
@@ -108,7 +109,7 @@
 
 func TestUnknownActionPanics(t *testing.T) {
 	for _, action := range []decision.Action{0, decision.HealthCheck, 255} {
-		r, _, _ := startRouter(t, "replayable", 1)
+		r, _, _ := startRouter(t, settings.RetrySafe, 1)
 		func() {
 			defer func() {
 				if recover() == nil {
