--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision module holds in its own form.
+// releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision engine holds in its own form.
 func (c *config) releaseKnownList() {
 	c.Known, c.known.Endpoints = nil, nil
 }
--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -22,7 +22,7 @@
 // boolSetting reports whether a setting is on.
 func (c *config) boolSetting(name string) bool { return c.settings[name] == settings.On }
 
-// intSetting is a setting that is a whole number; one that can't be read counts as 0, as the decision module has it.
+// intSetting is a setting that is a whole number; one that can't be read counts as 0, as the decision engine has it.
 func (c *config) intSetting(name string) int {
 	value, _ := strconv.Atoi(c.settings[name])
 	return value
@@ -60,7 +60,7 @@
 	return limits
 }
 
-// pollsDiscovery reports whether the node asks the discovery service for lists when the decision module says so; else the
+// pollsDiscovery reports whether the node asks the discovery service for lists when the decision engine says so; else the
 // service pushes them.
 func (c *config) pollsDiscovery() bool {
 	return c.settings[settings.EndpointList] == settings.EndpointListPoll
--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -27,9 +27,9 @@
 	var flags modelFlags
 	cmd := &cobra.Command{
 		Use:   "model",
-		Short: "Play a fleet in virtual time: N nodes on the real module (or a baseline), M modelled servers",
+		Short: "Play a fleet in virtual time: N nodes on the real decision engine (or a baseline), M modelled servers",
 		Long: `Play the fleet in virtual time, one event at a time: each of --nodes edge nodes runs the real decision
-module through internal/routing (policy "module"), or a baseline ("round-robin" with a static limit, "late":
+engine through internal/routing (policy "module"), or a baseline ("round-robin" with a static limit, "late":
 least busy as seen a second ago), against --servers modelled app servers with the emulator's figures and
 fault schedule. Arrivals are the load tool's, at --rate requests a second for the whole fleet. Prints the
 totals as one JSON line (goodput, p50/p99 in ms, unsafe requests executed twice, requests left unanswered,
@@ -50,7 +50,7 @@
 	cmd.Flags().StringVar(&flags.series, "series", "", "file for the JSON lines, one a virtual second")
 	cmd.Flags().IntVar(&flags.customers, "customers", 50, "distinct customers (Zipf); default from the operator file")
 	cmd.Flags().IntVar(&flags.spread, "spread", 1, "edge nodes in a customer's set; default from the operator file")
-	cmd.Flags().StringVar(&flags.platformFile, "settings", "", "a platform configuration (JSON) whose settings the module takes")
+	cmd.Flags().StringVar(&flags.platformFile, "settings", "", "a platform configuration (JSON) whose settings the engine takes")
 	return cmd
 }
 
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -15,7 +15,7 @@
 	cmd := &cobra.Command{
 		Use:   "scale",
 		Short: "Play the target size on one machine: real and simulated nodes, simulated app servers, scripted faults",
-		Long: `Start a few real edge nodes (processes of this program), simulated nodes (the real module and real datagrams,
+		Long: `Start a few real edge nodes (processes of this program), simulated nodes (the real decision engine and real datagrams,
 but no client sockets; one process for all), simulated app servers (a listener each; one process for all), a fake
 discovery agent and open-loop clients, all on loopback; play faults one after another (changes, roll, zone,
 watch); end all that was started; and print one JSON line: what a node adds to a request (ms), its core share, memory,
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -1,5 +1,5 @@
 // Command cherrygap is one edge node of a gateway fleet, and the laboratory that measures it. The node accepts
-// clients' requests, asks the decision module what to do with each, and carries that out on sockets.
+// clients' requests, asks the decision engine what to do with each, and carries that out on sockets.
 package main
 
 import (
--- a/cmd/cherrygap/root.go
+++ b/cmd/cherrygap/root.go
@@ -20,7 +20,7 @@
 	root := &cobra.Command{
 		Use:   "cherrygap",
 		Short: "A node of a gateway fleet that keeps a shared API's quotas, and its laboratory",
-		Long: `cherrygap accepts clients' requests and lets one decision module say, for each, whether it is forwarded,
+		Long: `cherrygap accepts clients' requests and lets one decision engine say, for each, whether it is forwarded,
 to which app server, or rejected. With no sub-command it serves, as "serve" does.
 
 The platform's configuration is the JSON file named by GW_CONFIG (GW_NAME, GW_LISTEN and GW_DISCOVERY
--- a/cmd/cherrygap/server.go
+++ b/cmd/cherrygap/server.go
@@ -41,7 +41,7 @@
 	drainGRPC    func() // stops the gRPC front end, and returns once its last request has ended
 
 	hasEndpoints bool          // the configuration held an endpoint list
-	pollRequests chan struct{} // the decision module asks for the endpoint list; one that waits is enough
+	pollRequests chan struct{} // the decision engine asks for the endpoint list; one that waits is enough
 	closers      []func()      // what close calls, the last first
 }
 
--- a/cmd/cherrygap/server_parts.go
+++ b/cmd/cherrygap/server_parts.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// openTimer opens the one timer of the decision module.
+// openTimer opens the one timer of the decision engine.
 func (s *server) openTimer() error {
 	timer, err := transport.NewTimer()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// buildRouter makes the facade of the decision module, and the pool of connections to app servers.
+// buildRouter makes the facade of the decision engine, and the pool of connections to app servers.
 func (s *server) buildRouter() error {
 	cfg := routing.Config{
 		Seed:          s.config.randomSeed,
@@ -85,7 +85,7 @@
 	return s.router.ReceivePeerMessage(peer, payload)
 }
 
-// requestPoll notes that the decision module wants the endpoint list. It is called under the router's lock and never waits.
+// requestPoll notes that the decision engine wants the endpoint list. It is called under the router's lock and never waits.
 func (s *server) requestPoll() {
 	select {
 	case s.pollRequests <- struct{}{}:
@@ -93,7 +93,7 @@
 	}
 }
 
-// loadKnownEndpoints gives the decision module the endpoint list of the configuration, if it holds one.
+// loadKnownEndpoints gives the decision engine the endpoint list of the configuration, if it holds one.
 func (s *server) loadKnownEndpoints() error {
 	if s.hasEndpoints = len(s.config.known.Endpoints) > 0; s.hasEndpoints {
 		s.router.UpdateEndpoints(&s.config.known, true)
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Each decision that the module can ask for, as the bytes of its action.
+// Each decision that the engine can ask for, as the bytes of its action.
 func TestEveryActionCode(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -139,7 +139,7 @@
 	}
 }
 
-// A panic of the module is the instance's fault, in words, and the batch goes on.
+// A panic of the engine is the instance's fault, in words, and the batch goes on.
 func TestFaultAction(t *testing.T) {
 	var a adapter
 	a.reply.Reset()
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// pinSettingNames are all the settings that the module reads.
+// pinSettingNames are all the settings that the engine reads.
 func pinSettingNames() []string {
 	names := []string{
 		"node", "nodes", "tick", "connect_timeout", "slow_start_span", "slow_start_share", "peer_messages_per_s", "peers",
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/settings"
 )
 
-// fleetOf is the 77th node's module over many servers in zones, which each call of choose may take for another node's.
+// fleetOf is the 77th node's engine over many servers in zones, which each call of choose may take for another node's.
 func fleetOf(nodes, servers, zones int) *Engine {
 	n := New(7, Settings{
 		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -44,7 +44,7 @@
 }
 
 // DialAuthorizer readies an authorizer at an address and port; it does not wait for it. Classes are the numbers of the
-// decision module's classes by name, as cfg has them. Close ends it.
+// decision engine's classes by name, as cfg has them. Close ends it.
 func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -1,6 +1,6 @@
 // Package grpcfrontend is what the node speaks over gRPC: a server that takes the same requests as the HTTP one and passes
 // them through the same transport.RequestHandler, and the client of an external authorizer (Envoy's published
-// envoy.service.auth.v3.Authorization). It decides nothing: internal/authz and the decision module do.
+// envoy.service.auth.v3.Authorization). It decides nothing: internal/authz and the decision engine do.
 package grpcfrontend
 
 import (
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -10,7 +10,7 @@
 	"cherrygap/internal/settings"
 )
 
-// SettingsOverride holds settings that the decision module reads, over what the platform's JSON says. A key that is not
+// SettingsOverride holds settings that the decision engine reads, over what the platform's JSON says. A key that is not
 // given leaves the platform's setting as it is.
 type SettingsOverride struct {
 	MaxAttempts      *int            `toml:"max_attempts"`        // of a request
@@ -53,13 +53,13 @@
 	deprecatedPlanOverride
 }
 
-// tenthsPerMs is how many of the decision module's units of time a millisecond has.
+// tenthsPerMs is how many of the decision engine's units of time a millisecond has.
 const tenthsPerMs = 10
 
 // entry is one setting that is given.
 type entry struct {
 	key   string // below [settings]
-	name  string // the key in the decision module's settings
+	name  string // the key in the decision engine's settings
 	value string // there
 
 	words           []string // that the value may be; nil for a number
@@ -159,7 +159,7 @@
 	return fmt.Sprintf("%s %q: the platform's settings name %s", e.List, e.Name, strings.Join(e.Known, ", "))
 }
 
-// Apply is a copy of the module's settings with what is given written over it. A class or plan that the settings do
+// Apply is a copy of the engine's settings with what is given written over it. A class or plan that the settings do
 // not name is an *UnknownNameError; then there is no copy.
 func (s *SettingsOverride) Apply(set map[string]string) (map[string]string, error) {
 	out := maps.Clone(set)
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -17,7 +17,7 @@
 	settings.MaxAttempts: "4", settings.Peers: settings.On,
 }
 
-// Nothing given leaves the platform's settings as they are; what is given is written in the module's units.
+// Nothing given leaves the platform's settings as they are; what is given is written in the engine's units.
 func TestApply(t *testing.T) {
 	d := Default()
 	if set, err := d.Settings.Apply(platform); err != nil || !maps.Equal(set, platform) || d.Shadow.Enabled {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,4 +1,4 @@
-// Package routing is the facade of the decision module for network code. A Router drives one decision.Engine under one
+// Package routing is the facade of the decision engine for network code. A Router drives one decision.Engine under one
 // lock: it translates names, addresses and durations into the engine's numbers and units, hands it each event (a new
 // request, the result of an attempt, an endpoint list, a peer's message, the timer), and carries each of its decisions to
 // whoever waits for it. Requests are served in blocking style: Request.Start, then Request.Next and Request.Report in
@@ -14,13 +14,13 @@
 	"cherrygap/internal/decision"
 )
 
-// tick is the decision module's unit of time.
+// tick is the decision engine's unit of time.
 const tick = 100 * time.Microsecond
 
 // ticks cuts a duration to whole ticks.
 func ticks(d time.Duration) decision.Time { return decision.Time(d / tick) }
 
-// duration is a span of the decision module's time.
+// duration is a span of the decision engine's time.
 func duration(t decision.Time) time.Duration { return time.Duration(t) * tick }
 
 // Router drives one decision engine. Its methods may be called from any goroutine; New makes one.
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -7,5 +7,5 @@
 //
 // Values stay text. Times come in microseconds and are given in tenths of a millisecond, rounded towards 0; words that
 // name a choice are translated, and become empty where they are not known. Whatever can't be read is handed on as it is:
-// the decision module reads it as 0, as it does a setting that is not given.
+// the decision engine reads it as 0, as it does a setting that is not given.
 package settings
