--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -1,5 +1,16 @@
 package membership
 
+// Wire format of the messages.
+//
+// A message is a datagram of at most MaxMessageSize bytes: a header (see header) and any number of parts. Each part begins
+// with a byte for its kind:
+//
+//	memberPart: id<<stateBits|state (uvarint), incarnation (uvarint)
+//	eventPart:  kind<<1|ok (byte), id (uvarint), age in eventAgeUnit (uvarint)
+//	bitmapPart: first member (uvarint), size in bytes (uvarint), bitmap of the dead members
+//
+// Integers are encoded as encoding/binary's uvarint. A message with any invalid field is rejected as a whole.
+
 import (
 	"encoding/binary"
 	"errors"
@@ -8,46 +19,59 @@
 	"time"
 )
 
-// Sizes and marks of a message.
 const (
-	MessageMark    = 0xD0 // the first byte of each message; other protocols on the same socket use other bytes
-	MaxMessageSize = 256  // bytes
-
-	maxUpdateSize = 30  // bytes of one update
-	maxBitmapSize = 128 // bytes of a bitmap in one message; that of a larger fleet goes in parts
-	ageUnit       = time.Millisecond
-	numberLimit   = 1 << 62 // numbers in a message are below it
-	stateBits     = 2       // the low bits of a number that holds a member and its state
+	// MessageMark is the first byte of each message. Other protocols on the same socket use other bytes.
+	MessageMark = 0xD0
+	// MaxMessageSize is the maximum size of a message, in bytes.
+	MaxMessageSize = 256
+
+	// maxUpdateSize is the maximum size of a memberPart or eventPart, in bytes.
+	maxUpdateSize = 30
+	// maxBitmapSize is the maximum size of a bitmap, in bytes. A larger fleet sends one section of its bitmap at a time.
+	maxBitmapSize = 128
+	// eventAgeUnit is the unit of an event's age.
+	eventAgeUnit = time.Millisecond
+	// integerLimit is an exclusive upper bound of sequence numbers and incarnations.
+	integerLimit = 1 << 62
+	// stateBits is the number of low bits that hold the state in the first integer of a memberPart.
+	stateBits = 2
 )
 
-// messageKind is what a message is for. The values are those on the wire.
+// messageKind is the kind of a message. The values are those on the wire.
 type messageKind uint8
 
 const (
-	ping        messageKind = iota + 1
-	ack                     // of the ping with that sequence number
-	pingRequest             // ping the target on the sender's behalf, and ack in its place
-	correct                 // the receiver considers these members dead; here they are alive, at these incarnations
-	object                  // these members are dead here at as high an incarnation; they have to refute it themselves
+	// ping asks the receiver for an ack. With sequence 0 it only carries gossip and gets no ack.
+	ping messageKind = iota + 1
+	// ack answers the ping with the same sequence.
+	ack
+	// pingRequest asks the receiver to ping the target and to forward the target's ack.
+	pingRequest
+	// correct carries members that are dead at the receiver and not at the sender.
+	correct
+	// object answers a correct message. It carries members that stay dead at the sender, at their incarnations there.
+	object
 )
 
-// The parts that follow a message's header.
+// partKind is the kind of a part. The values are those on the wire.
+type partKind uint8
+
 const (
-	memberPart = iota + 1
+	memberPart partKind = iota + 1
 	eventPart
 	bitmapPart
 )
 
-// ErrMalformed is returned for a message that can't be decoded. Such a message is ignored as a whole.
+// ErrMalformed is wrapped by every error of Receive.
 var ErrMalformed = errors.New("malformed membership message")
 
-// header is what each message begins with: mark, kind, sequence (uvarint), dead hash (4 bytes, big endian), and for a
-// pingRequest the target (uvarint).
+// header is the beginning of each message. On the wire: MessageMark, kind, sequence (uvarint), deadHash (4 bytes, big
+// endian), and target (uvarint) if the kind is pingRequest.
 type header struct {
 	kind     messageKind
-	sequence uint64
-	deadHash uint32
-	target   NodeID
+	sequence uint64 // of the ping that is sent, answered or requested; 0 in other kinds
+	deadHash uint32 // hash of the sender's dead members
+	target   NodeID // of a pingRequest
 }
 
 // message is a decoded message.
@@ -56,16 +80,20 @@
 	parts []part
 }
 
-// part is one part of a message: an update about a member, an event, or a bitmap of dead members.
+// part is a decoded part of a message. Only the fields of its kind are set.
 type part struct {
-	kind   int
-	member memberUpdate
-	event  Event         // without At, which was
-	age    time.Duration // so long ago
-	first  NodeID        // bitmap: the member of the first bit
-	bitmap []byte
+	kind partKind
+
+	member memberUpdate // memberPart
+
+	event Event         // eventPart, without At
+	age   time.Duration // eventPart: time from the event to the sending of the message
+
+	first  NodeID // bitmapPart: the member of the first bit
+	bitmap []byte // bitmapPart: refers to the message's text
 }
 
+// appendHeader appends a header to a message.
 func appendHeader(text []byte, h header) []byte {
 	text = append(text, MessageMark, byte(h.kind))
 	text = binary.AppendUvarint(text, h.sequence)
@@ -76,47 +104,43 @@
 	return text
 }
 
+// appendMemberUpdate appends a memberPart to a message.
 func appendMemberUpdate(text []byte, u memberUpdate) []byte {
-	text = append(text, memberPart)
+	text = append(text, byte(memberPart))
 	text = binary.AppendUvarint(text, uint64(u.id)<<stateBits|uint64(u.state))
 	return binary.AppendUvarint(text, uint64(u.incarnation))
 }
 
+// appendEvent appends an eventPart to a message. age replaces e.At, which other nodes' clocks do not share.
 func appendEvent(text []byte, e Event, age time.Duration) []byte {
-	ok := byte(0)
+	okBit := byte(0)
 	if e.OK {
-		ok = 1
+		okBit = 1
 	}
-	text = append(text, eventPart, e.Kind<<1|ok)
+	text = append(text, byte(eventPart), e.Kind<<1|okBit)
 	text = binary.AppendUvarint(text, e.ID)
-	return binary.AppendUvarint(text, uint64(age/ageUnit))
+	return binary.AppendUvarint(text, uint64(age/eventAgeUnit))
 }
 
+// appendBitmap appends a bitmapPart to a message. first is the member of the first bit.
 func appendBitmap(text []byte, first NodeID, bitmap []byte) []byte {
-	text = append(text, bitmapPart)
+	text = append(text, byte(bitmapPart))
 	text = binary.AppendUvarint(text, uint64(first))
 	text = binary.AppendUvarint(text, uint64(len(bitmap)))
 	return append(text, bitmap...)
 }
 
-// decode decodes a message of a fleet of so many nodes. An error wraps ErrMalformed.
+// decode decodes a message of a fleet. nodes is the fleet's size, eventKinds is Config.EventKinds. An error wraps
+// ErrMalformed.
 func decode(text []byte, nodes int, eventKinds uint8) (message, error) {
-	if len(text) < 2 || len(text) > MaxMessageSize || text[0] != MessageMark {
-		return message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(text))
-	}
-	r := reader{rest: text[2:], nodes: nodes, eventKinds: eventKinds}
-	var m message
-	m.kind = messageKind(text[1])
-	m.sequence = r.number(numberLimit)
-	if hash := r.bytes(4); r.err == nil {
-		m.deadHash = binary.BigEndian.Uint32(hash)
-	}
-	if m.kind == pingRequest {
-		m.target = r.node()
+	if len(text) < 2 || len(text) > MaxMessageSize {
+		return message{}, fmt.Errorf("%w: size of %d bytes", ErrMalformed, len(text))
 	}
-	if m.kind < ping || m.kind > object {
-		r.fail("kind")
+	if text[0] != MessageMark {
+		return message{}, fmt.Errorf("%w: mark %#x", ErrMalformed, text[0])
 	}
+	r := reader{rest: text[2:], nodes: nodes, eventKinds: eventKinds}
+	m := message{header: r.header(messageKind(text[1]))}
 	for r.err == nil && len(r.rest) > 0 {
 		m.parts = append(m.parts, r.part())
 	}
@@ -126,37 +150,39 @@
 	return m, nil
 }
 
-// reader reads the fields of a message in order. It keeps the first error; what it reads after that is zero.
+// reader decodes the fields of a message in order. It keeps the first error. After an error every read returns zero.
 type reader struct {
-	rest       []byte
-	nodes      int
-	eventKinds uint8
-	err        error
+	rest       []byte // not yet decoded
+	nodes      int    // size of the fleet
+	eventKinds uint8  // Config.EventKinds
+	err        error  // wraps ErrMalformed
 }
 
-func (r *reader) fail(what string) {
+// fail sets the error unless there is one. field names the invalid field.
+func (r *reader) fail(field string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: bad %s, %d bytes before the end", ErrMalformed, what, len(r.rest))
+		r.err = fmt.Errorf("%w: invalid %s, %d bytes before the end", ErrMalformed, field, len(r.rest))
 	}
 }
 
-// number reads a uvarint below a limit.
-func (r *reader) number(limit uint64) uint64 {
+// uvarint reads an integer below limit.
+func (r *reader) uvarint(field string, limit uint64) uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if r.err != nil || size <= 0 || value >= limit {
-		r.fail("number")
+		r.fail(field)
 		return 0
 	}
 	r.rest = r.rest[size:]
 	return value
 }
 
-func (r *reader) node() NodeID { return NodeID(r.number(uint64(r.nodes))) }
+// node reads the number of a node of the fleet.
+func (r *reader) node() NodeID { return NodeID(r.uvarint("node", uint64(r.nodes))) }
 
-// bytes reads so many bytes; nil after an error.
-func (r *reader) bytes(size int) []byte {
+// bytes reads size bytes. The result refers to the message's text; it is nil after an error.
+func (r *reader) bytes(field string, size int) []byte {
 	if r.err != nil || size > len(r.rest) {
-		r.fail("length")
+		r.fail(field)
 		return nil
 	}
 	value := r.rest[:size]
@@ -165,46 +191,71 @@
 }
 
 // octet reads one byte.
-func (r *reader) octet() byte {
-	if b := r.bytes(1); r.err == nil {
+func (r *reader) octet(field string) byte {
+	if b := r.bytes(field, 1); r.err == nil {
 		return b[0]
 	}
 	return 0
 }
 
+// header reads the fields of a header that follow the kind.
+func (r *reader) header(kind messageKind) header {
+	h := header{kind: kind, sequence: r.uvarint("sequence", integerLimit)}
+	if hash := r.bytes("dead hash", 4); r.err == nil {
+		h.deadHash = binary.BigEndian.Uint32(hash)
+	}
+	if kind == pingRequest {
+		h.target = r.node()
+	}
+	if kind < ping || kind > object {
+		r.fail("message kind")
+	}
+	return h
+}
+
+// part reads one part of any kind.
 func (r *reader) part() part {
-	p := part{kind: int(r.octet())}
+	p := part{kind: partKind(r.octet("part kind"))}
 	switch p.kind {
 	case memberPart:
 		p.member = r.memberUpdate()
 	case eventPart:
-		p.event, p.age = r.event()
+		p.event = r.event()
+		p.age = r.eventAge()
 	case bitmapPart:
 		p.first = r.node()
-		p.bitmap = r.bytes(int(r.number(maxBitmapSize + 1)))
+		size := r.uvarint("bitmap size", maxBitmapSize+1)
+		p.bitmap = r.bytes("bitmap", int(size))
 	default:
-		r.fail("part")
+		r.fail("part kind")
 	}
 	return p
 }
 
+// memberUpdate reads the fields of a memberPart.
 func (r *reader) memberUpdate() memberUpdate {
-	value := r.number(uint64(r.nodes) << stateBits)
-	u := memberUpdate{id: NodeID(value >> stateBits), state: State(value & (1<<stateBits - 1))}
-	u.incarnation = incarnation(r.number(numberLimit))
+	idAndState := r.uvarint("member", uint64(r.nodes)<<stateBits)
+	u := memberUpdate{id: NodeID(idAndState >> stateBits), state: State(idAndState & (1<<stateBits - 1))}
+	u.incarnation = incarnation(r.uvarint("incarnation", integerLimit))
 	if u.state > Dead {
 		r.fail("state")
 	}
 	return u
 }
 
-func (r *reader) event() (e Event, age time.Duration) {
-	head := r.octet()
-	e.Kind, e.OK = head>>1, head&1 == 1
-	e.ID = r.number(math.MaxUint64)
-	age = time.Duration(r.number(uint64(maxEventAge/ageUnit)+1)) * ageUnit
+// event reads the fields of an eventPart that precede its age.
+func (r *reader) event() Event {
+	kindAndOK := r.octet("event kind")
+	e := Event{Kind: kindAndOK >> 1, OK: kindAndOK&1 == 1}
+	e.ID = r.uvarint("event id", math.MaxUint64)
 	if e.Kind < 1 || e.Kind > r.eventKinds {
-		r.fail("kind of event")
+		r.fail("event kind")
 	}
-	return e, age
+	return e
+}
+
+// eventAge reads the age of an event.
+func (r *reader) eventAge() time.Duration {
+	limit := uint64(maxEventAge/eventAgeUnit) + 1
+	return time.Duration(r.uvarint("event age", limit)) * eventAgeUnit
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Every message is written as the bytes of commit cf1acfb, and read back.
-func TestCodecRoundTrip(t *testing.T) {
+// Nodes of different versions share a fleet, so every kind of message keeps its bytes. The message is also decoded again.
+func TestDatagramWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		in   message
@@ -19,7 +19,7 @@
 		{"ping", message{header: header{kind: ping, sequence: 1, deadHash: 0xdb052768}}, "d00101db052768"},
 		{
 			"ack with a large sequence",
-			message{header: header{kind: ack, sequence: numberLimit - 1}},
+			message{header: header{kind: ack, sequence: integerLimit - 1}},
 			"d002ffffffffffffffff3f00000000",
 		},
 		{"ping request", message{header: header{kind: pingRequest, sequence: 255, target: 300}}, "d003ff0100000000ac02"},
@@ -60,7 +60,7 @@
 			if back, err := decode(text, MaxNodes, 3); err != nil || !reflect.DeepEqual(back, c.in) {
 				t.Errorf("%+v, %v, want %+v", back, err, c.in)
 			}
-			for size := range text { // no prefix reads beyond its end
+			for size := range text { // a truncated message is either a shorter valid one or malformed
 				if _, err := decode(text[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
 					t.Errorf("%d bytes: %v", size, err)
 				}
@@ -69,17 +69,17 @@
 	}
 }
 
-// An update and an event never take more than what is set aside for one.
-func TestUpdatesFitTheirSize(t *testing.T) {
-	if size := len(appendMemberUpdate(nil, memberUpdate{id: MaxNodes - 1, state: Dead, incarnation: numberLimit - 1})); size > maxUpdateSize {
-		t.Errorf("an update takes %d bytes", size)
+// The longest update, event and bitmap fit into the sizes that the encoder reserves for them.
+func TestLongestPartsFitMaxSizes(t *testing.T) {
+	if size := len(appendMemberUpdate(nil, memberUpdate{id: MaxNodes - 1, state: Dead, incarnation: integerLimit - 1})); size > maxUpdateSize {
+		t.Errorf("the longest update has %d bytes", size)
 	}
 	if size := len(appendEvent(nil, Event{Kind: 127, ID: math.MaxUint64, OK: true}, maxEventAge)); size > maxUpdateSize {
-		t.Errorf("an event takes %d bytes", size)
+		t.Errorf("the longest event has %d bytes", size)
 	}
-	header := appendHeader(nil, header{kind: pingRequest, sequence: numberLimit - 1, target: MaxNodes - 1})
+	header := appendHeader(nil, header{kind: pingRequest, sequence: integerLimit - 1, target: MaxNodes - 1})
 	bitmap := appendBitmap(nil, MaxNodes-1, make([]byte, maxBitmapSize))
 	if size := len(header) + maxUpdateSize + len(bitmap); size > MaxMessageSize {
-		t.Errorf("a bitmap's message takes %d bytes", size)
+		t.Errorf("a message with the longest bitmap has %d bytes", size)
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,5 +1,13 @@
 package membership
 
+// Gossip queue.
+//
+// Inputs: updates about members, and events of the application. State: one queue with the last update of each subject and
+// the number of times that it was sent. Rule: every message is filled up with updates, members before events, the least
+// sent first. An update leaves the queue after memberUpdateRounds or eventRounds gossip rounds. Protects against lost
+// datagrams, because several messages carry each update. Trade-off: an update can miss a member, which is why nodes also
+// compare their sets of dead members (compareDead).
+
 import (
 	"cmp"
 	"slices"
@@ -7,30 +15,44 @@
 )
 
 const (
-	maxUpdates         = 512 // in the queue
-	memberUpdateRounds = 3   // gossip rounds for which an update about a member is sent; an event is sent for one
-	maxEventAge        = time.Minute
+	// maxUpdates is the capacity of the queue, in updates.
+	maxUpdates = 512
+	// memberUpdateRounds is the number of gossip rounds for which an update about a member is sent.
+	memberUpdateRounds = 3
+	// eventRounds is the number of gossip rounds for which an event is sent.
+	eventRounds = 1
+	// maxEventAge is the age beyond which an event is not sent, and is malformed in a received message.
+	maxEventAge = time.Minute
 )
 
-// Event is an application's event that is gossiped along with the updates about members: how something ended, and when. Of
-// each subject (Kind and ID) only the last event is gossiped.
+// Event is an event of the application: the result of an operation, and its time. Kind and ID are its subject. Only the
+// last event of a subject is gossiped.
 type Event struct {
-	Kind uint8 // 1 to Config.EventKinds
-	ID   uint64
-	OK   bool
-	At   time.Duration // by this node's clock. An event older than a minute is not sent
+	Kind uint8         // 1 to Config.EventKinds
+	ID   uint64        // of the operation, among those of its kind
+	OK   bool          // result of the operation
+	At   time.Duration // by this node's clock; on the wire it is an age
 }
 
-// update is one piece of gossip: about a member, or an event.
+// update is an entry of the gossip queue. Either member or event is set.
 type update struct {
 	member memberUpdate
-	event  Event // if its Kind is not 0
-	sent   int   // times
+	event  Event // with Kind 0 if the update is about a member
+	sent   int   // number of messages that carried the update
 }
 
+// isEvent reports whether the update is an event of the application.
 func (u *update) isEvent() bool { return u.event.Kind != 0 }
 
-// sameSubject reports whether the newer of two updates replaces the older one.
+// maxSends returns the number of messages that carry the update. rounds is Protocol.GossipRounds.
+func (u *update) maxSends(rounds float64) float64 {
+	if u.isEvent() {
+		return eventRounds * rounds
+	}
+	return memberUpdateRounds * rounds
+}
+
+// sameSubject reports whether both updates are about the same member or the same operation.
 func (u *update) sameSubject(other *update) bool {
 	if u.event.Kind != other.event.Kind || u.event.ID != other.event.ID {
 		return false
@@ -38,17 +60,19 @@
 	return u.isEvent() || u.member.id == other.member.id
 }
 
-// gossipQueue holds the updates that are to be sent with the next messages.
+// gossipQueue holds the updates for the next messages. The zero value is empty.
 type gossipQueue struct {
-	updates []update
+	updates []update // at most maxUpdates, one per subject
 }
 
+// addMember queues an update about a member.
 func (q *gossipQueue) addMember(u memberUpdate) { q.add(update{member: u}) }
 
+// addEvent queues an event.
 func (q *gossipQueue) addEvent(e Event) { q.add(update{event: e}) }
 
-// add queues an update in place of an older one of its subject. If the queue is full it replaces the update that was sent
-// most often, as that has spread furthest.
+// add queues an update. It replaces the queued update of the same subject. Without one, an update in a full queue replaces
+// the update that was sent most often, because most members have received that one.
 func (q *gossipQueue) add(u update) {
 	for i := range q.updates {
 		if q.updates[i].sameSubject(&u) {
@@ -69,12 +93,10 @@
 	q.updates[mostSent] = u
 }
 
-// appendTo appends as many updates to a message as fit, members before events and the least sent first, and drops those
-// that have been sent often enough. rounds is Protocol.GossipRounds.
+// appendTo appends updates to a message until it is full, and returns the message. It removes the updates that have been
+// sent maxSends times. rounds is Protocol.GossipRounds.
 func (q *gossipQueue) appendTo(text []byte, now time.Duration, rounds float64) []byte {
-	slices.SortStableFunc(q.updates, func(a, b update) int {
-		return cmp.Or(cmp.Compare(min(a.event.Kind, 1), min(b.event.Kind, 1)), cmp.Compare(a.sent, b.sent))
-	})
+	q.sort()
 	for i := range q.updates {
 		if len(text)+maxUpdateSize > MaxMessageSize {
 			break
@@ -87,24 +109,25 @@
 			text = appendEvent(text, u.event, age)
 		}
 	}
-	q.updates = slices.DeleteFunc(q.updates, func(u update) bool {
-		limit := rounds
-		if !u.isEvent() {
-			limit = memberUpdateRounds * rounds
-		}
-		return float64(u.sent) >= limit
-	})
+	q.updates = slices.DeleteFunc(q.updates, func(u update) bool { return float64(u.sent) >= u.maxSends(rounds) })
 	return text
 }
 
-// byteBudget limits the bytes that are sent: a token bucket with a capacity of one second.
+// sort orders the queue: members before events, then the least sent first, then the order of arrival.
+func (q *gossipQueue) sort() {
+	slices.SortStableFunc(q.updates, func(a, b update) int {
+		return cmp.Or(cmp.Compare(min(a.event.Kind, 1), min(b.event.Kind, 1)), cmp.Compare(a.sent, b.sent))
+	})
+}
+
+// byteBudget limits the bytes that a node sends. It is a token bucket whose capacity is the rate of one second.
 type byteBudget struct {
-	rate       float64 // bytes a second; 0 for no limit
-	available  float64 // bytes
+	rate       float64 // bytes per second; 0 for no limit
+	available  float64 // bytes; negative if more was spent
 	refilledAt time.Duration
 }
 
-// allows reports whether a message of maximum size may be sent now.
+// allows refills the budget and reports whether a message of MaxMessageSize may be sent.
 func (b *byteBudget) allows(now time.Duration) bool {
 	if b.rate <= 0 {
 		return true
@@ -114,5 +137,5 @@
 	return b.available >= MaxMessageSize
 }
 
-// spend notes that a message was sent.
+// spend records that a message of size bytes was sent.
 func (b *byteBudget) spend(size int) { b.available -= float64(size) }
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// parts decodes what a queue appends to a header.
+// parts returns the decoded parts that a queue appends to a header.
 func parts(t *testing.T, q *gossipQueue, now time.Duration, rounds float64) []part {
 	t.Helper()
 	text := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
@@ -16,7 +16,7 @@
 	return m.parts
 }
 
-// Members come before events, and what was sent least first. Each is passed on for as many rounds as its kind is.
+// Updates about members come before events, and the least sent ones come first. Each is sent for the rounds of its kind.
 func TestGossipOrderAndLimits(t *testing.T) {
 	var q gossipQueue
 	q.addEvent(Event{Kind: 2, ID: 8})
@@ -43,8 +43,8 @@
 	}
 }
 
-// A newer update of the same subject takes the older one's place, and is sent afresh.
-func TestGossipReplaces(t *testing.T) {
+// A newer update replaces the older one of the same subject, and its count of sends starts at 0.
+func TestNewerUpdateReplacesOlderOne(t *testing.T) {
 	var q gossipQueue
 	q.addEvent(Event{Kind: 1, ID: 8, OK: true})
 	q.addEvent(Event{Kind: 2, ID: 8})
@@ -63,11 +63,12 @@
 	}
 }
 
-// A message is never longer than the largest, an old event is not sent, and a full queue drops what was sent most.
-func TestGossipIsBounded(t *testing.T) {
+// A message stays within MaxMessageSize, an event older than maxEventAge is not sent, and a full queue drops the update
+// that was sent most often.
+func TestGossipQueueIsBounded(t *testing.T) {
 	var q gossipQueue
 	for i := range maxUpdates {
-		q.addMember(memberUpdate{id: NodeID(i), state: Suspect, incarnation: numberLimit - 1})
+		q.addMember(memberUpdate{id: NodeID(i), state: Suspect, incarnation: integerLimit - 1})
 	}
 	if text := q.appendTo(nil, 0, 100); len(text) > MaxMessageSize || len(text)+maxUpdateSize <= MaxMessageSize {
 		t.Errorf("%d bytes", len(text))
@@ -87,7 +88,7 @@
 	}
 }
 
-// The budget holds one second's worth, and none is unlimited.
+// The budget holds the bytes of one second. A rate of 0 means no limit.
 func TestByteBudget(t *testing.T) {
 	b := byteBudget{rate: 1000, available: 1000}
 	count := 0
@@ -95,10 +96,10 @@
 		b.spend(MaxMessageSize)
 	}
 	if count != 3 {
-		t.Errorf("%d messages at once", count)
+		t.Errorf("%d messages allowed at one time, want 3", count)
 	}
 	if b.allows(20*time.Millisecond) || !b.allows(30*time.Millisecond) {
-		t.Error("it does not refill at its rate")
+		t.Error("the budget does not refill at its rate")
 	}
 	b.allows(time.Hour)
 	if b.available != 1000 {
@@ -109,6 +110,6 @@
 		unlimited.spend(MaxMessageSize)
 	}
 	if !unlimited.allows(0) {
-		t.Error("no limit was one")
+		t.Error("rate 0 limits the bytes")
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,54 +1,60 @@
 package membership
 
+// States of the members.
+//
+// Inputs: updates about members, from other nodes and from this node's own probes. State: state and incarnation of each
+// member. Rule: the update with the higher incarnation holds; at the same incarnation dead overrides suspect and suspect
+// overrides alive (section 4.2 of the SWIM paper). Only the member itself raises its incarnation. In addition nodes whose
+// sets of dead members differ exchange them. Protects against updates that arrive late, repeatedly or not at all.
+
 import (
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what a node considers a member to be. The values are those on the wire.
+// State is the state of a member as seen by one node. The values are those on the wire.
 type State uint8
 
-// The states, in the order in which the later ones override the earlier ones at the same incarnation.
+// States of a member. At the same incarnation a greater state overrides a lesser one.
 const (
 	Alive State = iota
 	Suspect
 	Dead
 )
 
-// incarnation counts how often a member has refuted updates that said that it is suspect or dead. An update with a lower
-// incarnation is out of date.
+// incarnation is the number of updates that a member has refuted. An update with a lower incarnation is out of date.
 type incarnation uint64
 
-// member is what this node knows of one node of the fleet; its own entry holds its incarnation.
+// member is the record of one node of the fleet. The zero value is alive and was never dead.
 type member struct {
 	state       State
 	incarnation incarnation
-	since       time.Duration // in this state
-	rejoined    bool          // it was dead at some time,
-	rejoinedAt  time.Duration // and is alive again since then
+	since       time.Duration // time of the last change of state
+	rejoined    bool          // whether the member changed from dead to alive at least once
+	rejoinedAt  time.Duration // time of the last such change
 }
 
-// memberUpdate is one piece of gossip about a member.
+// memberUpdate is an update about a member, as gossiped.
 type memberUpdate struct {
 	id          NodeID
 	state       State
 	incarnation incarnation
 }
 
-// State returns the state of a member. The state of this node itself is meaningless.
+// State returns the state of another member. It panics if id is not below Nodes. The result for Self is meaningless.
 func (p *Protocol) State(id NodeID) State { return p.members[id].state }
 
-// AliveFor reports whether it is at least the given time since a member rejoined; true if it was never dead.
-func (p *Protocol) AliveFor(id NodeID, least time.Duration) bool {
+// AliveFor reports whether a member last rejoined at least minAge ago. It returns true if the member was never dead.
+func (p *Protocol) AliveFor(id NodeID, minAge time.Duration) bool {
 	m := &p.members[id]
-	return !m.rejoined || p.now-m.rejoinedAt >= least
+	return !m.rejoined || p.now-m.rejoinedAt >= minAge
 }
 
-// Version changes whenever the state of a member does.
+// Version returns a number that increases with each change of a member's state.
 func (p *Protocol) Version() uint64 { return p.version }
 
-// DeadCount returns the number of members that are considered dead.
+// DeadCount returns the number of dead members.
 func (p *Protocol) DeadCount() int {
 	count := 0
 	for i := range p.members {
@@ -59,15 +65,16 @@
 	return count
 }
 
-// apply applies an update about a member and gossips it if it is news. Updates about this node itself are refuted.
+// apply applies an update about a member. It gossips the update if the member's state changes. An update that calls this
+// node suspect or dead is refuted.
 func (p *Protocol) apply(u memberUpdate) {
 	if u.id == p.cfg.Self {
 		p.refute(u)
 		return
 	}
 	m := &p.members[u.id]
-	if u.incarnation < m.incarnation || u.incarnation == m.incarnation && u.state <= m.state {
-		return // out of date or already known
+	if !u.overrides(m) {
+		return
 	}
 	if u.state == m.state {
 		m.incarnation = u.incarnation
@@ -88,7 +95,15 @@
 	p.gossip.addMember(u)
 }
 
-// refute answers an update about this node itself with a higher incarnation.
+// overrides reports whether the update is newer than the record of its member.
+func (u memberUpdate) overrides(m *member) bool {
+	if u.incarnation != m.incarnation {
+		return u.incarnation > m.incarnation
+	}
+	return u.state > m.state
+}
+
+// refute answers an update about this node with a higher incarnation, unless the update is out of date or says alive.
 func (p *Protocol) refute(u memberUpdate) {
 	self := &p.members[p.cfg.Self]
 	if u.state == Alive || u.incarnation < self.incarnation {
@@ -99,11 +114,11 @@
 	p.gossip.addMember(memberUpdate{id: p.cfg.Self, state: Alive, incarnation: self.incarnation})
 }
 
-// hashDead returns a hash of the set of dead members. Nodes whose hashes differ exchange the sets: an update is gossiped a
-// few times only, so a member that was unreachable at that time would never receive it.
+// hashDead returns a hash of the set of dead members. Nodes whose hashes differ exchange the sets. Gossip alone is not
+// enough: each update is sent a few times, and a member that is unreachable then never receives it.
 func (p *Protocol) hashDead() uint32 { return uint32(xxhash.Sum64(p.deadBitmap(0, p.cfg.Nodes))) }
 
-// deadBitmap has one bit for each of count members from first on, set for the dead ones.
+// deadBitmap returns a bitmap of count members from first on. The bit of a dead member is set; the lowest bit comes first.
 func (p *Protocol) deadBitmap(first NodeID, count int) []byte {
 	bitmap := make([]byte, (count+7)/8)
 	for i := range count {
@@ -115,11 +130,14 @@
 	return bitmap
 }
 
-// compareDead compares a peer's set of dead members with this node's, and returns those that are not dead here, so that the
-// peer can be sent their incarnations (correct). If its incarnations are as high, the peer objects: the members become
-// suspect here too, receive that update, and refute it or die. If the peer considers this node itself dead, that is refuted
-// at once. So nodes that were cut off from each other converge, and one that has just started learns who is dead.
-func (p *Protocol) compareDead(first NodeID, bitmap []byte) (alive []NodeID) {
+// compareDead compares the bitmap of a peer's dead members with this node's records. first is the member of the first bit.
+// It returns the members that are dead at the peer and not here, in random order because one message may not hold all.
+//
+// The caller sends the peer a correct message with their incarnations. If the peer knows of incarnations as high, it
+// answers with an object message. The members then become suspect here too, and refute the suspicion or die. If the peer
+// considers this node dead, compareDead refutes that. Thus the halves of a partitioned fleet converge, and a node that has
+// just started learns the dead members.
+func (p *Protocol) compareDead(first NodeID, bitmap []byte) (notDead []NodeID) {
 	for i := range 8 * len(bitmap) {
 		id := first + NodeID(i)
 		if bitmap[i/8]>>(i%8)&1 == 0 || int(id) >= p.cfg.Nodes {
@@ -128,10 +146,9 @@
 		if id == p.cfg.Self {
 			p.refute(memberUpdate{id: id, state: Dead, incarnation: p.members[id].incarnation})
 		} else if p.members[id].state != Dead {
-			alive = append(alive, id)
+			notDead = append(notDead, id)
 		}
 	}
-	// Not all may fit into one message: other ones come first each time.
-	p.random.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
-	return alive
+	p.random.Shuffle(len(notDead), func(i, j int) { notDead[i], notDead[j] = notDead[j], notDead[i] })
+	return notDead
 }
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// An update overrides what is known by its incarnation, then by its state, and is passed on where it does.
+// An update overrides the known state by its incarnation, then by its state. An update that changes the state is gossiped.
 func TestUpdatesOverrideByIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		have, in  memberUpdate
 		want      memberUpdate
-		passedOn  bool
+		gossiped  bool
 		suspected int64
 		died      int64
 		rejoined  int64
 	}{
-		{name: "suspicion", in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}, passedOn: true, suspected: 1},
-		{name: "death at once", in: memberUpdate{state: Dead}, want: memberUpdate{state: Dead}, passedOn: true, died: 1},
+		{name: "suspicion", in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}, gossiped: true, suspected: 1},
+		{name: "death at once", in: memberUpdate{state: Dead}, want: memberUpdate{state: Dead}, gossiped: true, died: 1},
 		{name: "known", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}},
 		{
 			name: "alive does not refute at the same incarnation", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Alive},
@@ -25,11 +25,11 @@
 		},
 		{
 			name: "alive refutes at a higher one", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
-			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true,
+			want: memberUpdate{state: Alive, incarnation: 5}, gossiped: true,
 		},
 		{
 			name: "back from the dead", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
-			want: memberUpdate{state: Alive, incarnation: 5}, passedOn: true, rejoined: 1,
+			want: memberUpdate{state: Alive, incarnation: 5}, gossiped: true, rejoined: 1,
 		},
 		{
 			name: "out of date", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Dead, incarnation: 5},
@@ -50,8 +50,8 @@
 			if m.state != c.want.state || m.incarnation != c.want.incarnation || p.State(2) != c.want.state {
 				t.Errorf("%+v, want %+v", *m, c.want)
 			}
-			if passedOn := len(p.gossip.updates) == 1; passedOn != c.passedOn || (p.Version() != version) != c.passedOn {
-				t.Errorf("passed on %v, version %d after %d", passedOn, p.Version(), version)
+			if gossiped := len(p.gossip.updates) == 1; gossiped != c.gossiped || (p.Version() != version) != c.gossiped {
+				t.Errorf("gossiped %v, version %d after %d", gossiped, p.Version(), version)
 			}
 			if isDead := c.want.state == Dead; (p.deadHash != hash) != isDead {
 				t.Errorf("hash %x after %x", p.deadHash, hash)
@@ -63,7 +63,7 @@
 	}
 }
 
-// A node refutes what others say of it with a higher incarnation, once.
+// A node refutes each suspicion of itself once, with a higher incarnation.
 func TestRefuteRaisesTheIncarnation(t *testing.T) {
 	p := New(Config{Self: 1, Nodes: 4}, 0)
 	for _, c := range []struct {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Who differs on the dead is sent those of them that live, and this node's own death is refuted.
-func TestCompareDead(t *testing.T) {
+// The comparison with a peer's dead members returns those that are not dead here, and refutes this node's own death.
+func TestCompareDeadReturnsMembersNotDeadHere(t *testing.T) {
 	p := New(Config{Self: 1, Nodes: 11}, 0)
 	p.apply(memberUpdate{id: 9, state: Dead})
 	if bitmap := p.deadBitmap(0, 11); len(bitmap) != 2 || bitmap[0] != 0 || bitmap[1] != 1<<1 {
@@ -102,15 +102,16 @@
 	}
 }
 
-// Only a member that was dead is new, and only for so long.
-func TestAliveFor(t *testing.T) {
+// AliveFor counts from the last time that the member rejoined, and is true for a member that was never dead.
+func TestAliveForCountsFromRejoin(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 3}, 5*time.Second)
 	p.apply(memberUpdate{id: 2, state: Dead})
 	p.Advance(6 * time.Second)
 	p.apply(memberUpdate{id: 2, state: Alive, incarnation: 1})
 	p.Advance(8 * time.Second)
-	p.Advance(7 * time.Second) // a clock that runs back is not followed
+	p.Advance(7 * time.Second) // an earlier time is ignored
 	if !p.AliveFor(1, time.Hour) || !p.AliveFor(2, 2*time.Second) || p.AliveFor(2, 2*time.Second+1) {
-		t.Error("wrong")
+		t.Errorf("never dead: %v; 2 s after rejoining: at least 2 s %v, at least 2 s and 1 ns %v",
+			p.AliveFor(1, time.Hour), p.AliveFor(2, 2*time.Second), p.AliveFor(2, 2*time.Second+1))
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,16 @@
-// Package membership keeps, at each node of a fleet, the list of the other nodes and whether each is considered alive,
-// suspect or dead. It follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
-// Group Membership Protocol", 2002): each period a node pings a few others, has a silent one pinged indirectly,
-// suspects it, and considers it dead unless it refutes the suspicion with a higher incarnation. Updates about members
-// are gossiped: they ride on the pings and acks that are sent anyway. An application's events ride along with them.
+// Package membership detects failed nodes of a fleet. Each node keeps one state per other node: alive, suspect or dead.
 //
-// The package holds no I/O, no clock and no goroutine. The host passes the time with each call, hands in what it
-// received (Receive), and sends what Next gives out. The same calls with the same seed give the same messages. A
-// Protocol is not safe for concurrent use.
+// The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+// Protocol", DSN 2002). In each period a node pings one member. If the member does not ack, other members ping it on the
+// node's behalf. If none of them gets an ack, the member becomes suspect. A suspect that does not refute the suspicion with
+// a higher incarnation becomes dead. Updates about members are gossiped: pings and acks carry them. Events of the
+// application are gossiped in the same way.
 //
-// docs/design-healthcheck.md has the options that were considered and where this differs from SWIM, with why.
+// The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It passes received
+// datagrams to Receive and sends the messages that Next returns. The same calls with the same seed yield the same
+// messages. A Protocol is not safe for concurrent use.
+//
+// docs/design-healthcheck.md lists the alternatives and the differences from SWIM.
 package membership
 
 import (
@@ -17,108 +19,112 @@
 	"time"
 )
 
-// NodeID is the number of a node of the fleet, from 0. All nodes number the members alike.
+// NodeID is the number of a node of the fleet, from 0. All nodes use the same numbering.
 type NodeID int
 
-// noNode is the NodeID of none.
+// noNode stands for the absence of a node.
 const noNode NodeID = -1
 
-// MaxNodes bounds the size of a fleet.
+// MaxNodes is the maximum size of a fleet. New lowers Config.Nodes to it.
 const MaxNodes = 1 << 16
 
-// Pacing of the protocol.
 const (
-	receiveShare       = 0.125 // of the messages that a node takes in (Config.ReceiveRate), for this protocol
-	messagesPerPeriod  = 4     // that a node takes in: a ping, an ack, now and then one on another's behalf
-	minPeriod          = 100 * time.Millisecond
-	firstPingWithin    = 4 // the first ping is sent within this part (1/n) of a period, so that starts are spread
-	lonelyPings        = 3 // pings a period until the first message came in
-	indirectProbes     = 3 // members that are asked to ping a silent one
-	directTimeoutShare = 0.4
-	suspicionRounds    = 3    // periods a gossip round, from suspicion to death: an update goes out, its refutation back
-	deadPingChance     = 0.25 // a period, that a dead member is pinged: halves that were cut off find each other again
+	// minPeriod is the shortest time between two pings of a node.
+	minPeriod = 100 * time.Millisecond
+	// receiveRateShare is the share of Config.ReceiveRate that this protocol may use.
+	receiveRateShare = 0.125
+	// messagesPerPeriod is the mean number of messages that a node receives in a period: a ping, an ack, indirect pings.
+	messagesPerPeriod = 4
+	// firstPingDivisor bounds the delay of a node's first ping to period/firstPingDivisor.
+	firstPingDivisor = 4
 )
 
-// Config is what a Protocol needs to know at its start.
+// Config configures a Protocol.
 type Config struct {
-	Self        NodeID
-	Nodes       int     // members of the fleet, this node included
-	Seed        uint64  // of the random draws; nodes draw differently by their number
-	ReceiveRate float64 // messages a second that a node takes in, of all kinds; 0 for no known limit
-	SendRate    float64 // bytes a second that this node sends at most, whatever the fleet's size; 0 for no limit
-	EventKinds  uint8   // kinds of Event are 1 to EventKinds; a message with another kind is malformed
+	Self        NodeID  // this node
+	Nodes       int     // members of the fleet, including this node; at least 1
+	Seed        uint64  // of the random draws; it is combined with Self
+	ReceiveRate float64 // messages of all kinds that a node can receive, per second; 0 for no known limit
+	SendRate    float64 // bytes that this node may send, per second; 0 for no limit
+	EventKinds  uint8   // valid values of Event.Kind are 1 to EventKinds
 }
 
-// Counters count what a Protocol did since it was made.
+// Counters count events since New.
 type Counters struct {
-	Sent      int64 // messages
-	SentBytes int64
-	Withheld  int64 // messages that were not sent because of Config.SendRate
-	Received  int64 // messages
-	Malformed int64 // messages that could not be read, or came from no other member
+	Sent      int64 // messages sent
+	SentBytes int64 // bytes sent
+	Withheld  int64 // messages dropped because of Config.SendRate
+	Received  int64 // valid messages received
+	Malformed int64 // messages that could not be decoded or did not come from another member
 	Suspected int64 // members that became suspect
 	Died      int64 // members that became dead
-	Rejoined  int64 // members that were dead and are alive again
-	Refuted   int64 // updates that said that this node itself is suspect or dead
+	Rejoined  int64 // members that changed from dead to alive
+	Refuted   int64 // updates that called this node suspect or dead and were refuted
 }
 
-// Protocol is one node's side of the membership protocol.
+// Protocol is the membership protocol at one node. It is not safe for concurrent use.
 type Protocol struct {
 	cfg      Config
 	random   *rand.Rand
 	now      time.Duration
-	period   time.Duration
+	period   time.Duration // time between two pings of this node
 	counters Counters
 
-	members      []member
-	version      uint64 // changes with each change of a member's state
-	deadHash     uint32 // of the members considered dead, sent with each message
-	receivedNone bool   // no message came in yet, so this node does not know who is dead
+	members      []member // by NodeID; the entry of this node holds its own incarnation
+	version      uint64   // incremented with each change of a member's state
+	deadHash     uint32   // hash of the set of dead members; each message carries it
+	receivedNone bool     // no valid message was received yet
 	gossip       gossipQueue
 	budget       byteBudget
-	outbox       []outgoing
-	writeBuffer  []byte
-	probes       []pendingPing // pings whose ack is awaited
-	lastSequence uint64
+	outbox       []outgoing // messages that Next has not returned yet
+	writeBuffer  []byte     // of the last message; reused by the next one
+	probes       []pendingPing
+	lastSequence uint64 // of the last ping sent
 	nextPingAt   time.Duration
-	pingOrder    []int // members by the order in which they are pinged, shuffled anew each time round
-	pingIndex    int   // into pingOrder
+	pingOrder    []int // members in the order in which they are pinged; shuffled for each pass
+	pingIndex    int   // into pingOrder: the next member
 }
 
-// Message is one datagram to be sent.
+// Message is a datagram to be sent.
 type Message struct {
 	To   NodeID
-	Text []byte // valid until the next call
+	Text []byte // valid until the next call of any method
 }
 
-// New returns a Protocol that considers every other member alive. now is the time since any origin; it must not decrease.
+// New returns a Protocol that considers every other member alive. now is the time since any origin. The times of later
+// calls have the same origin.
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
-		cfg:     cfg,
-		now:     now,
-		random:  rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
-		members: make([]member, cfg.Nodes),
-		period:  minPeriod,
-		budget:  byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
-	}
-	if cfg.ReceiveRate > 0 {
-		perMessage := time.Duration(messagesPerPeriod / (receiveShare * cfg.ReceiveRate) * float64(time.Second))
-		p.period = max(p.period, perMessage)
+		cfg:          cfg,
+		now:          now,
+		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
+		members:      make([]member, cfg.Nodes),
+		period:       pingPeriod(cfg.ReceiveRate),
+		budget:       byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
+		receivedNone: true,
 	}
-	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingWithin)))
-	p.receivedNone = true
+	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingDivisor)))
 	p.deadHash = p.hashDead()
 	return p
 }
 
-// Advance sets the clock and returns it. The clock never runs back: an earlier time is ignored.
+// pingPeriod returns the time between two pings at which the protocol uses its share of receiveRate, at least minPeriod.
+func pingPeriod(receiveRate float64) time.Duration {
+	if receiveRate <= 0 {
+		return minPeriod
+	}
+	seconds := messagesPerPeriod / (receiveRateShare * receiveRate)
+	return max(minPeriod, time.Duration(seconds*float64(time.Second)))
+}
+
+// Advance sets the clock to now and returns the clock. A time before the clock is ignored: the clock never goes back.
 func (p *Protocol) Advance(now time.Duration) time.Duration {
 	p.now = max(p.now, now)
 	return p.now
 }
 
-// Nodes returns the size of the fleet, this node included.
+// Nodes returns the size of the fleet, including this node.
 func (p *Protocol) Nodes() int { return p.cfg.Nodes }
 
 // Self returns this node's number.
@@ -130,25 +136,25 @@
 // Counters returns the counts since New.
 func (p *Protocol) Counters() Counters { return p.counters }
 
-// GossipRounds returns how many rounds of gossip an update takes to reach all members if each member that has it passes it
-// on to one more in each round.
+// GossipRounds returns the number of rounds in which an update reaches all members if each informed member informs one
+// other member per round. That is the bit length of the fleet's size.
 func (p *Protocol) GossipRounds() float64 { return float64(bits.Len(uint(p.cfg.Nodes))) }
 
-// Next returns the next message to send, or false when there is none for now.
+// Next returns the next message to send. It returns false if there is none at the time now.
 func (p *Protocol) Next(now time.Duration) (Message, bool) {
 	p.Advance(now)
 	p.probe()
 	for len(p.outbox) > 0 {
-		o := p.outbox[0]
+		next := p.outbox[0]
 		p.outbox = p.outbox[1:]
-		if text := p.encode(o); text != nil {
-			return Message{To: o.to, Text: text}, true
+		if text := p.encode(next); text != nil {
+			return Message{To: next.to, Text: text}, true
 		}
 	}
 	return Message{}, false
 }
 
-// WakeAt returns the time at which Next has to be called again at the latest, if nothing comes in before.
+// WakeAt returns the latest time of the next call of Next, provided that no message is received before.
 func (p *Protocol) WakeAt() time.Duration {
 	at := p.nextPingAt
 	for i := range p.probes {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// fleet carries messages between nodes without delay, where reaches lets them.
+// fleet is a simulated network without delay.
 type fleet struct {
-	nodes   []*Protocol
+	nodes   []*Protocol // nil for a node that is down
 	now     time.Duration
-	reaches func(from, to NodeID) bool
-	got     map[NodeID][]Event // news, by the node that had it
+	reaches func(from, to NodeID) bool // whether a message is delivered
+	got     map[NodeID][]Event         // new events, by the node that received them
 }
 
 func newFleet(nodes int, sendRate float64) *fleet {
@@ -25,7 +25,7 @@
 	return f
 }
 
-// play runs all nodes until a time. A nil node is down.
+// play runs all nodes until a time.
 func (f *fleet) play(until time.Duration) {
 	for ; f.now < until; f.now += 50 * time.Millisecond {
 		for i, node := range f.nodes {
@@ -43,17 +43,17 @@
 
 func (f *fleet) deliver(from NodeID, m Message) {
 	_ = f.nodes[m.To].Receive(f.now, from, slices.Clone(m.Text), func(e Event) bool {
-		isNews := !slices.ContainsFunc(f.got[m.To], func(known Event) bool { return known.Kind == e.Kind && known.ID == e.ID })
-		if isNews {
+		isNew := !slices.ContainsFunc(f.got[m.To], func(known Event) bool { return known.Kind == e.Kind && known.ID == e.ID })
+		if isNew {
 			f.got[m.To] = append(f.got[m.To], e)
 		}
-		return isNews
+		return isNew
 	})
 }
 
 func ignoreEvents(Event) bool { return false }
 
-// A node that vanishes is taken for dead by all others, and for alive again once it is back.
+// A node that stops becomes dead at all others, and alive again after its restart.
 func TestVanishedMemberDiesAndRejoins(t *testing.T) {
 	f := newFleet(9, 0)
 	f.play(10 * time.Second)
@@ -75,24 +75,24 @@
 			t.Errorf("%d: state %v, %+v", i, node.State(3), node.Counters())
 		}
 		if node.AliveFor(3, f.now-back+time.Second) || !node.AliveFor(3, 0) || !node.AliveFor(4, time.Hour) {
-			t.Errorf("%d does not know who was away for how long", i)
+			t.Errorf("node %d: AliveFor does not count from the restart of node 3", i)
 		}
 	}
 }
 
-// A node that two others can't reach, but the rest can, is pinged by those and stays.
-func TestOneBadLinkKillsNobody(t *testing.T) {
+// A node that two others cannot reach stays alive, because the rest ping it on their behalf.
+func TestIndirectPingsBypassBrokenLinks(t *testing.T) {
 	f := newFleet(9, 0)
 	f.reaches = func(from, to NodeID) bool { return (from >= 2 || to != 5) && (from != 5 || to >= 2) }
 	f.play(90 * time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 || node.Counters().Died > 0 {
-			t.Errorf("%d takes %d for dead, %d died", i, node.DeadCount(), node.Counters().Died)
+			t.Errorf("node %d: %d dead, %d died", i, node.DeadCount(), node.Counters().Died)
 		}
 	}
 }
 
-// Who is said to be dead refutes it, and whoever said so takes it back.
+// A live node that others consider dead refutes that, and becomes alive there.
 func TestLivingMemberRefutesItsDeath(t *testing.T) {
 	f := newFleet(5, 0)
 	for i := range 4 {
@@ -102,21 +102,21 @@
 	f.play(20 * time.Second)
 	for i := range 4 {
 		if f.nodes[i].DeadCount() > 0 || f.nodes[i].members[4].incarnation == 0 {
-			t.Errorf("%d goes on taking it for dead", i)
+			t.Errorf("node %d: %d dead, incarnation %d", i, f.nodes[i].DeadCount(), f.nodes[i].members[4].incarnation)
 		}
 	}
 	if f.nodes[4].Counters().Refuted == 0 {
-		t.Error("it never refuted it")
+		t.Error("node 4 refuted no update")
 	}
 }
 
-// Halves that could not hear each other agree again, and an event of one half reaches the other.
-func TestHalvesFindEachOtherAgain(t *testing.T) {
+// After a partition both halves agree on the members again, and an event of one half reaches the other.
+func TestFleetConvergesAfterPartition(t *testing.T) {
 	f := newFleet(8, 0)
 	f.reaches = func(from, to NodeID) bool { return (from < 4) == (to < 4) }
 	f.play(60 * time.Second)
 	if dead := f.nodes[0].DeadCount(); dead != 4 {
-		t.Fatalf("%d dead while cut in two", dead)
+		t.Fatalf("%d dead during the partition, want 4", dead)
 	}
 	f.reaches = func(_, _ NodeID) bool { return true }
 	f.play(100 * time.Second)
@@ -125,20 +125,20 @@
 	f.play(f.now + 20*time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 {
-			t.Errorf("%d takes %d for dead", i, node.DeadCount())
+			t.Errorf("node %d: %d dead", i, node.DeadCount())
 		}
 		if i == 1 {
 			continue
 		}
 		if got := f.got[NodeID(i)]; len(got) != 1 || got[0].Kind != 2 || got[0].ID != 77 || !got[0].OK ||
 			got[0].At < published-50*time.Millisecond || got[0].At > published+50*time.Millisecond {
-			t.Errorf("%d has the news %+v", i, got)
+			t.Errorf("node %d received the events %+v", i, got)
 		}
 	}
 }
 
-// What a node sends is bounded whatever comes in; what is withheld counts as lost.
-func TestBytesAreBounded(t *testing.T) {
+// A node that receives many pings sends no more than SendRate. It counts the messages that it withholds.
+func TestSendRateBoundsBytes(t *testing.T) {
 	f := newFleet(2, 600)
 	node := f.nodes[0]
 	request := f.nodes[1].encode(outgoing{to: 0, kind: ping, sequence: 1})
@@ -155,18 +155,18 @@
 	}
 }
 
-// goodMessage is one with a bitmap, an update and an event, from node 1 of 20.
-func goodMessage() []byte {
+// validMessage returns a message of node 1 of 20 with a bitmap, an update and an event.
+func validMessage() []byte {
 	sender := New(Config{Self: 1, Nodes: 20, Seed: 5, ReceiveRate: 40, EventKinds: 3}, 0)
 	sender.apply(memberUpdate{id: 7, state: Dead})
 	sender.Publish(Event{Kind: 1, ID: 1, OK: true})
 	return sender.encode(outgoing{to: 0, kind: ack, sequence: 3, withBitmap: true})
 }
 
-// Whatever arrives is taken whole or not at all.
-func TestBadMessagesChangeNothing(t *testing.T) {
-	node, good := newFleet(20, 0).nodes[0], goodMessage()
-	for size := 1; size < len(good); size++ { // cut anywhere
+// A malformed message changes nothing but a counter.
+func TestMalformedMessagesChangeNothing(t *testing.T) {
+	node, good := newFleet(20, 0).nodes[0], validMessage()
+	for size := 1; size < len(good); size++ { // truncated at any byte
 		if m, err := decode(good[:size], 20, 3); err == nil && len(m.parts) > 3 || err != nil && !errors.Is(err, ErrMalformed) {
 			t.Errorf("%d of %d bytes: %+v, %v", size, len(good), m, err)
 		}
@@ -178,7 +178,7 @@
 		{MessageMark, 3, 1, 0, 0, 0, 0, 200},
 		make([]byte, 300),
 		append(slices.Clone(good), 77),
-		{MessageMark, 1, 1, 0, 0, 0, 0, bitmapPart, 0, 255, 255, 3},
+		{MessageMark, 1, 1, 0, 0, 0, 0, byte(bitmapPart), 0, 255, 255, 3},
 	} {
 		if err := node.Receive(0, 1, bad, ignoreEvents); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%v: %v", bad, err)
@@ -194,9 +194,9 @@
 	}
 }
 
-// Whatever arrives leaves a node that goes on.
-func TestBadMessagesLeaveANodeThatGoesOn(t *testing.T) {
-	node, good := newFleet(20, 0).nodes[0], goodMessage()
+// After many messages with random bytes a node still sends and receives.
+func TestNodeSurvivesRandomMessages(t *testing.T) {
+	node, good := newFleet(20, 0).nodes[0], validMessage()
 	random, now := rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for range 20000 {
 		mutated := slices.Clone(good)
@@ -210,9 +210,9 @@
 		now += time.Millisecond
 	}
 	if node.WakeAt() <= now-time.Millisecond {
-		t.Errorf("at %v it is to wake at %v", now, node.WakeAt())
+		t.Errorf("WakeAt is %v at %v", node.WakeAt(), now)
 	}
 	if err := node.Receive(now, 1, good, ignoreEvents); err != nil {
-		t.Errorf("it does not go on: %v", err)
+		t.Errorf("a valid message: %v", err)
 	}
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// outgoing is a message that waits to be encoded. The states of members in it are those at the time of encoding.
+// outgoing is a message in the outbox. Next encodes it, with the members' states of that time.
 type outgoing struct {
 	to         NodeID
 	kind       messageKind
-	sequence   uint64
+	sequence   uint64   // see header
 	target     NodeID   // of a pingRequest
-	withBitmap bool     // include the set of dead members
-	members    []NodeID // of correct and object
+	withBitmap bool     // whether the message carries the set of dead members
+	members    []NodeID // of a correct or object message
 }
 
-// send queues a message for Next.
+// send adds a message to the outbox.
 func (p *Protocol) send(o outgoing) { p.outbox = append(p.outbox, o) }
 
-// encode encodes a message and fills it up with gossip. It returns nil if Config.SendRate does not allow it: the message is
-// lost then, as any datagram may be. The result is valid until the next call.
+// encode encodes a message and fills it up with gossip. The result is valid until the next call. If Config.SendRate does
+// not allow the message, encode drops it and returns nil; the protocol tolerates that like any lost datagram.
 func (p *Protocol) encode(o outgoing) []byte {
 	if !p.budget.allows(p.now) {
 		p.counters.Withheld++
 		return nil
 	}
 	text := appendHeader(p.writeBuffer[:0], header{kind: o.kind, sequence: o.sequence, deadHash: p.deadHash, target: o.target})
-	if m := &p.members[o.to]; m.state != Alive { // the receiver must learn of it, to refute it
+	if m := &p.members[o.to]; m.state != Alive { // only the receiver can refute its own suspicion or death
 		text = appendMemberUpdate(text, memberUpdate{id: o.to, state: m.state, incarnation: m.incarnation})
 	}
 	if o.withBitmap {
@@ -46,28 +46,25 @@
 	return text
 }
 
-// appendDead appends the set of dead members, or a random part of it in a large fleet.
+// appendDead appends the set of dead members. In a fleet of more than 8*maxBitmapSize nodes it appends a random section.
 func (p *Protocol) appendDead(text []byte) []byte {
 	first, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
-	if parts := (p.cfg.Nodes + count - 1) / count; parts > 1 {
-		first = p.random.IntN(parts) * count
+	if sections := (p.cfg.Nodes + count - 1) / count; sections > 1 {
+		first = p.random.IntN(sections) * count
 		count = min(count, p.cfg.Nodes-first)
 	}
 	return appendBitmap(text, NodeID(first), p.deadBitmap(NodeID(first), count))
 }
 
-// Publish gossips an event to the other nodes, in place of an older one of its subject.
+// Publish gossips an event to the other nodes. It replaces an earlier event of the same subject.
 func (p *Protocol) Publish(e Event) { p.gossip.addEvent(e) }
 
-// Receive processes a message of another member. It calls deliver for each event in it, with At by this node's clock; if
-// deliver reports that the event is news, it is gossiped on. An error wraps ErrMalformed; the message is ignored then, but
-// for the counters.
-func (p *Protocol) Receive(now time.Duration, from NodeID, text []byte, deliver func(Event) (isNews bool)) error {
+// Receive processes a message of member from. For each event in the message it calls deliver, with At by this node's clock.
+// If deliver reports that the event is new, the event is gossiped further. An error wraps ErrMalformed. A message with an
+// error changes only the counters.
+func (p *Protocol) Receive(now time.Duration, from NodeID, text []byte, deliver func(Event) (isNew bool)) error {
 	p.Advance(now)
-	m, err := decode(text, p.cfg.Nodes, p.cfg.EventKinds)
-	if err == nil && (from < 0 || int(from) >= p.cfg.Nodes || from == p.cfg.Self) {
-		err = fmt.Errorf("%w: from node %d", ErrMalformed, from)
-	}
+	m, err := p.decodeFrom(from, text)
 	if err != nil {
 		p.counters.Malformed++
 		return err
@@ -78,31 +75,49 @@
 	if len(disputed) > 0 {
 		p.send(outgoing{to: from, kind: object, members: disputed})
 	}
-	if p.members[from].state == Suspect { // only the member itself can refute the suspicion, which others may have received
+	if p.members[from].state == Suspect { // notify the sender: only the sender itself can refute the suspicion
 		p.send(outgoing{to: from, kind: ping, sequence: 0})
 	}
-	switch m.kind {
+	p.receiveKind(from, m.header)
+	return nil
+}
+
+// decodeFrom decodes a message and checks that its sender is another member.
+func (p *Protocol) decodeFrom(from NodeID, text []byte) (message, error) {
+	m, err := decode(text, p.cfg.Nodes, p.cfg.EventKinds)
+	if err != nil {
+		return message{}, err
+	}
+	if from < 0 || int(from) >= p.cfg.Nodes || from == p.cfg.Self {
+		return message{}, fmt.Errorf("%w: sender %d is not another node of %d", ErrMalformed, from, p.cfg.Nodes)
+	}
+	return m, nil
+}
+
+// receiveKind answers a message by its kind.
+func (p *Protocol) receiveKind(from NodeID, h header) {
+	switch h.kind {
 	case ping:
-		if m.sequence > 0 { // a ping with 0 only carries gossip
-			p.send(outgoing{to: from, kind: ack, sequence: m.sequence, withBitmap: m.deadHash != p.deadHash})
+		if h.sequence > 0 { // with sequence 0 the ping only carries gossip
+			p.send(outgoing{to: from, kind: ack, sequence: h.sequence, withBitmap: h.deadHash != p.deadHash})
 		}
 	case ack:
-		p.acked(from, m.sequence)
+		p.acked(from, h.sequence)
 	case pingRequest:
-		if m.target != p.cfg.Self {
-			p.ping(m.target, from, m.sequence)
+		if h.target != p.cfg.Self {
+			p.ping(h.target, pingRequester{node: from, sequence: h.sequence})
 		}
 	}
-	return nil
 }
 
-// receiveParts processes the parts of a message, and returns the members that the sender corrects but that stay dead here.
+// receiveParts processes the parts of a message. If the message is a correct message, it returns the members of the message
+// that stay dead here because their incarnations here are as high.
 func (p *Protocol) receiveParts(from NodeID, m message, deliver func(Event) bool) (disputed []NodeID) {
 	for _, part := range m.parts {
 		switch part.kind {
 		case bitmapPart:
-			if alive := p.compareDead(part.first, part.bitmap); len(alive) > 0 {
-				p.send(outgoing{to: from, kind: correct, members: alive})
+			if notDead := p.compareDead(part.first, part.bitmap); len(notDead) > 0 {
+				p.send(outgoing{to: from, kind: correct, members: notDead})
 			}
 		case memberPart:
 			u := part.member
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,23 +1,55 @@
 package membership
 
+// Probes.
+//
+// Inputs: the time, and acks. State: the pings without an ack, and the members' states. Rule (sections 3 and 4 of the SWIM
+// paper): one member is pinged per period, in an order that is shuffled for each pass. Without an ack within
+// directTimeoutPeriods, indirectProbes other members ping it too. Without an ack within one period the member becomes
+// suspect. After suspicionPeriodsPerRound periods per gossip round a suspect becomes dead. Beyond the paper, dead members
+// are pinged with deadPingChance. Protects against a single broken link, which indirect pings bypass, and against a
+// permanent partition. Trade-off: a larger fleet detects a failure later.
+
 import (
 	"slices"
 	"time"
 )
 
-// pendingPing is a ping whose ack is awaited.
+const (
+	// directTimeoutPeriods is the time from a ping to the indirect pings, in periods.
+	directTimeoutPeriods = 0.4
+	// indirectProbes is the number of members that are asked to ping a silent one.
+	indirectProbes = 3
+	// suspicionPeriodsPerRound is the time from suspicion to death, in periods per gossip round. An update and its
+	// refutation need one gossip round each.
+	suspicionPeriodsPerRound = 3
+	// initialPings is the number of pings per period until the first message is received.
+	initialPings = 3
+	// deadPingChance is the probability, per period, that one dead member is pinged.
+	deadPingChance = 0.25
+	// randomAliveDraws is the number of draws of randomAlive.
+	randomAliveDraws = 8
+)
+
+// pendingPing is a ping without an ack.
 type pendingPing struct {
 	target    NodeID
 	sequence  uint64
-	directEnd time.Duration // if there is no ack by then, other members are asked to ping the target
-	end       time.Duration // if there is none by then, the target becomes suspect
-	indirect  bool          // other members were asked
+	requester pingRequester
+	directEnd time.Duration // time of the indirect pings
+	end       time.Duration // time at which the target becomes suspect
+	indirect  bool          // whether the indirect pings were sent
+}
 
-	requester         NodeID // the member that asked for this ping; noNode for a ping of this node's own
-	requesterSequence uint64 // of the requester's ping, for the ack to it
+// pingRequester is the member that asked for a ping with a pingRequest.
+type pingRequester struct {
+	node     NodeID // noNode if this node itself started the ping
+	sequence uint64 // of the pingRequest; the ack to node carries it
 }
 
-// dueAt returns the time at which the probe has to be checked next.
+// noRequester is the requester of a ping that this node itself started.
+var noRequester = pingRequester{node: noNode}
+
+// dueAt returns the time of the next timeout of the ping.
 func (p *pendingPing) dueAt() time.Duration {
 	if p.indirect {
 		return p.end
@@ -25,7 +57,7 @@
 	return p.directEnd
 }
 
-// probe updates the pending probes and suspicions, and sends the pings that are due.
+// probe handles the timeouts of pings and suspicions, and sends the pings of a period once it is due.
 func (p *Protocol) probe() {
 	if p.cfg.Nodes < 2 {
 		p.nextPingAt = p.now + p.period
@@ -41,12 +73,12 @@
 	p.pingSomeDead()
 }
 
-// checkProbes starts indirect pings of targets that did not answer directly, and suspects those that answered neither.
+// checkProbes handles the timeouts of the pending pings: it sends indirect pings, then suspects the target.
 func (p *Protocol) checkProbes() {
 	pending := p.probes[:0]
 	for _, probe := range p.probes {
 		switch {
-		case probe.requester != noNode:
+		case probe.requester != noRequester:
 			if p.now >= probe.end {
 				continue // the requester has its own timeout
 			}
@@ -54,9 +86,7 @@
 			probe.indirect = true
 			p.requestPings(&probe)
 		case p.now >= probe.end:
-			if m := &p.members[probe.target]; m.state == Alive {
-				p.apply(memberUpdate{id: probe.target, state: Suspect, incarnation: m.incarnation})
-			}
+			p.suspect(probe.target)
 			continue
 		}
 		pending = append(pending, probe)
@@ -64,7 +94,14 @@
 	p.probes = pending
 }
 
-// requestPings asks some members to ping the target of a probe.
+// suspect makes a member suspect if it is alive.
+func (p *Protocol) suspect(id NodeID) {
+	if m := &p.members[id]; m.state == Alive {
+		p.apply(memberUpdate{id: id, state: Suspect, incarnation: m.incarnation})
+	}
+}
+
+// requestPings asks up to indirectProbes random members to ping the target of a probe.
 func (p *Protocol) requestPings(probe *pendingPing) {
 	for range indirectProbes {
 		if helper := p.randomAlive(probe.target); helper != noNode {
@@ -73,9 +110,9 @@
 	}
 }
 
-// expireSuspicions declares suspects dead that did not refute it in time.
+// expireSuspicions makes members dead that have been suspect for suspicionPeriodsPerRound periods per gossip round.
 func (p *Protocol) expireSuspicions() {
-	timeout := time.Duration(suspicionRounds * p.GossipRounds() * float64(p.period))
+	timeout := time.Duration(suspicionPeriodsPerRound * p.GossipRounds() * float64(p.period))
 	for i := range p.members {
 		if m := &p.members[i]; m.state == Suspect && p.now-m.since >= timeout {
 			p.apply(memberUpdate{id: NodeID(i), state: Dead, incarnation: m.incarnation})
@@ -83,20 +120,21 @@
 	}
 }
 
-// pingNext pings the next member in turn, or several until the first message comes in.
+// pingNext pings the next member in turn, or initialPings members until the first message is received. A node that has just
+// started considers dead members alive, so several pings reach a live one sooner.
 func (p *Protocol) pingNext() {
 	pings := 1
-	if p.receivedNone { // until a peer answers, this node considers dead members alive
-		pings = lonelyPings
+	if p.receivedNone {
+		pings = initialPings
 	}
 	for range pings {
 		if target := p.nextTarget(); target != noNode {
-			p.ping(target, noNode, 0)
+			p.ping(target, noRequester)
 		}
 	}
 }
 
-// pingSomeDead pings a dead member now and then, so that halves of a partitioned fleet find each other again.
+// pingSomeDead pings a random dead member with deadPingChance. These pings reunite a fleet after a partition.
 func (p *Protocol) pingSomeDead() {
 	if p.random.Float64() >= deadPingChance {
 		return
@@ -108,12 +146,13 @@
 		}
 	}
 	if len(dead) > 0 {
-		p.ping(dead[p.random.IntN(len(dead))], noNode, 0)
+		p.ping(dead[p.random.IntN(len(dead))], noRequester)
 	}
 }
 
-// nextTarget returns the next member to ping, or noNode if all are dead. Members take turns in an order that is shuffled
-// anew for each round, so that each is pinged by someone about once a period and none is left out for over two rounds.
+// nextTarget returns the next member to ping, or noNode if all others are dead. Members take turns in an order that is
+// shuffled for each pass. Hence a member that is not dead is the target again after at most 2*Nodes-3 calls (section 4.3 of
+// the SWIM paper).
 func (p *Protocol) nextTarget() NodeID {
 	for range 2 * p.cfg.Nodes {
 		if p.pingIndex >= len(p.pingOrder) {
@@ -128,10 +167,10 @@
 	return noNode
 }
 
-// randomAlive returns a random member that is alive and not the given one, or noNode if a few draws find none.
+// randomAlive returns a random member that is alive, is not this node and is not except. It returns noNode if
+// randomAliveDraws draws find none.
 func (p *Protocol) randomAlive(except NodeID) NodeID {
-	const draws = 8
-	for range draws {
+	for range randomAliveDraws {
 		id := NodeID(p.random.IntN(p.cfg.Nodes))
 		if id != except && id != p.cfg.Self && p.members[id].state == Alive {
 			return id
@@ -140,32 +179,32 @@
 	return noNode
 }
 
-// ping sends a ping, on another's behalf if requester is not noNode.
-func (p *Protocol) ping(target, requester NodeID, requesterSequence uint64) {
+// ping pings a member and adds a pending ping. requester is noRequester if this node itself starts the ping.
+func (p *Protocol) ping(target NodeID, requester pingRequester) {
 	p.lastSequence++
 	p.probes = append(p.probes, pendingPing{
-		target:            target,
-		sequence:          p.lastSequence,
-		directEnd:         p.now + time.Duration(directTimeoutShare*float64(p.period)),
-		end:               p.now + p.period,
-		requester:         requester,
-		requesterSequence: requesterSequence,
+		target:    target,
+		sequence:  p.lastSequence,
+		requester: requester,
+		directEnd: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
+		end:       p.now + p.period,
 	})
 	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
 }
 
-// acked ends the probe that an ack answers, and acks the member that requested it, if any.
+// acked removes the pending ping that an ack answers, and forwards the ack to the requester if there is one. An ack from
+// another member than the target is ignored before the indirect pings are sent.
 func (p *Protocol) acked(from NodeID, sequence uint64) {
 	i := slices.IndexFunc(p.probes, func(probe pendingPing) bool { return probe.sequence == sequence })
 	if i < 0 {
 		return
 	}
 	probe := p.probes[i]
-	if probe.target != from && !probe.indirect { // an ack from a helper counts only once helpers were asked
+	if probe.target != from && !probe.indirect {
 		return
 	}
 	p.probes = slices.Delete(p.probes, i, i+1)
-	if probe.requester != noNode {
-		p.send(outgoing{to: probe.requester, kind: ack, sequence: probe.requesterSequence})
+	if probe.requester != noRequester {
+		p.send(outgoing{to: probe.requester.node, kind: ack, sequence: probe.requester.sequence})
 	}
 }
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sent lists the kinds of message that a node gives out now.
+// sent returns the kinds and the receivers of the messages that a node sends at a time.
 func sent(p *Protocol, now time.Duration) (kinds []messageKind, to []NodeID) {
 	for m, ok := p.Next(now); ok; m, ok = p.Next(now) {
 		kinds, to = append(kinds, messageKind(m.Text[1])), append(to, m.To)
@@ -13,7 +13,7 @@
 	return kinds, to
 }
 
-// receive hands in a message that only has a header.
+// receive passes a message without parts to a node.
 func receive(t *testing.T, p *Protocol, from NodeID, h header) {
 	t.Helper()
 	h.deadHash = p.deadHash
@@ -22,7 +22,7 @@
 	}
 }
 
-// A silent member is pinged directly, then by others, then suspected, then taken for dead.
+// A silent member is pinged directly, then by others, then becomes suspect, then dead.
 func TestSilentMemberIsProbedThenSuspectedThenDead(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
 	p.receivedNone = false
@@ -32,7 +32,7 @@
 		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.probes))
 	}
 	target, probe := to[0], p.probes[0]
-	if due := now + time.Duration(directTimeoutShare*float64(p.period)); probe.dueAt() != due || p.WakeAt() != due {
+	if due := now + time.Duration(directTimeoutPeriods*float64(p.period)); probe.dueAt() != due || p.WakeAt() != due {
 		t.Errorf("due at %v, wake at %v, want %v", probe.dueAt(), p.WakeAt(), due)
 	}
 	checkIndirectPings(t, p, probe)
@@ -40,10 +40,10 @@
 	if p.State(target) != Suspect {
 		t.Fatalf("state %v", p.State(target))
 	}
-	timeout := time.Duration(suspicionRounds * 3 * float64(p.period)) // 4 nodes: three rounds
+	timeout := time.Duration(suspicionPeriodsPerRound * 3 * float64(p.period)) // 4 nodes: three rounds
 	sent(p, probe.end+timeout-1)
 	if p.State(target) != Suspect {
-		t.Errorf("state %v before its time", p.State(target))
+		t.Errorf("state %v before the end of the suspicion", p.State(target))
 	}
 	sent(p, probe.end+timeout)
 	if p.State(target) != Dead {
@@ -51,11 +51,11 @@
 	}
 }
 
-// checkIndirectPings reports whether others are asked to ping a silent member, once it is time.
+// checkIndirectPings fails the test unless others are asked to ping a silent member, at the end of the direct timeout.
 func checkIndirectPings(t *testing.T, p *Protocol, probe pendingPing) {
 	t.Helper()
 	if kinds, _ := sent(p, probe.directEnd-1); len(kinds) > 0 {
-		t.Errorf("%v before its time", kinds)
+		t.Errorf("%v sent before the direct timeout", kinds)
 	}
 	kinds, to := sent(p, probe.directEnd)
 	for i, kind := range kinds {
@@ -68,24 +68,25 @@
 	}
 }
 
-// An ack ends a probe only if it comes from its target, or others were asked; one on another's behalf is passed on.
-func TestAcks(t *testing.T) {
+// An ack from the target always ends a probe, an ack from another member only after the indirect pings. An ack for a
+// requester is forwarded.
+func TestAckEndsProbe(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
-	p.ping(2, noNode, 0)
-	p.ping(3, 1, 99)
+	p.ping(2, noRequester)
+	p.ping(3, pingRequester{node: 1, sequence: 99})
 	sent(p, 0)
 	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 2 {
-		t.Error("an ack that nobody asked for was taken")
+		t.Error("an ack of another member ended the probe before the indirect pings")
 	}
 	receive(t, p, 2, header{kind: ack, sequence: 7})
 	if len(p.probes) != 2 {
-		t.Error("an ack of an unknown sequence number was taken")
+		t.Error("an ack with an unknown sequence ended a probe")
 	}
 	p.probes[0].indirect = true
 	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 1 {
-		t.Error("an ack on another's behalf was not taken")
+		t.Error("an ack of another member did not end the probe after the indirect pings")
 	}
 	receive(t, p, 3, header{kind: ack, sequence: 2})
 	m, ok := p.Next(0)
@@ -94,8 +95,8 @@
 	}
 }
 
-// What was asked for on another's behalf is given up without a suspicion here.
-func TestRequestedPingThatIsNotAnswered(t *testing.T) {
+// A ping for a requester that gets no ack causes no suspicion at this node.
+func TestRequestedPingWithoutAckCausesNoSuspicion(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 400}, 0)
 	p.nextPingAt = time.Hour
 	receive(t, p, 1, header{kind: pingRequest, sequence: 5, target: 2})
@@ -111,8 +112,8 @@
 	}
 }
 
-// All members are pinged by turns, the dead excepted.
-func TestTargetsTakeTurns(t *testing.T) {
+// The targets of pings take turns. Dead members are left out.
+func TestPingTargetsTakeTurns(t *testing.T) {
 	p := New(Config{Self: 2, Nodes: 6, Seed: 3}, 0)
 	p.apply(memberUpdate{id: 4, state: Dead})
 	count := map[NodeID]int{}
@@ -128,15 +129,15 @@
 		p.apply(memberUpdate{id: id, state: Dead})
 	}
 	if id := p.nextTarget(); id != noNode {
-		t.Errorf("%d of none is next", id)
+		t.Errorf("target %d with all members dead", id)
 	}
 	if id := p.randomAlive(0); id != noNode {
-		t.Errorf("%d of none is alive", id)
+		t.Errorf("random alive member %d with all members dead", id)
 	}
 }
 
-// A node alone pings nobody.
-func TestSingleNode(t *testing.T) {
+// The only node of a fleet sends nothing.
+func TestSingleNodeSendsNothing(t *testing.T) {
 	p := New(Config{Nodes: 1}, 0)
 	if kinds, _ := sent(p, time.Second); len(kinds) > 0 || p.WakeAt() != time.Second+p.Period() {
 		t.Errorf("%v, wakes at %v", kinds, p.WakeAt())
