--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,13 +1,15 @@
-// Package healthcheck distributes a fleet's periodic tasks (above all the health checks of app servers) among its edge
-// nodes: it decides which node runs a task, and when. The owner of a task is the first member in the task's rendezvous
-// order that internal/membership considers alive; the next one is a backup while members join and leave. The end of each
-// run is gossiped, so that every node learns the result and a new owner knows when the last run was.
+// Package healthcheck distributes the health checks of app servers, and other periodic checks, among the edge nodes of a
+// fleet. It decides which node runs a check, and when.
 //
-// The package holds no I/O, no clock and no goroutine. The host passes the time with each call, reports what happened
-// (ReceivePeerMessage, SetChecks, CheckEnded), which only updates what is known, and pulls decisions with Next until there
-// is none. The same calls with the same seed give the same decisions. A Scheduler is not safe for concurrent use.
+// The owner of a check is the first member in the check's rendezvous order that internal/membership considers alive. While
+// members fail and rejoin, the next member is a backup owner. The result of each run is gossiped. Thus every node learns the
+// result, and a new owner knows the time of the last run.
 //
-// docs/design-healthcheck.md has the options considered, docs/healthcheck.md is the operators' page.
+// The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It reports events with
+// ReceivePeerMessage, SetChecks and CheckEnded, which send nothing. Then it calls Next until there is no further step. The
+// same calls with the same seed yield the same steps. A Scheduler is not safe for concurrent use.
+//
+// docs/design-healthcheck.md lists the alternatives. docs/healthcheck.md is the operators' page.
 package healthcheck
 
 import (
@@ -16,69 +18,73 @@
 	"cherrygap/internal/membership"
 )
 
-// MessageMark is the first byte of each message of this package.
+// MessageMark is the first byte of each peer message of this package.
 const MessageMark = membership.MessageMark
 
 // NodeID is the number of a node of the fleet.
 type NodeID = membership.NodeID
 
-// ErrMalformed is returned for a peer's message that can't be decoded.
+// ErrMalformed is wrapped by every error of ReceivePeerMessage.
 var ErrMalformed = membership.ErrMalformed
 
-// Kind is the kind of a task. The values are those on the wire.
+// Kind is the kind of a check. The values are those on the wire.
 type Kind uint8
 
-// The kinds of task.
 const (
-	CheckServer  Kind = iota + 1 // probe an app server
-	CheckList                    // refresh a list
-	CheckCounter                 // call the counter for a group of customers
+	// CheckServer is the health check of an app server.
+	CheckServer Kind = iota + 1
+	// CheckList is the refresh of a list.
+	CheckList
+	// CheckCounter is the call of the counter service for a group of customers.
+	CheckCounter
 
-	kinds = CheckCounter
+	lastKind = CheckCounter
 )
 
-// CheckID identifies a task among those of its kind. For CheckServer it is the server's number.
+// CheckID identifies a check among those of its kind. For CheckServer it is the server's number.
 type CheckID uint64
 
-// Check is a task that one node of the fleet has to run periodically.
+// Check is a check that the fleet runs periodically, at one node at a time.
 type Check struct {
 	Kind Kind
 	ID   CheckID
 }
 
-// Config is what a Scheduler needs to know at its start.
+// Config configures a Scheduler.
 type Config struct {
-	Self        NodeID
-	Nodes       int           // nodes of the fleet, this one included
+	Self        NodeID        // this node
+	Nodes       int           // nodes of the fleet, including this one; at least 1
 	Seed        uint64        // of the random draws
-	ReceiveRate float64       // messages a second that a node takes in, of all kinds; 0 for no known limit
-	SendRate    float64       // bytes a second that this node sends at most, whatever the fleet's size; 0 for no limit
-	Interval    time.Duration // between two runs of one task; longer where members can't be watched closely enough for it
+	ReceiveRate float64       // messages of all kinds that a node can receive, per second; 0 for no known limit
+	SendRate    float64       // bytes that this node may send, per second; 0 for no limit
+	Interval    time.Duration // wanted time between two runs of one check, see Scheduler.Interval
 }
 
-// StepKind is what a Step asks of the host.
+// StepKind is the kind of a Step.
 type StepKind uint8
 
-// The steps.
 const (
-	Send  StepKind = iota + 1 // Text to node To
-	Run                       // Check, within Timeout, and report it with CheckEnded
-	Ended                     // Check was run by another node, with the result OK
+	// Send asks the host to send Text to node To.
+	Send StepKind = iota + 1
+	// Run asks the host to run Check within Timeout, and to report the result with CheckEnded.
+	Run
+	// Ended notifies the host that another node ran Check with the result OK.
+	Ended
 )
 
-// Step is one decision. Only the fields that its Kind names are set.
+// Step is a decision for the host to carry out. Only the fields that its Kind mentions are set.
 type Step struct {
 	Kind    StepKind
 	To      NodeID
-	Text    []byte // valid until the next call
+	Text    []byte // valid until the next call of any method
 	Check   Check
 	Timeout time.Duration
 	OK      bool
 }
 
-// Counters count what a Scheduler did since it was made.
+// Counters count events since New.
 type Counters struct {
 	membership.Counters
-	Checks       int64 // runs of tasks by this node
-	BackupChecks int64 // runs among them as the backup owner
+	Checks       int64 // runs by this node
+	BackupChecks int64 // runs by this node as the backup owner; included in Checks
 }
--- a/internal/healthcheck/ownership.go
+++ b/internal/healthcheck/ownership.go
@@ -1,5 +1,12 @@
 package healthcheck
 
+// Ownership of the checks.
+//
+// Inputs: the states of the members, and the time. State: the rendezvous ranking of all nodes for each check (Thaler and
+// Ravishankar: "Using Name-Based Mappings to Increase Hit Rates", 1998). Rule: see Scheduler.ownershipOf. Protects against
+// checks that no node runs while members fail or rejoin. Trade-off: two nodes may run a check during that time. When a node
+// leaves, only its own checks move.
+
 import (
 	"cmp"
 	"encoding/binary"
@@ -11,26 +18,40 @@
 	"cherrygap/internal/membership"
 )
 
-// ownership is the role of this node for a task.
-type ownership struct {
-	owner   bool // this node runs it,
-	primary bool // as the primary owner, not as the backup
-}
+const (
+	// handoverPeriodsPerRound and handoverExtraPeriods give the time for which a member that rejoined shares its checks with
+	// a second owner: ping periods per gossip round, and ping periods beside them. Most members have received the update
+	// about the rejoined member by then.
+	handoverPeriodsPerRound = 3
+	handoverExtraPeriods    = 2
+)
+
+// Ownership is the role of a node for a check.
+type Ownership uint8
+
+const (
+	// NotOwner does not run the check.
+	NotOwner Ownership = iota
+	// BackupOwner runs the check if no other node has run it for somewhat longer than an interval.
+	BackupOwner
+	// PrimaryOwner runs the check once per interval.
+	PrimaryOwner
+)
 
-// hash is the rendezvous hash of a task and a node. The node with the highest hash comes first.
+// hash returns the rendezvous hash of a check and a node. The node with the highest hash is the first in the ranking.
 func (c Check) hash(node NodeID) uint64 {
-	var b [17]byte
-	b[0] = byte(c.Kind)
-	binary.LittleEndian.PutUint64(b[1:], uint64(c.ID))
-	binary.LittleEndian.PutUint64(b[9:], uint64(node))
-	return xxhash.Sum64(b[:])
+	var key [17]byte
+	key[0] = byte(c.Kind)
+	binary.LittleEndian.PutUint64(key[1:], uint64(c.ID))
+	binary.LittleEndian.PutUint64(key[9:], uint64(node))
+	return xxhash.Sum64(key[:])
 }
 
-// ranking is the rendezvous order of the nodes for a task: the owner is the first one that is alive. Node numbers are
-// stored in two bytes because each task has a ranking of the whole fleet.
+// ranking is the rendezvous order of a fleet's nodes for a check. Its elements are NodeIDs in two bytes each, because every
+// check holds a ranking of the whole fleet.
 type ranking []uint16
 
-// rank returns the order of a fleet's nodes for a task.
+// rank returns the ranking of a fleet of the given size for a check.
 func (c Check) rank(nodes int) ranking {
 	hashes, order := make([]uint64, nodes), make(ranking, nodes)
 	for i := range nodes {
@@ -40,62 +61,72 @@
 	return order
 }
 
-// ownership determines this node's role from a task's ranking. While members join and leave, a task has two owners: the
-// first member without those that rejoined recently but with suspects, and the first one with the rejoined but without
-// suspects. The latter is the primary owner, so that the tasks of a suspect are run before it is known to be dead.
-func (s *Scheduler) ownership(order ranking) ownership {
+// ownershipOf returns this node's role for a check with a given ranking. Dead members never own a check.
+//
+// The first member that did not rejoin recently is an owner, even if it is suspect. The first member that is not suspect is
+// an owner, even if it rejoined recently; it is the primary owner. Mostly both are the same member. They differ while a
+// member is suspect, and for the handover time after a member has rejoined.
+func (s *Scheduler) ownershipOf(order ranking) Ownership {
 	const none NodeID = -1
-	settled, likely := none, none
+	self := s.members.Self()
+	firstSettled, firstUnsuspected := none, none
 	for _, number := range order {
 		node := NodeID(number)
-		isSelf, state := node == s.members.Self(), s.members.State(node)
-		if state == membership.Dead && !isSelf {
+		state := s.members.State(node)
+		if state == membership.Dead && node != self {
 			continue
 		}
-		if settled == none && (isSelf || s.members.AliveFor(node, s.handover)) {
-			settled = node
+		if firstSettled == none && (node == self || s.members.AliveFor(node, s.handover)) {
+			firstSettled = node
 		}
-		if likely == none && (isSelf || state == membership.Alive) {
-			likely = node
+		if firstUnsuspected == none && (node == self || state == membership.Alive) {
+			firstUnsuspected = node
 		}
-		if settled != none && likely != none {
+		if firstSettled != none && firstUnsuspected != none {
 			break
 		}
 	}
-	self := s.members.Self()
-	return ownership{owner: settled == self || likely == self, primary: likely == self}
+	switch self {
+	case firstUnsuspected:
+		return PrimaryOwner
+	case firstSettled:
+		return BackupOwner
+	}
+	return NotOwner
 }
 
-// Owns reports whether this node owns a task now, and whether as its primary owner.
-func (s *Scheduler) Owns(now time.Duration, c Check) (owner, primary bool) {
+// Ownership returns this node's role for a check at the time now. It is NotOwner for a check that is not in the last
+// SetChecks.
+func (s *Scheduler) Ownership(now time.Duration, c Check) Ownership {
 	s.advance(now)
 	index, known := s.index[c]
 	if !known {
-		return false, false
+		return NotOwner
 	}
-	part := s.ownership(s.tasks[index].ranking)
-	return part.owner, part.primary
+	return s.ownershipOf(s.checks[index].ranking)
 }
 
-// OwnedCount returns how many tasks this node owns now.
+// OwnedCount returns the number of checks that this node owns at the time now, as the primary or the backup owner.
 func (s *Scheduler) OwnedCount(now time.Duration) int {
 	s.advance(now)
 	count := 0
-	for i := range s.tasks {
-		if s.ownership(s.tasks[i].ranking).owner {
+	for i := range s.checks {
+		if s.ownershipOf(s.checks[i].ranking) != NotOwner {
 			count++
 		}
 	}
 	return count
 }
 
-// updateOwnership recomputes the owners if members or tasks changed, and once a period, as members that rejoined become
-// settled by the passage of time.
+// updateOwnership recomputes this node's role for all checks if a member's state or the set of checks has changed. It also
+// does so once per ping period, because the handover of a rejoined member ends by time alone.
 func (s *Scheduler) updateOwnership() {
-	if version := s.members.Version(); s.tasksChanged || version != s.ownershipVersion || s.now >= s.ownershipDueAt {
-		s.tasksChanged, s.ownershipVersion, s.ownershipDueAt = false, version, s.now+s.members.Period()
-		for i := range s.tasks {
-			s.tasks[i].ownership = s.ownership(s.tasks[i].ranking)
-		}
+	version := s.members.Version()
+	if !s.checksChanged && version == s.ownershipVersion && s.now < s.ownershipDueAt {
+		return
+	}
+	s.checksChanged, s.ownershipVersion, s.ownershipDueAt = false, version, s.now+s.members.Period()
+	for i := range s.checks {
+		s.checks[i].ownership = s.ownershipOf(s.checks[i].ranking)
 	}
 }
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -1,51 +1,61 @@
 package healthcheck
 
+// Schedule of the checks.
+//
+// Inputs: the set of checks, the results of runs at any node, and the time. State: the time of the last known run of each
+// check. Rule: the primary owner runs a check one interval after its last run. A backup owner waits backupDelayIntervals
+// longer. The first runs of new checks are spread over firstRunIntervals. Protects against a burst of checks when many
+// servers are new, and against duplicate runs. Trade-off: after a failure of the owner one run may be late.
+
 import (
 	"time"
 
 	"cherrygap/internal/membership"
 )
 
-// Pacing of the tasks.
 const (
-	minIntervalRounds = 3    // ping periods per gossip round, between two runs: by then all know of a death
-	handoverRounds    = 3    // ping periods per gossip round, for which the tasks of a member that rejoined have two owners,
-	handoverPeriods   = 2    // and so many periods more: by then its return has reached most of the fleet
-	firstRunWithin    = 0.25 // share of the interval, within which a new task is run first,
-	firstRunPlaces    = 1024 // at one of so many points by the task's hash: new servers are not all probed at once
-	backupDelayShare  = 0.25 // share of the interval, by which the backup owner runs a task later than the primary one
-	sameRunShare      = 8    // ends within this part (1/n) of a period of each other are those of one run
+	// minIntervalPeriodsPerRound bounds the interval from below, in ping periods per gossip round. All nodes know of a
+	// member's death within that time, so that its checks miss one run at most.
+	minIntervalPeriodsPerRound = 3
+	// firstRunIntervals is the maximum time from SetChecks to the first run of a new check, in intervals.
+	firstRunIntervals = 0.25
+	// firstRunSlots is the number of points in that time at which first runs begin.
+	firstRunSlots = 1024
+	// backupDelayIntervals is the delay of the backup owner's run after the primary owner's, in intervals.
+	backupDelayIntervals = 0.25
+	// sameRunDivisor bounds the difference between two reported times of one run to period/sameRunDivisor.
+	sameRunDivisor = 8
 )
 
-// task is a Check with this node's state of it.
-type task struct {
+// checkState is the state of a check at this node.
+type checkState struct {
 	check     Check
 	ranking   ranking
-	lastRunAt time.Duration // by any node, as far as is known here
-	running   bool          // here
-	ownership ownership     // as of the last updateOwnership
-	listed    bool          // in the last SetChecks
+	lastRunAt time.Duration // last known run at any node
+	running   bool          // whether this node is running the check
+	ownership Ownership     // as of the last updateOwnership
+	listed    bool          // whether the current SetChecks contains the check
 }
 
-// Scheduler decides what one node of the fleet runs and sends.
+// Scheduler schedules the checks at one node. It is not safe for concurrent use.
 type Scheduler struct {
 	members  *membership.Protocol
 	now      time.Duration
-	interval time.Duration // between two runs of a task
-	handover time.Duration // for which the tasks of a member that rejoined have two owners
-	counters Counters      // without those of members
+	interval time.Duration // time between two runs of a check
+	handover time.Duration // time for which a member that rejoined shares its checks with a second owner
+	counters Counters      // without the embedded membership.Counters
 
-	tasks []task
-	index map[Check]int // into tasks
-	ended []Step        // runs by other nodes that Next has not returned yet
+	checks []checkState
+	index  map[Check]int // into checks
+	ended  []Step        // Ended steps that Next has not returned yet
 
-	tasksChanged     bool          // since the last updateOwnership
-	ownershipVersion uint64        // of the members, at that time
-	ownershipDueAt   time.Duration // the next one
+	checksChanged    bool          // whether SetChecks was called since the last updateOwnership
+	ownershipVersion uint64        // members.Version at the last updateOwnership
+	ownershipDueAt   time.Duration // latest time of the next updateOwnership
 }
 
-// New returns a Scheduler without tasks that considers every other node alive. now is the time since any origin; it must not
-// decrease.
+// New returns a Scheduler without checks that considers every other node alive. now is the time since any origin. The times
+// of later calls have the same origin.
 func New(cfg Config, now time.Duration) *Scheduler {
 	members := membership.New(membership.Config{
 		Self:        cfg.Self,
@@ -53,20 +63,20 @@
 		Seed:        cfg.Seed,
 		ReceiveRate: cfg.ReceiveRate,
 		SendRate:    cfg.SendRate,
-		EventKinds:  uint8(kinds),
+		EventKinds:  uint8(lastKind),
 	}, now)
 	s := &Scheduler{members: members, now: now, index: map[Check]int{}, ownershipDueAt: now}
 	rounds, period := members.GossipRounds(), float64(members.Period())
-	s.interval = max(cfg.Interval, time.Duration(minIntervalRounds*rounds*period))
-	s.handover = time.Duration(period * (handoverPeriods + handoverRounds*rounds))
+	s.interval = max(cfg.Interval, time.Duration(minIntervalPeriodsPerRound*rounds*period))
+	s.handover = time.Duration(period * (handoverExtraPeriods + handoverPeriodsPerRound*rounds))
 	return s
 }
 
 // Period returns the time between two pings of this node.
 func (s *Scheduler) Period() time.Duration { return s.members.Period() }
 
-// Interval returns the time between two runs of one task: Config.Interval, or longer where the members can't be watched closely
-// enough for it.
+// Interval returns the time between two runs of one check: Config.Interval, or longer in a fleet that needs more time to
+// detect a dead member.
 func (s *Scheduler) Interval() time.Duration { return s.interval }
 
 // DeadCount returns the number of nodes that are considered dead.
@@ -79,25 +89,27 @@
 	return counters
 }
 
+// advance sets the clock. An earlier time is ignored.
 func (s *Scheduler) advance(now time.Duration) { s.now = s.members.Advance(now) }
 
-// SetChecks replaces the tasks. A new one is run first within a quarter of an interval, at a point that depends on its hash.
+// SetChecks replaces the set of checks. Checks that stay keep their state. A new check first runs within firstRunIntervals,
+// at a time that depends on its hash.
 func (s *Scheduler) SetChecks(now time.Duration, checks []Check) {
 	s.advance(now)
-	for i := range s.tasks {
-		s.tasks[i].listed = false
+	for i := range s.checks {
+		s.checks[i].listed = false
 	}
 	for _, check := range checks {
 		i, known := s.index[check]
 		if !known {
-			i = len(s.tasks)
+			i = len(s.checks)
 			s.index[check] = i
-			s.tasks = append(s.tasks, s.newTask(check))
+			s.checks = append(s.checks, s.newCheckState(check))
 		}
-		s.tasks[i].listed = true
+		s.checks[i].listed = true
 	}
-	listed := s.tasks[:0]
-	for _, t := range s.tasks {
+	listed := s.checks[:0]
+	for _, t := range s.checks {
 		if t.listed {
 			s.index[t.check] = len(listed)
 			listed = append(listed, t)
@@ -105,57 +117,60 @@
 			delete(s.index, t.check)
 		}
 	}
-	s.tasks, s.tasksChanged = listed, true
+	s.checks, s.checksChanged = listed, true
 }
 
-func (s *Scheduler) newTask(c Check) task {
-	const noNode NodeID = -1 // so that the point is the same at all nodes
-	place := firstRunWithin * float64(c.hash(noNode)%firstRunPlaces) / firstRunPlaces
-	lastRunAt := s.now - time.Duration((1-place)*float64(s.interval))
-	return task{check: c, ranking: c.rank(s.members.Nodes()), lastRunAt: lastRunAt}
+// newCheckState returns the state of a new check. Its lastRunAt is such that the first run is due within firstRunIntervals,
+// at the same offset at all nodes.
+func (s *Scheduler) newCheckState(c Check) checkState {
+	const noNode NodeID = -1
+	offsetIntervals := firstRunIntervals * float64(c.hash(noNode)%firstRunSlots) / firstRunSlots
+	lastRunAt := s.now - time.Duration((1-offsetIntervals)*float64(s.interval))
+	return checkState{check: c, ranking: c.rank(s.members.Nodes()), lastRunAt: lastRunAt}
 }
 
-// CheckEnded reports the result of a Run step. It is gossiped to the other nodes.
+// CheckEnded reports the result of a Run step. The result is gossiped to the other nodes. A check that is not in the last
+// SetChecks is ignored.
 func (s *Scheduler) CheckEnded(now time.Duration, c Check, ok bool) {
 	s.advance(now)
 	i, known := s.index[c]
 	if !known {
 		return
 	}
-	t := &s.tasks[i]
+	t := &s.checks[i]
 	t.running, t.lastRunAt = false, now
 	s.members.Publish(membership.Event{Kind: uint8(c.Kind), ID: uint64(c.ID), OK: ok, At: now})
 }
 
-// ReceivePeerMessage processes a message of another node. An error wraps ErrMalformed; the message is ignored then.
+// ReceivePeerMessage processes a peer message of node from. An error wraps ErrMalformed. A message with an error changes
+// only the counters.
 func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, text []byte) error {
 	s.advance(now)
 	return s.members.Receive(now, from, text, s.receiveEvent)
 }
 
-// receiveEvent processes the result of another node's run, once per run, and reports whether it is news.
-func (s *Scheduler) receiveEvent(e membership.Event) (isNews bool) {
+// receiveEvent processes the result of a run at another node. It reports whether the run is a new one.
+func (s *Scheduler) receiveEvent(e membership.Event) (isNew bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
-	if !known || e.At <= s.tasks[i].lastRunAt+s.members.Period()/sameRunShare {
+	if !known || e.At <= s.checks[i].lastRunAt+s.members.Period()/sameRunDivisor {
 		return false
 	}
-	s.tasks[i].lastRunAt = e.At
+	s.checks[i].lastRunAt = e.At
 	s.ended = append(s.ended, Step{Kind: Ended, Check: check, OK: e.OK})
 	return true
 }
 
-// dueAt returns when this node has to run a task that it owns: an interval after the last run by any node, or later if this
-// node is the backup owner.
-func (s *Scheduler) dueAt(t *task) time.Duration {
+// dueAt returns the time of this node's next run of a check that it owns.
+func (s *Scheduler) dueAt(t *checkState) time.Duration {
 	at := t.lastRunAt + s.interval
-	if !t.ownership.primary {
-		at += time.Duration(backupDelayShare * float64(s.interval))
+	if t.ownership != PrimaryOwner {
+		at += time.Duration(backupDelayIntervals * float64(s.interval))
 	}
 	return at
 }
 
-// Next returns the next decision, or false if there is none now.
+// Next returns the next step. It returns false if there is none at the time now.
 func (s *Scheduler) Next(now time.Duration) (Step, bool) {
 	s.advance(now)
 	if len(s.ended) > 0 {
@@ -167,27 +182,34 @@
 		return Step{Kind: Send, To: message.To, Text: message.Text}, true
 	}
 	s.updateOwnership()
-	for i := range s.tasks {
-		t := &s.tasks[i]
-		if !t.ownership.owner || t.running || now < s.dueAt(t) {
-			continue
-		}
-		t.running = true
-		s.counters.Checks++
-		if !t.ownership.primary {
-			s.counters.BackupChecks++
+	for i := range s.checks {
+		if t := &s.checks[i]; t.awaitsRun() && now >= s.dueAt(t) {
+			return s.run(t), true
 		}
-		return Step{Kind: Run, Check: t.check, Timeout: s.members.Period()}, true
 	}
 	return Step{}, false
 }
 
-// Wake returns how long the host may wait until it has to call Next again, if it reports nothing before.
+// awaitsRun reports whether this node owns the check and is not running it.
+func (t *checkState) awaitsRun() bool { return t.ownership != NotOwner && !t.running }
+
+// run starts a run of a check.
+func (s *Scheduler) run(t *checkState) Step {
+	t.running = true
+	s.counters.Checks++
+	if t.ownership == BackupOwner {
+		s.counters.BackupChecks++
+	}
+	return Step{Kind: Run, Check: t.check, Timeout: s.members.Period()}
+}
+
+// Wake returns the time from now until the latest next call of Next, provided that the host reports nothing before. It is
+// at least a millisecond.
 func (s *Scheduler) Wake(now time.Duration) time.Duration {
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
-	for i := range s.tasks {
-		if t := &s.tasks[i]; t.ownership.owner && !t.running {
+	for i := range s.checks {
+		if t := &s.checks[i]; t.awaitsRun() {
 			at = min(at, s.dueAt(t))
 		}
 	}
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// fleet carries messages between nodes without delay.
+// fleet is a simulated network without delay.
 type fleet struct {
 	nodes []*Scheduler // nil for one that is down
 	now   time.Duration
-	ran   map[Check][]run
+	ran   map[Check][]run // all runs of each check
 }
 
-// run is one run of a task.
+// run is one run of a check.
 type run struct {
 	by NodeID
 	at time.Duration
@@ -71,14 +71,14 @@
 	}
 }
 
-// last is the last run of a task.
+// last returns the last run of a check.
 func (f *fleet) last(c Check) run { return f.ran[c][len(f.ran[c])-1] }
 
-// checkOneOwnerEach reports whether every task was run some times, always by the same node.
+// checkOneOwnerEach fails the test unless every check was run three to six times, always by the same node.
 func (f *fleet) checkOneOwnerEach(t *testing.T) {
 	t.Helper()
 	if len(f.ran) != len(checks) {
-		t.Errorf("%d of %d tasks were run", len(f.ran), len(checks))
+		t.Errorf("%d of %d checks were run", len(f.ran), len(checks))
 	}
 	for check, runs := range f.ran {
 		if len(runs) < 3 || len(runs) > 6 {
@@ -92,8 +92,9 @@
 	}
 }
 
-// Each task has one owner where all is well; a dead one's is taken over, and given back once it has been up for long.
-func TestTasksHaveOneOwnerAndAreTakenOver(t *testing.T) {
+// Without faults each check has one owner. Another node replaces a dead owner, and stays backup owner for the handover time
+// after the former owner's restart.
+func TestAnotherNodeReplacesDeadOwner(t *testing.T) {
 	f := newFleet(9)
 	f.play(t, 40*time.Second)
 	f.checkOneOwnerEach(t)
@@ -107,23 +108,23 @@
 	}
 	f.start(former, 6)
 	f.play(t, f.now+3*time.Second)
-	if owner, primary := f.nodes[next].Owns(f.now, check); !owner || primary {
-		t.Errorf("while %d is new, %d is owner %v, primary %v", former, next, owner, primary)
+	if got := f.nodes[next].Ownership(f.now, check); got != BackupOwner {
+		t.Errorf("node %d during the handover: ownership %d, want %d", next, got, BackupOwner)
 	}
-	if owner, primary := f.nodes[former].Owns(f.now, check); !owner || !primary {
-		t.Errorf("%d is back: owner %v, primary %v", former, owner, primary)
+	if got := f.nodes[former].Ownership(f.now, check); got != PrimaryOwner {
+		t.Errorf("restarted node %d: ownership %d, want %d", former, got, PrimaryOwner)
 	}
 	f.play(t, f.now+60*time.Second)
-	if owner, _ := f.nodes[next].Owns(f.now, check); owner || f.last(check).by != former {
-		t.Errorf("%d did not give %v back: %v", next, check, f.ran[check])
+	if got := f.nodes[next].Ownership(f.now, check); got != NotOwner || f.last(check).by != former {
+		t.Errorf("node %d after the handover: ownership %d, %v was run %v", next, got, check, f.ran[check])
 	}
-	if owner, _ := f.nodes[former].Owns(f.now, Check{CheckServer, 12345}); owner {
-		t.Error("it owns a task that does not exist")
+	if got := f.nodes[former].Ownership(f.now, Check{CheckServer, 12345}); got != NotOwner {
+		t.Errorf("an unknown check has ownership %d", got)
 	}
 }
 
-// Whatever arrives leaves a node that goes on, and what can't be read is reported as malformed.
-func TestBadMessagesLeaveANodeThatGoesOn(t *testing.T) {
+// After many messages with random bytes a node still runs checks, and it reports malformed ones as ErrMalformed.
+func TestNodeSurvivesRandomMessages(t *testing.T) {
 	const ack = "d00203fa2da101" + "0300031000" + "00" + "011e05" + "0203010a" // a bitmap, an update and the end of a run
 	good, err := hex.DecodeString(ack)
 	if err != nil {
@@ -147,18 +148,18 @@
 		now += time.Millisecond
 	}
 	if err := node.ReceivePeerMessage(now, 1, good); err != nil || node.Wake(now) <= 0 {
-		t.Errorf("it does not go on: %v, wake after %v", err, node.Wake(now))
+		t.Errorf("a valid message: %v, wake after %v", err, node.Wake(now))
 	}
 	if c := node.Counters(); c.Malformed < 1000 || c.Received < 1000 || c.Checks == 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// single makes a node without peers: all tasks are its own.
+// single returns the only node of a fleet. It owns all checks.
 func single(interval time.Duration) *Scheduler { return New(Config{Nodes: 1, Interval: interval}, 0) }
 
-// A new task is run first within a quarter of an interval, at a place that is its own, then once an interval.
-func TestNewTasksAreSpreadOverAQuarterOfTheInterval(t *testing.T) {
+// First runs of new checks are spread over a quarter of an interval. After that each check is run once per interval.
+func TestFirstRunsAreSpreadOverAQuarterOfTheInterval(t *testing.T) {
 	s := single(4 * time.Second)
 	many := make([]Check, 200)
 	for i := range many {
@@ -190,8 +191,8 @@
 	}
 }
 
-// A task that runs is not given out again; one that is not listed any more is forgotten, with its owner's part in it.
-func TestSetChecksForgetsAndKeeps(t *testing.T) {
+// A check that is running is not run again. A check that is no longer listed is forgotten.
+func TestSetChecksReplacesTheSet(t *testing.T) {
 	s := single(time.Second)
 	s.SetChecks(0, []Check{{CheckServer, 1}, {CheckServer, 2}})
 	pull := func(now time.Duration) (got []CheckID) {
@@ -206,11 +207,11 @@
 	}
 	s.CheckEnded(time.Second, Check{CheckServer, 2}, false)
 	s.SetChecks(time.Second, []Check{{CheckServer, 2}, {CheckServer, 3}})
-	s.CheckEnded(time.Second, Check{CheckServer, 1}, true) // its run ends after it has gone
+	s.CheckEnded(time.Second, Check{CheckServer, 1}, true) // the run ends after the check was removed
 	if got := pull(2 * time.Second); !slices.Equal(got, []CheckID{2, 3}) || s.OwnedCount(2*time.Second) != 2 {
 		t.Errorf("%v", got)
 	}
-	if got := pull(9 * time.Second); len(got) > 0 { // both are under way
+	if got := pull(9 * time.Second); len(got) > 0 { // both are running
 		t.Errorf("%v", got)
 	}
 	if wake := s.Wake(9 * time.Second); wake > time.Second {
@@ -218,12 +219,12 @@
 	}
 }
 
-// The end of a run elsewhere is reported once, and puts off this node's own run.
-func TestRunElsewherePutsOffTheNext(t *testing.T) {
+// A run at another node is reported once, and delays this node's next run.
+func TestRunAtAnotherNodeDelaysTheNext(t *testing.T) {
 	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0)
 	check := Check{CheckServer, 5}
 	s.SetChecks(0, []Check{check})
-	end, _ := hex.DecodeString("d00200db052768" + "0202" + "05" + "0a") // a bad end, 10 ms ago
+	end, _ := hex.DecodeString("d00200db052768" + "0202" + "05" + "0a") // a failed run, 10 ms ago
 	for range 2 {
 		if err := s.ReceivePeerMessage(9*time.Second, 1, end); err != nil {
 			t.Fatal(err)
@@ -235,18 +236,18 @@
 	if step, _ := s.Next(9 * time.Second); step.Kind == Ended || step.Kind == Run {
 		t.Errorf("%+v after it", step)
 	}
-	t1 := &s.tasks[0]
-	t1.ownership = ownership{owner: true, primary: true}
-	if at := s.dueAt(t1); at != 19*time.Second-10*time.Millisecond {
+	state := &s.checks[0]
+	state.ownership = PrimaryOwner
+	if at := s.dueAt(state); at != 19*time.Second-10*time.Millisecond {
 		t.Errorf("due at %v", at)
 	}
-	t1.ownership.primary = false
-	if at := s.dueAt(t1); at != 21500*time.Millisecond-10*time.Millisecond {
-		t.Errorf("due at %v for who stands in", at)
+	state.ownership = BackupOwner
+	if at := s.dueAt(state); at != 21500*time.Millisecond-10*time.Millisecond {
+		t.Errorf("due at %v for the backup owner", at)
 	}
 }
 
-// The interval is long enough that a death is known before a second run is missed.
+// The interval is at least minIntervalPeriodsPerRound ping periods per gossip round.
 func TestIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
--- a/internal/healthcheck/golden_test.go
+++ b/internal/healthcheck/wireformat_test.go
@@ -11,18 +11,17 @@
 	"time"
 )
 
-// The tests of this file hold what stands on the wire between nodes of one fleet to the bytes of commit cf1acfb, and
-// every decision to the same order: nodes of both texts run side by side. The expected values were written by that
-// commit.
+// Nodes of different versions share a fleet. Therefore the tests of this file compare every peer message with its expected
+// bytes, and every decision with its expected time and order.
 
-// input is one message that a node receives.
+// input is a peer message that a node receives.
 type input struct {
 	at   time.Duration
 	from NodeID
 	text string // hexadecimal
 }
 
-// sends pulls all decisions that there are at a time, and lists the messages, each as "receiver:hexadecimal".
+// sends returns the messages that a node sends at a time, each as "receiver:hexadecimal".
 func sends(node *Scheduler, at time.Duration) (list []string) {
 	for decision, ok := node.Next(at); ok; decision, ok = node.Next(at) {
 		if decision.Kind == Send {
@@ -38,13 +37,13 @@
 	large = Config{Self: 7, Nodes: 2500, Seed: 3, ReceiveRate: 400, Interval: 5 * time.Second}
 )
 
-// goldenMessages are what a node sends, by what it has taken in.
-var goldenMessages = []struct {
+// wireFormatCases are the messages that a node sends, by the messages that it has received.
+var wireFormatCases = []struct {
 	name   string
 	cfg    Config
-	duties []Check
+	checks []Check
 	in     []input
-	pulls  []time.Duration // when Next is called, after all of in
+	pulls  []time.Duration // times at which Next is called, after all of in
 	want   []string
 }{
 	{name: "first pings", cfg: three, pulls: []time.Duration{0, 400 * time.Millisecond}, want: []string{
@@ -99,7 +98,7 @@
 		},
 	},
 	{
-		name: "ends of runs are passed on with their age", cfg: nine, duties: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
+		name: "ends of runs are passed on with their age", cfg: nine, checks: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
 		in:    []input{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
 		pulls: []time.Duration{30 * time.Second}, want: []string{
 			"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
@@ -117,12 +116,12 @@
 	},
 }
 
-// Each kind of message, with each kind of part, is read and written as before.
-func TestGoldenMessages(t *testing.T) {
-	for _, c := range goldenMessages {
+// Each kind of message, with each kind of part, has the expected bytes.
+func TestPeerMessageWireFormat(t *testing.T) {
+	for _, c := range wireFormatCases {
 		t.Run(c.name, func(t *testing.T) {
 			n := New(c.cfg, 0)
-			n.SetChecks(0, c.duties)
+			n.SetChecks(0, c.checks)
 			for _, in := range c.in {
 				text, err := hex.DecodeString(in.text)
 				if err != nil {
@@ -143,8 +142,8 @@
 	}
 }
 
-// transcript plays some nodes over a network with losses, duplicates and delays, all from a seed, and records every
-// decision of theirs and, each second, their state.
+// transcript runs nodes over a network with losses, duplicates and delays, all drawn from a seed. It records every decision
+// of the nodes, and each second their state.
 type transcript struct {
 	cfg    Config
 	nodes  []*Scheduler // nil for one that is down
@@ -159,22 +158,22 @@
 
 const step = 20 * time.Millisecond
 
-func newTranscript(cfg Config, duties []Check) *transcript {
+func newTranscript(cfg Config, checks []Check) *transcript {
 	p := &transcript{
 		cfg: cfg, nodes: make([]*Scheduler, cfg.Nodes), random: rand.New(rand.NewPCG(cfg.Seed, 99)),
 		later: map[time.Duration][]func(){}, idle: -1,
 	}
 	for k := range p.nodes {
-		p.start(k, duties)
+		p.start(k, checks)
 	}
 	return p
 }
 
-func (p *transcript) start(k int, duties []Check) {
+func (p *transcript) start(k int, checks []Check) {
 	cfg := p.cfg
 	cfg.Self, cfg.Seed = NodeID(k), cfg.Seed+uint64(p.now/time.Second)
 	p.nodes[k] = New(cfg, p.now)
-	p.nodes[k].SetChecks(p.now, duties)
+	p.nodes[k].SetChecks(p.now, checks)
 }
 
 func (p *transcript) after(delay time.Duration, f func()) {
@@ -185,7 +184,7 @@
 	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// send takes one message over the network.
+// send sends a message over the network.
 func (p *transcript) send(from, to int, text []byte) {
 	p.write("%d>%d %x", from, to, text)
 	half := len(p.nodes) / 2
@@ -236,10 +235,8 @@
 	}
 }
 
-var tasks = []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
-
-// goldenPlays are fleets with and without faults, with what they said by commit cf1acfb.
-var goldenPlays = []struct {
+// transcripts are fleets with and without faults, with the expected transcripts.
+var transcripts = []struct {
 	name   string
 	cfg    Config
 	play   func(p *transcript)
@@ -262,7 +259,7 @@
 			p.play(10 * time.Second)
 			p.nodes[1] = nil
 			p.play(40 * time.Second)
-			p.start(1, tasks)
+			p.start(1, checks)
 			p.play(80 * time.Second)
 		}, lines: 1168, digest: "f03e59598b940533a2b907aeb4f59dff834e1098e47a665df5d075746bcaa571", first: []string{
 			"0.06 2>1 d00101db052768",
@@ -280,7 +277,7 @@
 			p.play(60 * time.Second)
 			p.cut = false
 			for k, n := range p.nodes {
-				n.SetChecks(p.now, append(tasks[1:], Check{CheckServer, CheckID(1000 + k/5)}))
+				n.SetChecks(p.now, append(checks[1:], Check{CheckServer, CheckID(1000 + k/5)}))
 			}
 			p.play(120 * time.Second)
 		}, lines: 25041, digest: "73f9442e3b256d244fc396c9011a2297770394ab8988421c74332b0c4c78ce2a", first: []string{
@@ -300,7 +297,7 @@
 			}
 			p.play(8 * time.Second)
 			p.nodes[300] = nil
-			p.start(777, tasks)
+			p.start(777, checks)
 			p.play(20 * time.Second)
 		}, lines: 13296, digest: "611f584044feaf0761b6aa03f4253becab7442d881e9ab27b1ccd733ac8321eb", first: []string{
 			"0.02 100>776 d001010414188b",
@@ -342,11 +339,11 @@
 	},
 }
 
-// The whole run of messages and decisions, of fleets with and without faults, is as before.
-func TestGoldenPlays(t *testing.T) {
-	for _, c := range goldenPlays {
+// All messages and decisions of a fleet are the expected ones. The transcript's wording is part of its digest.
+func TestFleetTranscripts(t *testing.T) {
+	for _, c := range transcripts {
 		t.Run(c.name, func(t *testing.T) {
-			p := newTranscript(c.cfg, tasks)
+			p := newTranscript(c.cfg, checks)
 			c.play(p)
 			var first []string
 			for _, line := range p.lines {
@@ -363,8 +360,8 @@
 	}
 }
 
-// What is read and what is passed over is as before: a message is read whole or not at all.
-func TestGoldenRefusals(t *testing.T) {
+// A malformed message is rejected as a whole, up to the exact limits of each field.
+func TestMalformedPeerMessages(t *testing.T) {
 	for _, c := range []struct {
 		text string // hexadecimal
 		read bool
