--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -25,16 +25,16 @@
 	b = append(b, r.URI...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, r.Host...)
-	b = append(b, "\r\nX-Call-Id: "...)
+	b = append(b, "\r\n"+HeaderRequestID+": "...)
 	b = append(b, r.ID...)
-	b = append(b, "\r\nX-Budget-Ms: "...)
+	b = append(b, "\r\n"+HeaderTimeout+": "...)
 	b = strconv.AppendInt(b, timeout.Milliseconds(), 10)
 	if r.IdempotencyKey != "" {
-		b = append(b, "\r\nIdempotency-Key: "...)
+		b = append(b, "\r\n"+headerIdempotencyKey+": "...)
 		b = append(b, r.IdempotencyKey...)
 	}
 	if r.ContentType != "" {
-		b = append(b, "\r\nContent-Type: "...)
+		b = append(b, "\r\n"+headerContentType+": "...)
 		b = append(b, r.ContentType...)
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -47,7 +47,7 @@
 // AppendHealthCheck appends a health check of an app server, whose address is host. It carries no id: it is no request's
 // attempt.
 func AppendHealthCheck(b []byte, host string) []byte {
-	b = append(b, "GET "+healthPath+" HTTP/1.1\r\nHost: "...)
+	b = append(b, "GET "+HealthPath+" HTTP/1.1\r\nHost: "...)
 	b = append(b, host...)
 	return append(b, "\r\n\r\n"...)
 }
@@ -87,7 +87,7 @@
 	case http.StatusOK:
 		return Completed
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if r.Header.Get("X-Rejected") == "1" {
+		if r.Header.Get(HeaderRejected) == RejectedValue {
 			return Overloaded
 		}
 	}
@@ -96,7 +96,7 @@
 
 // trueUnits is what a response says that its request cost; 0 where it says nothing that can be.
 func trueUnits(header http.Header) float64 {
-	units, err := strconv.ParseFloat(header.Get("X-True-Cost"), 64)
+	units, err := strconv.ParseFloat(header.Get(HeaderUnits), 64)
 	if err != nil || !(units > 0 && units < maxUnits) {
 		return 0
 	}
--- a/internal/protocol/clientresponse.go
+++ b/internal/protocol/clientresponse.go
@@ -33,7 +33,7 @@
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	if r.ContentType != "" {
-		b = append(b, "\r\nContent-Type: "...)
+		b = append(b, "\r\n"+headerContentType+": "...)
 		b = append(b, r.ContentType...)
 	}
 	if r.RetryAfter > 0 {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -102,7 +102,7 @@
 // AppendDiscoveryCall appends a call for what is newer than a revision, which discovery may hold back for so long until
 // there is any, or for the full list.
 func AppendDiscoveryCall(b []byte, host string, full bool, revision uint64, hold time.Duration) []byte {
-	b = append(b, "GET /v1/servers"...)
+	b = append(b, "GET "+EndpointsPath...)
 	if !full {
 		b = append(b, "?from="...)
 		b = strconv.AppendUint(b, revision, 10)
--- /dev/null
+++ b/internal/protocol/names.go
@@ -0,0 +1,53 @@
+package protocol
+
+// Names on the wire, as the platform's pages give them. HTTP header names are in canonical form.
+//
+// Other packages, stand-ins of the laboratory included, use these constants and no literals.
+
+// Headers of requests.
+const (
+	// HeaderRequestID is the id of a request, the same for all its attempts.
+	HeaderRequestID = "X-Call-Id"
+	// HeaderPlan is the name of the customer's plan.
+	HeaderPlan = "X-Tariff"
+	// HeaderTimeout is the time that the sender waits for the response, in whole milliseconds.
+	HeaderTimeout = "X-Budget-Ms"
+	// HeaderWeight holds the request's units and the customer's node set, see FormatWeight.
+	HeaderWeight = "X-Weight"
+	// HeaderClientRetry is "1" in a request that a client sends again.
+	HeaderClientRetry = "X-Again"
+
+	headerContentType    = "Content-Type"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerExpect         = "Expect"
+)
+
+// Headers of app servers' responses.
+const (
+	// HeaderRejected is RejectedValue in the response of an app server that has not executed the attempt.
+	HeaderRejected = "X-Rejected"
+	// HeaderUnits is the cost of an executed request, in units.
+	HeaderUnits = "X-True-Cost"
+	// HeaderLoadReport is a load report of the app server.
+	HeaderLoadReport = "X-Load-Report"
+)
+
+// RejectedValue is the value of HeaderRejected.
+const RejectedValue = "1"
+
+// Paths.
+const (
+	// HealthPath is the path of health checks, of a node and of an app server.
+	HealthPath = "/healthz"
+	// LoadPath is the path of an app server's load report.
+	LoadPath = "/load"
+	// EndpointsPath is the path of discovery's endpoint list.
+	EndpointsPath = "/v1/servers"
+)
+
+// Fields of HeaderWeight.
+const (
+	weightUnits     = "units"
+	weightSpread    = "spread"
+	weightFirstNode = "first"
+)
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -25,20 +26,6 @@
 	chunkedOverhead = 4
 )
 
-// The names of a request's headers, in their canonical form.
-const (
-	headerContentType    = "Content-Type"
-	headerIdempotencyKey = "Idempotency-Key"
-	headerID             = "X-Call-Id"
-	headerPlan           = "X-Tariff"
-	headerTimeout        = "X-Budget-Ms"
-	headerWeight         = "X-Weight"
-	headerExpect         = "Expect"
-)
-
-// healthPath is where the node itself is asked for its health.
-const healthPath = "/healthz"
-
 // Request is a client's request. Class and plan are as they came; the facade finds what they name.
 type Request struct {
 	Method, URI, Host           string
@@ -87,13 +74,13 @@
 		return err
 	}
 	if !validID(r.ID) {
-		return badRequest("malformed " + headerID)
+		return badRequest("malformed " + HeaderRequestID)
 	}
 	if !r.readTimeout(timeout) {
-		return badRequest("malformed " + headerTimeout)
+		return badRequest("malformed " + HeaderTimeout)
 	}
 	if !r.readWeight(weight) {
-		return badRequest("malformed " + headerWeight)
+		return badRequest("malformed " + HeaderWeight)
 	}
 	return nil
 }
@@ -131,8 +118,8 @@
 func (r *Request) readHeaders(header http.Header) (timeout, weight string, err error) {
 	h := singleHeaders{header: header}
 	r.ContentType, r.IdempotencyKey = h.get(headerContentType), h.get(headerIdempotencyKey)
-	r.ID, r.Plan = h.get(headerID), h.get(headerPlan)
-	timeout, weight = h.get(headerTimeout), h.get(headerWeight)
+	r.ID, r.Plan = h.get(HeaderRequestID), h.get(HeaderPlan)
+	timeout, weight = h.get(HeaderTimeout), h.get(HeaderWeight)
 	if h.err == nil && !printable(r.Host) {
 		h.err = badRequest("odd Host")
 	}
@@ -180,6 +167,12 @@
 	return err == nil && ms > 0
 }
 
+// FormatWeight returns the value of HeaderWeight for a request with the given units. Its customer's node set has spread nodes
+// from firstNode on.
+func FormatWeight(units float64, spread, firstNode int) string {
+	return fmt.Sprintf("%s=%g,%s=%d,%s=%d", weightUnits, units, weightSpread, spread, weightFirstNode, firstNode)
+}
+
 // readWeight reads units=2,spread=3,first=1 in any order. Names that are not known are passed over.
 func (r *Request) readWeight(text string) bool {
 	var err error
@@ -189,13 +182,13 @@
 		field, text, _ = strings.Cut(text, ",")
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		switch name {
-		case "units":
+		case weightUnits:
 			hasUnits = true
 			r.Units, err = strconv.ParseFloat(value, 64)
-		case "spread":
+		case weightSpread:
 			hasSpread = true
 			r.Spread, err = strconv.Atoi(value)
-		case "first":
+		case weightFirstNode:
 			hasFirst = true
 			r.FirstNode, err = strconv.Atoi(value)
 		}
@@ -222,7 +215,7 @@
 }
 
 // ForNode reports whether the request is for the node itself, not for an app server.
-func (r *Request) ForNode() bool { return r.URI == healthPath }
+func (r *Request) ForNode() bool { return r.URI == HealthPath }
 
 // validWeight reports whether units and set are within their ranges; a NaN is in none.
 func (r *Request) validWeight() bool {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -1,99 +1,113 @@
 package quota
 
+// Accounts.
+//
+// Inputs: the requests of a customer at this node, and the time. State: the cap and the use of the current window, and a
+// forecast of the demand. Rule: a window begins with a slice as the cap, or with 0 if this node started within the window.
+// The demand forecast is an exponentially weighted mean over windows. Protects against a quota that a restart refills.
+// Trade-off: after a restart a node serves customers with a quota only from the next window on.
+
 import (
 	"math"
 	"time"
 )
 
 const (
-	windowShare = 0.5 // of the time in which the rate fills the burst
-	minWindow   = 500 * time.Millisecond
-	maxWindow   = 2 * time.Second // a node waits for the next window after its start
-	idleWindows = 20              // without a request, after which an account is dropped
-
-	demandDecay = 0.5  // weight of a window in the demand forecast
-	spareShare  = 0.25 // of the demand forecast, added to it
-	minRelease  = 0.1  // share of a slice, see releaseMargin
-
-	exchangeGap = 0.05 // share of a window, between two exchanges for one customer
-	deniedFor   = 0.2  // share of a window, for which nothing is borrowed after the store had nothing to lend
-
-	noWindow WindowNumber = -1 // before the first
+	// windowBurstTimes is the length of a window, in times that the rate needs to fill the burst.
+	windowBurstTimes = 0.5
+	minWindow        = 500 * time.Millisecond
+	maxWindow        = 2 * time.Second
+
+	// idleWindows is the number of windows without a request after which an account is dropped.
+	idleWindows = 20
+
+	// demandSmoothing is the weight of the last window in the demand forecast.
+	demandSmoothing = 0.5
+	// demandMarginRatio is the margin on top of the demand forecast, as a share of the forecast.
+	demandMarginRatio = 0.25
+	// releaseMarginSlices is the smallest reduction of a cap that is worth an exchange, in slices.
+	releaseMarginSlices = 0.1
+
+	// noWindow is the number of an account's window before the first request.
+	noWindow WindowNumber = -1
 )
 
-// account is this node's state for a customer.
+// account is this node's record of a customer.
 type account struct {
 	customer      Customer
-	windowLength  time.Duration
+	windowLength  time.Duration // 0 before the first reset
 	demand        demand
 	lastRequestAt time.Duration
 	exchangeAt    time.Duration // earliest time of the next exchange
-	forgottenIn   WindowNumber  // last window in which the store had lost entries
+	lossWindow    WindowNumber  // last window in which the store proved to have lost entries
 	window
 }
 
-// window is the state of an account that is reset in each window.
+// window is the part of an account that each new window resets.
 type window struct {
 	number    WindowNumber
 	allowance float64 // units for the whole fleet
-	cap       float64 // units that this node may use,
-	used      float64 // and has used
-
-	others      map[NodeID]Commitment // of the other nodes, by the last reply
-	sequence    Sequence              // of the last commitment put
-	stored      Sequence              // last one that the store is known to have had
-	storedCap   float64               // this node's cap according to the store; NaN if that is uncertain
-	deniedUntil time.Duration         // nothing is borrowed before
+	cap       float64 // units that this node may use
+	used      float64 // units that this node has used
+
+	others      map[NodeID]Commitment // last known commitments of other nodes
+	sequence    Sequence              // of the last commitment that this node put
+	stored      Sequence              // of the last commitment that a reply contained
+	storedCap   float64               // this node's cap in the store; NaN if unknown
+	deniedUntil time.Duration         // earliest time of the next borrowing
 }
 
-// demand is a customer's demand at this node.
+// demand is the demand of a customer at this node.
 type demand struct {
-	inWindow float64 // units in the present window, so far
-	forecast float64 // units a window: an exponentially weighted mean
+	inWindow float64 // units requested in the current window
+	forecast float64 // units per window: an exponentially weighted mean
 }
 
-// endWindows updates the forecast for so many windows: the first with the recorded demand, the others without any.
+// endWindows updates the forecast at the end of count windows. Only the first of them has the recorded demand.
 func (d *demand) endWindows(count WindowNumber) {
 	for range min(max(count, 1), idleWindows) {
-		d.forecast += demandDecay * (d.inWindow - d.forecast)
+		d.forecast += demandSmoothing * (d.inWindow - d.forecast)
 		d.inWindow = 0
 	}
 }
 
-// Window returns the length of a customer's windows.
+// Window returns the length of the customer's windows.
 func (c Customer) Window() time.Duration {
 	if c.Rate <= 0 {
 		return maxWindow
 	}
-	return min(max(time.Duration(windowShare*c.Burst/c.Rate*float64(time.Second)), minWindow), maxWindow)
+	seconds := windowBurstTimes * c.Burst / c.Rate
+	return min(max(time.Duration(seconds*float64(time.Second)), minWindow), maxWindow)
 }
 
+// newAccount returns an account that has not entered a window.
 func newAccount(c Customer) *account {
-	return &account{customer: c, forgottenIn: noWindow - 1, window: window{number: noWindow}}
+	return &account{customer: c, lossWindow: noWindow - 1, window: window{number: noWindow}}
 }
 
-// reset sets the quota of an account. Its state begins anew.
+// reset sets the quota of an account, and leaves the account's window.
 func (a *account) reset(c Customer) {
 	a.customer, a.windowLength, a.number = c, c.Window(), noWindow
 }
 
-// slice returns the even part of the allowance per node.
+// slice returns an equal share of the allowance for each node of the customer's set, in units.
 func (a *account) slice() float64 { return a.allowance / float64(a.customer.Spread) }
 
-// releaseMargin returns the least reduction of the cap that is worth an exchange.
+// releaseMargin returns the smallest reduction of the cap that is worth an exchange, in units.
 func (a *account) releaseMargin() float64 {
-	return minRelease * a.allowance / float64(a.customer.Spread)
+	return releaseMarginSlices * a.allowance / float64(a.customer.Spread)
 }
 
-// begin returns when the account's present window began.
+// begin returns the time at which the account's window began.
 func (a *account) begin() time.Duration { return time.Duration(a.number) * a.windowLength }
 
-// wantedCap returns the cap for the forecast demand, with some to spare.
+// wantedCap returns the cap that covers the forecast demand with a margin, in units. It is never below the use so far.
 func (a *account) wantedCap() float64 {
-	return max(a.used, (1+spareShare)*max(a.demand.forecast, a.demand.inWindow)+a.releaseMargin())
+	expected := max(a.demand.forecast, a.demand.inWindow)
+	return max(a.used, (1+demandMarginRatio)*expected+a.releaseMargin())
 }
 
-// enterWindow resets an account's window if a new one has begun.
+// enterWindow resets the window of an account if a new window has begun.
 func (l *Ledger) enterWindow(a *account) {
 	number := WindowNumber(l.now / a.windowLength)
 	if number == a.number {
@@ -103,20 +117,20 @@
 	a.demand.endWindows(number - a.number)
 	a.window = window{number: number, allowance: a.customer.Rate * a.windowLength.Seconds(), others: map[NodeID]Commitment{}}
 	a.cap = a.slice()
-	if l.startedWithin(a) { // the use before the start is unknown: a restart must not refill the quota
+	if l.startedWithin(a) { // the use before the start is unknown
 		a.cap = 0
 	}
 	a.storedCap = a.slice() // a node without an entry counts with a slice
-	if isFirst {            // no demand is known yet: nothing is released
+	if isFirst {            // without known demand nothing is released
 		a.demand.forecast = a.slice()
 	}
-	// Spread the first exchanges of the nodes.
-	a.exchangeAt = l.now + time.Duration(l.random.Float64()*exchangeGap*float64(a.windowLength))
+	firstGapWindows := l.random.Float64() * exchangeGapWindows // spreads the first exchanges of the nodes
+	a.exchangeAt = l.now + time.Duration(firstGapWindows*float64(a.windowLength))
 }
 
-// startedWithin reports whether this node started within an account's window. Its entries in the store may be those of the
-// process before.
+// startedWithin reports whether this node started within the account's window. The store may then hold entries of this
+// node's previous process.
 func (l *Ledger) startedWithin(a *account) bool { return a.begin() < l.started }
 
-// doubtStored notes that the store may lack the last commitment or have a later one. The next exchange puts it again.
-func (a *account) doubtStored() { a.storedCap = math.NaN() }
+// invalidateStored records that the last commitment in the store is unknown. The next exchange puts the cap again.
+func (a *account) invalidateStored() { a.storedCap = math.NaN() }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A forecast follows the demand of the windows that ended, and fades over those without any.
+// The forecast is an exponentially weighted mean of the demand in the windows that have ended.
 func TestDemandForecast(t *testing.T) {
 	d := demand{forecast: 10}
 	for _, c := range []struct {
@@ -16,7 +16,7 @@
 		want     float64
 	}{
 		{20, 1, 15},
-		{15, 0, 15}, // a window that began anew
+		{15, 0, 15}, // the same window again, after a reset
 		{15, 1, 15},
 		{0, 1, 7.5},
 		{10.5, 3, 2.25}, // 9, then two windows without demand
@@ -30,8 +30,8 @@
 	}
 }
 
-// A window begins with an even slice, all of the former one's state gone, and what the store's silence says.
-func TestEnterWindow(t *testing.T) {
+// A window begins with a slice as the cap. The state of the former window is gone, but for the forecast.
+func TestWindowBeginsWithASlice(t *testing.T) {
 	l := New(Config{Nodes: 4}, 0)
 	a := l.account(Customer{Key: 1, Rate: 10, Burst: 40, Spread: 4})
 	if a.number != 0 || a.allowance != 20 || a.cap != 5 || a.storedCap != 5 || a.demand.forecast != 5 {
@@ -43,12 +43,12 @@
 	l.advance(1999 * time.Millisecond)
 	l.enterWindow(a)
 	if a.number != 0 || a.used != 4 {
-		t.Errorf("a new window before its time: %+v", a)
+		t.Errorf("the window was reset before its end: %+v", a)
 	}
 	l.advance(2 * time.Second)
 	l.enterWindow(a)
 	if late := a.exchangeAt - l.now; late < 0 || late > 100*time.Millisecond { // a twentieth of a window
-		t.Errorf("the first exchange %v after the begin", late)
+		t.Errorf("first exchange %v after the begin of the window", late)
 	}
 	if a.demand.forecast != 7 || a.begin() != 2*time.Second || len(a.others) != 0 {
 		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecast, a.begin(), a.others)
@@ -60,8 +60,8 @@
 	}
 }
 
-// The cap that is wanted covers what is forecast or was asked for already, with some to spare, and what was used.
-func TestWantedCap(t *testing.T) {
+// The wanted cap covers the use, and with a margin the larger of the forecast and the demand so far.
+func TestWantedCapCoversDemandAndUse(t *testing.T) {
 	for _, c := range []struct {
 		forecast, inWindow, used, want float64
 	}{
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -1,16 +1,27 @@
 package quota
 
+// Exchanges with the store.
+//
+// Inputs: caps and forecasts of the accounts, the time, replies and failures. State: the pending exchanges. Rule: the
+// accounts take turns, with one exchange per account at a time. A cap above the wanted one by more than the release margin
+// is lowered. A cap below the wanted one is raised by one lease of leaseAllowanceRatio at most. Protects against the loss of
+// entries, because one lost entry costs one lease at most. Trade-off: a node needs several exchanges to borrow much.
+
 import (
 	"slices"
 	"time"
 )
 
 const (
-	leaseShare  = 0.1 // of an allowance, that is borrowed at once: also the overuse that one lost entry can cause
-	keepWindows = 3   // for which the store keeps the entries of a window
+	// leaseAllowanceRatio is the largest increase of a cap by one exchange, as a share of the allowance.
+	leaseAllowanceRatio = 0.1
+	// entryLifetimeWindows is the lifetime of entries in the store, in windows.
+	entryLifetimeWindows = 3
+	// exchangeGapWindows is the mean time between two exchanges for one customer, in windows.
+	exchangeGapWindows = 0.05
 )
 
-// pendingExchange is an exchange that Next returned and whose reply is awaited.
+// pendingExchange is an exchange that has neither a reply nor failed.
 type pendingExchange struct {
 	id       ExchangeID
 	key      CustomerKey
@@ -19,23 +30,24 @@
 	deadline time.Duration
 }
 
-// Next returns the next exchange with the store, or false if there is none now. The customers take turns.
+// Next returns the next exchange with the store. It returns false if there is none at the time now. The host reports the
+// end of the exchange with HandleReply; without a report the exchange fails at its timeout.
 func (l *Ledger) Next(now time.Duration) (Exchange, bool) {
 	l.advance(now)
 	l.expirePending()
 	if !l.backoff.allows(l.now, len(l.pending)) || !l.rateLimit.allows(l.now) {
 		return Exchange{}, false
 	}
-	for range l.turns {
-		if l.nextTurn >= len(l.turns) {
-			l.nextTurn = 0
-			l.forgetIdle()
+	for range l.rotation {
+		if l.rotationIndex >= len(l.rotation) {
+			l.rotationIndex = 0
+			l.dropIdle()
 		}
-		if len(l.turns) == 0 {
+		if len(l.rotation) == 0 {
 			break
 		}
-		a := l.turns[l.nextTurn]
-		l.nextTurn++
+		a := l.rotation[l.rotationIndex]
+		l.rotationIndex++
 		if exchange, ok := l.exchange(a); ok {
 			l.rateLimit.take()
 			return exchange, true
@@ -44,7 +56,7 @@
 	return Exchange{}, false
 }
 
-// expirePending fails the exchanges that have timed out.
+// expirePending handles the exchanges that have timed out as failed.
 func (l *Ledger) expirePending() {
 	l.pending = slices.DeleteFunc(l.pending, func(e pendingExchange) bool {
 		expired := l.now >= e.deadline
@@ -55,17 +67,17 @@
 	})
 }
 
-// failed handles the failure of an exchange, which the store may have carried out all the same.
+// failed handles the failure of an exchange. The store may have carried the exchange out.
 func (l *Ledger) failed(e pendingExchange) {
 	l.counters.Failed++
 	l.backoff.failed(l.now, l.cfg.Timeout, l.random)
 	if a := l.accounts[e.key]; a != nil && a.number == e.window {
-		a.doubtStored()
+		a.invalidateStored()
 	}
 }
 
-// exchange returns an account's next exchange, or false if it needs none. A lower cap is in force at once, before the store
-// has it; a higher one only once the reply grants it.
+// exchange returns the next exchange of an account, or false if the account needs none. A lower cap is in force at once. A
+// higher cap is in force only once a reply grants it.
 func (l *Ledger) exchange(a *account) (Exchange, bool) {
 	if a.customer.Rate <= 0 || a.customer.Spread <= 1 {
 		return Exchange{}, false
@@ -79,26 +91,32 @@
 	case wanted < a.cap-a.releaseMargin():
 		a.cap, put = wanted, wanted
 		l.counters.Released++
-	case wanted > a.cap && a.cap < a.allowance && a.number > a.forgottenIn+1 && l.now >= a.deniedUntil:
-		// One lease at a time: it is what one lost entry can cost.
-		put = min(wanted, a.cap+leaseShare*a.allowance, a.allowance)
+	case wanted > a.cap && l.mayBorrow(a):
+		put = min(wanted, a.cap+leaseAllowanceRatio*a.allowance, a.allowance)
 	case a.storedCap == a.cap:
 		return Exchange{}, false
 	}
 	return l.begin(a, put), true
 }
 
+// mayBorrow reports whether an account's cap may be raised now. After a loss of entries in the store it may not until the
+// end of the next window.
+func (l *Ledger) mayBorrow(a *account) bool {
+	return a.cap < a.allowance && a.number > a.lossWindow+1 && l.now >= a.deniedUntil
+}
+
+// isPending reports whether an exchange of the account is pending.
 func (l *Ledger) isPending(a *account) bool {
 	return slices.ContainsFunc(l.pending, func(e pendingExchange) bool { return e.key == a.customer.Key })
 }
 
-// begin starts an exchange that puts a cap.
-func (l *Ledger) begin(a *account, put float64) Exchange {
+// begin begins an exchange that puts a commitment to newCap units.
+func (l *Ledger) begin(a *account, newCap float64) Exchange {
 	a.sequence++
 	l.lastID++
-	gap := exchangeGap * float64(a.windowLength) * (0.5 + l.random.Float64())
+	gap := exchangeGapWindows * float64(a.windowLength) * (0.5 + l.random.Float64())
 	a.exchangeAt = l.now + time.Duration(gap)
-	commitment := Commitment{Node: l.cfg.Self, Sequence: a.sequence, Cap: put}
+	commitment := Commitment{Node: l.cfg.Self, Sequence: a.sequence, Cap: newCap}
 	l.pending = append(l.pending, pendingExchange{
 		id:       l.lastID,
 		key:      a.customer.Key,
@@ -112,7 +130,7 @@
 		Key:     a.customer.Key,
 		Window:  a.number,
 		Put:     commitment,
-		Keep:    keepWindows * a.windowLength,
+		Keep:    entryLifetimeWindows * a.windowLength,
 		Timeout: l.cfg.Timeout,
 	}
 }
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// leased makes a ledger with one customer at node 0 of 4: 20 units a window of 2 s, a slice of 5.
+// leased returns a ledger with one customer at node 0 of 4: 20 units per window of 2 s, a slice of 5.
 func leased(t *testing.T) (*Ledger, *account) {
 	t.Helper()
 	l := New(Config{Nodes: 4, Seed: 1, Timeout: 100 * time.Millisecond}, 0)
@@ -17,7 +17,7 @@
 	return l, a
 }
 
-// next is the next exchange, which there must be.
+// next returns the next exchange. Without one it fails the test.
 func next(t *testing.T, l *Ledger) Exchange {
 	t.Helper()
 	x, ok := l.Next(l.now)
@@ -27,8 +27,8 @@
 	return x
 }
 
-// What is not needed is released at once, before the store has it.
-func TestReleaseHoldsAtOnce(t *testing.T) {
+// A lower cap is in force before the store has its entry.
+func TestReleaseIsInForceAtOnce(t *testing.T) {
 	l, a := leased(t)
 	a.demand = demand{forecast: 1}
 	x := next(t, l)
@@ -39,19 +39,19 @@
 		t.Errorf("%+v", x)
 	}
 	if _, ok := l.Next(l.now); ok {
-		t.Error("two exchanges for one customer at once")
+		t.Error("a second exchange for the customer while the first is pending")
 	}
-	l.HandleReply(l.now, x.ID, 1, []Commitment{x.Put}, nil)
+	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: []Commitment{x.Put}}, nil)
 	if a.storedCap != 1.75 || a.stored != 1 {
 		t.Errorf("%+v", a)
 	}
 	if _, ok := l.Next(time.Second); ok {
-		t.Error("an exchange without need")
+		t.Error("an exchange although the store has the cap")
 	}
 }
 
-// A cap is raised in steps of a lease, once the store has granted it, as far as the others' commitments leave it.
-func TestBorrow(t *testing.T) {
+// A cap is raised by one lease at a time, after the reply, up to the units that the other nodes' commitments leave.
+func TestBorrowRaisesCapUpToFreeUnits(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		others  []Commitment
@@ -63,17 +63,17 @@
 		{"enough released", []Commitment{{Node: 1, Sequence: 1, Cap: 1}}, 7, false, true},
 		{"too little released", []Commitment{{Node: 1, Sequence: 1, Cap: 4.5}}, 5.5, true, true},
 		{"the last commitment counts", []Commitment{{1, 2, 5}, {1, 1, 0}}, 5, true, false},
-		{"a node beyond the last does not", []Commitment{{Node: 4, Sequence: 1}, {Node: -1, Sequence: 1}}, 5, true, false},
-		{"nor a cap that is none", []Commitment{{Node: 1, Sequence: 1, Cap: math.NaN()}, {Node: 2, Sequence: 1, Cap: -9}}, 5, true, false},
+		{"entries of unknown nodes are ignored", []Commitment{{Node: 4, Sequence: 1}, {Node: -1, Sequence: 1}}, 5, true, false},
+		{"entries with invalid caps are ignored", []Commitment{{Node: 1, Sequence: 1, Cap: math.NaN()}, {Node: 2, Sequence: 1, Cap: -9}}, 5, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, a := leased(t)
 			a.demand = demand{forecast: 12}
 			x := next(t, l)
 			if x.Put.Cap != 7 || a.cap != 5 {
-				t.Fatalf("it asks for %v and uses %v", x.Put.Cap, a.cap)
+				t.Fatalf("it puts %v with a cap of %v, want 7 and 5", x.Put.Cap, a.cap)
 			}
-			l.HandleReply(l.now, x.ID, 1, append([]Commitment{x.Put}, c.others...), nil)
+			l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: append([]Commitment{x.Put}, c.others...)}, nil)
 			if a.cap != c.cap || (a.deniedUntil > 0) != c.denied || (l.Counters().Borrowed == 1) != c.granted {
 				t.Errorf("cap %v, denied until %v, %+v", a.cap, a.deniedUntil, l.Counters())
 			}
@@ -81,78 +81,78 @@
 	}
 }
 
-// A store that does not have what was put, or that was not there when the window began, grants nothing, and is
-// borrowed from again only after the next window.
-func TestForgottenEntries(t *testing.T) {
+// A store that lacks this node's entry, or was first seen within the window, grants nothing. Borrowing starts again after
+// the next window.
+func TestLostEntriesStopBorrowing(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		met     time.Duration
-		entries []Commitment
+		name       string
+		storeSince time.Duration
+		entries    []Commitment
 	}{
-		{"its own is missing", 0, []Commitment{{Node: 1, Sequence: 1}}},
+		{"own entry is missing", 0, []Commitment{{Node: 1, Sequence: 1}}},
 		{"another store", time.Second, []Commitment{{Node: 0, Sequence: 1, Cap: 7}, {Node: 1, Sequence: 1}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, a := leased(t)
 			a.demand = demand{forecast: 12}
 			x := next(t, l)
-			l.store, l.storeMet = 1, c.met
-			l.HandleReply(l.now, x.ID, 1, c.entries, nil)
-			if a.cap != 5 || a.forgottenIn != 0 || !math.IsNaN(a.storedCap) || l.Counters().Forgotten != 1 {
+			l.store, l.storeSince = 1, c.storeSince
+			l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: c.entries}, nil)
+			if a.cap != 5 || a.lossWindow != 0 || !math.IsNaN(a.storedCap) || l.Counters().Forgotten != 1 {
 				t.Errorf("%+v, %+v", a, l.Counters())
 			}
 			l.advance(2 * time.Second)
 			l.enterWindow(a)
 			a.demand.forecast = 12
 			if _, ok := l.Next(3 * time.Second); ok {
-				t.Error("it borrows in the next window")
+				t.Error("an exchange in the next window")
 			}
 			l.advance(4 * time.Second)
 			l.enterWindow(a)
 			a.demand.forecast = 12
 			if x, ok := l.Next(5 * time.Second); !ok || x.Put.Cap != 7 {
-				t.Errorf("%+v in the one after it", x)
+				t.Errorf("%+v in the window after the next", x)
 			}
 		})
 	}
 }
 
-// A reply that fails, comes too late, or belongs to a window that is over changes no cap.
-func TestRepliesThatSayNothing(t *testing.T) {
+// A failed exchange, a late reply and a reply for a former window change no cap.
+func TestIgnoredRepliesChangeNoCap(t *testing.T) {
 	l, a := leased(t)
 	a.demand = demand{forecast: 12}
 	free := []Commitment{{Node: 0, Sequence: 9, Cap: 7}, {Node: 1, Sequence: 1}}
 	x := next(t, l)
-	l.HandleReply(l.now, x.ID, 1, free, errors.New("cut"))
+	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: free}, errors.New("cut"))
 	if a.cap != 5 || l.Counters().Failed != 1 || !math.IsNaN(a.storedCap) {
 		t.Errorf("%+v, %+v", a, l.Counters())
 	}
-	l.HandleReply(l.now, x.ID, 1, free, nil)
+	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: free}, nil)
 	if a.cap != 5 || l.Counters().Late != 1 {
 		t.Errorf("after its failure: %+v, %+v", a, l.Counters())
 	}
 	l.advance(300 * time.Millisecond)
 	x = next(t, l)
-	l.HandleReply(l.now+100*time.Millisecond, x.ID, 1, free, nil)
+	l.HandleReply(l.now+100*time.Millisecond, x.ID, Reply{Store: 1, Entries: free}, nil)
 	if a.cap != 5 || l.Counters().Failed != 2 {
 		t.Errorf("at its deadline: %+v, %+v", a, l.Counters())
 	}
 	l.advance(1950 * time.Millisecond)
 	x = next(t, l)
-	l.HandleReply(2*time.Second, x.ID, 1, free, nil)
+	l.HandleReply(2*time.Second, x.ID, Reply{Store: 1, Entries: free}, nil)
 	if a.cap != 5 || l.Counters().Borrowed != 0 {
 		t.Errorf("in the next window: %+v, %+v", a, l.Counters())
 	}
 }
 
-// A store that fails is left alone after some failures, for twice as long each time, and asked one thing at a time.
-func TestBackoff(t *testing.T) {
+// From the third consecutive failure on, exchanges pause, twice as long each time, and run one at a time.
+func TestBackoffDoublesPause(t *testing.T) {
 	var b backoff
 	random := rand.New(rand.NewPCG(1, 1))
-	for range failuresAllowed - 1 {
+	for range failuresBeforeBackoff - 1 {
 		b.failed(0, 100*time.Millisecond, random)
 		if !b.allows(0, 5) {
-			t.Error("it is left alone at once")
+			t.Error("a pause before failuresBeforeBackoff")
 		}
 	}
 	for i := range 12 {
@@ -163,15 +163,15 @@
 		}
 	}
 	if b.allows(b.until-1, 0) || b.allows(b.until, 1) || !b.allows(b.until, 0) {
-		t.Error("not one at a time, once the pause is over")
+		t.Error("after the pause exchanges do not run one at a time")
 	}
 	b.succeeded()
 	if !b.allows(b.until, 9) {
-		t.Error("it is not back to normal")
+		t.Error("a success does not end the backoff")
 	}
 }
 
-// Exchanges are limited to their rate, with a tenth of a second's worth at once.
+// Exchanges are limited to their rate, with a burst of a tenth of a second.
 func TestRateLimiter(t *testing.T) {
 	r := rateLimiter{rate: 100, tokens: 1}
 	count := 0
@@ -188,9 +188,9 @@
 		r.take()
 	}
 	if count != 10 {
-		t.Errorf("%d at once", count)
+		t.Errorf("a burst of %d, want 10", count)
 	}
 	if r = (rateLimiter{}); !r.allows(0) {
-		t.Error("no limit is one")
+		t.Error("rate 0 limits the exchanges")
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// Ledger enforces the quotas at one node.
+// Ledger enforces the quotas at one node. It is not safe for concurrent use.
 type Ledger struct {
 	cfg      Config
 	now      time.Duration
-	started  time.Duration
+	started  time.Duration // time of New
 	random   *rand.Rand
 	counters Counters
 
-	accounts  map[CustomerKey]*account
-	turns     []*account // in the order in which they exchange
-	nextTurn  int        // into turns
-	pending   []pendingExchange
-	lastID    ExchangeID
-	rateLimit rateLimiter
-	backoff   backoff
-	store     StoreID       // that answered last; 0 before the first reply
-	storeMet  time.Duration // time of its first reply
+	accounts      map[CustomerKey]*account
+	rotation      []*account // all accounts, in the order in which they exchange
+	rotationIndex int        // into rotation: the next account
+	pending       []pendingExchange
+	lastID        ExchangeID // of the last exchange begun
+	rateLimit     rateLimiter
+	backoff       backoff
+	store         StoreID       // store of the last reply; 0 before the first reply
+	storeSince    time.Duration // time of the first reply of store
 }
 
-// New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch.
+// New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch. The
+// times of later calls have the same origin.
 func New(cfg Config, now time.Duration) *Ledger {
 	cfg.Nodes = max(cfg.Nodes, 1)
 	return &Ledger{
@@ -42,16 +43,17 @@
 // Counters returns the counts since New.
 func (l *Ledger) Counters() Counters { return l.counters }
 
+// advance sets the clock. An earlier time is ignored.
 func (l *Ledger) advance(now time.Duration) { l.now = max(l.now, now) }
 
-// account returns the account of a customer, in its present window. It is created if there is none, and reset if the quota
-// has changed.
+// account returns the account of a customer, in the current window. It creates a missing account, and resets an account
+// whose quota or node set has changed.
 func (l *Ledger) account(c Customer) *account {
 	a := l.accounts[c.Key]
 	if a == nil {
 		a = newAccount(c)
 		l.accounts[c.Key] = a
-		l.turns = append(l.turns, a)
+		l.rotation = append(l.rotation, a)
 	}
 	c.Spread = min(max(c.Spread, 1), l.cfg.Nodes)
 	if a.customer != c || a.windowLength == 0 {
@@ -61,7 +63,7 @@
 	return a
 }
 
-// RecordDemand records a request of a customer, whether it is admitted or not.
+// RecordDemand records the demand of a request, whether or not the request is admitted.
 func (l *Ledger) RecordDemand(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	a := l.account(c)
@@ -69,7 +71,8 @@
 	a.lastRequestAt = l.now
 }
 
-// Available returns the units that a customer may still use at this node in this window; +Inf without a quota.
+// Available returns the units that a customer may still use at this node in the current window. It returns +Inf for a
+// customer without a quota.
 func (l *Ledger) Available(now time.Duration, c Customer) float64 {
 	l.advance(now)
 	if c.Rate <= 0 {
@@ -79,7 +82,7 @@
 	return max(0, a.cap-a.used)
 }
 
-// TrySpend uses units of what is available to a customer, and reports whether there was enough; else it uses nothing.
+// TrySpend uses units of a customer's quota and reports whether as many were available. If not, it uses none.
 func (l *Ledger) TrySpend(now time.Duration, c Customer, units float64) bool {
 	if l.Available(now, c) < units {
 		l.counters.Rejected++
@@ -91,7 +94,7 @@
 	return true
 }
 
-// RecordUse records units that were used, also beyond what was available.
+// RecordUse records the use of units. It may exceed the available units.
 func (l *Ledger) RecordUse(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	if c.Rate > 0 {
@@ -99,9 +102,9 @@
 	}
 }
 
-// forgetIdle drops the accounts of customers without requests for a long time.
-func (l *Ledger) forgetIdle() {
-	l.turns = slices.DeleteFunc(l.turns, func(a *account) bool {
+// dropIdle removes the accounts of customers without a request for idleWindows.
+func (l *Ledger) dropIdle() {
+	l.rotation = slices.DeleteFunc(l.rotation, func(a *account) bool {
 		idle := l.now-a.lastRequestAt > idleWindows*a.windowLength
 		if idle {
 			delete(l.accounts, a.customer.Key)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// fakeStore is a store that a test plays: entries by customer and window.
+// fakeStore is a store in memory.
 type fakeStore struct {
 	id      StoreID
-	entries map[string][]Commitment
+	entries map[string][]Commitment // by customer and window
 }
 
 func (s *fakeStore) put(x Exchange) []Commitment {
@@ -29,22 +29,23 @@
 	return c
 }
 
-// fault is what goes wrong with one exchange.
+// fault is the fault of one exchange.
 type fault struct {
-	lost, late, forgotten bool
+	lost      bool // the exchange gets no reply
+	late      bool // the reply comes up to 500 ms later
+	forgotten bool // the store replies, but drops the entry
 }
 
-// fleet is some nodes at one store, in virtual time. Demand is uneven: node i asks for 2^i parts of it, and over the
-// quota.
+// fleet is a fleet with one store in virtual time. The demand is uneven: node i has 2^i parts of it.
 type fleet struct {
 	random   *rand.Rand
 	nodes    []*Ledger
-	stores   [2]*fakeStore // the same twice, unless split
+	stores   [2]*fakeStore // of even and odd nodes; the same store unless it is split
 	now      time.Duration
 	later    map[time.Duration][]func()
 	customer Customer
 	spent    map[WindowNumber]float64
-	fault    func(f *fleet) fault // of an exchange; nil for none
+	fault    func(f *fleet) fault // draws the fault of an exchange; nil for none
 }
 
 const playStep = 5 * time.Millisecond
@@ -90,44 +91,44 @@
 	}
 }
 
-// exchange carries out an exchange, with what goes wrong.
+// exchange carries out an exchange with a fault.
 func (f *fleet) exchange(node *Ledger, store *fakeStore, x Exchange) {
-	var wrong fault
+	var drawn fault
 	if f.fault != nil {
-		wrong = f.fault(f)
+		drawn = f.fault(f)
 	}
 	delay := playStep * time.Duration(1+f.random.IntN(4))
-	if wrong.late {
+	if drawn.late {
 		delay += time.Duration(f.random.IntN(100)) * playStep
 	}
-	if wrong.lost {
+	if drawn.lost {
 		return
 	}
 	f.after(delay, func() {
 		entries := []Commitment{x.Put}
-		if !wrong.forgotten {
+		if !drawn.forgotten {
 			entries = store.put(x)
 		}
-		f.after(playStep, func() { node.HandleReply(f.now, x.ID, store.id, entries, nil) })
-		if f.random.IntN(20) == 0 { // the answer comes twice, and what was put is put again
+		f.after(playStep, func() { node.HandleReply(f.now, x.ID, Reply{Store: store.id, Entries: entries}, nil) })
+		if f.random.IntN(20) == 0 { // the exchange is carried out twice
 			f.after(playStep*time.Duration(1+f.random.IntN(200)), func() {
-				node.HandleReply(f.now, x.ID, store.id, store.put(x), nil)
+				node.HandleReply(f.now, x.ID, Reply{Store: store.id, Entries: store.put(x)}, nil)
 			})
 		}
 	})
 }
 
-// used is the largest part of a window's allowance that was spent, and what was spent over the whole play, of the quota.
-func (f *fleet) used() (window, whole float64) {
+// used returns the largest share of a window's allowance that was spent, and the share of the quota that was spent overall.
+func (f *fleet) used() (window, overall float64) {
 	allowance := f.customer.Rate * f.customer.Window().Seconds()
 	for _, spent := range f.spent {
-		window, whole = max(window, spent/allowance), whole+spent
+		window, overall = max(window, spent/allowance), overall+spent
 	}
-	return window, whole / (f.customer.Rate * f.now.Seconds())
+	return window, overall / (f.customer.Rate * f.now.Seconds())
 }
 
-// While the store is well no window passes its allowance, and uneven demand gets what even slices would leave unused.
-func TestLeasesFollowDemandAndNeverPassTheQuota(t *testing.T) {
+// Without faults no window exceeds its allowance, and uneven demand uses more of the quota than without a store.
+func TestLeasesFollowDemandWithinTheQuota(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 6)
 		f.play(60*time.Second, 1.5)
@@ -146,10 +147,10 @@
 	}
 }
 
-// inTheMiddle reports whether it is the time of the faults.
+// inTheMiddle reports whether the faults are active.
 func inTheMiddle(f *fleet) bool { return f.now > 21300*time.Millisecond && f.now < 40*time.Second }
 
-// replaceStore puts another, empty one in place of the store every 4 s.
+// replaceStore replaces the store by an empty one every 4 s.
 func replaceStore(f *fleet) fault {
 	if id := StoreID(1 + f.now/(4*time.Second)); inTheMiddle(f) && f.stores[0].id != id {
 		store := &fakeStore{id: id, entries: map[string][]Commitment{}}
@@ -158,7 +159,7 @@
 	return fault{}
 }
 
-// splitStore splits the store in two, of which the first half lasts.
+// splitStore splits the store in two. Afterwards all nodes use the first half again.
 func splitStore(f *fleet) fault {
 	if split := f.stores[0] != f.stores[1]; inTheMiddle(f) && !split {
 		f.stores[1] = f.stores[0].clone()
@@ -168,12 +169,12 @@
 	return fault{}
 }
 
-// What a store loses, answers late or twice, forgets, splits or comes back without: no customer gets over a tenth more
-// than its quota, and where nothing is forgotten or split no window passes its allowance at all.
-func TestOverageIsBoundedWhateverTheStoreDoes(t *testing.T) {
+// With any fault of the store a customer gets at most a tenth more than its quota. Unless the store drops entries or splits,
+// no window exceeds its allowance.
+func TestOveruseIsBoundedWithAnyStoreFault(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		window float64 // the most that may be used of a window's allowance
+		window float64 // largest allowed use of a window, as a share of its allowance
 		fault  func(f *fleet) fault
 	}{
 		{"gone", 1, func(f *fleet) fault { return fault{lost: inTheMiddle(f)} }},
@@ -188,33 +189,33 @@
 				f := newFleet(seed, 6)
 				f.fault = c.fault
 				f.play(60*time.Second, 2)
-				window, whole := f.used()
-				t.Logf("seed %d: most %.3f of a window's allowance, %.3f of the quota", seed, window, whole)
-				if window > c.window || whole > 1.1 || whole < 0.3 {
-					t.Errorf("seed %d: %.3f of a window's allowance, %.3f of the quota", seed, window, whole)
+				window, overall := f.used()
+				t.Logf("seed %d: most %.3f of a window's allowance, %.3f of the quota", seed, window, overall)
+				if window > c.window || overall > 1.1 || overall < 0.3 {
+					t.Errorf("seed %d: %.3f of a window's allowance, %.3f of the quota", seed, window, overall)
 				}
 			}
 		})
 	}
 }
 
-// A node that starts again does not know what it spent before: it waits for the next window.
-func TestARestartFillsNothing(t *testing.T) {
+// A restarted node does not know its former use in the window. It spends nothing until the next window.
+func TestRestartRefillsNoQuota(t *testing.T) {
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
 	l := New(Config{Nodes: 2, Timeout: time.Second}, 3*time.Second)
 	if l.TrySpend(3*time.Second, c, 1) || l.TrySpend(3900*time.Millisecond, c, 1) {
-		t.Error("it spent in the window in which it started")
+		t.Error("units were spent in the window of the start")
 	}
 	if _, ok := l.Next(3900 * time.Millisecond); ok {
-		t.Error("it wrote over an earlier life's entries")
+		t.Error("an exchange in the window of the start")
 	}
 	if !l.TrySpend(4*time.Second, c, 1) || l.TrySpend(4*time.Second, c, 10) {
-		t.Error("its slice of the next window is not 10")
+		t.Error("the slice of the next window is not 10")
 	}
 }
 
-// A store that does not answer is left alone for longer and longer, and tried again.
-func TestADeadStoreIsLeftAlone(t *testing.T) {
+// A store that does not reply gets few exchanges, but is tried again.
+func TestUnreachableStoreGetsFewExchanges(t *testing.T) {
 	l := New(Config{Nodes: 4, Timeout: 100 * time.Millisecond}, 0)
 	calls := 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
@@ -228,12 +229,12 @@
 		}
 	}
 	if c := l.Counters(); calls < 8 || calls > 60 || c.Failed < 7 {
-		t.Errorf("%d calls in a minute, %+v", calls, c)
+		t.Errorf("%d exchanges in a minute, %+v", calls, c)
 	}
 }
 
-// What is available shrinks with use, whether it was asked for or not; a customer without a quota has no bound.
-func TestAvailable(t *testing.T) {
+// Spent and recorded use reduce the available units. A customer without a quota has no limit.
+func TestUseReducesAvailableUnits(t *testing.T) {
 	l := New(Config{Nodes: 2}, 0)
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2} // a slice of 10 in a window of 2 s
 	if got := l.Available(0, c); got != 10 {
@@ -256,8 +257,8 @@
 	}
 }
 
-// A quota that changes begins anew; a customer that nobody asks for is forgotten.
-func TestChangedAndIdleCustomers(t *testing.T) {
+// A changed quota resets the account, and an idle account is dropped.
+func TestChangedAndIdleAccounts(t *testing.T) {
 	l := New(Config{Nodes: 2}, 0)
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
 	l.RecordDemand(0, c, 1)
@@ -268,12 +269,12 @@
 	}
 	c.Spread = 9 // more than there are nodes
 	if got := l.Available(0, c); got != 10 {
-		t.Errorf("%v available with too wide a set", got)
+		t.Errorf("%v available with a node set larger than the fleet", got)
 	}
 	for now := time.Duration(0); now < 2*idleWindows*c.Window()+time.Minute; now += time.Second {
 		l.Next(now)
 	}
-	if len(l.accounts) != 0 || len(l.turns) != 0 {
-		t.Errorf("%d customers, %d turns", len(l.accounts), len(l.turns))
+	if len(l.accounts) != 0 || len(l.rotation) != 0 {
+		t.Errorf("%d accounts, %d in the rotation", len(l.accounts), len(l.rotation))
 	}
 }
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -1,5 +1,11 @@
 package quota
 
+// Pacing of the exchanges.
+//
+// Inputs: the results of the exchanges, and the time. State: consecutive failures, and a token bucket. Rule: from
+// failuresBeforeBackoff consecutive failures on, exchanges pause with exponential backoff and jitter, and run one at a time.
+// Independently the token bucket limits the exchanges per second. Protects a store that fails or is slow from further load.
+
 import (
 	"math"
 	"math/rand/v2"
@@ -7,48 +13,58 @@
 )
 
 const (
-	failuresAllowed = 3  // in a row, before the backoff
-	maxDoublings    = 10 // of the pause
-	maxPauseWindows = 16 // of minimum length: the longest pause
-	burstsPerSecond = 10 // the rate limiter's burst is this part (1/n) of a second's exchanges
+	// failuresBeforeBackoff is the number of consecutive failures at which the backoff begins.
+	failuresBeforeBackoff = 3
+	// maxBackoffDoublings bounds the doublings of the pause.
+	maxBackoffDoublings = 10
+	// maxBackoffPause is the longest pause.
+	maxBackoffPause = 16 * minWindow
+	// burstsPerSecond is the number of full bursts that the rate limiter refills in a second.
+	burstsPerSecond = 10
 )
 
-// backoff pauses the exchanges with a store that fails, twice as long each time.
+// backoff pauses the exchanges with a store that fails. The zero value does not pause.
 type backoff struct {
-	failures int           // in a row
-	until    time.Duration // no exchange begins before
+	failures int           // consecutive
+	until    time.Duration // end of the pause
 }
 
-// allows reports whether an exchange may begin. After failures there is one at a time.
+// allows reports whether an exchange may begin. pending is the number of pending exchanges.
 func (b *backoff) allows(now time.Duration, pending int) bool {
-	return now >= b.until && (b.failures < failuresAllowed || pending == 0)
+	return now >= b.until && (b.failures < failuresBeforeBackoff || pending == 0)
 }
 
+// succeeded records the success of an exchange.
 func (b *backoff) succeeded() { b.failures = 0 }
 
+// failed records the failure of an exchange. The first pause is timeout long, with a jitter of 50%.
 func (b *backoff) failed(now, timeout time.Duration, random *rand.Rand) {
 	b.failures++
-	if b.failures < failuresAllowed {
+	if b.failures < failuresBeforeBackoff {
 		return
 	}
-	pause := float64(timeout) * math.Exp2(float64(min(b.failures-failuresAllowed, maxDoublings)))
-	b.until = now + min(time.Duration(pause*(0.5+random.Float64())), maxPauseWindows*minWindow)
+	doublings := min(b.failures-failuresBeforeBackoff, maxBackoffDoublings)
+	pause := float64(timeout) * math.Exp2(float64(doublings))
+	b.until = now + min(time.Duration(pause*(0.5+random.Float64())), maxBackoffPause)
 }
 
-// rateLimiter limits the exchanges a second: a token bucket.
+// rateLimiter limits the exchanges per second with a token bucket. The bucket holds one token at least.
 type rateLimiter struct {
-	rate       float64 // exchanges a second; 0 for no limit
-	tokens     float64
+	rate       float64 // exchanges per second; 0 for no limit
+	tokens     float64 // exchanges that may begin now
 	refilledAt time.Duration
 }
 
+// allows refills the bucket and reports whether an exchange may begin.
 func (r *rateLimiter) allows(now time.Duration) bool {
 	if r.rate <= 0 {
 		return true
 	}
-	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), max(1, r.rate/burstsPerSecond))
+	capacity := max(1, r.rate/burstsPerSecond)
+	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), capacity)
 	r.refilledAt = now
 	return r.tokens >= 1
 }
 
+// take uses the token of an exchange.
 func (r *rateLimiter) take() { r.tokens-- }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,15 +1,21 @@
-// Package quota enforces customers' quotas over many edge nodes by leases from a shared store that may stall, lose data,
-// split or be unreachable. Time is divided into windows. In each window a customer has an allowance for the whole fleet, of
-// which every node of the customer's set holds a lease, its cap: an even slice, until the node commits to less or borrows
-// what others committed not to use. Commitments are entries in the store that are never overwritten. A node without an entry
-// counts with a whole slice: with a store that is unreachable, empty or split each node keeps its slice, and the caps never
-// add up to more than the allowance.
+// Package quota enforces customers' quotas over many edge nodes with leases from a shared store. The store may stall, lose
+// data, split or be unreachable.
 //
-// The package holds no I/O, no clock and no goroutine. The host passes the time with each call (of the same clock at all
-// nodes), reports what came in (RecordDemand, RecordUse, HandleReply), spends from Available, and carries out the
-// exchanges with the store that Next gives out. No request waits for the store. A Ledger is not safe for concurrent use.
+// Time is divided into windows. In each window a customer has an allowance for the whole fleet. Every node of the
+// customer's node set holds a lease on a part of the allowance, its cap. The initial cap is a slice, the allowance divided
+// by the number of nodes in the set. A node lowers its cap by a commitment to use less. It raises its cap by borrowing units
+// that other nodes have committed not to use.
 //
-// docs/design-quota.md has the options considered and the bound on what may be used beyond a quota.
+// Commitments are entries in the store that are never overwritten. A node without an entry counts with a whole slice. Thus
+// each node keeps its slice while the store is unreachable or empty. As long as the store loses no entry and does not
+// split, the caps never add up to more than the allowance.
+//
+// The package holds no I/O, no clock and no goroutine. The host passes the current time to each call, of a clock that all
+// nodes share. It reports events with RecordDemand, RecordUse and HandleReply, and spends units with TrySpend. It carries
+// out the exchanges with the store that Next returns. No request waits for the store. A Ledger is not safe for concurrent
+// use.
+//
+// docs/design-quota.md lists the alternatives and derives the bound on the use beyond a quota.
 package quota
 
 import "time"
@@ -20,71 +26,81 @@
 // CustomerKey identifies a customer.
 type CustomerKey uint64
 
-// WindowNumber is the number of a window since the clock's origin, in units of the customer's window length.
+// WindowNumber is the number of a window, counted from the clock's origin. Customers with different window lengths have
+// different windows.
 type WindowNumber int64
 
-// Sequence numbers a node's commitments for a customer in one window, from 1. The one with the highest is in force.
+// Sequence is the number of a node's commitment for a customer in one window, from 1. The highest one is in force.
 type Sequence int
 
-// ExchangeID identifies an exchange of one node.
+// ExchangeID identifies an exchange of one Ledger.
 type ExchangeID uint64
 
-// StoreID identifies a store. It lasts for as long as the store's data.
+// StoreID identifies a store, and changes when the store loses its data. 0 stands for no store.
 type StoreID uint64
 
-// Customer is a customer with its quota and its set of nodes.
+// Customer is a customer with its quota and its node set: Spread nodes from FirstNode on, modulo the fleet's size.
 type Customer struct {
 	Key       CustomerKey
-	Rate      float64 // units a second; 0 or less for no quota
-	Burst     float64 // units at once
-	FirstNode NodeID  // of the set,
-	Spread    int     // which has so many nodes, in order and modulo the fleet's size
+	Rate      float64 // units per second; 0 or less for no quota
+	Burst     float64 // units that the customer may use at once
+	FirstNode NodeID
+	Spread    int // 1 to the fleet's size; other values are clamped
 }
 
-// Config is what a Ledger needs to know at its start.
+// Config configures a Ledger.
 type Config struct {
-	Self         NodeID
-	Nodes        int // nodes of the fleet, this one included
-	Seed         uint64
-	ExchangeRate float64       // exchanges a second at most, for all customers; 0 for no limit
+	Self         NodeID        // this node
+	Nodes        int           // nodes of the fleet, including this one; at least 1
+	Seed         uint64        // of the random draws; it is combined with Self
+	ExchangeRate float64       // limit of exchanges per second, for all customers together; 0 for no limit
 	Timeout      time.Duration // of an exchange, see ExchangeTimeout
 }
 
-// Commitment is an entry in the store: Node uses no more than Cap in the window.
+// Commitment is an entry in the store: Node uses at most Cap units in the window.
 type Commitment struct {
 	Node     NodeID
 	Sequence Sequence
 	Cap      float64 // units
 }
 
-// Exchange is one call to the store: atomically add Put to the entries of the customer and window, and read them all.
+// Exchange is a transaction with the store. It adds Put to the entries of the customer and window, and reads all of them.
 type Exchange struct {
 	ID      ExchangeID
 	Key     CustomerKey
 	Window  WindowNumber
 	Put     Commitment
-	Keep    time.Duration // how long the store is to keep the entries
-	Timeout time.Duration // after which it is reported as failed
+	Keep    time.Duration // lifetime of the entries in the store
+	Timeout time.Duration // the exchange fails if it takes longer
+}
+
+// Reply is the reply of a store to an exchange.
+type Reply struct {
+	Store   StoreID
+	Entries []Commitment // all entries of the customer and window, in any order
 }
 
-// Counters count what a Ledger did since it was made.
+// Counters count events since New.
 type Counters struct {
-	Exchanges int64 // begun,
-	Failed    int64 // failed or timed out
-	Late      int64 // replies after the exchange had timed out
-	Forgotten int64 // replies that show that the store has lost entries
-	Borrowed  int64 // caps that were raised
-	Released  int64 // caps that were lowered
-	Rejected  int64 // requests that TrySpend turned down
+	Exchanges int64 // exchanges begun
+	Failed    int64 // exchanges that failed or timed out
+	Late      int64 // replies to exchanges that had already failed
+	Forgotten int64 // replies that prove a loss of entries in the store
+	Borrowed  int64 // caps raised
+	Released  int64 // caps lowered
+	Rejected  int64 // calls of TrySpend that returned false
 }
 
 const (
-	timeoutShare = 0.2 // of the shortest latency objective
-	minTimeout   = 20 * time.Millisecond
-	maxTimeout   = minWindow / 2
+	// exchangeTimeoutObjectives is the timeout of an exchange, in shortest latency objectives.
+	exchangeTimeoutObjectives = 0.2
+	minExchangeTimeout        = 20 * time.Millisecond
+	maxExchangeTimeout        = minWindow / 2
 )
 
-// ExchangeTimeout returns the timeout of an exchange for the shortest latency objective of the request classes.
+// ExchangeTimeout returns the timeout of an exchange. shortestObjective is the shortest latency objective of the request
+// classes.
 func ExchangeTimeout(shortestObjective time.Duration) time.Duration {
-	return min(max(time.Duration(timeoutShare*float64(shortestObjective)), minTimeout), maxTimeout)
+	timeout := time.Duration(exchangeTimeoutObjectives * float64(shortestObjective))
+	return min(max(timeout, minExchangeTimeout), maxExchangeTimeout)
 }
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -1,14 +1,26 @@
 package quota
 
+// Replies of the store.
+//
+// Inputs: all entries of a customer and window. State: the last known commitments of the other nodes. Rule: a node may
+// raise its cap by the part of the allowance that the other nodes' commitments leave. A node without an entry counts with a
+// slice. A reply without this node's last entry proves a loss, and grants nothing. Protects against caps that add up to more
+// than the allowance.
+
 import (
 	"slices"
 	"time"
 )
 
-// HandleReply processes the reply to an exchange: the store that answered and all its entries of the customer and window, or
-// an error. A reply to an exchange that has timed out, or of a window that is over, is ignored: its entry may be in the
-// store, but the cap that it asked for is never used.
-func (l *Ledger) HandleReply(now time.Duration, id ExchangeID, store StoreID, entries []Commitment, err error) {
+const (
+	// deniedWindows is the time for which an account does not borrow after a partial or missing grant, in windows.
+	deniedWindows = 0.2
+)
+
+// HandleReply processes the end of an exchange: the reply, or a non-nil error in place of the reply. A reply to an exchange
+// that has timed out is ignored, and so is a reply for a window that has ended. The store may hold the entry of an ignored
+// reply, but this node does not use its cap.
+func (l *Ledger) HandleReply(now time.Duration, id ExchangeID, reply Reply, err error) {
 	l.advance(now)
 	i := slices.IndexFunc(l.pending, func(e pendingExchange) bool { return e.id == id })
 	if i < 0 {
@@ -22,17 +34,22 @@
 		return
 	}
 	l.backoff.succeeded()
-	if store != l.store { // it may lack what the former one had
-		l.store, l.storeMet = store, l.now
+	if reply.Store != l.store { // entries of the former store may be missing
+		l.store, l.storeSince = reply.Store, l.now
 	}
 	a := l.accounts[exchange.key]
 	if a == nil || a.number != exchange.window || WindowNumber(l.now/a.windowLength) != exchange.window {
 		return
 	}
-	own := l.takeEntries(a, entries)
-	if l.hasForgotten(a, exchange, own) {
-		a.forgottenIn = a.number
-		a.doubtStored()
+	l.applyReply(a, exchange, reply.Entries)
+}
+
+// applyReply updates an account by the entries of a reply for its current window.
+func (l *Ledger) applyReply(a *account, exchange pendingExchange, entries []Commitment) {
+	own := l.recordEntries(a, entries)
+	if l.hasLostEntries(a, exchange, own) {
+		a.lossWindow = a.number
+		a.invalidateStored()
 		l.counters.Forgotten++
 		return
 	}
@@ -42,8 +59,9 @@
 	}
 }
 
-// takeEntries records the other nodes' commitments, and returns the sequence of this node's last one.
-func (l *Ledger) takeEntries(a *account, entries []Commitment) (own Sequence) {
+// recordEntries records the commitments of the other nodes, and returns the highest sequence of this node. Entries with an
+// invalid node or cap are ignored.
+func (l *Ledger) recordEntries(a *account, entries []Commitment) (own Sequence) {
 	for _, entry := range entries {
 		if entry.Node == l.cfg.Self {
 			own = max(own, entry.Sequence)
@@ -57,14 +75,28 @@
 	return own
 }
 
-// hasForgotten reports whether the store has lost an entry of this node, or did not exist when the window began. Then it may
-// lack other nodes' entries as well, and nothing may be borrowed on the strength of its replies.
-func (l *Ledger) hasForgotten(a *account, exchange pendingExchange, own Sequence) bool {
-	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeMet
+// hasLostEntries reports whether an entry of this node is missing, or the store was first seen after the window had begun.
+// Entries of other nodes may then be missing too. own is the highest sequence of this node in the reply.
+func (l *Ledger) hasLostEntries(a *account, exchange pendingExchange, own Sequence) bool {
+	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeSince
 }
 
-// borrow raises the cap up to the one that was put, as far as the other nodes' commitments allow.
+// borrow raises the cap to wanted units, or to the units that the other nodes leave. If those are fewer than wanted, the
+// store's entry of this node is too high until the next exchange puts the cap in force.
 func (l *Ledger) borrow(a *account, wanted float64) {
+	free := l.freeUnits(a, wanted)
+	if free < wanted {
+		a.deniedUntil = l.now + time.Duration(deniedWindows*float64(a.windowLength))
+	}
+	if free > a.cap {
+		l.counters.Borrowed++
+		a.cap = min(free, wanted)
+	}
+}
+
+// freeUnits returns the part of the allowance that the commitments of the other nodes leave. The sum begins with wanted so
+// that all versions of this code round it alike.
+func (l *Ledger) freeUnits(a *account, wanted float64) float64 {
 	sum := wanted
 	for i := range a.customer.Spread {
 		node := NodeID((int(a.customer.FirstNode) + i) % l.cfg.Nodes)
@@ -77,12 +109,5 @@
 			sum += a.slice()
 		}
 	}
-	free := a.allowance - (sum - wanted) // rounded as by the nodes of earlier versions
-	if free < wanted {
-		a.deniedUntil = l.now + time.Duration(deniedFor*float64(a.windowLength)) // the entry is corrected first
-	}
-	if free > a.cap { // if it is less than was put, the other nodes count too much until the next exchange
-		l.counters.Borrowed++
-		a.cap = min(free, wanted)
-	}
+	return a.allowance - (sum - wanted)
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/transcript_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// goldenPlay is some nodes and a store in virtual time that writes down every exchange and what each node has room for.
-type goldenPlay struct {
+// transcript runs nodes and a store in virtual time. It records every exchange, every rejection, and the available units of
+// each node.
+type transcript struct {
 	cfg       Config
 	nodes     []*Ledger
 	customers []Customer
@@ -20,16 +21,16 @@
 	later     map[time.Duration][]func()
 	id        StoreID
 	entries   map[string][]Commitment
-	lost      float64 // share of the exchanges that get no answer
-	bad       float64 // and of those that end badly
-	forgets   float64 // and of the entries that the store forgets
+	lost      float64 // probability that an exchange gets no reply
+	bad       float64 // probability that an exchange gets an error
+	forgets   float64 // probability that the store drops an entry
 	lines     []string
 }
 
-const goldenStep = 10 * time.Millisecond
+const transcriptStep = 10 * time.Millisecond
 
-func newGoldenPlay(cfg Config, customers []Customer, now time.Duration) *goldenPlay {
-	p := &goldenPlay{
+func newTranscript(cfg Config, customers []Customer, now time.Duration) *transcript {
+	p := &transcript{
 		cfg: cfg, customers: customers, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
 		later: map[time.Duration][]func(){}, entries: map[string][]Commitment{},
 	}
@@ -40,17 +41,17 @@
 	return p
 }
 
-func (p *goldenPlay) write(format string, args ...any) {
+func (p *transcript) write(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (p *goldenPlay) after(steps int, f func()) {
-	at := p.now + time.Duration(steps)*goldenStep
+func (p *transcript) after(steps int, f func()) {
+	at := p.now + time.Duration(steps)*transcriptStep
 	p.later[at] = append(p.later[at], f)
 }
 
-// put has the store take one exchange, if it gets there, and its answer come back.
-func (p *goldenPlay) put(n *Ledger, x Exchange) {
+// put carries out an exchange with the faults of the transcript.
+func (p *transcript) put(n *Ledger, x Exchange) {
 	if p.random.Float64() < p.lost {
 		return
 	}
@@ -63,11 +64,11 @@
 	if p.random.Float64() < p.bad {
 		err = errors.New("bad")
 	}
-	p.after(1+p.random.IntN(6), func() { n.HandleReply(p.now, x.ID, store, entries, err) })
+	p.after(1+p.random.IntN(6), func() { n.HandleReply(p.now, x.ID, Reply{Store: store, Entries: entries}, err) })
 }
 
-func (p *goldenPlay) play(until time.Duration, load float64) {
-	for ; p.now < until; p.now += goldenStep {
+func (p *transcript) play(until time.Duration, load float64) {
+	for ; p.now < until; p.now += transcriptStep {
 		for _, f := range p.later[p.now] {
 			f()
 		}
@@ -75,7 +76,7 @@
 		for i, node := range p.nodes {
 			for _, c := range p.customers {
 				units := float64(1 + p.random.IntN(3))
-				if p.random.Float64()*units < c.Rate*load*goldenStep.Seconds()/float64(1+i) {
+				if p.random.Float64()*units < c.Rate*load*transcriptStep.Seconds()/float64(1+i) {
 					node.RecordDemand(p.now, c, units)
 					if p.random.IntN(20) == 0 {
 						node.RecordUse(p.now, c, units)
@@ -91,11 +92,11 @@
 			}
 			if p.now%(500*time.Millisecond) == 0 {
 				c := node.Counters()
-				room := []float64{}
+				available := []float64{}
 				for _, of := range p.customers {
-					room = append(room, node.Available(p.now, of))
+					available = append(available, node.Available(p.now, of))
 				}
-				p.write("%d: room %v, %v", i, room, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
+				p.write("%d: room %v, %v", i, available, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
 			}
 		}
 	}
@@ -109,19 +110,19 @@
 	{Key: 5, Rate: 30, Burst: 60, Spread: 90},
 }
 
-// goldenPlays are fleets and what their store does, with what they said by commit cf1acfb.
-var goldenPlays = []struct {
+// transcripts are fleets with the faults of their store, and the expected transcripts.
+var transcripts = []struct {
 	name   string
 	cfg    Config
 	from   time.Duration
-	play   func(p *goldenPlay)
+	play   func(p *transcript)
 	lines  int
 	digest string   // SHA-256 of all lines
 	first  []string // the first lines
 }{
 	{
 		name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
-		play: func(p *goldenPlay) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
+		play: func(p *transcript) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
 			"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 			"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 			"0.00 2: room [50 2 +Inf 18 7.5], [0 0 0 0 0 0 0]",
@@ -133,7 +134,7 @@
 	{
 		name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
 		from: 1_700_000_000_350 * time.Millisecond,
-		play: func(p *goldenPlay) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
+		play: func(p *transcript) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
 			"1700000000.35 0 refuses 9",
 			"1700000000.35 0 refuses 1152921504606846976",
 			"1700000000.35 0 refuses 5",
@@ -144,7 +145,7 @@
 	},
 	{
 		name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
-		play: func(p *goldenPlay) {
+		play: func(p *transcript) {
 			p.play(6*time.Second, 0.9)
 			p.lost, p.bad = 0.2, 0.1
 			p.play(16*time.Second, 0.9)
@@ -170,12 +171,12 @@
 	},
 }
 
-// Every exchange, every refusal and the room at each node are those of commit cf1acfb, which wrote the expected
-// values: nodes of both texts share one store.
-func TestGoldenExchanges(t *testing.T) {
-	for _, c := range goldenPlays {
+// Nodes of different versions share one store. Therefore all exchanges, rejections and available units are compared with the
+// expected ones. The transcript's wording is part of its digest.
+func TestFleetTranscripts(t *testing.T) {
+	for _, c := range transcripts {
 		t.Run(c.name, func(t *testing.T) {
-			p := newGoldenPlay(c.cfg, append([]Customer(nil), customers...), c.from)
+			p := newTranscript(c.cfg, append([]Customer(nil), customers...), c.from)
 			c.play(p)
 			first := p.lines[:6]
 			digest := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(p.lines, "\n"))))
@@ -187,10 +188,10 @@
 	}
 }
 
-// How long windows and exchanges are.
-func TestGoldenLengths(t *testing.T) {
+// All versions derive the same windows and timeouts from the settings.
+func TestWindowAndTimeoutLengths(t *testing.T) {
 	for _, c := range []struct {
-		rate, depth float64
+		rate, burst float64
 		want        time.Duration
 	}{
 		{0, 5, 2 * time.Second},
@@ -201,16 +202,16 @@
 		{1, 400, 2 * time.Second},
 		{3, 4, 666666666},
 	} {
-		if got := (Customer{Rate: c.rate, Burst: c.depth}).Window(); got != c.want {
-			t.Errorf("%v a second, %v at once: %v, want %v", c.rate, c.depth, got, c.want)
+		if got := (Customer{Rate: c.rate, Burst: c.burst}).Window(); got != c.want {
+			t.Errorf("rate %v, burst %v: window %v, want %v", c.rate, c.burst, got, c.want)
 		}
 	}
-	for contract, want := range map[time.Duration]time.Duration{
+	for objective, want := range map[time.Duration]time.Duration{
 		0: 20 * time.Millisecond, 333 * time.Millisecond: 66600 * time.Microsecond,
 		time.Second: 200 * time.Millisecond, 8 * time.Second: 250 * time.Millisecond,
 	} {
-		if got := ExchangeTimeout(contract); got != want {
-			t.Errorf("contract %v: %v, want %v", contract, got, want)
+		if got := ExchangeTimeout(objective); got != want {
+			t.Errorf("objective %v: timeout %v, want %v", objective, got, want)
 		}
 	}
 }
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -31,7 +31,7 @@
 	addr netip.AddrPort
 
 	mu  sync.Mutex
-	ran map[string]int
+	ran map[string]int // guarded by mu: executions by request id
 }
 
 func startAppServer(t *testing.T) *appServer {
@@ -43,7 +43,7 @@
 	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), ran: map[string]int{}}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		app.mu.Lock()
-		app.ran[q.Header.Get("X-Call-Id")]++
+		app.ran[q.Header.Get(protocol.HeaderRequestID)]++
 		app.mu.Unlock()
 		if _, err := io.Copy(w, q.Body); err != nil {
 			t.Error(err)
@@ -54,7 +54,7 @@
 	return app
 }
 
-// endpoints is one server under many names, so that no limit on the back end is met first.
+// endpoints lists the server under many ids, so that no limit of a server applies before the quota.
 func (a *appServer) endpoints() *protocol.EndpointList {
 	list := &protocol.EndpointList{Full: true}
 	for i := range 30 {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// startNode starts a whole node whose quotas are in a store, and returns its address.
+// startNode starts a node with quotas in a store, and returns its address.
 func startNode(t *testing.T, id int, store string, app *appServer) string {
 	t.Helper()
 	log := zerolog.Nop()
@@ -111,15 +111,15 @@
 	return addr
 }
 
-// buyer sends purchases and counts the answers by status.
+// buyer sends purchases and counts the responses by status.
 type buyer struct {
 	t *testing.T
 
-	mu      sync.Mutex
-	answers map[int]int
+	mu        sync.Mutex
+	responses map[int]int // guarded by mu: by status
 }
 
-// buy sends one purchase to a node and waits for the answer.
+// buy sends one purchase to a node and waits for the response.
 func (b *buyer) buy(id, addr string) {
 	b.t.Helper()
 	q, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
@@ -128,32 +128,32 @@
 		return
 	}
 	for name, value := range map[string]string{
-		"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000",
-		"X-Weight": fmt.Sprintf("units=1,spread=%d,first=0", fleetNodes),
+		protocol.HeaderRequestID: id, protocol.HeaderPlan: "team", protocol.HeaderTimeout: "1000",
+		protocol.HeaderWeight: fmt.Sprintf("units=1,spread=%d,first=0", fleetNodes),
 	} {
 		q.Header.Set(name, value)
 	}
-	from := time.Now()
-	answer, err := http.DefaultClient.Do(q)
+	sentAt := time.Now()
+	response, err := http.DefaultClient.Do(q)
 	if err != nil {
 		b.t.Errorf("%s: %v", id, err)
 		return
 	}
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		b.t.Errorf("%s: %v", id, err)
 	}
-	_ = answer.Body.Close()
-	if took := time.Since(from); took > time.Second {
-		b.t.Errorf("%s answered after %v", id, took)
+	_ = response.Body.Close()
+	if took := time.Since(sentAt); took > time.Second {
+		b.t.Errorf("%s: response after %v", id, took)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.answers[answer.StatusCode]++
+	b.responses[response.StatusCode]++
 }
 
-// Six whole nodes, purchases over HTTP, and a store that is cut, split, swapped, stalls and forgets: no purchase runs
-// twice, every request has its answer in time, and the customer gets no more than a tenth over its quota.
-func TestPurchasesUnderLeasesWhileTheStoreFails(t *testing.T) {
+// Six nodes serve purchases over HTTP while the store has its faults. No purchase runs twice, every request gets a response
+// in time, and the customer gets at most a tenth more than its quota.
+func TestPurchasesHoldQuotaWhileTheStoreFails(t *testing.T) {
 	store, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
 		{Kind: "cut", At: 3, For: 0.7},
 		{Kind: "split", At: 4.3, For: 1},
@@ -171,7 +171,7 @@
 	}
 	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // a window begins
 	began, span := time.Now(), 9*time.Second
-	buyer := &buyer{t: t, answers: map[int]int{}}
+	buyer := &buyer{t: t, responses: map[int]int{}}
 	var purchases sync.WaitGroup
 	sent := 0
 	for ; time.Since(began) < span; sent++ { // twice the quota, half of it at one node
@@ -195,9 +195,9 @@
 		}
 	}
 	used := float64(len(app.ran)) / (teamRate * span.Seconds())
-	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.answers, used)
-	answered := buyer.answers[http.StatusOK] + buyer.answers[http.StatusServiceUnavailable] + buyer.answers[http.StatusBadGateway]
-	if answered != sent || used > 1.1 || used < 0.5 {
-		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.answers, used)
+	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
+	responded := buyer.responses[http.StatusOK] + buyer.responses[http.StatusServiceUnavailable] + buyer.responses[http.StatusBadGateway]
+	if responded != sent || used > 1.1 || used < 0.5 {
+		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
 	}
 }
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -1,6 +1,6 @@
-// Package quotastore carries out the exchanges of internal/quota with a store that speaks Redis's protocol (RESP2, by
-// go-redis). It decides nothing: what is put, when, and what an answer means is decided there. An exchange has the
-// deadline that quota.Ledger gives it and is never repeated here; no request waits for one.
+// Package quotastore runs a quota.Ledger against a store that speaks the Redis protocol (RESP2, with go-redis). The Ledger
+// decides when to exchange, and evaluates the replies. This package only carries out the exchanges, each within the timeout
+// that the Ledger gives it and without retries. No request waits for the store.
 package quotastore
 
 import (
@@ -15,28 +15,30 @@
 )
 
 const (
-	maxConnections  = 4 // of one node
+	// maxConnections is the number of connections of a node to the store.
+	maxConnections = 4
+	// minPollInterval and maxPollInterval bound the time between two calls of Ledger.Next. The interval doubles while the
+	// Ledger has no exchange.
 	minPollInterval = 5 * time.Millisecond
-	maxPollInterval = 100 * time.Millisecond // while there is nothing to exchange
+	maxPollInterval = 100 * time.Millisecond
 )
 
-// Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use; only Run and Close wait for
+// Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use. Only Run and Close wait for
 // the store.
 type Quotas struct {
 	client    *redis.Client
 	log       *zerolog.Logger
-	startedAt time.Time
+	startedAt time.Time      // wall clock and monotonic clock at Open
 	done      chan struct{}  // closed by Close
-	active    sync.WaitGroup // Run and the exchanges under way
+	active    sync.WaitGroup // Run and the running exchanges
 
-	// mu guards what follows. It is never held during a call to the store.
-	mu     sync.Mutex
-	ledger *quota.Ledger
-	down   bool // the last exchange failed: logged once, not each time
+	mu     sync.Mutex    // guards ledger and down; never held during a call to the store
+	ledger *quota.Ledger // guarded by mu
+	down   bool          // guarded by mu: whether the last exchange failed
 }
 
-// Open returns the Quotas of a node, whose connections have its name. It does not wait for the store, which may be
-// unreachable.
+// Open returns the Quotas of a node. addr is the store's "host:port", name the name of the node's connections. Open does not
+// connect; the store may be unreachable. The caller starts Run and calls Close.
 func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	startedAt := time.Now()
 	return &Quotas{
@@ -49,7 +51,7 @@
 			ClientName:            name,
 			Protocol:              2,
 			DisableIdentity:       true,
-			MaxRetries:            -1, // none
+			MaxRetries:            -1, // no retries
 			PoolSize:              maxConnections,
 			DialTimeout:           cfg.Timeout,
 			ReadTimeout:           cfg.Timeout,
@@ -60,41 +62,42 @@
 	}
 }
 
-// now returns the time since the Unix epoch on the clock that all nodes share, as it was at the start and steady from then
-// on: windows are spans of real time, and a clock that is stepped back would else keep its node in one window for as long.
+// now returns the time since the Unix epoch. It reads the wall clock at Open only, and the monotonic clock since. A wall
+// clock that is stepped back would otherwise keep the node in one window.
 func (q *Quotas) now() time.Duration {
 	return time.Duration(q.startedAt.UnixNano()) + time.Since(q.startedAt)
 }
 
-// RecordDemand records a request of a customer, whether it is admitted or not.
+// RecordDemand records the demand of a request, whether or not the request is admitted.
 func (q *Quotas) RecordDemand(c quota.Customer, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.RecordDemand(q.now(), c, units)
 }
 
-// Available returns the units that a customer may still use at this node in this window; +Inf without a quota.
+// Available returns the units that a customer may still use at this node in the current window. It returns +Inf for a
+// customer without a quota.
 func (q *Quotas) Available(c quota.Customer) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Available(q.now(), c)
 }
 
-// TrySpend uses units of what is available to a customer, and reports whether there was enough; else it uses nothing.
+// TrySpend uses units of a customer's quota and reports whether as many were available. If not, it uses none.
 func (q *Quotas) TrySpend(c quota.Customer, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.TrySpend(q.now(), c, units)
 }
 
-// RecordUse records units that were used, also beyond what was available.
+// RecordUse records the use of units. It may exceed the available units.
 func (q *Quotas) RecordUse(c quota.Customer, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.RecordUse(q.now(), c, units)
 }
 
-// Run carries out exchanges until Close, each on a goroutine of its own that ends by the exchange's timeout.
+// Run carries out exchanges until Close. Each exchange has its own goroutine, which ends within the exchange's timeout.
 func (q *Quotas) Run() {
 	q.active.Add(1)
 	defer q.active.Done()
@@ -120,28 +123,30 @@
 	}
 }
 
+// next returns the Ledger's next exchange, or false if there is none.
 func (q *Quotas) next() (quota.Exchange, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Next(q.now())
 }
 
-// Close ends Run, and waits for it and the exchanges under way. It must be called once.
+// Close ends Run, waits for Run and the running exchanges, and closes the connections. It must be called once.
 func (q *Quotas) Close() {
 	close(q.done)
 	q.active.Wait()
-	_ = q.client.Close() // nothing is sent any more
+	_ = q.client.Close() // an error would have no consequence: no exchange is running
 }
 
-// exchange carries out one exchange and reports it.
+// exchange carries out an exchange and reports its end to the Ledger. It logs the first failure and the first success after
+// failures.
 func (q *Quotas) exchange(x quota.Exchange) {
 	defer q.active.Done()
 	ctx, cancel := context.WithTimeout(context.Background(), x.Timeout)
 	defer cancel()
-	store, entries, err := putAndRead(ctx, q.client, x)
+	reply, err := putAndRead(ctx, q.client, x)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.HandleReply(q.now(), x.ID, store, entries, err)
+	q.ledger.HandleReply(q.now(), x.ID, reply, err)
 	if down := err != nil; down != q.down {
 		q.down = down
 		if down {
@@ -152,7 +157,7 @@
 	}
 }
 
-// MarshalZerologObject writes the counters to a log event.
+// MarshalZerologObject adds the counters to a log event.
 func (q *Quotas) MarshalZerologObject(e *zerolog.Event) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -16,10 +16,9 @@
 	"cherrygap/internal/quota"
 )
 
-// Six nodes and a store that is cut, split, swapped for an empty one, fails over with late and duplicate entries, forgets,
-// is full and stands still, one after the other: a customer asked for at twice its quota, mostly through one node,
-// gets no more than a tenth over it, no spending waits for the store, and afterwards its quota is used again.
-func TestQuotaHoldsWhateverTheStoreDoes(t *testing.T) {
+// A customer's demand is twice its quota, mostly at one of six nodes. The store has all its faults, one after the other. The
+// customer gets at most a tenth more than its quota, no call waits for the store, and after the faults the quota is used.
+func TestQuotaHoldsWithAnyStoreFault(t *testing.T) {
 	const nodes = 6
 	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
 		{Kind: "cut", At: 2, For: 1},
@@ -54,23 +53,24 @@
 	if total.Failed < 10 || total.Borrowed < 20 || float64(spenders.spentLast.Load()) < 0.7*rate {
 		t.Errorf("%+v, %d spent in the last second of %v", total, spenders.spentLast.Load(), rate)
 	}
-	if slowest > 50*time.Millisecond { // the store's calls are given up after 60
-		t.Errorf("a spending took %v", slowest)
+	if slowest > 50*time.Millisecond { // a call to the store times out after 60 ms
+		t.Errorf("TrySpend took %v", slowest)
 	}
 }
 
-// spenders ask for a customer's quota at some nodes, twice as much as it is.
+// spenders are nodes at which a customer's demand is twice its quota.
 type spenders struct {
 	customer   quota.Customer
 	quotas     []*Quotas
 	begin, end time.Time
 	running    sync.WaitGroup
 
-	spent, spentLast atomic.Int64 // units, and those of the last second
-	slowest          atomic.Int64 // ns that a spending took
+	spent     atomic.Int64 // units
+	spentLast atomic.Int64 // units in the last second
+	slowest   atomic.Int64 // longest time of RecordDemand and TrySpend, in ns
 }
 
-// startSpenders starts one node for each of the customer's set. They spend for so long, from the next full second on.
+// startSpenders starts the nodes of the customer's set. They spend for span, from the next full second on.
 func startSpenders(t *testing.T, store string, customer quota.Customer, span time.Duration) *spenders {
 	t.Helper()
 	log := zerolog.Nop()
@@ -91,7 +91,7 @@
 	return s
 }
 
-// spend spends at node i, which asks for 2^i parts of the demand.
+// spend spends at node i, which has 2^i parts of the demand.
 func (s *spenders) spend(q *Quotas, i int) {
 	random := rand.New(rand.NewSource(int64(i)))
 	share := float64(int(1)<<i) / float64(int(1)<<s.customer.Spread-1)
@@ -116,8 +116,8 @@
 	s.slowest.Store(max(s.slowest.Load(), int64(time.Since(before))))
 }
 
-// The stand-in answers as the protocol says, and a client of another make gets on with it.
-func TestStandInSpeaksTheProtocol(t *testing.T) {
+// The laboratory's store replies to go-redis as Redis does.
+func TestLabStoreSpeaksRedisProtocol(t *testing.T) {
 	server, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "full", At: 0.4, For: 60}})
 	if err != nil {
 		t.Fatal(err)
@@ -145,9 +145,9 @@
 	time.Sleep(450 * time.Millisecond)
 	_, err = db.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
 	if err == nil || db.Set(ctx, "b", 1, 0).Err() == nil || db.Get(ctx, "b").Val() != "-3" {
-		t.Error("a full store took a write")
+		t.Error("a full store accepted a write")
 	}
 	if _, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "melt"}}); err == nil {
-		t.Error("a fault that is not known was taken")
+		t.Error("an unknown fault was accepted")
 	}
 }
--- a/internal/quotastore/transaction.go
+++ b/internal/quotastore/transaction.go
@@ -1,5 +1,10 @@
 package quotastore
 
+// Transactions with the store.
+//
+// All nodes of a fleet share the keys and fields, also while nodes of different versions run. An exchange is one MULTI/EXEC
+// transaction: it sets the store's id if there is none, adds the entry, sets the lifetime of the entries, and reads them.
+
 import (
 	"context"
 	"errors"
@@ -13,27 +18,26 @@
 	"cherrygap/internal/quota"
 )
 
-// Keys and fields in the store. All nodes of a fleet share them, also of different versions.
 const (
-	// storeIDKey holds the number of the store: whoever finds none sets one, so it lasts as long as the store's data.
+	// storeIDKey is the key of the store's id. A node that finds no id sets a random one.
 	storeIDKey = "quota:store"
-	// entriesKey is the hash of a customer's entries of one window, by customer (hexadecimal) and window.
-	entriesKey = "quota:%x:%d"
-	// entryField is one entry in it, by node and sequence; its value is the cap.
-	entryField = "%d:%d"
+	// entriesKeyFormat is the key of the hash with the entries of a customer (hexadecimal) and a window.
+	entriesKeyFormat = "quota:%x:%d"
+	// entryFieldFormat is the field of an entry in that hash, by node and sequence. The field's value is the cap in units.
+	entryFieldFormat = "%d:%d"
 )
 
-// ErrMalformedReply is returned for a reply that makes no sense.
+// ErrMalformedReply is wrapped by the error for a reply that cannot be parsed.
 var ErrMalformedReply = errors.New("malformed reply of the quota store")
 
-// putAndRead puts one entry and reads all of that customer and window, in one transaction.
-func putAndRead(ctx context.Context, client *redis.Client, x quota.Exchange) (quota.StoreID, []quota.Commitment, error) {
-	key := fmt.Sprintf(entriesKey, uint64(x.Key), int64(x.Window))
-	field := fmt.Sprintf(entryField, int(x.Put.Node), int(x.Put.Sequence))
+// putAndRead carries out an exchange. It returns an error of the client, or one that wraps ErrMalformedReply.
+func putAndRead(ctx context.Context, client *redis.Client, x quota.Exchange) (quota.Reply, error) {
+	key := fmt.Sprintf(entriesKeyFormat, uint64(x.Key), int64(x.Window))
+	field := fmt.Sprintf(entryFieldFormat, int(x.Put.Node), int(x.Put.Sequence))
 	var storeID *redis.StringCmd
 	var entries *redis.MapStringStringCmd
 	_, err := client.TxPipelined(ctx, func(p redis.Pipeliner) error {
-		p.SetNX(ctx, storeIDKey, rand.Uint64()|1, 0) // never 0, which stands for none
+		p.SetNX(ctx, storeIDKey, rand.Uint64()|1, 0) // odd, because the id 0 stands for no store
 		storeID = p.Get(ctx, storeIDKey)
 		p.HSet(ctx, key, field, strconv.FormatFloat(x.Put.Cap, 'g', -1, 64))
 		p.PExpire(ctx, key, x.Keep)
@@ -41,42 +45,43 @@
 		return nil
 	})
 	if err != nil {
-		return 0, nil, fmt.Errorf("exchange of %s: %w", key, err)
+		return quota.Reply{}, fmt.Errorf("exchange of %s: %w", key, err)
 	}
 	id, err := storeID.Uint64()
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %s: %w", ErrMalformedReply, storeIDKey, err)
+		return quota.Reply{}, fmt.Errorf("%w: %s: %w", ErrMalformedReply, storeIDKey, err)
 	}
 	commitments, err := parseEntries(entries.Val())
 	if err != nil {
-		return 0, nil, fmt.Errorf("%s: %w", key, err)
+		return quota.Reply{}, fmt.Errorf("%s: %w", key, err)
 	}
-	return quota.StoreID(id), commitments, nil
+	return quota.Reply{Store: quota.StoreID(id), Entries: commitments}, nil
 }
 
-// parseEntries reads the entries of a hash, in no particular order. An error wraps ErrMalformedReply.
+// parseEntries parses the fields of an entries hash. The result has no particular order. An error wraps ErrMalformedReply.
 func parseEntries(hash map[string]string) ([]quota.Commitment, error) {
 	var commitments []quota.Commitment
 	for field, value := range hash {
 		commitment, err := parseEntry(field, value)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %q is %q: %w", ErrMalformedReply, field, value, err)
+			return nil, fmt.Errorf("%w: entry %q with cap %q: %w", ErrMalformedReply, field, value, err)
 		}
 		commitments = append(commitments, commitment)
 	}
 	return commitments, nil
 }
 
+// parseEntry parses one field of an entries hash and its value. An error is one of strconv.
 func parseEntry(field, value string) (quota.Commitment, error) {
 	node, sequence, _ := strings.Cut(field, ":")
 	nodeNumber, nodeErr := strconv.Atoi(node)
 	sequenceNumber, sequenceErr := strconv.Atoi(sequence)
-	limit, limitErr := strconv.ParseFloat(value, 64)
-	if err := errors.Join(nodeErr, sequenceErr, limitErr); err != nil {
+	unitCap, capErr := strconv.ParseFloat(value, 64)
+	if err := errors.Join(nodeErr, sequenceErr, capErr); err != nil {
 		return quota.Commitment{}, err
 	}
-	if !(limit >= 0) { // negative, or no number
+	if !(unitCap >= 0) { // negative or NaN
 		return quota.Commitment{}, strconv.ErrRange
 	}
-	return quota.Commitment{Node: quota.NodeID(nodeNumber), Sequence: quota.Sequence(sequenceNumber), Cap: limit}, nil
+	return quota.Commitment{Node: quota.NodeID(nodeNumber), Sequence: quota.Sequence(sequenceNumber), Cap: unitCap}, nil
 }
--- a/internal/quotastore/transaction_test.go
+++ b/internal/quotastore/transaction_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/quota"
 )
 
-// An entry is read whole or the reply is malformed.
+// One invalid entry makes the whole reply malformed.
 func TestParseEntries(t *testing.T) {
 	for _, c := range []struct {
 		field, value string
@@ -32,6 +32,6 @@
 		}
 	}
 	if got, err := parseEntries(nil); got != nil || err != nil {
-		t.Errorf("of nothing: %+v, %v", got, err)
+		t.Errorf("an empty hash: %+v, %v", got, err)
 	}
 }
--- a/internal/quotastore/golden_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -21,15 +21,16 @@
 	"cherrygap/internal/quota"
 )
 
-// scripted is a server on loopback that keeps the bytes it was sent and answers each command as its script says.
+// scripted is a store on loopback with a fixed reply to each transaction.
 type scripted struct {
 	net.Listener
 
-	mu   sync.Mutex
-	sent bytes.Buffer
+	mu       sync.Mutex
+	received bytes.Buffer // guarded by mu: the bytes of all commands
 }
 
-// startScripted answers the end of each transaction with exec, refuses HELLO, as the laboratory's store does, and takes all else.
+// startScripted starts a store that replies exec to each EXEC. It rejects HELLO, like the laboratory's store, and accepts all
+// other commands.
 func startScripted(t *testing.T, exec string) *scripted {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.sent.WriteString(text)
+		s.received.WriteString(text)
 		s.mu.Unlock()
 		reply := "+OK\r\n"
 		switch {
@@ -79,7 +80,7 @@
 	}
 }
 
-// readCommand reads one command, as it was sent and as words.
+// readCommand reads one command. text is the command as received, words its name and arguments.
 func readCommand(r *bufio.Reader) (text string, words []string, err error) {
 	number := func(mark string) int {
 		line, e := r.ReadString('\n')
@@ -104,16 +105,16 @@
 	return text, words, err
 }
 
-// The commands, their order, the keys, the entries and how long they are kept are those of commit cf1acfb: nodes of
-// both texts share one store. Only the number that a store is given where it has none is chance.
-func TestGoldenCommands(t *testing.T) {
+// Nodes of different versions share one store. Therefore the commands, their order, the keys, the entries and their lifetime
+// are compared with the expected bytes. Only the proposed store id is random.
+func TestExchangeWireFormat(t *testing.T) {
 	const exec = "*5\r\n:0\r\n$20\r\n18446744073709551615\r\n:1\r\n:1\r\n" +
 		"*6\r\n$3\r\n0:1\r\n$4\r\n12.5\r\n$5\r\n17:30\r\n$1\r\n0\r\n$3\r\n2:2\r\n$5\r\n1e-07\r\n"
-	// A new connection, and the part of a transaction that is the same for all.
+	// The commands of a new connection, and the beginning of each transaction.
 	const opening = "*2\r\n$5\r\nhello\r\n$1\r\n2\r\n" +
 		"*3\r\n$6\r\nclient\r\n$7\r\nsetname\r\n$6\r\nedge-3\r\n" +
 		"*1\r\n$5\r\nmulti\r\n" +
-		"*3\r\n$5\r\nsetnx\r\n$11\r\nquota:store\r\nCHANCE " +
+		"*3\r\n$5\r\nsetnx\r\n$11\r\nquota:store\r\nRANDOM " +
 		"*2\r\n$3\r\nget\r\n$11\r\nquota:store\r\n"
 	for _, c := range []struct {
 		name string
@@ -125,7 +126,7 @@
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:7:0\r\n$4\r\n1500\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:7:0\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a fleet's", quota.Exchange{
+		{"a large fleet", quota.Exchange{
 			Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Commitment{Node: 1234, Sequence: 17, Cap: 12.5},
 			Keep: 6 * time.Second,
 		}, opening +
@@ -133,7 +134,7 @@
 			"*3\r\n$7\r\npexpire\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$4\r\n6000\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a large cap, kept for part of a millisecond", quota.Exchange{
+		{"a large cap, a lifetime with a part of a millisecond", quota.Exchange{
 			Key: math.MaxUint64, Window: -3,
 			Put: quota.Commitment{Node: 5, Sequence: 2, Cap: 1e21}, Keep: 2000000500,
 		}, opening +
@@ -151,51 +152,51 @@
 			server, log := startScripted(t, exec), zerolog.Nop()
 			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			id, entries, err := putAndRead(t.Context(), q.client, c.x)
+			reply, err := putAndRead(t.Context(), q.client, c.x)
 			if err != nil {
 				t.Fatal(err)
 			}
-			slices.SortFunc(entries, func(a, b quota.Commitment) int { return int(a.Node - b.Node) })
-			if want := []quota.Commitment{{Node: 0, Sequence: 1, Cap: 12.5}, {Node: 2, Sequence: 2, Cap: 1e-7}, {Node: 17, Sequence: 30}}; id != math.MaxUint64 ||
-				!reflect.DeepEqual(entries, want) {
-				t.Errorf("store %d, %v, want %v", id, entries, want)
+			slices.SortFunc(reply.Entries, func(a, b quota.Commitment) int { return int(a.Node - b.Node) })
+			if want := []quota.Commitment{{Node: 0, Sequence: 1, Cap: 12.5}, {Node: 2, Sequence: 2, Cap: 1e-7}, {Node: 17, Sequence: 30}}; reply.Store != math.MaxUint64 ||
+				!reflect.DeepEqual(reply.Entries, want) {
+				t.Errorf("store %d, %v, want %v", reply.Store, reply.Entries, want)
 			}
 			server.mu.Lock()
 			defer server.mu.Unlock()
-			chance := regexp.MustCompile(`(quota:store\r\n)\$\d+\r\n\d+[13579]\r\n`)
-			if got := chance.ReplaceAllString(server.sent.String(), "${1}CHANCE "); got != c.want {
+			randomID := regexp.MustCompile(`(quota:store\r\n)\$\d+\r\n\d+[13579]\r\n`)
+			if got := randomID.ReplaceAllString(server.received.String(), "${1}RANDOM "); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// What is taken for an answer, and what for none.
-func TestGoldenAnswers(t *testing.T) {
+// A reply is parsed as a whole or is an error.
+func TestMalformedReplies(t *testing.T) {
 	const head = "*5\r\n:0\r\n$1\r\n9\r\n:1\r\n:1\r\n"
 	for _, c := range []struct {
 		name, exec string
 		ok         bool
 	}{
-		{"nothing stands", head + "*0\r\n", true},
+		{"no entry", head + "*0\r\n", true},
 		{"one entry", head + "*2\r\n$3\r\n1:1\r\n$3\r\n4e2\r\n", true},
-		{"no number of an entry", head + "*2\r\n$1\r\n1\r\n$1\r\n4\r\n", false},
-		{"a node that is no number", head + "*2\r\n$3\r\nx:1\r\n$1\r\n4\r\n", false},
+		{"an entry without a sequence", head + "*2\r\n$1\r\n1\r\n$1\r\n4\r\n", false},
+		{"an invalid node", head + "*2\r\n$3\r\nx:1\r\n$1\r\n4\r\n", false},
 		{"a negative cap", head + "*2\r\n$3\r\n1:1\r\n$2\r\n-4\r\n", false},
-		{"a cap that is no number", head + "*2\r\n$3\r\n1:1\r\n$3\r\nNaN\r\n", false},
-		{"a number of the store that is none", "*5\r\n:0\r\n$1\r\nx\r\n:1\r\n:1\r\n*0\r\n", false},
-		{"no number of the store", "*5\r\n:0\r\n$-1\r\n:1\r\n:1\r\n*0\r\n", false},
+		{"a cap that is NaN", head + "*2\r\n$3\r\n1:1\r\n$3\r\nNaN\r\n", false},
+		{"an invalid store id", "*5\r\n:0\r\n$1\r\nx\r\n:1\r\n:1\r\n*0\r\n", false},
+		{"no store id", "*5\r\n:0\r\n$-1\r\n:1\r\n:1\r\n*0\r\n", false},
 		{"a full store", "-EXECABORT Transaction discarded\r\n", false},
-		{"one command refused", "*5\r\n:0\r\n$1\r\n9\r\n-OOM no room\r\n:1\r\n*0\r\n", false},
+		{"one command rejected", "*5\r\n:0\r\n$1\r\n9\r\n-OOM no room\r\n:1\r\n*0\r\n", false},
 		{"no transaction", "*-1\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, log := startScripted(t, c.exec), zerolog.Nop()
 			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			if id, entries, err := putAndRead(t.Context(), q.client, quota.Exchange{Keep: time.Second}); (err == nil) != c.ok ||
-				err == nil && id != 9 || err != nil && (id != 0 || entries != nil) {
-				t.Errorf("%v, %d, %v", err, id, entries)
+			reply, err := putAndRead(t.Context(), q.client, quota.Exchange{Keep: time.Second})
+			if (err == nil) != c.ok || err == nil && reply.Store != 9 || err != nil && (reply.Store != 0 || reply.Entries != nil) {
+				t.Errorf("%v, %d, %v", err, reply.Store, reply.Entries)
 			}
 		})
 	}
