--- a/cmd/cherrygap/cli_test.go
+++ b/cmd/cherrygap/cli_test.go
@@ -6,6 +6,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 func cli(args ...string) (string, string, error) {
@@ -24,7 +26,7 @@
 		t.Fatalf("shipped file: %q %v", out, err)
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
-	writeFile(t, bad, "[lab.load]\nrate = -1\n")
+	nodetest.WriteFile(t, bad, "[lab.load]\nrate = -1\n")
 	_, errOut, err := cli("config", "check", bad)
 	if !errors.Is(err, errReported) || !strings.Contains(errOut, "line 2: lab.load.rate") {
 		t.Fatalf("%q %v", errOut, err)
--- a/cmd/cherrygap/config_check.go
+++ b/cmd/cherrygap/config_check.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 
 	"github.com/spf13/cobra"
 
+	"cherrygap/internal/node"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -44,22 +44,9 @@
 // earlier name. The environment's values are left out.
 func checkFile(path string) ([]operatorfile.Deprecation, error) {
 	if filepath.Ext(path) == ".json" {
-		_, err := loadPlatformFile(path)
+		_, err := node.LoadPlatformFile(path)
 		return nil, err
 	}
 	file, err := operatorfile.Load(path)
 	return file.Deprecations, err
 }
-
-// loadPlatformFile reads a platform configuration, whatever the environment says.
-func loadPlatformFile(path string) (*config, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	c, err := parseConfig(raw, func(string) string { return "" })
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return c, nil
-}
--- a/cmd/cherrygap/crowd_test.go
+++ b/cmd/cherrygap/crowd_test.go
@@ -12,6 +12,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 // fakeDiscovery is a discovery service: silent, by taking connections and saying nothing, or one that knows a list.
@@ -62,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, ln)
+	nodetest.CloseAtEnd(t, ln)
 	go d.serve(ln, silent)
 	return ln
 }
@@ -169,10 +171,10 @@
 			defer clients.Done()
 			defer func() { <-slots }()
 			repeated := false
-			status := ask(address, requestText(fmt.Sprint("new", k), 3*time.Second))
+			status := ask(address, nodetest.RequestText(fmt.Sprint("new", k), 3*time.Second))
 			if status == 0 {
 				repeated = true
-				status = ask(address, requestText(fmt.Sprint("new", k, "again"), 3*time.Second))
+				status = ask(address, nodetest.RequestText(fmt.Sprint("new", k, "again"), 3*time.Second))
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -218,13 +220,13 @@
 	var app countingServers
 	var servers []string
 	for range 3 {
-		servers = append(servers, inService(serveHTTP(t, app.handle)))
+		servers = append(servers, inService(nodetest.ServeHTTP(t, app.handle)))
 	}
 	d := &fakeDiscovery{
 		listed: make(chan time.Time, 1),
 		text:   fmt.Sprintf(`{"rev":7,"all":true,"targets":[%s]}`, strings.Join(servers, ",")),
 	}
-	where := freeAddress(t)
+	where := nodetest.FreeAddress(t)
 	var down net.Listener
 	if silent {
 		down = d.listenAt(t, where, true)
@@ -234,7 +236,7 @@
 	time.Sleep(crowdFor)
 	full := p.descriptors()
 	if silent { // those it has taken stay silent
-		closeNow(t, down)
+		nodetest.CloseNow(t, down)
 	}
 	back := time.Now()
 	d.listenAt(t, where, false)
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -14,6 +14,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
+	"cherrygap/internal/node"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -52,7 +53,7 @@
 
 // newLabLog opens the laboratory's own log on standard error.
 func newLabLog(file operatorfile.File) zerolog.Logger {
-	return zerolog.New(os.Stderr).Level(parseLogLevel(file.Log.Level)).With().Timestamp().Logger()
+	return zerolog.New(os.Stderr).Level(node.ParseLogLevel(file.Log.Level)).With().Timestamp().Logger()
 }
 
 // printJSON writes a value as one JSON line on standard output.
--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -6,6 +6,7 @@
 	"github.com/spf13/cobra"
 
 	"cherrygap/internal/lab/model"
+	"cherrygap/internal/node"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -95,11 +96,11 @@
 		return model.Config{}, err
 	}
 	if flags.platformFile != "" {
-		platform, err := loadPlatformFile(flags.platformFile)
+		platform, err := node.LoadPlatformFile(flags.platformFile)
 		if err != nil {
 			return model.Config{}, err
 		}
-		cfg.Settings = platform.settings
+		cfg.Settings = platform.EngineSettings()
 	}
 	return cfg, nil
 }
--- a/cmd/cherrygap/lab_test.go
+++ b/cmd/cherrygap/lab_test.go
@@ -7,8 +7,6 @@
 	"path/filepath"
 	"testing"
 	"time"
-
-	"github.com/rs/zerolog"
 )
 
 var errRun = errors.New("the run failed")
@@ -58,14 +56,3 @@
 		t.Error("it goes on after its stop")
 	}
 }
-
-func TestLogLevels(t *testing.T) {
-	for name, want := range map[string]zerolog.Level{
-		"": zerolog.InfoLevel, "loud": zerolog.InfoLevel, "debug": zerolog.DebugLevel, "info": zerolog.InfoLevel,
-		"warn": zerolog.WarnLevel, "error": zerolog.ErrorLevel,
-	} {
-		if got := parseLogLevel(name); got != want {
-			t.Errorf("%q: %v, want %v", name, got, want)
-		}
-	}
-}
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -9,6 +9,8 @@
 
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
+
+	"cherrygap/internal/node"
 )
 
 // exitFailed is the exit code after any error: a bad configuration, file, address, command or flag.
@@ -20,7 +22,7 @@
 func main() {
 	root := newRootCommand()
 	if startsNode(root, os.Args[1:]) {
-		catchSignals()
+		node.CatchSignals()
 	}
 	if err := root.Execute(); err != nil {
 		if !errors.Is(err, errReported) {
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -8,6 +8,7 @@
 	"syscall"
 	"testing"
 
+	"cherrygap/internal/node"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -52,7 +53,7 @@
 			return err
 		}
 	}
-	catchSignals()
+	node.CatchSignals()
 	return serve(nil, operatorfile.Default())
 }
 
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -11,6 +11,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 // erraticServers are app servers that answer by chance, most of the time with a rejection, and note when bytes came.
@@ -105,17 +107,17 @@
 	app := newErraticServers()
 	var listeners []net.Listener
 	for range 8 {
-		ln := listen(t)
+		ln := nodetest.Listen(t)
 		listeners = append(listeners, ln)
 		go app.accept(ln)
 	}
-	p := startProcess(t, freeAddress(t), 1024, listeners...)
+	p := startProcess(t, nodetest.FreeAddress(t), 1024, listeners...)
 	left, again, late := 0, 0, 0
 	for round := range rounds {
 		conns := openClients(t, p.addr, clients)
 		time.Sleep(5 * time.Millisecond)
 		for k, conn := range conns {
-			text := requestText(leaverID(round, k), 3*time.Second) + strings.Repeat("more ", k%2*100)
+			text := nodetest.RequestText(leaverID(round, k), 3*time.Second) + strings.Repeat("more ", k%2*100)
 			if _, err := io.WriteString(conn, text); err != nil {
 				t.Fatal(err)
 			}
@@ -144,7 +146,7 @@
 	t.Helper()
 	conns := make([]*net.TCPConn, n)
 	for k := range conns {
-		conns[k] = dial(t, address).(*net.TCPConn)
+		conns[k] = nodetest.Dial(t, address).(*net.TCPConn)
 	}
 	return conns
 }
@@ -158,7 +160,7 @@
 			t.Fatal(err)
 		}
 		if _, err := conn.Read(make([]byte, 1)); err == nil { // it has its answer
-			closeNow(t, conn)
+			nodetest.CloseNow(t, conn)
 			continue
 		}
 		if k%4 < 2 {
@@ -166,7 +168,7 @@
 				t.Fatal(err)
 			}
 		}
-		closeNow(t, conn)
+		nodetest.CloseNow(t, conn)
 		gone[leaverID(round, k)] = true
 	}
 	return gone
--- a/cmd/cherrygap/pin_cli_test.go
+++ b/cmd/cherrygap/pin_cli_test.go
@@ -11,6 +11,8 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"cherrygap/internal/node"
 )
 
 // commandLine is all commands and flags with their defaults, a line each.
@@ -31,7 +33,7 @@
 
 // Every command and flag with its default: one that gets another name stays beside it under the old.
 func TestPinnedCommandLine(t *testing.T) {
-	t.Setenv(envOperator, "")
+	t.Setenv(node.EnvOperator, "")
 	want := strings.Split(strings.TrimSpace(pinnedCommandLine+strings.TrimLeft(newCommandLine, "\n")), "\n")
 	want = append(want, grpcCommandLine...)
 	got := commandLine(newRootCommand())
--- a/cmd/cherrygap/pin_errors_test.go
+++ b/cmd/cherrygap/pin_errors_test.go
@@ -5,9 +5,9 @@
 	"path/filepath"
 	"strings"
 	"testing"
-)
 
-const goodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
+	"cherrygap/internal/node/nodetest"
+)
 
 // Parts of the errors below.
 const (
@@ -18,10 +18,10 @@
 
 // pinnedErrors are parts of the good configuration, what stands there instead, and what is wrong with that.
 var pinnedErrors = []struct{ name, old, new, want string }{
-	{"not JSON", goodConfig, "{", "unexpected end of JSON input"},
-	{"empty", goodConfig, "", "unexpected end of JSON input"},
-	{"a list", goodConfig, "[]", "json: cannot unmarshal array into Go value of type main.config"},
-	{"text behind", goodConfig, goodConfig + "x", "invalid character 'x' after top-level value"},
+	{"not JSON", nodetest.GoodConfig, "{", "unexpected end of JSON input"},
+	{"empty", nodetest.GoodConfig, "", "unexpected end of JSON input"},
+	{"a list", nodetest.GoodConfig, "[]", "json: cannot unmarshal array into Go value of type main.config"},
+	{"text behind", nodetest.GoodConfig, nodetest.GoodConfig + "x", "invalid character 'x' after top-level value"},
 	{"name a number", `"n3"`, "3", wantNumber + "name of type string"},
 	{"listen missing", `"listen":"127.0.0.4:9000",`, "", "listen: not an ip:port"},
 	{"listen a number", `"127.0.0.4:9000"`, "9000", wantNumber + "listen of type string"},
@@ -84,9 +84,9 @@
 	{"peers with a name", `["127.0.0.5:7946"]`, `["127.0.0.5:7946","peer"]`, "not an ip:port"},
 	{"peers with a number", `["127.0.0.5:7946"]`, "[7]", wantNumber + "peers of type netip.AddrPort"},
 	{"peers_all a name", "127.0.0.6:7946", "all", "not an ip:port"},
-	{"settings missing", ",\n\t\"settings\":" + goodSettings, "", "settings: EOF"},
-	{"settings a list", goodSettings, "[]", "settings: json: cannot unmarshal array into Go value of type map[string]interface {}"},
-	{"settings a text", goodSettings, `"x"`, "settings: json: cannot unmarshal string into Go value of type map[string]interface {}"},
+	{"settings missing", ",\n\t\"settings\":" + nodetest.GoodSettings, "", "settings: EOF"},
+	{"settings a list", nodetest.GoodSettings, "[]", "settings: json: cannot unmarshal array into Go value of type map[string]interface {}"},
+	{"settings a text", nodetest.GoodSettings, `"x"`, "settings: json: cannot unmarshal string into Go value of type map[string]interface {}"},
 }
 
 // Each configuration that can't be read is the same one line on standard error and the exit code 2, at the start
@@ -95,11 +95,12 @@
 	for _, c := range pinnedErrors {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if !strings.Contains(goodConfig, c.old) {
+			good := nodetest.GoodConfig
+			if !strings.Contains(good, c.old) {
 				t.Fatalf("%q is no part of the good configuration", c.old)
 			}
 			dir := t.TempDir()
-			writeFile(t, filepath.Join(dir, "config.json"), strings.Replace(goodConfig, c.old, c.new, 1))
+			nodetest.WriteFile(t, filepath.Join(dir, "config.json"), strings.Replace(nodetest.GoodConfig, c.old, c.new, 1))
 			for _, run := range []struct {
 				want string
 				cmd  *exec.Cmd
@@ -174,15 +175,15 @@
 func TestPinnedStartErrors(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"good.json": goodConfig, "bad.toml": "[log]\nlevel = \"loud\"\n[nothing]\nx = 1\n",
+		"good.json": nodetest.GoodConfig, "bad.toml": "[log]\nlevel = \"loud\"\n[nothing]\nx = 1\n",
 		"good.toml": "[log]\nlevel = \"warn\"\n", "band.toml": "[[settings.band]]\nname = \"other\"\n",
 		"watch.toml":  "[watch]\non = true\n[[watch.settings.plan]]\nname = \"other\"\nrate = 1.0\n",
-		"known.json":  strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, "7", 1),
-		"rev.json":    strings.Replace(goodConfig, `"rev":41`, `"rev":"x"`, 1),
-		"state.json":  strings.Replace(goodConfig, `"targets":[]`, `"targets":[{"uid":"s","state":"later"}]`, 1),
+		"known.json":  strings.Replace(nodetest.GoodConfig, `{"rev":41,"all":true,"targets":[]}`, "7", 1),
+		"rev.json":    strings.Replace(nodetest.GoodConfig, `"rev":41`, `"rev":"x"`, 1),
+		"state.json":  strings.Replace(nodetest.GoodConfig, `"targets":[]`, `"targets":[{"uid":"s","state":"later"}]`, 1),
 		"syntax.toml": "[log\n", "null.json": "null",
 	} {
-		writeFile(t, filepath.Join(dir, name), text)
+		nodetest.WriteFile(t, filepath.Join(dir, name), text)
 	}
 	for _, c := range pinnedStarts {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/cherrygap/pin_log_test.go
+++ b/cmd/cherrygap/pin_log_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 // logged is a node in a process of its own whose log is read while it runs.
@@ -27,25 +29,25 @@
 	dir := t.TempDir()
 	p := &logged{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
 	p.configure(t, text)
-	writeFile(t, filepath.Join(dir, "operator.toml"), operator)
+	nodetest.WriteFile(t, filepath.Join(dir, "operator.toml"), operator)
 	out, err := os.Create(p.file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, out) // the process has it
+	defer nodetest.CloseNow(t, out) // the process has it
 	p.cmd = program(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
 	p.cmd.Stderr = out
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	killAtEnd(t, p.cmd)
+	nodetest.KillAtEnd(t, p.cmd)
 	return p
 }
 
 // configure writes the node's configuration.
 func (p *logged) configure(t *testing.T, text string) {
 	t.Helper()
-	writeFile(t, p.conf, text)
+	nodetest.WriteFile(t, p.conf, text)
 }
 
 // lines gives the log's lines so far in short: level, message and the other fields' names, and for an error its text.
@@ -106,11 +108,11 @@
 		{"all parts", all, "counters health_checks node quota shadow time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			listenOn, discovery := freeAddress(t), freeAddress(t)
-			held := listenPacket(t)
+			listenOn, discovery := nodetest.FreeAddress(t), nodetest.FreeAddress(t)
+			held := nodetest.ListenPacket(t)
 			peer := held.LocalAddr().String()
 			text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, `"127.0.0.4:7946"`, `"`+peer+`"`,
-				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(goodConfig)
+				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.GoodConfig)
 			odd := strings.Replace(text, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
 			p := startLogged(t, odd, c.operator)
 			var want []string
@@ -120,23 +122,23 @@
 				p.await(t, want...)
 			}
 			more(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
-			closeNow(t, held)
+			nodetest.CloseNow(t, held)
 			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info started: listen node time")
-			send(t, p.cmd.Process, syscall.SIGUSR1)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGUSR1)
 			more("info counters: " + c.counters)
 			p.configure(t, text)
-			send(t, p.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 			more("info configuration reloaded: discovery node time")
 			p.configure(t, odd)
-			send(t, p.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info configuration reloaded: discovery node time")
 			p.configure(t, text[:len(text)-9])
-			send(t, p.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 			more(`error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 			p.configure(t, strings.Replace(text, discovery, "there", 1))
-			send(t, p.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 			more(`error configuration reload failed: error="config.json: discovery: not an ip:port" node time`)
-			send(t, p.cmd.Process, syscall.SIGTERM)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGTERM)
 			more("info stopped: " + c.counters)
 			if err := p.cmd.Wait(); err != nil {
 				t.Error(err)
@@ -147,14 +149,14 @@
 
 // Under another level only lines of that level or above are written.
 func TestPinnedLogLevel(t *testing.T) {
-	listenOn := freeAddress(t)
-	text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", freeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)
+	listenOn := nodetest.FreeAddress(t)
+	text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)
 	p := startLogged(t, text, "[log]\nlevel = \"error\"\n")
-	eventually(t, 10*time.Second, "a listener", func() bool { return accepts(listenOn) })
+	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
 	p.configure(t, "{")
-	send(t, p.cmd.Process, syscall.SIGHUP)
+	nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
-	send(t, p.cmd.Process, syscall.SIGTERM)
+	nodetest.Signal(t, p.cmd.Process, syscall.SIGTERM)
 	if err := p.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -165,7 +167,7 @@
 // says what to write.
 func TestDeprecatedOperatorKeys(t *testing.T) {
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
-	text := strings.NewReplacer("127.0.0.4:9000", freeAddress(t), "127.0.0.9:8500", freeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)
+	text := strings.NewReplacer("127.0.0.4:9000", nodetest.FreeAddress(t), "127.0.0.9:8500", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)
 	p := startLogged(t, text, file)
 	const warning = "warn deprecated key in the operator file: key line node time write"
 	p.await(t, warning, warning, warning, "info started: listen node time")
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -11,6 +11,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node"
+	"cherrygap/internal/node/nodetest"
 )
 
 // process is a node in a process of its own.
@@ -41,29 +44,29 @@
 // startProcess starts a node of one core, with so many descriptors, by a list of app servers as last known.
 func startProcess(t *testing.T, discovery string, sockets int, servers ...net.Listener) *process {
 	t.Helper()
-	p := &process{addr: freeAddress(t)}
+	p := &process{addr: nodetest.FreeAddress(t)}
 	file := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, file, processConfig(p.addr, discovery, sockets, servers))
+	nodetest.WriteFile(t, file, processConfig(p.addr, discovery, sockets, servers))
 	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), asNode+"=1", envConfig+"="+file, fmt.Sprint(descriptorLimit, "=", sockets))
+	p.cmd.Env = append(os.Environ(), asNode+"=1", node.EnvConfig+"="+file, fmt.Sprint(descriptorLimit, "=", sockets))
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	killAtEnd(t, p.cmd)
-	p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+	nodetest.KillAtEnd(t, p.cmd)
+	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	return p
 }
 
 func (p *process) eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	eventually(t, 10*time.Second, what, ok)
+	nodetest.Eventually(t, 10*time.Second, what, ok)
 }
 
 // pause stops the node with SIGSTOP, and returns once all its threads stand still.
 func (p *process) pause(t *testing.T) {
 	t.Helper()
-	send(t, p.cmd.Process, syscall.SIGSTOP)
+	nodetest.Signal(t, p.cmd.Process, syscall.SIGSTOP)
 	p.eventually(t, "a stop", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		if err != nil {
@@ -85,7 +88,7 @@
 // resume lets a paused node go on.
 func (p *process) resume(t *testing.T) {
 	t.Helper()
-	send(t, p.cmd.Process, syscall.SIGCONT)
+	nodetest.Signal(t, p.cmd.Process, syscall.SIGCONT)
 }
 
 // descriptors is how many the process holds now.
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -18,6 +18,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node"
+	"cherrygap/internal/node/nodetest"
 )
 
 // The terms of a restart: nine in ten processes are ready within readyIn, under a list of so many servers; the platform's
@@ -101,9 +104,9 @@
 func startBuilt(t *testing.T, text, listenOn string) *restarted {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, file, text)
+	nodetest.WriteFile(t, file, text)
 	p := &restarted{cmd: exec.Command(mustBuild(t)), listen: listenOn, ended: make(chan struct{})}
-	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), envConfig+"="+file), &p.log
+	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), node.EnvConfig+"="+file), &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -161,19 +164,19 @@
 // configOf is a node's configuration at addresses that were free a moment ago.
 func configOf(t *testing.T, mode, known, discovery string) (text, listenOn string) {
 	t.Helper()
-	listenOn = freeAddress(t)
-	udp := listenPacket(t)
-	closeNow(t, udp)
+	listenOn = nodetest.FreeAddress(t)
+	udp := nodetest.ListenPacket(t)
+	nodetest.CloseNow(t, udp)
 	return strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, "127.0.0.4:7946",
 		udp.LocalAddr().String(), `{"rev":41,"all":true,"targets":[]}`, known, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, leastMemory),
 		`"slot_no":2`, `"slot_no":0,"registry_mode":"`+mode+`","replicas_of_me":300,"tick":2000,"services":[{"name":"seats","slo":2000000,
-		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(goodConfig), listenOn
+		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.GoodConfig), listenOn
 }
 
 // serveList is a discovery service: it sends the whole list after a while, or is silent without one.
 func serveList(t *testing.T, list string, delay time.Duration) (address string) {
 	t.Helper()
-	return serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		switch {
 		case list == "":
 			<-q.Context().Done()
@@ -204,7 +207,7 @@
 	mustBuild(t) // ahead of the clock
 	for _, c := range []restartCase{
 		{"known, discovery silent", "automatic", plain, func() string { return serveList(t, "", 0) }},
-		{"known, discovery gone", "subscribe", plain, func() string { return freeAddress(t) }},
+		{"known, discovery gone", "subscribe", plain, func() string { return nodetest.FreeAddress(t) }},
 		{"known, indented", "automatic", indented, func() string { return serveList(t, indented, 0) }},
 		{"odd list, sent at once", "automatic", odd, func() string { return serveList(t, plain, 0) }},
 		{"odd list, sent indented", "subscribe", odd, func() string { return serveList(t, indented, 0) }},
@@ -261,7 +264,7 @@
 		t.Fatal("a list of another form")
 	}
 	revision := 41
-	discovery := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+	discovery := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		if revision++; revision > 41+times {
 			<-q.Context().Done()
 			return
@@ -298,7 +301,7 @@
 	const together, lasts = 4, 3500 * time.Millisecond
 	mustBuild(t)
 	got, answer := make(chan struct{}, together), make(chan struct{})
-	server := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		got <- struct{}{}
 		<-answer
 		_, _ = io.Copy(w, q.Body)
@@ -314,7 +317,7 @@
 		if d, ok := old.ready(time.Now()); !ok {
 			t.Fatalf("the old one is not ready after %v: %s", d, old.log.String())
 		}
-		conns = append(conns, sendRequest(t, listenOn, "9", 9*time.Second))
+		conns = append(conns, nodetest.SendRequest(t, listenOn, "9", 9*time.Second))
 		olds, texts = append(olds, old), append(texts, strings.Replace(text, few, plain, 1))
 	}
 	for range together {
@@ -324,7 +327,7 @@
 	var all sync.WaitGroup
 	for i, old := range olds {
 		began := time.Now()
-		send(t, old.cmd.Process, syscall.SIGTERM)
+		nodetest.Signal(t, old.cmd.Process, syscall.SIGTERM)
 		next := startBuilt(t, texts[i], old.listen)
 		all.Add(1)
 		go func() { // ends once both are done, the new one after 3 x readyIn at most
--- a/cmd/cherrygap/root.go
+++ b/cmd/cherrygap/root.go
@@ -6,6 +6,7 @@
 
 	"github.com/spf13/cobra"
 
+	"cherrygap/internal/node"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -31,7 +32,7 @@
 		Args:          cobra.NoArgs,
 		RunE:          withOperatorFile(&operatorPath, serve),
 	}
-	root.PersistentFlags().StringVar(&operatorPath, "operator", os.Getenv(envOperator),
+	root.PersistentFlags().StringVar(&operatorPath, "operator", os.Getenv(node.EnvOperator),
 		"operator file (TOML); default $GW_OPERATOR, else none and every key at its default")
 	root.AddCommand(newServeCommand(root), newVersionCommand(), newConfigCommand(), newLabCommand(&operatorPath))
 	return root
@@ -52,14 +53,14 @@
 
 // serve reads the platform's configuration and runs the node until it has drained.
 func serve(_ *cobra.Command, file operatorfile.File) error {
-	c, err := loadConfigAtStart()
+	c, err := node.LoadConfigAtStart()
 	if err != nil {
 		return err
 	}
-	if err := c.applyOperator(file); err != nil {
+	if err := c.ApplyOperator(file); err != nil {
 		return err
 	}
-	return runServer(c)
+	return node.Run(c)
 }
 
 // commandFunc is what a command runs.
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -19,6 +19,8 @@
 	"golang.org/x/sys/unix"
 
 	"cherrygap/internal/lab/syscallfault"
+	"cherrygap/internal/node"
+	"cherrygap/internal/node/nodetest"
 )
 
 // faultyCalls are the system calls that the tests of this file make fail.
@@ -65,7 +67,7 @@
 func (f *failingCall) failFor(t *testing.T, errno syscall.Errno, times int32) {
 	t.Helper()
 	f.begin(errno)
-	eventually(t, 10*time.Second, fmt.Sprint(times, " failures by ", errno), func() bool { return f.failed.Load() >= times })
+	nodetest.Eventually(t, 10*time.Second, fmt.Sprint(times, " failures by ", errno), func() bool { return f.failed.Load() >= times })
 	f.on.Store(false)
 }
 
@@ -80,11 +82,11 @@
 	servers ...net.Listener,
 ) (p *process, file string) {
 	t.Helper()
-	p = &process{addr: freeAddress(t)}
+	p = &process{addr: nodetest.FreeAddress(t)}
 	file = filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, file, change(processConfig(p.addr, discovery, 1024, servers)))
+	nodetest.WriteFile(t, file, change(processConfig(p.addr, discovery, 1024, servers)))
 	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), asNode+"=1", asFaultyNode+"=1", envConfig+"="+file)
+	p.cmd.Env = append(os.Environ(), asNode+"=1", asFaultyNode+"=1", node.EnvConfig+"="+file)
 	p.cmd.Stderr = &p.log
 	injector, err := syscallfault.NewInjector(p.cmd, policy)
 	if err != nil {
@@ -93,7 +95,7 @@
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	killAtEnd(t, p.cmd)
+	nodetest.KillAtEnd(t, p.cmd)
 	ended := make(chan error, 1)
 	go func() { ended <- injector.Run() }() // ends with the process
 	t.Cleanup(func() {
@@ -107,7 +109,7 @@
 
 // echoServer is an app server that answers every request.
 func echoServer(t *testing.T) net.Listener {
-	return serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })
+	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })
 }
 
 const faultTimeout = 2 * time.Second // of the requests of these tests
@@ -117,7 +119,7 @@
 // requestStatus sends a request on a connection of its own and returns its status, or 0 where the connection ends without one.
 func requestStatus(t *testing.T, address string) int {
 	t.Helper()
-	conn := sendRequest(t, address, fmt.Sprint("fault-", lastFaultID.Add(1)), faultTimeout)
+	conn := nodetest.SendRequest(t, address, fmt.Sprint("fault-", lastFaultID.Add(1)), faultTimeout)
 	if err := conn.SetDeadline(time.Now().Add(faultTimeout + time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -132,9 +134,9 @@
 func TestAcceptErrorsStopNoListener(t *testing.T) {
 	t.Parallel()
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
-	discovery := listen(t)
+	discovery := nodetest.Listen(t)
 	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
-	p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	for _, errno := range []syscall.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
@@ -144,7 +146,7 @@
 		if err != nil {
 			t.Fatalf("before %v: %v", errno, err)
 		}
-		closeAtEnd(t, conn)
+		nodetest.CloseAtEnd(t, conn)
 		fault.failFor(t, errno, 2)
 		if status := requestStatus(t, p.addr); status != http.StatusOK {
 			t.Fatalf("after %v of accept a request ended with status %d", errno, status)
@@ -159,20 +161,20 @@
 	const requests, waits, slack = 3, 400 * time.Millisecond, 150 * time.Millisecond
 	var sentAt time.Time
 	overstated := make(chan time.Duration, requests)
-	server := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ms, _ := strconv.Atoi(r.Header.Get("X-Budget-Ms"))
 		overstated <- time.Duration(ms)*time.Millisecond - (faultTimeout - time.Since(sentAt))
 		_, _ = w.Write([]byte("done"))
 	})
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
-	discovery := listen(t)
+	discovery := nodetest.Listen(t)
 	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), server)
-	p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	fault.begin(unix.ENFILE)
-	conn := dial(t, p.addr)
+	conn := nodetest.Dial(t, p.addr)
 	sentAt = time.Now()
 	for i := range requests {
-		if _, err := io.WriteString(conn, requestText(fmt.Sprint("waits-", i), faultTimeout)); err != nil {
+		if _, err := io.WriteString(conn, nodetest.RequestText(fmt.Sprint("waits-", i), faultTimeout)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -208,9 +210,9 @@
 			t.Run(fmt.Sprint(c.number, " ", strings.ReplaceAll(errno.Error(), " ", "-")), func(t *testing.T) {
 				t.Parallel()
 				fault := &failingCall{number: c.number}
-				discovery := listen(t)
+				discovery := nodetest.Listen(t)
 				p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t), echoServer(t))
-				p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+				p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 				fault.begin(errno)
 				statuses := make(chan int)
 				const requests = 6
@@ -251,9 +253,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: c.number}
-			discovery := listen(t)
+			discovery := nodetest.Listen(t)
 			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
-			p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 			fault.begin(c.errno)
 			statuses := make(chan int)
 			const requests = 4
@@ -279,10 +281,10 @@
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_SOCKET}
 			fault.begin(errno)
-			discovery := listen(t)
+			discovery := nodetest.Listen(t)
 			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
 			fault.failFor(t, errno, 2)
-			p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 			if status := requestStatus(t, p.addr); status != http.StatusOK {
 				t.Errorf("a request ended with status %d", status)
 			}
@@ -294,7 +296,7 @@
 // all of it is there, with one line in the log for what was not.
 func TestReloadOutlastsAHalfWrittenFile(t *testing.T) {
 	t.Parallel()
-	before, after := listen(t), listen(t)
+	before, after := nodetest.Listen(t), nodetest.Listen(t)
 	called := make(chan struct{})
 	go func() {
 		if conn, err := after.Accept(); err == nil {
@@ -304,12 +306,12 @@
 	}()
 	server := echoServer(t)
 	p, file := faultyProcess(t, (&failingCall{}).decide, before.Addr().String(), server)
-	p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
+	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	text := processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server})
-	writeFile(t, file, text[:len(text)/2])
-	send(t, p.cmd.Process, syscall.SIGHUP)
-	time.Sleep(3 * reloadRetry) // some tries find the half
-	writeFile(t, file, text)
+	nodetest.WriteFile(t, file, text[:len(text)/2])
+	nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
+	time.Sleep(3 * node.ReloadRetry) // some tries find the half
+	nodetest.WriteFile(t, file, text)
 	select {
 	case <-called:
 	case <-time.After(5 * time.Second):
@@ -328,7 +330,7 @@
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_OPENAT}
-			before, after := listen(t), listen(t)
+			before, after := nodetest.Listen(t), nodetest.Listen(t)
 			called := make(chan struct{})
 			go func() {
 				if conn, err := after.Accept(); err == nil {
@@ -338,10 +340,10 @@
 			}()
 			server := echoServer(t)
 			p, file := faultyProcess(t, fault.decide, before.Addr().String(), server)
-			p.eventually(t, "a listener", func() bool { return accepts(p.addr) })
-			writeFile(t, file, processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server}))
+			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
+			nodetest.WriteFile(t, file, processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server}))
 			fault.begin(errno)
-			send(t, p.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
 			fault.failFor(t, errno, 1)
 			select {
 			case <-called:
@@ -358,7 +360,7 @@
 	t.Parallel()
 	const outage, atOnce = 100 * time.Millisecond, 300 * time.Millisecond
 	fault := &failingCall{number: unix.SYS_CONNECT}
-	discovery := listen(t)
+	discovery := nodetest.Listen(t)
 	called := make(chan time.Time, 1)
 	go func() {
 		if conn, err := discovery.Accept(); err == nil {
--- a/cmd/cherrygap/config.go
+++ b/internal/node/config.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"encoding/json"
@@ -7,6 +7,7 @@
 	"io/fs"
 	"net/netip"
 	"os"
+	"reflect"
 	"strconv"
 
 	"github.com/rs/zerolog"
@@ -18,16 +19,19 @@
 
 // Environment variables that the node reads.
 const (
-	envConfig    = "GW_CONFIG"    // path of the platform's configuration
+	EnvConfig    = "GW_CONFIG"    // path of the platform's configuration
 	envName      = "GW_NAME"      // over "name" in it
 	envListen    = "GW_LISTEN"    // over "listen"
 	envDiscovery = "GW_DISCOVERY" // over "discovery", until a reload names another address
-	envOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
+	EnvOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
 )
 
 // keyKnown is the configuration's key of the endpoint list as last known.
 const keyKnown = "known"
 
+// Config is what a node starts with.
+type Config = config
+
 // config is what the node starts with: the platform's configuration (the exported fields, JSON) and what the operator file
 // adds to it. The errors of encoding/json on values of the wrong type name this type.
 type config struct {
@@ -54,7 +58,7 @@
 
 	deprecations   []operatorfile.Deprecation
 	shadowSettings map[string]string // for the shadow evaluation; nil for none
-	logLevel       zerolog.Level     // applyOperator sets it: the zero value would be debug
+	logLevel       zerolog.Level     // ApplyOperator sets it: the zero value would be debug
 	healthChecks   operatorfile.HealthChecks
 	quota          operatorfile.Quota
 	authz          operatorfile.Authz
@@ -78,7 +82,7 @@
 const errPartOfJSON = "unexpected end of JSON input"
 
 // errNoConfigPath is a start without a configuration.
-var errNoConfigPath = errors.New(envConfig + " is not set")
+var errNoConfigPath = errors.New(EnvConfig + " is not set")
 
 // loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. An endpoint list in it that can't be
 // read is no error but knownErr: the discovery service will send the list again, so a node
@@ -94,7 +98,7 @@
 // readConfig reads the configuration that GW_CONFIG names, with the environment's values over it. With an error on the
 // endpoint list alone it returns the rest of the configuration too.
 func readConfig() (*config, error) {
-	path := os.Getenv(envConfig)
+	path := os.Getenv(EnvConfig)
 	if path == "" {
 		return nil, errNoConfigPath
 	}
@@ -128,7 +132,7 @@
 func parseConfig(raw []byte, env func(name string) string) (*config, error) {
 	c := &config{}
 	if err := json.Unmarshal(raw, c); err != nil {
-		return nil, err
+		return nil, nameDocument(err)
 	}
 	c.fileDiscovery = c.Discovery
 	c.applyEnvironment(env)
@@ -147,6 +151,15 @@
 	return c, nil
 }
 
+// nameDocument keeps the text of the error on a document that is no JSON object: it names the type as main.config.
+func nameDocument(err error) error {
+	var fault *json.UnmarshalTypeError
+	if !errors.As(err, &fault) || fault.Type != reflect.TypeFor[config]() {
+		return err
+	}
+	return fmt.Errorf("json: cannot unmarshal %s into Go value of type main.config", fault.Value)
+}
+
 // applyEnvironment writes the environment's values over the file's, but for empty ones.
 func (c *config) applyEnvironment(env func(name string) string) {
 	for name, field := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
@@ -182,14 +195,17 @@
 	return nil
 }
 
+// EngineSettings are the settings of the decision engine.
+func (c *config) EngineSettings() map[string]string { return c.settings }
+
 // releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision engine holds in its own form.
 func (c *config) releaseKnownList() {
 	c.Known, c.known.Endpoints = nil, nil
 }
 
-// applyOperator adds the operator file's part. A file that holds nothing changes nothing but the log's level.
-func (c *config) applyOperator(file operatorfile.File) error {
-	c.logLevel, c.healthChecks, c.quota = parseLogLevel(file.Log.Level), file.HealthChecks, file.Quota
+// ApplyOperator adds the operator file's part. A file that holds nothing changes nothing but the log's level.
+func (c *config) ApplyOperator(file operatorfile.File) error {
+	c.logLevel, c.healthChecks, c.quota = ParseLogLevel(file.Log.Level), file.HealthChecks, file.Quota
 	c.authz, c.grpc, c.deprecations = file.Authz, file.GRPC, file.Deprecations
 	var err error
 	if c.settings, err = file.Settings.Apply(c.settings); err != nil {
@@ -221,3 +237,16 @@
 	next.healthChecks, next.quota, next.authz, next.grpc = c.healthChecks, c.quota, c.authz, c.grpc
 	return next, nil
 }
+
+// LoadPlatformFile reads a platform configuration, whatever the environment says.
+func LoadPlatformFile(path string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	c, err := parseConfig(raw, func(string) string { return "" })
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return c, nil
+}
--- a/cmd/cherrygap/config_test.go
+++ b/internal/node/config_test.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"errors"
@@ -9,13 +9,14 @@
 	"testing"
 	"time"
 
+	"cherrygap/internal/node/nodetest"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
 
 func TestConfigurationIsRead(t *testing.T) {
-	c, err := parseConfig([]byte(goodConfig), func(name string) string {
+	c, err := parseConfig([]byte(nodetest.GoodConfig), func(name string) string {
 		return map[string]string{"GW_LISTEN": "127.0.0.7:80"}[name]
 	})
 	if err != nil {
@@ -32,26 +33,26 @@
 // discovery to another address on SIGHUP; all else must, and `config check` goes on refusing such a file.
 func TestOddKnownListIsNoReasonNotToStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv(envConfig, file)
-	old := mustParse(t, goodConfig)
+	t.Setenv(EnvConfig, file)
+	old := mustParse(t, nodetest.GoodConfig)
 	for _, known := range []string{
 		`7`, `{"rev":"x"}`, `{"rev":1,"targets":[{"uid":"s","state":"later"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service","pod_group":70000}]}`,
 	} {
 		t.Run(known, func(t *testing.T) {
-			text := strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
-			writeFile(t, file, text)
+			text := strings.Replace(nodetest.GoodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
+			nodetest.WriteFile(t, file, text)
 			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings[settings.Node] != "2" {
 				t.Errorf("%v", err)
 			}
 			wantReload(t, old, "")
-			writeFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
+			nodetest.WriteFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
 			wantReload(t, old, "127.0.0.8:8500")
-			writeFile(t, file, text)
-			if _, err := checkFile(file); err == nil {
+			nodetest.WriteFile(t, file, text)
+			if _, err := LoadPlatformFile(file); err == nil {
 				t.Errorf("passes the check")
 			}
-			writeFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
+			nodetest.WriteFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
 			if _, err := loadConfig(); err == nil {
 				t.Errorf("started without a seed")
 			}
@@ -75,22 +76,22 @@
 // A new file changes nothing unless all of it is good, and discovery's address only where it names another.
 func TestNewConfiguration(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv(envConfig, file)
-	c, err := parseConfig([]byte(goodConfig), os.Getenv)
+	t.Setenv(EnvConfig, file)
+	c, err := parseConfig([]byte(nodetest.GoodConfig), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for text, want := range map[string]string{
-		strings.Replace(goodConfig, "9:8500", "8:8500", 1):                                          "127.0.0.8:8500",
-		strings.NewReplacer("9:8500", "8:8500", "8c1f30d27a5be964", "seed").Replace(goodConfig):     "",
-		strings.NewReplacer("9:8500", "8:8500", `"settings":{`, `"settings":[`).Replace(goodConfig): "",
-		strings.Replace(goodConfig, "127.0.0.9:8500", "there", 1):                                   "",
-		goodConfig: "",
+		strings.Replace(nodetest.GoodConfig, "9:8500", "8:8500", 1):                                          "127.0.0.8:8500",
+		strings.NewReplacer("9:8500", "8:8500", "8c1f30d27a5be964", "seed").Replace(nodetest.GoodConfig):     "",
+		strings.NewReplacer("9:8500", "8:8500", `"settings":{`, `"settings":[`).Replace(nodetest.GoodConfig): "",
+		strings.Replace(nodetest.GoodConfig, "127.0.0.9:8500", "there", 1):                                   "",
+		nodetest.GoodConfig: "",
 	} {
-		writeFile(t, file, text)
+		nodetest.WriteFile(t, file, text)
 		moved := ""
 		next, err := c.reload(func(addr string) { moved = addr })
-		if moved != want || (err != nil) != (want == "" && text != goodConfig) || next == nil || err != nil && next != c {
+		if moved != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != c {
 			t.Errorf("moved to %q, want %q: %v", moved, want, err)
 		}
 	}
@@ -98,7 +99,7 @@
 
 func TestBadConfigurationIsOneError(t *testing.T) {
 	for _, c := range [][2]string{
-		{goodConfig, ""},
+		{nodetest.GoodConfig, ""},
 		{`"127.0.0.4:9000"`, `"here"`},
 		{"8c1f30d27a5be964", "seed"},
 		{"192", "0"},
@@ -106,7 +107,7 @@
 		{`"127.0.0.5:7946"`, `"peer"`},
 		{`"settings":{`, `"settings":[{`},
 	} {
-		_, err := parseConfig([]byte(strings.Replace(goodConfig, c[0], c[1], 1)), noEnv)
+		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, c[0], c[1], 1)), noEnv)
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q for %.30q: %v", c[1], c[0], err)
 		}
@@ -116,7 +117,7 @@
 // The operator file's settings are written over the platform's; none given changes nothing, and a class that the
 // platform does not name ends the start with its name.
 func TestOperatorSettings(t *testing.T) {
-	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
+	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
 	for _, c := range []struct{ operator, repeats, shadow, fault string }{
 		{"", settings.RetryUnsafe, "", ""},
 		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", settings.RetrySafe, "", ""},
@@ -129,7 +130,7 @@
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		err := conf.applyOperator(op)
+		err := conf.ApplyOperator(op)
 		if c.fault != "" {
 			if err == nil || err.Error() != c.fault {
 				t.Errorf("%q: %v", c.operator, err)
@@ -146,7 +147,7 @@
 // Shared health checks are done only where the operators want them and the platform allows probes and peers.
 func TestHealthChecksNeedThePlatformsLeave(t *testing.T) {
 	text := strings.NewReplacer(`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
-		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(goodConfig)
+		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
 	for k, c := range []struct {
 		old, new string
 		on, want bool
@@ -160,7 +161,7 @@
 		conf := mustParse(t, strings.Replace(text, c.old, c.new, 1))
 		op := operatorfile.Default()
 		op.HealthChecks.Enabled = c.on
-		if err := conf.applyOperator(op); err != nil {
+		if err := conf.ApplyOperator(op); err != nil {
 			t.Fatal(err)
 		}
 		if conf.sharesHealthChecks() != c.want {
@@ -184,7 +185,7 @@
 		{`"sockets":1024`, `"sockets":0`, "limits", errNotPositive},
 		{`"rev":41`, `"rev":"x"`, keyKnown, protocol.ErrMalformedList},
 	} {
-		_, err := parseConfig([]byte(strings.Replace(goodConfig, c.old, c.new, 1)), noEnv)
+		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, c.old, c.new, 1)), noEnv)
 		var fault *keyError
 		if !errors.As(err, &fault) || fault.key != c.key || c.cause != nil && !errors.Is(err, c.cause) {
 			t.Errorf("%s: %#v", c.key, err)
@@ -193,7 +194,7 @@
 			t.Errorf("%s: taken for an error of the known list, or not", c.key)
 		}
 	}
-	t.Setenv(envConfig, "")
+	t.Setenv(EnvConfig, "")
 	if _, err := loadConfig(); !errors.Is(err, errNoConfigPath) {
 		t.Error(err)
 	}
--- a/cmd/cherrygap/grpc.go
+++ b/internal/node/grpc.go
@@ -1,6 +1,6 @@
 //go:build grpc
 
-package main
+package node
 
 import (
 	"cherrygap/internal/grpcfrontend"
--- /dev/null
+++ b/internal/node/grpc_test.go
@@ -0,0 +1,37 @@
+//go:build grpc
+
+package node
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"cherrygap/internal/authz"
+	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/operatorfile"
+)
+
+// Request classes that fail open are the platform's, by name.
+func TestAuthorizationIsByThePlatformsClasses(t *testing.T) {
+	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
+	for _, open := range []string{"look", "fly"} {
+		c := mustParse(t, text)
+		op := operatorfile.Default()
+		op.Authz.FailOpen = []string{open}
+		if err := c.ApplyOperator(op); err != nil {
+			t.Fatal(err)
+		}
+		cfg, classes, err := c.authorizationConfig()
+		if open == "fly" {
+			if err == nil || !strings.Contains(err.Error(), "look, buy") {
+				t.Error(err)
+			}
+			continue
+		}
+		want := []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}
+		if err != nil || classes["buy"] != 1 || cfg.Classes[0] != want[0] || cfg.Classes[1] != want[1] || cfg.MaxInFlight != 64 {
+			t.Errorf("%+v, %v, %v", cfg, classes, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/helpers_test.go
@@ -0,0 +1,25 @@
+package node
+
+import (
+	"testing"
+)
+
+// noEnv is an environment in which nothing is set.
+func noEnv(string) string { return "" }
+
+// mustParse reads a configuration without an environment.
+func mustParse(t *testing.T, text string) *config {
+	t.Helper()
+	c, err := parseConfig([]byte(text), noEnv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// startNode runs a node in the test's own process. The channel gives what it ended with.
+func startNode(c *config) <-chan error {
+	ended := make(chan error, 1)
+	go func() { ended <- Run(c) }() // ends once a test has sent SIGTERM
+	return ended
+}
--- a/cmd/cherrygap/listen.go
+++ b/internal/node/listen.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"errors"
@@ -15,8 +15,8 @@
 	addressRetry   = 100 * time.Millisecond
 )
 
-// loadConfigAtStart is loadConfig, again and again for addressTimeout while the machine lacks what it takes to read a file.
-func loadConfigAtStart() (*config, error) {
+// LoadConfigAtStart is loadConfig, again and again for addressTimeout while the machine lacks what it takes to read a file.
+func LoadConfigAtStart() (*Config, error) {
 	for deadline := time.Now().Add(addressTimeout); ; time.Sleep(addressRetry) {
 		c, err := loadConfig()
 		if !transport.LacksResources(err) || time.Now().After(deadline) {
--- a/cmd/cherrygap/logging.go
+++ b/internal/node/logging.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"io"
@@ -34,8 +34,8 @@
 	}
 }
 
-// parseLogLevel gives the level of that name, or info for a name that is none.
-func parseLogLevel(name string) zerolog.Level {
+// ParseLogLevel gives the level of that name, or info for a name that is none.
+func ParseLogLevel(name string) zerolog.Level {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
 		return zerolog.InfoLevel
--- /dev/null
+++ b/internal/node/nodetest/nodetest.go
@@ -0,0 +1,165 @@
+// Package nodetest helps tests that run nodes: configurations, requests, listeners and processes that end with the test.
+package nodetest
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// GoodConfig is a platform configuration in which each key has a value that is used.
+const GoodConfig = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
+	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.5:7946"],
+	"peers_all":"127.0.0.6:7946","known":{"rev":41,"all":true,"targets":[]},
+	"settings":{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}}`
+
+// GoodSettings are the settings in it.
+const GoodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
+
+// WriteFile writes a text file that only its owner reads.
+func WriteFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// CloseAtEnd closes what a test opened, at its end. It may be closed already.
+func CloseAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() })
+}
+
+// Listen opens a listener on a free port of the loopback address, until the test's end.
+func Listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, ln)
+	return ln
+}
+
+// ListenPacket opens a UDP socket on a free port of the loopback address, until the test's end.
+func ListenPacket(t *testing.T) net.PacketConn {
+	t.Helper()
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn)
+	return conn
+}
+
+// FreeAddress is an address that was free a moment ago.
+func FreeAddress(t *testing.T) string {
+	t.Helper()
+	ln := Listen(t)
+	CloseNow(t, ln)
+	return ln.Addr().String()
+}
+
+// CloseNow closes what a test opened, which must succeed.
+func CloseNow(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// ServeHTTP answers with a handler on a listener of its own, until the test's end.
+func ServeHTTP(t *testing.T, handler http.HandlerFunc) net.Listener {
+	t.Helper()
+	ln := Listen(t)
+	go func() { _ = http.Serve(ln, handler) }() // ends when the listener is closed
+	return ln
+}
+
+// Dial opens a connection, until the test's end.
+func Dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn)
+	return conn
+}
+
+// Eventually waits until a condition holds, for a limit at most.
+func Eventually(t *testing.T, limit time.Duration, what string, ok func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("not seen in time: " + what)
+		}
+	}
+}
+
+// Accepts reports whether connections to an address are accepted now.
+func Accepts(address string) bool {
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		return false
+	}
+	return conn.Close() == nil
+}
+
+// SignalSelf sends a signal to the test's own process.
+func SignalSelf(t *testing.T, sig syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(syscall.Getpid(), sig); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Signal sends a signal to a process that a test started.
+func Signal(t *testing.T, p *os.Process, sig syscall.Signal) {
+	t.Helper()
+	if err := p.Signal(sig); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// KillAtEnd kills a process at the test's end, should it still run, and waits until it has ended.
+func KillAtEnd(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	t.Cleanup(func() {
+		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Wait()
+	})
+}
+
+// NodeConfig is a good configuration of a node that takes requests of one class and plan on a free port, and sends them to
+// one app server.
+func NodeConfig(t *testing.T, server net.Addr, listenOn, discovery string) string {
+	t.Helper()
+	return strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, "127.0.0.4:7946", "127.0.0.1:0",
+		`"targets":[]`, `"targets":[{"uid":"s","endpoint":"`+server.String()+`","state":"in_service"}]`,
+		`"slot_no":2`, `"replicas_of_me":1,"tick":2000,"services":[{"name":"seats","slo":2000000,"semantics":"at_most_once"}],
+		"tiers_of_service":[{"name":"team"}]`).Replace(GoodConfig)
+}
+
+// RequestText is a request of that class and plan, with a body.
+func RequestText(id string, timeout time.Duration) string {
+	return fmt.Sprintf("POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Tariff: team\r\nX-Budget-Ms: %d\r\n"+
+		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 4\r\n\r\nbody", id, timeout.Milliseconds())
+}
+
+// SendRequest writes such a request on a connection of its own and returns that.
+func SendRequest(t *testing.T, address, id string, timeout time.Duration) net.Conn {
+	t.Helper()
+	conn := Dial(t, address)
+	if _, err := io.WriteString(conn, RequestText(id, timeout)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
--- a/cmd/cherrygap/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -1,12 +1,10 @@
 //go:build !grpc
 
-package main
+package node
 
 import (
 	"errors"
 
-	"github.com/spf13/cobra"
-
 	"cherrygap/internal/transport"
 )
 
@@ -17,6 +15,3 @@
 func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
 
 func listenGRPC(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
-
-// newLabGRPCCommands are the laboratory's commands that need gRPC: here none.
-func newLabGRPCCommands(*string) []*cobra.Command { return nil }
--- /dev/null
+++ b/internal/node/nogrpc_test.go
@@ -0,0 +1,29 @@
+//go:build !grpc
+
+package node
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/operatorfile"
+)
+
+// A program without gRPC must not start as if requests were authorized.
+func TestWithoutGRPCItIsRefused(t *testing.T) {
+	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
+		op, faults := operatorfile.Parse(text)
+		if len(faults) > 0 {
+			t.Fatal(faults)
+		}
+		c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig))
+		if err := c.ApplyOperator(op); err != nil {
+			t.Fatal(err)
+		}
+		if err := Run(c); !errors.Is(err, errNoGRPC) {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+}
--- a/cmd/cherrygap/pin_values_test.go
+++ b/internal/node/pin_values_test.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"fmt"
@@ -9,6 +9,7 @@
 	"syscall"
 	"testing"
 
+	"cherrygap/internal/node/nodetest"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -92,7 +93,7 @@
 // pinnedValues are parts of the good configuration, what stands there instead, and what the node makes of that.
 var pinnedValues = []struct{ name, old, new, changes string }{
 	{"good", "", "", ""},
-	{"least", goodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
+	{"least", nodetest.GoodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
 			"limits":{"cores":0.01,"memory_mb":1,"sockets":1},"settings":{}}`, `all: invalid AddrPort
 connect: 1s
 duties: 0/0 0 0 4096 5s
@@ -109,7 +110,7 @@
 	{"keys not known", `"name"`, `"zone":"a","limit":7,"name"`, ""},
 	{"keys in other case", `"listen"`, `"LISTEN"`, ""},
 	{"a key twice", `"name":"n3"`, `"name":"n3","name":"n4"`, "name: n4"},
-	{"null values", goodConfig, `{"name":null,"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
+	{"null values", nodetest.GoodConfig, `{"name":null,"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
 			"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":null,"peers":null,"peers_all":null,"known":null,
 			"settings":{"slot_no":null,"limits":null,"services":null}}`, `all: invalid AddrPort
 connect: 1s
@@ -133,7 +134,7 @@
 	{"known null", `{"rev":41,"all":true,"targets":[]}`, "null", "known: 0 false 0"},
 	{"known empty", `{"rev":41,"all":true,"targets":[]}`, "{}", "known: 0 false 0"},
 	{"known with a server", `"targets":[]`, `"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service"}]`, "known: 41 true 1"},
-	{"settings null", goodSettings, "null", `connect: 1s
+	{"settings null", nodetest.GoodSettings, "null", `connect: 1s
 duties: 0/1 8c1f30d27a5be964 0 4096 5s
 idle: 0s
 quota: 0/0 8c1f30d27a5be964 200 20ms`},
@@ -189,8 +190,8 @@
 func TestPinnedConfigurationValues(t *testing.T) {
 	for _, c := range pinnedValues {
 		t.Run(c.name, func(t *testing.T) {
-			conf := mustParse(t, strings.Replace(goodConfig, c.old, c.new, 1))
-			if err := conf.applyOperator(operatorfile.Default()); err != nil {
+			conf := mustParse(t, strings.Replace(nodetest.GoodConfig, c.old, c.new, 1))
+			if err := conf.ApplyOperator(operatorfile.Default()); err != nil {
 				t.Fatal(err)
 			}
 			compareValues(t, conf, c.changes)
@@ -255,7 +256,7 @@
 func TestPinnedOperatorValues(t *testing.T) {
 	text := strings.NewReplacer(`{"slot_no":2`, `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}],"slot_no":2`,
 		`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
-		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(goodConfig)
+		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
 	for _, c := range pinnedOperatorValues {
 		t.Run(c.name, func(t *testing.T) {
 			conf := mustParse(t, text)
@@ -263,7 +264,7 @@
 			if len(faults) > 0 {
 				t.Fatal(faults)
 			}
-			if err := conf.applyOperator(op); err != nil {
+			if err := conf.ApplyOperator(op); err != nil {
 				t.Fatal(err)
 			}
 			compareValues(t, conf, c.changes)
@@ -285,7 +286,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "config.json")
-			writeFile(t, file, goodConfig)
+			nodetest.WriteFile(t, file, nodetest.GoodConfig)
 			for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"} {
 				t.Setenv(name, "")
 			}
--- a/cmd/cherrygap/server.go
+++ b/internal/node/server.go
@@ -1,4 +1,6 @@
-package main
+// Package node is the life cycle of one edge node: it reads the configuration, opens the node's parts in their order,
+// reloads, drains and closes them.
+package node
 
 import (
 	"runtime"
@@ -15,14 +17,16 @@
 const (
 	drainAccept   = 500 * time.Millisecond // that clients may still come for after SIGTERM; the platform's send for 0.4 s
 	heapShare     = 0.6                    // of the memory limit; the rest is for stacks, the kernel and the program
-	reloadRetry   = 100 * time.Millisecond // between two tries to read a configuration that could not be read
-	reloadTimeout = 20 * time.Second       // for all of them
+	reloadTimeout = 20 * time.Second       // for all tries to read a configuration that could not be read
 
 	gcPercent = 400 // little is live, so that a roomy heap saves collections
 )
 
+// ReloadRetry is the pause between two attempts to read a configuration that could not be read.
+const ReloadRetry = 100 * time.Millisecond
+
 // server is one running edge node: it owns the node's parts from start to close. Its fields belong to the goroutine of
-// runServer, which alone calls start, handleSignals and close, and are not written once the parts' goroutines run, except
+// Run, which alone calls start, handleSignals and close, and are not written once the parts' goroutines run, except
 // config, which these do not read. The parts are safe for concurrent use.
 type server struct {
 	config   *config // replaced by reload
@@ -51,15 +55,15 @@
 	closers      []func()      // what close calls, the last first
 }
 
-// runServer runs a node until it has drained after SIGTERM, or returns the error that ended its start.
-func runServer(c *config) error {
+// Run runs a node until it has drained after SIGTERM, or returns the error that ended its start.
+func Run(c *config) error {
 	limitRuntime(c)
 	s := newServer(c)
 	defer s.close()
 	if err := s.start(); err != nil {
 		return err
 	}
-	s.handleSignals(catchSignals())
+	s.handleSignals(CatchSignals())
 	return nil
 }
 
@@ -121,7 +125,7 @@
 }
 
 // handleSignals carries out the signals' requests, until the drain that SIGTERM begins is over.
-func (s *server) handleSignals(caught signals) {
+func (s *server) handleSignals(caught Signals) {
 	drained := make(chan struct{})
 	for {
 		select {
@@ -155,7 +159,7 @@
 			s.log.Error().Err(err).Msg("configuration reload failed")
 		}
 		if mayBeReadLater(err) && time.Now().Before(s.reloadUntil) {
-			s.reloadAgain = time.After(reloadRetry)
+			s.reloadAgain = time.After(ReloadRetry)
 		}
 		return
 	}
--- a/cmd/cherrygap/server_parts.go
+++ b/internal/node/server_parts.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"cherrygap/internal/healthcheck"
--- a/cmd/cherrygap/server_test.go
+++ b/internal/node/server_test.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"bufio"
@@ -13,36 +13,38 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 // The whole node: it serves by its known list while discovery is down, follows a new file to another discovery
 // on SIGHUP, passes over a bad one, and SIGTERM ends it once it has answered what it took.
 func TestNodeServesAndDrains(t *testing.T) {
 	started, answer := make(chan struct{}), make(chan struct{})
-	server := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(started)
 		<-answer
 		_, _ = io.Copy(w, q.Body)
 	})
-	listenOn := freeAddress(t)
-	text := nodeText(t, server.Addr(), listenOn, freeAddress(t))
+	listenOn := nodetest.FreeAddress(t)
+	text := nodetest.NodeConfig(t, server.Addr(), listenOn, nodetest.FreeAddress(t))
 	c := mustParse(t, text)
 	ended := startNode(c)
-	eventually(t, 5*time.Second, "a listener", func() bool { return accepts(listenOn) })
-	conn := sendRequest(t, listenOn, "9", 9*time.Second)
+	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
+	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 	<-started
 	asked := make(chan string, 1)
-	discovery := serveHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
+	discovery := nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
 		asked <- q.RequestURI
 		<-answer
 	})
 	file := filepath.Join(t.TempDir(), "config.json")
-	t.Setenv(envConfig, file)
+	t.Setenv(EnvConfig, file)
 	t.Setenv(envDiscovery, c.Discovery)
 	moved := strings.Replace(text, c.Discovery, discovery.Addr().String(), 1)
 	for _, now := range []string{moved[:len(moved)-9], moved} {
-		writeFile(t, file, now)
-		signalSelf(t, syscall.SIGHUP)
+		nodetest.WriteFile(t, file, now)
+		nodetest.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(20 * time.Millisecond)
 	}
 	select {
@@ -53,7 +55,7 @@
 	case <-time.After(3 * time.Second):
 		t.Error("the new discovery was never asked")
 	}
-	signalSelf(t, syscall.SIGTERM)
+	nodetest.SignalSelf(t, syscall.SIGTERM)
 	time.Sleep(drainAccept + 100*time.Millisecond)
 	select {
 	case err := <-ended:
@@ -99,17 +101,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, r)
-	closeAtEnd(t, w)
+	nodetest.CloseAtEnd(t, r)
+	nodetest.CloseAtEnd(t, w)
 	old := os.Stderr
 	os.Stderr = w
 	defer func() { os.Stderr = old }()
 	fillPipe(t, w)
-	listenOn := freeAddress(t)
-	ended := startNode(mustParse(t, strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", freeAddress(t),
-		"127.0.0.4:7946", "127.0.0.1:0").Replace(goodConfig)))
-	eventually(t, 5*time.Second, "a listener", func() bool { return accepts(listenOn) })
-	signalSelf(t, syscall.SIGTERM)
+	listenOn := nodetest.FreeAddress(t)
+	ended := startNode(mustParse(t, strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", nodetest.FreeAddress(t),
+		"127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)))
+	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
+	nodetest.SignalSelf(t, syscall.SIGTERM)
 	wantEnd(t, ended)
 }
 
@@ -131,24 +133,24 @@
 // A node that is started while the process before it still holds its addresses waits for them; any other fault of an
 // address ends the start at once.
 func TestStartWaitsForItsAddresses(t *testing.T) {
-	tcp, udp := listen(t), listenPacket(t)
-	c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", tcp.Addr().String(), "127.0.0.9:8500", freeAddress(t),
-		"127.0.0.4:7946", udp.LocalAddr().String()).Replace(goodConfig))
+	tcp, udp := nodetest.Listen(t), nodetest.ListenPacket(t)
+	c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", tcp.Addr().String(), "127.0.0.9:8500", nodetest.FreeAddress(t),
+		"127.0.0.4:7946", udp.LocalAddr().String()).Replace(nodetest.GoodConfig))
 	ended := startNode(c)
 	time.Sleep(2 * addressRetry)
-	closeNow(t, udp)
+	nodetest.CloseNow(t, udp)
 	time.Sleep(2 * addressRetry)
 	select {
 	case err := <-ended:
 		t.Fatal(err)
 	default:
 	}
-	closeNow(t, tcp)
-	eventually(t, 5*time.Second, "a listener", func() bool {
+	nodetest.CloseNow(t, tcp)
+	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool {
 		response, err := http.Get("http://" + c.Listen + "/healthz")
 		return err == nil && response.Body.Close() == nil
 	})
-	signalSelf(t, syscall.SIGTERM)
+	nodetest.SignalSelf(t, syscall.SIGTERM)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -173,7 +175,7 @@
 
 // A start that fails closes what it has opened: here the timer, when the peers' address is no address of this machine.
 func TestFailedStartIsClosed(t *testing.T) {
-	s := newServer(mustParse(t, strings.Replace(goodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
+	s := newServer(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
 	err := s.start()
 	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(s.closers) != 2 || s.router != nil {
 		t.Errorf("%v, %d to close", err, len(s.closers))
--- a/cmd/cherrygap/signals.go
+++ b/internal/node/signals.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"os"
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// signals are the signals that the node handles. Each kind has a channel of its own with room for one, so that many
+// Signals are the signals that the node handles. Each kind has a channel of its own with room for one, so that many
 // of one kind never displace another.
-type signals struct {
+type Signals struct {
 	terminate chan os.Signal // SIGTERM, SIGINT: drain and end
 	reload    chan os.Signal // SIGHUP: read the configuration again
 	counters  chan os.Signal // SIGUSR1: log the counters
 }
 
-// catchSignals begins to catch the node's signals, once in the process. main calls it before anything is read: by default
+// CatchSignals begins to catch the node's signals, once in the process. main calls it before anything is read: by default
 // a signal that comes early would end the process.
-var catchSignals = sync.OnceValue(func() signals {
-	s := signals{
+var CatchSignals = sync.OnceValue(func() Signals {
+	s := Signals{
 		terminate: make(chan os.Signal, 1),
 		reload:    make(chan os.Signal, 1),
 		counters:  make(chan os.Signal, 1),
--- a/cmd/cherrygap/signals_test.go
+++ b/internal/node/signals_test.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"fmt"
@@ -12,12 +12,14 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/node/nodetest"
 )
 
 // serveDiscovery is a discovery service that holds every call, and reports which host was asked.
 func serveDiscovery(t *testing.T, asked chan<- string) net.Listener {
 	t.Helper()
-	return serveHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
+	return nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
 		asked <- q.Host
 		<-q.Context().Done()
 	})
@@ -44,23 +46,23 @@
 	file, asked := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
 	first, second := serveDiscovery(t, asked), serveDiscovery(t, asked)
 	got, answer := make(chan struct{}), make(chan struct{})
-	server := serveHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(got)
 		<-answer
 		_, _ = io.Copy(w, q.Body)
 	})
-	listenOn := freeAddress(t)
-	text := nodeText(t, server.Addr(), listenOn, freeAddress(t))
+	listenOn := nodetest.FreeAddress(t)
+	text := nodetest.NodeConfig(t, server.Addr(), listenOn, nodetest.FreeAddress(t))
 	c := mustParse(t, text)
 	nameDiscovery := func(ln net.Listener) {
-		writeFile(t, file, strings.Replace(text, c.fileDiscovery, ln.Addr().String(), 1))
+		nodetest.WriteFile(t, file, strings.Replace(text, c.fileDiscovery, ln.Addr().String(), 1))
 	}
-	t.Setenv(envConfig, file)
+	t.Setenv(EnvConfig, file)
 	nameDiscovery(first)
-	caught := catchSignals() // as main does, before it reads anything
+	caught := CatchSignals() // as main does, before it reads anything
 	for range 20 {
-		signalSelf(t, syscall.SIGUSR1)
-		signalSelf(t, syscall.SIGHUP)
+		nodetest.SignalSelf(t, syscall.SIGUSR1)
+		nodetest.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(time.Millisecond)
 	}
 	if len(caught.reload) != 1 || len(caught.counters) != 1 || len(caught.terminate) != 0 {
@@ -68,15 +70,15 @@
 	}
 	ended := startNode(c)
 	wantAsked(t, asked, first.Addr().String())
-	conn := sendRequest(t, listenOn, "9", 9*time.Second)
+	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 	<-got
-	signalSelf(t, syscall.SIGTERM)
+	nodetest.SignalSelf(t, syscall.SIGTERM)
 	time.Sleep(10 * time.Millisecond)
 	nameDiscovery(second)
 	for range 9 {
-		signalSelf(t, syscall.SIGUSR1)
-		signalSelf(t, syscall.SIGTERM)
-		signalSelf(t, syscall.SIGHUP)
+		nodetest.SignalSelf(t, syscall.SIGUSR1)
+		nodetest.SignalSelf(t, syscall.SIGTERM)
+		nodetest.SignalSelf(t, syscall.SIGHUP)
 	}
 	wantAsked(t, asked, second.Addr().String())
 	close(answer)
@@ -86,7 +88,7 @@
 }
 
 // discard takes out what waits, which is no other test's.
-func (s signals) discard() {
+func (s Signals) discard() {
 	for len(s.terminate)+len(s.reload)+len(s.counters) > 0 {
 		select {
 		case <-s.terminate:
@@ -99,7 +101,7 @@
 // The log's reader goes, as when it restarts: a node is not ended by that. The test runs itself as the process that writes.
 func TestALogWhoseReaderWentEndsNoNode(t *testing.T) {
 	if os.Getenv("LOG_READER_WENT") != "" {
-		catchSignals()
+		CatchSignals()
 		for range 3 {
 			fmt.Fprintln(os.Stderr, "a line that nobody reads")
 		}
@@ -110,8 +112,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeNow(t, r)
-	closeAtEnd(t, w)
+	nodetest.CloseNow(t, r)
+	nodetest.CloseAtEnd(t, w)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestALogWhoseReaderWentEndsNoNode$")
 	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_WENT=1"), w
 	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "goes on") {
