--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,106 +1,133 @@
-// Package authz decides how requests are checked by an external authorizer that may be late, gone or overloaded: whether it
-// is asked about a request, how long its answer is awaited, how many checks are in flight, and what holds where none came.
-// It holds no I/O and no clock: times are given, as spans since any moment that stays the same. A request is sent to an app
-// server only once its check is final; what a check took is gone from the request's time.
+// Package authz decides how requests are checked by an external authorizer. The authorizer may be slow, unreachable or
+// overloaded.
+//
+// Inputs: requests with the time that they have left, and the outcomes of the checks. State: the number of checks in flight,
+// and a circuit breaker. Rule: a request is checked unless its time is too short, too many checks are in flight, or the
+// breaker is open. Without an answer within the timeout, the request's class decides: it fails open (the request is allowed)
+// or closed (the request is rejected). Protects the requests' latency against a slow authorizer, and the authorizer against
+// overload. Trade-off: requests of a class that fails open may pass unchecked.
+//
+// The package holds no I/O and no clock. The host passes the current time to each call, as the time since any fixed origin.
 package authz
 
 import "time"
 
-// Tuned values, as ratios to settings.
 const (
-	waitShare    = 0.25 // of a class's latency objective, that an answer is awaited
-	timeoutShare = 0.5  // of the time that the request has left, that a check may take at most
+	// timeoutObjectives is the timeout of a check, in latency objectives of the request's class.
+	timeoutObjectives = 0.25
+	// maxTimeoutRatio is the largest timeout of a check, as a share of the time until the request's deadline.
+	maxTimeoutRatio = 0.5
 )
 
-// Class is how the requests of a class are checked.
+// Class is the policy for the requests of a class.
 type Class struct {
 	LatencyObjective time.Duration
-	FailOpen         bool // where no answer comes its requests pass; else they are rejected
+	FailOpen         bool // without an answer, whether a request is allowed; otherwise it is rejected
 }
 
-// Config is what a Policy starts from.
+// Config configures a Policy.
 type Config struct {
-	Classes       []Class       // by their numbers
-	MaxInFlight   int           // checks at once
-	MaxRetryAfter time.Duration // the longest time that a rejection may name; 0 where it may name none
+	Classes       []Class       // by class number
+	MaxInFlight   int           // limit of checks in flight; with 0 no request is checked
+	MaxRetryAfter time.Duration // largest result of Policy.RetryAfter; 0 for no Retry-After
 }
 
-// Verdict is what holds for a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
-// The verdicts. Reject means that no answer came and the class fails closed: nothing has run, so that trying again is
-// harmless.
 const (
-	CheckNeeded Verdict = iota // not yet: check it, and report the outcome to End
-	Allow                      // it may be sent to an app server
-	Deny                       // the authorizer says no
+	// CheckNeeded asks the caller to check the request with the authorizer, and to call End with the outcome.
+	CheckNeeded Verdict = iota
+	// Allow admits the request.
+	Allow
+	// Deny refuses the request, because the authorizer denied it.
+	Deny
+	// Reject refuses the request, because there was no answer. The client may retry: the request was not executed.
 	Reject
 )
 
-// Outcome is how a check ended.
+// Outcome is the outcome of a check.
 type Outcome uint8
 
-// The outcomes. Any but the first two leaves what holds without an answer.
 const (
+	// Allowed is an answer that allows the request.
 	Allowed Outcome = iota
+	// Denied is an answer that denies the request.
 	Denied
+	// TimedOut is a check without an answer within its timeout.
 	TimedOut
-	Failed     // the call failed, or its answer makes no sense
-	ClientGone // before the answer: says nothing of the authorizer
+	// Failed is a failed call, or a malformed answer.
+	Failed
+	// ClientGone is a check that ended because the client disconnected. It does not count against the authorizer.
+	ClientGone
 )
 
-// Counters count what a Policy did, for the node's log.
+// Counters count events since New.
 type Counters struct {
-	Checks, Allowed, Denied, Unanswered, ClientGone int64
-	FailedOpen, FailedClosed                        int64 // requests that passed, and that were rejected, without an answer
-	OverLimit                                       int64 // of those, for too many checks in flight
-	BreakerOpened                                   int64 // times that the authorizer was left alone after failures
+	Checks        int64 // checks begun
+	Allowed       int64 // checks with the outcome Allowed
+	Denied        int64 // checks with the outcome Denied
+	Unanswered    int64 // checks with the outcome TimedOut or Failed
+	ClientGone    int64 // checks with the outcome ClientGone
+	FailedOpen    int64 // requests allowed without an answer
+	FailedClosed  int64 // requests rejected without an answer
+	OverLimit     int64 // requests not checked because of Config.MaxInFlight
+	BreakerOpened int64 // times that the circuit breaker opened
 }
 
-// Policy is one node's part. Its methods must not run at the same time.
+// Policy decides on the checks of one node. It is not safe for concurrent use.
 type Policy struct {
 	config   Config
-	inFlight int
+	inFlight int // checks between Begin and End
 	breaker  breaker
 	counters Counters
 }
 
-// New makes a Policy.
+// New returns a Policy without checks in flight.
 func New(cfg Config) *Policy { return &Policy{config: cfg} }
 
-// Counters are what the policy did so far.
+// Counters returns the counts since New.
 func (p *Policy) Counters() Counters { return p.counters }
 
-// InFlight is how many checks are in flight.
+// InFlight returns the number of checks in flight.
 func (p *Policy) InFlight() int { return p.inFlight }
 
-// RetryAfter is when a rejected request of a class does best to come again; 0 where that may not be said.
+// RetryAfter returns the Retry-After of a rejected request of a class: the time until the breaker allows a check, at least
+// the timeout of a check, and at most Config.MaxRetryAfter.
 func (p *Policy) RetryAfter(now time.Duration, class int) time.Duration {
-	return min(max(p.breaker.openUntil-now, p.config.Classes[class].wait()), p.config.MaxRetryAfter)
+	return min(max(p.breaker.openUntil-now, p.config.Classes[class].timeout()), p.config.MaxRetryAfter)
 }
 
-// wait is how long an answer is awaited for a request with time enough.
-func (c Class) wait() time.Duration { return time.Duration(waitShare * float64(c.LatencyObjective)) }
+// timeout returns the timeout of a check for a request that has enough time left.
+func (c Class) timeout() time.Duration {
+	return time.Duration(timeoutObjectives * float64(c.LatencyObjective))
+}
+
+// Decision is the result of Begin.
+type Decision struct {
+	Verdict Verdict
+	Timeout time.Duration // of the check; set only for CheckNeeded
+}
 
-// Begin decides on a request of a class that has so much time left: a verdict at once, or CheckNeeded, with how long to
-// wait for the answer.
-func (p *Policy) Begin(now time.Duration, class int, left time.Duration) (Verdict, time.Duration) {
+// Begin decides on a request of a class. left is the time until the request's deadline. After CheckNeeded the caller must
+// call End once, with the outcome of the check.
+func (p *Policy) Begin(now time.Duration, class int, left time.Duration) Decision {
 	c := p.config.Classes[class]
-	wait := min(c.wait(), time.Duration(timeoutShare*float64(left)))
-	if wait <= 0 || !p.breaker.allows(now) {
-		return p.withoutAnswer(c), 0
+	timeout := min(c.timeout(), time.Duration(maxTimeoutRatio*float64(left)))
+	if timeout <= 0 || !p.breaker.allows(now) {
+		return Decision{Verdict: p.withoutAnswer(c)}
 	}
 	if p.inFlight >= p.config.MaxInFlight {
 		p.counters.OverLimit++
-		return p.withoutAnswer(c), 0
+		return Decision{Verdict: p.withoutAnswer(c)}
 	}
 	p.breaker.begin()
 	p.inFlight++
 	p.counters.Checks++
-	return CheckNeeded, wait
+	return Decision{Verdict: CheckNeeded, Timeout: timeout}
 }
 
-// withoutAnswer is what holds for a class without an answer.
+// withoutAnswer returns and counts the verdict on a request of a class without an answer.
 func (p *Policy) withoutAnswer(c Class) Verdict {
 	if c.FailOpen {
 		p.counters.FailedOpen++
@@ -110,10 +137,10 @@
 	return Reject
 }
 
-// End reports how a check ended that Begin asked for, once for each, and returns the request's verdict. What comes after a
-// check was given up must not be reported: its request has its verdict. Waited is what Begin gave it: no answer within less
-// than a class's usual wait, as for a request with little time left, says nothing of the authorizer.
-func (p *Policy) End(now time.Duration, class int, outcome Outcome, waited time.Duration) Verdict {
+// End ends a check that Begin asked for, and returns the final verdict. timeout is the Decision's Timeout. An answer that
+// arrives after End must be discarded. A check that timed out counts against the authorizer only if its timeout was the full
+// one of its class.
+func (p *Policy) End(now time.Duration, class int, outcome Outcome, timeout time.Duration) Verdict {
 	c := p.config.Classes[class]
 	p.inFlight--
 	p.breaker.ended()
@@ -131,7 +158,8 @@
 		return Reject
 	}
 	p.counters.Unanswered++
-	if hurried := outcome == TimedOut && waited < c.wait(); !hurried && p.breaker.failed(now, c.LatencyObjective) {
+	shortened := outcome == TimedOut && timeout < c.timeout()
+	if !shortened && p.breaker.failed(now, c.LatencyObjective) {
 		p.counters.BreakerOpened++
 	}
 	return p.withoutAnswer(c)
--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newPolicy is a policy of two classes, of which the first fails open.
+// newPolicy returns a policy of two classes. The first one fails open, the second one closed.
 func newPolicy(maxInFlight int) *Policy {
 	return New(Config{
 		Classes: []Class{
@@ -18,58 +18,59 @@
 	})
 }
 
-// Each request gets one verdict, after its check where one was asked for; no answer leaves what its class says.
-func TestVerdicts(t *testing.T) {
+// The outcome of the check decides on a request. Without an answer its class decides.
+func TestVerdictFollowsOutcomeOrClass(t *testing.T) {
 	for class, unanswered := range []Verdict{Allow, Reject} {
 		for outcome, want := range map[Outcome]Verdict{
 			Allowed: Allow, Denied: Deny, TimedOut: unanswered, Failed: unanswered, ClientGone: Reject,
 		} {
 			t.Run(fmt.Sprintf("class %d, outcome %d", class, outcome), func(t *testing.T) {
 				p := newPolicy(4)
-				if v, wait := p.Begin(0, class, time.Hour); v != CheckNeeded || wait != p.config.Classes[class].LatencyObjective/4 {
-					t.Fatalf("%v, %v", v, wait)
+				if d := p.Begin(0, class, time.Hour); d.Verdict != CheckNeeded || d.Timeout != p.config.Classes[class].LatencyObjective/4 {
+					t.Fatalf("%+v", d)
 				}
 				if v := p.End(0, class, outcome, p.config.Classes[class].LatencyObjective/4); v != want || p.InFlight() != 0 {
 					t.Errorf("%v", v)
 				}
 			})
 		}
-		t.Run(fmt.Sprintf("class %d, none may be in flight", class), func(t *testing.T) {
+		t.Run(fmt.Sprintf("class %d, no check may be in flight", class), func(t *testing.T) {
 			p := newPolicy(0)
-			if v, _ := p.Begin(0, class, time.Hour); v != unanswered || p.Counters().OverLimit != 1 {
-				t.Errorf("%v", v)
+			if d := p.Begin(0, class, time.Hour); d.Verdict != unanswered || p.Counters().OverLimit != 1 {
+				t.Errorf("%+v", d)
 			}
 		})
 	}
 }
 
-func TestLittleTimeLeft(t *testing.T) {
-	if v, wait := newPolicy(4).Begin(0, 1, 100*time.Millisecond); v != CheckNeeded || wait != 50*time.Millisecond {
-		t.Errorf("little time left: %v, %v", v, wait)
+// A request with little time left has a shorter timeout, which does not count against the authorizer.
+func TestTimeoutOfRequestWithLittleTimeLeft(t *testing.T) {
+	if d := newPolicy(4).Begin(0, 1, 100*time.Millisecond); d.Verdict != CheckNeeded || d.Timeout != 50*time.Millisecond {
+		t.Errorf("little time left: %+v", d)
 	}
 	p := newPolicy(4)
-	for range 3 * maxFailures { // clients with little time left say nothing of the authorizer
+	for range 3 * maxFailures {
 		p.Begin(0, 1, 100*time.Millisecond)
 		p.End(0, 1, TimedOut, 50*time.Millisecond)
 	}
-	if v, _ := p.Begin(0, 1, time.Hour); v != CheckNeeded {
-		t.Errorf("after clients with little time left: %v", v)
+	if d := p.Begin(0, 1, time.Hour); d.Verdict != CheckNeeded {
+		t.Errorf("after shortened timeouts: %+v", d)
 	}
-	if v, _ := newPolicy(4).Begin(0, 1, -1); v != Reject {
-		t.Errorf("no time left: %v", v)
+	if d := newPolicy(4).Begin(0, 1, -1); d.Verdict != Reject {
+		t.Errorf("no time left: %+v", d)
 	}
 }
 
-// An authorizer that does not answer is left alone, then tried by one check at a time, and asked again once it answers.
-func TestSilentAuthorizerIsLeftAlone(t *testing.T) {
+// An authorizer that does not answer gets one trial check at a time. Once it answers, all requests are checked again.
+func TestUnresponsiveAuthorizerGetsTrialsOnly(t *testing.T) {
 	p, random, checks := newPolicy(16), rand.New(rand.NewPCG(1, 1)), 0
-	var timeouts []time.Duration // of the checks in flight
+	var timeouts []time.Duration // times at which the checks in flight time out
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * time.Millisecond {
-		if v, wait := p.Begin(now, 1, time.Second); v == CheckNeeded {
+		if d := p.Begin(now, 1, time.Second); d.Verdict == CheckNeeded {
 			checks++
-			timeouts = append(timeouts, now+wait)
-		} else if v != Reject {
-			t.Fatal(v)
+			timeouts = append(timeouts, now+d.Timeout)
+		} else if d.Verdict != Reject {
+			t.Fatalf("%+v", d)
 		}
 		for len(timeouts) > 0 && timeouts[0] <= now {
 			timeouts = timeouts[1:]
@@ -79,16 +80,16 @@
 			t.Fatalf("%d in flight", p.InFlight())
 		}
 	}
-	if checks > 16+40 || p.Counters().BreakerOpened < 4 { // the first ones at once, then trials
+	if checks > 16+40 || p.Counters().BreakerOpened < 4 { // the limit in flight, then trials
 		t.Errorf("%d checks in 30 s, %+v", checks, p.Counters())
 	}
 	for now := 30 * time.Second; now < 45*time.Second; now += 5 * time.Millisecond {
-		if v, _ := p.Begin(now, 1, time.Second); v == CheckNeeded {
+		if p.Begin(now, 1, time.Second).Verdict == CheckNeeded {
 			p.End(now, 1, []Outcome{Allowed, Denied, ClientGone}[random.IntN(3)], 0)
 		}
 	}
-	if v, _ := p.Begin(45*time.Second, 1, time.Second); v != CheckNeeded || p.breaker.consecutiveFailures > 0 {
-		t.Error("it answers again and is not asked")
+	if d := p.Begin(45*time.Second, 1, time.Second); d.Verdict != CheckNeeded || p.breaker.consecutiveFailures > 0 {
+		t.Errorf("after answers: %+v, %d consecutive failures", d, p.breaker.consecutiveFailures)
 	}
 	if after := p.RetryAfter(45*time.Second, 1); after != 200*time.Millisecond {
 		t.Errorf("retry after %v", after)
--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -5,47 +5,55 @@
 	"time"
 )
 
-// Tuned values of the circuit breaker.
+// Circuit breaker.
+//
+// Inputs: the results of the checks, and the time. State: the number of consecutive failures. Rule: after maxFailures
+// consecutive failures the breaker opens, and no check begins. Then the breaker is half open: one trial check at a time may
+// begin. A failed trial opens the breaker again, for twice the time. An answer closes it.
+
 const (
-	maxFailures  = 5   // in a row, until the authorizer is left alone
-	openWaits    = 2.0 // times the wait for an answer, that it is left alone first; doubled each time a trial fails
-	maxDoublings = 10  // of that
-	maxOpen      = 5 * time.Second
+	// maxFailures is the number of consecutive failures at which the breaker opens.
+	maxFailures = 5
+	// firstOpenTimeouts is the time for which the breaker opens first, in timeouts of the class whose check failed.
+	firstOpenTimeouts = 2.0
+	// maxOpenDoublings bounds the doublings of that time.
+	maxOpenDoublings = 10
+	// maxOpenTime is the longest time for which the breaker opens.
+	maxOpenTime = 5 * time.Second
 )
 
-// breaker leaves the authorizer alone after failures in a row, then tries it with one check at a time. The zero value lets
-// all pass.
+// breaker is the circuit breaker of the authorizer. The zero value is closed.
 type breaker struct {
 	consecutiveFailures int
-	openUntil           time.Duration // the authorizer is left alone until then
-	trialInFlight       bool          // one check is in flight after that
+	openUntil           time.Duration // end of the open time; the breaker is half open from then on
+	trialInFlight       bool          // whether a check that began in the half-open state is in flight
 }
 
-// broken reports whether the authorizer has failed so often that it gets trials at most.
-func (b *breaker) broken() bool { return b.consecutiveFailures >= maxFailures }
+// tripped reports whether the breaker is open or half open.
+func (b *breaker) tripped() bool { return b.consecutiveFailures >= maxFailures }
 
 // allows reports whether a check may begin.
 func (b *breaker) allows(now time.Duration) bool {
-	return !b.broken() || now >= b.openUntil && !b.trialInFlight
+	return !b.tripped() || now >= b.openUntil && !b.trialInFlight
 }
 
-// begin notes that a check begins, which allows has let pass.
-func (b *breaker) begin() { b.trialInFlight = b.broken() }
+// begin records that a check begins. The caller has called allows.
+func (b *breaker) begin() { b.trialInFlight = b.tripped() }
 
-// ended notes that a check ended, however.
+// ended records that a check ended with any outcome.
 func (b *breaker) ended() { b.trialInFlight = false }
 
-// succeeded notes an answer.
+// succeeded records an answer of the authorizer.
 func (b *breaker) succeeded() { b.consecutiveFailures = 0 }
 
-// failed notes that a check of a class came to nothing, and reports whether the authorizer is left alone from now on. Checks
-// that were in flight together when it failed count as one failure more, not as many.
+// failed records a failed check of a class, and reports whether the breaker opens. Failures of checks that were already in
+// flight when the breaker opened do not prolong the open time.
 func (b *breaker) failed(now, latencyObjective time.Duration) (opened bool) {
 	b.consecutiveFailures++
-	if b.broken() && now >= b.openUntil {
-		doublings := min(b.consecutiveFailures-maxFailures, maxDoublings)
-		open := openWaits * waitShare * float64(latencyObjective) * math.Exp2(float64(doublings))
-		b.openUntil = now + min(time.Duration(open), maxOpen)
+	if b.tripped() && now >= b.openUntil {
+		doublings := min(b.consecutiveFailures-maxFailures, maxOpenDoublings)
+		openTime := firstOpenTimeouts * timeoutObjectives * float64(latencyObjective) * math.Exp2(float64(doublings))
+		b.openUntil = now + min(time.Duration(openTime), maxOpenTime)
 		return true
 	}
 	if b.consecutiveFailures > maxFailures {
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -72,18 +72,18 @@
 func (a *Authorizer) Check(ctx context.Context, r *protocol.Request, left time.Duration) (authz.Verdict, time.Duration) {
 	class := a.classes[r.Class]
 	a.mu.Lock()
-	verdict, wait := a.policy.Begin(a.now(), class, left)
+	decision := a.policy.Begin(a.now(), class, left)
 	retryAfter := a.policy.RetryAfter(a.now(), class)
 	a.mu.Unlock()
-	if verdict != authz.CheckNeeded {
-		return verdict, retryAfter
+	if decision.Verdict != authz.CheckNeeded {
+		return decision.Verdict, retryAfter
 	}
 	began := time.Now()
-	outcome := a.call(ctx, r, wait)
+	outcome := a.call(ctx, r, decision.Timeout)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_ = a.latencies.RecordValue(min(time.Since(began), maxLatency).Microseconds()) // it is within the histogram's range
-	verdict = a.policy.End(a.now(), class, outcome, wait)
+	verdict := a.policy.End(a.now(), class, outcome, decision.Timeout)
 	return verdict, a.policy.RetryAfter(a.now(), class)
 }
 
