--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -7,40 +7,39 @@
 	"cherrygap/internal/simproto"
 )
 
-// writeDecision writes the action of a decision. It panics on one that the protocol has no action for, which the
-// caller turns into the instance's fault.
+// timerToken is the token of an engine's timer. An engine has one timer at a time.
+const timerToken = 0
+
+// writeDecision adds the action for a decision to the reply. It panics if the protocol has no action for the decision. The
+// caller runs it within recoverFault.
 func (a *adapter) writeDecision(instance instanceID, d decision.Decision) {
 	begin := func(code simproto.ActionCode) *simproto.Reply { return a.reply.Begin(code, uint16(instance)) }
 	switch d.Action {
 	case decision.Forward:
-		begin(simproto.ActionPassOn).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration)).Uint32(uint32(d.Server))
+		begin(simproto.ActionForward).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration)).Uint32(uint32(d.Server))
 	case decision.Reject:
-		begin(simproto.ActionRefuse).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration))
+		begin(simproto.ActionReject).Uint32(uint32(d.Request)).Uint32(wireMicros(d.Duration))
 	case decision.Fail:
-		begin(simproto.ActionSurrender).Uint32(uint32(d.Request))
+		begin(simproto.ActionFail).Uint32(uint32(d.Request))
 	case decision.CancelAttempt:
-		begin(simproto.ActionRecall).Uint32(uint32(d.Request)).Uint8(uint8(d.Attempt))
+		begin(simproto.ActionCancelAttempt).Uint32(uint32(d.Request)).Uint8(uint8(d.Attempt))
 	case decision.SetTimer:
-		begin(simproto.ActionWakeAt).Uint32(wireMicros(d.Duration)).Uint32(timerToken)
+		begin(simproto.ActionSetTimer).Uint32(wireMicros(d.Duration)).Uint32(timerToken)
 	case decision.HealthCheck:
-		begin(simproto.ActionSample).Uint32(uint32(d.Server))
+		begin(simproto.ActionCheckHealth).Uint32(uint32(d.Server))
 	case decision.SendPeerMessage:
-		begin(simproto.ActionWritePeer).Uint32(wirePeer(d.Peer)).Text(d.Payload)
+		begin(simproto.ActionSendPeerMessage).Uint32(wirePeer(d.Peer)).Text(d.Payload)
 	case decision.PollEndpoints:
-		begin(simproto.ActionStreamChanges).Uint8(subscribe)
+		begin(simproto.ActionWatchEndpoints).Uint8(simproto.Subscribe)
 	case decision.LogSummary:
-		begin(simproto.ActionNoteDown).Text(d.Payload)
+		begin(simproto.ActionLog).Text(d.Payload)
 	default:
 		panic(fmt.Sprintf("decision with unknown action %d", d.Action))
 	}
 	a.reply.End()
 }
 
-const (
-	timerToken = 0 // an engine has one timer at a time
-	subscribe  = 1
-)
-
+// wirePeer returns the receiver of a peer message on the wire.
 func wirePeer(peer decision.NodeID) uint32 {
 	if peer == decision.AllPeers {
 		return simproto.AllPeers
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -12,35 +12,34 @@
 	"cherrygap/internal/simproto"
 )
 
-// instanceID is the simulator's number of an instance.
+// instanceID is the simulator's number of an instance, a simulated node.
 type instanceID uint16
 
-// adapter holds the instances of this process, which share nothing, and the buffers of the batch at hand. It is used by
-// one goroutine.
+// adapter runs the engines of the simulated nodes. It is not safe for concurrent use.
 type adapter struct {
 	engines map[instanceID]*decision.Engine
-	active  []instanceID // instances with an event in the batch, in the order of their first one
-	now     decision.Time
-	reply   simproto.Reply
+	active  []instanceID   // instances with an event in the current batch, in the order of their first event
+	now     decision.Time  // time of the current batch
+	reply   simproto.Reply // to the current batch
 
-	// Buffers of one event's fields, used again for the next.
-	loadReport []float64
-	endpoints  []decision.Endpoint
+	loadReport []float64           // buffer of the current event
+	endpoints  []decision.Endpoint // buffer of the current event
 }
 
-// run answers batches until the end of input. Input that does not follow the protocol is a simproto.FormatError.
+// run replies to batches until the end of the input. For input that does not follow the protocol the error is a
+// *simproto.FormatError.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{engines: map[instanceID]*decision.Engine{}}
 	reader, writer := simproto.NewReader(in), bufio.NewWriter(out)
 	for {
-		clock, records, err := reader.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := a.answer(clock, records); err != nil {
+		if err := a.handleBatch(batch); err != nil {
 			return err
 		}
 		if _, err := writer.Write(a.reply.Finish()); err != nil {
@@ -52,14 +51,18 @@
 	}
 }
 
-// answer takes in a batch's events and builds the reply: first all events, then the decisions of each instance that had
-// one.
-func (a *adapter) answer(clock uint64, records *simproto.Cursor) error {
-	a.now = decision.Time(clock / microsPerTime)
+// handleBatch reports all events of a batch to the engines. Then it builds the reply from the decisions of each instance
+// that had an event.
+func (a *adapter) handleBatch(batch simproto.Batch) error {
+	a.now = decision.Time(batch.ClockMicros / microsPerTime)
 	a.active = a.active[:0]
 	a.reply.Reset()
-	for records.More() {
-		if err := a.takeEvent(records); err != nil {
+	for batch.Records.More() {
+		record, err := batch.Records.Record()
+		if err != nil {
+			return err
+		}
+		if err := a.handleEvent(record); err != nil {
 			return err
 		}
 	}
@@ -69,23 +72,19 @@
 	return nil
 }
 
-// takeEvent reads one record and reports it to its instance's engine.
-func (a *adapter) takeEvent(records *simproto.Cursor) error {
-	offset := records.Offset()
-	code, fields, err := records.Record()
-	if err != nil {
-		return err
-	}
+// handleEvent reports an event to the engine of its instance. An error is a *simproto.FormatError.
+func (a *adapter) handleEvent(record simproto.Record) error {
+	fields := record.Fields
 	instance := instanceID(fields.Uint16())
-	switch code {
-	case simproto.EventBegin:
+	switch record.Code {
+	case simproto.EventInstanceStarted:
 		return a.begin(instance, fields)
-	case simproto.EventKill:
-		return a.kill(instance, offset, fields)
+	case simproto.EventInstanceKilled:
+		return a.kill(instance, record)
 	}
-	report, err := a.readEvent(code, fields)
+	report, err := a.readEvent(record.Code, fields)
 	if err != nil {
-		return &simproto.FormatError{Offset: offset, Err: err}
+		return &simproto.FormatError{Offset: record.Offset, Err: err}
 	}
 	if fields.Err() != nil {
 		return fields.Err()
@@ -93,8 +92,8 @@
 	engine := a.engines[instance]
 	if engine == nil {
 		return &simproto.FormatError{
-			Offset: offset,
-			Err:    fmt.Errorf("event %d for instance %d, which has not begun", code, instance),
+			Offset: record.Offset,
+			Err:    fmt.Errorf("event %d for instance %d, which has not begun", record.Code, instance),
 		}
 	}
 	a.markActive(instance)
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// begin starts an instance, anew if there is one of its number.
+// begin starts an instance. It replaces an instance with the same number.
 func (a *adapter) begin(instance instanceID, fields *simproto.Cursor) error {
 	seed := fields.Uint64()
 	text := fields.Bytes(fields.Uint32())
@@ -118,13 +117,16 @@
 	return nil
 }
 
-// kill discards an instance and what it did not decide yet.
-func (a *adapter) kill(instance instanceID, offset int64, fields *simproto.Cursor) error {
-	if fields.Err() != nil {
-		return fields.Err()
+// kill removes an instance and its pending decisions.
+func (a *adapter) kill(instance instanceID, record simproto.Record) error {
+	if err := record.Fields.Err(); err != nil {
+		return err
 	}
 	if a.engines[instance] == nil {
-		return &simproto.FormatError{Offset: offset, Err: fmt.Errorf("kill of instance %d, which has not begun", instance)}
+		return &simproto.FormatError{
+			Offset: record.Offset,
+			Err:    fmt.Errorf("kill of instance %d, which has not begun", instance),
+		}
 	}
 	delete(a.engines, instance)
 	if i := slices.Index(a.active, instance); i >= 0 {
@@ -133,13 +135,14 @@
 	return nil
 }
 
+// markActive records that an instance has an event in the current batch.
 func (a *adapter) markActive(instance instanceID) {
 	if !slices.Contains(a.active, instance) {
 		a.active = append(a.active, instance)
 	}
 }
 
-// collectDecisions asks an instance's engine for decisions until it has no more, and writes them.
+// collectDecisions adds the decisions of an instance's engine to the reply.
 func (a *adapter) collectDecisions(instance instanceID) {
 	engine := a.engines[instance]
 	if engine == nil {
@@ -156,7 +159,7 @@
 	})
 }
 
-// recoverFault calls f and turns a panic into the instance's fault, which ends the simulated day with its text.
+// recoverFault calls f. It turns a panic into an ActionFault of the instance, on which the simulator ends the run.
 func (a *adapter) recoverFault(instance instanceID, f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/simadapter/codes.go
+++ b/cmd/simadapter/codes.go
@@ -5,16 +5,17 @@
 	"cherrygap/internal/simproto"
 )
 
-// microsPerTime is how many microseconds one unit of decision.Time has.
+// microsPerTime is the unit of decision.Time, in microseconds.
 const microsPerTime = 100
 
-// engineTime turns the protocol's microseconds into the engine's time, rounded down.
+// engineTime converts microseconds to the engine's time, rounded down.
 func engineTime(micros uint32) decision.Time { return decision.Time(micros / microsPerTime) }
 
-// wireMicros turns the engine's time into the protocol's microseconds. A time below 0 wraps, which the simulator reads
-// as one that has passed.
+// wireMicros converts the engine's time to microseconds. A negative time wraps around. The simulator reads the result as a
+// time in the past.
 func wireMicros(t decision.Time) uint32 { return uint32(t * microsPerTime) }
 
+// listKinds, endpointStates and outcomes map the codes on the wire to the engine's types.
 var listKinds = map[simproto.ListKind]decision.EndpointListKind{
 	simproto.ListFull:   decision.FullList,
 	simproto.ListCached: decision.CachedList,
@@ -23,15 +24,15 @@
 }
 
 var endpointStates = map[simproto.EndpointState]decision.EndpointState{
-	simproto.EndpointDraining: decision.Draining,
-	simproto.EndpointReady:    decision.Ready,
-	simproto.EndpointGone:     decision.Gone,
+	simproto.EndpointDraining:   decision.Draining,
+	simproto.EndpointInService:  decision.Ready,
+	simproto.EndpointTerminated: decision.Gone,
 }
 
 var outcomes = map[simproto.OutcomeCode]decision.Outcome{
 	simproto.OutcomeOK:            decision.Succeeded,
 	simproto.OutcomeError:         decision.Failed,
-	simproto.OutcomeFull:          decision.Overloaded,
+	simproto.OutcomeOverloaded:    decision.Overloaded,
 	simproto.OutcomeTimedOut:      decision.TimedOut,
 	simproto.OutcomeConnectFailed: decision.ConnectFailed,
 	simproto.OutcomeReset:         decision.ConnectionReset,
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -1,58 +1,68 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 
 	"cherrygap/internal/decision"
 	"cherrygap/internal/simproto"
 )
 
-// The faults of an event's fields. What the protocol page doesn't name is an error, not passed over: the engine would
-// decide on half of what happened.
-var (
-	errUnknownListKind      = errors.New("endpoint list of an unknown kind")
-	errUnknownEndpointState = errors.New("endpoint in an unknown state")
-)
+// unknownListKindError is the error for a kind of endpoint list that the protocol does not define.
+type unknownListKindError simproto.ListKind
+
+// Error names the kind.
+func (e unknownListKindError) Error() string {
+	return fmt.Sprintf("unknown kind of endpoint list %d", uint8(e))
+}
+
+// unknownEndpointStateError is the error for a state of an endpoint that the protocol does not define.
+type unknownEndpointStateError simproto.EndpointState
+
+// Error names the state.
+func (e unknownEndpointStateError) Error() string {
+	return fmt.Sprintf("unknown endpoint state %d", uint8(e))
+}
 
-// unknownOutcomeError is an outcome that the protocol page doesn't name.
+// unknownOutcomeError is the error for an outcome that the protocol does not define.
 type unknownOutcomeError simproto.OutcomeCode
 
+// Error names the outcome.
 func (e unknownOutcomeError) Error() string { return fmt.Sprintf("unknown outcome %d", uint16(e)) }
 
-// reportFunc reports one event to an engine.
+// reportFunc reports an event to an engine.
 type reportFunc func(*decision.Engine)
 
-// readEvent reads an event's fields and returns how to report it. Fields that are cut off show in the cursor's Err
-// alone.
+// readEvent reads the fields of an event and returns the function that reports it. An undefined code in the fields is an
+// error. For truncated fields only fields.Err is set, and the caller must not call the function.
 func (a *adapter) readEvent(code simproto.EventCode, fields *simproto.Cursor) (reportFunc, error) {
 	switch code {
 	case simproto.EventRequest:
 		return readRequest(fields), nil
-	case simproto.EventFleet:
+	case simproto.EventEndpointList:
 		return a.readEndpointList(fields)
-	case simproto.EventPeer:
+	case simproto.EventPeerMessage:
 		from := decision.NodeID(fields.Uint32())
 		text := fields.Bytes(uint32(fields.Uint16()))
 		return func(e *decision.Engine) { e.ReceivePeerMessage(from, text) }, nil
-	case simproto.EventLapsed:
+	case simproto.EventClientGone:
 		request := decision.RequestID(fields.Uint32())
 		return func(e *decision.Engine) { e.ClientGone(request) }, nil
-	case simproto.EventTallied:
-		return readTallied(fields), nil
-	case simproto.EventStarted:
-		return readStarted(fields), nil
-	case simproto.EventEnded:
-		return a.readEnded(fields)
-	case simproto.EventEcho:
-		return a.readHealthCheck(fields)
-	case simproto.EventElapsed:
-		fields.Uint32() // token: the engine has one timer
+	case simproto.EventCountAdded:
+		return readCountAdded(fields), nil
+	case simproto.EventResponseStarted:
+		return readResponseStarted(fields), nil
+	case simproto.EventAttemptEnded:
+		return a.readAttemptEnded(fields)
+	case simproto.EventHealthChecked:
+		return a.readHealthChecked(fields)
+	case simproto.EventTimerFired:
+		fields.Uint32() // token: an engine has one timer
 		return func(e *decision.Engine) { e.TimerFired() }, nil
 	}
 	return nil, fmt.Errorf("unknown event %d", code)
 }
 
+// readRequest reads an EventRequest.
 func readRequest(fields *simproto.Cursor) reportFunc {
 	r := decision.Request{
 		ID:        decision.RequestID(fields.Uint32()),
@@ -64,15 +74,17 @@
 		Spread:    int(fields.Float32()),
 		FirstNode: decision.NodeID(fields.Float32()),
 	}
-	fields.Uint8() // attributes: whether a client repeats changes no decision
+	fields.Uint8() // attributes: the engine does not use whether the client retries
 	return func(e *decision.Engine) { e.AddRequest(r) }
 }
 
+// readEndpointList reads an EventEndpointList.
 func (a *adapter) readEndpointList(fields *simproto.Cursor) (reportFunc, error) {
-	fields.Uint32() // list version: the events come in order and complete
-	kind, known := listKinds[simproto.ListKind(fields.Uint8())]
+	fields.Uint32() // revision: the simulator delivers all lists, in order
+	code := simproto.ListKind(fields.Uint8())
+	kind, known := listKinds[code]
 	if fields.Err() == nil && !known {
-		return nil, errUnknownListKind
+		return nil, unknownListKindError(code)
 	}
 	a.endpoints = a.endpoints[:0]
 	for left := fields.Uint32(); left > 0 && fields.Err() == nil; left-- {
@@ -85,6 +97,7 @@
 	return func(e *decision.Engine) { e.UpdateEndpoints(kind, a.endpoints) }, nil
 }
 
+// readEndpoint reads an endpoint of an EventEndpointList.
 func readEndpoint(fields *simproto.Cursor) (decision.Endpoint, error) {
 	endpoint := decision.Endpoint{
 		Server: decision.ServerID(fields.Uint32()),
@@ -92,26 +105,28 @@
 		Kind:   fields.Uint16(),
 		Cell:   fields.Uint16(),
 	}
-	state, known := endpointStates[simproto.EndpointState(fields.Uint8())]
+	code := simproto.EndpointState(fields.Uint8())
+	state, known := endpointStates[code]
 	endpoint.State = state
 	endpoint.Weight = fields.Float32()
 	endpoint.Started = decision.Time(fields.Uint64() / microsPerTime)
 	if fields.Err() == nil && !known {
-		return endpoint, errUnknownEndpointState
+		return endpoint, unknownEndpointStateError(code)
 	}
 	return endpoint, nil
 }
 
-// readTallied passes over the result of a shared count, which the engine doesn't use.
-func readTallied(fields *simproto.Cursor) reportFunc {
-	fields.Uint64()  // name
+// readCountAdded reads an EventCountAdded. The engine does not use shared counts.
+func readCountAdded(fields *simproto.Cursor) reportFunc {
+	fields.Uint64()  // name of the count
 	fields.Uint16()  // outcome
 	fields.Float32() // sum
 	fields.Uint32()  // time since the call
 	return func(*decision.Engine) {}
 }
 
-func readStarted(fields *simproto.Cursor) reportFunc {
+// readResponseStarted reads an EventResponseStarted.
+func readResponseStarted(fields *simproto.Cursor) reportFunc {
 	request := decision.RequestID(fields.Uint32())
 	fields.Uint8()  // attempt
 	fields.Uint32() // server
@@ -119,7 +134,8 @@
 	return func(e *decision.Engine) { e.ResponseStarted(request) }
 }
 
-func (a *adapter) readEnded(fields *simproto.Cursor) (reportFunc, error) {
+// readAttemptEnded reads an EventAttemptEnded.
+func (a *adapter) readAttemptEnded(fields *simproto.Cursor) (reportFunc, error) {
 	r := decision.AttemptResult{
 		Request: decision.RequestID(fields.Uint32()),
 		Attempt: int(fields.Uint8()),
@@ -128,7 +144,7 @@
 	outcome := simproto.OutcomeCode(fields.Uint16())
 	r.Duration = engineTime(fields.Uint32())
 	r.Final = fields.Uint8() != 0
-	fields.Uint16() // the customer's use as metered: no deployment has a meter
+	fields.Uint16() // metered use of the customer: the engine does not use it
 	r.Units = float64(fields.Uint16())
 	a.loadReport = fields.Float32s(a.loadReport)
 	r.Load = a.loadReport
@@ -139,7 +155,8 @@
 	return func(e *decision.Engine) { e.AttemptEnded(r) }, nil
 }
 
-func (a *adapter) readHealthCheck(fields *simproto.Cursor) (reportFunc, error) {
+// readHealthChecked reads an EventHealthChecked.
+func (a *adapter) readHealthChecked(fields *simproto.Cursor) (reportFunc, error) {
 	server, code := decision.ServerID(fields.Uint32()), simproto.OutcomeCode(fields.Uint16())
 	fields.Uint32() // time since the send
 	a.loadReport = fields.Float32s(a.loadReport)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter plays the decision engine on the simulator's protocol: it reads batches of events on standard
-// input and writes one reply to each on standard output. It decides nothing itself.
+// Command simadapter connects the decision engine to the simulator. It reads batches of events on standard input and writes
+// a reply to each batch on standard output. It maps the simulator's protocol to the engine and makes no decisions.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -45,7 +45,8 @@
 	return record(1, inst, id, uint8(0), uint32(0), uint64(3), uint32(900000), float32(1), float32(1), float32(0), uint8(0))
 }
 
-func TestRequestIsForwardedAndAnswered(t *testing.T) {
+// A request gets an attempt, and an empty batch an empty reply.
+func TestRequestIsForwarded(t *testing.T) {
 	var out bytes.Buffer
 	in := bytes.Join([][]byte{
 		frame(1e9), frame(1000004000, begin(), fleet(3)),
@@ -55,16 +56,17 @@
 		t.Fatal(err)
 	}
 	want := record(10, uint16(3), uint32(500))
-	binary.LittleEndian.PutUint32(want[1:], 14) // the time-out and the server follow
+	binary.LittleEndian.PutUint32(want[1:], 14) // the timeout and the server follow
 	if !bytes.Contains(out.Bytes(), want) {
-		t.Fatalf("no send in the reply: %x", out.Bytes())
+		t.Fatalf("no attempt in the reply: %x", out.Bytes())
 	}
 	if empty := make([]byte, 8); !bytes.HasPrefix(out.Bytes(), empty) {
-		t.Fatalf("an empty batch wants an empty reply: %x", out.Bytes())
+		t.Fatalf("the reply to an empty batch is not empty: %x", out.Bytes())
 	}
 }
 
-func TestMalformedInputIsNamedByItsOffset(t *testing.T) {
+// The error for malformed input contains its offset.
+func TestMalformedInputErrors(t *testing.T) {
 	long := request(3, 1)
 	long[1] = 0xff
 	for name, c := range map[string]struct {
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/wireformat_test.go
@@ -16,16 +16,16 @@
 	"cherrygap/internal/simproto"
 )
 
-// The codes of the protocol page, written out: a renumbered constant must show.
+// Codes of the protocol page. The tests do not use simproto's constants, so that a changed constant fails.
 const (
-	codeRequest, codeFleet, codePeer, codeLapsed, codeTallied, codeStarted = 1, 2, 3, 4, 5, 6
-	codeEnded, codeKill, codeEcho, codeElapsed, codeBegin                  = 7, 8, 9, 10, 11
+	codeRequest, codeEndpointList, codePeerMessage, codeClientGone, codeCountAdded, codeResponseStarted = 1, 2, 3, 4, 5, 6
+	codeAttemptEnded, codeInstanceKilled, codeHealthChecked, codeTimerFired, codeInstanceStarted        = 7, 8, 9, 10, 11
 
-	codeRefuse, codeRecall, codeWritePeer, codeNoteDown, codeStream = 1, 2, 3, 4, 6
-	codeFault, codeSurrender, codePassOn, codeSample, codeWakeAt    = 8, 9, 10, 12, 13
+	codeReject, codeCancelAttempt, codeSendPeerMessage, codeLog, codeWatchEndpoints = 1, 2, 3, 4, 6
+	codeFault, codeFail, codeForward, codeCheckHealth, codeSetTimer                 = 8, 9, 10, 12, 13
 )
 
-// fromHex reads hex digits; blanks between them are for the eye.
+// fromHex decodes hexadecimal digits. It ignores blanks.
 func fromHex(t *testing.T, s string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -35,17 +35,16 @@
 	return raw
 }
 
-// One batch that holds every event code as bytes, and the bytes of the replies: those of the commit that this was
-// written on.
-func TestEveryEventCode(t *testing.T) {
+// Batches with every event code get replies with the expected bytes.
+func TestEventWireFormat(t *testing.T) {
 	const setup = "services.count=1\nservices.0.slo=600000\nservices.0.semantics=idempotent\n" +
 		"services.0.stream=true\ntiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\n" +
 		"tiers_of_service.0.depth=10\nreplicas_of_me=1\ntick=4000\nlimits.attempts_cap=2\nregistry_mode=subscribe\n"
-	begin := hex.EncodeToString(record(codeBegin, uint16(3), uint64(9), uint32(len(setup)), setup))
+	begin := hex.EncodeToString(record(codeInstanceStarted, uint16(3), uint64(9), uint32(len(setup)), setup))
 	batches := []string{
 		"", // empty
 		begin +
-			// two servers ready, one drains
+			// two servers in service, one draining
 			"02 4d000000 0300 01000000 01 03000000" +
 			"4d000000 00 0000 0000 01 0000803f 0000000000000000" +
 			"4e000000 01 0100 0200 01 00000040 00ca9a3b00000000" +
@@ -54,17 +53,17 @@
 			"01 24000000 0300 f5010000 00 00000000 0300000000000000 a0bb0d00 0000803f 0000803f 00000000 02" +
 			"01 24000000 0300 f6010000 00 00000000 0400000000000000 a0bb0d00 0000803f 0000803f 00000000 04" +
 			"0a 06000000 0300 00000000",
-		"06 0f000000 0300 f4010000 00 4d000000 22240000" + // started
-			"07 1f000000 0300 f5010000 00 4e000000 ff00 44480000 00 0000 0000 02 0000803f 00000040" + // an error
-			"07 17000000 0300 f6010000 00 4d000000 0000 44480000 01 5600 0300 00", // done, with the true units
-		"04 06000000 0300 f5010000" + // lapsed
-			"03 0a000000 0300 01000000 0200 c800" + // a peer's message
-			"05 14000000 0300 90f6890000000000 0000 00001842 66080000" + // tallied
-			"09 11000000 0300 4d000000 0000 66080000 01 0000803f" + // echo
-			"02 0b000000 0300 02000000 02 00000000" + // discovery failed
+		"06 0f000000 0300 f4010000 00 4d000000 22240000" + // response started
+			"07 1f000000 0300 f5010000 00 4e000000 ff00 44480000 00 0000 0000 02 0000803f 00000040" + // attempt with an error
+			"07 17000000 0300 f6010000 00 4d000000 0000 44480000 01 5600 0300 00", // attempt completed, with its actual units
+		"04 06000000 0300 f5010000" + // client gone
+			"03 0a000000 0300 01000000 0200 c800" + // peer message
+			"05 14000000 0300 90f6890000000000 0000 00001842 66080000" + // count added
+			"09 11000000 0300 4d000000 0000 66080000 01 0000803f" + // health checked
+			"02 0b000000 0300 02000000 02 00000000" + // call to discovery failed
 			"0a 06000000 0300 00000000",
-		"02 21000000 0300 02000000 03 01000000 4e000000 01 0100 0200 03 00000040 0000000000000000" + // one is gone
-			"02 0b000000 0300 03000000 00 00000000" + // and now all
+		"02 21000000 0300 02000000 03 01000000 4e000000 01 0100 0200 03 00000040 0000000000000000" + // one endpoint terminated
+			"02 0b000000 0300 03000000 00 00000000" + // a full list without endpoints
 			"01 24000000 0300 f7010000 00 00000000 0400000000000000 a0bb0d00 0000803f 0000803f 00000000 00",
 		"08 02000000 0300",
 	}
@@ -89,7 +88,7 @@
 	compareReplies(t, out.Bytes(), want)
 }
 
-// compareReplies cuts a stream of replies and compares each with hex digits.
+// compareReplies splits a stream of replies and compares each with the expected bytes.
 func compareReplies(t *testing.T, out []byte, want []string) {
 	t.Helper()
 	var got []string
@@ -106,8 +105,8 @@
 	}
 }
 
-// Each decision that the engine can ask for, as the bytes of its action.
-func TestEveryActionCode(t *testing.T) {
+// Each decision of the engine has the expected bytes.
+func TestActionWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		decision decision.Decision
@@ -139,8 +138,8 @@
 	}
 }
 
-// A panic of the engine is the instance's fault, in words, and the batch goes on.
-func TestFaultAction(t *testing.T) {
+// A panic of an engine becomes an action with its text, and does not end the adapter.
+func TestPanicBecomesFaultAction(t *testing.T) {
 	var a adapter
 	a.reply.Reset()
 	a.recoverFault(3, func() { panic("index out of range") })
@@ -150,24 +149,24 @@
 	}
 }
 
-// The numbers of the page, all of them, those that this adapter sends nothing of too.
-func TestCodesOfThePage(t *testing.T) {
+// All codes of the protocol page keep their numbers, also those that this adapter does not send.
+func TestCodeNumbers(t *testing.T) {
 	for want, got := range map[int]simproto.EventCode{
-		codeRequest: simproto.EventRequest, codeFleet: simproto.EventFleet, codePeer: simproto.EventPeer,
-		codeLapsed: simproto.EventLapsed, codeTallied: simproto.EventTallied, codeStarted: simproto.EventStarted,
-		codeEnded: simproto.EventEnded, codeKill: simproto.EventKill, codeEcho: simproto.EventEcho,
-		codeElapsed: simproto.EventElapsed, codeBegin: simproto.EventBegin,
+		codeRequest: simproto.EventRequest, codeEndpointList: simproto.EventEndpointList, codePeerMessage: simproto.EventPeerMessage,
+		codeClientGone: simproto.EventClientGone, codeCountAdded: simproto.EventCountAdded, codeResponseStarted: simproto.EventResponseStarted,
+		codeAttemptEnded: simproto.EventAttemptEnded, codeInstanceKilled: simproto.EventInstanceKilled, codeHealthChecked: simproto.EventHealthChecked,
+		codeTimerFired: simproto.EventTimerFired, codeInstanceStarted: simproto.EventInstanceStarted,
 	} {
 		if int(got) != want {
 			t.Errorf("event %d, want %d", got, want)
 		}
 	}
 	for want, got := range map[int]simproto.ActionCode{
-		codeRefuse: simproto.ActionRefuse, codeRecall: simproto.ActionRecall, codeWritePeer: simproto.ActionWritePeer,
-		codeNoteDown: simproto.ActionNoteDown, 5: simproto.ActionReload, codeStream: simproto.ActionStreamChanges,
-		7: simproto.ActionRelease, codeFault: simproto.ActionFault, codeSurrender: simproto.ActionSurrender,
-		codePassOn: simproto.ActionPassOn, 11: simproto.ActionPostAmount, codeSample: simproto.ActionSample,
-		codeWakeAt: simproto.ActionWakeAt,
+		codeReject: simproto.ActionReject, codeCancelAttempt: simproto.ActionCancelAttempt, codeSendPeerMessage: simproto.ActionSendPeerMessage,
+		codeLog: simproto.ActionLog, 5: simproto.ActionPollEndpoints, codeWatchEndpoints: simproto.ActionWatchEndpoints,
+		7: simproto.ActionCloseIdle, codeFault: simproto.ActionFault, codeFail: simproto.ActionFail,
+		codeForward: simproto.ActionForward, 11: simproto.ActionAddToCount, codeCheckHealth: simproto.ActionCheckHealth,
+		codeSetTimer: simproto.ActionSetTimer,
 	} {
 		if int(got) != want {
 			t.Errorf("action %d, want %d", got, want)
@@ -175,8 +174,8 @@
 	}
 }
 
-// Outcomes and states as the page numbers them; a code that it doesn't name is an error.
-func TestOutcomesAndStates(t *testing.T) {
+// Outcomes, states and kinds of list keep their numbers, and no others are defined.
+func TestOutcomeAndStateNumbers(t *testing.T) {
 	for code, want := range map[simproto.OutcomeCode]decision.Outcome{
 		0: decision.Succeeded, 255: decision.Failed, 254: decision.Overloaded, 253: decision.TimedOut,
 		252: decision.ConnectFailed, 251: decision.ConnectionReset, 250: decision.Cancelled, 249: decision.NotSent,
@@ -200,10 +199,10 @@
 	}
 }
 
-// A seeded play of three instances over six seconds, with every event code, against a digest of all bytes written.
-// The texts of note_down have one of their own: they are a log, whose words may change, and nothing else may.
-func TestPlayBytes(t *testing.T) {
-	p := newPlay()
+// Three instances over six simulated seconds, with every event code, reply with the expected bytes. The texts of log lines
+// have their own digest, because a log line may change its wording.
+func TestSimulationTranscript(t *testing.T) {
+	sim := newSimulator()
 	fromTest, toAdapter := io.Pipe()
 	fromAdapter, toTest := io.Pipe()
 	done := make(chan error, 1)
@@ -213,7 +212,7 @@
 		done <- err
 	}()
 	for k := range 1500 {
-		if _, err := toAdapter.Write(frame(p.now+4000, p.step(k))); err != nil {
+		if _, err := toAdapter.Write(frame(sim.now+4000, sim.step(k))); err != nil {
 			t.Fatal(err)
 		}
 		head := make([]byte, 8)
@@ -224,7 +223,7 @@
 		if _, err := io.ReadFull(fromAdapter, reply[8:]); err != nil {
 			t.Fatal(err)
 		}
-		p.act(t, reply)
+		sim.act(t, reply)
 	}
 	if err := toAdapter.Close(); err != nil {
 		t.Fatal(err)
@@ -233,12 +232,12 @@
 		t.Fatal(err)
 	}
 	for code := byte(1); code <= 11; code++ {
-		if p.events[code] == 0 {
-			t.Errorf("no event %d was played", code)
+		if sim.events[code] == 0 {
+			t.Errorf("no event with code %d", code)
 		}
 	}
-	got := fmt.Sprintf("events %v\nactions %v\nbytes %d %x\nnotes %d %x\n", p.events, p.actions, len(p.rest),
-		sha256.Sum256(p.rest), len(p.notes), sha256.Sum256(p.notes))
+	got := fmt.Sprintf("events %v\nactions %v\nbytes %d %x\nnotes %d %x\n", sim.events, sim.actions, len(sim.rest),
+		sha256.Sum256(sim.rest), len(sim.notes), sha256.Sum256(sim.notes))
 	const want = "events map[1:7982 2:14 3:130 4:20 5:3 6:726 7:2327 8:1 9:6 10:1500 11:4]\n" +
 		"actions map[1:5815 2:28 3:65 4:15 6:2 9:57 10:2355 13:2113]\n" +
 		"bytes 177446 9848cf58a93e67c576cddc5d41423dfcfcac6771b709e281ffa0dd8f0b9ac724\n" +
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,78 +1,108 @@
 package simproto
 
-// EventCode says what a record of a batch holds.
+// Codes of the protocol. Each comment gives the name on the protocol page in quotes where it differs.
+
+// EventCode is the code of an event record.
 type EventCode uint8
 
-// The events that the simulator sends.
 const (
-	EventRequest EventCode = 1  // a client's request has arrived
-	EventFleet   EventCode = 2  // discovery's endpoint list, or a change of it
-	EventPeer    EventCode = 3  // another instance's message
-	EventLapsed  EventCode = 4  // the client has gone, or its answer is overdue
-	EventTallied EventCode = 5  // the result of an ActionPostAmount
-	EventStarted EventCode = 6  // a streamed answer has begun
-	EventEnded   EventCode = 7  // an attempt has ended
-	EventKill    EventCode = 8  // the instance was terminated
-	EventEcho    EventCode = 9  // the result of a health check
-	EventElapsed EventCode = 10 // a timer has gone off
-	EventBegin   EventCode = 11 // an instance starts, with its settings
+	// EventRequest is a client's request.
+	EventRequest EventCode = 1
+	// EventEndpointList ("fleet") is discovery's endpoint list, or a watch event with the changed endpoints.
+	EventEndpointList EventCode = 2
+	// EventPeerMessage ("peer") is a message of another instance.
+	EventPeerMessage EventCode = 3
+	// EventClientGone ("lapsed") is a client that disconnected, or whose deadline has passed.
+	EventClientGone EventCode = 4
+	// EventCountAdded ("tallied") is the result of an ActionAddToCount.
+	EventCountAdded EventCode = 5
+	// EventResponseStarted ("started") is the beginning of a streamed response.
+	EventResponseStarted EventCode = 6
+	// EventAttemptEnded ("ended") is the end of an attempt.
+	EventAttemptEnded EventCode = 7
+	// EventInstanceKilled ("kill") is the termination of an instance.
+	EventInstanceKilled EventCode = 8
+	// EventHealthChecked ("echo") is the result of an ActionCheckHealth.
+	EventHealthChecked EventCode = 9
+	// EventTimerFired ("elapsed") is the expiry of a timer.
+	EventTimerFired EventCode = 10
+	// EventInstanceStarted ("begin") is the start of an instance, with its settings.
+	EventInstanceStarted EventCode = 11
 )
 
-// ActionCode says what a record of a reply holds. Its numbers are independent of those of EventCode.
+// ActionCode is the code of an action record. Actions and events are numbered independently.
 type ActionCode uint8
 
-// The actions that a reply carries.
 const (
-	ActionRefuse        ActionCode = 1  // final answer: rejected
-	ActionRecall        ActionCode = 2  // cancel an attempt
-	ActionWritePeer     ActionCode = 3  // send a message to one instance, or to all
-	ActionNoteDown      ActionCode = 4  // a log line
-	ActionReload        ActionCode = 5  // ask discovery once for the full list
-	ActionStreamChanges ActionCode = 6  // subscribe to discovery's changes
-	ActionRelease       ActionCode = 7  // close idle connections
-	ActionFault         ActionCode = 8  // the decision code broke
-	ActionSurrender     ActionCode = 9  // final answer: failed
-	ActionPassOn        ActionCode = 10 // forward a request: one attempt
-	ActionPostAmount    ActionCode = 11 // add to a shared count
-	ActionSample        ActionCode = 12 // check an app server's health
-	ActionWakeAt        ActionCode = 13 // set a timer
+	// ActionReject ("refuse") is the final response to a request: rejected.
+	ActionReject ActionCode = 1
+	// ActionCancelAttempt ("recall") cancels an attempt.
+	ActionCancelAttempt ActionCode = 2
+	// ActionSendPeerMessage ("write_peer") sends a message to one instance, or to all others.
+	ActionSendPeerMessage ActionCode = 3
+	// ActionLog ("note_down") writes a log line.
+	ActionLog ActionCode = 4
+	// ActionPollEndpoints ("reload") polls discovery for the full endpoint list.
+	ActionPollEndpoints ActionCode = 5
+	// ActionWatchEndpoints ("stream_changes") starts or stops the watch of discovery.
+	ActionWatchEndpoints ActionCode = 6
+	// ActionCloseIdle ("release") closes idle connections.
+	ActionCloseIdle ActionCode = 7
+	// ActionFault ("fault") reports a bug in the decision code.
+	ActionFault ActionCode = 8
+	// ActionFail ("surrender") is the final response to a request: failed.
+	ActionFail ActionCode = 9
+	// ActionForward ("pass_on") forwards a request: it starts an attempt.
+	ActionForward ActionCode = 10
+	// ActionAddToCount ("post_amount") adds to a shared count.
+	ActionAddToCount ActionCode = 11
+	// ActionCheckHealth ("sample") starts a health check of an app server.
+	ActionCheckHealth ActionCode = 12
+	// ActionSetTimer ("wake_at") sets a timer.
+	ActionSetTimer ActionCode = 13
 )
 
-// OutcomeCode says how an attempt or a health check ended.
+// OutcomeCode is the outcome of an attempt or a health check.
 type OutcomeCode uint16
 
-// The outcomes. The ones marked so prove that the attempt never ran.
+// Outcomes. OutcomeNotSent, OutcomeConnectFailed and OutcomeOverloaded prove that the app server did not execute the attempt.
 const (
 	OutcomeOK            OutcomeCode = 0
-	OutcomeNotSent       OutcomeCode = 249 // never ran
+	OutcomeNotSent       OutcomeCode = 249
 	OutcomeCancelled     OutcomeCode = 250
 	OutcomeReset         OutcomeCode = 251
-	OutcomeConnectFailed OutcomeCode = 252 // never ran
+	OutcomeConnectFailed OutcomeCode = 252
 	OutcomeTimedOut      OutcomeCode = 253
-	OutcomeFull          OutcomeCode = 254 // never ran
+	OutcomeOverloaded    OutcomeCode = 254
 	OutcomeError         OutcomeCode = 255
 )
 
-// ListKind says what an EventFleet holds.
+// ListKind is the kind of an EventEndpointList.
 type ListKind uint8
 
-// The kinds of endpoint list.
 const (
-	ListFull   ListKind = 0
-	ListCached ListKind = 1 // the full list as last seen, perhaps stale
-	ListFailed ListKind = 2 // a call failed: no entries
-	ListDelta  ListKind = 3 // changed entries only
+	// ListFull has all endpoints.
+	ListFull ListKind = 0
+	// ListCached has all endpoints of a cached list, which may be out of date.
+	ListCached ListKind = 1
+	// ListFailed stands for a failed call to discovery. It has no endpoints.
+	ListFailed ListKind = 2
+	// ListDelta has the changed endpoints.
+	ListDelta ListKind = 3
 )
 
-// EndpointState is the state of an entry of an endpoint list.
+// EndpointState is the state of an endpoint.
 type EndpointState uint8
 
-// The states of an endpoint.
+// States of an endpoint.
 const (
-	EndpointDraining EndpointState = 0
-	EndpointReady    EndpointState = 1
-	EndpointGone     EndpointState = 3
+	EndpointDraining   EndpointState = 0
+	EndpointInService  EndpointState = 1
+	EndpointTerminated EndpointState = 3
 )
 
-// AllPeers as the destination of an ActionWritePeer is every other instance.
+// AllPeers is the receiver of an ActionSendPeerMessage to all other instances.
 const AllPeers uint32 = 1<<32 - 1
+
+// Subscribe is the argument of an ActionWatchEndpoints that starts the watch.
+const Subscribe uint8 = 1
--- a/internal/simproto/cursor.go
+++ b/internal/simproto/cursor.go
@@ -5,41 +5,49 @@
 	"math"
 )
 
-// Cursor walks over the records of a batch, or over the fields of one record. The first error sticks: later reads
-// return zero values, so that a caller reads all fields of a record and then checks Err once.
+// Cursor reads the records of a batch, or the fields of a record, in order. It keeps the first error, and after an error all
+// reads return zero. Thus a caller can read all fields of a record and then check Err once. A Cursor is not safe for
+// concurrent use.
 type Cursor struct {
 	data     []byte
-	position int
+	position int   // into data
 	base     int64 // offset of data in the whole input
-	err      error
+	err      error // nil or a *FormatError
 }
 
-// Err is the first error met, a FormatError, or nil.
+// Record is an event record of a batch.
+type Record struct {
+	Code   EventCode
+	Offset int64   // of the record's first byte in the whole input
+	Fields *Cursor // the record's content
+}
+
+// Err returns the first error, a *FormatError, or nil.
 func (c *Cursor) Err() error { return c.err }
 
-// More tells whether bytes are left to read.
+// More reports whether there are bytes to read and there was no error.
 func (c *Cursor) More() bool { return c.err == nil && c.position < len(c.data) }
 
-// Offset is the cursor's place in the whole input, in bytes.
+// Offset returns the offset of the next byte in the whole input.
 func (c *Cursor) Offset() int64 { return c.base + int64(c.position) }
 
-// Record returns the code of the next record and a cursor over its fields.
-func (c *Cursor) Record() (EventCode, *Cursor, error) {
+// Record reads the next record. An error is a *FormatError.
+func (c *Cursor) Record() (Record, error) {
 	start := c.Offset()
 	code := EventCode(c.Uint8())
 	size := int(c.Uint32())
 	if c.err != nil {
-		return 0, nil, formatErrorf(start, "record header cut off")
+		return Record{}, formatErrorf(start, "record header cut off")
 	}
 	if left := len(c.data) - c.position; size > left {
-		return 0, nil, formatErrorf(start, "record %d states %d bytes, the frame has %d left", code, size, left)
+		return Record{}, formatErrorf(start, "record %d states %d bytes, the frame has %d left", code, size, left)
 	}
 	fields := &Cursor{data: c.data[c.position : c.position+size], base: c.Offset()}
 	c.position += size
-	return code, fields, nil
+	return Record{Code: code, Offset: start, Fields: fields}, nil
 }
 
-// take returns the next n bytes, or nil.
+// take returns the next n bytes, or nil after an error.
 func (c *Cursor) take(n int) []byte {
 	if left := len(c.data) - c.position; c.err == nil && n > left {
 		c.err = formatErrorf(c.Offset(), "%d bytes wanted, %d left in the record", n, left)
@@ -83,13 +91,13 @@
 	return 0
 }
 
-// Float32 reads a number of four bytes.
+// Float32 reads a floating-point number of four bytes (IEEE 754).
 func (c *Cursor) Float32() float64 { return float64(math.Float32frombits(c.Uint32())) }
 
-// Bytes reads n bytes. They are valid until the next batch is read.
+// Bytes reads n bytes. They are valid until the next call of Reader.Next.
 func (c *Cursor) Bytes(n uint32) []byte { return c.take(int(n)) }
 
-// Float32s reads a count of one byte and so many numbers. It returns them in the room of buffer.
+// Float32s reads a count of one byte, and as many floating-point numbers. It appends them to buffer[:0].
 func (c *Cursor) Float32s(buffer []float64) []float64 {
 	buffer = buffer[:0]
 	for n := c.Uint8(); n > 0 && c.err == nil; n-- {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -8,49 +8,57 @@
 )
 
 const (
-	readBufferSize = 1 << 16
-	maxGrowth      = 1 << 20 // bytes of a batch that are made room for before they have arrived
+	// readBufferBytes is the size of the reader's buffer.
+	readBufferBytes = 1 << 16
+	// maxGrowthBytes is the largest part of a batch for which the reader allocates memory before it has read the part.
+	maxGrowthBytes = 1 << 20
 )
 
-// Reader reads batches from a stream. It counts the bytes, so that an error can name its place.
+// Reader reads batches from a stream. It is not safe for concurrent use.
 type Reader struct {
 	in     *bufio.Reader
-	offset int64
-	body   []byte // of the current batch; its room is used again
+	offset int64  // number of bytes read, for the offsets of errors
+	body   []byte // of the current batch; reused by the next one
 }
 
-// NewReader reads from in.
-func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBufferSize)} }
+// Batch is the events of one point in time.
+type Batch struct {
+	ClockMicros uint64  // simulated time, in microseconds
+	Records     *Cursor // valid until the next call of Reader.Next
+}
+
+// NewReader returns a Reader of the batches in a stream.
+func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBufferBytes)} }
 
-// Next returns the clock of the next batch in microseconds and a cursor over its records. The cursor is valid until
-// the next call. A clean end of input is io.EOF, input that ends within a batch is a FormatError.
-func (r *Reader) Next() (clock uint64, records *Cursor, err error) {
+// Next reads the next batch. At the end of the input it returns io.EOF. If the input ends within a batch, the error is a
+// *FormatError.
+func (r *Reader) Next() (Batch, error) {
 	var header [batchHeaderSize]byte
 	got, err := io.ReadFull(r.in, header[:])
 	if errors.Is(err, io.EOF) {
-		return 0, nil, io.EOF
+		return Batch{}, io.EOF
 	}
 	if err != nil {
-		return 0, nil, formatErrorf(r.offset, "frame header cut off after %d bytes", got)
+		return Batch{}, formatErrorf(r.offset, "frame header cut off after %d bytes", got)
 	}
 	start := r.offset
 	r.offset += batchHeaderSize
 	size := int(binary.LittleEndian.Uint32(header[:]))
 	if got, err := r.readBody(size); err != nil {
-		return 0, nil, formatErrorf(r.offset+int64(got), "frame at byte %d states %d bytes, input ends early", start, size)
+		return Batch{}, formatErrorf(r.offset+int64(got), "frame at byte %d states %d bytes, input ends early", start, size)
 	}
-	records = &Cursor{data: r.body, base: r.offset}
+	records := &Cursor{data: r.body, base: r.offset}
 	r.offset += int64(size)
-	return binary.LittleEndian.Uint64(header[4:]), records, nil
+	return Batch{ClockMicros: binary.LittleEndian.Uint64(header[4:]), Records: records}, nil
 }
 
-// readBody reads size bytes and tells how many there were. The stated size is not trusted for an allocation: the
-// buffer grows as bytes arrive.
+// readBody reads size bytes into r.body and returns the number of bytes read. The buffer grows with the input, because the
+// stated size may be wrong.
 func (r *Reader) readBody(size int) (int, error) {
 	r.body = r.body[:0]
 	for len(r.body) < size {
 		have := len(r.body)
-		step := min(size-have, maxGrowth)
+		step := min(size-have, maxGrowthBytes)
 		if cap(r.body) < have+step {
 			grown := make([]byte, have, max(have+step, 2*cap(r.body)))
 			copy(grown, r.body)
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// Reply builds the answer to one batch: Reset, then for each action Begin, its fields and End, then Finish. The buffer
-// is used again for the next batch.
+// Reply builds the reply to a batch. The calls are Reset, then for each action Begin, the methods for its fields and End,
+// then Finish. The zero value is ready for Reset. A Reply is not safe for concurrent use.
 type Reply struct {
-	data        []byte
-	records     uint32
-	recordStart int // of the record that Begin opened
+	data        []byte // reused by the next reply
+	records     uint32 // number of actions
+	recordStart int    // index of the current action in data
 }
 
-// Reset empties the reply.
+// Reset starts a new reply without actions.
 func (r *Reply) Reset() {
 	r.data = append(r.data[:0], make([]byte, replyHeaderSize)...)
 	r.records = 0
 }
 
-// Begin starts an action of an instance. Its fields follow, then End.
+// Begin begins an action of an instance.
 func (r *Reply) Begin(code ActionCode, instance uint16) *Reply {
 	r.recordStart = len(r.data)
 	r.data = append(r.data, byte(code), 0, 0, 0, 0)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// Text writes a length of two bytes and the text, which is cut to what the length can state.
+// Text writes a length of two bytes and the text. It truncates a text over math.MaxUint16 bytes.
 func (r *Reply) Text(text []byte) *Reply {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.Uint16(uint16(len(text)))
@@ -49,14 +49,14 @@
 	return r
 }
 
-// End closes the action that Begin started.
+// End ends the action that Begin began.
 func (r *Reply) End() {
 	size := len(r.data) - r.recordStart - recordHeaderSize
 	binary.LittleEndian.PutUint32(r.data[r.recordStart+1:], uint32(size))
 	r.records++
 }
 
-// Finish returns the bytes of the whole reply, valid until the next Reset.
+// Finish returns the bytes of the reply. They are valid until the next Reset.
 func (r *Reply) Finish() []byte {
 	binary.LittleEndian.PutUint32(r.data, uint32(len(r.data)-replyHeaderSize))
 	binary.LittleEndian.PutUint32(r.data[4:], r.records)
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,29 +1,34 @@
-// Package simproto is the codec of the simulator's binary protocol. A Reader cuts standard input into batches of event
-// records, a Cursor reads a record's fields, and a Reply builds the actions that answer one batch. All numbers are
-// little-endian, all times are in microseconds. The package knows layouts only and decides nothing.
+// Package simproto is the codec of the simulator's binary protocol. A Reader splits a stream into batches of event records. A
+// Cursor reads the fields of a record. A Reply builds the actions in reply to a batch. All integers are little-endian, all
+// times are in microseconds.
+//
+// The identifiers of this package are the standard terms for the protocol's names; codes.go maps them.
 package simproto
 
 import (
 	"fmt"
 )
 
+// Sizes of the headers, in bytes.
 const (
-	batchHeaderSize  = 12 // u32 length, u64 clock
-	replyHeaderSize  = 8  // u32 length, u32 number of records
-	recordHeaderSize = 5  // u8 code, u32 length
+	batchHeaderSize  = 12 // length of the records (uint32), clock (uint64)
+	replyHeaderSize  = 8  // length of the records (uint32), number of records (uint32)
+	recordHeaderSize = 5  // code (uint8), length of the fields (uint32)
 )
 
-// FormatError is input that does not follow the protocol.
+// FormatError is the error for input that does not follow the protocol.
 type FormatError struct {
-	Offset int64 // of the faulty byte, or of the record that holds it, in the whole input
-	Err    error
+	Offset int64 // offset in the whole input, of the invalid byte or of its record
+	Err    error // the fault at Offset
 }
 
+// Error returns the offset and the text of Err.
 func (e *FormatError) Error() string { return fmt.Sprintf("byte %d: %v", e.Offset, e.Err) }
 
-// Unwrap gives what is wrong at the offset.
+// Unwrap returns Err.
 func (e *FormatError) Unwrap() error { return e.Err }
 
+// formatErrorf returns a *FormatError.
 func formatErrorf(offset int64, format string, args ...any) error {
 	return &FormatError{Offset: offset, Err: fmt.Errorf(format, args...)}
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -20,32 +20,37 @@
 	return raw
 }
 
-// The example of the protocol page, field by field, after an empty batch.
-func TestReadBatch(t *testing.T) {
+// The Reader parses an empty batch and the example batch of the protocol page.
+func TestBatchWireFormat(t *testing.T) {
 	reader := NewReader(bytes.NewReader(fromHex(t, `00000000 5a5c800000000000
 		3f000000 5b5c800000000000
 		01 24000000 0300 c4913a5d 00 00000000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 01
 		0a 06000000 0300 4d000000
 		04 06000000 0500 192b6f0e`)))
-	clock, c, err := reader.Next()
-	checkRead(t, "empty batch", err, "0x805c5a at 12, more: false", fmt.Sprintf("%#x at %d, more: %v", clock, c.Offset(), c.More()))
-	clock, c, err = reader.Next()
-	checkRead(t, "batch", err, "0x805c5b at 24, more: true", fmt.Sprintf("%#x at %d, more: %v", clock, c.Offset(), c.More()))
+	batch, err := reader.Next()
+	c := batch.Records
+	checkRead(t, "empty batch", err, "0x805c5a at 12, more: false", fmt.Sprintf("%#x at %d, more: %v", batch.ClockMicros, c.Offset(), c.More()))
+	batch, err = reader.Next()
+	c = batch.Records
+	checkRead(t, "batch", err, "0x805c5b at 24, more: true", fmt.Sprintf("%#x at %d, more: %v", batch.ClockMicros, c.Offset(), c.More()))
 
-	code, r, err := c.Record()
-	got := fmt.Sprintf("%d at %d:", code, r.Offset())
+	record, err := c.Record()
+	r := record.Fields
+	got := fmt.Sprintf("%d at %d:", record.Code, r.Offset())
 	got += fmt.Sprintf(" %d %#x %d %d", r.Uint16(), r.Uint32(), r.Uint8(), r.Uint32())
 	got += fmt.Sprintf(" %#x %d", r.Uint64(), r.Uint32())
 	got += fmt.Sprintf(" %v %v %v %d, more: %v, %v", r.Float32(), r.Float32(), r.Float32(), r.Uint8(), r.More(), r.Err())
 	checkRead(t, "request", err, "1 at 29: 3 0x5d3a91c4 0 0 0x91f03b7c55d20a64 240000 2 3 1 1, more: false, <nil>", got)
-	code, r, err = c.Record()
-	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", code, r.Uint16(), r.Uint32(), r.More(), c.More())
+	record, err = c.Record()
+	r = record.Fields
+	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", record.Code, r.Uint16(), r.Uint32(), r.More(), c.More())
 	checkRead(t, "elapsed", err, "10: 3 0x4d, more: false, true", got)
-	code, r, err = c.Record()
-	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", code, r.Uint16(), r.Uint32(), r.More(), c.More())
+	record, err = c.Record()
+	r = record.Fields
+	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", record.Code, r.Uint16(), r.Uint32(), r.More(), c.More())
 	checkRead(t, "lapsed", err, "4: 5 0xe6f2b19, more: false, false", got)
 
-	if _, _, err = reader.Next(); !errors.Is(err, io.EOF) {
+	if _, err = reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("at the end: %v", err)
 	}
 }
@@ -57,8 +62,8 @@
 	}
 }
 
-// Input that breaks off is a FormatError with the place; its words are those of the adapter's last line.
-func TestFormatErrors(t *testing.T) {
+// Truncated input is a FormatError with its offset.
+func TestTruncatedInputIsFormatError(t *testing.T) {
 	for name, c := range map[string]struct {
 		in     string
 		offset int64
@@ -71,12 +76,12 @@
 		"fields overrun":        {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: 2 bytes wanted, 1 left in the record"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, records, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
+			batch, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
 			if err == nil {
-				var fields *Cursor
-				if _, fields, err = records.Record(); err == nil {
-					fields.Uint16()
-					err = fields.Err()
+				var record Record
+				if record, err = batch.Records.Record(); err == nil {
+					record.Fields.Uint16()
+					err = record.Fields.Err()
 				}
 			}
 			var format *FormatError
@@ -87,7 +92,8 @@
 	}
 }
 
-func TestReadLists(t *testing.T) {
+// A Cursor reads lists of numbers and bytes, and only zeros after the first error.
+func TestCursorReadsListsAndKeepsFirstError(t *testing.T) {
 	c := &Cursor{data: fromHex(t, "03 0000803f 000000bf 00000040 00 0200 6869 05")}
 	if got := c.Float32s(make([]float64, 9)); !slices.Equal(got, []float64{1, -0.5, 2}) {
 		t.Errorf("floats %v", got)
@@ -98,9 +104,8 @@
 	if got := c.Bytes(uint32(c.Uint16())); string(got) != "hi" {
 		t.Errorf("bytes %q", got)
 	}
-	// The first error sticks; what is read after it is zero.
 	if got := c.Float32s(nil); len(got) != 1 || got[0] != 0 {
-		t.Errorf("floats cut off: %v", got)
+		t.Errorf("truncated floats: %v", got)
 	}
 	const want = "byte 19: 4 bytes wanted, 0 left in the record"
 	if c.Uint8() != 0 || c.Uint64() != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
@@ -108,18 +113,18 @@
 	}
 }
 
-// The example reply of the protocol page, as bytes.
-func TestWriteReply(t *testing.T) {
+// A Reply has the bytes of the example on the protocol page.
+func TestReplyWireFormat(t *testing.T) {
 	var r Reply
-	for range 2 { // a reply is emptied for the next
+	for range 2 { // Reset empties the reply
 		r.Reset()
-		r.Begin(ActionPassOn, 3).Uint32(0x5d3a91c4).Uint32(80000).Uint32(0x03124a07)
+		r.Begin(ActionForward, 3).Uint32(0x5d3a91c4).Uint32(80000).Uint32(0x03124a07)
 		r.End()
-		r.Begin(ActionWakeAt, 3).Uint32(500000).Uint32(77)
+		r.Begin(ActionSetTimer, 3).Uint32(500000).Uint32(77)
 		r.End()
-		r.Begin(ActionNoteDown, 3).Text([]byte("two servers known"))
+		r.Begin(ActionLog, 3).Text([]byte("two servers known"))
 		r.End()
-		r.Begin(ActionRecall, 3).Uint32(0x5d3a91c4).Uint8(0)
+		r.Begin(ActionCancelAttempt, 3).Uint32(0x5d3a91c4).Uint8(0)
 		r.End()
 		want := fromHex(t, `48000000 04000000
 			0a 0e000000 0300 c4913a5d 80380100 074a1203
@@ -135,7 +140,7 @@
 		t.Errorf("empty: %x", got)
 	}
 	r.Reset()
-	r.Begin(ActionFault, 1).Text(bytes.Repeat([]byte{'x'}, 70000)) // cut to what its length can state
+	r.Begin(ActionFault, 1).Text(bytes.Repeat([]byte{'x'}, 70000)) // truncated to 65535 bytes
 	r.End()
 	if got := r.Finish(); len(got) != 8+5+2+2+65535 || !bytes.Equal(got[:17], fromHex(t, "08000100 01000000 08 03000100 0100 ffff")) {
 		t.Errorf("%d bytes, %x", len(got), got[:17])
