--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,120 +1,142 @@
 package decision
 
-import (
-	"math"
-	"slices"
+import "math"
+
+const (
+	controlInterval = Second // between two updates of the admission rate and the subset
+
+	burstIntervals    = 0.15 // tokens that the bucket holds, in intervals of the admission rate
+	randomMarginRoots = 0.3  // margin on a limit for random arrivals, in square roots of the limit
+
+	coldStartAttemptsPerServer = 3.0   // fleet-wide attempts in flight, per ready server, while T is unknown
+	minInFlightPerServer       = 1.1   // least concurrency limit of the fleet, in attempts per ready server
+	quietLimitFactor           = 1.4   // factor on the least concurrency limit while latency is quiet
+	quietLimitFactorPerRoot    = 0.6   // added to quietLimitFactor for each square root of the number of nodes
+	maxInFlightSpans           = 1.5   // concurrency limit, in completions within T
+	minLatencyObjectives       = 0.125 // latency that always counts as low, in latency objectives
+
+	normalizedLatencySpan  = 4.0 // excess over the lowest recent latency, in such latencies, that is normalized to 1
+	quietNormalizedLatency = 0.2 // normalized latency below which the back end counts as quiet
+	featureSmoothing       = 0.3 // weight of an interval's value in the features' moving averages
+	minLatencySamples      = 10  // latency samples in an interval; missing ones repeat the last interval's mean
+	minConcurrencyRatio    = 0.3 // least target concurrency, in completions of the best recent interval within T
+	minTimeLeftLatencies   = 1.0 // time left before a request's deadline, in usual latencies
+
+	// The back end counts as stopped if more than this fraction of the servers is ejected.
+	stoppedNumerator   = 2
+	stoppedDenominator = 3
 )
 
-// admissionLimit limits what all clients together may send to the back end: each interval it sets an
-// admission rate λ = a/T and refills a token bucket by it, and it limits what is in flight. T is the lowest
-// recent latency of an interval, a the network's output for in-flight, latency and their averages, times what
-// the back end completes in T. It guards against a back end that is sent more than it completes: queues there
-// outlast the clients. It could harm where requests differ by far, so that a few long ones look like a queue;
-// a never falls below a share of the best recent rate, nor, while latency is quiet, below what was admitted.
+// admissionLimit limits the load that this node sends to the back end, for all customers together.
+//
+//   - Inputs: completed attempts, their latencies, and the attempts in flight, by interval.
+//   - State: the execution time T, the target concurrency a, the admission rate λ with its token bucket.
+//   - Rule: a request takes a token, and the attempts in flight stay below a concurrency limit. Each interval, a is
+//     the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
+//   - Protects against: a back end that receives more than it completes, whose queues outlast the clients.
+//   - Trade-off: a few long requests look like a queue. Therefore a has a lower bound, and while latency is quiet
+//     the limit does not fall below the rate admitted before.
 type admissionLimit struct {
-	config      *config
-	rate        float64 // λ, requests a second; 0 while too little was seen
-	tokens      tokenBucket
-	quiet       bool       // latency is low
-	action      float64    // a
-	features    [4]float64 // the network's input
-	lastLatency float64    // of the last interval, over the objective
-	throughput  throughput
+	config            *config
+	rate              float64 // λ, in requests a second; 0 while T is unknown
+	tokens            tokenBucket
+	quiet             bool    // the normalized latency is below quietNormalizedLatency
+	targetConcurrency float64 // a, in requests
+	features          loadFeatures
+	lastLatency       float64 // mean latency of the last interval, in latency objectives
+	throughput        throughput
 }
 
-func newAdmissionLimit(now Time) admissionLimit {
-	return admissionLimit{quiet: true, lastLatency: minLatencyShare, tokens: tokenBucket{at: now}}
+// loadFeatures is the input of the load policy. Concurrency is relative to the attempts that complete within a
+// latency objective. Latency is normalized: 0 at the lowest recent latency, 1 at normalizedLatencySpan above it.
+type loadFeatures struct {
+	concurrency        float64
+	concurrencyAverage float64
+	latency            float64
+	latencyAverage     float64
 }
 
-// policy is the network that gives a. Its hidden units are over {in-flight, its average, latency, its
-// average}, bias last. In-flight is over what completes in an objective, latency runs from 0 (as low as seen
-// lately) to 1 (latencySpan times that on top). Hand-set until fitted: flat while quiet, falling as either
-// rises.
-var policy = network{
+// loadPolicy maps load features to the target concurrency, relative to the best recent throughput. Its output is 1.2
+// while latency and concurrency are low, and falls as either rises.
+var loadPolicy = network{
 	hidden: [4][5]float64{
-		{0, 0, 1, 0, -quietLatency},
-		{0, 0, 0, 1, -quietLatency},
-		{1, 0, 0, 0, -quietLatency},
-		{0, 1, 0, 0, -quietLatency},
+		{0, 0, 1, 0, -quietNormalizedLatency},
+		{0, 0, 0, 1, -quietNormalizedLatency},
+		{1, 0, 0, 0, -quietNormalizedLatency},
+		{0, 1, 0, 0, -quietNormalizedLatency},
 	},
 	out: [5]float64{-0.4, -0.4, -0.4, -0.4, 1.2},
 }
 
-// hasToken tells whether a request may pass by the rate alone. After a pause the bucket holds what would have
-// passed meanwhile.
+// newAdmissionLimit returns a limit that has seen no attempt. Its config must be set before use.
+func newAdmissionLimit(now Time) admissionLimit {
+	return admissionLimit{quiet: true, lastLatency: minLatencyObjectives, tokens: tokenBucket{at: now}}
+}
+
+// hasToken refills the token bucket and reports whether it holds a token. Directly after a scheduling pause, the
+// bucket holds the tokens of the whole pause.
 func (l *admissionLimit) hasToken(now Time, p *pause) bool {
-	over := burstShare * seconds(interval)
+	burstSeconds := burstIntervals * seconds(controlInterval)
 	if p.endedAt == now {
-		over = max(over, seconds(p.length))
+		burstSeconds = max(burstSeconds, seconds(p.length))
 	}
-	burst := l.rate*over + 1
+	burst := l.rate*burstSeconds + 1
 	if l.config.owners {
-		burst += chanceMargin * math.Sqrt(l.rate)
+		burst += randomMarginRoots * math.Sqrt(l.rate)
 	}
 	l.tokens.refill(now, l.rate, burst)
 	return l.tokens.level >= 1
 }
 
-// evenShare is this node's even share of so many attempts a ready server, and a chance margin on top.
-func (l *admissionLimit) evenShare(each float64, ready int) float64 {
-	share := each * float64(ready) / float64(l.config.nodes)
-	return max(1, share+chanceMargin*math.Sqrt(share))
+// evenShare returns this node's share of a fleet-wide number of attempts per ready server. The share includes a
+// margin for random arrivals and is at least 1.
+func (l *admissionLimit) evenShare(attemptsPerServer float64, ready int) float64 {
+	share := attemptsPerServer * float64(ready) / float64(l.config.nodes)
+	return max(1, share+randomMarginRoots*math.Sqrt(share))
 }
 
-// concurrencyLimit is how much may be in flight: much while latency is quiet, since a node may have to take
-// over the load of others that died within a second.
+// concurrencyLimit returns the number of attempts that this node may have in flight. While latency is quiet, the
+// lower bound is higher: the node may have to take over the load of failed nodes within a second.
 func (l *admissionLimit) concurrencyLimit(ready int) float64 {
-	least := l.evenShare(minInFlight, ready)
+	lower := l.evenShare(minInFlightPerServer, ready)
 	if l.quiet {
-		least *= quietAllowance + quietNodeFactor*math.Sqrt(float64(l.config.nodes))
+		lower *= quietLimitFactor + quietLimitFactorPerRoot*math.Sqrt(float64(l.config.nodes))
 	}
-	over := max(l.throughput.executionTime, minLatencyShare*float64(l.config.shortestObjective))
-	most := limitOverTime * l.throughput.canFinish(Time(over))
+	span := max(l.throughput.executionTime, minLatencyObjectives*float64(l.config.shortestObjective))
+	limit := maxInFlightSpans * l.throughput.completionsIn(Time(span))
 	if l.config.owners {
-		most += chanceMargin * math.Sqrt(most)
+		limit += randomMarginRoots * math.Sqrt(limit)
 	}
-	return max(least, most)
+	return max(lower, limit)
 }
 
-// closeInterval learns from an interval of so many seconds, and sets λ.
-func (l *admissionLimit) closeInterval(now Time, span float64, seen *intervalStats, load intervalLoad) {
-	latency := l.intervalLatency(seen, load.requests)
-	l.throughput.closeInterval(float64(seen.completed)/span, load.requests)
+// closeInterval updates the admission rate from an interval that lasted spanSeconds.
+func (l *admissionLimit) closeInterval(now Time, spanSeconds float64, stats *intervalStats, load intervalLoad) {
+	latency := l.intervalLatency(stats, load.requests)
+	l.throughput.closeInterval(float64(stats.completed)/spanSeconds, load.requests)
 	if !l.throughput.known() {
 		return
 	}
-	l.observe(load.healthy, latency, load.ready)
-	over := seconds(Time(l.throughput.executionTime)) // T
-	best := max(l.throughput.bestRate()*over, l.evenShare(minInFlight, load.ready))
-	l.action = max(minAction, policy.evaluate(l.features)) * best
-	if l.quiet { // as for a fresh node, and not below what was admitted
-		l.action = max(l.action, l.evenShare(coldStartAttempts, load.ready), float64(seen.admitted)/span*over)
+	l.updateFeatures(load.healthy, latency, load.ready)
+	executionSeconds := seconds(Time(l.throughput.executionTime))
+	best := max(l.throughput.bestRate()*executionSeconds, l.evenShare(minInFlightPerServer, load.ready))
+	l.targetConcurrency = max(minConcurrencyRatio, loadPolicy.evaluate(l.features.vector())) * best
+	if l.quiet {
+		admitted := float64(stats.admitted) / spanSeconds * executionSeconds
+		l.targetConcurrency = max(l.targetConcurrency, l.evenShare(coldStartAttemptsPerServer, load.ready), admitted)
 	}
 	if l.rate == 0 {
 		l.tokens = tokenBucket{1, now}
 	}
-	l.rate = max(l.action/over, 1)
-}
-
-// closeInterval takes in an interval's completed rate, with so many requests in flight. T takes enough ends,
-// of more intervals if need be: by the first ones, which are short, a fresh node would see a jam later.
-func (t *throughput) closeInterval(rate float64, requests int) {
-	if t.timeCount >= enoughForTime && t.timeCount >= requests {
-		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), recentIntervals)
-		t.timeSum, t.timeCount = 0, 0
-	}
-	t.rates = appendRecent(t.rates, rate, bestRateIntervals)
-	if t.known() {
-		t.executionTime = slices.Min(t.times)
-	}
+	l.rate = max(l.targetConcurrency/executionSeconds, 1)
 }
 
-// intervalLatency is the mean latency over the objective. Few ends say little alone: the last latency stands
-// for those that lack. Where nothing came back at all it is an objective at least.
-func (l *admissionLimit) intervalLatency(seen *intervalStats, requests int) float64 {
-	if seen.ends > 0 {
-		lack := float64(max(0, enoughEnds-seen.ends))
-		l.lastLatency = (seen.latencySum + lack*l.lastLatency) / (float64(seen.ends) + lack)
+// intervalLatency returns the mean latency of an interval in latency objectives. Where samples are missing, the last
+// interval's mean stands for them. Without any sample it returns 1 if requests are in flight, else 0.
+func (l *admissionLimit) intervalLatency(stats *intervalStats, requests int) float64 {
+	if stats.samples > 0 {
+		missing := float64(max(0, minLatencySamples-stats.samples))
+		l.lastLatency = (stats.latencySum + missing*l.lastLatency) / (float64(stats.samples) + missing)
 		return l.lastLatency
 	}
 	if requests > 0 {
@@ -123,36 +145,48 @@
 	return 0
 }
 
-// observe brings the network's input up to date.
-func (l *admissionLimit) observe(healthy, latency float64, ready int) {
+// updateFeatures sets the features from the attempts in flight at healthy servers and the mean latency in latency
+// objectives.
+func (l *admissionLimit) updateFeatures(healthy, latency float64, ready int) {
 	objective := float64(l.config.shortestObjective)
-	least := min(max(l.throughput.executionTime/objective, minLatencyShare), 1/(1+latencySpan))
+	lowest := max(l.throughput.executionTime/objective, minLatencyObjectives)
+	lowest = min(lowest, 1/(1+normalizedLatencySpan))
+	completions := l.throughput.completionsIn(l.config.shortestObjective)
 	f := &l.features
-	f[0] = healthy / max(l.evenShare(minInFlight, ready), l.throughput.canFinish(l.config.shortestObjective))
-	f[2] = (latency/least - 1) / latencySpan
-	f[1] += featureDecay * (f[0] - f[1])
-	f[3] += featureDecay * (f[2] - f[3])
-	l.quiet = f[2] < quietLatency
+	f.concurrency = healthy / max(l.evenShare(minInFlightPerServer, ready), completions)
+	f.latency = (latency/lowest - 1) / normalizedLatencySpan
+	f.concurrencyAverage += featureSmoothing * (f.concurrency - f.concurrencyAverage)
+	f.latencyAverage += featureSmoothing * (f.latency - f.latencyAverage)
+	l.quiet = f.latency < quietNormalizedLatency
+}
+
+// vector returns the features in the order of the policy's weights.
+func (f loadFeatures) vector() [4]float64 {
+	return [4]float64{f.concurrency, f.concurrencyAverage, f.latency, f.latencyAverage}
 }
 
-// tooLate tells whether a request's client leaves before an attempt usually ends: it would be waste, and
-// asked for again. It guards against crowds of the impatient; it could harm a client that is often served
-// quicker.
+// tooLate reports whether a request's client is likely to leave before an attempt ends. Directly after a scheduling
+// pause, a request that can't meet its latency objective is too late as well.
+//
+// Protects against: work for clients that have left and repeat their requests.
+// Trade-off: a client that is often served faster than usual is rejected too.
 func (e *Engine) tooLate(r *request) bool {
-	least := minUsualLatencies * e.usualLatency(r.class)
+	least := minTimeLeftLatencies * e.usualLatency(r.class)
+	if float64(r.deadline-e.now) < least {
+		return true
+	}
 	objective := e.config.classes[r.class].latencyObjective
-	return float64(r.deadline-e.now) < least ||
-		e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
+	return e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
 }
 
-// checkAdmission is why the limits on the back end reject a request, or notRejected.
+// checkAdmission returns the reason for which the admission limit rejects a request, or notRejected.
 func (e *Engine) checkAdmission(r *request) rejectReason {
 	ready := e.endpoints.ready
 	switch {
 	case e.tooLate(r):
 		return rejectTooLate
 	case e.admission.rate == 0:
-		if e.inFlightAtHealthy() >= e.admission.evenShare(coldStartAttempts, ready) {
+		if e.inFlightAtHealthy() >= e.admission.evenShare(coldStartAttemptsPerServer, ready) {
 			return rejectColdStart
 		}
 	case !e.admission.hasToken(e.now, &e.pause):
@@ -163,24 +197,24 @@
 	return notRejected
 }
 
-// inFlightAtHealthy is what is in flight at servers in good standing: that tells of the back end's queue.
-// Left out is what hangs on an ejected server, or waited so long that its answer must be lost, as where a
-// link swallows some; in a true jam the usual latency rises too, and they count. When over two thirds are
-// ejected the back end itself stands still: then all counts, or a node would fill what it can't see.
+// inFlightAtHealthy returns the number of attempts in flight that indicate the back end's queue. It leaves out
+// attempts at ejected servers, and attempts that have waited so long that their response must be lost. If more than
+// two thirds of the servers are ejected, the back end itself has stopped, and all attempts count.
 func (e *Engine) inFlightAtHealthy() float64 {
 	healthy, all, ejected := 0, 0, 0
-	for _, i := range e.endpoints.view {
+	for _, i := range e.endpoints.tracked {
 		s := &e.endpoints.servers[i]
 		all += s.inFlight
 		for k := range s.byClass {
-			if state := &s.byClass[k]; e.outliers.ejected(state, ClassID(k), e.now) {
+			state := &s.byClass[k]
+			if e.outliers.ejected(state, ClassID(k), e.now) {
 				ejected++
 			} else {
 				healthy += state.inFlight - state.lost
 			}
 		}
 	}
-	if 3*ejected > 2*e.endpoints.usable*len(e.classes) {
+	if stoppedDenominator*ejected > stoppedNumerator*e.endpoints.usable*len(e.classes) {
 		return float64(all)
 	}
 	return float64(healthy)
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -29,7 +29,7 @@
 			rejected++
 		}
 	}
-	if sent < 2*coldStartAttempts || sent > 4*coldStartAttempts || sent+rejected != 50 {
+	if sent < 2*coldStartAttemptsPerServer || sent > 4*coldStartAttemptsPerServer || sent+rejected != 50 {
 		t.Fatalf("sent %d, rejected %d of 50", sent, rejected)
 	}
 }
@@ -132,8 +132,8 @@
 	for k := range intervals {
 		seen := &intervalStats{admitted: completed, completed: completed}
 		for range completed {
-			seen.attemptEnded(float64(took) / 6000)
-			l.throughput.completed(took)
+			seen.addLatency(float64(took) / 6000)
+			l.throughput.recordCompletion(took)
 		}
 		l.closeInterval(Time(k)*Second, 1, seen, load)
 	}
@@ -172,7 +172,7 @@
 		want     float64
 	}{{0, 0, 0, 0}, {0, 0, 1, 1}, {20, 10, 1, 0.5}, {10, 5, 1, 0.5}, {1, 1, 1, (1 + 9*0.125) / 10}} {
 		l := newAdmissionLimit(0)
-		if got := l.intervalLatency(&intervalStats{ends: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
+		if got := l.intervalLatency(&intervalStats{samples: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
 			t.Errorf("%d ends of %v: %v, not %v", c.ends, c.sum, got, c.want)
 		}
 	}
@@ -196,7 +196,7 @@
 		features [4]float64
 		want     float64
 	}{{[4]float64{}, 1.2}, {[4]float64{0.2, 0.2, 0.2, 0.2}, 1.2}, {[4]float64{1.2, 0, 0.7, 0}, 0.6}, {[4]float64{-9, -9, 1.2, 1.2}, 0.4}} {
-		if got := policy.evaluate(c.features); !near(got, c.want) {
+		if got := loadPolicy.evaluate(c.features); !near(got, c.want) {
 			t.Errorf("%v: %v, not %v", c.features, got, c.want)
 		}
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -6,16 +6,16 @@
 // Second is one second of Time.
 const Second Time = 10000
 
-// ServerID is an app server's number, the same at all nodes.
+// ServerID identifies an app server. It is the same at all nodes.
 type ServerID uint32
 
-// RequestID is a request's number, as its host gave it.
+// RequestID identifies a request at one node. The host assigns it.
 type RequestID uint32
 
-// CustomerID is a customer's key, the same at all nodes.
+// CustomerID identifies a customer. It is the same at all nodes.
 type CustomerID uint64
 
-// NodeID is a node's number, from 0; AllPeers is none of them.
+// NodeID is the number of a node, from 0.
 type NodeID int
 
 // ClassID is the index of a request class in the settings.
@@ -24,34 +24,34 @@
 // PlanID is the index of a quota plan in the settings.
 type PlanID int
 
-// Outcome is how an attempt, or a health check, ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome uint8
 
-// The outcomes. Overloaded, ConnectFailed and NotSent prove that the attempt never ran.
+// The outcomes. Overloaded, ConnectFailed and NotSent prove that the server did not execute the request.
 const (
 	Succeeded         Outcome = iota
-	Failed                    // the app server answered with an error
-	Overloaded                // rejected by the app server without being looked at
-	TimedOut                  // no answer within the time allowed
-	ConnectFailed             // no connection
-	ConnectionReset           // the connection broke
-	Cancelled                 // cancelled by this node
-	NotSent                   // never sent
-	MalformedResponse         // an answer came that can't be read
+	Failed                    // the server responded with an error
+	Overloaded                // the server rejected the request without executing it
+	TimedOut                  // no response within the attempt's timeout
+	ConnectFailed             // no connection was established
+	ConnectionReset           // the connection broke before the response was complete
+	Cancelled                 // this node cancelled the attempt
+	NotSent                   // the attempt was never sent
+	MalformedResponse         // the response could not be parsed
 )
 
-// EndpointListKind is what a message of discovery holds.
+// EndpointListKind is the content of an update of the endpoint list.
 type EndpointListKind uint8
 
 // The kinds of endpoint list.
 const (
 	FullList   EndpointListKind = iota // the complete list
-	CachedList                         // the complete list as it was last seen, perhaps old
-	PollFailed                         // a call failed; nothing changes
-	ListUpdate                         // changed entries only
+	CachedList                         // a complete list from an earlier time
+	PollFailed                         // none: a poll failed
+	ListUpdate                         // the entries that changed
 )
 
-// EndpointState is what discovery says of an app server.
+// EndpointState is the state of an app server in the endpoint list.
 type EndpointState uint8
 
 // The states of an app server.
@@ -68,61 +68,62 @@
 	Kind    uint16
 	Cell    uint16
 	State   EndpointState
-	Weight  float64 // size, relative to other servers; 0 or less: not known
-	Started Time    // latest start; 0 is long past
+	Weight  float64 // size relative to other servers; 0 or less: unknown
+	Started Time    // latest start by the servers' clock; 0: long ago
 }
 
-// Request is a request as it comes in.
+// Request is a new request of a client.
 type Request struct {
 	ID        RequestID
 	Class     ClassID
 	Plan      PlanID
 	Customer  CustomerID
-	Timeout   Time    // until the client gives up
-	Units     float64 // of the customer's quota, as expected
-	Spread    int     // how many nodes take in this customer's requests
-	FirstNode NodeID  // the first of them
+	Timeout   Time    // time until the client's deadline
+	Units     float64 // expected use of the customer's quota
+	Spread    int     // number of nodes in the customer's set, which receive its requests
+	FirstNode NodeID  // first node of the set; the others follow it
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes the end of an attempt.
 type AttemptResult struct {
 	Request  RequestID
-	Attempt  int // number of the attempt of its request, from 0
+	Attempt  int // number of the attempt within its request, from 0
 	Server   ServerID
 	Outcome  Outcome
 	Duration Time
-	Final    bool      // the request has its final answer
-	Units    float64   // the true units, once, with the first success of plans settled afterwards
-	Load     []float64 // the server's load report; no decision uses it
+	Final    bool      // the client has its final response
+	Units    float64   // units used; set once, with the first success, for plans that are settled afterwards; else 0
+	Load     []float64 // the server's load report; not used
 }
 
-// Action is what a Decision asks of the host.
+// Action is the host's task in a Decision.
 type Action uint8
 
 // The actions.
 const (
-	Forward Action = iota + 1
-	Reject
-	Fail
-	CancelAttempt
-	SetTimer
-	HealthCheck
-	SendPeerMessage
-	PollEndpoints
-	LogSummary
+	noAction        Action = iota // Next never returns it
+	Forward                       // send an attempt to a server
+	Reject                        // respond that the client may repeat the request
+	Fail                          // respond that the request failed
+	CancelAttempt                 // cancel an attempt that is in flight
+	SetTimer                      // call TimerFired after a duration
+	HealthCheck                   // check a server; the engine does not use it
+	SendPeerMessage               // send a message to one peer or to all
+	PollEndpoints                 // poll discovery
+	LogSummary                    // log the summary of an interval
 )
 
-// Decision is one answer of Next. Only the fields that its action needs are set.
+// Decision is a task for the host. Only the fields that the action needs are set.
 type Decision struct {
 	Action   Action
 	Request  RequestID
 	Attempt  int      // CancelAttempt
 	Server   ServerID // Forward, HealthCheck
-	Duration Time     // Forward: time-out; Reject: Retry-After; SetTimer: from now
-	Payload  []byte   // SendPeerMessage, LogSummary; valid until the next call
-	Peer     NodeID   // SendPeerMessage: to that node alone, or to AllPeers
+	Duration Time     // Forward: the attempt's timeout; Reject: Retry-After; SetTimer: the delay
+	Payload  []byte   // SendPeerMessage, LogSummary; valid until the next call of Next
+	Peer     NodeID   // SendPeerMessage: one node, or AllPeers
 	Reason   Reason   // Reject, Fail
 }
 
-// AllPeers as a Peer is every other node.
+// AllPeers as the Peer of a Decision stands for every other node.
 const AllPeers NodeID = -1
--- a/internal/decision/candidates.go
+++ b/internal/decision/candidates.go
@@ -1,36 +1,49 @@
 package decision
 
-// candidates are servers that may take a request, by weight, and sums over them.
+// candidates are the servers considered for a request's next attempt. A server that may not take it has weight 0.
 type candidates struct {
 	slots    []serverSlot
-	weight   float64
-	inFlight float64
+	weight   float64 // sum of the weights
+	inFlight float64 // attempts in flight at the servers with a weight
 }
 
-// weighAll weighs those of some servers that may take a request, the others by 0.
+// weighAll sets the weights of the servers for a request.
 func (e *Engine) weighAll(r *request, slots []serverSlot) candidates {
-	c, class := candidates{slots: slots}, &e.config.classes[r.class]
-	mean, set := e.selection.meanPace(e.now), &e.endpoints
+	c, set := candidates{slots: slots}, &e.endpoints
+	meanPace := e.selection.meanPace(e.now)
 	for _, i := range slots {
 		s := &set.servers[i]
 		set.outlierStates(i, len(e.classes))
-		if s.weight = 0; s.usable() && !class.bound(r, s, set.servers) && e.slowStart.hasRoom(s, e.now, e.subsets.ratio) {
-			s.weight = e.selection.weigh(s, mean, e.now)
-			c.weight, c.inFlight = c.weight+s.weight, c.inFlight+float64(s.inFlight)
+		s.weight = 0
+		if !e.eligible(r, s) {
+			continue
 		}
+		s.weight = e.selection.weigh(s, meanPace, e.now)
+		c.weight += s.weight
+		c.inFlight += float64(s.inFlight)
 	}
 	return c
 }
 
-// beyondSubset is which servers a request may go to past the subset: those in view; or, where an attempt of a keyed
-// one may have run and binds it to its cell, that cell's, of which few may be in view.
+// eligible reports whether a server may take a request's next attempt at all.
+func (e *Engine) eligible(r *request, s *server) bool {
+	if !s.usable() || e.config.classes[r.class].bound(r, s, e.endpoints.servers) {
+		return false
+	}
+	return e.slowStart.hasCapacity(s, e.now, e.subsets.ratio)
+}
+
+// beyondSubset returns the servers that a request may go to when the subset can't take it: the tracked ones. A keyed
+// request that may have run in a cell gets all servers of that cell instead, since few of them may be tracked.
 func (e *Engine) beyondSubset(r *request) []serverSlot {
-	if c := &e.config.classes[r.class]; c.retrySafety == retryKeyed && c.keyGroup == groupCell {
-		for _, a := range r.attempts {
-			if a.mayHaveRun {
-				return e.endpoints.order.cells[e.endpoints.servers[a.server].Cell]
-			}
+	c := &e.config.classes[r.class]
+	if c.retrySafety != retryKeyed || c.keyGroup != groupCell {
+		return e.endpoints.tracked
+	}
+	for _, a := range r.attempts {
+		if a.mayHaveRun {
+			return e.endpoints.order.cells[e.endpoints.servers[a.server].Cell]
 		}
 	}
-	return e.endpoints.view
+	return e.endpoints.tracked
 }
--- a/internal/decision/candidates_test.go
+++ b/internal/decision/candidates_test.go
@@ -22,7 +22,7 @@
 		n.AttemptEnded(AttemptResult{Request: id, Server: first[0].Server, Outcome: ConnectionReset, Duration: Second / 50})
 		if next := pull(n, Forward); len(next) == 1 {
 			a, b := n.endpoints.slots.find(first[0].Server), n.endpoints.slots.find(next[0].Server)
-			if again++; a == b || n.endpoints.servers[a].Cell != n.endpoints.servers[b].Cell || !slices.Contains(n.endpoints.view, b) || n.endpoints.servers[b].inFlight != 1 {
+			if again++; a == b || n.endpoints.servers[a].Cell != n.endpoints.servers[b].Cell || !slices.Contains(n.endpoints.tracked, b) || n.endpoints.servers[b].inFlight != 1 {
 				t.Fatalf("a keyed request of cell %d went on in %d", n.endpoints.servers[a].Cell, n.endpoints.servers[b].Cell)
 			}
 			n.AttemptEnded(AttemptResult{Request: id, Attempt: 1, Server: next[0].Server, Duration: Second / 50, Final: true})
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -2,78 +2,91 @@
 
 import "slices"
 
-// customerSlot is where a customer is kept.
+const (
+	customerIdleTimeout = 60 * controlInterval // without requests, after which a customer with a full bucket is dropped
+	idleScanCustomers   = 1024                 // customers checked for idleness in an interval
+	defaultMeanUnits    = 1                    // units of a request before the first one is seen
+	defaultQueryRatio   = 1                    // until the owner names one
+)
+
+// customerSlot is an index into customerTable.all.
 type customerSlot int32
 
-// customer lives until it has been idle for long.
+// customer is the state of one customer. It is dropped after customerIdleTimeout.
 type customer struct {
 	id          CustomerID
 	live        bool // the slot is in use
 	plan        PlanID
-	spread      int    // nodes that take in its requests,
-	firstNode   NodeID // in a row from this one
+	spread      int    // number of nodes that receive the customer's requests: the customer's set
+	firstNode   NodeID // first node of the set; the others follow it
 	firstSeen   Time
 	lastRequest Time
-	bucket      tokenBucket  // in the whole customer's terms, see tenantQuota
-	demand      decayingMean // units asked for here
-	peerDemand  decayingMean // units asked for at other nodes; at its owner, at all nodes
-	inFlight    int
-	leased      bool        // its bucket is what SetLease said, less what passed since
-	ceiling     tokenBucket // this node's part of the plan's hard ceiling
-
-	// Where customers have quota owners.
-	admitPart        float64       // the part of its requests that are asked for, as its owner said, or at its owner
-	admitPartAt      Time          // when the owner said so
-	unreportedDemand float64       // elsewhere: units asked for that its owner has not answered
-	freePass         bool          // its requests pass and are reported afterwards, as its owner said, or at its owner
-	meanUnits        float64       // at its owner: units of its requests of late
-	reservations     []reservation // at its owner: what it granted
-	ownerCeiling     tokenBucket   // at its owner: the part of the ceiling kept there
-
-	reportPending bool // waits for the next report to peers, of
-	reportDemand  float64
-	reportUse     float64
+	bucket      tokenBucket  // of the whole quota, see tenantQuota
+	demand      decayingMean // units requested here
+	peerDemand  decayingMean // units requested at other nodes; at the owner, at all nodes
+	inFlight    int          // attempts in flight here
+	leased      bool         // SetLease fills the bucket
+	ceiling     tokenBucket  // this node's share of the plan's hard ceiling
+
+	queryRatio       float64       // share of the requests for which the owner is queried
+	queryRatioAt     Time          // time at which the owner set queryRatio
+	optimistic       bool          // requests are admitted first and reported to the owner afterwards
+	unreportedDemand float64       // at other nodes: units requested since the last query
+	meanUnits        float64       // at the owner: moving average of the units of a request
+	reservations     []reservation // at the owner: granted requests in flight
+	ownerCeiling     tokenBucket   // at the owner: its part of the hard ceiling
+
+	reportPending bool    // the next report to peers covers the customer
+	reportDemand  float64 // units requested since the last report
+	reportUse     float64 // units admitted or settled since the last report
 }
 
-// refill brings the bucket up to date; one that is leased is filled by SetLease alone.
+// refill refills the bucket by the plan. It has no effect on a leased bucket.
 func (c *customer) refill(p *quotaPlan, now Time) {
 	if !c.leased {
 		c.bucket.refill(now, p.rate, p.burst)
 	}
 }
 
-// report is the customer as messages to peers name it.
+// report returns a report that identifies the customer, with the other fields unset.
 func (c *customer) report() customerReport {
 	return customerReport{customer: c.id, plan: c.plan, spread: c.spread, firstNode: c.firstNode}
 }
 
-// release drops the reservation of a node's request.
+// reservation is a request that a customer's owner granted.
+type reservation struct {
+	node    NodeID
+	request RequestID
+	until   Time // expiry, if the end of the request is not reported before
+}
+
+// release drops the reservation of a node's request, if there is one.
 func (c *customer) release(node NodeID, id RequestID) {
-	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.node == node && r.request == id })
+	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool {
+		return r.node == node && r.request == id
+	})
 }
 
-// demandRate is a decaying sum of demand, a second.
-func demandRate(demand *decayingMean, now Time) float64 {
-	demand.decayTo(now, demandMemory)
-	return demand.sum / seconds(demandMemory)
+// expireReservations drops the reservations whose time is over.
+func (c *customer) expireReservations(now Time) {
+	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.until <= now })
 }
 
-// reservation is a request that a customer's owner granted, and when it counts as ended in any case.
-type reservation struct {
-	node    NodeID
-	request RequestID
-	until   Time
+// demandRate returns a decaying sum of demand as a rate a second. The sum must decay with demandTimeConstant.
+func demandRate(demand *decayingMean, now Time) float64 {
+	demand.decayTo(now, demandTimeConstant)
+	return demand.sum / seconds(demandTimeConstant)
 }
 
-// customerTable keeps the customers.
+// customerTable holds the customers by slot.
 type customerTable struct {
 	all    []customer
 	slots  slotIndex[CustomerID, customerSlot]
-	scanAt customerSlot // that was last looked at for being idle
+	scanAt customerSlot // last slot checked for idleness
 }
 
-// slot is where a customer is kept; a new one starts with a full bucket and an empty ceiling. A set of nodes that can't
-// be is taken for what it can mean.
+// slot returns the slot of a customer, and creates the customer if it is unknown. A new one starts with a full bucket
+// and an empty ceiling. The spread and the first node are clamped to the fleet.
 func (t *customerTable) slot(cfg *config, now Time, id CustomerID, plan PlanID, spread int, first NodeID) customerSlot {
 	i := t.slots.find(id)
 	if i < 0 {
@@ -81,25 +94,31 @@
 		if int(i) == len(t.all) {
 			t.all = append(t.all, customer{})
 		}
-		p := &cfg.plans[plan]
-		empty := tokenBucket{at: now}
-		t.all[i] = customer{
-			id: id, live: true, plan: plan, firstSeen: now, meanUnits: 1, admitPart: 1,
-			bucket: tokenBucket{max(p.burst, float64(p.maxInFlight)), now}, ceiling: empty, ownerCeiling: empty,
-		}
+		t.all[i] = newCustomer(id, plan, &cfg.plans[plan], now)
 	}
 	c := &t.all[i]
-	c.spread, c.firstNode = min(max(spread, 1), cfg.nodes), max(first, 0)%NodeID(cfg.nodes)
+	c.spread = min(max(spread, 1), cfg.nodes)
+	c.firstNode = max(first, 0) % NodeID(cfg.nodes)
 	return i
 }
 
-// forgetIdle forgets customers that have long been idle, once their buckets are surely full. It looks at some at a
-// time: of tens of thousands, all at once would hold up the requests that come meanwhile.
+// newCustomer returns a customer without demand.
+func newCustomer(id CustomerID, plan PlanID, p *quotaPlan, now Time) customer {
+	empty := tokenBucket{at: now}
+	full := tokenBucket{max(p.burst, float64(p.maxInFlight)), now}
+	return customer{
+		id: id, live: true, plan: plan, firstSeen: now, meanUnits: defaultMeanUnits, queryRatio: defaultQueryRatio,
+		bucket: full, ceiling: empty, ownerCeiling: empty,
+	}
+}
+
+// forgetIdle drops idle customers whose buckets are full. Each call checks at most idleScanCustomers customers, so that
+// it does not delay requests.
 func (t *customerTable) forgetIdle(cfg *config, now Time) {
-	for range min(idleScanCount, len(t.all)) {
+	for range min(idleScanCustomers, len(t.all)) {
 		t.scanAt = (t.scanAt + 1) % customerSlot(len(t.all))
 		c := &t.all[t.scanAt]
-		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleAfter {
+		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleTimeout {
 			continue
 		}
 		p := &cfg.plans[c.plan]
@@ -110,7 +129,7 @@
 	}
 }
 
-// inSet tells whether a node is one of so many in a row from the first.
+// inSet reports whether a node is in the set of spread nodes that begins with first.
 func (c *config) inSet(node, first NodeID, spread int) bool {
 	return (int(node-first)+c.nodes)%c.nodes < spread
 }
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -7,16 +7,16 @@
 // Of tens of thousands of customers that asked once, those long idle are forgotten, some at a time: no interval looks at all.
 func TestManyIdleCustomersAreForgotten(t *testing.T) {
 	n := plain(3, nil)
-	const many = 5 * idleScanCount
+	const many = 5 * idleScanCustomers
 	for k := range CustomerID(many) {
 		n.customers.all[n.customers.slot(n.config, n.now, k, 0, 1, 0)].lastRequest = n.now
 	}
 	now := n.now
 	for k := range 80 {
-		now += interval
+		now += controlInterval
 		n.SetTime(now)
 		pull(n, Forward)
-		if left := len(n.customers.slots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCount {
+		if left := len(n.customers.slots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCustomers {
 			t.Fatalf("%d of %d customers left after %d intervals", left, many, k)
 		}
 	}
--- a/internal/decision/decay.go
+++ b/internal/decision/decay.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// decayingMean is a sum and a count that decay exponentially with time.
+// decayingMean holds an exponentially decaying sum and count of values. Their quotient is the decaying mean.
 type decayingMean struct {
 	sum, count float64
-	at         Time // as of which they hold
+	at         Time // time as of which sum and count hold
 }
 
-// decayTo brings the mean up to date. Memory is the time after which 1/e is left.
-func (m *decayingMean) decayTo(now, memory Time) {
+// decayTo decays sum and count to now. After the time constant, 1/e of them is left. An earlier time has no effect.
+func (m *decayingMean) decayTo(now, timeConstant Time) {
 	if now > m.at {
-		left := math.Exp(-float64(now-m.at) / float64(memory))
+		left := math.Exp(-float64(now-m.at) / float64(timeConstant))
 		m.sum, m.count, m.at = m.sum*left, m.count*left, now
 	}
 }
 
-// add takes in one value.
-func (m *decayingMean) add(v float64, now, memory Time) {
-	m.decayTo(now, memory)
+// add adds a value.
+func (m *decayingMean) add(v float64, now, timeConstant Time) {
+	m.decayTo(now, timeConstant)
 	m.sum, m.count = m.sum+v, m.count+1
 }
 
-// appendRecent appends v to the last k values.
+// appendRecent appends a value and keeps the last k of them.
 func appendRecent(list []float64, v float64, k int) []float64 {
 	if len(list) >= k {
 		list = append(list[:0], list[1:]...)
@@ -30,4 +30,5 @@
 	return append(list, v)
 }
 
+// seconds converts a duration to seconds.
 func seconds(t Time) float64 { return float64(t) / float64(Second) }
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -1,118 +1,189 @@
 package decision
 
-// decide settles what happens with a request now; nothing may be the answer while an attempt is in flight, or
-// while its quota owner is asked.
-func (e *Engine) decide(i requestSlot) (Decision, bool) {
+const (
+	answerMarginTicks            = 2   // part of the answer margin: a tick to see an attempt's end, one to answer
+	answerMarginObjectiveDivisor = 100 // divides the shortest latency objective, for the other part of the answer margin
+	minRetryAfterDivisor         = 4   // divides the shortest latency objective, for the least Retry-After
+	shortTimeoutDivisor          = 2   // divides the latency objective, below which a timeout carries no information
+)
+
+// admissionOutcome is the decision on a request's first attempt, before a server is selected.
+type admissionOutcome uint8
+
+const (
+	admissionRejected admissionOutcome = iota
+	admissionGranted
+	admissionPending // the quota owner has not responded
+)
+
+// admission is the result of admitting a request.
+type admission struct {
+	outcome    admissionOutcome
+	reason     Reason // if rejected
+	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
+}
+
+// attemptAssessment is the information that an attempt's end carries.
+type attemptAssessment struct {
+	outcome       Outcome // for the server; NotSent if the end carries no information on it
+	latency       float64 // in latency objectives
+	countsLatency bool    // latency is a sample for the admission limit
+}
+
+// decide returns the action for a request. It returns a Decision with noAction while the request has an attempt in
+// flight, streams its response or waits for its quota owner.
+func (e *Engine) decide(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if r.closed || r.streaming || r.inFlight > 0 {
-		return Decision{}, false
+		return Decision{}
 	}
-	left := r.deadline - e.now - e.answerMargin()
-	ok, first, retryAfter, reason := left > 0, len(r.attempts) == 0, Time(0), ReasonTooLate
+	timeout := r.deadline - e.now - e.answerMargin()
 	switch {
-	case ok && first:
-		if ok, retryAfter = e.admit(r); !ok && e.owner.waits(r, e.now) {
-			return Decision{}, false
-		}
-		reason = e.interval.lastReason
-	case ok:
-		reason = e.retries.refusal(r, e.now)
-		ok = reason == ReasonNone
+	case timeout <= 0:
+		return e.rejectOrFail(i, ReasonTooLate, 0)
+	case len(r.attempts) == 0:
+		return e.decideFirstAttempt(i, timeout)
 	}
-	if !ok {
-		return e.rejectOrFail(i, retryAfter, reason), true
+	return e.decideRetry(i, timeout)
+}
+
+// decideFirstAttempt returns the action for a request without an attempt.
+func (e *Engine) decideFirstAttempt(i requestSlot, timeout Time) Decision {
+	r := &e.requests.all[i]
+	result := e.admit(r)
+	switch result.outcome {
+	case admissionPending:
+		return Decision{}
+	case admissionRejected:
+		return e.rejectOrFail(i, result.reason, result.retryAfter)
+	}
+	server := e.pick(r)
+	if server < 0 {
+		return e.rejectWithoutServer(i)
 	}
-	to := e.pick(r)
-	if to < 0 {
-		e.interval.reject(rejectNoServer, 0)
-		return e.rejectOrFail(i, 0, ReasonNoServer), true
+	e.charge(r)
+	e.retries.earn(e.endpoints.usable)
+	return e.forward(r, server, timeout)
+}
+
+// decideRetry returns the action for a request whose attempts have all ended.
+func (e *Engine) decideRetry(i requestSlot, timeout Time) Decision {
+	r := &e.requests.all[i]
+	if reason := e.retries.refusal(r, e.now); reason != ReasonNone {
+		return e.rejectOrFail(i, reason, 0)
 	}
-	if first {
-		e.charge(r)
-		e.retries.earn(e.endpoints.usable)
-	} else {
-		e.retries.spend()
+	server := e.pick(r)
+	if server < 0 {
+		return e.rejectWithoutServer(i)
 	}
+	e.retries.spend()
+	return e.forward(r, server, timeout)
+}
+
+// forward starts an attempt at a server.
+func (e *Engine) forward(r *request, to serverSlot, timeout Time) Decision {
 	e.startAttempt(r, to)
-	return Decision{Action: Forward, Request: r.id, Server: e.endpoints.servers[to].Server, Duration: left}, true
+	return Decision{Action: Forward, Request: r.id, Server: e.endpoints.servers[to].Server, Duration: timeout}
 }
 
-// admit is a first attempt's way through the limits: those on the back end, then the customer's quota, then a
-// hard ceiling. What an owner granted has passed the ceiling there.
-func (e *Engine) admit(r *request) (ok bool, retryAfter Time) {
-	if r.askedOwnerAt == 0 {
+// admit applies the limits on a first attempt: the admission limit, the customer's quota, the plan's hard ceiling. A
+// request that the quota owner granted has passed the ceiling there.
+func (e *Engine) admit(r *request) admission {
+	if r.queriedOwnerAt == 0 {
 		if reason := e.checkAdmission(r); reason != notRejected {
-			return e.interval.reject(reason, 0)
+			return e.rejectAdmission(reason, 0)
 		}
 	}
 	c := &e.customers.all[r.customer]
-	owned := e.owner.owned(c)
-	if owned {
-		ok, retryAfter = e.admitByOwner(c, r), interval
-	} else {
-		ok, retryAfter = e.quota.admit(c, r, e.usualLatency(r.class), e.now)
+	quota := e.checkQuota(c, r)
+	if !quota.admitted {
+		if e.owner.waits(r, e.now) {
+			return admission{outcome: admissionPending}
+		}
+		return e.rejectAdmission(rejectQuota, quota.retryAfter)
 	}
-	switch {
-	case !ok && e.owner.waits(r, e.now):
-		return false, 0
-	case !ok:
-		return e.interval.reject(rejectQuota, retryAfter)
-	case r.verdict != verdictGranted && !e.quota.ceilingAllows(c, r.units, owned, e.now):
-		return e.interval.reject(rejectCeiling, 0)
+	if r.ownerResponse != responseGranted {
+		if !e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) {
+			return e.rejectAdmission(rejectCeiling, 0)
+		}
 	}
-	return true, 0
+	return admission{outcome: admissionGranted}
+}
+
+// checkQuota applies a customer's quota to a request, here or at its owner.
+func (e *Engine) checkQuota(c *customer, r *request) quotaResult {
+	if e.owner.owned(c) {
+		return quotaResult{admitted: e.ownerAdmits(c, r), retryAfter: controlInterval}
+	}
+	return e.quota.admit(c, r, e.usualLatency(r.class), e.now)
+}
+
+// rejectAdmission counts a rejection by a limit.
+func (e *Engine) rejectAdmission(reason rejectReason, retryAfter Time) admission {
+	e.interval.countRejection(reason)
+	return admission{outcome: admissionRejected, reason: reason.reason(), retryAfter: retryAfter}
 }
 
-// answerMargin keeps final answers clear of the deadline: an end is seen and answered a tick late each.
-func (e *Engine) answerMargin() Time { return 2*e.config.tick + e.config.shortestObjective/100 }
+// rejectWithoutServer counts and rejects a request that no server may take.
+func (e *Engine) rejectWithoutServer(i requestSlot) Decision {
+	e.interval.countRejection(rejectNoServer)
+	return e.rejectOrFail(i, ReasonNoServer, 0)
+}
 
-// rejectOrFail answers a request at once: rejected where trying again is harmless, else failed.
-func (e *Engine) rejectOrFail(i requestSlot, retryAfter Time, reason Reason) Decision {
+// charge charges an admitted request to the admission rate and its customer's quota.
+func (e *Engine) charge(r *request) {
+	c := &e.customers.all[r.customer]
+	e.admission.tokens.level--
+	e.interval.admitted++
+	if !e.owner.owned(c) {
+		c.charge(r.units, r.demandShare)
+	} else if r.queriedOwnerAt == 0 {
+		e.reportUse(c, r.customer, r.units, r.units)
+	}
+	if r.ownerResponse != responseGranted {
+		c.ceiling.level -= r.units
+	}
+}
+
+// answerMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
+// response is sent.
+func (e *Engine) answerMargin() Time {
+	return answerMarginTicks*e.config.tick + e.config.shortestObjective/answerMarginObjectiveDivisor
+}
+
+// rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
+// repeat, and fails any other. A rejection carries a Retry-After of at least retryAfter, if the settings ask for one.
+func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
 	if e.config.classes[r.class].harmless(r) {
 		d.Action = Reject
 		if e.config.retryAfter {
-			d.Duration = min(max(retryAfter, e.config.shortestObjective/4), e.config.maxRetryAfter)
+			least := e.config.shortestObjective / minRetryAfterDivisor
+			d.Duration = min(max(retryAfter, least), e.config.maxRetryAfter)
 		}
 	}
 	e.closeRequest(i)
 	return d
 }
 
-// judgeEnd is what an attempt's end tells of its server, what of the back end's latency, as a part of the
-// objective, and whether it tells of that at all.
+// assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency, where
+// state is the server's for the class.
 //
-// A time-out that left the attempt little time, as an impatient client's, says next to nothing: it is neither
-// pressure nor a failure. It covers any short deadline; it could hide a server that hangs while all clients
-// are impatient, which its silence then tells. Ends at an ejected server tell of that server, not of
-// pressure, and a connection that breaks tells of no queue. No answer counts as much as a whole objective,
-// whatever time it took.
-func (e *Engine) judgeEnd(r AttemptResult, class ClassID, s *outlierState) (Outcome, float64, bool) {
+// A timeout below half the latency objective carries none: the client was impatient. A timeout whose response is
+// presumed lost, a broken connection and an end at an ejected server concern that server, not the back end's queue.
+// Any other end without a response counts as one latency objective.
+func (e *Engine) assessAttempt(result AttemptResult, class ClassID, state *outlierState) attemptAssessment {
 	objective := e.config.classes[class].latencyObjective
 	switch {
-	case r.Outcome == Succeeded:
-		return r.Outcome, float64(r.Duration) / float64(objective), true
-	case r.Outcome == TimedOut && r.Duration < objective/2:
-		return NotSent, 0, false
-	case r.Outcome == TimedOut && e.outliers.lost(r.Duration, e.usualLatency(class)): // see inFlightAtHealthy
-		return r.Outcome, 0, false
-	}
-	return r.Outcome, 1, (r.Outcome == Overloaded || r.Outcome == TimedOut) && e.now >= s.ejectedUntil
-}
-
-// hedge cancels a request's attempt that is late at an ejected server, if it may have another.
-func (e *Engine) hedge(r *request) {
-	due := e.retries.hedgeAfter(r.class, e.usualLatency(r.class))
-	objective := e.config.classes[r.class].latencyObjective
-	for k := range r.attempts {
-		a := &r.attempts[k]
-		if !a.inFlight || e.now-a.sent < due || e.now >= r.arrived+objective {
-			continue
-		}
-		state := &e.endpoints.servers[a.server].byClass[r.class]
-		if e.outliers.ejected(state, r.class, e.now) && e.retries.allows(r, e.now) {
-			e.cancelAttempt(r, k)
-		}
+	case result.Outcome == Succeeded:
+		latency := float64(result.Duration) / float64(objective)
+		return attemptAssessment{outcome: Succeeded, latency: latency, countsLatency: true}
+	case result.Outcome == TimedOut && result.Duration < objective/shortTimeoutDivisor:
+		return attemptAssessment{outcome: NotSent}
+	case result.Outcome == TimedOut && e.outliers.lost(result.Duration, e.usualLatency(class)):
+		return attemptAssessment{outcome: TimedOut}
 	}
+	queued := result.Outcome == Overloaded || result.Outcome == TimedOut
+	return attemptAssessment{outcome: result.Outcome, latency: 1, countsLatency: queued && e.now >= state.ejectedUntil}
 }
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,16 +1,18 @@
-// Package decision decides for one edge node which requests are admitted and where their attempts go. It does no input
-// or output and starts no goroutine. A host makes an Engine with New, sets the time with SetTime, reports what came in
-// (UpdateEndpoints, AddRequest, AttemptEnded, ResponseStarted, ClientGone, HealthChecked, ReceivePeerMessage,
-// SetLease, TimerFired), which only updates what is known, and then calls Next again and again until it says that
-// there is no more. An Engine is not safe for concurrent use.
+// Package decision decides for one edge node which requests are admitted and where their attempts are sent. It performs
+// no input or output and starts no goroutine.
 //
-// Each mechanism is a type in a file of its own: admissionLimit, tenantQuota, quotaOwner, usageReports, subsetChooser,
-// selection, slowStart, outlierDetector, retryBudget, timers and pause. They hold every decision and tuned value
-// (tuning.go), get the time and what they need to know as arguments, and don't know each other. The Engine joins them
-// (decide.go), and keeps the books that decide nothing: requests, customers, servers, messages, settings.
+// A host creates an Engine with New. For each event it sets the time with SetTime and calls one of UpdateEndpoints,
+// AddRequest, AttemptEnded, ResponseStarted, ClientGone, HealthChecked, ReceivePeerMessage, SetLease and TimerFired.
+// These only update the engine's state. The host then calls Next until it returns false, and carries out each decision.
+// An Engine is not safe for concurrent use.
 //
-// A request passes the admission limit, then its customer's quota, at this node or by the quota owner, then a hard
-// ceiling; past one of them it is rejected at once. Then a server is selected, by a weighted rotation over the subset
-// of servers that this node uses, less those that are ejected or under slow start have had their share. An attempt
-// that failed may be retried by a budget; one that is late at an ejected server is cancelled and sent again.
+// A request passes the admission limit, its customer's quota and the plan's hard ceiling. A limit that it does not pass
+// rejects it at once. A weighted rotation then selects a server of this node's subset. It leaves out ejected servers and
+// those whose slow-start budget is used up. A failed attempt may be retried within a budget. A late attempt at an
+// ejected server is cancelled, and the request is sent again.
+//
+// Each mechanism is a type in its own file, with its constants: admissionLimit, throughput, tenantQuota, quotaOwner,
+// usageReports, subsetChooser, selection, slowStart, outlierDetector, retryBudget, timers and pause. The mechanisms do
+// not depend on each other. The Engine combines them in decide.go and next.go. It also holds the tables of requests,
+// customers and servers, which make no decisions.
 package decision
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -14,7 +14,7 @@
 	for range 30 {
 		zones := 1 + r.Intn(12)
 		var kept endpointOrder
-		kept.build(nil, 3, true)
+		kept.build(nil, 3, zonesAlternating)
 		servers := make([]server, 20+r.Intn(200))
 		for range 5 * len(servers) {
 			k := r.Intn(len(servers))
@@ -25,7 +25,7 @@
 		}
 		var built endpointOrder
 		other := slices.Clone(servers)
-		built.build(other, 3, true)
+		built.build(other, 3, zonesAlternating)
 		usable, ofZone := 0, make([]int, zones)
 		for _, s := range servers {
 			if s.usable() {
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -9,8 +9,8 @@
 // view at once, its place is taken, and what is still out at it counts until it has ended.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
-	own, view := slices.Clone(n.endpoints.subset), slices.Clone(n.endpoints.view)
-	if len(own) < 13000/830*nodesPerShuffle || len(view) < minView || len(view) > max(minView, viewRatio*len(own)) {
+	own, view := slices.Clone(n.endpoints.subset), slices.Clone(n.endpoints.tracked)
+	if len(own) < 13000/830*minNodesPerShuffle || len(view) < minTrackedServers || len(view) > max(minTrackedServers, trackedServersPerSubset*len(own)) {
 		t.Fatalf("%d own, %d in view", len(own), len(view))
 	}
 	far := n.endpoints.servers[slices.IndexFunc(n.endpoints.servers, func(s server) bool { return !slices.Contains(view, n.endpoints.slots.find(s.Server)) })]
@@ -31,8 +31,8 @@
 	drained.State = Draining
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	i := n.endpoints.slots.find(drained.Server)
-	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.view, i) || n.inFlightAtHealthy() != before {
-		t.Errorf("a server that drains: own %v, in view %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.view, i), n.inFlightAtHealthy(), before)
+	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.tracked, i) || n.inFlightAtHealthy() != before {
+		t.Errorf("a server that drains: own %v, in view %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.tracked, i), n.inFlightAtHealthy(), before)
 	}
 	for id := range RequestID(300) {
 		n.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
@@ -45,8 +45,8 @@
 	n.AttemptEnded(AttemptResult{Request: 1, Server: drained.Server, Duration: Second / 10, Final: true})
 	drained.State = Gone
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
-	n.SetTime(n.now + interval)
-	if pull(n, Forward); slices.Contains(n.endpoints.view, i) || n.endpoints.slots.find(drained.Server) >= 0 {
+	n.SetTime(n.now + controlInterval)
+	if pull(n, Forward); slices.Contains(n.endpoints.tracked, i) || n.endpoints.slots.find(drained.Server) >= 0 {
 		t.Error("a server that is gone stays in view with nothing out at it")
 	}
 }
@@ -56,7 +56,7 @@
 	n := plain(0, nil)
 	now := Second
 	for k := range ServerID(300) {
-		now += interval / 3
+		now += controlInterval / 3
 		n.SetTime(now)
 		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
 		n.AddRequest(Request{ID: RequestID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,18 +1,18 @@
 package decision
 
-// Engine decides for one node: it holds all that the node knows.
+// Engine makes the decisions of one node and holds its state. It is not safe for concurrent use.
 type Engine struct {
 	config      *config
 	now         Time
 	random      random
-	shadow      *shadow // nil: off
+	shadow      *shadow // nil while shadow evaluation is off
 	classes     []classState
 	endpoints   endpointSet
 	requests    requestTable
-	followsList bool // a list has come from discovery: what is new in the next ones is new
+	followsList bool // a list has come from discovery: a server that a later one adds has just started
 	customers   customerTable
 	outbox      outbox
-	scratch     []byte // of the last payload
+	scratch     []byte // holds the payload of the last decision
 
 	admission admissionLimit
 	quota     tenantQuota
@@ -27,15 +27,11 @@
 	pause     pause
 
 	interval   intervalStats
-	summaryDue bool // scratch holds an interval's summary
+	summaryDue bool // scratch holds the summary of an interval
 }
 
-// classState is what was seen of a request class.
-type classState struct {
-	latency decayingMean // of completed attempts
-}
-
-// New makes an engine that knows its settings only. Engines with the same seed and input decide the same.
+// New returns an engine with the settings and no other state. Engines with the same seed and inputs make the same
+// decisions.
 func New(seed uint64, set Settings, now Time) *Engine {
 	e := &Engine{
 		now:       now,
@@ -44,16 +40,16 @@
 		requests:  requestTable{slots: newSlotIndex[RequestID, requestSlot]()},
 		customers: customerTable{slots: newSlotIndex[CustomerID, customerSlot]()},
 		admission: newAdmissionLimit(now),
-		quota:     tenantQuota{peerHeardAt: now - peerSilence},
+		quota:     tenantQuota{lastPeerMessageAt: now - peerSilenceTimeout},
 		subsets:   subsetChooser{startedAt: now, ratio: 1},
 		interval:  intervalStats{startedAt: now},
 	}
 	e.configure(parseSettings(set))
-	e.timers = newTimers(now, e.config.pollEndpoints)
+	e.timers = newTimers(now, e.config)
 	return e
 }
 
-// configure hands the settings to each mechanism; what is known of classes begins anew.
+// configure passes the settings to each mechanism and resets the state of the request classes.
 func (e *Engine) configure(c *config) {
 	e.config = c
 	e.admission.config, e.quota.config, e.owner.config, e.reports.config = c, c, c, c
@@ -62,7 +58,7 @@
 	e.classes = make([]classState, len(c.classes))
 }
 
-// SetTime sets the time, which must not go back.
+// SetTime sets the time. It must not go back.
 func (e *Engine) SetTime(now Time) {
 	if e.timers.hostAt > 0 {
 		e.pause.observe(e.now, now, e.config.shortestObjective)
@@ -70,10 +66,10 @@
 	e.now = now
 }
 
-// TimerFired notes that the host's timer went off; the time is all it tells.
+// TimerFired notifies the engine that the host's timer has fired. Only the time matters, see SetTime.
 func (e *Engine) TimerFired() {}
 
-// UpdateEndpoints takes in a message of discovery.
+// UpdateEndpoints applies a list of discovery, or records that a poll failed.
 func (e *Engine) UpdateEndpoints(kind EndpointListKind, list []Endpoint) {
 	if kind == PollFailed {
 		e.timers.pollFailed(e.now, e.config.pollWithin, &e.random)
@@ -87,62 +83,74 @@
 	}
 	for _, endpoint := range list {
 		i := e.updateServer(endpoint, max(len(list), set.ready))
-		if s := &set.servers[i]; s.knownAt == e.now && s.Started > 0 && s.usable() && e.followsList {
+		s := &set.servers[i]
+		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.followsList {
 			e.slowStart.observeClock(s.Started, e.now)
 		}
 		if kind == ListUpdate {
-			set.order.place(&set.servers[i], i)
+			set.order.place(s, i)
 		}
-		if e.slowStart.weight(&set.servers[i], e.now) < 1 {
-			set.noteWarming(i)
+		if e.slowStart.weight(s, e.now) < 1 {
+			set.addWarming(i)
 		}
 	}
-	set.countReady(kind != ListUpdate)
+	if kind == ListUpdate {
+		set.ready = set.order.count
+	} else {
+		set.recountReady()
+	}
 	e.followsList = e.followsList || kind != CachedList
 	e.chooseSubset()
 }
 
-// ObserveServerClock notes a time that the servers' clock said a moment ago: that of their times of start.
+// ObserveServerClock records a time that the servers' clock showed a moment ago. Endpoint.Started is by that clock.
 func (e *Engine) ObserveServerClock(at Time) { e.slowStart.observeClock(at, e.now) }
 
-// updateServer takes in one entry of a list of so many servers.
-func (e *Engine) updateServer(endpoint Endpoint, servers int) serverSlot {
+// updateServer applies one entry of an endpoint list, where listed is the number of listed servers.
+func (e *Engine) updateServer(endpoint Endpoint, listed int) serverSlot {
 	i := e.endpoints.slots.find(endpoint.Server)
 	if i < 0 {
 		s := server{Endpoint: endpoint, knownAt: e.now}
-		e.slowStart.started(&s, &e.random)
-		e.selection.join(&s, servers, &e.random)
+		e.slowStart.processStarted(&s, &e.random)
+		e.selection.serverAdded(&s, listed, &e.random)
 		i = e.endpoints.add(s)
 	}
 	s := &e.endpoints.servers[i]
-	if s.Started != endpoint.Started { // a new process: what the old one did says nothing
-		s.pace, s.knownAt = decayingMean{}, e.now
-		e.slowStart.started(s, &e.random)
-		for k := range s.byClass {
-			s.byClass[k] = outlierState{inFlight: s.byClass[k].inFlight}
-		}
+	if s.Started != endpoint.Started {
+		e.resetServer(s)
 	}
-	if s.Endpoint, s.listed = endpoint, true; s.State == Gone {
+	s.Endpoint, s.listed = endpoint, true
+	if s.State == Gone {
 		e.endpoints.remove(i)
 	}
 	return i
 }
 
-// chooseSubset brings up to date which servers this node uses.
+// resetServer drops the measurements of a server whose process is new. Attempts in flight still count.
+func (e *Engine) resetServer(s *server) {
+	s.pace = decayingMean{}
+	s.knownAt = e.now
+	e.slowStart.processStarted(s, &e.random)
+	for k := range s.byClass {
+		s.byClass[k] = outlierState{inFlight: s.byClass[k].inFlight}
+	}
+}
+
+// chooseSubset updates the subset and the tracked servers.
 func (e *Engine) chooseSubset() {
-	e.endpoints.setView(e.subsets.choose(e.now, e.endpoints.ready), len(e.classes))
+	e.endpoints.track(e.subsets.choose(e.now, e.endpoints.ready), len(e.classes))
 }
 
-// forgetServers frees what is kept of servers that are gone, out of view or warm.
+// forgetServers drops the state of servers that are gone, warm or no longer tracked.
 func (e *Engine) forgetServers() {
 	e.endpoints.forgetDeparted(e.requests.all)
-	e.endpoints.forgetOutOfView(func(s outlierState) bool { return s.informative(e.now) })
+	e.endpoints.forgetUntracked(func(s outlierState) bool { return s.informative(e.now) })
 	e.endpoints.forgetWarm(func(s *server) bool { return e.slowStart.weight(s, e.now) >= 1 })
 }
 
-// HealthChecked notes the answer of a health check. One that failed changes nothing: attempts tell more.
-func (e *Engine) HealthChecked(id ServerID, o Outcome, _ []float64) {
-	if i := e.endpoints.slots.find(id); i >= 0 && o == Succeeded {
+// HealthChecked records a health check that succeeded. A failed one has no effect: attempts carry more information.
+func (e *Engine) HealthChecked(id ServerID, outcome Outcome, _ []float64) {
+	if i := e.endpoints.slots.find(id); i >= 0 && outcome == Succeeded {
 		states := e.endpoints.servers[i].byClass
 		for k := range states {
 			states[k].answeredAt = e.now
@@ -150,65 +158,73 @@
 	}
 }
 
-// AddRequest notes a request that came in.
-func (e *Engine) AddRequest(a Request) {
+// AddRequest adds a new request. Next decides on it.
+func (e *Engine) AddRequest(in Request) {
 	r := request{
-		id: a.ID, live: true, class: min(a.Class, ClassID(len(e.classes)-1)),
-		plan: min(a.Plan, PlanID(len(e.config.plans)-1)), arrived: e.now, deadline: e.now + a.Timeout,
-		units: a.Units, bucketPart: 1,
+		id:          in.ID,
+		live:        true,
+		class:       min(in.Class, ClassID(len(e.classes)-1)),
+		plan:        min(in.Plan, PlanID(len(e.config.plans)-1)),
+		arrived:     e.now,
+		deadline:    e.now + in.Timeout,
+		units:       in.Units,
+		demandShare: 1,
 	}
-	r.customer = e.customers.slot(e.config, e.now, a.Customer, r.plan, a.Spread, a.FirstNode)
+	r.customer = e.customers.slot(e.config, e.now, in.Customer, r.plan, in.Spread, in.FirstNode)
 	c := &e.customers.all[r.customer]
 	c.lastRequest = e.now
-	c.demand.add(a.Units, e.now, demandMemory)
+	c.demand.add(in.Units, e.now, demandTimeConstant)
 	if e.now == e.pause.endedAt {
 		e.pause.arrived++
 	}
 	if !e.config.owners {
-		e.reportUse(c, r.customer, a.Units, 0)
+		e.reportUse(c, r.customer, in.Units, 0)
 	}
 	e.requests.enqueue(e.requests.add(r))
 }
 
-// SetLease notes what of a customer's quota this node may use now, by whoever leases it from the whole: its bucket from
-// then on, until the next call. It neither refills by itself nor is it divided by this node's part, and no owner is asked.
+// SetLease sets the units of a customer's quota that this node may use, as the quota lease grants them. From then on
+// they are the customer's bucket until the next call. The bucket does not refill, belongs to this node alone, and has no
+// quota owner.
 func (e *Engine) SetLease(id CustomerID, plan PlanID, spread int, first NodeID, units float64) {
 	plan = min(max(plan, 0), PlanID(len(e.config.plans)-1))
 	c := &e.customers.all[e.customers.slot(e.config, e.now, id, plan, spread, first)]
-	c.leased, c.bucket = true, tokenBucket{units, e.now}
+	c.leased = true
+	c.bucket = tokenBucket{units, e.now}
 }
 
-// ResponseStarted notes that a response has begun: the client owns the attempt now.
+// ResponseStarted records that the response to the client has begun. The request has no further attempt, and none is
+// cancelled.
 func (e *Engine) ResponseStarted(id RequestID) {
 	if i := e.requests.slots.find(id); i >= 0 {
 		e.requests.all[i].streaming = true
 	}
 }
 
-// ClientGone notes that the client has gone.
+// ClientGone closes a request whose client has disconnected.
 func (e *Engine) ClientGone(id RequestID) {
 	if i := e.requests.slots.find(id); i >= 0 {
 		e.closeRequest(i)
 	}
 }
 
-// AttemptEnded notes how an attempt ended. One that is not in flight is passed over.
+// AttemptEnded records the end of an attempt. It has no effect if the attempt is not in flight.
 func (e *Engine) AttemptEnded(result AttemptResult) {
 	i := e.requests.slots.find(result.Request)
-	if i < 0 || result.Attempt >= len(e.requests.all[i].attempts) || !e.requests.all[i].attempts[result.Attempt].inFlight {
+	if i < 0 || !e.requests.all[i].attemptInFlight(result.Attempt) {
 		return
 	}
 	r := &e.requests.all[i]
 	s := &e.endpoints.servers[r.attempts[result.Attempt].server]
-	usual := e.usualLatency(r.class)
-	seen, part, tells := e.judgeEnd(result, r.class, &s.byClass[r.class])
+	usualLatency := e.usualLatency(r.class)
+	assessment := e.assessAttempt(result, r.class, &s.byClass[r.class])
 	e.requests.attemptEnded(r, result.Attempt, result.Outcome)
 	e.customers.all[r.customer].inFlight--
 	s.inFlight--
-	e.outliers.attemptEnded(s.byClass, r.class, seen, e.now)
-	e.selection.attemptEnded(s, seen, float64(result.Duration)/usual, e.now)
-	if tells {
-		e.interval.attemptEnded(part)
+	e.outliers.attemptEnded(s.byClass, r.class, assessment.outcome, e.now)
+	e.selection.attemptEnded(s, assessment.outcome, float64(result.Duration)/usualLatency, e.now)
+	if assessment.countsLatency {
+		e.interval.addLatency(assessment.latency)
 	}
 	if result.Outcome == Succeeded {
 		e.attemptCompleted(r, s, result)
@@ -224,36 +240,36 @@
 	}
 }
 
-// attemptCompleted counts a completed attempt, and what its request took of the quota in truth.
+// attemptCompleted updates the measurements from a completed attempt, and settles the request's quota.
 func (e *Engine) attemptCompleted(r *request, s *server, result AttemptResult) {
 	e.interval.completed++
-	e.admission.throughput.completed(result.Duration)
-	e.slowStart.completed(s, e.now)
-	e.classes[r.class].latency.add(float64(result.Duration), e.now, paceMemory)
+	e.admission.throughput.recordCompletion(result.Duration)
+	e.slowStart.attemptCompleted(s, e.now)
+	e.classes[r.class].recordCompletion(result.Duration, e.now)
 	if result.Units > 0 {
 		e.settle(r, result.Units-r.units)
 	}
 }
 
-// settle takes so many units more than expected off the quota: its bucket may go below 0.
-func (e *Engine) settle(r *request, more float64) {
+// settle charges the units that a request used beyond the expected ones. The bucket may fall below 0.
+func (e *Engine) settle(r *request, excess float64) {
 	c := &e.customers.all[r.customer]
 	if !e.owner.owned(c) || e.owner.isOwner(c) {
-		c.bucket.level -= more / r.bucketPart
-		e.chargeShadowUse(c, more/r.bucketPart, false)
+		c.bucket.level -= excess / r.demandShare
+		e.chargeShadowUse(c, excess/r.demandShare)
 	}
 	if e.config.owners {
-		e.reportUse(c, r.customer, 0, more)
+		e.reportUse(c, r.customer, 0, excess)
 	}
 }
 
-// startAttempt counts an attempt that goes to a server now.
+// startAttempt records an attempt that is sent to a server now.
 func (e *Engine) startAttempt(r *request, to serverSlot) {
 	s := &e.endpoints.servers[to]
 	state := &s.byClass[r.class]
 	s.inFlight++
 	state.inFlight++
-	e.endpoints.addToView(to)
+	e.endpoints.trackServer(to)
 	e.slowStart.attemptSent(s, e.now, e.subsets.ratio)
 	e.outliers.attemptStarted(state, r.class, e.now)
 	e.subsets.attemptSent(e.now)
@@ -276,29 +292,17 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, where the settings allow that.
+// cancelAttempt cancels an attempt, if the settings allow that.
 func (e *Engine) cancelAttempt(r *request, k int) {
 	if e.config.cancel {
 		e.requests.cancel(r, k)
 	}
 }
 
-// freeRequest gives a request's slot back.
+// freeRequest releases a request's slot and its reservation at the quota owner.
 func (e *Engine) freeRequest(i requestSlot) {
 	if r := &e.requests.all[i]; r.live {
 		e.releaseReservation(r)
 		e.requests.release(r)
 	}
 }
-
-// summarise writes the summary of an interval of so many seconds.
-func (e *Engine) summarise(span float64) {
-	l, seen := &e.admission, &e.interval
-	summary := intervalSummary{
-		inFlight: e.requests.inFlight, inFlightAverage: l.features[1], latency: l.features[2], latencyAverage: l.features[3],
-		admissionRate: l.rate, action: l.action, admitted: float64(seen.admitted) / span,
-		completed: float64(seen.completed) / span, tail: seen.tail(), executionTime: Time(l.throughput.executionTime),
-		rejected: seen.rejected,
-	}
-	e.scratch, e.summaryDue = summary.appendText(e.scratch[:0]), true
-}
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -5,56 +5,44 @@
 	"slices"
 )
 
-// rejectReason is why a request was rejected on its first way through the limits.
+// rejectReason is the limit that rejected a request's first attempt.
 type rejectReason uint8
 
 // The reasons, in the order of the interval summary.
 const (
-	rejectTooLate       rejectReason = iota // too little time is left
-	rejectColdStart                         // a fresh node's few are in flight
+	rejectTooLate       rejectReason = iota // the client is likely to leave before an attempt ends
+	rejectColdStart                         // the concurrency limit of a node that knows no execution time yet
 	rejectAdmissionRate                     // no token of the admission rate
-	rejectConcurrency                       // as much is in flight as may be
-	rejectQuota                             // the customer's bucket, or its owner
+	rejectConcurrency                       // the concurrency limit
+	rejectQuota                             // the customer's quota, here or at its owner
 	rejectCeiling                           // the plan's hard ceiling
-	rejectNoServer                          // no server may take it
+	rejectNoServer                          // no server may take the request
 	rejectReasons
 	notRejected = rejectReasons
 )
 
-// intervalStats counts what happened since the last interval ended.
+// intervalStats counts events since the last interval ended.
 type intervalStats struct {
 	startedAt  Time
-	admitted   int
-	completed  int
-	ends       int
-	latencySum float64   // over the ends, of time over objective
-	latencies  []float64 // of the ends, time over objective
+	admitted   int       // requests
+	completed  int       // attempts
+	samples    int       // latency samples
+	latencySum float64   // sum of the latency samples
+	latencies  []float64 // latency samples, in latency objectives of their class
 	rejected   [rejectReasons]int
-	lastReason Reason // of the last rejection
 }
 
-// attemptEnded counts an end that tells of the servers' latency, as a part of the objective.
-func (s *intervalStats) attemptEnded(part float64) {
-	s.ends++
-	s.latencySum += part
-	s.latencies = append(s.latencies, part)
+// addLatency adds a latency sample, in latency objectives of its class.
+func (s *intervalStats) addLatency(objectives float64) {
+	s.samples++
+	s.latencySum += objectives
+	s.latencies = append(s.latencies, objectives)
 }
 
-// intervalLoad is the load at the end of an interval.
-type intervalLoad struct {
-	requests int     // in flight
-	healthy  float64 // attempts in flight at servers in good standing
-	ready    int     // servers
-}
-
-// reject counts a rejection; it gives back what the way through the limits answers then.
-func (s *intervalStats) reject(reason rejectReason, retryAfter Time) (ok bool, after Time) {
-	s.rejected[reason]++
-	s.lastReason = reason.reason()
-	return false, retryAfter
-}
+// countRejection counts a rejected request.
+func (s *intervalStats) countRejection(reason rejectReason) { s.rejected[reason]++ }
 
-// tail is the 95th percentile of the latencies.
+// tail returns the 95th percentile of the latency samples, or 0 without any. It sorts them.
 func (s *intervalStats) tail() float64 {
 	slices.Sort(s.latencies)
 	if k := len(s.latencies); k > 0 {
@@ -68,24 +56,32 @@
 	*s = intervalStats{startedAt: now, latencies: s.latencies[:0]}
 }
 
-// intervalSummary is what the host logs of an interval.
+// intervalLoad is the load at the end of an interval.
+type intervalLoad struct {
+	requests int     // requests in flight
+	healthy  float64 // attempts in flight, see Engine.inFlightAtHealthy
+	ready    int     // servers listed as ready
+}
+
+// intervalSummary holds the figures of an interval that the host logs.
 type intervalSummary struct {
-	inFlight        int // requests
-	inFlightAverage float64
-	latency         float64 // normalised
-	latencyAverage  float64
-	admissionRate   float64 // λ, requests a second
-	action          float64 // a
-	admitted        float64 // requests a second
-	completed       float64 // attempts a second
-	tail            float64 // 95th percentile of latency over objective
-	executionTime   Time    // T
-	rejected        [rejectReasons]int
+	inFlight           int // requests
+	concurrencyAverage float64
+	latency            float64 // normalized
+	latencyAverage     float64 // normalized
+	admissionRate      float64 // λ, in requests a second
+	targetConcurrency  float64 // a, in requests
+	admitted           float64 // requests a second
+	completed          float64 // attempts a second
+	tail               float64 // 95th percentile of the latency, in latency objectives
+	executionTime      Time    // T
+	rejected           [rejectReasons]int
 }
 
-// appendText appends the summary's line. Its keys are those that the platform's pages give.
+// appendText appends the summary as one line of text. The platform defines its keys.
 func (s *intervalSummary) appendText(b []byte) []byte {
 	return fmt.Appendf(b, "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
-		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.inFlightAverage, s.latency,
-		s.latencyAverage, s.admissionRate, s.action, s.admitted, s.completed, s.tail, int(s.executionTime), s.rejected)
+		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.concurrencyAverage, s.latency,
+		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tail, int(s.executionTime),
+		s.rejected)
 }
--- /dev/null
+++ b/internal/decision/latency.go
@@ -0,0 +1,27 @@
+package decision
+
+const (
+	usualLatencyTimeConstant = 5 * controlInterval // of the decaying mean of latencies
+	firstLatencyDivisor      = 4                   // divides the latency objective, before any attempt has completed
+)
+
+// classState holds the measured latency of a request class. Every mechanism that asks for the usual latency of a class
+// takes it from here.
+type classState struct {
+	latency decayingMean // durations of completed attempts, in units of Time
+}
+
+// usualLatency returns the mean latency of a class's recent completed attempts, in units of Time. Before the first one
+// completes, it returns the latency objective divided by firstLatencyDivisor.
+func (e *Engine) usualLatency(class ClassID) float64 {
+	c := &e.classes[class]
+	if c.latency.count < 1 {
+		return float64(e.config.classes[class].latencyObjective) / firstLatencyDivisor
+	}
+	return c.latency.sum / c.latency.count
+}
+
+// recordCompletion adds the duration of a completed attempt.
+func (c *classState) recordCompletion(duration, now Time) {
+	c.latency.add(float64(duration), now, usualLatencyTimeConstant)
+}
--- a/internal/decision/measures_test.go
+++ b/internal/decision/measures_test.go
@@ -41,7 +41,7 @@
 	tp := throughput{}
 	interval := func(attempts int, took Time, requests int) {
 		for range attempts {
-			tp.completed(took)
+			tp.recordCompletion(took)
 		}
 		tp.closeInterval(float64(attempts), requests)
 	}
@@ -70,13 +70,13 @@
 	for _, n := range []int{80, 50, 7, 6, 5} {
 		interval(n, 100, 0)
 	}
-	if tp.bestRate() != 80 || !near(tp.canFinish(5000), 3.5) {
-		t.Errorf("best %v, %v in half a second", tp.bestRate(), tp.canFinish(5000))
+	if tp.bestRate() != 80 || !near(tp.completionsIn(5000), 3.5) {
+		t.Errorf("best %v, %v in half a second", tp.bestRate(), tp.completionsIn(5000))
 	}
 	for range 4 {
 		interval(5, 100, 0)
 	}
-	if tp.bestRate() != 50 || (&throughput{}).canFinish(Second) != 0 {
+	if tp.bestRate() != 50 || (&throughput{}).completionsIn(Second) != 0 {
 		t.Errorf("best %v of the last 8 intervals", tp.bestRate())
 	}
 }
@@ -84,13 +84,13 @@
 func TestIntervalStats(t *testing.T) {
 	s := intervalStats{}
 	for k := range 100 {
-		s.attemptEnded(float64(99 - k))
+		s.addLatency(float64(99 - k))
 	}
-	s.reject(rejectQuota, 5)
-	if got := s.tail(); got != 95 || s.ends != 100 || s.latencySum != 4950 || s.rejected[rejectQuota] != 1 {
+	s.countRejection(rejectQuota)
+	if got := s.tail(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[rejectQuota] != 1 {
 		t.Errorf("tail %v of %+v", got, s)
 	}
-	if s.reset(Second); s.ends != 0 || s.startedAt != Second || s.tail() != 0 {
+	if s.reset(Second); s.samples != 0 || s.startedAt != Second || s.tail() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// message is a datagram between nodes. Its first byte tells the kind, and no other protocol's message begins with such
-// a byte; all numbers after it are variable-length integers. Old and new nodes run side by side in one fleet: a change
-// of the format is a change for all of them.
+// message is a datagram between nodes. Its first byte is the kind, with which no other protocol's message begins. All
+// numbers after it are variable-length integers, as encoding/binary writes them. Nodes of different versions exchange
+// messages, so that a change of the format needs all of them.
 type message struct {
 	kind       byte
-	reports    []customerReport // of all kinds but kindSuspicion
-	suspicions []suspicion
+	reports    []customerReport // empty in messages of kindSuspicion
+	suspicions []suspicion      // empty in messages of all other kinds
 }
 
 // The kinds of message.
 const (
-	kindUse       = 0xC8 // customers' demand and use since the last report; use may be below 0
-	kindGrant     = 0xC9 // the owner's answer to an ask, or what it lets pass of a customer's requests
+	kindUse       = 0xC8 // customers' demand and use since the last report
+	kindGrant     = 0xC9 // a quota owner's response to a query, or a change of its conditions
 	kindSuspicion = 0xCA // servers that the sender ejected
-	kindAsk       = 0xCB // may one request pass?
+	kindQuery     = 0xCB // a request for a quota owner to grant
 )
 
 const (
@@ -27,27 +27,30 @@
 	unitsScale  = 100 // units are sent in hundredths
 )
 
-// customerReport is one customer with its plan and its set of nodes, which the receiver may not know.
+// customerReport is one entry of a message: a customer with its plan and its set of nodes, and fields that depend on
+// the kind.
 type customerReport struct {
-	customer    CustomerID
-	demand, use float64
-	plan        PlanID
-	spread      int
-	firstNode   NodeID
-	request     RequestID    // asks and grants
-	class       ClassID      // asks
-	ended       int          // use: 1 where the request has ended
-	verdict     ownerVerdict // grants
-	freePass    bool         // grants
+	customer   CustomerID
+	demand     float64 // kindUse, kindQuery: units requested since the last report; kindGrant: the query ratio
+	use        float64 // kindUse: units admitted and settled, may be below 0; kindQuery: units of the request
+	plan       PlanID
+	spread     int
+	firstNode  NodeID
+	request    RequestID     // kindQuery, kindGrant; kindUse: the request that has ended
+	class      ClassID       // kindQuery
+	ended      int           // kindUse: 1 if the request has ended
+	response   ownerResponse // kindGrant
+	optimistic bool          // kindGrant
 }
 
-// suspicion is a server that a peer ejected for one class, and for how much longer.
+// suspicion is a server that the sender ejected for one class.
 type suspicion struct {
 	server     ServerID
 	class      ClassID
-	ejectedFor Time
+	ejectedFor Time // remaining time; 0 if the ejection is over and the server has not responded since
 }
 
+// appendReport appends the encoding of a report. Values outside the encoding's range are clamped to it.
 func appendReport(b []byte, r customerReport) []byte {
 	b = binary.AppendUvarint(b, uint64(r.customer))
 	b = binary.AppendUvarint(b, uint64(min(max(0, r.demand*unitsScale+0.5), maxReported)))
@@ -58,28 +61,30 @@
 	b = binary.AppendUvarint(b, uint64(r.request))
 	b = binary.AppendUvarint(b, uint64(r.class))
 	b = binary.AppendUvarint(b, uint64(r.ended))
-	flags := uint64(r.verdict) << 1
-	if r.freePass {
+	flags := uint64(r.response) << 1
+	if r.optimistic {
 		flags |= 1
 	}
 	return binary.AppendUvarint(b, flags)
 }
 
+// appendSuspicion appends the encoding of a suspicion.
 func appendSuspicion(b []byte, s suspicion) []byte {
 	b = binary.AppendUvarint(b, uint64(s.server))
 	b = binary.AppendUvarint(b, uint64(s.class))
 	return binary.AppendUvarint(b, uint64(s.ejectedFor))
 }
 
-// messageReader reads numbers until one is malformed or too large; then ok is false and nothing is left.
+// messageReader reads numbers from a payload. At a malformed or too large number, ok becomes false and rest empty.
 type messageReader struct {
 	rest []byte
 	ok   bool
 }
 
-func (r *messageReader) number(most uint64) uint64 {
+// number reads a number of at most the limit. It returns 0 after an error.
+func (r *messageReader) number(limit uint64) uint64 {
 	v, k := binary.Uvarint(r.rest)
-	if k <= 0 || v > most {
+	if k <= 0 || v > limit {
 		r.ok, r.rest = false, nil
 		return 0
 	}
@@ -87,30 +92,44 @@
 	return v
 }
 
+// report reads a report.
 func (r *messageReader) report() customerReport {
-	c := customerReport{customer: CustomerID(r.number(math.MaxUint64)), demand: float64(r.number(maxReported)) / unitsScale}
-	v := r.number(2*maxReported + 1) // zigzag, as AppendVarint writes it
-	c.use = float64(int64(v>>1)^-int64(v&1)) / unitsScale
-	c.plan, c.spread, c.firstNode = PlanID(r.number(maxReported)), int(r.number(maxReported)), NodeID(r.number(maxReported))
-	c.request, c.class = RequestID(r.number(maxReported)), ClassID(r.number(maxReported))
+	var c customerReport
+	c.customer = CustomerID(r.number(math.MaxUint64))
+	c.demand = float64(r.number(maxReported)) / unitsScale
+	use := r.number(2*maxReported + 1) // zigzag, as binary.AppendVarint writes it
+	c.use = float64(int64(use>>1)^-int64(use&1)) / unitsScale
+	c.plan = PlanID(r.number(maxReported))
+	c.spread = int(r.number(maxReported))
+	c.firstNode = NodeID(r.number(maxReported))
+	c.request = RequestID(r.number(maxReported))
+	c.class = ClassID(r.number(maxReported))
 	c.ended = int(r.number(maxReported))
-	flags := r.number(uint64(verdictDenied)<<1 | 1)
-	c.verdict, c.freePass = ownerVerdict(flags>>1), flags&1 == 1
+	flags := r.number(uint64(responseDenied)<<1 | 1)
+	c.response = ownerResponse(flags >> 1)
+	c.optimistic = flags&1 == 1
 	return c
 }
 
-// decodeMessage reads a complete message or nothing of it. A plan or a set of nodes that can't be makes it malformed.
-func decodeMessage(b []byte, plans, nodes int) (message, bool) {
-	if len(b) < 1 || b[0] < kindUse || b[0] > kindAsk {
+// suspicion reads a suspicion.
+func (r *messageReader) suspicion() suspicion {
+	var s suspicion
+	s.server = ServerID(r.number(maxReported))
+	s.class = ClassID(r.number(maxReported))
+	s.ejectedFor = Time(r.number(maxReported))
+	return s
+}
+
+// decodeMessage decodes a payload, and returns false if any part of it is malformed. Plans and sets of nodes beyond the
+// settings' numbers count as malformed.
+func decodeMessage(payload []byte, plans, nodes int) (message, bool) {
+	if len(payload) < 1 || payload[0] < kindUse || payload[0] > kindQuery {
 		return message{}, false
 	}
-	m, r := message{kind: b[0]}, messageReader{rest: b[1:], ok: true}
+	m, r := message{kind: payload[0]}, messageReader{rest: payload[1:], ok: true}
 	for r.ok && len(r.rest) > 0 {
 		if m.kind == kindSuspicion {
-			m.suspicions = append(m.suspicions, suspicion{
-				server: ServerID(r.number(maxReported)), class: ClassID(r.number(maxReported)),
-				ejectedFor: Time(r.number(maxReported)),
-			})
+			m.suspicions = append(m.suspicions, r.suspicion())
 			continue
 		}
 		c := r.report()
@@ -120,20 +139,30 @@
 	return m, r.ok
 }
 
-// peerMessage is a message that waits to be sent.
+// peerMessage is a message for one peer, or for AllPeers.
 type peerMessage struct {
 	to      NodeID
 	payload []byte
 }
 
-// outbox holds the messages that wait to be sent; the last one goes out first.
+// outbox holds the messages to be sent. The last one added is sent first.
 type outbox struct{ messages []peerMessage }
 
+// add adds a message. The outbox keeps the payload.
 func (o *outbox) add(to NodeID, payload []byte) {
 	o.messages = append(o.messages, peerMessage{to, payload})
 }
 
-// next takes the message to send now, if there is one.
+// last returns the last message added. The outbox must not be empty.
+func (o *outbox) last() *peerMessage { return &o.messages[len(o.messages)-1] }
+
+// appendReport appends a report to the last message added.
+func (o *outbox) appendReport(report customerReport) {
+	m := o.last()
+	m.payload = appendReport(m.payload, report)
+}
+
+// next removes and returns the message to send next, and false if there is none.
 func (o *outbox) next() (peerMessage, bool) {
 	k := len(o.messages) - 1
 	if k < 0 {
--- a/internal/decision/messages_test.go
+++ b/internal/decision/messages_test.go
@@ -30,12 +30,12 @@
 			class: math.MaxUint32, ended: math.MaxUint32,
 		}, "c8000000ffffffff0fffffffff0fffffffff0fffffffff0fffffffff0fffffffff0f00"},
 		{kindUse, customerReport{plan: -1}, "c8000000ffffffffffffffffff01000000000000"},
-		{kindAsk, customerReport{customer: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
-		{kindGrant, customerReport{customer: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictGranted}, "c94d0100020c0507000002"},
-		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, request: 7, verdict: verdictDenied}, "c94d6400020c0507000004"},
-		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, verdict: verdictPending, freePass: true}, "c94d6400020c0500000001"},
-		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, verdict: verdictGranted, freePass: true}, "c94d640000010000000003"},
-		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, verdict: verdictDenied, freePass: true}, "c94d640000010000000005"},
+		{kindQuery, customerReport{customer: 77, use: 1.25, demand: 3.75, plan: 2, spread: 12, firstNode: 5, request: 1<<24 | 9, class: 4}, "cb4df702fa01020c0589808008040000"},
+		{kindGrant, customerReport{customer: 77, demand: 0.01, plan: 2, spread: 12, firstNode: 5, request: 7, response: responseGranted}, "c94d0100020c0507000002"},
+		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, request: 7, response: responseDenied}, "c94d6400020c0507000004"},
+		{kindGrant, customerReport{customer: 77, demand: 1, plan: 2, spread: 12, firstNode: 5, response: responsePending, optimistic: true}, "c94d6400020c0500000001"},
+		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, response: responseGranted, optimistic: true}, "c94d640000010000000003"},
+		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, response: responseDenied, optimistic: true}, "c94d640000010000000005"},
 	} {
 		if got := hex.EncodeToString(appendReport([]byte{c.mark}, c.told)); got != c.want {
 			t.Errorf("%x %+v\nis %s\nat cf1acfb %s", c.mark, c.told, got, c.want)
@@ -108,7 +108,7 @@
 			got = fmt.Sprintf("%x", m.kind)
 			for _, v := range m.reports {
 				got += fmt.Sprint(" ", v.customer, " ", v.demand, " ", v.use, " ", v.plan, " ", v.spread, " ", v.firstNode, " ",
-					v.request, " ", v.class, " ", v.ended, " ", uint8(v.verdict), " ", v.freePass, ";")
+					v.request, " ", v.class, " ", v.ended, " ", uint8(v.response), " ", v.optimistic, ";")
 			}
 			for _, v := range m.suspicions {
 				got += fmt.Sprint(" ", v.server, " ", v.class, " ", int64(v.ejectedFor), ";")
--- a/internal/decision/network.go
+++ b/internal/decision/network.go
@@ -1,21 +1,20 @@
 package decision
 
-// network is a two-layer perceptron of rectified linear units: the weights of hidden units over four features, bias
-// last, and those of the output over the units, bias last.
+// network is a two-layer perceptron with rectified linear units over four features.
 type network struct {
-	hidden [4][5]float64
-	out    [5]float64
+	hidden [4][5]float64 // weights of each hidden unit: one for each feature, then the bias
+	out    [5]float64    // weights of the output: one for each hidden unit, then the bias
 }
 
-// evaluate is the network's output for some features.
+// evaluate returns the network's output for the features.
 func (n *network) evaluate(features [4]float64) float64 {
-	y := n.out[4]
-	for j, w := range n.hidden {
-		h := w[4]
-		for k, v := range features {
-			h += w[k] * v
+	output := n.out[4]
+	for j, weights := range n.hidden {
+		unit := weights[4]
+		for k, feature := range features {
+			unit += weights[k] * feature
 		}
-		y += n.out[j] * max(0, h)
+		output += n.out[j] * max(0, unit)
 	}
-	return y
+	return output
 }
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -1,22 +1,14 @@
 package decision
 
-// Next is the next decision, or false when there is none for now.
+// Next returns the next decision, and false if there is none until the next event or timer. The decision's payload is
+// valid until the next call.
 func (e *Engine) Next() (Decision, bool) {
 	if e.timers.startCheck(e.now, e.config) {
 		e.checkAttempts()
 	}
 	e.pause.reorder(&e.requests, e.now)
-	for {
-		if c, ok := e.requests.nextCancellation(); ok {
-			return Decision{Action: CancelAttempt, Request: c.request, Attempt: c.attempt}, true
-		}
-		i, ok := e.requests.dequeue()
-		if !ok {
-			break
-		}
-		if d, ok := e.decideWithShadow(i); ok {
-			return d, true
-		}
+	if d, ok := e.nextRequestDecision(); ok {
+		return d, true
 	}
 	if e.summaryDue {
 		e.summaryDue = false
@@ -28,40 +20,57 @@
 	if e.timers.startPoll(e.now) {
 		return Decision{Action: PollEndpoints}, true
 	}
-	if after, ok := e.timers.setHost(e.now); ok {
-		return Decision{Action: SetTimer, Duration: after}, true
+	if delay, ok := e.timers.nextHostTimer(e.now); ok {
+		return Decision{Action: SetTimer, Duration: delay}, true
 	}
 	return Decision{}, false
 }
 
-// nextPeerMessage is the next message to a peer, if there is one.
+// nextRequestDecision returns the next cancellation, or the next decision on a pending request.
+func (e *Engine) nextRequestDecision() (Decision, bool) {
+	for {
+		if c, ok := e.requests.nextCancellation(); ok {
+			return Decision{Action: CancelAttempt, Request: c.request, Attempt: c.attempt}, true
+		}
+		i, ok := e.requests.dequeue()
+		if !ok {
+			return Decision{}, false
+		}
+		if d := e.decideWithShadow(i); d.Action != noAction {
+			return d, true
+		}
+	}
+}
+
+// nextPeerMessage returns the next message to a peer. It writes the periodic ones when they are due.
 func (e *Engine) nextPeerMessage() (Decision, bool) {
 	if e.timers.startReport(e.now, e.config) {
 		e.reports.write(&e.outbox, e.customers.all, &e.owner, &e.quota, e.now)
 	}
 	if e.timers.startSuspicions(e.now, e.config) {
-		if text := e.suspicionMessage(); len(text) > 1 && e.outliers.drawMessage(&e.random) {
-			return Decision{Action: SendPeerMessage, Payload: text, Peer: AllPeers}, true
+		payload := e.suspicionMessage()
+		if len(payload) > 1 && e.outliers.drawMessage(&e.random) {
+			return Decision{Action: SendPeerMessage, Payload: payload, Peer: AllPeers}, true
 		}
 	}
 	m, ok := e.outbox.next()
 	return Decision{Action: SendPeerMessage, Payload: m.payload, Peer: m.to}, ok
 }
 
-// checkAttempts looks over what is in flight, ejects servers that keep silent, cancels attempts that are late at
-// ejected ones, and ends an interval that is over.
+// checkAttempts checks the attempts in flight. It ejects silent servers, hedges late attempts, and requeues requests
+// whose quota owner did not respond in time. It also closes the control interval when that is over.
 func (e *Engine) checkAttempts() {
 	e.selection.sumPaces(&e.endpoints, e.now)
 	e.ejectSilent()
 	for i := range e.requests.all {
 		r := &e.requests.all[i]
-		if !r.live {
+		if !r.live || r.closed {
 			continue
 		}
-		if !r.closed && r.askedOwnerAt > 0 && len(r.attempts) == 0 && !e.owner.waits(r, e.now) { // no answer came
+		if r.queriedOwnerAt > 0 && len(r.attempts) == 0 && !e.owner.waits(r, e.now) {
 			e.requests.enqueue(requestSlot(i))
 		}
-		if r.inFlight > 0 && !r.closed && !r.streaming {
+		if r.inFlight > 0 && !r.streaming {
 			e.hedge(r)
 		}
 	}
@@ -70,58 +79,70 @@
 	}
 }
 
-// ejectSilent ejects the servers that keep silent.
+// ejectSilent measures the silence of the tracked servers and ejects the silent ones.
 func (e *Engine) ejectSilent() {
 	servers := e.endpoints.servers
-	for _, i := range e.endpoints.view {
+	for _, i := range e.endpoints.tracked {
+		for k := range servers[i].byClass {
+			state := &servers[i].byClass[k]
+			state.waitedLatencies, state.lost = 0, 0
+		}
+	}
+	e.measureSilence()
+	for _, i := range e.endpoints.tracked {
 		for k := range servers[i].byClass {
-			servers[i].byClass[k].waited, servers[i].byClass[k].lost = 0, 0
+			e.outliers.ejectSilent(&servers[i].byClass[k], e.now)
 		}
 	}
+}
+
+// measureSilence adds the waits of all attempts in flight to their servers' silence.
+func (e *Engine) measureSilence() {
 	for i := range e.requests.all {
 		r := &e.requests.all[i]
 		if !r.live || r.inFlight == 0 {
 			continue
 		}
-		usual := e.usualLatency(r.class)
+		usualLatency := e.usualLatency(r.class)
 		for _, a := range r.attempts {
 			if a.inFlight {
-				e.outliers.checkSilence(&servers[a.server].byClass[r.class], a.sent, usual, e.now)
+				state := &e.endpoints.servers[a.server].byClass[r.class]
+				e.outliers.checkSilence(state, a.sent, usualLatency, e.now)
 			}
 		}
 	}
-	for _, i := range e.endpoints.view {
-		for k := range servers[i].byClass {
-			e.outliers.ejectSilent(&servers[i].byClass[k], e.now)
-		}
-	}
 }
 
-// closeInterval learns from the interval that is over, and chooses the subset of servers anew.
+// closeInterval closes the control interval: it updates the admission rate, the rate of a warm server and the subset,
+// and drops idle state.
 func (e *Engine) closeInterval() {
-	span := seconds(e.now - e.interval.startedAt)
-	load := intervalLoad{e.requests.inFlight, e.inFlightAtHealthy(), e.endpoints.ready}
-	e.admission.closeInterval(e.now, span, &e.interval, load)
+	spanSeconds := seconds(e.now - e.interval.startedAt)
+	load := intervalLoad{requests: e.requests.inFlight, healthy: e.inFlightAtHealthy(), ready: e.endpoints.ready}
+	e.admission.closeInterval(e.now, spanSeconds, &e.interval, load)
 	e.slowStart.closeInterval(e.slowStart.warmServers(&e.endpoints, e.now), e.admission.throughput.rates)
-	e.summarise(span)
+	e.summarize(spanSeconds)
 	e.interval.reset(e.now)
-	e.timers.intervalAt = e.now + interval
+	e.timers.intervalAt = e.now + controlInterval
 	e.customers.forgetIdle(e.config, e.now)
 	e.forgetServers()
 	e.chooseSubset()
 }
 
-// charge books an admitted request.
-func (e *Engine) charge(r *request) {
-	c := &e.customers.all[r.customer]
-	e.admission.tokens.level--
-	e.interval.admitted++
-	if !e.owner.owned(c) {
-		c.charge(r.units, r.bucketPart)
-	} else if r.askedOwnerAt == 0 {
-		e.reportUse(c, r.customer, r.units, r.units)
-	}
-	if r.verdict != verdictGranted {
-		c.ceiling.level -= r.units
+// summarize writes the summary of the interval to scratch, for the next call of Next.
+func (e *Engine) summarize(spanSeconds float64) {
+	limit, stats := &e.admission, &e.interval
+	summary := intervalSummary{
+		inFlight:           e.requests.inFlight,
+		concurrencyAverage: limit.features.concurrencyAverage,
+		latency:            limit.features.latency,
+		latencyAverage:     limit.features.latencyAverage,
+		admissionRate:      limit.rate,
+		targetConcurrency:  limit.targetConcurrency,
+		admitted:           float64(stats.admitted) / spanSeconds,
+		completed:          float64(stats.completed) / spanSeconds,
+		tail:               stats.tail(),
+		executionTime:      Time(limit.throughput.executionTime),
+		rejected:           stats.rejected,
 	}
+	e.scratch, e.summaryDue = summary.appendText(e.scratch[:0]), true
 }
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -2,44 +2,87 @@
 
 import "math"
 
-// outlierDetector takes servers out of the rotation (ejects them) that fail or keep silent, for each class
-// alone: a server may fail one and serve the others. It knows of them by how this node's attempts end, by
-// what is in flight with no answer, and by peers' suspicions. An ejection lasts an objective and each further
-// one twice as long; past it a server gets one trial at a time, and those that failed longer or of which only
-// peers reported get trials by a budget.
+const (
+	maxConsecutiveFailures = 2                    // failures in a row that eject a server, of kinds that a healthy one has too
+	maxEjectionObjectives  = 8                    // longest ejection, in latency objectives
+	silenceLatencies       = 10.0                 // wait without a response that ejects a server, in usual latencies
+	trialsPerAttempt       = 0.05                 // trials that an attempt of the class earns
+	maxTrials              = 2                    // largest trial budget of a class
+	suspicionTimeConstant  = 10 * controlInterval // of the decaying counts of peers' suspicions
+	minExcessSuspicions    = 1.0                  // suspicions above the mean that eject a server
+	suspicionDeviations    = 2.0                  // added to minExcessSuspicions, in square roots of the mean
+	minInformativeReports  = 0.1                  // decayed suspicions below which a state carries no information
+	suspicionRateRatio     = 0.5                  // share of the peer message rate that suspicions may use
+)
+
+// outlierDetector ejects servers that fail or stay silent. It does so for each request class alone, since a server may
+// fail one class and serve the others.
 //
-// It guards against servers that fail, cut links and processes that hang; it covers a lost zone too. It could
-// harm where errors come from the requests themselves: then servers are ejected for an objective by turns,
-// and selection falls back on all when none is left.
+//   - Inputs: the outcomes of this node's attempts, the waits of those in flight, and peers' suspicions.
+//   - State: an outlierState for each tracked server and class, and a trial budget for each class.
+//   - Rule: an ejection lasts one latency objective, each further one twice as long. Then the server gets one trial
+//     attempt at a time. Trials after a longer ejection, or after peers' suspicions, come from the trial budget.
+//   - Protects against: failed servers, cut links, hanging processes, the loss of a zone.
+//   - Trade-off: errors that the requests cause eject healthy servers in turn. With no other server left, selection
+//     falls back on the ejected ones.
 type outlierDetector struct {
 	config  *config
 	classes []classOutliers
 }
 
-// attemptStarted notes an attempt, which is a trial where the server failed before.
+// outlierState describes how a server serves one class. The zero value is a server without attempts.
+type outlierState struct {
+	inFlight        int
+	lost            int // attempts in flight whose response is presumed lost, as of the last attempt check
+	failures        int // consecutive failures
+	ejectedUntil    Time
+	ejectedFor      Time         // length of the last ejection; 0 if no attempt of this node caused one
+	suspicions      decayingMean // peers' suspicions
+	fromPeer        bool         // a peer's suspicion caused the ejection
+	trialInFlight   bool         // a trial attempt is in flight
+	answeredAt      Time         // time of the last response or passed health check; 0 without any
+	waitCountedFrom Time         // waits before this time have led to an ejection
+	waitedLatencies float64      // sum of the waits in flight since answeredAt, in usual latencies
+}
+
+// classOutliers holds the detector's state of one class, for all servers together.
+type classOutliers struct {
+	suspicions decayingMean // peers' suspicions
+	trials     float64      // trial budget, in attempts
+}
+
+// informative reports whether a state carries information. It works on a copy: decaying in two steps would round
+// otherwise than in one.
+func (s outlierState) informative(now Time) bool {
+	s.suspicions.decayTo(now, suspicionTimeConstant)
+	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeReports
+}
+
+// attemptStarted records an attempt. It is a trial if the server has failed since its last success.
 func (d *outlierDetector) attemptStarted(s *outlierState, class ClassID, now Time) {
 	c := &d.classes[class]
-	c.trials = min(c.trials+trialEarned, maxTrials)
-	if now < s.ejectedUntil || s.failures > 0 {
-		s.trialInFlight = true
-		if d.needsTrial(s) {
-			c.trials = max(0, c.trials-1)
-		}
+	c.trials = min(c.trials+trialsPerAttempt, maxTrials)
+	if now >= s.ejectedUntil && s.failures == 0 {
+		return
+	}
+	s.trialInFlight = true
+	if d.needsBudget(s) {
+		c.trials = max(0, c.trials-1)
 	}
 }
 
-// attemptEnded learns from an attempt's end; the states are the server's, by class.
-func (d *outlierDetector) attemptEnded(states []outlierState, class ClassID, o Outcome, now Time) {
+// attemptEnded updates a server's states, indexed by class, from the outcome of an attempt of the class. A refused
+// connection counts for every class.
+func (d *outlierDetector) attemptEnded(states []outlierState, class ClassID, outcome Outcome, now Time) {
 	s := &states[class]
 	trial := s.trialInFlight
 	s.inFlight--
-	s.lost, s.trialInFlight = min(s.lost, s.inFlight), false
-	switch o {
+	s.lost = min(s.lost, s.inFlight)
+	s.trialInFlight = false
+	switch outcome {
 	case Succeeded:
-		*s = outlierState{
-			inFlight: s.inFlight, answeredAt: now, lost: s.lost, countedFrom: s.countedFrom, suspicions: s.suspicions,
-		}
-	case Failed: // rare where all is well, so that one tells enough
+		s.reset(now)
+	case Failed: // rare at healthy servers, so that one is enough
 		s.answeredAt = now
 		s.failures++
 		d.eject(s, now)
@@ -48,92 +91,114 @@
 			states[k].failures++
 			d.eject(&states[k], now)
 		}
-	case Overloaded, TimedOut, MalformedResponse, ConnectionReset: // one alone, of any server, tells little
-		if s.failures++; trial || s.failures >= maxFailures {
+	case Overloaded, TimedOut, MalformedResponse, ConnectionReset:
+		s.failures++
+		if trial || s.failures >= maxConsecutiveFailures {
 			d.eject(s, now)
 		}
 	}
 }
 
-// eject takes a server out of a class's rotation, each time for twice as long.
+// reset clears failures and ejection after a success. Counts of attempts in flight and suspicions stay.
+func (s *outlierState) reset(now Time) {
+	*s = outlierState{
+		inFlight: s.inFlight, lost: s.lost, suspicions: s.suspicions, answeredAt: now, waitCountedFrom: s.waitCountedFrom,
+	}
+}
+
+// eject takes a server out of a class's rotation, for twice as long as the last time.
 func (d *outlierDetector) eject(s *outlierState, now Time) {
-	least := d.config.shortestObjective
-	s.ejectedFor = min(max(2*s.ejectedFor, least), maxEjection*least)
-	s.ejectedUntil, s.fromPeer = now+s.ejectedFor, false
+	shortest := d.config.shortestObjective
+	s.ejectedFor = min(max(2*s.ejectedFor, shortest), maxEjectionObjectives*shortest)
+	s.ejectedUntil = now + s.ejectedFor
+	s.fromPeer = false
 }
 
-// ejected tells whether a server is out of a class's rotation.
+// ejected reports whether the server is out of rotation for the class. This includes a server whose trial is in
+// flight, and one that waits for the trial budget.
 func (d *outlierDetector) ejected(s *outlierState, class ClassID, now Time) bool {
-	return now < s.ejectedUntil || s.trialInFlight || d.classes[class].trials < 1 && d.needsTrial(s)
+	if now < s.ejectedUntil || s.trialInFlight {
+		return true
+	}
+	return d.classes[class].trials < 1 && d.needsBudget(s)
 }
 
-// needsTrial tells whether attempts at a server whose ejection has passed come from the budget of trials.
-func (d *outlierDetector) needsTrial(s *outlierState) bool {
+// needsBudget reports whether trials at the server come from the trial budget.
+func (d *outlierDetector) needsBudget(s *outlierState) bool {
 	return s.ejectedFor > d.config.shortestObjective || s.fromPeer
 }
 
-// checkSilence notes how long an attempt in flight has waited, in usual latencies of its class.
-func (d *outlierDetector) checkSilence(s *outlierState, sent Time, usual float64, now Time) {
-	s.waited += float64(now-max(sent, s.answeredAt, s.countedFrom)) / usual
-	if d.lost(now-sent, usual) {
+// checkSilence adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
+func (d *outlierDetector) checkSilence(s *outlierState, sent Time, usualLatency float64, now Time) {
+	s.waitedLatencies += float64(now-max(sent, s.answeredAt, s.waitCountedFrom)) / usualLatency
+	if d.lost(now-sent, usualLatency) {
 		s.lost++
 	}
 }
 
-// lost tells whether an attempt took so long that its answer must have been lost.
-func (d *outlierDetector) lost(took Time, usual float64) bool {
-	return float64(took) > silentLatencies*usual
+// lost reports whether an attempt took so long that its response is presumed lost.
+func (d *outlierDetector) lost(duration Time, usualLatency float64) bool {
+	return float64(duration) > silenceLatencies*usualLatency
 }
 
-// ejectSilent ejects a server where all that is in flight has together waited for so many usual latencies
-// with nothing coming back, that chance hardly explains it. It guards against servers that stand still or
-// hang without an error and against cut links. It could harm where requests differ far more than usual;
-// others then take its turn.
+// ejectSilent ejects a server if its attempts in flight together have waited silenceLatencies without a response.
+//
+// Protects against: processes that hang without an error, cut links.
+// Trade-off: a server with requests far longer than usual is ejected while others take its place.
 func (d *outlierDetector) ejectSilent(s *outlierState, now Time) {
-	if s.waited > silentLatencies && now >= s.ejectedUntil {
-		s.failures++
-		s.countedFrom, s.trialInFlight = now, false
-		d.eject(s, now)
+	silent := s.waitedLatencies > silenceLatencies
+	if !silent || now < s.ejectedUntil {
+		return
 	}
+	s.failures++
+	s.waitCountedFrom = now
+	s.trialInFlight = false
+	d.eject(s, now)
 }
 
-// receive takes in what a peer suspects. Of many nodes each sees a server seldom and would spend one attempt
-// on each that fails. What it saw answer lately it goes on using. It covers dead servers still listed; it
-// could harm where one node's links alone are cut: servers are then ejected until that has run out.
+// receive applies a peer's suspicion, where ready is the number of ready servers. It ejects the server unless this
+// node ejected it itself, or received a response from it within the shortest latency objective.
+//
+// Protects against: one failed attempt for each of many nodes at each failed server.
+// Trade-off: if only the peer's links are cut, the server is ejected here as well.
 func (d *outlierDetector) receive(s *outlierState, reported suspicion, ready int, now Time) {
-	c, least := &d.classes[reported.class], d.config.shortestObjective
-	s.suspicions.add(1, now, suspicionMemory)
-	c.suspicions.add(1, now, suspicionMemory)
-	if s.failures > 0 && !s.fromPeer && now < s.ejectedUntil || now-s.answeredAt < least && s.answeredAt > 0 {
+	shortest := d.config.shortestObjective
+	s.suspicions.add(1, now, suspicionTimeConstant)
+	d.classes[reported.class].suspicions.add(1, now, suspicionTimeConstant)
+	ejectedHere := s.failures > 0 && !s.fromPeer && now < s.ejectedUntil
+	answeredLately := s.answeredAt > 0 && now-s.answeredAt < shortest
+	if ejectedHere || answeredLately {
 		return
 	}
 	if reported.ejectedFor > 0 || d.suspectedByPeers(s, reported.class, ready, now) {
-		s.failures, s.fromPeer = max(s.failures, 1), true
-		s.ejectedUntil = max(s.ejectedUntil, now+min(max(reported.ejectedFor, least), maxEjection*least))
+		ejectFor := min(max(reported.ejectedFor, shortest), maxEjectionObjectives*shortest)
+		s.failures = max(s.failures, 1)
+		s.fromPeer = true
+		s.ejectedUntil = max(s.ejectedUntil, now+ejectFor)
 	}
 }
 
-// suspectedByPeers tells whether peers reported clearly more failures of a server than of one on average:
-// what a whole fleet fails for want of room falls on all alike. Such a server gets trials by the budget only.
+// suspectedByPeers reports whether peers suspect a server clearly more often than the mean of the ready servers.
+// Overload of a whole fleet raises the mean as well and suspects no single server.
 func (d *outlierDetector) suspectedByPeers(s *outlierState, class ClassID, ready int, now Time) bool {
 	if s.suspicions.count == 0 {
 		return false
 	}
 	all := &d.classes[class].suspicions
-	s.suspicions.decayTo(now, suspicionMemory)
-	all.decayTo(now, suspicionMemory)
+	s.suspicions.decayTo(now, suspicionTimeConstant)
+	all.decayTo(now, suspicionTimeConstant)
 	mean := all.count / float64(max(1, ready))
-	return s.suspicions.count >= minSuspicion+mean+suspicionRoots*math.Sqrt(mean)
+	return s.suspicions.count >= minExcessSuspicions+mean+suspicionDeviations*math.Sqrt(mean)
 }
 
-// tells tells whether a server is one to name to peers: found at fault here, and ejected yet or, where nodes
-// are many, not seen to answer since.
-func (d *outlierDetector) tells(s *outlierState, now Time) bool {
+// reportable reports whether peers should receive a suspicion of the server. This node must have found the failure
+// itself. In a small fleet, the ejection must not have ended.
+func (d *outlierDetector) reportable(s *outlierState, now Time) bool {
 	return s.failures > 0 && !s.fromPeer && (d.config.owners || now < s.ejectedUntil)
 }
 
-// drawMessage draws whether this node tells all others now: together all nodes fill a part of what each takes
-// in.
+// drawMessage reports whether this node sends its suspicions now. It draws at random, so that all nodes together send
+// each node at most suspicionRateRatio of the peer message rate.
 func (d *outlierDetector) drawMessage(rng *random) bool {
-	return rng.unit() < reportShare*d.config.peerRate/float64(d.config.nodes)
+	return rng.unit() < suspicionRateRatio*d.config.peerRate/float64(d.config.nodes)
 }
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -21,13 +21,13 @@
 	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
 		t.Fatal("the wrong class is ejected")
 	}
-	n.SetTime(Second + interval/2)
+	n.SetTime(Second + controlInterval/2)
 	told := pull(n, SendPeerMessage)
 	other := plain(2, Settings{
 		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 	})
-	other.SetTime(Second + interval/2)
+	other.SetTime(Second + controlInterval/2)
 	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
 	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
 		t.Fatal("malformed message counted")
@@ -85,8 +85,8 @@
 	for _, d := range pull(n, Forward) {
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
-	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.ends != 0 {
-		t.Fatalf("%d misses, %d ends counted", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.ends)
+	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.samples != 0 {
+		t.Fatalf("%d misses, %d ends counted", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
 	}
 }
 
@@ -101,7 +101,7 @@
 		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
 		d := pull(n, Forward)[0]
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
-		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.ends > 2 {
+		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.samples > 2 {
 			t.Fatalf("after end %d the server is ejected: %v", id, got)
 		}
 		if o != Succeeded && pull(n, Reject) == nil {
@@ -159,7 +159,7 @@
 		t.Error("no trial with budget")
 	}
 	states[0].inFlight = 1
-	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialEarned+1e-9 || !d.ejected(&states[0], 0, now+48000) {
+	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialsPerAttempt+1e-9 || !d.ejected(&states[0], 0, now+48000) {
 		t.Errorf("%v trials left with one in flight", d.classes[0].trials)
 	}
 	d.attemptEnded(states, 0, Succeeded, now+49000)
@@ -201,11 +201,11 @@
 	d, s, now := testDetector(), &outlierState{answeredAt: 2 * Second}, 3*Second
 	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
 	d.checkSilence(s, now-2000, 2000, now) // one
-	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waited != 6 || s.lost != 0 {
+	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waitedLatencies != 6 || s.lost != 0 {
 		t.Errorf("after 6 latencies: %+v", s)
 	}
 	d.checkSilence(s, Second, 500, now) // 20
-	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.countedFrom != now || s.lost != 1 {
+	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.waitCountedFrom != now || s.lost != 1 {
 		t.Errorf("after 26 latencies: %+v", s)
 	}
 }
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -1,120 +1,251 @@
 package decision
 
-import "slices"
-
-// quotaOwner gives each customer one node of its set, the owner, that keeps its bucket, what is in flight for
-// it and half of its ceiling, where nodes are too many for each to hear all others. Each request is asked for
-// there, so that the part of the demand that passes here is right request by request. While the bucket is
-// well filled the owner lets requests pass freely and is notified afterwards; where far more is asked than
-// fits, a node asks for a part of the requests only. It guards against a quota granted by each of many nodes
-// that see too little of a customer for buckets of their own. It could harm while an owner is down or stands
-// still: a request waits for it, then passes by the even part, over what this node was asked before.
+const (
+	ownerTimeoutObjectives      = 0.2                // wait for an owner's response, in shortest latency objectives
+	ownerTimeoutsPerDeadline    = 2                  // timeouts, with answer margins, that must fit before the deadline
+	maxMeshRateRatio            = 0.75               // share of the peer message rate up to which all nodes report to all
+	maxQueryRateRatio           = 0.7                // share of the peer message rate that queries to an owner may use
+	minQueryRateRatio           = 0.2                // share of that rate that queries about one customer may always use
+	minQueryRatio               = 0.01               // least share of a customer's requests that peers query
+	queryOversubscription       = 1.5                // queries to receive, for each request that the bucket can admit
+	queryRatioLifetime          = peerSilenceTimeout // over which a query ratio loses its effect
+	reservationLatencies        = 3.0                // longest reservation, in usual latencies
+	optimisticMinRatePerNode    = 0.25               // least demand for optimistic admission, in units a second and node
+	optimisticReserveRatio      = 0.7                // bucket level below which optimistic admission ends, in bursts
+	ownerCeilingRatio           = 0.5                // share of a hard ceiling that the owner keeps
+	meanUnitsSmoothing          = 0.3                // weight of a request in the moving average of units
+	minDemandRate               = 1e-9               // units a second; keeps a quotient finite
+	optimisticStartReserveRatio = (1 + optimisticReserveRatio) / 2
+)
+
+// quotaOwner assigns each customer an owner, which is one node of the customer's set. It is in use when a fleet is too
+// large for all nodes to report to all others.
+//
+//   - Inputs: queries and usage reports of the customer's nodes, at the owner; responses, at the others.
+//   - State: at the owner the bucket, the requests in flight (reservations), and a part of the hard ceiling.
+//   - Rule: a node queries the owner for each request. While the bucket is nearly full, the owner allows optimistic
+//     admission: requests are admitted first and reported afterwards. If demand exceeds the quota by far, nodes query
+//     for a share of the requests only and reject the others.
+//   - Protects against: a quota granted by many nodes that each see little of a customer's demand.
+//   - Trade-off: while an owner is down, each request waits for the timeout. It is then admitted with a probability
+//     that keeps this node to the even share of the quota.
 type quotaOwner struct {
 	config       *config
-	peerMessages decayingMean // received here
+	peerMessages decayingMean // received by this node
 }
 
-// ownersNeeded tells whether so many nodes can't all hear each other, each taking in so many messages a
-// second.
+// optimisticChange is the effect of an update on optimistic admission.
+type optimisticChange uint8
+
+const (
+	optimisticUnchanged optimisticChange = iota // or newly allowed: peers learn that with their next response
+	optimisticRevoked                           // peers must be notified at once
+)
+
+// ownersNeeded reports whether the nodes are too many for all to report to all others. The peer rate is the number of
+// messages a second that a node receives at most.
 func ownersNeeded(nodes int, peerRate float64) bool {
-	return float64(nodes-1) > ownersAtShare*peerRate*seconds(reportEvery)
+	return float64(nodes-1) > maxMeshRateRatio*peerRate*seconds(reportInterval)
 }
 
-// ownerTimeout is how long a request waits for its owner.
-func ownerTimeout(objective Time) Time { return Time(ownerWaitShare * float64(objective)) }
+// ownerTimeout returns how long a request waits for its quota owner's response.
+func ownerTimeout(shortestObjective Time) Time {
+	return Time(ownerTimeoutObjectives * float64(shortestObjective))
+}
+
+// of returns the node of a customer's set that owns its quota.
+func (o *quotaOwner) of(c *customer) NodeID {
+	return (c.firstNode + NodeID(uint64(c.id)%uint64(c.spread))) % NodeID(o.config.nodes)
+}
 
-// grant lets a request pass at its customer's owner, and books it, if bucket, in-flight limit and ceiling
-// have room.
-func (o *quotaOwner) grant(c *customer, ask customerReport, from NodeID, usual float64, now Time) bool {
-	p, units := &o.config.plans[c.plan], ask.use
-	c.peerDemand.add(ask.demand, now, demandMemory)
-	c.meanUnits += unitsDecay * (units - c.meanUnits)
+// owned reports whether an owner keeps the customer's bucket.
+func (o *quotaOwner) owned(c *customer) bool {
+	return o.config.owners && c.spread > 1 && o.config.peers && !c.leased
+}
+
+// isOwner reports whether this node is the customer's owner.
+func (o *quotaOwner) isOwner(c *customer) bool { return o.of(c) == o.config.self }
+
+// waits reports whether a request waits for its owner's response.
+func (o *quotaOwner) waits(r *request, now Time) bool {
+	return r.queriedOwnerAt > 0 && r.ownerResponse == responsePending && now < r.queriedOwnerAt+o.config.ownerTimeout
+}
+
+// localCeilingRatio returns the share of the customer's hard ceiling that this node keeps.
+func (o *quotaOwner) localCeilingRatio(c *customer) float64 {
+	ratio := 1 / float64(c.spread)
+	if o.owned(c) {
+		ratio *= 1 - ownerCeilingRatio
+	}
+	return ratio
+}
+
+// refillOwnerCeiling refills the owner's part of a hard ceiling.
+func refillOwnerCeiling(b *tokenBucket, p *quotaPlan, now Time) {
+	b.refill(now, ownerCeilingRatio*p.ceilingRate, ownerCeilingRatio*p.ceilingBurst)
+}
+
+// grant reports whether a customer's bucket, in-flight limit and ceiling have room for a queried request. If so, it
+// charges them. It runs at the customer's owner. The usual latency is in units of Time.
+func (o *quotaOwner) grant(c *customer, query customerReport, from NodeID, usualLatency float64, now Time) bool {
+	p, units := &o.config.plans[c.plan], query.use
+	c.peerDemand.add(query.demand, now, demandTimeConstant)
+	c.meanUnits += meanUnitsSmoothing * (units - c.meanUnits)
 	c.refill(p, now)
-	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.until <= now })
-	c.ownerCeiling.refill(now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
-	hasCeiling := p.ceilingRate > 0 || p.ceilingBurst > 0
-	ok := (p.rate <= 0 || c.bucket.level >= min(units, p.burst)) &&
-		(p.maxInFlight == 0 || len(c.reservations) < p.maxInFlight) &&
-		(!hasCeiling || c.ownerCeiling.level >= units)
-	if !ok {
+	c.expireReservations(now)
+	refillOwnerCeiling(&c.ownerCeiling, p, now)
+	if !c.ownerAllows(p, units) {
 		return false
 	}
 	c.bucket.level -= units
 	c.ownerCeiling.level -= units
 	if p.maxInFlight > 0 {
-		until := now + Time(reservationLatencies*usual)
-		c.reservations = append(c.reservations, reservation{from, ask.request, until})
+		until := now + Time(reservationLatencies*usualLatency)
+		c.reservations = append(c.reservations, reservation{from, query.request, until})
 	}
 	return true
 }
 
-// update settles at a customer's owner whether its requests pass freely, and else the part to ask for. It
-// tells whether a free pass ended, of which the whole set is notified at once.
-func (o *quotaOwner) update(c *customer, now Time) (revoked bool) {
+// ownerAllows reports whether the owner's bucket, reservations and part of the ceiling have room for units.
+func (c *customer) ownerAllows(p *quotaPlan, units float64) bool {
+	hasCeiling := p.ceilingRate > 0 || p.ceilingBurst > 0
+	bucketAllows := p.rate <= 0 || c.bucket.level >= min(units, p.burst)
+	inFlightAllows := p.maxInFlight == 0 || len(c.reservations) < p.maxInFlight
+	ceilingAllows := !hasCeiling || c.ownerCeiling.level >= units
+	return bucketAllows && inFlightAllows && ceilingAllows
+}
+
+// update sets the customer's query ratio and optimistic admission. It runs at the customer's owner.
+func (o *quotaOwner) update(c *customer, now Time) optimisticChange {
 	p := &o.config.plans[c.plan]
 	c.refill(p, now)
 	demand := demandRate(&c.peerDemand, now)
-	c.admitPart = 1
+	c.queryRatio = 1
 	if demand > 0 {
-		others := demandRate(&o.peerMessages, now) - c.peerDemand.count/seconds(demandMemory)
-		asks := max(minAskShare*o.config.peerRate, maxAskShare*o.config.peerRate-others)
-		c.admitPart = min(1, asks*c.meanUnits/demand)
-		if p.rate > 0 {
-			c.admitPart = min(c.admitPart, askOverRoom*(p.rate+max(0, c.bucket.level)/seconds(interval))/demand)
-		}
-		c.admitPart = max(minAdmitPart, c.admitPart)
+		c.queryRatio = o.queryRatio(c, demand, now)
 	}
-	least := freePassReserve
-	if !c.freePass {
-		least = (1 + freePassReserve) / 2
+	before := c.optimistic
+	c.optimistic = c.allowsOptimistic(p, demand)
+	if before && !c.optimistic {
+		return optimisticRevoked
 	}
-	was := c.freePass
-	c.freePass = p.maxInFlight == 0 && p.noCeiling() && (p.rate <= 0 || c.bucket.level >= least*p.burst) &&
-		demand > freePassMinRate*float64(c.spread)
-	return was && !c.freePass
+	return optimisticUnchanged
 }
 
-// drawAsk draws whether a request is asked for: always unless the owner named a part, less so the older that
-// is.
-func (o *quotaOwner) drawAsk(c *customer, now Time, rng *random) bool {
-	skipped := rng.unit() >= max(c.admitPart, float64(now-c.admitPartAt)/float64(peerSilence))
-	return !skipped
+// queryRatio returns the share of a customer's requests that other nodes should query, for a demand above 0 in units a
+// second.
+func (o *quotaOwner) queryRatio(c *customer, demand float64, now Time) float64 {
+	p := &o.config.plans[c.plan]
+	otherMessages := demandRate(&o.peerMessages, now) - c.peerDemand.count/seconds(demandTimeConstant)
+	queries := max(minQueryRateRatio*o.config.peerRate, maxQueryRateRatio*o.config.peerRate-otherMessages)
+	ratio := min(1, queries*c.meanUnits/demand)
+	if p.rate > 0 {
+		available := p.rate + max(0, c.bucket.level)/seconds(controlInterval)
+		ratio = min(ratio, queryOversubscription*available/demand)
+	}
+	return max(minQueryRatio, ratio)
 }
 
-// drawAlone draws whether a request passes though the owner has not answered: by the even part of the rate,
-// over what was asked for here before.
-func (o *quotaOwner) drawAlone(c *customer, units float64, now Time, rng *random) bool {
+// allowsOptimistic reports whether requests are admitted before the owner learns of them. That needs frequent requests
+// and a nearly full bucket. Plans with an in-flight limit or a hard ceiling never allow it.
+func (c *customer) allowsOptimistic(p *quotaPlan, demand float64) bool {
+	if p.maxInFlight != 0 || !p.noCeiling() {
+		return false
+	}
+	reserve := optimisticReserveRatio
+	if !c.optimistic {
+		reserve = optimisticStartReserveRatio
+	}
+	nearlyFull := p.rate <= 0 || c.bucket.level >= reserve*p.burst
+	return nearlyFull && demand > optimisticMinRatePerNode*float64(c.spread)
+}
+
+// drawQuery reports whether this node queries the owner for a request. The probability is the query ratio, and rises to
+// 1 as that ages.
+func (o *quotaOwner) drawQuery(c *customer, now Time, rng *random) bool {
+	age := float64(now-c.queryRatioAt) / float64(queryRatioLifetime)
+	skip := rng.unit() >= max(c.queryRatio, age)
+	return !skip
+}
+
+// drawWithoutOwner reports whether a request is admitted though its owner did not respond. The probability is the even
+// share of the quota over the demand here before the request.
+func (o *quotaOwner) drawWithoutOwner(c *customer, units float64, now Time, rng *random) bool {
 	p := &o.config.plans[c.plan]
-	before := demandRate(&c.demand, now) - units/seconds(demandMemory)
-	part := p.rate / float64(c.spread) / max(1e-9, before)
-	return (p.maxInFlight == 0 || c.inFlight == 0) && (p.rate <= 0 || rng.unit() < part)
+	demandBefore := demandRate(&c.demand, now) - units/seconds(demandTimeConstant)
+	probability := p.rate / float64(c.spread) / max(minDemandRate, demandBefore)
+	if p.maxInFlight != 0 && c.inFlight != 0 {
+		return false
+	}
+	return p.rate <= 0 || rng.unit() < probability
 }
 
-// admitByOwner tells whether a request passes by its customer's owner. It may have to wait for the answer.
-func (e *Engine) admitByOwner(c *customer, r *request) bool {
+// ownerAdmits reports whether a request is admitted now by its customer's owner. A request that it does not admit may
+// be waiting for the response, see quotaOwner.waits.
+func (e *Engine) ownerAdmits(c *customer, r *request) bool {
 	if e.owner.isOwner(c) {
-		ask := customerReport{demand: r.units, use: r.units, request: r.id, class: r.class}
-		if e.grantAsOwner(c, ask, e.config.self) {
-			r.verdict = verdictGranted
-		}
-		return r.verdict == verdictGranted
+		return e.admitAsOwner(c, r)
 	}
-	if r.askedOwnerAt == 0 {
-		if c.freePass {
+	if r.queriedOwnerAt == 0 {
+		if c.optimistic {
 			return true
 		}
 		c.unreportedDemand += r.units
-		if !e.owner.drawAsk(c, e.now, &e.random) {
+		if !e.owner.drawQuery(c, e.now, &e.random) {
 			return false
 		}
-		r.askedOwnerAt = e.now
-		if r.deadline-e.now < 2*(e.config.ownerTimeout+e.answerMargin()) { // too little time to wait
-			r.askedOwnerAt -= e.config.ownerTimeout
-		}
-		e.askOwner(c, r)
+		e.queryOwner(c, r)
+	}
+	if r.ownerResponse != responsePending || e.owner.waits(r, e.now) {
+		return r.ownerResponse == responseGranted
 	}
-	if r.verdict != verdictPending || e.owner.waits(r, e.now) {
-		return r.verdict == verdictGranted
+	return e.owner.drawWithoutOwner(c, r.units, e.now, &e.random)
+}
+
+// admitAsOwner reports whether the bucket kept here admits a request of this node.
+func (e *Engine) admitAsOwner(c *customer, r *request) bool {
+	query := customerReport{demand: r.units, use: r.units, request: r.id, class: r.class}
+	if e.grantAsOwner(c, query, e.config.self) {
+		r.ownerResponse = responseGranted
+	}
+	return r.ownerResponse == responseGranted
+}
+
+// queryOwner sends a customer's owner the query whether a request is admitted. If too little time is left to wait, the
+// query counts as timed out at once.
+func (e *Engine) queryOwner(c *customer, r *request) {
+	timeout := e.config.ownerTimeout
+	r.queriedOwnerAt = e.now
+	if r.deadline-e.now < ownerTimeoutsPerDeadline*(timeout+e.answerMargin()) {
+		r.queriedOwnerAt -= timeout
+	}
+	report := c.report()
+	report.use = r.units
+	report.demand = c.unreportedDemand
+	report.request = r.id
+	report.class = r.class
+	e.outbox.add(e.owner.of(c), appendReport([]byte{kindQuery}, report))
+	c.unreportedDemand = 0
+}
+
+// grantAsOwner applies a query at the customer's owner and reports whether it is granted.
+func (e *Engine) grantAsOwner(c *customer, query customerReport, from NodeID) bool {
+	class := min(query.class, ClassID(len(e.classes)-1))
+	granted := e.owner.grant(c, query, from, e.usualLatency(class), e.now)
+	e.updateOwnedQuota(c)
+	return granted
+}
+
+// updateOwnedQuota updates a customer's query ratio and optimistic admission at its owner. If optimistic admission
+// ends, it notifies the customer's other nodes.
+func (e *Engine) updateOwnedQuota(c *customer) {
+	if e.owner.update(c, e.now) != optimisticRevoked {
+		return
+	}
+	for k := range c.spread {
+		peer := (c.firstNode + NodeID(k)) % NodeID(e.config.nodes)
+		if peer != e.config.self {
+			e.sendGrant(c, peer, 0, responsePending)
+		}
 	}
-	return e.owner.drawAlone(c, r.units, e.now, &e.random)
 }
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -98,15 +98,15 @@
 		t.Fatalf("%d sent", f.sent)
 	}
 	n := f.nodes[11]
-	before := n.customers.all[0].admitPart
+	before := n.customers.all[0].queryRatio
 	n.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
 	n.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
 	n.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 400, firstNode: 10}))
 	n.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
 	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
 	pull(n, Forward)
-	if n.customers.all[0].admitPart != before || before >= 1 {
-		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers.all[0].admitPart)
+	if n.customers.all[0].queryRatio != before || before >= 1 {
+		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers.all[0].queryRatio)
 	}
 }
 
@@ -174,8 +174,8 @@
 	n := f.nodes[11] // all stores full hold the ceiling's and no more
 	c := &n.customers.all[n.customers.slot(n.config, n.now, 5, 0, 40, 10)]
 	n.SetTime(99 * Second)
-	n.quota.ceilingAllows(c, 1, n.owner.owned(c), n.now)
-	if all := 40*c.ceiling.level + ownerCeilingPart*80; all > 80.01 || all < 79.99 {
+	n.quota.ceilingAllows(c, 1, n.owner.localCeilingRatio(c), n.now)
+	if all := 40*c.ceiling.level + ownerCeilingRatio*80; all > 80.01 || all < 79.99 {
 		t.Fatalf("the stores hold %.2f of 80", all)
 	}
 }
@@ -272,11 +272,11 @@
 			o := ownerOfAll(quotaPlan{rate: 10, burst: 100})
 			o.config.peerRate = 1e6
 			at := &customer{
-				spread: 7, freePass: c.was, meanUnits: 1, bucket: tokenBucket{c.level, now},
-				peerDemand: decayingMean{sum: c.demand * seconds(demandMemory), at: now},
+				spread: 7, optimistic: c.was, meanUnits: 1, bucket: tokenBucket{c.level, now},
+				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
-			if ended := o.update(at, now); ended != c.ended || at.freePass != c.free || !near(at.admitPart, c.part) {
-				t.Errorf("free %v, ended %v, part %v", at.freePass, ended, at.admitPart)
+			if ended := o.update(at, now) == optimisticRevoked; ended != c.ended || at.optimistic != c.free || !near(at.queryRatio, c.part) {
+				t.Errorf("free %v, ended %v, part %v", at.optimistic, ended, at.queryRatio)
 			}
 		})
 	}
@@ -292,9 +292,9 @@
 		want     float64 // of the requests
 	}{{quotaPlan{rate: 14}, 8, 0, 0.25}, {quotaPlan{rate: 14}, 0, 0, 1}, {quotaPlan{}, 8, 0, 1}, {quotaPlan{maxInFlight: 1}, 8, 1, 0}} {
 		o, rng, passed := ownerOfAll(c.plan), newRandom(5), 0
-		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandMemory) + 1}}
+		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandTimeConstant) + 1}}
 		for range 4000 {
-			if o.drawAlone(at, 1, 0, &rng) {
+			if o.drawWithoutOwner(at, 1, 0, &rng) {
 				passed++
 			}
 		}
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -2,33 +2,40 @@
 
 import "slices"
 
-// pause is a stretch in which this node got no turn though it had asked for one, as where the machine is
-// overloaded. What came meanwhile is put in order: the last first, since those are in time yet. It guards
-// against a node that spends its first turn on requests whose clients are gone. It could harm where the host
-// calls late though requests were answered in time: they would then be taken for older than they are.
+// minPauseDivisor divides the shortest latency objective, for the shortest gap that counts as a pause.
+const minPauseDivisor = 4
+
+// pause detects scheduling pauses: times in which the host asked for a timer but did not call the engine.
+//
+//   - Inputs: the times of the host's calls.
+//   - State: the length and the end of the last pause, and the requests that arrived during it.
+//   - Rule: after a pause, the requests that arrived meanwhile are decided last one first, since those still have time
+//     left. Their arrival times are set as if they had arrived evenly over the pause.
+//   - Protects against: a first turn spent on requests whose clients have left.
+//   - Trade-off: if the host was only late to call, requests count as older than they are.
 type pause struct {
 	length  Time
 	endedAt Time
-	arrived int // requests that came meanwhile, not looked at yet
+	arrived int // requests that arrived during the pause and are not yet reordered
 }
 
-// observe notes the time between two turns.
+// observe records a pause if the time between two calls of the host is long enough.
 func (p *pause) observe(last, now, objective Time) {
-	if gap := now - last; gap > objective/4 {
+	if gap := now - last; gap > objective/minPauseDivisor {
 		p.length, p.endedAt = gap, now
 	}
 }
 
-// reorder puts the requests that came in the pause in order, the last first, each with the time that it has
-// waited by its place, as if they came evenly over the whole pause.
+// reorder reverses the requests that arrived during the pause and sets their arrival times.
 func (p *pause) reorder(t *requestTable, now Time) {
 	if p.arrived == 0 {
 		return
 	}
 	late := t.pending[max(0, len(t.pending)-p.arrived):]
+	count := len(late)
 	for k, i := range late {
 		if r := &t.all[i]; r.arrived == now {
-			r.arrived -= p.length * Time(2*(len(late)-k)-1) / Time(2*len(late))
+			r.arrived -= p.length * Time(2*(count-k)-1) / Time(2*count) // middle of the k-th part of the pause
 		}
 	}
 	slices.Reverse(late)
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -1,76 +1,93 @@
 package decision
 
-// ReceivePeerMessage takes in a peer's message. One that is malformed in any place is passed over as a whole, and so is
-// what comes from outside a customer's set of nodes. It tells whether the message could be read.
-func (e *Engine) ReceivePeerMessage(from NodeID, b []byte) bool {
-	m, ok := decodeMessage(b, len(e.config.plans), e.config.nodes)
+// ReceivePeerMessage applies a peer's message and reports whether it is valid. A message that is malformed anywhere has
+// no effect. A report on a customer has none unless both nodes are in the customer's set.
+func (e *Engine) ReceivePeerMessage(from NodeID, payload []byte) (valid bool) {
+	m, ok := decodeMessage(payload, len(e.config.plans), e.config.nodes)
 	if !ok || from < 0 || int(from) >= e.config.nodes || from == e.config.self {
 		return false
 	}
 	e.receiveSuspicions(m.suspicions)
-	e.quota.peerHeardAt = e.now
-	e.owner.peerMessages.add(1, e.now, demandMemory)
+	e.quota.lastPeerMessageAt = e.now
+	e.owner.peerMessages.add(1, e.now, demandTimeConstant)
 	for _, report := range m.reports {
-		if e.config.inSet(e.config.self, report.firstNode, report.spread) && e.config.inSet(from, report.firstNode, report.spread) {
+		here := e.config.inSet(e.config.self, report.firstNode, report.spread)
+		there := e.config.inSet(from, report.firstNode, report.spread)
+		if here && there {
 			e.receiveReport(m.kind, from, report)
 		}
 	}
 	return true
 }
 
-// receiveReport takes in what a message says of one customer. Whether this node or the peer is its owner depends on the
-// set that the message names.
+// receiveReport applies one entry of a message. The set that the entry names determines the customer's owner.
 func (e *Engine) receiveReport(kind byte, from NodeID, report customerReport) {
 	i := e.customers.slot(e.config, e.now, report.customer, report.plan, report.spread, report.firstNode)
 	c := &e.customers.all[i]
-	owner := e.config.owners && e.owner.isOwner(c)
+	ownedHere := e.config.owners && e.owner.isOwner(c)
 	switch {
-	case kind == kindUse && owner:
+	case kind == kindUse && ownedHere:
 		e.receiveUse(c, from, report)
 	case kind == kindUse && !e.config.owners:
-		c.peerDemand.add(report.demand, e.now, demandMemory)
-	case kind == kindAsk && owner:
-		c.lastRequest = e.now
-		verdict := verdictDenied
-		if e.grantWithShadow(c, report, from) {
-			verdict = verdictGranted
-			e.chargeShadowUse(c, report.use, true)
-		}
-		e.sendGrant(c, from, report.request, verdict)
+		c.peerDemand.add(report.demand, e.now, demandTimeConstant)
+	case kind == kindQuery && ownedHere:
+		e.receiveQuery(c, from, report)
 	case kind == kindGrant && e.owner.of(c) == from:
-		c.lastRequest, c.admitPart, c.admitPartAt, c.freePass = e.now, min(report.demand, 1), e.now, report.freePass
-		e.receiveVerdict(i, report.request, report.verdict)
+		e.receiveGrant(i, report)
 	}
 }
 
-// receiveUse takes in, at a customer's owner, what passed elsewhere and what ended.
+// receiveUse applies a usage report at the customer's owner.
 func (e *Engine) receiveUse(c *customer, from NodeID, report customerReport) {
 	c.lastRequest = e.now
 	c.bucket.level -= report.use
-	e.chargeShadowUse(c, report.use, false)
-	c.peerDemand.add(report.demand, e.now, demandMemory)
+	e.chargeShadowUse(c, report.use)
+	c.peerDemand.add(report.demand, e.now, demandTimeConstant)
 	if report.ended > 0 {
 		c.release(from, report.request)
 	}
-	e.updateGrant(c)
-	if report.demand > 0 && !c.freePass { // the peer took it for one that passes freely
-		e.sendGrant(c, from, 0, verdictPending)
+	e.updateOwnedQuota(c)
+	if report.demand > 0 && !c.optimistic { // the peer has not learned that optimistic admission has ended
+		e.sendGrant(c, from, 0, responsePending)
+	}
+}
+
+// receiveQuery responds to a query at the customer's owner.
+func (e *Engine) receiveQuery(c *customer, from NodeID, query customerReport) {
+	c.lastRequest = e.now
+	response := responseDenied
+	if e.grantWithShadow(c, query, from) {
+		response = responseGranted
+		e.chargeShadowGrant(c, query.use)
 	}
+	e.sendGrant(c, from, query.request, response)
+}
+
+// receiveGrant applies a message of the customer's owner: the query ratio, optimistic admission, and the response to
+// one query if it names a request.
+func (e *Engine) receiveGrant(i customerSlot, grant customerReport) {
+	c := &e.customers.all[i]
+	c.lastRequest = e.now
+	c.queryRatio = min(grant.demand, 1)
+	c.queryRatioAt = e.now
+	c.optimistic = grant.optimistic
+	e.receiveResponse(i, grant.request, grant.response)
 }
 
-// receiveVerdict takes in what the owner says of one request that it was asked for.
-func (e *Engine) receiveVerdict(c customerSlot, id RequestID, v ownerVerdict) {
+// receiveResponse applies the owner's response to the query for one request.
+func (e *Engine) receiveResponse(c customerSlot, id RequestID, response ownerResponse) {
 	i := e.requests.slots.find(id)
-	if v == verdictPending || i < 0 {
+	if response == responsePending || i < 0 {
 		return
 	}
-	if r := &e.requests.all[i]; r.customer == c && r.askedOwnerAt > 0 {
-		r.verdict = v
+	r := &e.requests.all[i]
+	if r.customer == c && r.queriedOwnerAt > 0 {
+		r.ownerResponse = response
 		e.requests.enqueue(i)
 	}
 }
 
-// receiveSuspicions takes in which servers a peer ejected.
+// receiveSuspicions applies a peer's suspicions. Unknown servers and classes are ignored.
 func (e *Engine) receiveSuspicions(list []suspicion) {
 	for _, reported := range list {
 		i := e.endpoints.slots.find(reported.server)
@@ -82,40 +99,52 @@
 	}
 }
 
-// suspicionMessage names the servers that this node ejected, as many as fit.
+// suspicionMessage returns a message with this node's reportable suspicions, as many as fit. Without any, it consists
+// of the kind only. The message is valid until scratch is next used.
 func (e *Engine) suspicionMessage() []byte {
 	e.scratch = append(e.scratch[:0], kindSuspicion)
-	for _, i := range e.endpoints.view {
+	for _, i := range e.endpoints.tracked {
 		s := &e.endpoints.servers[i]
 		for k := range s.byClass {
-			if state := &s.byClass[k]; e.outliers.tells(state, e.now) && len(e.scratch)+maxEntry < maxMessage {
-				e.scratch = appendSuspicion(e.scratch, suspicion{s.Server, ClassID(k), max(0, state.ejectedUntil-e.now)})
+			state := &s.byClass[k]
+			fits := len(e.scratch)+maxEntryBytes < maxMessageBytes
+			if !fits || !e.outliers.reportable(state, e.now) {
+				continue
 			}
+			remaining := max(0, state.ejectedUntil-e.now)
+			e.scratch = appendSuspicion(e.scratch, suspicion{s.Server, ClassID(k), remaining})
 		}
 	}
 	return e.scratch
 }
 
-// reportUse notes what is to be reported of a customer: to all, its demand; or, where customers have owners, to its
-// owner, what passed without asking and what was settled afterwards.
+// reportUse adds to the unsent report on a customer, unless this node has no peer to report to. Without quota owners,
+// all peers receive the demand. With them, the owner receives the units admitted without a query or settled afterwards.
 func (e *Engine) reportUse(c *customer, i customerSlot, demand, use float64) {
-	own := e.config.owners && e.owner.isOwner(c)
-	if c.spread > 1 && e.config.peers && !own {
-		e.reports.note(c, i, demand, use)
+	ownedHere := e.config.owners && e.owner.isOwner(c)
+	if c.spread > 1 && e.config.peers && !ownedHere {
+		e.reports.add(c, i, demand, use)
 	}
 }
 
-// sendGrant tells a peer what may pass of a customer.
-func (e *Engine) sendGrant(c *customer, to NodeID, id RequestID, v ownerVerdict) {
+// sendGrant sends a peer the customer's query ratio and optimistic admission, with the response to a query. The request
+// is 0 and the response pending in a message that responds to no query.
+func (e *Engine) sendGrant(c *customer, to NodeID, id RequestID, response ownerResponse) {
 	report := c.report()
-	report.demand, report.request, report.verdict, report.freePass = c.admitPart, id, v, c.freePass
+	report.demand = c.queryRatio
+	report.request = id
+	report.response = response
+	report.optimistic = c.optimistic
 	e.outbox.add(to, appendReport([]byte{kindGrant}, report))
 }
 
-// releaseReservation notes that no attempt of a request is in flight any more, for the limit of its customer.
+// releaseReservation releases a request's reservation at its customer's owner. It is called when the request has no
+// attempt in flight any more.
 func (e *Engine) releaseReservation(r *request) {
 	c := &e.customers.all[r.customer]
-	if e.config.plans[c.plan].maxInFlight == 0 || !e.owner.owned(c) || r.verdict != verdictGranted || len(r.attempts) == 0 {
+	limited := e.config.plans[c.plan].maxInFlight != 0 && e.owner.owned(c)
+	reserved := r.ownerResponse == responseGranted && len(r.attempts) > 0
+	if !limited || !reserved {
 		return
 	}
 	if e.owner.isOwner(c) {
@@ -123,6 +152,7 @@
 		return
 	}
 	report := c.report()
-	report.request, report.ended = r.id, 1
+	report.request = r.id
+	report.ended = 1
 	e.outbox.add(e.owner.of(c), appendReport([]byte{kindUse}, report))
 }
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -85,11 +85,11 @@
 	for _, i := range n.endpoints.subset {
 		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	h = mix(h, uint32(len(n.endpoints.view)))
-	for _, i := range n.endpoints.view {
+	h = mix(h, uint32(len(n.endpoints.tracked)))
+	for _, i := range n.endpoints.tracked {
 		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.view), h)
+	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
 }
 
 // TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
@@ -137,7 +137,7 @@
 				}
 			}
 			n.UpdateEndpoints(ListUpdate, changes)
-			n.subsets.attemptsSent.add(0, n.now, paceMemory)
+			n.subsets.attemptsSent.add(0, n.now, paceTimeConstant)
 			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
 			pollsDiscovery(n)
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -2,83 +2,111 @@
 
 import "math"
 
-// tenantQuota keeps a customer to its plan at this node: a token bucket in the whole customer's terms, which
-// refills at the whole quota, while a request here stands for 1/part requests at all nodes; that is a refill
-// of quota times part, this node's part of the customer's demand. It keeps a limit on what is in flight by
-// the same part, and a hard ceiling by an even part. It guards the quota against many nodes that each grant
-// it whole. It could harm for a few seconds where a customer's requests move from some nodes to others,
-// faster than peers' reports tell.
+const (
+	demandTimeConstant    = 2 * controlInterval // of the decaying sums of a customer's demand
+	peerSilenceTimeout    = 4 * controlInterval // without any peer message, after which peers' reports don't count
+	evenSharePriorQuotas  = 3.0                 // weight of the even share against measured demand, in quota rates
+	minPeerReports        = 0.1                 // decayed reports on a customer below which no peer reports it
+	minReportRounds       = 2                   // report intervals after which a new customer's peers have reported
+	evenShareReportFactor = 2                   // divides the even share of the quota, below which peers get no report
+)
+
+// tenantQuota keeps a customer to its plan at this node.
+//
+//   - Inputs: the customer's demand here and as peers report it, and its attempts in flight.
+//   - State: a token bucket of the whole quota, and a bucket of this node's share of the hard ceiling.
+//   - Rule: the bucket refills at the whole quota's rate. An admitted request is charged its units divided by this
+//     node's share of the demand. A limit on attempts in flight is scaled by the same share, a hard ceiling by the
+//     even share.
+//   - Protects against: many nodes that each grant the whole quota.
+//   - Trade-off: the limit is inexact for some seconds after a customer's requests move to other nodes.
 type tenantQuota struct {
-	config      *config
-	peerHeardAt Time // last message of any peer
+	config            *config
+	lastPeerMessageAt Time // of any peer
+}
+
+// quotaResult is a quota's answer for one request.
+type quotaResult struct {
+	admitted   bool
+	retryAfter Time // wait until the quota may admit the request; 0 if admitted
 }
 
-// admit tells whether a customer's bucket and its limit on what is in flight have room for a request, and if
-// not, when they may have.
-func (q *tenantQuota) admit(c *customer, r *request, usualLatency float64, now Time) (ok bool, after Time) {
+// admit applies the customer's bucket and its limit on attempts in flight to a request. It charges nothing, and stores
+// the share of the demand in the request. The usual latency is in units of Time.
+func (q *tenantQuota) admit(c *customer, r *request, usualLatency float64, now Time) quotaResult {
 	p := &q.config.plans[c.plan]
-	r.bucketPart = q.demandPart(c, now)
-	if p.maxInFlight > 0 && c.inFlight >= max(1, int(math.Round(r.bucketPart*float64(p.maxInFlight)))) {
-		return false, Time(usualLatency)
+	r.demandShare = q.demandShare(c, now)
+	if p.maxInFlight > 0 {
+		limit := max(1, int(math.Round(r.demandShare*float64(p.maxInFlight))))
+		if c.inFlight >= limit {
+			return quotaResult{retryAfter: Time(usualLatency)}
+		}
 	}
-	if c.leased { // its bucket is this node's own already
-		r.bucketPart = 1
+	if c.leased { // the lease is for this node alone
+		r.demandShare = 1
 	}
 	c.refill(p, now)
 	if p.rate <= 0 {
-		return true, 0
+		return quotaResult{admitted: true}
 	}
-	if short := min(r.units, p.burst) - c.bucket.level; short > 0 {
-		return false, Time(short / p.rate * float64(Second))
+	if missing := min(r.units, p.burst) - c.bucket.level; missing > 0 {
+		return quotaResult{retryAfter: Time(missing / p.rate * float64(Second))}
 	}
-	return true, 0
+	return quotaResult{admitted: true}
 }
 
-// charge takes an admitted request off the bucket, by the part of the demand that it was admitted by.
-func (c *customer) charge(units, part float64) {
-	c.bucket.level = max(c.bucket.level, 0) - units/part
+// charge takes an admitted request's units off the bucket. A debt from earlier requests is forgiven first.
+func (c *customer) charge(units, demandShare float64) {
+	c.bucket.level = max(c.bucket.level, 0) - units/demandShare
 }
 
-// demandPart is this node's part of a customer's recent demand.
-func (q *tenantQuota) demandPart(c *customer, now Time) float64 {
+// demandShare returns this node's share of a customer's recent demand, in (0, 1]. It is the even share among the
+// customer's nodes while peers' reports are missing, and 1 while only this node has demand.
+func (q *tenantQuota) demandShare(c *customer, now Time) float64 {
 	if c.spread <= 1 {
 		return 1
 	}
-	even := 1 / float64(c.spread)
-	own := demandRate(&c.demand, now)
-	if !q.config.peers || now-q.peerHeardAt > peerSilence || now-c.firstSeen < 2*reportEvery {
-		return even
+	evenShare := 1 / float64(c.spread)
+	local := demandRate(&c.demand, now)
+	if !q.peersReport(c, now) {
+		return evenShare
 	}
-	all := own + demandRate(&c.peerDemand, now)
-	if c.peerDemand.count < minReports { // nobody reports the customer
+	total := local + demandRate(&c.peerDemand, now)
+	if c.peerDemand.count < minPeerReports {
 		return 1
 	}
-	// Peers report late: some belief in the even part.
-	belief := evenPartBelief * q.config.plans[c.plan].rate
-	if all+belief <= 0 {
-		return even
+	// Peers' reports are late: the prior keeps the share near the even share.
+	prior := evenSharePriorQuotas * q.config.plans[c.plan].rate
+	if total+prior <= 0 {
+		return evenShare
 	}
-	return min(1, (own+belief*even)/(all+belief))
+	return min(1, (local+prior*evenShare)/(total+prior))
 }
 
-// farFrom tells whether a customer's rate here is under half of its even part, so that peers need not know of
-// it.
-func (q *tenantQuota) farFrom(c *customer, now Time) bool {
-	return demandRate(&c.demand, now) <= q.config.plans[c.plan].rate/float64(2*c.spread)
+// peersReport reports whether peers send messages and have had time to report the customer.
+func (q *tenantQuota) peersReport(c *customer, now Time) bool {
+	switch {
+	case !q.config.peers:
+		return false
+	case now-q.lastPeerMessageAt > peerSilenceTimeout:
+		return false
+	}
+	return now-c.firstSeen >= minReportRounds*reportInterval
 }
 
-// ceilingAllows keeps a plan's hard ceiling alone: 1/spread of it, or of what an owner does not keep, as a
-// customer comes in through no other nodes than its set. It starts empty, since a node can't tell a restart
-// from a first start; so does an owner's part.
-func (q *tenantQuota) ceilingAllows(c *customer, units float64, owned bool, now Time) bool {
+// farBelowQuota reports whether a customer's demand here is at most half the even share of its quota. Peers need no
+// report on such a customer.
+func (q *tenantQuota) farBelowQuota(c *customer, now Time) bool {
+	return demandRate(&c.demand, now) <= q.config.plans[c.plan].rate/float64(evenShareReportFactor*c.spread)
+}
+
+// ceilingAllows reports whether a plan's hard ceiling has room for units, where ratio is the share of the ceiling that
+// this node keeps. The bucket starts empty: a node can't distinguish a restart from a first start.
+func (q *tenantQuota) ceilingAllows(c *customer, units, ratio float64, now Time) bool {
 	p := &q.config.plans[c.plan]
 	if p.noCeiling() {
 		return true
 	}
-	part := 1 / float64(c.spread)
-	if owned {
-		part *= 1 - ownerCeilingPart
-	}
-	c.ceiling.refill(now, p.ceilingRate*part, p.ceilingBurst*part)
+	c.ceiling.refill(now, p.ceilingRate*ratio, p.ceilingBurst*ratio)
 	return c.ceiling.level >= units
 }
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -17,8 +17,8 @@
 	}{
 		{"all requests come here", 1, 0, now, true, 40, 80, 9, 1},
 		{"no peers", 4, 0, now, false, 40, 80, 9, 0.25},
-		{"peers are silent", 4, 0, now - peerSilence - 1, true, 40, 80, 9, 0.25},
-		{"just seen", 4, now - 2*reportEvery + 1, now, true, 40, 80, 9, 0.25},
+		{"peers are silent", 4, 0, now - peerSilenceTimeout - 1, true, 40, 80, 9, 0.25},
+		{"just seen", 4, now - 2*reportInterval + 1, now, true, 40, 80, 9, 0.25},
 		{"nobody reports it", 4, 0, now, true, 40, 0, 0, 1},
 		{"reported", 4, 0, now, true, 40, 80, 9, (20 + 30*0.25) / (60 + 30)},
 		{"no demand", 4, 0, now, true, 0, 0, 9, 0.25},
@@ -26,12 +26,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.peers = c.peers
-			q := tenantQuota{config: cfg, peerHeardAt: c.heardAt}
+			q := tenantQuota{config: cfg, lastPeerMessageAt: c.heardAt}
 			customer := &customer{
 				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.own, count: 9, at: now},
 				peerDemand: decayingMean{sum: c.reported, count: c.reports, at: now},
 			}
-			if got := q.demandPart(customer, now); !near(got, c.want) {
+			if got := q.demandShare(customer, now); !near(got, c.want) {
 				t.Errorf("%v, not %v", got, c.want)
 			}
 		})
@@ -68,11 +68,11 @@
 			}
 			customer := &customer{spread: 4, inFlight: c.inFlight, leased: c.leased, bucket: tokenBucket{c.level, at}}
 			r := &request{units: c.units}
-			if ok, after := q.admit(customer, r, 700, 100*Second); ok != c.ok || after != c.after {
-				t.Errorf("%v after %d", ok, after)
+			if got := q.admit(customer, r, 700, 100*Second); got.admitted != c.ok || got.retryAfter != c.after {
+				t.Errorf("%v after %d", got.admitted, got.retryAfter)
 			}
-			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.bucketPart != part {
-				t.Errorf("part %v", r.bucketPart)
+			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.demandShare != part {
+				t.Errorf("part %v", r.demandShare)
 			}
 		})
 	}
@@ -94,9 +94,10 @@
 		want  float64
 	}{{false, Second / 2, 5}, {false, 9 * Second, 15}, {true, Second / 2, 2.5}, {true, 9 * Second, 7.5}} {
 		cfg := testConfig()
-		cfg.plans = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}
+		cfg.plans, cfg.owners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.owned
 		q, customer := tenantQuota{config: cfg}, &customer{spread: 4}
-		if q.ceilingAllows(customer, 6, c.owned, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
+		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
+		if q.ceilingAllows(customer, 6, ratio, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
 			t.Errorf("owned %v: %v after %d", c.owned, customer.ceiling.level, c.after)
 		}
 	}
--- a/internal/decision/random.go
+++ b/internal/decision/random.go
@@ -1,21 +1,21 @@
 package decision
 
-// random is a multiply-with-carry generator: small, and the same on every host, so that a play can be repeated.
+// random is a multiply-with-carry generator. Its numbers are the same on every host, so that a run can be repeated.
 type random struct{ x, carry uint32 }
 
-// newRandom makes a generator; every seed gives a valid state.
+// newRandom returns a generator. Any seed is valid.
 func newRandom(seed uint64) random {
 	return random{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
 }
 
-// unit is a number from 0 up to 1.
+// unit returns a number in [0, 1).
 func (r *random) unit() float64 {
 	v := uint64(4294957665)*uint64(r.x) + uint64(r.carry)
 	r.x, r.carry = uint32(v), uint32(v>>32)
 	return float64(r.x) / (1 << 32)
 }
 
-// mix is a hash of two numbers, by the steps of splitmix64.
+// mix returns a hash of two numbers, by the finalizer of splitmix64.
 func mix(a, b uint32) uint32 {
 	x := (uint64(a)<<32 | uint64(b)) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/decision/reason.go
+++ b/internal/decision/reason.go
@@ -1,21 +1,21 @@
 package decision
 
-// Reason is why a request was rejected or failed, or why it had no further attempt. It decides nothing: the host logs it.
+// Reason is the cause of a rejection, of a failure, or of a missing retry. It is for the host's log.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonNone          Reason = iota
-	ReasonTooLate              // too little time is left
-	ReasonColdStart            // a fresh node's few are in flight
+	ReasonTooLate              // too little time is left before the deadline
+	ReasonColdStart            // the concurrency limit of a node that knows no execution time yet
 	ReasonAdmissionRate        // no token of the admission rate
-	ReasonConcurrency          // as much is in flight as may be
-	ReasonQuota                // the customer's bucket, or its owner
+	ReasonConcurrency          // the concurrency limit
+	ReasonQuota                // the customer's quota, here or at its owner
 	ReasonCeiling              // the plan's hard ceiling
-	ReasonNoServer             // no server may take it
-	ReasonMaxAttempts          // it had all attempts that the settings allow
-	ReasonRetryBudget          // too many retries of late
-	ReasonMayHaveRun           // an attempt may have run, and must not run again
+	ReasonNoServer             // no server may take the request
+	ReasonMaxAttempts          // the request had the maximum number of attempts
+	ReasonRetryBudget          // the retry budget is used up
+	ReasonMayHaveRun           // a server may have executed the request, which must not run again
 	reasonCount
 )
 
@@ -24,8 +24,8 @@
 	"retry-budget", "may-have-run",
 }
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r Reason) String() string { return reasonNames[r] }
 
-// reason is a rejection's.
+// reason returns the Reason of a rejection. Both types list the limits in the same order.
 func (r rejectReason) reason() Reason { return ReasonTooLate + Reason(r) }
--- a/internal/decision/reports.go
+++ b/internal/decision/reports.go
@@ -1,57 +1,88 @@
 package decision
 
-// usageReports tells peers of customers. Where all nodes hear all, each tells all others of its demand; where customers
-// have owners, it tells these of what passed without asking. It guards against peers that get more messages than they
-// take in: what does not fit waits. It could harm where thousands of customers are near their quota at once: their
-// reports are then late, and quotas kept by even parts.
+const (
+	reportInterval  = controlInterval / 3 // between two usage reports to peers
+	reportRateRatio = 0.5                 // share of the peer message rate that usage reports may use
+	maxMessageBytes = 256                 // largest payload of a peer message
+	maxEntryBytes   = 56                  // largest encoding of one report or suspicion
+)
+
+// usageReports collects and sends reports on customers' demand and use to peers.
+//
+//   - Inputs: units requested, admitted and settled here, by customer.
+//   - State: the customers with an unsent report.
+//   - Rule: in a fleet where all nodes report to all, a report carries the demand of each customer near its quota.
+//     With quota owners, each owner receives the use that it did not grant.
+//   - Protects against: peers that receive more messages than they can process. Excess reports wait.
+//   - Trade-off: if thousands of customers are near their quotas, reports are late and shares are near the even share.
 type usageReports struct {
 	config  *config
-	pending []customerSlot // customers to report
+	pending []customerSlot // customers with an unsent report
+}
+
+// add adds to the unsent report on a customer.
+func (u *usageReports) add(c *customer, i customerSlot, demand, use float64) {
+	c.reportDemand += demand
+	c.reportUse += use
+	if !c.reportPending {
+		c.reportPending = true
+		u.pending = append(u.pending, i)
+	}
 }
 
-// write writes the reports to owners; or, where all nodes hear all, those on customers whose rate is past half of
-// their even part, of which there goes one message out even if empty, so that silence means something.
+// write writes the pending reports to the outbox.
 func (u *usageReports) write(out *outbox, customers []customer, owner *quotaOwner, quota *tenantQuota, now Time) {
-	owners := u.config.owners
-	if !owners {
-		out.add(AllPeers, []byte{kindUse})
+	if u.config.owners {
+		u.writeToOwners(out, customers, owner)
+	} else {
+		u.writeToAll(out, customers, quota, now)
+	}
+}
+
+// writeToOwners writes one message for each pending customer to its owner.
+func (u *usageReports) writeToOwners(out *outbox, customers []customer, owner *quotaOwner) {
+	for _, i := range u.pending {
+		c := &customers[i]
+		c.reportPending = false
+		to := owner.of(c)
+		if to == u.config.self { // the customer's set has changed
+			continue
+		}
+		out.add(to, []byte{kindUse})
+		out.appendReport(c.takeReport())
 	}
-	rate := reportShare * u.config.peerRate * seconds(reportEvery) / float64(u.config.nodes-1)
-	most := len(out.messages) + int(rate)
-	keep := u.pending[:0]
+	u.pending = u.pending[:0]
+}
+
+// writeToAll writes messages on the pending customers to all peers, within the message rate. At least one message goes
+// out, since a peer without messages counts as silent.
+func (u *usageReports) writeToAll(out *outbox, customers []customer, quota *tenantQuota, now Time) {
+	out.add(AllPeers, []byte{kindUse})
+	rate := reportRateRatio * u.config.peerRate * seconds(reportInterval) / float64(u.config.nodes-1)
+	limit := len(out.messages) + int(rate)
 	for k, i := range u.pending {
-		if !owners && len(out.messages) > most { // the rest waits: peers take in no more
-			keep = append(keep, u.pending[k:]...)
-			break
+		if len(out.messages) > limit {
+			u.pending = append(u.pending[:0], u.pending[k:]...)
+			return
 		}
 		c := &customers[i]
 		c.reportPending = false
-		to := AllPeers
-		if owners {
-			if to = owner.of(c); to == u.config.self { // its set has changed
-				continue
-			}
-		} else if quota.farFrom(c, now) {
+		if quota.farBelowQuota(c, now) {
 			c.reportDemand = 0
 			continue
 		}
-		if owners || len(out.messages[len(out.messages)-1].payload)+maxEntry > maxMessage {
-			out.add(to, []byte{kindUse})
+		if len(out.last().payload)+maxEntryBytes > maxMessageBytes {
+			out.add(AllPeers, []byte{kindUse})
 		}
-		report := c.report()
-		report.demand, report.use = c.reportDemand, c.reportUse
-		m := &out.messages[len(out.messages)-1]
-		m.payload = appendReport(m.payload, report)
-		c.reportDemand, c.reportUse = 0, 0
+		out.appendReport(c.takeReport())
 	}
-	u.pending = keep
+	u.pending = u.pending[:0]
 }
 
-// note adds to what is to be reported of a customer.
-func (u *usageReports) note(c *customer, i customerSlot, demand, use float64) {
-	c.reportDemand, c.reportUse = c.reportDemand+demand, c.reportUse+use
-	if !c.reportPending {
-		c.reportPending = true
-		u.pending = append(u.pending, i)
-	}
+// takeReport returns the unsent report on a customer and resets it.
+func (c *customer) takeReport() customerReport {
+	report := c.report()
+	report.demand, report.use = c.reportDemand, c.reportUse
+	c.reportDemand, c.reportUse = 0, 0
+	return report
 }
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -35,7 +35,7 @@
 // Where all hear all, one message goes out even if empty; customers under half of their even part are not named, and
 // what peers don't take in waits. Where there are owners, each gets what is its own.
 func TestReports(t *testing.T) {
-	busy := decayingMean{sum: 99 * seconds(demandMemory), at: Second}
+	busy := decayingMean{sum: 99 * seconds(demandTimeConstant), at: Second}
 	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
 	for _, c := range []struct {
 		name   string
@@ -58,14 +58,14 @@
 				all = append(all, customer{id: CustomerID(1<<40 + len(all)), spread: 4, demand: busy})
 			}
 			for i := range c.many {
-				u.note(&all[i], customerSlot(i), 2, 1)
-				u.note(&all[i], customerSlot(i), 3, 1)
+				u.add(&all[i], customerSlot(i), 2, 1)
+				u.add(&all[i], customerSlot(i), 3, 1)
 			}
 			u.write(&out, all, &quotaOwner{config: cfg}, &tenantQuota{config: cfg}, Second)
 			to := []NodeID{}
 			for _, m := range out.messages {
 				to = append(to, m.to)
-				if decoded, ok := decodeMessage(m.payload, 1, 4); !ok || decoded.kind != kindUse || len(m.payload) > maxMessage {
+				if decoded, ok := decodeMessage(m.payload, 1, 4); !ok || decoded.kind != kindUse || len(m.payload) > maxMessageBytes {
 					t.Errorf("message %x", m.payload)
 				} else if len(decoded.reports) > 0 && (decoded.reports[0].demand != 5 || decoded.reports[0].use != 2) {
 					t.Errorf("reported %+v", decoded.reports[0])
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -2,75 +2,90 @@
 
 import "slices"
 
-// requestSlot is where a request is kept.
+// requestSlot is an index into requestTable.all.
 type requestSlot int32
 
-// attempt lives from its send until its end.
+// attempt is one attempt of a request. Attempts that have ended stay with their request.
 type attempt struct {
 	server     serverSlot
 	sent       Time
 	inFlight   bool
-	mayHaveRun bool // not proven that it never ran
+	mayHaveRun bool // no outcome proves that the server did not execute it
 	cancelled  bool
 }
 
-// request lives from arrival until its final answer has gone and none of its attempts is in flight.
+// request is the state of a request. It exists until the request is closed and has no attempt in flight.
 type request struct {
-	id           RequestID
-	live         bool // the slot is in use
-	closed       bool // the final answer has gone
-	queued       bool // waits for Next
-	streaming    bool // a response has begun: the client owns the attempt
-	class        ClassID
-	plan         PlanID
-	customer     customerSlot
-	arrived      Time
-	deadline     Time // when the client gives up
-	units        float64
-	bucketPart   float64 // the part of the demand that its customer's bucket was charged by
-	attempts     []attempt
-	inFlight     int          // attempts
-	askedOwnerAt Time         // when its quota owner was asked; 0: not
-	verdict      ownerVerdict // of the owner
+	id          RequestID
+	live        bool // the slot is in use
+	closed      bool // the final response has been sent, or the client has disconnected
+	queued      bool // in requestTable.pending
+	streaming   bool // the response to the client has begun
+	class       ClassID
+	plan        PlanID
+	customer    customerSlot
+	arrived     Time
+	deadline    Time    // of the client
+	units       float64 // expected use of the quota
+	demandShare float64 // this node's share of the customer's demand, by which the quota was charged
+	attempts    []attempt
+	inFlight    int // attempts in flight
+
+	queriedOwnerAt Time // time of the query to the quota owner; 0 without one
+	ownerResponse  ownerResponse
 }
 
-// tried tells whether an attempt went to a server.
+// ownerResponse is a quota owner's response for one request.
+type ownerResponse uint8
+
+const (
+	responsePending ownerResponse = iota
+	responseGranted
+	responseDenied
+)
+
+// tried reports whether an attempt of the request was sent to a server.
 func (r *request) tried(s serverSlot) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// mayHaveRun tells whether an attempt is not proven never to have run.
+// mayHaveRun reports whether any server may have executed the request.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
-// cancellation is an attempt that is to be cancelled.
+// attemptInFlight reports whether the request has an attempt with the number in flight.
+func (r *request) attemptInFlight(number int) bool {
+	return number < len(r.attempts) && r.attempts[number].inFlight
+}
+
+// cancellation identifies an attempt that is to be cancelled.
 type cancellation struct {
 	request RequestID
 	attempt int
 }
 
-// requestTable keeps the requests, and which of them wait for a decision.
+// requestTable holds the requests by slot.
 type requestTable struct {
 	all           []request
 	slots         slotIndex[RequestID, requestSlot]
-	pending       []requestSlot // that wait for a decision, in order
-	cancellations []cancellation
-	inFlight      int // requests with an attempt in flight
+	pending       []requestSlot  // requests to decide on, first one first
+	cancellations []cancellation // attempts to cancel, last one first
+	inFlight      int            // requests with an attempt in flight
 }
 
-// add gives a request a slot.
+// add adds a request and returns its slot.
 func (t *requestTable) add(r request) requestSlot {
 	i := t.slots.add(r.id)
 	if int(i) == len(t.all) {
 		t.all = append(t.all, request{})
 	}
-	r.attempts = t.all[i].attempts[:0] // their room is used again
+	r.attempts = t.all[i].attempts[:0] // reuses the memory
 	t.all[i] = r
 	return i
 }
 
-// enqueue lets a request wait for a decision.
+// enqueue adds a request to the pending ones, unless it is among them.
 func (t *requestTable) enqueue(i requestSlot) {
 	if r := &t.all[i]; !r.queued {
 		r.queued = true
@@ -78,7 +93,8 @@
 	}
 }
 
-// dequeue is the next request that waits; one that ended meanwhile gives its slot back.
+// dequeue removes and returns the first pending request, and false if there is none. It releases the slots of pending
+// requests that have ended.
 func (t *requestTable) dequeue() (requestSlot, bool) {
 	for len(t.pending) > 0 {
 		i := t.pending[0]
@@ -94,15 +110,16 @@
 	return -1, false
 }
 
-// release gives a request's slot back, once it waits for no decision any more.
+// release ends a request. Its slot is free at once, or when dequeue reaches it.
 func (t *requestTable) release(r *request) {
-	r.live, r.attempts = false, r.attempts[:0] // their servers may be forgotten from now on
+	r.live = false
+	r.attempts = r.attempts[:0] // releases the references to their servers
 	if !r.queued {
 		t.slots.drop(r.id)
 	}
 }
 
-// cancel notes that an attempt is to be cancelled, unless its response has begun.
+// cancel queues the cancellation of an attempt in flight. It has no effect once the response to the client has begun.
 func (t *requestTable) cancel(r *request, k int) {
 	if a := &r.attempts[k]; a.inFlight && !a.cancelled && !r.streaming {
 		a.cancelled = true
@@ -110,7 +127,7 @@
 	}
 }
 
-// nextCancellation takes the attempt to cancel now, if there is one.
+// nextCancellation removes and returns the next attempt to cancel, and false if there is none.
 func (t *requestTable) nextCancellation() (cancellation, bool) {
 	k := len(t.cancellations) - 1
 	if k < 0 {
@@ -121,29 +138,25 @@
 	return c, true
 }
 
-// attemptStarted counts an attempt that is sent now.
+// attemptStarted adds an attempt that is sent now.
 func (t *requestTable) attemptStarted(r *request, s serverSlot, now Time) {
 	r.attempts = append(r.attempts, attempt{server: s, sent: now, inFlight: true, mayHaveRun: true})
-	if r.inFlight++; r.inFlight == 1 {
+	r.inFlight++
+	if r.inFlight == 1 {
 		t.inFlight++
 	}
 }
 
-// attemptEnded notes that an attempt has ended.
-func (t *requestTable) attemptEnded(r *request, k int, o Outcome) {
+// attemptEnded records the outcome of an attempt in flight.
+func (t *requestTable) attemptEnded(r *request, k int, outcome Outcome) {
 	a := &r.attempts[k]
 	a.inFlight = false
-	a.mayHaveRun = o != Overloaded && o != ConnectFailed && o != NotSent
-	if r.inFlight--; r.inFlight == 0 {
+	a.mayHaveRun = outcome.mayHaveRun()
+	r.inFlight--
+	if r.inFlight == 0 {
 		t.inFlight--
 	}
 }
 
-// ownerVerdict is what a customer's owner says of one request.
-type ownerVerdict uint8
-
-const (
-	verdictPending ownerVerdict = iota
-	verdictGranted
-	verdictDenied
-)
+// mayHaveRun reports whether the server may have executed an attempt with the outcome.
+func (o Outcome) mayHaveRun() bool { return o != Overloaded && o != ConnectFailed && o != NotSent }
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -1,24 +1,37 @@
 package decision
 
-// retryBudget allows further attempts: by the request's class, by the limits on repeats and by a budget that
-// first attempts earn, which guards against a storm of repeats when much fails at once. It could harm when a
-// few servers fail outright under light load; the budget then holds a good reserve. An attempt that is late
-// at an ejected server is cancelled, and the request sent again once that has ended.
+const (
+	retryBudgetRatio        = 0.2  // retries that a first attempt earns
+	maxRetryBudgetPerServer = 2    // largest retry budget, in attempts per usable server
+	hedgeDelayObjectives    = 0.33 // least delay before a hedge, in latency objectives
+	hedgeDelayLatencies     = 2.5  // least delay before a hedge, in usual latencies
+)
+
+// retryBudget limits retries and hedged requests.
+//
+//   - Inputs: first attempts, retries, the request's class, the outcomes of its attempts.
+//   - State: the budget, in attempts.
+//   - Rule: each first attempt earns retryBudgetRatio, each retry costs 1. A request that may have run is retried only
+//     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that ends.
+//   - Protects against: a storm of retries when many attempts fail.
+//   - Trade-off: few failed servers under light load can use up the budget, which holds a reserve for them.
 type retryBudget struct {
 	config *config
 	left   float64
 }
 
-// earn adds what a first attempt earns, where so many servers are usable.
-func (b *retryBudget) earn(usable int) { b.left = min(b.left+retryEarned, 2*float64(usable)) }
+// earn adds the share of a first attempt, where usable is the number of usable servers.
+func (b *retryBudget) earn(usable int) {
+	b.left = min(b.left+retryBudgetRatio, maxRetryBudgetPerServer*float64(usable))
+}
 
-// spend takes off a further attempt.
+// spend takes a retry off the budget.
 func (b *retryBudget) spend() { b.left-- }
 
-// allows tells whether a request may have another attempt.
+// allows reports whether a request may have another attempt.
 func (b *retryBudget) allows(r *request, now Time) bool { return b.refusal(r, now) == ReasonNone }
 
-// refusal is why a request may have no other attempt, if so.
+// refusal returns the reason for which a request may have no other attempt, or ReasonNone.
 func (b *retryBudget) refusal(r *request, now Time) Reason {
 	switch {
 	case len(r.attempts) >= b.config.maxAttempts:
@@ -28,47 +41,77 @@
 	}
 	c := &b.config.classes[r.class]
 	for _, a := range r.attempts {
-		late := now+b.config.connectTimeout >= a.sent+c.keyWindow // past what servers know the key
-		if a.mayHaveRun && (c.retrySafety == retryNever || c.retrySafety == retryKeyed && late) {
+		if a.mayHaveRun && !c.repeatable(&a, now+b.config.connectTimeout) {
 			return ReasonMayHaveRun
 		}
 	}
 	return ReasonNone
 }
 
-// hedgeAfter is how long an attempt at an ejected server may take before it is cancelled.
-func (b *retryBudget) hedgeAfter(class ClassID, usual float64) Time {
+// repeatable reports whether a request may run again at a time, though the attempt may have run. A keyed request may,
+// while servers remember the idempotency key.
+func (c *classConfig) repeatable(a *attempt, at Time) bool {
+	switch c.retrySafety {
+	case retryNever:
+		return false
+	case retryKeyed:
+		return at < a.sent+c.keyWindow
+	}
+	return true
+}
+
+// hedgeAfter returns the time after which an attempt at an ejected server is cancelled. The usual latency is in units
+// of Time.
+func (b *retryBudget) hedgeAfter(class ClassID, usualLatency float64) Time {
 	objective := b.config.classes[class].latencyObjective
-	return max(Time(hedgeAfterShare*float64(objective)), Time(hedgeAfterLatencies*usual))
+	return max(Time(hedgeDelayObjectives*float64(objective)), Time(hedgeDelayLatencies*usualLatency))
+}
+
+// hedge cancels a request's attempts that are late at ejected servers, if the request may have another attempt in time.
+func (e *Engine) hedge(r *request) {
+	hedgeAfter := e.retries.hedgeAfter(r.class, e.usualLatency(r.class))
+	objective := e.config.classes[r.class].latencyObjective
+	if e.now >= r.arrived+objective {
+		return
+	}
+	for k := range r.attempts {
+		a := &r.attempts[k]
+		if !a.inFlight || e.now-a.sent < hedgeAfter {
+			continue
+		}
+		state := &e.endpoints.servers[a.server].byClass[r.class]
+		if e.outliers.ejected(state, r.class, e.now) && e.retries.allows(r, e.now) {
+			e.cancelAttempt(r, k)
+		}
+	}
 }
 
-// harmless tells whether a client may send a request again, though attempts may have run.
+// harmless reports whether the client may safely repeat a request after a rejection.
 func (c *classConfig) harmless(r *request) bool {
 	return c.retrySafety == retrySafe || c.retrySafety == retryKeyed && c.keyGroup == groupAll || !r.mayHaveRun()
 }
 
-// bound tells whether a request that may have run has to stay within the key group of an attempt, and so may
-// not go to a server.
+// bound reports whether a request is bound to another key group than the server's. It is where an attempt may have run
+// in that group: only its servers recognize the idempotency key.
 func (c *classConfig) bound(r *request, to *server, servers []server) bool {
 	if c.retrySafety != retryKeyed {
 		return false
 	}
 	for _, a := range r.attempts {
-		if o := &servers[a.server]; a.mayHaveRun &&
-			(c.keyGroup == groupZone && o.Zone != to.Zone || c.keyGroup == groupCell && o.Cell != to.Cell) {
+		if a.mayHaveRun && !c.sameKeyGroup(&servers[a.server], to) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkInterval is the time between two checks of the attempts in flight.
-func (c *config) checkInterval() Time { return max(c.tick, c.shortestObjective/checksPerObjective, 1) }
-
-// pollDelay is how long after a failed call discovery is polled again: a random part of a span, or nodes that
-// start together poll in step and keep discovery full of calls no one waits for. It does not back off: a
-// change is to be known 6 s after discovery can be reached.
-func pollDelay(within float64, rng *random) Time {
-	span := min(pollSpan*float64(interval), max(float64(interval), within))
-	return Time(span * (pollFromShare + (1-pollFromShare)*rng.unit()))
+// sameKeyGroup reports whether an idempotency key that is known to server a is known to server b.
+func (c *classConfig) sameKeyGroup(a, b *server) bool {
+	switch c.keyGroup {
+	case groupZone:
+		return a.Zone == b.Zone
+	case groupCell:
+		return a.Cell == b.Cell
+	}
+	return true
 }
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -1,121 +1,168 @@
 package decision
 
-// selection is the smooth weighted rotation over the servers that may take a request. A server's weight is
-// its listed size over its pace: what its attempts take, over their class's usual latency. It guards against
-// servers that are slower or smaller than others and would queue; its cap on what is in flight at each, a
-// fair part of all, guards against one that slows down within a moment. It could harm where requests of one
-// class differ far: a server that drew long ones has less weight for a while.
+const (
+	paceTimeConstant    = 5 * controlInterval // of the decaying mean of a server's pace
+	pacePriorAttempts   = 6.0                 // weight of the mean pace in a server's pace, in attempts
+	lateCancelLatencies = 1                   // duration from which a cancelled attempt counts for the pace, in usual latencies
+)
+
+// selection is a smooth weighted round robin over the servers that may take a request.
+//
+//   - Inputs: the servers' listed sizes, the durations and outcomes of attempts, the attempts in flight.
+//   - State: each server's pace and rotation credit. The pace is the mean duration of attempts, in usual latencies of
+//     their class.
+//   - Rule: a server's weight is its size over its pace. Each selection adds a server's weight to its credit and takes
+//     the sum of the weights from the selected server. Servers above their share of the attempts in flight are left out.
+//   - Protects against: queues at smaller or slower servers. The cap reacts to a slowdown before the pace does.
+//   - Trade-off: a server that received long requests has less weight for a while.
 type selection struct {
 	config *config
-	paces  decayingMean // of the usable servers in view, as of the last check and ends since
+	paces  decayingMean // of the usable tracked servers, from the last attempt check on
 }
 
-// The passes over the servers, in turn: each takes more of them.
+// selectionPass is one pass over the candidates. Each pass accepts more servers than the one before.
+type selectionPass uint8
+
 const (
-	passSubset  = iota // of the subset, in good standing, under their cap, not yet tried
-	passView           // such ones of all in view
-	passTried          // any in good standing
-	passEjected        // ejected ones too
-	passes
+	passSubset  selectionPass = iota // servers of the subset that are not ejected, capped or tried
+	passTracked                      // such servers among all tracked ones
+	passTried                        // any server that is not ejected
+	passEjected                      // any server
+	selectionPasses
 )
 
-// join gives a server that was not known its credit, one of so many: nodes that start alike must not all
-// begin at the same servers.
-func (l *selection) join(s *server, servers int, rng *random) {
-	s.rotationCredit = (rng.unit() - 0.5) * s.Weight * float64(min(servers, minView))
+// warmingTurn is the place of a warming server in one turn of the rotation.
+type warmingTurn uint8
+
+const (
+	turnTaken     warmingTurn = iota // the server takes part like a warm one
+	turnSkipped                      // the server is left out
+	turnPreferred                    // the server is selected before all others
+)
+
+// serverAdded sets the credit of a new server among a number of listed ones. It is random: nodes that start together
+// must not begin with the same servers.
+func (l *selection) serverAdded(s *server, listed int, rng *random) {
+	s.rotationCredit = (rng.unit() - 0.5) * s.Weight * float64(min(listed, minTrackedServers))
 }
 
-// attemptEnded learns a server's pace from an attempt that took so many usual latencies. Of one without an
-// answer it is known that it would have taken that long at least.
-func (l *selection) attemptEnded(s *server, o Outcome, latencies float64, now Time) {
-	switch {
-	case o == Succeeded:
-	case o == Cancelled && latencies > 1 || o == TimedOut || o == ConnectFailed || o == ConnectionReset:
+// attemptEnded updates a server's pace from an attempt's duration in usual latencies. An attempt without a response
+// counts as one usual latency at least. Other outcomes have no effect.
+func (l *selection) attemptEnded(s *server, outcome Outcome, latencies float64, now Time) {
+	switch outcome {
+	case Succeeded:
+	case TimedOut, ConnectFailed, ConnectionReset:
 		latencies = max(1, latencies)
+	case Cancelled:
+		if late := latencies > lateCancelLatencies; !late {
+			return
+		}
 	default:
 		return
 	}
-	s.pace.add(latencies, now, paceMemory)
+	s.pace.add(latencies, now, paceTimeConstant)
 	if s.usable() {
-		l.paces.add(latencies, now, paceMemory)
+		l.paces.add(latencies, now, paceTimeConstant)
+	}
+}
+
+// sumPaces sets the sum of the paces of the usable tracked servers.
+func (l *selection) sumPaces(e *endpointSet, now Time) {
+	l.paces = decayingMean{at: now}
+	for _, i := range e.tracked {
+		s := &e.servers[i]
+		if !s.usable() {
+			continue
+		}
+		s.pace.decayTo(now, paceTimeConstant)
+		l.paces.sum += s.pace.sum
+		l.paces.count += s.pace.count
+	}
+}
+
+// meanPace returns the mean pace of the usable tracked servers, or 1 while it is unknown.
+func (l *selection) meanPace(now Time) float64 {
+	l.paces.decayTo(now, paceTimeConstant)
+	if l.paces.count < 1 || l.paces.sum <= 0 {
+		return 1
 	}
+	return l.paces.sum / l.paces.count
 }
 
-// weigh follows what a server was seen to manage: its listed size over its pace.
-func (l *selection) weigh(s *server, mean float64, now Time) float64 {
-	s.pace.decayTo(now, paceMemory)
-	pace := (s.pace.sum + pacePrior*mean) / (s.pace.count + pacePrior) / mean
+// weigh returns a server's weight: its size over its pace relative to the mean pace.
+func (l *selection) weigh(s *server, meanPace float64, now Time) float64 {
+	s.pace.decayTo(now, paceTimeConstant)
+	pace := (s.pace.sum + pacePriorAttempts*meanPace) / (s.pace.count + pacePriorAttempts) / meanPace
 	return s.size() / pace
 }
 
-// preferred tells whether a server is to be taken before another. A node that uses few servers takes the one
-// with the least in flight for its weight: by the rotation alone it would add to a larger one's queue while a
-// smaller idles.
-func (l *selection) preferred(a, b *server, pass int) bool {
-	x, y := float64(a.inFlight)*b.weight, float64(b.inFlight)*a.weight
-	if l.config.owners && pass == passSubset && x != y {
-		return x < y
+// preferred reports whether a pass selects server a before server b. With quota owners a node has few attempts in
+// flight at a time. Then the server with the fewest attempts for its weight comes first, and credit decides ties.
+func (l *selection) preferred(a, b *server, pass selectionPass) bool {
+	loadA := float64(a.inFlight) * b.weight
+	loadB := float64(b.inFlight) * a.weight
+	if l.config.owners && pass == passSubset && loadA != loadB {
+		return loadA < loadB
 	}
 	return a.rotationCredit > b.rotationCredit
 }
 
-// capped tells whether a server has its fair part of what is in flight.
+// capped reports whether a server has its share of the candidates' attempts in flight.
 func (c *candidates) capped(s *server) bool {
 	return float64(s.inFlight) >= max(1, (c.inFlight+1)*s.weight/c.weight)
 }
 
-// pick selects the server for a request's next attempt, or -1.
+// pick returns the server for a request's next attempt, or -1 if no server may take it.
 func (e *Engine) pick(r *request) serverSlot {
 	c := e.weighAll(r, e.endpoints.subset)
-	for pass := range passes {
-		if pass == passView && !e.config.owners { // all in view are in the subset
+	for pass := range selectionPasses {
+		if pass == passTracked && !e.config.owners { // the subset is every tracked server
 			continue
-		} else if pass > passSubset && len(c.slots) == len(e.endpoints.subset) {
+		}
+		if pass > passSubset && len(c.slots) == len(e.endpoints.subset) {
 			c = e.weighAll(r, e.beyondSubset(r))
 		}
-		if s := e.rotate(r, &c, pass); s >= 0 {
-			return s
+		if i := e.rotate(r, &c, pass); i >= 0 {
+			return i
 		}
 	}
 	return -1
 }
 
-// rotate gives each server that a pass takes its weight in credit, and takes all of that from the one that it
-// selects.
-func (e *Engine) rotate(r *request, c *candidates, pass int) serverSlot {
-	best, due, sum := serverSlot(-1), serverSlot(-1), 0.0
+// rotate runs one turn of the rotation over the candidates that a pass accepts. It returns the selected server, or -1
+// if there is none.
+func (e *Engine) rotate(r *request, c *candidates, pass selectionPass) serverSlot {
+	best, preferred, weightSum := serverSlot(-1), serverSlot(-1), 0.0
 	servers := e.endpoints.servers
 	for _, i := range c.slots {
 		s := &servers[i]
-		if s.weight <= 0 || !e.mayTake(r, c, i, pass) {
+		if s.weight <= 0 || !e.accepts(r, c, i, pass) {
 			continue
 		}
-		if weight := e.slowStart.weight(s, e.now); weight < 1 && pass < passTried {
-			skip, atOnce := e.passOver(s, weight)
-			if atOnce && (due < 0 || s.rotationCredit > servers[due].rotationCredit) {
-				due = i
-			}
-			if skip {
-				continue
-			}
+		turn := e.warmingTurn(s, pass)
+		if turn == turnPreferred && (preferred < 0 || s.rotationCredit > servers[preferred].rotationCredit) {
+			preferred = i
+		}
+		if turn != turnTaken {
+			continue
 		}
 		s.rotationCredit += s.weight
-		sum += s.weight
+		weightSum += s.weight
 		if best < 0 || e.selection.preferred(s, &servers[best], pass) {
 			best = i
 		}
 	}
-	if due >= 0 {
-		return due
+	if preferred >= 0 {
+		return preferred
 	}
 	if best >= 0 {
-		servers[best].rotationCredit -= sum
+		servers[best].rotationCredit -= weightSum
 	}
 	return best
 }
 
-// mayTake tells whether a pass takes a server that is a candidate.
-func (e *Engine) mayTake(r *request, c *candidates, i serverSlot, pass int) bool {
+// accepts reports whether a pass accepts a candidate.
+func (e *Engine) accepts(r *request, c *candidates, i serverSlot, pass selectionPass) bool {
 	s := &e.endpoints.servers[i]
 	if pass < passEjected && e.outliers.ejected(&s.byClass[r.class], r.class, e.now) {
 		return false
@@ -123,12 +170,18 @@
 	return pass >= passTried || !c.capped(s) && !r.tried(i)
 }
 
-// passOver tells whether the rotation passes over a warming server: by chance, less as it warms; and one
-// whose budget is a rate always, as it is to be taken at once whenever that lets it: the rotation and chance
-// on top would leave it all but idle.
-func (e *Engine) passOver(s *server, weight float64) (skip, atOnce bool) {
+// warmingTurn returns a server's part in a turn. A warming server is skipped at random, less often as it warms up. A
+// server whose budget is a rate is preferred whenever it has capacity: a chance on top would leave it idle.
+func (e *Engine) warmingTurn(s *server, pass selectionPass) warmingTurn {
+	weight := e.slowStart.weight(s, e.now)
+	if weight >= 1 || pass >= passTried {
+		return turnTaken
+	}
 	if e.slowStart.budget(s, e.now, e.subsets.ratio) < 1 {
-		return true, true
+		return turnPreferred
+	}
+	if e.random.unit() > weight {
+		return turnSkipped
 	}
-	return e.random.unit() > weight, false
+	return turnTaken
 }
