--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// shadow counts where other settings would have decided otherwise. It never acts: each of the node's decisions on a
-// request is taken once more, just before, on a copy of all that bears on it, by the other settings and with the same
-// random draws. The copy is dropped; so both start from what really happened, each time. Kept from one to the next are
-// only the customers' buckets, as the other settings size and fill them; they are charged for what really passed. So
-// no second state goes its own way, and what is counted is single decisions, not how a day under the other settings
-// would have gone: after a first request admitted or rejected otherwise, queues, retries and peers' reports would be
-// others too.
+// shadow evaluates other settings and counts the decisions that would differ under them. It has no effect on the node.
+//
+// Before each decision on a request, a copy of the engine decides under the other settings, with the same random
+// numbers, and is then dropped. Only the customers' buckets under the other settings are kept. They are charged for the
+// requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under the
+// other settings, in which queues, retries and reports would differ too.
 type shadow struct {
 	config  *config
-	seen    int64
-	differs map[string]int64
+	seen    int64            // decisions compared
+	differs map[string]int64 // decisions that differ, by actual and other action
 	buckets map[CustomerID]customerBuckets
 }
 
-// customerBuckets are a customer's buckets, under the other settings.
+// customerBuckets holds a customer's buckets.
 type customerBuckets struct{ quota, ceiling, ownerCeiling tokenBucket }
 
+// buckets returns the customer's buckets.
 func (c *customer) buckets() customerBuckets {
 	return customerBuckets{c.bucket, c.ceiling, c.ownerCeiling}
 }
 
+// setBuckets replaces the customer's buckets.
 func (c *customer) setBuckets(b customerBuckets) {
 	c.bucket, c.ceiling, c.ownerCeiling = b.quota, b.ceiling, b.ownerCeiling
 }
 
-// StartShadow starts counting where settings would decide otherwise than the node's own. They must name the same
-// classes and plans in the same order. It costs a copy of the node's state a decision.
+// StartShadow starts the evaluation of other settings. They must have the same classes and plans in the same order. Each
+// decision then takes a copy of the engine's state.
 func (e *Engine) StartShadow(set Settings) {
 	e.shadow = &shadow{
 		config: parseSettings(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
 	}
 }
 
-// ShadowCounts is how many decisions on requests were compared, and in how many the other settings differed, by kind:
-// what was done, and what would have been. Both are 0 and nil while nothing is compared.
+// ShadowCounts returns the number of decisions compared, and the number of those that differ, by actual and other
+// action. It returns 0 and nil unless StartShadow was called.
 func (e *Engine) ShadowCounts() (seen int64, differs map[string]int64) {
 	if e.shadow == nil {
 		return 0, nil
@@ -47,68 +48,81 @@
 	return e.shadow.seen, maps.Clone(e.shadow.differs)
 }
 
-// decideWithShadow decides on a request, and counts what the other settings would have decided.
-func (e *Engine) decideWithShadow(i requestSlot) (Decision, bool) {
+// decideWithShadow decides on a request, and compares the decision with that under the other settings.
+func (e *Engine) decideWithShadow(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if e.shadow == nil || r.closed || r.streaming || r.inFlight > 0 {
 		return e.decide(i)
 	}
-	first, other := len(r.attempts) == 0, e.shadowCopy(i)
+	first := len(r.attempts) == 0
+	other := e.shadowCopy(i)
 	c := &other.customers.all[r.customer]
 	buckets := c.buckets()
-	would := kindOf(other.decide(i))
-	d, ok := e.decide(i)
+	wouldDecide := kindOf(other.decide(i))
+	d := e.decide(i)
 	c.setBuckets(buckets)
-	if int(c.plan) < len(other.config.plans) && first && ok && d.Action == Forward {
+	if int(c.plan) < len(other.config.plans) && first && d.Action == Forward {
 		other.chargeAdmitted(c, r)
 	}
 	e.shadow.keep(&e.customers, c)
-	e.shadow.seen++
-	switch did := kindOf(d, ok); {
-	case did.action != would.action:
-		e.shadow.differs[did.action+"_would_"+would.action]++
-	case did.server != would.server:
-		e.shadow.differs["forward_would_forward_elsewhere"]++
+	e.shadow.compare(kindOf(d), wouldDecide)
+	return d
+}
+
+// compare counts a decision, and its difference from the one under the other settings.
+func (s *shadow) compare(actual, other decisionKind) {
+	s.seen++
+	switch {
+	case actual.action != other.action:
+		s.differs[actual.action+"_would_"+other.action]++
+	case actual.server != other.server:
+		s.differs["forward_would_forward_elsewhere"]++
 	}
-	return d, ok
 }
 
-// chargeAdmitted charges a customer's buckets, under the other settings, for a request that was admitted.
+// chargeAdmitted charges a customer's buckets under the other settings for a request that the node admitted.
 func (e *Engine) chargeAdmitted(c *customer, r *request) {
 	p, owned := &e.config.plans[c.plan], e.owner.owned(c)
 	c.refill(p, e.now)
-	e.quota.ceilingAllows(c, r.units, owned, e.now)
-	part := 1.0
+	e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) // refills the ceiling
+	demandShare := 1.0
 	if !owned {
-		part = e.quota.demandPart(c, e.now)
+		demandShare = e.quota.demandShare(c, e.now)
 	}
-	c.charge(r.units, part)
+	c.charge(r.units, demandShare)
 	if owned && e.owner.isOwner(c) {
-		c.ownerCeiling.refill(e.now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
+		refillOwnerCeiling(&c.ownerCeiling, p, e.now)
 		c.ownerCeiling.level -= r.units
 	} else {
 		c.ceiling.level -= r.units
 	}
 }
 
-// chargeShadowUse charges a customer's buckets for units that passed by other ways than a decision here: what its owner
-// let pass elsewhere, asked for or reported, and what was settled afterwards.
-func (e *Engine) chargeShadowUse(c *customer, units float64, asked bool) {
+// chargeShadowUse charges a customer's bucket under the other settings for units that were settled here, or that a peer
+// admitted without a query.
+func (e *Engine) chargeShadowUse(c *customer, units float64) {
 	if e.shadow == nil {
 		return
 	}
-	plans := e.shadow.config.plans
-	p, b := &plans[min(int(c.plan), len(plans)-1)], e.shadow.bucketsOf(c, e.now)
-	if asked {
-		b.quota.refill(e.now, p.rate, p.burst)
-		b.ownerCeiling.refill(e.now, ownerCeilingPart*p.ceilingRate, ownerCeilingPart*p.ceilingBurst)
-		b.ownerCeiling.level -= units
+	b := e.shadow.bucketsOf(c, e.now)
+	b.quota.level -= units
+	e.shadow.buckets[c.id] = b
+}
+
+// chargeShadowGrant charges a customer's buckets under the other settings for a query that this node granted.
+func (e *Engine) chargeShadowGrant(c *customer, units float64) {
+	if e.shadow == nil {
+		return
 	}
+	p, b := e.shadow.planOf(c), e.shadow.bucketsOf(c, e.now)
+	b.quota.refill(e.now, p.rate, p.burst)
+	refillOwnerCeiling(&b.ownerCeiling, p, e.now)
+	b.ownerCeiling.level -= units
 	b.quota.level -= units
 	e.shadow.buckets[c.id] = b
 }
 
-// keep notes a customer's buckets, and forgets those of customers that the node has forgotten.
+// keep stores a customer's buckets, and drops those of customers that the node has dropped.
 func (s *shadow) keep(table *customerTable, c *customer) {
 	s.buckets[c.id] = c.buckets()
 	if len(s.buckets) > 2*len(table.all)+100 {
@@ -120,45 +134,48 @@
 	}
 }
 
-// grantWithShadow decides on an ask at the customer's owner, and counts where the other settings would have answered
-// otherwise.
-func (e *Engine) grantWithShadow(c *customer, ask customerReport, from NodeID) bool {
+// grantWithShadow applies a query at the customer's owner and reports whether it is granted. It compares the response
+// with that under the other settings.
+func (e *Engine) grantWithShadow(c *customer, query customerReport, from NodeID) bool {
 	if e.shadow == nil {
-		return e.grantAsOwner(c, ask, from)
+		return e.grantAsOwner(c, query, from)
 	}
 	other, same := e.underShadowSettings(), *c
 	same.reservations = slices.Clone(c.reservations)
 	same.setBuckets(e.shadow.bucketsOf(c, e.now))
-	would, did := other.grantAsOwner(&same, ask, from), e.grantAsOwner(c, ask, from)
+	wouldGrant := other.grantAsOwner(&same, query, from)
+	granted := e.grantAsOwner(c, query, from)
 	e.shadow.seen++
 	switch {
-	case did && !would:
+	case granted && !wouldGrant:
 		e.shadow.differs["grant_would_deny"]++
-	case !did && would:
+	case !granted && wouldGrant:
 		e.shadow.differs["deny_would_grant"]++
 	}
-	return did
+	return granted
 }
 
-// decisionKind is what a decision does with its request. The words are counters' names.
+// decisionKind is the part of a decision that shadow compares. The actions are part of the counters' names.
 type decisionKind struct {
 	action string
-	server ServerID
+	server ServerID // of "forward"
 }
 
-func kindOf(d Decision, ok bool) decisionKind {
-	switch {
-	case !ok:
+// kindOf returns the kind of a decision on a request.
+func kindOf(d Decision) decisionKind {
+	switch d.Action {
+	case noAction:
 		return decisionKind{action: "wait"}
-	case d.Action == Forward:
+	case Forward:
 		return decisionKind{"forward", d.Server}
-	case d.Action == Reject:
+	case Reject:
 		return decisionKind{action: "reject"}
 	}
 	return decisionKind{action: "fail"}
 }
 
-// shadowCopy is a copy of the engine under the other settings, good for one decision on a request.
+// shadowCopy returns a copy of the engine under the other settings, for one decision on a request. The decision changes
+// no state of the engine.
 func (e *Engine) shadowCopy(i requestSlot) *Engine {
 	other := e.underShadowSettings()
 	set := &other.endpoints
@@ -166,7 +183,7 @@
 	for k := range set.servers {
 		set.servers[k].byClass = slices.Clone(set.servers[k].byClass)
 	}
-	set.subset, set.view, set.spareView = slices.Clone(set.subset), slices.Clone(set.view), nil
+	set.subset, set.tracked, set.spareTracked = slices.Clone(set.subset), slices.Clone(set.tracked), nil
 
 	other.requests.all, other.customers.all = slices.Clone(e.requests.all), slices.Clone(e.customers.all)
 	r := &other.requests.all[i]
@@ -186,8 +203,8 @@
 	return other
 }
 
-// underShadowSettings is the engine under the other settings, with what was seen of classes; it shares the rest with
-// the engine.
+// underShadowSettings returns a shallow copy of the engine under the other settings. The copy has its own state of
+// request classes and shares all other slices and maps with the engine.
 func (e *Engine) underShadowSettings() *Engine {
 	other := *e
 	other.shadow, other.outbox, other.reports, other.scratch = nil, outbox{}, usageReports{}, nil
@@ -198,12 +215,17 @@
 	return &other
 }
 
-// bucketsOf are a customer's buckets under the other settings: those kept, or those of a first sight.
+// planOf returns a customer's plan under the other settings.
+func (s *shadow) planOf(c *customer) *quotaPlan {
+	return &s.config.plans[min(int(c.plan), len(s.config.plans)-1)]
+}
+
+// bucketsOf returns a customer's buckets under the other settings. A new customer has a full bucket and empty ceilings.
 func (s *shadow) bucketsOf(c *customer, now Time) customerBuckets {
 	if b, ok := s.buckets[c.id]; ok {
 		return b
 	}
-	plans, empty := s.config.plans, tokenBucket{at: now}
-	p := &plans[min(int(c.plan), len(plans)-1)]
-	return customerBuckets{quota: tokenBucket{p.burst, now}, ceiling: empty, ownerCeiling: empty}
+	empty := tokenBucket{at: now}
+	full := tokenBucket{s.planOf(c).burst, now}
+	return customerBuckets{quota: full, ceiling: empty, ownerCeiling: empty}
 }
--- a/internal/decision/slotindex.go
+++ b/internal/decision/slotindex.go
@@ -1,17 +1,18 @@
 package decision
 
-// slotIndex maps ids to slots: small numbers, used again once their id is dropped.
+// slotIndex maps ids to slots, which are indices into a slice of the caller. A dropped id's slot is reused.
 type slotIndex[ID comparable, Slot ~int32] struct {
 	slots map[ID]Slot
 	free  []Slot
 	next  Slot
 }
 
+// newSlotIndex returns an empty index.
 func newSlotIndex[ID comparable, Slot ~int32]() slotIndex[ID, Slot] {
 	return slotIndex[ID, Slot]{slots: map[ID]Slot{}}
 }
 
-// find is the slot of id, or -1.
+// find returns the slot of an id, or -1.
 func (x *slotIndex[ID, Slot]) find(id ID) Slot {
 	if i, ok := x.slots[id]; ok {
 		return i
@@ -19,7 +20,8 @@
 	return -1
 }
 
-// add gives id a slot; one past the end of what the caller stores asks it to grow that.
+// add assigns a slot to an id that has none. If the slot is one past the end of the caller's slice, the caller must
+// extend the slice.
 func (x *slotIndex[ID, Slot]) add(id ID) Slot {
 	i := x.next
 	if k := len(x.free); k > 0 {
@@ -31,7 +33,7 @@
 	return i
 }
 
-// drop forgets id and lets its slot be used again.
+// drop removes an id, if it is present.
 func (x *slotIndex[ID, Slot]) drop(id ID) {
 	if i, ok := x.slots[id]; ok {
 		delete(x.slots, id)
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -1,38 +1,60 @@
 package decision
 
-// slowStart keeps what this node sends to servers that started lately to their share of what a warm server
-// completes, by the platform's budget: over recoverySpan all nodes together may send recoveryMultiple times
-// what the server can do. Of that, slowStartMargin is used at once, and as much again over the span. It
-// guards against a fleet that pushes a cold server, or one that comes back, into failing again. It could harm
-// where most of a fleet restarts at once: then servers stand idle while the warm ones drown, so that the rate
-// of a warm server is remembered from better times.
+const (
+	slowStartBudgetRatio   = 0.4                  // share of the recovery budget usable at once, and again in each span
+	maxAttemptsAtWarmth    = 2                    // attempts in flight beyond the first, for a weight of 1
+	warmRateIntervals      = 4                    // intervals in the mean rate of a warm server
+	maxWarmRateRatio       = 1.6                  // largest rate of a warm server now, over its rate in an earlier interval
+	warmRateDecay          = 0.03                 // share of the best warm rate that is lost in an interval
+	clockToleranceSpans    = 1.0                  // clock difference that a list's delay explains, in recovery spans
+	completedSizesConstant = 33 * controlInterval // time constant of the mean size of servers that completed attempts
+)
+
+// slowStart limits the attempts that this node sends to servers that started recently.
+//
+//   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
+//   - State: the rate of a warm server, the attempts counted against each warming server, and a bound on the
+//     difference between this node's clock and that of the servers.
+//   - Rule: over recoverySpan all nodes together may send a server recoveryMultiple times its capacity. This node uses
+//     slowStartBudgetRatio of its share at once, and as much again over each span.
+//   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
+//   - Trade-off: if most servers restart at once, the others are overloaded while the cold ones have capacity left.
+//     Therefore the rate of a warm server is the best one of recent times.
 type slowStart struct {
 	config          *config
-	warmRate        float64      // completed a second by a warm server for this node, at best of late
-	rates           []float64    // recent rates by a warm server, of those that there were then,
-	lastWarmServers float64      // or as of the interval before
+	warmRate        float64      // attempts a second that a warm server completes for this node; decays slowly
+	rates           []float64    // completed attempts a second and warm server, of recent intervals
+	lastWarmServers float64      // capacity of the ready servers in the last interval, in warm servers
 	completedSizes  decayingMean // listed sizes of the servers that completed attempts
-	clockBound      Time         // this node's clock is ahead of the servers' by that at most, as far as was seen,
-	clockSeen       bool         // if anything was
+	clockBound      Time         // upper bound of this node's clock less the servers' clock, if clockSeen
+	clockSeen       bool         // the servers' clock has been observed
+}
+
+// slowStartState holds the attempts that count against a server's budget.
+type slowStartState struct {
+	sent float64 // attempts, as of at
+	at   Time
 }
 
-// observeClock notes that the servers' clock said a time, or one before that, when this node's says now. Of a server that
-// starts under this node's eyes the start is such a time.
+// observeClock records that the servers' clock had reached a time when this node's clock shows now. The start time of a
+// server that starts while this node runs is such a time.
 func (l *slowStart) observeClock(at, now Time) {
-	if ahead := now - at; !l.clockSeen || ahead < l.clockBound {
+	ahead := now - at
+	if !l.clockSeen || ahead < l.clockBound {
 		l.clockBound, l.clockSeen = ahead, true
 	}
 }
 
-// startedAt is when a server started, by this node's clock; 0: long ago. The list has it by the servers' clock. Where this
-// node's is ahead, as one that was stepped, by more than a list takes to come, the latest sign of the servers' clock counts;
-// where it is behind, a server has run since the list named it, whatever the time of its start says.
+// startedAt returns a server's start time by this node's clock; 0 stands for long ago. The list gives the time by the
+// servers' clock. If this node's clock is ahead by more than a list's delay, clockBound corrects the time. If it is
+// behind, the time at which the list first named the process is an upper bound.
 func (l *slowStart) startedAt(s *server) Time {
 	if s.Started <= 0 {
 		return 0
 	}
 	at := s.Started
-	if l.clockSeen && l.clockBound > Time(clockTolerance*float64(l.config.recoverySpan)) {
+	tolerance := Time(clockToleranceSpans * float64(l.config.recoverySpan))
+	if l.clockSeen && l.clockBound > tolerance {
 		at += l.clockBound
 	}
 	if s.knownAt > 0 {
@@ -41,7 +63,7 @@
 	return at
 }
 
-// weight is the least share of its capacity that a server has by now; 1: it is warm.
+// weight returns the least share of its capacity that a server has now. It is 1 for a warm server.
 func (l *slowStart) weight(s *server, now Time) float64 {
 	span, least := l.config.slowStartSpan, l.config.slowStartShare
 	startedAt := l.startedAt(s)
@@ -51,40 +73,87 @@
 	return least + (1-least)*max(0, float64(now-startedAt)/float64(span))
 }
 
-// hasRoom keeps the budget alone: this node's share, and few in flight at once. A share below one is a rate:
-// what counts as sent starts at a chance part of one, so that many nodes spread their first ones.
-func (l *slowStart) hasRoom(s *server, now Time, subsetRatio float64) bool {
+// hasCapacity reports whether a server may get an attempt now. A warming server needs budget left, a place in the
+// subset, and few attempts in flight. A budget below one attempt is a rate: its count starts at a random fraction, so
+// that the first attempts of many nodes spread.
+func (l *slowStart) hasCapacity(s *server, now Time, subsetRatio float64) bool {
 	weight := l.weight(s, now)
 	if weight >= 1 {
 		return true
 	}
 	l.drain(s, now, subsetRatio)
 	budget := max(1, l.budget(s, now, subsetRatio))
-	return s.inSubset && s.inFlight < 1+int(weight*2) && s.slowStart.sent+1 <= budget
+	maxInFlight := 1 + int(weight*maxAttemptsAtWarmth)
+	return s.inSubset && s.inFlight < maxInFlight && s.slowStart.sent+1 <= budget
 }
 
-// budget is how many attempts a server may get from this node in a span. Of the nodes, one in subsetRatio
-// uses it.
+// budget returns the number of attempts that a server may get from this node in a recovery span. One node in
+// subsetRatio uses the server.
 func (l *slowStart) budget(s *server, now Time, subsetRatio float64) float64 {
 	c := l.config
-	least := 1 / (float64(c.nodes) * seconds(c.shortestObjective)) // so that an all cold fleet warms
-	warm := l.relativeSize(s) * max(l.warmRate, least)
-	share := slowStartMargin * l.weight(s, now) * subsetRatio
-	return share * c.recoveryMultiple * warm * seconds(c.recoverySpan)
+	// Keeps a fleet without any warm server warming up.
+	leastRate := 1 / (float64(c.nodes) * seconds(c.shortestObjective))
+	warmRate := l.relativeSize(s) * max(l.warmRate, leastRate)
+	share := slowStartBudgetRatio * l.weight(s, now) * subsetRatio
+	return share * c.recoveryMultiple * warmRate * seconds(c.recoverySpan)
+}
+
+// processStarted resets the count of a server whose process is new to a random fraction of an attempt.
+func (l *slowStart) processStarted(s *server, rng *random) { s.slowStart.sent = rng.unit() }
+
+// attemptSent counts an attempt against the budget of a warming server.
+func (l *slowStart) attemptSent(s *server, now Time, subsetRatio float64) {
+	if l.weight(s, now) < 1 {
+		l.drain(s, now, subsetRatio)
+		s.slowStart.sent++
+	}
+}
+
+// drain reduces the count of a warming server by its budget in each recovery span. An idle time counts for one span at
+// most: otherwise many idle nodes would all send at the same moment. A count from before the process started stays.
+func (l *slowStart) drain(s *server, now Time, subsetRatio float64) {
+	state := &s.slowStart
+	if span := l.config.recoverySpan; span > 0 && state.at >= l.startedAt(s) {
+		elapsed := float64(min(now-state.at, span))
+		state.sent = max(0, state.sent-l.budget(s, now, subsetRatio)*elapsed/float64(span))
+	}
+	state.at = now
+}
+
+// attemptCompleted records that a server completed an attempt.
+func (l *slowStart) attemptCompleted(s *server, now Time) {
+	l.completedSizes.add(s.size(), now, completedSizesConstant)
 }
 
-// started begins what counts against the budget of a new process.
-func (l *slowStart) started(s *server, rng *random) { s.slowStart.sent = rng.unit() }
+// relativeSize returns a server's listed size over the mean size of the servers that completed attempts recently.
+func (l *slowStart) relativeSize(s *server) float64 {
+	if l.completedSizes.count < 1 {
+		return 1
+	}
+	return s.size() / (l.completedSizes.sum / l.completedSizes.count)
+}
+
+// warmServers returns the capacity of the ready servers, in warm servers.
+func (l *slowStart) warmServers(e *endpointSet, now Time) float64 {
+	sum := float64(e.ready)
+	for _, i := range e.warming {
+		if s := &e.servers[i]; s.warming && s.usable() {
+			sum -= 1 - l.weight(s, now)
+		}
+	}
+	return sum
+}
 
-// closeInterval learns what a warm server completes at best, from the completed rates of the last intervals:
-// by what it does now, a fleet that is mostly cold would stay so.
-func (l *slowStart) closeInterval(warm float64, completedRates []float64) {
+// closeInterval updates the rate of a warm server from the completed rates of the recent intervals, last one last. The
+// rate decays slowly, so that a mostly cold fleet keeps its budgets.
+func (l *slowStart) closeInterval(warmServers float64, completedRates []float64) {
 	last := completedRates[len(completedRates)-1]
-	l.rates = appendRecent(l.rates, last/max(1, warm, l.lastWarmServers), warmRateIntervals)
-	l.lastWarmServers = warm
-	rate, recent := 0.0, completedRates[len(completedRates)-len(l.rates):]
-	for k, r := range l.rates {
-		rate += min(recent[k]/max(1, warm), maxRateRatio*r) / warmRateIntervals
+	l.rates = appendRecent(l.rates, last/max(1, warmServers, l.lastWarmServers), warmRateIntervals)
+	l.lastWarmServers = warmServers
+	recent := completedRates[len(completedRates)-len(l.rates):]
+	mean := 0.0
+	for k, rate := range l.rates {
+		mean += min(recent[k]/max(1, warmServers), maxWarmRateRatio*rate) / warmRateIntervals
 	}
-	l.warmRate = max(l.warmRate*(1-warmRateDecay), rate)
+	l.warmRate = max(l.warmRate*(1-warmRateDecay), mean)
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -156,16 +156,16 @@
 	if got, want := l.budget(s, now, 3), 0.4*0.625*3*3*10*2; !near(got, want) {
 		t.Errorf("budget %v, not %v", got, want)
 	}
-	l.completed(&server{Endpoint: Endpoint{Weight: 4}}, now)
+	l.attemptCompleted(&server{Endpoint: Endpoint{Weight: 4}}, now)
 	if got, want := l.budget(s, now, 1), 0.4*0.625*3*0.5*10*2; !near(got, want) {
 		t.Errorf("budget %v of a server half the usual size, not %v", got, want)
 	}
 	l.completedSizes = decayingMean{}
 	s.slowStart = slowStartState{sent: 14.5, at: now}
-	if l.hasRoom(s, now, 1) {
+	if l.hasCapacity(s, now, 1) {
 		t.Error("room with the budget of 15 taken")
 	}
-	if l.drain(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasRoom(s, now+Second, 1) {
+	if l.drain(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasCapacity(s, now+Second, 1) {
 		t.Errorf("%v left after half a span", s.slowStart.sent)
 	}
 	s.slowStart = slowStartState{sent: 100, at: now - 9*Second}
@@ -173,17 +173,17 @@
 		t.Errorf("%v left by a new process", s.slowStart.sent)
 	}
 	s.slowStart = slowStartState{at: now}
-	if s.inFlight = 1; !l.hasRoom(s, now, 1) {
+	if s.inFlight = 1; !l.hasCapacity(s, now, 1) {
 		t.Error("no room with one in flight at a server half warm")
 	}
-	if s.inFlight = 2; l.hasRoom(s, now, 1) {
+	if s.inFlight = 2; l.hasCapacity(s, now, 1) {
 		t.Error("room with two in flight at a server half warm")
 	}
 	s.inSubset, s.inFlight = false, 0
-	if l.hasRoom(s, now+4*Second, 1) {
+	if l.hasCapacity(s, now+4*Second, 1) {
 		t.Error("room out of the subset")
 	}
-	if !l.hasRoom(s, now+5*Second, 1) {
+	if !l.hasCapacity(s, now+5*Second, 1) {
 		t.Error("no room at a warm server")
 	}
 }
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -1,41 +1,97 @@
 package decision
 
-// subsetChooser chooses which servers this node uses while they can take its requests (the subset): as many
-// as it meets several times before an idle connection there is closed, and so many that each server is used
-// by some nodes. The next ones of the same round (the view) take what those can't; the rest of the fleet is
-// nothing to a request or a change. Eight nodes at a time share a shuffle of the servers, by a hash, and
-// begin at even places of it, so that all servers get about alike; in it zones come by turns, so that none
-// that fails takes all of a node's.
+const (
+	subsetRateTimeConstant  = 5 * controlInterval // of the rate of attempts that sizes the subset
+	attemptsPerIdleTimeout  = 60.0                // attempts at each server of the subset in a connection's idle timeout
+	minSubsetServers        = 4
+	minTrackedServers       = 256
+	trackedServersPerSubset = 2 // tracked servers for each server of the subset, above minTrackedServers
+	minNodesPerShuffle      = 8 // nodes that share a shuffle of the servers; also the nodes that use each server
+)
+
+// subsetChooser chooses the servers that this node uses: its subset, and the tracked servers beyond it.
 //
-// It guards against many nodes that each meet all servers: they open a connection for every second attempt,
-// spend their own requests on every failing server of the fleet, and look at thousands of servers for each
-// request. It could harm where a few nodes bring most of the traffic to a few servers: then the cap on what
-// is in flight (selection) sends the rest to all in view.
+//   - Inputs: the number of ready servers, the settings, the rate of this node's attempts.
+//   - State: the decaying rate of attempts.
+//   - Rule: groups of nodes share a shuffle of the servers, in which zones alternate. Each node of a group starts at
+//     an even position of it. The subset is as large as this node's attempts keep its connections from idling out, and
+//     large enough that minNodesPerShuffle nodes use each server. The tracked servers that follow take the requests
+//     that the subset can't.
+//   - Protects against: a connection for every second attempt, attempts lost at each failing server of the fleet, and
+//     a scan of thousands of servers for each request.
+//   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
+//     requests to the other tracked servers.
 type subsetChooser struct {
 	config       *config
 	startedAt    Time
 	attemptsSent decayingMean
-	ratio        float64 // ready servers for each that this node uses
+	ratio        float64 // ready servers for each server of the subset, at least 1
+}
+
+// zoneLayout is the place of zones in a shuffle.
+type zoneLayout uint8
+
+const (
+	zonesMerged      zoneLayout = iota // zones have no effect
+	zonesAlternating                   // any stretch holds an even share of each zone
+)
+
+// subsetChoice is the part of a shuffle that a node uses.
+type subsetChoice struct {
+	group   int // of the nodes that share the shuffle, from 0
+	zones   zoneLayout
+	start   float64 // position in the shuffle, in [0, 1)
+	size    int     // servers from start on that form the subset
+	tracked int     // servers from start on that are tracked
 }
 
-// choose chooses among so many ready servers.
+// attemptSent counts an attempt for the size of the subset.
+func (c *subsetChooser) attemptSent(now Time) { c.attemptsSent.add(1, now, subsetRateTimeConstant) }
+
+// choose chooses among the ready servers and updates the subset ratio.
 func (c *subsetChooser) choose(now Time, ready int) subsetChoice {
-	nodes, share := c.config.nodes, nodesPerShuffle
-	for share*minSubset < ready && share < nodes {
-		share *= 2
+	nodes := c.config.nodes
+	self := max(int(c.config.self), 0)
+	groupSize := c.nodesPerShuffle(ready)
+	group := self / groupSize
+	groupNodes := max(1, min(groupSize, nodes-group*groupSize)) // the last group may be smaller
+	size, tracked := c.sizes(now, ready)
+	c.ratio = max(1, float64(ready)/float64(max(1, size)))
+	zones := zonesMerged
+	if ready > minTrackedServers {
+		zones = zonesAlternating
 	}
-	self, share := max(int(c.config.self), 0), min(share, nodes)
-	each := max(minSubset, ready/nodes*nodesPerShuffle)
-	size := max(minView, each)
-	view := size
-	if idle := c.config.idleTimeout; c.config.owners && idle > 0 {
-		c.attemptsSent.decayTo(now, paceMemory)
-		rate := c.attemptsSent.count / seconds(min(paceMemory, max(interval, now-c.startedAt)))
-		size = max(int(rate*seconds(idle)/meetsPerIdle), each)
-		view = max(minView, viewRatio*size)
+	start := float64(self%groupSize) / float64(groupNodes)
+	return subsetChoice{group: group, zones: zones, start: start, size: size, tracked: tracked}
+}
+
+// nodesPerShuffle returns the number of nodes that share a shuffle. It doubles until the group's subsets of least size
+// cover the ready servers.
+func (c *subsetChooser) nodesPerShuffle(ready int) int {
+	count := minNodesPerShuffle
+	for count*minSubsetServers < ready && count < c.config.nodes {
+		count *= 2
 	}
-	size = min(size, ready)
-	c.ratio = max(1, float64(ready)/float64(max(1, size)))
-	inGroup := max(1, min(share, nodes-self/share*share))
-	return subsetChoice{self / share, ready > minView, float64(self%share) / float64(inGroup), size, view}
+	return min(count, c.config.nodes)
+}
+
+// sizes returns the number of servers in the subset and of tracked servers. Without quota owners, the fleet is small
+// and the subset is every tracked server.
+func (c *subsetChooser) sizes(now Time, ready int) (size, tracked int) {
+	least := max(minSubsetServers, ready/c.config.nodes*minNodesPerShuffle)
+	size = max(minTrackedServers, least)
+	tracked = size
+	if c.config.owners && c.config.idleTimeout > 0 {
+		attempts := c.attemptRate(now) * seconds(c.config.idleTimeout)
+		size = max(int(attempts/attemptsPerIdleTimeout), least)
+		tracked = max(minTrackedServers, trackedServersPerSubset*size)
+	}
+	return min(size, ready), tracked
+}
+
+// attemptRate returns the recent rate of this node's attempts, in attempts a second.
+func (c *subsetChooser) attemptRate(now Time) float64 {
+	c.attemptsSent.decayTo(now, subsetRateTimeConstant)
+	span := min(subsetRateTimeConstant, max(controlInterval, now-c.startedAt))
+	return c.attemptsSent.count / seconds(span)
 }
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -32,7 +32,7 @@
 	all := 0.0
 	for me := range n.config.nodes {
 		n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
-		n.subsets.attemptsSent.count = traffic(me) * seconds(interval)
+		n.subsets.attemptsSent.count = traffic(me) * seconds(controlInterval)
 		n.chooseSubset()
 		for _, i := range n.endpoints.subset {
 			load[i] += traffic(me) / float64(len(n.endpoints.subset))
@@ -79,7 +79,7 @@
 		for me := range n.config.nodes {
 			n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
 			n.chooseSubset()
-			for what, set := range map[string][]serverSlot{"own": n.endpoints.subset, "view": n.endpoints.view} {
+			for what, set := range map[string][]serverSlot{"own": n.endpoints.subset, "view": n.endpoints.tracked} {
 				left, zones := 0, map[uint8]int{}
 				for _, i := range set {
 					if s := &n.endpoints.servers[i]; !lost(s) {
@@ -106,7 +106,7 @@
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
 		first := slices.Clone(n.endpoints.subset)
-		n.SetTime(n.now + interval)
+		n.SetTime(n.now + controlInterval)
 		pull(n, Forward)
 		if moved := diff(n.endpoints.subset, first); moved > 0 || len(first) == 0 {
 			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.endpoints.subset))
@@ -149,7 +149,7 @@
 			load[s] += k
 			sent += k
 		}
-		if len(met) < minSubset || len(met) > 20 {
+		if len(met) < minSubsetServers || len(met) > 20 {
 			t.Fatalf("node %d met %d servers", me, len(met))
 		}
 		before := map[ServerID]bool{}
@@ -199,12 +199,12 @@
 		sent        float64
 		want        subsetChoice
 	}{
-		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, false, 0, 9, 256}},
-		{"few nodes use all in view", 4, 3, 1000, false, 0, subsetChoice{0, true, 0.75, 1000, 2000}},
-		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, false, 9.0 / 16, 4, 256}},
-		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, false, 9.0 / 16, 40, 256}},
-		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, true, 9.0 / 80, 400, 800}},
-		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, false, 0.25, 16, 256}},
+		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, zonesMerged, 0, 9, 256}},
+		{"few nodes use all in view", 4, 3, 1000, false, 0, subsetChoice{0, zonesAlternating, 0.75, 1000, 2000}},
+		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, zonesMerged, 9.0 / 16, 4, 256}},
+		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, zonesMerged, 9.0 / 16, 40, 256}},
+		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, zonesAlternating, 9.0 / 80, 400, 800}},
+		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, zonesMerged, 0.25, 16, 256}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
--- a/internal/decision/throughput.go
+++ b/internal/decision/throughput.go
@@ -2,35 +2,55 @@
 
 import "slices"
 
-// throughput measures what the back end completes for this node, and how long that takes at best. What counts for that,
-// and for how long, stands with the admission limit.
+const (
+	minExecutionTimeSamples = 30 // completed attempts in a mean that counts for T
+	executionTimeIntervals  = 30 // recent means among which T is the lowest
+	bestRateIntervals       = 8  // recent intervals among which the best completed rate is chosen
+	completionsIntervals    = 3  // recent intervals among which completionsIn chooses the best rate
+)
+
+// throughput measures the completed rate of this node's attempts and their execution time T. T is the lowest recent
+// mean duration, so that it leaves out waits in queues. The zero value is ready for use.
 type throughput struct {
-	executionTime float64   // T, the lowest recent interval's mean duration, in Time
-	times         []float64 // recent intervals' mean durations, in Time
-	rates         []float64 // recent completed rates, a second
-	timeSum       float64   // of the completed attempts since the last of times
-	timeCount     int
+	executionTime float64   // T, in units of Time; 0 while unknown
+	times         []float64 // recent mean durations, in units of Time, at most executionTimeIntervals
+	rates         []float64 // completed attempts a second of recent intervals, at most bestRateIntervals
+	timeSum       float64   // sum of the durations since the last entry of times
+	timeCount     int       // number of durations in timeSum
 }
 
-// completed notes how long a completed attempt took.
-func (t *throughput) completed(took Time) {
-	t.timeSum += float64(took)
+// recordCompletion adds the duration of a completed attempt.
+func (t *throughput) recordCompletion(duration Time) {
+	t.timeSum += float64(duration)
 	t.timeCount++
 }
 
-// known tells whether enough was seen for T.
+// closeInterval adds an interval's completed rate, in attempts a second, and updates T. A mean takes several intervals
+// if they have few completions. It needs as many samples as there are requests in flight: a fresh node's first
+// completions are its shortest.
+func (t *throughput) closeInterval(rate float64, requests int) {
+	if t.timeCount >= minExecutionTimeSamples && t.timeCount >= requests {
+		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), executionTimeIntervals)
+		t.timeSum, t.timeCount = 0, 0
+	}
+	t.rates = appendRecent(t.rates, rate, bestRateIntervals)
+	if t.known() {
+		t.executionTime = slices.Min(t.times)
+	}
+}
+
+// known reports whether enough attempts have completed for T.
 func (t *throughput) known() bool { return len(t.times) > 0 }
 
-// bestRate is the best recent completed rate.
+// bestRate returns the best recent completed rate, in attempts a second. At least one interval must be closed.
 func (t *throughput) bestRate() float64 { return slices.Max(t.rates) }
 
-// canFinish is how many attempts this node saw completed, of late, in a span. What is in flight over it is the wait
-// that a request admitted now faces. The limit on it guards against a back end that fills within an interval: a burst,
-// a slowdown, a crowd of repeats. It could harm after a lull: minInFlight lets it grow.
-func (t *throughput) canFinish(span Time) float64 {
+// completionsIn returns the number of attempts that complete within a span at the best rate of the last intervals.
+// Attempts in flight, divided by that rate, are the wait of a request that is admitted now.
+func (t *throughput) completionsIn(span Time) float64 {
 	best := 0.0
 	if k := len(t.rates); k > 0 {
-		best = slices.Max(t.rates[max(0, k-canFinishIntervals):])
+		best = slices.Max(t.rates[max(0, k-completionsIntervals):])
 	}
 	return best * seconds(span)
 }
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -1,26 +1,42 @@
 package decision
 
-// timers says what is due by the time alone: the check of attempts, the end of an interval, messages to peers and
-// polls of discovery; and when the host is to call again for that.
+const (
+	checksPerObjective   = 30   // attempt checks in the shortest latency objective
+	minCheckInterval     = 1    // in units of Time
+	pollBackoffIntervals = 3.0  // longest delay of a poll after a failed one, in control intervals
+	minPollBackoffRatio  = 0.34 // least delay, as a share of the longest
+	suspicionInterval    = controlInterval
+)
+
+// timers holds the times of this node's periodic tasks: attempt checks, intervals, messages to peers, and polls of
+// discovery. It also knows for when the host's timer is set.
 type timers struct {
-	checkAt     Time // of the attempts in flight
-	intervalAt  Time
-	reportAt    Time // to peers, of demand and use
-	suspicionAt Time // to peers, of ejected servers
-	pollAt      Time // 0: never
-	polling     bool // a poll is under way
-	hostAt      Time // what the host's timer was last set to
+	checkAt     Time // next attempt check
+	intervalAt  Time // end of the control interval
+	reportAt    Time // next usage report to peers
+	suspicionAt Time // next suspicions to peers
+	pollAt      Time // next poll of discovery; 0: discovery pushes its lists
+	polling     bool // a poll is in flight
+	hostAt      Time // time for which the host's timer is set
 }
 
-func newTimers(now Time, poll bool) timers {
-	t := timers{checkAt: now, intervalAt: now + interval, reportAt: now + reportEvery, suspicionAt: now + reportEvery}
-	if poll {
+// newTimers returns the timers of a node that starts now. Polls begin at once if the settings ask for them.
+func newTimers(now Time, c *config) timers {
+	t := timers{
+		checkAt: now, intervalAt: now + controlInterval, reportAt: now + reportInterval, suspicionAt: now + reportInterval,
+	}
+	if c.pollEndpoints {
 		t.pollAt = now
 	}
 	return t
 }
 
-// startCheck tells whether the check of attempts is due, and sets the next one.
+// checkInterval returns the time between two attempt checks.
+func (c *config) checkInterval() Time {
+	return max(c.tick, c.shortestObjective/checksPerObjective, minCheckInterval)
+}
+
+// startCheck reports whether an attempt check is due, and sets the time of the next one.
 func (t *timers) startCheck(now Time, c *config) bool {
 	if now < t.checkAt {
 		return false
@@ -29,41 +45,61 @@
 	return true
 }
 
-// startReport tells whether a report to peers is due, and sets the next one. Owners are notified at once: of a customer's
-// use they have no other sign.
+// startReport reports whether usage reports to peers are due, and sets the time of the next ones. Quota owners receive
+// reports without delay: they have no other information on the use.
 func (t *timers) startReport(now Time, c *config) bool {
-	if c.nodes <= 1 || !c.peers || now < t.reportAt && (!c.owners || now <= t.reportAt-reportEvery) {
+	if !c.sendsToPeers() {
+		return false
+	}
+	due := now >= t.reportAt
+	if c.owners {
+		lastReportAt := t.reportAt - reportInterval
+		due = now > lastReportAt
+	}
+	if !due {
 		return false
 	}
-	t.reportAt = now + reportEvery
+	t.reportAt = now + reportInterval
 	return true
 }
 
-// startSuspicions tells whether a message on ejected servers is due, and sets the next one.
+// startSuspicions reports whether suspicions to peers are due, and sets the time of the next ones.
 func (t *timers) startSuspicions(now Time, c *config) bool {
-	if c.nodes <= 1 || !c.peers || now < t.suspicionAt {
+	if !c.sendsToPeers() || now < t.suspicionAt {
 		return false
 	}
-	t.suspicionAt = now + interval
+	t.suspicionAt = now + suspicionInterval
 	return true
 }
 
-// startPoll tells whether discovery is to be polled now.
+// sendsToPeers reports whether this node has peers that receive messages.
+func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peers }
+
+// startPoll reports whether discovery is to be polled now. The poll is then in flight until it fails.
 func (t *timers) startPoll(now Time) bool {
 	due := t.pollAt > 0 && now >= t.pollAt && !t.polling
 	t.polling = t.polling || due
 	return due
 }
 
-// pollFailed sets the next poll. A failure that is reported twice counts once.
+// pollFailed sets the time of the next poll, within the settings' time in units of Time. It has no effect unless a poll
+// is in flight.
 func (t *timers) pollFailed(now Time, within float64, rng *random) {
 	if t.polling {
-		t.polling, t.pollAt = false, now+pollDelay(within, rng)
+		t.polling = false
+		t.pollAt = now + pollDelay(within, rng)
 	}
 }
 
-// setHost tells whether the host's timer is to be set, and how far ahead.
-func (t *timers) setHost(now Time) (Time, bool) {
+// pollDelay returns a random delay before discovery is polled again. Without randomness, nodes that start together
+// would poll in step. The delay does not grow: a change must be known within 6 s of discovery being reachable.
+func pollDelay(within float64, rng *random) Time {
+	longest := min(pollBackoffIntervals*float64(controlInterval), max(float64(controlInterval), within))
+	return Time(longest * (minPollBackoffRatio + (1-minPollBackoffRatio)*rng.unit()))
+}
+
+// nextHostTimer returns the delay for which the host's timer is to be set, and false if it is already set.
+func (t *timers) nextHostTimer(now Time) (Time, bool) {
 	if t.hostAt > now {
 		return 0, false
 	}
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -116,7 +116,7 @@
 		{"no peers", func(c *config) { c.peers = false }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg, timers, due := testConfig(), newTimers(0, false), []Time(nil)
+			cfg, timers, due := testConfig(), newTimers(0, &config{}), []Time(nil)
 			c.change(cfg)
 			for now := Time(1111); now <= 9999; now += 1111 {
 				for timers.startReport(now, cfg) {
@@ -133,14 +133,14 @@
 // The checks of attempts come 30 times in the shortest objective, but not more often than the tick.
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
-		timers := newTimers(Second, false)
+		timers := newTimers(Second, &config{})
 		if !timers.startCheck(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
 			t.Errorf("tick %d, objective %d: next check after %d", c.tick, c.objective, timers.checkAt-Second)
 		}
-		if after, ok := timers.setHost(Second); !ok || after != c.want {
+		if after, ok := timers.nextHostTimer(Second); !ok || after != c.want {
 			t.Errorf("the host's timer is set to %d", after)
 		}
-		if _, ok := timers.setHost(Second); ok {
+		if _, ok := timers.nextHostTimer(Second); ok {
 			t.Error("the host's timer is set twice")
 		}
 	}
@@ -149,7 +149,7 @@
 // A poll is under way until it failed, and never starts where none is asked for.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
-	never, timers := newTimers(Second, false), newTimers(Second, true)
+	never, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
 	if never.startPoll(99 * Second) {
 		t.Error("polled where lists are pushed")
 	}
