--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -2,35 +2,10 @@
 
 import "math"
 
-const (
-	controlInterval = Second // between two updates of the admission rate and the subset
-
-	burstIntervals    = 0.15 // tokens that the bucket holds, in intervals of the admission rate
-	randomMarginRoots = 0.3  // margin on a limit for random arrivals, in square roots of the limit
-
-	coldStartAttemptsPerServer = 3.0   // fleet-wide attempts in flight, per ready server, while T is unknown
-	minInFlightPerServer       = 1.1   // least concurrency limit of the fleet, in attempts per ready server
-	quietLimitFactor           = 1.4   // factor on the least concurrency limit while latency is quiet
-	quietLimitFactorPerRoot    = 0.6   // added to quietLimitFactor for each square root of the number of nodes
-	maxInFlightSpans           = 1.5   // concurrency limit, in completions within T
-	minLatencyObjectives       = 0.125 // latency that always counts as low, in latency objectives
-
-	normalizedLatencySpan  = 4.0 // excess over the lowest recent latency, in such latencies, that is normalized to 1
-	quietNormalizedLatency = 0.2 // normalized latency below which the back end counts as quiet
-	featureSmoothing       = 0.3 // weight of an interval's value in the features' moving averages
-	minLatencySamples      = 10  // latency samples in an interval; missing ones repeat the last interval's mean
-	minConcurrencyRatio    = 0.3 // least target concurrency, in completions of the best recent interval within T
-	minTimeLeftLatencies   = 1.0 // time left before a request's deadline, in usual latencies
-
-	// The back end counts as stopped if more than this fraction of the servers is ejected.
-	stoppedNumerator   = 2
-	stoppedDenominator = 3
-)
-
 // admissionLimit limits the load that this node sends to the back end, for all customers together.
 //
 //   - Inputs: completed attempts, their latencies, and the attempts in flight, by interval.
-//   - State: the execution time T, the target concurrency a, the admission rate λ with its token bucket.
+//   - State: the base latency T, the target concurrency a, the admission rate λ with its token bucket.
 //   - Rule: a request takes a token, and the attempts in flight stay below a concurrency limit. Each interval, a is
 //     the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
 //   - Protects against: a back end that receives more than it completes, whose queues outlast the clients.
@@ -47,6 +22,31 @@
 	throughput        throughput
 }
 
+const (
+	controlInterval = Second // time between two updates of the admission rate and the subset
+
+	burstIntervals    = 0.15 // tokens that the bucket holds, in intervals of the admission rate
+	randomMarginRoots = 0.3  // margin on a limit for random arrivals, in square roots of the limit
+
+	coldStartAttemptsPerServer = 3.0   // attempts in flight of the whole fleet, per ready server, before T is known
+	minInFlightPerServer       = 1.1   // least concurrency limit of the whole fleet, in attempts per ready server
+	quietLimitFactor           = 1.4   // factor on the least concurrency limit while latency is quiet
+	quietLimitFactorPerRoot    = 0.6   // added to quietLimitFactor for each square root of the number of nodes
+	maxInFlightBaseLatencies   = 1.5   // concurrency limit, in completions within T
+	minLatencyObjectives       = 0.125 // latency that always counts as low, in latency objectives
+
+	normalizedLatencySpan  = 4.0 // normalized latency 1 exceeds the lowest recent latency by this multiple of it
+	quietNormalizedLatency = 0.2 // normalized latency below which the back end counts as quiet
+	featureSmoothing       = 0.3 // weight of an interval's value in the features' moving averages
+	minLatencySamples      = 10  // latency samples below which the last interval's mean fills up
+	minConcurrencyRatio    = 0.3 // least target concurrency, in completions of the best recent interval within T
+	minTimeLeftLatencies   = 1.0 // least time left before a request's deadline, in usual latencies
+
+	// The back end counts as stopped if more than this fraction of the servers is ejected.
+	stoppedNumerator   = 2
+	stoppedDenominator = 3
+)
+
 // loadFeatures is the input of the load policy. Concurrency is relative to the attempts that complete within a
 // latency objective. Latency is normalized: 0 at the lowest recent latency, 1 at normalizedLatencySpan above it.
 type loadFeatures struct {
@@ -102,8 +102,8 @@
 	if l.quiet {
 		lower *= quietLimitFactor + quietLimitFactorPerRoot*math.Sqrt(float64(l.config.nodes))
 	}
-	span := max(l.throughput.executionTime, minLatencyObjectives*float64(l.config.shortestObjective))
-	limit := maxInFlightSpans * l.throughput.completionsIn(Time(span))
+	span := max(l.throughput.baseLatency, minLatencyObjectives*float64(l.config.shortestObjective))
+	limit := maxInFlightBaseLatencies * l.throughput.completionsIn(Time(span))
 	if l.config.owners {
 		limit += randomMarginRoots * math.Sqrt(limit)
 	}
@@ -118,17 +118,17 @@
 		return
 	}
 	l.updateFeatures(load.healthy, latency, load.ready)
-	executionSeconds := seconds(Time(l.throughput.executionTime))
-	best := max(l.throughput.bestRate()*executionSeconds, l.evenShare(minInFlightPerServer, load.ready))
+	baseLatencySeconds := seconds(Time(l.throughput.baseLatency))
+	best := max(l.throughput.bestRate()*baseLatencySeconds, l.evenShare(minInFlightPerServer, load.ready))
 	l.targetConcurrency = max(minConcurrencyRatio, loadPolicy.evaluate(l.features.vector())) * best
 	if l.quiet {
-		admitted := float64(stats.admitted) / spanSeconds * executionSeconds
+		admitted := float64(stats.admitted) / spanSeconds * baseLatencySeconds
 		l.targetConcurrency = max(l.targetConcurrency, l.evenShare(coldStartAttemptsPerServer, load.ready), admitted)
 	}
 	if l.rate == 0 {
 		l.tokens = tokenBucket{1, now}
 	}
-	l.rate = max(l.targetConcurrency/executionSeconds, 1)
+	l.rate = max(l.targetConcurrency/baseLatencySeconds, 1)
 }
 
 // intervalLatency returns the mean latency of an interval in latency objectives. Where samples are missing, the last
@@ -149,7 +149,7 @@
 // objectives.
 func (l *admissionLimit) updateFeatures(healthy, latency float64, ready int) {
 	objective := float64(l.config.shortestObjective)
-	lowest := max(l.throughput.executionTime/objective, minLatencyObjectives)
+	lowest := max(l.throughput.baseLatency/objective, minLatencyObjectives)
 	lowest = min(lowest, 1/(1+normalizedLatencySpan))
 	completions := l.throughput.completionsIn(l.config.shortestObjective)
 	f := &l.features
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -46,8 +46,8 @@
 	}
 	n.SetTime(2*Second + 10)
 	pull(n, LogSummary)
-	if n.admission.throughput.executionTime != 0 || n.admission.rate != 0 {
-		t.Fatalf("T is %.0f after two ends", n.admission.throughput.executionTime)
+	if n.admission.throughput.baseLatency != 0 || n.admission.rate != 0 {
+		t.Fatalf("T is %.0f after two ends", n.admission.throughput.baseLatency)
 	}
 }
 
@@ -152,14 +152,14 @@
 	}
 	l := fresh()
 	quiet := closeIntervals(l, 5, 100, 500, load)
-	if !l.quiet || quiet < 100 || l.throughput.executionTime != 500 {
-		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.executionTime)
+	if !l.quiet || quiet < 100 || l.throughput.baseLatency != 500 {
+		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.baseLatency)
 	}
 	if busy := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.quiet || busy > quiet/2 {
 		t.Errorf("λ is %v under pressure, %v while quiet", busy, quiet)
 	}
-	if l.throughput.executionTime != 500 {
-		t.Errorf("T rose to %v with the queue", l.throughput.executionTime)
+	if l.throughput.baseLatency != 500 {
+		t.Errorf("T rose to %v with the queue", l.throughput.baseLatency)
 	}
 }
 
@@ -181,7 +181,7 @@
 // Under a wait of 1.5 times T there may be as much in flight as completes then; while latency is quiet, more.
 func TestConcurrencyLimit(t *testing.T) {
 	l := &admissionLimit{config: testConfig()}
-	l.throughput = throughput{executionTime: 2000, rates: []float64{500, 100, 100, 100}}
+	l.throughput = throughput{baseLatency: 2000, rates: []float64{500, 100, 100, 100}}
 	if got := l.concurrencyLimit(8); !near(got, 1.5*100*0.2) {
 		t.Errorf("%v under pressure", got)
 	}
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -2,13 +2,6 @@
 
 import "slices"
 
-const (
-	customerIdleTimeout = 60 * controlInterval // without requests, after which a customer with a full bucket is dropped
-	idleScanCustomers   = 1024                 // customers checked for idleness in an interval
-	defaultMeanUnits    = 1                    // units of a request before the first one is seen
-	defaultQueryRatio   = 1                    // until the owner names one
-)
-
 // customerSlot is an index into customerTable.all.
 type customerSlot int32
 
@@ -22,9 +15,9 @@
 	firstSeen   Time
 	lastRequest Time
 	bucket      tokenBucket  // of the whole quota, see tenantQuota
-	demand      decayingMean // units requested here
+	demand      decayingMean // units requested at this node
 	peerDemand  decayingMean // units requested at other nodes; at the owner, at all nodes
-	inFlight    int          // attempts in flight here
+	inFlight    int          // attempts in flight at this node
 	leased      bool         // SetLease fills the bucket
 	ceiling     tokenBucket  // this node's share of the plan's hard ceiling
 
@@ -41,10 +34,17 @@
 	reportUse     float64 // units admitted or settled since the last report
 }
 
+const (
+	customerIdleTimeout = 60 * controlInterval // idle time after which a customer with a full bucket is dropped
+	idleScanCustomers   = 1024                 // customers checked for idleness in an interval
+	defaultMeanUnits    = 1                    // mean units of a request before the first one
+	defaultQueryRatio   = 1                    // query ratio before the owner sets one
+)
+
 // refill refills the bucket by the plan. It has no effect on a leased bucket.
-func (c *customer) refill(p *quotaPlan, now Time) {
+func (c *customer) refill(plan *quotaPlan, now Time) {
 	if !c.leased {
-		c.bucket.refill(now, p.rate, p.burst)
+		c.bucket.refill(now, plan.rate, plan.burst)
 	}
 }
 
@@ -103,11 +103,11 @@
 }
 
 // newCustomer returns a customer without demand.
-func newCustomer(id CustomerID, plan PlanID, p *quotaPlan, now Time) customer {
+func newCustomer(id CustomerID, planID PlanID, plan *quotaPlan, now Time) customer {
 	empty := tokenBucket{at: now}
-	full := tokenBucket{max(p.burst, float64(p.maxInFlight)), now}
+	full := tokenBucket{max(plan.burst, float64(plan.maxInFlight)), now}
 	return customer{
-		id: id, live: true, plan: plan, firstSeen: now, meanUnits: defaultMeanUnits, queryRatio: defaultQueryRatio,
+		id: id, live: true, plan: planID, firstSeen: now, meanUnits: defaultMeanUnits, queryRatio: defaultQueryRatio,
 		bucket: full, ceiling: empty, ownerCeiling: empty,
 	}
 }
@@ -121,8 +121,8 @@
 		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleTimeout {
 			continue
 		}
-		p := &cfg.plans[c.plan]
-		if p.rate <= 0 || c.bucket.level+p.rate*seconds(now-c.bucket.at) >= p.burst {
+		plan := &cfg.plans[c.plan]
+		if plan.rate <= 0 || c.bucket.level+plan.rate*seconds(now-c.bucket.at) >= plan.burst {
 			c.live = false
 			t.slots.drop(c.id)
 		}
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -1,10 +1,10 @@
 package decision
 
 const (
-	answerMarginTicks            = 2   // part of the answer margin: a tick to see an attempt's end, one to answer
-	answerMarginObjectiveDivisor = 100 // divides the shortest latency objective, for the other part of the answer margin
-	minRetryAfterDivisor         = 4   // divides the shortest latency objective, for the least Retry-After
-	shortTimeoutDivisor          = 2   // divides the latency objective, below which a timeout carries no information
+	answerMarginTicks            = 2   // ticks in the answer margin: one to see an attempt's end, one to respond
+	answerMarginObjectiveDivisor = 100 // rest of the answer margin, as a divisor of the shortest latency objective
+	minRetryAfterDivisor         = 4   // least Retry-After, as a divisor of the shortest latency objective
+	shortTimeoutDivisor          = 2   // shortest timeout with information, as a divisor of the latency objective
 )
 
 // admissionOutcome is the decision on a request's first attempt, before a server is selected.
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -18,7 +18,7 @@
 	ordered        bool         // in endpointSet.order
 	orderZone      uint8        // zone under which the order holds the server
 	orderCell      uint16       // cell under which the order holds the server
-	referenced     bool         // an open request refers to the server; set only within forgetDeparted
+	inUse          bool         // an open request refers to the server; set only within forgetDeparted
 	inFlight       int          // attempts in flight
 	pace           decayingMean // durations of attempts, in usual latencies of their class
 	rotationCredit float64
@@ -170,21 +170,21 @@
 	if len(e.departed) == 0 {
 		return
 	}
-	e.forEachReferenced(requests, func(s *server) { s.referenced = true })
+	e.forEachServerInUse(requests, func(s *server) { s.inUse = true })
 	e.departed = slices.DeleteFunc(e.departed, func(i serverSlot) bool {
 		s := &e.servers[i]
-		s.departed = !s.listed && s.referenced
-		if !s.listed && !s.referenced {
+		s.departed = !s.listed && s.inUse
+		if !s.listed && !s.inUse {
 			e.slots.drop(s.Server)
 			*s = server{}
 		}
 		return !s.departed
 	})
-	e.forEachReferenced(requests, func(s *server) { s.referenced = false })
+	e.forEachServerInUse(requests, func(s *server) { s.inUse = false })
 }
 
-// forEachReferenced calls visit for the server of each attempt of an open request.
-func (e *endpointSet) forEachReferenced(requests []request, visit func(s *server)) {
+// forEachServerInUse calls visit for the server of each attempt of an open request.
+func (e *endpointSet) forEachServerInUse(requests []request, visit func(s *server)) {
 	for i := range requests {
 		if !requests[i].live {
 			continue
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -11,7 +11,7 @@
 // The reasons, in the order of the interval summary.
 const (
 	rejectTooLate       rejectReason = iota // the client is likely to leave before an attempt ends
-	rejectColdStart                         // the concurrency limit of a node that knows no execution time yet
+	rejectColdStart                         // the concurrency limit of a node that knows no base latency yet
 	rejectAdmissionRate                     // no token of the admission rate
 	rejectConcurrency                       // the concurrency limit
 	rejectQuota                             // the customer's quota, here or at its owner
@@ -74,7 +74,7 @@
 	admitted           float64 // requests a second
 	completed          float64 // attempts a second
 	tail               float64 // 95th percentile of the latency, in latency objectives
-	executionTime      Time    // T
+	baseLatency        Time    // T
 	rejected           [rejectReasons]int
 }
 
@@ -82,6 +82,6 @@
 func (s *intervalSummary) appendText(b []byte) []byte {
 	return fmt.Appendf(b, "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
 		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.concurrencyAverage, s.latency,
-		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tail, int(s.executionTime),
+		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tail, int(s.baseLatency),
 		s.rejected)
 }
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -1,16 +1,16 @@
 package decision
 
-const (
-	usualLatencyTimeConstant = 5 * controlInterval // of the decaying mean of latencies
-	firstLatencyDivisor      = 4                   // divides the latency objective, before any attempt has completed
-)
-
 // classState holds the measured latency of a request class. Every mechanism that asks for the usual latency of a class
 // takes it from here.
 type classState struct {
 	latency decayingMean // durations of completed attempts, in units of Time
 }
 
+const (
+	usualLatencyTimeConstant = 5 * controlInterval // time constant of the decaying mean of a class's latencies
+	firstLatencyDivisor      = 4                   // divisor of the latency objective, for the first usual latency
+)
+
 // usualLatency returns the mean latency of a class's recent completed attempts, in units of Time. Before the first one
 // completes, it returns the latency objective divided by firstLatencyDivisor.
 func (e *Engine) usualLatency(class ClassID) float64 {
--- a/internal/decision/measures_test.go
+++ b/internal/decision/measures_test.go
@@ -54,17 +54,17 @@
 		t.Error("T is ejected on fewer ends than are in flight")
 	}
 	interval(10, 110, 3)
-	if !tp.known() || tp.executionTime != (29*100+400+10*110)/40.0 {
-		t.Errorf("T is %v", tp.executionTime)
+	if !tp.known() || tp.baseLatency != (29*100+400+10*110)/40.0 {
+		t.Errorf("T is %v", tp.baseLatency)
 	}
 	for range 29 {
 		interval(30, 500, 0)
 	}
-	if tp.executionTime != 110 {
-		t.Errorf("T is %v after 29 intervals", tp.executionTime)
+	if tp.baseLatency != 110 {
+		t.Errorf("T is %v after 29 intervals", tp.baseLatency)
 	}
-	if interval(30, 500, 0); tp.executionTime != 500 {
-		t.Errorf("T is %v after 30 intervals", tp.executionTime)
+	if interval(30, 500, 0); tp.baseLatency != 500 {
+		t.Errorf("T is %v after 30 intervals", tp.baseLatency)
 	}
 	tp = throughput{}
 	for _, n := range []int{80, 50, 7, 6, 5} {
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -141,7 +141,7 @@
 		admitted:           float64(stats.admitted) / spanSeconds,
 		completed:          float64(stats.completed) / spanSeconds,
 		tail:               stats.tail(),
-		executionTime:      Time(limit.throughput.executionTime),
+		baseLatency:        Time(limit.throughput.baseLatency),
 		rejected:           stats.rejected,
 	}
 	e.scratch, e.summaryDue = summary.appendText(e.scratch[:0]), true
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -2,19 +2,6 @@
 
 import "math"
 
-const (
-	maxConsecutiveFailures = 2                    // failures in a row that eject a server, of kinds that a healthy one has too
-	maxEjectionObjectives  = 8                    // longest ejection, in latency objectives
-	silenceLatencies       = 10.0                 // wait without a response that ejects a server, in usual latencies
-	trialsPerAttempt       = 0.05                 // trials that an attempt of the class earns
-	maxTrials              = 2                    // largest trial budget of a class
-	suspicionTimeConstant  = 10 * controlInterval // of the decaying counts of peers' suspicions
-	minExcessSuspicions    = 1.0                  // suspicions above the mean that eject a server
-	suspicionDeviations    = 2.0                  // added to minExcessSuspicions, in square roots of the mean
-	minInformativeReports  = 0.1                  // decayed suspicions below which a state carries no information
-	suspicionRateRatio     = 0.5                  // share of the peer message rate that suspicions may use
-)
-
 // outlierDetector ejects servers that fail or stay silent. It does so for each request class alone, since a server may
 // fail one class and serve the others.
 //
@@ -30,18 +17,31 @@
 	classes []classOutliers
 }
 
+const (
+	maxConsecutiveFailures   = 2                    // failures in a row that eject a server; some outcomes need fewer
+	maxEjectionObjectives    = 8                    // longest ejection, in latency objectives
+	silenceLatencies         = 10.0                 // wait without a response that ejects a server, in usual latencies
+	trialsPerAttempt         = 0.05                 // trials that an attempt of the class earns
+	maxTrials                = 2                    // largest trial budget of a class
+	suspicionTimeConstant    = 10 * controlInterval // time constant of the decaying counts of peers' suspicions
+	minExcessSuspicions      = 1.0                  // suspicions above the mean that eject a server
+	suspicionDeviations      = 2.0                  // added to minExcessSuspicions, in square roots of the mean
+	minInformativeSuspicions = 0.1                  // decayed suspicions below which a state carries no information
+	suspicionRateRatio       = 0.5                  // share of the peer message rate that suspicions may use
+)
+
 // outlierState describes how a server serves one class. The zero value is a server without attempts.
 type outlierState struct {
 	inFlight        int
 	lost            int // attempts in flight whose response is presumed lost, as of the last attempt check
 	failures        int // consecutive failures
 	ejectedUntil    Time
-	ejectedFor      Time         // length of the last ejection; 0 if no attempt of this node caused one
+	ejectedFor      Time         // length of the last ejection by this node; 0 without one
 	suspicions      decayingMean // peers' suspicions
 	fromPeer        bool         // a peer's suspicion caused the ejection
 	trialInFlight   bool         // a trial attempt is in flight
 	answeredAt      Time         // time of the last response or passed health check; 0 without any
-	waitCountedFrom Time         // waits before this time have led to an ejection
+	waitCountedFrom Time         // start of the waits that count; earlier ones have led to an ejection
 	waitedLatencies float64      // sum of the waits in flight since answeredAt, in usual latencies
 }
 
@@ -55,7 +55,7 @@
 // otherwise than in one.
 func (s outlierState) informative(now Time) bool {
 	s.suspicions.decayTo(now, suspicionTimeConstant)
-	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeReports
+	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeSuspicions
 }
 
 // attemptStarted records an attempt. It is a trial if the server has failed since its last success.
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -1,23 +1,5 @@
 package decision
 
-const (
-	ownerTimeoutObjectives      = 0.2                // wait for an owner's response, in shortest latency objectives
-	ownerTimeoutsPerDeadline    = 2                  // timeouts, with answer margins, that must fit before the deadline
-	maxMeshRateRatio            = 0.75               // share of the peer message rate up to which all nodes report to all
-	maxQueryRateRatio           = 0.7                // share of the peer message rate that queries to an owner may use
-	minQueryRateRatio           = 0.2                // share of that rate that queries about one customer may always use
-	minQueryRatio               = 0.01               // least share of a customer's requests that peers query
-	queryOversubscription       = 1.5                // queries to receive, for each request that the bucket can admit
-	queryRatioLifetime          = peerSilenceTimeout // over which a query ratio loses its effect
-	reservationLatencies        = 3.0                // longest reservation, in usual latencies
-	optimisticMinRatePerNode    = 0.25               // least demand for optimistic admission, in units a second and node
-	optimisticReserveRatio      = 0.7                // bucket level below which optimistic admission ends, in bursts
-	ownerCeilingRatio           = 0.5                // share of a hard ceiling that the owner keeps
-	meanUnitsSmoothing          = 0.3                // weight of a request in the moving average of units
-	minDemandRate               = 1e-9               // units a second; keeps a quotient finite
-	optimisticStartReserveRatio = (1 + optimisticReserveRatio) / 2
-)
-
 // quotaOwner assigns each customer an owner, which is one node of the customer's set. It is in use when a fleet is too
 // large for all nodes to report to all others.
 //
@@ -34,6 +16,28 @@
 	peerMessages decayingMean // received by this node
 }
 
+const (
+	maxMeshRateRatio       = 0.75 // share of the peer message rate up to which all nodes report to all
+	ownerTimeoutObjectives = 0.2  // wait for an owner's response, in shortest latency objectives
+	minOwnerTimeoutsLeft   = 2    // owner timeouts and answer margins left before the deadline, for a request to wait
+	reservationLatencies   = 3.0  // longest reservation, in usual latencies
+	ownerCeilingRatio      = 0.5  // share of a hard ceiling that the owner keeps
+	meanUnitsSmoothing     = 0.3  // weight of a request in the moving average of units
+	minDemandRate          = 1e-9 // least divisor of a rate, in units a second; avoids a division by 0
+
+	maxQueryRateRatio     = 0.7  // share of the peer message rate that queries to an owner may use
+	minQueryRateRatio     = 0.2  // share of the peer message rate that queries for one customer may always use
+	minQueryRatio         = 0.01 // least share of a customer's requests for which nodes query the owner
+	queryOversubscription = 1.5  // queries that the owner asks for, for each request that the bucket can admit
+
+	queryRatioLifetime = peerSilenceTimeout // age at which a query ratio has lost its effect
+
+	optimisticMinRatePerNode = 0.25 // least demand for optimistic admission, in units a second per node
+	optimisticReserveRatio   = 0.7  // bucket level below which optimistic admission ends, in bursts
+
+	optimisticStartReserveRatio = (1 + optimisticReserveRatio) / 2 // bucket level at which it begins, in bursts
+)
+
 // optimisticChange is the effect of an update on optimistic admission.
 type optimisticChange uint8
 
@@ -81,25 +85,25 @@
 }
 
 // refillOwnerCeiling refills the owner's part of a hard ceiling.
-func refillOwnerCeiling(b *tokenBucket, p *quotaPlan, now Time) {
-	b.refill(now, ownerCeilingRatio*p.ceilingRate, ownerCeilingRatio*p.ceilingBurst)
+func refillOwnerCeiling(b *tokenBucket, plan *quotaPlan, now Time) {
+	b.refill(now, ownerCeilingRatio*plan.ceilingRate, ownerCeilingRatio*plan.ceilingBurst)
 }
 
 // grant reports whether a customer's bucket, in-flight limit and ceiling have room for a queried request. If so, it
 // charges them. It runs at the customer's owner. The usual latency is in units of Time.
 func (o *quotaOwner) grant(c *customer, query customerReport, from NodeID, usualLatency float64, now Time) bool {
-	p, units := &o.config.plans[c.plan], query.use
+	plan, units := &o.config.plans[c.plan], query.use
 	c.peerDemand.add(query.demand, now, demandTimeConstant)
 	c.meanUnits += meanUnitsSmoothing * (units - c.meanUnits)
-	c.refill(p, now)
+	c.refill(plan, now)
 	c.expireReservations(now)
-	refillOwnerCeiling(&c.ownerCeiling, p, now)
-	if !c.ownerAllows(p, units) {
+	refillOwnerCeiling(&c.ownerCeiling, plan, now)
+	if !c.ownerAllows(plan, units) {
 		return false
 	}
 	c.bucket.level -= units
 	c.ownerCeiling.level -= units
-	if p.maxInFlight > 0 {
+	if plan.maxInFlight > 0 {
 		until := now + Time(reservationLatencies*usualLatency)
 		c.reservations = append(c.reservations, reservation{from, query.request, until})
 	}
@@ -107,25 +111,25 @@
 }
 
 // ownerAllows reports whether the owner's bucket, reservations and part of the ceiling have room for units.
-func (c *customer) ownerAllows(p *quotaPlan, units float64) bool {
-	hasCeiling := p.ceilingRate > 0 || p.ceilingBurst > 0
-	bucketAllows := p.rate <= 0 || c.bucket.level >= min(units, p.burst)
-	inFlightAllows := p.maxInFlight == 0 || len(c.reservations) < p.maxInFlight
+func (c *customer) ownerAllows(plan *quotaPlan, units float64) bool {
+	hasCeiling := plan.ceilingRate > 0 || plan.ceilingBurst > 0
+	bucketAllows := plan.rate <= 0 || c.bucket.level >= min(units, plan.burst)
+	inFlightAllows := plan.maxInFlight == 0 || len(c.reservations) < plan.maxInFlight
 	ceilingAllows := !hasCeiling || c.ownerCeiling.level >= units
 	return bucketAllows && inFlightAllows && ceilingAllows
 }
 
 // update sets the customer's query ratio and optimistic admission. It runs at the customer's owner.
 func (o *quotaOwner) update(c *customer, now Time) optimisticChange {
-	p := &o.config.plans[c.plan]
-	c.refill(p, now)
+	plan := &o.config.plans[c.plan]
+	c.refill(plan, now)
 	demand := demandRate(&c.peerDemand, now)
 	c.queryRatio = 1
 	if demand > 0 {
 		c.queryRatio = o.queryRatio(c, demand, now)
 	}
 	before := c.optimistic
-	c.optimistic = c.allowsOptimistic(p, demand)
+	c.optimistic = c.allowsOptimistic(plan, demand)
 	if before && !c.optimistic {
 		return optimisticRevoked
 	}
@@ -135,12 +139,12 @@
 // queryRatio returns the share of a customer's requests that other nodes should query, for a demand above 0 in units a
 // second.
 func (o *quotaOwner) queryRatio(c *customer, demand float64, now Time) float64 {
-	p := &o.config.plans[c.plan]
+	plan := &o.config.plans[c.plan]
 	otherMessages := demandRate(&o.peerMessages, now) - c.peerDemand.count/seconds(demandTimeConstant)
 	queries := max(minQueryRateRatio*o.config.peerRate, maxQueryRateRatio*o.config.peerRate-otherMessages)
 	ratio := min(1, queries*c.meanUnits/demand)
-	if p.rate > 0 {
-		available := p.rate + max(0, c.bucket.level)/seconds(controlInterval)
+	if plan.rate > 0 {
+		available := plan.rate + max(0, c.bucket.level)/seconds(controlInterval)
 		ratio = min(ratio, queryOversubscription*available/demand)
 	}
 	return max(minQueryRatio, ratio)
@@ -148,15 +152,15 @@
 
 // allowsOptimistic reports whether requests are admitted before the owner learns of them. That needs frequent requests
 // and a nearly full bucket. Plans with an in-flight limit or a hard ceiling never allow it.
-func (c *customer) allowsOptimistic(p *quotaPlan, demand float64) bool {
-	if p.maxInFlight != 0 || !p.noCeiling() {
+func (c *customer) allowsOptimistic(plan *quotaPlan, demand float64) bool {
+	if plan.maxInFlight != 0 || !plan.noCeiling() {
 		return false
 	}
 	reserve := optimisticReserveRatio
 	if !c.optimistic {
 		reserve = optimisticStartReserveRatio
 	}
-	nearlyFull := p.rate <= 0 || c.bucket.level >= reserve*p.burst
+	nearlyFull := plan.rate <= 0 || c.bucket.level >= reserve*plan.burst
 	return nearlyFull && demand > optimisticMinRatePerNode*float64(c.spread)
 }
 
@@ -171,13 +175,13 @@
 // drawWithoutOwner reports whether a request is admitted though its owner did not respond. The probability is the even
 // share of the quota over the demand here before the request.
 func (o *quotaOwner) drawWithoutOwner(c *customer, units float64, now Time, rng *random) bool {
-	p := &o.config.plans[c.plan]
+	plan := &o.config.plans[c.plan]
 	demandBefore := demandRate(&c.demand, now) - units/seconds(demandTimeConstant)
-	probability := p.rate / float64(c.spread) / max(minDemandRate, demandBefore)
-	if p.maxInFlight != 0 && c.inFlight != 0 {
+	probability := plan.rate / float64(c.spread) / max(minDemandRate, demandBefore)
+	if plan.maxInFlight != 0 && c.inFlight != 0 {
 		return false
 	}
-	return p.rate <= 0 || rng.unit() < probability
+	return plan.rate <= 0 || rng.unit() < probability
 }
 
 // ownerAdmits reports whether a request is admitted now by its customer's owner. A request that it does not admit may
@@ -216,7 +220,7 @@
 func (e *Engine) queryOwner(c *customer, r *request) {
 	timeout := e.config.ownerTimeout
 	r.queriedOwnerAt = e.now
-	if r.deadline-e.now < ownerTimeoutsPerDeadline*(timeout+e.answerMargin()) {
+	if r.deadline-e.now < minOwnerTimeoutsLeft*(timeout+e.answerMargin()) {
 		r.queriedOwnerAt -= timeout
 	}
 	report := c.report()
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -2,9 +2,6 @@
 
 import "slices"
 
-// minPauseDivisor divides the shortest latency objective, for the shortest gap that counts as a pause.
-const minPauseDivisor = 4
-
 // pause detects scheduling pauses: times in which the host asked for a timer but did not call the engine.
 //
 //   - Inputs: the times of the host's calls.
@@ -19,6 +16,9 @@
 	arrived int // requests that arrived during the pause and are not yet reordered
 }
 
+// minPauseDivisor gives the shortest pause, as a divisor of the shortest latency objective.
+const minPauseDivisor = 4
+
 // observe records a pause if the time between two calls of the host is long enough.
 func (p *pause) observe(last, now, objective Time) {
 	if gap := now - last; gap > objective/minPauseDivisor {
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -9,7 +9,7 @@
 // once, and the limit's tokens cover the time that nothing passed.
 func TestAfterAPauseTheLastComeFirst(t *testing.T) {
 	n := plain(10, nil)
-	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 40, 500, 9*Second
+	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 40, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
@@ -36,7 +36,7 @@
 // client has no use for a late answer and the server's time is another's.
 func TestLateAfterAPauseIsRejectedWithRoomLeft(t *testing.T) {
 	n := plain(10, nil)
-	n.admission.rate, n.admission.throughput.executionTime, n.timers.intervalAt = 4000, 500, 9*Second
+	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 4000, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{4000}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -2,15 +2,6 @@
 
 import "math"
 
-const (
-	demandTimeConstant    = 2 * controlInterval // of the decaying sums of a customer's demand
-	peerSilenceTimeout    = 4 * controlInterval // without any peer message, after which peers' reports don't count
-	evenSharePriorQuotas  = 3.0                 // weight of the even share against measured demand, in quota rates
-	minPeerReports        = 0.1                 // decayed reports on a customer below which no peer reports it
-	minReportRounds       = 2                   // report intervals after which a new customer's peers have reported
-	evenShareReportFactor = 2                   // divides the even share of the quota, below which peers get no report
-)
-
 // tenantQuota keeps a customer to its plan at this node.
 //
 //   - Inputs: the customer's demand here and as peers report it, and its attempts in flight.
@@ -25,6 +16,15 @@
 	lastPeerMessageAt Time // of any peer
 }
 
+const (
+	demandTimeConstant     = 2 * controlInterval // time constant of the decaying sums of a customer's demand
+	peerSilenceTimeout     = 4 * controlInterval // time without peer messages after which reports don't count
+	evenSharePriorQuotas   = 3.0                 // weight of the even share against measured demand, in quota rates
+	minPeerReports         = 0.1                 // decayed number of reports below which no peer reports the customer
+	minReportRounds        = 2                   // report intervals after which all peers have reported a new customer
+	unreportedShareDivisor = 2                   // largest unreported demand, as a divisor of the even share
+)
+
 // quotaResult is a quota's answer for one request.
 type quotaResult struct {
 	admitted   bool
@@ -34,10 +34,10 @@
 // admit applies the customer's bucket and its limit on attempts in flight to a request. It charges nothing, and stores
 // the share of the demand in the request. The usual latency is in units of Time.
 func (q *tenantQuota) admit(c *customer, r *request, usualLatency float64, now Time) quotaResult {
-	p := &q.config.plans[c.plan]
+	plan := &q.config.plans[c.plan]
 	r.demandShare = q.demandShare(c, now)
-	if p.maxInFlight > 0 {
-		limit := max(1, int(math.Round(r.demandShare*float64(p.maxInFlight))))
+	if plan.maxInFlight > 0 {
+		limit := max(1, int(math.Round(r.demandShare*float64(plan.maxInFlight))))
 		if c.inFlight >= limit {
 			return quotaResult{retryAfter: Time(usualLatency)}
 		}
@@ -45,12 +45,12 @@
 	if c.leased { // the lease is for this node alone
 		r.demandShare = 1
 	}
-	c.refill(p, now)
-	if p.rate <= 0 {
+	c.refill(plan, now)
+	if plan.rate <= 0 {
 		return quotaResult{admitted: true}
 	}
-	if missing := min(r.units, p.burst) - c.bucket.level; missing > 0 {
-		return quotaResult{retryAfter: Time(missing / p.rate * float64(Second))}
+	if missing := min(r.units, plan.burst) - c.bucket.level; missing > 0 {
+		return quotaResult{retryAfter: Time(missing / plan.rate * float64(Second))}
 	}
 	return quotaResult{admitted: true}
 }
@@ -97,16 +97,16 @@
 // farBelowQuota reports whether a customer's demand here is at most half the even share of its quota. Peers need no
 // report on such a customer.
 func (q *tenantQuota) farBelowQuota(c *customer, now Time) bool {
-	return demandRate(&c.demand, now) <= q.config.plans[c.plan].rate/float64(evenShareReportFactor*c.spread)
+	return demandRate(&c.demand, now) <= q.config.plans[c.plan].rate/float64(unreportedShareDivisor*c.spread)
 }
 
 // ceilingAllows reports whether a plan's hard ceiling has room for units, where ratio is the share of the ceiling that
 // this node keeps. The bucket starts empty: a node can't distinguish a restart from a first start.
 func (q *tenantQuota) ceilingAllows(c *customer, units, ratio float64, now Time) bool {
-	p := &q.config.plans[c.plan]
-	if p.noCeiling() {
+	plan := &q.config.plans[c.plan]
+	if plan.noCeiling() {
 		return true
 	}
-	c.ceiling.refill(now, p.ceilingRate*ratio, p.ceilingBurst*ratio)
+	c.ceiling.refill(now, plan.ceilingRate*ratio, plan.ceilingBurst*ratio)
 	return c.ceiling.level >= units
 }
--- a/internal/decision/reason.go
+++ b/internal/decision/reason.go
@@ -7,7 +7,7 @@
 const (
 	ReasonNone          Reason = iota
 	ReasonTooLate              // too little time is left before the deadline
-	ReasonColdStart            // the concurrency limit of a node that knows no execution time yet
+	ReasonColdStart            // the concurrency limit of a node that knows no base latency yet
 	ReasonAdmissionRate        // no token of the admission rate
 	ReasonConcurrency          // the concurrency limit
 	ReasonQuota                // the customer's quota, here or at its owner
--- a/internal/decision/reports.go
+++ b/internal/decision/reports.go
@@ -1,12 +1,5 @@
 package decision
 
-const (
-	reportInterval  = controlInterval / 3 // between two usage reports to peers
-	reportRateRatio = 0.5                 // share of the peer message rate that usage reports may use
-	maxMessageBytes = 256                 // largest payload of a peer message
-	maxEntryBytes   = 56                  // largest encoding of one report or suspicion
-)
-
 // usageReports collects and sends reports on customers' demand and use to peers.
 //
 //   - Inputs: units requested, admitted and settled here, by customer.
@@ -20,6 +13,13 @@
 	pending []customerSlot // customers with an unsent report
 }
 
+const (
+	reportInterval  = controlInterval / 3 // time between two usage reports to peers
+	reportRateRatio = 0.5                 // share of the peer message rate that usage reports may use
+	maxMessageBytes = 256                 // largest payload of a peer message
+	maxEntryBytes   = 56                  // largest encoding of one report or suspicion
+)
+
 // add adds to the unsent report on a customer.
 func (u *usageReports) add(c *customer, i customerSlot, demand, use float64) {
 	c.reportDemand += demand
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -1,12 +1,5 @@
 package decision
 
-const (
-	retryBudgetRatio        = 0.2  // retries that a first attempt earns
-	maxRetryBudgetPerServer = 2    // largest retry budget, in attempts per usable server
-	hedgeDelayObjectives    = 0.33 // least delay before a hedge, in latency objectives
-	hedgeDelayLatencies     = 2.5  // least delay before a hedge, in usual latencies
-)
-
 // retryBudget limits retries and hedged requests.
 //
 //   - Inputs: first attempts, retries, the request's class, the outcomes of its attempts.
@@ -14,12 +7,20 @@
 //   - Rule: each first attempt earns retryBudgetRatio, each retry costs 1. A request that may have run is retried only
 //     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that ends.
 //   - Protects against: a storm of retries when many attempts fail.
-//   - Trade-off: few failed servers under light load can use up the budget, which holds a reserve for them.
+//   - Trade-off: under light load, a few failed servers can use up the budget. Therefore it may grow to
+//     maxRetryBudgetPerServer attempts for each usable server.
 type retryBudget struct {
 	config *config
 	left   float64
 }
 
+const (
+	retryBudgetRatio        = 0.2  // retries that a first attempt earns
+	maxRetryBudgetPerServer = 2    // largest retry budget, in attempts per usable server
+	hedgeDelayObjectives    = 0.33 // least delay before a hedge, in latency objectives
+	hedgeDelayLatencies     = 2.5  // least delay before a hedge, in usual latencies
+)
+
 // earn adds the share of a first attempt, where usable is the number of usable servers.
 func (b *retryBudget) earn(usable int) {
 	b.left = min(b.left+retryBudgetRatio, maxRetryBudgetPerServer*float64(usable))
@@ -91,8 +92,8 @@
 	return c.retrySafety == retrySafe || c.retrySafety == retryKeyed && c.keyGroup == groupAll || !r.mayHaveRun()
 }
 
-// bound reports whether a request is bound to another key group than the server's. It is where an attempt may have run
-// in that group: only its servers recognize the idempotency key.
+// bound reports whether a request must not go to a server because of its idempotency key. Servers outside the key group
+// of an attempt that may have run do not recognize the key.
 func (c *classConfig) bound(r *request, to *server, servers []server) bool {
 	if c.retrySafety != retryKeyed {
 		return false
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -1,11 +1,5 @@
 package decision
 
-const (
-	paceTimeConstant    = 5 * controlInterval // of the decaying mean of a server's pace
-	pacePriorAttempts   = 6.0                 // weight of the mean pace in a server's pace, in attempts
-	lateCancelLatencies = 1                   // duration from which a cancelled attempt counts for the pace, in usual latencies
-)
-
 // selection is a smooth weighted round robin over the servers that may take a request.
 //
 //   - Inputs: the servers' listed sizes, the durations and outcomes of attempts, the attempts in flight.
@@ -20,6 +14,12 @@
 	paces  decayingMean // of the usable tracked servers, from the last attempt check on
 }
 
+const (
+	paceTimeConstant    = 5 * controlInterval // time constant of the decaying mean of a server's pace
+	pacePriorAttempts   = 6.0                 // weight of the mean pace in a server's pace, in attempts
+	lateCancelLatencies = 1                   // usual latencies above which a cancelled attempt counts for the pace
+)
+
 // selectionPass is one pass over the candidates. Each pass accepts more servers than the one before.
 type selectionPass uint8
 
@@ -54,7 +54,8 @@
 	case TimedOut, ConnectFailed, ConnectionReset:
 		latencies = max(1, latencies)
 	case Cancelled:
-		if late := latencies > lateCancelLatencies; !late {
+		late := latencies > lateCancelLatencies
+		if !late {
 			return
 		}
 	default:
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -82,8 +82,8 @@
 
 // chargeAdmitted charges a customer's buckets under the other settings for a request that the node admitted.
 func (e *Engine) chargeAdmitted(c *customer, r *request) {
-	p, owned := &e.config.plans[c.plan], e.owner.owned(c)
-	c.refill(p, e.now)
+	plan, owned := &e.config.plans[c.plan], e.owner.owned(c)
+	c.refill(plan, e.now)
 	e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) // refills the ceiling
 	demandShare := 1.0
 	if !owned {
@@ -91,7 +91,7 @@
 	}
 	c.charge(r.units, demandShare)
 	if owned && e.owner.isOwner(c) {
-		refillOwnerCeiling(&c.ownerCeiling, p, e.now)
+		refillOwnerCeiling(&c.ownerCeiling, plan, e.now)
 		c.ownerCeiling.level -= r.units
 	} else {
 		c.ceiling.level -= r.units
@@ -114,9 +114,9 @@
 	if e.shadow == nil {
 		return
 	}
-	p, b := e.shadow.planOf(c), e.shadow.bucketsOf(c, e.now)
-	b.quota.refill(e.now, p.rate, p.burst)
-	refillOwnerCeiling(&b.ownerCeiling, p, e.now)
+	plan, b := e.shadow.planOf(c), e.shadow.bucketsOf(c, e.now)
+	b.quota.refill(e.now, plan.rate, plan.burst)
+	refillOwnerCeiling(&b.ownerCeiling, plan, e.now)
 	b.ownerCeiling.level -= units
 	b.quota.level -= units
 	e.shadow.buckets[c.id] = b
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -1,15 +1,5 @@
 package decision
 
-const (
-	slowStartBudgetRatio   = 0.4                  // share of the recovery budget usable at once, and again in each span
-	maxAttemptsAtWarmth    = 2                    // attempts in flight beyond the first, for a weight of 1
-	warmRateIntervals      = 4                    // intervals in the mean rate of a warm server
-	maxWarmRateRatio       = 1.6                  // largest rate of a warm server now, over its rate in an earlier interval
-	warmRateDecay          = 0.03                 // share of the best warm rate that is lost in an interval
-	clockToleranceSpans    = 1.0                  // clock difference that a list's delay explains, in recovery spans
-	completedSizesConstant = 33 * controlInterval // time constant of the mean size of servers that completed attempts
-)
-
 // slowStart limits the attempts that this node sends to servers that started recently.
 //
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
@@ -30,6 +20,16 @@
 	clockSeen       bool         // the servers' clock has been observed
 }
 
+const (
+	slowStartBudgetRatio       = 0.4                  // share of the recovery budget usable at once, and again in each span
+	extraInFlightAtFullWeight  = 2                    // attempts in flight beyond the first, at a weight of 1
+	warmRateIntervals          = 4                    // intervals in the mean rate of a warm server
+	maxWarmRateRatio           = 1.6                  // largest rate of a warm server, over that of an earlier interval
+	warmRateDecay              = 0.03                 // share of the best warm rate that is lost in an interval
+	clockToleranceSpans        = 1.0                  // clock difference that a list's delay explains, in recovery spans
+	completedSizesTimeConstant = 33 * controlInterval // time constant of the mean size of completing servers
+)
+
 // slowStartState holds the attempts that count against a server's budget.
 type slowStartState struct {
 	sent float64 // attempts, as of at
@@ -83,7 +83,7 @@
 	}
 	l.drain(s, now, subsetRatio)
 	budget := max(1, l.budget(s, now, subsetRatio))
-	maxInFlight := 1 + int(weight*maxAttemptsAtWarmth)
+	maxInFlight := 1 + int(weight*extraInFlightAtFullWeight)
 	return s.inSubset && s.inFlight < maxInFlight && s.slowStart.sent+1 <= budget
 }
 
@@ -122,7 +122,7 @@
 
 // attemptCompleted records that a server completed an attempt.
 func (l *slowStart) attemptCompleted(s *server, now Time) {
-	l.completedSizes.add(s.size(), now, completedSizesConstant)
+	l.completedSizes.add(s.size(), now, completedSizesTimeConstant)
 }
 
 // relativeSize returns a server's listed size over the mean size of the servers that completed attempts recently.
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -1,22 +1,13 @@
 package decision
 
-const (
-	subsetRateTimeConstant  = 5 * controlInterval // of the rate of attempts that sizes the subset
-	attemptsPerIdleTimeout  = 60.0                // attempts at each server of the subset in a connection's idle timeout
-	minSubsetServers        = 4
-	minTrackedServers       = 256
-	trackedServersPerSubset = 2 // tracked servers for each server of the subset, above minTrackedServers
-	minNodesPerShuffle      = 8 // nodes that share a shuffle of the servers; also the nodes that use each server
-)
-
 // subsetChooser chooses the servers that this node uses: its subset, and the tracked servers beyond it.
 //
 //   - Inputs: the number of ready servers, the settings, the rate of this node's attempts.
 //   - State: the decaying rate of attempts.
 //   - Rule: groups of nodes share a shuffle of the servers, in which zones alternate. Each node of a group starts at
-//     an even position of it. The subset is as large as this node's attempts keep its connections from idling out, and
-//     large enough that minNodesPerShuffle nodes use each server. The tracked servers that follow take the requests
-//     that the subset can't.
+//     an even position of it. The subset grows with this node's rate of attempts, so that each connection is used before
+//     its idle timeout. It is at least so large that minNodesPerShuffle nodes use each server. The tracked servers that
+//     follow take the requests that the subset can't.
 //   - Protects against: a connection for every second attempt, attempts lost at each failing server of the fleet, and
 //     a scan of thousands of servers for each request.
 //   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
@@ -28,6 +19,15 @@
 	ratio        float64 // ready servers for each server of the subset, at least 1
 }
 
+const (
+	subsetRateTimeConstant  = 5 * controlInterval // time constant of the rate of attempts that sizes the subset
+	attemptsPerIdleTimeout  = 60.0                // attempts at each server of the subset in an idle timeout
+	minSubsetServers        = 4                   // least size of a subset
+	minTrackedServers       = 256                 // least number of tracked servers
+	trackedServersPerSubset = 2                   // tracked servers for each server of the subset
+	minNodesPerShuffle      = 8                   // nodes that share a shuffle, and nodes that use each server
+)
+
 // zoneLayout is the place of zones in a shuffle.
 type zoneLayout uint8
 
--- a/internal/decision/throughput.go
+++ b/internal/decision/throughput.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-const (
-	minExecutionTimeSamples = 30 // completed attempts in a mean that counts for T
-	executionTimeIntervals  = 30 // recent means among which T is the lowest
-	bestRateIntervals       = 8  // recent intervals among which the best completed rate is chosen
-	completionsIntervals    = 3  // recent intervals among which completionsIn chooses the best rate
-)
-
-// throughput measures the completed rate of this node's attempts and their execution time T. T is the lowest recent
+// throughput measures the completed rate of this node's attempts and their base latency T. T is the lowest recent
 // mean duration, so that it leaves out waits in queues. The zero value is ready for use.
 type throughput struct {
-	executionTime float64   // T, in units of Time; 0 while unknown
-	times         []float64 // recent mean durations, in units of Time, at most executionTimeIntervals
-	rates         []float64 // completed attempts a second of recent intervals, at most bestRateIntervals
-	timeSum       float64   // sum of the durations since the last entry of times
-	timeCount     int       // number of durations in timeSum
+	baseLatency float64   // T, in units of Time; 0 while unknown
+	times       []float64 // recent mean durations, in units of Time, at most baseLatencyIntervals
+	rates       []float64 // completed attempts a second of recent intervals, at most bestRateIntervals
+	timeSum     float64   // sum of the durations since the last entry of times
+	timeCount   int       // number of durations in timeSum
 }
 
+const (
+	minBaseLatencySamples = 30 // completed attempts in a mean that counts for T
+	baseLatencyIntervals  = 30 // recent means among which T is the lowest
+	bestRateIntervals     = 8  // recent intervals among which the best completed rate is chosen
+	completionsIntervals  = 3  // recent intervals among which completionsIn chooses the best rate
+)
+
 // recordCompletion adds the duration of a completed attempt.
 func (t *throughput) recordCompletion(duration Time) {
 	t.timeSum += float64(duration)
@@ -29,13 +29,13 @@
 // if they have few completions. It needs as many samples as there are requests in flight: a fresh node's first
 // completions are its shortest.
 func (t *throughput) closeInterval(rate float64, requests int) {
-	if t.timeCount >= minExecutionTimeSamples && t.timeCount >= requests {
-		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), executionTimeIntervals)
+	if t.timeCount >= minBaseLatencySamples && t.timeCount >= requests {
+		t.times = appendRecent(t.times, t.timeSum/float64(t.timeCount), baseLatencyIntervals)
 		t.timeSum, t.timeCount = 0, 0
 	}
 	t.rates = appendRecent(t.rates, rate, bestRateIntervals)
 	if t.known() {
-		t.executionTime = slices.Min(t.times)
+		t.baseLatency = slices.Min(t.times)
 	}
 }
 
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -1,13 +1,5 @@
 package decision
 
-const (
-	checksPerObjective   = 30   // attempt checks in the shortest latency objective
-	minCheckInterval     = 1    // in units of Time
-	pollBackoffIntervals = 3.0  // longest delay of a poll after a failed one, in control intervals
-	minPollBackoffRatio  = 0.34 // least delay, as a share of the longest
-	suspicionInterval    = controlInterval
-)
-
 // timers holds the times of this node's periodic tasks: attempt checks, intervals, messages to peers, and polls of
 // discovery. It also knows for when the host's timer is set.
 type timers struct {
@@ -20,6 +12,14 @@
 	hostAt      Time // time for which the host's timer is set
 }
 
+const (
+	checksPerObjective   = 30              // attempt checks in the shortest latency objective
+	minCheckInterval     = 1               // in units of Time
+	pollBackoffIntervals = 3.0             // longest delay of a poll after a failed one, in control intervals
+	minPollBackoffRatio  = 0.34            // least delay, as a share of the longest
+	suspicionInterval    = controlInterval // time between two messages with suspicions
+)
+
 // newTimers returns the timers of a node that starts now. Polls begin at once if the settings ask for them.
 func newTimers(now Time, c *config) timers {
 	t := timers{
