--- a/internal/node/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -5,7 +5,7 @@
 import (
 	"errors"
 
-	"cherrygap/internal/transport"
+	"cherrygap/internal/frontend"
 )
 
 // errNoGRPC is a part of the operator file that needs gRPC. The program is built without it by default: it is twice the
@@ -14,4 +14,4 @@
 
 func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
 
-func listenGRPC(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
+func listenGRPC(*config, *frontend.Server) (drain func(), err error) { return nil, errNoGRPC }
