--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -30,8 +30,8 @@
 	countsLatency bool    // latency is a sample for the admission limit
 }
 
-// decide returns the action for a request. It returns a Decision with noAction while the request has an attempt in
-// flight, streams its response or waits for its quota owner.
+// decide returns the action for a request. The action is noAction while the request has an attempt in flight, streams
+// its response, or waits for its quota owner.
 func (e *Engine) decide(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if r.closed || r.streaming || r.inFlight > 0 {
@@ -152,7 +152,7 @@
 }
 
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
-// repeat, and fails any other. A rejection carries a Retry-After of at least retryAfter, if the settings ask for one.
+// repeat, and fails any other. If the settings ask for it, a rejection carries retryAfter, clamped to a range.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
@@ -167,12 +167,12 @@
 	return d
 }
 
-// assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency, where
-// state is the server's for the class.
+// assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency. The
+// state is that of the server for the class.
 //
-// A timeout below half the latency objective carries none: the client was impatient. A timeout whose response is
-// presumed lost, a broken connection and an end at an ejected server concern that server, not the back end's queue.
-// Any other end without a response counts as one latency objective.
+// A timeout below half the latency objective carries no information: the client was impatient. Some ends concern only
+// the server, not the back end's queue: a timeout whose response is presumed lost, a broken connection, and any end at
+// an ejected server. Other timeouts, and rejections by the server, count as one latency objective.
 func (e *Engine) assessAttempt(result AttemptResult, class ClassID, state *outlierState) attemptAssessment {
 	objective := e.config.classes[class].latencyObjective
 	switch {
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -49,16 +49,16 @@
 // endpointSet holds the servers, and which of them this node uses.
 //
 // The subset holds the servers that requests go to first. The tracked servers are the subset, the servers that requests
-// go to next, and any others with attempts in flight. Only they have outlier states, with the exception of the untracked
-// servers that a peer suspects.
+// go to next, and any others with attempts in flight. Every tracked server has outlier states. An untracked one has them
+// only while they carry information, such as a peer's suspicion.
 type endpointSet struct {
 	servers      []server
 	slots        slotIndex[ServerID, serverSlot]
 	ready        int           // servers that the list names as ready
-	usable       int           // tracked servers that attempts may go to
+	usable       int           // tracked servers of the last choice, all of them usable then
 	order        endpointOrder // of the usable servers
-	subset       []serverSlot  // ascending
-	tracked      []serverSlot  // ascending
+	subset       []serverSlot  // servers of the subset, ascending
+	tracked      []serverSlot  // tracked servers, ascending
 	spareTracked []serverSlot  // buffer for the next tracked servers
 	warming      []serverSlot  // servers that started recently
 	untracked    []serverSlot  // servers with outlier states that are not tracked
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -2,17 +2,17 @@
 
 // Engine makes the decisions of one node and holds its state. It is not safe for concurrent use.
 type Engine struct {
-	config      *config
-	now         Time
-	random      random
-	shadow      *shadow // nil while shadow evaluation is off
-	classes     []classState
-	endpoints   endpointSet
-	requests    requestTable
-	followsList bool // a list has come from discovery: a server that a later one adds has just started
-	customers   customerTable
-	outbox      outbox
-	scratch     []byte // holds the payload of the last decision
+	config       *config
+	now          Time
+	random       random
+	shadow       *shadow // nil while shadow evaluation is off
+	classes      []classState
+	endpoints    endpointSet
+	requests     requestTable
+	listReceived bool // discovery has sent a list: a server that a later one adds has just started
+	customers    customerTable
+	outbox       outbox
+	scratch      []byte // buffer for the payloads of summaries and suspicions
 
 	admission admissionLimit
 	quota     tenantQuota
@@ -84,7 +84,7 @@
 	for _, endpoint := range list {
 		i := e.updateServer(endpoint, max(len(list), set.ready))
 		s := &set.servers[i]
-		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.followsList {
+		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.listReceived {
 			e.slowStart.observeClock(s.Started, e.now)
 		}
 		if kind == ListUpdate {
@@ -99,7 +99,7 @@
 	} else {
 		set.recountReady()
 	}
-	e.followsList = e.followsList || kind != CachedList
+	e.listReceived = e.listReceived || kind != CachedList
 	e.chooseSubset()
 }
 
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -7,8 +7,8 @@
 
 // shadow evaluates other settings and counts the decisions that would differ under them. It has no effect on the node.
 //
-// Before each decision on a request, a copy of the engine decides under the other settings, with the same random
-// numbers, and is then dropped. Only the customers' buckets under the other settings are kept. They are charged for the
+// Before each decision on a request, a copy of the engine decides under the other settings. The copy has the same random
+// numbers and is dropped afterwards. Only the customers' buckets under the other settings are kept. They are charged for the
 // requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under the
 // other settings, in which queues, retries and reports would differ too.
 type shadow struct {
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -3,8 +3,8 @@
 // slowStart limits the attempts that this node sends to servers that started recently.
 //
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
-//   - State: the rate of a warm server, the attempts counted against each warming server, and a bound on the
-//     difference between this node's clock and that of the servers.
+//   - State: the rate of a warm server, and the attempts counted against each warming server. A bound on the difference
+//     between this node's clock and the servers' clock.
 //   - Rule: over recoverySpan all nodes together may send a server recoveryMultiple times its capacity. This node uses
 //     slowStartBudgetRatio of its share at once, and as much again over each span.
 //   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -8,8 +8,8 @@
 //     an even position of it. The subset grows with this node's rate of attempts, so that each connection is used before
 //     its idle timeout. It is at least so large that minNodesPerShuffle nodes use each server. The tracked servers that
 //     follow take the requests that the subset can't.
-//   - Protects against: a connection for every second attempt, attempts lost at each failing server of the fleet, and
-//     a scan of thousands of servers for each request.
+//   - Protects against: a new connection for every second attempt, and a scan of thousands of servers for each request.
+//     A node does not lose attempts at each failing server of the fleet.
 //   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
 //     requests to the other tracked servers.
 type subsetChooser struct {
