--- a/cmd/cherrygap/config.go
+++ b/cmd/cherrygap/config.go
@@ -50,11 +50,11 @@
 	randomSeed    uint64                // Seed
 	known         protocol.EndpointList // Known; empty where it can't be read
 	knownErr      error                 // why Known can't be read
-	settings      map[string]string     // Settings by this program's names, the operator file's over them
+	settings      *settings.Settings    // Settings, the operator file's over them
 
 	deprecations   []operatorfile.Deprecation
-	shadowSettings map[string]string // for the shadow evaluation; nil for none
-	logLevel       zerolog.Level     // applyOperator sets it: the zero value would be debug
+	shadowSettings *settings.Settings // for the shadow evaluation; nil for none
+	logLevel       zerolog.Level      // applyOperator sets it: the zero value would be debug
 	healthChecks   operatorfile.HealthChecks
 	quota          operatorfile.Quota
 	authz          operatorfile.Authz
--- a/cmd/cherrygap/config_parts.go
+++ b/cmd/cherrygap/config_parts.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
 	"syscall"
 	"time"
 
@@ -10,35 +9,10 @@
 	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/quota"
-	"cherrygap/internal/settings"
 	"cherrygap/internal/transport"
 )
 
-const (
-	settingsTick          = 100 * time.Microsecond // the unit of times in the settings
-	defaultConnectTimeout = time.Second            // where the settings give none above 0
-)
-
-// boolSetting reports whether a setting is on.
-func (c *config) boolSetting(name string) bool { return c.settings[name] == settings.On }
-
-// intSetting is a setting that is a whole number; one that can't be read counts as 0, as the decision engine has it.
-func (c *config) intSetting(name string) int {
-	value, _ := strconv.Atoi(c.settings[name])
-	return value
-}
-
-// floatSetting is a setting that is a number; one that can't be read counts as 0.
-func (c *config) floatSetting(name string) float64 {
-	value, _ := strconv.ParseFloat(c.settings[name], 64)
-	return value
-}
-
-// durationSetting is a setting that is a time; one that can't be read counts as 0.
-func (c *config) durationSetting(name string) time.Duration {
-	ticks, _ := strconv.ParseInt(c.settings[name], 10, 64)
-	return time.Duration(ticks) * settingsTick
-}
+const defaultConnectTimeout = time.Second // where the settings give none above 0
 
 // transportLimits are the limits of the node's own sockets and buffers. Of descriptors the process may have fewer than the
 // platform says.
@@ -46,8 +20,8 @@
 	limits := transport.Limits{
 		Sockets:           c.Limits.Sockets,
 		MemoryMB:          c.Limits.MemoryMB,
-		ServerIdleTimeout: c.durationSetting(settings.IdleTimeout),
-		ConnectTimeout:    c.durationSetting(settings.ConnectTimeout),
+		ServerIdleTimeout: c.settings.IdleTimeout.Whole(),
+		ConnectTimeout:    c.settings.ConnectTimeout.Whole(),
 		GRPC:              c.grpc.Listen != "",
 	}
 	var files syscall.Rlimit
@@ -62,25 +36,23 @@
 
 // pollsDiscovery reports whether the node asks the discovery service for lists when the decision engine says so; else the
 // service pushes them.
-func (c *config) pollsDiscovery() bool {
-	return c.settings[settings.EndpointList] == settings.EndpointListPoll
-}
+func (c *config) pollsDiscovery() bool { return c.settings.PollsEndpoints() }
 
 // sharesHealthChecks reports whether this node takes part in the fleet's shared health checks: where the operators want it,
 // the platform allows health checks and messages between nodes, and this node is one of several with an address.
 func (c *config) sharesHealthChecks() bool {
-	wanted := c.healthChecks.Enabled && c.boolSetting(settings.HealthChecks) && c.boolSetting(settings.Peers)
-	self, err := strconv.Atoi(c.settings[settings.Node])
-	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && err == nil && self >= 0 && self < len(c.Peers)
+	wanted := c.healthChecks.Enabled && c.settings.HealthChecks && c.settings.Peers
+	self, ok := c.settings.Node.Whole()
+	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && ok && self >= 0 && self < len(c.Peers)
 }
 
 // healthCheckConfig is what the shared health checks start with.
 func (c *config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
-		Self:        healthcheck.NodeID(int(c.floatSetting(settings.Node))),
+		Self:        healthcheck.NodeID(int(c.settings.Node.FloatOrInf())),
 		Nodes:       len(c.Peers),
 		Seed:        c.randomSeed,
-		ReceiveRate: c.floatSetting(settings.PeerRate),
+		ReceiveRate: c.settings.PeerRate.FloatOrInf(),
 		SendRate:    c.healthChecks.MaxBytesPerS,
 		Interval:    time.Duration(c.healthChecks.IntervalMs * float64(time.Millisecond)),
 	}
@@ -88,9 +60,9 @@
 
 // requestClasses lists the names and latency objectives of the request classes, by number.
 func (c *config) requestClasses() (names []string, objectives []time.Duration) {
-	names = settings.ClassNames(c.settings)
+	names = c.settings.ClassNames()
 	for i := range names {
-		objectives = append(objectives, c.durationSetting(settings.ClassKey(i, settings.ClassLatencyObjective)))
+		objectives = append(objectives, c.settings.Classes.At(i).LatencyObjective.Whole())
 	}
 	return names, objectives
 }
@@ -101,9 +73,11 @@
 	if _, objectives := c.requestClasses(); len(objectives) > 0 {
 		shortest = slices.Min(objectives)
 	}
+	self, _ := c.settings.Node.Whole()
+	nodes, _ := c.settings.Nodes.Whole()
 	return quota.Config{
-		Self:         quota.NodeID(c.intSetting(settings.Node)),
-		Nodes:        c.intSetting(settings.Nodes),
+		Self:         quota.NodeID(self),
+		Nodes:        nodes,
 		Seed:         c.randomSeed,
 		ExchangeRate: c.quota.MaxCallsPerS,
 		Timeout:      quota.ExchangeTimeout(shortest),
@@ -115,8 +89,8 @@
 func (c *config) authorizationConfig() (authz.Config, map[string]int, error) {
 	names, objectives := c.requestClasses()
 	cfg, numbers := authz.Config{MaxInFlight: c.authz.MaxInFlight}, map[string]int{}
-	if c.boolSetting(settings.RetryAfter) {
-		cfg.MaxRetryAfter = c.durationSetting(settings.MaxRetryAfter)
+	if c.settings.RetryAfter {
+		cfg.MaxRetryAfter = c.settings.MaxRetryAfter.Whole()
 	}
 	for i, name := range names {
 		numbers[name] = i
--- a/cmd/cherrygap/config_test.go
+++ b/cmd/cherrygap/config_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	l := c.transportLimits()
-	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings[settings.Node] != "2" ||
+	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings.Node.String() != "2" ||
 		l.ServerIdleTimeout != 15*time.Second || l.ConnectTimeout != 250*time.Millisecond || l.Sockets != 1024 {
 		t.Errorf("read as %+v, limits %+v", c, l)
 	}
@@ -41,7 +41,7 @@
 		t.Run(known, func(t *testing.T) {
 			text := strings.Replace(goodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
 			writeFile(t, file, text)
-			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings[settings.Node] != "2" {
+			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings.Node.String() != "2" {
 				t.Errorf("%v", err)
 			}
 			wantReload(t, old, "")
@@ -67,7 +67,7 @@
 	t.Helper()
 	moved := ""
 	next, err := old.reload(func(address string) { moved += address })
-	if err != nil || moved != want || next.knownErr == nil || next.settings[settings.Node] != "2" {
+	if err != nil || moved != want || next.knownErr == nil || next.settings.Node.String() != "2" {
 		t.Errorf("on SIGHUP: moved to %q, want %q, %v", moved, want, err)
 	}
 }
@@ -117,7 +117,11 @@
 // platform does not name ends the start with its name.
 func TestOperatorSettings(t *testing.T) {
 	text := strings.Replace(goodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
-	for _, c := range []struct{ operator, repeats, shadow, fault string }{
+	for _, c := range []struct {
+		operator        string
+		repeats, shadow settings.RetrySafety
+		fault           string
+	}{
 		{"", settings.RetryUnsafe, "", ""},
 		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", settings.RetrySafe, "", ""},
 		{"[watch.settings]\nexecutions = 2\n", settings.RetryUnsafe, "", ""},
@@ -136,9 +140,12 @@
 			}
 			continue
 		}
-		key := settings.ClassKey(0, settings.ClassRetrySafety)
-		if err != nil || conf.settings[key] != c.repeats || conf.shadowSettings[key] != c.shadow {
-			t.Errorf("%q: %v, %v, shadow %v", c.operator, err, conf.settings, conf.shadowSettings)
+		shadow := settings.RetrySafety("")
+		if conf.shadowSettings != nil {
+			shadow = conf.shadowSettings.Classes.At(0).RetrySafety
+		}
+		if got := conf.settings.Classes.At(0).RetrySafety; err != nil || got != c.repeats || shadow != c.shadow {
+			t.Errorf("%q: %v, %v, shadow %v", c.operator, err, got, shadow)
 		}
 	}
 }
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -15,7 +15,7 @@
 		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
 		settings.MaxAttempts: "3",
-	}, Second)
+	}.parse(), Second)
 	n.UpdateEndpoints(CachedList, []Endpoint{{Server: 5, State: Ready, Weight: 1}, {Server: 9, State: Ready, Weight: 1}})
 	for id := range RequestID(50) {
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,5 +1,7 @@
 package decision
 
+import "cherrygap/internal/settings"
+
 // Engine decides for one node: it holds all that the node knows.
 type Engine struct {
 	config      *config
@@ -36,7 +38,7 @@
 }
 
 // New makes an engine that knows its settings only. Engines with the same seed and input decide the same.
-func New(seed uint64, set Settings, now Time) *Engine {
+func New(seed uint64, set *settings.Settings, now Time) *Engine {
 	e := &Engine{
 		now:       now,
 		random:    newRandom(seed),
@@ -48,7 +50,7 @@
 		subsets:   subsetChooser{startedAt: now, ratio: 1},
 		interval:  intervalStats{startedAt: now},
 	}
-	e.configure(parseSettings(set))
+	e.configure(newConfig(set))
 	e.timers = newTimers(now, e.config.pollEndpoints)
 	return e
 }
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -39,7 +39,7 @@
 
 // plain is a node of one safe class and one plan, with some servers, and what a test adds.
 func plain(servers int, more Settings) *Engine {
-	n := New(7, plainSettings(more), Second)
+	n := New(7, plainSettings(more).parse(), Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i), State: Ready, Weight: 1})
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -112,7 +112,7 @@
 }
 
 func (h *host) begin() {
-	h.engine = New(uint64(h.rng.Int63()), h.set, h.now)
+	h.engine = New(uint64(h.rng.Int63()), h.set.parse(), h.now)
 	h.update(CachedList)
 }
 
--- a/internal/decision/pin_play_test.go
+++ b/internal/decision/pin_play_test.go
@@ -102,7 +102,7 @@
 			set[name] = v
 		}
 		set["node"] = strconv.Itoa(id)
-		n := New(uint64(seed)<<32|uint64(id*7919+1), set, p.now)
+		n := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
 		n.SetTime(p.now)
 		n.UpdateEndpoints(setup.listAt0, p.listings(p.servers...))
 		if setup.shadow != nil {
@@ -113,7 +113,7 @@
 			for name, v := range setup.shadow {
 				other[name] = v
 			}
-			n.StartShadow(other)
+			n.StartShadow(other.parse())
 		}
 		p.nodes, p.open = append(p.nodes, n), append(p.open, map[RequestID]*pinRequest{})
 		p.pull(k)
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/pin_settings_test.go
@@ -131,7 +131,7 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.take}, Second); n.config.owners != c.want {
+		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.take}.parse(), Second); n.config.owners != c.want {
 			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.config.owners)
 		}
 	}
--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -44,7 +44,7 @@
 		for seed := range uint64(2) {
 			n := New(seed*7919+3, Settings{
 				"nodes": "3", "class.0.latency_objective": "6000", "endpoint_list": "poll", "poll_within": within,
-			}, Second)
+			}.parse(), Second)
 			for now := Second; now < 20*Second; now += 10 {
 				n.SetTime(now)
 				if pollsDiscovery(n) {
@@ -119,7 +119,7 @@
 			n := New(uint64(me), Settings{
 				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true", "peer_messages_per_s": "40",
 				"tick": "10", "class.0.latency_objective": "6000", "idle_timeout": "300000",
-			}, Second)
+			}.parse(), Second)
 			list := []Endpoint{}
 			for i := range c.servers {
 				list = append(list, Endpoint{
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -1,40 +1,8 @@
 package decision
 
-import (
-	"slices"
-	"strconv"
-	"strings"
+import "cherrygap/internal/settings"
 
-	"cherrygap/internal/settings"
-)
-
-// Settings are the figures handed over at start, by the keys of package settings.
-type Settings map[string]string
-
-// Number is a number; 0 where the name is missing or its value can't be parsed.
-func (s Settings) Number(name string) float64 {
-	v, err := strconv.ParseFloat(s[name], 64)
-	if err != nil {
-		return 0
-	}
-	return v
-}
-
-// Duration is a duration in tenths of a millisecond, cut to whole ones.
-func (s Settings) Duration(name string) Time { return Time(s.Number(name)) }
-
-// Enabled tells whether a setting is on: only the word true is.
-func (s Settings) Enabled(name string) bool { return s[name] == settings.On }
-
-// Words is a list of words, separated by commas.
-func (s Settings) Words(name string) []string {
-	if s[name] == "" {
-		return nil
-	}
-	return strings.Split(s[name], ",")
-}
-
-// retrySafety is whether a request may run more than once.
+// retrySafety is how often a request may run.
 type retrySafety uint8
 
 const (
@@ -43,51 +11,51 @@
 	retryNever
 )
 
-// keyGroup is within which servers an idempotency key is known.
+// keyGroup is the set of servers that share idempotency keys.
 type keyGroup uint8
 
 const (
-	groupOther keyGroup = iota // not known: bound to nothing, and no reason to reject harmlessly
+	groupOther keyGroup = iota // unknown: attempts may go anywhere, and a rejection is not harmless
 	groupAll
 	groupZone
 	groupCell
 )
 
-// config is the settings of one node, parsed once.
+// config is the settings of one node as the engine uses them. It does not change.
 type config struct {
 	self           NodeID
-	nodes          int
-	tick           Time // how late an end or a timer may be seen
+	nodes          int  // size of the fleet, at least 1
+	tick           Time // greatest delay of a timer or of the end of an attempt
 	connectTimeout Time
-	maxAttempts    int
+	maxAttempts    int  // of a request, at least 1
 	cancel         bool // attempts may be cancelled
 	idleTimeout    Time // of a connection to a server
 
-	slowStartSpan    Time    // a server is warm so long after its start
-	slowStartShare   float64 // of its capacity that a server has at its start
-	recoveryMultiple float64 // of its capacity, that a warming server may be sent at most
-	recoverySpan     Time    // over which that counts
+	slowStartSpan    Time    // time after its start at which a server is warm
+	slowStartShare   float64 // share of its capacity that a server has at its start
+	recoveryMultiple float64 // greatest load of a warming server within recoverySpan, relative to its capacity
+	recoverySpan     Time
 
 	peers    bool    // nodes send each other messages
-	peerRate float64 // messages a second that a node takes in
+	peerRate float64 // messages a second that a node receives
 
 	retryAfter    bool // rejections carry a Retry-After
 	maxRetryAfter Time
 
-	pollEndpoints bool    // the endpoint list has to be asked for
-	pollWithin    float64 // the span in which discovery is asked again
+	pollEndpoints bool    // the node polls for endpoint lists
+	pollWithin    float64 // time to the next poll, at most, in units of Time
 
-	classes           []classConfig
-	plans             []quotaPlan
-	shortestObjective Time
-	owners            bool // more nodes than can all hear each other: customers have quota owners
-	ownerTimeout      Time // that a request waits for its quota owner
+	classes           []classConfig // by ClassID, at least one
+	plans             []quotaPlan   // by PlanID, at least one
+	shortestObjective Time          // of all classes
+	owners            bool          // customers have quota owners: the nodes are too many for all to message all
+	ownerTimeout      Time          // wait of a request for its quota owner, at most
 }
 
 // classConfig is the settings of one request class.
 type classConfig struct {
 	latencyObjective Time
-	keyWindow        Time // for which a server knows an idempotency key
+	keyWindow        Time // time for which a server knows an idempotency key
 	retrySafety      retrySafety
 	keyGroup         keyGroup
 }
@@ -99,22 +67,35 @@
 	ceilingRate, ceilingBurst float64
 }
 
-// noCeiling tells whether the plan has no hard ceiling. One that is not a number is a ceiling that nothing passes.
+// noCeiling reports whether the plan has no hard ceiling. A ceiling that is not a number lets nothing pass.
 func (p *quotaPlan) noCeiling() bool { return p.ceilingRate <= 0 && p.ceilingBurst <= 0 }
 
-// parseSettings reads all settings. Nothing is refused: what is missing or malformed reads as 0 or off.
-func parseSettings(set Settings) *config {
+// newConfig returns the node's settings as the engine uses them. A setting that is missing or malformed is 0 or off.
+func newConfig(set *settings.Settings) *config {
 	c := &config{
-		self: NodeID(set.Number(settings.Node)), nodes: max(1, int(set.Number(settings.Nodes))),
-		tick: set.Duration(settings.Tick), connectTimeout: set.Duration(settings.ConnectTimeout),
-		maxAttempts: max(1, int(set.Number(settings.MaxAttempts))), cancel: set.Enabled(settings.CancelAttempts),
-		idleTimeout:   set.Duration(settings.IdleTimeout),
-		slowStartSpan: set.Duration(settings.SlowStartSpan), slowStartShare: set.Number(settings.SlowStartShare),
-		recoveryMultiple: set.Number(settings.OverloadMultiple), recoverySpan: set.Duration(settings.OverloadSpan),
-		peers: set.Enabled(settings.Peers), peerRate: set.Number(settings.PeerRate),
-		retryAfter: set.Enabled(settings.RetryAfter), maxRetryAfter: set.Duration(settings.MaxRetryAfter),
-		pollEndpoints: set[settings.EndpointList] == settings.EndpointListPoll, pollWithin: set.Number(settings.PollWithin),
-		classes: parseClasses(set), plans: parsePlans(set),
+		self:             NodeID(set.Node.Truncated()),
+		nodes:            max(1, set.Nodes.Truncated()),
+		tick:             timeOf(set.Tick),
+		connectTimeout:   timeOf(set.ConnectTimeout),
+		maxAttempts:      max(1, set.MaxAttempts.Truncated()),
+		cancel:           set.CancelAttempts,
+		idleTimeout:      timeOf(set.IdleTimeout),
+		slowStartSpan:    timeOf(set.SlowStartSpan),
+		slowStartShare:   set.SlowStartShare.Float(),
+		recoveryMultiple: set.OverloadMultiple.Float(),
+		recoverySpan:     timeOf(set.OverloadSpan),
+		peers:            set.Peers,
+		peerRate:         set.PeerRate.Float(),
+		retryAfter:       set.RetryAfter,
+		maxRetryAfter:    timeOf(set.MaxRetryAfter),
+		pollEndpoints:    set.PollsEndpoints(),
+		pollWithin:       set.PollWithin.FractionalUnits(),
+	}
+	for i := range set.Classes.Len() {
+		c.classes = append(c.classes, newClassConfig(set.Classes.At(i)))
+	}
+	for i := range set.Plans.Len() {
+		c.plans = append(c.plans, newQuotaPlan(set.Plans.At(i)))
 	}
 	c.shortestObjective = c.classes[0].latencyObjective
 	for _, class := range c.classes {
@@ -125,38 +106,40 @@
 	return c
 }
 
-// parseClasses reads the request classes. One whose retry safety is not known is never run twice.
-func parseClasses(set Settings) (out []classConfig) {
-	for i := range max(1, int(set.Number(settings.ClassCount))) {
-		c := classConfig{
-			latencyObjective: max(set.Duration(settings.ClassKey(i, settings.ClassLatencyObjective)), 1),
-			keyWindow:        set.Duration(settings.ClassKey(i, settings.ClassIdempotencyWindow)),
-			retrySafety:      retryNever,
-		}
-		switch set[settings.ClassKey(i, settings.ClassRetrySafety)] {
-		case settings.RetryKeyed:
-			c.retrySafety = retryKeyed
-		case settings.RetrySafe:
-			c.retrySafety = retrySafe
-		}
-		groups := []string{groupAll: settings.GroupAll, groupZone: settings.GroupZone, groupCell: settings.GroupCell}
-		if g := slices.Index(groups, set[settings.ClassKey(i, settings.ClassIdempotencyGroup)]); g > 0 {
-			c.keyGroup = keyGroup(g)
-		}
-		out = append(out, c)
+// timeOf returns a duration of the settings as engine time: both have the same unit.
+func timeOf(d settings.Duration) Time { return Time(d.TruncatedUnits()) }
+
+// newClassConfig returns the settings of a request class. A class of unknown retry safety never runs twice.
+func newClassConfig(class settings.Class) classConfig {
+	c := classConfig{
+		latencyObjective: max(timeOf(class.LatencyObjective), 1),
+		keyWindow:        timeOf(class.IdempotencyWindow),
+		retrySafety:      retryNever,
+	}
+	switch class.RetrySafety {
+	case settings.RetryKeyed:
+		c.retrySafety = retryKeyed
+	case settings.RetrySafe:
+		c.retrySafety = retrySafe
 	}
-	return out
+	switch class.IdempotencyGroup {
+	case settings.GroupAll:
+		c.keyGroup = groupAll
+	case settings.GroupZone:
+		c.keyGroup = groupZone
+	case settings.GroupCell:
+		c.keyGroup = groupCell
+	}
+	return c
 }
 
-// parsePlans reads the quota plans.
-func parsePlans(set Settings) (out []quotaPlan) {
-	for i := range max(1, int(set.Number(settings.PlanCount))) {
-		number := func(field settings.PlanField) float64 { return set.Number(settings.PlanKey(i, field)) }
-		out = append(out, quotaPlan{
-			rate: number(settings.PlanRate), burst: number(settings.PlanBurst),
-			maxInFlight: int(number(settings.PlanMaxInFlight)),
-			ceilingRate: number(settings.PlanCeilingRate), ceilingBurst: number(settings.PlanCeilingBurst),
-		})
+// newQuotaPlan returns the settings of a tenant plan.
+func newQuotaPlan(plan settings.Plan) quotaPlan {
+	return quotaPlan{
+		rate:         plan.Rate.Float(),
+		burst:        plan.Burst.Float(),
+		maxInFlight:  plan.MaxInFlight.Truncated(),
+		ceilingRate:  plan.CeilingRate.Float(),
+		ceilingBurst: plan.CeilingBurst.Float(),
 	}
-	return out
 }
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 	"slices"
+
+	"cherrygap/internal/settings"
 )
 
 // shadow counts where other settings would have decided otherwise. It never acts: each of the node's decisions on a
@@ -32,9 +34,9 @@
 
 // StartShadow starts counting where settings would decide otherwise than the node's own. They must name the same
 // classes and plans in the same order. It costs a copy of the node's state a decision.
-func (e *Engine) StartShadow(set Settings) {
+func (e *Engine) StartShadow(set *settings.Settings) {
 	e.shadow = &shadow{
-		config: parseSettings(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
+		config: newConfig(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
 	}
 }
 
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -14,7 +14,7 @@
 	if other != nil {
 		all := plainSettings(own)
 		maps.Copy(all, other)
-		n.StartShadow(all)
+		n.StartShadow(all.parse())
 	}
 	for id := range RequestID(400) {
 		n.SetTime(Second + Time(id)*200)
@@ -84,7 +84,7 @@
 			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe,
 		})
 		for range 600 {
-			b.engine.StartShadow(other)
+			b.engine.StartShadow(other.parse())
 			a.step()
 			b.step()
 		}
@@ -106,7 +106,7 @@
 		for k, n := range f.nodes {
 			all := maps.Clone(f.sets[k])
 			maps.Copy(all, other)
-			n.StartShadow(all)
+			n.StartShadow(all.parse())
 		}
 		f.ask(10, Second, 9*Second)
 		differs := int64(0)
@@ -136,7 +136,7 @@
 				n.customers.slot(n.config, n.now, k, 0, 1, 0)
 			}
 			if on {
-				n.StartShadow(plainSettings(nil))
+				n.StartShadow(plainSettings(nil).parse())
 			}
 			b.ReportAllocs()
 			for i := range b.N {
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -16,7 +16,7 @@
 		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
 		settings.SlowStartSpan: "180000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "4",
 		settings.OverloadSpan: "20000",
-	}, now)
+	}.parse(), now)
 	e.UpdateEndpoints(FullList, []Endpoint{{Server: 1, State: Ready, Weight: 1}})
 	return e, now
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -22,7 +22,7 @@
 			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
 			settings.SlowStartSpan: "180000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "4",
 			settings.OverloadSpan: "20000",
-		}, Second)
+		}.parse(), Second)
 		list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: Second - 1}}
 		for s := range ServerID(20) {
 			list = append(list, Endpoint{Server: s, State: Ready, Weight: 1})
@@ -60,7 +60,7 @@
 			settings.ClassKey(0, settings.ClassLatencyObjective): "15000", settings.PlanCount: "1",
 			settings.SlowStartSpan: "170000", settings.SlowStartShare: "0.2", settings.OverloadMultiple: "3",
 			settings.OverloadSpan: "20000", settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
-		}, Second)
+		}.parse(), Second)
 		list := []Endpoint{}
 		for i := range ServerID(warm) {
 			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
@@ -105,7 +105,7 @@
 			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe, settings.PlanCount: "1",
 			settings.SlowStartSpan: "180000", settings.SlowStartShare: "0.25", settings.OverloadMultiple: "4",
 			settings.OverloadSpan: "20000",
-		}, Second)
+		}.parse(), Second)
 		for i, step := range []struct{ at, started Time }{
 			{Second, Second - 1},
 			{61 * Second, 61*Second - 1},
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -17,7 +17,7 @@
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe, settings.PlanCount: "1",
 		settings.IdleTimeout: "300000",
-	}, Second)
+	}.parse(), Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
@@ -138,7 +138,7 @@
 			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassLatencyObjective): "15000",
 			settings.PlanCount: "1", settings.IdleTimeout: "150000",
 			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
-		}, Second)
+		}.parse(), Second)
 		list := []Endpoint{}
 		for i := range ServerID(servers) {
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -20,7 +20,7 @@
 		settings.PlanCount: "1", settings.PollWithin: strconv.Itoa(int(span)),
 	}
 	for range 80 {
-		n := New(r.Uint64(), set, Second)
+		n := New(r.Uint64(), set.parse(), Second)
 		for k, now := 0, Second; k < 6; k++ {
 			asked := now
 			for !pollsDiscovery(n) {
@@ -56,7 +56,7 @@
 			settings.EndpointList:                                settings.EndpointListPoll, settings.PlanCount: "1",
 			settings.PollWithin: []string{"100000", "600000", "30000"}[seed%3],
 		}
-		n, now := New(uint64(seed)*7919, set, Second), Second
+		n, now := New(uint64(seed)*7919, set.parse(), Second), Second
 		for k := range 15 {
 			asked := now
 			for !pollsDiscovery(n) {
@@ -79,7 +79,7 @@
 				settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
 				settings.EndpointList:                                settings.EndpointListPoll,
 				settings.PlanCount:                                   "1", settings.PollWithin: "100000",
-			}, Second)
+			}.parse(), Second)
 			now := Second
 			pollsDiscovery(n)
 			for n.UpdateEndpoints(PollFailed, nil); !pollsDiscovery(n); now += tick {
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -31,8 +31,8 @@
 	ran map[string]int // attempts that the app server got, by the request's id
 }
 
-func testSettings() map[string]string {
-	return map[string]string{
+func testSettings() *settings.Settings {
+	return settings.Parse(settings.Values{
 		settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "look",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "4000",
 		settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetrySafe,
@@ -42,7 +42,7 @@
 		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
 		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On, settings.RetryAfter: settings.On,
 		settings.MaxRetryAfter: "20000", settings.MaxUnits: "6",
-	}
+	})
 }
 
 // startNode starts a node with an authorizer, or none, before an app server.
--- a/internal/grpcfrontend/methods.go
+++ b/internal/grpcfrontend/methods.go
@@ -12,21 +12,21 @@
 // ErrNoPathPart is a class whose name can't be part of a path.
 var ErrNoPathPart = errors.New("is no path part")
 
-// HTTPMethods is the HTTP method of each class, from the settings by the keys of package settings: GET where a request is safe to repeat,
-// POST else. The error is ErrNoPathPart with the class's name.
-func HTTPMethods(set map[string]string) (map[string]string, error) {
+// HTTPMethods returns the HTTP method of each class by its name: GET where a request is safe to repeat, POST else. It reads
+// the classes up to the first one without a name. The error is ErrNoPathPart with the class's name.
+func HTTPMethods(set *settings.Settings) (map[string]string, error) {
 	methods := map[string]string{}
 	for i := 0; ; i++ {
-		name, ok := set[settings.ClassKey(i, settings.ClassName)]
-		if !ok {
+		class := set.Classes.At(i)
+		if !class.Named {
 			return methods, nil
 		}
-		methods[name] = http.MethodPost
-		if set[settings.ClassKey(i, settings.ClassRetrySafety)] == settings.RetrySafe {
-			methods[name] = http.MethodGet
+		methods[class.Name] = http.MethodPost
+		if class.RetrySafety == settings.RetrySafe {
+			methods[class.Name] = http.MethodGet
 		}
-		if strings.ContainsAny(name, "/ ?#%") {
-			return nil, fmt.Errorf("band %s %w", name, ErrNoPathPart)
+		if strings.ContainsAny(class.Name, "/ ?#%") {
+			return nil, fmt.Errorf("band %s %w", class.Name, ErrNoPathPart)
 		}
 	}
 }
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/pinned_test.go
@@ -23,6 +23,7 @@
 
 	"cherrygap/internal/authz"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // The tests of this file hold what passes over gRPC to the bytes of commit cf1acfb: clients and authorizers know this
@@ -259,14 +260,14 @@
 func TestPinnedMethods(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  map[string]string
+		set  settings.Values
 		want string
 	}{
 		{"none", nil, "map[] <nil>"},
-		{"three", map[string]string{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
-		{"no path part", map[string]string{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
+		{"three", settings.Values{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
+		{"no path part", settings.Values{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
 	} {
-		got, err := HTTPMethods(c.set)
+		got, err := HTTPMethods(settings.Parse(c.set))
 		pinned(t, c.name, fmt.Sprint(got, err), c.want)
 	}
 }
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -5,6 +5,7 @@
 
 	"cherrygap/internal/lab/emulator"
 	"cherrygap/internal/operatorfile"
+	"cherrygap/internal/settings"
 )
 
 // Policy is what decides at the nodes.
@@ -26,7 +27,7 @@
 	Traffic  operatorfile.Traffic  // Rate is the fleet's; Target and DurationS are not used
 	Server   operatorfile.Emulator // of each of Servers; Listen and Schedule are not used
 	Schedule emulator.Schedule     // of faults
-	Settings map[string]string     // the engine's, by the keys of package settings; nil for DefaultSettings
+	Settings *settings.Settings    // of each node, but for its number; nil for DefaultSettings
 	Limit    int                   // RoundRobin: attempts in flight at a server from one node; 0 for twice an even part
 	RTT      time.Duration         // round trip between a node and a server; 0 for 500 µs
 	Quota    float64               // baselines: a tenant's units a second; 0 for those of DefaultSettings
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -1,8 +1,6 @@
 package model
 
 import (
-	"maps"
-	"strconv"
 	"time"
 
 	"cherrygap/internal/protocol"
@@ -35,14 +33,15 @@
 	if s.cfg.Policy != Module {
 		return n
 	}
-	set := maps.Clone(s.cfg.Settings)
-	if set == nil {
-		set = DefaultSettings(s.cfg.Nodes, s.cfg.Traffic)
+	shared := s.cfg.Settings
+	if shared == nil {
+		shared = DefaultSettings(s.cfg.Nodes, s.cfg.Traffic)
 	}
-	set[settings.Node] = strconv.Itoa(id)
+	set := *shared
+	set.Node = settings.IntNumber(id)
 	n.router = routing.New(routing.Config{
 		Seed:          s.cfg.Seed ^ uint64(id)*seedStep,
-		Settings:      set,
+		Settings:      &set,
 		Clock:         s.clock,
 		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
 		SetTimer:      func(after time.Duration) { s.setTimer(n, after) },
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -1,8 +1,6 @@
 package model
 
 import (
-	"strconv"
-
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/settings"
 )
@@ -13,41 +11,54 @@
 	defaultBurst = 200
 )
 
-// ticksPerMs is the engine's unit of time, in which its settings are: a tenth of a millisecond.
-const ticksPerMs = 10
-
-// defaultIdempotencyWindow is that of all classes, in ticks.
-const defaultIdempotencyWindow = "20000"
+// The default settings, but for those that follow from the traffic and the fleet's size.
+const (
+	tickMs              = 50
+	maxAttempts         = 3
+	maxRetryAfterMs     = 2000
+	slowStartShare      = 0.25 // of its capacity, at an app server's start
+	slowStartMs         = 10_000
+	overloadMultiple    = 3
+	overloadMs          = 2000
+	idempotencyWindowMs = 2000
+)
 
-// DefaultSettings are the engine's settings for a run, by the keys of package settings (times in tenths of a millisecond),
-// made from the traffic's classes and plan: each class's latency objective is half of its client's timeout; the plan gives
-// each tenant 100 units a second with a bucket of 200. A run may instead have the settings of a real deployment
-// (Config.Settings), read from its JSON configuration.
-func DefaultSettings(nodes int, traffic operatorfile.Traffic) map[string]string {
-	set := map[string]string{
-		settings.Node: "0", settings.Nodes: strconv.Itoa(nodes), settings.Tick: "500",
-		settings.EndpointList: settings.EndpointListPush,
-		settings.MaxAttempts:  "3", settings.Hedging: "false", settings.CancelAttempts: settings.On, settings.Peers: "false",
-		settings.RetryAfter: settings.On, settings.MaxRetryAfter: "20000",
-		settings.SlowStartShare: "0.25", settings.SlowStartSpan: "100000",
-		settings.OverloadMultiple: "3", settings.OverloadSpan: "20000",
-		settings.ClassCount: strconv.Itoa(len(traffic.Classes)), settings.PlanCount: "1",
-		settings.PlanKey(0, settings.PlanName):  traffic.Plan,
-		settings.PlanKey(0, settings.PlanRate):  strconv.Itoa(defaultRate),
-		settings.PlanKey(0, settings.PlanBurst): strconv.Itoa(defaultBurst),
-	}
+// DefaultSettings are the node's settings for a run, made from the traffic's classes and plan: each class's latency objective
+// is half of its client's timeout; the plan gives each tenant 100 units a second with a bucket of 200. A run may instead have
+// the settings of a real deployment (Config.Settings), read from its JSON configuration.
+func DefaultSettings(nodes int, traffic operatorfile.Traffic) *settings.Settings {
+	classes := make([]settings.Class, len(traffic.Classes))
 	for i, class := range traffic.Classes {
-		for field, value := range map[settings.ClassField]string{
-			settings.ClassName:              class.Name,
-			settings.ClassRetrySafety:       class.RetrySafety,
-			settings.ClassLatencyObjective:  strconv.Itoa(class.BudgetMs * ticksPerMs / 2),
-			settings.ClassDeadline:          strconv.Itoa(class.BudgetMs * ticksPerMs),
-			settings.ClassIdempotencyWindow: defaultIdempotencyWindow,
-			settings.ClassIdempotencyGroup:  settings.GroupAll,
-			settings.ClassPriorityWeight:    "1",
-		} {
-			set[settings.ClassKey(i, field)] = value
+		timeoutMs := float64(class.BudgetMs)
+		classes[i] = settings.Class{
+			Named:             true,
+			Name:              class.Name,
+			RetrySafety:       settings.RetrySafety(class.RetrySafety),
+			LatencyObjective:  settings.Milliseconds(timeoutMs / 2),
+			Deadline:          settings.Milliseconds(timeoutMs),
+			IdempotencyWindow: settings.Milliseconds(idempotencyWindowMs),
+			IdempotencyGroup:  settings.GroupAll,
+			PriorityWeight:    settings.IntNumber(1),
 		}
 	}
-	return set
+	return &settings.Settings{
+		Node:             settings.IntNumber(0),
+		Nodes:            settings.IntNumber(nodes),
+		Tick:             settings.Milliseconds(tickMs),
+		EndpointList:     settings.EndpointListPush,
+		MaxAttempts:      settings.IntNumber(maxAttempts),
+		CancelAttempts:   true,
+		RetryAfter:       true,
+		MaxRetryAfter:    settings.Milliseconds(maxRetryAfterMs),
+		SlowStartShare:   settings.FloatNumber(slowStartShare),
+		SlowStartSpan:    settings.Milliseconds(slowStartMs),
+		OverloadMultiple: settings.IntNumber(overloadMultiple),
+		OverloadSpan:     settings.Milliseconds(overloadMs),
+		Classes:          settings.NewList(classes...),
+		Plans: settings.NewList(settings.Plan{
+			Name:  traffic.Plan,
+			Rate:  settings.IntNumber(defaultRate),
+			Burst: settings.IntNumber(defaultBurst),
+		}),
+	}
 }
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"strconv"
 
 	"cherrygap/internal/settings"
 )
@@ -39,12 +38,12 @@
 	return raw
 }
 
-// engineSettings are the same by the keys of package settings.
-func engineSettings(cfg Config, node int) map[string]string {
+// engineSettings are the same as the nodes of the model take them.
+func engineSettings(cfg Config, node int) *settings.Settings {
 	set, err := settings.FromJSON(platformSettings(cfg, node))
 	if err != nil {
 		panic(err) // it was written just now
 	}
-	set[settings.Node] = strconv.Itoa(node)
+	set.Node = settings.IntNumber(node)
 	return set
 }
--- a/internal/operatorfile/pinned_test.go
+++ b/internal/operatorfile/pinned_test.go
@@ -7,8 +7,11 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
+
+	"cherrygap/internal/settings"
 )
 
 // The tests of this file hold the keys of the operator file, their defaults and what is said of a bad one to those of commit
@@ -43,19 +46,82 @@
 
 // describeSettings gives what a part of the file writes over settings that name two classes and a plan.
 func describeSettings(s *SettingsOverride) string {
-	set, err := s.Apply(map[string]string{"class.count": "2", "class.0.name": "seats", "class.1.name": "buy", "plan.count": "1", "plan.0.name": "team"})
+	off := settings.Values{
+		settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "seats", settings.ClassKey(1, settings.ClassName): "buy",
+		settings.PlanCount: "1", settings.PlanKey(0, settings.PlanName): "team",
+	}
+	on := maps.Clone(off)
+	for _, key := range []string{
+		settings.Hedging, settings.CancelAttempts, settings.HealthChecks, settings.Peers, settings.RetryAfter,
+		settings.EstimatedUnits, settings.ClassKey(0, settings.ClassStreaming), settings.ClassKey(1, settings.ClassStreaming),
+	} {
+		on[key] = settings.On
+	}
+	fromOff, err := s.Apply(settings.Parse(off))
 	if err != nil {
 		return "error " + err.Error()
 	}
-	got := ""
-	for _, key := range slices.Sorted(maps.Keys(set)) {
-		if !strings.HasSuffix(key, ".count") && !strings.HasSuffix(key, ".name") {
-			got += fmt.Sprintf("%s=%s;", key, set[key])
+	fromOn, err := s.Apply(settings.Parse(on))
+	if err != nil {
+		return "error " + err.Error()
+	}
+	got, texts, whenOn := "", settingTexts(fromOff), settingTexts(fromOn)
+	for _, key := range slices.Sorted(maps.Keys(texts)) {
+		isName := strings.HasSuffix(key, ".count") || strings.HasSuffix(key, ".name")
+		written := texts[key] != "" && texts[key] == whenOn[key] // a switch that is not written is as it was before
+		if written && !isName {
+			got += fmt.Sprintf("%s=%s;", key, texts[key])
 		}
 	}
 	return got
 }
 
+// settingTexts gives every field of settings, with two classes and two plans, by its key.
+func settingTexts(s *settings.Settings) map[string]string {
+	texts := map[string]string{
+		settings.Node: s.Node.String(), settings.Nodes: s.Nodes.String(), settings.Tick: s.Tick.String(),
+		settings.EndpointList: string(s.EndpointList), settings.PollWithin: s.PollWithin.String(),
+		settings.LoadReportFields:  strings.Join(s.LoadReportFields, ","),
+		settings.LoadReportChannel: s.LoadReportChannel, settings.MaxAttempts: s.MaxAttempts.String(),
+		settings.Hedging: strconv.FormatBool(s.Hedging), settings.CancelAttempts: strconv.FormatBool(s.CancelAttempts),
+		settings.HealthChecks: strconv.FormatBool(s.HealthChecks), settings.Peers: strconv.FormatBool(s.Peers),
+		settings.PeerRate: s.PeerRate.String(), settings.RetryAfter: strconv.FormatBool(s.RetryAfter),
+		settings.MaxRetryAfter: s.MaxRetryAfter.String(), settings.MaxRequests: s.MaxRequests.String(),
+		settings.IdleTimeout: s.IdleTimeout.String(), settings.ConnectTimeout: s.ConnectTimeout.String(),
+		settings.SlowStartSpan: s.SlowStartSpan.String(), settings.SlowStartShare: s.SlowStartShare.String(),
+		settings.OverloadMultiple: s.OverloadMultiple.String(), settings.OverloadSpan: s.OverloadSpan.String(),
+		settings.DrainGrace: s.DrainGrace.String(), settings.ResponseSlack: s.ResponseSlack.String(),
+		settings.EstimatedUnits: strconv.FormatBool(s.EstimatedUnits), settings.MaxUnits: s.MaxUnits.String(),
+		settings.ClassCount: s.Classes.Count.String(), settings.PlanCount: s.Plans.Count.String(),
+	}
+	for i := range 2 {
+		c, p := s.Classes.At(i), s.Plans.At(i)
+		maps.Copy(texts, map[string]string{
+			settings.ClassKey(i, settings.ClassName):              c.Name,
+			settings.ClassKey(i, settings.ClassRetrySafety):       string(c.RetrySafety),
+			settings.ClassKey(i, settings.ClassLatencyObjective):  c.LatencyObjective.String(),
+			settings.ClassKey(i, settings.ClassDeadline):          c.Deadline.String(),
+			settings.ClassKey(i, settings.ClassIdempotencyGroup):  string(c.IdempotencyGroup),
+			settings.ClassKey(i, settings.ClassIdempotencyWindow): c.IdempotencyWindow.String(),
+			settings.ClassKey(i, settings.ClassPriorityWeight):    c.PriorityWeight.String(),
+			settings.ClassKey(i, settings.ClassLateShare):         c.LateShare.String(),
+			settings.ClassKey(i, settings.ClassStreaming):         strconv.FormatBool(c.Streaming),
+			settings.ClassKey(i, settings.ClassObjectiveStretch):  c.ObjectiveStretch.String(),
+			settings.PlanKey(i, settings.PlanName):                p.Name,
+			settings.PlanKey(i, settings.PlanRate):                p.Rate.String(),
+			settings.PlanKey(i, settings.PlanBurst):               p.Burst.String(),
+			settings.PlanKey(i, settings.PlanMaxInFlight):         p.MaxInFlight.String(),
+			settings.PlanKey(i, settings.PlanPriorityFactor):      p.PriorityFactor.String(),
+			settings.PlanKey(i, settings.PlanOverQuotaShare):      p.OverQuotaShare.String(),
+			settings.PlanKey(i, settings.PlanOverQuotaCost):       p.OverQuotaCost.String(),
+			settings.PlanKey(i, settings.PlanCeilingRate):         p.CeilingRate.String(),
+			settings.PlanKey(i, settings.PlanCeilingBurst):        p.CeilingBurst.String(),
+			settings.PlanKey(i, settings.PlanCeilingSlack):        p.CeilingSlack.String(),
+		})
+	}
+	return texts
+}
+
 func TestPinnedDefaults(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"of the program", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3}"},
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -53,92 +52,135 @@
 	deprecatedPlanOverride
 }
 
-// tenthsPerMs is how many of the decision engine's units of time a millisecond has.
-const tenthsPerMs = 10
-
-// entry is one setting that is given.
-type entry struct {
+// givenSetting is one setting that the file gives.
+type givenSetting struct {
 	key   string // below [settings]
-	name  string // the key in the decision engine's settings
-	value string // there
+	apply func(*settings.Settings)
 
-	words           []string // that the value may be; nil for a number
-	number          float64  // as given
-	lowest, highest float64  // that it may be
+	word            string   // as given, where it is one
+	words           []string // that word may be; nil for a number
+	number          float64  // as given, where it is one
+	lowest, highest float64  // range of number
 }
 
-// entryList collects entries; each method adds one where its value is given.
-type entryList []entry
+// givenSettings collects settings; each method adds one whose value is not nil.
+type givenSettings []givenSetting
 
-func (l *entryList) number(key, name string, value *float64, scale, lowest, highest float64) {
+func (g *givenSettings) number(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
-		*l = append(*l, entry{
-			key: key, name: name, value: strconv.FormatFloat(*value*scale, 'f', -1, 64),
-			number: *value, lowest: lowest, highest: highest,
+		number := settings.FloatNumber(*value)
+		*g = append(*g, givenSetting{
+			key: key, number: *value, lowest: lowest, highest: highest,
+			apply: func(s *settings.Settings) { set(s, number) },
 		})
 	}
 }
 
-func (l *entryList) count(key, name string, value *int, lowest, highest float64) {
+// duration adds a time of *value milliseconds, which must be from lowest to hourMs.
+func (g *givenSettings) duration(key string, value *float64, lowest float64, set func(*settings.Settings, settings.Duration)) {
+	if value != nil {
+		duration := settings.Milliseconds(*value)
+		*g = append(*g, givenSetting{
+			key: key, number: *value, lowest: lowest, highest: hourMs,
+			apply: func(s *settings.Settings) { set(s, duration) },
+		})
+	}
+}
+
+func (g *givenSettings) count(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := float64(*value)
-		l.number(key, name, &number, 1, lowest, highest)
+		g.number(key, &number, lowest, highest, set)
 	}
 }
 
-func (l *entryList) flag(key, name string, value *bool) {
+func (g *givenSettings) flag(key string, value *bool, set func(*settings.Settings, bool)) {
 	if value != nil {
-		*l = append(*l, entry{key: key, name: name, value: strconv.FormatBool(*value), words: []string{"true", "false"}})
+		enabled := *value
+		*g = append(*g, givenSetting{
+			key: key, word: strconv.FormatBool(enabled), words: []string{"true", "false"},
+			apply: func(s *settings.Settings) { set(s, enabled) },
+		})
 	}
 }
 
-func (l *entryList) word(key, name string, value *string, words ...string) {
+func (g *givenSettings) choice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
 	if value != nil {
-		*l = append(*l, entry{key: key, name: name, value: *value, words: words})
+		word := *value
+		*g = append(*g, givenSetting{
+			key: key, word: word, words: words,
+			apply: func(s *settings.Settings) { set(s, word) },
+		})
 	}
 }
 
-// entries lists what is given, whatever the numbers of classes and plans; classIndex and planIndex find those by name.
-func (s *SettingsOverride) entries(classIndex, planIndex func(name string) int) []entry {
-	var l entryList
-	l.count("max_attempts", settings.MaxAttempts, s.MaxAttempts, 1, 100)
-	l.flag("cancel_attempts", settings.CancelAttempts, s.CancelAttempts)
-	l.flag("peers", settings.Peers, s.Peers)
-	l.number("peer_messages_per_s", settings.PeerRate, s.PeerMessagesPerS, 1, 0, 1e6)
-	l.flag("retry_after", settings.RetryAfter, s.RetryAfter)
-	l.number("max_retry_after_ms", settings.MaxRetryAfter, s.MaxRetryAfterMs, tenthsPerMs, 0, hourMs)
-	l.number("idle_ms", settings.IdleTimeout, s.IdleMs, tenthsPerMs, 0, hourMs)
-	l.number("slow_start_from", settings.SlowStartShare, s.SlowStartFrom, 1, 0.001, 1)
-	l.number("slow_start_ms", settings.SlowStartSpan, s.SlowStartMs, tenthsPerMs, 0, hourMs)
-	l.number("overload_multiple", settings.OverloadMultiple, s.OverloadMultiple, 1, 0.1, 1000)
-	l.number("overload_ms", settings.OverloadSpan, s.OverloadMs, tenthsPerMs, 1, hourMs)
+// given lists the settings that the file gives; classIndex and planIndex find the numbers of classes and plans by name.
+func (s *SettingsOverride) given(classIndex, planIndex func(name string) int) []givenSetting {
+	type (
+		node   = settings.Settings
+		number = settings.Number
+		span   = settings.Duration
+	)
+	var g givenSettings
+	g.count("max_attempts", s.MaxAttempts, 1, 100, func(n *node, v number) { n.MaxAttempts = v })
+	g.flag("cancel_attempts", s.CancelAttempts, func(n *node, v bool) { n.CancelAttempts = v })
+	g.flag("peers", s.Peers, func(n *node, v bool) { n.Peers = v })
+	g.number("peer_messages_per_s", s.PeerMessagesPerS, 0, 1e6, func(n *node, v number) { n.PeerRate = v })
+	g.flag("retry_after", s.RetryAfter, func(n *node, v bool) { n.RetryAfter = v })
+	g.duration("max_retry_after_ms", s.MaxRetryAfterMs, 0, func(n *node, v span) { n.MaxRetryAfter = v })
+	g.duration("idle_ms", s.IdleMs, 0, func(n *node, v span) { n.IdleTimeout = v })
+	g.number("slow_start_from", s.SlowStartFrom, 0.001, 1, func(n *node, v number) { n.SlowStartShare = v })
+	g.duration("slow_start_ms", s.SlowStartMs, 0, func(n *node, v span) { n.SlowStartSpan = v })
+	g.number("overload_multiple", s.OverloadMultiple, 0.1, 1000, func(n *node, v number) { n.OverloadMultiple = v })
+	g.duration("overload_ms", s.OverloadMs, 1, func(n *node, v span) { n.OverloadSpan = v })
 	for i, c := range s.Classes {
-		c.entries(&l, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
+		c.given(&g, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
 	}
 	for i, p := range s.Plans {
-		p.entries(&l, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
+		p.given(&g, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
 	}
-	return l
+	return g
 }
 
-// entries adds what is given of the class with that number; its keys in the file begin with prefix.
-func (c *ClassOverride) entries(l *entryList, prefix string, class int) {
-	name := func(field settings.ClassField) string { return settings.ClassKey(class, field) }
-	l.word(prefix+"retry_safety", name(settings.ClassRetrySafety), c.RetrySafety,
-		settings.RetrySafe, settings.RetryKeyed, settings.RetryUnsafe)
-	l.word(prefix+"group", name(settings.ClassIdempotencyGroup), c.Group, settings.GroupAll, settings.GroupZone, settings.GroupCell)
-	l.number(prefix+"window_ms", name(settings.ClassIdempotencyWindow), c.WindowMs, tenthsPerMs, 0, hourMs)
-	l.number(prefix+"latency_objective_ms", name(settings.ClassLatencyObjective), c.LatencyObjectiveMs, tenthsPerMs, 1, hourMs)
+// given adds the settings that the file gives for a class. Their keys begin with prefix; index is the class's number.
+func (c *ClassOverride) given(g *givenSettings, prefix string, index int) {
+	change := func(s *settings.Settings, change func(class *settings.Class)) {
+		class := s.Classes.At(index)
+		change(&class)
+		s.Classes = s.Classes.With(index, class)
+	}
+	g.choice(prefix+"retry_safety", c.RetrySafety, func(s *settings.Settings, word string) {
+		change(s, func(class *settings.Class) { class.RetrySafety = settings.RetrySafety(word) })
+	}, settings.RetrySafe, settings.RetryKeyed, settings.RetryUnsafe)
+	g.choice(prefix+"group", c.Group, func(s *settings.Settings, word string) {
+		change(s, func(class *settings.Class) { class.IdempotencyGroup = settings.IdempotencyGroup(word) })
+	}, settings.GroupAll, settings.GroupZone, settings.GroupCell)
+	g.duration(prefix+"window_ms", c.WindowMs, 0, func(s *settings.Settings, v settings.Duration) {
+		change(s, func(class *settings.Class) { class.IdempotencyWindow = v })
+	})
+	g.duration(prefix+"latency_objective_ms", c.LatencyObjectiveMs, 1, func(s *settings.Settings, v settings.Duration) {
+		change(s, func(class *settings.Class) { class.LatencyObjective = v })
+	})
 }
 
-// entries adds what is given of the plan with that number; its keys in the file begin with prefix.
-func (p *PlanOverride) entries(l *entryList, prefix string, plan int) {
-	name := func(field settings.PlanField) string { return settings.PlanKey(plan, field) }
-	l.number(prefix+"rate", name(settings.PlanRate), p.Rate, 1, 0, maxUnits)
-	l.number(prefix+"burst", name(settings.PlanBurst), p.Burst, 1, 0, maxUnits)
-	l.count(prefix+"max_in_flight", name(settings.PlanMaxInFlight), p.MaxInFlight, 0, maxAtOnce)
-	l.number(prefix+"ceiling_rate", name(settings.PlanCeilingRate), p.CeilingRate, 1, 0, maxUnits)
-	l.number(prefix+"ceiling_burst", name(settings.PlanCeilingBurst), p.CeilingBurst, 1, 0, maxUnits)
+// given adds the settings that the file gives for a plan. Their keys begin with prefix; index is the plan's number.
+func (p *PlanOverride) given(g *givenSettings, prefix string, index int) {
+	setter := func(field func(plan *settings.Plan) *settings.Number) func(*settings.Settings, settings.Number) {
+		return func(s *settings.Settings, v settings.Number) {
+			plan := s.Plans.At(index)
+			*field(&plan) = v
+			s.Plans = s.Plans.With(index, plan)
+		}
+	}
+	type (
+		plan   = settings.Plan
+		number = settings.Number
+	)
+	g.number(prefix+"rate", p.Rate, 0, maxUnits, setter(func(p *plan) *number { return &p.Rate }))
+	g.number(prefix+"burst", p.Burst, 0, maxUnits, setter(func(p *plan) *number { return &p.Burst }))
+	g.count(prefix+"max_in_flight", p.MaxInFlight, 0, maxAtOnce, setter(func(p *plan) *number { return &p.MaxInFlight }))
+	g.number(prefix+"ceiling_rate", p.CeilingRate, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingRate }))
+	g.number(prefix+"ceiling_burst", p.CeilingBurst, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingBurst }))
 }
 
 // What UnknownNameError calls the lists. The word for a class is that of earlier releases, which scripts may look for.
@@ -159,12 +201,12 @@
 	return fmt.Sprintf("%s %q: the platform's settings name %s", e.List, e.Name, strings.Join(e.Known, ", "))
 }
 
-// Apply is a copy of the engine's settings with what is given written over it. A class or plan that the settings do
-// not name is an *UnknownNameError; then there is no copy.
-func (s *SettingsOverride) Apply(set map[string]string) (map[string]string, error) {
-	out := maps.Clone(set)
-	if out == nil {
-		out = map[string]string{}
+// Apply returns a copy of the node's settings with the given settings written over it. A class or plan that the settings
+// do not name is an *UnknownNameError; then there is no copy. It may be called on a nil set.
+func (s *SettingsOverride) Apply(set *settings.Settings) (*settings.Settings, error) {
+	out := settings.Settings{}
+	if set != nil {
+		out = *set
 	}
 	var unknown error
 	indexIn := func(label string, known []string) func(string) int {
@@ -176,13 +218,12 @@
 			return i
 		}
 	}
-	classIndex := indexIn(classLabel, settings.ClassNames(set))
-	planIndex := indexIn(planLabel, settings.PlanNames(set))
-	for _, e := range s.entries(classIndex, planIndex) {
-		out[e.name] = e.value
-	}
+	given := s.given(indexIn(classLabel, out.ClassNames()), indexIn(planLabel, out.PlanNames()))
 	if unknown != nil {
 		return nil, unknown
 	}
-	return out, nil
+	for _, setting := range given {
+		setting.apply(&out)
+	}
+	return &out, nil
 }
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"maps"
+	"reflect"
 	"strings"
 	"testing"
 
 	"cherrygap/internal/settings"
 )
 
-var platform = map[string]string{
+var platform = settings.Values{
 	settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "next-leg",
 	settings.ClassKey(1, settings.ClassName):        "stop-update",
 	settings.ClassKey(1, settings.ClassRetrySafety): settings.RetryUnsafe, settings.PlanCount: "1",
@@ -19,8 +20,8 @@
 
 // Nothing given leaves the platform's settings as they are; what is given is written in the engine's units.
 func TestApply(t *testing.T) {
-	d := Default()
-	if set, err := d.Settings.Apply(platform); err != nil || !maps.Equal(set, platform) || d.Shadow.Enabled {
+	d, base := Default(), settings.Parse(platform)
+	if set, err := d.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(platform)) || d.Shadow.Enabled {
 		t.Fatalf("the defaults change %v to %v, %v", platform, set, err)
 	}
 	f, errs := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
@@ -30,7 +31,7 @@
 		t.Fatal(errs)
 	}
 	want := maps.Clone(platform)
-	maps.Copy(want, map[string]string{
+	maps.Copy(want, settings.Values{
 		settings.MaxAttempts: "3", settings.Peers: "false", settings.SlowStartSpan: "15005",
 		settings.ClassKey(1, settings.ClassRetrySafety):       settings.RetryKeyed,
 		settings.ClassKey(1, settings.ClassIdempotencyGroup):  settings.GroupCell,
@@ -38,10 +39,10 @@
 		settings.PlanKey(0, settings.PlanMaxInFlight):         "2",
 		settings.PlanKey(0, settings.PlanCeilingRate):         "25.5",
 	})
-	if set, err := f.Settings.Apply(platform); err != nil || !maps.Equal(set, want) || !f.Shadow.Enabled {
+	if set, err := f.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(want)) || !f.Shadow.Enabled {
 		t.Errorf("%v, want %v: %v", set, want, err)
 	}
-	if platform[settings.MaxAttempts] != "4" {
+	if !reflect.DeepEqual(base, settings.Parse(platform)) {
 		t.Error("the platform's own settings were written to")
 	}
 }
@@ -72,7 +73,7 @@
 	word := "all"
 	s.Classes[0].Group = &word
 	var unknown *UnknownNameError
-	if set, err := s.Apply(platform); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
+	if set, err := s.Apply(settings.Parse(platform)); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
 		t.Errorf("%v, %v", set, err)
 	}
 }
--- a/internal/operatorfile/validate.go
+++ b/internal/operatorfile/validate.go
@@ -100,9 +100,9 @@
 // settings looks at each value that is given, whatever the platform's names are.
 func (v *validator) settings(prefix string, s *SettingsOverride) {
 	first := func(string) int { return 0 } // the keys are not looked at
-	for _, e := range s.entries(first, first) {
+	for _, e := range s.given(first, first) {
 		if e.words != nil {
-			v.oneOf(prefix+"."+e.key, e.value, e.words...)
+			v.oneOf(prefix+"."+e.key, e.word, e.words...)
 		} else {
 			v.within(prefix+"."+e.key, e.number, e.lowest, e.highest)
 		}
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -79,7 +79,7 @@
 	t.Cleanup(timer.Close)
 	router := routing.New(routing.Config{
 		Seed: uint64(id),
-		Settings: map[string]string{
+		Settings: settings.Parse(settings.Values{
 			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "buy",
 			settings.ClassKey(0, settings.ClassLatencyObjective): "8000",
 			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
@@ -87,7 +87,7 @@
 			settings.PlanKey(0, settings.PlanRate):  fmt.Sprint(teamRate),
 			settings.PlanKey(0, settings.PlanBurst): "200", settings.Nodes: fmt.Sprint(fleetNodes),
 			settings.Node: fmt.Sprint(id), settings.Tick: "20", settings.MaxAttempts: "3",
-		},
+		}),
 		Quota:         quotas,
 		SetTimer:      timer.Set,
 		SendToPeer:    func(int, []byte) {},
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"cherrygap/internal/quota"
+	"cherrygap/internal/settings"
 )
 
 // Config is what a Router needs. SetTimer, PollEndpoints, SendToPeer and LogSummary must be set.
@@ -11,12 +12,12 @@
 	// Seed is that of the engine's random draws.
 	Seed uint64
 
-	// Settings are the engine's settings by name, as internal/settings reads them.
-	Settings map[string]string
+	// Settings are the node's settings; nil where none are given. They must not change after New.
+	Settings *settings.Settings
 
-	// Shadow are other settings, with the same classes and plans in the same order, with whose decisions the engine's are
-	// compared; nil for none. They decide nothing: see Router.ShadowCounts.
-	Shadow map[string]string
+	// Shadow are other settings, of the same classes and plans in the same order, for a shadow evaluation; nil for none.
+	// They decide nothing: see Router.ShadowCounts.
+	Shadow *settings.Settings
 
 	// Clock returns the time; nil for the system's. It must never go back. The laboratory's fleet model passes a virtual
 	// clock, so that the same engine runs at sizes and speeds that sockets don't reach.
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -49,7 +49,7 @@
 
 func (r *Router) reportRepeatFault(fault RepeatFault, req *Request) {
 	if r.cfg.OnRepeatFault != nil {
-		r.cfg.OnRepeatFault(fault, req.class, req.attempt)
+		r.cfg.OnRepeatFault(fault, int(req.class), req.attempt)
 	}
 }
 
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -72,7 +72,7 @@
 	var timer time.Duration
 	polls := 0
 	r := newRouter(t, Config{
-		Settings:      settingsOf(settings.RetrySafe),
+		Settings:      settings.Parse(settingsOf(settings.RetrySafe)),
 		SetTimer:      func(after time.Duration) { timer = after },
 		PollEndpoints: func() { polls++ },
 	})
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -24,8 +24,8 @@
 }
 
 // settingsOf are the settings of one node with one plan and one class, whose requests repeat as named.
-func settingsOf(repeats string) map[string]string {
-	return map[string]string{
+func settingsOf(repeats string) settings.Values {
+	return settings.Values{
 		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "5000",
 		settings.ClassKey(0, settings.ClassRetrySafety):      repeats, settings.PlanCount: "1",
@@ -73,7 +73,7 @@
 // startRouter makes a Router with an endpoint list of so many servers, and room for requests in it.
 func startRouter(t *testing.T, repeats string, servers int) (*Router, *Request, *cancelRecorder) {
 	t.Helper()
-	r := newRouter(t, Config{Settings: settingsOf(repeats)})
+	r := newRouter(t, Config{Settings: settings.Parse(settingsOf(repeats))})
 	if servers > 0 {
 		r.UpdateEndpoints(listOf(servers, protocol.InService), true)
 	}
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -20,7 +20,7 @@
 	now := time.Unix(1000, 0)
 	unblock, sent := make(chan struct{}), atomic.Int64{}
 	r := newRouter(t, Config{
-		Settings:   set,
+		Settings:   settings.Parse(set),
 		SendToPeer: func(int, []byte) { sent.Add(1); <-unblock },
 		Clock:      func() time.Time { return now },
 	})
@@ -69,7 +69,7 @@
 	now := time.Unix(1000, 0)
 	unblock, sent, polls := make(chan struct{}), atomic.Int64{}, make(chan struct{}, 99)
 	r := newRouter(t, Config{
-		Settings:      set,
+		Settings:      settings.Parse(set),
 		PollEndpoints: func() { polls <- struct{}{} },
 		SendToPeer:    func(int, []byte) { sent.Add(1); <-unblock },
 		Clock:         func() time.Time { return now },
@@ -107,7 +107,7 @@
 		r.mu.Unlock()
 	}
 	r = newRouter(t, Config{
-		Settings: settingsOf(settings.RetrySafe),
+		Settings: settings.Parse(settingsOf(settings.RetrySafe)),
 		SendToPeer: func(peer int, payload []byte) {
 			unlocked()
 			delivered = append(delivered, fmt.Sprintf("%d %s", peer, payload))
@@ -149,7 +149,7 @@
 	var r *Router
 	var delivered []int
 	r = newRouter(t, Config{
-		Settings: settingsOf(settings.RetrySafe),
+		Settings: settings.Parse(settingsOf(settings.RetrySafe)),
 		SendToPeer: func(peer int, _ []byte) {
 			if delivered = append(delivered, peer); len(delivered) > 1 {
 				return
--- a/internal/routing/repeatguard.go
+++ b/internal/routing/repeatguard.go
@@ -20,22 +20,19 @@
 	RepeatFaultRefusal  RepeatFault = "a rejection though an attempt may have run"
 )
 
-// repeatRule is what the settings allow a class.
+// repeatRule is the settings' rule on repeats for a request class.
 type repeatRule struct {
-	safety string        // one of settings.RetrySafe and so on; any other is unsafe
-	group  string        // one of settings.GroupAll and so on: servers that know each other's keys
-	window time.Duration // for which they do
+	safety settings.RetrySafety
+	group  settings.IdempotencyGroup // servers that share idempotency keys
+	window time.Duration             // time for which a server knows a key
 }
 
-// newRepeatRules reads the rules of all classes, by number.
-func newRepeatRules(set map[string]string, classes int) []repeatRule {
-	rules := make([]repeatRule, classes)
+// newRepeatRules returns the rules of all classes, by number.
+func newRepeatRules(set *settings.Settings) []repeatRule {
+	rules := make([]repeatRule, set.Classes.Len())
 	for i := range rules {
-		rules[i] = repeatRule{
-			safety: set[settings.ClassKey(i, settings.ClassRetrySafety)],
-			group:  set[settings.ClassKey(i, settings.ClassIdempotencyGroup)],
-			window: settingDuration(set, settings.ClassKey(i, settings.ClassIdempotencyWindow)),
-		}
+		class := set.Classes.At(i)
+		rules[i] = repeatRule{class.RetrySafety, class.IdempotencyGroup, class.IdempotencyWindow.Truncated()}
 	}
 	return rules
 }
--- a/internal/routing/repeatguard_test.go
+++ b/internal/routing/repeatguard_test.go
@@ -90,7 +90,7 @@
 func TestWithheldAttemptsAreDecidedAnew(t *testing.T) {
 	var faults []RepeatFault
 	r := newRouter(t, Config{
-		Settings:      settingsOf(settings.RetrySafe),
+		Settings:      settings.Parse(settingsOf(settings.RetrySafe)),
 		OnRepeatFault: func(fault RepeatFault, _, _ int) { faults = append(faults, fault) },
 	})
 	r.settings.repeats[0].safety = settings.RetryUnsafe // the guard's rule alone: the engine takes the class for safe
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -62,7 +62,7 @@
 	decision   Decision      // the last one, until it is taken
 	server     *Server       // of the decision taken last
 	clientGone bool
-	class      int
+	class      decision.ClassID
 	repeats    repeatGuard
 	tenant     quota.Customer // zero where its quota is not leased
 	units      float64        // to be charged to tenant
@@ -84,8 +84,8 @@
 	req.lease(plan, in)
 	r.engine.AddRequest(decision.Request{
 		ID:        decision.RequestID(req.number),
-		Class:     decision.ClassID(req.class),
-		Plan:      decision.PlanID(plan),
+		Class:     req.class,
+		Plan:      plan,
 		Customer:  decision.CustomerID(in.Customer),
 		Timeout:   ticks(timeout),
 		Units:     in.Units,
@@ -96,7 +96,7 @@
 }
 
 // lease tells the engine what the tenant's lease allows, where its plan's quota is leased. The lock is held.
-func (req *Request) lease(plan int, in *protocol.Request) {
+func (req *Request) lease(plan decision.PlanID, in *protocol.Request) {
 	r := req.router
 	req.tenant, req.units = quota.Customer{}, 0
 	if r.cfg.Quota == nil {
@@ -109,7 +109,7 @@
 	req.tenant, req.units = tenant, in.Units
 	r.cfg.Quota.RecordDemand(tenant, in.Units)
 	available := r.cfg.Quota.Available(tenant)
-	r.engine.SetLease(decision.CustomerID(in.Customer), decision.PlanID(plan), in.Spread, decision.NodeID(in.FirstNode), available)
+	r.engine.SetLease(decision.CustomerID(in.Customer), plan, in.Spread, decision.NodeID(in.FirstNode), available)
 }
 
 // decide passes a decision to whoever waits for it. The lock is held.
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -115,7 +115,7 @@
 func TestOnDecision(t *testing.T) {
 	var decided []*Request
 	r := newRouter(t, Config{
-		Settings:   settingsOf(settings.RetrySafe),
+		Settings:   settings.Parse(settingsOf(settings.RetrySafe)),
 		OnDecision: func(req *Request) { decided = append(decided, req) },
 	})
 	r.UpdateEndpoints(listOf(2, protocol.InService), true)
--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -1,50 +1,42 @@
 package routing
 
 import (
-	"time"
-
 	"cherrygap/internal/decision"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/settings"
 )
 
-// requestSettings is what the settings say of requests before the engine sees them. It does not change after New.
+// requestSettings are the settings of requests that the Router itself needs. They do not change after New.
 type requestSettings struct {
-	classes, plans map[string]int   // numbers by name
-	repeats        []repeatRule     // by class
-	quotas         []quota.Customer // by plan: only Rate and Burst are set
-	nodes          int
-	maxUnits       float64 // of a request; 0 or less: no bound
+	classes  map[string]decision.ClassID // by name
+	plans    map[string]decision.PlanID  // by name
+	repeats  []repeatRule                // by class
+	quotas   []quota.Customer            // by plan: only Rate and Burst are set
+	nodes    int                         // size of the fleet, at least 1
+	maxUnits float64                     // of a request; 0 or less: no bound
 }
 
-func newRequestSettings(set decision.Settings) requestSettings {
+func newRequestSettings(set *settings.Settings) requestSettings {
 	s := requestSettings{
-		classes:  numbersByName(settings.ClassNames(set)),
-		plans:    numbersByName(settings.PlanNames(set)),
-		nodes:    max(1, int(set.Number(settings.Nodes))),
-		maxUnits: set.Number(settings.MaxUnits),
+		classes:  numbersByName[decision.ClassID](set.ClassNames()),
+		plans:    numbersByName[decision.PlanID](set.PlanNames()),
+		repeats:  newRepeatRules(set),
+		nodes:    max(1, set.Nodes.Truncated()),
+		maxUnits: set.MaxUnits.Float(),
 	}
-	s.repeats = newRepeatRules(set, max(1, int(set.Number(settings.ClassCount))))
-	for plan := range len(s.plans) {
-		s.quotas = append(s.quotas, quota.Customer{
-			Rate:  set.Number(settings.PlanKey(plan, settings.PlanRate)),
-			Burst: set.Number(settings.PlanKey(plan, settings.PlanBurst)),
-		})
+	for i := range len(s.plans) {
+		plan := set.Plans.At(i)
+		s.quotas = append(s.quotas, quota.Customer{Rate: plan.Rate.Float(), Burst: plan.Burst.Float()})
 	}
 	return s
 }
 
-// settingDuration is a setting that is a time; one that is missing or can't be read is 0.
-func settingDuration(set map[string]string, key string) time.Duration {
-	return duration(decision.Settings(set).Duration(key))
-}
-
-// numbersByName maps the names of a list's entries to their numbers; of a name given twice it is the last.
-func numbersByName(names []string) map[string]int {
-	numbers := map[string]int{}
+// numbersByName maps the names of a list's entries to their numbers. A name that stands twice has the later number.
+func numbersByName[N ~int](names []string) map[string]N {
+	numbers := map[string]N{}
 	for i, name := range names {
-		numbers[name] = i
+		numbers[name] = N(i)
 	}
 	return numbers
 }
@@ -64,8 +56,8 @@
 }
 
 // leased returns the tenant of a request under a plan whose quota can be leased, or false.
-func (s *requestSettings) leased(plan int, req *protocol.Request) (quota.Customer, bool) {
-	if plan < len(s.quotas) && s.quotas[plan].Rate > 0 {
+func (s *requestSettings) leased(plan decision.PlanID, req *protocol.Request) (quota.Customer, bool) {
+	if int(plan) < len(s.quotas) && s.quotas[plan].Rate > 0 {
 		c := s.quotas[plan]
 		c.Key, c.FirstNode, c.Spread = quota.CustomerKey(req.Customer), quota.NodeID(req.FirstNode), req.Spread
 		return c, true
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -41,7 +41,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := settingsOf(settings.RetrySafe)
 			set[settings.Nodes], set[settings.MaxUnits] = c.nodes, c.largest
-			if got := newRouter(t, Config{Settings: set}).WithinLimits(&c.request); got != c.want {
+			if got := newRouter(t, Config{Settings: settings.Parse(set)}).WithinLimits(&c.request); got != c.want {
 				t.Errorf("%+v: %t", c.request, got)
 			}
 		})
@@ -62,7 +62,7 @@
 	set[settings.Nodes] = "3"
 	set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = "100", "100"
 	lease := &leaseOf{left: 3}
-	r := newRouter(t, Config{Settings: set, Quota: lease})
+	r := newRouter(t, Config{Settings: settings.Parse(set), Quota: lease})
 	r.UpdateEndpoints(listOf(3, protocol.InService), true)
 	req, in, admitted := r.NewRequest(&cancelRecorder{}), seatRequest, 0
 	in.Spread = 3
@@ -92,7 +92,7 @@
 		t.Run(rate, func(t *testing.T) {
 			set := settingsOf(settings.RetrySafe)
 			set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = rate, "100"
-			s := newRequestSettings(set)
+			s := newRequestSettings(settings.Parse(set))
 			if tenant, ok := s.leased(0, &seatRequest); ok {
 				t.Errorf("leased: %+v", tenant)
 			}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"cherrygap/internal/decision"
+	"cherrygap/internal/settings"
 )
 
 // tick is the decision engine's unit of time.
@@ -49,6 +50,9 @@
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
 	}
+	if cfg.Settings == nil {
+		cfg.Settings = &settings.Settings{}
+	}
 	now := cfg.Clock()
 	r := &Router{
 		cfg:        cfg,
--- a/internal/routing/scale_world_test.go
+++ b/internal/routing/scale_world_test.go
@@ -61,8 +61,8 @@
 
 // fleetSettings are a whole fleet's, as the platform gives them (compare internal/lab/model's DefaultSettings and
 // deploy/sites).
-func fleetSettings(size fleetSize, node int) map[string]string {
-	set := map[string]string{
+func fleetSettings(size fleetSize, node int) settings.Values {
+	set := settings.Values{
 		settings.Node: strconv.Itoa(node), settings.Nodes: strconv.Itoa(size.Nodes), settings.Tick: "20",
 		settings.EndpointList: settings.EndpointListPush, settings.MaxAttempts: "3", settings.Hedging: "false",
 		settings.CancelAttempts: settings.On, settings.Peers: settings.On,
@@ -244,7 +244,7 @@
 	w.nodes = append(w.nodes, n)
 	n.router = routing.New(routing.Config{
 		Seed:          seed<<8 ^ uint64(n.id)*0x9e3779b97f4a7c15,
-		Settings:      fleetSettings(w.fleetSize, n.id),
+		Settings:      settings.Parse(fleetSettings(w.fleetSize, n.id)),
 		Clock:         w.clock,
 		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
 		PollEndpoints: func() {},
--- a/internal/routing/shadow_test.go
+++ b/internal/routing/shadow_test.go
@@ -11,9 +11,9 @@
 
 // With a shadow, clients get the same answers, and what its settings would have decided otherwise is counted.
 func TestShadowChangesNoAnswer(t *testing.T) {
-	play := func(shadow map[string]string) (answers []Decision, r *Router) {
+	play := func(shadow *settings.Settings) (answers []Decision, r *Router) {
 		now := time.Unix(1000, 0)
-		r = newRouter(t, Config{Settings: settingsOf(settings.RetrySafe), Shadow: shadow, Clock: func() time.Time { return now }})
+		r = newRouter(t, Config{Settings: settings.Parse(settingsOf(settings.RetrySafe)), Shadow: shadow, Clock: func() time.Time { return now }})
 		r.UpdateEndpoints(listOf(4, protocol.InService), true)
 		req := r.NewRequest(&cancelRecorder{})
 		for i := range 60 {
@@ -38,11 +38,11 @@
 	if compared, differing := r.ShadowCounts(); compared != 0 || differing != nil {
 		t.Error("counted without a shadow")
 	}
-	got, r := play(settingsOf(settings.RetryUnsafe))
+	got, r := play(settings.Parse(settingsOf(settings.RetryUnsafe)))
 	if compared, differing := r.ShadowCounts(); !slices.Equal(got, want) || compared < 60 || differing["forward_would_fail"] < 10 {
 		t.Errorf("%d answers of %d the same; of %d decisions %v", len(got), len(want), compared, differing)
 	}
-	if got, r = play(settingsOf(settings.RetrySafe)); !slices.Equal(got, want) {
+	if got, r = play(settings.Parse(settingsOf(settings.RetrySafe))); !slices.Equal(got, want) {
 		t.Error("equal settings changed an answer")
 	} else if _, differing := r.ShadowCounts(); len(differing) > 0 {
 		t.Errorf("equal settings differ: %v", differing)
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -20,7 +20,7 @@
 	rng         *rand.Rand
 	scene       string
 	also        string // another scene on top, or none
-	settings    map[string]string
+	settings    settings.Values
 	clock       time.Duration
 	events      playEvents
 	seq         int
@@ -128,10 +128,10 @@
 }
 
 // newSettings draws the engine's settings that the play does not need itself.
-func (p *slowStartPlay) newSettings(nodes int) map[string]string {
+func (p *slowStartPlay) newSettings(nodes int) settings.Values {
 	messagesPerSecond := []int{0, 40, 60, 100}[p.rng.IntN(4)]
 	ticksOf := func(d time.Duration) string { return strconv.Itoa(int(ticks(d))) }
-	return map[string]string{
+	return settings.Values{
 		settings.Nodes: strconv.Itoa(nodes), settings.Tick: "500", settings.EndpointList: settings.EndpointListPush,
 		settings.IdleTimeout: "150000", settings.MaxAttempts: "3",
 		settings.CancelAttempts: strconv.FormatBool(p.rng.Float64() < 0.5), settings.RetryAfter: settings.On,
@@ -193,7 +193,7 @@
 	set[settings.Node] = strconv.Itoa(id)
 	n.router = New(Config{
 		Seed:          p.rng.Uint64(),
-		Settings:      set,
+		Settings:      settings.Parse(set),
 		Clock:         func() time.Time { return playEpoch.Add(p.clock + p.clockWrongBy) },
 		OnDecision:    func(req *Request) { n.ready = append(n.ready, req) },
 		SetTimer:      n.setTimer,
--- a/internal/settings/earliernames_test.go
+++ b/internal/settings/earliernames_test.go
@@ -79,7 +79,7 @@
 }
 
 // inEarlierNames gives settings, sorted, by the keys and words that they had.
-func inEarlierNames(t *testing.T, set map[string]string) string {
+func inEarlierNames(t *testing.T, set Values) string {
 	t.Helper()
 	entries := make([]string, 0, len(set))
 	for key, value := range set {
@@ -108,15 +108,15 @@
 
 // Every setting is what it was at cf1acfb, under another name: these are the literal expectations of that commit.
 func TestEarlierNames(t *testing.T) {
-	fromJSON, err := FromJSON([]byte(fullJSON))
+	fromJSON, err := valuesFromJSON([]byte(fullJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		set  map[string]string
+		set  Values
 		want string
 	}{
-		"text": {FromText([]byte(fullText)), "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
+		"text": {valuesFromText([]byte(fullText)), "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
 		"JSON": {fromJSON, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=single-use;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=push;settled=true;tick=40;tickets.most=512;withdraw=true;"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -132,7 +132,7 @@
 
 // Each key has one earlier name, and the table has no key that nothing reads.
 func TestEarlierKeysAreOneToOne(t *testing.T) {
-	set := FromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
+	set := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
 	byEarlier, byKey := map[string]bool{}, map[string]bool{}
 	for _, k := range earlierKeys {
 		if _, ok := set[k.key]; !ok || byEarlier[k.earlier] || byKey[k.key] {
@@ -151,7 +151,7 @@
 func TestOwnKeysAreNotTaken(t *testing.T) {
 	for _, k := range earlierKeys {
 		for _, key := range []string{k.earlier, k.key} {
-			if set := FromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
+			if set := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
 				t.Errorf("%s gave %v", key, set)
 			}
 		}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -125,22 +125,3 @@
 }
 
 func entryKey(list, entry, field string) string { return list + "." + entry + "." + field }
-
-// ClassNames lists the request classes' names by their numbers. Where the count can't be read there are none.
-func ClassNames(set map[string]string) []string {
-	return names(set, ClassCount, func(i int) string { return ClassKey(i, ClassName) })
-}
-
-// PlanNames lists the plans' names by their numbers. Where the count can't be read there are none.
-func PlanNames(set map[string]string) []string {
-	return names(set, PlanCount, func(i int) string { return PlanKey(i, PlanName) })
-}
-
-func names(set map[string]string, countKey string, nameKey func(i int) string) []string {
-	count, _ := strconv.Atoi(set[countKey])
-	var list []string
-	for i := range count {
-		list = append(list, set[nameKey(i)])
-	}
-	return list
-}
--- a/internal/settings/pinned_test.go
+++ b/internal/settings/pinned_test.go
@@ -12,7 +12,7 @@
 // keys and words had other names then: earliernames_test.go.
 
 // pinned fails a case whose settings, in the order of their names, are not those written out.
-func pinned(t *testing.T, name string, set map[string]string, want string) {
+func pinned(t *testing.T, name string, set Values, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
@@ -112,7 +112,7 @@
 		{"deep names", "services.0.slo.more=1\nlimits.peers.more=true\ntiers_of_service.0.depth.x=2\n", ""},
 		{"capitals", "TICK=4000\nLimits.Peers=true\n", ""},
 	} {
-		pinned(t, c.name, FromText([]byte(c.text)), c.want)
+		pinned(t, c.name, valuesFromText([]byte(c.text)), c.want)
 	}
 }
 
@@ -134,7 +134,7 @@
 		{"unknown names", `{"some":{"new":{"key":7}},"services":[{"new":1}]}`, "class.count=1;"},
 		{"more after", `{"slot_no":1} trailing`, "node=1;"},
 	} {
-		set, err := FromJSON([]byte(c.text))
+		set, err := valuesFromJSON([]byte(c.text))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -146,7 +146,7 @@
 		`{"a":`:   "unexpected EOF",
 		`"words"`: "json: cannot unmarshal string into Go value of type map[string]interface {}",
 	} {
-		if set, err := FromJSON([]byte(text)); set != nil || err == nil || err.Error() != want {
+		if set, err := valuesFromJSON([]byte(text)); set != nil || err == nil || err.Error() != want {
 			t.Errorf("%q gave %v, %v, want %q", text, set, err, want)
 		}
 	}
--- /dev/null
+++ b/internal/settings/reference_test.go
@@ -0,0 +1,159 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The readings of one setting by those who read it from a map of texts, before this package had types for them. They are
+// the reference for what odd texts mean.
+
+func referenceEngineNumber(set map[string]string, key string) float64 {
+	v, err := strconv.ParseFloat(set[key], 64)
+	if err != nil {
+		return 0
+	}
+	return v
+}
+
+func referenceNodeInt(set map[string]string, key string) int {
+	value, _ := strconv.Atoi(set[key])
+	return value
+}
+
+func referenceNodeFloat(set map[string]string, key string) float64 {
+	value, _ := strconv.ParseFloat(set[key], 64)
+	return value
+}
+
+func referenceNodeDuration(set map[string]string, key string) time.Duration {
+	ticks, _ := strconv.ParseInt(set[key], 10, 64)
+	return time.Duration(ticks) * 100 * time.Microsecond
+}
+
+func referenceWords(set map[string]string, key string) []string {
+	if set[key] == "" {
+		return nil
+	}
+	return strings.Split(set[key], ",")
+}
+
+func referenceNames(set map[string]string, countKey string, nameKey func(i int) string) []string {
+	count, _ := strconv.Atoi(set[countKey])
+	var list []string
+	for i := range count {
+		list = append(list, set[nameKey(i)])
+	}
+	return list
+}
+
+// referenceNamedClasses are the names of the leading classes that have one, as the gRPC front end reads them.
+func referenceNamedClasses(set map[string]string) (names []string) {
+	for i := 0; ; i++ {
+		name, ok := set[ClassKey(i, ClassName)]
+		if !ok {
+			return names
+		}
+		names = append(names, name)
+	}
+}
+
+// FuzzReadings compares each reading of a number, a time, a switch and a list of words with the reference.
+func FuzzReadings(f *testing.F) {
+	for _, text := range []string{
+		"", "0", "7", "-7", "+7", "2.7", "-2.7", ".5", "5.", "1.0", "1e3", "1E-3", "0x10", "0x1p4", "1_000", "1,5", " 4", "4 ", "4s",
+		"x", "true", "True", "TRUE", " true", "1e400", "-1e400", "1e-400", "1e300", "Inf", "-inf", "+Infinity", "NaN", "nan", "007",
+		"9223372036854775807", "9223372036854775808", "-9223372036854775809", "12345678901234567890", "٣", "\x00", "in_flight,,queued",
+	} {
+		f.Add(text, true)
+		f.Add(text, false)
+	}
+	f.Fuzz(func(t *testing.T, text string, given bool) {
+		set := map[string]string{}
+		if given {
+			for _, key := range []string{Node, Tick, Peers, LoadReportFields, EndpointList} {
+				set[key] = text
+			}
+		}
+		s := Parse(Values(set))
+		whole, ok := s.Node.Whole()
+		_, err := strconv.Atoi(set[Node])
+		for _, c := range []struct{ name, got, want string }{
+			{"Float", bits(s.Node.Float()), bits(referenceEngineNumber(set, Node))},
+			{"FloatOrInf", bits(s.Node.FloatOrInf()), bits(referenceNodeFloat(set, Node))},
+			{"Truncated", fmt.Sprint(s.Node.Truncated()), fmt.Sprint(int(referenceEngineNumber(set, Node)))},
+			{"Whole", fmt.Sprint(whole, ok), fmt.Sprint(referenceNodeInt(set, Node), err == nil)},
+			{"String", s.Node.String(), set[Node]},
+			{"FractionalUnits", bits(s.Tick.FractionalUnits()), bits(referenceEngineNumber(set, Tick))},
+			{"TruncatedUnits", fmt.Sprint(s.Tick.TruncatedUnits()), fmt.Sprint(int64(referenceEngineNumber(set, Tick)))},
+			{
+				"Truncated time", fmt.Sprint(s.Tick.Truncated()),
+				fmt.Sprint(time.Duration(int64(referenceEngineNumber(set, Tick))) * 100 * time.Microsecond),
+			},
+			{"Whole time", fmt.Sprint(s.Tick.Whole()), fmt.Sprint(referenceNodeDuration(set, Tick))},
+			{"switch", fmt.Sprint(s.Peers), fmt.Sprint(set[Peers] == On)},
+			{"words", fmt.Sprintf("%q", s.LoadReportFields), fmt.Sprintf("%q", referenceWords(set, LoadReportFields))},
+			{"polls", fmt.Sprint(s.PollsEndpoints()), fmt.Sprint(set[EndpointList] == EndpointListPoll)},
+		} {
+			if c.got != c.want {
+				t.Errorf("%s of %q, given %v: %s, want %s", c.name, text, given, c.got, c.want)
+			}
+		}
+	})
+}
+
+// bits gives a number exactly, and NaN as equal to NaN.
+func bits(f float64) string { return fmt.Sprintf("%x", math.Float64bits(f)) }
+
+// FuzzLists compares the lists of classes and plans with the reference, whatever their declared lengths and entries are.
+func FuzzLists(f *testing.F) {
+	for _, text := range []string{
+		"class.count=2\nclass.0.name=a\nclass.1.name=b\nclass.2.name=c", "class.count=x\nclass.0.name=a", "class.count=2.0\nclass.1.name=b",
+		"class.count=+3\nclass.0.name=\nclass.2.name=c", "class.count=-2\nclass.00.name=a\nclass.+1.name=b\nclass.-1.name=c",
+		"class.count=2\nclass.0.retry_safety=safe\nclass.1.retry_safety=Safe\nclass.1.latency_objective=2.5",
+		"plan.count=2\nplan.0.name=a\nplan.1.rate=1.5\nplan.9.rate=x", "class..name=a\nclass.0.name.x=b\nclass=3\nplan.0=4", "",
+	} {
+		f.Add(text)
+	}
+	f.Fuzz(func(t *testing.T, text string) {
+		set := map[string]string{}
+		for line := range strings.SplitSeq(text, "\n") {
+			if key, value, ok := strings.Cut(line, "="); ok {
+				set[key] = value
+			}
+		}
+		const longest = 1000 // a longer list is no other case, but takes long
+		if n, m := referenceNodeInt(set, ClassCount), referenceNodeInt(set, PlanCount); max(n, m) > longest {
+			return
+		}
+		s := Parse(Values(set))
+		var named []string
+		for i := 0; s.Classes.At(i).Named; i++ {
+			named = append(named, s.Classes.At(i).Name)
+		}
+		classNames := referenceNames(set, ClassCount, func(i int) string { return ClassKey(i, ClassName) })
+		planNames := referenceNames(set, PlanCount, func(i int) string { return PlanKey(i, PlanName) })
+		got := fmt.Sprintf("%q %q %q %d %d", s.ClassNames(), s.PlanNames(), named, s.Classes.Len(), s.Plans.Len())
+		want := fmt.Sprintf("%q %q %q %d %d", classNames, planNames, referenceNamedClasses(set),
+			max(1, int(referenceEngineNumber(set, ClassCount))), max(1, int(referenceEngineNumber(set, PlanCount))))
+		if got != want {
+			t.Errorf("%q:\ngot  %s\nwant %s", text, got, want)
+		}
+		for i := range 10 {
+			c, p := s.Classes.At(i), s.Plans.At(i)
+			got := fmt.Sprintln(c.RetrySafety, c.IdempotencyGroup, c.LatencyObjective, c.IdempotencyWindow, c.Deadline, p.Rate, p.Burst,
+				p.MaxInFlight, p.CeilingRate, p.CeilingBurst)
+			want := fmt.Sprintln(RetrySafety(set[ClassKey(i, ClassRetrySafety)]), IdempotencyGroup(set[ClassKey(i, ClassIdempotencyGroup)]),
+				set[ClassKey(i, ClassLatencyObjective)], set[ClassKey(i, ClassIdempotencyWindow)], set[ClassKey(i, ClassDeadline)],
+				set[PlanKey(i, PlanRate)], set[PlanKey(i, PlanBurst)], set[PlanKey(i, PlanMaxInFlight)],
+				set[PlanKey(i, PlanCeilingRate)], set[PlanKey(i, PlanCeilingBurst)])
+			if got != want {
+				t.Errorf("%q, entry %d:\ngot  %s\nwant %s", text, i, got, want)
+			}
+		}
+	})
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,93 +1,102 @@
 package settings
 
-import (
-	"bytes"
-	"encoding/json"
-	"fmt"
-	"strconv"
-	"strings"
-)
-
-// FromText reads the simulator's text, a name=value a line; names that are not known, and lines without a value, are
-// passed over. Of a name given twice the last holds.
-func FromText(text []byte) map[string]string {
-	set := map[string]string{}
-	for line := range strings.SplitSeq(string(text), "\n") {
-		if name, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
-			add(set, name, value)
-		}
-	}
-	return set
+// Settings are the settings of one node. Parse, FromText and FromJSON make them; a field whose setting is not given has
+// its zero value. They are read only once a node runs by them. A pointer to Settings may be read from several goroutines.
+type Settings struct {
+	Node  Number   // this node's number, from 0
+	Nodes Number   // size of the fleet
+	Tick  Duration // greatest delay of a timer or of the end of an attempt
+
+	EndpointList EndpointListMode
+	PollWithin   Duration // EndpointListPoll: time to the next poll, at most
+
+	LoadReportFields  []string // LoadInFlight and so on, in the order of app servers' load reports; "" for an unknown one
+	LoadReportChannel string   // how load reports arrive, in the platform's words
+
+	MaxAttempts    Number   // of a request
+	Hedging        bool     // two attempts of a request may be in flight at once
+	CancelAttempts bool     // attempts may be cancelled
+	HealthChecks   bool     // app servers may be checked
+	Peers          bool     // nodes may send each other messages
+	PeerRate       Number   // messages a second that a node receives
+	RetryAfter     bool     // a rejection carries Retry-After
+	MaxRetryAfter  Duration // longest Retry-After
+	MaxRequests    Number   // in flight at a node
+	IdleTimeout    Duration // of a connection to an app server
+	ConnectTimeout Duration // of a connection to an app server
+
+	SlowStartSpan    Duration // time after its start at which an app server is warm
+	SlowStartShare   Number   // share of its capacity that an app server has at its start
+	OverloadMultiple Number   // load, relative to its present capacity, that crashes a warming app server after OverloadSpan
+	OverloadSpan     Duration // time that a warming app server stands OverloadMultiple
+	DrainGrace       Duration // time for attempts to a draining or removed app server to stop
+	ResponseSlack    Duration // time after a request's deadline in which a final response counts
+
+	EstimatedUnits bool   // a request's units are an estimate, which its response corrects
+	MaxUnits       Number // of a request; 0 or less: no bound
+
+	Classes List[Class] // request classes
+	Plans   List[Plan]  // tenants' plans
 }
 
-// FromJSON reads the nested form of the configuration. The error is that of encoding/json.
-func FromJSON(raw []byte) (map[string]string, error) {
-	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // numbers are handed on as they are written
-	var tree map[string]any
-	if err := decoder.Decode(&tree); err != nil {
-		return nil, err
-	}
-	set := map[string]string{}
-	flatten(set, "", tree)
-	return set, nil
+// EndpointListMode is how the node receives endpoint lists: EndpointListPoll, EndpointListPush, or a text of no meaning.
+type EndpointListMode string
+
+// RetrySafety is whether a request may run more than once: RetrySafe, RetryKeyed or RetryUnsafe. Any other text is to be
+// treated as RetryUnsafe.
+type RetrySafety string
+
+// IdempotencyGroup is the set of servers that share idempotency keys: GroupAll, GroupZone, GroupCell, or a text of no
+// meaning.
+type IdempotencyGroup string
+
+// Class is the settings of one request class.
+type Class struct {
+	Named bool // a name is given, perhaps an empty one
+	Name  string
+
+	RetrySafety       RetrySafety
+	LatencyObjective  Duration // a response within it earns the whole priority weight
+	Deadline          Duration // longest wait of a client, over all its retries
+	IdempotencyGroup  IdempotencyGroup
+	IdempotencyWindow Duration // time for which a server knows an idempotency key
+	PriorityWeight    Number   // value of a response
+	LateShare         Number   // share of the weight that a response after the objective earns
+	Streaming         bool     // the response is streamed
+	ObjectiveStretch  Number   // lengthens the objective by this multiple of the request's own work
 }
 
-// flatten adds a nested value as the text form would give it: the entries of a list of objects by their numbers, with
-// how many there are; those of another list joined by commas.
-func flatten(set map[string]string, name string, value any) {
-	switch v := value.(type) {
-	case map[string]any:
-		for key, inner := range v {
-			if name != "" {
-				key = name + "." + key
-			}
-			flatten(set, key, inner)
-		}
-	case []any:
-		flattenList(set, name, v)
-	case nil:
-	default:
-		add(set, name, fmt.Sprint(v))
-	}
+// Plan is the settings of one tenant plan. Units are those that quotas count.
+type Plan struct {
+	Name           string
+	Rate           Number // of the quota's token bucket, units a second; 0 for none
+	Burst          Number // of the quota's token bucket, units
+	MaxInFlight    Number // attempts of a customer in flight; 0 for no limit
+	PriorityFactor Number // multiplies the class's priority weight
+	OverQuotaShare Number // share of its weight that a request over the quota earns
+	OverQuotaCost  Number // share of its weight that a request over the quota costs
+	CeilingRate    Number // of the hard ceiling's token bucket, units a second; 0 for none
+	CeilingBurst   Number // of the hard ceiling's token bucket, units
+	CeilingSlack   Number // units by which the ceiling's token bucket may be below 0
 }
 
-func flattenList(set map[string]string, name string, list []any) {
-	values := make([]string, len(list))
-	hasObject := false
-	for i, inner := range list {
-		if _, object := inner.(map[string]any); object {
-			flatten(set, name+"."+strconv.Itoa(i), inner)
-			hasObject = true
-		} else {
-			values[i] = fmt.Sprint(inner)
-		}
-	}
-	if hasObject {
-		add(set, name+".count", strconv.Itoa(len(list)))
-	} else {
-		add(set, name, strings.Join(values, ","))
+// PollsEndpoints reports whether the node polls for endpoint lists.
+func (s *Settings) PollsEndpoints() bool { return s.EndpointList == EndpointListPoll }
+
+// ClassNames lists the names of the request classes by number, "" for one that is not given.
+func (s *Settings) ClassNames() []string {
+	var names []string
+	for i := range s.Classes.NamedLen() {
+		names = append(names, s.Classes.At(i).Name)
 	}
+	return names
 }
 
-// add adds one setting of the platform under its key here, if it is known.
-func add(set map[string]string, name, value string) {
-	parts := strings.SplitN(name, ".", 3) // of a list: its name, the entry's number, the entry's setting
-	list, ok := lists[parts[0]]
-	if !ok || len(parts) == 1 {
-		if known, ok := translations[name]; ok {
-			set[known.key] = known.value(value)
-		}
-		return
-	}
-	if name == parts[0]+countField {
-		set[list+countField] = value
-		return
-	}
-	if len(parts) < 3 {
-		return
-	}
-	if known, ok := translations[parts[0]+"."+parts[2]]; ok {
-		set[entryKey(list, parts[1], known.key)] = known.value(value)
+// PlanNames lists the names of the plans by number, "" for one that is not given.
+func (s *Settings) PlanNames() []string {
+	var names []string
+	for i := range s.Plans.NamedLen() {
+		names = append(names, s.Plans.At(i).Name)
 	}
+	return names
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"tiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\ntick=4000\nsome.new.key=7\n"
 
 func TestFromText(t *testing.T) {
-	set := FromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
+	set := valuesFromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
 	for name, want := range map[string]string{
 		ClassKey(0, ClassLatencyObjective): "6000", ClassKey(0, ClassRetrySafety): RetrySafe, ClassCount: "1",
 		PlanKey(0, PlanRate): "5", Tick: "40", EndpointList: EndpointListPoll,
@@ -26,15 +26,15 @@
 func TestBothFormsReadAlike(t *testing.T) {
 	nested := `{"services":[{"slo":600000,"semantics":"idempotent"}],"tick":4000,"some":{"new":{"key":7}},
 		"tiers_of_service":[{"units_per_s":5}],"feedback":{"columns":["rif","busy"]},"limits":{"peers":true}}`
-	got, err := FromJSON([]byte(nested))
+	got, err := valuesFromJSON([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := FromText([]byte(testSettings + "feedback.columns=rif,busy\nlimits.peers=true\n"))
+	want := valuesFromText([]byte(testSettings + "feedback.columns=rif,busy\nlimits.peers=true\n"))
 	if !maps.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if _, err := FromJSON([]byte(`[1]`)); err == nil {
+	if _, err := valuesFromJSON([]byte(`[1]`)); err == nil {
 		t.Error("a list passed for settings")
 	}
 }
--- a/internal/transport/discoveryrecovery_test.go
+++ b/internal/transport/discoveryrecovery_test.go
@@ -136,13 +136,13 @@
 			default:
 			}
 		},
-		Settings: map[string]string{
+		Settings: settings.Parse(settings.Values{
 			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
 			settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
 			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
 			settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
 			settings.MaxAttempts: "3", settings.EndpointList: r.mode, settings.PollWithin: "100000",
-		},
+		}),
 	})
 	for range r.failed {
 		r.router.PollFailed()
--- a/internal/transport/golden_healthcheck_test.go
+++ b/internal/transport/golden_healthcheck_test.go
@@ -18,7 +18,7 @@
 	addr, probes := recordingDiscovery(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
-		Seed: 3, Settings: map[string]string{settings.Nodes: "1", settings.Tick: "20"},
+		Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
 		SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 	})
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
--- a/internal/transport/healthcheck_test.go
+++ b/internal/transport/healthcheck_test.go
@@ -116,7 +116,7 @@
 	}
 	router := routing.New(routing.Config{
 		Seed:          3,
-		Settings:      set,
+		Settings:      settings.Parse(set),
 		SetTimer:      func(time.Duration) {},
 		SendToPeer:    func(int, []byte) {},
 		PollEndpoints: func() {},
--- a/internal/transport/healthrequest_test.go
+++ b/internal/transport/healthrequest_test.go
@@ -63,7 +63,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			log := zerolog.Nop()
 			router := routing.New(routing.Config{
-				Seed: 3, Settings: map[string]string{settings.Nodes: "1", settings.Tick: "20"},
+				Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
 			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -134,7 +134,7 @@
 	}
 	t.Cleanup(timer.Close)
 	router := routing.New(routing.Config{
-		Seed: 3, Settings: set, SetTimer: timer.Set, SendToPeer: func(int, []byte) {},
+		Seed: 3, Settings: settings.Parse(set), SetTimer: timer.Set, SendToPeer: func(int, []byte) {},
 		PollEndpoints: func() {}, LogSummary: func([]byte) {},
 	})
 	go timer.Run(router.Tick)
