--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -29,12 +29,12 @@
 		{name: "many", seed: 30, most: 200, pool: frontendtest.Limits},
 		{
 			name: "quota owner", seed: 31, most: 60, pool: frontendtest.Limits,
-			settings: map[string]string{
+			settings: settings.Values{
 				settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 			},
 		},
 		{name: "few connections", seed: 32, most: 60, pool: few},
-		{name: "no cancelling", seed: 33, most: 60, pool: frontendtest.Limits, settings: map[string]string{settings.CancelAttempts: "false"}},
+		{name: "no cancelling", seed: 33, most: 60, pool: frontendtest.Limits, settings: settings.Values{settings.CancelAttempts: "false"}},
 		{name: "one core", seed: 34, most: 100, pool: frontendtest.Limits, oneCore: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	name     string
 	seed     int64
 	most     int // clients whose request waits as they disconnect
-	settings map[string]string
+	settings settings.Values
 	pool     netio.Limits // of the connections to app servers
 	oneCore  bool
 }
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -64,8 +64,8 @@
 
 // Config is how a node is started.
 type Config struct {
-	Settings   map[string]string // on top of those of a node with the class "seats" and the plan "team"
-	Retries    string            // the class's retry safety
+	Settings   settings.Values // on top of those of a node with the class "seats" and the plan "team"
+	Retries    string          // the class's retry safety
 	Limits     netio.Limits
 	PoolLimits *netio.Limits // nil: Limits
 	Servers    int           // app servers to start
@@ -89,7 +89,7 @@
 		go nettest.ServeConns(listener, func(conn net.Conn) { nettest.ServeRequests(conn, cfg.Serve) })
 		list.Endpoints = append(list.Endpoints, Endpoint(fmt.Sprint(i), listener))
 	}
-	set := map[string]string{
+	set := settings.Values{
 		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
 		settings.ClassKey(0, settings.ClassRetrySafety):      cfg.Retries, settings.PlanCount: "1",
@@ -103,7 +103,7 @@
 	}
 	t.Cleanup(timer.Close)
 	node.Router = routing.New(routing.Config{
-		Seed: 3, Settings: set, SetTimer: timer.Set, SendToPeer: func(int, []byte) {},
+		Seed: 3, Settings: settings.Parse(set), SetTimer: timer.Set, SendToPeer: func(int, []byte) {},
 		PollEndpoints: func() {}, LogSummary: func([]byte) {},
 	})
 	go timer.Run(node.Router.Tick)
