--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/pin_summary_test.go
@@ -44,7 +44,7 @@
 		for seed := range uint64(2) {
 			n := New(seed*7919+3, Settings{
 				"nodes": "3", "class.0.latency_objective": "6000", "endpoint_list": "poll", "poll_within": within,
-			}, Second)
+			}.parse(), Second)
 			for now := Second; now < 20*Second; now += 10 {
 				n.SetTime(now)
 				if pollsDiscovery(n) {
@@ -85,11 +85,11 @@
 	for _, i := range n.endpoints.subset {
 		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	h = mix(h, uint32(len(n.endpoints.view)))
-	for _, i := range n.endpoints.view {
+	h = mix(h, uint32(len(n.endpoints.tracked)))
+	for _, i := range n.endpoints.tracked {
 		h = mix(h, uint32(n.endpoints.servers[i].Server))
 	}
-	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.view), h)
+	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
 }
 
 // TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
@@ -119,7 +119,7 @@
 			n := New(uint64(me), Settings{
 				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true", "peer_messages_per_s": "40",
 				"tick": "10", "class.0.latency_objective": "6000", "idle_timeout": "300000",
-			}, Second)
+			}.parse(), Second)
 			list := []Endpoint{}
 			for i := range c.servers {
 				list = append(list, Endpoint{
@@ -137,7 +137,7 @@
 				}
 			}
 			n.UpdateEndpoints(ListUpdate, changes)
-			n.subsets.attemptsSent.add(0, n.now, paceMemory)
+			n.subsets.attemptsSent.add(0, n.now, paceTimeConstant)
 			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
 			pollsDiscovery(n)
--- a/internal/upstream/disconnectunread_test.go
+++ b/internal/upstream/disconnectunread_test.go
@@ -40,7 +40,7 @@
 		}
 		whole <- err == nil
 	})
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: map[string]string{settings.CancelAttempts: cancelling}, Retries: settings.RetrySafe, Limits: frontendtest.Limits})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: cancelling}, Retries: settings.RetrySafe, Limits: frontendtest.Limits})
 	node.ListOnly(frontendtest.Endpoint("s", listener))
 	if !written {
 		openSmallConns(t, node)
