--- a/internal/counters/node.go
+++ b/internal/counters/node.go
@@ -78,7 +78,7 @@
 	}
 	return append(
 		fields,
-		field{"dials_short_of_resources", &up.Shortages},
+		field{"dials_short_of_resources", &up.ResourceExhaustions},
 		field{invariant.CounterField(invariant.Sending), &up.SendViolations},
 		field{invariant.CounterField(invariant.Repeating), &n.RepeatViolations},
 		field{invariant.CounterField(invariant.Closing), &front.CloseViolations},
--- a/internal/counters/node_test.go
+++ b/internal/counters/node_test.go
@@ -10,44 +10,44 @@
 	"github.com/rs/zerolog"
 )
 
-// counterNames are the counters' fields in the log, in their order: as of commit cf1acfb, and as they are called now.
-var counterNames = []struct{ old, now string }{
-	{"connections", "connections"},
-	{"taken", "requests"},
-	{"bad", "requests_malformed"},
-	{"completed", "completed"},
-	{"bounced", "rejected"},
-	{"broken_off", "failed"},
-	{"gone", "clients_gone"},
-	{"denied", "denied"},
-	{"unanswered", "responses_unwritten"},
-	{"sent", "attempts"},
-	{"dialled", "dials"},
-	{"lists", "endpoint_lists"},
-	{"lists_bad", "endpoint_lists_malformed"},
-	{"told", "peer_messages_sent"},
-	{"told_failed", "peer_messages_unsent"},
-	{"heard", "peer_messages_received"},
-	{"heard_bad", "peer_messages_dropped"},
-	{"lines_lost", "log_lines_dropped"},
-	{"ended_completed", "attempts_completed"},
-	{"ended_errored", "attempts_errored"},
-	{"ended_turned_away", "attempts_rejected"},
-	{"ended_timed_out", "attempts_timed_out"},
-	{"ended_unconnected", "attempts_connect_failed"},
-	{"ended_broken", "attempts_connection_reset"},
-	{"ended_withdrawn", "attempts_cancelled"},
-	{"ended_unsent", "attempts_not_sent"},
-	{"ended_spoilt", "attempts_malformed_response"},
-	{"", "dials_short_of_resources"}, // since issue 40, as those below
-	{"", "violations_sending"},
-	{"", "violations_repeating"},
-	{"", "violations_closing"},
-	{"", "violations_starting"},
+// counterNames are the counters' log fields, in order.
+var counterNames = []string{
+	"connections",
+	"requests",
+	"requests_malformed",
+	"completed",
+	"rejected",
+	"failed",
+	"clients_gone",
+	"denied",
+	"responses_unwritten",
+	"attempts",
+	"dials",
+	"endpoint_lists",
+	"endpoint_lists_malformed",
+	"peer_messages_sent",
+	"peer_messages_unsent",
+	"peer_messages_received",
+	"peer_messages_dropped",
+	"log_lines_dropped",
+	"attempts_completed",
+	"attempts_errored",
+	"attempts_rejected",
+	"attempts_timed_out",
+	"attempts_connect_failed",
+	"attempts_connection_reset",
+	"attempts_cancelled",
+	"attempts_not_sent",
+	"attempts_malformed_response",
+	"dials_short_of_resources",
+	"violations_sending",
+	"violations_repeating",
+	"violations_closing",
+	"violations_starting",
 }
 
-// The counters in the log: names, order, and that each is written under its own name.
-func TestGoldenCounters(t *testing.T) {
+// Each counter is logged under its own name, in a fixed order.
+func TestCountersLogFormat(t *testing.T) {
 	counters := &Node{}
 	front, up, disco, peers := &counters.FrontEnd, &counters.Upstream, &counters.Discovery, &counters.Peers
 	all := []*atomic.Int64{
@@ -59,14 +59,14 @@
 	for outcome := range up.AttemptOutcomes {
 		all = append(all, &up.AttemptOutcomes[outcome])
 	}
-	all = append(all, &up.Shortages, &up.SendViolations, &counters.RepeatViolations, &front.CloseViolations, &front.StartViolations)
+	all = append(all, &up.ResourceExhaustions, &up.SendViolations, &counters.RepeatViolations, &front.CloseViolations, &front.StartViolations)
 	if len(all) != len(counterNames) {
 		t.Fatalf("%d counters, %d names", len(all), len(counterNames))
 	}
 	var want strings.Builder
 	for i, counter := range all {
 		counter.Store(int64(i) + 1)
-		fmt.Fprintf(&want, ",%q:%d", counterNames[i].now, i+1)
+		fmt.Fprintf(&want, ",%q:%d", counterNames[i], i+1)
 	}
 	var out bytes.Buffer
 	log := zerolog.New(&out)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -66,7 +66,7 @@
 	dialer := net.Dialer{Timeout: max(t.limits.ConnectTimeout, minConnectTimeout), Deadline: deadline, KeepAlive: -1}
 	for {
 		conn, err := dialer.DialContext(ctx, "tcp", t.addr)
-		if err == nil || !netio.LacksResources(err) && !netio.LacksRoute(err) || time.Now().Add(netio.ErrorPause).After(deadline) {
+		if err == nil || !netio.IsResourceExhaustion(err) && !netio.IsUnroutable(err) || time.Now().Add(netio.ErrorPause).After(deadline) {
 			return conn, err
 		}
 		select {
@@ -114,7 +114,7 @@
 // call asks for what is newer than a revision, or for everything, and waits for so long at most.
 func (c *discoveryConn) call(full bool, revision uint64, hold, timeout time.Duration) callResult {
 	result := callResult{conn: c}
-	c.out.Appended(protocol.AppendDiscoveryCall(c.out.Space(), c.addr, full, revision, hold))
+	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, full, revision, hold))
 	netio.SetDeadline(c.conn, time.Now().Add(timeout))
 	if result.err = c.out.Flush(); result.err != nil {
 		return result
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -14,43 +14,44 @@
 	"cherrygap/internal/protocol"
 )
 
-// lingerTimeout is how long a client that is refused has to read the response, before its connection is closed.
+// lingerTimeout is how long the node waits for a client to read its last response before it closes the connection.
 const lingerTimeout = 250 * time.Millisecond
 
-// clientConn is one HTTP connection of a client. Two goroutines work on it. serve, started by the Server, reads it
-// throughout, so that a client that disconnects is noticed while its request waits; it ends with the connection.
-// handleRequests, started with the first request, takes requests to their responses; it ends once serve closes pending.
+// clientConn is one HTTP connection of a client. Two goroutines work on it:
+//   - serve, which the Server starts, reads the connection throughout, so that it notices a client that disconnects while
+//     its request is in flight. It ends with the connection.
+//   - handleRequests, which the first request starts, takes requests to their responses. It ends when serve closes pending.
 //
-// They take turns: pending and handled pass the request over and back. A field that is not atomic belongs to whose turn
-// it is, but for in and reader, which stay with serve.
+// pending passes a request to handleRequests and handled passes it back. Fields that are not atomic belong to the goroutine
+// that has the request, except in and reader, which always belong to serve.
 type clientConn struct {
 	server  *Server
 	conn    *net.TCPConn
-	reader  *netio.Socket // under in
-	writer  *netio.Socket // under out
+	reader  *netio.Socket // the stream of in
+	writer  *netio.Socket // the stream of out
 	in, out netio.RingBuffer
-	guard   closeGuard // of what was read
+	check   closeCheck
 
 	handler     *RequestHandler // nil before the first request
 	request     protocol.Request
 	lengthLines protocol.ContentLengthScanner // of the head being read
-	body        []byte                        // kept from request to request
-	receivedAt  time.Time                     // when the request's first byte was read
-	arrivals    netio.ArrivalMarks            // of the bytes in the ring
+	body        []byte                        // buffer of the request's body, reused for the next
+	receivedAt  time.Time                     // when the request's first byte arrived
+	arrivals    netio.ArrivalTimes            // of the bytes in the ring buffer
 	acceptedAt  time.Time
-	waitedSince time.Time // it waited for a slot since, and its first request with it; zero: it did not
-	requests    int       // so far
+	queuedSince time.Time // when the connection began to wait for a slot; zero if it did not, or its first request is read
+	requests    int       // requests handed over
 	handedOver  bool      // handleRequests has the request
-	evicted     bool      // to make room; guarded by Server.mu
+	evicted     bool      // closed to free a slot; guarded by Server.mu
 
-	pending chan struct{} // a request is to be handled
-	handled chan struct{} // it was
+	pending chan struct{} // has an element if a request is to be handled; closed by serve
+	handled chan struct{} // has an element if the request was handled; closed by handleRequests
 
-	responseDue  atomic.Bool  // a request is open
-	hasRequested atomic.Bool  // a whole request was read
-	readingAhead atomic.Bool  // the request waits, and serve reads what the client sent behind it
-	overflowed   atomic.Bool  // that was more than the buffer holds: the response is the connection's last
-	idleSince    atomic.Int64 // time since acceptedAt, in nanoseconds
+	responseDue  atomic.Bool  // a request has no response yet
+	hasRequested atomic.Bool  // a complete request was read
+	readingAhead atomic.Bool  // serve reads pipelined bytes while a request is in flight
+	overflowed   atomic.Bool  // the pipelined bytes did not fit the buffer: the response is the connection's last
+	idleSince    atomic.Int64 // nanoseconds since acceptedAt
 
 	closeOnce sync.Once // guards reason
 	reason    netio.CloseReason
@@ -58,27 +59,27 @@
 
 func newClientConn(server *Server, conn *net.TCPConn) *clientConn {
 	c := &clientConn{server: server, conn: conn, acceptedAt: time.Now(), reader: netio.NewSocket(conn), writer: netio.NewSocket(conn)}
-	c.reader.Guard = &c.guard
+	c.reader.Hook = &c.check
 	c.in, c.out = netio.RingBuffer{Conn: conn, Stream: c.reader, Arrivals: &c.arrivals}, netio.RingBuffer{Conn: conn, Stream: c.writer}
-	_ = conn.SetKeepAlive(false)                                        // fails for a closed connection only
-	netio.SetReadDeadline(conn, c.acceptedAt.Add(netio.MessageTimeout)) // who sends nothing, or never all of it, is closed
+	_ = conn.SetKeepAlive(false) // fails for a closed connection only
+	netio.SetReadDeadline(conn, c.acceptedAt.Add(netio.MessageTimeout))
 	c.in.DeadlineSet = true
 	return c
 }
 
-// startHandler makes what requests need. Before the first a connection has none of it, and no buffers before its first
-// byte, so that crowds of connections that send nothing cost next to nothing.
+// startHandler makes the parts of a connection that requests need. Connections without a request have none of them, and no
+// buffers before their first byte, so a crowd of silent connections takes little memory.
 func (c *clientConn) startHandler() {
 	c.pending, c.handled = make(chan struct{}, 1), make(chan struct{}, 1)
 	c.handler = c.server.NewRequestHandler(c.peerClosed)
 	go c.handleRequests()
 }
 
-// close closes the connection; the first reason stays.
+// close closes the connection. The first call sets the reason. Any goroutine may call it.
 func (c *clientConn) close(reason netio.CloseReason) {
 	c.closeOnce.Do(func() {
 		c.reason = reason
-		if reason.IsNodesChoice() && !c.guard.is(phaseClosed) {
+		if reason.IsNodesChoice() && !c.check.is(phaseClosed) {
 			invariant.Violated(&c.server.counters.CloseViolations, c.server.log, invariant.Closing).Str("reason", string(reason)).
 				Stringer("peer", c.conn.RemoteAddr()).Int("requests", c.requests).Msg(invariant.ViolatedMessage)
 		}
@@ -86,7 +87,7 @@
 	})
 }
 
-// serve reads one request after another and hands them over, until the connection is closed.
+// serve reads one request after another and hands each over, until the connection is closed.
 func (c *clientConn) serve() {
 	c.markIdle()
 	c.reader.WaitReadable()
@@ -95,14 +96,14 @@
 	}
 	if c.handler != nil {
 		close(c.pending)
-		<-c.handled // closed as handleRequests returns
+		<-c.handled // closed at the end of handleRequests
 		c.handler.Release()
 	}
 	c.server.remove(c)
 	netio.LogClose(c.server.log, netio.SideClient, c.conn.RemoteAddr().String(), c.reason, c.acceptedAt, c.requests)
 }
 
-// markIdle notes since when the connection is idle: it may be closed to make room.
+// markIdle notes that the connection is idle from now on, and may be evicted.
 func (c *clientConn) markIdle() {
 	c.idleSince.Store(int64(time.Since(c.acceptedAt)))
 	if c.server.atLimit.Load() {
@@ -110,57 +111,72 @@
 	}
 }
 
-// idleSinceTime is when the connection became idle.
+// idleSinceTime returns when the connection became idle.
 func (c *clientConn) idleSinceTime() time.Time {
 	return c.acceptedAt.Add(time.Duration(c.idleSince.Load()))
 }
 
-// evictable reports whether the connection may be closed to make room. Half of a first request holds no slot.
-func (c *clientConn) evictable() bool { return c.guard.mayClose(!c.hasRequested.Load()) }
+// partialPolicy returns whether a partly read request protects the connection from eviction: a first request does not.
+func (c *clientConn) partialPolicy() partialPolicy {
+	if c.hasRequested.Load() {
+		return keepPartial
+	}
+	return dropPartial
+}
 
-// mustStayOpen reports whether bytes of either side would be lost by a close: a request that waits unread, or a response
-// that the client has not taken in yet.
+// evictable reports whether the connection may be closed to free its slot.
+func (c *clientConn) evictable() bool { return c.check.mayClose(c.partialPolicy()) }
+
+// mustStayOpen reports whether a close would lose bytes: pending input, or a response that is not acknowledged yet.
 func (c *clientConn) mustStayOpen() bool {
-	return netio.HasUnread(c.conn) || c.writer.HasUnacknowledged()
+	return netio.HasPendingInput(c.conn) || c.writer.HasUnacknowledged()
 }
 
-// serveNext waits for the next request, reads it and hands it over, and reports whether there may be another. While a
-// request is being handled it waits too, and so notices a client that disconnects.
+// serveNext waits for the next request, reads it and hands it over. It waits also while a request is in flight, and so
+// notices a client that disconnects. It returns false once the connection is closed.
 func (c *clientConn) serveNext() bool {
-	err, receivedAt, abandoned := c.in.Wait(), time.Now(), false
+	end, readAt := inputEnd{err: c.in.Wait()}, time.Now()
 	if c.handedOver {
-		abandoned, err = c.awaitResponse(err)
-		if c.overflowed.Load() && (err == nil || netio.TimedOut(err)) {
+		end = c.awaitResponse(end.err)
+		if c.overflowed.Load() && (end.err == nil || netio.TimedOut(end.err)) {
 			return c.linger()
 		}
 	}
-	if !c.hasRequested.Load() && err == nil { // the client's time ran while its connection waited to be accepted
-		c.arrivals.PutBack(c.reader.KernelWait())
-	}
-	if arrivedAt := c.arrivals.Of(c.in.Taken); !arrivedAt.IsZero() { // and its request behind others
-		receivedAt = arrivedAt
-	}
-	if !c.waitedSince.IsZero() { // or for a slot
-		receivedAt, c.waitedSince = netio.Earlier(receivedAt, c.waitedSince), time.Time{}
-	}
-	if err != nil {
+	if end.err != nil {
 		reason := netio.ReasonClientClosed
-		if abandoned {
+		if end.clientGone {
 			reason = netio.ReasonClientDisconnected
 		}
-		c.close(closeReasonFor(err, reason))
+		c.close(closeReasonFor(end.err, reason))
 		return false
 	}
-	c.receivedAt = receivedAt
+	c.receivedAt = c.arrivalTime(readAt)
 	return c.takeRequest(c.readRequest())
 }
 
-// takeRequest answers or hands over a request that was read, or refuses it where err says that it could not be. It
-// reports whether there may be another.
-func (c *clientConn) takeRequest(err error) bool {
+// arrivalTime returns when the next request's first byte arrived; readAt is when the node noticed it. The time counts in
+// which the connection waited in the kernel or for a slot, and in which the request waited behind others.
+func (c *clientConn) arrivalTime(readAt time.Time) time.Time {
+	if !c.hasRequested.Load() {
+		c.arrivals.Backdate(c.reader.ReceiveAge())
+	}
+	arrivedAt := readAt
+	if recorded := c.arrivals.At(c.in.Taken); !recorded.IsZero() {
+		arrivedAt = recorded
+	}
+	if !c.queuedSince.IsZero() {
+		arrivedAt, c.queuedSince = netio.Earlier(arrivedAt, c.queuedSince), time.Time{}
+	}
+	return arrivedAt
+}
+
+// takeRequest answers a request or hands it over. readErr is why it could not be read; it is then rejected. It returns
+// false once the connection is closed.
+func (c *clientConn) takeRequest(readErr error) bool {
 	if cap(c.request.Body) > 0 {
 		c.body = netio.TrimBuffer(c.request.Body)
 	}
+	err := readErr
 	if err == nil {
 		err = c.checkRequest()
 	}
@@ -168,43 +184,48 @@
 		return c.rejectMalformed(err)
 	}
 	c.hasRequested.Store(true)
-	c.guard.requestRead(!c.in.Empty())
+	c.check.requestRead(c.in.Buffered())
 	if c.request.ForNode() {
 		return c.answerHealthCheck()
 	}
 	return c.handOver()
 }
 
-// awaitResponse waits until the request that was handed over is handled, reading ahead meanwhile unless err says that
-// the connection has ended. It returns whether the client disconnected before its response, and the connection's end.
-func (c *clientConn) awaitResponse(err error) (abandoned bool, _ error) {
+// inputEnd is the end of a connection's input, as it is known when a response was written.
+type inputEnd struct {
+	err        error // nil: the connection is open
+	clientGone bool  // the client disconnected before its response
+}
+
+// awaitResponse waits until the request in flight is handled. It reads ahead meanwhile, unless the connection has ended with
+// err.
+func (c *clientConn) awaitResponse(err error) inputEnd {
 	if err == nil {
 		err = c.readAhead()
 	}
-	abandoned = err != nil && c.responseDue.Load()
-	if abandoned {
+	end := inputEnd{err: err, clientGone: err != nil && c.responseDue.Load()}
+	if end.clientGone {
 		c.handler.ClientGone()
 	}
 	<-c.handled
 	c.handedOver = false
 	if c.readingAhead.CompareAndSwap(true, false) {
-		netio.SetReadDeadline(c.conn, time.Time{}) // handleRequests may have let it pass
+		netio.SetReadDeadline(c.conn, time.Time{}) // undoes the wake-up by handleRequests
 	}
-	return abandoned, err
+	return end
 }
 
 // readRequest reads the request that has begun to arrive.
 func (c *clientConn) readRequest() error {
 	parser := netio.BorrowParser(c)
+	defer netio.ReturnParser(parser)
 	c.lengthLines = protocol.ContentLengthScanner{}
 	err := protocol.ReadRequest(parser, c, &c.request, c.body)
 	c.in.EndMessage(parser)
-	netio.ReturnParser(parser)
 	return err
 }
 
-// checkRequest returns what a request that was read well is refused for, as a *protocol.RequestError. It claims the
-// request's id.
+// checkRequest claims the id of a well-formed request. It returns a *protocol.RequestError if the request is rejected.
 func (c *clientConn) checkRequest() error {
 	switch router := c.server.router; {
 	case c.request.ForNode():
@@ -219,7 +240,8 @@
 	return nil
 }
 
-// handOver passes the request to handleRequests, unless it lay unread until its client had gone: then it runs for nobody.
+// handOver passes the request to handleRequests. If the client disconnected before the request was read it closes the
+// connection instead and returns false.
 func (c *clientConn) handOver() bool {
 	if c.disconnected() {
 		c.server.counters.Requests.Add(1)
@@ -239,23 +261,23 @@
 	return true
 }
 
-// disconnected reports whether the client has closed its connection by now, be it behind further bytes.
+// disconnected reads the pending input and reports whether the client has closed its connection behind it.
 func (c *clientConn) disconnected() bool {
 	for c.in.Err == nil && c.reader.HasInput() {
 		c.makeSpace()
-		_ = c.in.ReadMore() // which stays in c.in.Err
+		_ = c.in.ReadMore() // stays in c.in.Err
 	}
 	return c.in.Err != nil
 }
 
-// peerClosed reports the same while serve reads, by a look that takes nothing.
+// peerClosed reports whether the client has closed its connection, without reading. handleRequests may call it while serve
+// reads.
 func (c *clientConn) peerClosed() bool { return c.writer.HungUp() }
 
-// readAhead reads what a client sends while its request waits, as its close shows only behind that. It returns once the
-// request waits no more, with the connection's end if that came first. It guards against requests that are forwarded
-// for clients which sent more than one request and disconnected.
+// readAhead reads pipelined bytes until the request in flight has its response, or the connection ends. Otherwise a close
+// behind pipelined bytes would go unnoticed and the node would send requests for a client that has disconnected.
 func (c *clientConn) readAhead() error {
-	c.readingAhead.Store(true) // handleRequests wakes it
+	c.readingAhead.Store(true) // handleRequests wakes the read below
 	for c.responseDue.Load() {
 		c.makeSpace()
 		if err := c.in.ReadMore(); err != nil {
@@ -265,8 +287,7 @@
 	return nil
 }
 
-// makeSpace lets the client send more. What it has sent behind its request waits for its turn as far as the buffer
-// holds it; past that nothing of it is a request any more, and the connection ends with its response.
+// makeSpace makes space in a full buffer. It drops the pipelined requests, so the response in flight is the last one.
 func (c *clientConn) makeSpace() {
 	if c.in.Full() {
 		c.overflowed.Store(true)
@@ -274,18 +295,21 @@
 	}
 }
 
-// linger lets a client whose connection ends read its response: bytes that nobody reads would reset the connection.
+// linger discards input until the client closes or lingerTimeout has passed, and closes the connection. A close with unread
+// input would reset the connection, and the client might lose its last response. It returns false.
 func (c *clientConn) linger() bool {
 	netio.SetReadDeadline(c.conn, time.Now().Add(lingerTimeout))
-	_ = c.conn.CloseWrite()     // fails for a connection that has ended already, as the copy does then
-	c.hasRequested.Store(false) // from here on it may be closed for others
-	c.guard.linger()
-	_, _ = io.Copy(io.Discard, c.conn) // until the client closes, or its time is over
+	_ = c.conn.CloseWrite()     // fails for a closed connection, as the copy below does
+	c.hasRequested.Store(false) // the connection may be evicted first
+	c.check.linger()
+	_, _ = io.Copy(io.Discard, c.conn)
 	c.close(netio.ReasonClientMalformed)
 	return false
 }
 
-// Read, Allow, ContentLengthLines and Continue make it the protocol.Source that a request is read from.
+// clientConn is the protocol.Source that its requests are read from.
+
+// Read reads from the ring buffer.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.in.Read(p)
 	c.lengthLines.Scan(p[:n])
@@ -295,22 +319,22 @@
 // Allow sets how many bytes may be read from now on.
 func (c *clientConn) Allow(bytes int) { c.in.Allow(bytes) }
 
-// ContentLengthLines is how many Content-Length lines the head had.
+// ContentLengthLines returns the number of Content-Length lines in the head.
 func (c *clientConn) ContentLengthLines() int { return c.lengthLines.Count() }
 
-// Continue tells the client to send its body.
+// Continue answers "Expect: 100-continue".
 func (c *clientConn) Continue() error {
 	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout))
 	c.out.Allocate(c.server.limits.BufferSize())
-	c.out.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	c.out.Append([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	return c.out.Flush()
 }
 
-// closeReasonFor is why a connection whose read returned err is closed; closed is the reason for a plain end.
-func closeReasonFor(err error, closed netio.CloseReason) netio.CloseReason {
+// closeReasonFor returns the reason of a connection whose read failed with err; atEOF is the reason for io.EOF.
+func closeReasonFor(err error, atEOF netio.CloseReason) netio.CloseReason {
 	switch {
 	case errors.Is(err, io.EOF):
-		return closed
+		return atEOF
 	case netio.TimedOut(err):
 		return netio.ReasonClientTimeout
 	}
--- a/internal/frontend/clientresponse.go
+++ b/internal/frontend/clientresponse.go
@@ -9,16 +9,17 @@
 	"cherrygap/internal/protocol"
 )
 
-// responseTimeout is how long after a request's own time its response may take to be written.
-const responseTimeout = time.Second
+// responseWriteTimeout is how long after the client's deadline the write of a response may take.
+const responseWriteTimeout = time.Second
 
-// answerSlack is how long after a request's own time the platform still takes its answer.
-const answerSlack = 500 * time.Millisecond
+// responseSlack is how long after the client's deadline the platform still accepts a response.
+const responseSlack = 500 * time.Millisecond
 
-// acknowledgementPause is the time between two looks whether a client's machine has taken in a response.
-const acknowledgementPause = 2 * time.Millisecond
+// acknowledgementPoll is the time between two checks whether a client's machine has acknowledged a response.
+const acknowledgementPoll = 2 * time.Millisecond
 
-// rejectMalformed answers what is no request that can be handled, and closes. It returns false: no other follows.
+// rejectMalformed answers a request that can't be handled, if err is a *protocol.RequestError, and closes the connection.
+// It returns false.
 func (c *clientConn) rejectMalformed(err error) bool {
 	var malformed *protocol.RequestError
 	c.server.counters.MalformedRequests.Add(1)
@@ -31,14 +32,14 @@
 	return c.linger()
 }
 
-// answerHealthCheck tells whether the node can take requests, and reports whether the connection stays.
+// answerHealthCheck answers a health check of the node itself. It returns false once the connection is closed.
 func (c *clientConn) answerHealthCheck() bool {
-	closes := c.request.Close || c.server.draining.Load() && c.guard.closeWithResponse()
-	response := protocol.ClientResponse{Status: http.StatusOK, Close: closes}
-	if c.server.draining.Load() || !c.server.router.HasServers() {
+	draining := c.server.draining.Load()
+	response := protocol.ClientResponse{Status: http.StatusOK, Close: c.request.Close || draining && c.check.closeWithResponse()}
+	if draining || !c.server.router.HasServers() {
 		response.Status = http.StatusServiceUnavailable
 	}
-	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout)) // the last request's may have passed
+	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout)) // that of the last response may have passed
 	if !c.writeResponse(&response) {
 		c.close(netio.ReasonClientReset)
 		return false
@@ -46,69 +47,69 @@
 	if response.Close {
 		c.close(netio.ReasonClientRequestedClose)
 	}
-	c.guard.answered()
+	c.check.answered()
 	c.markIdle()
 	return !response.Close
 }
 
-// writeResponse reports whether a response was written whole.
+// writeResponse reports whether a response was written completely.
 func (c *clientConn) writeResponse(response *protocol.ClientResponse) bool {
 	c.out.Allocate(c.server.limits.BufferSize())
-	c.out.Appended(protocol.AppendResponseHead(c.out.Space(), response))
-	c.out.Write(response.Body)
+	c.out.Commit(protocol.AppendResponseHead(c.out.AvailableBuffer(), response))
+	c.out.Append(response.Body)
 	return c.out.Flush() == nil
 }
 
-// handleRequests takes requests to their responses, one for each that serve hands over, until serve closes pending.
+// handleRequests takes each request from pending to its response, until serve closes pending.
 func (c *clientConn) handleRequests() {
+	defer close(c.handled)
 	for range c.pending {
 		c.handleRequest()
 		if !c.responseDue.Load() && (c.readingAhead.Load() || c.overflowed.Load()) {
-			netio.SetReadDeadline(c.conn, netio.PastDeadline) // wakes serve: it reads ahead no more
+			netio.SetReadDeadline(c.conn, netio.PastDeadline) // wakes serve from readAhead
 		}
 		if !c.overflowed.Load() {
-			c.guard.answered()
+			c.check.answered()
 			c.markIdle()
 		}
 		c.handled <- struct{}{}
 	}
-	close(c.handled)
 }
 
-// handleRequest takes a request to its response.
+// handleRequest takes the request in flight to its response. If the client disconnected it writes none.
 func (c *clientConn) handleRequest() {
 	defer c.server.requestIDs.release(c.request.ID)
-	response, owed := c.handler.Handle(&c.request, c.receivedAt)
-	if !owed {
+	response, ok := c.handler.Handle(&c.request, c.receivedAt)
+	if !ok {
 		return
 	}
 	c.responseDue.Store(false)
-	if late := time.Since(c.receivedAt) - c.request.Timeout; late > answerSlack {
-		c.handler.violated(&c.request, "answered past its time")
+	if late := time.Since(c.receivedAt) - c.request.Timeout; late > responseSlack {
+		c.handler.violated(&c.request, "response past the deadline")
 	}
-	response.Close = c.request.Close || c.overflowed.Load() || c.server.wantsClose() && c.guard.closeWithResponse()
-	netio.SetWriteDeadline(c.conn, c.receivedAt.Add(c.request.Timeout+responseTimeout))
+	response.Close = c.request.Close || c.overflowed.Load() || c.server.wantsClose() && c.check.closeWithResponse()
+	netio.SetWriteDeadline(c.conn, c.receivedAt.Add(c.request.Timeout+responseWriteTimeout))
 	switch {
 	case !c.writeResponse(&response):
 		c.server.counters.ResponsesUnwritten.Add(1)
 		c.close(netio.ReasonResponseUnwritten)
 	case c.overflowed.Load(): // serve closes it
 	case response.Close && c.request.Close:
-		c.closeOnceTaken(netio.ReasonClientRequestedClose)
+		c.closeAfterAcknowledgement(netio.ReasonClientRequestedClose)
 	case response.Close && c.server.draining.Load():
-		c.closeOnceTaken(netio.ReasonNodeDraining)
+		c.closeAfterAcknowledgement(netio.ReasonNodeDraining)
 	case response.Close:
-		c.closeOnceTaken(netio.ReasonNodeNearLimit)
+		c.closeAfterAcknowledgement(netio.ReasonNodeNearLimit)
 	}
 }
 
-// closeOnceTaken closes the connection once the client's machine has taken in all that was written, or netio.MessageTimeout
-// later: who takes nothing in must hold no slot. Closed before, the connection would be reset by whatever else the client
-// sends, and the rest of the response would go with it.
-func (c *clientConn) closeOnceTaken(reason netio.CloseReason) {
+// closeAfterAcknowledgement closes the connection when the client's machine has acknowledged all written bytes, or after
+// netio.MessageTimeout, so that a client that reads nothing keeps no slot. If the connection were closed earlier, further
+// input of the client would reset it and the rest of the response would be lost.
+func (c *clientConn) closeAfterAcknowledgement(reason netio.CloseReason) {
 	deadline := time.Now().Add(netio.MessageTimeout)
 	for c.writer.HasUnacknowledged() && time.Now().Before(deadline) {
-		time.Sleep(acknowledgementPause)
+		time.Sleep(acknowledgementPoll)
 	}
 	c.close(reason)
 }
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -74,28 +74,28 @@
 		for c := range node.Server.ClientConns() {
 			client = c
 		}
-		return client.Guard().Is(frontend.PhaseIdle)
+		return client.Check().Is(frontend.PhaseIdle)
 	})
 	// serve has read bytes and is not at them yet.
-	if !client.Guard().BeginRead() {
+	if !client.Check().BeginRead() {
 		t.Fatal("an idle connection can't be read")
 	}
-	client.Guard().EndRead(true, false)
+	client.Check().EndRead(netio.ReadBytes)
 	node.Server.Evict()
-	if client.Guard().Is(frontend.PhaseClosed) {
+	if client.Check().Is(frontend.PhaseClosed) {
 		t.Error("evicted over bytes that were read")
 	}
 	// serve has handed the request over, read another behind it, and the first is answered.
-	client.Guard().RequestRead(false)
-	if !client.Guard().BeginRead() {
+	client.Check().RequestRead(0)
+	if !client.Check().BeginRead() {
 		t.Fatal("nothing can be read behind an open request")
 	}
-	client.Guard().EndRead(true, false)
-	if client.Guard().CloseWithResponse() {
+	client.Check().EndRead(netio.ReadBytes)
+	if client.Check().CloseWithResponse() {
 		t.Error("closed over a request that was read ahead")
 	}
-	client.Guard().Answered()
-	if client.Guard().TryClose(false) {
+	client.Check().Answered()
+	if client.Check().TryClose() {
 		t.Error("closed over a request that was read ahead, once the one before was answered")
 	}
 }
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -11,18 +11,17 @@
 	"cherrygap/internal/netio"
 )
 
-// limitedListener is a listener of another protocol's front end that takes no more connections at once than its part
-// of the clients' descriptors; the rest wait in the kernel. It keeps discovery's descriptors and the app servers' from
-// crowds that come that way.
+// limitedListener bounds the open connections of another protocol's front end. Further ones wait in the kernel's queue.
+// Protects the descriptors of discovery and of the app servers from crowds of clients.
 type limitedListener struct {
 	net.Listener
 	log       *zerolog.Logger
-	slots     chan struct{} // holds one for each open connection
+	slots     chan struct{} // has an element for each open connection
 	closed    chan struct{}
-	closeOnce sync.Once
+	closeOnce sync.Once // guards the close of closed
 }
 
-// LimitListener limits the connections of another protocol's front end.
+// LimitListener returns a listener for another protocol's front end that shares the server's limit of client connections.
 func (s *Server) LimitListener(listener net.Listener) net.Listener {
 	return &limitedListener{
 		Listener: listener,
@@ -32,8 +31,8 @@
 	}
 }
 
-// Accept waits for a slot first, so that no connection is accepted over the limit. After Close the error is net.ErrClosed;
-// no other is returned, as the front end's server would end at it, however soon it passes.
+// Accept waits for a slot and then for a connection. It retries after each error, because a server ends at an error of its
+// listener. After Close it returns net.ErrClosed.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
@@ -59,7 +58,7 @@
 	return l.Listener.Close()
 }
 
-// limitedConn gives its slot back once it is closed.
+// limitedConn releases its slot when it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -196,7 +196,7 @@
 			Method: "POST", URI: "/seats/0000000000000005", Host: "a", ID: fmt.Sprint("left", i), Class: "seats",
 			Plan: "team", Customer: 5, Units: 1, Spread: 1, Timeout: time.Second,
 		}
-		if response, owed := handler.Handle(&request, time.Now()); owed {
+		if response, ok := handler.Handle(&request, time.Now()); ok {
 			t.Errorf("answered %d", response.Status)
 		}
 	}
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -80,7 +80,7 @@
 			node.Server.Mutex().Lock()
 			defer node.Server.Mutex().Unlock()
 			for client := range node.Server.ClientConns() {
-				return client.Guard().Is(frontend.PhaseIdle)
+				return client.Check().Is(frontend.PhaseIdle)
 			}
 			return false
 		})
@@ -128,7 +128,7 @@
 		defer node.Server.Mutex().Unlock()
 		halves := 0
 		for client := range node.Server.ClientConns() {
-			if client.Guard().Is(frontend.PhaseAwaitingRest) {
+			if client.Check().Is(frontend.PhasePartial) {
 				halves++
 			}
 		}
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -13,16 +13,16 @@
 
 // The phases of a connection that tests wait for.
 const (
-	PhaseIdle         = phaseIdle
-	PhaseAwaitingRest = phaseAwaitingRest
-	PhaseClosed       = phaseClosed
+	PhaseIdle    = phaseIdle
+	PhasePartial = phasePartial
+	PhaseClosed  = phaseClosed
 )
 
 type (
 	// ClientConn is one client connection.
 	ClientConn = clientConn
-	// CloseGuard is a client connection's closeGuard.
-	CloseGuard = closeGuard
+	// CloseCheck is a client connection's closeCheck.
+	CloseCheck = closeCheck
 )
 
 // Mutex is the lock of ClientConns.
@@ -60,23 +60,23 @@
 // AtLimit is set while a new connection waits for a slot.
 func (s *Server) AtLimit() *atomic.Bool { return &s.atLimit }
 
-// Guard is the connection's guard.
-func (c *ClientConn) Guard() *CloseGuard { return &c.guard }
+// Check is the connection's close check.
+func (c *ClientConn) Check() *CloseCheck { return &c.check }
 
 // Conn is the connection's socket.
 func (c *ClientConn) Conn() *net.TCPConn { return c.conn }
 
 // Is reports whether the connection is in a phase.
-func (g *CloseGuard) Is(phase connPhase) bool { return g.is(phase) }
+func (g *CloseCheck) Is(phase connPhase) bool { return g.is(phase) }
 
 // RequestRead notes that a whole request was read.
-func (g *CloseGuard) RequestRead(behind bool) { g.requestRead(behind) }
+func (g *CloseCheck) RequestRead(bytesBehind int) { g.requestRead(bytesBehind) }
 
 // Answered notes that the open request has its response.
-func (g *CloseGuard) Answered() { g.answered() }
+func (g *CloseCheck) Answered() { g.answered() }
 
 // CloseWithResponse reports whether the open response may close the connection.
-func (g *CloseGuard) CloseWithResponse() bool { return g.closeWithResponse() }
+func (g *CloseCheck) CloseWithResponse() bool { return g.closeWithResponse() }
 
-// TryClose reports whether the connection may be closed now, and then stops reads.
-func (g *CloseGuard) TryClose(partial bool) bool { return g.tryClose(partial) }
+// TryClose reports whether the connection may be closed now, with no request partly read, and then stops reads.
+func (g *CloseCheck) TryClose() bool { return g.tryClose(keepPartial) }
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -319,8 +319,8 @@
 	retryAfter time.Duration
 }
 
-func (v fixedVerdict) Check(context.Context, *protocol.Request, time.Duration) (authz.Verdict, time.Duration) {
-	return v.verdict, v.retryAfter
+func (v fixedVerdict) Check(context.Context, *protocol.Request, time.Duration) frontend.Authorization {
+	return frontend.Authorization{Verdict: v.verdict, RetryAfter: v.retryAfter}
 }
 
 // What an authorizer has refused, in each way.
--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -89,7 +89,7 @@
 		client = c
 	}
 	node.Server.Mutex().Unlock()
-	nettest.Eventually(t, "a second request read", func() bool { return !netio.HasUnread(client.Conn()) })
+	nettest.Eventually(t, "a second request read", func() bool { return !netio.HasPendingInput(client.Conn()) })
 	drained := startDrain(node, 10*time.Millisecond)
 	nettest.Eventually(t, "the drain", node.Server.Draining().Load)
 	close(goOn)
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -13,54 +13,66 @@
 	"cherrygap/internal/upstream"
 )
 
-// Authorizer asks an outside authorizer about requests.
+// Authorization is an authorizer's answer to one request.
+type Authorization struct {
+	Verdict    authz.Verdict
+	RetryAfter time.Duration // of a rejected request; 0: none
+}
+
+// Authorizer checks requests. It is safe for concurrent use.
 type Authorizer interface {
-	// Check returns once the verdict is final, or ctx has ended as the client disconnected. left is how long the client
-	// still waits. The duration is the Retry-After of a request that is rejected, 0 for none.
-	Check(ctx context.Context, request *protocol.Request, left time.Duration) (authz.Verdict, time.Duration)
+	// Check returns the final answer. left is the time to the client's deadline. ctx ends if the client disconnects; the
+	// answer is then not used.
+	Check(ctx context.Context, request *protocol.Request, left time.Duration) Authorization
 }
 
-// RequestHandler takes one caller's requests, one at a time, through the authorizer and attempts to their responses,
-// whatever protocol they came by. ClientGone may be called by any goroutine; all else belongs to the caller's.
+// RequestHandler takes the requests of one caller, one at a time, through the authorizer and attempts to their responses. A
+// caller is an HTTP connection or a call of another protocol. ClientGone may be called by any goroutine; the other methods
+// belong to the caller's.
 type RequestHandler struct {
 	server   *Server
 	attempts *upstream.AttemptRunner
 	request  *routing.Request
-	open     atomic.Bool // a request is being handled
+	open     atomic.Bool // a request is in flight
 
 	mu          sync.Mutex         // guards both below
 	clientLeft  bool               // the client disconnected
-	cancelCheck context.CancelFunc // of the authorizer's check under way, or nil
+	cancelCheck context.CancelFunc // cancels the authorizer's check; nil without one
 }
 
-// NewRequestHandler makes a handler for one caller, which Release is to end. peerClosed looks whether the caller has
-// disconnected by now; it must not block.
+// NewRequestHandler makes a handler for one caller, which calls Release in the end. peerClosed reports whether the caller's
+// client has disconnected by now; it must not block.
 func (s *Server) NewRequestHandler(peerClosed func() bool) *RequestHandler {
 	h := &RequestHandler{server: s, attempts: upstream.NewAttemptRunner(s.pool, s.router, peerClosed)}
 	h.request = s.router.NewRequest(h.attempts)
 	return h
 }
 
-// Release gives up what the handler holds of the Router; no request may be open.
+// Release releases the handler's resources in the Router. No request may be in flight.
 func (h *RequestHandler) Release() { h.request.Release() }
 
-// Begin readies for the next request, before Handle and any ClientGone of it.
+// Begin prepares for the next request. It comes before Handle and before any ClientGone for that request.
 func (h *RequestHandler) Begin() {
 	h.mu.Lock()
+	defer h.mu.Unlock()
 	h.clientLeft = false
-	h.mu.Unlock()
 }
 
-// ClientGone tells that the client disconnected: a check is given up, an attempt cancelled.
+// ClientGone notes that the client of the request in flight disconnected. It cancels the authorizer's check and withdraws
+// the request from the Router.
 func (h *RequestHandler) ClientGone() {
+	h.noteClientLeft()
+	h.attempts.Stop()
+	h.request.ClientGone()
+}
+
+func (h *RequestHandler) noteClientLeft() {
 	h.mu.Lock()
+	defer h.mu.Unlock()
 	h.clientLeft = true
 	if h.cancelCheck != nil {
 		h.cancelCheck()
 	}
-	h.mu.Unlock()
-	h.attempts.Stop()
-	h.request.ClientGone()
 }
 
 func (h *RequestHandler) clientGone() bool {
@@ -69,24 +81,25 @@
 	return h.clientLeft
 }
 
-// Handle takes a request that came at a time to its response; owed is false once the client has disconnected: it gets none.
-func (h *RequestHandler) Handle(request *protocol.Request, receivedAt time.Time) (response protocol.ClientResponse, owed bool) {
+// Handle takes a request that was received at a time to its response. ok is false if the client disconnected: then there is
+// no response.
+func (h *RequestHandler) Handle(request *protocol.Request, receivedAt time.Time) (response protocol.ClientResponse, ok bool) {
 	counters := h.server.counters
 	counters.Requests.Add(1)
 	if !h.open.CompareAndSwap(false, true) {
-		h.violated(request, "begun while another was open")
+		h.violated(request, "another request in flight")
 	}
 	defer h.open.Store(false)
-	if refusal, passes := h.authorize(request, receivedAt); !passes {
+	if check := h.authorize(request, receivedAt); !check.passed {
 		if h.clientGone() {
 			counters.ClientsGone.Add(1)
-			return response, false
+			return protocol.ClientResponse{}, false
 		}
-		return refusal, true
+		return check.response, true
 	}
 	h.attempts.Reset(request, receivedAt)
 	h.request.Start(request, request.Timeout-time.Since(receivedAt))
-	if h.clientGone() { // before the Router knew of the request
+	if h.clientGone() { // ClientGone came before the Router knew of the request
 		h.attempts.Stop()
 		h.request.ClientGone()
 	}
@@ -95,7 +108,7 @@
 	return response, end.outcome != endClientGone
 }
 
-// endOutcome is what became of a request.
+// endOutcome is the result of a request, as it is logged.
 type endOutcome string
 
 const (
@@ -105,31 +118,32 @@
 	endClientGone endOutcome = "client-gone"
 )
 
-// requestEnd is how a request ended, and why it was not completed where the engine says so.
+// requestEnd is the end of a request.
 type requestEnd struct {
 	outcome  endOutcome
-	reason   string
-	attempts int // that were decided on
+	reason   string // of the last decision; empty for a forwarded request
+	attempts int    // that were decided on
 }
 
-// attemptUntilEnd carries out what the Router decides until the request's end.
-func (h *RequestHandler) attemptUntilEnd(request *protocol.Request) (response protocol.ClientResponse, end requestEnd) {
+// attemptUntilEnd executes the Router's decisions until the request ends.
+func (h *RequestHandler) attemptUntilEnd(request *protocol.Request) (protocol.ClientResponse, requestEnd) {
 	counters := h.server.counters
+	var end requestEnd
 	for {
 		decision := h.request.Next()
 		end.reason = decision.Reason
 		switch decision.Action {
 		case routing.Forward:
 			end.attempts++
-			reply, result := h.attempts.Run(decision, request)
-			if result.Outcome == protocol.NotSent && h.attempts.ClientGone() { // it may have seen so before serve has
+			response, result := h.attempts.Run(decision, request)
+			if result.Outcome == protocol.NotSent && h.attempts.ClientGone() { // the attempt may notice before serve does
 				h.ClientGone()
 			}
 			h.request.Report(result)
 			if result.Outcome == protocol.Completed {
 				counters.Completed.Add(1)
 				end.outcome = endCompleted
-				return protocol.ClientResponse{Status: protocol.StatusCompleted, ContentType: reply.ContentType, Body: reply.Body}, end
+				return protocol.ClientResponse{Status: protocol.StatusCompleted, ContentType: response.ContentType, Body: response.Body}, end
 			}
 		case routing.Reject:
 			counters.Rejected.Add(1)
@@ -142,15 +156,15 @@
 		default:
 			counters.ClientsGone.Add(1)
 			if !h.clientGone() {
-				h.violated(request, "ended without an answer")
+				h.violated(request, "ended without a response")
 			}
 			end.outcome = endClientGone
-			return response, end
+			return protocol.ClientResponse{}, end
 		}
 	}
 }
 
-// logEnd writes a request's line, where the log's level has it.
+// logEnd logs the end of a request, at level debug.
 func (h *RequestHandler) logEnd(request *protocol.Request, end requestEnd, receivedAt time.Time) {
 	event := h.server.log.Debug()
 	if !event.Enabled() {
@@ -160,54 +174,64 @@
 		Int("attempts", end.attempts).Dur("timeout_ms", request.Timeout).Dur("took_ms", time.Since(receivedAt)).Msg("request ended")
 }
 
-// violated counts a promise on a request's start and end that was broken.
+// violated counts and logs a violation of invariant.Starting.
 func (h *RequestHandler) violated(request *protocol.Request, fault string) {
-	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", fault).Str("request", request.ID).Msg(invariant.ViolatedMessage)
+	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", fault).
+		Str("request", request.ID).Msg(invariant.ViolatedMessage)
+}
+
+// authorizationCheck is the result of authorize.
+type authorizationCheck struct {
+	passed   bool                    // the request may be forwarded
+	response protocol.ClientResponse // otherwise, unless the client disconnected
 }
 
-// authorize reports whether a request may be forwarded, or else returns its response.
-func (h *RequestHandler) authorize(request *protocol.Request, receivedAt time.Time) (refusal protocol.ClientResponse, passes bool) {
+// authorize checks a request with the authorizer, if there is one.
+func (h *RequestHandler) authorize(request *protocol.Request, receivedAt time.Time) authorizationCheck {
 	if h.server.authorizer == nil {
-		return refusal, true
+		return authorizationCheck{passed: true}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h.mu.Lock()
-	h.cancelCheck = cancel
-	if h.clientLeft {
-		cancel()
-	}
-	h.mu.Unlock()
-	verdict, retryAfter := h.server.authorizer.Check(ctx, request, request.Timeout-time.Since(receivedAt))
-	h.mu.Lock()
-	h.cancelCheck = nil
-	h.mu.Unlock()
-	switch verdict {
+	h.setCancelCheck(cancel)
+	authorization := h.server.authorizer.Check(ctx, request, request.Timeout-time.Since(receivedAt))
+	h.setCancelCheck(nil)
+	switch authorization.Verdict {
 	case authz.Allow:
-		return refusal, !h.clientGone()
+		return authorizationCheck{passed: !h.clientGone()}
 	case authz.Deny:
 		h.server.counters.Denied.Add(1)
-		return protocol.ClientResponse{Status: protocol.StatusDenied}, false
+		return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusDenied}}
 	}
 	if !h.clientGone() {
 		h.server.counters.Rejected.Add(1)
 	}
-	return protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: retryAfter}, false
+	return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: authorization.RetryAfter}}
+}
+
+// setCancelCheck sets the function that ClientGone calls, and calls it at once if the client has disconnected. nil: none.
+func (h *RequestHandler) setCancelCheck(cancel context.CancelFunc) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.cancelCheck = cancel
+	if cancel != nil && h.clientLeft {
+		cancel()
+	}
 }
 
-// A front end of another protocol needs what follows: whether a request can be taken, and that no two under one id are
-// open or were lately answered.
+// Front ends of other protocols check requests by the methods below, as clientConn.checkRequest does.
 
 // KnowsClassAndPlan reports whether a request's class and plan are in the settings.
 func (s *Server) KnowsClassAndPlan(request *protocol.Request) bool {
 	return s.router.KnowsClassAndPlan(request)
 }
 
-// WithinLimits reports whether a request's figures are such as the settings allow.
+// WithinLimits reports whether a request's figures are within the limits of the settings.
 func (s *Server) WithinLimits(request *protocol.Request) bool { return s.router.WithinLimits(request) }
 
-// ClaimRequestID notes the id of a request as open and reports whether it was unknown.
+// ClaimRequestID marks a request's id as in flight, and reports whether it was unknown. The caller releases it with
+// ReleaseRequestID.
 func (s *Server) ClaimRequestID(id string) bool { return s.requestIDs.claim(id) }
 
-// ReleaseRequestID notes that a request was answered.
+// ReleaseRequestID marks a request's id as answered.
 func (s *Server) ReleaseRequestID(id string) { s.requestIDs.release(id) }
--- a/internal/frontend/requestids.go
+++ b/internal/frontend/requestids.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	idMemory         = 8 * time.Second // an answered request's id is remembered at least so long,
-	maxRememberedIDs = 4 << 10         // unless more come than this
+	minIDRetention   = 8 * time.Second // how long the id of an answered request is kept at least
+	maxRememberedIDs = 4 << 10         // above this many ids of answered requests they are dropped earlier
 )
 
-// requestIDs are the ids of requests that are open or were lately answered. Anyone may send an id that it has seen;
-// an attempt under it would count as a second one of the request's own.
+// requestIDs holds the ids of requests that are in flight or were answered lately. A second request under such an id is
+// rejected: the app servers would count its attempts as those of the first.
 type requestIDs struct {
-	mu               sync.Mutex // guards all below
-	open             map[string]struct{}
-	recent, previous map[string]struct{} // answered; recent becomes previous by and by, and is then forgotten
-	rotatedAt        time.Time
+	mu               sync.Mutex          // guards all below
+	open             map[string]struct{} // of requests in flight
+	recent, previous map[string]struct{} // of answered requests, in two generations
+	rotatedAt        time.Time           // when recent became previous
 }
 
 func newRequestIDs() *requestIDs {
 	return &requestIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}, rotatedAt: time.Now()}
 }
 
-// claim notes an id as open and reports whether it was unknown.
+// claim marks an id as in flight, and reports whether it was unknown.
 func (ids *requestIDs) claim(id string) bool {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -36,12 +36,12 @@
 	return true
 }
 
-// release notes that a request was answered.
+// release marks an id as answered.
 func (ids *requestIDs) release(id string) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
 	delete(ids.open, id)
-	if len(ids.recent) >= maxRememberedIDs || time.Since(ids.rotatedAt) >= idMemory {
+	if len(ids.recent) >= maxRememberedIDs || time.Since(ids.rotatedAt) >= minIDRetention {
 		ids.previous, ids.recent, ids.rotatedAt = ids.recent, make(map[string]struct{}, len(ids.recent)), time.Now()
 	}
 	ids.recent[id] = struct{}{}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -14,37 +14,37 @@
 	"cherrygap/internal/upstream"
 )
 
-// Times of clients' connections.
+// Times of client connections.
 const (
-	firstByteTimeout = 100 * time.Millisecond // of a new connection, before others' needs go first
-	finalAcceptWait  = 2 * time.Millisecond   // for connections that wait in the listener's queue when it is to close
-	finalAccepts     = 2                      // so many of these waits have to find nobody
+	firstByteTimeout = 100 * time.Millisecond // after it a connection without a request may be evicted or closed by Drain
+	finalAcceptWait  = 2 * time.Millisecond   // deadline of one Accept while the listener drains
+	finalAccepts     = 2                      // consecutive empty Accepts after which the listener is closed
 )
 
-// Server accepts clients' HTTP connections and serves them.
+// Server accepts client HTTP connections and serves them. It is safe for concurrent use.
 type Server struct {
 	router     *routing.Router
 	pool       *upstream.Pool
 	limits     netio.Limits
-	authorizer Authorizer // nil where no request is checked
+	authorizer Authorizer // may be nil
 	log        *zerolog.Logger
 	counters   *Counters
 	listener   *net.TCPListener
 	requestIDs *requestIDs
 
-	slots       chan struct{}  // holds one for each open connection, but for one that waits
-	acceptDone  chan struct{}  // closed once acceptLoop has returned
-	conns       sync.WaitGroup // acceptLoop and each connection
-	draining    atomic.Bool    // responses close their connections
-	closingIdle atomic.Bool    // idle connections are closed
+	slots       chan struct{}  // has an element for each open connection, except one that waits for its slot
+	acceptDone  chan struct{}  // closed at the end of acceptLoop
+	conns       sync.WaitGroup // counts acceptLoop and each connection
+	draining    atomic.Bool    // each response closes its connection
+	closingIdle atomic.Bool    // Drain closes idle connections
 	atLimit     atomic.Bool    // acceptLoop waits for a slot
 
 	mu       sync.Mutex // guards all below, and clientConn.evicted
 	clients  map[*clientConn]struct{}
-	evicting bool // one of them is being evicted
+	evicting bool // a connection is being evicted
 }
 
-// Listen starts to serve clients on an address. Their requests are checked by authorizer, if there is one. Drain ends it.
+// Listen starts a server on an address. authorizer checks the requests; it may be nil. Drain ends the server.
 func Listen(addr string, router *routing.Router, pool *upstream.Pool, limits netio.Limits, authorizer Authorizer, log *zerolog.Logger,
 	counters *Counters,
 ) (*Server, error) {
@@ -67,14 +67,14 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// acceptLoop accepts one connection after another until Drain has closed the listener, on a goroutine that Listen starts.
+// acceptLoop accepts connections until Drain has closed the listener. It runs on a goroutine of its own.
 func (s *Server) acceptLoop() {
 	defer s.conns.Done()
 	defer close(s.acceptDone)
-	var acceptUntil time.Time // set once the listener is to close
+	var acceptUntil time.Time // zero until the listener drains
 	for emptyAccepts := 0; ; {
-		// Connections that wait in the listener's queue when it closes would be reset, so they are accepted first. Past its
-		// deadline a listener's queue is not even looked at, so each look has a short deadline of its own.
+		// A close would reset the connections in the listener's queue, so they are accepted first. Accept ignores the queue
+		// after its deadline, so each call gets a new one.
 		if !acceptUntil.IsZero() {
 			netio.SetAcceptDeadline(s.listener, netio.Earlier(acceptUntil, time.Now().Add(finalAcceptWait)))
 		}
@@ -92,7 +92,7 @@
 			continue
 		}
 		emptyAccepts = 0
-		if err != nil { // none of the node's own making; never a reason to stop
+		if err != nil { // transient: the listener stays usable
 			s.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(netio.ErrorPause)
 			continue
@@ -101,14 +101,14 @@
 	}
 }
 
-// add starts to serve an accepted connection. At the limit it waits for a slot while the client that has been idle
-// longest is closed, which may come again on a new connection; further ones wait in the kernel meanwhile.
+// add starts to serve an accepted connection. At the limit it first evicts the longest idle connection and waits for a slot;
+// further connections wait in the kernel's queue.
 func (s *Server) add(conn *net.TCPConn) {
 	acceptedAt, waited := time.Now(), false
 	select {
 	case s.slots <- struct{}{}:
 	default:
-		s.atLimit.Store(true) // who falls idle from now on makes room too
+		s.atLimit.Store(true) // connections that become idle now evict too
 		s.evict()
 		s.slots <- struct{}{}
 		s.atLimit.Store(false)
@@ -117,7 +117,7 @@
 	s.counters.Connections.Add(1)
 	client := newClientConn(s, conn)
 	if waited {
-		client.waitedSince = acceptedAt
+		client.queuedSince = acceptedAt
 	}
 	s.mu.Lock()
 	s.clients[client] = struct{}{}
@@ -126,7 +126,7 @@
 	go client.serve()
 }
 
-// remove forgets a connection that was closed.
+// remove forgets a closed connection and releases its slot.
 func (s *Server) remove(client *clientConn) {
 	s.mu.Lock()
 	delete(s.clients, client)
@@ -136,46 +136,46 @@
 	s.conns.Done()
 }
 
-// evict closes the connection that has been idle longest, if one is idle and none is being evicted; those that
-// never sent a whole request go first, or a crowd of them would push out the clients that do.
+// evict closes the connection that is first by evictedBefore, unless none is idle or another is being evicted. It skips
+// connections with bytes in transit.
 func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.evicting {
 		return
 	}
-	var passedOver map[*clientConn]bool // bytes are on their way there: made only where there is such a one
-	for first := s.firstToEvict(nil); first != nil; first = s.firstToEvict(passedOver) {
-		if !first.mustStayOpen() && first.guard.tryClose(!first.hasRequested.Load()) {
+	var skipped map[*clientConn]bool // allocated with the first entry
+	for first := s.firstToEvict(nil); first != nil; first = s.firstToEvict(skipped) {
+		if !first.mustStayOpen() && first.check.tryClose(first.partialPolicy()) {
 			s.evicting, first.evicted = true, true
 			first.close(netio.ReasonEvicted)
 			return
 		}
-		if passedOver == nil {
-			passedOver = map[*clientConn]bool{}
+		if skipped == nil {
+			skipped = map[*clientConn]bool{}
 		}
-		passedOver[first] = true
+		skipped[first] = true
 	}
 }
 
-// firstToEvict is the connection to be evicted before all others, but for those passed over; nil where none is idle.
-func (s *Server) firstToEvict(passedOver map[*clientConn]bool) *clientConn {
+// firstToEvict returns the evictable connection that comes first by evictedBefore, except skipped ones, or nil.
+func (s *Server) firstToEvict(skipped map[*clientConn]bool) *clientConn {
 	var first *clientConn
 	for client := range s.clients {
-		if !passedOver[client] && client.evictable() && (first == nil || client.evictedBefore(first)) {
+		if !skipped[client] && client.evictable() && (first == nil || client.evictedBefore(first)) {
 			first = client
 		}
 	}
 	return first
 }
 
-// evictionRank orders connections by what they did since they came. The lowest is evicted first.
+// evictionRank orders idle connections for eviction. The lowest rank is evicted first.
 type evictionRank int
 
 const (
-	rankNeverRequested evictionRank = iota // though it had the time to
+	rankNeverRequested evictionRank = iota // no complete request within firstByteTimeout
 	rankRequested
-	rankNew // its request may be on its way
+	rankNew // within firstByteTimeout
 )
 
 func (c *clientConn) evictionRank() evictionRank {
@@ -188,7 +188,7 @@
 	return rankNew
 }
 
-// evictedBefore reports which of two idle connections is closed first: by rank, then the one that has been idle longer.
+// evictedBefore reports whether c is evicted before other: by rank, then by idle time.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	if mine, others := c.evictionRank(), other.evictionRank(); mine != others {
 		return mine < others
@@ -196,51 +196,51 @@
 	return c.idleSinceTime().Before(other.idleSinceTime())
 }
 
-// nearLimit reports whether so many connections are open that each response is to be its connection's last: among
-// clients that ask once and stay, one that may go again keeps nobody out. Usual loads are far below it.
+// nearLimit reports whether over half of the slots are in use. Then each response closes its connection, so that clients
+// that ask once and stay connected do not use up the slots.
 func (s *Server) nearLimit() bool { return 2*len(s.slots) > cap(s.slots) }
 
-// wantsClose reports whether responses are to be their connections' last.
+// wantsClose reports whether each response should close its connection.
 func (s *Server) wantsClose() bool { return s.draining.Load() || s.nearLimit() }
 
-// Drain shuts the server down. It answers what comes with a close, goes on accepting for a while, accepts what waits
-// in the listener's queue, then closes what is idle, and returns once every client has its response.
+// Drain shuts the server down gracefully. It answers each request with a close and accepts connections for another accept
+// duration. Then it closes the listener, after its queue is accepted, and idle connections. It returns when all connections
+// are closed.
 func (s *Server) Drain(accept time.Duration) {
 	s.draining.Store(true)
 	netio.SetAcceptDeadline(s.listener, time.Now().Add(accept))
 	select {
 	case <-s.acceptDone:
-	case <-time.After(accept + 2*firstByteTimeout): // it waits for a slot
+	case <-time.After(accept + 2*firstByteTimeout): // acceptLoop waits for a slot
 		netio.CloseConn(s.listener)
 	}
-	empty := make(chan struct{})
-	go func() { // ends once the last connection is closed, which the loop below waits for
+	closed := make(chan struct{})
+	go func() { // ends with the last connection, which the loop below waits for
 		s.conns.Wait()
-		close(empty)
+		close(closed)
 	}()
 	for s.closingIdle.Store(true); ; {
 		s.closeIdle()
 		select {
-		case <-empty:
+		case <-closed:
 			return
 		case <-time.After(firstByteTimeout / 10):
 		}
 	}
 }
 
-// closeIdle closes the connections that are idle, but for those with a request on the way: one that has only come has
-// its time to send one, one whose request has begun may finish it, and where bytes wait unread they are read first.
+// closeIdle closes idle connections. It keeps new connections, partly read requests, and connections with pending input.
 func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for client := range s.clients {
-		if !client.mayStillSend() && !client.mustStayOpen() && client.guard.tryClose(false) {
+		if !client.mayStillSend() && !client.mustStayOpen() && client.check.tryClose(keepPartial) {
 			client.close(netio.ReasonNodeDraining)
 		}
 	}
 }
 
-// mayStillSend reports whether a connection has only come, and has its time to send a first request.
+// mayStillSend reports whether a connection is new and its first request may be in transit.
 func (c *clientConn) mayStillSend() bool {
 	return !c.hasRequested.Load() && time.Since(c.acceptedAt) < firstByteTimeout
 }
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -16,35 +16,35 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"cherrygap/internal/authz"
+	"cherrygap/internal/frontend"
 	"cherrygap/internal/protocol"
 )
 
-// Of connections to the authorizer, which gRPC makes anew by itself, and of the latencies that are kept.
+// Parameters of the connection to the authorizer, which gRPC reopens by itself, and of the latency histogram.
 const (
 	firstReconnect   = 50 * time.Millisecond
 	reconnectGrowth  = 1.6
 	reconnectJitter  = 0.3
 	maxReconnect     = time.Second
 	connectTimeout   = time.Second
-	maxLatency       = time.Minute // longer ones count as that
+	maxLatency       = time.Minute // longer latencies are recorded as this
 	latencyPrecision = 2           // significant digits
 )
 
-// Authorizer asks an external authorizer about requests, as an authz.Policy decides. It is a frontend.Authorizer, for any
-// number of goroutines.
+// Authorizer asks an external authorizer about requests, as an authz.Policy decides. It is a frontend.Authorizer.
 type Authorizer struct {
 	conn      *grpc.ClientConn
 	client    auth.AuthorizationClient
-	classes   map[string]int // their numbers, by name
-	startedAt time.Time      // the policy's time is since then
+	classes   map[string]int // class numbers by name
+	startedAt time.Time      // origin of the policy's clock
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards both below
 	policy    *authz.Policy
-	latencies *hdrhistogram.Histogram // of checks that ended, microseconds
+	latencies *hdrhistogram.Histogram // of finished checks, in microseconds
 }
 
-// DialAuthorizer readies an authorizer at an address and port; it does not wait for it. Classes are the numbers of the
-// decision engine's classes by name, as cfg has them. Close ends it.
+// DialAuthorizer makes an authorizer at an address and port. It does not wait for the connection. classes has the numbers of
+// cfg's classes by name. The caller ends it with Close.
 func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -62,36 +62,53 @@
 	}, nil
 }
 
-// Close ends the connection to the authorizer, and with it the checks in flight.
-func (a *Authorizer) Close() { _ = a.conn.Close() } // its error says that it was closed before
+// Close closes the connection to the authorizer, which ends the checks in flight.
+func (a *Authorizer) Close() { _ = a.conn.Close() } // fails only if it was closed before
 
 func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
 
-// Check asks about a request that has so much time left. It returns the verdict, and when a rejected request does best to
-// come again. Where ctx ends first, the client has gone.
-func (a *Authorizer) Check(ctx context.Context, r *protocol.Request, left time.Duration) (authz.Verdict, time.Duration) {
-	class := a.classes[r.Class]
+// Check asks the authorizer about a request whose client waits for left. If ctx ends first, the client disconnected.
+func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, left time.Duration) frontend.Authorization {
+	class := a.classes[request.Class]
+	begun := a.begin(class, left)
+	if begun.Verdict != authz.CheckNeeded {
+		return begun.Authorization
+	}
+	startedAt := time.Now()
+	outcome := a.call(ctx, request, begun.timeout)
+	return a.end(class, outcome, begun.timeout, time.Since(startedAt))
+}
+
+// begunCheck is the policy's decision before a check.
+type begunCheck struct {
+	frontend.Authorization
+	timeout time.Duration // of the check, if one is needed
+}
+
+func (a *Authorizer) begin(class int, left time.Duration) begunCheck {
 	a.mu.Lock()
-	verdict, wait := a.policy.Begin(a.now(), class, left)
-	retryAfter := a.policy.RetryAfter(a.now(), class)
-	a.mu.Unlock()
-	if verdict != authz.CheckNeeded {
-		return verdict, retryAfter
+	defer a.mu.Unlock()
+	verdict, timeout := a.policy.Begin(a.now(), class, left)
+	return begunCheck{
+		Authorization: frontend.Authorization{Verdict: verdict, RetryAfter: a.policy.RetryAfter(a.now(), class)},
+		timeout:       timeout,
 	}
-	began := time.Now()
-	outcome := a.call(ctx, r, wait)
+}
+
+// end records a check and returns the policy's decision after it.
+func (a *Authorizer) end(class int, outcome authz.Outcome, timeout, took time.Duration) frontend.Authorization {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = a.latencies.RecordValue(min(time.Since(began), maxLatency).Microseconds()) // it is within the histogram's range
-	verdict = a.policy.End(a.now(), class, outcome, wait)
-	return verdict, a.policy.RetryAfter(a.now(), class)
+	_ = a.latencies.RecordValue(min(took, maxLatency).Microseconds()) // fails only out of the histogram's range
+	verdict := a.policy.End(a.now(), class, outcome, timeout)
+	return frontend.Authorization{Verdict: verdict, RetryAfter: a.policy.RetryAfter(a.now(), class)}
 }
 
-// call makes one call, and waits for the answer at most that long.
-func (a *Authorizer) call(ctx context.Context, r *protocol.Request, wait time.Duration) authz.Outcome {
-	callCtx, cancel := context.WithTimeout(ctx, wait)
+// call makes one call and waits for the response until the timeout or the end of ctx.
+func (a *Authorizer) call(ctx context.Context, request *protocol.Request, timeout time.Duration) authz.Outcome {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := a.client.Check(callCtx, checkRequest(r))
+	response, err := a.client.Check(callCtx, checkRequest(request))
 	switch {
 	case ctx.Err() != nil:
 		return authz.ClientGone
@@ -109,7 +126,7 @@
 	return authz.Failed
 }
 
-// checkRequest is what the authorizer is sent. Its names are on the wire.
+// checkRequest returns the message to the authorizer. Its names are on the wire.
 func checkRequest(r *protocol.Request) *auth.CheckRequest {
 	customer := fmt.Sprintf("%016x", r.Customer)
 	return &auth.CheckRequest{Attributes: &auth.AttributeContext{
@@ -124,14 +141,14 @@
 	}}
 }
 
-// LatencyQuantile is how long that share of the checks took at most; 0 before the first.
-func (a *Authorizer) LatencyQuantile(share float64) time.Duration {
+// LatencyQuantile returns a quantile, from 0 to 1, of the latencies of finished checks. It is 0 before the first check.
+func (a *Authorizer) LatencyQuantile(quantile float64) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Duration(a.latencies.ValueAtQuantile(100*share)) * time.Microsecond
+	return time.Duration(a.latencies.ValueAtQuantile(100*quantile)) * time.Microsecond
 }
 
-// MarshalZerologObject writes what was done so far.
+// MarshalZerologObject writes the counters and latencies since the node's start.
 func (a *Authorizer) MarshalZerologObject(e *zerolog.Event) {
 	p50, p99 := a.LatencyQuantile(0.5), a.LatencyQuantile(0.99)
 	a.mu.Lock()
--- a/internal/grpcfrontend/methods.go
+++ b/internal/grpcfrontend/methods.go
@@ -9,11 +9,11 @@
 	"cherrygap/internal/settings"
 )
 
-// ErrNoPathPart is a class whose name can't be part of a path.
+// ErrNoPathPart is the error of a class whose name can't be part of a path.
 var ErrNoPathPart = errors.New("is no path part")
 
-// HTTPMethods is the HTTP method of each class, from the settings by the keys of package settings: GET where a request is safe to repeat,
-// POST else. The error is ErrNoPathPart with the class's name.
+// HTTPMethods returns the HTTP method of each class in the settings: GET for safe classes, POST for others. The error wraps
+// ErrNoPathPart.
 func HTTPMethods(set map[string]string) (map[string]string, error) {
 	methods := map[string]string{}
 	for i := 0; ; i++ {
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -1,6 +1,6 @@
-// Package grpcfrontend is what the node speaks over gRPC: a server that takes the same requests as the HTTP one and passes
-// them through the same frontend.RequestHandler, and the client of an external authorizer (Envoy's published
-// envoy.service.auth.v3.Authorization). It decides nothing: internal/authz and the decision engine do.
+// Package grpcfrontend has the node's gRPC parts: a front end that passes requests to the same frontend.RequestHandler as
+// the HTTP front end, and the client of an external authorizer. That one speaks Envoy's envoy.service.auth.v3.Authorization.
+// The decisions are those of internal/authz and the decision engine.
 package grpcfrontend
 
 import (
@@ -21,22 +21,21 @@
 	"cherrygap/internal/protocol"
 )
 
-// Connections hold descriptors, of which there are few: one that says nothing at first, or has had no call in flight for a
-// while, is closed. gRPC's clients connect again by themselves.
+// Timeouts of connections. They free the descriptors of silent clients; gRPC clients reconnect by themselves.
 const (
-	handshakeTimeout = 2 * time.Second
-	idleTimeout      = 10 * time.Second
+	handshakeTimeout = 2 * time.Second  // until the HTTP/2 handshake is done
+	idleTimeout      = 10 * time.Second // without a call in flight
 )
 
 const (
 	defaultTimeout = 10 * time.Second     // of a call without a deadline
 	maxMessage     = 2 * protocol.MaxBody // bytes: a body and the fields beside it
-	requestHost    = "gate"               // the Host that app servers are given
+	requestHost    = "gate"               // Host header for app servers
 )
 
-// Statuses that the handling of a request ends with. Their texts are on the wire.
+// Statuses of calls. Their messages are on the wire.
 var (
-	errSameID   = status.Error(codes.AlreadyExists, "id of another ticket")
+	errIDInUse  = status.Error(codes.AlreadyExists, "id of another ticket")
 	errDenied   = status.Error(codes.PermissionDenied, "not allowed")
 	errFailed   = status.Error(codes.Unknown, "broken off: it may have run")
 	errUnknown  = status.Error(codes.NotFound, "unknown band or plan")
@@ -51,15 +50,16 @@
 	UnimplementedGateServer
 
 	requests *frontend.Server
-	methods  map[string]string // of HTTP, by class
+	methods  map[string]string // HTTP method by class
 	server   *grpc.Server
 	listener net.Listener
 }
 
-// Listen starts to take requests over gRPC, beside the HTTP server and through it. Methods is the HTTP method of each
-// class, as app servers want it. At most maxCalls are in flight at once on one connection.
+// Listen starts the gRPC front end on an address. Its requests go through the HTTP front end's RequestHandler and count to
+// its limit of client connections. methods is the HTTP method of each class. maxCalls bounds the calls in flight on one
+// connection.
 //
-// Its goroutine accepts connections until Drain; gRPC's own serve them and end with them.
+// It starts a goroutine that accepts connections until Drain. gRPC starts one for each connection, which ends with it.
 func Listen(addr string, requests *frontend.Server, methods map[string]string, maxCalls uint32) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -74,19 +74,19 @@
 			grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout})),
 	}
 	RegisterGateServer(s.server, s)
-	go func() { _ = s.server.Serve(s.listener) }() // its error says that the listener was closed, by Drain
+	go func() { _ = s.server.Serve(s.listener) }() // returns after Drain has closed the listener
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Drain takes nothing new and returns once all calls have their answers.
+// Drain rejects new calls and returns when all calls in flight are answered.
 func (s *Server) Drain() { s.server.GracefulStop() }
 
-// Pass takes one request to its answer. The error is a gRPC status.
+// Pass handles one request. The error is a gRPC status.
 func (s *Server) Pass(ctx context.Context, call *Ticket) (*Answer, error) {
-	arrived := time.Now()
+	receivedAt := time.Now()
 	request, err := s.read(call)
 	if err != nil {
 		return nil, err
@@ -95,11 +95,11 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = time.Until(deadline)
 	}
-	if err := ctx.Err(); err != nil { // the client went before the call's turn came
+	if err := ctx.Err(); err != nil { // the client disconnected before the call began
 		return nil, status.FromContextError(err).Err()
 	}
 	if !s.requests.ClaimRequestID(request.ID) {
-		return nil, errSameID
+		return nil, errIDInUse
 	}
 	defer s.requests.ReleaseRequestID(request.ID)
 	handler := s.requests.NewRequestHandler(func() bool { return ctx.Err() != nil })
@@ -107,15 +107,15 @@
 	handler.Begin()
 	stop := context.AfterFunc(ctx, handler.ClientGone)
 	defer stop()
-	response, owed := handler.Handle(request, arrived)
-	if !owed {
+	response, ok := handler.Handle(request, receivedAt)
+	if !ok {
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	return answer(response)
+	return answerFor(response)
 }
 
-// answer turns the response that an HTTP client would get into the call's.
-func answer(r protocol.ClientResponse) (*Answer, error) {
+// answerFor converts the response for an HTTP client into the answer or status of a call.
+func answerFor(r protocol.ClientResponse) (*Answer, error) {
 	switch r.Status {
 	case protocol.StatusCompleted:
 		return &Answer{Body: r.Body, Type: r.ContentType}, nil
@@ -127,7 +127,7 @@
 	return nil, errFailed
 }
 
-// rejection says in its details when to try again, unless that is 0.
+// rejection returns the status of a rejected request. Its details have retryAfter, unless that is 0.
 func rejection(retryAfter time.Duration) error {
 	if retryAfter > 0 {
 		withDetails, err := rejected.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
@@ -138,7 +138,7 @@
 	return rejected.Err()
 }
 
-// read turns a call into the request that the HTTP server would have read.
+// read converts a call into a request and checks it, as the HTTP front end does.
 func (s *Server) read(call *Ticket) (*protocol.Request, error) {
 	method, known := s.methods[call.Band]
 	request := &protocol.Request{
--- a/internal/grpcfrontend/pinned_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -22,24 +22,24 @@
 	"google.golang.org/protobuf/proto"
 
 	"cherrygap/internal/authz"
+	"cherrygap/internal/frontend"
 	"cherrygap/internal/protocol"
 )
 
-// The tests of this file hold what passes over gRPC to the bytes of commit cf1acfb: clients and authorizers know this
-// service by them.
+// The tests of this file hold the bytes and names on the wire, which clients and authorizers depend on.
 
-// pinned fails a case whose rendering is not the one written out.
-func pinned(t *testing.T, name, got, want string) {
+// wantText fails a subtest whose text differs from the expected one.
+func wantText(t *testing.T, name, got, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
 		if got != want {
-			t.Errorf("PIN\t%s\t%q\nwant %q", name, got, want)
+			t.Errorf("got  %q\nwant %q", got, want)
 		}
 	})
 }
 
-func TestPinnedMessages(t *testing.T) {
+func TestMessageWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		message proto.Message
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		pinned(t, c.name, string(raw), c.want)
+		wantText(t, c.name, string(raw), c.want)
 		back := c.message.ProtoReflect().New().Interface()
 		if err := proto.Unmarshal(raw, back); err != nil || !proto.Equal(back, c.message) {
 			t.Errorf("%s is read as %v, %v", c.name, back, err)
@@ -63,7 +63,7 @@
 }
 
 // The names and numbers of the service, as a client's own generated code has them.
-func TestPinnedService(t *testing.T) {
+func TestServiceDescriptor(t *testing.T) {
 	file := (&Ticket{}).ProtoReflect().Descriptor().ParentFile()
 	got := string(file.Package())
 	for i := range file.Services().Len() {
@@ -88,7 +88,7 @@
 		{"registered", fmt.Sprint(Gate_ServiceDesc.ServiceName, Gate_ServiceDesc.Methods[0].MethodName, len(Gate_ServiceDesc.Methods), len(Gate_ServiceDesc.Streams)), "cherrygap.gate.v1.GatePass1 0"},
 		{"full method", Gate_Pass_FullMethodName, "/cherrygap.gate.v1.Gate/Pass"},
 	} {
-		pinned(t, c.name, c.got, c.want)
+		wantText(t, c.name, c.got, c.want)
 	}
 }
 
@@ -113,7 +113,7 @@
 	return &auth.CheckResponse{Status: &rpc.Status{Code: int32(r.code)}}, err
 }
 
-func TestPinnedChecks(t *testing.T) {
+func TestCheckRequestWireFormat(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 		recorder.mu.Lock()
 		recorder.code = c.code
 		recorder.mu.Unlock()
-		if v, _ := a.Check(context.Background(), q, 8*time.Second); v != c.want {
+		if v := a.Check(context.Background(), q, 8*time.Second).Verdict; v != c.want {
 			t.Errorf("%v gave %v, want %v", c.code, v, c.want)
 		}
 	}
@@ -162,15 +162,15 @@
 		{"method", recorder.method, "/envoy.service.auth.v3.Authorization/Check"},
 		{"metadata", strings.Join(recorder.keys, " "), ":authority content-type user-agent"},
 	} {
-		pinned(t, c.name, c.got, c.want)
+		wantText(t, c.name, c.got, c.want)
 	}
 }
 
 // checkStub gives every request of a class the same verdict.
 type checkStub map[string]authz.Verdict
 
-func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) (authz.Verdict, time.Duration) {
-	return s[q.Class], 0
+func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) frontend.Authorization {
+	return frontend.Authorization{Verdict: s[q.Class]}
 }
 
 // appRecorder is an app server that notes what it was sent, with any timeout as true.
@@ -215,7 +215,7 @@
 	return got
 }
 
-func TestPinnedAnswers(t *testing.T) {
+func TestAnswersAndStatuses(t *testing.T) {
 	app := &appRecorder{seen: map[string]string{}}
 	n := startNode(t, checkStub{"look": authz.Allow, "buy": authz.Allow}, app.serve)
 	denied := startNode(t, checkStub{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
@@ -244,7 +244,7 @@
 		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MaxBody+1)}, "InvalidArgument \"body too large\""},
 		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MaxBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
 	} {
-		pinned(t, c.name, describeCall(t.Context(), c.node, c.request), c.want)
+		wantText(t, c.name, describeCall(t.Context(), c.node, c.request), c.want)
 	}
 	app.mu.Lock()
 	defer app.mu.Unlock()
@@ -252,11 +252,11 @@
 		{"buy as sent", app.seen["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
 		{"look as sent", app.seen["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
 	} {
-		pinned(t, c.name, c.got, c.want)
+		wantText(t, c.name, c.got, c.want)
 	}
 }
 
-func TestPinnedMethods(t *testing.T) {
+func TestHTTPMethodsOfClasses(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		set  map[string]string
@@ -267,6 +267,6 @@
 		{"no path part", map[string]string{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
 	} {
 		got, err := HTTPMethods(c.set)
-		pinned(t, c.name, fmt.Sprint(got, err), c.want)
+		wantText(t, c.name, fmt.Sprint(got, err), c.want)
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -14,8 +14,8 @@
 
 // The invariants.
 const (
-	// Sending: no attempt is written after its client disconnected, after its deadline, with a larger budget than the client
-	// has left, or after the grace period of a draining server.
+	// Sending: an attempt is written before its deadline, for a connected client, to a server in service or within its drain
+	// grace. The attempt timeout in it is at most the time left to the client, plus a slack.
 	Sending Invariant = "sending"
 	// Repeating: no attempt starts while an earlier one of its request is in flight or may have run.
 	Repeating Invariant = "repeating"
@@ -26,12 +26,12 @@
 )
 
 // ViolatedMessage is the message of the log line of a violation.
-const ViolatedMessage = "promise broken"
+const ViolatedMessage = "invariant violated"
 
 // Violated counts a violation and returns its log line, to which the caller adds fields and the message.
 func Violated(counter *atomic.Int64, log *zerolog.Logger, violated Invariant) *zerolog.Event {
 	counter.Add(1)
-	return log.Error().Str("guard", string(violated))
+	return log.Error().Str("invariant", string(violated))
 }
 
 // CounterField returns the name of an invariant's violation counter in the log.
--- a/internal/netio/closereason.go
+++ b/internal/netio/closereason.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 )
 
-// CloseReason is the code with which a connection's close is logged; docs/oncall.md says what each means.
+// CloseReason is the reason of a closed connection in the log; docs/oncall.md describes each.
 type CloseReason string
 
 // The reasons.
@@ -29,17 +29,17 @@
 	ReasonServerTimeout        CloseReason = "server-timeout"
 	ReasonServerUnlisted       CloseReason = "server-unlisted"
 	ReasonAttemptCancelled     CloseReason = "attempt-cancelled"
-	ReasonHeldUp               CloseReason = "held-up"
+	ReasonWriteDelayed         CloseReason = "write-delayed"
 	ReasonIdle                 CloseReason = "idle"
 	ReasonDiscoveryClosed      CloseReason = "discovery-closed"
 )
 
-// IsNodesChoice reports whether the node closes a client's connection for this reason without any sign of the client's.
+// IsNodesChoice reports whether the node closes a client connection for this reason without any action of the client.
 func (r CloseReason) IsNodesChoice() bool {
 	return r == ReasonNodeDraining || r == ReasonNodeNearLimit || r == ReasonEvicted
 }
 
-// ConnSide is what kind of peer a closed connection led to, as it is logged.
+// ConnSide is the kind of peer of a closed connection in the log.
 type ConnSide string
 
 // The sides.
@@ -49,7 +49,7 @@
 	SideDiscovery ConnSide = "discovery"
 )
 
-// LogClose writes the one line of a connection that was closed, with how many requests it carried and its age.
+// LogClose writes the log line of a closed connection. requests is how many the connection carried.
 func LogClose(log *zerolog.Logger, side ConnSide, peer string, reason CloseReason, openedAt time.Time, requests int) {
 	log.Info().Str("side", string(side)).Str("peer", peer).Str("reason", string(reason)).Int("requests", requests).
 		Dur("age_ms", time.Since(openedAt)).Msg("connection closed")
--- a/internal/netio/closereason_test.go
+++ b/internal/netio/closereason_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// The line of a connection's end, and the codes of why it ended, as of commit cf1acfb and now.
-func TestGoldenConnectionClose(t *testing.T) {
+// The log line of a closed connection, and the codes of its reasons.
+func TestCloseLogFormat(t *testing.T) {
 	var out bytes.Buffer
 	log := zerolog.New(&out)
 	LogClose(&log, SideServer, "10.0.0.1:80", ReasonServerTimeout, time.Now().Add(-time.Hour), 3)
@@ -30,38 +30,39 @@
 		t.Errorf("got %v, not %v", line, want)
 	}
 	codes := []struct {
-		is       CloseReason
-		old, now string
+		reason CloseReason
+		code   string
 	}{
-		{ReasonClientClosed, "client-closed", "client-closed"},
-		{ReasonClientDisconnected, "client-gone", "client-disconnected"},
-		{ReasonClientRequestedClose, "client-last", "client-requested-close"},
-		{ReasonClientMalformed, "client-bad", "client-malformed"},
-		{ReasonClientTimeout, "client-slow", "client-timeout"},
-		{ReasonClientReset, "client-broken", "client-reset"},
-		{ReasonResponseUnwritten, "answer-broken", "response-unwritten"},
-		{ReasonNodeDraining, "node-drains", "node-draining"},
-		{ReasonNodeNearLimit, "node-tight", "node-near-limit"},
-		{ReasonEvicted, "evicted", "evicted"},
-		{ReasonServerClosed, "server-closed", "server-closed"},
-		{ReasonServerStale, "server-stale", "server-stale"},
-		{ReasonServerRequestedClose, "server-last", "server-requested-close"},
-		{ReasonServerReset, "server-broken", "server-reset"},
-		{ReasonServerMalformed, "server-bad", "server-malformed"},
-		{ReasonServerTimeout, "server-late", "server-timeout"},
-		{ReasonServerUnlisted, "server-unlisted", "server-unlisted"},
-		{ReasonAttemptCancelled, "withdrawn", "attempt-cancelled"},
-		{ReasonIdle, "idle", "idle"},
-		{ReasonDiscoveryClosed, "discovery-ended", "discovery-closed"},
+		{ReasonClientClosed, "client-closed"},
+		{ReasonClientDisconnected, "client-disconnected"},
+		{ReasonClientRequestedClose, "client-requested-close"},
+		{ReasonClientMalformed, "client-malformed"},
+		{ReasonClientTimeout, "client-timeout"},
+		{ReasonClientReset, "client-reset"},
+		{ReasonResponseUnwritten, "response-unwritten"},
+		{ReasonNodeDraining, "node-draining"},
+		{ReasonNodeNearLimit, "node-near-limit"},
+		{ReasonEvicted, "evicted"},
+		{ReasonServerClosed, "server-closed"},
+		{ReasonServerStale, "server-stale"},
+		{ReasonServerRequestedClose, "server-requested-close"},
+		{ReasonServerReset, "server-reset"},
+		{ReasonServerMalformed, "server-malformed"},
+		{ReasonServerTimeout, "server-timeout"},
+		{ReasonServerUnlisted, "server-unlisted"},
+		{ReasonAttemptCancelled, "attempt-cancelled"},
+		{ReasonIdle, "idle"},
+		{ReasonWriteDelayed, "write-delayed"},
+		{ReasonDiscoveryClosed, "discovery-closed"},
 	}
 	seen := map[string]bool{}
 	for _, code := range codes {
-		if string(code.is) != code.now {
-			t.Errorf("%s (was %s) is written as %q", code.now, code.old, code.is)
+		if string(code.reason) != code.code {
+			t.Errorf("%q is logged as %q", code.code, code.reason)
 		}
-		if seen[code.now] {
-			t.Errorf("two ends are written as %q", code.now)
+		if seen[code.code] {
+			t.Errorf("two reasons are logged as %q", code.code)
 		}
-		seen[code.now] = true
+		seen[code.code] = true
 	}
 }
--- a/internal/netio/doc.go
+++ b/internal/netio/doc.go
@@ -1,4 +1,4 @@
-// Package netio holds the socket primitives that the front end, the upstream side and the discovery client share: ring
-// buffers, sockets whose system calls bypass the scheduler, socket options, the node's limits on descriptors and memory,
-// resource exhaustion, the log line of a closed connection, and the node's timer.
+// Package netio holds the socket primitives that the packages frontend, upstream and discovery share. These are ring
+// buffers, sockets with system calls that bypass the Go scheduler, deadlines, resource exhaustion, the node's limits on
+// descriptors and memory, the log line of a closed connection, and the node's timer.
 package netio
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -2,47 +2,46 @@
 
 import "time"
 
-// Limits are the node's own, from its configuration.
+// Limits are the node's limits on sockets and memory, from its configuration.
 type Limits struct {
 	Sockets           int           // file descriptors of all kinds
-	GRPC              bool          // a gRPC front end takes connections too
-	MemoryMB          int           // of the whole process
-	ServerIdleTimeout time.Duration // an app server closes connections that were idle for so long; 0: never
-	ConnectTimeout    time.Duration // a connection to an app server not up by then is given up
+	GRPC              bool          // a gRPC front end shares the client connections
+	MemoryMB          int           // memory of the whole process, in MiB
+	ServerIdleTimeout time.Duration // app servers close connections that are idle for this long; 0: never
+	ConnectTimeout    time.Duration // bounds the dial of an app server
 }
 
-// MaxDiscoveryConns is how many connections to discovery may be open at once, while they race for an answer.
+// MaxDiscoveryConns bounds the connections to discovery that are open at once while the client races connections.
 const MaxDiscoveryConns = 6
 
-// Descriptors that are lent to no client and no app server, by what they are for: crowds of clients may take all that
-// they can get, and discovery be silent meanwhile.
+// Descriptors reserved for other uses than clients and app servers, so that a crowd of clients can't take them all.
 const (
-	reservedForProcess   = 10                    // standard streams, the poller's two, the timer, two listeners, the peers' socket, a file
-	reservedForDiscovery = 2 * MaxDiscoveryConns // those of before a change of address may be closing yet
-	reservedForServices  = 6                     // the quota store's four, the authorizer's, with one that is made anew
-	reservedForAccept    = 4                     // a client accepted before it has a slot, and what is closed beside
-	MinReserved          = reservedForProcess + reservedForDiscovery + reservedForServices + reservedForAccept
-	maxReserved          = 2 * MinReserved // with spare ones, as for what the process inherits; where they are few a quarter
-	minPerSide           = 4
+	// reservedForProcess: three standard streams, two of the poller, the timer, two listeners, the peer socket, one file.
+	reservedForProcess = 10
+	// reservedForDiscovery: after a change of address the earlier connections may still be closing.
+	reservedForDiscovery = 2 * MaxDiscoveryConns
+	// reservedForServices: four of the quota store, one of the authorizer and its replacement.
+	reservedForServices = 6
+	// reservedForAccept: accepted connections without a slot, and connections that are being closed.
+	reservedForAccept = 4
+
+	MinReserved = reservedForProcess + reservedForDiscovery + reservedForServices + reservedForAccept // sum of the above
+	maxReserved = 2 * MinReserved                                                                     // includes spare ones
+	minPerSide  = 4                                                                                   // client connections at least
 )
 
-// Sizes of one direction's buffer of a connection, in bytes.
-const (
-	ParserBuffer = 2 << 10 // what a parser may read past a message's end, and give back
-	MinBuffer    = 2 * ParserBuffer
-	maxBuffer    = 64 << 10
-)
-
-// reserved is how many descriptors are lent to no connection of a client or an app server.
+// reserved returns the number of descriptors that no connection of a client or an app server may use: a quarter of all,
+// within MinReserved and maxReserved.
 func (l Limits) reserved() int { return min(max(MinReserved, l.Sockets/4), maxReserved) }
 
-// PerSide is how many connections there may be to clients, and as many to app servers: half each of what is not reserved.
+// PerSide returns the maximum number of client connections, which is also that of connections to app servers.
 func (l Limits) PerSide() int { return max(minPerSide, (l.Sockets-l.reserved())/2) }
 
-// GRPCConnections is how many of the clients' connections may be of gRPC, which carry many calls each.
+// GRPCConnections returns the maximum number of gRPC client connections. They carry many requests each, so a quarter of the
+// client connections is enough.
 func (l Limits) GRPCConnections() int { return max(1, l.PerSide()/4) }
 
-// HTTPConnections is how many of the clients' connections may be of HTTP.
+// HTTPConnections returns the maximum number of HTTP client connections.
 func (l Limits) HTTPConnections() int {
 	if l.GRPC {
 		return l.PerSide() - l.GRPCConnections()
@@ -50,7 +49,7 @@
 	return l.PerSide()
 }
 
-// BufferSize is the size of one direction's buffer, in bytes: an eighth of the memory is for all of them.
+// BufferSize returns the size of one direction's buffer in bytes. All buffers together may take an eighth of the memory.
 func (l Limits) BufferSize() int {
 	return min(max(l.MemoryMB<<20/8/(2*max(1, l.Sockets))&^1023, MinBuffer), maxBuffer)
 }
--- a/internal/netio/buffer.go
+++ b/internal/netio/ringbuffer.go
@@ -9,15 +9,22 @@
 	"cherrygap/internal/protocol"
 )
 
-// MessageTimeout is how long a message may take: the first from the connection's begin on, others from their own.
-// Clients are owed a response or a close within 3 s of connecting.
+// MessageTimeout bounds the reading of one message. For the first message of a connection it runs from the accept.
+// The platform owes each client a response or a close within 3 s of connecting.
 const MessageTimeout = 2 * time.Second
 
-// parserPool holds the readers that messages are parsed by. They are lent for one message, as idle connections are
-// many and a reader's buffer is large.
+// Sizes of one direction's buffer of a connection, in bytes.
+const (
+	ParserBuffer = 2 << 10 // a parser reads at most this far past the end of a message
+	MinBuffer    = 2 * ParserBuffer
+	maxBuffer    = 64 << 10
+)
+
+// parserPool holds the readers of parsers. Each is lent for one message, because a node has many idle connections and a
+// reader's buffer is large.
 var parserPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, ParserBuffer) }}
 
-// BorrowParser lends a reader over source, until ReturnParser.
+// BorrowParser lends a reader of source. The caller returns it with ReturnParser.
 func BorrowParser(source io.Reader) *bufio.Reader {
 	parser := parserPool.Get().(*bufio.Reader)
 	parser.Reset(source)
@@ -32,14 +39,14 @@
 
 // RingBuffer is the buffer of one direction of a connection. One goroutine uses it at a time.
 type RingBuffer struct {
-	Conn          readDeadliner // whose read deadline bounds a message
-	Stream        io.ReadWriter // what is read from or written to
-	buf           []byte        // nil until allocate
-	Taken, Filled int           // bytes taken out and put in, ever
-	allowed       int           // bytes that a message may still take
-	Err           error         // of the stream: it stays, but for ReadMore
-	DeadlineSet   bool          // a read deadline bounds the message being read
-	Arrivals      *ArrivalMarks // of what is in it; nil where nobody asks
+	Conn          readDeadliner // has the read deadline of a message
+	Stream        io.ReadWriter // is read into the buffer, or written from it
+	buf           []byte        // nil until Allocate
+	Taken, Filled int           // bytes taken out and put in since the buffer was made
+	allowed       int           // bytes that the current message may still take
+	Err           error         // the first error of Stream; later calls return it too
+	DeadlineSet   bool          // a read deadline for the current message is already set
+	Arrivals      *ArrivalTimes // of the buffered bytes; may be nil
 }
 
 // NewRingBuffer returns a buffer of size bytes.
@@ -47,20 +54,23 @@
 	return RingBuffer{Conn: conn, Stream: stream, buf: make([]byte, size)}
 }
 
-// Allocate gives a ring its buffer, if it has none yet.
+// Allocate gives a RingBuffer without memory a buffer of size bytes.
 func (b *RingBuffer) Allocate(size int) {
 	if b.buf == nil {
 		b.buf = make([]byte, size)
 	}
 }
 
-// Empty reports whether there is nothing to take out.
+// Empty reports whether the buffer holds no bytes.
 func (b *RingBuffer) Empty() bool { return b.Taken == b.Filled }
 
-// Wait waits until there is a byte to take out.
+// Buffered returns the number of buffered bytes.
+func (b *RingBuffer) Buffered() int { return b.Filled - b.Taken }
+
+// Wait blocks until the buffer holds a byte or the stream fails.
 func (b *RingBuffer) Wait() error {
 	for b.Empty() && b.Err == nil {
-		b.Fill()
+		b.fill()
 	}
 	if !b.Empty() {
 		return nil
@@ -68,8 +78,8 @@
 	return b.Err
 }
 
-// Fill reads once, but never over the last bytes that were taken out, which EndMessage may give back.
-func (b *RingBuffer) Fill() {
+// fill reads once. It leaves the last ParserBuffer bytes that were taken out intact, because EndMessage may put them back.
+func (b *RingBuffer) fill() {
 	at := b.Filled % len(b.buf)
 	n, err := b.Stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-ParserBuffer-(b.Filled-b.Taken))])
 	b.Filled += n
@@ -80,8 +90,8 @@
 	}
 }
 
-// Read hands out what is there, or waits. A message that comes in pieces has MessageTimeout to arrive. Past what
-// Allow set the error is protocol.ErrHeadTooLarge.
+// Read returns buffered bytes, or waits for some. The first wait within a message sets its deadline, MessageTimeout from
+// then. After the bytes that Allow granted the error is protocol.ErrHeadTooLarge.
 func (b *RingBuffer) Read(p []byte) (int, error) {
 	if b.allowed <= 0 {
 		return 0, protocol.ErrHeadTooLarge
@@ -102,11 +112,10 @@
 	return n, nil
 }
 
-// ReadMore reads once behind what is there, which must leave room, and returns the stream's end, if it came. A deadline
-// that passes is none.
+// ReadMore reads once into a buffer that is not Full and returns the stream's error. A passed deadline is no error.
 func (b *RingBuffer) ReadMore() error {
 	if b.Err == nil {
-		b.Fill()
+		b.fill()
 	}
 	if TimedOut(b.Err) {
 		b.Err = nil
@@ -114,16 +123,16 @@
 	return b.Err
 }
 
-// Full reports whether nothing more can be read before something is taken out.
+// Full reports whether the buffer has no space for a read.
 func (b *RingBuffer) Full() bool { return b.Filled-b.Taken >= len(b.buf)-ParserBuffer }
 
-// Discard drops what is there.
+// Discard drops the buffered bytes.
 func (b *RingBuffer) Discard() { b.Taken = b.Filled }
 
-// Allow sets how many bytes a message may take from now on.
+// Allow sets how many bytes Read returns from now on.
 func (b *RingBuffer) Allow(bytes int) { b.allowed = bytes }
 
-// EndMessage ends a message: what the parser read past it is given back.
+// EndMessage puts back the bytes that the parser read past the end of a message, and clears the message's deadline.
 func (b *RingBuffer) EndMessage(parser *bufio.Reader) {
 	b.Taken -= parser.Buffered()
 	if b.DeadlineSet {
@@ -132,8 +141,8 @@
 	}
 }
 
-// Space is an empty slice to append to, over the whole of an empty ring; appended has to follow.
-func (b *RingBuffer) Space() []byte {
+// AvailableBuffer returns an empty slice over the free space, to append to. The caller passes the result to Commit.
+func (b *RingBuffer) AvailableBuffer() []byte {
 	if b.Empty() {
 		b.Taken, b.Filled = 0, 0
 	}
@@ -141,17 +150,17 @@
 	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.Filled-b.Taken))]
 }
 
-// Appended takes over what was appended to space, which is another array where the ring had too little room.
-func (b *RingBuffer) Appended(p []byte) {
+// Commit adds the bytes that were appended to AvailableBuffer. Where these outgrew it and p is another array, it copies.
+func (b *RingBuffer) Commit(p []byte) {
 	if len(p) > 0 && &p[0] == &b.buf[b.Filled%len(b.buf)] {
 		b.Filled += len(p)
 		return
 	}
-	b.Write(p)
+	b.Append(p)
 }
 
-// Write puts bytes in, and writes to the stream whenever the ring is full. An error of that is flush's to return.
-func (b *RingBuffer) Write(p []byte) {
+// Append adds bytes and writes to the stream whenever the buffer is full. The next Flush returns an error of the stream.
+func (b *RingBuffer) Append(p []byte) {
 	for n := 0; n < len(p); {
 		if b.Filled-b.Taken == len(b.buf) && b.Flush() != nil || b.Err != nil {
 			return
@@ -163,10 +172,10 @@
 	}
 }
 
-// Flush writes all that is in the ring to the stream. An error stays.
+// Flush writes all buffered bytes to the stream. After an error every call returns it.
 func (b *RingBuffer) Flush() error { return b.FlushExcept(0) }
 
-// FlushExcept writes all but the last bytes.
+// FlushExcept writes all buffered bytes but the last ones.
 func (b *RingBuffer) FlushExcept(last int) error {
 	for b.Taken < b.Filled-last && b.Err == nil {
 		at := b.Taken % len(b.buf)
--- a/internal/netio/buffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -53,9 +53,9 @@
 			}
 			in.EndMessage(parser)
 			if random.Intn(2) == 0 {
-				out.Appended(append(out.Space(), got[:n]...))
+				out.Commit(append(out.AvailableBuffer(), got[:n]...))
 			} else {
-				out.Write(got[:n])
+				out.Append(got[:n])
 			}
 		}
 		return out.Flush() == nil && bytes.Equal(conn.out.Bytes(), sent)
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -9,31 +9,57 @@
 	"unsafe"
 )
 
-// Socket is one direction of a TCP connection. Its calls go to the kernel without notifying the scheduler, as
-// they never block: net waits for the socket to be ready. On one core each call that the scheduler is notified of wakes
-// its monitor thread, which took a quarter of the node's CPU time (docs/results.md).
+// Socket is one direction of a TCP connection. Its system calls bypass the Go scheduler, because they never block: package
+// net waits until the socket is ready. Each call that the scheduler is notified of wakes its monitor thread, which on one
+// core takes a large share of the CPU time.
 //
-// One goroutine uses a socket at a time. What a call needs and gives is passed in fields, and the functions are made once,
+// One goroutine uses a Socket at a time. Arguments and results of system calls are fields, and the callbacks are made once,
 // so that no call allocates.
 type Socket struct {
-	raw   syscall.RawConn
-	Guard ReadGuard // of a client's connection that is read; nil for others
+	Hook ReadHook // nil: reads are always allowed
 
-	buf   []byte // what is to be read into or written
-	moved int    // how much was
-	err   error
+	raw syscall.RawConn
 
-	idle      bool // as of the last peek: open with nothing to read
-	blind     bool // as of the last peek: it could not be found out
-	ended     bool // as of the last peek or hang-up check: closed or reset by the other side
-	peekedAt  [1]byte
-	readFD    func(fd uintptr) bool
-	writeFD   func(fd uintptr) bool
-	peekFD    func(fd uintptr) bool // for RawConn.Read
-	controlFD func(fd uintptr)      // the same for RawConn.Control
-	hangUpFD  func(fd uintptr)
+	buf         []byte // to read into or to write
+	transferred int    // bytes of the last read or write
+	err         error  // of the last read or write
+
+	input      inputState // as of the last peek or hang-up check
+	peekBuffer [1]byte
+	readFD     func(fd uintptr) bool
+	writeFD    func(fd uintptr) bool
+	peekFD     func(fd uintptr) bool // for RawConn.Read
+	controlFD  func(fd uintptr)      // the same for RawConn.Control
+	hangUpFD   func(fd uintptr)
+}
+
+// ReadHook is called before and after each read of a Socket, and may forbid the read. After each BeginRead that returns true the Socket makes one system call,
+// which does not block, and calls EndRead.
+type ReadHook interface {
+	BeginRead() bool
+	EndRead(result ReadResult)
 }
 
+// ReadResult is the result of one system call that reads.
+type ReadResult int
+
+// The results.
+const (
+	ReadEnded      ReadResult = iota // end of stream or error
+	ReadBytes                        // at least one byte
+	ReadWouldBlock                   // no byte yet
+)
+
+// inputState is the state of a connection's input.
+type inputState int
+
+const (
+	inputNone    inputState = iota // open, nothing to read
+	inputPending                   // bytes to read
+	inputEnded                     // closed or reset by the other side
+	inputUnknown                   // the peek failed by resource exhaustion
+)
+
 // NewSocket returns one direction of conn.
 func NewSocket(conn *net.TCPConn) *Socket {
 	s := &Socket{}
@@ -43,27 +69,27 @@
 	return s
 }
 
-// Read waits until there is something to read, and reads once.
+// Read waits for input and reads once. It retries after resource exhaustion.
 func (s *Socket) Read(p []byte) (int, error) {
-	for s.buf = p; ; time.Sleep(ShortagePause) {
+	for s.buf = p; ; time.Sleep(ExhaustionRetryInterval) {
 		if err := s.raw.Read(s.readFD); err != nil {
 			return 0, err
 		}
-		if !LacksResources(s.err) {
-			return s.moved, s.err
+		if !IsResourceExhaustion(s.err) {
+			return s.transferred, s.err
 		}
 	}
 }
 
-// Write writes all of p. While the machine lacks the memory for it, it goes on trying until the write deadline.
+// Write writes all of p. It retries after resource exhaustion until the write deadline.
 func (s *Socket) Write(p []byte) (int, error) {
-	for s.buf = p; len(s.buf) > 0; s.buf = s.buf[s.moved:] {
+	for s.buf = p; len(s.buf) > 0; s.buf = s.buf[s.transferred:] {
 		if err := s.raw.Write(s.writeFD); err != nil {
 			return len(p) - len(s.buf), err
 		}
 		switch {
-		case LacksResources(s.err):
-			time.Sleep(ShortagePause)
+		case IsResourceExhaustion(s.err):
+			time.Sleep(ExhaustionRetryInterval)
 		case s.err != nil:
 			return len(p) - len(s.buf), s.err
 		}
@@ -71,46 +97,61 @@
 	return len(p), nil
 }
 
-// WaitReadable waits until there is something to read or the connection ended, and reports which; neither where the
-// read deadline passed, or where it could not be found out.
-func (s *Socket) WaitReadable() (readable, ended bool) {
+// Readiness is the result of WaitReadable.
+type Readiness int
+
+// The results.
+const (
+	ReadinessUnknown Readiness = iota // the read deadline passed, or the state of the connection is unknown
+	Readable                          // bytes to read
+	Ended                             // closed or reset
+)
+
+// WaitReadable waits for input, the connection's end or the read deadline. It reads nothing.
+func (s *Socket) WaitReadable() Readiness {
 	err := s.raw.Read(func(fd uintptr) bool {
 		s.tryPeek(fd)
-		return !s.idle
+		return s.input != inputNone
 	})
-	return err == nil && !s.ended && !s.blind, err == nil && s.ended
+	switch {
+	case err == nil && s.input == inputEnded:
+		return Ended
+	case err == nil && s.input == inputPending:
+		return Readable
+	}
+	return ReadinessUnknown
 }
 
-// HasInput reports whether there is something to read, be it the connection's end: a read would not wait.
+// HasInput reports whether a read would return at once, with bytes or the connection's end.
 func (s *Socket) HasInput() bool {
-	return s.raw.Read(s.peekFD) == nil && !s.idle && !s.blind
+	return s.raw.Read(s.peekFD) == nil && (s.input == inputPending || s.input == inputEnded)
 }
 
-// IsIdle reports whether the connection is open with nothing to read.
+// IsIdle reports whether the connection is open and has nothing to read.
 func (s *Socket) IsIdle() bool {
-	return s.raw.Read(s.peekFD) == nil && s.idle
+	return s.raw.Read(s.peekFD) == nil && s.input == inputNone
 }
 
-// HasUnread reports whether bytes, or an end, wait on a connection that another goroutine reads.
-func HasUnread(conn *net.TCPConn) bool {
+// HasPendingInput reports whether a connection that another goroutine reads has bytes, or its end, pending in the kernel.
+func HasPendingInput(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
 	}
 	s := Socket{}
-	return raw.Control(func(fd uintptr) { s.tryPeek(fd) }) == nil && !s.idle
+	return raw.Control(func(fd uintptr) { s.tryPeek(fd) }) == nil && s.input != inputNone
 }
 
-// HungUp reports whether the other side has closed the connection, or reset it, be it behind bytes that wait. It leaves
-// reading to whoever reads, and makes a second system call only where bytes wait.
+// HungUp reports whether the other side has closed or reset the connection, even behind pending bytes. It may be called
+// while another goroutine reads through a Socket of its own.
 func (s *Socket) HungUp() bool {
 	if s.raw.Control(s.controlFD) != nil {
 		return true
 	}
-	if !s.idle && !s.ended {
-		_ = s.raw.Control(s.hangUpFD) // fails where the connection was closed meanwhile: the next call sees it
+	if s.input == inputPending || s.input == inputUnknown {
+		_ = s.raw.Control(s.hangUpFD) // fails for a connection closed since: the next call reports that
 	}
-	return s.ended
+	return s.input == inputEnded
 }
 
 // Bits of ppoll(2).
@@ -119,31 +160,35 @@
 	pollEnded = pollRDHUP | 0x18 // and POLLERR, POLLHUP
 )
 
-// maxInterrupts is how often a look that signals interrupt is taken again, before another way is gone.
+// maxInterrupts bounds the calls of ppoll(2) that signals may interrupt before checkHangUp uses TCP_INFO instead.
 const maxInterrupts = 3
 
-// checkHangUp asks ppoll(2), without waiting, or where that is interrupted again and again the connection's state. Where
-// that fails too the connection counts as open.
+// checkHangUp sets input to inputEnded if ppoll(2) reports a hang-up, or TCP_INFO does where signals keep interrupting
+// ppoll. If both fail the connection counts as open.
 func (s *Socket) checkHangUp(fd uintptr) {
-	asked := struct {
+	descriptor := struct {
 		fd           int32
 		want, events int16
 	}{int32(fd), pollRDHUP, 0}
 	n, errno := uintptr(0), syscall.EINTR
-	for tries := 0; errno == syscall.EINTR; tries++ {
-		if tries == maxInterrupts {
-			s.ended = peerHasClosed(int(fd))
+	for attempts := 0; errno == syscall.EINTR; attempts++ {
+		if attempts == maxInterrupts {
+			if peerHasClosed(int(fd)) {
+				s.input = inputEnded
+			}
 			return
 		}
 		var timeout syscall.Timespec // the call may change it
-		n, _, errno = syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&asked)), 1,
+		n, _, errno = syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&descriptor)), 1,
 			uintptr(unsafe.Pointer(&timeout)), 0, 0, 0)
 	}
-	s.ended = errno == 0 && n == 1 && asked.events&pollEnded != 0
+	if errno == 0 && n == 1 && descriptor.events&pollEnded != 0 {
+		s.input = inputEnded
+	}
 }
 
-// HasUnacknowledged reports whether bytes were written that the other side's machine has not acknowledged yet. Where
-// that can't be found out, none.
+// HasUnacknowledged reports whether the kernel holds written bytes that the other side has not acknowledged. It returns
+// false if that is unknown.
 func (s *Socket) HasUnacknowledged() bool {
 	const outQueue = 0x5411 // SIOCOUTQ, of tcp(7)
 	var queued int32
@@ -155,49 +200,66 @@
 	return err == nil && queued > 0
 }
 
-// The functions below make one system call each; they return false where the socket has to be waited for.
+// The callbacks below make one system call each. They return false if the caller has to wait until the socket is ready.
 
 func (s *Socket) tryRead(fd uintptr) bool {
-	if s.Guard != nil && !s.Guard.BeginRead() {
-		s.moved, s.err = 0, net.ErrClosed
+	if s.Hook != nil && !s.Hook.BeginRead() {
+		s.transferred, s.err = 0, net.ErrClosed
 		return true
 	}
 	n, errno := call(syscall.SYS_READ, fd, s.buf, 0)
-	if s.Guard != nil {
-		s.Guard.EndRead(errno == 0 && n > 0, errno == syscall.EAGAIN)
+	if s.Hook != nil {
+		s.Hook.EndRead(readResult(n, errno))
 	}
 	if errno == syscall.EAGAIN {
 		return false
 	}
-	if s.moved, s.err = n, nil; errno != 0 {
-		s.moved, s.err = 0, os.NewSyscallError("read", errno)
+	if s.transferred, s.err = n, nil; errno != 0 {
+		s.transferred, s.err = 0, os.NewSyscallError("read", errno)
 	} else if n == 0 {
 		s.err = io.EOF
 	}
 	return true
 }
 
+func readResult(n int, errno syscall.Errno) ReadResult {
+	switch {
+	case errno == syscall.EAGAIN:
+		return ReadWouldBlock
+	case errno == 0 && n > 0:
+		return ReadBytes
+	}
+	return ReadEnded
+}
+
 func (s *Socket) tryWrite(fd uintptr) bool {
 	n, errno := call(syscall.SYS_SENDTO, fd, s.buf, syscall.MSG_NOSIGNAL)
 	if errno == syscall.EAGAIN {
 		return false
 	}
-	if s.moved, s.err = n, nil; errno != 0 {
-		s.moved, s.err = 0, os.NewSyscallError("write", errno)
+	if s.transferred, s.err = n, nil; errno != 0 {
+		s.transferred, s.err = 0, os.NewSyscallError("write", errno)
 	}
 	return true
 }
 
-// tryPeek never has to wait: what it finds is in idle and ended, or in blind where the machine lacks the memory to look.
+// tryPeek sets input. It always returns true, because a peek has a result at once.
 func (s *Socket) tryPeek(fd uintptr) bool {
-	n, errno := call(syscall.SYS_RECVFROM, fd, s.peekedAt[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	s.idle = errno == syscall.EAGAIN
-	s.blind = errno != 0 && !s.idle && LacksResources(errno)
-	s.ended = errno != 0 && !s.idle && !s.blind || errno == 0 && n == 0
+	n, errno := call(syscall.SYS_RECVFROM, fd, s.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	switch {
+	case errno == syscall.EAGAIN:
+		s.input = inputNone
+	case errno != 0 && IsResourceExhaustion(errno):
+		s.input = inputUnknown
+	case errno != 0 || n == 0:
+		s.input = inputEnded
+	default:
+		s.input = inputPending
+	}
 	return true
 }
 
-// call makes one system call on a non-blocking socket, again where a signal interrupts it; p is not empty.
+// call makes one system call on a non-blocking descriptor, and repeats it if a signal interrupts it. p is not empty.
 func call(trap, fd uintptr, p []byte, flags uintptr) (int, syscall.Errno) {
 	for {
 		n, _, errno := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)), flags, 0, 0)
@@ -206,10 +268,3 @@
 		}
 	}
 }
-
-// ReadGuard decides whether a socket may be read, and is told what each read gave. BeginRead is followed by EndRead where it
-// returned true.
-type ReadGuard interface {
-	BeginRead() bool
-	EndRead(gotBytes, wouldBlock bool)
-}
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -8,15 +8,14 @@
 	"time"
 )
 
-// ErrorPause is how long to wait after a socket's error that is none of the node's own making.
+// ErrorPause is the wait after an error of a listener or datagram socket, so that a lasting error does not take a whole core.
 const ErrorPause = 10 * time.Millisecond
 
 // PastDeadline is a deadline that ends the read or write which waits on a connection.
 var PastDeadline = time.Unix(1, 0)
 
-// The setters below drop their error: a deadline or option can't be set only on a connection that is closed already,
-// which the next read or write reports. closeConn's is dropped as the descriptor is given back in any case, and
-// everything that has to reach the other side was written, and checked, before.
+// The setters below drop their error. A deadline can't be set only on a closed connection, and the next read or write
+// reports that.
 
 // SetDeadline sets the deadline of reads and writes.
 func SetDeadline(conn net.Conn, at time.Time) { _ = conn.SetDeadline(at) }
@@ -30,17 +29,18 @@
 // SetAcceptDeadline sets the deadline of Accept.
 func SetAcceptDeadline(ln *net.TCPListener, at time.Time) { _ = ln.SetDeadline(at) }
 
-// CloseConn closes a connection or listener.
+// CloseConn closes a connection or listener. It drops the error: the descriptor is released in any case, and the caller has
+// checked its writes before.
 func CloseConn(conn io.Closer) { _ = conn.Close() }
 
-// readDeadliner is what a RingBuffer needs of the connection that it reads.
+// readDeadliner is the part of a connection that a RingBuffer uses.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// TimedOut reports whether an error is that a deadline of the node's own passed. ETIMEDOUT of a system call, whose Timeout
-// method says true as well, is none: the connection broke, or accept(2) hands on what befell one that waited.
+// TimedOut reports whether err means that a deadline set by this process passed. ETIMEDOUT of a system call does not count,
+// though its Timeout method returns true: the connection broke, or accept(2) passed on the error of a queued connection.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Earlier is the earlier of two times.
+// Earlier returns the earlier of two times.
 func Earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/netio/tcpinfo.go
+++ b/internal/netio/tcpinfo.go
@@ -6,24 +6,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// States of a connection whose other side has closed it or reset it, of tcp(7): TCP_CLOSE and TCP_CLOSE_WAIT.
+// Values of tcpi_state, of tcp(7), for a connection that the other side has closed or reset.
 const (
-	stateClosed    = 7
-	stateCloseWait = 8
+	tcpClose     = 7 // TCP_CLOSE
+	tcpCloseWait = 8 // TCP_CLOSE_WAIT
 )
 
-// peerHasClosed reports whether the other side has closed a connection, by the connection's state.
+// peerHasClosed reports whether the other side has closed or reset a connection, by the connection's state.
 func peerHasClosed(fd int) bool {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	return err == nil && (info.State == stateClosed || info.State == stateCloseWait)
+	return err == nil && (info.State == tcpClose || info.State == tcpCloseWait)
 }
 
-// maxKernelWait bounds how long bytes are taken to have waited, should the kernel's figure make no sense.
-const maxKernelWait = 10 * time.Second
+// maxReceiveAge bounds ReceiveAge, in case the kernel's figure is implausible.
+const maxReceiveAge = 10 * time.Second
 
-// KernelWait is how long ago the last bytes came on a connection that were not there before: for how long a request that
-// was just read had waited in the kernel, as behind a full or failing listener. It is 0 where that can't be found out.
-func (s *Socket) KernelWait() time.Duration {
+// ReceiveAge returns the time since the kernel last received data on the connection, at most maxReceiveAge, or 0 if it is
+// unknown. A request that was buffered in the kernel while the listener was full or failing has waited this long.
+func (s *Socket) ReceiveAge() time.Duration {
 	var info *unix.TCPInfo
 	var infoErr error
 	err := s.raw.Control(func(fd uintptr) {
@@ -32,5 +32,5 @@
 	if err != nil || infoErr != nil {
 		return 0
 	}
-	return min(time.Duration(info.Last_data_recv)*time.Millisecond, maxKernelWait)
+	return min(time.Duration(info.Last_data_recv)*time.Millisecond, maxReceiveAge)
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -19,7 +19,7 @@
 func LoadConfigAtStart() (*Config, error) {
 	for deadline := time.Now().Add(addressTimeout); ; time.Sleep(addressRetry) {
 		c, err := loadConfig()
-		if !netio.LacksResources(err) || time.Now().After(deadline) {
+		if !netio.IsResourceExhaustion(err) || time.Now().After(deadline) {
 			return c, err
 		}
 	}
@@ -31,7 +31,7 @@
 func retryOpen(log *zerolog.Logger, open func() error) error {
 	for deadline := time.Now().Add(addressTimeout); ; time.Sleep(addressRetry) {
 		err := open()
-		inUse, short := errors.Is(err, syscall.EADDRINUSE), netio.LacksResources(err)
+		inUse, short := errors.Is(err, syscall.EADDRINUSE), netio.IsResourceExhaustion(err)
 		switch {
 		case !inUse && !short || time.Now().After(deadline):
 			return err
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,38 +9,38 @@
 	"cherrygap/internal/routing"
 )
 
-// maxResponse bounds an app server's response, in bytes: chunks have frames.
+// maxResponse bounds an app server's response in bytes, with room for the framing of chunks.
 const maxResponse = protocol.MaxHead + 4*protocol.MaxBody
 
-// upstreamConn is one connection to an app server. It belongs to the Pool while idle, and to one attempt or health check
-// at a time otherwise.
-type upstreamConn struct {
+// serverConn is one connection to an app server. It belongs to the Pool while idle, otherwise to one attempt or health
+// check.
+type serverConn struct {
 	conn          *net.TCPConn
-	reader        *netio.Socket // under in
+	reader        *netio.Socket // the stream of in
 	server        *routing.Server
 	in, out       netio.RingBuffer
 	openedAt      time.Time
-	resetWait     time.Duration // how soon a reset shows, once a stale connection was written to
-	idleSince     time.Time     // since when it carries nothing, as its server's clock has it
-	requests      int           // written whole on it
-	requestsAtPut int           // when it was last put back
+	resetWait     time.Duration // how long to wait for the reset of a stale connection before the last byte
+	idleSince     time.Time     // when it last carried a message, which is when the server's idle timeout started
+	requests      int           // requests written completely
+	requestsAtPut int           // requests when it was last put back
 }
 
-// usable reports whether an idle connection can be used. It guards against servers that closed it, where an
+// usable reports whether an idle connection is open and has nothing to read. On a connection that the server has closed, an
 // attempt would end as one that may have run.
-func (c *upstreamConn) usable() bool {
+func (c *serverConn) usable() bool {
 	netio.SetDeadline(c.conn, time.Time{})
 	return c.in.Empty() && c.reader.IsIdle()
 }
 
-// readResponse reads a response, its body appended to body[:0]. The connection's deadline bounds it.
-func (c *upstreamConn) readResponse(body []byte) (protocol.ServerResponse, error) {
+// readResponse reads a response until the connection's deadline, and appends its body to body[:0].
+func (c *serverConn) readResponse(body []byte) (protocol.ServerResponse, error) {
 	parser := netio.BorrowParser(&c.in)
+	defer netio.ReturnParser(parser)
 	c.in.Allow(maxResponse)
 	c.in.DeadlineSet = true
 	response, err := protocol.ReadServerResponse(parser, body)
 	c.in.DeadlineSet = false
 	c.in.EndMessage(parser)
-	netio.ReturnParser(parser)
 	return response, err
 }
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -18,7 +18,7 @@
 )
 
 // Conn is one connection to an app server.
-type Conn = upstreamConn
+type Conn = serverConn
 
 // Mutex is the lock of Idle, Total and SetTotal.
 func (p *Pool) Mutex() *sync.Mutex { return &p.mu }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -11,25 +11,24 @@
 	"cherrygap/internal/routing"
 )
 
-// HealthChecker carries out this node's part of the fleet's health checks: healthcheck.Scheduler decides what is sent
-// to which node and which server is checked when; this sends, checks and reports. Checks go over the pool, so that a
-// server in use is checked over a connection that stands anyway. It is safe for concurrent use.
+// HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages are sent
+// and which servers are checked when; HealthChecker sends, checks and reports. Checks use the connections of the Pool, so a
+// server in use is checked over an open connection. It is safe for concurrent use.
 type HealthChecker struct {
 	router  *routing.Router
 	pool    *Pool
 	send    func(to int, text []byte)
-	started time.Time     // the origin of the scheduler's clock
-	changed chan struct{} // holds one element if the scheduler may have a new step for Run
+	started time.Time     // origin of the scheduler's clock
+	changed chan struct{} // has an element if the scheduler may have a new step for Run
 	done    chan struct{} // closed by Close
 
-	// mu guards the scheduler, and servers with the contents of the map.
-	mu        sync.Mutex
+	mu        sync.Mutex // guards both below
 	scheduler *healthcheck.Scheduler
-	servers   map[healthcheck.CheckID]*routing.Server // in service, by number
+	servers   map[healthcheck.CheckID]*routing.Server // in service
 }
 
-// NewHealthChecker makes the health checks of one node for the servers that the router has in service now; Run carries them
-// out. send sends a message to one peer; it is called by one goroutine at a time, without a lock.
+// NewHealthChecker makes the health checks of one node for the servers that the router has in service now. send sends a
+// message to one peer; Run calls it, without a lock. The caller starts Run.
 func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, text []byte)) *HealthChecker {
 	h := &HealthChecker{
 		router:    router,
@@ -47,7 +46,7 @@
 
 func (h *HealthChecker) now() time.Duration { return time.Since(h.started) }
 
-// notifyRun has Run ask the scheduler again.
+// notifyRun makes Run poll the scheduler.
 func (h *HealthChecker) notifyRun() {
 	select {
 	case h.changed <- struct{}{}:
@@ -55,7 +54,7 @@
 	}
 }
 
-// EndpointsChanged takes over the servers in service from the router, each to be checked.
+// EndpointsChanged replaces the checked servers by those that the router has in service.
 func (h *HealthChecker) EndpointsChanged() {
 	list := h.router.Servers()
 	h.mu.Lock()
@@ -70,7 +69,8 @@
 	h.notifyRun()
 }
 
-// ReceivePeerMessage takes in a peer's message, which begins with healthcheck.MessageMark, and reports whether it could be read.
+// ReceivePeerMessage applies a peer's message, which begins with healthcheck.MessageMark. It reports whether the message was
+// well-formed.
 func (h *HealthChecker) ReceivePeerMessage(from int, text []byte) bool {
 	h.mu.Lock()
 	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), text)
@@ -79,8 +79,8 @@
 	return err == nil
 }
 
-// Run carries out the scheduler's decisions until Close. Each check has a goroutine of its own, which ends within the
-// time that the scheduler gives it, also after Close.
+// Run executes the scheduler's steps until Close. Each check runs on a goroutine that ends within the check's timeout, also
+// after Close.
 func (h *HealthChecker) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -92,7 +92,7 @@
 		case <-h.changed:
 		}
 		for step, ok := h.next(); ok; step, ok = h.next() {
-			h.carryOut(step)
+			h.execute(step)
 		}
 		h.mu.Lock()
 		wait := h.scheduler.Wake(h.now())
@@ -101,16 +101,16 @@
 	}
 }
 
-// next returns the scheduler's next step, with a text of its own.
-func (h *HealthChecker) next() (healthcheck.Step, bool) {
+// next returns the scheduler's next step, with a copy of its text. ok is false if there is none.
+func (h *HealthChecker) next() (step healthcheck.Step, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	step, ok := h.scheduler.Next(h.now())
+	step, ok = h.scheduler.Next(h.now())
 	step.Text = slices.Clone(step.Text)
 	return step, ok
 }
 
-func (h *HealthChecker) carryOut(step healthcheck.Step) {
+func (h *HealthChecker) execute(step healthcheck.Step) {
 	switch step.Kind {
 	case healthcheck.Send:
 		h.send(int(step.To), step.Text)
@@ -121,7 +121,7 @@
 	}
 }
 
-// check carries out one health check and reports its result.
+// check runs one health check and reports its result to router and scheduler.
 func (h *HealthChecker) check(step healthcheck.Step) {
 	h.mu.Lock()
 	server := h.servers[step.Check.ID]
@@ -139,7 +139,7 @@
 // Close ends Run. It must be called once.
 func (h *HealthChecker) Close() { close(h.done) }
 
-// MarshalZerologObject writes how many tasks and servers there are here, and what was done so far.
+// MarshalZerologObject writes the numbers of tasks and servers, and the counters since the node's start.
 func (h *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/healthrequest.go
+++ b/internal/upstream/healthrequest.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/routing"
 )
 
-// requestHealth asks a server whether it is ready, over an idle connection or a new one, and reports whether it said so before the
-// deadline. Nothing is sent to a server that is not in service any more.
+// requestHealth sends a health check over an idle or new connection and reports whether the server answered before the
+// deadline that it is healthy. It sends nothing to a server that is out of service.
 func (h *HealthChecker) requestHealth(server *routing.Server, deadline time.Time) bool {
 	conn := h.pool.get(server)
 	if conn == nil {
@@ -26,13 +26,19 @@
 		return false
 	}
 	netio.SetDeadline(conn.conn, deadline)
-	conn.out.Appended(protocol.AppendHealthCheck(conn.out.Space(), server.Addr.String()))
+	conn.out.Commit(protocol.AppendHealthCheck(conn.out.AvailableBuffer(), server.Addr.String()))
 	if conn.out.Flush() != nil {
 		h.pool.close(conn, netio.ReasonServerReset)
 		return false
 	}
 	conn.requests++
 	response, err := conn.readResponse(nil)
+	h.releaseChecked(conn, response, err)
+	return err == nil && response.Outcome == protocol.Completed
+}
+
+// releaseChecked puts back a connection after a health check, or closes it for the reason that response and err give.
+func (h *HealthChecker) releaseChecked(conn *serverConn, response protocol.ServerResponse, err error) {
 	switch {
 	case err == nil && !response.Close && conn.in.Empty():
 		h.pool.put(conn)
@@ -45,5 +51,4 @@
 	default:
 		h.pool.close(conn, netio.ReasonServerReset)
 	}
-	return err == nil && response.Outcome == protocol.Completed
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,68 +16,68 @@
 	"cherrygap/internal/routing"
 )
 
-// idleTimeoutShare is the part of the app servers' idle timeout after which the node closes a connection itself, so
-// that no attempt is written to one that its server closes at that moment and so may have run.
-const idleTimeoutShare = 0.8
+// maxIdleRatio is the share of the app servers' idle timeout after which the node closes an idle connection. A request
+// written while its server closes the connection would count as one that may have run.
+const maxIdleRatio = 0.8
 
-// SettleTime is how long a connection stays out of use after a response, so that a second one is seen before it would
-// pass for the next request's: six times as long as any was seen to take. It costs a connection for each attempt that a
-// server gets within that time, which is few: a node sends a server some ten a second.
+// SettleTime is how long a connection stays unused after a response. A duplicate response that arrives meanwhile is detected
+// and can't be read as the next request's response. Trade-off: a server needs one more connection for each attempt that it
+// gets within this time.
 const SettleTime = 30 * time.Millisecond
 
-// distrustFor is how long a stale connection makes others suspect.
-const distrustFor = 10 * time.Second
+// distrustDuration is how long Pool.distrust lasts.
+const distrustDuration = 10 * time.Second
 
-// How long to wait for the reset of a stale connection, once most of a request was written to it.
+// How long to wait for the reset of a stale connection before a request's last byte.
 const (
-	resetWaitRoundTrips = 3                      // of the connection's own, as its dial took: a reset takes one
-	minResetWait        = 300 * time.Microsecond // for machines that are late
+	resetWaitRoundTrips = 3                      // of the connection's dial; a reset takes one
+	minResetWait        = 300 * time.Microsecond // for servers that are slow to schedule
 	maxResetWait        = 3 * time.Millisecond
 )
 
-// errShortage is that this machine lacked what a connection takes, which says nothing of the server.
-var errShortage = errors.New("this machine lacks what a connection takes")
+// errResourceExhaustion is a dial that failed by resource exhaustion of this machine, which says nothing about the server.
+var errResourceExhaustion = errors.New("resource exhaustion on this machine")
 
-// errNoDescriptors is the errShortage of a pool that is full with connections in use.
-var errNoDescriptors = fmt.Errorf("%w: no descriptor left", errShortage)
+// errNoDescriptors is the errResourceExhaustion of a pool whose connections are all in use.
+var errNoDescriptors = fmt.Errorf("%w: no descriptor left", errResourceExhaustion)
 
-// Pool keeps the connections to app servers, for each a stack of idle ones. They are of a server, not of an
-// address: one that is new may have the address of one that has gone, whose connections stand open and silent.
+// Pool keeps the connections to app servers, with a stack of idle ones for each server. They are keyed by server, not by
+// address: a new server may have the address of a removed one, whose connections may still be open. It is safe for
+// concurrent use.
 type Pool struct {
 	limits   netio.Limits
 	log      *zerolog.Logger
 	counters *Counters
 
-	lastConnected atomic.Pointer[time.Time] // when a connection to any server came up
+	lastConnected atomic.Pointer[time.Time] // when the last dial to any server succeeded
 
-	mu       sync.Mutex                          // guards all below
-	idle     map[*routing.Server][]*upstreamConn // the last used is last
-	total    int                                 // idle, in use and being dialled
-	timer    *time.Timer                         // calls closeExpired
+	mu       sync.Mutex                        // guards all below
+	idle     map[*routing.Server][]*serverConn // the most recently used one is last
+	total    int                               // connections that are idle, in use or being dialled
+	timer    *time.Timer                       // calls closeExpired
 	timerSet bool
 
-	inService func(*routing.Server) bool // as of the last list; nil before any
+	inService func(*routing.Server) bool // from the last endpoint list; nil before the first
 
-	distrustUntil  time.Time     // a stale connection was met: until then
-	maxTrustedIdle time.Duration // what has been idle for so long is not used
+	distrustUntil  time.Time     // end of the current distrust
+	maxTrustedIdle time.Duration // during distrust, connections idle for longer are not used
 }
 
 // NewPool makes an empty pool.
 func NewPool(limits netio.Limits, log *zerolog.Logger, counters *Counters) *Pool {
-	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*upstreamConn{}}
+	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*serverConn{}}
 	p.timer = time.AfterFunc(time.Hour, p.closeExpired)
 	return p
 }
 
-// idleLimit is how long a connection may be idle.
+// idleLimit returns how long a connection may be idle.
 func (p *Pool) idleLimit() time.Duration {
-	return time.Duration(float64(p.limits.ServerIdleTimeout) * idleTimeoutShare)
+	return time.Duration(float64(p.limits.ServerIdleTimeout) * maxIdleRatio)
 }
 
-// get takes the idle connection to a server that was last used, or nil. It passes over those that were put back only
-// just: bytes that a server sends right behind a response must be seen before the next attempt, whose response they would
-// pass for.
-func (p *Pool) get(server *routing.Server) *upstreamConn {
+// get takes the most recently used idle connection to a server, or returns nil. It skips connections within SettleTime,
+// and closes expired and unusable ones.
+func (p *Pool) get(server *routing.Server) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for stack := p.idle[server]; len(stack) > 0; stack = p.idle[server] {
@@ -90,10 +90,8 @@
 		}
 		conn := stack[i]
 		p.idle[server] = slices.Delete(stack, i, i+1)
-		age := time.Since(conn.idleSince)
 		switch {
-		case p.limits.ServerIdleTimeout > 0 && age >= p.idleLimit(),
-			age >= p.maxTrustedIdle && time.Now().Before(p.distrustUntil):
+		case p.tooOldLocked(time.Since(conn.idleSince)):
 			p.closeLocked(conn, netio.ReasonIdle)
 		case !conn.usable():
 			p.closeLocked(conn, netio.ReasonServerClosed)
@@ -104,10 +102,16 @@
 	return nil
 }
 
-// distrust notes that a connection was stale, as it broke at once when used after it had been idle for so long: for a
-// while none that has been idle for half of that is used. It guards against servers, or what lies between, that give up
-// idle connections without a word long before the timeout in the settings; an attempt on one may have run. It could harm
-// where connections break whatever their age: then new ones are made, which cost their servers a little.
+// tooOldLocked reports whether a connection that was idle for a time may not be used.
+func (p *Pool) tooOldLocked(idle time.Duration) bool {
+	expired := p.limits.ServerIdleTimeout > 0 && idle >= p.idleLimit()
+	return expired || idle >= p.maxTrustedIdle && time.Now().Before(p.distrustUntil)
+}
+
+// distrust notes that a connection broke at its first use after an idle time. For distrustDuration no connection is used
+// that was idle for half as long. Protects against servers and middleboxes that drop idle connections silently long before
+// the configured timeout, where a request may have run. Trade-off: if connections break at any age, new ones cost the
+// servers a little.
 func (p *Pool) distrust(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,35 +120,48 @@
 	} else {
 		p.maxTrustedIdle = idle / 2
 	}
-	p.distrustUntil = time.Now().Add(distrustFor)
+	p.distrustUntil = time.Now().Add(distrustDuration)
 }
 
-// dial makes a new connection. The error is errShortage where this machine lacked what it takes.
-func (p *Pool) dial(ctx context.Context, server *routing.Server) (*upstreamConn, error) {
-	p.mu.Lock()
-	if p.total >= p.limits.PerSide() && !p.evict() {
-		p.mu.Unlock()
+// dial makes a new connection, and evicts an idle one if the pool is full. ctx must have a deadline. The error wraps
+// errResourceExhaustion if this machine lacked a descriptor, port, memory or route.
+func (p *Pool) dial(ctx context.Context, server *routing.Server) (*serverConn, error) {
+	if !p.reserve() {
 		return nil, errNoDescriptors
 	}
-	p.total++
-	p.mu.Unlock()
 	conn, roundTrip, err := p.connect(ctx, server)
 	if err != nil {
-		p.mu.Lock()
-		p.total--
-		p.mu.Unlock()
+		p.release()
 		return nil, err
 	}
 	return p.newConn(server, conn, roundTrip), nil
 }
 
-// connect connects to a server, again and again for half of ctx's time while this machine lacks what it takes: such a lack
-// passes, often in a moment, and no attempt at another server would fare better. The error is then errShortage, unless
-// other servers could be reached meanwhile and it was this one's address that the machine had no way to.
+// reserve counts a connection that is about to be dialled, and reports whether the pool has a descriptor for it.
+func (p *Pool) reserve() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.total >= p.limits.PerSide() && !p.evictLocked() {
+		return false
+	}
+	p.total++
+	return true
+}
+
+// release undoes reserve.
+func (p *Pool) release() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.total--
+}
+
+// connect dials a server. On resource exhaustion it retries for half of ctx's time, because exhaustion is often brief and
+// an attempt at another server would fail too. The error then wraps errResourceExhaustion, except for a server that is
+// unroutable while other servers could be reached.
 func (p *Pool) connect(ctx context.Context, server *routing.Server) (conn *net.TCPConn, roundTrip time.Duration, err error) {
 	startedAt := time.Now()
-	deadline, _ := ctx.Deadline() // both callers set one
-	giveUpAt := startedAt.Add(deadline.Sub(startedAt) / 2)
+	deadline, _ := ctx.Deadline()
+	retryUntil := startedAt.Add(deadline.Sub(startedAt) / 2)
 	for {
 		p.counters.Dials.Add(1)
 		dialer, dialledAt := net.Dialer{Timeout: p.limits.ConnectTimeout, KeepAlive: -1}, time.Now()
@@ -154,28 +171,35 @@
 			p.lastConnected.Store(&connectedAt)
 			return dialled.(*net.TCPConn), connectedAt.Sub(dialledAt), nil
 		}
-		if !netio.LacksResources(err) && !netio.LacksRoute(err) {
+		unroutable := netio.IsUnroutable(err)
+		if !unroutable && !netio.IsResourceExhaustion(err) {
 			return nil, 0, err
 		}
-		p.counters.Shortages.Add(1)
-		if last := p.lastConnected.Load(); netio.LacksRoute(err) && last != nil && last.After(startedAt) {
+		p.counters.ResourceExhaustions.Add(1)
+		if unroutable && p.connectedAfter(startedAt) {
 			return nil, 0, err
 		}
-		if time.Now().After(giveUpAt) {
-			return nil, 0, fmt.Errorf("%w: %w", errShortage, err)
+		if time.Now().After(retryUntil) {
+			return nil, 0, fmt.Errorf("%w: %w", errResourceExhaustion, err)
 		}
 		select {
 		case <-ctx.Done():
-			return nil, 0, fmt.Errorf("%w: %w", errShortage, err)
-		case <-time.After(netio.ShortagePause):
+			return nil, 0, fmt.Errorf("%w: %w", errResourceExhaustion, err)
+		case <-time.After(netio.ExhaustionRetryInterval):
 		}
 	}
 }
 
-// newConn makes a connection that is up the Pool's.
-func (p *Pool) newConn(server *routing.Server, conn *net.TCPConn, roundTrip time.Duration) *upstreamConn {
+// connectedAfter reports whether a dial to any server succeeded after a time.
+func (p *Pool) connectedAfter(at time.Time) bool {
+	last := p.lastConnected.Load()
+	return last != nil && last.After(at)
+}
+
+// newConn makes a serverConn of an open connection whose dial took roundTrip.
+func (p *Pool) newConn(server *routing.Server, conn *net.TCPConn, roundTrip time.Duration) *serverConn {
 	size, reader, now := p.limits.BufferSize(), netio.NewSocket(conn), time.Now()
-	return &upstreamConn{
+	return &serverConn{
 		conn: conn, reader: reader, server: server,
 		in: netio.NewRingBuffer(conn, reader, size), out: netio.NewRingBuffer(conn, netio.NewSocket(conn), size),
 		openedAt: now, idleSince: now,
@@ -183,9 +207,9 @@
 	}
 }
 
-// put takes a connection back. One that carried nothing since get has been idle all along: its server's clock has run on.
-// One whose server went out of service meanwhile is closed: no later sweep would find its stack.
-func (p *Pool) put(conn *upstreamConn) {
+// put takes a connection back. If it carried no message since get, its idle time goes on, as it does at the server. If its
+// server went out of service meanwhile it is closed, because KeepOnly would not find it any more.
+func (p *Pool) put(conn *serverConn) {
 	if conn.requests > conn.requestsAtPut {
 		conn.idleSince, conn.requestsAtPut = time.Now(), conn.requests
 	}
@@ -202,26 +226,27 @@
 	}
 }
 
-// close closes a connection that is not idle. One that is given up takes along what its server's machine has not
-// acknowledged yet, which else would come there later, behind the node's back, and might run for nobody.
-func (p *Pool) close(conn *upstreamConn, reason netio.CloseReason) {
-	if (reason == netio.ReasonAttemptCancelled || reason == netio.ReasonServerTimeout) && conn.reader.HasUnacknowledged() {
-		_ = conn.conn.SetLinger(0) // a reset; fails for a connection that is closed already
+// close closes a connection in use. After a cancellation or timeout it resets the connection if the server's machine has not
+// acknowledged the whole request. Otherwise the kernel would deliver the rest, and the request might run for no client.
+func (p *Pool) close(conn *serverConn, reason netio.CloseReason) {
+	abandoned := reason == netio.ReasonAttemptCancelled || reason == netio.ReasonServerTimeout
+	if abandoned && conn.reader.HasUnacknowledged() {
+		_ = conn.conn.SetLinger(0) // fails for a closed connection only
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(conn, reason)
 }
 
-func (p *Pool) closeLocked(conn *upstreamConn, reason netio.CloseReason) {
+func (p *Pool) closeLocked(conn *serverConn, reason netio.CloseReason) {
 	p.total--
 	netio.CloseConn(conn.conn)
 	netio.LogClose(p.log, netio.SideServer, conn.server.Addr.String(), reason, conn.openedAt, conn.requests)
 }
 
-// evict closes the connection that has been idle longest, and reports whether there was one. p.mu is held.
-func (p *Pool) evict() bool {
-	var oldest *upstreamConn
+// evictLocked closes the connection that has been idle longest, and reports whether there was one.
+func (p *Pool) evictLocked() bool {
+	var oldest *serverConn
 	for _, stack := range p.idle {
 		if len(stack) > 0 && (oldest == nil || stack[0].idleSince.Before(oldest.idleSince)) {
 			oldest = stack[0]
@@ -235,41 +260,50 @@
 	return true
 }
 
-// closeExpired closes what has been idle for too long, and what its server closed. The timer calls it on a goroutine of
-// its own, and is set again as long as any connection is idle.
+// closeExpired closes expired connections and those that their server closed. The timer calls it on a goroutine of its own;
+// it sets the timer again while any connection is idle.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := time.Duration(-1) // until the next one expires
+	nextExpiry := time.Duration(-1) // negative: no connection is idle
 	for server, stack := range p.idle {
-		kept := stack[:0]
-		for _, conn := range stack {
-			age := time.Since(conn.idleSince)
-			switch {
-			case age >= p.idleLimit():
-				p.closeLocked(conn, netio.ReasonIdle)
-				continue
-			case !conn.usable():
-				p.closeLocked(conn, netio.ReasonServerClosed)
-				continue
-			}
-			if left := p.idleLimit() - age; next < 0 || left < next {
-				next = left
+		kept := p.closeExpiredOf(stack)
+		for _, conn := range kept {
+			left := p.idleLimit() - time.Since(conn.idleSince)
+			if nextExpiry < 0 || left < nextExpiry {
+				nextExpiry = max(left, 0)
 			}
-			kept = append(kept, conn)
 		}
-		if clear(stack[len(kept):]); len(kept) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, server)
 		} else {
 			p.idle[server] = kept
 		}
 	}
-	if p.timerSet = next >= 0; p.timerSet {
-		p.timer.Reset(max(next, p.idleLimit()/8))
+	if p.timerSet = nextExpiry >= 0; p.timerSet {
+		p.timer.Reset(max(nextExpiry, p.idleLimit()/8))
+	}
+}
+
+// closeExpiredOf closes expired and unusable connections of a stack in place, and returns the others.
+func (p *Pool) closeExpiredOf(stack []*serverConn) []*serverConn {
+	kept := stack[:0]
+	for _, conn := range stack {
+		switch {
+		case time.Since(conn.idleSince) >= p.idleLimit():
+			p.closeLocked(conn, netio.ReasonIdle)
+		case !conn.usable():
+			p.closeLocked(conn, netio.ReasonServerClosed)
+		default:
+			kept = append(kept, conn)
+		}
 	}
+	clear(stack[len(kept):])
+	return kept
 }
 
-// KeepOnly closes what is idle to servers that are not in service any more, from now on as it is put back.
+// KeepOnly closes the idle connections to servers that are not in service. Connections in use are checked by inService as
+// they are put back.
 func (p *Pool) KeepOnly(inService func(*routing.Server) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- /dev/null
+++ b/internal/upstream/sendcheck_test.go
@@ -0,0 +1,51 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+)
+
+// The fault of an attempt that was written, and the faults that hold back its last byte.
+func TestSendCheck(t *testing.T) {
+	now := time.Now()
+	good := sendCheck{
+		clientDeadline: now.Add(time.Second), serverCheckedAt: now, timeoutSetAt: now, attemptTimeout: time.Second, firstByteAt: now,
+	}
+	for _, c := range []struct {
+		name             string
+		change           func(*sendCheck)
+		clientCheckedAgo time.Duration
+		disconnected     bool
+		want             sendFault
+		mayNotFinish     bool
+	}{
+		{name: "good", change: func(*sendCheck) {}},
+		{
+			name: "delayed as far as the slack", change: func(check *sendCheck) {
+				check.timeoutSetAt, check.attemptTimeout = now.Add(-maxWriteDelay), time.Second+maxWriteDelay
+			},
+		},
+		{
+			name: "delayed", change: func(check *sendCheck) {
+				check.timeoutSetAt, check.attemptTimeout = now.Add(-maxWriteDelay-1), time.Second+attemptTimeoutSlack+1
+			},
+			want: sendFaultTimeout, mayNotFinish: true,
+		},
+		{name: "past the deadline", change: func(check *sendCheck) { check.clientDeadline = now.Add(-1) }, want: sendFaultDeadline, mayNotFinish: true},
+		{name: "past the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(-1) }, want: sendFaultWindow, mayNotFinish: true},
+		{name: "in the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(1) }},
+		{name: "server", change: func(check *sendCheck) { check.serverCheckedAt = now.Add(-minDrainGrace - 1) }, want: sendFaultServer},
+		{name: "client", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect + 1, disconnected: true, want: sendFaultDisconnected},
+		{name: "client that disconnected just now", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect, disconnected: true},
+		{name: "client that stays", change: func(*sendCheck) {}, clientCheckedAgo: time.Minute},
+	} {
+		check := good
+		c.change(&check)
+		if fault := check.check(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
+			t.Errorf("%s: %q, not %q", c.name, fault, c.want)
+		}
+		if may := check.mayFinish(now); may == c.mayNotFinish {
+			t.Errorf("%s: may finish %v", c.name, may)
+		}
+	}
+}
