--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -70,29 +70,20 @@
 // Check asks the authorizer about a request whose client waits for left. If ctx ends first, the client disconnected.
 func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, left time.Duration) frontend.Authorization {
 	class := a.classes[request.Class]
-	begun := a.begin(class, left)
-	if begun.Verdict != authz.CheckNeeded {
-		return begun.Authorization
+	decision, retryAfter := a.begin(class, left)
+	if decision.Verdict != authz.CheckNeeded {
+		return frontend.Authorization{Verdict: decision.Verdict, RetryAfter: retryAfter}
 	}
 	startedAt := time.Now()
-	outcome := a.call(ctx, request, begun.timeout)
-	return a.end(class, outcome, begun.timeout, time.Since(startedAt))
+	outcome := a.call(ctx, request, decision.Timeout)
+	return a.end(class, outcome, decision.Timeout, time.Since(startedAt))
 }
 
-// begunCheck is the policy's decision before a check.
-type begunCheck struct {
-	frontend.Authorization
-	timeout time.Duration // of the check, if one is needed
-}
-
-func (a *Authorizer) begin(class int, left time.Duration) begunCheck {
+// begin returns the policy's decision before a check, and the Retry-After of a rejection without one.
+func (a *Authorizer) begin(class int, left time.Duration) (decision authz.Decision, retryAfter time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	verdict, timeout := a.policy.Begin(a.now(), class, left)
-	return begunCheck{
-		Authorization: frontend.Authorization{Verdict: verdict, RetryAfter: a.policy.RetryAfter(a.now(), class)},
-		timeout:       timeout,
-	}
+	return a.policy.Begin(a.now(), class, left), a.policy.RetryAfter(a.now(), class)
 }
 
 // end records a check and returns the policy's decision after it.
