--- a/internal/grpcfrontend/methods.go
+++ b/internal/grpcfrontend/methods.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/settings"
 )
 
-// ErrNoPathPart is a class whose name can't be part of a path.
+// ErrNoPathPart is the error of a class whose name can't be part of a path.
 var ErrNoPathPart = errors.New("is no path part")
 
 // HTTPMethods returns the HTTP method of each class by its name: GET where a request is safe to repeat, POST else. It reads
