--- a/cmd/cherrygap/pin_log_test.go
+++ b/cmd/cherrygap/pin_log_test.go
@@ -169,7 +169,7 @@
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
 	text := strings.NewReplacer("127.0.0.4:9000", nodetest.FreeAddress(t), "127.0.0.9:8500", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)
 	p := startLogged(t, text, file)
-	const warning = "warn deprecated key in the operator file: key line node time write"
+	const warning = "warn deprecated key in the operator file: key line node replacement time"
 	p.await(t, warning, warning, warning, "info started: listen node time")
 	const notices = "operator.toml: line 1: duties: deprecated; write health_checks\n" +
 		"operator.toml: line 2: duties.on: deprecated; write health_checks.enabled\n" +
--- a/cmd/cherrygap/root.go
+++ b/cmd/cherrygap/root.go
@@ -60,7 +60,8 @@
 	if err := c.ApplyOperator(file); err != nil {
 		return err
 	}
-	return node.Run(c)
+	node.LimitRuntime(c)
+	return node.Serve(c, node.CatchSignals())
 }
 
 // commandFunc is what a command runs.
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -310,7 +310,7 @@
 	text := processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server})
 	nodetest.WriteFile(t, file, text[:len(text)/2])
 	nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-	time.Sleep(3 * node.ReloadRetry) // some tries find the half
+	time.Sleep(3 * node.ReloadRetryInterval) // some tries find the half
 	nodetest.WriteFile(t, file, text)
 	select {
 	case <-called:
--- a/internal/node/authorizer.go
+++ b/internal/node/authorizer.go
@@ -6,7 +6,8 @@
 	"cherrygap/internal/transport"
 )
 
-// authorizer asks an external authorizer about requests, and counts its answers. grpc.go has one.
+// authorizer asks an external service whether requests are allowed. It counts the answers for the log. Close ends its
+// connection. Only programs with the build tag grpc have one.
 type authorizer interface {
 	transport.Authorizer
 	zerolog.LogObjectMarshaler
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,29 +9,28 @@
 	"cherrygap/internal/routing"
 )
 
-// logCounters logs the counters of the node and of its optional parts, as one line.
-func (s *server) logCounters(message string) {
-	line := s.log.Info().Object("counters", s.counters)
-	if s.config.shadowSettings != nil {
-		line = line.Object("shadow", shadowCounters{s.router})
+// LogCounters logs the counters of the node and of its optional parts in one line, under a message.
+func (n *Node) LogCounters(message string) {
+	line := n.log.Info().Object("counters", n.counters)
+	if n.config.shadowSettings != nil {
+		line = line.Object("shadow", shadowCounters{n.router})
 	}
-	if s.healthChecks != nil {
-		line = line.Object("health_checks", s.healthChecks)
+	if n.healthChecks != nil {
+		line = line.Object("health_checks", n.healthChecks)
 	}
-	if s.authorizer != nil {
-		line = line.Object("authz", s.authorizer)
+	if n.authorizer != nil {
+		line = line.Object("authz", n.authorizer)
 	}
-	if s.quotas != nil {
-		line = line.Object("quota", s.quotas)
+	if n.quotas != nil {
+		line = line.Object("quota", n.quotas)
 	}
 	line.Msg(message)
 }
 
-// shadowCounters are the counts of the shadow evaluation: decisions compared, and by kind those that other settings would
-// have made differently.
+// shadowCounters logs the counts of the shadow evaluation: the decisions compared, and the differing ones by kind.
 type shadowCounters struct{ router *routing.Router }
 
-// MarshalZerologObject writes the counts.
+// MarshalZerologObject writes the counts, the kinds in alphabetical order.
 func (c shadowCounters) MarshalZerologObject(event *zerolog.Event) {
 	compared, differing := c.router.ShadowCounts()
 	event.Int64("decisions", compared)
--- a/internal/node/grpc.go
+++ b/internal/node/grpc.go
@@ -7,7 +7,8 @@
 	"cherrygap/internal/transport"
 )
 
-// dialAuthorizer readies the client of the external authorizer. It does not wait for a connection.
+// dialAuthorizer makes the client of the external authorizer, without waiting for a connection. A name in authz.fail_open that is
+// no request class of the platform is an operatorfile.UnknownNameError.
 func dialAuthorizer(c *config) (authorizer, error) {
 	cfg, classes, err := c.authorizationConfig()
 	if err != nil {
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -12,6 +13,9 @@
 	"cherrygap/internal/operatorfile"
 )
 
+// errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
+var errForeignGRPCAddress error = syscall.EADDRNOTAVAIL
+
 // Request classes that fail open are the platform's, by name.
 func TestAuthorizationIsByThePlatformsClasses(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -20,6 +20,6 @@
 // startNode runs a node in the test's own process. The channel gives what it ended with.
 func startNode(c *config) <-chan error {
 	ended := make(chan error, 1)
-	go func() { ended <- Run(c) }() // ends once a test has sent SIGTERM
+	go func() { ended <- Serve(c, CatchSignals()) }() // ends once a test has sent SIGTERM
 	return ended
 }
--- /dev/null
+++ b/internal/node/lifecycle_test.go
@@ -0,0 +1,253 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"runtime"
+	"runtime/debug"
+	"runtime/pprof"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/operatorfile"
+)
+
+// leakTimeout is the time within which the goroutines and descriptors of a closed node have to be gone.
+const leakTimeout = 10 * time.Second
+
+// wantNoLeak waits until the process has no more goroutines and descriptors than before.
+func wantNoLeak(t *testing.T, before processResources) {
+	t.Helper()
+	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // a collection would close sockets that are leaked
+	for deadline := time.Now().Add(leakTimeout); ; time.Sleep(time.Millisecond) {
+		now := resourcesNow(t)
+		if now.goroutines <= before.goroutines && now.descriptors <= before.descriptors {
+			return
+		}
+		if time.Now().After(deadline) {
+			_ = pprof.Lookup("goroutine").WriteTo(os.Stderr, 1) // for whoever looks for the leak
+			t.Fatalf("leaked: %+v before, %+v now", before, now)
+		}
+	}
+}
+
+// processResources counts what a node that is not closed would keep.
+type processResources struct{ goroutines, descriptors int }
+
+func resourcesNow(t *testing.T) processResources {
+	t.Helper()
+	files, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return processResources{goroutines: runtime.NumGoroutine(), descriptors: len(files)}
+}
+
+// echo is an app server's handler that answers a request with its body.
+func echo(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }
+
+// answerLists is a discovery service's handler that knows no change.
+func answerLists(w http.ResponseWriter, q *http.Request) {
+	select {
+	case <-q.Context().Done():
+	case <-time.After(50 * time.Millisecond):
+		_, _ = io.WriteString(w, `{"rev":41,"all":false,"targets":[]}`)
+	}
+}
+
+// allParts is an operator file with every part that needs no gRPC.
+const allParts = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
+
+// fleetText turns a configuration into that of the third of three nodes, in a fleet that shares health checks.
+func fleetText(text, peer string) string {
+	return strings.NewReplacer(`"peer_listen":"127.0.0.1:0"`, `"peer_listen":"`+peer+`"`,
+		`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`,
+		`"replicas_of_me":1`, `"slot_no":2,"replicas_of_me":3`, `"peers":true`, `"peers":true,"probes":true`).Replace(text)
+}
+
+// mustApply reads an operator file into a configuration.
+func mustApply(t *testing.T, c *Config, operator string) *Config {
+	t.Helper()
+	file, faults := operatorfile.Parse(operator)
+	if len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	if err := c.ApplyOperator(file); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+func TestNodeStopsWithoutLeak(t *testing.T) {
+	for _, test := range []struct{ name, operator string }{{"platform only", ""}, {"all parts", allParts}} {
+		t.Run(test.name, func(t *testing.T) {
+			server, discovery := nodetest.ServeHTTP(t, echo), nodetest.ServeHTTP(t, answerLists)
+			before := resourcesNow(t)
+			for range 4 {
+				peer := nodetest.ListenPacket(t)
+				nodetest.CloseNow(t, peer)
+				listenOn := nodetest.FreeAddress(t)
+				text := fleetText(nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String()), peer.LocalAddr().String())
+				c := mustApply(t, mustParse(t, text), test.operator)
+				if c.sharesHealthChecks() != (test.operator != "") {
+					t.Fatal("another set of parts than the test wants")
+				}
+				n := New(c)
+				if err := n.Start(); err != nil {
+					t.Fatal(err)
+				}
+				conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
+				n.Drain()
+				wantLastResponse(t, conn)
+				nodetest.CloseNow(t, conn)
+				n.Close()
+				wantNoLeak(t, before)
+			}
+		})
+	}
+}
+
+// A node that was not drained still answers the requests that it has accepted.
+func TestCloseAnswersOpenRequests(t *testing.T) {
+	arrived, answer := make(chan struct{}), make(chan struct{})
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+		close(arrived)
+		<-answer
+		echo(w, q)
+	})
+	discovery := nodetest.ServeHTTP(t, answerLists)
+	before := resourcesNow(t)
+	listenOn := nodetest.FreeAddress(t)
+	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
+	if err := n.Start(); err != nil {
+		t.Fatal(err)
+	}
+	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
+	<-arrived
+	closed := make(chan struct{})
+	go func() { // ends with the request
+		n.Close()
+		close(closed)
+	}()
+	nodetest.Eventually(t, leakTimeout, "a closed listener", func() bool { return !nodetest.Accepts(listenOn) })
+	select {
+	case <-closed:
+		t.Error("closed over an open request")
+	default:
+	}
+	close(answer)
+	wantLastResponse(t, conn)
+	nodetest.CloseNow(t, conn)
+	<-closed
+	wantNoLeak(t, before)
+}
+
+// Discovery is followed until the last request has ended, and no longer.
+func TestDiscoveryIsFollowedUntilTheLastRequestHasEnded(t *testing.T) {
+	arrived, answer := make(chan struct{}), make(chan struct{})
+	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+		close(arrived)
+		<-answer
+		echo(w, q)
+	})
+	calls := make(chan struct{}, 1)
+	discovery := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
+		select {
+		case calls <- struct{}{}:
+		default:
+		}
+		answerLists(w, q)
+	})
+	before := resourcesNow(t)
+	listenOn := nodetest.FreeAddress(t)
+	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
+	if err := n.Start(); err != nil {
+		t.Fatal(err)
+	}
+	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
+	<-arrived
+	var drained sync.WaitGroup
+	drained.Add(1)
+	go func() { // ends with the request
+		defer drained.Done()
+		n.Drain()
+	}()
+	nodetest.Eventually(t, leakTimeout, "a closed listener", func() bool { return !nodetest.Accepts(listenOn) })
+	for k := range 3 { // the channel may hold one call from before the drain
+		select {
+		case <-calls:
+		case <-time.After(leakTimeout):
+			t.Fatalf("%d calls of discovery during the drain", k)
+		}
+	}
+	close(answer)
+	wantLastResponse(t, conn)
+	drained.Wait()
+	nodetest.CloseNow(t, conn)
+	n.Close()
+	wantNoLeak(t, before)
+}
+
+// Reload follows discovery to the address in the new file, and changes nothing where the file is malformed.
+func TestReloadByCall(t *testing.T) {
+	asked := make(chan string, 99)
+	server, first, second := nodetest.ServeHTTP(t, echo), serveDiscovery(t, asked), serveDiscovery(t, asked)
+	before := resourcesNow(t)
+	listenOn := nodetest.FreeAddress(t)
+	file := filepath.Join(t.TempDir(), "config.json")
+	t.Setenv(EnvConfig, file)
+	textFor := func(discovery net.Listener) string {
+		return nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())
+	}
+	n := New(mustParse(t, textFor(first)))
+	if err := n.Start(); err != nil {
+		t.Fatal(err)
+	}
+	wantAsked(t, asked, first.Addr().String())
+	text := textFor(second)
+	nodetest.WriteFile(t, file, text[:len(text)/2])
+	inForce := n.config
+	if err := n.Reload(); !mayBeReadLater(err) || n.config != inForce {
+		t.Errorf("half a file: %v", err)
+	}
+	nodetest.WriteFile(t, file, text)
+	if err := n.Reload(); err != nil || n.config.fileDiscovery != second.Addr().String() {
+		t.Errorf("%v, follows %s", err, n.config.fileDiscovery)
+	}
+	wantAsked(t, asked, second.Addr().String())
+	n.Close()
+	wantNoLeak(t, before)
+}
+
+// A start that fails at its last part leaves nothing open once the node is closed.
+func TestFailedStartLeaksNothing(t *testing.T) {
+	discovery := nodetest.ServeHTTP(t, answerLists)
+	for _, test := range []struct {
+		name, old, new, operator string
+		want                     error
+	}{
+		{"peer socket", `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, "", syscall.EADDRNOTAVAIL},
+		{"front end", "127.0.0.4:9000", "192.0.2.1:9000", "", syscall.EADDRNOTAVAIL},
+		{"gRPC front end", "127.0.0.4:9000", nodetest.FreeAddress(t), "[grpc]\nlisten = \"192.0.2.1:9001\"\n", errForeignGRPCAddress},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			before := resourcesNow(t)
+			text := strings.Replace(nodetest.GoodConfig, test.old, test.new, 1)
+			text = strings.NewReplacer("127.0.0.4:7946", "127.0.0.1:0", "127.0.0.9:8500", discovery.Addr().String()).Replace(text)
+			n := New(mustApply(t, mustParse(t, text), test.operator))
+			if err := n.Start(); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+			n.Close()
+			wantNoLeak(t, before)
+		})
+	}
+}
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -11,20 +11,22 @@
 
 const (
 	logBufferLines  = 1000                   // lines that wait for the log's reader; further ones are dropped
-	logFlushTimeout = 200 * time.Millisecond // for the lines that still wait at the end of the process
+	logFlushTimeout = 200 * time.Millisecond // for the lines in the buffer when the log closes
 )
 
-// openLog opens the node's log on standard error. Its lines are buffered, because a reader that is too slow must not hold up
-// requests: lines that find no room are dropped, and dropped is called with their number. closeLog writes what is left in the
-// buffer, for logFlushTimeout at most, because the end of the process must not wait for a reader either.
+// openLog opens the node's log on standard error. The lines are buffered, because a slow reader must not delay requests.
+// Lines beyond logBufferLines are dropped, and dropped is called with their number.
+//
+// closeLog writes the buffer's lines, for logFlushTimeout at most, as a slow reader must not delay the end either. Lines that
+// are logged later are lost.
 func openLog(level zerolog.Level, node string, dropped func(lines int)) (log zerolog.Logger, closeLog func()) {
 	// The wrapper hides Close, by which the buffer would close standard error.
 	buffer := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logBufferLines, 0, dropped)
 	log = zerolog.New(buffer).Level(level).With().Timestamp().Str("node", node).Logger()
 	return log, func() {
 		written := make(chan struct{})
-		go func() { // ends once all is written, or with the process
-			_ = buffer.Close() // there is nowhere left to report an error to
+		go func() { // ends once all lines are written; without a reader it stays until the process ends
+			_ = buffer.Close() // the log was the place to report an error
 			close(written)
 		}()
 		select {
@@ -34,7 +36,7 @@
 	}
 }
 
-// ParseLogLevel gives the level of that name, or info for a name that is none.
+// ParseLogLevel returns the level of a name. An empty or unknown name is the level info.
 func ParseLogLevel(name string) zerolog.Level {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
--- /dev/null
+++ b/internal/node/node.go
@@ -0,0 +1,167 @@
+// Package node is the life cycle of one edge node: it reads the configuration, opens the parts in their order, reloads,
+// drains and closes them.
+//
+// New, Start, Run and Close have no effect on the process beyond the node's own sockets, goroutines and log. The functions
+// LimitRuntime and CatchSignals change the process, and a program calls them once.
+package node
+
+import (
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cherrygap/internal/quotastore"
+	"cherrygap/internal/routing"
+	"cherrygap/internal/transport"
+)
+
+// drainAcceptTime is how long a node still accepts connections after SIGTERM. The platform sends new clients for 0.4 s.
+const drainAcceptTime = 500 * time.Millisecond
+
+// Node is one running edge node. It owns the node's parts from Start to Close.
+//
+// One goroutine at a time may call the methods. The fields are written before the parts' goroutines start, except config
+// and reloadRetry, which those goroutines do not read. The parts are safe for concurrent use.
+type Node struct {
+	config   *Config // replaced by Reload
+	limits   transport.Limits
+	counters *transport.Counters
+	log      zerolog.Logger
+
+	timer     *transport.Timer
+	router    *routing.Router
+	pool      *transport.Pool
+	discovery *transport.DiscoveryClient
+	frontEnd  *transport.Server
+
+	// Parts that only some configurations have; nil without.
+	peers        *transport.PeerSocket
+	quotas       *quotastore.Quotas
+	healthChecks *transport.HealthChecker
+	authorizer   authorizer
+	drainGRPC    func() // stops the gRPC front end, and returns once its last request has ended
+
+	reloadRetry reloadRetry
+
+	hasEndpoints bool           // the configuration held an endpoint list
+	pollRequests chan struct{}  // holds one element while the decision engine waits for an endpoint list
+	drainOnce    sync.Once      // drain runs once
+	closers      []func()       // steps that closeParts calls, the last first
+	background   sync.WaitGroup // the goroutines of startBackground
+}
+
+// New makes a node with its log and counters. Start opens the other parts, and Close has to be called in any case.
+func New(c *Config) *Node {
+	n := &Node{config: c, counters: &transport.Counters{}, pollRequests: make(chan struct{}, 1)}
+	var closeLog func()
+	n.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { n.counters.LogLinesDropped.Add(int64(lines)) })
+	n.onClose(closeLog)
+	n.limits = c.transportLimits()
+	return n
+}
+
+// Start opens the parts and begins to serve. The timer and the node's own sockets come first, then the known endpoint list.
+// The front ends come last, once all parts that decide on requests are there. After an error only Close may be called.
+func (n *Node) Start() error {
+	n.warnOfDeprecations()
+	for _, open := range []func() error{
+		n.openTimer,
+		n.openPeerSocket,
+		n.openQuotaStore,
+		n.buildRouter,
+		n.loadKnownEndpoints,
+		n.buildHealthChecks,
+		n.buildDiscovery,
+		n.dialAuthorizer,
+		n.listenHTTP,
+		n.listenGRPC,
+	} {
+		if err := open(); err != nil {
+			return err
+		}
+	}
+	n.startBackground()
+	n.router.Tick()
+	n.log.Info().Str("listen", n.config.Listen).Msg("started")
+	return nil
+}
+
+// startBackground starts the parts' goroutines. Close ends them.
+func (n *Node) startBackground() {
+	n.runInBackground(func() { n.timer.Run(n.router.Tick) })
+	n.runInBackground(n.discovery.Run)
+	if n.healthChecks != nil {
+		n.runInBackground(n.healthChecks.Run)
+		n.onClose(n.healthChecks.Close)
+	}
+	if n.peers != nil {
+		n.runInBackground(func() { n.peers.Receive(n.receivePeerMessage) })
+	}
+}
+
+// runInBackground runs a part's loop on a goroutine that Close waits for.
+func (n *Node) runInBackground(loop func()) {
+	n.background.Add(1)
+	go func() {
+		defer n.background.Done()
+		loop()
+	}()
+}
+
+// Drain stops both front ends at the same time. It still accepts connections for drainAcceptTime, and returns once every
+// accepted request has its response. Further calls return at once.
+func (n *Node) Drain() { n.drainOnce.Do(func() { n.drain(drainAcceptTime) }) }
+
+// drain is Drain with a time in which connections are still accepted.
+func (n *Node) drain(accept time.Duration) {
+	if n.drainGRPC == nil {
+		n.frontEnd.Drain(accept)
+		return
+	}
+	ended := make(chan struct{})
+	go func() { // ends with the last gRPC request
+		n.drainGRPC()
+		close(ended)
+	}()
+	n.frontEnd.Drain(accept)
+	<-ended
+}
+
+// Close closes all that New and Start opened, and returns once the parts' goroutines have ended. A health check that is out
+// ends within its own timeout. Without a Drain before, Close refuses new connections at once and waits for the open requests.
+func (n *Node) Close() {
+	if n.frontEnd != nil {
+		n.drainOnce.Do(func() { n.drain(0) })
+	}
+	n.closeParts()
+	n.stopForwarding()
+}
+
+// onClose adds a step that closes the part that was just opened.
+func (n *Node) onClose(step func()) { n.closers = append(n.closers, step) }
+
+// closeParts calls the steps of onClose, each once, in the reverse order.
+func (n *Node) closeParts() {
+	for len(n.closers) > 0 {
+		last := len(n.closers) - 1
+		step := n.closers[last]
+		n.closers = n.closers[:last]
+		step()
+	}
+}
+
+// stopForwarding ends discovery, the peer socket and the pool, which serve until the last request has ended. It follows the
+// close of the log, so that "stopped" stays the log's last line.
+func (n *Node) stopForwarding() {
+	if n.discovery != nil {
+		n.discovery.Stop()
+	}
+	if n.peers != nil {
+		n.peers.Close()
+	}
+	n.background.Wait()
+	if n.pool != nil {
+		n.pool.Close()
+	}
+}
--- a/internal/node/server_test.go
+++ b/internal/node/node_test.go
@@ -56,28 +56,28 @@
 		t.Error("the new discovery was never asked")
 	}
 	nodetest.SignalSelf(t, syscall.SIGTERM)
-	time.Sleep(drainAccept + 100*time.Millisecond)
+	time.Sleep(drainAcceptTime + 100*time.Millisecond)
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request open: %v", err)
 	default:
 	}
 	close(answer)
-	wantLastResponse(t, conn, "body")
+	wantLastResponse(t, conn)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// wantLastResponse reads a complete response that closes its connection.
-func wantLastResponse(t *testing.T, conn net.Conn, want string) {
+// wantLastResponse reads a complete response that has the request's body and closes its connection.
+func wantLastResponse(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	body, err := io.ReadAll(response.Body)
-	if response.StatusCode != http.StatusOK || string(body) != want || !response.Close || err != nil {
+	if response.StatusCode != http.StatusOK || string(body) != nodetest.RequestBody || !response.Close || err != nil {
 		t.Errorf("status %d, %q, closes %v, %v", response.StatusCode, body, response.Close, err)
 	}
 }
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(drainAccept + 3*time.Second):
+	case <-time.After(drainAcceptTime + 3*time.Second):
 		t.Error("the node does not end")
 	}
 }
@@ -137,9 +137,9 @@
 	c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", tcp.Addr().String(), "127.0.0.9:8500", nodetest.FreeAddress(t),
 		"127.0.0.4:7946", udp.LocalAddr().String()).Replace(nodetest.GoodConfig))
 	ended := startNode(c)
-	time.Sleep(2 * addressRetry)
+	time.Sleep(2 * startRetryInterval)
 	nodetest.CloseNow(t, udp)
-	time.Sleep(2 * addressRetry)
+	time.Sleep(2 * startRetryInterval)
 	select {
 	case err := <-ended:
 		t.Fatal(err)
@@ -161,13 +161,13 @@
 
 // A part that was opened last is closed first, each once, also where closing is asked for again.
 func TestPartsAreClosedInReverse(t *testing.T) {
-	var s server
+	var s Node
 	var closed []int
 	for i := range 3 {
 		s.onClose(func() { closed = append(closed, i) })
 	}
-	s.close()
-	s.close()
+	s.Close()
+	s.Close()
 	if !slices.Equal(closed, []int{2, 1, 0}) {
 		t.Errorf("closed %v", closed)
 	}
@@ -175,12 +175,12 @@
 
 // A start that fails closes what it has opened: here the timer, when the peers' address is no address of this machine.
 func TestFailedStartIsClosed(t *testing.T) {
-	s := newServer(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
-	err := s.start()
+	s := New(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
+	err := s.Start()
 	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(s.closers) != 2 || s.router != nil {
 		t.Errorf("%v, %d to close", err, len(s.closers))
 	}
-	s.close()
+	s.Close()
 	if len(s.closers) != 0 {
 		t.Errorf("%d left to close", len(s.closers))
 	}
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -148,10 +148,13 @@
 		"tiers_of_service":[{"name":"team"}]`).Replace(GoodConfig)
 }
 
+// RequestBody is the body of RequestText.
+const RequestBody = "body"
+
 // RequestText is a request of that class and plan, with a body.
 func RequestText(id string, timeout time.Duration) string {
 	return fmt.Sprintf("POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Tariff: team\r\nX-Budget-Ms: %d\r\n"+
-		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 4\r\n\r\nbody", id, timeout.Milliseconds())
+		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: %d\r\n\r\n%s", id, timeout.Milliseconds(), len(RequestBody), RequestBody)
 }
 
 // SendRequest writes such a request on a connection of its own and returns that.
--- a/internal/node/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -8,10 +8,11 @@
 	"cherrygap/internal/transport"
 )
 
-// errNoGRPC is a part of the operator file that needs gRPC. The program is built without it by default: it is twice the
-// size with it, for what the platform has no use for.
+// errNoGRPC rejects an operator file that needs gRPC. By default the program is built without it, which halves its size.
 var errNoGRPC = errors.New("authz.service, grpc.listen: this program was built without the tag grpc (docs/grpc.md)")
 
+// dialAuthorizer fails, as this program has no gRPC.
 func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
 
+// listenGRPC fails, as this program has no gRPC.
 func listenGRPC(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -11,6 +11,9 @@
 	"cherrygap/internal/operatorfile"
 )
 
+// errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
+var errForeignGRPCAddress = errNoGRPC
+
 // A program without gRPC must not start as if requests were authorized.
 func TestWithoutGRPCItIsRefused(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
@@ -22,7 +25,7 @@
 		if err := c.ApplyOperator(op); err != nil {
 			t.Fatal(err)
 		}
-		if err := Run(c); !errors.Is(err, errNoGRPC) {
+		if err := Serve(c, CatchSignals()); !errors.Is(err, errNoGRPC) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -82,7 +82,7 @@
 	}
 	wantAsked(t, asked, second.Addr().String())
 	close(answer)
-	wantLastResponse(t, conn, "body")
+	wantLastResponse(t, conn)
 	wantEnd(t, ended)
 	caught.discard()
 }
--- a/internal/transport/peersocket.go
+++ b/internal/transport/peersocket.go
@@ -60,3 +60,6 @@
 		}
 	}
 }
+
+// Close closes the socket and ends Receive. A message that is sent later counts as unsent.
+func (s *PeerSocket) Close() { closeConn(s.conn) }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -282,3 +282,9 @@
 		}
 	}
 }
+
+// Close closes the idle connections. A connection in use is closed when it is put back.
+func (p *Pool) Close() {
+	p.KeepOnly(func(*routing.Server) bool { return false })
+	p.timer.Stop()
+}
