--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -104,13 +104,15 @@
 	}
 }
 
-// Accepts reports whether connections to an address are accepted now.
+// Accepts reports whether a listener accepts connections at an address now. A connection to itself, which the kernel makes
+// where the dialing socket is given the very port that it dials, is none.
 func Accepts(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
-	return conn.Close() == nil
+	toItself := conn.LocalAddr().String() == conn.RemoteAddr().String()
+	return conn.Close() == nil && !toItself
 }
 
 // SignalSelf sends a signal to the test's own process.
