--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,9 +11,14 @@
 
 	"github.com/rs/zerolog"
 
+	"cherrygap/internal/counters"
+	"cherrygap/internal/discovery"
+	"cherrygap/internal/frontend"
+	"cherrygap/internal/netio"
+	"cherrygap/internal/peersocket"
 	"cherrygap/internal/quotastore"
 	"cherrygap/internal/routing"
-	"cherrygap/internal/transport"
+	"cherrygap/internal/upstream"
 )
 
 // drainAcceptTime is how long a node still accepts connections after SIGTERM. The platform sends new clients for 0.4 s.
@@ -25,20 +30,20 @@
 // and reloadRetry, which those goroutines do not read. The parts are safe for concurrent use.
 type Node struct {
 	config   *Config // replaced by Reload
-	limits   transport.Limits
-	counters *transport.Counters
+	limits   netio.Limits
+	counters *counters.Node
 	log      zerolog.Logger
 
-	timer     *transport.Timer
+	timer     *netio.Timer
 	router    *routing.Router
-	pool      *transport.Pool
-	discovery *transport.DiscoveryClient
-	frontEnd  *transport.Server
+	pool      *upstream.Pool
+	discovery *discovery.Client
+	frontEnd  *frontend.Server
 
 	// Parts that only some configurations have; nil without.
-	peers        *transport.PeerSocket
+	peers        *peersocket.Socket
 	quotas       *quotastore.Quotas
-	healthChecks *transport.HealthChecker
+	healthChecks *upstream.HealthChecker
 	authorizer   authorizer
 	drainGRPC    func() // stops the gRPC front end, and returns once its last request has ended
 
@@ -53,7 +58,7 @@
 
 // New makes a node with its log and counters. Start opens the other parts, and Close has to be called in any case.
 func New(c *Config) *Node {
-	n := &Node{config: c, counters: &transport.Counters{}, pollRequests: make(chan struct{}, 1)}
+	n := &Node{config: c, counters: &counters.Node{}, pollRequests: make(chan struct{}, 1)}
 	var closeLog func()
 	n.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { n.counters.LogLinesDropped.Add(int64(lines)) })
 	n.onClose(closeLog)
--- a/internal/node/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -5,7 +5,7 @@
 import (
 	"errors"
 
-	"cherrygap/internal/transport"
+	"cherrygap/internal/frontend"
 )
 
 // errNoGRPC rejects an operator file that needs gRPC. By default the program is built without it, which halves its size.
@@ -15,4 +15,4 @@
 func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
 
 // listenGRPC fails, as this program has no gRPC.
-func listenGRPC(*config, *transport.Server) (drain func(), err error) { return nil, errNoGRPC }
+func listenGRPC(*config, *frontend.Server) (drain func(), err error) { return nil, errNoGRPC }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -1,11 +1,16 @@
 package node
 
 import (
+	"cherrygap/internal/discovery"
+	"cherrygap/internal/frontend"
 	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/invariant"
+	"cherrygap/internal/netio"
+	"cherrygap/internal/peersocket"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quotastore"
 	"cherrygap/internal/routing"
-	"cherrygap/internal/transport"
+	"cherrygap/internal/upstream"
 )
 
 // warnOfDeprecations logs each deprecated key of the operator file with its replacement.
@@ -18,7 +23,7 @@
 // openTimer opens the decision engine's timer.
 func (n *Node) openTimer() error {
 	err := retryOpen(&n.log, func() (err error) {
-		n.timer, err = transport.NewTimer()
+		n.timer, err = netio.NewTimer()
 		return err
 	})
 	if err != nil {
@@ -35,7 +40,7 @@
 	}
 	return retryOpen(&n.log, func() (err error) {
 		table := protocol.NewPeerTable(n.config.Peers, n.config.PeersAll)
-		n.peers, err = transport.OpenPeerSocket(n.config.Peer, table, n.counters)
+		n.peers, err = peersocket.Open(n.config.Peer, table, &n.counters.Peers)
 		return err
 	})
 }
@@ -68,7 +73,7 @@
 		cfg.Quota = n.quotas
 	}
 	n.router = routing.New(cfg)
-	n.pool = transport.NewPool(n.limits, &n.log, n.counters)
+	n.pool = upstream.NewPool(n.limits, &n.log, &n.counters.Upstream)
 	return nil
 }
 
@@ -76,7 +81,7 @@
 // the message counts as unsent.
 func (n *Node) sendToPeer(peer int, payload []byte) {
 	if n.peers == nil {
-		n.counters.PeerMessagesUnsent.Add(1)
+		n.counters.Peers.Unsent.Add(1)
 		return
 	}
 	n.peers.Send(peer, payload)
@@ -94,7 +99,7 @@
 // countRepeatFault counts and logs an attempt that the router withheld, because an earlier one may have been executed. The
 // router calls it under its lock, so it must not block: the log is buffered.
 func (n *Node) countRepeatFault(fault routing.RepeatFault, class, attempt int) {
-	n.counters.Violated(&n.log, transport.ViolationRepeating).Str("fault", string(fault)).Int("class", class).
+	invariant.Violated(&n.counters.RepeatViolations, &n.log, invariant.Repeating).Str("fault", string(fault)).Int("class", class).
 		Int("attempt", attempt).Msg("attempt held back")
 }
 
@@ -127,7 +132,7 @@
 // buildHealthChecks makes the node's share of the fleet's health checks, where the configuration enables them.
 func (n *Node) buildHealthChecks() error {
 	if n.config.sharesHealthChecks() {
-		n.healthChecks = transport.NewHealthChecker(n.config.healthCheckConfig(), n.router, n.pool, n.sendToPeer)
+		n.healthChecks = upstream.NewHealthChecker(n.config.healthCheckConfig(), n.router, n.pool, n.sendToPeer)
 	}
 	return nil
 }
@@ -135,13 +140,13 @@
 // buildDiscovery makes the client of the discovery service. It asks for the changes since the known endpoint list, or for
 // the full list where none is known.
 func (n *Node) buildDiscovery() error {
-	n.discovery = &transport.DiscoveryClient{
+	n.discovery = &discovery.Client{
 		Addr:      n.config.Discovery,
 		Revision:  n.config.known.Revision,
 		Full:      !n.hasEndpoints,
 		Limits:    n.limits,
 		Log:       &n.log,
-		Counters:  n.counters,
+		Counters:  &n.counters.Discovery,
 		OnFailure: n.router.PollFailed,
 		OnList:    n.updateEndpoints,
 	}
@@ -196,7 +201,7 @@
 // listenHTTP begins to serve clients over HTTP.
 func (n *Node) listenHTTP() error {
 	return retryOpen(&n.log, func() (err error) {
-		n.frontEnd, err = transport.Listen(n.config.Listen, n.router, n.pool, n.limits, n.authorizer, &n.log, n.counters)
+		n.frontEnd, err = frontend.Listen(n.config.Listen, n.router, n.pool, n.limits, n.authorizer, &n.log, &n.counters.FrontEnd)
 		return err
 	})
 }
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -7,7 +7,7 @@
 
 	"github.com/rs/zerolog"
 
-	"cherrygap/internal/transport"
+	"cherrygap/internal/netio"
 )
 
 // A start waits for addresses and resources. The platform wants the node ready within 30 s.
@@ -21,7 +21,7 @@
 func LoadConfigAtStart() (*Config, error) {
 	for deadline := time.Now().Add(startRetryTimeout); ; time.Sleep(startRetryInterval) {
 		c, err := loadConfig()
-		if !transport.LacksResources(err) || time.Now().After(deadline) {
+		if !netio.LacksResources(err) || time.Now().After(deadline) {
 			return c, err
 		}
 	}
@@ -33,7 +33,7 @@
 func retryOpen(log *zerolog.Logger, open func() error) error {
 	for deadline := time.Now().Add(startRetryTimeout); ; time.Sleep(startRetryInterval) {
 		err := open()
-		inUse, lacksResources := errors.Is(err, syscall.EADDRINUSE), transport.LacksResources(err)
+		inUse, lacksResources := errors.Is(err, syscall.EADDRINUSE), netio.LacksResources(err)
 		switch {
 		case !inUse && !lacksResources || time.Now().After(deadline):
 			return err
