--- a/internal/authz/breaker_test.go
+++ b/internal/authz/breaker_test.go
@@ -5,6 +5,20 @@
 	"time"
 )
 
+// The breaker is closed for four consecutive failures and open after the fifth.
+func TestBreakerOpensAtFifthFailure(t *testing.T) {
+	var b breaker
+	for range 4 {
+		b.failed(0, time.Second)
+	}
+	if !b.allows(0) {
+		t.Error("open after four failures")
+	}
+	if b.failed(0, time.Second); b.allows(0) {
+		t.Error("closed after five failures")
+	}
+}
+
 // The breaker opens after maxFailures consecutive failures, doubles its open time with each failed trial, and closes with an
 // answer.
 func TestBreakerOpensAndCloses(t *testing.T) {
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"cherrygap/internal/membership"
 )
 
 // fleet is a simulated network without delay.
@@ -247,6 +249,31 @@
 	}
 }
 
+// Two reports within an eighth of a ping period are about the same run.
+func TestReportsOfOneRunAreMerged(t *testing.T) {
+	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0) // a ping period of 100 ms
+	s.SetChecks(0, []Check{{CheckServer, 5}})
+	for _, report := range []struct {
+		at    time.Duration
+		ageMs byte
+		isNew bool
+	}{
+		{9 * time.Second, 10, true},                       // a run at 8.990 s
+		{9010 * time.Millisecond, 8, false},               // 12 ms later
+		{9010 * time.Millisecond, 7, true},                // 13 ms later
+		{9010 * time.Millisecond, 30, false},              // earlier than the last known run
+		{9010*time.Millisecond + s.Period()/8, 7, false},  // 12.5 ms after the last one
+		{9010*time.Millisecond + 10*s.Period(), 10, true}, // another run
+	} {
+		age := time.Duration(report.ageMs) * time.Millisecond
+		e := membership.Event{Kind: uint8(CheckServer), ID: 5, At: report.at - age}
+		s.advance(report.at)
+		if isNew := s.receiveEvent(e); isNew != report.isNew {
+			t.Errorf("%v, %d ms ago: new %v", report.at, report.ageMs, isNew)
+		}
+	}
+}
+
 // The interval is at least minIntervalPeriodsPerRound ping periods per gossip round.
 func TestIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -42,7 +42,7 @@
 	Model  string         `json:"model"`
 	Cell   int            `json:"pod_group"` // 0 to 65535
 	State  EndpointState  `json:"state"`
-	Weight float64        `json:"capacity_hint"` // 0 to below maxWeight; 0 if discovery does not know it
+	Weight float64        `json:"capacity_hint"` // 0 to below 1e9; 0 if discovery does not know it
 	BootMs int64          `json:"boot_ms"`       // Unix time of the server's last start, in milliseconds; 0 for long ago
 }
 
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -65,6 +65,10 @@
 			"body with what looks like a length", head + "Transfer-Encoding: chunked\r\n\r\n15\r\n\nContent-Length: 50\r\n\r\n0\r\n\r\n",
 			"\nContent-Length: 50\r\n",
 		},
+		{
+			"small chunks below four times the limit", head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\na\r\n", 43000) + "0\r\n\r\n",
+			strings.Repeat("a", 43000),
+		},
 		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "abcde"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +111,8 @@
 		"huge body":         {head + "Content-Length: 65537\r\n\r\n", 413},
 		"huge chunks": {head + "Transfer-Encoding: chunked\r\n\r\n11000\r\n" + strings.Repeat("a", 0x11000) +
 			"\r\n0\r\n\r\n", 413},
-		"huge head": {head + "X-Long: " + strings.Repeat("a", MaxHead) + "\r\n\r\n", 431},
+		"chunks over four times the limit": {head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\na\r\n", 44000) + "0\r\n\r\n", 431},
+		"huge head":                        {head + "X-Long: " + strings.Repeat("a", MaxHead) + "\r\n\r\n", 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bad *RequestError
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -38,9 +38,9 @@
 	ID             string        // the same for all attempts of the request
 	Class          string        // name of the request class; may be unknown
 	Plan           string        // name of the customer's plan; may be unknown or empty
-	Customer       uint64        // below 2^customerBits
-	Timeout        time.Duration // request budget: time that the client waits, at most maxTimeout
-	Units          float64       // expected cost, 0 to below maxUnits
+	Customer       uint64        // below 2^33
+	Timeout        time.Duration // request budget: time that the client waits, at most 1 hour
+	Units          float64       // expected cost, 0 to below 1e9
 	Spread         int           // number of nodes in the customer's node set, at least 1
 	FirstNode      int           // first node of the customer's node set, at least 0
 	Body           []byte        // at most MaxBody bytes
