--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -49,7 +49,7 @@
 		SendToPeer:    func(int, []byte) {},
 		LogSummary:    func([]byte) {},
 	})
-	n.router.UpdateEndpoints(list, false)
+	n.router.UpdateEndpoints(list, routing.FromDiscovery)
 	return n
 }
 
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -10,6 +10,7 @@
 
 	"cherrygap/internal/lab/emulator"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 )
 
 // server is a modelled app server. Its figures are those of Config.Server; what the nodes see of it is a routing.Server.
@@ -206,7 +207,7 @@
 	s.revision++
 	for _, n := range s.nodes {
 		if n.router != nil {
-			n.router.UpdateEndpoints(&protocol.EndpointList{Revision: s.revision, Endpoints: changed}, false)
+			n.router.UpdateEndpoints(&protocol.EndpointList{Revision: s.revision, Endpoints: changed}, routing.FromDiscovery)
 			s.takeDecisions(n)
 		}
 	}
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -59,9 +59,10 @@
 	})
 }
 
-// applyList hands a list to the engine and notes which servers drain. A cached list is one of an earlier incarnation.
-func (inc *incarnation) applyList(list *protocol.EndpointList, serverNumbers map[netip.AddrPort]int, cached bool) {
-	inc.router.UpdateEndpoints(list, cached)
+// applyList passes a list to the engine and records the draining servers. A list from the cache is that of an earlier
+// incarnation.
+func (inc *incarnation) applyList(list *protocol.EndpointList, serverNumbers map[netip.AddrPort]int, origin routing.ListOrigin) {
+	inc.router.UpdateEndpoints(list, origin)
 	now := time.Now()
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
--- a/internal/lab/scale/nodelists.go
+++ b/internal/lab/scale/nodelists.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 )
 
 // endpointHistory is what discovery has sent so far, for nodes that start anew, and when each node had applied it.
@@ -51,7 +52,7 @@
 	applied := listApplied{Revision: list.Revision, At: make([]int64, len(f.nodes))}
 	forEachNode(f.nodes, func(n *simulatedNode) {
 		if !n.away.Load() {
-			n.current.Load().applyList(list, f.serverNumbers, false)
+			n.current.Load().applyList(list, f.serverNumbers, routing.FromDiscovery)
 			applied.At[n.number-f.cfg.Real] = time.Now().UnixMicro()
 		}
 	})
@@ -74,7 +75,7 @@
 	started := make([]*incarnation, len(f.nodes))
 	forEachNode(nodes, func(n *simulatedNode) {
 		inc := n.newIncarnation(f.cfg.Seed + uint64(taken))
-		inc.applyList(known, f.serverNumbers, true)
+		inc.applyList(known, f.serverNumbers, routing.FromCache)
 		started[n.number-f.cfg.Real] = inc
 	})
 	f.listMu.Lock() // what came meanwhile, as the node's own watch would bring it
@@ -82,7 +83,7 @@
 	forEachNode(nodes, func(n *simulatedNode) {
 		inc := started[n.number-f.cfg.Real]
 		for _, list := range f.history[taken:] {
-			inc.applyList(list, f.serverNumbers, false)
+			inc.applyList(list, f.serverNumbers, routing.FromDiscovery)
 		}
 		n.current.Swap(inc).ended.Store(true)
 		n.away.Store(false)
--- a/internal/node/server_parts.go
+++ b/internal/node/server_parts.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"cherrygap/internal/decision"
 	"cherrygap/internal/healthcheck"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quotastore"
@@ -54,14 +55,14 @@
 // buildRouter makes the facade of the decision engine, and the pool of connections to app servers.
 func (s *server) buildRouter() error {
 	cfg := routing.Config{
-		Seed:          s.config.randomSeed,
-		Settings:      s.config.settings,
-		Shadow:        s.config.shadowSettings,
-		SetTimer:      s.timer.Set,
-		SendToPeer:    s.sendToPeer,
-		PollEndpoints: s.requestPoll,
-		OnRepeatFault: s.countRepeatFault,
-		LogSummary:    func(line []byte) { s.log.Info().Msg(string(line)) },
+		Seed:              s.config.randomSeed,
+		Settings:          s.config.settings,
+		Shadow:            s.config.shadowSettings,
+		SetTimer:          s.timer.Set,
+		SendToPeer:        s.sendToPeer,
+		PollEndpoints:     s.requestPoll,
+		OnRepeatViolation: s.countRepeatViolation,
+		LogSummary:        func(line []byte) { s.log.Info().Msg(string(line)) },
 	}
 	if s.quotas != nil { // a nil pointer in the interface would not be nil
 		cfg.Quota = s.quotas
@@ -88,10 +89,10 @@
 	return s.router.ReceivePeerMessage(peer, payload)
 }
 
-// countRepeatFault counts an attempt that was held back, as it would have broken the promise on repeats. It is called under
+// countRepeatViolation counts an attempt or a rejection that the repeat check withheld. It is called under
 // the router's lock; the log is written in the background.
-func (s *server) countRepeatFault(fault routing.RepeatFault, class, attempt int) {
-	s.counters.Violated(&s.log, transport.ViolationRepeating).Str("fault", string(fault)).Int("class", class).
+func (s *server) countRepeatViolation(violation routing.RepeatViolation, class decision.ClassID, attempt int) {
+	s.counters.Violated(&s.log, transport.ViolationRepeating).Str("fault", string(violation)).Int("class", int(class)).
 		Int("attempt", attempt).Msg("attempt held back")
 }
 
@@ -106,7 +107,7 @@
 // loadKnownEndpoints gives the decision engine the endpoint list of the configuration, if it holds one.
 func (s *server) loadKnownEndpoints() error {
 	if s.hasEndpoints = len(s.config.known.Endpoints) > 0; s.hasEndpoints {
-		s.router.UpdateEndpoints(&s.config.known, true)
+		s.router.UpdateEndpoints(&s.config.known, routing.FromCache)
 	} else {
 		s.warnOfKnownList()
 	}
@@ -150,7 +151,7 @@
 // updateEndpoints takes over a list or change that the discovery service sent.
 func (s *server) updateEndpoints(list *protocol.EndpointList) {
 	s.logEndpoints(list)
-	s.router.UpdateEndpoints(list, false)
+	s.router.UpdateEndpoints(list, routing.FromDiscovery)
 	s.pool.KeepOnly(s.router.InService)
 	if s.healthChecks != nil {
 		s.healthChecks.EndpointsChanged()
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -3,13 +3,17 @@
 import (
 	"time"
 
+	"cherrygap/internal/decision"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/settings"
 )
 
-// Config is what a Router needs. SetTimer, PollEndpoints, SendToPeer and LogSummary must be set.
+// Config configures a Router. SetTimer, PollEndpoints, SendToPeer and LogSummary must be set.
+//
+// The Router calls SetTimer, PollEndpoints, OnDecision, OnRepeatViolation and Quota under its lock. These must not block,
+// and must not call the Router.
 type Config struct {
-	// Seed is that of the engine's random draws.
+	// Seed is the seed of the engine's random numbers.
 	Seed uint64
 
 	// Settings are the node's settings; nil where none are given. They must not change after New.
@@ -19,47 +23,41 @@
 	// They decide nothing: see Router.ShadowCounts.
 	Shadow *settings.Settings
 
-	// Clock returns the time; nil for the system's. It must never go back. The laboratory's fleet model passes a virtual
-	// clock, so that the same engine runs at sizes and speeds that sockets don't reach.
+	// Clock returns the time and must never go back; nil for the system's clock. Simulations pass a virtual clock.
 	Clock func() time.Time
 
-	// Quota, when set, leases tenants' quotas from those of the whole fleet, and the engine admits by what it allows;
-	// nil for the engine's own token buckets. It is called under the Router's lock, and must neither block nor call the
-	// Router.
+	// Quota leases the tenants' quotas, and the engine admits requests by the leases. Nil: the engine admits by token
+	// buckets of its own.
 	Quota Quota
 
-	// OnDecision, when set, is called with each request whose next step is decided. It is called under the Router's lock
-	// and must only note the request, so that TryNext is called on it once the call that led to the decision has
-	// returned. Nil where each request waits in Next.
+	// OnDecision is called when the next step of a request is decided. The caller that caused the decision must call
+	// TryNext once its own call of the Router has returned. Nil where each request waits in Next.
 	OnDecision func(*Request)
 
-	// OnRepeatFault, when set, is called with each attempt that the engine decided on and that is held back, as it would
-	// break the promise on repeats. It is called under the Router's lock, and must neither block nor call the Router.
-	OnRepeatFault func(fault RepeatFault, class, attempt int)
+	// OnRepeatViolation is called for each attempt or rejection that the repeat check held back; nil to ignore them.
+	OnRepeatViolation func(violation RepeatViolation, class decision.ClassID, attempt int)
 
-	// SetTimer sets the one timer, which is to call Router.Tick; an earlier setting of it is void. It is called under the
-	// Router's lock, and must neither block nor call the Router.
+	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.Tick.
 	SetTimer func(after time.Duration)
 
-	// PollEndpoints asks the discovery client to make its next call. It is called under the Router's lock, and must
-	// neither block nor call the Router: were it delivered as messages are, a message that can't be sent would keep the
-	// node from its endpoint list.
+	// PollEndpoints asks the discovery client for its next poll. It does not pass through the outbox: a peer message that
+	// blocks must not keep the node from its endpoint list.
 	PollEndpoints func()
 
-	// SendToPeer sends a message to the node with that number, or to all others where it is below 0. It is called without
-	// the lock, by one goroutine at a time and in the order of the messages, and may block.
+	// SendToPeer sends a message to the node with the number peer, or to all other nodes where peer is below 0. It is
+	// called without the lock, in the order of the messages and by one goroutine at a time. It may block.
 	SendToPeer func(peer int, payload []byte)
 
-	// LogSummary logs the summary of an interval, a line of text. It is called as SendToPeer is.
+	// LogSummary logs an interval summary, a line of text. It is called as SendToPeer is.
 	LogSummary func(summary []byte)
 }
 
-// Quota allows this node a part of its tenants' quotas. Units are those of the plans.
+// Quota leases parts of the tenants' fleet-wide quotas to this node. Units are those of the plans.
 type Quota interface {
-	// RecordDemand notes that a request came, whether it will be admitted or not.
+	// RecordDemand records the units of a new request, admitted or not.
 	RecordDemand(c quota.Customer, units float64)
-	// Available returns how many units may be admitted now.
+	// Available returns the units that the node may admit now.
 	Available(c quota.Customer) float64
-	// RecordUse notes that a request was admitted.
+	// RecordUse records the units of an admitted request.
 	RecordUse(c quota.Customer, units float64)
 }
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/decision"
 )
 
-// carryOut passes one decision of the engine to whom it concerns. The lock is held. It panics on an action that it does
-// not know: the engine has learned to do more than this node can, and its decisions must not get lost in silence.
+// carryOut carries out one decision of the engine. The lock must be held. An unknown action panics: it would mean that the
+// engine relies on a step that this node never takes.
 func (r *Router) carryOut(d decision.Decision) {
 	switch d.Action {
 	case decision.Forward:
@@ -33,27 +33,12 @@
 	case decision.LogSummary:
 		r.outbox.setSummary(d.Payload)
 	default:
-		panic(fmt.Sprintf("routing: the engine decided on action %d, which the node can't carry out", d.Action))
+		panic(fmt.Sprintf("routing: unknown action %d of the engine", d.Action))
 	}
 }
 
-// reject decides that a request is rejected; one that may have run has failed instead.
-func (r *Router) reject(req *Request, d decision.Decision) {
-	if fault := req.repeats.checkRejection(); fault != RepeatFaultNone {
-		r.reportRepeatFault(fault, req)
-		req.decide(Decision{Action: Fail, Reason: d.Reason.String()})
-		return
-	}
-	req.decide(Decision{Action: Reject, RetryAfter: duration(d.Duration), Reason: d.Reason.String()})
-}
-
-func (r *Router) reportRepeatFault(fault RepeatFault, req *Request) {
-	if r.cfg.OnRepeatFault != nil {
-		r.cfg.OnRepeatFault(fault, int(req.class), req.attempt)
-	}
-}
-
-// forward decides on the next attempt of a request. The first one is charged to the tenant's lease.
+// forward decides on the next attempt of a request, unless the repeat check withholds it. The first attempt uses units of
+// the tenant's lease. The lock must be held.
 func (r *Router) forward(d decision.Decision) {
 	req := r.requests.find(requestNumber(d.Request))
 	if req == nil {
@@ -63,13 +48,36 @@
 	if req.attempt == 0 && r.cfg.Quota != nil {
 		r.cfg.Quota.RecordUse(req.tenant, req.units)
 	}
-	to, now := r.endpoints.find(ServerNumber(d.Server)), r.cfg.Clock()
-	next := Decision{Action: Forward, Attempt: req.attempt, Server: to, Timeout: duration(d.Duration), FinishBy: req.repeats.finishBy()}
-	if fault := req.repeats.check(to, now); fault != RepeatFaultNone {
+	server, now := r.endpoints.find(ServerNumber(d.Server)), r.cfg.Clock()
+	next := Decision{
+		Action:   Forward,
+		Attempt:  req.attempt,
+		Server:   server,
+		Timeout:  duration(d.Duration),
+		FinishBy: req.repeats.finishBy(),
+	}
+	if violation := req.repeats.checkAttempt(server, now); violation != RepeatViolationNone {
 		next.withheld = true
-		r.reportRepeatFault(fault, req)
+		r.reportRepeatViolation(violation, req)
 	} else {
-		req.repeats.begin(to, now)
+		req.repeats.begin(server, now)
 	}
 	req.decide(next)
 }
+
+// reject rejects a request. The request fails instead where the repeat check withholds the rejection. The lock must be
+// held.
+func (r *Router) reject(req *Request, d decision.Decision) {
+	if violation := req.repeats.checkRejection(); violation != RepeatViolationNone {
+		r.reportRepeatViolation(violation, req)
+		req.decide(Decision{Action: Fail, Reason: d.Reason.String()})
+		return
+	}
+	req.decide(Decision{Action: Reject, RetryAfter: duration(d.Duration), Reason: d.Reason.String()})
+}
+
+func (r *Router) reportRepeatViolation(violation RepeatViolation, req *Request) {
+	if r.cfg.OnRepeatViolation != nil {
+		r.cfg.OnRepeatViolation(violation, req.class, req.attempt)
+	}
+}
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -5,32 +5,41 @@
 	"cherrygap/internal/protocol"
 )
 
-// UpdateEndpoints takes in a message of discovery: the whole list or a change of it, as list.Full says, or, where cached
-// is true, the whole list as it was last seen.
-func (r *Router) UpdateEndpoints(list *protocol.EndpointList, cached bool) {
+// ListOrigin is the origin of an endpoint list.
+type ListOrigin bool
+
+// The origins of an endpoint list.
+const (
+	FromDiscovery ListOrigin = false // a list or an update that the discovery service sent now
+	FromCache     ListOrigin = true  // a complete list kept from earlier, which may be out of date
+)
+
+// UpdateEndpoints applies an endpoint list: a complete list where list.Full is set or the list is from the cache, else an
+// update of single endpoints.
+func (r *Router) UpdateEndpoints(list *protocol.EndpointList, origin ListOrigin) {
 	kind := decision.ListUpdate
 	switch {
-	case cached:
+	case origin == FromCache:
 		kind = decision.CachedList
 	case list.Full:
 		kind = decision.FullList
 	}
 	r.enter()
-	if !cached && !list.ServedAt.IsZero() {
+	if origin == FromDiscovery && !list.ServedAt.IsZero() {
 		r.engine.ObserveServerClock(unixTicks(list.ServedAt))
 	}
 	r.engine.UpdateEndpoints(kind, r.endpoints.update(list))
 	r.leave()
 }
 
-// PollFailed notes that a call to discovery failed.
+// PollFailed records that a poll of the discovery service failed.
 func (r *Router) PollFailed() {
 	r.enter()
 	r.engine.UpdateEndpoints(decision.PollFailed, nil)
 	r.leave()
 }
 
-// HealthChecked takes in the result of a health check of a server, made by this node or by another one.
+// HealthChecked records the result of a health check of a server, by this node or by a peer.
 func (r *Router) HealthChecked(server ServerNumber, healthy bool) {
 	outcome := decision.Failed
 	if healthy {
@@ -41,14 +50,14 @@
 	r.leave()
 }
 
-// HasServers returns whether any app server is listed, in whatever state.
+// HasServers reports whether any server is listed, in service or not.
 func (r *Router) HasServers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.endpoints.servers) > 0
 }
 
-// InService returns whether a server is still in service at its address. It is to be asked before the first byte of an
+// InService reports whether the server is in service at its address. Callers check it just before the first byte of an
 // attempt.
 func (r *Router) InService(s *Server) bool {
 	r.mu.Lock()
@@ -56,7 +65,7 @@
 	return r.endpoints.servers[s.number] == s && s.state == protocol.InService
 }
 
-// Servers returns the app servers in service, in no order.
+// Servers returns the servers in service, in any order.
 func (r *Router) Servers() []*Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -15,7 +15,7 @@
 	r, req, _ := startRouter(t, settings.RetrySafe, 1)
 	req.Start(&seatRequest, 2*time.Second)
 	d := req.Next()
-	r.UpdateEndpoints(listOf(1, protocol.Terminating), false)
+	r.UpdateEndpoints(listOf(1, protocol.Terminating), FromDiscovery)
 	if r.InService(d.Server) {
 		t.Error("an attempt may start at a draining server")
 	}
@@ -23,11 +23,11 @@
 	if d := req.Next(); d.Action != Reject {
 		t.Errorf("%+v", d)
 	}
-	r.UpdateEndpoints(listOf(1, protocol.InService), false)
+	r.UpdateEndpoints(listOf(1, protocol.InService), FromDiscovery)
 	moved := listOf(1, protocol.InService)
 	moved.Full = false
 	moved.Endpoints[0].Addr = netip.MustParseAddrPort("127.0.0.1:9555")
-	r.UpdateEndpoints(moved, false)
+	r.UpdateEndpoints(moved, FromDiscovery)
 	req.Start(&seatRequest, 2*time.Second)
 	if next := req.Next(); r.InService(d.Server) || next.Server.Addr != moved.Endpoints[0].Addr {
 		t.Error("a server that moved is still at its old address")
@@ -84,7 +84,7 @@
 		inService int
 		known     bool
 	}{{protocol.InService, 2, true}, {protocol.Terminating, 0, true}, {protocol.Terminated, 0, false}} {
-		r.UpdateEndpoints(listOf(2, c.state), false)
+		r.UpdateEndpoints(listOf(2, c.state), FromDiscovery)
 		if got := r.Servers(); len(got) != c.inService || r.HasServers() != c.known {
 			t.Errorf("state %d: %d servers, any known: %t", c.state, len(got), r.HasServers())
 		}
--- a/internal/routing/endpointtable.go
+++ b/internal/routing/endpointtable.go
@@ -8,30 +8,33 @@
 	"cherrygap/internal/protocol"
 )
 
-// ServerNumber is an app server's number, the same at all nodes while no two uids hash alike: nodes name servers to each
-// other by it.
+// ServerNumber is the number by which nodes name a server to each other. It is the same at all nodes, unless the hashes of
+// two uids collide.
 type ServerNumber uint32
 
-// Server is an app server at one address. One that moves to another address is another Server with the same number.
+// Server is an app server at one address. A server whose address changes becomes another Server with the same number.
 type Server struct {
-	Addr   netip.AddrPort
-	number ServerNumber
-	state  protocol.EndpointState // guarded by the Router's lock, as both below
-	zone   string
-	cell   int
+	Addr   netip.AddrPort // does not change
+	number ServerNumber   // does not change
+
+	// Guarded by Router.mu.
+	state protocol.EndpointState
+	zone  string
+	cell  int
 }
 
 // Number returns the server's number.
 func (s *Server) Number() ServerNumber { return s.number }
 
-// endpointTable is the node's endpoint list, and maps its uids and names to the engine's numbers.
+// endpointTable holds the node's endpoint list, and maps uids, zones and models to the engine's numbers. Numbers of zones
+// and models are local to the node and never freed. Router.mu guards it.
 type endpointTable struct {
 	servers map[ServerNumber]*Server
 	numbers map[string]ServerNumber // by uid
 	uids    map[ServerNumber]string
-	zones   map[string]uint8    // by name, in order of first sight
-	models  map[string]uint16   // likewise
-	list    []decision.Endpoint // update's result; its memory is used again
+	zones   map[string]uint8    // numbers by name
+	models  map[string]uint16   // numbers by name
+	list    []decision.Endpoint // update's result, kept for its capacity
 }
 
 func newEndpointTable() endpointTable {
@@ -44,8 +47,8 @@
 	}
 }
 
-// number returns the number of a uid: its hash, so that all nodes come to the same one without asking each other. Of uids
-// that hash alike the later ones get the next number that is free.
+// number returns the number of a uid: its FNV-1a hash, so that all nodes agree without a message. Where hashes collide, the
+// uid seen later has the next free number.
 func (t *endpointTable) number(uid string) ServerNumber {
 	if n, ok := t.numbers[uid]; ok {
 		return n
@@ -60,7 +63,7 @@
 	return n
 }
 
-// find returns the server with a number. One that the table does not hold is terminated: nothing is sent there.
+// find returns the server with the number n. For an unknown number it returns a terminated Server without an address.
 func (t *endpointTable) find(n ServerNumber) *Server {
 	if s := t.servers[n]; s != nil {
 		return s
@@ -68,8 +71,7 @@
 	return &Server{number: n, state: protocol.Terminated}
 }
 
-// removeTerminated forgets a server that has terminated, or they would pile up. An attempt that is in flight at one holds
-// its Server itself.
+// removeTerminated removes a server that has terminated. An attempt in flight keeps its own pointer to the Server.
 func (t *endpointTable) removeTerminated(uid string) {
 	if n, ok := t.numbers[uid]; ok && t.servers[n].state == protocol.Terminated {
 		delete(t.servers, n)
@@ -78,7 +80,7 @@
 	}
 }
 
-// numberOf returns the number of a name: how many other names were seen before it.
+// numberOf returns the number of a name. A new name has the next number.
 func numberOf[N uint8 | uint16](numbers map[string]N, name string) N {
 	n, ok := numbers[name]
 	if !ok {
@@ -95,8 +97,8 @@
 	protocol.Terminated:  decision.Gone,
 }
 
-// update takes in an endpoint list or a change of it, and returns it in the engine's form, good until the next call.
-// A change costs no look at the endpoints that it does not name.
+// update applies an endpoint list, complete where list.Full is set, and returns it in the engine's form. The result is
+// valid until the next call. An update costs time in proportion to its own endpoints, not to the table.
 func (t *endpointTable) update(list *protocol.EndpointList) []decision.Endpoint {
 	if list.Full {
 		for _, s := range t.servers {
@@ -105,7 +107,7 @@
 	}
 	t.list = t.list[:0]
 	for _, e := range list.Endpoints {
-		t.list = append(t.list, t.updateOne(&e))
+		t.list = append(t.list, t.updateServer(&e))
 	}
 	if list.Full {
 		for uid := range t.numbers {
@@ -119,11 +121,13 @@
 	return t.list
 }
 
-// updateOne takes in one endpoint. An address that is missing, as of a server that has terminated, changes nothing.
-func (t *endpointTable) updateOne(e *protocol.Endpoint) decision.Endpoint {
+// updateServer applies one endpoint and returns it in the engine's form. An endpoint without an address, as of a server
+// that has terminated, keeps the known address.
+func (t *endpointTable) updateServer(e *protocol.Endpoint) decision.Endpoint {
 	n := t.number(e.UID)
 	s := t.servers[n]
-	if s == nil || e.Addr.IsValid() && s.Addr != e.Addr {
+	moved := s != nil && e.Addr.IsValid() && s.Addr != e.Addr
+	if s == nil || moved {
 		s = &Server{number: n, Addr: e.Addr}
 		t.servers[n] = s
 	}
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	r := newRouter(t, Config{Settings: settings.Parse(settingsOf(repeats))})
 	if servers > 0 {
-		r.UpdateEndpoints(listOf(servers, protocol.InService), true)
+		r.UpdateEndpoints(listOf(servers, protocol.InService), FromCache)
 	}
 	c := &cancelRecorder{}
 	return r, r.NewRequest(c), c
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -48,7 +48,7 @@
 			}
 			r, _, _ := startRouter(t, settings.RetrySafe, 0)
 			for range 2 { // again with the same list
-				r.UpdateEndpoints(list, false)
+				r.UpdateEndpoints(list, FromDiscovery)
 				for _, s := range r.Servers() {
 					if want := at[s.Addr]; s.Number() != want.number {
 						t.Errorf("%s has the number %d, not %d", want.uid, s.Number(), want.number)
--- a/internal/routing/outbox.go
+++ b/internal/routing/outbox.go
@@ -1,51 +1,54 @@
 package routing
 
-// maxQueuedMessages is how many messages may wait while an earlier one is being sent. Any message to a peer may get lost.
+// maxQueuedMessages is the number of peer messages that may queue while an earlier one blocks. Peer messages are lossy by
+// design, so that the newest are dropped past it.
 const maxQueuedMessages = 1 << 10
 
-// outbox holds what the engine has for other nodes and for the log until the Router's lock is free: a socket that blocks
-// must hold up no request.
+// outbox queues peer messages and the interval summary, which are delivered without the Router's lock: a socket that blocks
+// must not delay requests. Router.mu guards it.
 type outbox struct {
-	messages []peerMessage
-	summary  []byte // the last one; nil for none
-	busy     bool   // a goroutine is in deliver's loop, and delivers what is added meanwhile
+	messages   []peerMessage
+	summary    []byte // the latest; nil for none
+	delivering bool   // a goroutine runs deliver's loop; it also delivers messages added meanwhile
 }
 
+// peerMessage is a message to the node with the number peer, or to all other nodes where peer is below 0.
 type peerMessage struct {
-	peer    int // number of the node, below 0 for all others
+	peer    int
 	payload []byte
 }
 
-// addMessage appends a copy of a message.
+// addMessage queues a copy of a message.
 func (o *outbox) addMessage(peer int, payload []byte) {
 	o.messages = append(o.messages, peerMessage{peer, append([]byte(nil), payload...)})
 }
 
-// setSummary keeps a copy of a summary, in place of one that was not delivered yet.
+// setSummary queues a copy of a summary, in place of an earlier one that was not delivered yet.
 func (o *outbox) setSummary(summary []byte) { o.summary = append([]byte(nil), summary...) }
 
+// empty reports whether nothing is queued.
 func (o *outbox) empty() bool { return len(o.messages) == 0 && o.summary == nil }
 
 // bound drops the newest messages past maxQueuedMessages.
 func (o *outbox) bound() { o.messages = o.messages[:min(len(o.messages), maxQueuedMessages)] }
 
-// takeAll empties the outbox.
+// takeAll empties the outbox and returns its content.
 func (o *outbox) takeAll() (messages []peerMessage, summary []byte) {
 	messages, summary = o.messages, o.summary
 	o.messages, o.summary = nil, nil
 	return messages, summary
 }
 
-// deliver is called with the lock held and frees it. It delivers what is in the outbox, in order, without the lock; where
-// another goroutine is at that already, it leaves all to it.
+// deliver delivers the outbox in order, and frees the lock, which the caller must hold. The lock is free during each
+// delivery. Where another goroutine delivers already, deliver returns at once.
 func (r *Router) deliver() {
 	o := &r.outbox
-	if o.busy {
+	if o.delivering {
 		o.bound()
 		r.mu.Unlock()
 		return
 	}
-	for o.busy = true; !o.empty(); {
+	for o.delivering = true; !o.empty(); {
 		messages, summary := o.takeAll()
 		r.mu.Unlock()
 		for _, m := range messages {
@@ -56,6 +59,6 @@
 		}
 		r.mu.Lock()
 	}
-	o.busy = false
+	o.delivering = false
 	r.mu.Unlock()
 }
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -24,7 +24,7 @@
 		SendToPeer: func(int, []byte) { sent.Add(1); <-unblock },
 		Clock:      func() time.Time { return now },
 	})
-	r.UpdateEndpoints(listOf(3, protocol.InService), true)
+	r.UpdateEndpoints(listOf(3, protocol.InService), FromCache)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -139,7 +139,7 @@
 		t.Fatal("the lock was not freed")
 	}
 	defer r.mu.Unlock()
-	if r.outbox.busy || !r.outbox.empty() {
+	if r.outbox.delivering || !r.outbox.empty() {
 		t.Error("something is left in the outbox")
 	}
 }
--- /dev/null
+++ b/internal/routing/repeatcheck.go
@@ -0,0 +1,127 @@
+package routing
+
+import (
+	"time"
+
+	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
+)
+
+// RepeatViolation is the reason why the repeat check withholds an attempt or a rejection. Its text is for the log.
+type RepeatViolation string
+
+// The violations that the repeat check finds.
+const (
+	RepeatViolationNone      RepeatViolation = ""
+	RepeatViolationInFlight  RepeatViolation = "an attempt is in flight"
+	RepeatViolationUnsafe    RepeatViolation = "an attempt of an unsafe request may have run"
+	RepeatViolationGroup     RepeatViolation = "an attempt may have run in another key group"
+	RepeatViolationWindow    RepeatViolation = "an attempt may have run and its key window is over"
+	RepeatViolationRejection RepeatViolation = "a rejection though an attempt may have run"
+)
+
+// repeatRule is the settings' rule on repeats for a request class.
+type repeatRule struct {
+	safety settings.RetrySafety
+	group  settings.IdempotencyGroup // servers that share idempotency keys
+	window time.Duration             // time for which a server knows a key
+}
+
+// newRepeatRules returns the rules of all classes, by number.
+func newRepeatRules(set *settings.Settings) []repeatRule {
+	rules := make([]repeatRule, set.Classes.Len())
+	for i := range rules {
+		class := set.Classes.At(i)
+		rules[i] = repeatRule{class.RetrySafety, class.IdempotencyGroup, class.IdempotencyWindow.Truncated()}
+	}
+	return rules
+}
+
+// repeatCheck checks the engine's decisions on one request against the rule on repeats: at most one attempt is in flight,
+// and an attempt that may have run is repeated only where the class allows it. It shares no state with the engine, so that
+// a bug there does not hide a violation. The Router's lock guards it.
+type repeatCheck struct {
+	rule       repeatRule
+	inFlight   bool
+	current    pastAttempt   // the attempt in flight
+	mayHaveRun []pastAttempt // ended attempts without proof that they never ran
+}
+
+// pastAttempt is the time and the place of an attempt. The time is that of its decision.
+type pastAttempt struct {
+	at   time.Time
+	zone string
+	cell int
+}
+
+// reset prepares the check for a new request.
+func (c *repeatCheck) reset(rule repeatRule) {
+	c.rule, c.inFlight, c.mayHaveRun = rule, false, c.mayHaveRun[:0]
+}
+
+// checkAttempt returns the violation that an attempt at the server would be now.
+func (c *repeatCheck) checkAttempt(server *Server, now time.Time) RepeatViolation {
+	if c.inFlight {
+		return RepeatViolationInFlight
+	}
+	for _, earlier := range c.mayHaveRun {
+		if violation := c.rule.checkRepeat(earlier, server, now); violation != RepeatViolationNone {
+			return violation
+		}
+	}
+	return RepeatViolationNone
+}
+
+// checkRepeat returns the violation that an attempt at the server would be after an earlier one that may have run.
+func (r *repeatRule) checkRepeat(earlier pastAttempt, server *Server, now time.Time) RepeatViolation {
+	switch {
+	case r.safety == settings.RetrySafe:
+		return RepeatViolationNone
+	case r.safety != settings.RetryKeyed:
+		return RepeatViolationUnsafe
+	case r.group == settings.GroupZone && earlier.zone != server.zone,
+		r.group == settings.GroupCell && earlier.cell != server.cell:
+		return RepeatViolationGroup
+	case !now.Before(earlier.at.Add(r.window)):
+		return RepeatViolationWindow
+	}
+	return RepeatViolationNone
+}
+
+// checkRejection returns the violation that a rejection would be now. A rejection promises the client that a retry is
+// harmless, whichever server that reaches.
+func (c *repeatCheck) checkRejection() RepeatViolation {
+	ranNowhere := len(c.mayHaveRun) == 0 && !c.inFlight
+	if ranNowhere || c.rule.allowsRepeatAnywhere() {
+		return RepeatViolationNone
+	}
+	return RepeatViolationRejection
+}
+
+// allowsRepeatAnywhere reports whether a repeat is harmless at every server.
+func (r *repeatRule) allowsRepeatAnywhere() bool {
+	groupOfAll := r.group != settings.GroupZone && r.group != settings.GroupCell
+	return r.safety == settings.RetrySafe || r.safety == settings.RetryKeyed && groupOfAll
+}
+
+// finishBy returns the end of the key window of the first attempt that may have run. The server must have the whole request
+// by then. Zero: there is no such time.
+func (c *repeatCheck) finishBy() time.Time {
+	if c.rule.safety != settings.RetryKeyed || len(c.mayHaveRun) == 0 {
+		return time.Time{}
+	}
+	return c.mayHaveRun[0].at.Add(c.rule.window)
+}
+
+// begin records that an attempt at the server begins.
+func (c *repeatCheck) begin(server *Server, now time.Time) {
+	c.inFlight, c.current = true, pastAttempt{now, server.zone, server.cell}
+}
+
+// end records the outcome of the attempt in flight. Without one it does nothing.
+func (c *repeatCheck) end(outcome protocol.Outcome) {
+	if c.inFlight && !outcome.NeverRan() {
+		c.mayHaveRun = append(c.mayHaveRun, c.current)
+	}
+	c.inFlight = false
+}
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -8,67 +8,70 @@
 	"cherrygap/internal/quota"
 )
 
-// Action is what is to be done with a request.
+// Action is the next step of a request.
 type Action uint8
 
-// The actions of a Decision. All but Forward are final.
+// The actions. All but Forward are final.
 const (
-	Forward Action = iota + 1 // make an attempt at Server
+	Forward Action = iota + 1 // make an attempt
 	Reject                    // the request never ran: a retry by the client is harmless
-	Fail                      // the request may have run, or may yet
-	Abandon                   // the client has gone: nobody waits for an answer
+	Fail                      // the request may have run, or may still run
+	Abandon                   // the client has disconnected: no response is needed
 )
 
-// Decision is the next step of a request.
+// Decision is the next step of a request, with the fields that its action needs.
 type Decision struct {
-	Action     Action
-	Attempt    int           // Forward: number of the attempt in its request, from 0
-	Server     *Server       // Forward: where to
-	Timeout    time.Duration // Forward: of the attempt
-	RetryAfter time.Duration // Reject: the advice to the client, 0 for none
-	Reason     string        // Reject, Fail: why, for the log
-	FinishBy   time.Time     // Forward: when the request has to be whole at the server; zero: no bound
-
-	withheld bool // Forward: it would break the promise on repeats
+	Action Action
+
+	// Forward.
+	Attempt  int           // number of the attempt in its request, from 0
+	Server   *Server       // where to send it
+	Timeout  time.Duration // of the attempt
+	FinishBy time.Time     // the server must have the whole request by then; zero: no limit
+
+	RetryAfter time.Duration // Reject: advice to the client; 0 for none
+	Reason     string        // Reject, Fail: for the log
+
+	withheld bool // Forward: the repeat check forbids it
 }
 
-// Canceller runs the attempts of one request at a time.
+// Canceller runs the attempts of a request, one at a time.
 type Canceller interface {
-	// Cancel ends the attempt with that number if it has not ended. It is called under the Router's lock, and must
-	// neither block nor call the Router; the attempt's result is reported as any other.
+	// Cancel cancels the attempt with that number, unless it has ended. The attempt's result is reported all the same. It is
+	// called under the Router's lock, and must neither block nor call the Router.
 	Cancel(attempt int)
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Outcome  protocol.Outcome
 	Duration time.Duration
-	Units    float64 // the request's true units, where the app server names them; else 0
+	Units    float64 // the request's true units from the server's response; 0 where it has none
 }
 
-// Request is one request at a time of one client connection. Start opens a request; it is closed by a Decision other than
-// Forward, or by the report of an attempt that completed. At most one attempt of it is in flight.
+// Request holds the requests of one client connection, one at a time. Start opens a request. A Decision other than Forward,
+// or the report of a completed attempt, closes it. At most one attempt of it is in flight.
 //
-// Start, Next, TryNext and Report are for one goroutine at a time; ClientGone may be called from another.
+// Start, Next, TryNext and Report must be called by one goroutine at a time. ClientGone may be called from another.
 type Request struct {
 	router    *Router
 	canceller Canceller
-	decided   chan struct{} // holds a token while decision is not taken yet
+	decided   chan struct{} // holds a token while decision is not taken
 	slot      requestSlot
 
-	// Guarded by the Router's lock.
-	number     requestNumber // of the request that is open, or that was open last
-	attempt    int           // number of the last attempt decided on; -1 before the first
-	decision   Decision      // the last one, until it is taken
-	server     *Server       // of the decision taken last
-	clientGone bool
-	class      decision.ClassID
-	repeats    repeatGuard
-	tenant     quota.Customer // zero where its quota is not leased
-	units      float64        // to be charged to tenant
+	// Guarded by Router.mu.
+	number     requestNumber    // of the request that is open, or that was open last
+	attempt    int              // number of the last attempt; -1 before the first
+	decision   Decision         // the latest, until it is taken
+	server     *Server          // of the decision taken last
+	clientGone bool             // the client has disconnected
+	class      decision.ClassID // of the request
+	repeats    repeatCheck
+	tenant     quota.Customer // zero where the quota is not leased
+	units      float64        // to use of the tenant's lease
 }
 
-// Start hands a new request to the engine. Its client waits for the answer for the time given by timeout.
+// Start opens a request and passes it to the engine. The client waits for a response until timeout has passed.
 func (req *Request) Start(in *protocol.Request, timeout time.Duration) {
 	r := req.router
 	r.enter()
@@ -95,7 +98,7 @@
 	r.leave()
 }
 
-// lease tells the engine what the tenant's lease allows, where its plan's quota is leased. The lock is held.
+// lease passes the tenant's available units to the engine, where the plan's quota is leased. The lock must be held.
 func (req *Request) lease(plan decision.PlanID, in *protocol.Request) {
 	r := req.router
 	req.tenant, req.units = quota.Customer{}, 0
@@ -112,7 +115,7 @@
 	r.engine.SetLease(decision.CustomerID(in.Customer), plan, in.Spread, decision.NodeID(in.FirstNode), available)
 }
 
-// decide passes a decision to whoever waits for it. The lock is held.
+// decide makes a decision ready for Next and TryNext. It replaces a decision that was not taken. The lock must be held.
 func (req *Request) decide(d Decision) {
 	req.decision = d
 	select {
@@ -120,7 +123,7 @@
 		if onDecision := req.router.cfg.OnDecision; onDecision != nil {
 			onDecision(req)
 		}
-	default: // an earlier one was not taken yet: this one replaces it
+	default: // the token of the replaced decision stands for this one
 	}
 }
 
@@ -134,8 +137,8 @@
 	}
 }
 
-// TryNext takes the next decision if there is one, without waiting: for callers that drive the Router from one event
-// loop, as the laboratory's fleet model does.
+// TryNext takes the next decision without waiting, and reports whether there was one. Callers with a single event loop use
+// it in place of Next.
 func (req *Request) TryNext() (Decision, bool) {
 	select {
 	case <-req.decided:
@@ -145,14 +148,14 @@
 	}
 }
 
-// take takes the decision that was made. It reports false where that is held back: the engine then decides anew.
+// take takes the decision. It reports false for a withheld one, after which the engine decides anew.
 func (req *Request) take() (Decision, bool) {
 	r := req.router
 	r.mu.Lock()
 	d, gone := req.decision, req.clientGone
 	req.decision, req.server = Decision{}, d.Server
 	r.mu.Unlock()
-	if d.Action == Forward && (gone || d.withheld) { // the engine must not wait for the attempt's result
+	if d.Action == Forward && (gone || d.withheld) { // the engine waits for a result of each attempt
 		req.Report(AttemptResult{Outcome: protocol.NotSent})
 	}
 	if gone {
@@ -174,7 +177,8 @@
 	protocol.MalformedResponse: decision.MalformedResponse,
 }
 
-// Report hands the result of the request's last attempt to the engine. An attempt that completed closes the request.
+// Report passes the result of the request's last attempt to the engine. The result of a completed attempt closes the
+// request.
 func (req *Request) Report(result AttemptResult) {
 	r := req.router
 	r.enter()
@@ -191,12 +195,12 @@
 	r.leave()
 }
 
-// ClientGone notes that the client left: the attempt in flight is cancelled, and the next decision is Abandon.
+// ClientGone records that the client has disconnected. The attempt in flight is cancelled, and the next decision is Abandon.
 func (req *Request) ClientGone() {
 	r := req.router
 	r.enter()
 	req.clientGone = true
-	req.decide(req.decision) // wakes whoever waits in Next
+	req.decide(req.decision) // wakes a goroutine that waits in Next
 	r.engine.ClientGone(decision.RequestID(req.number))
 	r.leave()
 }
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -118,7 +118,7 @@
 		Settings:   settings.Parse(settingsOf(settings.RetrySafe)),
 		OnDecision: func(req *Request) { decided = append(decided, req) },
 	})
-	r.UpdateEndpoints(listOf(2, protocol.InService), true)
+	r.UpdateEndpoints(listOf(2, protocol.InService), FromCache)
 	one, other := r.NewRequest(&cancelRecorder{}), r.NewRequest(&cancelRecorder{})
 	for i, step := range []struct {
 		do   func()
--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -41,21 +41,22 @@
 	return numbers
 }
 
-// KnowsClassAndPlan returns whether the settings have the request's class and plan.
+// KnowsClassAndPlan reports whether the request's class and plan are in the settings.
 func (r *Router) KnowsClassAndPlan(req *protocol.Request) bool {
 	_, class := r.settings.classes[req.Class]
 	_, plan := r.settings.plans[req.Plan]
 	return class && plan
 }
 
-// WithinLimits returns whether the request's units and set of nodes are such as the settings allow; a setting that is
-// missing allows anything. It protects a tenant's bucket and set from whoever writes odd figures under its name.
+// WithinLimits reports whether the request's units and set of nodes are within the settings. Missing settings set no limit on
+// units. It protects a customer's token bucket and set of nodes from a client that sends odd figures under the customer's
+// name.
 func (r *Router) WithinLimits(req *protocol.Request) bool {
 	s := &r.settings
 	return (s.maxUnits <= 0 || req.Units <= s.maxUnits) && req.Spread <= s.nodes && req.FirstNode < s.nodes
 }
 
-// leased returns the tenant of a request under a plan whose quota can be leased, or false.
+// leased returns the customer of a request for its quota lease. It reports false where the plan has no quota to lease.
 func (s *requestSettings) leased(plan decision.PlanID, req *protocol.Request) (quota.Customer, bool) {
 	if int(plan) < len(s.quotas) && s.quotas[plan].Rate > 0 {
 		c := s.quotas[plan]
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -63,7 +63,7 @@
 	set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = "100", "100"
 	lease := &leaseOf{left: 3}
 	r := newRouter(t, Config{Settings: settings.Parse(set), Quota: lease})
-	r.UpdateEndpoints(listOf(3, protocol.InService), true)
+	r.UpdateEndpoints(listOf(3, protocol.InService), FromCache)
 	req, in, admitted := r.NewRequest(&cancelRecorder{}), seatRequest, 0
 	in.Spread = 3
 	for i := range 20 {
--- a/internal/routing/requesttable.go
+++ b/internal/routing/requesttable.go
@@ -1,22 +1,22 @@
 package routing
 
-// requestSlots is how many slots a request's number can name: more client connections than that at once are not
-// supported.
+// requestSlots is the number of slots of a requestTable, and so the greatest number of Requests at once.
 const requestSlots = 1 << 16
 
-// requestSlot is a Request's place in the Router's table.
+// requestSlot is the place of a Request in the Router's table.
 type requestSlot uint32
 
-// requestNumber is a request's number towards the engine: its slot in the low part, and above it how often the slot was
-// used, so that what the engine decides on a request that is closed does not meet the next one in its slot.
+// requestNumber is the number of a request towards the engine. Its low part is the slot; its high part counts the slot's
+// requests, and wraps around. A late decision on a closed request therefore does not reach the next request of its slot.
 type requestNumber uint32
 
 func (n requestNumber) slot() requestSlot { return requestSlot(n % requestSlots) }
 
-// next is the number of the next request in the same slot.
+// next returns the number of the next request of the same slot.
 func (n requestNumber) next() requestNumber { return n + requestSlots }
 
-// requestTable holds the Requests by slot. Slots that are free keep their last Request, whose number is to be counted on.
+// requestTable holds the Requests by slot. A free slot keeps its last Request, from whose number the next one counts on.
+// Router.mu guards it.
 type requestTable struct {
 	bySlot []*Request
 	free   []requestSlot
@@ -35,10 +35,10 @@
 	t.bySlot = append(t.bySlot, req)
 }
 
-// remove frees a Request's slot.
+// remove frees the slot of a Request.
 func (t *requestTable) remove(req *Request) { t.free = append(t.free, req.slot) }
 
-// find returns the Request whose number that is now, or nil.
+// find returns the Request whose current number is n, or nil.
 func (t *requestTable) find(n requestNumber) *Request {
 	if req := t.bySlot[n.slot()]; req.number == n {
 		return req
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// NewRequest makes room for the requests of one client connection, one at a time. Release gives it back.
+// NewRequest returns a Request for one client connection, whose attempts c runs. Release must be called after its last use.
 func (r *Router) NewRequest(c Canceller) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	return req
 }
 
-// Release gives the Request's room back. No request may be open in it, and it must not be used again.
+// Release frees the Request's slot. No request may be open, and the Request must not be used again.
 func (req *Request) Release() {
 	r := req.router
 	r.mu.Lock()
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,10 +1,11 @@
-// Package routing is the facade of the decision engine for network code. A Router drives one decision.Engine under one
-// lock: it translates names, addresses and durations into the engine's numbers and units, hands it each event (a new
-// request, the result of an attempt, an endpoint list, a peer's message, the timer), and carries each of its decisions to
-// whoever waits for it. Requests are served in blocking style: Request.Start, then Request.Next and Request.Report in
-// turn until the request has its final answer.
+// Package routing connects network code to the decision engine. A Router drives one decision.Engine under one lock. It
+// translates names, addresses and durations into the engine's numbers and units. It passes each event to the engine: a new
+// request, the result of an attempt, an endpoint list, a peer message, the timer. It then carries out the engine's decisions.
 //
-// The package does no I/O and starts no goroutine. What the engine wants done is passed to the functions in Config.
+// A connection handler calls Request.Start, then Request.Next and Request.Report in turn, until the request is closed.
+//
+// The package does no I/O and starts no goroutine. It calls the functions of Config for each effect of a decision. A second
+// check of each attempt, repeatCheck, does not depend on the engine.
 package routing
 
 import (
@@ -15,28 +16,28 @@
 	"cherrygap/internal/settings"
 )
 
-// tick is the decision engine's unit of time.
+// tick is the engine's unit of time.
 const tick = 100 * time.Microsecond
 
-// ticks cuts a duration to whole ticks.
+// ticks returns a duration in whole ticks, without the remainder.
 func ticks(d time.Duration) decision.Time { return decision.Time(d / tick) }
 
-// unixTicks is a wall clock's time in ticks since 1970.
+// unixTicks returns a wall-clock time in ticks since 1970.
 func unixTicks(at time.Time) decision.Time { return decision.Time(at.UnixNano() / int64(tick)) }
 
-// duration is a span of the decision engine's time.
+// duration returns a duration of the engine.
 func duration(t decision.Time) time.Duration { return time.Duration(t) * tick }
 
-// Router drives one decision engine. Its methods may be called from any goroutine; New makes one.
+// Router drives one decision engine. New makes one. All methods are safe for concurrent use.
 type Router struct {
-	cfg      Config          // read only
-	settings requestSettings // read only
+	cfg      Config          // does not change
+	settings requestSettings // does not change
 
-	startTime  time.Time     // Config.Clock's reading in New
-	startTicks decision.Time // the same in ticks since 1970
+	startTime  time.Time     // Config.Clock in New; does not change
+	startTicks decision.Time // startTime in ticks since 1970; does not change
 
-	// mu guards all that follows, and of each Request the fields that say so. Whoever holds it must not block: every
-	// request of the node waits for it.
+	// mu guards the fields below, and the fields of each Request and Server that say so. Its holder must not block: each
+	// request of the node needs it.
 	mu        sync.Mutex
 	engine    *decision.Engine
 	requests  requestTable
@@ -44,8 +45,7 @@
 	outbox    outbox
 }
 
-// New makes a Router over a fresh engine. Settings are not checked here: a number that is missing or that can't be read
-// is 0.
+// New returns a Router over a new engine. It accepts all settings: a number that is missing or unreadable is 0.
 func New(cfg Config) *Router {
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
@@ -68,18 +68,18 @@
 	return r
 }
 
-// now is the engine's time: the system's at the start, steady from then on.
+// now returns the engine's time: the wall clock at the start, monotonic from then on.
 func (r *Router) now() decision.Time {
 	return r.startTicks + ticks(r.cfg.Clock().Sub(r.startTime))
 }
 
-// enter takes the lock and sets the engine's time. Each call of it is followed by one of leave.
+// enter takes the lock and sets the engine's time. Each call must be followed by one of leave.
 func (r *Router) enter() {
 	r.mu.Lock()
 	r.engine.SetTime(r.now())
 }
 
-// leave carries out what the engine has decided, frees the lock, and delivers what may only be delivered without it.
+// leave carries out the engine's decisions, frees the lock and delivers the outbox.
 func (r *Router) leave() {
 	for d, ok := r.engine.Next(); ok; d, ok = r.engine.Next() {
 		r.carryOut(d)
@@ -87,22 +87,23 @@
 	r.deliver()
 }
 
-// Tick lets the engine look at the time. The timer of Config.SetTimer is to call it.
+// Tick lets the engine run its due timers. The timer of Config.SetTimer must call it.
 func (r *Router) Tick() {
 	r.enter()
 	r.engine.TimerFired()
 	r.leave()
 }
 
-// ReceivePeerMessage takes in a message of the node with the number from, and returns whether it could be read.
+// ReceivePeerMessage passes the message of a peer to the engine, and reports whether it was well formed. The peer's node
+// number is from.
 func (r *Router) ReceivePeerMessage(from int, payload []byte) bool {
 	r.enter()
 	defer r.leave()
 	return r.engine.ReceivePeerMessage(decision.NodeID(from), payload)
 }
 
-// ShadowCounts returns how many decisions on requests were compared with those of Config.Shadow, and in how many the
-// shadow's settings would have decided otherwise, by kind. Without a shadow it returns 0 and nil.
+// ShadowCounts returns the number of decisions on requests that were compared with those of Config.Shadow. By kind it returns
+// those that the shadow's settings would have made otherwise. Without a shadow it returns 0 and nil.
 func (r *Router) ShadowCounts() (compared int64, differing map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/scale_bench_test.go
+++ b/internal/routing/scale_bench_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 )
 
 // benchSeed is the benchmarks' seed.
@@ -80,7 +81,7 @@
 			w := newScaleWorld(fleetSize{Servers: n, Nodes: 830, Spread: 3, Tenants: 100, Rate: 85, FailedShare: 0.01}, benchSeed)
 			w.addNode(benchSeed, &protocol.EndpointList{Full: true, Endpoints: w.endpoints})
 			for b.Loop() {
-				w.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: w.endpoints}, false)
+				w.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: w.endpoints}, routing.FromDiscovery)
 			}
 		})
 	}
@@ -114,7 +115,7 @@
 					t.State = protocol.Terminating
 				}
 				k++
-				w.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{t}}, false)
+				w.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{t}}, routing.FromDiscovery)
 			}
 		})
 	}
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -9,6 +9,7 @@
 	"unsafe"
 
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 )
 
 // figures are one play's results by name.
@@ -99,13 +100,13 @@
 				e.State = protocol.Terminating
 			}
 			list := &protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}
-			changes += float64(n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, false) }))
+			changes += float64(n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, routing.FromDiscovery) }))
 		}
 	}
 	f["100 changes ms"] = milliseconds(changes / playedNodes)
 	for _, n := range w.nodes {
 		list := &protocol.EndpointList{Full: true, Endpoints: slices.Clone(w.endpoints)}
-		lists += float64(n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, false) }))
+		lists += float64(n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, routing.FromDiscovery) }))
 	}
 	f["list: again ms"] = milliseconds(lists / playedNodes)
 	return f
--- a/internal/routing/scale_world_test.go
+++ b/internal/routing/scale_world_test.go
@@ -255,7 +255,7 @@
 			w.schedule(scaleEvent{at: w.now + max(after, 0), kind: eventTimer, node: n, timerSetting: n.timerSettings})
 		},
 	})
-	cpu := n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, false) })
+	cpu := n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, routing.FromDiscovery) })
 	n.timeCall("", nil, n.router.Tick)
 	return cpu
 }
@@ -307,7 +307,7 @@
 	w.changes++
 	for _, n := range w.nodes {
 		list := &protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}
-		n.timeCall("change", nil, func() { n.router.UpdateEndpoints(list, false) })
+		n.timeCall("change", nil, func() { n.router.UpdateEndpoints(list, routing.FromDiscovery) })
 	}
 }
 
--- a/internal/routing/shadow_test.go
+++ b/internal/routing/shadow_test.go
@@ -14,7 +14,7 @@
 	play := func(shadow *settings.Settings) (answers []Decision, r *Router) {
 		now := time.Unix(1000, 0)
 		r = newRouter(t, Config{Settings: settings.Parse(settingsOf(settings.RetrySafe)), Shadow: shadow, Clock: func() time.Time { return now }})
-		r.UpdateEndpoints(listOf(4, protocol.InService), true)
+		r.UpdateEndpoints(listOf(4, protocol.InService), FromCache)
 		req := r.NewRequest(&cancelRecorder{})
 		for i := range 60 {
 			now = now.Add(20 * time.Millisecond)
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -248,7 +248,7 @@
 		n.knownStart[sv] = sv.started
 	}
 	if !n.stopped {
-		n.router.UpdateEndpoints(list, false)
+		n.router.UpdateEndpoints(list, FromDiscovery)
 		n.takeDecisions()
 	}
 }
