--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -29,7 +29,7 @@
 			rejected++
 		}
 	}
-	if sent < 2*coldStartAttempts || sent > 4*coldStartAttempts || sent+rejected != 50 {
+	if sent < 2*coldStartAttemptsPerServer || sent > 4*coldStartAttemptsPerServer || sent+rejected != 50 {
 		t.Fatalf("sent %d, rejected %d of 50", sent, rejected)
 	}
 }
@@ -46,8 +46,8 @@
 	}
 	n.SetTime(2*Second + 10)
 	pull(n, LogSummary)
-	if n.admission.throughput.executionTime != 0 || n.admission.rate != 0 {
-		t.Fatalf("T is %.0f after two ends", n.admission.throughput.executionTime)
+	if n.admission.throughput.baseLatency != 0 || n.admission.rate != 0 {
+		t.Fatalf("T is %.0f after two ends", n.admission.throughput.baseLatency)
 	}
 }
 
@@ -132,8 +132,8 @@
 	for k := range intervals {
 		seen := &intervalStats{admitted: completed, completed: completed}
 		for range completed {
-			seen.attemptEnded(float64(took) / 6000)
-			l.throughput.completed(took)
+			seen.addLatency(float64(took) / 6000)
+			l.throughput.recordCompletion(took)
 		}
 		l.closeInterval(Time(k)*Second, 1, seen, load)
 	}
@@ -152,14 +152,14 @@
 	}
 	l := fresh()
 	quiet := closeIntervals(l, 5, 100, 500, load)
-	if !l.quiet || quiet < 100 || l.throughput.executionTime != 500 {
-		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.executionTime)
+	if !l.quiet || quiet < 100 || l.throughput.baseLatency != 500 {
+		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.baseLatency)
 	}
 	if busy := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.quiet || busy > quiet/2 {
 		t.Errorf("λ is %v under pressure, %v while quiet", busy, quiet)
 	}
-	if l.throughput.executionTime != 500 {
-		t.Errorf("T rose to %v with the queue", l.throughput.executionTime)
+	if l.throughput.baseLatency != 500 {
+		t.Errorf("T rose to %v with the queue", l.throughput.baseLatency)
 	}
 }
 
@@ -172,7 +172,7 @@
 		want     float64
 	}{{0, 0, 0, 0}, {0, 0, 1, 1}, {20, 10, 1, 0.5}, {10, 5, 1, 0.5}, {1, 1, 1, (1 + 9*0.125) / 10}} {
 		l := newAdmissionLimit(0)
-		if got := l.intervalLatency(&intervalStats{ends: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
+		if got := l.intervalLatency(&intervalStats{samples: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
 			t.Errorf("%d ends of %v: %v, not %v", c.ends, c.sum, got, c.want)
 		}
 	}
@@ -181,7 +181,7 @@
 // Under a wait of 1.5 times T there may be as much in flight as completes then; while latency is quiet, more.
 func TestConcurrencyLimit(t *testing.T) {
 	l := &admissionLimit{config: testConfig()}
-	l.throughput = throughput{executionTime: 2000, rates: []float64{500, 100, 100, 100}}
+	l.throughput = throughput{baseLatency: 2000, rates: []float64{500, 100, 100, 100}}
 	if got := l.concurrencyLimit(8); !near(got, 1.5*100*0.2) {
 		t.Errorf("%v under pressure", got)
 	}
@@ -196,7 +196,7 @@
 		features [4]float64
 		want     float64
 	}{{[4]float64{}, 1.2}, {[4]float64{0.2, 0.2, 0.2, 0.2}, 1.2}, {[4]float64{1.2, 0, 0.7, 0}, 0.6}, {[4]float64{-9, -9, 1.2, 1.2}, 0.4}} {
-		if got := policy.evaluate(c.features); !near(got, c.want) {
+		if got := loadPolicy.evaluate(c.features); !near(got, c.want) {
 			t.Errorf("%v: %v, not %v", c.features, got, c.want)
 		}
 	}
--- a/internal/decision/measures_test.go
+++ b/internal/decision/measures_test.go
@@ -41,7 +41,7 @@
 	tp := throughput{}
 	interval := func(attempts int, took Time, requests int) {
 		for range attempts {
-			tp.completed(took)
+			tp.recordCompletion(took)
 		}
 		tp.closeInterval(float64(attempts), requests)
 	}
@@ -54,29 +54,29 @@
 		t.Error("T is ejected on fewer ends than are in flight")
 	}
 	interval(10, 110, 3)
-	if !tp.known() || tp.executionTime != (29*100+400+10*110)/40.0 {
-		t.Errorf("T is %v", tp.executionTime)
+	if !tp.known() || tp.baseLatency != (29*100+400+10*110)/40.0 {
+		t.Errorf("T is %v", tp.baseLatency)
 	}
 	for range 29 {
 		interval(30, 500, 0)
 	}
-	if tp.executionTime != 110 {
-		t.Errorf("T is %v after 29 intervals", tp.executionTime)
+	if tp.baseLatency != 110 {
+		t.Errorf("T is %v after 29 intervals", tp.baseLatency)
 	}
-	if interval(30, 500, 0); tp.executionTime != 500 {
-		t.Errorf("T is %v after 30 intervals", tp.executionTime)
+	if interval(30, 500, 0); tp.baseLatency != 500 {
+		t.Errorf("T is %v after 30 intervals", tp.baseLatency)
 	}
 	tp = throughput{}
 	for _, n := range []int{80, 50, 7, 6, 5} {
 		interval(n, 100, 0)
 	}
-	if tp.bestRate() != 80 || !near(tp.canFinish(5000), 3.5) {
-		t.Errorf("best %v, %v in half a second", tp.bestRate(), tp.canFinish(5000))
+	if tp.bestRate() != 80 || !near(tp.completionsIn(5000), 3.5) {
+		t.Errorf("best %v, %v in half a second", tp.bestRate(), tp.completionsIn(5000))
 	}
 	for range 4 {
 		interval(5, 100, 0)
 	}
-	if tp.bestRate() != 50 || (&throughput{}).canFinish(Second) != 0 {
+	if tp.bestRate() != 50 || (&throughput{}).completionsIn(Second) != 0 {
 		t.Errorf("best %v of the last 8 intervals", tp.bestRate())
 	}
 }
@@ -84,13 +84,13 @@
 func TestIntervalStats(t *testing.T) {
 	s := intervalStats{}
 	for k := range 100 {
-		s.attemptEnded(float64(99 - k))
+		s.addLatency(float64(99 - k))
 	}
-	s.reject(rejectQuota, 5)
-	if got := s.tail(); got != 95 || s.ends != 100 || s.latencySum != 4950 || s.rejected[rejectQuota] != 1 {
+	s.countRejection(rejectQuota)
+	if got := s.tail(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[rejectQuota] != 1 {
 		t.Errorf("tail %v of %+v", got, s)
 	}
-	if s.reset(Second); s.ends != 0 || s.startedAt != Second || s.tail() != 0 {
+	if s.reset(Second); s.samples != 0 || s.startedAt != Second || s.tail() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/node/config_parts.go
+++ b/internal/node/config_parts.go
@@ -7,17 +7,17 @@
 
 	"cherrygap/internal/authz"
 	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/netio"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/quota"
-	"cherrygap/internal/transport"
 )
 
 const defaultConnectTimeout = time.Second // where the settings give none above 0
 
 // transportLimits are the limits of the node's own sockets and buffers. Of descriptors the process may have fewer than the
 // platform says.
-func (c *config) transportLimits() transport.Limits {
-	limits := transport.Limits{
+func (c *config) transportLimits() netio.Limits {
+	limits := netio.Limits{
 		Sockets:           c.Limits.Sockets,
 		MemoryMB:          c.Limits.MemoryMB,
 		ServerIdleTimeout: c.settings.IdleTimeout.Whole(),
