--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -64,7 +64,7 @@
 		LogSummary: func([]byte) {},
 	})
 	go timer.Run(router.Tick)
-	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, true)
+	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, routing.FromCache)
 	counters, upstreamCounters := &frontend.Counters{}, &upstream.Counters{}
 	limits := netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	n.http = freeAddress(t)
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -97,7 +97,7 @@
 		LogSummary:    func([]byte) {},
 	})
 	go timer.Run(router.Tick)
-	router.UpdateEndpoints(app.endpoints(), true)
+	router.UpdateEndpoints(app.endpoints(), routing.FromCache)
 	limits := netio.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port that was free a moment ago
 	if err != nil {
--- a/internal/upstream/golden_healthcheck_test.go
+++ b/internal/upstream/golden_healthcheck_test.go
@@ -27,7 +27,7 @@
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
 		UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(addr),
-	}}}, true)
+	}}}, routing.FromCache)
 	checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
 		upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{}), func(int, []byte) {})
 	go checker.Run()
