--- a/internal/decision/pin_summary_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -8,37 +8,37 @@
 	"testing"
 )
 
-// pinNotes are the interval lines of a play.
-func pinNotes(t *testing.T, name string, count int) []string {
+// intervalSummaries returns the first interval summaries of a scenario.
+func intervalSummaries(t *testing.T, name string, count int) []string {
 	t.Helper()
-	for seed, c := range pinPlays {
+	for seed, c := range fleetScenarios {
 		if c.name == name {
-			p := newPinPlay(int64(seed+41), c.setup)
-			for len(p.notes) < count {
+			p := newFleetSimulation(int64(seed+41), c.setup)
+			for len(p.summaries) < count {
 				p.step()
 			}
-			return p.notes[:count]
+			return p.summaries[:count]
 		}
 	}
-	t.Fatal("no play ", name)
+	t.Fatal("no scenario ", name)
 	return nil
 }
 
-// TestPinnedSummaryLines: the exact text of the interval lines, of a fresh node, under each cause of refusal, and where
-// nothing came.
-func TestPinnedSummaryLines(t *testing.T) {
+// TestIntervalSummaryFormat compares the exact text of interval summaries: of a fresh node, with rejections by each limit,
+// and without requests.
+func TestIntervalSummaryFormat(t *testing.T) {
 	for _, name := range []string{
-		"four nodes that all hear each other", "quota owners in a wide fleet",
-		"a node that hears no peer", "few requests at a slow server",
+		"four nodes that all report to all", "quota owners in a large fleet",
+		"a node without peer messages", "few requests at a slow server",
 	} {
-		for i, line := range pinNotes(t, name, 14) {
-			pinCompare(t, fmt.Sprintf("%s, line %d", name, i), line)
+		for i, line := range intervalSummaries(t, name, 14) {
+			compareExpected(t, fmt.Sprintf("%s, line %d", name, i), line)
 		}
 	}
 }
 
-// TestPinnedPolls: when discovery is asked, after calls that failed. The play is the same at each setting but for chance.
-func TestPinnedPolls(t *testing.T) {
+// TestPollTimes compares the times of polls after failed ones, for several settings.
+func TestPollTimes(t *testing.T) {
 	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
 		var polls []string
 		for seed := range uint64(2) {
@@ -54,33 +54,33 @@
 					}
 					n.UpdateEndpoints(PollFailed, nil)
 					if len(polls)%3 == 1 {
-						n.UpdateEndpoints(PollFailed, nil) // told twice
+						n.UpdateEndpoints(PollFailed, nil) // a second report of the same failure has no effect
 					}
 				}
 			}
 		}
-		pinCompare(t, "polls within "+within, strings.Join(polls, " "))
+		compareExpected(t, "polls within "+within, strings.Join(polls, " "))
 	}
 }
 
-// TestPinnedFirstDecisions: the first decisions and messages of a play, in words.
-func TestPinnedFirstDecisions(t *testing.T) {
-	p := newPinPlay(42, pinPlays[1].setup)
+// TestFirstFleetDecisions compares the first decisions and messages of a scenario, field by field.
+func TestFirstFleetDecisions(t *testing.T) {
+	p := newFleetSimulation(42, fleetScenarios[1].setup)
 	p.run()
 	kinds := map[string]int{}
-	for _, line := range p.first {
+	for _, line := range p.firstLines {
 		kind := strings.Fields(line)[2]
-		if i := strings.Index(line, "text="); len(line) > i+7 {
-			kind = line[i : i+7]
+		if i := strings.Index(line, "payload="); len(line) > i+10 {
+			kind = line[i : i+10]
 		}
 		if kinds[kind]++; kinds[kind] <= 5 {
-			pinCompare(t, fmt.Sprintf("decision %s %d", kind, kinds[kind]), line)
+			compareExpected(t, fmt.Sprintf("decision %s %d", kind, kinds[kind]), line)
 		}
 	}
 }
 
-// pinSubset digests which servers a node uses first and which it has in view.
-func pinSubset(n *Engine) string {
+// subsetDigest returns the numbers of a node's subset and tracked servers, and a hash of both.
+func subsetDigest(n *Engine) string {
 	h := uint32(len(n.endpoints.subset))
 	for _, i := range n.endpoints.subset {
 		h = mix(h, uint32(n.endpoints.servers[i].Server))
@@ -92,9 +92,9 @@
 	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
 }
 
-// TestPinnedSubsets: which servers a node of a fleet uses, at many sizes, for several nodes, at rest and after traffic,
-// with a whole list and after changes.
-func TestPinnedSubsets(t *testing.T) {
+// TestFleetSubsets compares the subsets of several nodes of fleets of many sizes. It does so after a complete list without
+// traffic, and after changes with traffic.
+func TestFleetSubsets(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, zones int
 	}{
@@ -128,7 +128,7 @@
 				})
 			}
 			n.UpdateEndpoints(FullList, list)
-			at := pinSubset(n)
+			at := subsetDigest(n)
 			changes := []Endpoint{}
 			for i, l := range list {
 				if i%9 == 0 {
@@ -141,8 +141,8 @@
 			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
 			pollsDiscovery(n)
-			got = append(got, at+" "+pinSubset(n))
+			got = append(got, at+" "+subsetDigest(n))
 		}
-		pinCompare(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
+		compareExpected(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
 	}
 }
--- a/internal/decision/messages_test.go
+++ b/internal/decision/messages_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// TestPinnedMessageBytes: the bytes of each kind of message between nodes are those of cf1acfb, as old and new nodes run
-// side by side in one fleet.
-func TestPinnedMessageBytes(t *testing.T) {
+// TestPeerMessageWireFormat checks the bytes of each kind of message between nodes. Nodes of different versions exchange
+// them.
+func TestPeerMessageWireFormat(t *testing.T) {
 	const big = 1 << 40
 	for _, c := range []struct {
-		mark byte
-		told customerReport
-		want string
+		kind   byte
+		report customerReport
+		want   string
 	}{
 		{kindUse, customerReport{}, "c800000000000000000000"},
 		{kindUse, customerReport{customer: 1, demand: 1, use: 1, plan: 1, spread: 1, firstNode: 1, request: 1, class: 1, ended: 1}, "c80164c80101010101010100"},
@@ -37,73 +37,73 @@
 		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, response: responseGranted, optimistic: true}, "c94d640000010000000003"},
 		{kindGrant, customerReport{customer: 77, demand: 1, spread: 1, response: responseDenied, optimistic: true}, "c94d640000010000000005"},
 	} {
-		if got := hex.EncodeToString(appendReport([]byte{c.mark}, c.told)); got != c.want {
-			t.Errorf("%x %+v\nis %s\nat cf1acfb %s", c.mark, c.told, got, c.want)
+		if got := hex.EncodeToString(appendReport([]byte{c.kind}, c.report)); got != c.want {
+			t.Errorf("%x %+v\ngot  %s\nwant %s", c.kind, c.report, got, c.want)
 		}
 	}
 	for _, c := range []struct {
-		doubt suspicion
-		want  string
+		suspicion suspicion
+		want      string
 	}{
 		{suspicion{}, "ca000000"},
 		{suspicion{1, 1, 1}, "ca010101"},
 		{suspicion{7919, 3, 48000}, "caef3d0380f702"},
 		{suspicion{math.MaxUint32, math.MaxUint32, math.MaxUint32}, "caffffffff0fffffffff0fffffffff0f"},
 	} {
-		if got := hex.EncodeToString(appendSuspicion([]byte{kindSuspicion}, c.doubt)); got != c.want {
-			t.Errorf("%+v\nis %s\nat cf1acfb %s", c.doubt, got, c.want)
+		if got := hex.EncodeToString(appendSuspicion([]byte{kindSuspicion}, c.suspicion)); got != c.want {
+			t.Errorf("%+v\ngot  %s\nwant %s", c.suspicion, got, c.want)
 		}
 	}
 }
 
-// TestPinnedMessageReading: what is taken of a message and which are refused, as at cf1acfb, with 3 plans and 50 nodes.
-func TestPinnedMessageReading(t *testing.T) {
+// TestPeerMessageDecoding checks the decoding of valid and malformed messages, with 3 plans and 50 nodes.
+func TestPeerMessageDecoding(t *testing.T) {
 	const max32, over32, max64, over64 = "ffffffff0f", "8080808010", "ffffffffffffffffff01", "ffffffffffffffffff02"
 	for _, c := range []struct{ name, text, want string }{
-		{"nothing", "", "refused"},
-		{"another protocol", "c7", "refused"},
-		{"a later mark", "cc", "refused"},
+		{"nothing", "", "malformed"},
+		{"another protocol", "c7", "malformed"},
+		{"a later kind", "cc", "malformed"},
 		{"an empty use", "c8", "c8"},
 		{"an empty grant", "c9", "c9"},
-		{"an empty doubt", "ca", "ca"},
-		{"an empty ask", "cb", "cb"},
-		{"a use", "c8" + "01" + "6400" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "refused"},
-		{"a whole use", "c8" + "01" + "64" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "c8 1 1 1 2 5 6 7 8 9 0 false;"},
+		{"an empty suspicion", "ca", "ca"},
+		{"an empty query", "cb", "cb"},
+		{"a use", "c8" + "01" + "6400" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "malformed"},
+		{"a complete use", "c8" + "01" + "64" + "c801" + "02" + "05" + "06" + "07" + "08" + "09" + "00", "c8 1 1 1 2 5 6 7 8 9 0 false;"},
 		{"two uses", "c8" + "0164c80102050607080900" + "026400010a0000000003", "c8 1 1 1 2 5 6 7 8 9 0 false; 2 1 0 1 10 0 0 0 0 1 true;"},
-		{"a use and a part of one", "c8" + "0164c80102050607080900" + "026400010a00000000", "refused"},
-		{"an ask", "cb" + "ac02" + "e807" + "b10f" + "01" + "28" + "0a" + "ffff03" + "04" + "00" + "00", "cb 300 10 -9.85 1 40 10 65535 4 0 0 false;"},
+		{"a use and part of another", "c8" + "0164c80102050607080900" + "026400010a00000000", "malformed"},
+		{"a query", "cb" + "ac02" + "e807" + "b10f" + "01" + "28" + "0a" + "ffff03" + "04" + "00" + "00", "cb 300 10 -9.85 1 40 10 65535 4 0 0 false;"},
 		{"a grant", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "03", "c9 300 0.01 0 1 40 10 65535 0 0 1 true;"},
-		{"a free denial", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "05", "c9 300 0.01 0 1 40 10 65535 0 0 2 true;"},
-		{"an unknown verdict", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "06", "refused"},
+		{"a denial with optimistic admission", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "05", "c9 300 0.01 0 1 40 10 65535 0 0 2 true;"},
+		{"an unknown response", "c9" + "ac02" + "01" + "00" + "01" + "28" + "0a" + "ffff03" + "00" + "00" + "06", "malformed"},
 		{"all largest", "c8" + max64 + max32 + "ffffffff1f" + "02" + "32" + "31" + max32 + max32 + max32 + "05", "c8 18446744073709551615 4.294967295e+07 -4.294967296e+07 2 50 49 4294967295 4294967295 4294967295 2 true;"},
-		{"a key too large", "c8" + over64 + "00" + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"a figure too large", "c8" + "00" + over32 + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"passed lowest", "c8" + "00" + "00" + "feffffff1f" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "c8 0 0 4.294967295e+07 0 1 0 0 0 0 0 false;"},
-		{"passed too large", "c8" + "00" + "00" + "8080808020" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"an unknown plan", "c8" + "00" + "00" + "00" + "03" + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"no spread", "c8" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"a spread over the nodes", "c8" + "00" + "00" + "00" + "00" + "33" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"a first past the nodes", "c8" + "00" + "00" + "00" + "00" + "01" + "32" + "00" + "00" + "00" + "00", "refused"},
-		{"a plan too large", "c8" + "00" + "00" + "00" + over32 + "01" + "00" + "00" + "00" + "00" + "00", "refused"},
-		{"a request too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + over32 + "00" + "00" + "00", "refused"},
-		{"a class too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + over32 + "00" + "00", "refused"},
-		{"an end too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + "00" + over32 + "00", "refused"},
+		{"a customer too large", "c8" + over64 + "00" + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"a demand too large", "c8" + "00" + over32 + "00" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"the lowest use", "c8" + "00" + "00" + "feffffff1f" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "c8 0 0 4.294967295e+07 0 1 0 0 0 0 0 false;"},
+		{"a use too large", "c8" + "00" + "00" + "8080808020" + "00" + "01" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"an unknown plan", "c8" + "00" + "00" + "00" + "03" + "01" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"no spread", "c8" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"a spread beyond the fleet", "c8" + "00" + "00" + "00" + "00" + "33" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"a first node beyond the fleet", "c8" + "00" + "00" + "00" + "00" + "01" + "32" + "00" + "00" + "00" + "00", "malformed"},
+		{"a plan too large", "c8" + "00" + "00" + "00" + over32 + "01" + "00" + "00" + "00" + "00" + "00", "malformed"},
+		{"a request too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + over32 + "00" + "00" + "00", "malformed"},
+		{"a class too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + over32 + "00" + "00", "malformed"},
+		{"an end too large", "c8" + "00" + "00" + "00" + "00" + "01" + "00" + "00" + "00" + over32 + "00", "malformed"},
 		{"numbers longer than needed", "c8" + "8000" + "8000" + "8000" + "8000" + "8100" + "8000" + "8000" + "8000" + "8000" + "8000", "c8 0 0 0 0 1 0 0 0 0 0 false;"},
-		{"an endless number", "c8" + "ffffffffffffffffffffffff", "refused"},
-		{"a doubt", "ca" + "ef3d" + "03" + "80f702", "ca 7919 3 48000;"},
-		{"two doubts", "ca" + "ef3d0380f702" + "010000", "ca 7919 3 48000; 1 0 0;"},
-		{"a doubt and a part of one", "ca" + "ef3d0380f702" + "0100", "refused"},
-		{"a largest doubt", "ca" + max32 + max32 + max32, "ca 4294967295 4294967295 4294967295;"},
-		{"a doubt's server too large", "ca" + over32 + "00" + "00", "refused"},
-		{"a doubt's class too large", "ca" + "00" + over32 + "00", "refused"},
-		{"a doubt's rest too large", "ca" + "00" + "00" + over32, "refused"},
+		{"an endless number", "c8" + "ffffffffffffffffffffffff", "malformed"},
+		{"a suspicion", "ca" + "ef3d" + "03" + "80f702", "ca 7919 3 48000;"},
+		{"two suspicions", "ca" + "ef3d0380f702" + "010000", "ca 7919 3 48000; 1 0 0;"},
+		{"a suspicion and part of another", "ca" + "ef3d0380f702" + "0100", "malformed"},
+		{"a largest suspicion", "ca" + max32 + max32 + max32, "ca 4294967295 4294967295 4294967295;"},
+		{"a suspicion's server too large", "ca" + over32 + "00" + "00", "malformed"},
+		{"a suspicion's class too large", "ca" + "00" + over32 + "00", "malformed"},
+		{"a suspicion's time too large", "ca" + "00" + "00" + over32, "malformed"},
 	} {
 		text, err := hex.DecodeString(c.text)
 		if err != nil {
 			t.Fatal(c.name, err)
 		}
 		m, ok := decodeMessage(text, 3, 50)
-		got := "refused"
+		got := "malformed"
 		if ok {
 			got = fmt.Sprintf("%x", m.kind)
 			for _, v := range m.reports {
@@ -115,7 +115,7 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: read as %q\nat cf1acfb %q", c.name, got, c.want)
+			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/decision/pin_settings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// TestPinnedNumbers: a number that can't be parsed reads as 0, whatever is wrong with it.
-func TestPinnedNumbers(t *testing.T) {
+// TestNumberSettingForms checks which texts are numbers. Any other text is 0.
+func TestNumberSettingForms(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "0 0 false", "0": "0 0 false", "7": "7 7 false", "-7": "-7 -7 false", "+7": "7 7 false", "2.7": "2.7 2 false",
 		"-2.7": "-2.7 -2 false", ".5": "0.5 0 false", "5.": "5 5 false", "1e3": "1000 1000 false", "1E-3": "0.001 0 false",
@@ -38,8 +38,8 @@
 	}
 }
 
-// pinSettingNames are all the settings that the engine reads.
-func pinSettingNames() []string {
+// engineSettingKeys returns the keys that the engine reads.
+func engineSettingKeys() []string {
 	names := []string{
 		"node", "nodes", "tick", "connect_timeout", "slow_start_span", "slow_start_share", "peer_messages_per_s", "peers",
 		"max_attempts", "cancel_attempts", "retry_after", "max_retry_after", "overload_multiple", "overload_span",
@@ -54,29 +54,29 @@
 	return names
 }
 
-// pinOddValues are what each setting is set to in turn; the first is for one that is missing.
-var pinOddValues = []string{"missing", "x7", "-3", "2.7", "NaN", "TRUE", "3000"}
+// oddSettingValues are the values that each setting gets in turn. The first one removes it.
+var oddSettingValues = []string{"missing", "x7", "-3", "2.7", "NaN", "TRUE", "3000"}
 
-// pinOddPlay plays two seconds with one setting odd and gives its digest, or what it panics with.
-func pinOddPlay(base Settings, name, value string) (digest string) {
+// simulateOddSetting simulates two seconds with one odd setting. It returns the digest, or the panic's text.
+func simulateOddSetting(base Settings, name, value string) (digest string) {
 	defer func() {
 		if r := recover(); r != nil {
 			digest = fmt.Sprint("panic: ", r)
 		}
 	}()
-	set := pinSettings(base)
+	set := fleetSettings(base)
 	set[name] = value
 	if value == "missing" {
 		delete(set, name)
 	}
-	setup := pinSetup{
-		set: set, members: []int{1}, servers: 6, zones: 2, perCell: 2, work: 150, perStep: 1, customers: 9,
-		spread: 3, seconds: 2, listAt0: CachedList, resets: 12, restarted: 2, silent: 1, missed: true,
+	setup := fleetScenario{
+		set: set, members: []int{1}, servers: 6, zones: 2, serversPerCell: 2, serviceTime: 150, requestsPerStep: 1, customers: 9,
+		spread: 3, seconds: 2, firstList: CachedList, resetPercent: 12, restartedServers: 2, silentServers: 1, firstPollFails: true,
 	}
 	if set["nodes"] == "18" {
 		setup.members, setup.spread = []int{1, 2}, 9
 	}
-	p := newPinPlay(7, setup)
+	p := newFleetSimulation(7, setup)
 	if name == "node" {
 		for _, n := range p.nodes {
 			n.configure(parseSettings(set))
@@ -85,11 +85,11 @@
 	return p.run()[1][:8]
 }
 
-// TestPinnedSettings: each setting that is missing, odd, malformed or negative does what it did at cf1acfb.
-func TestPinnedSettings(t *testing.T) {
+// TestOddSettingsDecisions compares the decisions under missing, malformed and negative settings with the expected ones.
+func TestOddSettingsDecisions(t *testing.T) {
 	for _, base := range []Settings{{}, {"nodes": "18"}} {
-		usual := pinOddPlay(base, "none", "")
-		names := pinSettingNames()
+		usual := simulateOddSetting(base, "none", "")
+		names := engineSettingKeys()
 		if len(base) > 0 {
 			names = []string{
 				"node", "nodes", "idle_timeout", "peer_messages_per_s",
@@ -98,22 +98,22 @@
 		}
 		for _, name := range names {
 			var got []string
-			for _, value := range pinOddValues {
-				d := pinOddPlay(base, name, value)
+			for _, value := range oddSettingValues {
+				d := simulateOddSetting(base, name, value)
 				if d == usual {
 					d = "usual"
 				}
 				got = append(got, d)
 			}
-			pinCompare(t, fmt.Sprintf("setting %s, %s nodes", name, pinSettings(base)["nodes"]), strings.Join(got, " "))
+			compareExpected(t, fmt.Sprintf("setting %s, %s nodes", name, fleetSettings(base)["nodes"]), strings.Join(got, " "))
 		}
 	}
 }
 
-// TestPinnedWide: from how many nodes on not all can hear all, and quota owners keep the buckets.
-func TestPinnedWide(t *testing.T) {
+// TestQuotaOwnersByFleetSize checks from which fleet size on customers have quota owners.
+func TestQuotaOwnersByFleetSize(t *testing.T) {
 	for _, c := range []struct {
-		nodes, take string
+		nodes, rate string
 		want        bool
 	}{
 		{"1", "0", false},
@@ -131,8 +131,8 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.take}, Second); n.config.owners != c.want {
-			t.Errorf("%s nodes that take %s messages a second: wide %v", c.nodes, c.take, n.config.owners)
+		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}, Second); n.config.owners != c.want {
+			t.Errorf("%s nodes that receive %s messages a second: owners %v", c.nodes, c.rate, n.config.owners)
 		}
 	}
 }
