--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
-// TestFreshNodeBoundsInFlight sends a crowd at a node that has seen nothing yet.
+// TestFreshNodeBoundsInFlight sends many requests at once to a node without measurements.
 func TestFreshNodeBoundsInFlight(t *testing.T) {
 	n := New(7, Settings{
 		settings.Nodes: "1", settings.Tick: "10", settings.ClassCount: "1",
@@ -34,8 +34,9 @@
 	}
 }
 
-// A restarted node sees the shortest answers first; by them every later latency is a jam.
-func TestFirstShortAnswersDoNotSetT(t *testing.T) {
+// A restarted node receives the shortest responses first. A base latency from these alone would make any later latency
+// look like a queue.
+func TestFirstShortResponsesDoNotSetBaseLatency(t *testing.T) {
 	n := plain(10, nil)
 	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
@@ -47,12 +48,12 @@
 	n.SetTime(2*Second + 10)
 	pull(n, LogSummary)
 	if n.admission.throughput.baseLatency != 0 || n.admission.rate != 0 {
-		t.Fatalf("T is %.0f after two ends", n.admission.throughput.baseLatency)
+		t.Fatalf("T is %.0f after two completions", n.admission.throughput.baseLatency)
 	}
 }
 
-// When every server stands still, what hangs there must go on to count, or the node fills them up.
-func TestStandstillOfAllServersBoundsInFlight(t *testing.T) {
+// While all servers have stopped, attempts in flight at them count. Otherwise the node would send ever more.
+func TestStoppedServersBoundInFlight(t *testing.T) {
 	n := plain(6, nil)
 	now, id, out := Second, RequestID(0), 0
 	var sent []Decision
@@ -104,7 +105,7 @@
 	}
 }
 
-// The bucket holds 15% of a second's tokens and one more; after a pause, what would have passed meanwhile.
+// The bucket holds 15% of a second's tokens and one more. After a pause it holds the tokens of the pause.
 func TestAdmissionTokens(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -127,7 +128,7 @@
 	}
 }
 
-// closeIntervals ends so many intervals, each with so many attempts completed, and gives λ.
+// closeIntervals closes a number of intervals with the same completed attempts, and returns λ.
 func closeIntervals(l *admissionLimit, intervals, completed int, took Time, load intervalLoad) float64 {
 	for k := range intervals {
 		seen := &intervalStats{admitted: completed, completed: completed}
@@ -148,7 +149,7 @@
 	}
 	load := intervalLoad{requests: 5, healthy: 5, ready: 8}
 	if got := closeIntervals(fresh(), 3, 9, 500, load); got != 0 {
-		t.Errorf("λ is %v after 27 ends", got)
+		t.Errorf("λ is %v after 27 completions", got)
 	}
 	l := fresh()
 	quiet := closeIntervals(l, 5, 100, 500, load)
@@ -163,22 +164,23 @@
 	}
 }
 
-// Few ends say little alone; nothing at all, with requests in flight, is an objective at least.
+// Missing samples are filled up by the last interval's mean. Without any sample, requests in flight count as one
+// latency objective.
 func TestIntervalLatency(t *testing.T) {
 	for _, c := range []struct {
-		ends     int
+		samples  int
 		sum      float64
 		requests int
 		want     float64
 	}{{0, 0, 0, 0}, {0, 0, 1, 1}, {20, 10, 1, 0.5}, {10, 5, 1, 0.5}, {1, 1, 1, (1 + 9*0.125) / 10}} {
 		l := newAdmissionLimit(0)
-		if got := l.intervalLatency(&intervalStats{samples: c.ends, latencySum: c.sum}, c.requests); !near(got, c.want) {
-			t.Errorf("%d ends of %v: %v, not %v", c.ends, c.sum, got, c.want)
+		if got := l.intervalLatency(&intervalStats{samples: c.samples, latencySum: c.sum}, c.requests); !near(got, c.want) {
+			t.Errorf("%d samples with sum %v: %v, not %v", c.samples, c.sum, got, c.want)
 		}
 	}
 }
 
-// Under a wait of 1.5 times T there may be as much in flight as completes then; while latency is quiet, more.
+// The concurrency limit is 1.5 times the attempts that complete within T, and higher while latency is quiet.
 func TestConcurrencyLimit(t *testing.T) {
 	l := &admissionLimit{config: testConfig()}
 	l.throughput = throughput{baseLatency: 2000, rates: []float64{500, 100, 100, 100}}
--- a/internal/decision/candidates_test.go
+++ b/internal/decision/candidates_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A keyed request whose first attempt may have run may go on in its cell only, of which few servers are in view: the
-// others there are found all the same, and what goes out at them counts.
+// A keyed request that may have run is sent only to servers of the same cell, few of which are tracked. It finds the
+// others too, and attempts at them count as in flight.
 func TestKeyedRequestsFindTheirCell(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
 	n.config.classes[0].retrySafety, n.config.classes[0].keyGroup, n.config.classes[0].keyWindow = retryKeyed, groupCell, 60*Second
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Of tens of thousands of customers that asked once, those long idle are forgotten, some at a time: no interval looks at all.
+// Idle customers are dropped over several intervals: no interval checks all of tens of thousands.
 func TestManyIdleCustomersAreForgotten(t *testing.T) {
 	n := plain(3, nil)
 	const many = 5 * idleScanCustomers
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The order is the same however it came about: by changes, or built at once; a walk from any place visits each usable
-// server once, and any stretch of it holds each zone's part, to one server.
+// Single changes lead to the same order as building it at once. A walk visits each usable server once, and any stretch
+// of it holds each zone's share, to within one server.
 func TestOrderIsTheSameByChangesAndAtOnce(t *testing.T) {
 	r := rand.New(rand.NewSource(34))
 	for range 30 {
@@ -44,7 +44,7 @@
 			for zone, k := range count {
 				part := float64(ofZone[zone]) * float64(len(seen)) / float64(usable)
 				if math.Abs(float64(k)-part) > 1.5 {
-					t.Fatalf("after %d of %d servers, %d of zone %d, its part is %.1f", len(seen), usable, k, zone, part)
+					t.Fatalf("after %d of %d servers, %d of zone %d, its share is %.1f", len(seen), usable, k, zone, part)
 				}
 			}
 		})
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A change of a server that a node does not use leaves what it uses as it was; one of its own that drains is gone from
-// view at once, its place is taken, and what is still out at it counts until it has ended.
+// A change of a server outside the subset leaves the subset as it is. A draining server of the subset is replaced at
+// once, and its attempts in flight count until they end.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
 	own, view := slices.Clone(n.endpoints.subset), slices.Clone(n.endpoints.tracked)
 	if len(own) < 13000/830*minNodesPerShuffle || len(view) < minTrackedServers || len(view) > max(minTrackedServers, trackedServersPerSubset*len(own)) {
-		t.Fatalf("%d own, %d in view", len(own), len(view))
+		t.Fatalf("%d in the subset, %d tracked", len(own), len(view))
 	}
 	far := n.endpoints.servers[slices.IndexFunc(n.endpoints.servers, func(s server) bool { return !slices.Contains(view, n.endpoints.slots.find(s.Server)) })]
 	last := far.Endpoint
@@ -32,7 +32,7 @@
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	i := n.endpoints.slots.find(drained.Server)
 	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.tracked, i) || n.inFlightAtHealthy() != before {
-		t.Errorf("a server that drains: own %v, in view %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.tracked, i), n.inFlightAtHealthy(), before)
+		t.Errorf("a draining server: in the subset %v, tracked %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.tracked, i), n.inFlightAtHealthy(), before)
 	}
 	for id := range RequestID(300) {
 		n.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
@@ -47,11 +47,11 @@
 	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	n.SetTime(n.now + controlInterval)
 	if pull(n, Forward); slices.Contains(n.endpoints.tracked, i) || n.endpoints.slots.find(drained.Server) >= 0 {
-		t.Error("a server that is gone stays in view with nothing out at it")
+		t.Error("a server that is gone stays tracked without attempts in flight")
 	}
 }
 
-// New servers replace old ones all day: what is gone, with no request open that knows it, leaves no slot behind.
+// Servers that replace others over and over take no more slots than the listed ones need.
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
 	n := plain(0, nil)
 	now := Second
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -8,8 +8,7 @@
 	"cherrygap/internal/settings"
 )
 
-// TestRulesHoldOnRandomRuns plays random days over settings of every kind and checks the rules on each
-// decision.
+// TestRulesHoldOnRandomRuns simulates random days under random settings and checks the rules on each decision.
 func TestRulesHoldOnRandomRuns(t *testing.T) {
 	sent, complete, rejected := 0, 0, 0
 	run := func(seed int64) bool {
@@ -73,7 +72,8 @@
 	return out
 }
 
-// Without a tick and with a very short objective the next look must lie ahead, or decisions never end.
+// Without a tick and with a very short objective, the next attempt check is in the future. Otherwise Next would never
+// return false.
 func TestDecisionsEndWhateverTheSettings(t *testing.T) {
 	objective := settings.ClassKey(0, settings.ClassLatencyObjective)
 	for _, set := range []Settings{
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -184,7 +184,7 @@
 	h.engine.AddRequest(a)
 }
 
-// disturb changes what the node is told, or restarts it.
+// disturb changes the endpoint list, sends a peer message, or restarts the node.
 func (h *host) disturb() {
 	i := h.rng.Intn(len(h.servers))
 	s := h.servers[i]
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -7,7 +7,8 @@
 	"cherrygap/internal/settings"
 )
 
-// A server that fails one class serves the others: its answers there must not clear what failed.
+// A server may fail one class and serve the others. Responses to the others don't end its ejection for the failed
+// class.
 func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
 	n := plain(2, Settings{
 		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
@@ -22,24 +23,24 @@
 		t.Fatal("the wrong class is ejected")
 	}
 	n.SetTime(Second + controlInterval/2)
-	told := pull(n, SendPeerMessage)
+	sent := pull(n, SendPeerMessage)
 	other := plain(2, Settings{
 		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 	})
 	other.SetTime(Second + controlInterval/2)
-	other.ReceivePeerMessage(0, append(slices.Clone(told[0].Payload), 0x80)) // cut short: passed over whole
+	other.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // truncated: no effect
 	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
 		t.Fatal("malformed message counted")
 	}
-	other.ReceivePeerMessage(0, told[0].Payload)
-	if s := other.endpoints.servers[at].byClass; told[0].Peer != AllPeers || !other.outliers.ejected(&s[1], 1, other.now) || other.outliers.ejected(&s[0], 0, other.now) {
-		t.Fatal("the peer did not take in the doubt")
+	other.ReceivePeerMessage(0, sent[0].Payload)
+	if s := other.endpoints.servers[at].byClass; sent[0].Peer != AllPeers || !other.outliers.ejected(&s[1], 1, other.now) || other.outliers.ejected(&s[0], 0, other.now) {
+		t.Fatal("the peer did not apply the suspicion")
 	}
 }
 
-// Peers' words of one miss each add up: a server of which they tell clearly more than of others is suspected, and
-// gets trials by budget; where all servers miss alike, as for want of room, none is.
+// Suspicions of peers add up. A server with clearly more of them than the mean is ejected, and its trials come from the
+// budget. If all servers fail alike, none is ejected.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
 	set := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
 	n, alike := plain(20, set), plain(20, set)
@@ -52,7 +53,7 @@
 	n.SetTime(3 * Second)
 	n.outliers.classes[0].trials = 0
 	if !n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now) || n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now) {
-		t.Fatal("the words of peers did not tell the server that fails")
+		t.Fatal("the suspicions of peers did not eject the failing server")
 	}
 	for i := range alike.endpoints.servers {
 		if alike.outliers.ejected(&alike.endpoints.servers[i].byClass[0], 0, alike.now) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// An impatient client's time-out says nothing of its server, nor of the back end's latency.
-func TestShortTimeOutIsNoFailure(t *testing.T) {
+// An impatient client's timeout is neither a failure of the server nor a latency sample.
+func TestShortTimeoutIsNoFailure(t *testing.T) {
 	n := plain(2, nil)
 	for id := range RequestID(4) {
 		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
@@ -86,13 +87,13 @@
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
 	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.samples != 0 {
-		t.Fatalf("%d misses, %d ends counted", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
+		t.Fatalf("%d failures, %d latency samples", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
 	}
 }
 
-// Where any server's answers are malformed or broken off now and then, one says little of it: it stays in the rotation,
-// and its time is no sign of pressure. Two in a row tell, of that class.
-func TestOneBadAnswerEjectsNoServer(t *testing.T) {
+// One malformed or broken response does not eject a server and is no latency sample. Two in a row eject it for the
+// class.
+func TestOneBadResponseEjectsNoServer(t *testing.T) {
 	n := plain(1, Settings{
 		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.MaxAttempts: "1",
@@ -110,8 +111,8 @@
 	}
 }
 
-// A server that rejects all, as one that drains before the endpoint list says so, is quick at it and would draw ever
-// more requests; each counts as pressure, and the limit falls. Two in a row eject it, as time-outs do.
+// A server that rejects every request, as before its draining is listed, responds fast and would attract requests. Each
+// rejection counts as a latency sample of one objective, and two in a row eject the server.
 func TestServerThatRejectsIsEjected(t *testing.T) {
 	n := plain(4, nil)
 	now, sent := Second, 0
@@ -140,7 +141,7 @@
 	return &outlierDetector{config: testConfig(), classes: []classOutliers{{trials: 1}, {trials: 1}}}
 }
 
-// Each further ejection lasts twice as long, up to eight objectives; an answer ends all.
+// Each further ejection lasts twice as long, up to eight objectives. A success resets this.
 func TestEjectionTimes(t *testing.T) {
 	d, states, now := testDetector(), make([]outlierState, 2), 10*Second
 	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
@@ -168,7 +169,7 @@
 	}
 }
 
-// What an end says of a server, by its outcome.
+// TestOutcomesThatEject checks the effect of each outcome on the server's ejection.
 func TestOutcomesThatEject(t *testing.T) {
 	for _, c := range []struct {
 		outcome       Outcome
@@ -196,7 +197,7 @@
 	}
 }
 
-// Silence counts from the last answer on, over all that is in flight.
+// Silence is the sum of the waits of all attempts in flight since the last response.
 func TestSilence(t *testing.T) {
 	d, s, now := testDetector(), &outlierState{answeredAt: 2 * Second}, 3*Second
 	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
@@ -210,13 +211,14 @@
 	}
 }
 
-// A peer's word ejects for as long as it says, unless the server just answered here or is ejected already.
+// A peer's suspicion ejects a server for the time that it names, unless the server has just responded here or is
+// already ejected.
 func TestPeersSuspicions(t *testing.T) {
 	const now = 20 * Second
 	for _, c := range []struct {
 		name   string
 		before outlierState
-		told   Time
+		sent   Time
 		until  Time
 		peer   bool
 	}{
@@ -226,13 +228,13 @@
 		{"just answered here", outlierState{answeredAt: now - 5999}, 9000, 0, false},
 		{"answered long ago", outlierState{answeredAt: now - 6000}, 9000, now + 9000, true},
 		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
-		{"one word of a failure", outlierState{}, 0, 0, false},
-		{"many words", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
+		{"one suspicion without an ejection", outlierState{}, 0, 0, false},
+		{"many suspicions", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, s := testDetector(), c.before
 			d.classes[0].suspicions = decayingMean{count: 40, at: now}
-			if d.receive(&s, suspicion{ejectedFor: c.told}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
+			if d.receive(&s, suspicion{ejectedFor: c.sent}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
 				t.Errorf("until %d, by a peer %v", s.ejectedUntil-now, s.fromPeer)
 			}
 		})
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -60,7 +60,7 @@
 					})
 				case SendPeerMessage:
 					if d.Peer < 10 || d.Peer >= 50 {
-						f.t.Fatalf("told %d, outside the set", d.Peer)
+						f.t.Fatalf("sent to %d, outside the set", d.Peer)
 					}
 					if f.lost == nil || !f.lost(k, d.Peer, d.Payload) {
 						f.nodes[d.Peer].ReceivePeerMessage(NodeID(k), slices.Clone(d.Payload))
@@ -89,8 +89,8 @@
 	}
 }
 
-// A customer over its quota that comes in by many nodes, at each of which it is rare: its owner holds the quota
-// request by request, and nobody else's word counts.
+// A customer is over its quota and rare at each of many nodes. Its owner keeps it to the quota, and grants of other
+// nodes have no effect.
 func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
 	f.ask(30, Second, 11*Second)
@@ -106,12 +106,12 @@
 	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
 	pull(n, Forward)
 	if n.customers.all[0].queryRatio != before || before >= 1 {
-		t.Fatalf("grant %.2f became %.2f by another's word", before, n.customers.all[0].queryRatio)
+		t.Fatalf("grant %.2f became %.2f by another node's grant", before, n.customers.all[0].queryRatio)
 	}
 }
 
-// A cap on open attempts beside a rate, over many nodes: held by each node alone, 40 nodes let out twice 40.
-// An end that is told late, after its reservation has run out, must not free another's.
+// The owner keeps a limit on attempts in flight over 40 nodes. The end of a request whose reservation has expired
+// releases no other reservation.
 func TestOwnerHoldsInFlightOfManyNodes(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -134,9 +134,9 @@
 	}
 }
 
-// While an owner is silent a rare customer's requests still pass, after a short wait, and one that asks far more than
-// its even part is held to about that.
-func TestSilentOwnerLeavesTheEvenPart(t *testing.T) {
+// While an owner is silent, a rare customer's requests are admitted after a short wait. A customer with far more demand
+// gets about its even share.
+func TestSilentOwnerLeavesTheEvenShare(t *testing.T) {
 	for rate, most := range map[int]int{2: 40, 400: 130} { // 20 s
 		f := newFleet(t, nil)
 		f.lost = func(int, NodeID, []byte) bool { return true }
@@ -147,7 +147,7 @@
 	}
 }
 
-// A hard ceiling of many nodes: owner and set together stay under it from the first second on, after restarts too.
+// The owner and the other nodes of a set together keep a hard ceiling from the first second on, and after restarts.
 func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -190,7 +190,7 @@
 	return &quotaOwner{config: cfg}
 }
 
-// Each customer has one owner, a node of its set, and the same one wherever it is asked for.
+// Each customer has one owner, which is in its set and the same at every node.
 func TestOwnerIsOfTheSet(t *testing.T) {
 	o, owners := ownerOfAll(quotaPlan{}), map[NodeID]int{}
 	for id := range CustomerID(1000) {
@@ -248,9 +248,9 @@
 	}
 }
 
-// While the bucket is well filled a frequent customer passes freely; once it is not, the set is told, and a part is
-// asked for.
-func TestFreePass(t *testing.T) {
+// A frequent customer with a nearly full bucket is admitted optimistically. When the bucket empties, the set is
+// notified and queries a share of the requests.
+func TestOptimisticAdmission(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
 		name        string
@@ -276,15 +276,15 @@
 				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
 			if ended := o.update(at, now) == optimisticRevoked; ended != c.ended || at.optimistic != c.free || !near(at.queryRatio, c.part) {
-				t.Errorf("free %v, ended %v, part %v", at.optimistic, ended, at.queryRatio)
+				t.Errorf("optimistic %v, revoked %v, ratio %v", at.optimistic, ended, at.queryRatio)
 			}
 		})
 	}
 }
 
-// While the owner is silent, the even part of the rate passes, over what was asked for before; nothing beside a limit in
-// flight that is taken.
-func TestPassWithoutOwner(t *testing.T) {
+// While the owner is silent, requests are admitted at the even share of the rate. With a limit on attempts in flight,
+// one may be in flight at a time.
+func TestAdmissionWithoutOwner(t *testing.T) {
 	for _, c := range []struct {
 		plan     quotaPlan
 		before   float64 // units a second
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// After a pause what came last is in time yet and goes first; what waited past its objective is answered at
-// once, and the limit's tokens cover the time that nothing passed.
-func TestAfterAPauseTheLastComeFirst(t *testing.T) {
+// After a pause, the last requests still have time left and are forwarded first. Those past their objective are
+// rejected at once, and the tokens cover the pause.
+func TestLastRequestsOfAPauseComeFirst(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 40, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
@@ -32,9 +32,8 @@
 	}
 }
 
-// A request that waited past its objective is rejected at once though limit and quota have room for it, since its
-// client has no use for a late answer and the server's time is another's.
-func TestLateAfterAPauseIsRejectedWithRoomLeft(t *testing.T) {
+// A request past its objective after a pause is rejected even if limit and quota would admit it.
+func TestRequestsLateAfterAPauseAreRejected(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 4000, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{4000}
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A node's part is its demand over all reported, with some belief in the even part; without reports, the even part.
-func TestDemandPart(t *testing.T) {
+// The local share is the demand here over all reported demand, with a prior of the even share. Without reports it is
+// the even share.
+func TestDemandShare(t *testing.T) {
 	const now = 100 * Second
 	for _, c := range []struct {
 		name          string
@@ -38,7 +39,7 @@
 	}
 }
 
-// A request here stands for 1/part requests at all nodes; what lacks in the bucket tells when it may pass.
+// A request is charged its units over the local share. The missing level of the bucket gives the Retry-After.
 func TestTenantQuota(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -72,7 +73,7 @@
 				t.Errorf("%v after %d", got.admitted, got.retryAfter)
 			}
 			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.demandShare != part {
-				t.Errorf("part %v", r.demandShare)
+				t.Errorf("share %v", r.demandShare)
 			}
 		})
 	}
@@ -86,7 +87,7 @@
 	}
 }
 
-// A ceiling starts empty and fills by an even part, less what an owner keeps.
+// A ceiling starts empty and fills at the even share, less the owner's part.
 func TestCeiling(t *testing.T) {
 	for _, c := range []struct {
 		owned bool
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
-// A large fleet's customers do not fit into one message: the next follows soon and names the others.
+// Reports that do not fit into one message are sent in further ones soon after.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
 	n := plain(4, Settings{
 		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
@@ -32,8 +32,8 @@
 	peer.ReceivePeerMessage(0, []byte("other"))
 }
 
-// Where all hear all, one message goes out even if empty; customers under half of their even part are not named, and
-// what peers don't take in waits. Where there are owners, each gets what is its own.
+// Without owners one message is sent even if empty, customers below half of their even share are left out, and excess
+// reports wait. With owners, each report is sent to its owner.
 func TestReports(t *testing.T) {
 	busy := decayingMean{sum: 99 * seconds(demandTimeConstant), at: Second}
 	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
--- a/internal/decision/requests_test.go
+++ b/internal/decision/requests_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// A request waits for a decision once, however often it is put there, and its slot is used again only once it does not
-// wait any more.
+// A request is pending only once. Its slot is reused only when it is no longer pending.
 func TestRequestTable(t *testing.T) {
 	table := requestTable{slots: newSlotIndex[RequestID, requestSlot]()}
 	a, b := table.add(request{id: 7, live: true}), table.add(request{id: 8, live: true})
@@ -25,7 +24,8 @@
 	}
 }
 
-// An attempt is cancelled once, and not after its response has begun or it has ended. The last one goes first.
+// An attempt is cancelled once, and not after its response has begun or it has ended. The last cancellation comes
+// first.
 func TestCancellations(t *testing.T) {
 	table := requestTable{slots: newSlotIndex[RequestID, requestSlot]()}
 	r := &request{id: 7}
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -4,8 +4,7 @@
 	"testing"
 )
 
-// Where hedged requests are not allowed a request that hangs on a silent server is cancelled, and sent elsewhere only
-// once that attempt has ended.
+// A request that hangs at a silent server is cancelled. It is sent to another server only after that attempt has ended.
 func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
 	n := plain(4, nil)
 	n.retries.left = 5
@@ -63,7 +62,7 @@
 	}
 }
 
-// Five first attempts earn a further one, up to two a server.
+// Five first attempts earn one retry, up to two for each server.
 func TestRetryBudget(t *testing.T) {
 	b := retryBudget{}
 	for range 5 {
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/settings"
 )
 
-// A node that uses few servers takes the one with the least out for its weight: by its turn alone it would add to a
-// larger server's queue, under that one's cap yet, while a smaller one stands idle.
+// With a small subset, the server with the fewest attempts in flight for its weight is selected. The rotation alone
+// would queue at a larger server while a smaller one is idle.
 func TestSubsetServerWithTheLeastInFlightComesFirst(t *testing.T) {
 	n := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
 	n.endpoints.servers[1].Weight, n.endpoints.servers[1].inFlight, n.endpoints.servers[1].rotationCredit = 4, 1, 100
@@ -17,7 +17,7 @@
 	}
 }
 
-// A server's weight is its size over its pace, with some belief that it is like the others.
+// A server's weight is its size over its pace, with a prior of the mean pace.
 func TestWeights(t *testing.T) {
 	l := selection{config: testConfig()}
 	for _, c := range []struct {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Which ends tell of a server's pace, and how much.
+// TestPace checks the effect of each outcome on a server's pace.
 func TestPace(t *testing.T) {
 	for _, c := range []struct {
 		outcome   Outcome
@@ -59,8 +59,7 @@
 	}
 }
 
-// Over many requests that end at once each server gets its weight's part; one that has its fair part in flight is left
-// out while others are not.
+// Each server gets requests in proportion to its weight. A server at its cap is left out while others are not.
 func TestRotationByWeight(t *testing.T) {
 	n := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
 	for i := range n.endpoints.servers {
@@ -76,12 +75,12 @@
 	n.endpoints.servers[2].inFlight = 2 // fair is 1.5
 	for range 10 {
 		if n.pick(r) == 2 {
-			t.Fatal("taken over its fair part")
+			t.Fatal("selected above its share")
 		}
 	}
 }
 
-// The passes take ever more servers: tried ones only after all others, ejected ones last.
+// Each pass accepts more servers: tried ones after all others, ejected ones last.
 func TestPasses(t *testing.T) {
 	n := plain(3, nil)
 	r := &request{attempts: []attempt{{server: 0}}}
--- a/internal/decision/settings_test.go
+++ b/internal/decision/settings_test.go
@@ -15,12 +15,12 @@
 }{
 	{"no nodes", nil, func(c *config) any { return c.nodes }, 1},
 	{"nodes below 0", Settings{settings.Nodes: "-3"}, func(c *config) any { return c.nodes }, 1},
-	{"a part of a node", Settings{settings.Nodes: "3.9"}, func(c *config) any { return c.nodes }, 3},
+	{"a fraction of a node", Settings{settings.Nodes: "3.9"}, func(c *config) any { return c.nodes }, 3},
 	{"nodes in words", Settings{settings.Nodes: "three"}, func(c *config) any { return c.nodes }, 1},
 	{"nodes that are no number", Settings{settings.Nodes: "NaN"}, func(c *config) any { return c.nodes }, 1},
 	{"node below 0", Settings{settings.Node: "-3"}, func(c *config) any { return c.self }, NodeID(-3)},
 	{"no attempts", Settings{settings.MaxAttempts: "0"}, func(c *config) any { return c.maxAttempts }, 1},
-	{"a part of an attempt", Settings{settings.MaxAttempts: "2.9"}, func(c *config) any { return c.maxAttempts }, 2},
+	{"a fraction of an attempt", Settings{settings.MaxAttempts: "2.9"}, func(c *config) any { return c.maxAttempts }, 2},
 	{"a tick below 0", Settings{settings.Tick: "-7.9"}, func(c *config) any { return c.tick }, Time(-7)},
 	{"on in capitals", Settings{settings.Peers: "TRUE"}, func(c *config) any { return c.peers }, false},
 	{"on", Settings{settings.Peers: settings.On}, func(c *config) any { return c.peers }, true},
@@ -66,7 +66,7 @@
 	{"the owners' timeout", Settings{settings.ClassKey(0, settings.ClassLatencyObjective): "6000"}, func(c *config) any { return c.ownerTimeout }, Time(1200)},
 }
 
-// What is missing, malformed, odd or negative reads as it always did: nothing is refused.
+// Missing, malformed, odd and negative settings are read without an error.
 func TestParseSettings(t *testing.T) {
 	for _, c := range settingsCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/settings"
 )
 
-// shadowedRun plays 400 requests of one customer, of which some fail, and tells what was decided.
+// shadowedRun runs 400 requests of one customer, of which some fail, and returns the decisions.
 func shadowedRun(own, other Settings) (did []Decision, n *Engine) {
 	n = plain(6, own)
 	if other != nil {
@@ -37,7 +37,7 @@
 	return did, n
 }
 
-// A watch counts none where settings are equal, a known difference by its kind, and never changes a decision.
+// Shadow evaluation counts no difference under equal settings, counts a known one by its kind, and changes no decision.
 func TestShadowCountsAndNeverActs(t *testing.T) {
 	want, _ := shadowedRun(nil, nil)
 	for _, c := range []struct {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Random days with a shadow on keep the rules and go as without it, whatever it watches.
-func TestShadowedDaysGoAsOthers(t *testing.T) {
+// Random days with shadow evaluation keep the rules and have the same decisions as without it.
+func TestShadowChangesNoDecision(t *testing.T) {
 	for seed := range int64(12) {
 		a, b := newHost(seed), newHost(seed)
 		other := maps.Clone(b.set)
@@ -95,8 +95,9 @@
 	}
 }
 
-// Over a wide fleet too, equal settings count none: the stores at an owner are charged for what it lets pass elsewhere.
-func TestShadowOverAWideFleet(t *testing.T) {
+// In a large fleet, equal settings count no difference: the buckets at an owner are charged for the requests that it
+// grants to others.
+func TestShadowWithQuotaOwners(t *testing.T) {
 	for _, other := range []Settings{
 		{}, {settings.PlanKey(0, settings.PlanRate): "1", settings.PlanKey(0, settings.PlanBurst): "3"},
 	} {
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -25,7 +25,7 @@
 	return e.slowStart.weight(&e.endpoints.servers[e.endpoints.slots.find(id)], e.now)
 }
 
-// A server that starts while this node follows the list is cold, and warm a span later, whatever the node's clock says.
+// A server that starts while this node receives lists is cold, and warm a span later, whatever this node's clock shows.
 func TestWarmingByAClockThatIsWrong(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second, 5 * Second, -5 * Second} {
 		e, now := newWarmingEngine(ahead)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A node that starts by a wrong clock knows by discovery's own which of the servers that run already are cold.
+// A node that starts with a wrong clock determines by discovery's clock which of the running servers are cold.
 func TestWarmingByDiscoverysClock(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second} {
 		e, now := newWarmingEngine(ahead)
@@ -66,7 +66,8 @@
 	}
 }
 
-// Lists that come late, as far as settings allow, are no sign of a wrong clock, nor is a server that is listed anew.
+// Lists that are late within the settings' limits don't count as a clock difference, nor does a server that is listed
+// again.
 func TestLateListsAreNoWrongClock(t *testing.T) {
 	e, now := newWarmingEngine(0)
 	e.SetTime(now + 60*Second)
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -9,9 +9,9 @@
 	"cherrygap/internal/settings"
 )
 
-// Hundreds of nodes that start alike must not all send their first requests to the same servers, nor, hearing
-// of a start together, each its one attempt to the cold server at once.
-func TestManyNodesSpreadFirstSends(t *testing.T) {
+// Hundreds of nodes that start together must not send their first requests to the same servers, nor each send an
+// attempt to a cold server at once.
+func TestNodesSpreadFirstAttempts(t *testing.T) {
 	const nodes, span = 300, 20000
 	first := map[ServerID]bool{}
 	cold := 0
@@ -49,9 +49,9 @@
 	}
 }
 
-// Where each of many nodes meets a cold server seldom, all of them together must still give it most of what the
-// budget lets them, and no more: half of the servers replaced at once would else stand idle while the rest drown.
-func TestColdServersOfAWideFleetAreUsed(t *testing.T) {
+// Many nodes that each rarely use a cold server must together use most of its budget, and no more. Otherwise servers
+// that replace half of the fleet would be idle while the others are overloaded.
+func TestColdServersOfALargeFleetAreUsed(t *testing.T) {
 	const warm, cold, nodes = 10, 10, 60
 	r, sent, allowed := rand.New(rand.NewSource(3)), 0, 0.0
 	for range nodes {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Nodes that stood idle must not all have one attempt to spare for a cold server: not at its second start under
-// the same uid, and not after a pause within its cold span. The bound is N + 2√N + 2, N by the least that is assumed.
+// Idle nodes must not all have one attempt left for a cold server, neither at its second start nor after a pause while
+// it is cold. The bound is N + 2√N + 2, with N by the least assumed rate.
 func TestIdleNodesHoldNoCreditForColdServers(t *testing.T) {
 	const nodes = 30
 	sent := map[Time]int{}
@@ -148,8 +148,8 @@
 	}
 }
 
-// The budget of a span: 0.4 of three times what a warm server completes in 2 s, times the weight and the nodes that use it;
-// what counts drains at that rate, over a span at most.
+// The budget of a span is 0.4 of three times the completions of a warm server in 2 s, times the weight and the subset
+// ratio. The count drains at that rate, for one span at most.
 func TestSlowStartBudget(t *testing.T) {
 	l, now := slowStart{config: testConfig(), warmRate: 10}, 100*Second
 	s := &server{Endpoint: Endpoint{Started: now - 5*Second, Weight: 2}, inSubset: true}
@@ -188,7 +188,7 @@
 	}
 }
 
-// A warm server's rate is that of the best intervals, decaying slowly, by the servers that were warm then.
+// A warm server's rate is that of the best intervals, by the servers that were warm then. It decays slowly.
 func TestWarmRate(t *testing.T) {
 	l, rates := slowStart{}, []float64{}
 	for range 4 {
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -44,9 +44,8 @@
 	return load[len(load)-1] / mean, load[len(load)*99/100] / mean, load[0] / mean
 }
 
-// At any size each server is used by some nodes, and none by far more than its part: the 99th percentile is as even as
-// at 300 nodes and 200 servers, where nodes' traffic differs too. A shuffle that was dealt from more places than there are
-// nodes left four fifths of 13,000 servers without one at 830 nodes, nine tenths at 300, and others with 7 and 20 times their part.
+// At any size of the fleet, several nodes use each server, and none is used far more than its share. The 99th
+// percentile is as even as at 300 nodes and 200 servers.
 func TestLargeFleetsUseAllServersAlike(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, zones int
@@ -67,8 +66,8 @@
 	}
 }
 
-// Whatever fails at once, be it a zone, a region of six of twelve zones or every rack of a few, each node has
-// servers of all other zones left to use.
+// A zone, a region of six of twelve zones, or every rack of a few may fail at once. Each node still has servers of all
+// other zones.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
 	for name, lost := range map[string]func(s *server) bool{
@@ -100,9 +99,9 @@
 	}
 }
 
-// The first list gives the servers that a node goes on with: dealt for another number of servers, it would drop its
-// connections again a second later.
-func TestFirstListChoosesTheSubsetForGood(t *testing.T) {
+// The first list determines the subset. A node that chose for another number of servers would drop its connections a
+// second later.
+func TestFirstListDeterminesTheSubset(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
 		first := slices.Clone(n.endpoints.subset)
@@ -127,9 +126,9 @@
 	return n
 }
 
-// Of many nodes each uses a part of the servers, sized by its traffic; all servers get about alike, and one that
-// goes changes no more than one of a node's servers, or connections and what is known of servers would be lost.
-func TestWideFleetUsesSubsets(t *testing.T) {
+// In a large fleet, each node uses a subset sized by its traffic, and all servers are used about equally. A server that
+// leaves changes at most one server of a node's subset.
+func TestLargeFleetUsesSubsets(t *testing.T) {
 	const servers, nodes = 60, 80
 	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
 	for me := range nodes {
@@ -200,7 +199,7 @@
 		want        subsetChoice
 	}{
 		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, zonesMerged, 0, 9, 256}},
-		{"few nodes use all in view", 4, 3, 1000, false, 0, subsetChoice{0, zonesAlternating, 0.75, 1000, 2000}},
+		{"few nodes use all tracked servers", 4, 3, 1000, false, 0, subsetChoice{0, zonesAlternating, 0.75, 1000, 2000}},
 		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, zonesMerged, 9.0 / 16, 4, 256}},
 		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, zonesMerged, 9.0 / 16, 40, 256}},
 		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, zonesAlternating, 9.0 / 80, 400, 800}},
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// T is the lowest interval of the last 30, of 30 ends or more.
+// T is the lowest mean of the last 30 intervals with 30 completions or more.
 func TestThroughput(t *testing.T) {
 	tp := throughput{}
 	interval := func(attempts int, took Time, requests int) {
@@ -47,11 +47,11 @@
 	}
 	interval(29, 100, 0)
 	if tp.known() {
-		t.Error("T is ejected on 29 ends")
+		t.Error("T is known after 29 completions")
 	}
 	interval(1, 400, 31)
 	if tp.known() {
-		t.Error("T is ejected on fewer ends than are in flight")
+		t.Error("T is known after fewer completions than requests in flight")
 	}
 	interval(10, 110, 3)
 	if !tp.known() || tp.baseLatency != (29*100+400+10*110)/40.0 {
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// Nodes that discovery turned away together must not ask again together, nor ever faster than the span allows.
-func TestFailedCallsToDiscoverySpread(t *testing.T) {
+// Nodes whose polls fail together must not poll again together, nor more often than the span allows.
+func TestFailedPollsSpread(t *testing.T) {
 	span := 10 * Second
 	var first []Time
 	r := rand.New(rand.NewSource(1))
@@ -44,10 +44,10 @@
 	}
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls before: however
-// many failed, the next comes within 3 s, since a call without hope may take 2 s before it and its own answer 1 s; not
-// sooner than 1 s, as discovery may have too much to do. 200 nodes whose calls failed together ask again in no step.
-func TestDiscoveryIsPolledAgainWithinTheTerm(t *testing.T) {
+// A change must be known 6 s after discovery can be reached, however many polls have failed. The next poll is within 3
+// s, since a failing poll may take 2 s and the next response 1 s. It is not earlier than 1 s, and 200 nodes do not poll
+// in step.
+func TestDiscoveryIsPolledAgainWithinThreeSeconds(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
 		set := Settings{
@@ -66,7 +66,7 @@
 			if wait := now - asked; k > 0 && (wait < Second || wait > 3*Second+tick) {
 				t.Fatalf("seed %d: asked again %d after the %d. failure", seed, wait, k)
 			}
-			for range 1 + seed%2 { // a failure told twice is one
+			for range 1 + seed%2 { // a failure reported twice counts once
 				n.UpdateEndpoints(PollFailed, nil)
 			}
 		}
@@ -103,14 +103,14 @@
 	return asked
 }
 
-// Reports go out three times a second; to owners, whenever time went on.
+// Reports are sent three times a second. To owners they are sent whenever time has passed.
 func TestReportTimes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*config)
 		due    []Time
 	}{
-		{"all hear all", func(*config) {}, []Time{3333, 6666, 9999}},
+		{"all report to all", func(*config) {}, []Time{3333, 6666, 9999}},
 		{"owners", func(c *config) { c.owners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
 		{"one node", func(c *config) { c.nodes = 1 }, nil},
 		{"no peers", func(c *config) { c.peers = false }, nil},
@@ -130,7 +130,7 @@
 	}
 }
 
-// The checks of attempts come 30 times in the shortest objective, but not more often than the tick.
+// Attempt checks take place 30 times in the shortest objective, but not more often than the tick.
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
 		timers := newTimers(Second, &config{})
@@ -146,7 +146,7 @@
 	}
 }
 
-// A poll is under way until it failed, and never starts where none is asked for.
+// A poll is in flight until it fails. Without the setting there is none.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
 	never, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
