--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -107,7 +107,7 @@
 			set[name] = v
 		}
 		set["node"] = strconv.Itoa(id)
-		n := New(uint64(seed)<<32|uint64(id*7919+1), set, p.now)
+		n := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
 		n.SetTime(p.now)
 		n.UpdateEndpoints(setup.firstList, p.listings(p.servers...))
 		if setup.shadow != nil {
@@ -118,7 +118,7 @@
 			for name, v := range setup.shadow {
 				other[name] = v
 			}
-			n.StartShadow(other)
+			n.StartShadow(other.parse())
 		}
 		p.nodes, p.open = append(p.nodes, n), append(p.open, map[RequestID]*simulatedRequest{})
 		p.pull(k)
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 	"slices"
+
+	"cherrygap/internal/settings"
 )
 
 // shadow evaluates other settings and counts the decisions that would differ under them. It has no effect on the node.
@@ -33,9 +35,9 @@
 
 // StartShadow starts the evaluation of other settings. They must have the same classes and plans in the same order. Each
 // decision then takes a copy of the engine's state.
-func (e *Engine) StartShadow(set Settings) {
+func (e *Engine) StartShadow(set *settings.Settings) {
 	e.shadow = &shadow{
-		config: parseSettings(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
+		config: newConfig(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
 	}
 }
 
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -105,7 +105,7 @@
 func TestDisconnectDuringADial(t *testing.T) {
 	limits := frontendtest.Limits
 	limits.ConnectTimeout = 3 * time.Second
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: map[string]string{settings.CancelAttempts: "false"}, Retries: settings.RetrySafe, Limits: limits})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: "false"}, Retries: settings.RetrySafe, Limits: limits})
 	addr, empty := nettest.FullServer(t)
 	node.ListOnly(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
 	conn := node.Dial(t)
@@ -129,7 +129,7 @@
 // Clients that disconnect while their requests wait for the verdict of their customer's quota owner, a node that does not
 // answer: what would be admitted by the even share once that wait is over is not forwarded.
 func TestDisconnectWhileTheQuotaOwnerIsAsked(t *testing.T) {
-	wide := map[string]string{
+	wide := settings.Values{
 		settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 	}
 	node := frontendtest.StartWith(t, frontendtest.Config{Settings: wide, Retries: settings.RetrySafe, Limits: frontendtest.Limits, Servers: 4, Serve: frontendtest.Echo})
@@ -196,7 +196,7 @@
 			Method: "POST", URI: "/seats/0000000000000005", Host: "a", ID: fmt.Sprint("left", i), Class: "seats",
 			Plan: "team", Customer: 5, Units: 1, Spread: 1, Timeout: time.Second,
 		}
-		if response, owed := handler.Handle(&request, time.Now()); owed {
+		if response, ok := handler.Handle(&request, time.Now()); ok {
 			t.Errorf("answered %d", response.Status)
 		}
 	}
