--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -2,72 +2,74 @@
 
 import "cherrygap/internal/settings"
 
-// retrySafety is how often a request may run.
+// retrySafety is the rule for repeating a request of a class.
 type retrySafety uint8
 
 const (
-	retrySafe  retrySafety = iota // idempotent
-	retryKeyed                    // idempotent within a key group and window
-	retryNever
+	retrySafe  retrySafety = iota // idempotent: may run any number of times
+	retryKeyed                    // idempotent at servers that know its idempotency key
+	retryNever                    // must run once at most
 )
 
-// keyGroup is the set of servers that share idempotency keys.
+// keyGroup names the servers that share idempotency keys.
 type keyGroup uint8
 
 const (
 	groupOther keyGroup = iota // unknown: attempts may go anywhere, and a rejection is not harmless
-	groupAll
-	groupZone
-	groupCell
+	groupAll                   // all servers
+	groupZone                  // the servers of a zone
+	groupCell                  // the servers of a cell
 )
 
-// config is the settings of one node as the engine uses them. It does not change.
+// config holds the settings of one node as the engine uses them. It is not modified after newConfig.
 type config struct {
 	self           NodeID
 	nodes          int  // size of the fleet, at least 1
-	tick           Time // greatest delay of a timer or of the end of an attempt
+	tick           Time // longest delay of a timer, or of the notification that an attempt has ended
 	connectTimeout Time
-	maxAttempts    int  // of a request, at least 1
+	maxAttempts    int  // maximum number of attempts of a request, at least 1
 	cancel         bool // attempts may be cancelled
-	idleTimeout    Time // of a connection to a server
+	idleTimeout    Time // idle time after which a connection to a server is closed
 
 	slowStartSpan    Time    // time after its start at which a server is warm
 	slowStartShare   float64 // share of its capacity that a server has at its start
-	recoveryMultiple float64 // greatest load of a warming server within recoverySpan, relative to its capacity
-	recoverySpan     Time
+	recoveryMultiple float64 // load limit of a warming server within recoverySpan, as a multiple of its capacity
+	recoverySpan     Time    // time over which recoveryMultiple applies
 
 	peers    bool    // nodes send each other messages
-	peerRate float64 // messages a second that a node receives
+	peerRate float64 // maximum number of messages a second that a node receives
 
 	retryAfter    bool // rejections carry a Retry-After
-	maxRetryAfter Time
+	maxRetryAfter Time // longest Retry-After
 
-	pollEndpoints bool    // the node polls for endpoint lists
-	pollWithin    float64 // time to the next poll, at most, in units of Time
+	pollEndpoints bool    // the node polls discovery; otherwise discovery pushes its lists
+	pollWithin    float64 // longest time to the next poll, in units of Time
 
 	classes           []classConfig // by ClassID, at least one
 	plans             []quotaPlan   // by PlanID, at least one
-	shortestObjective Time          // of all classes
-	owners            bool          // customers have quota owners: the nodes are too many for all to message all
-	ownerTimeout      Time          // wait of a request for its quota owner, at most
+	shortestObjective Time          // shortest latency objective of all classes, at least 1
+	owners            bool          // customers have quota owners: the nodes are too many for all to report to all
+	ownerTimeout      Time          // longest wait of a request for its quota owner's response
 }
 
-// classConfig is the settings of one request class.
+// classConfig holds the settings of one request class.
 type classConfig struct {
-	latencyObjective Time
-	keyWindow        Time // time for which a server knows an idempotency key
+	latencyObjective Time // at least 1
+	keyWindow        Time // time after an attempt for which servers know its idempotency key
 	retrySafety      retrySafety
 	keyGroup         keyGroup
 }
 
-// quotaPlan is the settings of one quota plan. Rates are units a second.
+// quotaPlan holds the settings of one quota plan.
 type quotaPlan struct {
-	rate, burst               float64
-	maxInFlight               int // 0: no limit
-	ceilingRate, ceilingBurst float64
+	rate         float64 // units a second; 0 or less: no limit
+	burst        float64 // units
+	maxInFlight  int     // attempts; 0: no limit
+	ceilingRate  float64 // hard ceiling, in units a second
+	ceilingBurst float64 // hard ceiling, in units
 }
 
-// noCeiling reports whether the plan has no hard ceiling. A ceiling that is not a number lets nothing pass.
+// noCeiling reports whether the plan has no hard ceiling. A ceiling that is not a number rejects every request.
 func (p *quotaPlan) noCeiling() bool { return p.ceilingRate <= 0 && p.ceilingBurst <= 0 }
 
 // newConfig returns the node's settings as the engine uses them. A setting that is missing or malformed is 0 or off.
@@ -109,7 +111,7 @@
 // timeOf returns a duration of the settings as engine time: both have the same unit.
 func timeOf(d settings.Duration) Time { return Time(d.TruncatedUnits()) }
 
-// newClassConfig returns the settings of a request class. A class of unknown retry safety never runs twice.
+// newClassConfig returns the settings of a request class. Requests of an unknown retry safety run once at most.
 func newClassConfig(class settings.Class) classConfig {
 	c := classConfig{
 		latencyObjective: max(timeOf(class.LatencyObjective), 1),
@@ -133,7 +135,7 @@
 	return c
 }
 
-// newQuotaPlan returns the settings of a tenant plan.
+// newQuotaPlan returns the settings of a quota plan.
 func newQuotaPlan(plan settings.Plan) quotaPlan {
 	return quotaPlan{
 		rate:         plan.Rate.Float(),
--- a/internal/decision/settings_test.go
+++ b/internal/decision/settings_test.go
@@ -25,7 +25,7 @@
 	{"on in capitals", Settings{settings.Peers: "TRUE"}, func(c *config) any { return c.peers }, false},
 	{"on", Settings{settings.Peers: settings.On}, func(c *config) any { return c.peers }, true},
 	{"on by a number", Settings{settings.CancelAttempts: "1"}, func(c *config) any { return c.cancel }, false},
-	{"lists asked for", Settings{settings.EndpointList: settings.EndpointListPoll}, func(c *config) any { return c.pollEndpoints }, true},
+	{"lists polled", Settings{settings.EndpointList: settings.EndpointListPoll}, func(c *config) any { return c.pollEndpoints }, true},
 	{"lists pushed", Settings{settings.EndpointList: settings.EndpointListPush}, func(c *config) any { return c.pollEndpoints }, false},
 	{"no classes", nil, func(c *config) any { return len(c.classes) }, 1},
 	{"classes below 0", Settings{settings.ClassCount: "-2"}, func(c *config) any { return len(c.classes) }, 1},
--- a/internal/decision/settings_reference_test.go
+++ b/internal/decision/settingsreference_test.go
@@ -82,7 +82,7 @@
 	return out
 }
 
-// oddTexts are what a setting may hold besides what it should.
+// oddTexts are texts that a setting may have, valid or not.
 var oddTexts = []string{
 	"", "0", "1", "3", "-3", "+7", "2.7", "-2.7", ".5", "5.", "1e3", "1E-3", "0x10", "0x1p4", "1_000", "1,5", " 4", "4 ", "4s",
 	"x", "true", "True", "TRUE", "false", " true", "1e400", "-1e400", "1e300", "Inf", "-inf", "NaN", "12345678901234567890", "007",
