--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,46 +13,55 @@
 	"cherrygap/internal/protocol"
 )
 
-// callTarget is where to call discovery, and what to ask for: a copy of the client's, which may have moved on when a
-// racer's call ends.
+// query is the parameters of one call.
+type query struct {
+	full     bool          // the full list; otherwise changes since revision
+	revision uint64        // ignored if full
+	hold     time.Duration // how long discovery may hold the call without a change
+}
+
+// callTarget is the address and first query of a new connection. It is a copy of the Client's fields, which may change
+// before a racer's call ends.
 type callTarget struct {
 	addr     string
-	revision uint64
-	full     bool
+	query    query
 	limits   netio.Limits
 	log      *zerolog.Logger
 	counters *Counters
 }
 
-// callResult is what came of one call.
+// callResult is the result of one call.
 type callResult struct {
-	conn    *discoveryConn
+	conn    *connection
 	list    protocol.EndpointList
-	last    bool // the connection ends with it
+	last    bool // discovery closes the connection after this response
 	err     error
-	patient bool        // of the one racer that waits long
-	keep    func() bool // keeps the connection open past the first call's context; false where that has ended it
+	patient bool        // of the racer with pollTimeout
+	keep    func() bool // detaches the connection from the context of its first call; false if the context has ended
 }
 
-// firstCall opens a connection and makes its first call, both within a timeout and until ctx ends. Where received is set
-// the bytes of the answer are added to it, and an answer that goes on coming in has more time.
-func (t callTarget) firstCall(ctx context.Context, hold, timeout time.Duration, received *atomic.Int64) callResult {
+// firstCall opens a connection and makes its first call, within a timeout and until ctx ends. If received is not nil, the
+// response's bytes are added to it, and a response that makes progress gets more time (progressConn).
+func (t callTarget) firstCall(ctx context.Context, timeout time.Duration, received *atomic.Int64) callResult {
 	deadline := time.Now().Add(timeout)
-	conn, err := t.dial(ctx, deadline)
+	dialled, err := t.dial(ctx, deadline)
 	if err != nil {
 		return callResult{err: err}
 	}
-	c := &discoveryConn{
-		conn: conn, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
-		in: netio.NewRingBuffer(conn, conn, t.limits.BufferSize()), out: netio.NewRingBuffer(conn, conn, netio.MinBuffer),
+	c := &connection{
+		conn: dialled, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
+		in:  netio.NewRingBuffer(dialled, dialled, t.limits.BufferSize()),
+		out: netio.NewRingBuffer(dialled, dialled, netio.MinBuffer),
 	}
 	if received != nil {
-		c.in.Stream = &progressConn{Conn: conn, received: received, deadline: deadline, lastDeadline: deadline.Add(pollTimeout - timeout)}
+		c.in.Stream = &progressConn{
+			Conn: dialled, received: received, deadline: deadline, lastDeadline: deadline.Add(pollTimeout - timeout),
+		}
 	}
 	c.parser = bufio.NewReaderSize(&c.in, netio.ParserBuffer)
-	keep := context.AfterFunc(ctx, func() { netio.CloseConn(conn) })
-	result := c.call(t.full, t.revision, hold, time.Until(deadline))
-	c.in.Stream = conn // progressConn's time is over
+	keep := context.AfterFunc(ctx, func() { netio.CloseConn(dialled) })
+	result := c.call(t.query, time.Until(deadline))
+	c.in.Stream = dialled // later calls have a fixed timeout
 	if result.keep = keep; result.err != nil {
 		keep()
 		c.close()
@@ -60,14 +69,15 @@
 	return result
 }
 
-// dial connects to discovery, again and again until a deadline while this machine lacks what it takes: where the node polls,
-// the next call is seconds away.
+// dial connects to discovery. On resource exhaustion of this machine it retries until the deadline, because in poll mode the
+// next call is seconds away.
 func (t callTarget) dial(ctx context.Context, deadline time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: max(t.limits.ConnectTimeout, minConnectTimeout), Deadline: deadline, KeepAlive: -1}
 	for {
-		conn, err := dialer.DialContext(ctx, "tcp", t.addr)
-		if err == nil || !netio.IsResourceExhaustion(err) && !netio.IsUnroutable(err) || time.Now().Add(netio.ErrorPause).After(deadline) {
-			return conn, err
+		dialled, err := dialer.DialContext(ctx, "tcp", t.addr)
+		transient := netio.IsResourceExhaustion(err) || netio.IsUnroutable(err)
+		if !transient || time.Now().Add(netio.ErrorPause).After(deadline) {
+			return dialled, err
 		}
 		select {
 		case <-ctx.Done():
@@ -77,63 +87,61 @@
 	}
 }
 
-// progressConn is a racer's connection during its first call. An answer that goes on coming in has raceInterval more for
-// each raceProgress bytes, up to the time that a call has in any case.
+// progressConn is a racer's connection during its first call. For each raceProgress bytes that arrive it extends the read
+// deadline by raceInterval, up to lastDeadline.
 type progressConn struct {
 	net.Conn
-	received               *atomic.Int64
+	received               *atomic.Int64 // bytes of all racers
 	deadline, lastDeadline time.Time
-	progress               int // bytes since the deadline was last put off
+	progress               int // bytes since the last extension
 }
 
 func (c *progressConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(int64(n))
 	if c.progress += n; c.progress >= raceProgress && c.deadline.Before(c.lastDeadline) {
-		c.deadline, c.progress = c.deadline.Add(raceInterval), c.progress-raceProgress
-		if c.deadline.After(c.lastDeadline) {
-			c.deadline = c.lastDeadline
-		}
+		c.progress -= raceProgress
+		c.deadline = netio.Earlier(c.deadline.Add(raceInterval), c.lastDeadline)
 		netio.SetReadDeadline(c.Conn, c.deadline)
 	}
 	return n, err
 }
 
-// discoveryConn is one connection to discovery.
-type discoveryConn struct {
+// connection is one connection to discovery. It belongs to one goroutine.
+type connection struct {
 	conn     net.Conn
 	addr     string
 	log      *zerolog.Logger
 	counters *Counters
 	in, out  netio.RingBuffer
-	parser   *bufio.Reader // over in
+	parser   *bufio.Reader // reads in
 	openedAt time.Time
 	calls    int
 }
 
-// call asks for what is newer than a revision, or for everything, and waits for so long at most.
-func (c *discoveryConn) call(full bool, revision uint64, hold, timeout time.Duration) callResult {
+// call makes one call and waits for the response, at most for a timeout.
+func (c *connection) call(q query, timeout time.Duration) callResult {
 	result := callResult{conn: c}
-	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, full, revision, hold))
+	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, q.full, q.revision, q.hold))
 	netio.SetDeadline(c.conn, time.Now().Add(timeout))
 	if result.err = c.out.Flush(); result.err != nil {
 		return result
 	}
-	c.in.DeadlineSet = true // the one above
+	c.in.DeadlineSet = true // by SetDeadline
 	c.in.Allow(protocol.MaxListBytes)
 	c.calls++
-	if result.list, result.last, result.err = protocol.ReadEndpointList(c.parser); result.err == nil { // also where its end is the connection's
-		return result
-	}
-	if c.in.Err != nil {
+	result.list, result.last, result.err = protocol.ReadEndpointList(c.parser)
+	switch {
+	case result.err == nil: // even if the connection ended with the list
+	case c.in.Err != nil:
 		result.err = c.in.Err
-	} else {
+	default:
 		c.counters.MalformedLists.Add(1)
 	}
 	return result
 }
 
-func (c *discoveryConn) close() {
+func (c *connection) close() {
 	netio.CloseConn(c.conn)
 	netio.LogClose(c.log, netio.SideDiscovery, c.addr, netio.ReasonDiscoveryClosed, c.openedAt, c.calls)
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,48 +14,55 @@
 
 // Times of calls to discovery.
 const (
-	pollHold           = time.Second             // a call waits so long for news: one that is lost leaves the node without for as long
-	pollGrace          = 1300 * time.Millisecond // and its answer may be so much later: discovery may reject a call 2 s after it came, or answer then
-	pollTimeout        = pollHold + pollGrace    // then it is given up: this, the engine's poll interval and the next call's answer stay under 6 s
+	// pollHold is how long discovery holds a call without a change. A lost call delays changes by as much.
+	pollHold = time.Second
+	// pollGrace is how much later the response may come: discovery may shed a call, or answer it, 2 s after it arrived.
+	pollGrace = 1300 * time.Millisecond
+	// pollTimeout bounds a call. Together with the engine's poll interval and the next call it stays under 6 s.
+	pollTimeout = pollHold + pollGrace
+
 	minConnectTimeout  = time.Second
-	failureLogInterval = time.Second           // between two log lines on calls that fail, while connections race
-	reconnectPause     = 50 * time.Millisecond // between the begins of two connections, however soon they end
+	failureLogInterval = time.Second           // between two log lines of failed calls during one race
+	reconnectInterval  = 50 * time.Millisecond // between the starts of two connections, at least
 )
 
-// errDiscoveryClosed is that discovery answered and closed the connection in good order.
-var errDiscoveryClosed = errors.New("discovery closed the connection")
+// errConnectionClosed is the end of a connection that discovery closed after a response, with Connection: close.
+var errConnectionClosed = errors.New("discovery closed the connection")
 
-// Client follows discovery over one connection at a time. While it is silent the last list stays.
+// Client follows discovery over one connection at a time. While discovery does not answer, the last endpoint list stays in
+// use.
+//
+// In watch mode the node must apply a change as soon as discovery's agent has it: a server that drains may get no new
+// request after a grace period of 250 to 500 ms. Calls that were made while discovery was down may never be answered. So
+// until a call is answered the Client races connections (connRace): it opens another one each raceInterval.
 //
-// Where lists are pushed, what discovery's agent on this machine has counts as known whether or not a call is open, and
-// a server that it says is draining must get nothing new a grace of 250 to 500 ms later. So while no call is known to
-// be answered the client races connections (connRace): a new one each raceInterval, whatever became of those before, as a
-// call that came while discovery was down may never be answered. It could harm a discovery that is no agent: where
-// the node has to poll for lists (PollRequests) the client makes one call at a time, when the engine says so.
+// In poll mode, with PollRequests, the Client makes one call at a time when the engine requests it. Trade-off: a discovery
+// that is not a local agent would suffer from races of a whole fleet, so deployments with one use this mode.
 //
-// The exported fields are set before Run, which then owns Addr, Revision and Full; it calls OnList and OnFailure.
+// The exported fields are set before Run, which then owns Addr, Revision and Full and calls OnList and OnFailure. SwitchTo
+// and Stop may be called by any goroutine.
 type Client struct {
 	Addr     string
-	Revision uint64 // that is known
-	Full     bool   // none is: ask for everything
+	Revision uint64 // of the known endpoint list
+	Full     bool   // no list is known: the next call asks for the full list
 	Limits   netio.Limits
 	Log      *zerolog.Logger
 	Counters *Counters
 
 	OnList       func(*protocol.EndpointList)
-	OnFailure    func()          // a call failed; may be nil
-	PollRequests <-chan struct{} // where set, each run of calls waits for one
+	OnFailure    func()          // called after a failed call; may be nil
+	PollRequests <-chan struct{} // nil: watch mode; otherwise each series of calls waits for an element
 
-	closedInOrder bool // the last connection, by a discovery that had answered
+	closedInOrder bool // discovery closed the last connection after a response
 
-	mu      sync.Mutex // guards all below
-	newAddr string     // to switch to, or ""
-	cancel  context.CancelFunc
+	mu      sync.Mutex         // guards all below
+	newAddr string             // address to switch to, or ""
+	cancel  context.CancelFunc // cancels the current series of calls; nil before the first
 	stopped bool
 }
 
-// SwitchTo makes the client follow discovery at another address from now on. There it asks for the full list: what
-// one address sent last need not be what the other counts from.
+// SwitchTo makes the client follow discovery at another address. It first asks for the full list, because revisions of one
+// address may mean nothing at another.
 func (d *Client) SwitchTo(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,50 +82,75 @@
 	}
 }
 
-// begin readies a run of calls, which ends with the context. It reports whether the address has changed since the last
-// run: then nothing was missed, and the run goes on there at once.
-func (d *Client) begin() (ctx context.Context, cancel context.CancelFunc, switched, goOn bool) {
+// seriesStart is the state of the client at the start of a series of calls. A series starts with a connection and ends
+// with a failure, SwitchTo or Stop.
+type seriesStart struct {
+	switched bool // the series is the first at its address
+	stopped  bool // Stop was called: no calls may be made
+}
+
+// begin starts a series of calls, which SwitchTo and Stop end by cancel.
+func (d *Client) begin(cancel context.CancelFunc) seriesStart {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ctx, cancel = context.WithCancel(context.Background())
 	d.cancel = cancel
-	if switched = d.newAddr != ""; switched {
+	start := seriesStart{switched: d.newAddr != "", stopped: d.stopped}
+	if start.switched {
 		d.Addr, d.Full, d.newAddr = d.newAddr, true, ""
 	}
-	return ctx, cancel, switched, !d.stopped
+	return start
 }
 
 // Run follows discovery on the caller's goroutine until Stop.
 func (d *Client) Run() {
-	for atOnce := false; ; {
-		ctx, cancel, switched, goOn := d.begin()
-		if !goOn {
+	for immediately := false; ; {
+		ctx, cancel := context.WithCancel(context.Background())
+		start := d.begin(cancel)
+		if start.stopped {
 			cancel()
 			return
 		}
-		if d.PollRequests != nil && !switched && !atOnce {
-			select {
-			case <-d.PollRequests:
-			case <-ctx.Done():
-			}
-		}
-		startedAt := time.Now()
-		err := d.follow(ctx)
-		if atOnce = d.forgetRevision(err); ctx.Err() == nil && !atOnce {
-			d.reportFailure(err)
-			// Where the node polls, the engine paces it.
-			if pause := reconnectPause - time.Since(startedAt); d.PollRequests == nil && pause > 0 {
-				select {
-				case <-time.After(pause):
-				case <-ctx.Done():
-				}
-			}
+		if !immediately && !start.switched {
+			d.awaitPollRequest(ctx)
 		}
+		immediately = d.runSeries(ctx)
 		cancel()
 	}
 }
 
-// reportFailure tells of a call that failed.
+// awaitPollRequest waits for the engine's request for a call in poll mode, or for the end of ctx.
+func (d *Client) awaitPollRequest(ctx context.Context) {
+	if d.PollRequests == nil {
+		return
+	}
+	select {
+	case <-d.PollRequests:
+	case <-ctx.Done():
+	}
+}
+
+// runSeries makes one series of calls. It reports whether the next one should start immediately, for the full list. In
+// watch mode it otherwise returns reconnectInterval after its start or later; in poll mode the engine sets the pace.
+func (d *Client) runSeries(ctx context.Context) (immediately bool) {
+	startedAt := time.Now()
+	err := d.follow(ctx)
+	if d.forgetRevision(err) {
+		return true
+	}
+	if ctx.Err() != nil {
+		return false
+	}
+	d.reportFailure(err)
+	if pause := reconnectInterval - time.Since(startedAt); d.PollRequests == nil && pause > 0 {
+		select {
+		case <-time.After(pause):
+		case <-ctx.Done():
+		}
+	}
+	return false
+}
+
+// reportFailure logs a failed call and calls OnFailure.
 func (d *Client) reportFailure(err error) {
 	if d.OnFailure != nil {
 		d.OnFailure()
@@ -126,59 +158,70 @@
 	d.Log.Warn().Err(err).Msg("discovery call failed")
 }
 
-// follow makes one call after another, each as soon as the last is answered, until one fails.
+// follow makes calls on one connection, each immediately after the last response, until one fails or ctx ends. It always
+// returns an error.
 func (d *Client) follow(ctx context.Context) error {
-	var result callResult
-	switch {
-	case d.PollRequests != nil: // a first call that is held shows nothing of a discovery that counts anew before the hold is over
-		result = d.target().firstCall(ctx, raceHold, pollTimeout, nil)
-	case d.closedInOrder: // discovery closes after each answer, perhaps: the hold keeps it from being asked without a pause
-		result = d.target().firstCall(ctx, pollHold, pollTimeout, nil)
-	default:
-		result = d.race(ctx)
-	}
-	if d.closedInOrder = false; result.err != nil {
+	result := d.connect(ctx)
+	d.closedInOrder = false
+	if result.err != nil {
 		return result.err
 	}
 	conn := result.conn
 	defer context.AfterFunc(ctx, func() { netio.CloseConn(conn.conn) })()
 	defer conn.close()
 	for {
-		fullNext := d.takeList(&result.list)
+		fullNext := d.applyList(&result.list)
 		if result.last {
 			d.closedInOrder = true
-			return errDiscoveryClosed
+			return errConnectionClosed
 		}
-		if result = conn.call(fullNext, d.Revision, pollHold, pollTimeout); result.err != nil {
+		result = conn.call(query{full: fullNext, revision: d.Revision, hold: pollHold}, pollTimeout)
+		if result.err != nil {
 			d.forgetRevision(result.err)
 			return result.err
 		}
 	}
 }
 
-// takeList takes over an answer, and reports whether the next call has to ask for everything. A revision that goes back
-// is of a discovery which counts anew, as one that was restarted or stands in for another: changes since a revision that
-// it never had are not to be had.
-func (d *Client) takeList(list *protocol.EndpointList) (fullNext bool) {
+// connect opens a connection and returns the result of its first call.
+func (d *Client) connect(ctx context.Context) callResult {
+	switch {
+	case d.PollRequests != nil:
+		// A short hold shows at once whether discovery's revision has gone back.
+		return d.target(raceHold).firstCall(ctx, pollTimeout, nil)
+	case d.closedInOrder:
+		// Discovery may close after each response; the hold keeps the client from calling without a pause.
+		return d.target(pollHold).firstCall(ctx, pollTimeout, nil)
+	}
+	return d.race(ctx)
+}
+
+// applyList applies a response, and reports whether the next call must ask for the full list. That is so after a revision
+// that is lower than the known one: discovery was restarted or replaced, and has no changes since a revision of its
+// predecessor.
+func (d *Client) applyList(list *protocol.EndpointList) (fullNext bool) {
 	d.Counters.EndpointLists.Add(1)
-	back := !d.Full && !list.Full && list.Revision < d.Revision
-	d.Revision, d.Full = list.Revision, back
+	wentBack := !d.Full && !list.Full && list.Revision < d.Revision
+	d.Revision, d.Full = list.Revision, wentBack
 	if list.Full || len(list.Endpoints) > 0 {
-		taken := *list
-		d.OnList(&taken)
+		applied := *list
+		d.OnList(&applied)
 	}
-	return back
+	return wentBack
 }
 
-// forgetRevision gives up the revision that is known where discovery rejects the call itself, and reports whether it did:
-// asked for what is newer than a revision that it never had, discovery may reject each call, and the node never learn of a change.
+// forgetRevision drops the known revision if discovery refused the call, and reports whether it did. Discovery may refuse
+// every call that asks for changes since a revision that it never had.
 func (d *Client) forgetRevision(err error) bool {
 	forgotten := !d.Full && errors.Is(err, protocol.ErrCallRejected)
 	d.Full = d.Full || forgotten
 	return forgotten
 }
 
-// target is where to call, and what to ask for, as of now.
-func (d *Client) target() callTarget {
-	return callTarget{addr: d.Addr, revision: d.Revision, full: d.Full, limits: d.Limits, log: d.Log, counters: d.Counters}
+// target returns the address and query of a new connection.
+func (d *Client) target(hold time.Duration) callTarget {
+	return callTarget{
+		addr: d.Addr, query: query{full: d.Full, revision: d.Revision, hold: hold},
+		limits: d.Limits, log: d.Log, counters: d.Counters,
+	}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,3 +1,3 @@
-// Package discovery follows the endpoint list that the platform's discovery service, or its agent on this machine, serves
-// by long polling.
+// Package discovery follows the endpoint list of the platform's discovery service, or of its agent on this machine, by long
+// polling.
 package discovery
--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -8,32 +8,37 @@
 	"cherrygap/internal/netio"
 )
 
-// A race of connections to discovery: the first call on each is answered at once, or another is tried beside it.
+// Parameters of a race of connections.
 const (
-	raceHold     = time.Millisecond        // that the first call on a connection is held at most
-	raceInterval = 80 * time.Millisecond   // between two connections, as no drain's grace is over by then
-	maxRacers    = netio.MaxDiscoveryConns // connections at once: none but these and one that was answered is open
-	raceTimeout  = 3 * raceInterval        // of each; but for one, should discovery be slow,
-	raceProgress = 64 << 10                // and while so many bytes of answers come in between two: a long list takes its time
+	// raceHold is the hold of the first call on a racing connection: a working discovery answers it at once.
+	raceHold = time.Millisecond
+	// raceInterval is the time between the starts of two connections. It is well below the shortest drain grace period.
+	raceInterval = 80 * time.Millisecond
+	// maxRacers bounds the connections of a race that are open at once.
+	maxRacers = netio.MaxDiscoveryConns
+	// raceTimeout bounds each connection's first call, except for one with pollTimeout, in case discovery is slow.
+	raceTimeout = 3 * raceInterval
+	// raceProgress is how many bytes of responses must arrive in raceInterval for calls to get more time.
+	raceProgress = 64 << 10
 )
 
-// connRace opens connections one after another until the first call on one of them is answered. It belongs to the
-// goroutine of Client.Run, but for results and received, which the racers' goroutines write to.
+// connRace opens connections one after another until the first call on one of them is answered. It belongs to the goroutine
+// of Client.Run. The racers' goroutines use only results and received.
 type connRace struct {
 	client   *Client
 	results  chan callResult
-	received atomic.Int64 // bytes of answers, on all connections
+	received atomic.Int64 // bytes of responses on all connections
 
-	racers      int   // that are out
-	patient     bool  // one of them has pollTimeout
-	seen        int64 // received, when the last was started
-	lastFailure time.Time
+	racers          int   // first calls in flight
+	hasPatient      bool  // one of them has pollTimeout
+	receivedAtStart int64 // received when the last racer was due
+	lastFailure     time.Time
 }
 
-// race returns the first answer of several connections.
+// race returns the first successful first call of several connections, or the error of ctx.
 func (d *Client) race(ctx context.Context) callResult {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends those that lost
+	defer cancel() // ends the other racers
 	r := &connRace{client: d, results: make(chan callResult), lastFailure: time.Now()}
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -45,30 +50,30 @@
 			next.Reset(raceInterval)
 			r.start(ctx)
 		case result := <-r.results:
-			if r.ended(result) {
+			if r.finish(result) {
 				return result
 			}
 		}
 	}
 }
 
-// start starts one more racer, on a goroutine that ends with its call or with ctx.
+// start starts one more racer, on a goroutine that ends with its call or with ctx. It starts none while a response makes
+// progress: several long lists parsed side by side on one core would all time out.
 func (r *connRace) start(ctx context.Context) {
-	// Several that take in and parse a long list beside each other on one core would all be late, and each given up.
 	received := r.received.Load()
-	progress := received-r.seen >= raceProgress
-	r.seen = received
+	progress := received-r.receivedAtStart >= raceProgress
+	r.receivedAtStart = received
 	if r.racers >= maxRacers || progress {
 		return
 	}
 	r.racers++
-	timeout, patient := raceTimeout, !r.patient
+	timeout, patient := raceTimeout, !r.hasPatient
 	if patient {
-		timeout, r.patient = pollTimeout, true
+		timeout, r.hasPatient = pollTimeout, true
 	}
-	target := r.client.target()
+	target := r.client.target(raceHold)
 	go func() {
-		result := target.firstCall(ctx, raceHold, timeout, &r.received)
+		result := target.firstCall(ctx, timeout, &r.received)
 		result.patient = patient
 		select {
 		case r.results <- result:
@@ -80,13 +85,15 @@
 	}()
 }
 
-// ended takes in how a racer ended, and reports whether it won.
-func (r *connRace) ended(result callResult) (won bool) {
+// finish takes the result of one racer and reports whether it won the race. It logs failures once per failureLogInterval.
+func (r *connRace) finish(result callResult) (won bool) {
 	r.racers--
 	if result.err == nil && result.keep() {
 		return true
 	}
-	r.patient = r.patient && !result.patient
+	if result.patient {
+		r.hasPatient = false
+	}
 	r.client.forgetRevision(result.err)
 	if result.err != nil && time.Since(r.lastFailure) >= failureLogInterval {
 		r.client.reportFailure(result.err)
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -117,17 +117,27 @@
 	return authz.Failed
 }
 
-// checkRequest returns the message to the authorizer. Its names are on the wire.
-func checkRequest(r *protocol.Request) *auth.CheckRequest {
-	customer := fmt.Sprintf("%016x", r.Customer)
+// Names in a check, as authorizers know them.
+const (
+	headerPlan        = "x-tariff" // Envoy's headers are lower-case
+	extensionClass    = "band"
+	extensionPlan     = "plan"
+	extensionCustomer = "customer"
+	extensionUnits    = "units"
+)
+
+// checkRequest returns the message to the authorizer.
+func checkRequest(request *protocol.Request) *auth.CheckRequest {
+	customer := fmt.Sprintf("%016x", request.Customer)
 	return &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Source: &auth.AttributeContext_Peer{Principal: customer, Address: &core.Address{}},
 		Request: &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{
-			Id: r.ID, Method: r.Method, Path: r.URI, Host: r.Host, Protocol: "HTTP/1.1", Size: int64(len(r.Body)),
-			Headers: map[string]string{"x-tariff": r.Plan},
+			Id: request.ID, Method: request.Method, Path: request.URI, Host: request.Host, Protocol: "HTTP/1.1",
+			Size: int64(len(request.Body)), Headers: map[string]string{headerPlan: request.Plan},
 		}},
 		ContextExtensions: map[string]string{
-			"band": r.Class, "plan": r.Plan, "customer": customer, "units": fmt.Sprint(r.Units),
+			extensionClass: request.Class, extensionPlan: request.Plan, extensionCustomer: customer,
+			extensionUnits: fmt.Sprint(request.Units),
 		},
 	}}
 }
--- a/internal/peersocket/socket.go
+++ b/internal/peersocket/socket.go
@@ -10,23 +10,24 @@
 	"cherrygap/internal/protocol"
 )
 
-// Socket is the UDP socket of the messages between nodes.
+// Socket is the UDP socket for the messages between nodes. It is safe for concurrent use.
 type Socket struct {
 	conn     *net.UDPConn
 	table    *protocol.PeerTable
 	counters *Counters
 }
 
-// Open opens the socket at an address of the node's own.
+// Open opens the socket at an address of this node. table has the peers' addresses.
 func Open(addr netip.AddrPort, table *protocol.PeerTable, counters *Counters) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, err // which names the address
+		return nil, err // names the address
 	}
 	return &Socket{conn: conn, table: table, counters: counters}, nil
 }
 
-// Send sends a message to one peer, or to all (below 0). What can't be sent is counted and lost, as any datagram may be.
+// Send sends a message to one peer, or to all if peer is negative. A message that can't be sent is counted and dropped, as
+// the network may drop any datagram.
 func (s *Socket) Send(peer int, text []byte) {
 	to, ok := s.table.AddrOf(peer)
 	if ok && len(text) <= protocol.MaxDatagram {
@@ -38,12 +39,11 @@
 	s.counters.Unsent.Add(1)
 }
 
-// Receive passes each message of a peer to handle, on the caller's goroutine, until the socket is closed. handle
-// reports whether it could be read; text is good until it returns. What no peer sent, or can't be read, is counted and
-// dropped. A socket that gives nothing but errors is asked again after a pause, as the listener is
-// (Server.acceptLoop): without it this loop would take the whole core for as long as they last.
+// Receive passes each message of a peer to handle, on the caller's goroutine, until Close. handle reports whether the
+// message was well-formed; text is valid until it returns. Malformed messages and those of other senders are counted and
+// dropped. After an error of the socket Receive waits for netio.ErrorPause.
 func (s *Socket) Receive(handle func(from int, text []byte) bool) {
-	buf := make([]byte, protocol.MaxDatagram+1) // one more, so that a longer one is seen to be
+	buf := make([]byte, protocol.MaxDatagram+1) // the extra byte reveals a datagram that is too long
 	for {
 		n, addr, err := s.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
