--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,5 +1,7 @@
 package decision
 
+import "cherrygap/internal/settings"
+
 // Engine makes the decisions of one node and holds its state. It is not safe for concurrent use.
 type Engine struct {
 	config       *config
@@ -32,7 +34,7 @@
 
 // New returns an engine with the settings and no other state. Engines with the same seed and inputs make the same
 // decisions.
-func New(seed uint64, set Settings, now Time) *Engine {
+func New(seed uint64, set *settings.Settings, now Time) *Engine {
 	e := &Engine{
 		now:       now,
 		random:    newRandom(seed),
@@ -44,7 +46,7 @@
 		subsets:   subsetChooser{startedAt: now, ratio: 1},
 		interval:  intervalStats{startedAt: now},
 	}
-	e.configure(parseSettings(set))
+	e.configure(newConfig(set))
 	e.timers = newTimers(now, e.config)
 	return e
 }
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -105,7 +105,7 @@
 func TestDisconnectDuringADial(t *testing.T) {
 	limits := frontendtest.Limits
 	limits.ConnectTimeout = 3 * time.Second
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: map[string]string{settings.CancelAttempts: "false"}, Retries: settings.RetrySafe, Limits: limits})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: "false"}, Retries: settings.RetrySafe, Limits: limits})
 	addr, empty := nettest.FullServer(t)
 	node.ListOnly(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
 	conn := node.Dial(t)
@@ -129,7 +129,7 @@
 // Clients that disconnect while their requests wait for the verdict of their customer's quota owner, a node that does not
 // answer: what would be admitted by the even share once that wait is over is not forwarded.
 func TestDisconnectWhileTheQuotaOwnerIsAsked(t *testing.T) {
-	wide := map[string]string{
+	wide := settings.Values{
 		settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 	}
 	node := frontendtest.StartWith(t, frontendtest.Config{Settings: wide, Retries: settings.RetrySafe, Limits: frontendtest.Limits, Servers: 4, Serve: frontendtest.Echo})
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -218,7 +218,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			advice := map[string]string{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
+			advice := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
 			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: advice, Retries: test.repeats, Limits: frontendtest.Limits}), &attemptRecorder{}
 			if test.app != "" {
 				recorder.add(t, node, 3, always(test.app))
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -24,6 +24,7 @@
 	"cherrygap/internal/authz"
 	"cherrygap/internal/frontend"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/settings"
 )
 
 // The tests of this file hold the bytes and names on the wire, which clients and authorizers depend on.
@@ -259,14 +260,14 @@
 func TestHTTPMethodsOfClasses(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  map[string]string
+		set  settings.Values
 		want string
 	}{
 		{"none", nil, "map[] <nil>"},
-		{"three", map[string]string{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
-		{"no path part", map[string]string{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
+		{"three", settings.Values{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
+		{"no path part", settings.Values{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
 	} {
-		got, err := HTTPMethods(c.set)
+		got, err := HTTPMethods(settings.Parse(c.set))
 		wantText(t, c.name, fmt.Sprint(got, err), c.want)
 	}
 }
