--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -95,7 +95,7 @@
 const agentTerm = 200 * time.Millisecond
 
 // An agent whose connections don't come up, and then do.
-func TestDiscoveryClientHearsOfAnAgentThatComesUp(t *testing.T) {
+func TestDiscoveryClientReceivesListOnceAgentIsUp(t *testing.T) {
 	addr, empty := nettest.FullServer(t)
 	listed := make(chan time.Time, 99)
 	startDiscoveryClient(t, &Client{
@@ -118,7 +118,7 @@
 
 // What discovery's agent has counts as known, whether or not a call is open. The client hears of it in good time, whatever
 // became of its calls before: never answered, refused, without a connection, or reset.
-func TestDiscoveryClientHearsInTimeOfWhatTheAgentHas(t *testing.T) {
+func TestDiscoveryClientReceivesChangesInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		mute  int
 		late  time.Duration
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -187,7 +187,7 @@
 func (d *Client) connect(ctx context.Context) callResult {
 	switch {
 	case d.PollRequests != nil:
-		// A short hold shows at once whether discovery's revision has gone back.
+		// A short hold shows at once whether discovery's revision is lower than ours.
 		return d.target(raceHold).firstCall(ctx, pollTimeout, nil)
 	case d.closedInOrder:
 		// Discovery may close after each response; the hold keeps the client from calling without a pause.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/wireformat_test.go
@@ -18,13 +18,13 @@
 	return strings.Replace(answer, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 }
 
-// The calls that discovery gets, by what the node knows and how calls before ended.
-func TestGoldenDiscoveryCalls(t *testing.T) {
+// The bytes of calls to discovery, by the known revision and the ends of earlier calls.
+func TestDiscoveryCallWireFormat(t *testing.T) {
 	const whole, empty = `{"rev":7,"all":true,"targets":[]}`, `{"rev":8,"all":false,"targets":[]}`
 	call := func(uri string) string { return "GET " + uri + " HTTP/1.1\r\nHost: #\r\n\r\n" }
 	for name, test := range map[string]struct {
-		rev     uint64 // that is known; 0: none
-		asked   int    // times the node is told to ask; 0: it needs no word
+		rev     uint64 // the known revision; 0: none
+		asked   int    // poll requests of the engine; 0: watch mode
 		answers []string
 		calls   []string
 	}{
--- a/internal/frontend/closecheck.go
+++ b/internal/frontend/closecheck.go
@@ -7,8 +7,8 @@
 )
 
 // closeCheck is the check of invariant.Closing for one client connection: it decides whether the node may close the
-// connection on its own initiative. It knows what was read and not answered. Once it has allowed a close, it allows no more
-// reads, so no request is read and lost. clientConn.close counts a violation if a close was not allowed.
+// connection on its own initiative. It tracks the bytes that were read and not answered. Once it has allowed a close, it
+// allows no more reads, so no request is read and lost. clientConn.close counts a violation if a close was not allowed.
 //
 // It is the netio.ReadHook of the connection and safe for concurrent use.
 type closeCheck struct {
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -25,16 +25,16 @@
 	"cherrygap/internal/settings"
 )
 
-// The golden tests hold what goes over the sockets as a whole, byte for byte as written by commit cf1acfb: old and new
-// nodes run side by side in one fleet, before the same clients, app servers and discovery.
+// The tests of this file hold the bytes that clients and app servers get. Nodes of different versions run side by side in
+// one fleet.
 
-// attemptRecorder is an app server that keeps each attempt's bytes as they came.
+// attemptRecorder is an app server that records the bytes of each attempt.
 type attemptRecorder struct {
 	mu       sync.Mutex // guards attempts
 	attempts []string
 }
 
-// serve answers the attempts on one connection; answer gives an attempt's answer by its request's id.
+// serve answers the attempts on one connection. answer returns the response to a request id.
 func (r *attemptRecorder) serve(conn net.Conn, answer func(id string) string) {
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
@@ -47,7 +47,7 @@
 			return
 		}
 		r.mu.Lock()
-		r.attempts = append(r.attempts, raw.String()) // nothing is sent behind an attempt before its answer
+		r.attempts = append(r.attempts, raw.String()) // no bytes follow an attempt before its response
 		r.mu.Unlock()
 		raw.Reset()
 		if _, err := io.WriteString(conn, answer(request.Header.Get("X-Call-Id"))); err != nil {
@@ -58,7 +58,7 @@
 
 func always(answer string) func(string) string { return func(string) string { return answer } }
 
-// add makes so many app servers with one recorder a node's list.
+// add starts app servers with one recorder, and makes them the node's endpoint list.
 func (r *attemptRecorder) add(t *testing.T, node *frontendtest.Node, servers int, answer func(id string) string) {
 	t.Helper()
 	list := &protocol.EndpointList{Full: true}
@@ -75,7 +75,7 @@
 	retryHeader    = regexp.MustCompile(`\r\nRetry-After: ([0-9]+\.[0-9]{3})\r\n`)
 )
 
-// masked replaces a number that the clock decides, which must lie above 0 and not above most.
+// masked replaces a header's number, which depends on the clock and must be above 0 and at most most.
 func masked(t *testing.T, text string, header *regexp.Regexp, most float64) string {
 	t.Helper()
 	return header.ReplaceAllStringFunc(text, func(line string) string {
@@ -87,8 +87,7 @@
 	})
 }
 
-// exchange sends text on a new connection and reads what comes back until the node closes; one that it keeps open is
-// closed once one answer is whole.
+// exchange sends text on a new connection and returns the bytes of the response, up to the node's close if it closes.
 func exchange(t *testing.T, node *frontendtest.Node, text string) string {
 	t.Helper()
 	conn := node.Dial(t)
@@ -118,40 +117,40 @@
 	}
 }
 
-const goldenAnswer = "HTTP/1.1 200 OK\r\nDate: Tue, 01 Dec 2026 00:00:00 GMT\r\nContent-Type: application/json\r\n" +
+const serverResponse = "HTTP/1.1 200 OK\r\nDate: Tue, 01 Dec 2026 00:00:00 GMT\r\nContent-Type: application/json\r\n" +
 	"X-True-Cost: 1.5\r\nContent-Length: 7\r\n\r\n{\"a\":1}"
 
-const goldenCompleted = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\n\r\n{\"a\":1}"
+const completedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\n\r\n{\"a\":1}"
 
-// goldenRequests are what a client sends, what an app server gets of it, and what the client gets of the answer.
-var goldenRequests = map[string]struct{ sent, attempt, answer string }{
+// requestCases are the bytes that a client sends, that an app server gets, and that the client gets.
+var requestCases = map[string]struct{ sent, attempt, answer string }{
 	"body, key, type and what is not passed on": {
 		sent: "POST /seats/x/0000000000000005?q=%20a HTTP/1.1\r\nhost: shop.example\r\nx-call-id: golden-1\r\nX-Tariff: team\r\n" +
 			"X-Budget-Ms: 3000\r\nX-Weight: units=1.25,spread=1,first=0\r\nContent-Type: text/plain; charset=utf-8\r\n" +
 			"IDEMPOTENCY-KEY: k-1\r\nAccept: */*\r\nCookie: a=b\r\nContent-Length: 5\r\n\r\nhello",
 		attempt: "POST /seats/x/0000000000000005?q=%20a HTTP/1.1\r\nHost: shop.example\r\nX-Call-Id: golden-1\r\nX-Budget-Ms: #\r\n" +
 			"Idempotency-Key: k-1\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: 5\r\n\r\nhello",
-		answer: goldenCompleted,
+		answer: completedResponse,
 	},
 	"chunked body": {
 		sent: "PUT /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-2\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: first=0,units=1,spread=1,other=2\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
 		attempt: "PUT /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-2\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 5\r\n\r\nabcde",
-		answer: goldenCompleted,
+		answer: completedResponse,
 	},
 	"no body": {
 		sent: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-3\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\n\r\n",
 		attempt: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-3\r\nX-Budget-Ms: #\r\n\r\n",
-		answer:  goldenCompleted,
+		answer:  completedResponse,
 	},
 	"empty body of a method that may have one": {
 		sent: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-4\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 0\r\n\r\n",
 		attempt: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-4\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 0\r\n\r\n",
-		answer: goldenCompleted,
+		answer: completedResponse,
 	},
 	"the client's last": {
 		sent: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-5\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
@@ -165,16 +164,15 @@
 			"X-Weight: units=1,spread=1,first=0\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		attempt: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-6\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 2\r\n\r\nab",
-		answer: "HTTP/1.1 100 Continue\r\n\r\n" + goldenCompleted,
+		answer: "HTTP/1.1 100 Continue\r\n\r\n" + completedResponse,
 	},
 }
 
-// What an app server sees of a client's request, and what the client sees of its answer.
-func TestGoldenCompleted(t *testing.T) {
-	for name, test := range goldenRequests {
+func TestCompletedRequestWireFormat(t *testing.T) {
+	for name, test := range requestCases {
 		t.Run(name, func(t *testing.T) {
 			node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
-			recorder.add(t, node, 1, always(goldenAnswer))
+			recorder.add(t, node, 1, always(serverResponse))
 			if got := exchange(t, node, test.sent); got != test.answer {
 				t.Errorf("the client got\n%q, not\n%q", got, test.answer)
 			}
@@ -190,40 +188,40 @@
 	}
 }
 
-const goldenRequest = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
+const plainRequest = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 1\r\n\r\nx"
 
-// How a client is told that its request was rejected, or that it failed; each attempt has the same bytes but for its time.
-func TestGoldenRejectedAndFailed(t *testing.T) {
+// Each attempt of a rejected or failed request has the same bytes, except for its timeout.
+func TestRejectedAndFailedWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	for name, test := range map[string]struct {
-		repeats, app, answer string
+		retries, app, answer string
 		attempts             int // a fresh node retries nothing
 	}{
 		"rejected by every server": {
-			repeats: settings.RetryUnsafe, app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+			retries: settings.RetryUnsafe, app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"unsafe, answered with an error": {
-			repeats: settings.RetryUnsafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			retries: settings.RetryUnsafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
 		},
 		"safe, answered with errors": {
-			repeats: settings.RetrySafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			retries: settings.RetrySafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"no server": {
-			repeats: settings.RetryUnsafe,
+			retries: settings.RetryUnsafe,
 			answer:  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			advice := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
-			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: advice, Retries: test.repeats, Limits: frontendtest.Limits}), &attemptRecorder{}
+			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: advice, Retries: test.retries, Limits: frontendtest.Limits}), &attemptRecorder{}
 			if test.app != "" {
 				recorder.add(t, node, 3, always(test.app))
 			}
-			if got := masked(t, exchange(t, node, goldenRequest), retryHeader, 1); got != test.answer {
+			if got := masked(t, exchange(t, node, plainRequest), retryHeader, 1); got != test.answer {
 				t.Errorf("the client got\n%q, not\n%q", got, test.answer)
 			}
 			recorder.mu.Lock()
@@ -240,23 +238,23 @@
 	}
 }
 
-// A retry has the bytes of the first attempt, but for its time.
-func TestGoldenRetry(t *testing.T) {
+// A retry has the bytes of the first attempt, except for its timeout.
+func TestRetryWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	node, recorder := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 	recorder.add(t, node, 3, func(id string) string {
 		if id == "golden-7" {
 			return "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 		}
-		return goldenAnswer
+		return serverResponse
 	})
 	conn := node.Dial(t)
-	for range 40 { // which earn the right to some retries
+	for range 40 { // fill the retry budget
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
 			t.Fatalf("status %d", status)
 		}
 	}
-	if got, want := exchange(t, node, goldenRequest), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; got != want {
+	if got, want := exchange(t, node, plainRequest), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; got != want {
 		t.Errorf("the client got\n%q, not\n%q", got, want)
 	}
 	recorder.mu.Lock()
@@ -272,11 +270,11 @@
 	}
 }
 
-// How malformed requests are answered; nothing of them is sent on.
-func TestGoldenMalformed(t *testing.T) {
-	change := func(old, now string) string { return strings.Replace(goldenRequest, old, now, 1) }
+// Malformed requests are rejected and not forwarded.
+func TestMalformedRequestWireFormat(t *testing.T) {
+	change := func(old, now string) string { return strings.Replace(plainRequest, old, now, 1) }
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
-	recorder.add(t, node, 1, always(goldenAnswer))
+	recorder.add(t, node, 1, always(serverResponse))
 	for name, test := range map[string]struct{ sent, answer string }{
 		"not HTTP": {"hello\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"no id":    {change("X-Call-Id: golden-7\r\n", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
@@ -301,9 +299,9 @@
 			}
 		})
 	}
-	exchange(t, node, goldenRequest)
+	exchange(t, node, plainRequest)
 	const conflict = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-	if got := exchange(t, node, goldenRequest); got != conflict {
+	if got := exchange(t, node, plainRequest); got != conflict {
 		t.Errorf("an id lately answered: got\n%q, not\n%q", got, conflict)
 	}
 	recorder.mu.Lock()
@@ -313,7 +311,7 @@
 	}
 }
 
-// fixedVerdict is an authorizer that says the same of all.
+// fixedVerdict is an authorizer with one answer to all requests.
 type fixedVerdict struct {
 	verdict    authz.Verdict
 	retryAfter time.Duration
@@ -323,8 +321,8 @@
 	return frontend.Authorization{Verdict: v.verdict, RetryAfter: v.retryAfter}
 }
 
-// What an authorizer has refused, in each way.
-func TestGoldenDenied(t *testing.T) {
+// The authorizer's rejections.
+func TestDeniedWireFormat(t *testing.T) {
 	for _, test := range []struct {
 		check  fixedVerdict
 		answer string
@@ -343,7 +341,7 @@
 				t.Fatal(err)
 			}
 			node.Server = front
-			if got := exchange(t, node, goldenRequest); got != test.answer {
+			if got := exchange(t, node, plainRequest); got != test.answer {
 				t.Errorf("got\n%q, not\n%q", got, test.answer)
 			}
 		})
@@ -351,7 +349,7 @@
 }
 
 // The node's own health as a load balancer asks for it, and answers while the node drains.
-func TestGoldenHealthAndDraining(t *testing.T) {
+func TestHealthAndDrainingWireFormat(t *testing.T) {
 	const health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 	steps := []struct {
@@ -361,7 +359,7 @@
 		{name: "no server known", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
 		{
 			name: "ready", sent: health, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-			before: func() { recorder.add(t, node, 1, always(goldenAnswer)) },
+			before: func() { recorder.add(t, node, 1, always(serverResponse)) },
 		},
 		{
 			name: "ready, asked to close", sent: strings.Replace(health, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
@@ -371,7 +369,7 @@
 			name: "draining", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 			before: func() { node.Server.Draining().Store(true) },
 		},
-		{name: "a request while draining", sent: goldenRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
+		{name: "a request while draining", sent: plainRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
 			"Content-Type: application/json\r\nConnection: close\r\n\r\n{\"a\":1}"},
 	}
 	for _, step := range steps {
--- a/internal/upstream/golden_healthcheck_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -17,7 +17,7 @@
 )
 
 // A health check as the app server sees it.
-func TestGoldenHealthCheck(t *testing.T) {
+func TestHealthCheckWireFormat(t *testing.T) {
 	addr, probes := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
