--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -50,8 +50,8 @@
 	}
 	c := &connection{
 		conn: dialled, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
-		in:  netio.NewRingBuffer(dialled, dialled, t.limits.BufferSize()),
-		out: netio.NewRingBuffer(dialled, dialled, netio.MinBuffer),
+		in:  netio.NewRingBuffer(dialled, t.limits.BufferSize()),
+		out: netio.NewRingBuffer(dialled, netio.MinBuffer),
 	}
 	if received != nil {
 		c.in.Stream = &progressConn{
@@ -127,14 +127,13 @@
 	if result.err = c.out.Flush(); result.err != nil {
 		return result
 	}
-	c.in.DeadlineSet = true // by SetDeadline
 	c.in.Allow(protocol.MaxListBytes)
 	c.calls++
 	result.list, result.last, result.err = protocol.ReadEndpointList(c.parser)
 	switch {
 	case result.err == nil: // even if the connection ended with the list
-	case c.in.Err != nil:
-		result.err = c.in.Err
+	case c.in.Err() != nil:
+		result.err = c.in.Err()
 	default:
 		c.counters.MalformedLists.Add(1)
 	}
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -60,10 +60,9 @@
 func newClientConn(server *Server, conn *net.TCPConn) *clientConn {
 	c := &clientConn{server: server, conn: conn, acceptedAt: time.Now(), reader: netio.NewSocket(conn), writer: netio.NewSocket(conn)}
 	c.reader.Hook = &c.check
-	c.in, c.out = netio.RingBuffer{Conn: conn, Stream: c.reader, Arrivals: &c.arrivals}, netio.RingBuffer{Conn: conn, Stream: c.writer}
+	c.in, c.out = netio.NewMessageBuffer(conn, c.reader, &c.arrivals), netio.NewMessageBuffer(conn, c.writer, nil)
 	_ = conn.SetKeepAlive(false) // fails for a closed connection only
-	netio.SetReadDeadline(conn, c.acceptedAt.Add(netio.MessageTimeout))
-	c.in.DeadlineSet = true
+	c.in.SetMessageDeadline(c.acceptedAt.Add(netio.MessageTimeout))
 	return c
 }
 
@@ -161,7 +160,7 @@
 		c.arrivals.Backdate(c.reader.ReceiveAge())
 	}
 	arrivedAt := readAt
-	if recorded := c.arrivals.At(c.in.Taken); !recorded.IsZero() {
+	if recorded := c.arrivals.At(c.in.Taken()); !recorded.IsZero() {
 		arrivedAt = recorded
 	}
 	if !c.queuedSince.IsZero() {
@@ -247,7 +246,7 @@
 		c.server.counters.Requests.Add(1)
 		c.server.counters.ClientsGone.Add(1)
 		c.server.requestIDs.release(c.request.ID)
-		c.close(closeReasonFor(c.in.Err, netio.ReasonClientDisconnected))
+		c.close(closeReasonFor(c.in.Err(), netio.ReasonClientDisconnected))
 		return false
 	}
 	if c.handler == nil {
@@ -263,11 +262,11 @@
 
 // disconnected reads the pending input and reports whether the client has closed its connection behind it.
 func (c *clientConn) disconnected() bool {
-	for c.in.Err == nil && c.reader.HasInput() {
+	for c.in.Err() == nil && c.reader.HasInput() {
 		c.makeSpace()
-		_ = c.in.ReadMore() // stays in c.in.Err
+		_ = c.in.ReadMore() // stays in c.in.Err()
 	}
-	return c.in.Err != nil
+	return c.in.Err() != nil
 }
 
 // peerClosed reports whether the client has closed its connection, without reading. handleRequests may call it while serve
--- a/internal/frontend/clientresponse.go
+++ b/internal/frontend/clientresponse.go
@@ -23,8 +23,8 @@
 func (c *clientConn) rejectMalformed(err error) bool {
 	var malformed *protocol.RequestError
 	c.server.counters.MalformedRequests.Add(1)
-	if c.in.Err != nil || !errors.As(err, &malformed) {
-		c.close(closeReasonFor(c.in.Err, netio.ReasonClientReset))
+	if c.in.Err() != nil || !errors.As(err, &malformed) {
+		c.close(closeReasonFor(c.in.Err(), netio.ReasonClientReset))
 		return false
 	}
 	netio.SetWriteDeadline(c.conn, time.Now().Add(lingerTimeout))
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -113,7 +113,9 @@
 		poolLimits = *cfg.PoolLimits
 	}
 	node.Pool = upstream.NewPool(poolLimits, &log, &node.Counters.Upstream)
-	node.Server, err = frontend.Listen("127.0.0.1:0", node.Router, node.Pool, cfg.Limits, nil, &log, &node.Counters.Counters)
+	node.Server, err = frontend.Listen(frontend.Config{
+		Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: cfg.Limits, Log: &log, Counters: &node.Counters.Counters,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -44,18 +44,33 @@
 	evicting bool // a connection is being evicted
 }
 
-// Listen starts a server on an address. authorizer checks the requests; it may be nil. Drain ends the server.
-func Listen(addr string, router *routing.Router, pool *upstream.Pool, limits netio.Limits, authorizer Authorizer, log *zerolog.Logger,
-	counters *Counters,
-) (*Server, error) {
-	listener, err := net.Listen("tcp", addr)
+// Config is the configuration of a Server. All fields are required except Authorizer.
+type Config struct {
+	Addr       string // address and port to listen on
+	Router     *routing.Router
+	Pool       *upstream.Pool
+	Limits     netio.Limits
+	Authorizer Authorizer // checks the requests; nil: none are checked
+	Log        *zerolog.Logger
+	Counters   *Counters
+}
+
+// Listen starts a server. Drain ends it.
+func Listen(cfg Config) (*Server, error) {
+	listener, err := net.Listen("tcp", cfg.Addr)
 	if err != nil {
-		return nil, err // which names the address
+		return nil, err // names the address
 	}
 	s := &Server{
-		router: router, pool: pool, limits: limits, authorizer: authorizer, log: log, counters: counters,
-		listener: listener.(*net.TCPListener), requestIDs: newRequestIDs(),
-		slots:      make(chan struct{}, limits.HTTPConnections()),
+		router:     cfg.Router,
+		pool:       cfg.Pool,
+		limits:     cfg.Limits,
+		authorizer: cfg.Authorizer,
+		log:        cfg.Log,
+		counters:   cfg.Counters,
+		listener:   listener.(*net.TCPListener),
+		requestIDs: newRequestIDs(),
+		slots:      make(chan struct{}, cfg.Limits.HTTPConnections()),
 		acceptDone: make(chan struct{}),
 		clients:    map[*clientConn]struct{}{},
 	}
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -336,7 +336,10 @@
 		t.Run(fmt.Sprint(test.check.verdict), func(t *testing.T) {
 			node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 			log := zerolog.New(node.Log)
-			front, err := frontend.Listen("127.0.0.1:0", node.Router, node.Pool, frontendtest.Limits, test.check, &log, &node.Counters.Counters)
+			front, err := frontend.Listen(frontend.Config{
+				Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: frontendtest.Limits,
+				Authorizer: test.check, Log: &log, Counters: &node.Counters.Counters,
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -68,7 +68,10 @@
 	counters, upstreamCounters := &frontend.Counters{}, &upstream.Counters{}
 	limits := netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	n.http = freeAddress(t)
-	requests, err := frontend.Listen(n.http, router, upstream.NewPool(limits, &log, upstreamCounters), limits, authorizer, &log, counters)
+	requests, err := frontend.Listen(frontend.Config{
+		Addr: n.http, Router: router, Pool: upstream.NewPool(limits, &log, upstreamCounters), Limits: limits,
+		Authorizer: authorizer, Log: &log, Counters: counters,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/netio/arrivaltimes.go
+++ b/internal/netio/arrivaltimes.go
@@ -9,7 +9,7 @@
 // The zero value is empty. It belongs to the goroutine that reads the buffer.
 type ArrivalTimes struct{ entries []arrivalTime }
 
-// arrivalTime is when the bytes up to a position were read. Positions count as RingBuffer.Filled does.
+// arrivalTime is when the bytes up to a position were read. Positions count the bytes since the buffer was made, as RingBuffer.Filled does.
 type arrivalTime struct {
 	upTo int
 	at   time.Time
--- a/internal/netio/ringbuffer.go
+++ b/internal/netio/ringbuffer.go
@@ -39,121 +39,142 @@
 
 // RingBuffer is the buffer of one direction of a connection. One goroutine uses it at a time.
 type RingBuffer struct {
-	Conn          readDeadliner // has the read deadline of a message
-	Stream        io.ReadWriter // is read into the buffer, or written from it
+	Stream io.ReadWriter // is read into the buffer, or written from it
+
+	conn          readDeadliner // gets the read deadline of each message; nil: the caller sets deadlines
+	arrivals      *ArrivalTimes // of the buffered bytes; may be nil
 	buf           []byte        // nil until Allocate
-	Taken, Filled int           // bytes taken out and put in since the buffer was made
+	taken, filled int           // bytes taken out and put in since the buffer was made
 	allowed       int           // bytes that the current message may still take
-	Err           error         // the first error of Stream; later calls return it too
-	DeadlineSet   bool          // a read deadline for the current message is already set
-	Arrivals      *ArrivalTimes // of the buffered bytes; may be nil
+	err           error         // the first error of Stream; later calls return it too
+	deadlineSet   bool          // the read deadline of the current message is set
+}
+
+// NewRingBuffer returns a buffer of size bytes. The caller sets the deadlines of stream.
+func NewRingBuffer(stream io.ReadWriter, size int) RingBuffer {
+	return RingBuffer{Stream: stream, buf: make([]byte, size)}
 }
 
-// NewRingBuffer returns a buffer of size bytes.
-func NewRingBuffer(conn readDeadliner, stream io.ReadWriter, size int) RingBuffer {
-	return RingBuffer{Conn: conn, Stream: stream, buf: make([]byte, size)}
+// NewMessageBuffer returns a buffer that sets a read deadline of conn for each message, and records the arrival times of
+// bytes if arrivals is not nil. It has no memory until Allocate.
+func NewMessageBuffer(conn readDeadliner, stream io.ReadWriter, arrivals *ArrivalTimes) RingBuffer {
+	return RingBuffer{Stream: stream, conn: conn, arrivals: arrivals}
 }
 
-// Allocate gives a RingBuffer without memory a buffer of size bytes.
+// Allocate gives a buffer without memory size bytes.
 func (b *RingBuffer) Allocate(size int) {
 	if b.buf == nil {
 		b.buf = make([]byte, size)
 	}
 }
 
+// SetMessageDeadline sets the read deadline of the current message, instead of Read.
+func (b *RingBuffer) SetMessageDeadline(at time.Time) {
+	b.deadlineSet = true
+	SetReadDeadline(b.conn, at)
+}
+
+// Err returns the first error of the stream.
+func (b *RingBuffer) Err() error { return b.err }
+
+// Taken returns how many bytes were taken out since the buffer was made.
+func (b *RingBuffer) Taken() int { return b.taken }
+
+// Filled returns how many bytes were put in since the buffer was made.
+func (b *RingBuffer) Filled() int { return b.filled }
+
 // Empty reports whether the buffer holds no bytes.
-func (b *RingBuffer) Empty() bool { return b.Taken == b.Filled }
+func (b *RingBuffer) Empty() bool { return b.taken == b.filled }
 
 // Buffered returns the number of buffered bytes.
-func (b *RingBuffer) Buffered() int { return b.Filled - b.Taken }
+func (b *RingBuffer) Buffered() int { return b.filled - b.taken }
 
 // Wait blocks until the buffer holds a byte or the stream fails.
 func (b *RingBuffer) Wait() error {
-	for b.Empty() && b.Err == nil {
+	for b.Empty() && b.err == nil {
 		b.fill()
 	}
 	if !b.Empty() {
 		return nil
 	}
-	return b.Err
+	return b.err
 }
 
 // fill reads once. It leaves the last ParserBuffer bytes that were taken out intact, because EndMessage may put them back.
 func (b *RingBuffer) fill() {
-	at := b.Filled % len(b.buf)
-	n, err := b.Stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-ParserBuffer-(b.Filled-b.Taken))])
-	b.Filled += n
+	at := b.filled % len(b.buf)
+	n, err := b.Stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-ParserBuffer-(b.filled-b.taken))])
+	b.filled += n
 	if n == 0 {
-		b.Err = err
-	} else if b.Arrivals != nil {
-		b.Arrivals.Add(b.Filled, time.Now())
+		b.err = err
+	} else if b.arrivals != nil {
+		b.arrivals.Add(b.filled, time.Now())
 	}
 }
 
-// Read returns buffered bytes, or waits for some. The first wait within a message sets its deadline, MessageTimeout from
-// then. After the bytes that Allow granted the error is protocol.ErrHeadTooLarge.
+// Read returns buffered bytes, or waits for some. In a buffer of NewMessageBuffer the first wait within a message sets its
+// deadline, MessageTimeout from then. After the bytes that Allow granted the error is protocol.ErrHeadTooLarge.
 func (b *RingBuffer) Read(p []byte) (int, error) {
 	if b.allowed <= 0 {
 		return 0, protocol.ErrHeadTooLarge
 	}
 	if b.Empty() {
-		if !b.DeadlineSet {
-			b.DeadlineSet = true
-			SetReadDeadline(b.Conn, time.Now().Add(MessageTimeout))
+		if b.conn != nil && !b.deadlineSet {
+			b.SetMessageDeadline(time.Now().Add(MessageTimeout))
 		}
 		if err := b.Wait(); err != nil {
 			return 0, err
 		}
 	}
-	at := b.Taken % len(b.buf)
-	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.Filled-b.Taken)])
-	b.Taken += n
+	at := b.taken % len(b.buf)
+	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.filled-b.taken)])
+	b.taken += n
 	b.allowed -= n
 	return n, nil
 }
 
 // ReadMore reads once into a buffer that is not Full and returns the stream's error. A passed deadline is no error.
 func (b *RingBuffer) ReadMore() error {
-	if b.Err == nil {
+	if b.err == nil {
 		b.fill()
 	}
-	if TimedOut(b.Err) {
-		b.Err = nil
+	if TimedOut(b.err) {
+		b.err = nil
 	}
-	return b.Err
+	return b.err
 }
 
 // Full reports whether the buffer has no space for a read.
-func (b *RingBuffer) Full() bool { return b.Filled-b.Taken >= len(b.buf)-ParserBuffer }
+func (b *RingBuffer) Full() bool { return b.filled-b.taken >= len(b.buf)-ParserBuffer }
 
 // Discard drops the buffered bytes.
-func (b *RingBuffer) Discard() { b.Taken = b.Filled }
+func (b *RingBuffer) Discard() { b.taken = b.filled }
 
 // Allow sets how many bytes Read returns from now on.
 func (b *RingBuffer) Allow(bytes int) { b.allowed = bytes }
 
 // EndMessage puts back the bytes that the parser read past the end of a message, and clears the message's deadline.
 func (b *RingBuffer) EndMessage(parser *bufio.Reader) {
-	b.Taken -= parser.Buffered()
-	if b.DeadlineSet {
-		b.DeadlineSet = false
-		SetReadDeadline(b.Conn, time.Time{})
+	b.taken -= parser.Buffered()
+	if b.deadlineSet {
+		b.deadlineSet = false
+		SetReadDeadline(b.conn, time.Time{})
 	}
 }
 
 // AvailableBuffer returns an empty slice over the free space, to append to. The caller passes the result to Commit.
 func (b *RingBuffer) AvailableBuffer() []byte {
 	if b.Empty() {
-		b.Taken, b.Filled = 0, 0
+		b.taken, b.filled = 0, 0
 	}
-	at := b.Filled % len(b.buf)
-	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.Filled-b.Taken))]
+	at := b.filled % len(b.buf)
+	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))]
 }
 
 // Commit adds the bytes that were appended to AvailableBuffer. Where these outgrew it and p is another array, it copies.
 func (b *RingBuffer) Commit(p []byte) {
-	if len(p) > 0 && &p[0] == &b.buf[b.Filled%len(b.buf)] {
-		b.Filled += len(p)
+	if len(p) > 0 && &p[0] == &b.buf[b.filled%len(b.buf)] {
+		b.filled += len(p)
 		return
 	}
 	b.Append(p)
@@ -162,12 +183,12 @@
 // Append adds bytes and writes to the stream whenever the buffer is full. The next Flush returns an error of the stream.
 func (b *RingBuffer) Append(p []byte) {
 	for n := 0; n < len(p); {
-		if b.Filled-b.Taken == len(b.buf) && b.Flush() != nil || b.Err != nil {
+		if b.filled-b.taken == len(b.buf) && b.Flush() != nil || b.err != nil {
 			return
 		}
-		at := b.Filled % len(b.buf)
-		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.Filled-b.Taken))], p[n:])
-		b.Filled += copied
+		at := b.filled % len(b.buf)
+		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))], p[n:])
+		b.filled += copied
 		n += copied
 	}
 }
@@ -177,13 +198,13 @@
 
 // FlushExcept writes all buffered bytes but the last ones.
 func (b *RingBuffer) FlushExcept(last int) error {
-	for b.Taken < b.Filled-last && b.Err == nil {
-		at := b.Taken % len(b.buf)
-		n, err := b.Stream.Write(b.buf[at:min(len(b.buf), at+b.Filled-last-b.Taken)])
-		b.Taken += n
-		b.Err = err
+	for b.taken < b.filled-last && b.err == nil {
+		at := b.taken % len(b.buf)
+		n, err := b.Stream.Write(b.buf[at:min(len(b.buf), at+b.filled-last-b.taken)])
+		b.taken += n
+		b.err = err
 	}
-	return b.Err
+	return b.err
 }
 
 // TrimBuffer returns b, or nil if its capacity is over MinBuffer, so that one large body does not hold memory for long.
--- a/internal/netio/ringbuffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -42,7 +42,8 @@
 		sent := make([]byte, 40000)
 		random.Read(sent)
 		conn := &pieces{random: random, in: sent}
-		in, out := NewRingBuffer(conn, conn, MinBuffer), NewRingBuffer(conn, conn, MinBuffer)
+		in, out := NewMessageBuffer(conn, conn, nil), NewRingBuffer(conn, MinBuffer)
+		in.Allocate(MinBuffer)
 		for in.Wait() == nil {
 			in.Allow(1 + random.Intn(9000))
 			parser := bufio.NewReaderSize(&in, ParserBuffer)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -201,7 +201,10 @@
 // listenHTTP begins to serve clients over HTTP.
 func (n *Node) listenHTTP() error {
 	return retryOpen(&n.log, func() (err error) {
-		n.frontEnd, err = frontend.Listen(n.config.Listen, n.router, n.pool, n.limits, n.authorizer, &n.log, &n.counters.FrontEnd)
+		n.frontEnd, err = frontend.Listen(frontend.Config{
+			Addr: n.config.Listen, Router: n.router, Pool: n.pool, Limits: n.limits, Authorizer: n.authorizer,
+			Log: &n.log, Counters: &n.counters.FrontEnd,
+		})
 		return err
 	})
 }
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -107,7 +107,9 @@
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := frontend.Listen(addr, router, upstream.NewPool(limits, &log, &upstream.Counters{}), limits, nil, &log, &frontend.Counters{}); err != nil {
+	pool := upstream.NewPool(limits, &log, &upstream.Counters{})
+	cfg := frontend.Config{Addr: addr, Router: router, Pool: pool, Limits: limits, Log: &log, Counters: &frontend.Counters{}}
+	if _, err := frontend.Listen(cfg); err != nil {
 		t.Fatal(err)
 	}
 	return addr
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -365,7 +365,7 @@
 
 // receive reads the response to a request that was written completely, and puts the connection back or closes it.
 func (r *AttemptRunner) receive(conn *serverConn) protocol.ServerResponse {
-	sentAt, filledBefore := time.Now(), conn.in.Filled
+	sentAt, filledBefore := time.Now(), conn.in.Filled()
 	response, err := conn.readResponse(r.body)
 	if response.Body != nil {
 		r.body = response.Body
@@ -379,14 +379,14 @@
 	case cancelled:
 		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
 		r.pool.close(conn, netio.ReasonAttemptCancelled)
-	case conn.in.Err == nil:
+	case conn.in.Err() == nil:
 		response = protocol.ServerResponse{Outcome: protocol.MalformedResponse}
 		r.pool.close(conn, netio.ReasonServerMalformed)
-	case netio.TimedOut(conn.in.Err):
+	case netio.TimedOut(conn.in.Err()):
 		response = protocol.ServerResponse{Outcome: protocol.TimedOut}
 		r.pool.close(conn, netio.ReasonServerTimeout)
 	default:
-		if conn.requests > 1 && conn.in.Filled == filledBefore && time.Since(sentAt) < staleResetTimeout {
+		if conn.requests > 1 && conn.in.Filled() == filledBefore && time.Since(sentAt) < staleResetTimeout {
 			r.pool.distrust(sentAt.Sub(conn.idleSince))
 		}
 		response = protocol.ServerResponse{Outcome: protocol.ConnectionReset}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -38,9 +38,7 @@
 	parser := netio.BorrowParser(&c.in)
 	defer netio.ReturnParser(parser)
 	c.in.Allow(maxResponse)
-	c.in.DeadlineSet = true
 	response, err := protocol.ReadServerResponse(parser, body)
-	c.in.DeadlineSet = false
 	c.in.EndMessage(parser)
 	return response, err
 }
--- a/internal/upstream/healthrequest.go
+++ b/internal/upstream/healthrequest.go
@@ -44,9 +44,9 @@
 		h.pool.put(conn)
 	case err == nil:
 		h.pool.close(conn, netio.ReasonServerRequestedClose)
-	case netio.TimedOut(conn.in.Err):
+	case netio.TimedOut(conn.in.Err()):
 		h.pool.close(conn, netio.ReasonServerTimeout)
-	case conn.in.Err == nil:
+	case conn.in.Err() == nil:
 		h.pool.close(conn, netio.ReasonServerMalformed)
 	default:
 		h.pool.close(conn, netio.ReasonServerReset)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -201,7 +201,7 @@
 	size, reader, now := p.limits.BufferSize(), netio.NewSocket(conn), time.Now()
 	return &serverConn{
 		conn: conn, reader: reader, server: server,
-		in: netio.NewRingBuffer(conn, reader, size), out: netio.NewRingBuffer(conn, netio.NewSocket(conn), size),
+		in: netio.NewRingBuffer(reader, size), out: netio.NewRingBuffer(netio.NewSocket(conn), size),
 		openedAt: now, idleSince: now,
 		resetWait: min(max(resetWaitRoundTrips*roundTrip, minResetWait), maxResetWait),
 	}
