--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -125,7 +125,7 @@
 		PollEndpoints: func() {},
 		LogSummary:    func([]byte) {},
 	})
-	router.UpdateEndpoints(n.list, true)
+	router.UpdateEndpoints(n.list, routing.FromCache)
 	checker := upstream.NewHealthChecker(healthcheck.Config{
 		Self:        healthcheck.NodeID(i),
 		Nodes:       len(n.addrs),
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -64,7 +64,7 @@
 	if node.Pool.Get(server) != conn {
 		t.Fatal("another connection")
 	}
-	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true}, false)
+	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true}, routing.FromDiscovery)
 	node.Pool.KeepOnly(node.Router.InService)
 	node.Pool.Put(conn)
 	node.Pool.Mutex().Lock()
