--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,11 +1,10 @@
-// Package settings names the settings that a node is decided by, and reads them from the platform's configuration.
+// Package settings reads the settings of a node, once, into the struct Settings.
 //
-// In the program they are a map of text by the keys of this package (Node, MaxAttempts, ClassKey and so on), which are
-// its own: neither those of the wire nor those of the operator file. FromText and FromJSON read the simulator's text and
-// the platform's JSON, both by the platform's names, into such a map. No key and no word of the map stands in any other
-// package.
+// The settings come from the platform: as nested JSON in the node's configuration (FromJSON), or as lines of name=value from
+// the simulator (FromText). Both have the platform's names and words, which stand in platform.go alone. They are translated
+// into Values, a map of texts by the keys of this package, and Parse turns Values into Settings. Code outside this package
+// reads Settings; tests build them from Values.
 //
-// Values stay text. Times come in microseconds and are given in tenths of a millisecond, rounded towards 0; words that
-// name a choice are translated, and become empty where they are not known. Whatever can't be read is handed on as it is:
-// the decision engine reads it as 0, as it does a setting that is not given.
+// Nothing is refused. A number that is missing or unreadable is 0, a switch is off, and a choice is a text of no meaning.
+// Times come in microseconds, and become time units of 100 µs, rounded towards 0.
 package settings
--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// FromText reads the simulator's text, a name=value a line. Unknown names, and lines without a value, are passed over. Of
-// a name given twice the last holds.
+// FromText reads the simulator's text, a name=value a line. Unknown names, and lines without a value, are ignored. Of a
+// name given twice the last holds.
 func FromText(text []byte) *Settings { return Parse(valuesFromText(text)) }
 
 // FromJSON reads the nested form of the platform's configuration. The error is that of encoding/json.
@@ -35,7 +35,7 @@
 // valuesFromJSON reads the platform's configuration into this package's keys.
 func valuesFromJSON(raw []byte) (Values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // numbers are handed on as they are written
+	decoder.UseNumber() // keeps the text of numbers
 	var tree map[string]any
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, err
@@ -45,8 +45,7 @@
 	return set, nil
 }
 
-// flatten adds a nested value as the text form would give it: the entries of a list of objects by their numbers, with
-// how many there are; those of another list joined by commas.
+// flatten adds a nested value under its name in the text form: the names of the levels joined by dots.
 func flatten(set Values, name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -64,6 +63,8 @@
 	}
 }
 
+// flattenList adds a list. A list of objects has a name for each entry, by its number, and one for its length; other lists
+// become one text, joined by commas.
 func flattenList(set Values, name string, list []any) {
 	values := make([]string, len(list))
 	hasObject := false
@@ -82,7 +83,7 @@
 	}
 }
 
-// add adds one setting of the platform under its key here, if it is known.
+// add translates one setting of the platform. Unknown names are ignored.
 func add(set Values, name, value string) {
 	parts := strings.SplitN(name, ".", 3) // of a list: its name, the entry's number, the entry's setting
 	list, ok := lists[parts[0]]
--- a/internal/settings/earliernames_test.go
+++ b/internal/settings/keys_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// earlierKeys are the keys that the settings had up to commit cf1acfb, for readers of older notes, and those of now. Those
-// of a class and a plan stand for any number.
-var earlierKeys = []struct{ earlier, key string }{
+// formerKeys pairs each key with its name in earlier releases, whose journals and notes have that. Keys of class 0 and plan
+// 0 stand for those of any number.
+var formerKeys = []struct{ former, key string }{
 	{"node", Node},
 	{"nodes", Nodes},
 	{"tick", Tick},
@@ -63,8 +63,8 @@
 	{"plan.0.ceiling.slack", PlanKey(0, PlanCeilingSlack)},
 }
 
-// earlierWords are the words that the settings had for values then, and those of now.
-var earlierWords = []struct{ earlier, word string }{
+// formerWords pairs each word of a choice with its name in earlier releases.
+var formerWords = []struct{ former, word string }{
 	{"replayable", RetrySafe},
 	{"referenced", RetryKeyed},
 	{"single-use", RetryUnsafe},
@@ -78,36 +78,36 @@
 	{"errors", LoadErrorRate},
 }
 
-// inEarlierNames gives settings, sorted, by the keys and words that they had.
-func inEarlierNames(t *testing.T, set Values) string {
+// inFormerNames gives values, sorted, by former keys and words.
+func inFormerNames(t *testing.T, set Values) string {
 	t.Helper()
 	entries := make([]string, 0, len(set))
 	for key, value := range set {
 		first := strings.Replace(key, ".1.", ".0.", 1)
-		i := slices.IndexFunc(earlierKeys, func(k struct{ earlier, key string }) bool { return k.key == first })
+		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == first })
 		if i < 0 {
 			t.Fatalf("%s is not in the table", key)
 		}
-		earlier := earlierKeys[i].earlier
+		former := formerKeys[i].former
 		if first != key {
-			earlier = strings.Replace(earlier, ".0.", ".1.", 1)
+			former = strings.Replace(former, ".0.", ".1.", 1)
 		}
 		words := strings.Split(value, ",")
 		for i, word := range words {
-			for _, w := range earlierWords {
+			for _, w := range formerWords {
 				if w.word == word {
-					words[i] = w.earlier
+					words[i] = w.former
 				}
 			}
 		}
-		entries = append(entries, earlier+"="+strings.Join(words, ",")+";")
+		entries = append(entries, former+"="+strings.Join(words, ",")+";")
 	}
 	slices.Sort(entries)
 	return strings.Join(entries, "")
 }
 
-// Every setting is what it was at cf1acfb, under another name: these are the literal expectations of that commit.
-func TestEarlierNames(t *testing.T) {
+// Every setting has the value that it had under its former key.
+func TestValuesUnderFormerKeys(t *testing.T) {
 	fromJSON, err := valuesFromJSON([]byte(fullJSON))
 	if err != nil {
 		t.Fatal(err)
@@ -123,22 +123,22 @@
 			want := strings.SplitAfter(strings.TrimSuffix(c.want, ";"), ";")
 			want[len(want)-1] += ";"
 			slices.Sort(want)
-			if got := inEarlierNames(t, c.set); got != strings.Join(want, "") {
+			if got := inFormerNames(t, c.set); got != strings.Join(want, "") {
 				t.Errorf("got  %s\nwant %s", got, strings.Join(want, ""))
 			}
 		})
 	}
 }
 
-// Each key has one earlier name, and the table has no key that nothing reads.
-func TestEarlierKeysAreOneToOne(t *testing.T) {
+// Each key has one former key, and the table has all keys.
+func TestFormerKeysAreOneToOne(t *testing.T) {
 	set := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
-	byEarlier, byKey := map[string]bool{}, map[string]bool{}
-	for _, k := range earlierKeys {
-		if _, ok := set[k.key]; !ok || byEarlier[k.earlier] || byKey[k.key] {
-			t.Errorf("%s is %s: read %v", k.earlier, k.key, ok)
+	byFormer, byKey := map[string]bool{}, map[string]bool{}
+	for _, k := range formerKeys {
+		if _, ok := set[k.key]; !ok || byFormer[k.former] || byKey[k.key] {
+			t.Errorf("%s is %s: read %v", k.former, k.key, ok)
 		}
-		byEarlier[k.earlier], byKey[k.key] = true, true
+		byFormer[k.former], byKey[k.key] = true, true
 	}
 	for key := range maps.Keys(set) {
 		if !byKey[strings.Replace(key, ".1.", ".0.", 1)] {
@@ -147,10 +147,10 @@
 	}
 }
 
-// The program's own keys, those of now and the earlier ones, are none of the platform's names; only the tick's is both.
+// Neither keys nor former keys are names of the platform, except for the tick's, which is both.
 func TestOwnKeysAreNotTaken(t *testing.T) {
-	for _, k := range earlierKeys {
-		for _, key := range []string{k.earlier, k.key} {
+	for _, k := range formerKeys {
+		for _, key := range []string{k.former, k.key} {
 			if set := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
 				t.Errorf("%s gave %v", key, set)
 			}
--- a/internal/settings/number.go
+++ b/internal/settings/number.go
@@ -4,8 +4,8 @@
 
 // Number is a numeric setting, parsed once. The zero Number is a setting that is not given, and reads as 0.
 //
-// No text is refused, and the readers of a setting have never agreed on what an odd text means: "1.5" is 1.5 to the
-// decision engine and 0 to the node's start-up code. Each reading has a method of its own.
+// No text is refused. The parts of the node read odd texts differently: "1.5" is 1.5 to the decision engine, and 0 to the
+// leasing of quotas. Each reading has a method of its own.
 type Number struct {
 	text       string
 	float      float64 // infinite where the text is out of float64's range
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -3,28 +3,27 @@
 import (
 	"strconv"
 	"strings"
+	"time"
 )
 
-// translate turns a value of the platform into this package's.
-type translate func(value string) string
-
-// translation is the key, and the form of the value, that a setting of the platform becomes.
+// translation describes how a setting of the platform becomes one of Values.
 type translation struct {
-	key   string // of a list's entry: its field
-	value translate
+	key   string                    // for an entry of a list: the field's part of the key
+	value func(value string) string // translates the text
 }
 
-// lists are the settings that come as lists, by the platform's names. An entry keeps its number.
+// lists are the prefixes of the keys of lists, by the platform's names of the lists. An entry keeps its number.
 var lists = map[string]string{
 	"services":         classList,
 	"tiers_of_service": planList,
 }
 
-// translations are the settings that are read, by the platform's names. The name of a list's entry has no number here.
+// translations are the settings that are read, by the platform's names. In the names of a list's entries the number is left
+// out.
 var translations = map[string]translation{
 	"slot_no":          {Node, verbatim},
 	"replicas_of_me":   {Nodes, verbatim},
-	"tick":             {Tick, tenths},
+	"tick":             {Tick, timeUnits},
 	"registry_mode":    {EndpointList, word},
 	"feedback.columns": {LoadReportFields, columns},
 	"feedback.how":     {LoadReportChannel, verbatim},
@@ -33,16 +32,16 @@
 	"services":             {classList, verbatim},
 	"services.name":        {string(ClassName), verbatim},
 	"services.semantics":   {string(ClassRetrySafety), word},
-	"services.slo":         {string(ClassLatencyObjective), tenths},
-	"services.deadline":    {string(ClassDeadline), tenths},
+	"services.slo":         {string(ClassLatencyObjective), timeUnits},
+	"services.deadline":    {string(ClassDeadline), timeUnits},
 	"services.group":       {string(ClassIdempotencyGroup), verbatim},
-	"services.window":      {string(ClassIdempotencyWindow), tenths},
+	"services.window":      {string(ClassIdempotencyWindow), timeUnits},
 	"services.worth":       {string(ClassPriorityWeight), verbatim},
 	"services.late_value":  {string(ClassLateShare), verbatim},
 	"services.stream":      {string(ClassStreaming), verbatim},
 	"services.aim_stretch": {string(ClassObjectiveStretch), verbatim},
 
-	// Plans of tenants: quotas and what a request is worth.
+	// Tenants' plans: quotas and priorities.
 	"tiers_of_service":                  {planList, verbatim},
 	"tiers_of_service.name":             {string(PlanName), verbatim},
 	"tiers_of_service.depth":            {string(PlanBurst), verbatim},
@@ -55,62 +54,64 @@
 	"tiers_of_service.never_over_depth": {string(PlanCeilingBurst), verbatim},
 	"tiers_of_service.cap_slack":        {string(PlanCeilingSlack), verbatim},
 
-	// What the node may do, and how much of it.
+	// Permissions and limits of the node.
 	"limits.attempts_cap":    {MaxAttempts, verbatim},
 	"limits.second_copies":   {Hedging, verbatim},
 	"limits.cancel":          {CancelAttempts, verbatim},
 	"limits.probes":          {HealthChecks, verbatim},
 	"limits.peers":           {Peers, verbatim},
 	"limits.retry_after":     {RetryAfter, verbatim},
-	"limits.max_retry_after": {MaxRetryAfter, tenths},
+	"limits.max_retry_after": {MaxRetryAfter, timeUnits},
 	"limits.max_open":        {MaxRequests, verbatim},
-	"limits.conn_idle":       {IdleTimeout, tenths},
-	"limits.connect_timeout": {ConnectTimeout, tenths},
+	"limits.conn_idle":       {IdleTimeout, timeUnits},
+	"limits.connect_timeout": {ConnectTimeout, timeUnits},
 
-	// What app servers bear: slow start, overload and draining.
-	"safety.cold":          {SlowStartSpan, tenths},
+	// Limits of app servers: slow start, overload and draining.
+	"safety.cold":          {SlowStartSpan, timeUnits},
 	"safety.cold_from":     {SlowStartShare, verbatim},
 	"safety.fall_multiple": {OverloadMultiple, verbatim},
-	"safety.tip_after":     {OverloadSpan, tenths},
-	"safety.drain_grace":   {DrainGrace, tenths},
-	"safety.answer_slack":  {ResponseSlack, tenths},
-	"safety.ask_within":    {PollWithin, tenths},
+	"safety.tip_after":     {OverloadSpan, timeUnits},
+	"safety.drain_grace":   {DrainGrace, timeUnits},
+	"safety.answer_slack":  {ResponseSlack, timeUnits},
+	"safety.ask_within":    {PollWithin, timeUnits},
 
 	"specifics.trued_up":      {EstimatedUnits, verbatim},
 	"specifics.largest":       {MaxUnits, verbatim},
 	"specifics.peer_in_per_s": {PeerRate, verbatim},
 }
 
-// words are the platform's words that name one of a few: the retry safety of a class, and how endpoint lists come.
+// words translates the platform's words for a RetrySafety and an EndpointListMode.
 var words = map[string]string{
 	"idempotent": RetrySafe, "deduplicated": RetryKeyed, "at_most_once": RetryUnsafe,
 	"subscribe": EndpointListPoll, "automatic": EndpointListPush,
 }
 
-// loadColumns are the platform's names of the figures that load reports carry.
+// loadColumns translates the platform's names of the fields of load reports.
 var loadColumns = map[string]string{
 	"rif": LoadInFlight, "q": LoadQueued, "busy": LoadUtilization, "lat_ms": LoadLatency, "rate": LoadRate,
 	"fail_rate": LoadErrorRate,
 }
 
-// microsPerTenth is how many microseconds a tenth of a millisecond has.
-const microsPerTenth = 100
+// microsPerTimeUnit is the number of microseconds in a TimeUnit.
+const microsPerTimeUnit = int64(TimeUnit / time.Microsecond)
 
+// verbatim returns the text as it is.
 func verbatim(value string) string { return value }
 
+// word translates one of words. An unknown word becomes empty.
 func word(value string) string { return words[value] }
 
-// tenths turns microseconds, a fraction of which is dropped, into tenths of a millisecond.
-func tenths(value string) string {
+// timeUnits translates a number of microseconds, truncated to an integer, into whole time units, rounded towards 0. A text
+// that is no number stays as it is.
+func timeUnits(value string) string {
 	micros, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return value
 	}
-	return strconv.FormatInt(int64(micros)/microsPerTenth, 10)
+	return strconv.FormatInt(int64(micros)/microsPerTimeUnit, 10)
 }
 
-// columns turns the names of a list of load figures; one that is not known becomes empty, so that the others keep their
-// places.
+// columns translates a list of loadColumns. An unknown name becomes empty, so that the others keep their places.
 func columns(value string) string {
 	figures := strings.Split(value, ",")
 	for i, name := range figures {
--- a/internal/settings/pinned_test.go
+++ b/internal/settings/platform_test.go
@@ -7,12 +7,11 @@
 	"testing"
 )
 
-// The tests of this file hold what is read from the platform's JSON and from the simulator's text to what commit cf1acfb
-// read: a name that is lost, or read otherwise, changes the decisions of a node without an error. The program's own
-// keys and words had other names then: earliernames_test.go.
+// The tests of this file hold how the platform's two forms are translated. A name that is lost, or read otherwise, would
+// change the decisions of a node without an error.
 
-// pinned fails a case whose settings, in the order of their names, are not those written out.
-func pinned(t *testing.T, name string, set Values, want string) {
+// checkValues fails a case whose values, in the order of their keys, are not those written out.
+func checkValues(t *testing.T, name string, set Values, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
@@ -21,12 +20,12 @@
 			got += fmt.Sprintf("%s=%s;", key, set[key])
 		}
 		if got != want {
-			t.Errorf("PIN\t%s\t%q\nwant %q", name, got, want)
+			t.Errorf("got  %q\nwant %q", got, want)
 		}
 	})
 }
 
-// fullText gives every name that is known, with what each odd name of the same shape does beside it.
+// fullText has every known name.
 const fullText = `slot_no=2
 replicas_of_me=5
 tick=4000
@@ -91,7 +90,7 @@
 "specifics":{"trued_up":true,"largest":6,"peer_in_per_s":60},
 "feedback":{"columns":["rif","q","busy","lat_ms","rate","fail_rate"],"how":"header"}}`
 
-func TestPinnedText(t *testing.T) {
+func TestTextForm(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"full", fullText, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=keyed;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=poll;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
 		{"nothing", "", ""},
@@ -103,7 +102,7 @@
 		{"empty values", "slot_no=\ntick=\nregistry_mode=\nfeedback.columns=\nservices.0.semantics=\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=;node=;tick=;"},
 		{"unknown words", "registry_mode=other\nservices.0.semantics=sometimes\nfeedback.columns=rif,new,q\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=in_flight,,queued;"},
 		{"words of the other list", "registry_mode=idempotent\nservices.0.semantics=subscribe\n", "class.0.retry_safety=poll;endpoint_list=safe;"},
-		// What a float past an int64 becomes is the processor's: these two are amd64's.
+		// The integer of a float past the range of int64 depends on the processor: these two are amd64's.
 		{"no times", "tick=soon\nsafety.cold=NaN\nsafety.drain_grace=1e400\n", "drain_grace=1e400;slow_start_span=-92233720368547758;tick=soon;"},
 		{"time past 64 bits", "tick=1e300\nsafety.cold=Inf\n", "slow_start_span=-92233720368547758;tick=-92233720368547758;"},
 		{"odd times", "tick=4099.9\nsafety.cold=1e7\nsafety.tip_after=-250\nsafety.ask_within=0x10p4\nsafety.drain_grace=99\n", "drain_grace=0;overload_span=-2;poll_within=2;slow_start_span=100000;tick=40;"},
@@ -112,11 +111,11 @@
 		{"deep names", "services.0.slo.more=1\nlimits.peers.more=true\ntiers_of_service.0.depth.x=2\n", ""},
 		{"capitals", "TICK=4000\nLimits.Peers=true\n", ""},
 	} {
-		pinned(t, c.name, valuesFromText([]byte(c.text)), c.want)
+		checkValues(t, c.name, valuesFromText([]byte(c.text)), c.want)
 	}
 }
 
-func TestPinnedJSON(t *testing.T) {
+func TestJSONForm(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"full", fullJSON, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=unsafe;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=push;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
 		{"nothing", `{}`, ""},
@@ -138,7 +137,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		pinned(t, c.name, set, c.want)
+		checkValues(t, c.name, set, c.want)
 	}
 	for text, want := range map[string]string{
 		`[1]`:     "json: cannot unmarshal array into Go value of type map[string]interface {}",
