--- a/internal/operatorfile/deprecated.go
+++ b/internal/operatorfile/deprecated.go
@@ -10,18 +10,17 @@
 	"cherrygap/internal/settings"
 )
 
-// Keys have had other names. Those are still read, into the structs below, each of which is embedded beside the standard
-// keys of its table; adoptDeprecated then moves what they hold to the standard keys, so that they are nil in a File that
-// Parse returns.
+// The structs below hold the deprecated keys. Each is embedded beside the standard keys of its table. adoptDeprecated moves
+// their values to the standard keys, so that deprecated fields are nil in a File that Parse returns.
 
-// Deprecation is a key that a file gives under an earlier name.
+// Deprecation is a deprecated key, or a deprecated word at a key, in a file.
 type Deprecation struct {
-	Key      string // as the file has it
-	Line     int    // that it is on, from 1; 0 where unknown
-	Standard string // what to write in its place
+	Key      string // as the file spells it
+	Line     int    // from 1; 0 where unknown
+	Standard string // the key, or key and word, to write instead
 }
 
-// String is the notice for the operator.
+// String returns the notice for the operator.
 func (d Deprecation) String() string {
 	return KeyError{Key: d.Key, Line: d.Line, Reason: "deprecated; write " + d.Standard}.Error()
 }
@@ -83,17 +82,17 @@
 	Bands  []TrafficClass `toml:"band"`
 }
 
-// earlierRetrySafetyKey is what the key of a class's retry safety was.
-const earlierRetrySafetyKey = "repeats"
+// deprecatedRetrySafetyKey is the deprecated key of a class's retry safety.
+const deprecatedRetrySafetyKey = "repeats"
 
 type deprecatedClass struct {
 	Repeats *string `toml:"repeats"`
 }
 
-// keyNames has the keys that a file gives under another name than the standard one, tables and lists too.
+// keyNames maps standard keys, tables and lists to the deprecated names that a file gives them.
 type keyNames map[string]string
 
-// of is a standard key as the file has it.
+// of returns a standard key as the file spells it.
 func (n keyNames) of(key string) string {
 	for table, rest := key, ""; table != ""; {
 		if name, ok := n[table]; ok {
@@ -105,16 +104,16 @@
 	return key
 }
 
-// adopter moves what a file gives under earlier names to the standard keys.
+// adopter moves the values of deprecated keys to the standard keys.
 type adopter struct {
-	defined      map[string]bool // keys that the file has, in small letters, lists without numbers
+	defined      map[string]bool // keys in the file, in lower case, lists without numbers
 	written      keyNames
 	deprecations []Deprecation
 	errors       []KeyError
 }
 
-// adoptDeprecated moves what was given under earlier names to the standard keys, and returns those that are given
-// under both.
+// adoptDeprecated moves the values of deprecated keys to the standard keys. A key that the file gives under both names is an
+// error.
 func (f *File) adoptDeprecated(meta toml.MetaData) []KeyError {
 	a := adopter{defined: map[string]bool{}, written: keyNames{}}
 	for _, key := range meta.Keys() {
@@ -144,8 +143,9 @@
 	return false
 }
 
-// earlier notes that a standard key was given under an earlier name, and reports whether it is not given under both.
-func (a *adopter) earlier(standard, name string, given bool) bool {
+// deprecated records that a file gives a standard key under a deprecated name. It reports false, and adds an error, where
+// the standard name is given too.
+func (a *adopter) deprecated(standard, name string, given bool) bool {
 	a.written[standard] = name
 	a.deprecations = append(a.deprecations, Deprecation{Key: name, Standard: standard})
 	if given {
@@ -154,22 +154,22 @@
 	return !given
 }
 
-// sibling is the key of an earlier name beside a standard key, as the file has its table.
+// sibling returns the key of a deprecated name beside a standard key, as the file spells its table.
 func (a *adopter) sibling(standard, name string) string {
 	return a.written.of(parent(standard)) + "." + name
 }
 
-// adopt moves a value from the field of an earlier name to that of a standard key.
+// adopt moves a value from the field of a deprecated name to that of a standard key.
 func adopt[T any](a *adopter, standard, name string, from **T, to *T) {
-	if *from != nil && a.earlier(standard, a.sibling(standard, name), a.given(standard)) {
+	if *from != nil && a.deprecated(standard, a.sibling(standard, name), a.given(standard)) {
 		*to = **from
 	}
 	*from = nil
 }
 
-// adoptPointer is adopt where the field of the standard key is nil as long as that is not given.
+// adoptPointer is adopt for a field that is nil unless the file gives the standard key.
 func adoptPointer[T any](a *adopter, standard, name string, from, to **T) {
-	if *from != nil && a.earlier(standard, a.sibling(standard, name), *to != nil) {
+	if *from != nil && a.deprecated(standard, a.sibling(standard, name), *to != nil) {
 		*to = *from
 	}
 	*from = nil
@@ -177,14 +177,15 @@
 
 // adoptList is adopt for a list of tables.
 func adoptList[T any](a *adopter, standard, name string, from, to *[]T) {
-	if *from != nil && a.earlier(standard, a.sibling(standard, name), *to != nil) {
+	if *from != nil && a.deprecated(standard, a.sibling(standard, name), *to != nil) {
 		*to = *from
 	}
 	*from = nil
 }
 
+// shadow adopts the table "watch".
 func (a *adopter) shadow(f *File) {
-	if f.Watch != nil && a.earlier("shadow", "watch", a.given("shadow")) {
+	if f.Watch != nil && a.deprecated("shadow", "watch", a.given("shadow")) {
 		f.Shadow.Settings = f.Watch.Settings
 		adopt(a, "shadow.enabled", "on", &f.Watch.On, &f.Shadow.Enabled)
 	}
@@ -192,8 +193,9 @@
 	a.settings("shadow.settings", &f.Shadow.Settings)
 }
 
+// healthChecks adopts the table "duties".
 func (a *adopter) healthChecks(f *File) {
-	if old := f.Duties; old != nil && a.earlier("health_checks", "duties", a.given("health_checks")) {
+	if old := f.Duties; old != nil && a.deprecated("health_checks", "duties", a.given("health_checks")) {
 		adopt(a, "health_checks.enabled", "on", &old.On, &f.HealthChecks.Enabled)
 		adopt(a, "health_checks.interval_ms", "check_ms", &old.CheckMs, &f.HealthChecks.IntervalMs)
 		adopt(a, "health_checks.max_bytes_per_s", "bytes", &old.Bytes, &f.HealthChecks.MaxBytesPerS)
@@ -201,6 +203,7 @@
 	f.Duties = nil
 }
 
+// settings adopts the keys of a table of settings.
 func (a *adopter) settings(prefix string, s *SettingsOverride) {
 	adoptPointer(a, prefix+".max_attempts", "executions", &s.Executions, &s.MaxAttempts)
 	adoptPointer(a, prefix+".cancel_attempts", "withdraw", &s.Withdraw, &s.CancelAttempts)
@@ -214,7 +217,7 @@
 	adoptList(a, prefix+".class", "band", &s.Bands, &s.Classes)
 	for i := range s.Classes {
 		c, key := &s.Classes[i], entryKey(prefix+".class", i)
-		adoptPointer(a, key+".retry_safety", earlierRetrySafetyKey, &c.Repeats, &c.RetrySafety)
+		adoptPointer(a, key+".retry_safety", deprecatedRetrySafetyKey, &c.Repeats, &c.RetrySafety)
 		if c.RetrySafety != nil {
 			*c.RetrySafety = a.retrySafety(key+".retry_safety", *c.RetrySafety)
 		}
@@ -228,38 +231,39 @@
 	}
 }
 
+// traffic adopts the keys of the load generator's table.
 func (a *adopter) traffic(prefix string, t *Traffic) {
 	adopt(a, prefix+".retry_p", "again_p", &t.AgainP, &t.RetryProbability)
 	adopt(a, prefix+".connections", "conns", &t.Conns, &t.Connections)
 	adoptList(a, prefix+".class", "band", &t.Bands, &t.Classes)
 	for i := range t.Classes {
 		c, key := &t.Classes[i], entryKey(prefix+".class", i)+".retry_safety"
-		if c.Repeats != nil && a.earlier(key, a.sibling(key, earlierRetrySafetyKey), c.RetrySafety != "") {
+		if c.Repeats != nil && a.deprecated(key, a.sibling(key, deprecatedRetrySafetyKey), c.RetrySafety != "") {
 			c.RetrySafety = *c.Repeats
-		} else if _, earlier := a.written[prefix+".class"]; earlier && c.RetrySafety == "" {
-			a.written[key] = a.sibling(key, earlierRetrySafetyKey) // that it lacks
+		} else if _, deprecated := a.written[prefix+".class"]; deprecated && c.RetrySafety == "" {
+			a.written[key] = a.sibling(key, deprecatedRetrySafetyKey) // for the error on the missing key
 		}
 		c.Repeats = nil
 		c.RetrySafety = a.retrySafety(key, c.RetrySafety)
 	}
 }
 
-// earlierRetrySafety are the words that files used to have for the retry safety of a class, and what they mean.
-var earlierRetrySafety = map[string]string{
+// deprecatedRetrySafety maps the deprecated words of retry safety to the standard ones.
+var deprecatedRetrySafety = map[string]string{
 	"replayable": settings.RetrySafe, "referenced": settings.RetryKeyed, "single-use": settings.RetryUnsafe,
 }
 
-// retrySafety reads the word of a class, whose key is given. The earlier words are still taken.
+// retrySafety returns the standard word for the retry safety at a key. It records a deprecated word.
 func (a *adopter) retrySafety(key, word string) string {
-	meant, earlier := earlierRetrySafety[word]
-	if !earlier {
+	standard, deprecated := deprecatedRetrySafety[word]
+	if !deprecated {
 		return word
 	}
-	a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, meant))
-	return meant
+	a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, standard))
+	return standard
 }
 
-// deprecatedWord notes what to write for a word, together with what was noted of its key.
+// deprecatedWord records the standard form of a deprecated word. A deprecation of the key itself becomes part of it.
 func (a *adopter) deprecatedWord(key, standard string) {
 	written := a.written.of(key)
 	if last := len(a.deprecations) - 1; last >= 0 && a.deprecations[last].Key == written {
--- a/internal/operatorfile/deprecated_test.go
+++ b/internal/operatorfile/deprecated_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// standardFile says what fullFile of the pinned tests says, under the standard names.
+// standardFile has every key under its standard name, with the values of deprecatedFile.
 const standardFile = `[log]
 level = "debug"
 [settings]
@@ -101,13 +101,13 @@
 budget_ms = 502
 `
 
-// A file means the same under the standard and under the earlier names; the earlier ones are each noted, once.
-func TestStandardNames(t *testing.T) {
+// Standard and deprecated names have the same meaning. Each deprecated name has one notice.
+func TestDeprecatedNamesMeanTheStandardOnes(t *testing.T) {
 	standard, errs := Parse(standardFile)
 	if len(errs) > 0 || len(standard.Deprecations) > 0 {
 		t.Fatal(errs, standard.Deprecations)
 	}
-	earlier, errs := Parse(fullFile)
+	deprecated, errs := Parse(deprecatedFile)
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -117,21 +117,21 @@
 		"shadow settings": func(f *File) string { return describeSettings(&f.Shadow.Settings) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, want := describe(&standard), describe(&earlier); got != want {
+			if got, want := describe(&standard), describe(&deprecated); got != want {
 				t.Errorf("%q, want %q", got, want)
 			}
 		})
 	}
 	var notices strings.Builder
-	for _, d := range earlier.Deprecations {
+	for _, d := range deprecated.Deprecations {
 		notices.WriteString(d.String() + "\n")
 	}
-	if notices.String() != fullFileNotices {
-		t.Errorf("got\n%s\nwant\n%s", notices.String(), fullFileNotices)
+	if notices.String() != deprecatedFileNotices {
+		t.Errorf("got\n%s\nwant\n%s", notices.String(), deprecatedFileNotices)
 	}
 }
 
-const fullFileNotices = `line 4: settings.executions: deprecated; write settings.max_attempts
+const deprecatedFileNotices = `line 4: settings.executions: deprecated; write settings.max_attempts
 line 5: settings.withdraw: deprecated; write settings.cancel_attempts
 line 7: settings.peers_take: deprecated; write settings.peer_messages_per_s
 line 8: settings.advice: deprecated; write settings.retry_after
@@ -168,24 +168,24 @@
 line 91: lab.load.band.1.repeats: deprecated; write lab.load.class.1.retry_safety = "unsafe"
 `
 
-var earlierNames = []struct{ name, text, errors, notices string }{
+var deprecationCases = []struct{ name, text, errors, notices string }{
 	{
-		"earlier words under the standard key", "[[settings.class]]\nname = \"a\"\nretry_safety = \"referenced\"\n", "",
+		"deprecated words under the standard key", "[[settings.class]]\nname = \"a\"\nretry_safety = \"referenced\"\n", "",
 		"line 3: settings.class.0.retry_safety: deprecated; write settings.class.0.retry_safety = \"keyed\"",
 	},
 	{
-		"earlier key in a class", "[[settings.class]]\nname = \"a\"\nrepeats = \"single-use\"\n", "",
+		"deprecated key in a class", "[[settings.class]]\nname = \"a\"\nrepeats = \"single-use\"\n", "",
 		"line 3: settings.class.0.repeats: deprecated; write settings.class.0.retry_safety = \"unsafe\"",
 	},
 	{
-		"earlier words of the lab", "[[lab.load.class]]\nname = \"a\"\nretry_safety = \"replayable\"\nshare = 1\nbudget_ms = 1\n", "",
+		"deprecated words of the lab", "[[lab.load.class]]\nname = \"a\"\nretry_safety = \"replayable\"\nshare = 1\nbudget_ms = 1\n", "",
 		"line 3: lab.load.class.0.retry_safety: deprecated; write lab.load.class.0.retry_safety = \"safe\"",
 	},
 	{"an empty table", "[duties]\n", "", "line 1: duties: deprecated; write health_checks"},
 	{"dotted keys", "watch.on = true\n", "", "watch: deprecated; write shadow\nwatch.on: deprecated; write shadow.enabled"},
 	{"another case", "[Duties]\nON = true\n", "", "duties: deprecated; write health_checks\nduties.on: deprecated; write health_checks.enabled"},
 	{
-		"earlier settings in the standard table", "[shadow.settings]\nexecutions = 2\n", "",
+		"deprecated settings in the standard table", "[shadow.settings]\nexecutions = 2\n", "",
 		"line 2: shadow.settings.executions: deprecated; write shadow.settings.max_attempts",
 	},
 
@@ -236,7 +236,7 @@
 		"line 1: lab.load.class.0.retry_safety: \"\" is neither safe nor unsafe", "",
 	},
 	{
-		"no earlier word of the lab", "[[lab.load.band]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
+		"no deprecated word of the lab", "[[lab.load.band]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
 		"line 1: lab.load.band.0.repeats: \"\" is neither replayable nor single-use", "",
 	},
 	{"no class of the lab", "[lab.load]\nclass = []\n", "line 2: lab.load.class: no class is given", ""},
@@ -249,11 +249,11 @@
 		"line 2: settings.max_attempts: 0 is out of range 1 to 100\nline 3: settings.slow_start_from: 2 is out of range 0.001 to 1\n" +
 			"line 5: shadow.settings.overload_ms: 0 is out of range 1 to 3.6e+06\nline 7: health_checks.interval_ms: 1 is out of range 200 to 3.6e+06", "",
 	},
-	{"earlier key below a standard table of the same part", "[health_checks]\ncheck_ms = 4000\n", "line 2: health_checks.check_ms: no such key", ""},
+	{"deprecated key below a standard table of the same part", "[health_checks]\ncheck_ms = 4000\n", "line 2: health_checks.check_ms: no such key", ""},
 }
 
-func TestEarlierNames(t *testing.T) {
-	for _, c := range earlierNames {
+func TestDeprecationsAndTheirErrors(t *testing.T) {
+	for _, c := range deprecationCases {
 		t.Run(c.name, func(t *testing.T) {
 			f, errs := Parse(c.text)
 			notices := make([]string, len(f.Deprecations))
--- a/internal/operatorfile/doc.go
+++ b/internal/operatorfile/doc.go
@@ -1,6 +1,9 @@
-// Package operatorfile reads the operators' own file: everything that the platform's JSON configuration does not carry, in
-// TOML. Keys that nobody reads, values out of range and a key given under two names are refused, each with its key and
-// line, so that a typo never passes as a default. A key's earlier name is still read, with a notice of what to write
-// (Deprecation). Every key is documented in docs/configuration.md; deploy/operator.toml is a commented example that passes
-// the check.
+// Package operatorfile reads the operators' file, in TOML. It holds everything that the platform's JSON configuration does
+// not carry.
+//
+// A file is accepted whole or not at all. Unknown keys, values out of range and a key given under two names are errors. Each
+// error names its key and line. A misspelt key therefore never passes as a default. A deprecated key is accepted with a
+// notice of the standard key (Deprecation).
+//
+// docs/configuration.md documents every key. deploy/operator.toml is an annotated example.
 package operatorfile
--- a/internal/operatorfile/errors.go
+++ b/internal/operatorfile/errors.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// KeyError is one thing wrong in a file.
+// KeyError is an error in a file, at one of its keys.
 type KeyError struct {
-	Key    string // as the file has it; (syntax) or (file) where there is none
-	Line   int    // that it is on, from 1; 0 where unknown
+	Key    string // as the file spells it; "(syntax)" or "(file)" for an error without a key
+	Line   int    // from 1; 0 where unknown
 	Reason string
 }
 
-// Error is the line, where it is known, the key and the reason.
+// Error returns the line, where it is known, the key and the reason.
 func (e KeyError) Error() string { return e.at() + ": " + e.Reason }
 
+// at returns the place of the error.
 func (e KeyError) at() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Key)
@@ -22,13 +23,13 @@
 	return e.Key
 }
 
-// FileError is everything wrong in one file, in the order of the lines.
+// FileError holds all errors of one file, in the order of their lines. errors.As finds each KeyError.
 type FileError struct {
 	Path   string
 	Errors []KeyError
 }
 
-// Error has a line for each, with the file's path.
+// Error returns a line for each error, with the file's path.
 func (e *FileError) Error() string {
 	lines := make([]string, len(e.Errors))
 	for i, err := range e.Errors {
@@ -37,7 +38,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap is each KeyError, for errors.As.
+// Unwrap returns the KeyErrors.
 func (e *FileError) Unwrap() []error {
 	errs := make([]error, len(e.Errors))
 	for i, err := range e.Errors {
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -2,10 +2,10 @@
 
 import "cherrygap/internal/settings"
 
-// File is the whole operator file. The zero value is not valid; start from Default.
+// File is an operator file. Its zero value is not valid: start from Default.
 type File struct {
 	Log          Log              `toml:"log"`
-	Settings     SettingsOverride `toml:"settings"` // over the platform's settings
+	Settings     SettingsOverride `toml:"settings"` // override the platform's settings
 	Shadow       Shadow           `toml:"shadow"`
 	HealthChecks HealthChecks     `toml:"health_checks"`
 	Quota        Quota            `toml:"quota"`
@@ -13,113 +13,114 @@
 	GRPC         GRPC             `toml:"grpc"`
 	Lab          Lab              `toml:"lab"`
 
-	// Deprecations are the keys that the file gives under an earlier name, in the order of their lines.
+	// Deprecations are the deprecated keys in the file, in the order of their lines.
 	Deprecations []Deprecation `toml:"-"`
 
-	written keyNames // keys that were given under an earlier name, for the errors
+	written keyNames // deprecated keys in the file, for errors
 	deprecatedTables
 }
 
-// Log is how the program writes its structured log (zerolog, one JSON object a line on standard error).
+// Log configures the program's structured log, one JSON object a line on standard error.
 type Log struct {
 	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// Shadow is a mode in which the node decides as ever and counts where other settings would decide otherwise.
+// Shadow configures the shadow evaluation: the node counts the decisions that other settings would make otherwise. They
+// decide nothing.
 type Shadow struct {
 	Enabled  bool             `toml:"enabled"`
-	Settings SettingsOverride `toml:"settings"` // those, over the settings that the node decides by
+	Settings SettingsOverride `toml:"settings"` // override the settings that the node decides by
 }
 
-// HealthChecks are the shared health checks of app servers, each of which one node of the fleet does (docs/healthcheck.md).
-// They are done only where the platform's settings allow probes and peers, whatever stands here.
+// HealthChecks configures the shared health checks: one node of the fleet checks each app server (docs/healthcheck.md). They
+// also need the platform's permission for health checks and peer messages.
 type HealthChecks struct {
 	Enabled      bool    `toml:"enabled"`
-	IntervalMs   float64 `toml:"interval_ms"`     // between two checks of one app server, ms; longer in a large fleet
-	MaxBytesPerS float64 `toml:"max_bytes_per_s"` // that this node sends to its peers for them
+	IntervalMs   float64 `toml:"interval_ms"`     // between two checks of one app server, ms; a large fleet checks less often
+	MaxBytesPerS float64 `toml:"max_bytes_per_s"` // of peer messages that this node sends for health checks
 }
 
-// Quota names a shared store that customers' quotas are leased from (docs/quota.md); without one each node keeps its own
-// buckets.
+// Quota configures the leasing of customers' quotas from a shared store (docs/quota.md). Without a store each node admits by
+// token buckets of its own.
 type Quota struct {
-	Store        string  `toml:"store"` // address and port of a store that speaks Redis's protocol; empty for none
-	MaxCallsPerS float64 `toml:"calls"` // exchanges that this node makes with it
+	Store        string  `toml:"store"` // address and port of a store with the Redis protocol; empty for none
+	MaxCallsPerS float64 `toml:"calls"` // exchanges of this node with the store, a second
 }
 
-// Authz names an external authorizer (docs/grpc.md) that each request is checked by before it is sent to an app server.
+// Authz configures the external authorizer, which checks each request before its first attempt (docs/grpc.md).
 type Authz struct {
 	Service     string   `toml:"service"`       // address and port of Envoy's Authorization service; empty for none
-	MaxInFlight int      `toml:"max_in_flight"` // checks at once
-	FailOpen    []string `toml:"fail_open"`     // classes whose requests pass where no answer comes; others are rejected
+	MaxInFlight int      `toml:"max_in_flight"` // checks in flight
+	FailOpen    []string `toml:"fail_open"`     // classes whose requests are admitted without a response of the authorizer
 
 	deprecatedAuthz
 }
 
-// GRPC is the front end that takes requests over gRPC.
+// GRPC configures the gRPC front end.
 type GRPC struct {
 	Listen   string `toml:"listen"` // address and port; empty for none
-	MaxCalls int    `toml:"calls"`  // in flight at once on one connection
+	MaxCalls int    `toml:"calls"`  // in flight on one connection
 }
 
-// Lab holds the laboratory's defaults; flags of `cherrygap lab ...` hold over them.
+// Lab holds the laboratory's defaults. Flags of `cherrygap lab ...` override them.
 type Lab struct {
-	Seed     uint64   `toml:"seed"` // of every random draw in the lab; the same seed gives the same run
+	Seed     uint64   `toml:"seed"` // of all random numbers of the lab: the same seed gives the same run
 	Emulator Emulator `toml:"emulator"`
 	Load     Traffic  `toml:"load"`
 }
 
-// Emulator describes the emulated app servers.
+// Emulator configures the emulated app servers.
 type Emulator struct {
 	Listen       string  `toml:"listen"`        // loopback address of the first server; port 0 picks free ones
-	Servers      int     `toml:"servers"`       // how many, 1 to 512
-	Concurrency  int     `toml:"concurrency"`   // requests a server works on at once; more wait in its queue
-	Queue        int     `toml:"queue"`         // requests that may wait; past that it rejects (503, X-Rejected)
-	Connections  int     `toml:"connections"`   // connections it holds; further ones are reset
+	Servers      int     `toml:"servers"`       // from 1 to 512
+	Concurrency  int     `toml:"concurrency"`   // requests in service at a server; further ones queue
+	Queue        int     `toml:"queue"`         // longest queue of a server, which rejects further requests
+	Connections  int     `toml:"connections"`   // open connections of a server, which resets further ones
 	ServiceMs    float64 `toml:"service_ms"`    // median service time of one unit, ms
 	Spread       float64 `toml:"spread"`        // sigma of the log-normal service time
-	HandshakeMs  float64 `toml:"handshake_ms"`  // added to the first request on a new connection, ms
-	WarmupS      float64 `toml:"warmup_s"`      // a started server is slow for this long, s
-	WarmupFactor float64 `toml:"warmup_factor"` // service time multiplier at the very start of it
-	IdleS        float64 `toml:"idle_s"`        // a connection idle for this long is closed, s
-	DrainMs      float64 `toml:"drain_ms"`      // grace a draining server gives what it holds, ms
-	LoadReports  bool    `toml:"load_reports"`  // responses carry X-Load-Report
-	HealthChecks bool    `toml:"health_checks"` // GET /healthz and GET /load are answered; else 404
-	Schedule     string  `toml:"schedule"`      // file of scripted faults; empty for none
+	HandshakeMs  float64 `toml:"handshake_ms"`  // added to the service time of the first request on a connection, ms
+	WarmupS      float64 `toml:"warmup_s"`      // time after its start in which a server is slow, s
+	WarmupFactor float64 `toml:"warmup_factor"` // multiplies the service time at the start
+	IdleS        float64 `toml:"idle_s"`        // idle time after which a connection is closed, s
+	DrainMs      float64 `toml:"drain_ms"`      // drain grace for the requests of a draining server, ms
+	LoadReports  bool    `toml:"load_reports"`  // responses carry a load report
+	HealthChecks bool    `toml:"health_checks"` // health checks and load polls have responses; else they get 404
+	Schedule     string  `toml:"schedule"`      // path of a file of scripted faults; empty for none
 
 	deprecatedEmulator
 }
 
-// Traffic describes the open-loop load tool's traffic.
+// Traffic configures the traffic of the open-loop load generator.
 type Traffic struct {
-	Target           string         `toml:"target"`      // loopback address of the node (or of a server)
-	Rate             float64        `toml:"rate"`        // requests a second, mean of a Poisson process
-	DurationS        float64        `toml:"duration_s"`  // how long arrivals go on, s
-	Customers        int            `toml:"customers"`   // distinct customers, drawn by a Zipf law
-	Skew             float64        `toml:"skew"`        // the Zipf law's s (above 1); larger is hotter
-	BurstS           float64        `toml:"burst_s"`     // every so many seconds a burst starts; 0 for none
-	BurstLenS        float64        `toml:"burst_len_s"` // how long it lasts, s
-	BurstX           float64        `toml:"burst_x"`     // rate multiplier during a burst
-	RetryProbability float64        `toml:"retry_p"`     // chance that a client whose request was rejected tries again
-	Connections      int            `toml:"connections"` // that the tool may hold open at once
-	Classes          []TrafficClass `toml:"class"`       // what requests are made of
-	Plan             string         `toml:"plan"`        // X-Tariff of every customer
-	Spread           int            `toml:"spread"`      // X-Weight spread: nodes in a customer's set
+	Target           string         `toml:"target"`      // loopback address of the node, or of a server
+	Rate             float64        `toml:"rate"`        // mean of a Poisson process, requests a second
+	DurationS        float64        `toml:"duration_s"`  // time of arrivals, s
+	Customers        int            `toml:"customers"`   // number of customers, drawn by Zipf's law
+	Skew             float64        `toml:"skew"`        // exponent of Zipf's law, above 1
+	BurstS           float64        `toml:"burst_s"`     // time between the starts of bursts, s; 0 for none
+	BurstLenS        float64        `toml:"burst_len_s"` // length of a burst, s
+	BurstX           float64        `toml:"burst_x"`     // multiplies the rate during a burst
+	RetryProbability float64        `toml:"retry_p"`     // probability that the client of a rejected request retries
+	Connections      int            `toml:"connections"` // open connections of the generator, at most
+	Classes          []TrafficClass `toml:"class"`       // classes of the requests
+	Plan             string         `toml:"plan"`        // plan of every customer
+	Spread           int            `toml:"spread"`      // nodes in a customer's set
 
 	deprecatedTraffic
 }
 
-// TrafficClass is one kind of request in the load.
+// TrafficClass configures the requests of one class.
 type TrafficClass struct {
 	Name        string  `toml:"name"`         // the path's first part
 	RetrySafety string  `toml:"retry_safety"` // settings.RetrySafe (GET) or settings.RetryUnsafe (POST)
-	Share       float64 `toml:"share"`        // of arrivals; shares are normalised
-	BudgetMs    int     `toml:"budget_ms"`    // X-Budget-Ms: how long the client waits
-	Units       float64 `toml:"units"`        // X-Weight units
+	Share       float64 `toml:"share"`        // share of arrivals; the shares are normalised
+	BudgetMs    int     `toml:"budget_ms"`    // request budget: time that the client waits, ms
+	Units       float64 `toml:"units"`        // units of a request
 
 	deprecatedClass
 }
 
-// Default is a file with every key at its documented default.
+// Default returns a file with every key at its documented default.
 func Default() File {
 	return File{
 		Log:          Log{Level: "info"},
--- a/internal/operatorfile/load.go
+++ b/internal/operatorfile/load.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Load reads the file at path over the defaults. It returns a *FileError when the file is read but wrong, and
-// another error when it can't be read; either way the returned File is the defaults, so nothing is half set.
+// Load reads the file at path. Keys that it does not give have their defaults. A file with errors in it is a *FileError. With
+// any error the returned File is Default.
 func Load(path string) (File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -25,12 +25,12 @@
 	return f, nil
 }
 
-// Parse reads a file's text over the defaults and returns it with everything found wrong, in the order of the lines, or
-// the defaults when there is any.
+// Parse reads a file's text. Keys that it does not give have their defaults. Errors come in the order of their lines; with
+// any error the returned File is Default.
 func Parse(text string) (File, []KeyError) {
 	f := Default()
 	defaultClasses := f.Lab.Load.Classes
-	f.Lab.Load.Classes = nil // classes that are given replace the defaults whole
+	f.Lab.Load.Classes = nil // the file's classes replace all of the defaults
 	meta, err := toml.Decode(text, &f)
 	if err != nil {
 		return Default(), []KeyError{decodeError(err)}
@@ -59,6 +59,7 @@
 	return f, nil
 }
 
+// decodeError returns the error of the TOML decoder as a KeyError.
 func decodeError(err error) KeyError {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
@@ -67,8 +68,7 @@
 	return KeyError{Key: "(file)", Reason: err.Error()}
 }
 
-// keyLines maps a dotted key to the line where it is set, from the text alone: a table header sets the prefix,
-// an array-of-tables header counts its entries.
+// keyLines maps dotted keys to their lines. The entries of an array of tables have their numbers in the key.
 type keyLines map[string]int
 
 var (
@@ -77,6 +77,7 @@
 	assignment  = regexp.MustCompile(`^\s*([A-Za-z0-9_\-]+)\s*=`)
 )
 
+// locate finds the lines of keys, tables and entries of arrays. It does not see keys within inline tables.
 func locate(text string) keyLines {
 	lines := keyLines{}
 	prefix := ""
@@ -101,7 +102,7 @@
 	return lines
 }
 
-// of is the line of key, or of the nearest table above it that is written, or 0.
+// of returns the line of a key, or else of the nearest table around it; 0 where neither is found.
 func (l keyLines) of(key string) int {
 	for key != "" {
 		if number, ok := l[key]; ok {
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// parent is the table that a dotted key is in, or empty.
+// parent returns the table of a dotted key; empty for a key without one.
 func parent(key string) string {
 	dot := strings.LastIndexByte(key, '.')
 	if dot < 0 {
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -9,45 +9,44 @@
 	"cherrygap/internal/settings"
 )
 
-// SettingsOverride holds settings that the decision engine reads, over what the platform's JSON says. A key that is not
-// given leaves the platform's setting as it is.
+// SettingsOverride overrides settings of the platform. A nil field leaves the platform's setting as it is.
 type SettingsOverride struct {
 	MaxAttempts      *int            `toml:"max_attempts"`        // of a request
 	CancelAttempts   *bool           `toml:"cancel_attempts"`     // attempts may be cancelled
-	Peers            *bool           `toml:"peers"`               // nodes may write to each other
-	PeerMessagesPerS *float64        `toml:"peer_messages_per_s"` // that a node takes in
-	RetryAfter       *bool           `toml:"retry_after"`         // a rejection may say when to try again
-	MaxRetryAfterMs  *float64        `toml:"max_retry_after_ms"`  // the longest such time, ms
-	IdleMs           *float64        `toml:"idle_ms"`             // idle connections to app servers are closed after it, ms
-	SlowStartFrom    *float64        `toml:"slow_start_from"`     // least share of its capacity that a started app server has
-	SlowStartMs      *float64        `toml:"slow_start_ms"`       // it is warm after so long at the latest, ms
-	OverloadMultiple *float64        `toml:"overload_multiple"`   // sent more than so many times its present capacity
-	OverloadMs       *float64        `toml:"overload_ms"`         // for so long it falls over, ms
+	Peers            *bool           `toml:"peers"`               // nodes may send each other messages
+	PeerMessagesPerS *float64        `toml:"peer_messages_per_s"` // messages a second that a node receives
+	RetryAfter       *bool           `toml:"retry_after"`         // a rejection carries Retry-After
+	MaxRetryAfterMs  *float64        `toml:"max_retry_after_ms"`  // longest Retry-After, ms
+	IdleMs           *float64        `toml:"idle_ms"`             // idle time after which a connection to an app server is closed, ms
+	SlowStartFrom    *float64        `toml:"slow_start_from"`     // share of its capacity that an app server has at its start
+	SlowStartMs      *float64        `toml:"slow_start_ms"`       // time after its start at which an app server is warm, ms
+	OverloadMultiple *float64        `toml:"overload_multiple"`   // load, relative to its present capacity, that crashes a warming app server
+	OverloadMs       *float64        `toml:"overload_ms"`         // time that a warming app server stands overload_multiple, ms
 	Classes          []ClassOverride `toml:"class"`
 	Plans            []PlanOverride  `toml:"plan"`
 
 	deprecatedSettings
 }
 
-// ClassOverride is one request class, by the platform's name of it.
+// ClassOverride overrides settings of one request class, by the platform's name of it.
 type ClassOverride struct {
 	Name               string   `toml:"name"`
 	RetrySafety        *string  `toml:"retry_safety"`         // settings.RetrySafe, RetryKeyed or RetryUnsafe
-	Group              *string  `toml:"group"`                // keyed: which servers drop a repeat, all, zone or cell
-	WindowMs           *float64 `toml:"window_ms"`            // keyed: for how long after the first attempt, ms
+	Group              *string  `toml:"group"`                // keyed: servers that share idempotency keys; all, zone or cell
+	WindowMs           *float64 `toml:"window_ms"`            // keyed: time for which a server knows a key, ms
 	LatencyObjectiveMs *float64 `toml:"latency_objective_ms"` // a response within it earns the whole priority weight, ms
 
 	deprecatedClassOverride
 }
 
-// PlanOverride is one plan, by the platform's name of it.
+// PlanOverride overrides settings of one plan, by the platform's name of it.
 type PlanOverride struct {
 	Name         string   `toml:"name"`
-	Rate         *float64 `toml:"rate"`          // quota, units a second; 0 for none
-	Burst        *float64 `toml:"burst"`         // units that may be used at once
-	MaxInFlight  *int     `toml:"max_in_flight"` // attempts at once; 0 for no cap
-	CeilingRate  *float64 `toml:"ceiling_rate"`  // hard ceiling, units a second; 0 for none
-	CeilingBurst *float64 `toml:"ceiling_burst"` // units that it lets pass at once
+	Rate         *float64 `toml:"rate"`          // of the quota's token bucket, units a second; 0 for none
+	Burst        *float64 `toml:"burst"`         // of the quota's token bucket, units
+	MaxInFlight  *int     `toml:"max_in_flight"` // attempts of a customer in flight; 0 for no limit
+	CeilingRate  *float64 `toml:"ceiling_rate"`  // of the hard ceiling's token bucket, units a second; 0 for none
+	CeilingBurst *float64 `toml:"ceiling_burst"` // of the hard ceiling's token bucket, units
 
 	deprecatedPlanOverride
 }
@@ -63,9 +62,10 @@
 	lowest, highest float64  // range of number
 }
 
-// givenSettings collects settings; each method adds one whose value is not nil.
+// givenSettings collects settings. Each method adds a setting unless its value is nil.
 type givenSettings []givenSetting
 
+// number adds a number, which must be from lowest to highest.
 func (g *givenSettings) number(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := settings.FloatNumber(*value)
@@ -87,6 +87,7 @@
 	}
 }
 
+// count adds an integer, which must be from lowest to highest.
 func (g *givenSettings) count(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := float64(*value)
@@ -94,6 +95,7 @@
 	}
 }
 
+// flag adds a switch.
 func (g *givenSettings) flag(key string, value *bool, set func(*settings.Settings, bool)) {
 	if value != nil {
 		enabled := *value
@@ -104,6 +106,7 @@
 	}
 }
 
+// choice adds a choice, which must be one of words.
 func (g *givenSettings) choice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
 	if value != nil {
 		word := *value
@@ -183,20 +186,20 @@
 	g.number(prefix+"ceiling_burst", p.CeilingBurst, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingBurst }))
 }
 
-// What UnknownNameError calls the lists. The word for a class is that of earlier releases, which scripts may look for.
+// The names of the lists in an UnknownNameError. Scripts may match the deprecated name of the list of classes.
 const (
 	classLabel = "band"
 	planLabel  = "plan"
 )
 
-// UnknownNameError is a class or plan that the platform's settings do not name.
+// UnknownNameError is the error for a class or plan that is not in the platform's settings.
 type UnknownNameError struct {
-	List  string   // that it should be in
-	Name  string   // that was given
-	Known []string // that would do
+	List  string   // "band" or "plan"
+	Name  string   // as given
+	Known []string // names in the platform's settings
 }
 
-// Error is the name, and those that would do.
+// Error returns the name, and the known names.
 func (e *UnknownNameError) Error() string {
 	return fmt.Sprintf("%s %q: the platform's settings name %s", e.List, e.Name, strings.Join(e.Known, ", "))
 }
--- a/internal/operatorfile/validate.go
+++ b/internal/operatorfile/validate.go
@@ -10,7 +10,7 @@
 	"cherrygap/internal/settings"
 )
 
-// Ranges that several keys share.
+// Greatest values of several keys.
 const (
 	hourMs    = 3.6e6 // ms
 	maxCount  = 1 << 16
@@ -21,8 +21,8 @@
 	maxUnits  = 1e9
 )
 
-// Validate returns each value out of its range, with its key as the file has it and no line. Parse calls it; callers do
-// after they have changed a value, as by a flag.
+// Validate returns an error for each value out of its range, with the key as the file spells it, and no line. Parse calls
+// it. Callers call it after they change a value.
 func (f *File) Validate() []KeyError {
 	v := validator{written: f.written}
 	v.oneOf("log.level", f.Log.Level, "debug", "info", "warn", "error")
@@ -41,53 +41,56 @@
 	return v.errors
 }
 
-// validator collects what is wrong.
+// validator collects errors.
 type validator struct {
 	written keyNames
 	errors  []KeyError
 }
 
-// add notes what is wrong with a key.
+// add adds an error at a key.
 func (v *validator) add(key, format string, args ...any) {
 	v.errors = append(v.errors, KeyError{Key: v.written.of(key), Reason: fmt.Sprintf(format, args...)})
 }
 
+// within checks that a value is in its range.
 func (v *validator) within(key string, value, lowest, highest float64) {
 	if !(value >= lowest && value <= highest) { // a NaN is in no range
 		v.add(key, "%v is out of range %v to %v", value, lowest, highest)
 	}
 }
 
+// oneOf checks that a value is one of the words.
 func (v *validator) oneOf(key, value string, words ...string) {
 	if !slices.Contains(words, value) {
 		v.add(key, "%q is none of %s", value, strings.Join(v.fileWords(key, words), ", "))
 	}
 }
 
-// fileWords are the words that the file has for those of retry safety: the earlier ones under the earlier key. Other words
-// are the same under any key.
+// fileWords returns the words for an error at a key. Where the file gives the deprecated key of retry safety, they are the
+// deprecated words.
 func (v *validator) fileWords(key string, words []string) []string {
-	if lastPart(v.written.of(key)) != earlierRetrySafetyKey {
+	if lastPart(v.written.of(key)) != deprecatedRetrySafetyKey {
 		return words
 	}
 	out := slices.Clone(words)
 	for i, word := range words {
-		for earlier, meant := range earlierRetrySafety {
-			if word == meant {
-				out[i] = earlier
+		for deprecated, standard := range deprecatedRetrySafety {
+			if word == standard {
+				out[i] = deprecated
 			}
 		}
 	}
 	return out
 }
 
+// addressOrNone checks that a value is empty, or an IP address and a port.
 func (v *validator) addressOrNone(key, address string) {
 	if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
 		v.add(key, "%q is no address and port: %v", address, err)
 	}
 }
 
-// loopback refuses any address that is not on this machine's loopback: the lab sends traffic nowhere else.
+// loopback checks that a value is a loopback address and a port: the lab sends traffic nowhere else.
 func (v *validator) loopback(key, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -97,9 +100,9 @@
 	}
 }
 
-// settings looks at each value that is given, whatever the platform's names are.
+// settings checks the values that the file gives. It does not know the platform's names of classes and plans.
 func (v *validator) settings(prefix string, s *SettingsOverride) {
-	first := func(string) int { return 0 } // the keys are not looked at
+	first := func(string) int { return 0 } // the settings are not applied
 	for _, e := range s.given(first, first) {
 		if e.words != nil {
 			v.oneOf(prefix+"."+e.key, e.word, e.words...)
@@ -119,7 +122,7 @@
 	v.names(prefix+".plan", plans)
 }
 
-// names wants each entry of a list to have a name, and no name twice.
+// names checks that each entry of a list has a name, and no two the same.
 func (v *validator) names(list string, names []string) {
 	for i, name := range names {
 		key := list + "." + strconv.Itoa(i) + ".name"
@@ -131,6 +134,7 @@
 	}
 }
 
+// emulator checks the emulated app servers.
 func (v *validator) emulator(e *Emulator) {
 	const prefix = "lab.emulator."
 	v.loopback(prefix+"listen", e.Listen)
@@ -147,6 +151,7 @@
 	v.within(prefix+"drain_ms", e.DrainMs, 0, maxLabMs)
 }
 
+// traffic checks the traffic of the load generator.
 func (v *validator) traffic(t *Traffic) {
 	const prefix = "lab.load."
 	v.loopback(prefix+"target", t.Target)
@@ -166,6 +171,7 @@
 	v.trafficClasses(prefix+"class", t.Classes)
 }
 
+// trafficClasses checks the classes of the traffic.
 func (v *validator) trafficClasses(list string, classes []TrafficClass) {
 	if len(classes) == 0 {
 		v.add(list, "no %s is given", lastPart(v.written.of(list)))
@@ -191,5 +197,5 @@
 	}
 }
 
-// lastPart is the last part of a dotted key.
+// lastPart returns the last part of a dotted key.
 func lastPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
