--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -8,6 +8,9 @@
 	"cherrygap/internal/settings"
 )
 
+// ClassID is the number of a request class, by its place in the settings.
+type ClassID = decision.ClassID
+
 // Config configures a Router. SetTimer, PollEndpoints, SendToPeer and LogSummary must be set.
 //
 // The Router calls SetTimer, PollEndpoints, OnDecision, OnRepeatViolation and Quota under its lock. These must not block,
@@ -35,7 +38,7 @@
 	OnDecision func(*Request)
 
 	// OnRepeatViolation is called for each attempt or rejection that the repeat check held back; nil to ignore them.
-	OnRepeatViolation func(violation RepeatViolation, class decision.ClassID, attempt int)
+	OnRepeatViolation func(violation RepeatViolation, class ClassID, attempt int)
 
 	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.Tick.
 	SetTimer func(after time.Duration)
