--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -21,6 +21,8 @@
 		{"peers are silent", 4, 0, now - peerSilenceTimeout - 1, true, 40, 80, 9, 0.25},
 		{"just seen", 4, now - 2*reportInterval + 1, now, true, 40, 80, 9, 0.25},
 		{"nobody reports it", 4, 0, now, true, 40, 0, 0, 1},
+		{"hardly a report left", 4, 0, now, true, 40, 80, 0.099, 1},
+		{"a decayed report", 4, 0, now, true, 40, 80, 0.101, (20 + 30*0.25) / (60 + 30)},
 		{"reported", 4, 0, now, true, 40, 80, 9, (20 + 30*0.25) / (60 + 30)},
 		{"no demand", 4, 0, now, true, 0, 0, 9, 0.25},
 	} {
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -49,6 +49,7 @@
 		{"busy and idle ones", false, 100, 3, []NodeID{AllPeers}, 0},
 		{"owners", true, 100, 3, []NodeID{2, 3}, 0}, // node 1 owns the first itself
 		{"little room", false, 0, 60, []NodeID{AllPeers, AllPeers}, 45},
+		{"half the peer rate", false, 35, 60, []NodeID{AllPeers, AllPeers, AllPeers}, 33},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
