--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -15,6 +15,7 @@
 	"cherrygap/internal/netio"
 	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
 )
 
@@ -98,7 +99,7 @@
 	}
 	addr, empty := nettest.FullServer(t)
 	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
-	d.node.Router.UpdateEndpoints(list, false)
+	d.node.Router.UpdateEndpoints(list, routing.FromDiscovery)
 	within := 400 // ms; a quota owner is waited for longer
 	if r.settings[settings.Peers] == settings.On {
 		within = 1600
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -64,11 +64,14 @@
 		LogSummary: func([]byte) {},
 	})
 	go timer.Run(router.Tick)
-	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, true)
+	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, routing.FromCache)
 	counters, upstreamCounters := &frontend.Counters{}, &upstream.Counters{}
 	limits := netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 	n.http = freeAddress(t)
-	requests, err := frontend.Listen(n.http, router, upstream.NewPool(limits, &log, upstreamCounters), limits, authorizer, &log, counters)
+	requests, err := frontend.Listen(frontend.Config{
+		Addr: n.http, Router: router, Pool: upstream.NewPool(limits, &log, upstreamCounters), Limits: limits,
+		Authorizer: authorizer, Log: &log, Counters: counters,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
