--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -49,7 +49,8 @@
 	pingRequest
 	// correct carries members that are dead at the receiver and not at the sender.
 	correct
-	// object answers a correct message. It carries members that stay dead at the sender, at their incarnations there.
+	// object answers a correct message. It carries members that stay dead at the sender because their incarnations there are
+	// as high. They are sent as suspect, so that the receiver suspects them and they can refute that.
 	object
 )
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -23,7 +23,8 @@
 	Dead
 )
 
-// incarnation is the number of updates that a member has refuted. An update with a lower incarnation is out of date.
+// incarnation is the version of a member's state. Only the member itself raises it, to refute a suspicion or its death. An
+// update with a lower incarnation is out of date.
 type incarnation uint64
 
 // member is the record of one node of the fleet. The zero value is alive and was never dead.
@@ -31,7 +32,7 @@
 	state       State
 	incarnation incarnation
 	since       time.Duration // time of the last change of state
-	rejoined    bool          // whether the member changed from dead to alive at least once
+	rejoined    bool          // whether the member was dead and then alive or suspect at least once
 	rejoinedAt  time.Duration // time of the last such change
 }
 
@@ -45,7 +46,8 @@
 // State returns the state of another member. It panics if id is not below Nodes. The result for Self is meaningless.
 func (p *Protocol) State(id NodeID) State { return p.members[id].state }
 
-// AliveFor reports whether a member last rejoined at least minAge ago. It returns true if the member was never dead.
+// AliveFor reports whether a member last rejoined, after it was dead, at least minAge ago. It returns true for a member that
+// was never dead.
 func (p *Protocol) AliveFor(id NodeID, minAge time.Duration) bool {
 	m := &p.members[id]
 	return !m.rejoined || p.now-m.rejoinedAt >= minAge
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -58,7 +58,7 @@
 	Malformed int64 // messages that could not be decoded or did not come from another member
 	Suspected int64 // members that became suspect
 	Died      int64 // members that became dead
-	Rejoined  int64 // members that changed from dead to alive
+	Rejoined  int64 // members that were dead and became alive or suspect
 	Refuted   int64 // updates that called this node suspect or dead and were refuted
 }
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -19,8 +19,8 @@
 	directTimeoutPeriods = 0.4
 	// indirectProbes is the number of members that are asked to ping a silent one.
 	indirectProbes = 3
-	// suspicionPeriodsPerRound is the time from suspicion to death, in periods per gossip round. An update and its
-	// refutation need one gossip round each.
+	// suspicionPeriodsPerRound is the time from suspicion to death, in periods per gossip round. The suspicion can reach the
+	// member, and its refutation all others, within that time.
 	suspicionPeriodsPerRound = 3
 	// initialPings is the number of pings per period until the first message is received.
 	initialPings = 3
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -39,7 +39,7 @@
 	demand        demand
 	lastRequestAt time.Duration
 	exchangeAt    time.Duration // earliest time of the next exchange
-	lossWindow    WindowNumber  // last window in which the store proved to have lost entries
+	lossWindow    WindowNumber  // last window with a proven loss of entries; noWindow-1 before the first loss
 	window
 }
 
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -77,7 +77,8 @@
 }
 
 // exchange returns the next exchange of an account, or false if the account needs none. A lower cap is in force at once. A
-// higher cap is in force only once a reply grants it.
+// higher cap is in force only once a reply grants it. An unchanged cap is put again if the store's entry differs or is
+// unknown.
 func (l *Ledger) exchange(a *account) (Exchange, bool) {
 	if a.customer.Rate <= 0 || a.customer.Spread <= 1 {
 		return Exchange{}, false
@@ -99,8 +100,8 @@
 	return l.begin(a, put), true
 }
 
-// mayBorrow reports whether an account's cap may be raised now. After a loss of entries in the store it may not until the
-// end of the next window.
+// mayBorrow reports whether an account's cap may be raised now. It may not in a window with a proven loss of entries, nor in
+// the window after it.
 func (l *Ledger) mayBorrow(a *account) bool {
 	return a.cap < a.allowance && a.number > a.lossWindow+1 && l.now >= a.deniedUntil
 }
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -3,7 +3,7 @@
 // Replies of the store.
 //
 // Inputs: all entries of a customer and window. State: the last known commitments of the other nodes. Rule: a node may
-// raise its cap by the part of the allowance that the other nodes' commitments leave. A node without an entry counts with a
+// raise its cap to the part of the allowance that the other nodes' commitments leave. A node without an entry counts with a
 // slice. A reply without this node's last entry proves a loss, and grants nothing. Protects against caps that add up to more
 // than the allowance.
 
