--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -1,5 +1,6 @@
-// Package discovery is the laboratory's stand-in for discovery's agent: one endpoint list and its changes, served over HTTP
-// to each node at an address of the node's own, as on a node's machine. Faults can be played on each address.
+// Package discovery is the laboratory's stand-in for discovery's agent. It serves one endpoint list and its changes over HTTP,
+// in the platform's protocol. Each node has an address of its own, as an agent runs on each node's machine. A test can
+// disconnect or silence the watches, and set a node's clock ahead.
 package discovery
 
 import (
@@ -22,44 +23,48 @@
 	revision uint64 // of the last change
 }
 
-// Agent stands in for discovery's agent: one endpoint list and its changes, served over HTTP to each node at an
-// address of the node's own, as on a node's machine.
+// Agent serves one endpoint list over HTTP, with an address for each watch. Its methods are safe for concurrent use.
 type Agent struct {
-	watches []*watch // set by Start alone
-
-	mu             sync.Mutex // guards what follows, and the counts of all watches
-	servers        []Endpoint
-	revision       uint64
-	oldestRevision uint64        // a call from before it gets the full list
-	fullBody       []byte        // the full list as of revision; nil: to be encoded
-	changed        chan struct{} // closed, and replaced, at each change
-	disconnected   bool          // connections are closed as they come
-	silent         bool          // no call is answered
-	generation     int           // of connections: calls on those of earlier ones are not answered
+	watches []*watch // immutable after Start
+
+	mu             sync.Mutex    // guards the fields below, and the fields of the watches that say so
+	servers        []Endpoint    // all servers, listed or not
+	revision       uint64        // of the last change, from 1
+	oldestRevision uint64        // a call for the changes since an earlier revision gets the full list
+	fullBody       []byte        // response with the full list; nil if it must be encoded
+	changed        chan struct{} // closed and replaced at each change that waiting calls must see
+	disconnected   bool          // whether new connections are closed
+	silent         bool          // whether no call gets a response
+	generation     int           // of new connections; calls on connections of earlier generations get no response
 }
 
-// watch is what the agent knows of one node's watch. All but addr and server are guarded by the agent's lock; bytes
-// are of bodies.
+// watch is the address and the state of one node's watch.
 type watch struct {
-	addr         string
-	server       *http.Server
-	conns        map[net.Conn]struct{}
-	clockAhead   time.Duration // by which the node's clock is ahead of all others
-	fullLists    int64
-	fullBytes    int64
-	deltaBytes   int64 // of answers with changes, or with nothing
-	acknowledged []acknowledgement
+	addr   string       // immutable
+	server *http.Server // immutable
+
+	conns        map[net.Conn]struct{} // guarded by Agent.mu: open connections
+	clockAhead   time.Duration         // guarded by Agent.mu: lead of the node's clock over all others
+	traffic      Traffic               // guarded by Agent.mu
+	acknowledged []acknowledgement     // guarded by Agent.mu
 }
 
-// acknowledgement is a call that counts from a revision: a node takes a list over before it calls again, so that the
-// revision is applied there.
+// Traffic counts the responses of a watch.
+type Traffic struct {
+	FullLists   int64 // responses with the full list
+	FullBytes   int64 // bytes of their bodies
+	ChangeBytes int64 // bytes of the bodies of all other responses
+}
+
+// acknowledgement is a call for the changes since a revision. A node applies a list before its next call, so the call proves
+// that the node has applied the revision.
 type acknowledgement struct {
 	revision uint64
 	at       time.Time
 }
 
-// Start starts the agent with a listener for each of so many watches. Each has a goroutine of its own, which ends
-// with Close.
+// Start starts an agent with a listener on loopback for each watch. All watches serve the same servers. The caller must call
+// Close, which ends the agent's goroutines.
 func Start(servers []Endpoint, watches int) (*Agent, error) {
 	a := &Agent{servers: servers, revision: 1, oldestRevision: 1, changed: make(chan struct{})}
 	for range watches {
@@ -82,25 +87,27 @@
 	return a, nil
 }
 
-// generationKey is the context's key of a connection's generation.
+// generationKey is the context key of a connection's generation.
 type generationKey struct{}
 
+// currentGeneration returns the generation of a new connection.
 func (a *Agent) currentGeneration() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.generation
 }
 
-// Addr is where a watch's node finds the agent.
+// Addr returns the "host:port" of a watch.
 func (a *Agent) Addr(watch int) string { return a.watches[watch].addr }
 
-// Close ends all watches.
+// Close closes all listeners and connections.
 func (a *Agent) Close() {
 	for _, w := range a.watches {
 		_ = w.server.Close()
 	}
 }
 
+// trackConn records the open connections of a watch. It closes new ones while watches are disconnected.
 func (a *Agent) trackConn(watch *watch, conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,8 +122,8 @@
 	}
 }
 
-// serveCall answers one call: with the full list, or with what changed since a revision as soon as anything has, or with
-// no change once the time that the call allows is over.
+// serveCall responds to a call with the full list, or with the changes since a revision. Without changes it waits for one, and
+// responds with none at the end of the call's hold time.
 func (a *Agent) serveCall(watch *watch, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path != protocol.EndpointsPath {
@@ -135,8 +142,8 @@
 	generation, _ := r.Context().Value(generationKey{}).(int)
 	hold := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 	defer hold.Stop()
-	for over := false; ; {
-		body, changed := a.answer(watch, generation, from, full, over)
+	for holdEnded := false; ; {
+		body, changed := a.response(watch, request{generation: generation, full: full, from: from, holdEnded: holdEnded})
 		if body != nil {
 			w.Header().Set("Date", time.Now().Add(-watch.clockAhead).UTC().Format(http.TimeFormat))
 			writeBody(w, body)
@@ -145,107 +152,111 @@
 		select {
 		case <-changed:
 		case <-hold.C:
-			over = true
+			holdEnded = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// answer gives the body that a call is to be answered with now, or nil and the channel that is closed at the next change.
-// It breaks the connection, by a panic as net/http has it, while watches are disconnected.
-func (a *Agent) answer(watch *watch, generation int, from uint64, full, over bool) ([]byte, <-chan struct{}) {
+// request is a call to the agent.
+type request struct {
+	generation int    // of the call's connection
+	full       bool   // whether the call asks for the full list
+	from       uint64 // revision after which the call asks for changes
+	holdEnded  bool   // whether the call's hold time has ended
+}
+
+// response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed at
+// the next change. While watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the connection.
+func (a *Agent) response(watch *watch, r request) ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.disconnected {
 		panic(http.ErrAbortHandler)
 	}
-	if a.silent || generation < a.generation {
+	if a.silent || r.generation < a.generation {
 		return nil, a.changed
 	}
-	if full || from < a.oldestRevision || from > a.revision {
-		body := a.fullListFor(watch)
-		watch.fullLists++
-		watch.fullBytes += int64(len(body))
+	if r.full || r.from < a.oldestRevision || r.from > a.revision {
+		body := a.fullList(watch)
+		watch.traffic.FullLists++
+		watch.traffic.FullBytes += int64(len(body))
 		return body, nil
 	}
-	if from < a.revision || over {
-		body := a.changesSince(watch, from)
-		watch.deltaBytes += int64(len(body))
+	if r.from < a.revision || r.holdEnded {
+		body := a.changesSince(watch, r.from)
+		watch.traffic.ChangeBytes += int64(len(body))
 		return body, nil
 	}
 	return nil, a.changed
 }
 
-// writeBody leaves it to the client to notice an answer that is cut off.
+// writeBody writes a response. It ignores the error of a closed connection, which the client notices.
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// fullList is the full list's body. The caller holds the lock.
-func (a *Agent) fullList() []byte {
+// fullList returns the body with the full list for a watch. The caller holds a.mu.
+func (a *Agent) fullList(w *watch) []byte {
+	if w.clockAhead != 0 {
+		return a.encodeFullList(w)
+	}
 	if a.fullBody == nil {
-		list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
-		for _, e := range a.servers {
-			if e.Listed && e.State != protocol.Terminated {
-				list.Endpoints = append(list.Endpoints, e.Endpoint)
-			}
-		}
-		a.fullBody = encodeList(list)
+		a.fullBody = a.encodeFullList(w)
 	}
 	return a.fullBody
 }
 
-// fullListFor is the full list's body as a watch's node has to see it. The caller holds the lock.
-func (a *Agent) fullListFor(w *watch) []byte {
-	if w.clockAhead == 0 {
-		return a.fullList()
-	}
-	list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: []protocol.Endpoint{}}
+// encodeFullList encodes the full list for a watch. The caller holds a.mu.
+func (a *Agent) encodeFullList(w *watch) []byte {
+	list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
 	for _, e := range a.servers {
 		if e.Listed && e.State != protocol.Terminated {
-			list.Endpoints = append(list.Endpoints, w.seen(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
 		}
 	}
 	return encodeList(list)
 }
 
-// seen is an entry with its time of start as it looks to a node whose clock is ahead.
-func (w *watch) seen(e protocol.Endpoint) protocol.Endpoint {
+// seenByNode returns an endpoint with its start time relative to the clock of the watch's node.
+func (w *watch) seenByNode(e protocol.Endpoint) protocol.Endpoint {
 	if e.BootMs > 0 {
 		e.BootMs -= w.clockAhead.Milliseconds()
 	}
 	return e
 }
 
-// changesSince is the body with what changed after a revision. The caller holds the lock.
+// changesSince returns the body with the changes after a revision, for a watch. The caller holds a.mu.
 func (a *Agent) changesSince(w *watch, from uint64) []byte {
 	list := protocol.EndpointList{Revision: a.revision, Endpoints: []protocol.Endpoint{}}
 	for _, e := range a.servers {
 		if e.Listed && e.revision > from {
-			list.Endpoints = append(list.Endpoints, w.seen(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
 		}
 	}
 	return encodeList(list)
 }
 
+// encodeList returns a list as JSON.
 func encodeList(list protocol.EndpointList) []byte {
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // of strings and finite numbers
+		panic(err) // impossible for strings and finite numbers
 	}
 	return body
 }
 
-// Snapshot is the full list as of now, as the configuration of a watch's node has it.
+// Snapshot returns the current full list for a watch, as it stands in the configuration of the watch's node.
 func (a *Agent) Snapshot(watch int) json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fullListFor(a.watches[watch])
+	return a.fullList(a.watches[watch])
 }
 
-// Publish changes servers, which makes one revision, and sends it to all that wait.
+// Publish changes servers as one revision, lists them, and sends the change to all waiting calls. It returns the revision and
+// the time of the change.
 func (a *Agent) Publish(change func(*Endpoint), servers ...int) (revision uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -261,7 +272,7 @@
 	return a.revision, at
 }
 
-// DisconnectAll ends all watches and accepts none until Reconnect. From then on every node gets the full list.
+// DisconnectAll closes all connections, and new ones until Reconnect. After that every call for changes gets the full list.
 func (a *Agent) DisconnectAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -276,7 +287,7 @@
 	a.wakeCalls()
 }
 
-// SetSilent ends or begins that no call is answered, on connections of now or later: as while discovery is down.
+// SetSilent sets whether all calls wait without a response, as they do while discovery is down.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -284,43 +295,42 @@
 	a.wakeCalls()
 }
 
-// SilenceOpen leaves all calls on connections of before now without an answer; those on new ones are answered.
+// SilenceOpen leaves all calls on connections that are open now without a response. Calls on new connections get one.
 func (a *Agent) SilenceOpen() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.generation++
 }
 
-// SetClockAhead plays that the clock of a watch's node is ahead of all others: to it they are behind. It is to be called
-// before the node's start.
+// SetClockAhead sets the lead of the clock of a watch's node over all other clocks. It must be called before the node starts.
 func (a *Agent) SetClockAhead(watch int, ahead time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watches[watch].clockAhead = ahead
 }
 
-// Traffic is what the agent sent on a watch: full lists and their bytes, and the bytes of answers with changes or nothing.
-func (a *Agent) Traffic(watch int) (fullLists, fullBytes, changeBytes int64) {
+// Traffic returns the counts of a watch since Start.
+func (a *Agent) Traffic(watch int) Traffic {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := a.watches[watch]
-	return w.fullLists, w.fullBytes, w.deltaBytes
+	return a.watches[watch].traffic
 }
 
-// wakeCalls has the calls that wait look again. The caller holds the lock.
+// wakeCalls makes all waiting calls check for changes. The caller holds a.mu.
 func (a *Agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Reconnect ends what DisconnectAll began.
+// Reconnect accepts connections again after DisconnectAll.
 func (a *Agent) Reconnect() {
 	a.mu.Lock()
 	a.disconnected = false
 	a.mu.Unlock()
 }
 
-// AppliedAt is when a watch first acknowledged a revision or a later one, since a moment; the zero time if it has not.
+// AppliedAt returns the first time, from since on, at which a watch acknowledged a revision or a later one. It returns the
+// zero time if there is none.
 func (a *Agent) AppliedAt(watch int, revision uint64, since time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -121,10 +121,10 @@
 	nodes := float64(len(run.nodes))
 	perNode := 1 / (seconds * nodes)
 	for watch := range run.nodes {
-		fullLists, fullBytes, changeBytes := run.agent.Traffic(watch)
-		r.DiscoveryFullBytes += float64(fullBytes) * perNode
-		r.DiscoveryChangeBytes += float64(changeBytes) * perNode
-		r.DiscoveryFullLists += float64(fullLists) / nodes
+		traffic := run.agent.Traffic(watch)
+		r.DiscoveryFullBytes += float64(traffic.FullBytes) * perNode
+		r.DiscoveryChangeBytes += float64(traffic.ChangeBytes) * perNode
+		r.DiscoveryFullLists += float64(traffic.FullLists) / nodes
 	}
 }
 
