--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,10 +1,11 @@
-// Package emulator plays app servers on loopback as the platform's protocol describes them: HTTP/1.1, one request at a
-// time on a connection, a bounded number of connections and of requests at work, a log-normal service time that is longer
-// while the server warms up, a cost for a new connection, load reports and health checks, graceful shutdown, and faults
-// scripted by a seed and a schedule. It counts how often each request id began to run, so that a test can prove that no
-// unsafe request ran twice.
+// Package emulator runs stand-ins for app servers on loopback. They follow the platform's protocol: HTTP/1.1, one request at
+// a time on a connection, and limits on the number of connections, executing requests and queued requests.
 //
-// Random draws come from math/rand/v2 (PCG), seeded per server. The wall clock decides only when things happen.
+// The service time is log-normal, and longer while a server warms up. New connections cost time. Load reports, health checks
+// and graceful shutdown can be switched on. Faults follow a schedule. A server counts the executions of each request id, so
+// that a test can prove that no unsafe request was executed twice.
+//
+// Random draws come from math/rand/v2 (PCG), with one seed per server. The draws do not depend on the wall clock.
 package emulator
 
 import (
@@ -21,17 +22,18 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Fleet is a set of emulated servers with one schedule and one clock.
+// Fleet is a set of emulated servers with one schedule.
 type Fleet struct {
-	Servers []*Server
+	Servers []*Server // by number; immutable
 
 	startedAt time.Time
-	stop      chan struct{} // closed by Close
-	wg        sync.WaitGroup
+	stop      chan struct{}  // closed by Close
+	wg        sync.WaitGroup // playSchedule
 }
 
-// Start opens cfg.Servers servers, the first at cfg.Listen and each next one a port higher (or all on free ports when its
-// port is 0). It returns an error for a non-loopback address or a port in use, and then opens none.
+// Start starts cfg.Servers servers: the first one at cfg.Listen, each further one at the next port. With port 0 all servers
+// listen on free ports. For an address that is not loopback, or a port in use, it returns an error and starts none. The
+// caller must call Close.
 func Start(cfg operatorfile.Emulator, seed uint64, schedule Schedule, log zerolog.Logger) (*Fleet, error) {
 	first, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return f, nil
 }
 
-// Addrs gives each server's address, host:port.
+// Addrs returns the "host:port" of each server.
 func (f *Fleet) Addrs() []string {
 	addrs := make([]string, len(f.Servers))
 	for i, s := range f.Servers {
@@ -71,7 +73,7 @@
 	return addrs
 }
 
-// Close stops every server at once and resets its connections. It may be called again.
+// Close closes every server and its connections. It may be called more than once, but not concurrently.
 func (f *Fleet) Close() {
 	select {
 	case <-f.stop:
@@ -84,22 +86,23 @@
 	}
 }
 
-// transition is what happens to a server as a whole at a time of the schedule.
+// transition is a scheduled change of a whole server.
 type transition struct {
-	at     time.Duration // from the fleet's start
+	at     time.Duration // since the fleet's start
 	server int
 	kind   transitionKind
 }
 
+// transitionKind is the kind of a transition.
 type transitionKind int
 
 const (
 	goDown transitionKind = iota
 	startDrain
-	comeUp // last: at the same instant, what goes down does so before others come up
+	comeUp
 )
 
-// playSchedule carries out the scheduled restarts and drains. It ends with the last of them, or with Close.
+// playSchedule carries out the scheduled restarts and drains. It ends after the last one, or with Close.
 func (f *Fleet) playSchedule() {
 	defer f.wg.Done()
 	for _, t := range f.transitions() {
@@ -123,7 +126,7 @@
 	}
 }
 
-// transitions lists the schedule's restarts and drains in order of time.
+// transitions returns the schedule's restarts and drains by time. Of transitions at the same time, those to comeUp are last.
 func (f *Fleet) transitions() (out []transition) {
 	for _, s := range f.Servers {
 		for _, fault := range s.schedule.Faults {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -46,6 +46,7 @@
 	return resp, string(body), err
 }
 
+// The error for an invalid schedule names the key or the line.
 func TestInvalidSchedules(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[fault]]\nkind = \"melt\"\nat_s = 0\nfor_s = 1\n":             "unknown",
@@ -61,9 +62,8 @@
 	}
 }
 
-// A server that resets in mid-body leaves the client with a short body and an error, and the request
-// counted as run: the edge node must treat it as "may have run".
-func TestResetInMidBody(t *testing.T) {
+// After a reset within the body the client has an error, and the request counts as executed.
+func TestResetWithinBody(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"reset\"\nat_s = 0\nfor_s = 60\n")
 	_, body, err := get(f.Servers[0].Addr(), "a1")
 	if err == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// The same id twice is counted, so that a test can prove that no unsafe request ran twice.
-func TestRunsAreCountedAndNoIDIs404(t *testing.T) {
+// Executions are counted by request id. A request without an id gets status 404.
+func TestAttemptsAreCountedByRequestID(t *testing.T) {
 	f := startServer(t, "")
 	addr := f.Servers[0].Addr()
 	for range 2 {
@@ -91,7 +91,8 @@
 	}
 }
 
-func TestDrainRejectsAndNeverRuns(t *testing.T) {
+// A draining server rejects requests without executing them.
+func TestDrainRejectsRequests(t *testing.T) {
 	f := startServer(t, "")
 	s := f.Servers[0]
 	s.mu.Lock()
@@ -103,13 +104,13 @@
 	}
 }
 
-// A restart refuses connections for its length and comes back at the same address, cold.
-func TestRestartRefusesThenReturns(t *testing.T) {
+// During a restart the address refuses connections. Afterwards the server has the same address.
+func TestRestartRefusesConnections(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(150 * time.Millisecond)
 	if _, _, err := get(addr, "d4"); err == nil {
-		t.Fatal("answered while down")
+		t.Fatal("response while the server is down")
 	}
 	time.Sleep(400 * time.Millisecond)
 	if resp, _, err := get(addr, "d5"); err != nil || resp.StatusCode != 200 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// A scheduled drain rejects new work while it still takes connections, and closes after its grace.
+// During a scheduled drain the server accepts connections and rejects requests. After the grace it is closed.
 func TestScheduledDrain(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"drain\"\nat_s = 0.05\nfor_s = 1\n")
 	addr := f.Servers[0].Addr()
@@ -131,6 +132,6 @@
 	}
 	time.Sleep(300 * time.Millisecond) // the grace is 200 ms
 	if _, _, err := get(addr, "e7"); err == nil {
-		t.Fatal("answered after the grace")
+		t.Fatal("response after the grace")
 	}
 }
--- a/internal/lab/emulator/golden_test.go
+++ b/internal/lab/emulator/fileformat_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The last line of lab emulate has the keys that testdata/stats.json keeps, one a count.
+// The JSON keys of Stats are those of testdata/stats.json, which reports of all versions share.
 func TestStatsKeys(t *testing.T) {
 	var s Stats
 	for i := range reflect.TypeOf(s).NumField() {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Every fault, as a schedule file names it.
+// The keys and kinds of a schedule file keep their names.
 func TestScheduleKeys(t *testing.T) {
 	const text = `
 [[fault]]
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -5,15 +5,16 @@
 	"sync/atomic"
 )
 
-// cappedListener resets connections past its limit, as a full app server does.
+// cappedListener limits the number of open connections. It resets further ones.
 type cappedListener struct {
 	net.Listener
-	maxOpen           int64
-	open              atomic.Int64
-	accepted, refused atomic.Int64
+	maxOpen  int64
+	open     atomic.Int64 // open connections; decremented by the user of the listener
+	accepted atomic.Int64
+	refused  atomic.Int64 // connections reset because of the limit
 }
 
-// Accept waits for a connection within the limit.
+// Accept returns the next connection within the limit.
 func (l *cappedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -31,7 +32,7 @@
 	}
 }
 
-// resetConn closes a connection with a TCP reset. An error says that the client has done so already.
+// resetConn closes a connection with a TCP reset. It ignores errors, which mean that the connection is closed already.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -14,37 +14,37 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Server is one emulated app server.
+// Server is an emulated app server. Its methods are safe for concurrent use.
 type Server struct {
-	id         int
+	id         int // number in the fleet
 	cfg        operatorfile.Emulator
 	schedule   Schedule
 	fleetStart time.Time
 	log        zerolog.Logger
 
-	mu         sync.Mutex // guards what follows
-	addr       string     // with the port that the first open got
-	rng        *rand.Rand
-	begunByID  map[string]int // requests begun, by request id
-	stats      Stats
-	bootedAt   time.Time
-	draining   bool
-	httpServer *http.Server // nil while it is down
-	listener   *cappedListener
+	mu         sync.Mutex      // guards the fields up to listener
+	addr       string          // with the port of the first open
+	rng        *rand.Rand      // of the draws
+	begunByID  map[string]int  // executions by request id
+	stats      Stats           // without the counts of listener
+	bootedAt   time.Time       // time of the last open
+	draining   bool            // whether new requests are rejected
+	httpServer *http.Server    // nil while the server is down
+	listener   *cappedListener // of the last open
 
-	workSlots chan struct{} // requests at work
-	waiting   atomic.Int64
-	working   atomic.Int64
+	workSlots chan struct{} // holds an element for each executing request
+	waiting   atomic.Int64  // queued requests
+	working   atomic.Int64  // executing requests
 }
 
-// Addr is the server's address, host:port.
+// Addr returns the server's "host:port".
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Stats gives a copy of the server's counts.
+// Stats returns the server's counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,15 +55,15 @@
 	return stats
 }
 
-// TimesBegun returns how often the server began to execute the request with this id.
+// TimesBegun returns the number of executions of the request with an id.
 func (s *Server) TimesBegun(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.begunByID[id]
 }
 
-// Drain makes the server reject new requests (503 with protocol.HeaderRejected) and answer health checks with 503, while it still
-// accepts connections. What it holds may finish within the grace, after which it closes everything.
+// Drain starts the graceful shutdown. From then on the server rejects new requests, and responds to health checks with status
+// 503. It still accepts connections and finishes its requests. After cfg.DrainMs it closes everything.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -74,15 +74,15 @@
 	}
 	time.AfterFunc(milliseconds(s.cfg.DrainMs), func() {
 		s.mu.Lock()
-		same := s.httpServer == drained
+		stillOpen := s.httpServer == drained
 		s.mu.Unlock()
-		if same {
+		if stillOpen {
 			s.close()
 		}
 	})
 }
 
-// open listens at the server's address and starts it cold. Its goroutine ends with close.
+// open starts the server at its address, with a warm-up. Its goroutine ends with close.
 func (s *Server) open() error {
 	listener, err := net.Listen("tcp", s.Addr())
 	if err != nil {
@@ -104,11 +104,11 @@
 	s.mu.Lock()
 	s.addr, s.httpServer, s.listener, s.bootedAt, s.draining = listener.Addr().String(), server, capped, time.Now(), false
 	s.mu.Unlock()
-	go func() { _ = server.Serve(capped) }() // it returns an error always: that of close
+	go func() { _ = server.Serve(capped) }() // always returns an error: http.ErrServerClosed after close
 	return nil
 }
 
-// close breaks all connections and refuses new ones.
+// close closes the listener and all connections.
 func (s *Server) close() {
 	s.mu.Lock()
 	server := s.httpServer
@@ -119,17 +119,19 @@
 	}
 }
 
-// count changes the counts.
+// count calls change with the counts, under the lock.
 func (s *Server) count(change func(*Stats)) {
 	s.mu.Lock()
 	change(&s.stats)
 	s.mu.Unlock()
 }
 
+// isDraining reports whether the server rejects new requests.
 func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
+// milliseconds returns a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/emulator/transitions_test.go
+++ b/internal/lab/emulator/transitions_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Restarts and drains come in order of time, and at the same instant what goes down does so before others come up.
+// Transitions are sorted by time, and those to comeUp are last at the same time.
 func TestTransitionsInOrder(t *testing.T) {
 	schedule, err := ParseSchedule(`
 [[fault]]
