--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -8,22 +8,22 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Seeds' second halves, one a purpose, so that the draws of one don't shift those of another.
+// Second words of the seeds. Arrivals and requests have separate random streams, so that their draws are independent.
 const (
 	arrivalStream = 0x6c6f6164
 	requestStream = 0x6964
 )
 
-// Arrival is one request that is due at an offset from the start.
+// Arrival is a request of the plan.
 type Arrival struct {
-	At          time.Duration
-	Class       int // index of the traffic's classes
+	At          time.Duration // time since the start at which the request is due
+	Class       int           // index into the traffic's classes
 	Customer    uint64
-	ClientRetry bool // a client tries again after a rejection
+	ClientRetry bool // whether the request is a client's retry
 }
 
-// Plan draws the first arrivals of a run: a Poisson process at cfg.Rate, multiplied by BurstX during bursts. The same
-// seed gives the same plan.
+// Plan returns the arrivals of a run: a Poisson process with cfg.Rate arrivals per second, and cfg.BurstX times as many during
+// bursts. The same seed yields the same plan. Clients' retries are not part of the plan.
 func Plan(cfg operatorfile.Traffic, seed uint64) []Arrival {
 	var out []Arrival
 	for s := NewStream(cfg, seed); ; {
@@ -35,16 +35,16 @@
 	}
 }
 
-// Stream draws a plan's arrivals one at a time, for runs too long to hold them all.
+// Stream draws the arrivals of a plan one by one, for plans that are too long for memory.
 type Stream struct {
 	cfg         operatorfile.Traffic
 	rng         *rand.Rand
 	customers   *rand.Zipf
-	totalShares float64 // of the classes
-	now         float64 // s
+	totalShares float64 // sum of the classes' shares
+	now         float64 // time of the last arrival since the start, in seconds
 }
 
-// NewStream starts the plan of cfg and seed.
+// NewStream returns the Stream of the plan that Plan returns for cfg and seed.
 func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
 	rng := rand.New(rand.NewPCG(seed, arrivalStream))
 	s := &Stream{cfg: cfg, rng: rng, customers: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
@@ -54,7 +54,7 @@
 	return s
 }
 
-// Next gives the next arrival, or false once the plan's duration has passed.
+// Next returns the next arrival. It returns false at the end of the plan's duration.
 func (s *Stream) Next() (Arrival, bool) {
 	rate := s.cfg.Rate
 	if inBurst(s.cfg, s.now) {
@@ -71,7 +71,7 @@
 	}, true
 }
 
-// drawClass draws a class by the classes' shares.
+// drawClass draws the index of a class, with the classes' shares as weights.
 func (s *Stream) drawClass() int {
 	pick := s.rng.Float64() * s.totalShares
 	for i, class := range s.cfg.Classes {
@@ -83,6 +83,8 @@
 	return max(0, len(s.cfg.Classes)-1)
 }
 
+// inBurst reports whether there is a burst at a time since the start, in seconds. Each period of cfg.BurstS seconds ends with a
+// burst of cfg.BurstLenS seconds.
 func inBurst(cfg operatorfile.Traffic, now float64) bool {
 	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(now, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
 }
--- a/internal/lab/load/golden_test.go
+++ b/internal/lab/load/fileformat_test.go
@@ -12,8 +12,8 @@
 	"cherrygap/internal/lab/report"
 )
 
-// A series of two seconds has the lines that testdata/series.jsonl keeps, byte for byte, and lab report reads it.
-func TestSeriesKeys(t *testing.T) {
+// A series of two seconds has the bytes of testdata/series.jsonl, and the laboratory's report reads it.
+func TestSeriesFileFormat(t *testing.T) {
 	var out bytes.Buffer
 	generator := &Generator{
 		Series: &out, result: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -1,11 +1,11 @@
-// Package load is the laboratory's open-loop load generator. Arrivals follow a Poisson process (with bursts) drawn in
-// advance from a seed, so that a slow gateway can't slow the load: each request's latency counts from when it was due, not
-// from when it could be sent (no coordinated omission), and the generator reports how late it sent requests itself when it
-// could not keep the rate. Customers follow a Zipf law; classes say the kind of request (GET for idempotent ones, POST for
-// unsafe ones) and how long its client waits. A rejected request's client tries again with a fresh ID, after Retry-After
-// where given, with a set probability.
+// Package load is the laboratory's open-loop load generator. Arrivals are a Poisson process with bursts, drawn in advance from
+// a seed. A slow gateway does not reduce the load. The latency of a request counts from the time at which it was due, which
+// avoids coordinated omission (Gil Tene). The generator also records its own lag, the time by which it sent requests late.
 //
-// Latencies go into HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
+// The numbers of requests per customer follow a Zipf distribution. The class of a request gives its method and its timeout.
+// After a rejection the client retries with a given probability, with a new request id and after the Retry-After.
+//
+// Latencies are recorded in HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
 package load
 
 import (
@@ -24,27 +24,30 @@
 )
 
 const (
-	behindLagMicros   = 10_000 // p99 of the lag past which the generator didn't keep the rate
+	// behindLagMicros is the 99th percentile of the lag beyond which a Result is marked Behind, in microseconds.
+	behindLagMicros = 10_000
+	// defaultRetryAfter is the delay of a client's retry without a valid Retry-After.
 	defaultRetryAfter = 100 * time.Millisecond
-	maxRetryAfter     = 10 * time.Second
+	// maxRetryAfter is the longest delay of a client's retry.
+	maxRetryAfter = 10 * time.Second
 )
 
-// Generator sends the load.
+// Generator sends the load of one run. The exported fields must not change after Run is called, and Run must be called once.
 type Generator struct {
 	Cfg    operatorfile.Traffic
 	Seed   uint64
-	Client *http.Client // nil for one with Cfg.Conns connections
-	Series io.Writer    // JSON lines, one per second; nil for none
+	Client *http.Client // nil for a client with Cfg.Connections connections
+	Series io.Writer    // receives a JSON line for each second; nil for none
 
-	mu      sync.Mutex // guards what follows
-	rng     *rand.Rand
-	result  Result
-	second  secondCounts
-	seconds int // that were written
+	mu      sync.Mutex   // guards the fields below
+	rng     *rand.Rand   // of request ids and clients' retries
+	result  Result       // so far
+	second  secondCounts // of the current second
+	seconds int          // number of seconds flushed
 }
 
-// Run sends the plan and waits for every request's answer or for ctx. It returns an error only when the series can't be
-// written. Each request has a goroutine of its own, which ends with its answer.
+// Run sends all requests of the plan, and waits until each has ended or ctx is done. An error is one of writing the series.
+// Each request has its own goroutine, which ends with the request.
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
 		g.Client = &http.Client{Transport: &http.Transport{
@@ -80,7 +83,7 @@
 	return g.result, seriesErr
 }
 
-// waitUntil waits until a time and calls flush at each tick. It returns false once ctx is done.
+// waitUntil waits until the time due, and calls flush at each tick. It returns false if ctx is done before.
 func waitUntil(ctx context.Context, due time.Time, tick <-chan time.Time, flush func()) bool {
 	for wait := time.Until(due); wait > 0; wait = time.Until(due) {
 		select {
@@ -94,12 +97,12 @@
 	return true
 }
 
-// send sends one request and, if it is rejected, perhaps its client's retry.
+// send sends a request. If it is rejected and its client retries, send also sends the retry. start is the start of the run.
 func (g *Generator) send(ctx context.Context, a Arrival, due, start time.Time) {
-	id, retries := g.recordSent(a, due)
-	response := g.roundTrip(ctx, a, id, due)
-	g.recordOutcome(response.outcome, response.took)
-	if response.outcome != Rejected || !retries || a.ClientRetry || ctx.Err() != nil {
+	drawn := g.recordSent(a, due)
+	response := g.roundTrip(ctx, a, drawn.id, due)
+	g.recordOutcome(response.outcome, response.latency)
+	if response.outcome != Rejected || !drawn.retries || a.ClientRetry || ctx.Err() != nil {
 		return
 	}
 	a.ClientRetry, a.At = true, time.Since(start)+response.retryAfter
@@ -110,13 +113,19 @@
 	}
 }
 
-// recordSent counts a request, and draws its ID and whether its client retries after a rejection.
-func (g *Generator) recordSent(a Arrival, due time.Time) (id uint64, retries bool) {
+// drawnRequest is the random part of a request.
+type drawnRequest struct {
+	id      uint64
+	retries bool // whether the client retries after a rejection
+}
+
+// recordSent counts a request that is due, and draws its random part.
+func (g *Generator) recordSent(a Arrival, due time.Time) drawnRequest {
 	lag := time.Since(due).Microseconds()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	id = g.rng.Uint64()
-	retries = g.rng.Float64() < g.Cfg.RetryProbability
+	drawn := drawnRequest{id: g.rng.Uint64()}
+	drawn.retries = g.rng.Float64() < g.Cfg.RetryProbability
 	recordMicros(g.result.Lag, lag)
 	g.result.Sent++
 	g.second.sent++
@@ -124,17 +133,17 @@
 	if a.ClientRetry {
 		g.result.ClientRetries++
 	}
-	return id, retries
+	return drawn
 }
 
-// response is how a request ended for its client.
+// response is the end of a request at its client.
 type response struct {
 	outcome    Outcome
-	took       time.Duration // from when it was due
-	retryAfter time.Duration // after a rejection
+	latency    time.Duration // from the time at which the request was due; set only for Completed
+	retryAfter time.Duration // set only for Rejected
 }
 
-// roundTrip sends a request and reads its answer, for as long as its client waits.
+// roundTrip sends a request and reads the response, within the class's budget from the time due.
 func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) response {
 	class := g.Cfg.Classes[a.Class]
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(class.BudgetMs)*time.Millisecond))
@@ -149,25 +158,26 @@
 	if err != nil {
 		return response{outcome: Failed}
 	}
-	answer, err := g.Client.Do(request)
+	received, err := g.Client.Do(request)
 	if err != nil {
 		return failure()
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
-	_ = answer.Body.Close()
-	took := time.Since(due)
+	_, err = io.Copy(io.Discard, received.Body)
+	_ = received.Body.Close()
+	latency := time.Since(due)
 	if err != nil {
 		return failure()
 	}
-	switch answer.StatusCode {
+	switch received.StatusCode {
 	case http.StatusOK:
-		return response{outcome: Completed, took: took}
+		return response{outcome: Completed, latency: latency}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return response{outcome: Rejected, retryAfter: retryAfter(answer.Header.Get("Retry-After"))}
+		return response{outcome: Rejected, retryAfter: retryAfter(received.Header.Get("Retry-After"))}
 	}
 	return response{outcome: Failed}
 }
 
+// newRequest returns the HTTP request of an arrival.
 func (g *Generator) newRequest(ctx context.Context, a Arrival, id uint64) (*http.Request, error) {
 	class := g.Cfg.Classes[a.Class]
 	method := http.MethodGet
@@ -190,10 +200,10 @@
 	return request, nil
 }
 
-// retryAfter reads Retry-After in seconds, whole or decimal.
+// retryAfter parses the value of a Retry-After header, an integer or a decimal number of seconds.
 func retryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
-	if err != nil || !(seconds >= 0) { // a NaN too
+	if err != nil || !(seconds >= 0) { // also true for NaN
 		return defaultRetryAfter
 	}
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -13,25 +13,25 @@
 	"cherrygap/internal/protocol"
 )
 
-func TestPlanReproducesAndKeepsRate(t *testing.T) {
+// The same seed yields the same plan, with the configured rate.
+func TestPlanIsReproducibleAndKeepsRate(t *testing.T) {
 	cfg := operatorfile.Default().Lab.Load
 	cfg.Rate, cfg.DurationS, cfg.BurstS, cfg.BurstLenS, cfg.BurstX = 1000, 10, 5, 1, 3
 	a, b := Plan(cfg, 42), Plan(cfg, 42)
 	if !reflect.DeepEqual(a, b) {
-		t.Fatal("the same seed gave two plans")
+		t.Fatal("the same seed yielded two plans")
 	}
 	// 8 s at 1000/s and 2 s at 3000/s: 14,000 expected; Poisson's spread is ~120
 	if n := len(a); n < 13500 || n > 14500 {
 		t.Fatalf("%d arrivals", n)
 	}
 	if reflect.DeepEqual(a[:50], Plan(cfg, 43)[:50]) {
-		t.Fatal("another seed gave the same plan")
+		t.Fatal("another seed yielded the same plan")
 	}
 }
 
-// A server that is slow on one connection must show in the latency: it counts from when each request was
-// due, so requests waiting for the connection are not hidden (no coordinated omission).
-func TestLatencyCountsFromDue(t *testing.T) {
+// The latency counts from the time at which a request was due, including the wait for a free connection.
+func TestLatencyCountsFromDueTime(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, "/seat-") || r.Header.Get(protocol.HeaderRequestID) == "" {
 			w.WriteHeader(400)
@@ -58,9 +58,8 @@
 	}
 }
 
-// A generator that falls behind says so: a request sent 50 ms after it was due shows in its own lag, and
-// in the request's latency.
-func TestFallingBehindIsReported(t *testing.T) {
+// A request that is sent 50 ms late appears in the lag and in the latency.
+func TestLagIsReported(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
 	cfg := operatorfile.Default().Lab.Load
@@ -70,11 +69,11 @@
 	generator.Client = srv.Client()
 	res, err := generator.Run(context.Background()) // sets up; its own plan is kept by an idle generator
 	if err != nil || res.Behind {
-		t.Fatalf("an idle generator fell behind: %v %+v", err, res.Summary())
+		t.Fatalf("a generator with little load is behind: %v %+v", err, res.Summary())
 	}
 	start := time.Now()
 	generator.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
 	if lag, took := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || took < 40_000 {
-		t.Fatalf("lag not seen: %d µs, latency %d µs", lag, took)
+		t.Fatalf("lag %d µs, latency %d µs", lag, took)
 	}
 }
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -7,26 +7,33 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how one request ended for its client.
+// Outcome is the outcome of a request at its client.
 type Outcome int
 
-// The outcomes, as the protocol page counts them.
 const (
-	Completed    Outcome = iota // 200
-	Rejected                    // 429 or 503
-	Failed                      // any other answer, or the connection broke
-	TimedOut                    // no answer in the time that the client waits
-	outcomeCount                // how many there are
+	// Completed is a response with status 200.
+	Completed Outcome = iota
+	// Rejected is a response with status 429 or 503.
+	Rejected
+	// Failed is any other response, or a connection that failed.
+	Failed
+	// TimedOut is a request without a response within the class's budget.
+	TimedOut
+
+	outcomeCount
 )
 
-// outcomeNames are the outcomes' keys in the series and the summary, those of earlier versions.
-var outcomeNames = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
+// outcomeNames are the keys of the outcomes in the series and the summary. They stay as they are, because reports of all
+// versions share them.
+var outcomeNames = [outcomeCount]string{Completed: "completed", Rejected: "bounced", Failed: "broken", TimedOut: "gave_up"}
 
+// String returns the outcome's key.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// outcomeCounts counts requests by how they ended.
+// outcomeCounts is the number of requests by outcome.
 type outcomeCounts [outcomeCount]int64
 
+// byName returns the counts by the outcomes' keys.
 func (c outcomeCounts) byName() map[string]int64 {
 	counts := map[string]int64{}
 	for outcome, n := range c {
@@ -35,16 +42,17 @@
 	return counts
 }
 
-// Result is what a run measured.
+// Result is the result of a run.
 type Result struct {
-	Sent, ClientRetries int64
-	Outcomes            outcomeCounts
-	Latency             *hdr.Histogram // of completed requests, µs from when each was due
-	Lag                 *hdr.Histogram // how late the generator sent, µs
-	Behind              bool           // the generator didn't keep the rate: p99 of its lag above 10 ms
+	Sent          int64 // requests, including clients' retries
+	ClientRetries int64 // clients' retries
+	Outcomes      outcomeCounts
+	Latency       *hdr.Histogram // of completed requests, in µs from the time at which each was due
+	Lag           *hdr.Histogram // time by which requests were sent late, in µs
+	Behind        bool           // whether the 99th percentile of Lag is above behindLagMicros
 }
 
-// Summary is a Result as the lab's reports take it: counts, and quantiles in ms.
+// Summary is a Result in the form of the laboratory's reports.
 type Summary struct {
 	Sent          int64            `json:"sent"`
 	ClientRetries int64            `json:"again"`
@@ -56,7 +64,7 @@
 	Behind        bool             `json:"behind"`
 }
 
-// Summary gives the result's summary.
+// Summary returns the summary of the result.
 func (r Result) Summary() Summary {
 	return Summary{
 		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: quantileMs(r.Latency, 50),
@@ -64,38 +72,38 @@
 	}
 }
 
-// Second is one line of the run's time series, as JSON.
+// Second is a line of the run's time series.
 type Second struct {
-	T        int              `json:"t"` // from 0
+	T        int              `json:"t"` // number of the second, from 0
 	Sent     int64            `json:"sent"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50Ms    float64          `json:"p50_ms"`
 	P95Ms    float64          `json:"p95_ms"`
 	P99Ms    float64          `json:"p99_ms"`
-	LagMs    float64          `json:"lag_ms"` // the latest that the generator sent a request, that second
+	LagMs    float64          `json:"lag_ms"` // longest lag of the second
 }
 
-// secondCounts counts the second in progress.
+// secondCounts are the counts of the current second.
 type secondCounts struct {
 	sent      int64
 	outcomes  outcomeCounts
-	latency   *hdr.Histogram // µs
-	lagMicros int64
+	latency   *hdr.Histogram // of completed requests, in µs
+	lagMicros int64          // longest lag
 }
 
-// recordOutcome counts how a request ended; took matters for a completed one.
-func (g *Generator) recordOutcome(outcome Outcome, took time.Duration) {
+// recordOutcome counts the end of a request. latency is recorded only for Completed.
+func (g *Generator) recordOutcome(outcome Outcome, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result.Outcomes[outcome]++
 	g.second.outcomes[outcome]++
 	if outcome == Completed {
-		recordMicros(g.result.Latency, took.Microseconds())
-		recordMicros(g.second.latency, took.Microseconds())
+		recordMicros(g.result.Latency, latency.Microseconds())
+		recordMicros(g.second.latency, latency.Microseconds())
 	}
 }
 
-// flushSecond writes the second that has passed and begins the next.
+// flushSecond writes the line of the current second and begins the next one.
 func (g *Generator) flushSecond() error {
 	line := g.cutSecond()
 	if g.Series == nil {
@@ -109,6 +117,7 @@
 	return err
 }
 
+// cutSecond returns the line of the current second and begins the next one.
 func (g *Generator) cutSecond() Second {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,16 +133,19 @@
 }
 
 const (
-	maxMicros         = 10 * 60 * 1e6 // ten minutes: longer times count as that
+	// maxMicros is the largest value of the histograms: 10 minutes, in microseconds.
+	maxMicros = 10 * 60 * 1e6
+	// significantDigits is the precision of the histograms, in decimal digits.
 	significantDigits = 3
 )
 
+// newHistogram returns an empty histogram of times in microseconds.
 func newHistogram() *hdr.Histogram { return hdr.New(1, maxMicros, significantDigits) }
 
-// recordMicros records a time, within what the histogram takes.
+// recordMicros records a time in microseconds, clamped to 1 to maxMicros.
 func recordMicros(h *hdr.Histogram, micros int64) { _ = h.RecordValue(min(max(micros, 1), maxMicros)) }
 
-// quantileMs is a quantile (percent) in ms; 0 where nothing was recorded.
+// quantileMs returns a quantile in milliseconds, or 0 for an empty histogram.
 func quantileMs(h *hdr.Histogram, percent float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
