--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -107,7 +107,7 @@
 		PollEndpoints: func() {}, LogSummary: func([]byte) {},
 	})
 	go timer.Run(node.Router.Tick)
-	node.Router.UpdateEndpoints(list, true)
+	node.Router.UpdateEndpoints(list, routing.FromCache)
 	poolLimits := cfg.Limits
 	if cfg.PoolLimits != nil {
 		poolLimits = *cfg.PoolLimits
@@ -127,7 +127,7 @@
 
 // ListOnly makes server the node's only app server.
 func (n *Node) ListOnly(server protocol.Endpoint) {
-	n.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{server}}, false)
+	n.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{server}}, routing.FromDiscovery)
 }
 
 // Limits are limits that no test reaches by accident.
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -22,6 +22,7 @@
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
+	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
 )
 
@@ -67,7 +68,7 @@
 		go nettest.ServeConns(listener, func(conn net.Conn) { r.serve(conn, answer) })
 		list.Endpoints = append(list.Endpoints, frontendtest.Endpoint(fmt.Sprint(i), listener))
 	}
-	node.Router.UpdateEndpoints(list, false)
+	node.Router.UpdateEndpoints(list, routing.FromDiscovery)
 }
 
 var (
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -60,14 +60,14 @@
 // buildRouter makes the decision engine behind its facade, and the pool of connections to app servers.
 func (n *Node) buildRouter() error {
 	cfg := routing.Config{
-		Seed:          n.config.randomSeed,
-		Settings:      n.config.settings,
-		Shadow:        n.config.shadowSettings,
-		SetTimer:      n.timer.Set,
-		SendToPeer:    n.sendToPeer,
-		PollEndpoints: n.requestPoll,
-		OnRepeatFault: n.countRepeatFault,
-		LogSummary:    func(line []byte) { n.log.Info().Msg(string(line)) },
+		Seed:              n.config.randomSeed,
+		Settings:          n.config.settings,
+		Shadow:            n.config.shadowSettings,
+		SetTimer:          n.timer.Set,
+		SendToPeer:        n.sendToPeer,
+		PollEndpoints:     n.requestPoll,
+		OnRepeatViolation: n.countRepeatViolation,
+		LogSummary:        func(line []byte) { n.log.Info().Msg(string(line)) },
 	}
 	if n.quotas != nil { // an interface that holds a nil pointer is not nil
 		cfg.Quota = n.quotas
@@ -96,10 +96,10 @@
 	return n.router.ReceivePeerMessage(peer, payload)
 }
 
-// countRepeatFault counts and logs an attempt that the router withheld, because an earlier one may have been executed. The
-// router calls it under its lock, so it must not block: the log is buffered.
-func (n *Node) countRepeatFault(fault routing.RepeatFault, class, attempt int) {
-	invariant.Violated(&n.counters.RepeatViolations, &n.log, invariant.Repeating).Str("fault", string(fault)).Int("class", class).
+// countRepeatViolation counts and logs an attempt or a rejection that the router's repeat check held back. The router calls
+// it under its lock, so it must not block: the log is buffered.
+func (n *Node) countRepeatViolation(violation routing.RepeatViolation, class routing.ClassID, attempt int) {
+	invariant.Violated(&n.counters.RepeatViolations, &n.log, invariant.Repeating).Str("fault", string(violation)).Int("class", int(class)).
 		Int("attempt", attempt).Msg("attempt held back")
 }
 
@@ -114,7 +114,7 @@
 // loadKnownEndpoints gives the decision engine the configuration's endpoint list, if there is one.
 func (n *Node) loadKnownEndpoints() error {
 	if n.hasEndpoints = len(n.config.known.Endpoints) > 0; n.hasEndpoints {
-		n.router.UpdateEndpoints(&n.config.known, true)
+		n.router.UpdateEndpoints(&n.config.known, routing.FromCache)
 	} else {
 		n.warnOfKnownList()
 	}
@@ -160,7 +160,7 @@
 // discovery client.
 func (n *Node) updateEndpoints(list *protocol.EndpointList) {
 	n.logEndpoints(list)
-	n.router.UpdateEndpoints(list, false)
+	n.router.UpdateEndpoints(list, routing.FromDiscovery)
 	n.pool.KeepOnly(n.router.InService)
 	if n.healthChecks != nil {
 		n.healthChecks.EndpointsChanged()
