--- a/cmd/cherrygap/pin_cli_test.go
+++ b/cmd/cherrygap/commandline_test.go
@@ -15,7 +15,7 @@
 	"cherrygap/internal/node"
 )
 
-// commandLine is all commands and flags with their defaults, a line each.
+// commandLine lists all commands and flags with their defaults, one a line.
 func commandLine(cmd *cobra.Command) (lines []string) {
 	line := cmd.CommandPath()
 	if cmd.Hidden {
@@ -31,10 +31,11 @@
 	return lines
 }
 
-// Every command and flag with its default: one that gets another name stays beside it under the old.
-func TestPinnedCommandLine(t *testing.T) {
+// The command line is an interface of operators: every command and flag stays, with its default. A renamed one keeps its old
+// name too.
+func TestCommandLine(t *testing.T) {
 	t.Setenv(node.EnvOperator, "")
-	want := strings.Split(strings.TrimSpace(pinnedCommandLine+strings.TrimLeft(newCommandLine, "\n")), "\n")
+	want := strings.Split(strings.TrimSpace(earlierCommandLine+strings.TrimLeft(laterCommandLine, "\n")), "\n")
 	want = append(want, grpcCommandLine...)
 	got := commandLine(newRootCommand())
 	for _, l := range want {
@@ -49,7 +50,8 @@
 	}
 }
 
-const pinnedCommandLine = `
+// earlierCommandLine lists the commands and flags of the first release.
+const earlierCommandLine = `
 cherrygap
 cherrygap --operator string=
 cherrygap config
@@ -119,8 +121,8 @@
 cherrygap version
 `
 
-// newCommandLine is what came beside pinnedCommandLine since: the standard names of what had others, and their flags.
-const newCommandLine = `
+// laterCommandLine lists the commands and flags that were added since, and new names of earlier ones.
+const laterCommandLine = `
 cherrygap lab duties --peer-rate float64=40
 cherrygap lab health-checks
 cherrygap lab health-checks --for duration=2m0s
@@ -148,8 +150,7 @@
 cherrygap lab soak-node (hidden)
 `
 
-// deprecatedName is an old name: a command line, what it writes on standard error first, and the error that it ends with as
-// ever, on standard error too.
+// deprecatedName is a command line with an old name, the notice that it writes on standard error, and the error behind that.
 type deprecatedName struct{ args, notice, fault string }
 
 const noRealNode = "cherrygap: real: 1 to 64 nodes\n" // before anything is started
@@ -170,7 +171,7 @@
 	{"lab scale-nodes", "Command \"scale-nodes\" is deprecated, write lab scale-simulated-nodes\n", "cherrygap: EOF\n"},
 }
 
-// Each old name writes what to use instead, and then does what the new one does.
+// A deprecated name writes its replacement on standard error, and does the same.
 func TestDeprecatedNames(t *testing.T) {
 	for _, c := range append(grpcDeprecatedNames, deprecatedNames...) {
 		t.Run(c.args, func(t *testing.T) {
@@ -185,7 +186,7 @@
 	}
 }
 
-// An old flag sets what the new one does.
+// A deprecated flag sets the value of its replacement.
 func TestDeprecatedFlagSetsTheValue(t *testing.T) {
 	flags, value := pflag.NewFlagSet("", pflag.ContinueOnError), 0
 	flags.IntVar(&value, "new", 7, "")
@@ -202,9 +203,9 @@
 	}
 }
 
-// The keys of the JSON lines that this package writes for the lab's commands, each line's in order, for those who read them by
-// program. The others are the laboratory's own.
-func TestPinnedLabOutput(t *testing.T) {
+// Programs read the JSON lines of the lab's commands: the keys stay. Lines that the laboratory's packages write have their own
+// tests.
+func TestLabOutputKeys(t *testing.T) {
 	for _, c := range append(grpcLabOutput, []struct{ args, want string }{
 		{"lab emulate --servers 2 --for 20ms", "faults servers|stats"},
 		{"lab store --for 20ms", "faults store|applied"},
--- a/cmd/cherrygap/config_check.go
+++ b/cmd/cherrygap/config_check.go
@@ -24,7 +24,7 @@
 	return cmd
 }
 
-// runConfigCheck checks files one by one, and returns errReported when any is bad.
+// runConfigCheck checks each file and prints its faults. It returns errReported where any file has one.
 func runConfigCheck(cmd *cobra.Command, paths []string) error {
 	var result error
 	for _, path := range paths {
@@ -40,8 +40,8 @@
 	return result
 }
 
-// checkFile checks a platform configuration (.json) or an operator file, and gives the keys that the latter has under an
-// earlier name. The environment's values are left out.
+// checkFile checks a platform configuration (.json) or an operator file. It returns the deprecated keys of an operator file.
+// Environment variables take no part.
 func checkFile(path string) ([]operatorfile.Deprecation, error) {
 	if filepath.Ext(path) == ".json" {
 		_, err := node.LoadPlatformFile(path)
--- a/cmd/cherrygap/deprecated.go
+++ b/cmd/cherrygap/deprecated.go
@@ -5,8 +5,8 @@
 	"github.com/spf13/pflag"
 )
 
-// addDeprecatedFlag keeps the old name of a flag working: it sets the same value, and writes what to use instead on
-// standard error. Only the new name counts as changed.
+// addDeprecatedFlag keeps the old name of a flag. It sets the same value, and writes the new name on standard error. Flags.Changed
+// reports a flag given by its old name under that name only.
 func addDeprecatedFlag(flags *pflag.FlagSet, old, name string) {
 	flag := *flags.Lookup(name)
 	flag.Name = old
@@ -15,8 +15,8 @@
 	flags.AddFlag(&flag)
 }
 
-// deprecateCommand turns a command into the old name of another: it works as ever, and writes what to use instead on
-// standard error.
+// deprecateCommand turns a command into the old name of another. It does the same, and writes the new name on standard
+// error.
 func deprecateCommand(cmd *cobra.Command, old, name string) *cobra.Command {
 	cmd.Use = old
 	cmd.Deprecated = "write " + name
--- a/cmd/cherrygap/pin_errors_test.go
+++ b/cmd/cherrygap/errors_test.go
@@ -9,15 +9,15 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// Parts of the errors below.
+// Parts of the error lines below.
 const (
 	wantPositive = "limits: cores, memory_mb and sockets must be above 0"
 	wantNumber   = "json: cannot unmarshal number into Go struct field config."
 	limitsType   = `struct { Cores float64 "json:\"cores\""; MemoryMB int "json:\"memory_mb\""; Sockets int "json:\"sockets\"" }`
 )
 
-// pinnedErrors are parts of the good configuration, what stands there instead, and what is wrong with that.
-var pinnedErrors = []struct{ name, old, new, want string }{
+// malformedConfigs replace a part of the good configuration, and give the error of the result.
+var malformedConfigs = []struct{ name, old, new, want string }{
 	{"not JSON", nodetest.GoodConfig, "{", "unexpected end of JSON input"},
 	{"empty", nodetest.GoodConfig, "", "unexpected end of JSON input"},
 	{"a list", nodetest.GoodConfig, "[]", "json: cannot unmarshal array into Go value of type main.config"},
@@ -89,10 +89,10 @@
 	{"settings a text", nodetest.GoodSettings, `"x"`, "settings: json: cannot unmarshal string into Go value of type map[string]interface {}"},
 }
 
-// Each configuration that can't be read is the same one line on standard error and the exit code 2, at the start
-// of a node and by `config check`.
-func TestPinnedConfigurationErrors(t *testing.T) {
-	for _, c := range pinnedErrors {
+// A malformed configuration is one line on standard error and exit code 2, with the same text at a start and from
+// `config check`.
+func TestConfigurationErrorLines(t *testing.T) {
+	for _, c := range malformedConfigs {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			good := nodetest.GoodConfig
@@ -117,12 +117,12 @@
 	}
 }
 
-// badOperatorFile is what is said of a bad operator file.
+// badOperatorFile is the error text of bad.toml.
 const badOperatorFile = "bad.toml: line 2: log.level: \"loud\" is none of debug, info, warn, error\n" +
 	"bad.toml: line 3: nothing: no such key\nbad.toml: line 4: nothing.x: no such key\n"
 
-// pinnedStarts are command lines with what stands in the environment, what they write and their exit code.
-var pinnedStarts = []struct {
+// failedStarts are command lines with their environment, output and exit code.
+var failedStarts = []struct {
 	name, args string
 	env        []string
 	want       string
@@ -171,8 +171,9 @@
 	{"no such flag", "serve --fast", nil, "cherrygap: unknown flag: --fast\n", 2},
 }
 
-// What keeps a node from its start beside the configuration's text, and what `config check` says of each file.
-func TestPinnedStartErrors(t *testing.T) {
+// A start that fails for another reason than the configuration's text, and `config check` of each kind of file, keep their
+// output and exit code.
+func TestStartErrorLines(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"good.json": nodetest.GoodConfig, "bad.toml": "[log]\nlevel = \"loud\"\n[nothing]\nx = 1\n",
@@ -185,7 +186,7 @@
 	} {
 		nodetest.WriteFile(t, filepath.Join(dir, name), text)
 	}
-	for _, c := range pinnedStarts {
+	for _, c := range failedStarts {
 		t.Run(c.name, func(t *testing.T) {
 			cmd := program(t, dir, c.env, strings.Fields(c.args)...)
 			out, err := cmd.CombinedOutput()
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// newLabCommand makes the laboratory's commands. Each reads the operator file's [lab] part; flags take precedence over it.
+// newLabCommand makes the laboratory's commands. Each reads the [lab] part of the operator file; flags take precedence.
 func newLabCommand(operatorPath *string) *cobra.Command {
 	lab := &cobra.Command{
 		Use:   "lab",
@@ -43,7 +43,7 @@
 	return lab
 }
 
-// withLabFile is withOperatorFile for the laboratory's commands, which write the file's deprecated keys on standard error.
+// withLabFile is withOperatorFile for the laboratory's commands. They print the file's deprecated keys.
 func withLabFile(path *string, run func(cmd *cobra.Command, file operatorfile.File) error) commandFunc {
 	return withOperatorFile(path, func(cmd *cobra.Command, file operatorfile.File) error {
 		printDeprecations(cmd, *path, file.Deprecations)
@@ -51,7 +51,7 @@
 	})
 }
 
-// newLabLog opens the laboratory's own log on standard error.
+// newLabLog makes the laboratory's log on standard error.
 func newLabLog(file operatorfile.File) zerolog.Logger {
 	return zerolog.New(os.Stderr).Level(node.ParseLogLevel(file.Log.Level)).With().Timestamp().Logger()
 }
@@ -61,10 +61,10 @@
 	return json.NewEncoder(cmd.OutOrStdout()).Encode(value)
 }
 
-// announce writes the JSON line with a serving command's addresses. An error is no reason not to serve.
+// announce prints the JSON line with a server's addresses. The server runs on where it can't be written.
 func announce(cmd *cobra.Command, value any) { _ = printJSON(cmd, value) }
 
-// contextUntilSignal gives a context that ends on SIGINT or SIGTERM, or after the time limit when that is above 0.
+// contextUntilSignal returns a context that ends on SIGINT or SIGTERM, or after a limit above 0.
 func contextUntilSignal(limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	if limit <= 0 {
@@ -77,14 +77,15 @@
 	}
 }
 
-// override sets a value of the operator file to that of a flag, when the flag was given.
+// override replaces a value of the operator file by that of a flag, where the flag was given.
 func override[T any](cmd *cobra.Command, flag string, target *T, value T) {
 	if cmd.Flags().Changed(flag) {
 		*target = value
 	}
 }
 
-// checkFlags runs the values of flags through the operator file's checks, so that a bad one names itself as a key.
+// checkFlags validates the values of flags as those of the operator file, once override has set them. The error names their
+// keys.
 func checkFlags(file operatorfile.File) error {
 	faults := file.Validate()
 	if len(faults) == 0 {
@@ -97,7 +98,8 @@
 	return errors.New(strings.Join(texts, "; "))
 }
 
-// withSeries runs with the file for a run's series, one JSON line a second; without a path it runs with nil.
+// withSeries calls run with a new file for the series, one JSON line a second. An empty path gives nil. The file stays where
+// run fails.
 func withSeries(path string, run func(series io.Writer) error) error {
 	if path == "" {
 		return run(nil)
--- a/cmd/cherrygap/lab_authz.go
+++ b/cmd/cherrygap/lab_authz.go
@@ -11,12 +11,12 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// newLabGRPCCommands are the laboratory's commands that need gRPC.
+// newLabGRPCCommands returns the laboratory's commands that need gRPC.
 func newLabGRPCCommands(operatorPath *string) []*cobra.Command {
 	return []*cobra.Command{newAuthzCommand(operatorPath)}
 }
 
-// authzFlags are the flags of `lab authz`.
+// authzFlags holds the flags of `lab authz`.
 type authzFlags struct {
 	listen   string
 	duration time.Duration
--- a/cmd/cherrygap/lab_authz_test.go
+++ b/cmd/cherrygap/lab_authz_test.go
@@ -2,7 +2,7 @@
 
 package main
 
-// grpcCommandLine is what the command line has beside pinnedCommandLine in a program with gRPC.
+// grpcCommandLine lists the commands and flags of a program with gRPC alone.
 var grpcCommandLine = []string{
 	"cherrygap lab authz",
 	"cherrygap lab authz --delay duration=1ms",
@@ -19,7 +19,7 @@
 	"cherrygap lab authz --up-for duration=0s",
 }
 
-// grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC.
+// grpcLabOutput adds the cases of a program with gRPC to TestLabOutputKeys.
 var grpcLabOutput = []struct{ args, want string }{{"lab authz --for 20ms", "authoriser|answers starts"}}
 
 // grpcDeprecatedNames are the old names that only a program with gRPC has.
--- a/cmd/cherrygap/lab_emulate.go
+++ b/cmd/cherrygap/lab_emulate.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// emulateFlags are the flags of `lab emulate`.
+// emulateFlags holds the flags of `lab emulate`.
 type emulateFlags struct {
 	servers  int
 	listen   string
@@ -69,7 +69,7 @@
 	return printJSON(cmd, map[string]any{"stats": stats})
 }
 
-// loadServerSchedule reads the fault schedule of so many app servers; without a path there are no faults.
+// loadServerSchedule reads a fault schedule for a number of app servers. An empty path gives one without faults.
 func loadServerSchedule(path string, servers int) (emulator.Schedule, error) {
 	if path == "" {
 		return emulator.Schedule{}, nil
--- a/cmd/cherrygap/lab_load.go
+++ b/cmd/cherrygap/lab_load.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// loadFlags are the flags of `lab load`.
+// loadFlags holds the flags of `lab load`.
 type loadFlags struct {
 	target   string
 	rate     float64 // requests a second
--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -10,7 +10,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// modelFlags are the flags of `lab model`.
+// modelFlags holds the flags of `lab model`.
 type modelFlags struct {
 	nodes, servers int
 	seconds        float64 // of virtual time
@@ -74,7 +74,7 @@
 	})
 }
 
-// modelConfig is what the flags say, over the operator file.
+// modelConfig returns the model's configuration. Flags take precedence over the operator file.
 func modelConfig(cmd *cobra.Command, file operatorfile.File, flags modelFlags) (model.Config, error) {
 	override(cmd, "seed", &file.Lab.Seed, flags.seed)
 	servers := file.Lab.Emulator
--- a/cmd/cherrygap/lab_nogrpc.go
+++ b/cmd/cherrygap/lab_nogrpc.go
@@ -4,5 +4,5 @@
 
 import "github.com/spf13/cobra"
 
-// newLabGRPCCommands are the laboratory's commands that need gRPC: here none.
+// newLabGRPCCommands returns the laboratory's commands that need gRPC: here none.
 func newLabGRPCCommands(*string) []*cobra.Command { return nil }
--- a/cmd/cherrygap/lab_nogrpc_test.go
+++ b/cmd/cherrygap/lab_nogrpc_test.go
@@ -2,10 +2,10 @@
 
 package main
 
-// grpcCommandLine is what the command line has beside pinnedCommandLine in a program with gRPC: here nothing.
+// grpcCommandLine lists the commands and flags of a program with gRPC alone: here nothing.
 var grpcCommandLine []string
 
-// grpcLabOutput is what TestPinnedLabOutput looks at beside in a program with gRPC: here nothing.
+// grpcLabOutput adds the cases of a program with gRPC to TestLabOutputKeys: here nothing.
 var grpcLabOutput []struct{ args, want string }
 
 // grpcDeprecatedNames are the old names that only a program with gRPC has.
--- a/cmd/cherrygap/lab_soak.go
+++ b/cmd/cherrygap/lab_soak.go
@@ -16,11 +16,11 @@
 	cfg := soak.Default()
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Real nodes among overlapping faults, judged by what the node promises",
+		Short: "Run real nodes among overlapping faults, and check the node's invariants",
 		Long: `Start edge nodes (processes of this program), app servers, a fake discovery agent and open-loop clients on loopback;
-overlap faults (signals, system calls that fail, servers, connections, clients and discovery that misbehave); judge every
-request and attempt by the promises of docs/invariants.md; end all that was started; and print one JSON line. Exit code 2
-where any promise was broken. The same seed draws the same faults (docs/lab.md, "Soak").`,
+overlap faults (signals, system calls that fail, servers, connections, clients and discovery that misbehave); check every
+request and attempt against docs/invariants.md; end all that was started; and print one JSON line. Exit code 2 where any
+invariant was violated. The same seed draws the same faults (docs/lab.md, "Soak").`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
@@ -56,12 +56,12 @@
 		return err
 	}
 	if len(result.Violations) > 0 {
-		return fmt.Errorf("%d promises broken", len(result.Violations))
+		return fmt.Errorf("%d invariant violations", len(result.Violations))
 	}
 	return nil
 }
 
-// newSoakNodeCommand makes the child process of lab soak that puts the filter on itself and becomes a node.
+// newSoakNodeCommand makes the child process of lab soak. It installs the filter of system calls on itself and becomes a node.
 func newSoakNodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    soak.NodeCommand[len(soak.NodeCommand)-1],
--- a/cmd/cherrygap/lab_store.go
+++ b/cmd/cherrygap/lab_store.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// storeFlags are the flags of `lab store`.
+// storeFlags holds the flags of `lab store`.
 type storeFlags struct {
 	listen   string
 	schedule string
--- a/cmd/cherrygap/pin_log_test.go
+++ b/cmd/cherrygap/log_test.go
@@ -16,18 +16,18 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// logged is a node in a process of its own whose log is read while it runs.
-type logged struct {
+// loggedNode is a node in a process of its own, whose log is read while it runs.
+type loggedNode struct {
 	cmd  *exec.Cmd
 	file string
 	conf string // its configuration
 }
 
 // startLogged starts a node by a configuration and an operator file's text.
-func startLogged(t *testing.T, text, operator string) *logged {
+func startLogged(t *testing.T, text, operator string) *loggedNode {
 	t.Helper()
 	dir := t.TempDir()
-	p := &logged{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
+	p := &loggedNode{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
 	p.configure(t, text)
 	nodetest.WriteFile(t, filepath.Join(dir, "operator.toml"), operator)
 	out, err := os.Create(p.file)
@@ -45,14 +45,14 @@
 }
 
 // configure writes the node's configuration.
-func (p *logged) configure(t *testing.T, text string) {
+func (p *loggedNode) configure(t *testing.T, text string) {
 	t.Helper()
 	nodetest.WriteFile(t, p.conf, text)
 }
 
 // lines gives the log's lines so far in short: level, message and the other fields' names, and for an error its text.
 // What comes by itself at any time is left out.
-func (p *logged) lines(t *testing.T) (out []string) {
+func (p *loggedNode) lines(t *testing.T) (out []string) {
 	t.Helper()
 	raw, err := os.ReadFile(p.file)
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // await waits until the log holds just these lines, in this order.
-func (p *logged) await(t *testing.T, want ...string) {
+func (p *loggedNode) await(t *testing.T, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -99,9 +99,8 @@
 	t.Fatalf("logged\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 }
 
-// The lines that a node writes at its start, on each signal and at its end, in their order and with the names of their
-// fields: without an operator file, and with all that it can switch on.
-func TestPinnedLogLines(t *testing.T) {
+// The log lines of a start, of each signal and of the end keep their order, level, message and the names of their fields.
+func TestLogLines(t *testing.T) {
 	const all = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 	for _, c := range []struct{ name, operator, counters string }{
 		{"no operator file's part", "", "counters node time"},
@@ -111,8 +110,8 @@
 			listenOn, discovery := nodetest.FreeAddress(t), nodetest.FreeAddress(t)
 			held := nodetest.ListenPacket(t)
 			peer := held.LocalAddr().String()
-			text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, `"127.0.0.4:7946"`, `"`+peer+`"`,
-				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.GoodConfig)
+			text := strings.NewReplacer(
+				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.ConfigAt(listenOn, discovery, peer))
 			odd := strings.Replace(text, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
 			p := startLogged(t, odd, c.operator)
 			var want []string
@@ -147,10 +146,10 @@
 	}
 }
 
-// Under another level only lines of that level or above are written.
-func TestPinnedLogLevel(t *testing.T) {
+// Lines below the log level are not written.
+func TestLogLevel(t *testing.T) {
 	listenOn := nodetest.FreeAddress(t)
-	text := strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)
+	text := nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.AnyPort)
 	p := startLogged(t, text, "[log]\nlevel = \"error\"\n")
 	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
 	p.configure(t, "{")
@@ -167,7 +166,7 @@
 // says what to write.
 func TestDeprecatedOperatorKeys(t *testing.T) {
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
-	text := strings.NewReplacer("127.0.0.4:9000", nodetest.FreeAddress(t), "127.0.0.9:8500", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)
+	text := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort)
 	p := startLogged(t, text, file)
 	const warning = "warn deprecated key in the operator file: key line node time write"
 	p.await(t, warning, warning, warning, "info started: listen node time")
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -1,5 +1,6 @@
-// Command cherrygap is one edge node of a gateway fleet, and the laboratory that measures it. The node accepts
-// clients' requests, asks the decision engine what to do with each, and carries that out on sockets.
+// Command cherrygap runs one edge node of a gateway fleet, and the laboratory that measures it.
+//
+// This package is the command line. Package node runs the node, and the packages below internal/lab the laboratory.
 package main
 
 import (
@@ -13,10 +14,10 @@
 	"cherrygap/internal/node"
 )
 
-// exitFailed is the exit code after any error: a bad configuration, file, address, command or flag.
+// exitFailed is the exit code after any error.
 const exitFailed = 2
 
-// The log library keeps its time format in a variable, for the whole process.
+// zerolog keeps the format of times in a variable of the process. The logs of nodes and laboratory have Unix milliseconds.
 func init() { zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs }
 
 func main() {
@@ -32,7 +33,7 @@
 	}
 }
 
-// startsNode reports whether a command line starts a node.
+// startsNode reports whether a command line starts a node. Such a process catches its signals before it reads any file.
 func startsNode(root *cobra.Command, args []string) bool {
 	cmd, _, err := root.Find(args)
 	return err == nil && (cmd == root || cmd.Name() == serveCommandName)
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/node/nodetest"
 )
 
@@ -107,7 +108,7 @@
 	app := newErraticServers()
 	var listeners []net.Listener
 	for range 8 {
-		ln := nodetest.Listen(t)
+		ln := nettest.Listen(t)
 		listeners = append(listeners, ln)
 		go app.accept(ln)
 	}
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -167,10 +167,9 @@
 	listenOn = nodetest.FreeAddress(t)
 	udp := nodetest.ListenPacket(t)
 	nodetest.CloseNow(t, udp)
-	return strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, "127.0.0.4:7946",
-		udp.LocalAddr().String(), `{"rev":41,"all":true,"targets":[]}`, known, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, leastMemory),
+	return strings.NewReplacer(`{"rev":41,"all":true,"targets":[]}`, known, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, leastMemory),
 		`"slot_no":2`, `"slot_no":0,"registry_mode":"`+mode+`","replicas_of_me":300,"tick":2000,"services":[{"name":"seats","slo":2000000,
-		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.GoodConfig), listenOn
+		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.ConfigAt(listenOn, discovery, udp.LocalAddr().String())), listenOn
 }
 
 // serveList is a discovery service: it sends the whole list after a while, or is silent without one.
--- a/cmd/cherrygap/root.go
+++ b/cmd/cherrygap/root.go
@@ -12,21 +12,22 @@
 
 const serveCommandName = "serve"
 
-// errReported is returned by a command that has already written what is wrong: main then only sets the exit code.
+// errReported is the error of a command that has already written its faults. main then only sets the exit code.
 var errReported = errors.New("faults found")
 
-// newRootCommand makes the command tree. With no sub-command the program serves, as `exec bin/cherrygap` expects.
+// newRootCommand makes the command tree. The deploy file starts a node by the program's name alone, so the root command does
+// what serve does.
 func newRootCommand() *cobra.Command {
 	var operatorPath string
 	root := &cobra.Command{
 		Use:   "cherrygap",
 		Short: "A node of a gateway fleet that keeps a shared API's quotas, and its laboratory",
-		Long: `cherrygap accepts clients' requests and lets one decision engine say, for each, whether it is forwarded,
-to which app server, or rejected. With no sub-command it serves, as "serve" does.
+		Long: `cherrygap accepts clients' requests. Its decision engine forwards each to an app server, or rejects it.
+With no sub-command it serves, as "serve" does.
 
 The platform's configuration is the JSON file named by GW_CONFIG (GW_NAME, GW_LISTEN and GW_DISCOVERY
-take precedence over it). What the platform does not carry is in the operator file (TOML, docs/configuration.md),
-named by --operator or GW_OPERATOR; without one, every key has its default.`,
+take precedence over it). The operator file (TOML, docs/configuration.md), named by --operator or GW_OPERATOR,
+adds the operators' own settings; without one, every key has its default.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -38,20 +39,20 @@
 	return root
 }
 
-// newServeCommand makes the command that runs a node, as the root command does.
+// newServeCommand makes the command that runs a node. The root command does the same.
 func newServeCommand(root *cobra.Command) *cobra.Command {
 	return &cobra.Command{
 		Use:   serveCommandName,
 		Short: "Run one edge node until SIGTERM and its last response (the default)",
-		Long: `Run one edge node. It reads GW_CONFIG, listens where it says and serves until SIGTERM, then
-accepts for 0.5 s more and ends once every request that it accepted has its response. SIGHUP reads GW_CONFIG again;
-SIGUSR1 logs the counters. A bad configuration is one line on standard error and exit code 2.`,
+		Long: `Run one edge node by the configuration that GW_CONFIG names. SIGTERM drains it: it accepts connections
+for 0.5 s more, and ends once every accepted request has its response. SIGHUP reads GW_CONFIG again; SIGUSR1 logs
+the counters. A malformed configuration is one line on standard error and exit code 2.`,
 		Args: cobra.NoArgs,
 		RunE: root.RunE,
 	}
 }
 
-// serve reads the platform's configuration and runs the node until it has drained.
+// serve reads the platform's configuration, and runs a node until it has drained.
 func serve(_ *cobra.Command, file operatorfile.File) error {
 	c, err := node.LoadConfigAtStart()
 	if err != nil {
@@ -64,10 +65,11 @@
 	return node.Serve(c, node.CatchSignals())
 }
 
-// commandFunc is what a command runs.
+// commandFunc is the type of cobra's RunE.
 type commandFunc = func(cmd *cobra.Command, args []string) error
 
-// withOperatorFile makes a command that takes no arguments read the operator file before it runs.
+// withOperatorFile returns a command function that reads the operator file and passes it to run. The path is read when the
+// command runs, after the flags were parsed.
 func withOperatorFile(path *string, run func(cmd *cobra.Command, file operatorfile.File) error) commandFunc {
 	return func(cmd *cobra.Command, _ []string) error {
 		file, err := loadOperatorFile(*path)
@@ -78,7 +80,7 @@
 	}
 }
 
-// loadOperatorFile reads the operator file, or gives the defaults when none is named.
+// loadOperatorFile reads the operator file. An empty path gives the defaults.
 func loadOperatorFile(path string) (operatorfile.File, error) {
 	if path == "" {
 		return operatorfile.Default(), nil
@@ -86,8 +88,7 @@
 	return operatorfile.Load(path)
 }
 
-// printDeprecations writes on standard error which keys an operator file gives under an earlier name, a line each. (A node
-// writes that into its log.)
+// printDeprecations writes a line on standard error for each deprecated key of an operator file. A node logs them instead.
 func printDeprecations(cmd *cobra.Command, path string, keys []operatorfile.Deprecation) {
 	for _, key := range keys {
 		cmd.PrintErrf("%s: %v\n", path, key)
--- a/cmd/cherrygap/soak_test.go
+++ b/cmd/cherrygap/soak_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/lab/soak"
 )
 
-// TestSoakInSmall plays the soak test's short form: no promise is broken.
+// The short form of the soak test violates no invariant.
 func TestSoakInSmall(t *testing.T) {
 	t.Parallel()
 	cmd := program(t, t.TempDir(), nil, "lab", "soak", "--seed", "11", "--for", "6s", "--nodes", "6", "--servers", "6")
@@ -27,7 +27,7 @@
 	t.Helper()
 	var errors bytes.Buffer
 	cmd.Stderr = &errors
-	out, runErr := cmd.Output() // exit code 2 where a promise was broken: the result says which
+	out, runErr := cmd.Output() // exit code 2 where an invariant was violated: the result says which
 	var result soak.Result
 	if err := json.Unmarshal(out, &result); err != nil {
 		t.Fatalf("%v, %v: %q, %s", runErr, err, out, errors.String())
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -19,6 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"cherrygap/internal/lab/syscallfault"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/node"
 	"cherrygap/internal/node/nodetest"
 )
@@ -134,7 +135,7 @@
 func TestAcceptErrorsStopNoListener(t *testing.T) {
 	t.Parallel()
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
-	discovery := nodetest.Listen(t)
+	discovery := nettest.Listen(t)
 	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
 	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	for _, errno := range []syscall.Errno{
@@ -167,7 +168,7 @@
 		_, _ = w.Write([]byte("done"))
 	})
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
-	discovery := nodetest.Listen(t)
+	discovery := nettest.Listen(t)
 	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), server)
 	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 	fault.begin(unix.ENFILE)
@@ -210,7 +211,7 @@
 			t.Run(fmt.Sprint(c.number, " ", strings.ReplaceAll(errno.Error(), " ", "-")), func(t *testing.T) {
 				t.Parallel()
 				fault := &failingCall{number: c.number}
-				discovery := nodetest.Listen(t)
+				discovery := nettest.Listen(t)
 				p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t), echoServer(t))
 				p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 				fault.begin(errno)
@@ -253,7 +254,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: c.number}
-			discovery := nodetest.Listen(t)
+			discovery := nettest.Listen(t)
 			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
 			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
 			fault.begin(c.errno)
@@ -281,7 +282,7 @@
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_SOCKET}
 			fault.begin(errno)
-			discovery := nodetest.Listen(t)
+			discovery := nettest.Listen(t)
 			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
 			fault.failFor(t, errno, 2)
 			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
@@ -296,7 +297,7 @@
 // all of it is there, with one line in the log for what was not.
 func TestReloadOutlastsAHalfWrittenFile(t *testing.T) {
 	t.Parallel()
-	before, after := nodetest.Listen(t), nodetest.Listen(t)
+	before, after := nettest.Listen(t), nettest.Listen(t)
 	called := make(chan struct{})
 	go func() {
 		if conn, err := after.Accept(); err == nil {
@@ -330,7 +331,7 @@
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_OPENAT}
-			before, after := nodetest.Listen(t), nodetest.Listen(t)
+			before, after := nettest.Listen(t), nettest.Listen(t)
 			called := make(chan struct{})
 			go func() {
 				if conn, err := after.Accept(); err == nil {
@@ -360,7 +361,7 @@
 	t.Parallel()
 	const outage, atOnce = 100 * time.Millisecond, 300 * time.Millisecond
 	fault := &failingCall{number: unix.SYS_CONNECT}
-	discovery := nodetest.Listen(t)
+	discovery := nettest.Listen(t)
 	called := make(chan time.Time, 1)
 	go func() {
 		if conn, err := discovery.Accept(); err == nil {
--- a/cmd/cherrygap/version.go
+++ b/cmd/cherrygap/version.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is set at build time with -ldflags "-X main.version=..."; else it is taken from the build information.
+// version may be set at build time with -ldflags "-X main.version=...". Empty, the build information gives the version.
 var version = ""
 
 func newVersionCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 	}
 }
 
-// buildVersion gives the program's version, with the commit where it is known, and the version of Go.
+// buildVersion returns the program's version, with the commit where it is known, and Go's version.
 func buildVersion() (number, goVersion string) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/node/pin_values_test.go
+++ b/internal/node/configvalues_test.go
@@ -13,7 +13,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// values is everything that the node takes from a configuration, as text by name.
+// values returns all values that the node reads from a configuration, as texts by name.
 func values(c *config) map[string]string {
 	l, d, q := c.transportLimits(), c.healthCheckConfig(), c.quotaConfig()
 	var own syscall.Rlimit
@@ -40,7 +40,7 @@
 	}
 }
 
-// goodValues are those of the good configuration without an operator file.
+// goodValues are the values of the good configuration without an operator file.
 var goodValues = map[string]string{
 	"all":       "127.0.0.6:7946",
 	"checks":    "64 0s [] map[] <nil>",
@@ -65,8 +65,8 @@
 	"sockets":   "1024",
 }
 
-// compareValues compares what a configuration gives with what the good one does, but for the changes: lines of a
-// name, a colon and a value.
+// compareValues compares a configuration's values with goodValues, but for the changes: lines of a name, a colon and a
+// value.
 func compareValues(t *testing.T, c *config, changes string) {
 	t.Helper()
 	got := values(c)
@@ -86,12 +86,12 @@
 }
 
 const (
-	pinnedServices = `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`
-	pinnedFleet    = `"peers":["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`
+	twoServices = `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`
+	threePeers  = `"peers":["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`
 )
 
-// pinnedValues are parts of the good configuration, what stands there instead, and what the node makes of that.
-var pinnedValues = []struct{ name, old, new, changes string }{
+// configValues replace a part of the good configuration, and give the values that the node reads then.
+var configValues = []struct{ name, old, new, changes string }{
 	{"good", "", "", ""},
 	{"least", nodetest.GoodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
 			"limits":{"cores":0.01,"memory_mb":1,"sockets":1},"settings":{}}`, `all: invalid AddrPort
@@ -158,13 +158,13 @@
 	{"conn_idle missing", `"conn_idle":15000000,`, "", "idle: 0s"},
 	{"conn_idle with an exponent", `"conn_idle":15000000`, `"conn_idle":1.5e7`, ""},
 	{"conn_idle a text", `"conn_idle":15000000`, `"conn_idle":"15 s"`, "idle: 0s"},
-	{"shares", `"peers":["127.0.0.5:7946"]`, pinnedFleet, `duties: 2/3 8c1f30d27a5be964 0 4096 5s
+	{"shares", `"peers":["127.0.0.5:7946"]`, threePeers, `duties: 2/3 8c1f30d27a5be964 0 4096 5s
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]`},
 	{"shares, probes allowed", `"slot_no":2,"limits":{`, `"slot_no":0,"limits":{"probes":true,`, `duties: 0/1 8c1f30d27a5be964 0 4096 5s
 quota: 0/0 8c1f30d27a5be964 200 20ms`},
 	{"peer_in_per_s", `"slot_no":2`, `"slot_no":2,"specifics":{"peer_in_per_s":40.5}`, "duties: 2/1 8c1f30d27a5be964 40.5 4096 5s"},
 	{"peer_in_per_s a text", `"slot_no":2`, `"slot_no":2,"specifics":{"peer_in_per_s":"forty"}`, ""},
-	{"services", `{"slot_no":2`, pinnedServices + `,"slot_no":2`, `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
+	{"services", `{"slot_no":2`, twoServices + `,"slot_no":2`, `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
 contracts: [400ms 800ms]
 names: ["look" "buy"]
 quota: 2/0 8c1f30d27a5be964 200 80ms`},
@@ -186,9 +186,9 @@
 	{"max_retry_after a text", `"conn_idle"`, `"retry_after":"true","max_retry_after":"2 s","conn_idle"`, ""},
 }
 
-// Values that are read, odd ones too, and what the node makes of each.
-func TestPinnedConfigurationValues(t *testing.T) {
-	for _, c := range pinnedValues {
+// Each configuration, those with odd values too, keeps its meaning.
+func TestConfigurationValues(t *testing.T) {
+	for _, c := range configValues {
 		t.Run(c.name, func(t *testing.T) {
 			conf := mustParse(t, strings.Replace(nodetest.GoodConfig, c.old, c.new, 1))
 			if err := conf.ApplyOperator(operatorfile.Default()); err != nil {
@@ -199,8 +199,8 @@
 	}
 }
 
-// pinnedOperatorValues are operator files, and what the node makes of each.
-var pinnedOperatorValues = []struct{ name, operator, changes string }{
+// operatorValues are operator files, and the values that the node reads with each.
+var operatorValues = []struct{ name, operator, changes string }{
 	{"none", "", `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
 contracts: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
@@ -252,12 +252,12 @@
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]`},
 }
 
-// The operator file's part of the node's configuration.
-func TestPinnedOperatorValues(t *testing.T) {
+// The operator file's values keep their meaning.
+func TestOperatorValues(t *testing.T) {
 	text := strings.NewReplacer(`{"slot_no":2`, `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}],"slot_no":2`,
 		`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
 		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
-	for _, c := range pinnedOperatorValues {
+	for _, c := range operatorValues {
 		t.Run(c.name, func(t *testing.T) {
 			conf := mustParse(t, text)
 			op, faults := operatorfile.Parse(c.operator)
@@ -272,9 +272,9 @@
 	}
 }
 
-// GW_NAME, GW_LISTEN and GW_DISCOVERY hold over the file where they are not empty, and nothing else does. What the
-// file names as discovery is kept beside, for a SIGHUP.
-func TestPinnedEnvironment(t *testing.T) {
+// GW_NAME, GW_LISTEN and GW_DISCOVERY take precedence over the file where they are not empty, and no other variable does.
+// The file's own discovery address is kept for a reload.
+func TestEnvironmentPrecedence(t *testing.T) {
 	for _, c := range []struct{ name, env, want string }{
 		{"none", "", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 		{"GW_NAME", "GW_NAME=other", "other 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/node/nodetest"
 )
 
@@ -108,8 +109,7 @@
 	defer func() { os.Stderr = old }()
 	fillPipe(t, w)
 	listenOn := nodetest.FreeAddress(t)
-	ended := startNode(mustParse(t, strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", nodetest.FreeAddress(t),
-		"127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig)))
+	ended := startNode(mustParse(t, nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.AnyPort)))
 	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	wantEnd(t, ended)
@@ -133,9 +133,8 @@
 // A node that is started while the process before it still holds its addresses waits for them; any other fault of an
 // address ends the start at once.
 func TestStartWaitsForItsAddresses(t *testing.T) {
-	tcp, udp := nodetest.Listen(t), nodetest.ListenPacket(t)
-	c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", tcp.Addr().String(), "127.0.0.9:8500", nodetest.FreeAddress(t),
-		"127.0.0.4:7946", udp.LocalAddr().String()).Replace(nodetest.GoodConfig))
+	tcp, udp := nettest.Listen(t), nodetest.ListenPacket(t)
+	c := mustParse(t, nodetest.ConfigAt(tcp.Addr().String(), nodetest.FreeAddress(t), udp.LocalAddr().String()))
 	ended := startNode(c)
 	time.Sleep(2 * startRetryInterval)
 	nodetest.CloseNow(t, udp)
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -12,14 +12,24 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cherrygap/internal/nettest"
 )
 
-// GoodConfig is a platform configuration in which each key has a value that is used.
+// GoodConfig is a platform configuration that gives every key a value other than its default.
 const GoodConfig = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.5:7946"],
 	"peers_all":"127.0.0.6:7946","known":{"rev":41,"all":true,"targets":[]},
 	"settings":{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}}`
 
+// ConfigAt returns GoodConfig with other addresses of the node's HTTP listener, discovery and the peer socket.
+func ConfigAt(listen, discovery, peer string) string {
+	return strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", discovery, "127.0.0.4:7946", peer).Replace(GoodConfig)
+}
+
+// AnyPort is a loopback address whose port the kernel chooses.
+const AnyPort = "127.0.0.1:0"
+
 // GoodSettings are the settings in it.
 const GoodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
 
@@ -31,23 +41,12 @@
 	}
 }
 
-// CloseAtEnd closes what a test opened, at its end. It may be closed already.
+// CloseAtEnd closes a file, listener or connection with the test. It may be closed already.
 func CloseAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// Listen opens a listener on a free port of the loopback address, until the test's end.
-func Listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	CloseAtEnd(t, ln)
-	return ln
-}
-
 // ListenPacket opens a UDP socket on a free port of the loopback address, until the test's end.
 func ListenPacket(t *testing.T) net.PacketConn {
 	t.Helper()
@@ -62,12 +61,12 @@
 // FreeAddress is an address that was free a moment ago.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
-	ln := Listen(t)
+	ln := nettest.Listen(t)
 	CloseNow(t, ln)
 	return ln.Addr().String()
 }
 
-// CloseNow closes what a test opened, which must succeed.
+// CloseNow closes a file, listener or connection now, which must succeed.
 func CloseNow(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -78,7 +77,7 @@
 // ServeHTTP answers with a handler on a listener of its own, until the test's end.
 func ServeHTTP(t *testing.T, handler http.HandlerFunc) net.Listener {
 	t.Helper()
-	ln := Listen(t)
+	ln := nettest.Listen(t)
 	go func() { _ = http.Serve(ln, handler) }() // ends when the listener is closed
 	return ln
 }
@@ -94,7 +93,7 @@
 	return conn
 }
 
-// Eventually waits until a condition holds, for a limit at most.
+// Eventually waits until ok, or fails the test after a limit.
 func Eventually(t *testing.T, limit time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
@@ -140,26 +139,24 @@
 	})
 }
 
-// NodeConfig is a good configuration of a node that takes requests of one class and plan on a free port, and sends them to
-// one app server.
+// NodeConfig is a good configuration of a node that serves requests of one class and plan on an address, by one app server.
 func NodeConfig(t *testing.T, server net.Addr, listenOn, discovery string) string {
 	t.Helper()
-	return strings.NewReplacer("127.0.0.4:9000", listenOn, "127.0.0.9:8500", discovery, "127.0.0.4:7946", "127.0.0.1:0",
-		`"targets":[]`, `"targets":[{"uid":"s","endpoint":"`+server.String()+`","state":"in_service"}]`,
+	return strings.NewReplacer(`"targets":[]`, `"targets":[{"uid":"s","endpoint":"`+server.String()+`","state":"in_service"}]`,
 		`"slot_no":2`, `"replicas_of_me":1,"tick":2000,"services":[{"name":"seats","slo":2000000,"semantics":"at_most_once"}],
-		"tiers_of_service":[{"name":"team"}]`).Replace(GoodConfig)
+		"tiers_of_service":[{"name":"team"}]`).Replace(ConfigAt(listenOn, discovery, AnyPort))
 }
 
 // RequestBody is the body of RequestText.
 const RequestBody = "body"
 
-// RequestText is a request of that class and plan, with a body.
+// RequestText is a request of NodeConfig's class and plan, with a body and a request budget.
 func RequestText(id string, timeout time.Duration) string {
 	return fmt.Sprintf("POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Tariff: team\r\nX-Budget-Ms: %d\r\n"+
 		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: %d\r\n\r\n%s", id, timeout.Milliseconds(), len(RequestBody), RequestBody)
 }
 
-// SendRequest writes such a request on a connection of its own and returns that.
+// SendRequest writes a RequestText on a new connection, which it returns.
 func SendRequest(t *testing.T, address, id string, timeout time.Duration) net.Conn {
 	t.Helper()
 	conn := Dial(t, address)
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -4,7 +4,6 @@
 
 import (
 	"errors"
-	"strings"
 	"testing"
 
 	"cherrygap/internal/node/nodetest"
@@ -21,7 +20,7 @@
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		c := mustParse(t, strings.NewReplacer("127.0.0.4:9000", nodetest.FreeAddress(t), "127.0.0.4:7946", "127.0.0.1:0").Replace(nodetest.GoodConfig))
+		c := mustParse(t, nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort))
 		if err := c.ApplyOperator(op); err != nil {
 			t.Fatal(err)
 		}
