--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -18,7 +18,7 @@
 	ordered        bool         // in endpointSet.order
 	orderZone      uint8        // zone under which the order holds the server
 	orderCell      uint16       // cell under which the order holds the server
-	referenced     bool         // an open request refers to the server; set only within forgetDeparted
+	inUse          bool         // an open request refers to the server; set only within forgetDeparted
 	inFlight       int          // attempts in flight
 	pace           decayingMean // durations of attempts, in usual latencies of their class
 	rotationCredit float64
@@ -49,16 +49,16 @@
 // endpointSet holds the servers, and which of them this node uses.
 //
 // The subset holds the servers that requests go to first. The tracked servers are the subset, the servers that requests
-// go to next, and any others with attempts in flight. Only they have outlier states, with the exception of the untracked
-// servers that a peer suspects.
+// go to next, and any others with attempts in flight. Every tracked server has outlier states. An untracked one has them
+// only while they carry information, such as a peer's suspicion.
 type endpointSet struct {
 	servers      []server
 	slots        slotIndex[ServerID, serverSlot]
 	ready        int           // servers that the list names as ready
-	usable       int           // tracked servers that attempts may go to
+	usable       int           // tracked servers of the last choice, all of them usable then
 	order        endpointOrder // of the usable servers
-	subset       []serverSlot  // ascending
-	tracked      []serverSlot  // ascending
+	subset       []serverSlot  // servers of the subset, ascending
+	tracked      []serverSlot  // tracked servers, ascending
 	spareTracked []serverSlot  // buffer for the next tracked servers
 	warming      []serverSlot  // servers that started recently
 	untracked    []serverSlot  // servers with outlier states that are not tracked
@@ -170,21 +170,21 @@
 	if len(e.departed) == 0 {
 		return
 	}
-	e.forEachReferenced(requests, func(s *server) { s.referenced = true })
+	e.forEachServerInUse(requests, func(s *server) { s.inUse = true })
 	e.departed = slices.DeleteFunc(e.departed, func(i serverSlot) bool {
 		s := &e.servers[i]
-		s.departed = !s.listed && s.referenced
-		if !s.listed && !s.referenced {
+		s.departed = !s.listed && s.inUse
+		if !s.listed && !s.inUse {
 			e.slots.drop(s.Server)
 			*s = server{}
 		}
 		return !s.departed
 	})
-	e.forEachReferenced(requests, func(s *server) { s.referenced = false })
+	e.forEachServerInUse(requests, func(s *server) { s.inUse = false })
 }
 
-// forEachReferenced calls visit for the server of each attempt of an open request.
-func (e *endpointSet) forEachReferenced(requests []request, visit func(s *server)) {
+// forEachServerInUse calls visit for the server of each attempt of an open request.
+func (e *endpointSet) forEachServerInUse(requests []request, visit func(s *server)) {
 	for i := range requests {
 		if !requests[i].live {
 			continue
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,18 +1,20 @@
 package decision
 
+import "cherrygap/internal/settings"
+
 // Engine makes the decisions of one node and holds its state. It is not safe for concurrent use.
 type Engine struct {
-	config      *config
-	now         Time
-	random      random
-	shadow      *shadow // nil while shadow evaluation is off
-	classes     []classState
-	endpoints   endpointSet
-	requests    requestTable
-	followsList bool // a list has come from discovery: a server that a later one adds has just started
-	customers   customerTable
-	outbox      outbox
-	scratch     []byte // holds the payload of the last decision
+	config       *config
+	now          Time
+	random       random
+	shadow       *shadow // nil while shadow evaluation is off
+	classes      []classState
+	endpoints    endpointSet
+	requests     requestTable
+	listReceived bool // discovery has sent a list: a server that a later one adds has just started
+	customers    customerTable
+	outbox       outbox
+	scratch      []byte // buffer for the payloads of summaries and suspicions
 
 	admission admissionLimit
 	quota     tenantQuota
@@ -32,7 +34,7 @@
 
 // New returns an engine with the settings and no other state. Engines with the same seed and inputs make the same
 // decisions.
-func New(seed uint64, set Settings, now Time) *Engine {
+func New(seed uint64, set *settings.Settings, now Time) *Engine {
 	e := &Engine{
 		now:       now,
 		random:    newRandom(seed),
@@ -44,7 +46,7 @@
 		subsets:   subsetChooser{startedAt: now, ratio: 1},
 		interval:  intervalStats{startedAt: now},
 	}
-	e.configure(parseSettings(set))
+	e.configure(newConfig(set))
 	e.timers = newTimers(now, e.config)
 	return e
 }
@@ -84,7 +86,7 @@
 	for _, endpoint := range list {
 		i := e.updateServer(endpoint, max(len(list), set.ready))
 		s := &set.servers[i]
-		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.followsList {
+		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.listReceived {
 			e.slowStart.observeClock(s.Started, e.now)
 		}
 		if kind == ListUpdate {
@@ -99,7 +101,7 @@
 	} else {
 		set.recountReady()
 	}
-	e.followsList = e.followsList || kind != CachedList
+	e.listReceived = e.listReceived || kind != CachedList
 	e.chooseSubset()
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -54,11 +54,11 @@
 	randomSeed    uint64                // Seed
 	known         protocol.EndpointList // Known; empty where it can't be read
 	knownErr      error                 // why Known can't be read
-	settings      map[string]string     // Settings by this program's names, the operator file's over them
+	settings      *settings.Settings    // Settings, the operator file's over them
 
 	deprecations   []operatorfile.Deprecation
-	shadowSettings map[string]string // for the shadow evaluation; nil for none
-	logLevel       zerolog.Level     // ApplyOperator sets it: the zero value would be debug
+	shadowSettings *settings.Settings // for the shadow evaluation; nil for none
+	logLevel       zerolog.Level      // ApplyOperator sets it: the zero value would be debug
 	healthChecks   operatorfile.HealthChecks
 	quota          operatorfile.Quota
 	authz          operatorfile.Authz
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// EngineSettings are the settings of the decision engine.
-func (c *config) EngineSettings() map[string]string { return c.settings }
+// EngineSettings returns the node's settings, which must not be changed.
+func (c *config) EngineSettings() *settings.Settings { return c.settings }
 
 // releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision engine holds in its own form.
 func (c *config) releaseKnownList() {
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -21,7 +21,7 @@
 func LoadConfigAtStart() (*Config, error) {
 	for deadline := time.Now().Add(startRetryTimeout); ; time.Sleep(startRetryInterval) {
 		c, err := loadConfig()
-		if !netio.LacksResources(err) || time.Now().After(deadline) {
+		if !netio.IsResourceExhaustion(err) || time.Now().After(deadline) {
 			return c, err
 		}
 	}
@@ -33,7 +33,7 @@
 func retryOpen(log *zerolog.Logger, open func() error) error {
 	for deadline := time.Now().Add(startRetryTimeout); ; time.Sleep(startRetryInterval) {
 		err := open()
-		inUse, lacksResources := errors.Is(err, syscall.EADDRINUSE), netio.LacksResources(err)
+		inUse, lacksResources := errors.Is(err, syscall.EADDRINUSE), netio.IsResourceExhaustion(err)
 		switch {
 		case !inUse && !lacksResources || time.Now().After(deadline):
 			return err
