--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -10,30 +10,35 @@
 	"reflect"
 	"strconv"
 
-	"github.com/rs/zerolog"
-
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
 
-// Environment variables that the node reads.
+// Environment variables that a node reads. An empty value counts as none.
 const (
 	EnvConfig    = "GW_CONFIG"    // path of the platform's configuration
-	envName      = "GW_NAME"      // over "name" in it
+	EnvOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
+	envName      = "GW_NAME"      // over "name" in the configuration
 	envListen    = "GW_LISTEN"    // over "listen"
 	envDiscovery = "GW_DISCOVERY" // over "discovery", until a reload names another address
-	EnvOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
 )
 
-// keyKnown is the configuration's key of the endpoint list as last known.
-const keyKnown = "known"
+// Keys of the platform's configuration that an error may name.
+const (
+	keyListen    = "listen"
+	keyDiscovery = "discovery"
+	keySeed      = "seed"
+	keyLimits    = "limits"
+	keyKnown     = "known"
+	keySettings  = "settings"
+)
 
-// Config is what a node starts with.
-type Config = config
+// keyShadowSettings is the part of the operator file with the shadow evaluation's settings.
+const keyShadowSettings = "shadow.settings"
 
-// config is what the node starts with: the platform's configuration (the exported fields, JSON) and what the operator file
-// adds to it. The errors of encoding/json on values of the wrong type name this type.
+// config is the platform's configuration as its JSON file has it, with the environment's values over it. Errors of
+// encoding/json contain this type's name, and such error lines keep their text.
 type config struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
@@ -47,25 +52,28 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`    // endpoint list, in the form of the discovery service
+	Known    json.RawMessage `json:"known"`    // endpoint list, in the format of the discovery service
 	Settings json.RawMessage `json:"settings"` // nested, by the platform's names
+}
+
+// documentType is the name by which errors of encoding/json have always called the type of the whole document.
+const documentType = "main.config"
 
-	fileDiscovery string                // the address in the file, whatever the environment says
-	randomSeed    uint64                // Seed
-	known         protocol.EndpointList // Known; empty where it can't be read
-	knownErr      error                 // why Known can't be read
-	settings      *settings.Settings    // Settings, the operator file's over them
+// Config is the configuration of one node: the platform's file and the operator file. LoadConfigAtStart or
+// LoadPlatformFile makes one, and ApplyOperator adds the operator file. A node only reads it.
+type Config struct {
+	config
 
-	deprecations   []operatorfile.Deprecation
-	shadowSettings *settings.Settings // for the shadow evaluation; nil for none
-	logLevel       zerolog.Level      // ApplyOperator sets it: the zero value would be debug
-	healthChecks   operatorfile.HealthChecks
-	quota          operatorfile.Quota
-	authz          operatorfile.Authz
-	grpc           operatorfile.GRPC
+	fileDiscovery  string                // Discovery in the file, without the environment's value
+	randomSeed     uint64                // Seed
+	known          protocol.EndpointList // Known; empty where that is malformed
+	knownErr       error                 // why Known is malformed
+	settings       *settings.Settings    // Settings, with the operator file's over them
+	shadowSettings *settings.Settings    // for the shadow evaluation; nil for none
+	operator       operatorfile.File     // the zero value before ApplyOperator
 }
 
-// keyError is a key of the platform's configuration, or a part of the operator file, whose value can't be used.
+// keyError is a key of the platform's configuration, or a part of the operator file, with an invalid value.
 type keyError struct {
 	key string
 	err error
@@ -75,19 +83,25 @@
 
 func (e *keyError) Unwrap() error { return e.err }
 
+// documentTypeError is a configuration that is JSON but no object.
+type documentTypeError struct{ kind string }
+
+func (e *documentTypeError) Error() string {
+	return "json: cannot unmarshal " + e.kind + " into Go value of type " + documentType
+}
+
 // errNotPositive is a limit of the platform's that is missing, zero or negative.
 var errNotPositive = errors.New("cores, memory_mb and sockets must be above 0")
 
-// errPartOfJSON is the text of encoding/json's error on a document whose end is missing.
-const errPartOfJSON = "unexpected end of JSON input"
-
 // errNoConfigPath is a start without a configuration.
 var errNoConfigPath = errors.New(EnvConfig + " is not set")
 
-// loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. An endpoint list in it that can't be
-// read is no error but knownErr: the discovery service will send the list again, so a node
-// starts without endpoints rather than not at all, and one that runs does not use this list.
-func loadConfig() (*config, error) {
+// truncatedJSON is the text of encoding/json's error on a document without its end.
+const truncatedJSON = "unexpected end of JSON input"
+
+// loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. A malformed endpoint list is no error
+// but the result's knownErr. The discovery service sends the list anyway, so a node can start without one.
+func loadConfig() (*Config, error) {
 	c, err := readConfig()
 	if c != nil && isKnownListError(err) {
 		c.knownErr, err = err, nil
@@ -95,9 +109,9 @@
 	return c, err
 }
 
-// readConfig reads the configuration that GW_CONFIG names, with the environment's values over it. With an error on the
-// endpoint list alone it returns the rest of the configuration too.
-func readConfig() (*config, error) {
+// readConfig reads the configuration that GW_CONFIG names, with the environment's values over it. Where only the endpoint
+// list is malformed it returns the rest of the configuration with the error.
+func readConfig() (*Config, error) {
 	path := os.Getenv(EnvConfig)
 	if path == "" {
 		return nil, errNoConfigPath
@@ -113,26 +127,40 @@
 	return c, nil
 }
 
-// mayBeReadLater reports whether a configuration could not be read for a reason that may pass: the machine lacked what it
-// takes, the file system failed, or the file is being written and only a part of it is there.
+// LoadPlatformFile reads and checks a platform configuration. Environment variables take no part, and a malformed endpoint
+// list is an error.
+func LoadPlatformFile(path string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	c, err := parseConfig(raw, func(string) string { return "" })
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return c, nil
+}
+
+// mayBeReadLater reports whether an error of loadConfig may pass: the file could not be read, or its end is still to be
+// written.
 func mayBeReadLater(err error) bool {
-	var fault *fs.PathError
-	var syntax *json.SyntaxError
-	return errors.As(err, &fault) || errors.As(err, &syntax) && syntax.Error() == errPartOfJSON
+	var fileError *fs.PathError
+	var syntaxError *json.SyntaxError
+	return errors.As(err, &fileError) || errors.As(err, &syntaxError) && syntaxError.Error() == truncatedJSON
 }
 
-// isKnownListError reports whether the endpoint list is all that is wrong with a configuration.
+// isKnownListError reports whether only the endpoint list of a configuration is malformed.
 func isKnownListError(err error) bool {
 	var fault *keyError
 	return errors.As(err, &fault) && fault.key == keyKnown
 }
 
-// parseConfig reads a configuration's text, with the environment's values over it. With a keyError on "known" it returns
-// the rest of the configuration too; with any other error none.
-func parseConfig(raw []byte, env func(name string) string) (*config, error) {
-	c := &config{}
-	if err := json.Unmarshal(raw, c); err != nil {
-		return nil, nameDocument(err)
+// parseConfig parses and checks a configuration, with the environment's values over it. With a keyError on keyKnown it
+// returns the rest of the configuration too; with any other error nil.
+func parseConfig(raw []byte, env func(name string) string) (*Config, error) {
+	c := &Config{}
+	if err := json.Unmarshal(raw, &c.config); err != nil {
+		return nil, describeTypeError(err)
 	}
 	c.fileDiscovery = c.Discovery
 	c.applyEnvironment(env)
@@ -141,7 +169,7 @@
 	}
 	var err error
 	if c.settings, err = settings.FromJSON(c.Settings); err != nil {
-		return nil, &keyError{"settings", err}
+		return nil, &keyError{keySettings, err}
 	}
 	if len(c.Known) > 0 && string(c.Known) != "null" {
 		if c.known, err = protocol.ParseEndpointList(c.Known); err != nil {
@@ -151,16 +179,16 @@
 	return c, nil
 }
 
-// nameDocument keeps the text of the error on a document that is no JSON object: it names the type as main.config.
-func nameDocument(err error) error {
+// describeTypeError returns a documentTypeError where the document is no JSON object, and any other error as it is.
+func describeTypeError(err error) error {
 	var fault *json.UnmarshalTypeError
-	if !errors.As(err, &fault) || fault.Type != reflect.TypeFor[config]() {
-		return err
+	if errors.As(err, &fault) && fault.Type == reflect.TypeFor[config]() {
+		return &documentTypeError{fault.Value}
 	}
-	return fmt.Errorf("json: cannot unmarshal %s into Go value of type main.config", fault.Value)
+	return err
 }
 
-// applyEnvironment writes the environment's values over the file's, but for empty ones.
+// applyEnvironment replaces values of the file by those of the environment.
 func (c *config) applyEnvironment(env func(name string) string) {
 	for name, field := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
 		if value := env(name); value != "" {
@@ -169,20 +197,20 @@
 	}
 }
 
-// validate checks what the JSON types leave open, and reads the seed.
-func (c *config) validate() error {
-	if err := checkAddress("listen", c.Listen); err != nil {
+// validate checks the values that the JSON types leave open, and parses the seed.
+func (c *Config) validate() error {
+	if err := checkAddress(keyListen, c.Listen); err != nil {
 		return err
 	}
-	if err := checkAddress("discovery", c.Discovery); err != nil {
+	if err := checkAddress(keyDiscovery, c.Discovery); err != nil {
 		return err
 	}
 	var err error
 	if c.randomSeed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return &keyError{"seed", err}
+		return &keyError{keySeed, err}
 	}
 	if c.Limits.Cores <= 0 || c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
-		return &keyError{"limits", errNotPositive}
+		return &keyError{keyLimits, errNotPositive}
 	}
 	return nil
 }
@@ -196,57 +224,42 @@
 }
 
 // EngineSettings returns the node's settings, which must not be changed.
-func (c *config) EngineSettings() *settings.Settings { return c.settings }
+func (c *Config) EngineSettings() *settings.Settings { return c.settings }
 
-// releaseKnownList lets go of the endpoint list, some MB in a large fleet, which the decision engine holds in its own form.
-func (c *config) releaseKnownList() {
+// releaseKnownList frees the endpoint list once the decision engine has its own copy. In a large fleet it takes some MB.
+func (c *Config) releaseKnownList() {
 	c.Known, c.known.Endpoints = nil, nil
 }
 
-// ApplyOperator adds the operator file's part. A file that holds nothing changes nothing but the log's level.
-func (c *config) ApplyOperator(file operatorfile.File) error {
-	c.logLevel, c.healthChecks, c.quota = ParseLogLevel(file.Log.Level), file.HealthChecks, file.Quota
-	c.authz, c.grpc, c.deprecations = file.Authz, file.GRPC, file.Deprecations
+// ApplyOperator adds the operator file. Its settings take precedence over the platform's.
+func (c *Config) ApplyOperator(file operatorfile.File) error {
+	c.operator = file
 	var err error
 	if c.settings, err = file.Settings.Apply(c.settings); err != nil {
-		return &keyError{"settings", err}
+		return &keyError{keySettings, err}
 	}
 	if file.Shadow.Enabled {
 		if c.shadowSettings, err = file.Shadow.Settings.Apply(c.settings); err != nil {
-			return &keyError{"shadow.settings", err}
+			return &keyError{keyShadowSettings, err}
 		}
 	}
 	return nil
 }
 
-// reload reads the configuration again and carries out what may change while the node runs: the address of the discovery
-// service, by a call of move, even where GW_DISCOVERY gave another at the start. It returns the new configuration, with
-// all else that the node runs by as it was; with an error nothing has changed. An endpoint list that can't be read is none.
-func (c *config) reload(move func(address string)) (*config, error) {
+// reload reads the configuration again. It calls move where the file names another discovery address, even where
+// GW_DISCOVERY gave the address at the start. It returns the new configuration with the settings and operator file in force.
+// After an error it returns c, and nothing has changed.
+func (c *Config) reload(move func(address string)) (*Config, error) {
 	next, err := loadConfig()
 	if err != nil {
 		return c, err
 	}
 	if next.fileDiscovery != c.fileDiscovery {
-		if err := checkAddress("discovery", next.fileDiscovery); err != nil {
+		if err := checkAddress(keyDiscovery, next.fileDiscovery); err != nil {
 			return c, err
 		}
 		move(next.fileDiscovery)
 	}
-	next.settings, next.shadowSettings, next.logLevel = c.settings, c.shadowSettings, c.logLevel
-	next.healthChecks, next.quota, next.authz, next.grpc = c.healthChecks, c.quota, c.authz, c.grpc
+	next.settings, next.shadowSettings, next.operator = c.settings, c.shadowSettings, c.operator
 	return next, nil
 }
-
-// LoadPlatformFile reads a platform configuration, whatever the environment says.
-func LoadPlatformFile(path string) (*Config, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	c, err := parseConfig(raw, func(string) string { return "" })
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return c, nil
-}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := c.transportLimits()
+	l := c.socketLimits()
 	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings.Node.String() != "2" ||
 		l.ServerIdleTimeout != 15*time.Second || l.ConnectTimeout != 250*time.Millisecond || l.Sockets != 1024 {
 		t.Errorf("read as %+v, limits %+v", c, l)
@@ -64,7 +64,7 @@
 }
 
 // wantReload reloads a configuration whose known list can't be read, and checks where that moves discovery to.
-func wantReload(t *testing.T, old *config, want string) {
+func wantReload(t *testing.T, old *Config, want string) {
 	t.Helper()
 	moved := ""
 	next, err := old.reload(func(address string) { moved += address })
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -8,21 +8,26 @@
 	"strings"
 	"syscall"
 	"testing"
+	"time"
 
 	"cherrygap/internal/node/nodetest"
 	"cherrygap/internal/operatorfile"
 )
 
 // values returns all values that the node reads from a configuration, as texts by name.
-func values(c *config) map[string]string {
-	l, d, q := c.transportLimits(), c.healthCheckConfig(), c.quotaConfig()
+func values(c *Config) map[string]string {
+	l, d, q := c.socketLimits(), c.healthCheckConfig(), c.quotaConfig()
 	var own syscall.Rlimit
 	sockets := fmt.Sprint(l.Sockets)
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own); err == nil && c.Limits.Sockets > 1024 && uint64(l.Sockets) == own.Cur {
 		sockets = "the process's"
 	}
-	names, contracts := c.requestClasses()
-	checks, numbers, err := c.authorizationConfig()
+	names, objectives := []string{}, []time.Duration{}
+	for _, class := range c.requestClasses() {
+		names, objectives = append(names, class.name), append(objectives, class.latencyObjective)
+	}
+	authorization, err := c.authorization()
+	checks := authorization.limits
 	return map[string]string{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery + " " + c.fileDiscovery, "seed": fmt.Sprintf("%x", c.randomSeed),
 		"peer": fmt.Sprint(c.Peer), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeersAll),
@@ -32,11 +37,11 @@
 		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
 		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Self, d.Nodes, d.Seed, d.ReceiveRate, d.SendRate, d.Interval),
 		"names":     fmt.Sprintf("%q", names),
-		"contracts": fmt.Sprint(contracts),
+		"contracts": fmt.Sprint(objectives),
 		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Self, q.Nodes, q.Seed, q.ExchangeRate, q.Timeout),
-		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", numbers, " ", err),
-		"operator": fmt.Sprintf("%v %q %q %q %q %d", c.logLevel, c.quota.Store, c.authz.Service, c.authz.FailOpen, c.grpc.Listen,
-			c.grpc.MaxCalls),
+		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", authorization.classNumbers, " ", err),
+		"operator": fmt.Sprintf("%v %q %q %q %q %d", ParseLogLevel(c.operator.Log.Level), c.operator.Quota.Store, c.operator.Authz.Service,
+			c.operator.Authz.FailOpen, c.operator.GRPC.Listen, c.operator.GRPC.MaxCalls),
 	}
 }
 
@@ -67,7 +72,7 @@
 
 // compareValues compares a configuration's values with goodValues, but for the changes: lines of a name, a colon and a
 // value.
-func compareValues(t *testing.T, c *config, changes string) {
+func compareValues(t *testing.T, c *Config, changes string) {
 	t.Helper()
 	got := values(c)
 	want := maps.Clone(goodValues)
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -26,7 +26,7 @@
 		if err := c.ApplyOperator(op); err != nil {
 			t.Fatal(err)
 		}
-		cfg, classes, err := c.authorizationConfig()
+		cfg, err := c.authorization()
 		if open == "fly" {
 			if err == nil || !strings.Contains(err.Error(), "look, buy") {
 				t.Error(err)
@@ -34,8 +34,8 @@
 			continue
 		}
 		want := []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}
-		if err != nil || classes["buy"] != 1 || cfg.Classes[0] != want[0] || cfg.Classes[1] != want[1] || cfg.MaxInFlight != 64 {
-			t.Errorf("%+v, %v, %v", cfg, classes, err)
+		if err != nil || cfg.classNumbers["buy"] != 1 || cfg.limits.Classes[0] != want[0] || cfg.limits.Classes[1] != want[1] || cfg.limits.MaxInFlight != 64 {
+			t.Errorf("%+v, %v", cfg, err)
 		}
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -8,7 +8,7 @@
 func noEnv(string) string { return "" }
 
 // mustParse reads a configuration without an environment.
-func mustParse(t *testing.T, text string) *config {
+func mustParse(t *testing.T, text string) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(text), noEnv)
 	if err != nil {
@@ -18,7 +18,7 @@
 }
 
 // startNode runs a node in the test's own process. The channel gives what it ended with.
-func startNode(c *config) <-chan error {
+func startNode(c *Config) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(c, CatchSignals()) }() // ends once a test has sent SIGTERM
 	return ended
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,9 +60,9 @@
 func New(c *Config) *Node {
 	n := &Node{config: c, counters: &counters.Node{}, pollRequests: make(chan struct{}, 1)}
 	var closeLog func()
-	n.log, closeLog = openLog(c.logLevel, c.Name, func(lines int) { n.counters.LogLinesDropped.Add(int64(lines)) })
+	n.log, closeLog = openLog(ParseLogLevel(c.operator.Log.Level), c.Name, func(lines int) { n.counters.LogLinesDropped.Add(int64(lines)) })
 	n.onClose(closeLog)
-	n.limits = c.transportLimits()
+	n.limits = c.socketLimits()
 	return n
 }
 
--- a/internal/node/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -12,7 +12,7 @@
 var errNoGRPC = errors.New("authz.service, grpc.listen: this program was built without the tag grpc (docs/grpc.md)")
 
 // dialAuthorizer fails, as this program has no gRPC.
-func dialAuthorizer(*config) (authorizer, error) { return nil, errNoGRPC }
+func dialAuthorizer(*Config) (authorizer, error) { return nil, errNoGRPC }
 
 // listenGRPC fails, as this program has no gRPC.
-func listenGRPC(*config, *frontend.Server) (drain func(), err error) { return nil, errNoGRPC }
+func listenGRPC(*Config, *frontend.Server) (drain func(), err error) { return nil, errNoGRPC }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -15,7 +15,7 @@
 
 // warnOfDeprecations logs each deprecated key of the operator file with its replacement.
 func (n *Node) warnOfDeprecations() {
-	for _, key := range n.config.deprecations {
+	for _, key := range n.config.operator.Deprecations {
 		n.log.Warn().Str("key", key.Key).Int("line", key.Line).Str("write", key.Standard).Msg("deprecated key in the operator file")
 	}
 }
@@ -48,10 +48,10 @@
 // openQuotaStore begins to lease quotas from the shared store, where the operator file names one. It does not wait for the
 // store.
 func (n *Node) openQuotaStore() error {
-	if n.config.quota.Store == "" {
+	if n.config.operator.Quota.Store == "" {
 		return nil
 	}
-	n.quotas = quotastore.Open(n.config.quota.Store, n.config.Name, n.config.quotaConfig(), &n.log)
+	n.quotas = quotastore.Open(n.config.operator.Quota.Store, n.config.Name, n.config.quotaConfig(), &n.log)
 	go n.quotas.Run() // ends on its Close
 	n.onClose(n.quotas.Close)
 	return nil
@@ -186,7 +186,7 @@
 // dialAuthorizer makes the client of the external authorizer, where the operator file names one. It does not wait for a
 // connection.
 func (n *Node) dialAuthorizer() error {
-	if n.config.authz.Service == "" {
+	if n.config.operator.Authz.Service == "" {
 		return nil
 	}
 	client, err := dialAuthorizer(n.config)
@@ -208,7 +208,7 @@
 
 // listenGRPC begins to serve clients over gRPC, where the operator file gives an address for it.
 func (n *Node) listenGRPC() error {
-	if n.config.grpc.Listen == "" {
+	if n.config.operator.GRPC.Listen == "" {
 		return nil
 	}
 	drain, err := listenGRPC(n.config, n.frontEnd)
