--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -157,7 +157,7 @@
 		}
 	}
 	list, _ := protocol.ParseEndpointList([]byte(r.discovery.list(true, 0)))
-	r.router.UpdateEndpoints(&list, true)
+	r.router.UpdateEndpoints(&list, routing.FromCache)
 	var drains, stays *routing.Server
 	for _, server := range r.router.Servers() {
 		if server.Addr.Port() == 1 {
@@ -171,7 +171,7 @@
 		Addr: r.discovery.addr, Revision: list.Revision, Limits: frontendtest.Limits, Log: &log, Counters: &Counters{},
 		OnFailure: r.router.PollFailed,
 		OnList: func(list *protocol.EndpointList) {
-			r.router.UpdateEndpoints(list, false)
+			r.router.UpdateEndpoints(list, routing.FromDiscovery)
 			if !r.router.InService(drains) && r.router.InService(stays) {
 				r.known <- time.Now()
 			}
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -107,13 +107,15 @@
 		PollEndpoints: func() {}, LogSummary: func([]byte) {},
 	})
 	go timer.Run(node.Router.Tick)
-	node.Router.UpdateEndpoints(list, true)
+	node.Router.UpdateEndpoints(list, routing.FromCache)
 	poolLimits := cfg.Limits
 	if cfg.PoolLimits != nil {
 		poolLimits = *cfg.PoolLimits
 	}
 	node.Pool = upstream.NewPool(poolLimits, &log, &node.Counters.Upstream)
-	node.Server, err = frontend.Listen("127.0.0.1:0", node.Router, node.Pool, cfg.Limits, nil, &log, &node.Counters.Counters)
+	node.Server, err = frontend.Listen(frontend.Config{
+		Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: cfg.Limits, Log: &log, Counters: &node.Counters.Counters,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +129,7 @@
 
 // ListOnly makes server the node's only app server.
 func (n *Node) ListOnly(server protocol.Endpoint) {
-	n.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{server}}, false)
+	n.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{server}}, routing.FromDiscovery)
 }
 
 // Limits are limits that no test reaches by accident.
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -69,7 +69,7 @@
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
 			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
-			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, true)
+			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, routing.FromCache)
 			pool := upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{})
 			checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
 			server := router.Servers()[0]
--- a/internal/upstream/golden_healthcheck_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -17,7 +17,7 @@
 )
 
 // A health check as the app server sees it.
-func TestGoldenHealthCheck(t *testing.T) {
+func TestHealthCheckWireFormat(t *testing.T) {
 	addr, probes := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
@@ -27,7 +27,7 @@
 	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{
 		UID: "s", Weight: 1,
 		Addr: netip.MustParseAddrPort(addr),
-	}}}, true)
+	}}}, routing.FromCache)
 	checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1, Seed: 5, ReceiveRate: 400, SendRate: 1 << 14, Interval: time.Second}, router,
 		upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{}), func(int, []byte) {})
 	go checker.Run()
