--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -9,20 +9,20 @@
 	"cherrygap/internal/settings"
 )
 
-// carryOut has the Router carry out a decision.
+// carryOut calls Router.carryOut under the lock.
 func carryOut(r *Router, d decision.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.carryOut(d)
 }
 
-// Decisions on a request reach whoever waits for it; durations come out in the engine's unit.
-func TestDecisionsOnRequests(t *testing.T) {
+// Decisions reach the Request, with the engine's durations as time.Duration.
+func TestDecisionsReachTheirRequest(t *testing.T) {
 	r, _, _ := startRouter(t, settings.RetrySafe, 1)
 	server := r.Servers()[0]
 	for _, c := range []struct {
 		name     string
-		decision decision.Decision // its Request is set below
+		decision decision.Decision // without its Request
 		want     Decision
 		gone     bool
 	}{
@@ -54,7 +54,7 @@
 			c.decision.Request = decision.RequestID(req.number)
 			carryOut(r, c.decision)
 			got, ok := req.TryNext()
-			if c.gone { // a server of its own, that is not in service
+			if c.gone { // an unknown server, which is not in service
 				if got.Server == nil || got.Server.Number() != ServerNumber(c.decision.Server) || r.InService(got.Server) {
 					t.Errorf("server %+v", got.Server)
 				}
@@ -67,8 +67,8 @@
 	}
 }
 
-// Each decision on no request does its one thing.
-func TestDecisionsOnNoRequest(t *testing.T) {
+// Decisions without a request set the timer, poll for endpoints, or go to the outbox.
+func TestDecisionsWithoutARequest(t *testing.T) {
 	var timer time.Duration
 	polls := 0
 	r := newRouter(t, Config{
@@ -91,7 +91,7 @@
 	}
 }
 
-// What the engine decides on a request that is closed must not meet the next one in its slot.
+// A decision on a closed request must not reach the next request of its slot.
 func TestDecisionsOnClosedRequestsAreDropped(t *testing.T) {
 	for _, action := range []decision.Action{decision.Forward, decision.Reject, decision.Fail, decision.CancelAttempt} {
 		r, req, canceller := startRouter(t, settings.RetrySafe, 1)
@@ -104,7 +104,7 @@
 	}
 }
 
-// Only the last attempt can be in flight, so only it is cancelled.
+// At most the last attempt is in flight, so that only it is cancelled.
 func TestOnlyTheLastAttemptIsCancelled(t *testing.T) {
 	r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 	req.attempt = 2
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -11,7 +11,7 @@
 	"cherrygap/internal/settings"
 )
 
-func TestNothingStartsAtServersThatDrain(t *testing.T) {
+func TestNoAttemptStartsAtADrainingServer(t *testing.T) {
 	r, req, _ := startRouter(t, settings.RetrySafe, 1)
 	req.Start(&seatRequest, 2*time.Second)
 	d := req.Next()
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestServersAreNumberedAlikeEverywhere(t *testing.T) {
+func TestServerNumbersDoNotDependOnTheListsOrder(t *testing.T) {
 	here, there := newEndpointTable(), newEndpointTable()
 	list := listOf(40, protocol.InService)
 	one := here.update(list)
@@ -50,8 +50,8 @@
 	}
 }
 
-// New servers replace old ones all day, some at the address of one that has gone: they are others to the node.
-func TestServersThatAreGoneAreForgotten(t *testing.T) {
+// The table does not grow while new servers replace old ones. A new server at the address of an old one is another Server.
+func TestTerminatedServersAreRemoved(t *testing.T) {
 	table := newEndpointTable()
 	list := listOf(3, protocol.InService)
 	table.update(list)
@@ -69,11 +69,11 @@
 	}
 	table.update(&protocol.EndpointList{Full: true})
 	if len(table.servers)+len(table.numbers)+len(table.uids) != 0 {
-		t.Error("a whole list that is empty leaves servers")
+		t.Error("a complete list without endpoints leaves servers")
 	}
 }
 
-// Only servers in service are given out, but any that is listed counts as known.
+// Servers returns those in service; HasServers counts any that is listed.
 func TestServersInService(t *testing.T) {
 	r, _, _ := startRouter(t, settings.RetrySafe, 0)
 	if r.HasServers() {
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -23,12 +23,12 @@
 	c.cancelled = append(c.cancelled, attempt)
 }
 
-// settingsOf are the settings of one node with one plan and one class, whose requests repeat as named.
-func settingsOf(repeats string) settings.Values {
+// settingsOf returns the settings of one node, with one plan and one class of that retry safety.
+func settingsOf(retrySafety string) settings.Values {
 	return settings.Values{
 		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "5000",
-		settings.ClassKey(0, settings.ClassRetrySafety):      repeats, settings.PlanCount: "1",
+		settings.ClassKey(0, settings.ClassRetrySafety):      retrySafety, settings.PlanCount: "1",
 		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
 		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On,
 	}
@@ -37,7 +37,7 @@
 // seatRequest is a request of the class and the plan of settingsOf.
 var seatRequest = protocol.Request{Class: "seats", Plan: "team", Customer: 5, Units: 1, Spread: 1}
 
-// listOf is a whole list of servers "s0", "s1" and so on, all in one state.
+// listOf returns a complete list of servers "s0", "s1" and so on, all in one state.
 func listOf(count int, state protocol.EndpointState) *protocol.EndpointList {
 	list := &protocol.EndpointList{Revision: 1, Full: true}
 	for i := range count {
@@ -49,7 +49,7 @@
 	return list
 }
 
-// newRouter makes a Router whose functions do nothing where cfg leaves them out.
+// newRouter returns a Router. Functions that cfg leaves out do nothing.
 func newRouter(t *testing.T, cfg Config) *Router {
 	t.Helper()
 	if cfg.Seed == 0 {
@@ -70,10 +70,10 @@
 	return New(cfg)
 }
 
-// startRouter makes a Router with an endpoint list of so many servers, and room for requests in it.
-func startRouter(t *testing.T, repeats string, servers int) (*Router, *Request, *cancelRecorder) {
+// startRouter returns a Router with a list of that many servers, and a Request of it.
+func startRouter(t *testing.T, retrySafety string, servers int) (*Router, *Request, *cancelRecorder) {
 	t.Helper()
-	r := newRouter(t, Config{Settings: settings.Parse(settingsOf(repeats))})
+	r := newRouter(t, Config{Settings: settings.Parse(settingsOf(retrySafety))})
 	if servers > 0 {
 		r.UpdateEndpoints(listOf(servers, protocol.InService), FromCache)
 	}
@@ -81,7 +81,7 @@
 	return r, r.NewRequest(c), c
 }
 
-// checkForwarded fails the test unless the decision is to make the attempt with that number.
+// checkForwarded fails the test unless the decision is Forward, with that number of the attempt.
 func checkForwarded(t *testing.T, d Decision, attempt int) {
 	t.Helper()
 	if d.Action != Forward || d.Attempt != attempt {
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -10,9 +10,9 @@
 	"cherrygap/internal/settings"
 )
 
-// TestServerNumbers pins the number that a server gets from its uid: FNV-1a of 32 bits, and the next free number
-// where another server has that one. Nodes name servers to each other by it, old nodes and new ones.
-func TestServerNumbers(t *testing.T) {
+// A server's number is the 32-bit FNV-1a hash of its uid, or the next free number where another server has that. Nodes of
+// different releases name servers to each other by it.
+func TestServerNumberIsTheUIDsHash(t *testing.T) {
 	type numbered struct {
 		uid    string
 		number ServerNumber
@@ -62,9 +62,8 @@
 	}
 }
 
-// TestFreedServerNumber pins that the number of a server that is gone is free again, and that whoever had the next one
-// keeps it.
-func TestFreedServerNumber(t *testing.T) {
+// The number of a removed server is free again. Servers with later numbers keep theirs.
+func TestNumberOfARemovedServerIsFree(t *testing.T) {
 	table := newEndpointTable()
 	endpoint := func(uid string, s protocol.EndpointState) protocol.Endpoint {
 		return protocol.Endpoint{UID: uid, State: s, Weight: 1, Addr: netip.MustParseAddrPort("127.0.0.1:9000")}
@@ -86,10 +85,9 @@
 	}
 }
 
-// TestEndpointsForTheEngine pins how an entry of discovery's list reads to the engine: zones and models are numbered
-// by order of first sight and keep their numbers, cells are their own numbers, times go from milliseconds since 1970 to
-// ticks of a millisecond.
-func TestEndpointsForTheEngine(t *testing.T) {
+// Zones and models get numbers in the order of their first endpoint, and keep them. Cells are numbers already. Milliseconds
+// since 1970 become ticks.
+func TestEndpointsInTheEnginesForm(t *testing.T) {
 	table := newEndpointTable()
 	addr := netip.MustParseAddrPort("127.0.0.1:9000")
 	for i, c := range []struct {
@@ -124,8 +122,8 @@
 	}
 }
 
-// TestOutcomesForTheEngine pins how the outcome of an attempt reads to the engine.
-func TestOutcomesForTheEngine(t *testing.T) {
+// Each outcome of the protocol has its outcome of the engine.
+func TestOutcomesInTheEnginesForm(t *testing.T) {
 	want := map[protocol.Outcome]decision.Outcome{
 		protocol.Completed: decision.Succeeded, protocol.Errored: decision.Failed,
 		protocol.Overloaded: decision.Overloaded, protocol.TimedOut: decision.TimedOut, protocol.ConnectFailed: decision.ConnectFailed,
@@ -145,8 +143,8 @@
 	}
 }
 
-// TestOutcomeNumbers pins the numbers of both lists of outcomes, which stand in messages and in records of runs.
-func TestOutcomeNumbers(t *testing.T) {
+// The numbers of outcomes must not change: peer messages and records of runs hold them.
+func TestOutcomeNumbersOfMessagesAndRecords(t *testing.T) {
 	for i, o := range []protocol.Outcome{
 		protocol.Completed, protocol.Errored, protocol.Overloaded, protocol.TimedOut,
 		protocol.ConnectFailed, protocol.ConnectionReset, protocol.Cancelled, protocol.NotSent, protocol.MalformedResponse, protocol.OutcomeCount,
@@ -170,9 +168,8 @@
 	}
 }
 
-// TestTimesInTenthsOfMilliseconds pins that durations are cut, not rounded, to whole ticks of a millisecond on their
-// way in: a timeout of 99 µs is none, which is rejected at once.
-func TestTimesInTenthsOfMilliseconds(t *testing.T) {
+// Durations are truncated to ticks, not rounded. A timeout of 99 µs becomes 0, so that the request is rejected at once.
+func TestDurationsAreTruncatedToTicks(t *testing.T) {
 	for _, c := range []struct {
 		timeout time.Duration
 		want    Action
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -13,8 +13,8 @@
 	"cherrygap/internal/settings"
 )
 
-// While a message to peers can't be sent, requests go on: whoever waits for the peers' socket holds no lock.
-func TestBlockedMessagesHoldUpNoRequest(t *testing.T) {
+// A goroutine that waits for the peers' socket does not hold the lock, so that requests are not delayed.
+func TestBlockedMessageDelaysNoRequest(t *testing.T) {
 	set := settingsOf(settings.RetrySafe)
 	set[settings.Nodes], set[settings.Peers], set[settings.PeerRate] = "3", settings.On, "40"
 	now := time.Unix(1000, 0)
@@ -31,12 +31,12 @@
 		now = now.Add(time.Second)
 		var ticks sync.WaitGroup
 		ticks.Add(1)
-		go func() { defer ticks.Done(); r.Tick() }() // its messages are stuck
+		go func() { defer ticks.Done(); r.Tick() }() // its messages block
 		for sent.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		now = now.Add(time.Second)
-		r.Tick() // and so are these, behind them
+		r.Tick() // so do these, which queue
 		now = now.Add(20 * time.Millisecond)
 		req := r.NewRequest(&cancelRecorder{})
 		for range 5 {
@@ -60,9 +60,8 @@
 	}
 }
 
-// While a message to peers can't be sent, the call to poll discovery again passes it: a change is to be notified within
-// its term.
-func TestBlockedMessagesHoldUpNoPoll(t *testing.T) {
+// A blocked peer message does not delay the next poll of the discovery service.
+func TestBlockedMessageDelaysNoPoll(t *testing.T) {
 	set := settingsOf(settings.RetrySafe)
 	set[settings.Nodes], set[settings.Peers], set[settings.PeerRate] = "3", settings.On, "40"
 	set[settings.EndpointList], set[settings.PollWithin] = settings.EndpointListPoll, "100000"
@@ -77,7 +76,7 @@
 	now = now.Add(time.Second)
 	var tick sync.WaitGroup
 	tick.Add(1)
-	go func() { defer tick.Done(); r.Tick() }() // its messages are stuck
+	go func() { defer tick.Done(); r.Tick() }() // its messages block
 	for end := time.Now().Add(5 * time.Second); sent.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -94,8 +93,8 @@
 	tick.Wait()
 }
 
-// Messages go out in the order of the engine's decisions, the summary after those decided on before it, all as copies
-// and without the lock.
+// Messages are delivered in the order of the engine's decisions, the summary after the messages before it. All are copies,
+// delivered without the lock.
 func TestOutboxDeliversInOrder(t *testing.T) {
 	var delivered []string
 	var r *Router
@@ -111,7 +110,7 @@
 		SendToPeer: func(peer int, payload []byte) {
 			unlocked()
 			delivered = append(delivered, fmt.Sprintf("%d %s", peer, payload))
-			if string(payload) == "b" { // what is added meanwhile follows
+			if string(payload) == "b" { // messages added during a delivery follow
 				r.mu.Lock()
 				r.outbox.addMessage(9, []byte("later"))
 				r.deliver()
@@ -144,7 +143,7 @@
 	}
 }
 
-// Behind a message that is stuck wait so many; later ones are lost.
+// While a message blocks, maxQueuedMessages may queue; later ones are dropped.
 func TestOutboxIsBounded(t *testing.T) {
 	var r *Router
 	var delivered []int
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -28,7 +28,7 @@
 	req.Report(AttemptResult{Outcome: protocol.Completed})
 }
 
-// An unsafe request that may have run fails; one that never ran is rejected, so that its client may send it again.
+// An unsafe request that may have run fails. One that never ran is rejected, so that the client may retry it.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	for outcome, want := range map[protocol.Outcome]Action{
 		protocol.Errored:           Fail,
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestClientThatLeavesIsAbandoned(t *testing.T) {
+func TestDisconnectedClientIsAbandoned(t *testing.T) {
 	_, req, canceller := startRouter(t, settings.RetrySafe, 2)
 	req.Start(&seatRequest, 2*time.Second)
 	req.Next()
@@ -64,13 +64,13 @@
 	if d := req.Next(); d.Action != Abandon || len(canceller.cancelled) != 1 || canceller.cancelled[0] != 0 {
 		t.Errorf("%+v, cancelled %v", d, canceller.cancelled)
 	}
-	req.Start(&seatRequest, 2*time.Second) // the same slot serves the next one
+	req.Start(&seatRequest, 2*time.Second) // the slot serves the next request
 	checkForwarded(t, req.Next(), 0)
 	req.Report(AttemptResult{Outcome: protocol.Completed})
 }
 
-// A client that leaves before its first attempt begins must not count as one in flight for ever.
-func TestClientThatLeavesAtOnceLeavesNothingInFlight(t *testing.T) {
+// A client that disconnects before its first attempt must not leave an attempt in flight.
+func TestClientThatDisconnectsAtOnceLeavesNothingInFlight(t *testing.T) {
 	_, req, _ := startRouter(t, settings.RetrySafe, 2)
 	for range 200 {
 		req.Start(&seatRequest, 2*time.Second)
@@ -111,7 +111,7 @@
 	checkForwarded(t, d, 1)
 }
 
-// OnDecision gets each request once for each decision, within the call that led to it.
+// OnDecision is called once for each decision, within the call of the Router that caused it.
 func TestOnDecision(t *testing.T) {
 	var decided []*Request
 	r := newRouter(t, Config{
@@ -129,7 +129,7 @@
 		{func() { other.TryNext(); other.Report(AttemptResult{Outcome: protocol.Overloaded}) }, other},
 		{func() { one.TryNext(); one.Report(AttemptResult{Outcome: protocol.Completed}) }, nil},
 		{func() { one.Start(&seatRequest, time.Second) }, one},
-		{func() { other.ClientGone() }, nil}, // its decision is not taken yet
+		{func() { other.ClientGone() }, nil}, // its last decision is not taken
 	} {
 		decided = nil
 		step.do()
@@ -139,8 +139,8 @@
 	}
 }
 
-// Requests come and go on many connections at once, with results of all kinds; each gets one final decision.
-func TestManyRequestsAtOnce(t *testing.T) {
+// Each of many concurrent requests gets one final decision, whatever the outcomes of its attempts.
+func TestConcurrentRequestsEachGetOneFinalDecision(t *testing.T) {
 	r, _, _ := startRouter(t, settings.RetrySafe, 4)
 	var clients sync.WaitGroup
 	for client := range 16 {
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -48,16 +48,15 @@
 	}
 }
 
-// leaseOf is a quota that has so many units left, of all tenants together.
+// leaseOf is a Quota with a number of units left, shared by all tenants.
 type leaseOf struct{ left, demand float64 }
 
 func (l *leaseOf) RecordDemand(_ quota.Customer, units float64) { l.demand += units }
 func (l *leaseOf) Available(quota.Customer) float64             { return l.left }
 func (l *leaseOf) RecordUse(_ quota.Customer, units float64)    { l.left -= units }
 
-// Where quotas are leased the engine admits what the lease allows: no less for this node's part, no more for its own
-// bucket's burst, and retries of a request take nothing.
-func TestTheEngineDecidesByTheLease(t *testing.T) {
+// Where quotas are leased, the engine admits the available units, whatever its own token buckets hold. Retries use no units.
+func TestTheEngineAdmitsByTheLease(t *testing.T) {
 	set := settingsOf(settings.RetrySafe)
 	set[settings.Nodes] = "3"
 	set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = "100", "100"
@@ -86,7 +85,7 @@
 	}
 }
 
-// A plan without a rate is not leased, and neither is one whose rate can't be read.
+// A plan without a readable rate is not leased.
 func TestPlansWithoutARateAreNotLeased(t *testing.T) {
 	for _, rate := range []string{"", "0", "-1", "NaN", "fast"} {
 		t.Run(rate, func(t *testing.T) {
--- a/internal/routing/requesttable_test.go
+++ b/internal/routing/requesttable_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A slot that is used again goes on with its numbers, so that nothing meant for an earlier request meets a later one.
+// A slot that is used again counts on from its last number, so that decisions on earlier requests do not reach later ones.
 func TestReleasedSlotKeepsItsNumbers(t *testing.T) {
 	var table requestTable
 	requests := []*Request{{}, {}, {}}
@@ -44,7 +44,7 @@
 	}
 }
 
-// The count of a slot's uses wraps around without touching the slot.
+// The count of a slot's requests wraps around, and the slot stays.
 func TestRequestNumbersWrapAround(t *testing.T) {
 	n := requestNumber(5)
 	for range 1<<16 - 1 {
--- a/internal/routing/shadow_test.go
+++ b/internal/routing/shadow_test.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// With a shadow, clients get the same answers, and what its settings would have decided otherwise is counted.
-func TestShadowChangesNoAnswer(t *testing.T) {
+// A shadow evaluation changes no decision, and counts those that its settings would make otherwise.
+func TestShadowChangesNoDecision(t *testing.T) {
 	play := func(shadow *settings.Settings) (answers []Decision, r *Router) {
 		now := time.Unix(1000, 0)
 		r = newRouter(t, Config{Settings: settings.Parse(settingsOf(settings.RetrySafe)), Shadow: shadow, Clock: func() time.Time { return now }})
