--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -17,7 +17,7 @@
 )
 
 // tick is the engine's unit of time.
-const tick = 100 * time.Microsecond
+const tick = time.Second / time.Duration(decision.Second)
 
 // ticks returns a duration in whole ticks, without the remainder.
 func ticks(d time.Duration) decision.Time { return decision.Time(d / tick) }
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -12,14 +12,14 @@
 	"cherrygap/internal/routing"
 )
 
-// figures are one play's results by name.
+// figures are the results of one play, by name.
 type figures map[string]float64
 
-// timings gathers what calls took, in ns of their thread's CPU time, and counts while it is measured.
+// timings are the CPU times of calls in ns, and counts, of the measured part of a play.
 type timings struct {
 	samples                      map[string][]float64 // by operation
-	calls                        time.Duration        // of all calls together
-	added                        []float64            // by request: what its node's calls added to its latency, ns
+	calls                        time.Duration        // sum over all calls
+	added                        []float64            // by request: latency that the calls of its node added, ns
 	requests, admitted, rejected int
 	completed, failed            int // attempts
 	sent, sentBytes              [kindCount]int
@@ -32,7 +32,7 @@
 // measure starts the timings.
 func (w *scaleWorld) measure() { w.timings = &timings{samples: map[string][]float64{}} }
 
-// heapBytes is what the heap holds that is in use.
+// heapBytes returns the bytes of live objects on the heap.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -82,8 +82,8 @@
 	return w, f
 }
 
-// playScale is one play: prepared, measured over a span of virtual time, then changed a hundred times at
-// once and sent the whole list again.
+// playScale plays one fleet: preparation, the measured span of virtual time, a burst of a hundred changes, and the complete
+// list once more.
 func playScale(s fleetSize, seed uint64, warm, span time.Duration) figures {
 	w, f := prepareScaleWorld(s, seed, warm)
 	w.measure()
@@ -132,7 +132,7 @@
 	return sum / max(1, float64(len(v)))
 }
 
-// figures sums up what was measured over so many virtual seconds.
+// figures summarises the timings and counts of that many virtual seconds.
 func (w *scaleWorld) figures(f figures, seconds float64) {
 	s := w.timings
 	for _, v := range s.samples {
@@ -156,7 +156,7 @@
 	for k, name := range kindNames {
 		each := func(v [kindCount]int) float64 { return float64(v[k]) / seconds / playedNodes }
 		f["sent "+name+" /s"], f["sent "+name+" B/s"] = each(s.sent), each(s.sentBytes)
-		// What goes to one node goes to one of the group; what goes to all comes from all others of the fleet.
+		// A message to one node reaches one of the group. Messages to all come from all other nodes of the fleet.
 		in := each(s.sent) - each(s.sentToAll) + each(s.sentToAll)*float64(w.Nodes-1)
 		inBytes := each(s.sentBytes) - each(s.sentToAllBytes) + each(s.sentToAllBytes)*float64(w.Nodes-1)
 		f["received "+name+" /s (computed)"], f["received "+name+" B/s (computed)"] = in, inBytes
--- a/internal/routing/scale_node_test.go
+++ b/internal/routing/scale_node_test.go
@@ -8,42 +8,42 @@
 	"cherrygap/internal/routing"
 )
 
-// scaleNode is one of the nodes that are played.
+// scaleNode is one of the simulated nodes.
 type scaleNode struct {
 	id             int
 	world          *scaleWorld
 	router         *routing.Router
-	decided        []*routing.Request // whose decisions are to be taken
+	decided        []*routing.Request // with decisions to take
 	open           map[*routing.Request]*scaleRequest
 	released       []*routing.Request
 	timerSettings  uint64        // how often the timer was set: only the last one counts
-	intervalClosed bool          // in the call under way
-	busyUntil      time.Duration // in the replay of the lock: when its holder, or the last of those that wait, is done
+	intervalClosed bool          // in the current call
+	busyUntil      time.Duration // simulation of the lock: time at which the last call in its queue ends
 }
 
 // scaleRequest is a client's request.
 type scaleRequest struct {
 	node     *scaleNode
 	request  *routing.Request
-	attempts int // made; the event of an earlier attempt's end is void by it
+	attempts int // so far; it makes events of earlier attempts void
 	sent     time.Duration
 	units    float64
 	inFlight bool
 	admitted bool
 	cpuTime  time.Duration // CPU time of the calls up to the first attempt
 	wallTime time.Duration // the same by the clock
-	added    time.Duration // time that the node's calls for it took, with the waits for its lock
+	added    time.Duration // time of the node's calls for it, with waits for the lock
 }
 
-// scaleStep is a decision that was taken, to be carried out.
+// scaleStep is a decision to carry out.
 type scaleStep struct {
 	request  *routing.Request
 	decision routing.Decision
 }
 
-// timeCall times one call of the node together with taking the decisions that it led to, and replays the wait for the
-// node's lock as if all calls queued for it. Times are the thread's CPU time, so that others on the machine add less to
-// them. The decisions are carried out after the clock has stopped. caller is the request that the call is for, or nil.
+// timeCall times one call of the node and the taking of the decisions that it caused. It simulates the wait for the node's
+// lock as a queue of all calls. Times are CPU times of the thread, which other processes affect less. The decisions are
+// carried out after the clock has stopped. The request that the call is for is caller, or nil.
 func (n *scaleNode) timeCall(operation string, caller *scaleRequest, call func()) time.Duration {
 	var memory [8]scaleStep
 	steps := memory[:0]
@@ -67,7 +67,7 @@
 	return cpu
 }
 
-// charge adds a call's time to the request that it was for and to those that it led to a decision on.
+// charge adds the time of a call to its request, and to the requests with a decision by it.
 func (n *scaleNode) charge(caller *scaleRequest, steps []scaleStep, cpu, wall time.Duration) {
 	n.busyUntil = max(n.busyUntil, n.world.now) + cpu
 	if caller != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// record adds a call's time to the timings, if they are taken.
+// record adds the time of a call to the timings of the measured part.
 func (n *scaleNode) record(operation string, steps int, cpu time.Duration) {
 	m := n.world.timings
 	if m == nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// take brings a request to the node.
+// take lets a request arrive at the node.
 func (n *scaleNode) take(in *protocol.Request, timeout time.Duration) {
 	req := &scaleRequest{node: n, units: in.Units}
 	if k := len(n.released); k > 0 {
@@ -123,7 +123,7 @@
 	}
 }
 
-// scaleCanceller is a connection, of whose request the engine may cancel the attempt in flight.
+// scaleCanceller cancels the attempt of a request.
 type scaleCanceller struct {
 	node    *scaleNode
 	request *routing.Request
@@ -136,7 +136,7 @@
 	}
 }
 
-// scheduleEnd sets the end of a request's last attempt.
+// scheduleEnd schedules the end of a request's last attempt.
 func (n *scaleNode) scheduleEnd(req *scaleRequest, after time.Duration, outcome protocol.Outcome) {
 	n.world.schedule(scaleEvent{
 		at: n.world.now + after, kind: eventAttemptEnds, node: n,
@@ -144,7 +144,7 @@
 	})
 }
 
-// carryOut does what a decision says.
+// carryOut carries out a decision.
 func (n *scaleNode) carryOut(req *scaleRequest, d routing.Decision) {
 	m, random := n.world.timings, n.world.random
 	if d.Action != routing.Forward {
@@ -189,7 +189,7 @@
 	}
 }
 
-// report reports how an attempt ended.
+// report reports the result of an attempt.
 func (n *scaleNode) report(req *scaleRequest, outcome protocol.Outcome) {
 	req.inFlight = false
 	if m := n.world.timings; m != nil {
@@ -206,7 +206,7 @@
 	}
 }
 
-// sendToPeer brings a datagram to those of the played nodes that it is for.
+// sendToPeer delivers a datagram to its receivers among the simulated nodes.
 func (n *scaleNode) sendToPeer(peer int, payload []byte) {
 	kind := int(payload[0]) - firstKind
 	if m := n.world.timings; m != nil && kind >= 0 && kind < kindCount {
@@ -226,7 +226,7 @@
 	}
 }
 
-// receive takes in a datagram of another node.
+// receive passes a datagram of another node to the Router.
 func (n *scaleNode) receive(from int, payload []byte) {
 	if m, kind := n.world.timings, int(payload[0])-firstKind; m != nil && kind >= 0 && kind < kindCount {
 		m.received[kind]++
--- a/internal/routing/scale_world_test.go
+++ b/internal/routing/scale_world_test.go
@@ -15,22 +15,22 @@
 	"cherrygap/internal/settings"
 )
 
-// fleetSize is the size of what is played.
+// fleetSize is the size of a simulated fleet.
 type fleetSize struct {
 	Servers     int     `json:"servers"`
-	Nodes       int     `json:"nodes"`   // of the fleet, by the settings
-	Spread      int     `json:"spread"`  // nodes that take in a tenant
-	Tenants     int     `json:"tenants"` // that come to the group
+	Nodes       int     `json:"nodes"`   // of the fleet, as in the settings
+	Spread      int     `json:"spread"`  // nodes of a tenant's set
+	Tenants     int     `json:"tenants"` // whose requests reach the group
 	Rate        float64 `json:"rate"`    // requests a second at each node of the group
 	FailedShare float64 `json:"failed"`  // share of attempts: errors, reset connections, overloaded
 }
 
 const (
-	playedNodes           = 3                     // nodes that are played, wired to each other
-	peerDelay             = time.Millisecond      // of a datagram between them
+	playedNodes           = 3                     // simulated nodes, connected to each other
+	peerDelay             = time.Millisecond      // delay of a datagram between them
 	medianAttempt         = 30 * time.Millisecond // median of an attempt
 	changeRate            = 3                     // one-server changes a second: each second one server is replaced
-	peerMessagesPerSecond = 40                    // datagrams a second that the platform lets a node take in
+	peerMessagesPerSecond = 40                    // datagrams a second that a node receives
 	burstOfChanges        = 100                   // one-server changes at once, at the end of a play
 	tenantSkew            = 1.1                   // of the tenants' Zipf law
 )
@@ -59,7 +59,7 @@
 	{"order", settings.RetryUnsafe, 10000, 20000, 0.1},
 }
 
-// fleetSettings are a whole fleet's, as the platform gives them (compare internal/lab/model's DefaultSettings and
+// fleetSettings returns the settings of a whole fleet (compare internal/lab/model's DefaultSettings and
 // deploy/sites).
 func fleetSettings(size fleetSize, node int) settings.Values {
 	set := settings.Values{
@@ -98,7 +98,7 @@
 	return set
 }
 
-// planOfTenant is a tenant's plan: of twenty tenants one is metered and five are small.
+// planOfTenant returns a tenant's plan: of twenty tenants, one is metered and five are small.
 func planOfTenant(tenant int) string {
 	switch {
 	case tenant%20 == 7:
@@ -109,9 +109,9 @@
 	return "team"
 }
 
-// scaleWorld is one play of what the engine's work costs a node as the fleet grows, in virtual time: a few nodes run the
-// real engine through routing's public interface, with a whole fleet's settings and endpoint list. What the fleet's other
-// nodes would do is not played. See docs/lab.md, "Slopes".
+// scaleWorld measures, in virtual time, the CPU time of the engine at one node of a large fleet. A few nodes run the real
+// engine through routing's public interface, with the settings and the endpoint list of the whole fleet. The other nodes are
+// not simulated. See docs/lab.md, "Slopes".
 type scaleWorld struct {
 	fleetSize
 	random       *rand.Rand
@@ -124,7 +124,7 @@
 	endpoints    []protocol.Endpoint
 	serversMade  int
 	changes      int           // of one server, so far
-	clockCost    time.Duration // what reading the thread's CPU time costs
+	clockCost    time.Duration // CPU time of reading the thread's CPU time
 	timings      *timings
 	playedEvents int
 }
@@ -181,7 +181,7 @@
 
 func (w *scaleWorld) clock() time.Time { return w.epoch.Add(w.now) }
 
-// newEndpoint is the i-th app server, which started so long ago.
+// newEndpoint returns the i-th app server, of that age.
 func (w *scaleWorld) newEndpoint(i int, ago time.Duration) protocol.Endpoint {
 	w.serversMade++
 	made := w.serversMade
@@ -193,7 +193,7 @@
 	}
 }
 
-// discoveryList is a whole list as discovery writes it.
+// discoveryList returns a complete list in the format of the discovery service.
 func (w *scaleWorld) discoveryList() []byte {
 	type target struct {
 		UID      string         `json:"uid"`
@@ -221,11 +221,11 @@
 	return text
 }
 
-// newScaleWorld makes the list of servers, but no node yet.
+// newScaleWorld returns a world with servers and without nodes.
 func newScaleWorld(s fleetSize, seed uint64) *scaleWorld {
 	s.Spread = min(s.Spread, s.Nodes)
 	w := &scaleWorld{fleetSize: s, random: rand.New(rand.NewPCG(seed, 0x736c6f7065)), epoch: time.Unix(1_800_000_000, 0)}
-	runtime.LockOSThread() // the times are of one thread; the goroutine that plays keeps it to its end
+	runtime.LockOSThread() // the CPU times are those of one thread
 	w.clockCost = time.Second
 	for range 1000 {
 		from := threadTime()
@@ -238,7 +238,7 @@
 	return w
 }
 
-// addNode starts a node that gets the whole list, and returns the CPU time that the list took it.
+// addNode starts a node with the complete list, and returns the CPU time of that list.
 func (w *scaleWorld) addNode(seed uint64, list *protocol.EndpointList) time.Duration {
 	n := &scaleNode{id: len(w.nodes), world: w, open: map[*routing.Request]*scaleRequest{}}
 	w.nodes = append(w.nodes, n)
@@ -260,14 +260,14 @@
 	return cpu
 }
 
-// tenantKey is a tenant's number, such that its quota owner, which is a node of its set found from the key by the engine,
-// is one that is played: of a set's nodes the first are. So the messages of the played nodes are those of as many nodes
-// of a fleet in which each owns as many tenants' quotas.
+// tenantKey returns a key of the tenant whose quota owner is a simulated node. The engine finds the owner, a node of the
+// tenant's set, from the key; the first nodes of a set are simulated. The nodes therefore send the messages of nodes that own
+// as many tenants' quotas.
 func (w *scaleWorld) tenantKey(tenant int) uint64 {
 	return uint64(tenant/min(playedNodes, w.Spread)*w.Spread + tenant%min(playedNodes, w.Spread))
 }
 
-// requestOf draws a tenant's request, and returns it with its client's timeout.
+// requestOf draws a request of a tenant, and returns it with its client's timeout.
 func (w *scaleWorld) requestOf(tenant int, units float64) (protocol.Request, time.Duration) {
 	i, draw := 0, w.random.Float64()
 	for ; i < len(classes)-1 && draw >= classes[i].share; i++ {
@@ -279,8 +279,8 @@
 	}, time.Duration(classes[i].deadline) * 100 * time.Microsecond
 }
 
-// meetAllTenants brings a request of every tenant to every node, with no time left, so that the nodes know all of them and
-// forward nothing.
+// meetAllTenants lets a request of each tenant arrive at each node, without time left: the nodes then know all tenants and
+// have forwarded nothing.
 func (w *scaleWorld) meetAllTenants() {
 	for _, n := range w.nodes {
 		for tenant := range w.Tenants {
@@ -290,8 +290,8 @@
 	}
 }
 
-// changeOneServer is the next one-server change of a day on which a server is replaced each second: it drains, it is
-// gone, a new one starts in its place.
+// changeOneServer returns the next change of one server. Each second a server is replaced: it drains, it terminates, and a
+// new one starts.
 func (w *scaleWorld) changeOneServer() {
 	i := w.changes / 3 * 7919 % w.Servers
 	e := w.endpoints[i]
@@ -351,7 +351,7 @@
 	return e.kind
 }
 
-// playFor plays so much more virtual time.
+// playFor plays a further span of virtual time.
 func (w *scaleWorld) playFor(span time.Duration) {
 	for end := w.now + span; w.queue[0].at <= end; {
 		w.playEvent()
