--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -1,37 +1,12 @@
 package decision
 
-const (
-	answerMarginTicks            = 2   // ticks in the answer margin: one to see an attempt's end, one to respond
-	answerMarginObjectiveDivisor = 100 // rest of the answer margin, as a divisor of the shortest latency objective
-	minRetryAfterDivisor         = 4   // least Retry-After, as a divisor of the shortest latency objective
-	shortTimeoutDivisor          = 2   // shortest timeout with information, as a divisor of the latency objective
-)
-
-// admissionOutcome is the decision on a request's first attempt, before a server is selected.
-type admissionOutcome uint8
-
-const (
-	admissionRejected admissionOutcome = iota
-	admissionGranted
-	admissionPending // the quota owner has not responded
-)
-
-// admission is the result of admitting a request.
-type admission struct {
-	outcome    admissionOutcome
-	reason     Reason // if rejected
-	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
-}
-
-// attemptAssessment is the information that an attempt's end carries.
-type attemptAssessment struct {
-	outcome       Outcome // for the server; NotSent if the end carries no information on it
-	latency       float64 // in latency objectives
-	countsLatency bool    // latency is a sample for the admission limit
-}
-
 // decide returns the action for a request. The action is noAction while the request has an attempt in flight, streams
 // its response, or waits for its quota owner.
+//
+//   - First attempt: the admission limit, the customer's quota and the plan's hard ceiling must admit the request.
+//   - Retry: the retry budget and the request's class must allow it.
+//   - Both: enough time must be left before the deadline, and a server must be able to take the request.
+//   - Otherwise the request is rejected if the client may safely repeat it, else it fails.
 func (e *Engine) decide(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if r.closed || r.streaming || r.inFlight > 0 {
@@ -47,6 +22,22 @@
 	return e.decideRetry(i, timeout)
 }
 
+// admissionOutcome is the decision on a request's first attempt, before a server is selected.
+type admissionOutcome uint8
+
+const (
+	admissionRejected admissionOutcome = iota
+	admissionGranted
+	admissionPending // the quota owner has not responded
+)
+
+// admissionResult is the result of admitting a request.
+type admissionResult struct {
+	outcome    admissionOutcome
+	reason     Reason // if rejected
+	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
+}
+
 // decideFirstAttempt returns the action for a request without an attempt.
 func (e *Engine) decideFirstAttempt(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
@@ -88,7 +79,7 @@
 
 // admit applies the limits on a first attempt: the admission limit, the customer's quota, the plan's hard ceiling. A
 // request that the quota owner granted has passed the ceiling there.
-func (e *Engine) admit(r *request) admission {
+func (e *Engine) admit(r *request) admissionResult {
 	if r.queriedOwnerAt == 0 {
 		if reason := e.checkAdmission(r); reason != notRejected {
 			return e.rejectAdmission(reason, 0)
@@ -98,7 +89,7 @@
 	quota := e.checkQuota(c, r)
 	if !quota.admitted {
 		if e.owner.waits(r, e.now) {
-			return admission{outcome: admissionPending}
+			return admissionResult{outcome: admissionPending}
 		}
 		return e.rejectAdmission(rejectQuota, quota.retryAfter)
 	}
@@ -107,7 +98,7 @@
 			return e.rejectAdmission(rejectCeiling, 0)
 		}
 	}
-	return admission{outcome: admissionGranted}
+	return admissionResult{outcome: admissionGranted}
 }
 
 // checkQuota applies a customer's quota to a request, here or at its owner.
@@ -119,9 +110,9 @@
 }
 
 // rejectAdmission counts a rejection by a limit.
-func (e *Engine) rejectAdmission(reason rejectReason, retryAfter Time) admission {
+func (e *Engine) rejectAdmission(reason rejectReason, retryAfter Time) admissionResult {
 	e.interval.countRejection(reason)
-	return admission{outcome: admissionRejected, reason: reason.reason(), retryAfter: retryAfter}
+	return admissionResult{outcome: admissionRejected, reason: reason.reason(), retryAfter: retryAfter}
 }
 
 // rejectWithoutServer counts and rejects a request that no server may take.
@@ -145,12 +136,20 @@
 	}
 }
 
+const (
+	answerMarginTicks            = 2   // ticks in the answer margin: one to see an attempt's end, one to respond
+	answerMarginObjectiveDivisor = 100 // rest of the answer margin, as a divisor of the shortest latency objective
+)
+
 // answerMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
 // response is sent.
 func (e *Engine) answerMargin() Time {
 	return answerMarginTicks*e.config.tick + e.config.shortestObjective/answerMarginObjectiveDivisor
 }
 
+// minRetryAfterDivisor gives the least Retry-After, as a divisor of the shortest latency objective.
+const minRetryAfterDivisor = 4
+
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
 // repeat, and fails any other. If the settings ask for it, a rejection carries retryAfter, clamped to a range.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
@@ -167,6 +166,16 @@
 	return d
 }
 
+// attemptAssessment is the information that an attempt's end carries.
+type attemptAssessment struct {
+	outcome       Outcome // for the server; NotSent if the end carries no information on it
+	latency       float64 // in latency objectives
+	countsLatency bool    // latency is a sample for the admission limit
+}
+
+// shortTimeoutDivisor gives the shortest timeout that carries information, as a divisor of the latency objective.
+const shortTimeoutDivisor = 2
+
 // assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency. The
 // state is that of the server for the class.
 //
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -140,7 +140,7 @@
 		if s.weight <= 0 || !e.accepts(r, c, i, pass) {
 			continue
 		}
-		turn := e.warmingTurn(s, pass)
+		turn := e.turnOf(s, pass)
 		if turn == turnPreferred && (preferred < 0 || s.rotationCredit > servers[preferred].rotationCredit) {
 			preferred = i
 		}
@@ -171,9 +171,9 @@
 	return pass >= passTried || !c.capped(s) && !r.tried(i)
 }
 
-// warmingTurn returns a server's part in a turn. A warming server is skipped at random, less often as it warms up. A
+// turnOf returns a server's part in a turn. A warming server is skipped at random, less often as it warms up. A
 // server whose budget is a rate is preferred whenever it has capacity: a chance on top would leave it idle.
-func (e *Engine) warmingTurn(s *server, pass selectionPass) warmingTurn {
+func (e *Engine) turnOf(s *server, pass selectionPass) warmingTurn {
 	weight := e.slowStart.weight(s, e.now)
 	if weight >= 1 || pass >= passTried {
 		return turnTaken
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -1,7 +1,7 @@
 package decision
 
-// timers holds the times of this node's periodic tasks: attempt checks, intervals, messages to peers, and polls of
-// discovery. It also knows for when the host's timer is set.
+// timers holds the times of this node's periodic tasks: attempt checks, control intervals, messages to peers, and polls
+// of discovery. The host's timer is set for the next attempt check, which finds the other tasks that are due.
 type timers struct {
 	checkAt     Time // next attempt check
 	intervalAt  Time // end of the control interval
@@ -14,9 +14,9 @@
 
 const (
 	checksPerObjective   = 30              // attempt checks in the shortest latency objective
-	minCheckInterval     = 1               // in units of Time
+	minCheckInterval     = 1               // shortest time between two attempt checks, in units of Time
 	pollBackoffIntervals = 3.0             // longest delay of a poll after a failed one, in control intervals
-	minPollBackoffRatio  = 0.34            // least delay, as a share of the longest
+	minPollBackoffRatio  = 0.34            // least delay of a poll, as a share of the longest
 	suspicionInterval    = controlInterval // time between two messages with suspicions
 )
 
