--- a/internal/frontend/arrivals_test.go
+++ b/internal/frontend/arrivals_test.go
@@ -87,7 +87,7 @@
 			if err == nil {
 				attempt.last = stamped.last
 			}
-			id := request.Header.Get("X-Call-Id")
+			id := request.Header.Get(protocol.HeaderRequestID)
 			r.mu.Lock()
 			r.arrivals[id] = append(r.arrivals[id], attempt)
 			r.mu.Unlock()
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -115,17 +115,6 @@
 	return c.acceptedAt.Add(time.Duration(c.idleSince.Load()))
 }
 
-// partialPolicy returns whether a partly read request protects the connection from eviction: a first request does not.
-func (c *clientConn) partialPolicy() partialPolicy {
-	if c.hasRequested.Load() {
-		return keepPartial
-	}
-	return dropPartial
-}
-
-// evictable reports whether the connection may be closed to free its slot.
-func (c *clientConn) evictable() bool { return c.check.mayClose(c.partialPolicy()) }
-
 // mustStayOpen reports whether a close would lose bytes: pending input, or a response that is not acknowledged yet.
 func (c *clientConn) mustStayOpen() bool {
 	return netio.HasPendingInput(c.conn) || c.writer.HasUnacknowledged()
--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -15,23 +15,24 @@
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/netio"
 	"cherrygap/internal/nettest"
+	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
 
-// budgetSlack is what an attempt may tell its server on top of the time that is left to the client.
+// budgetSlack is how much an attempt timeout may exceed the time left to the client.
 const budgetSlack = 150 * time.Millisecond
 
 // Each request that a client sends behind others has its time from when it was sent, however long the others take: no
-// attempt tells its server more than is left, and what is late is answered at once.
+// attempt timeout exceeds the time left, and late requests are answered at once.
 func TestPipelinedRequestsKeepTheirOwnTime(t *testing.T) {
 	const requests, timeout, work = 4, time.Second, 400 * time.Millisecond
 	var mu sync.Mutex
 	var sentAt time.Time
 	var overstated []time.Duration
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		told, _ := strconv.Atoi(request.Header.Get("X-Budget-Ms"))
+		sentMs, _ := strconv.Atoi(request.Header.Get(protocol.HeaderTimeout))
 		mu.Lock()
-		overstated = append(overstated, time.Duration(told)*time.Millisecond-(timeout-time.Since(sentAt)))
+		overstated = append(overstated, time.Duration(sentMs)*time.Millisecond-(timeout-time.Since(sentAt)))
 		mu.Unlock()
 		time.Sleep(work)
 		return frontendtest.Echo(conn, request)
@@ -56,7 +57,7 @@
 	defer mu.Unlock()
 	for i, more := range overstated {
 		if more > budgetSlack {
-			t.Errorf("attempt %d told its server %v more than was left", i, more)
+			t.Errorf("attempt %d had a timeout %v over the time left", i, more)
 		}
 	}
 }
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -35,9 +35,9 @@
 	request  *routing.Request
 	open     atomic.Bool // a request is in flight
 
-	mu          sync.Mutex         // guards both below
-	clientLeft  bool               // the client disconnected
-	cancelCheck context.CancelFunc // cancels the authorizer's check; nil without one
+	mu           sync.Mutex         // guards both below
+	disconnected bool               // the client disconnected
+	cancelCheck  context.CancelFunc // cancels the authorizer's check; nil without one
 }
 
 // NewRequestHandler makes a handler for one caller, which calls Release in the end. peerClosed reports whether the caller's
@@ -55,21 +55,21 @@
 func (h *RequestHandler) Begin() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.clientLeft = false
+	h.disconnected = false
 }
 
 // ClientGone notes that the client of the request in flight disconnected. It cancels the authorizer's check and withdraws
 // the request from the Router.
 func (h *RequestHandler) ClientGone() {
-	h.noteClientLeft()
+	h.noteDisconnected()
 	h.attempts.Stop()
 	h.request.ClientGone()
 }
 
-func (h *RequestHandler) noteClientLeft() {
+func (h *RequestHandler) noteDisconnected() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.clientLeft = true
+	h.disconnected = true
 	if h.cancelCheck != nil {
 		h.cancelCheck()
 	}
@@ -78,7 +78,7 @@
 func (h *RequestHandler) clientGone() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.clientLeft
+	return h.disconnected
 }
 
 // Handle takes a request that was received at a time to its response. ok is false if the client disconnected: then there is
@@ -214,7 +214,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cancelCheck = cancel
-	if cancel != nil && h.clientLeft {
+	if cancel != nil && h.disconnected {
 		cancel()
 	}
 }
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -51,7 +51,7 @@
 		r.attempts = append(r.attempts, raw.String()) // no bytes follow an attempt before its response
 		r.mu.Unlock()
 		raw.Reset()
-		if _, err := io.WriteString(conn, answer(request.Header.Get("X-Call-Id"))); err != nil {
+		if _, err := io.WriteString(conn, answer(request.Header.Get(protocol.HeaderRequestID))); err != nil {
 			return
 		}
 	}
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -103,7 +103,7 @@
 	closeAtEnd(t, listener)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.mu.Lock()
-		n.ran[r.Header.Get("X-Call-Id")]++
+		n.ran[r.Header.Get(protocol.HeaderRequestID)]++
 		n.mu.Unlock()
 		serve(w, r)
 	})
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -16,6 +16,7 @@
 	"google.golang.org/grpc/status"
 
 	labauthz "cherrygap/internal/lab/authz"
+	"cherrygap/internal/protocol"
 )
 
 // maxLoadFactor bounds how many more requests a client sends while the authorizer has not restarted yet.
@@ -62,7 +63,7 @@
 		return "", false
 	}
 	for name, value := range map[string]string{
-		"X-Call-Id": id, "X-Tariff": "team", "X-Budget-Ms": "1000", "X-Weight": "units=1,spread=1,first=0",
+		protocol.HeaderRequestID: id, protocol.HeaderPlan: "team", protocol.HeaderTimeout: "1000", protocol.HeaderWeight: "units=1,spread=1,first=0",
 	} {
 		r.Header.Set(name, value)
 	}
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -17,12 +17,13 @@
 	"google.golang.org/grpc/status"
 
 	labauthz "cherrygap/internal/lab/authz"
+	"cherrygap/internal/protocol"
 )
 
 // echo answers with what it got, and rejects customer 255.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/look/00000000000000ff") {
-		w.Header().Set("X-Rejected", "1")
+		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -120,13 +121,13 @@
 
 // serve rejects or fails each attempt after a while.
 func (c *cancelTimes) serve(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get("X-Call-Id")
+	id := r.Header.Get(protocol.HeaderRequestID)
 	c.mu.Lock()
 	c.attempts[id] = append(c.attempts[id], time.Now())
 	c.mu.Unlock()
 	time.Sleep(time.Duration(20+c.chance(150)) * time.Millisecond)
 	if c.chance(2) == 0 {
-		w.Header().Set("X-Rejected", "1")
+		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -182,8 +182,8 @@
 
 func (a *appRecorder) serve(w http.ResponseWriter, q *http.Request) {
 	a.mu.Lock()
-	q.Header.Set("X-Budget-Ms", fmt.Sprint(q.Header.Get("X-Budget-Ms") != ""))
-	a.seen[q.Header.Get("X-Call-Id")] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
+	q.Header.Set(protocol.HeaderTimeout, fmt.Sprint(q.Header.Get(protocol.HeaderTimeout) != ""))
+	a.seen[q.Header.Get(protocol.HeaderRequestID)] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
 	a.mu.Unlock()
 	switch {
 	case strings.HasSuffix(q.URL.Path, "fe"): // breaks in its answer
@@ -192,7 +192,7 @@
 			_ = conn.Close()
 		}
 	case strings.HasSuffix(q.URL.Path, "ff"):
-		w.Header().Set("X-Rejected", "1")
+		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		w.Header().Set("Content-Type", "text/plain")
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -140,7 +140,7 @@
 func TestSilentServerTimesOut(t *testing.T) {
 	deadlines := make(chan string, 1)
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		deadlines <- request.Header.Get("X-Budget-Ms")
+		deadlines <- request.Header.Get(protocol.HeaderTimeout)
 		nettest.WaitForClose(conn)
 		return false
 	})
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -46,8 +46,8 @@
 			t.Fatal(err)
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
-			if q.URL.Path != "/healthz" || q.Header.Get("X-Call-Id") != "" {
-				t.Errorf("%s with id %q", q.URL, q.Header.Get("X-Call-Id"))
+			if q.URL.Path != protocol.HealthPath || q.Header.Get(protocol.HeaderRequestID) != "" {
+				t.Errorf("%s with id %q", q.URL, q.Header.Get(protocol.HeaderRequestID))
 			}
 			s.checked(i)
 		})}
