--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Errors as the protocol has them.
+// Error replies of the protocol.
 const (
 	replyFull       = "OOM command not allowed when used memory > 'maxmemory'."
 	replyNotInteger = "ERR value is not an integer or out of range"
@@ -16,37 +16,37 @@
 
 // command is a command of the protocol.
 type command struct {
-	words  int  // at least, its name included
-	writes bool // a full store rejects it, a forgetful one may lose it
-	run    func(*call)
+	minWords int  // lowest number of words, including the name
+	writes   bool // whether the faults full and forget apply to it
+	run      func(*call)
 }
 
-// commands are the known commands, by name.
+// commands are the commands by name, in upper case.
 var commands = map[string]command{
-	"PING":    {words: 1, run: (*call).ping},
-	"SELECT":  {words: 1, run: (*call).ok},
-	"CLIENT":  {words: 1, run: (*call).client},
-	"GET":     {words: 2, run: (*call).get},
-	"SET":     {words: 3, writes: true, run: (*call).set},
-	"SETNX":   {words: 3, writes: true, run: (*call).setIfAbsent},
-	"INCRBY":  {words: 3, writes: true, run: (*call).increment},
-	"HSET":    {words: 4, writes: true, run: (*call).setFields},
-	"HGETALL": {words: 2, run: (*call).getFields},
-	"EXPIRE":  {words: 3, run: func(c *call) { c.expire(time.Second) }},
-	"PEXPIRE": {words: 3, run: func(c *call) { c.expire(time.Millisecond) }},
-	"DEL":     {words: 2, run: (*call).del},
+	"PING":    {minWords: 1, run: (*call).ping},
+	"SELECT":  {minWords: 1, run: (*call).ok},
+	"CLIENT":  {minWords: 1, run: (*call).client},
+	"GET":     {minWords: 2, run: (*call).get},
+	"SET":     {minWords: 3, writes: true, run: (*call).set},
+	"SETNX":   {minWords: 3, writes: true, run: (*call).setIfAbsent},
+	"INCRBY":  {minWords: 3, writes: true, run: (*call).increment},
+	"HSET":    {minWords: 4, writes: true, run: (*call).setFields},
+	"HGETALL": {minWords: 2, run: (*call).getFields},
+	"EXPIRE":  {minWords: 3, run: func(c *call) { c.expire(time.Second) }},
+	"PEXPIRE": {minWords: 3, run: func(c *call) { c.expire(time.Millisecond) }},
+	"DEL":     {minWords: 2, run: (*call).del},
 }
 
-// call is a command that is being run.
+// call is the execution of a command. Its methods run with Server.mu held, and write one reply each.
 type call struct {
-	redcon.Conn // the reply is written to it
+	redcon.Conn // receives the reply
 	sender      *client
-	data        *data
+	data        *data // that the sender sees
 	words       []string
-	lost        bool // reply to the write, but don't carry it out
+	lost        bool // whether the write is not carried out, by the fault forget
 }
 
-// run runs a command; the lock is held.
+// run runs a command and writes the reply. The caller holds s.mu.
 func (s *Server) run(conn redcon.Conn, sender *client, words []string) {
 	name := words[0]
 	s.applied[name]++
@@ -65,14 +65,14 @@
 	switch {
 	case !known:
 		conn.WriteError("ERR unknown command '" + name + "'")
-	case len(words) < cmd.words:
+	case len(words) < cmd.minWords:
 		conn.WriteError("ERR wrong number of arguments for '" + strings.ToLower(name) + "' command")
 	default:
 		cmd.run(c)
 	}
 }
 
-// half returns the data that a client sees: of a split store, by the last digit of its name.
+// half returns the data that a client sees. In a split store the last byte of the client's name decides.
 func (s *Server) half(c *client) *data {
 	if s.isOn(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
 		return s.halves[1]
@@ -80,11 +80,13 @@
 	return s.halves[0]
 }
 
+// ping runs PING.
 func (c *call) ping() { c.WriteString("PONG") }
 
+// ok replies OK and does nothing else.
 func (c *call) ok() { c.WriteString("OK") }
 
-// client handles SETNAME and accepts the other sub-commands.
+// client runs CLIENT: SETNAME, and all other sub-commands without effect.
 func (c *call) client() {
 	if len(c.words) > 2 && strings.EqualFold(c.words[1], "SETNAME") {
 		c.sender.name = c.words[2]
@@ -92,6 +94,7 @@
 	c.ok()
 }
 
+// get runs GET.
 func (c *call) get() {
 	if value, ok := c.data.strings[c.words[1]]; ok {
 		c.WriteBulkString(value)
@@ -100,7 +103,7 @@
 	}
 }
 
-// set handles the option NX (only if absent) and ignores others.
+// set runs SET with the option NX (only if absent). It ignores other options.
 func (c *call) set() {
 	key := c.words[1]
 	for _, option := range c.words[3:] {
@@ -116,7 +119,7 @@
 	c.ok()
 }
 
-// setIfAbsent ignores the forget fault: a store's number is set by it.
+// setIfAbsent runs SETNX. The fault forget does not apply, because nodes set the store's id with SETNX.
 func (c *call) setIfAbsent() {
 	key := c.words[1]
 	if _, ok := c.data.strings[key]; ok {
@@ -127,6 +130,7 @@
 	c.WriteInt(1)
 }
 
+// increment runs INCRBY.
 func (c *call) increment() {
 	key := c.words[1]
 	by, err := strconv.ParseInt(c.words[2], 10, 64)
@@ -148,6 +152,7 @@
 	c.WriteInt64(value)
 }
 
+// setFields runs HSET.
 func (c *call) setFields() {
 	key, added := c.words[1], 0
 	for i := 2; i+1 < len(c.words); i += 2 {
@@ -164,6 +169,7 @@
 	c.WriteInt(added)
 }
 
+// getFields runs HGETALL.
 func (c *call) getFields() {
 	hash := c.data.hashes[c.words[1]]
 	c.WriteArray(2 * len(hash))
@@ -173,6 +179,7 @@
 	}
 }
 
+// expire runs EXPIRE or PEXPIRE, by the unit of the time.
 func (c *call) expire(unit time.Duration) {
 	key := c.words[1]
 	after, err := strconv.ParseInt(c.words[2], 10, 64)
@@ -187,6 +194,7 @@
 	}
 }
 
+// del runs DEL.
 func (c *call) del() {
 	removed := 0
 	for _, key := range c.words[1:] {
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -5,22 +5,26 @@
 	"time"
 )
 
-const maxRecentWrites = 4096 // that a failover may lose
+// maxRecentWrites is the largest number of writes that a failover can lose.
+const maxRecentWrites = 4096
 
 // write is a write of a field of a hash.
 type write struct {
-	at                time.Time
-	key, field, value string
+	at    time.Time
+	key   string
+	field string
+	value string
 }
 
-// data is the data of a store, or of one half of a split one. A key is in strings or in hashes.
+// data is the data of a store, or of one half of a split store. A key is in strings or in hashes.
 type data struct {
 	strings map[string]string
 	hashes  map[string]map[string]string
-	expires map[string]time.Time // by key; none for those without expiry
-	recent  []write              // most recent writes
+	expires map[string]time.Time // by key; keys without an expiry are missing
+	recent  []write              // last writes, oldest first
 }
 
+// newData returns the data of an empty store.
 func newData() *data {
 	return &data{strings: map[string]string{}, hashes: map[string]map[string]string{}, expires: map[string]time.Time{}}
 }
@@ -34,19 +38,21 @@
 	return c
 }
 
+// has reports whether a key exists.
 func (d *data) has(key string) bool {
 	_, isString := d.strings[key]
 	_, isHash := d.hashes[key]
 	return isString || isHash
 }
 
+// remove removes a key.
 func (d *data) remove(key string) {
 	delete(d.strings, key)
 	delete(d.hashes, key)
 	delete(d.expires, key)
 }
 
-// expire removes a key that has expired.
+// expire removes a key if it has expired.
 func (d *data) expire(key string) {
 	if at, ok := d.expires[key]; ok && time.Now().After(at) {
 		d.remove(key)
@@ -65,7 +71,7 @@
 	return !had
 }
 
-// recordWrites records the writes that a failover may lose.
+// recordWrites records writes for loseWrites. It drops the oldest ones beyond maxRecentWrites.
 func (d *data) recordWrites(writes ...write) {
 	d.recent = append(d.recent, writes...)
 	if len(d.recent) > maxRecentWrites {
@@ -73,7 +79,7 @@
 	}
 }
 
-// loseWrites removes the fields written since a time, and returns those writes.
+// loseWrites removes the fields that were written after a time, and returns these writes.
 func (d *data) loseWrites(since time.Time) (lost []write) {
 	for _, w := range d.recent {
 		if w.at.After(since) {
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -9,35 +9,42 @@
 	"github.com/BurntSushi/toml"
 )
 
-// FaultKind is the kind of a fault.
+// FaultKind is the kind of a fault. The values are those in schedule files.
 type FaultKind string
 
-// The kinds of fault.
 const (
-	stall    FaultKind = "stall"    // no reply until it is over
-	slow     FaultKind = "slow"     // each reply is late
-	cut      FaultKind = "cut"      // no connection
-	empty    FaultKind = "empty"    // another, empty store in its place
-	failover FaultKind = "failover" // another that lacks the last writes; some of them come late
-	forget   FaultKind = "forget"   // some writes are lost
-	full     FaultKind = "full"     // no writes
-	split    FaultKind = "split"    // two halves, of which the first one lasts
+	// stall delays all replies until the fault ends.
+	stall FaultKind = "stall"
+	// slow delays each reply by Fault.DelayMs.
+	slow FaultKind = "slow"
+	// cut closes all connections and accepts none.
+	cut FaultKind = "cut"
+	// empty replaces the store by an empty one, and closes all connections.
+	empty FaultKind = "empty"
+	// failover loses the last writes and closes all connections. At the end half of the lost writes return.
+	failover FaultKind = "failover"
+	// forget loses writes with probability Fault.Chance.
+	forget FaultKind = "forget"
+	// full rejects writes.
+	full FaultKind = "full"
+	// split splits the store in two halves. At the end the data of the first half remains.
+	split FaultKind = "split"
 )
 
-// Kinds lists the kinds of fault.
+// Kinds are all valid kinds of fault.
 var Kinds = []FaultKind{stall, slow, cut, empty, failover, forget, full, split}
 
-// ErrBadFault is returned for an invalid fault or schedule.
+// ErrBadFault is wrapped by the error for an invalid fault or schedule.
 var ErrBadFault = errors.New("bad fault")
 
-// Fault is a fault from At seconds after the start, for For seconds.
+// Fault is a fault of the store.
 type Fault struct {
 	Kind    FaultKind `toml:"kind"`
-	At      float64   `toml:"at_s"`
-	For     float64   `toml:"for_s"`
-	DelayMs float64   `toml:"delay_ms"` // slow: of each answer
-	Chance  float64   `toml:"chance"`   // forget: of each write
-	LoseMs  float64   `toml:"lose_ms"`  // failover: writes of so long before it are gone; half come back at its end
+	At      float64   `toml:"at_s"`     // begin, in seconds since the store's start
+	For     float64   `toml:"for_s"`    // duration, in seconds
+	DelayMs float64   `toml:"delay_ms"` // slow: delay of each reply, in milliseconds
+	Chance  float64   `toml:"chance"`   // forget: probability that a write is lost, 0 to 1
+	LoseMs  float64   `toml:"lose_ms"`  // failover: time before the fault whose writes are lost, in milliseconds
 }
 
 // Check validates a fault. An error wraps ErrBadFault.
@@ -46,7 +53,7 @@
 		return fmt.Errorf("%w: kind %q is none of %v", ErrBadFault, f.Kind, Kinds)
 	}
 	inRange := f.At >= 0 && f.For >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Chance >= 0 && f.Chance <= 1
-	if !inRange { // or not a number
+	if !inRange { // also true for NaN
 		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.At)
 	}
 	return nil
@@ -73,13 +80,13 @@
 	return file.Fault, nil
 }
 
-// isOn reports whether a fault is on; the lock is held.
+// isOn reports whether a fault of a kind is active. The caller holds s.mu.
 func (s *Server) isOn(kind FaultKind) bool {
 	_, on := s.faults[kind]
 	return on
 }
 
-// runFault begins and ends a fault at its times. It returns once the fault is over, or with Close.
+// runFault begins and ends a fault at its times. It returns at the end of the fault, or with Close.
 func (s *Server) runFault(f Fault) {
 	if !s.waitUntil(f.At) {
 		return
@@ -90,7 +97,7 @@
 	}
 }
 
-// waitUntil waits until so many seconds after the start, and reports whether the server still runs then.
+// waitUntil waits until a time in seconds since the start. It returns false if Close is called before.
 func (s *Server) waitUntil(seconds float64) bool {
 	select {
 	case <-s.stop:
@@ -114,22 +121,23 @@
 	case failover:
 		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LoseMs * float64(time.Millisecond))))
 	}
-	if f.Kind == cut || f.Kind == empty || f.Kind == failover { // another process: no connection outlives it
+	if f.Kind == cut || f.Kind == empty || f.Kind == failover {
 		for c := range s.conns {
-			_ = c.NetConn().Close() // its own goroutine notices
+			_ = c.NetConn().Close() // redcon's goroutine of the connection handles the error
 		}
 	}
 	return lost
 }
 
+// endFault ends a fault. lost are the writes that beginFault returned.
 func (s *Server) endFault(f Fault, lost []write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.faults, f.Kind)
 	switch f.Kind {
-	case split: // the first half's data prevails
+	case split:
 		s.halves[1] = s.halves[0]
-	case failover: // some of the lost writes arrive late
+	case failover:
 		for _, w := range lost {
 			if s.random.IntN(2) == 0 {
 				s.halves[0].setField(w.key, w.field, w.value)
@@ -138,9 +146,9 @@
 	}
 }
 
-// delay waits for as long as the faults delay a reply.
+// delay waits as long as the faults slow and stall delay a reply.
 func (s *Server) delay() {
-	const pollInterval = 10 * time.Millisecond // of whether a stall is over
+	const pollInterval = 10 * time.Millisecond // between two checks for the end of a stall
 	for {
 		s.mu.Lock()
 		slowness, isSlow := s.faults[slow]
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the laboratory's stand-in for a shared store that speaks Redis's protocol (RESP2, by redcon): the few
-// commands that the project uses, on loopback, with faults on a schedule. It is written from the protocol's public
+// Package store is the laboratory's stand-in for a shared store that speaks the Redis protocol (RESP2, with redcon). It has the
+// commands that the project uses, listens on loopback, and has faults on a schedule. It is written from the protocol's public
 // specification and contains no code of a store.
 package store
 
@@ -16,34 +16,33 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrNotLoopback is returned for an address that other hosts could reach.
+// ErrNotLoopback is wrapped by the error for an address that is not a loopback address.
 var ErrNotLoopback = errors.New("not a loopback address")
 
-// Server is a stand-in store.
+// Server is a stand-in store. Its methods are safe for concurrent use.
 type Server struct {
 	redcon   *redcon.Server
 	listener net.Listener
 	started  time.Time
 	stop     chan struct{} // closed by Close
 
-	// mu guards what follows, with the data in halves. Commands are carried out one at a time under it.
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below; held while a command runs
 	random  *rand.Rand
-	halves  [2]*data // the same, unless split
-	faults  map[FaultKind]Fault
-	conns   map[redcon.Conn]bool
-	applied map[string]int64
+	halves  [2]*data             // both the same unless the store is split
+	faults  map[FaultKind]Fault  // active faults
+	conns   map[redcon.Conn]bool // open connections, by whether they were accepted
+	applied map[string]int64     // number of commands run, by name
 }
 
-// client is the state of a connection. Only the connection's own goroutine uses it.
+// client is the state of a connection. Only the goroutine of the connection uses it.
 type client struct {
-	name   string     // by CLIENT SETNAME
-	multi  bool       // in a transaction
-	queued [][]string // the commands of the transaction
+	name   string     // set by CLIENT SETNAME
+	multi  bool       // whether a transaction is open
+	queued [][]string // commands of the open transaction
 }
 
-// Start starts a store on a loopback address (port 0 for a free one); the times of the faults count from now. Connections
-// are served by goroutines that end with their connection, at the latest with Close.
+// Start starts a store on a loopback address, "host:port". Port 0 stands for a free port. The times of the faults count from
+// now. The caller must call Close, which ends all goroutines of the store.
 func Start(addr string, seed uint64, faults []Fault) (*Server, error) {
 	for _, fault := range faults {
 		if err := fault.Check(); err != nil {
@@ -55,7 +54,7 @@
 		return nil, fmt.Errorf("stand-in store: %w", err)
 	}
 	if !listener.Addr().(*net.TCPAddr).IP.IsLoopback() {
-		_ = listener.Close() // nothing came over it
+		_ = listener.Close()
 		return nil, fmt.Errorf("%w: %s", ErrNotLoopback, addr)
 	}
 	d := newData()
@@ -73,27 +72,27 @@
 		go s.runFault(fault)
 	}
 	s.redcon = redcon.NewServer("", s.handle, s.accept, s.closed)
-	go func() { _ = s.redcon.Serve(listener) }() // until Close, whose error it returns
+	go func() { _ = s.redcon.Serve(listener) }() // returns an error after Close
 	return s, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the store's "host:port".
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops the server, its faults and its connections. It must be called once.
+// Close ends the faults, and closes the listener and all connections. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
-	_ = s.redcon.Close() // a listener that is closed already is as good
+	_ = s.redcon.Close() // fails only if the listener is closed already
 }
 
-// Applied counts the commands carried out, by name.
+// Applied returns the number of commands run, by name.
 func (s *Server) Applied() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.applied)
 }
 
-// accept accepts a connection, unless the store is cut off.
+// accept reports whether a new connection is accepted: unless the fault cut is active.
 func (s *Server) accept(c redcon.Conn) bool {
 	c.SetContext(&client{})
 	s.mu.Lock()
@@ -103,13 +102,14 @@
 	return accepted
 }
 
+// closed forgets a connection that is closed.
 func (s *Server) closed(c redcon.Conn, _ error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// handle processes a command. Each connection has its own goroutine, which a stall blocks.
+// handle runs a command, or queues it in a transaction. redcon calls it on the goroutine of the connection.
 func (s *Server) handle(c redcon.Conn, received redcon.Command) {
 	words := make([]string, len(received.Args))
 	for i, arg := range received.Args {
@@ -141,7 +141,7 @@
 	s.run(c, cl, words)
 }
 
-// exec runs a transaction.
+// exec runs EXEC: the commands of the open transaction.
 func (s *Server) exec(c redcon.Conn, cl *client) {
 	if !cl.multi {
 		c.WriteError("ERR EXEC without MULTI")
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A schedule is read whole, or what is wrong with it is said.
+// A schedule is valid as a whole, or the error names the fault.
 func TestLoadSchedule(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -45,8 +45,8 @@
 	}
 }
 
-// A store that others could reach, or with a fault that can't be, does not start.
-func TestStartRefuses(t *testing.T) {
+// A store does not start on an address beyond loopback, or with an invalid fault.
+func TestStartErrors(t *testing.T) {
 	if _, err := Start("0.0.0.0:0", 1, nil); !errors.Is(err, ErrNotLoopback) {
 		t.Errorf("on all addresses: %v", err)
 	}
@@ -54,16 +54,15 @@
 		t.Errorf("with a fault at no time: %v", err)
 	}
 	if _, err := Start("127.0.0.1:none", 1, nil); err == nil {
-		t.Error("on no port")
+		t.Error("started on an invalid port")
 	}
 }
 
-// A failover loses the writes since a time and no others, a copy of the data is one of its own, and old writes are not
-// remembered for ever.
-func TestData(t *testing.T) {
+// A failover loses the writes after a time and no others. A clone is independent. Old writes are dropped.
+func TestDataLosesRecentWrites(t *testing.T) {
 	d := newData()
 	if !d.setField("h", "a", "1") || !d.setField("h", "b", "1") || d.setField("h", "a", "2") {
-		t.Error("what is new and what is not is mixed up")
+		t.Error("setField does not report whether the field is new")
 	}
 	now := time.Now()
 	d.recordWrites(write{now.Add(-time.Second), "h", "a", "2"}, write{now, "h", "b", "1"})
--- a/internal/lab/store/golden_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// conversation sends commands (words apart by a blank) one after the other over one connection, and reads what comes
-// back to each, as bytes.
+// conversation sends commands one after the other over a connection, and returns the bytes of each reply. Blanks separate the
+// words of a command.
 func conversation(t *testing.T, addr string, commands []string) (replies []string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -41,7 +41,7 @@
 	return replies
 }
 
-// readReply reads one reply with all that is in it.
+// readReply reads a reply with its elements.
 func readReply(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -71,8 +71,8 @@
 	return line, nil
 }
 
-// goldenReplies are commands, sent one after the other, with the reply to each.
-var goldenReplies = [][2]string{
+// replyCases are commands that are sent one after the other, with the expected replies.
+var replyCases = [][2]string{
 	{"PING", "+PONG\r\n"},
 	{"ping x", "+PONG\r\n"},
 	{"SELECT 3", "+OK\r\n"},
@@ -130,14 +130,14 @@
 	{"EXEC", "-ERR EXEC without MULTI\r\n"},
 }
 
-// Each command is answered with the bytes of commit cf1acfb.
-func TestGoldenReplies(t *testing.T) {
+// Each command gets a reply with the expected bytes.
+func TestReplyWireFormat(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	table := goldenReplies
+	table := replyCases
 	commands := make([]string, len(table))
 	for k, row := range table {
 		commands[k] = row[0]
@@ -153,8 +153,8 @@
 	}
 }
 
-// A full store refuses what writes, alone and in a transaction.
-func TestGoldenRepliesInFaults(t *testing.T) {
+// A full store rejects writes, alone and in a transaction, with the expected bytes.
+func TestReplyWireFormatWithFaults(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 	}
 }
 
-// faultCount is how many faults are on.
+// faultCount returns the number of active faults.
 func (s *Server) faultCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
