--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -11,44 +11,52 @@
 type eventKind uint8
 
 const (
-	wakeNode   eventKind = iota // a node's timer
-	receive                     // a datagram arrives
-	endCheck                    // a node's health check of a server ends
-	moveFault                   // the scenario's fault begins, ends or, in flap, moves on
-	sampleView                  // a sample of the nodes' views of the members, each second after the fault
+	// wakeNode is the expiry of a node's timer.
+	wakeNode eventKind = iota
+	// receive is the arrival of a datagram.
+	receive
+	// endCheck is the end of a node's health check of a server.
+	endCheck
+	// moveFault is the begin or the end of the scenario's fault, or its next step in the scenario flap.
+	moveFault
+	// sampleStates counts the dead members at all nodes. It happens each second after the fault.
+	sampleStates
 )
 
-// event happens to a node at a time, or to the whole fleet for moveFault and sampleView.
+// event is a future event. moveFault and sampleStates use only at and kind.
 type event struct {
-	at       time.Duration
-	sequence int // events at the same time happen in the order in which they were scheduled
-	kind     eventKind
-	node     int
-	life     int // of the node: timers and checks of a former life are dropped
-	from     int
-	text     []byte
-	check    healthcheck.Check
+	at          time.Duration
+	sequence    int // orders events at the same time, as they were scheduled
+	kind        eventKind
+	node        int // receiver of the event
+	incarnation int // of the node; timers and checks of earlier incarnations are dropped
+	from        int // receive: sender
+	text        []byte
+	check       healthcheck.Check // endCheck
 }
 
-// eventQueue is a priority queue of the events to come; it implements heap.Interface.
+// eventQueue is a priority queue of future events. It implements heap.Interface.
 type eventQueue struct {
 	events       []event
 	lastSequence int
 }
 
+// Len implements heap.Interface.
 func (q *eventQueue) Len() int { return len(q.events) }
 
+// Less implements heap.Interface.
 func (q *eventQueue) Less(i, j int) bool {
 	a, b := &q.events[i], &q.events[j]
 	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
+// Swap implements heap.Interface.
 func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
-// Push implements heap.Interface; use schedule.
+// Push implements heap.Interface. Other callers use schedule.
 func (q *eventQueue) Push(x any) { q.events = append(q.events, x.(event)) }
 
-// Pop implements heap.Interface; use next.
+// Pop implements heap.Interface. Other callers use next.
 func (q *eventQueue) Pop() any {
 	last := len(q.events) - 1
 	e := q.events[last]
@@ -56,11 +64,12 @@
 	return e
 }
 
+// schedule adds an event to the queue.
 func (q *eventQueue) schedule(e event) {
 	q.lastSequence++
 	e.sequence = q.lastSequence
 	heap.Push(q, e)
 }
 
-// next removes and returns the first event; there must be one.
+// next removes and returns the first event. The queue must not be empty.
 func (q *eventQueue) next() event { return heap.Pop(q).(event) }
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -3,20 +3,29 @@
 import "time"
 
 const (
-	usualLoss     = 0.01 // share of the datagrams
-	lossyLoss     = 0.25 // while the lossy scenario's fault is on
-	doubledOneIn  = 100  // datagrams, of which one comes twice
-	usualDelay    = 4.0  // ms on average, on top of minDelay
-	minDelay      = 1.0  // ms
-	lateShare     = 0.02 // of the datagrams, which others overtake:
-	maxLateness   = 400  // ms on top
-	flappingOneIn = 20   // nodes that go or come at a time
-	maxFlapSecs   = 3    // between two times
+	// lossProbability is the usual probability that a datagram is lost.
+	lossProbability = 0.01
+	// lossyLossProbability is that probability during the fault of the scenario lossy.
+	lossyLossProbability = 0.25
+	// datagramsPerDuplicate is the mean number of datagrams of which one arrives twice.
+	datagramsPerDuplicate = 100
+	// minDelayMs is the shortest delay of a datagram, in milliseconds.
+	minDelayMs = 1.0
+	// meanExtraDelayMs is the mean of the exponential delay on top of it, in milliseconds.
+	meanExtraDelayMs = 4.0
+	// lateProbability is the probability that a datagram is late, so that others overtake it.
+	lateProbability = 0.02
+	// maxLatenessMs is the largest additional delay of a late datagram, in milliseconds.
+	maxLatenessMs = 400
+	// nodesPerFlap is the number of nodes of which one stops or starts at each step of the scenario flap.
+	nodesPerFlap = 20
+	// maxFlapSeconds is the longest time between two steps of the scenario flap.
+	maxFlapSeconds = 3
 )
 
 // send sends a datagram over the simulated network.
 func (s *simulation) send(from, to int, text []byte) {
-	for range 1 + s.random.IntN(doubledOneIn)/(doubledOneIn-1) {
+	for range 1 + s.random.IntN(datagramsPerDuplicate)/(datagramsPerDuplicate-1) {
 		if s.nodes[to].up && s.arrives(from, to) {
 			s.queue.schedule(event{at: s.now + s.delay(), kind: receive, node: to, from: from, text: text})
 		}
@@ -29,23 +38,23 @@
 	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
 		return false
 	}
-	loss := usualLoss
+	loss := lossProbability
 	if s.faulty && s.cfg.Scenario == lossy {
-		loss = lossyLoss
+		loss = lossyLossProbability
 	}
 	return s.random.Float64() >= loss
 }
 
-// delay returns the delay of a datagram: usually a few milliseconds, sometimes so long that others overtake it.
+// delay draws the delay of a datagram, in whole milliseconds.
 func (s *simulation) delay() time.Duration {
-	delay := time.Duration(minDelay+s.random.ExpFloat64()*usualDelay) * time.Millisecond
-	if s.random.Float64() < lateShare {
-		delay += time.Duration(s.random.IntN(maxLateness)) * time.Millisecond
+	delay := time.Duration(minDelayMs+s.random.ExpFloat64()*meanExtraDelayMs) * time.Millisecond
+	if s.random.Float64() < lateProbability {
+		delay += time.Duration(s.random.IntN(maxLatenessMs)) * time.Millisecond
 	}
 	return delay
 }
 
-// moveFault begins or ends the scenario's fault, or its next step.
+// moveFault begins or ends the scenario's fault, or begins its next step.
 func (s *simulation) moveFault() {
 	over := s.now >= s.faultEnds()
 	s.faulty = !s.faulty && !over
@@ -69,7 +78,7 @@
 	}
 }
 
-// vanish stops some of the nodes at once, or starts them again.
+// vanish stops a share of the nodes when the fault begins, and starts them when it ends.
 func (s *simulation) vanish() {
 	if s.faulty {
 		s.down = s.random.Perm(s.cfg.Nodes)[:int(s.cfg.VanishShare*float64(s.cfg.Nodes))]
@@ -83,15 +92,15 @@
 	}
 }
 
-// flap stops or starts one node in twenty, and schedules the next time a few seconds later.
+// flap stops or starts random nodes, and schedules the next step.
 func (s *simulation) flap() {
-	for range max(1, s.cfg.Nodes/flappingOneIn) {
+	for range max(1, s.cfg.Nodes/nodesPerFlap) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
 			s.stop(id)
 		} else {
 			s.start(id)
 		}
 	}
-	pause := time.Duration(1+s.random.IntN(maxFlapSecs)) * time.Second
+	pause := time.Duration(1+s.random.IntN(maxFlapSeconds)) * time.Second
 	s.queue.schedule(event{at: s.now + pause, kind: moveFault})
 }
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -1,7 +1,8 @@
-// Package healthlab simulates a fleet's shared health checks in virtual time: N nodes that each run the real
-// internal/healthcheck, datagrams that are late, lost, duplicated and reordered, and nodes that vanish, flap or are
-// partitioned. It uses one goroutine and one queue of events ordered by time and sequence; the same configuration gives the
-// same run. A Result shows how long app servers went unchecked, how often two nodes checked one, and what the nodes sent.
+// Package healthlab simulates the shared health checks of a fleet in virtual time. Each simulated node runs the real
+// internal/healthcheck. Datagrams are delayed, lost, duplicated and reordered. Nodes vanish, flap or are partitioned.
+//
+// The simulation has one goroutine, and one queue of events ordered by time and sequence. The same Config yields the same
+// Result: the longest time without a check of a server, the number of duplicate checks, and the traffic of the nodes.
 package healthlab
 
 import (
@@ -11,40 +12,41 @@
 	"time"
 )
 
-// The scenarios, by their fault. It begins after a third of the run and ends after two thirds.
+// Scenarios, each with one fault. The fault begins after a third of the run and ends after two thirds.
 const (
-	calm   = "calm"   // none
-	vanish = "vanish" // some of the nodes stop
+	calm   = "calm"   // no fault
+	vanish = "vanish" // some nodes stop
 	flap   = "flap"   // nodes stop and start every few seconds
 	split  = "split"  // the fleet is partitioned into two halves
 	lossy  = "lossy"  // a quarter of the datagrams is lost
 )
 
-// Scenarios lists the names of all scenarios.
+// Scenarios are the names of all scenarios.
 var Scenarios = []string{calm, vanish, flap, split, lossy}
 
+// defaultVanishShare is the default of Config.VanishShare.
 const defaultVanishShare = 0.48
 
-// Errors of Play.
+// Errors that Play's errors wrap.
 var (
 	ErrUnknownScenario = errors.New("unknown scenario")
 	ErrTooSmall        = errors.New("run too small")
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
-	Nodes       int
-	Servers     int
-	Duration    time.Duration // virtual
+	Nodes       int           // at least 2
+	Servers     int           // at least 1
+	Duration    time.Duration // virtual, at least 1 s
 	Seed        uint64
-	Scenario    string
-	ReceiveRate float64       // as healthcheck.Config has it: messages a second,
-	SendRate    float64       // and bytes a second
-	Interval    time.Duration // between two checks of a server
-	VanishShare float64       // share of the nodes that vanish at once; 0.48 where not set
+	Scenario    string        // one of Scenarios
+	ReceiveRate float64       // see healthcheck.Config
+	SendRate    float64       // see healthcheck.Config
+	Interval    time.Duration // see healthcheck.Config
+	VanishShare float64       // share of the nodes that vanish in the scenario vanish; 0 for defaultVanishShare
 }
 
-// check validates a configuration and returns it with its defaults set. An error wraps ErrUnknownScenario or ErrTooSmall.
+// check validates a configuration and returns it with defaults. An error wraps ErrUnknownScenario or ErrTooSmall.
 func (c Config) check() (Config, error) {
 	if !slices.Contains(Scenarios, c.Scenario) {
 		return c, fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, c.Scenario, Scenarios)
@@ -66,15 +68,15 @@
 	Period       float64 `json:"ping_period_s"`
 	Interval     float64 `json:"check_period_s"`
 	WorstGap     float64 `json:"worst_gap_s"`    // longest time between two checks of a server
-	WorstGapAt   float64 `json:"worst_gap_at_s"` // and when it ended
+	WorstGapAt   float64 `json:"worst_gap_at_s"` // end of that time
 	Checks       int64   `json:"checks"`
-	Doubled      int64   `json:"doubled"` // checks within half an interval of the last one by another node
+	Doubled      int64   `json:"doubled"` // checks within half an interval after a check by another node
 	BytesMean    float64 `json:"bytes_a_node_a_second"`
 	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
 	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
-	Withheld     int64   `json:"held_back"`
-	WrongDeaths  int     `json:"wrong_deaths"` // members considered dead at the end, summed over all nodes; all are up then
-	Settled      float64 `json:"settled_s"`    // from the end of the fault until all members are considered alive by all; -1 for never
+	Withheld     int64   `json:"held_back"`    // messages dropped because of SendRate
+	WrongDeaths  int     `json:"wrong_deaths"` // live members that are dead at another node at the end of the run, over all nodes
+	Settled      float64 `json:"settled_s"`    // from the end of the fault until no live member is dead at any node; -1 for never
 }
 
 // Play simulates a run. An error wraps ErrUnknownScenario or ErrTooSmall.
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Through every fault no server goes unchecked for more than two intervals, all agree again afterwards, and
-// what a node sends does not grow with the fleet.
+// During every fault each server is checked at least once in two intervals. Afterwards all nodes agree on the members. The
+// bytes that a node sends do not grow with the fleet.
 func TestNoServerGoesUncheckedForLong(t *testing.T) {
 	for _, scenario := range Scenarios {
 		for _, c := range []struct {
@@ -44,7 +44,8 @@
 	}
 }
 
-func TestRunsRepeatAndBadOnesAreRefused(t *testing.T) {
+// The same configuration yields the same result, and an invalid one an error.
+func TestRunsAreReproducible(t *testing.T) {
 	cfg := Config{Nodes: 12, Servers: 9, Duration: 30 * time.Second, Seed: 3, Scenario: "flap", ReceiveRate: 40, Interval: time.Second}
 	a, _ := Play(cfg)
 	if b, _ := Play(cfg); a != b {
@@ -66,7 +67,7 @@
 	}
 }
 
-// Events come in the order of their times, and of one time in the order in which they were scheduled.
+// Events are ordered by time, and at the same time by the order in which they were scheduled.
 func TestEventsComeInOrder(t *testing.T) {
 	var q eventQueue
 	for i := range 200 {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -9,30 +9,34 @@
 )
 
 const (
-	checkDuration  = 20 * time.Millisecond
+	// checkDuration is the duration of a health check.
+	checkDuration = 20 * time.Millisecond
+	// sampleInterval is the time between two samples of the nodes' states.
 	sampleInterval = time.Second
-	idStep         = 7919 // between the IDs of two servers, so that they have no pattern
-	noNode         = -1
+	// idStep is the difference between the ids of two consecutive servers. It avoids a pattern in the hashes.
+	idStep = 7919
+	// noNode stands for the absence of a node.
+	noNode = -1
 )
 
-// node is one simulated node.
+// node is a simulated node.
 type node struct {
-	scheduler *healthcheck.Scheduler // of its present life
-	life      int                    // number of starts
-	up        bool
-	wakeAt    time.Duration
-	received  int64 // messages, over all lives
-	sentBytes int64 // of earlier lives
-	withheld  int64 // of earlier lives
+	scheduler   *healthcheck.Scheduler // of the current incarnation
+	incarnation int                    // number of starts
+	up          bool
+	wakeAt      time.Duration // time of the current timer
+	received    int64         // messages received in all incarnations
+	sentBytes   int64         // bytes sent in earlier incarnations
+	withheld    int64         // messages withheld in earlier incarnations
 }
 
 // server is the state of an app server.
 type server struct {
-	checkedAt time.Duration
-	checkedBy int // noNode before the first check
+	checkedAt time.Duration // time of the last check
+	checkedBy int           // node of the last check; noNode before the first one
 }
 
-// simulation is one run.
+// simulation is the state of a run.
 type simulation struct {
 	cfg     Config
 	random  *rand.Rand
@@ -40,12 +44,13 @@
 	queue   eventQueue
 	nodes   []*node
 	servers []server
-	checks  []healthcheck.Check // one a server
-	faulty  bool                // the scenario's fault is on
-	down    []int               // vanish: the nodes that were stopped
+	checks  []healthcheck.Check // of each server
+	faulty  bool                // whether the scenario's fault is active
+	down    []int               // vanish: nodes that were stopped
 	result  Result
 }
 
+// newSimulation returns a simulation whose nodes have started.
 func newSimulation(cfg Config) *simulation {
 	s := &simulation{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 7)), servers: make([]server, cfg.Servers)}
 	for i := range s.servers {
@@ -60,16 +65,16 @@
 	return s
 }
 
-// faultBegins is the time at which the scenario's fault begins.
+// faultBegins returns the begin of the scenario's fault.
 func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
 
-// faultEnds is the time at which it ends.
+// faultEnds returns the end of the scenario's fault.
 func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
-// start starts a node with no state of its former lives.
+// start starts a node as a new incarnation, without any state of earlier ones.
 func (s *simulation) start(id int) {
 	n := s.nodes[id]
-	n.life++
+	n.incarnation++
 	n.up = true
 	n.scheduler = healthcheck.New(healthcheck.Config{
 		Self:        healthcheck.NodeID(id),
@@ -81,9 +86,10 @@
 	}, s.now)
 	n.scheduler.SetChecks(s.now, s.checks)
 	n.wakeAt = s.now
-	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, life: n.life})
+	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
+// stop stops a node unless it is down.
 func (s *simulation) stop(id int) {
 	n := s.nodes[id]
 	if !n.up {
@@ -99,7 +105,7 @@
 func (s *simulation) play() {
 	s.queue.schedule(event{at: s.faultBegins(), kind: moveFault})
 	s.queue.schedule(event{at: s.faultEnds(), kind: moveFault})
-	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleView})
+	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleStates})
 	for s.queue.Len() > 0 {
 		e := s.queue.next()
 		if e.at > s.cfg.Duration {
@@ -116,7 +122,7 @@
 // handle processes an event.
 func (s *simulation) handle(e event) {
 	switch e.kind {
-	case sampleView:
+	case sampleStates:
 		s.sample()
 		return
 	case moveFault:
@@ -124,25 +130,24 @@
 		return
 	}
 	n := s.nodes[e.node]
-	if !n.up || n.life != e.life && e.kind != receive {
+	if !n.up || n.incarnation != e.incarnation && e.kind != receive {
 		return
 	}
 	switch e.kind {
 	case receive:
 		n.received++
-		// The node counts messages with errors; there are none to handle here.
-		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text)
+		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text) // the scheduler counts errors
 	case endCheck:
 		n.scheduler.CheckEnded(s.now, e.check, true)
 	default:
-		if e.at < n.wakeAt { // the timer was set anew since
+		if e.at < n.wakeAt { // the timer was replaced by a later one
 			return
 		}
 	}
 	s.carryOut(e.node)
 }
 
-// carryOut carries out a node's steps, and sets its timer.
+// carryOut carries out the pending steps of a node, and sets its timer.
 func (s *simulation) carryOut(id int) {
 	n := s.nodes[id]
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
@@ -151,15 +156,15 @@
 			s.send(id, int(step.To), slices.Clone(step.Text))
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/idStep), id)
-			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, life: n.life, check: step.Check})
-		case healthcheck.Ended: // there is no router to be given the result
+			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, incarnation: n.incarnation, check: step.Check})
+		case healthcheck.Ended: // a simulated node has no use for the result
 		}
 	}
 	n.wakeAt = s.now + n.scheduler.Wake(s.now)
-	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, life: n.life})
+	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
-// recordCheck records that a node checks a server now.
+// recordCheck records the begin of a check of the server with an index, by a node.
 func (s *simulation) recordCheck(index, by int) {
 	server := &s.servers[index]
 	s.result.Checks++
@@ -171,14 +176,14 @@
 	server.checkedAt, server.checkedBy = s.now, by
 }
 
-// recordGap records that a server went unchecked between two times.
+// recordGap records a time without a check of a server.
 func (s *simulation) recordGap(from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
 		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
 	}
 }
 
-// sample counts the members that are considered dead. After the fault all are up.
+// sample counts the dead members at all nodes. All nodes are up after the fault, so the count should be 0.
 func (s *simulation) sample() {
 	wrong := 0
 	for _, n := range s.nodes {
@@ -192,10 +197,10 @@
 	} else if s.result.Settled < 0 {
 		s.result.Settled = (s.now - s.faultEnds()).Seconds()
 	}
-	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleView})
+	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleStates})
 }
 
-// summarize returns the result of the run after play.
+// summarize returns the result of the run. The caller has called play.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
