--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -1,5 +1,6 @@
-// Package authz is the laboratory's stand-in for an external authorizer: Envoy's published Authorization service over
-// gRPC on loopback, which allows, denies, is slow, errs, drops calls and restarts, from a seed and a schedule.
+// Package authz is the laboratory's stand-in for an external authorizer. It serves Envoy's Authorization service (ext_authz,
+// version 3) over gRPC on loopback. It allows and denies requests, and has faults from a seed: slow answers, failed calls,
+// malformed answers and restarts.
 package authz
 
 import (
@@ -18,27 +19,31 @@
 )
 
 const (
-	randomStream   = 11                    // of the seed's, that this package draws from
-	relistenAfter  = 10 * time.Millisecond // between two tries to listen again after a restart
-	malformedCode  = 99                    // a status that gRPC doesn't have
-	customerRadix  = 16                    // of the customer in a check
-	customerLength = 64                    // in bits, at most
+	// randomStream is the second word of the seed.
+	randomStream = 11
+	// relistenInterval is the time between two attempts to listen after a restart.
+	relistenInterval = 10 * time.Millisecond
+	// malformedCode is a status code that gRPC does not define.
+	malformedCode = 99
+	// customerBase and customerBits are the base and the maximum size of the customer in a check.
+	customerBase = 16
+	customerBits = 64
 )
 
-// Config is how it answers. Probabilities are 0 to 1.
+// Config configures a Server. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
-	DenyEvery            uint64        // customers whose number divides by it are denied; 0 for none
-	MeanDelay            time.Duration // of each answer, mean of an exponential
-	SlowProbability      float64       // that an answer takes SlowDelay on top
+	DenyEvery            uint64        // customers whose number is divisible by it are denied; 0 for none
+	MeanDelay            time.Duration // mean of the exponential delay of each answer
+	SlowProbability      float64       // probability that an answer is delayed by SlowDelay in addition
 	SlowDelay            time.Duration
-	DropProbability      float64       // that a call ends without an answer
-	MalformedProbability float64       // of an answer that makes no sense
-	Uptime               time.Duration // it restarts after so long, each time; 0 for never
-	Downtime             time.Duration // for which it is gone then
+	DropProbability      float64       // probability that a call fails
+	MalformedProbability float64       // probability of a malformed answer
+	Uptime               time.Duration // time from each start to the next restart; 0 for no restarts
+	Downtime             time.Duration // duration of a restart
 }
 
-// Server is a stand-in authorizer.
+// Server is a stand-in authorizer. Its methods are safe for concurrent use.
 type Server struct {
 	auth.UnimplementedAuthorizationServer
 
@@ -47,28 +52,28 @@
 	stop   chan struct{}  // closed by Close
 	done   sync.WaitGroup // run
 
-	mu         sync.Mutex // guards the rest
-	random     *rand.Rand
-	lastAnswer map[string]bool // by the request's id: what was answered last, whether or not in time
-	answers    int64
-	starts     int64
+	mu         sync.Mutex      // guards the fields below
+	random     *rand.Rand      // of the draws
+	lastAnswer map[string]bool // whether the last answer allowed the request, by request id
+	answers    int64           // number of calls that ended, including failed ones
+	starts     int64           // number of starts
 }
 
-// NotLoopbackError is an address that isn't on this machine's loopback: the lab listens nowhere else.
+// NotLoopbackError is the error for an address that is not a loopback address.
 type NotLoopbackError struct{ Addr string }
 
-// Error has the address.
+// Error names the address.
 func (e *NotLoopbackError) Error() string { return e.Addr + " is not a loopback address" }
 
-// Start starts one on a loopback address (port 0 for a free one); another is a *NotLoopbackError. Its goroutine ends with
-// Close.
+// Start starts an authorizer on a loopback address, "host:port". Port 0 stands for a free port. For another address the error
+// is a *NotLoopbackError. The caller must call Close, which ends the authorizer's goroutine.
 func Start(addr string, cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if local, ok := listener.Addr().(*net.TCPAddr); !ok || !local.IP.IsLoopback() {
-		_ = listener.Close() // nothing has used it
+		_ = listener.Close()
 		return nil, &NotLoopbackError{Addr: addr}
 	}
 	s := &Server{
@@ -80,16 +85,16 @@
 	return s, nil
 }
 
-// Addr is where it listens, when it is up.
+// Addr returns the "host:port" of the authorizer, which stays the same over restarts.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends it; calls in flight fail.
+// Close closes the authorizer. Calls in flight fail. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
 	s.done.Wait()
 }
 
-// run serves, and restarts where the configuration wants it, until Close.
+// run serves until Close, with the configured restarts.
 func (s *Server) run(listener net.Listener) {
 	defer s.done.Done()
 	for listener != nil && s.serve(listener) {
@@ -100,7 +105,7 @@
 	}
 }
 
-// serve serves until the end of the uptime, and reports whether that came before Close. Calls in flight fail.
+// serve serves until the end of Config.Uptime or until Close. It returns true for the former. Calls in flight fail.
 func (s *Server) serve(listener net.Listener) (restart bool) {
 	server := grpc.NewServer()
 	auth.RegisterAuthorizationServer(server, s)
@@ -121,19 +126,19 @@
 	}
 }
 
-// listenAgain listens at the same address, which another may hold for a while. It returns nil after Close.
+// listenAgain listens at the same address again. It retries while the address is in use, and returns nil after Close.
 func (s *Server) listenAgain() net.Listener {
 	for {
 		if listener, err := net.Listen("tcp", s.addr); err == nil {
 			return listener
 		}
-		if !s.wait(relistenAfter) {
+		if !s.wait(relistenInterval) {
 			return nil
 		}
 	}
 }
 
-// wait waits, and reports whether that was not cut short by Close.
+// wait waits for a time. It returns false if Close is called before the end.
 func (s *Server) wait(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -143,7 +148,8 @@
 	}
 }
 
-// LastAnswer is what it answered for a request, and whether it did.
+// LastAnswer returns whether the last answer for a request allowed it, and whether there was an answer. The caller of the check
+// may have timed out before the answer.
 func (s *Server) LastAnswer(id string) (allowed, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,50 +157,52 @@
 	return allowed, answered
 }
 
-// Counts is how many answers it gave, and how often it started.
+// Counts returns the number of calls that ended, including failed ones, and the number of starts.
 func (s *Server) Counts() (answers, starts int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answers, s.starts
 }
 
-// fate is what becomes of one call.
-type fate struct {
-	delay           time.Duration
-	drop, malformed bool
+// drawnCall is the random part of a call.
+type drawnCall struct {
+	delay     time.Duration
+	drop      bool // whether the call fails
+	malformed bool // whether the answer is malformed
 }
 
-func (s *Server) drawFate() fate {
+// draw draws the random part of a call.
+func (s *Server) draw() drawnCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := fate{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
+	drawn := drawnCall{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
 	if s.random.Float64() < s.config.SlowProbability {
-		f.delay += s.config.SlowDelay
+		drawn.delay += s.config.SlowDelay
 	}
-	f.drop, f.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
-	return f
+	drawn.drop, drawn.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
+	return drawn
 }
 
-// Check answers one call. It works on after the caller gave up, as a slow authorizer does.
+// Check implements the Authorization service. It does not stop when the caller's context ends, as a slow authorizer would not.
 func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
 	attributes := r.GetAttributes()
-	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerRadix, customerLength)
+	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerBase, customerBits)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
-	f := s.drawFate()
-	time.Sleep(f.delay)
+	drawn := s.draw()
+	time.Sleep(drawn.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
 	s.answers++
-	if !f.drop && !f.malformed {
+	if !drawn.drop && !drawn.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
 	s.mu.Unlock()
 	switch {
-	case f.drop:
+	case drawn.drop:
 		return nil, status.Error(codes.Unavailable, "dropped")
-	case f.malformed:
+	case drawn.malformed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: malformedCode}}, nil
 	case allowed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)}}, nil
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// startServer starts an authorizer, and returns it with a client of it.
+// startServer starts an authorizer, and returns it with a client.
 func startServer(t *testing.T, cfg Config) (*Server, auth.AuthorizationClient) {
 	t.Helper()
 	server, err := Start("127.0.0.1:0", cfg)
@@ -29,7 +29,7 @@
 	return server, auth.NewAuthorizationClient(conn)
 }
 
-// check asks about a request of a customer. It returns the code of the answer, or that of the call where it failed.
+// check checks a request of a customer. It returns the code of the answer, or the code of the failed call.
 func check(ctx context.Context, client auth.AuthorizationClient, id, customer string) codes.Code {
 	answer, err := client.Check(ctx, &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Request:           &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: id}},
@@ -41,7 +41,8 @@
 	return codes.Code(answer.Status.Code)
 }
 
-func TestAnswers(t *testing.T) {
+// Answers follow the configuration.
+func TestAnswersFollowConfig(t *testing.T) {
 	for name, c := range map[string]struct {
 		config            Config
 		customer          string
@@ -67,7 +68,8 @@
 	}
 }
 
-func TestRestart(t *testing.T) {
+// A restarted authorizer answers at the same address.
+func TestRestartKeepsAddress(t *testing.T) {
 	server, client := startServer(t, Config{Uptime: 50 * time.Millisecond, Downtime: 10 * time.Millisecond})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		_, starts := server.Counts()
@@ -80,7 +82,8 @@
 	}
 }
 
-func TestOnlyOnLoopback(t *testing.T) {
+// An address beyond loopback is an error.
+func TestStartOnlyOnLoopback(t *testing.T) {
 	var refused *NotLoopbackError
 	if _, err := Start("0.0.0.0:0", Config{}); !errors.As(err, &refused) || err.Error() != "0.0.0.0:0 is not a loopback address" {
 		t.Error(err)
--- a/internal/lab/report/series.go
+++ b/internal/lab/report/series.go
@@ -11,43 +11,45 @@
 )
 
 const (
-	lineBuffer = 64 << 10 // bytes, at first
-	maxLine    = 1 << 20  // bytes of one line of a series
+	// initialLineBytes is the initial size of the line buffer.
+	initialLineBytes = 64 << 10
+	// maxLineBytes is the maximum size of a line of a series.
+	maxLineBytes = 1 << 20
 )
 
-// The outcomes of requests in a series, as `lab load` and `lab model` name them.
+// Outcomes of requests in a series. `lab load` and `lab model` of all versions write these names.
 const (
 	outcomeCompleted = "completed"
 	outcomeRejected  = "bounced"
 	outcomeFailed    = "broken"
-	outcomeGaveUp    = "gave_up" // the client did not wait for the answer
+	outcomeTimedOut  = "gave_up"
 )
 
-// Sample is one second of a series: the fields that both the model and the load tool write, and the model's load.
+// Sample is a line of a series: the values of a second.
 type Sample struct {
-	Second   int              `json:"t"`        // since the start
-	Outcomes map[string]int64 `json:"outcomes"` // requests that ended in it, by outcome
-	P50Ms    float64          `json:"p50_ms"`   // of the latency of completed requests, ms
-	P95Ms    float64          `json:"p95_ms"`
-	P99Ms    float64          `json:"p99_ms"`
-	LoadMean *float64         `json:"load_mean"` // requests in hand over concurrency, mean of the servers; nil: not given
-	LoadMax  *float64         `json:"load_max"`  // of the busiest
+	Second   int              `json:"t"`         // since the start
+	Outcomes map[string]int64 `json:"outcomes"`  // number of requests that ended, by outcome
+	P50Ms    float64          `json:"p50_ms"`    // quantile of the latency of completed requests, in ms
+	P95Ms    float64          `json:"p95_ms"`    // likewise
+	P99Ms    float64          `json:"p99_ms"`    // likewise
+	LoadMean *float64         `json:"load_mean"` // requests in flight over concurrency, mean of all servers; nil if missing
+	LoadMax  *float64         `json:"load_max"`  // requests in flight over concurrency, of the busiest server; nil if missing
 }
 
-// Run is one series with its name.
+// Run is a series with its name.
 type Run struct {
 	Name    string
 	Samples []Sample // at least one
 }
 
-// SeriesError is a series that can't be read.
+// SeriesError is the error for an invalid series.
 type SeriesError struct {
 	Path string
-	Line int // from 1; 0 where it is not a line
+	Line int // from 1; 0 if the error is not about a line
 	Err  error
 }
 
-// Error has the file, the line and what is wrong.
+// Error returns the path, the line and the text of Err.
 func (e *SeriesError) Error() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("%s: line %d: %v", e.Path, e.Line, e.Err)
@@ -55,23 +57,23 @@
 	return fmt.Sprintf("%s: %v", e.Path, e.Err)
 }
 
-// Unwrap is what is wrong.
+// Unwrap returns Err.
 func (e *SeriesError) Unwrap() error { return e.Err }
 
-// ErrNoLines is a series without a line.
+// ErrNoLines is the error for a series without lines.
 var ErrNoLines = errors.New("no lines")
 
-// Read reads a series file, and names the run after it. A line that is no JSON is a *SeriesError, as is a file without
-// lines; a file that can't be opened is the system's error.
+// Read reads a series file. The name of the run is the name of the file without its extension. For a line that is not valid
+// JSON and for a file without lines the error is a *SeriesError. An error of opening the file is returned unchanged.
 func Read(path string) (Run, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return Run{}, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // without consequence for a file that was only read
 	run := Run{Name: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))}
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(make([]byte, lineBuffer), maxLine)
+	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	for line := 1; scanner.Scan(); line++ {
 		if strings.TrimSpace(scanner.Text()) == "" {
 			continue
