--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -7,8 +7,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// A static limit holds per server and node, and a request is rejected once all servers are at it.
-func TestRoundRobinKeepsItsLimit(t *testing.T) {
+// The static limit applies per server and node. A request is rejected once all servers are at the limit.
+func TestRoundRobinKeepsLimit(t *testing.T) {
 	cfg := testConfig(t, RoundRobin, "")
 	cfg.Limit = 2
 	s := newSim(t, cfg, nil)
@@ -32,8 +32,8 @@
 	}
 }
 
-// The least busy server is that of the last sample, whatever came since, and equals take turns.
-func TestLeastBusyGoesByTheLastSample(t *testing.T) {
+// The least busy server is the one of the last sample. Equal servers take turns.
+func TestLeastBusyUsesLastSample(t *testing.T) {
 	s := newSim(t, testConfig(t, LeastBusy, ""), nil)
 	n := s.nodes[0]
 	for _, want := range []int{1, 2, 3} {
@@ -42,9 +42,9 @@
 		}
 	}
 	for _, sv := range s.servers {
-		sv.inWork = 3
+		sv.executing = 3
 	}
-	s.servers[6].inWork, s.servers[6].queue = 1, make([]*attempt, 1)
+	s.servers[6].executing, s.servers[6].queue = 1, make([]*attempt, 1)
 	if sv := s.leastBusy(n); sv.id != 4 {
 		t.Errorf("the server %d is chosen before the sample", sv.id)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Each node of a tenant's set has an even part of its bucket, which fills at that part of the quota.
-func TestBaselineBucket(t *testing.T) {
+// Each node of a tenant's node set has an equal share of the tenant's bucket and rate.
+func TestBaselineBucketSharesQuota(t *testing.T) {
 	cfg := testConfig(t, RoundRobin, "") // two nodes take in a tenant
 	cfg.Quota, cfg.Burst = 20, 8
 	cfg.Traffic.Classes[0].Units = 1
@@ -87,7 +87,7 @@
 	}
 }
 
-// What never ran is retried, what may have run only where that is safe, up to three attempts.
+// An attempt that may have been executed is retried only for safe classes. A request has at most three attempts.
 func TestBaselineRetries(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -7,50 +7,66 @@
 	"cherrygap/internal/protocol"
 )
 
-// eventKind is what an event is of.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventArrival       eventKind = iota // the next request of the stream comes
-	eventRetry                          // a client whose request was rejected comes again
-	eventClientTimeout                  // a client stops waiting
-	eventTimer                          // a node's timer fires
-	eventWorkDone                       // a server ends its work on an attempt
-	eventTimeout                        // a node stops waiting for an attempt
-	eventResult                         // an attempt's result reaches its node
-	eventSample                         // a second of the series ends
-	eventRestart                        // a server goes down, or comes back
-	eventDrain                          // a server begins to drain
-	eventDrainNotified                  // the nodes are notified of a drain
+	// eventArrival is the next arrival of the stream.
+	eventArrival eventKind = iota
+	// eventRetry is a client's retry of a rejected request.
+	eventRetry
+	// eventClientTimeout is the deadline of a request.
+	eventClientTimeout
+	// eventTimer is the expiry of a node's timer.
+	eventTimer
+	// eventExecuted is the end of the execution of an attempt.
+	eventExecuted
+	// eventTimeout is the timeout of an attempt.
+	eventTimeout
+	// eventResult is the arrival of an attempt's result at its node.
+	eventResult
+	// eventSample is the end of a second of the series.
+	eventSample
+	// eventRestart is the stop or the start of servers.
+	eventRestart
+	// eventDrain is the begin of a drain.
+	eventDrain
+	// eventDrainNotified is the notification of the nodes about a drain.
+	eventDrainNotified
 )
 
-// event is one event of a run. Which fields it has depends on its kind.
+// event is an event of a run. Its kind determines which fields are set.
 type event struct {
 	at           time.Duration
-	seq          uint64 // order of scheduling, which decides at the same time
+	seq          uint64 // orders events at the same time, as they were scheduled
 	kind         eventKind
 	node         *node            // eventTimer
-	timerSetting uint64           // eventTimer: the setting of the timer that it is of
-	attempt      *attempt         // eventWorkDone, eventTimeout, eventResult
+	timerSetting uint64           // eventTimer: number of the timer's setting
+	attempt      *attempt         // eventExecuted, eventTimeout, eventResult
 	outcome      protocol.Outcome // eventResult
 	request      *request         // eventRetry, eventClientTimeout
-	server       int              // eventRestart, eventDrain, eventDrainNotified: -1 for all
-	down         bool             // eventRestart
+	server       int              // eventRestart, eventDrain, eventDrainNotified: number of the server, or -1 for all
+	down         bool             // eventRestart: whether the servers stop
 }
 
-// eventQueue is a heap of events by time, and by order of scheduling at the same time.
+// eventQueue is a heap of events by time and then by seq. It implements heap.Interface.
 type eventQueue []*event
 
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
+
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -58,14 +74,14 @@
 	return last
 }
 
-// schedule adds an event at its time.
+// schedule adds an event to the queue.
 func (s *Sim) schedule(e *event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
-// handle plays one event.
+// handle processes an event.
 func (s *Sim) handle(e *event) {
 	switch e.kind {
 	case eventArrival:
@@ -79,8 +95,8 @@
 			e.node.router.Tick()
 			s.takeDecisions(e.node)
 		}
-	case eventWorkDone:
-		s.workDone(e.attempt)
+	case eventExecuted:
+		s.executed(e.attempt)
 	case eventTimeout:
 		s.attemptTimeout(e.attempt)
 	case eventResult:
--- a/internal/lab/model/events_test.go
+++ b/internal/lab/model/events_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Events are played by time, and in the order of scheduling at the same time.
-func TestEventQueue(t *testing.T) {
+// Events are ordered by time, and at the same time by the order in which they were scheduled.
+func TestEventQueueOrder(t *testing.T) {
 	s := &Sim{}
 	for _, at := range []time.Duration{5, 3, 5, 1, 3, 1} {
 		s.schedule(&event{at: at})
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -11,7 +11,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// testConfig is a small fleet with a schedule of faults.
+// testConfig returns the configuration of a small fleet with faults.
 func testConfig(t *testing.T, policy Policy, schedule string) Config {
 	t.Helper()
 	defaults := operatorfile.Default().Lab
@@ -25,7 +25,7 @@
 	return Config{Nodes: 6, Seconds: 20, Policy: policy, Seed: 5, Traffic: traffic, Server: server, Schedule: faults}
 }
 
-// newSim makes a run that can be run.
+// newSim returns a run of a valid configuration.
 func newSim(t *testing.T, cfg Config, series io.Writer) *Sim {
 	t.Helper()
 	s, err := New(cfg, NewRecorder(series))
@@ -35,8 +35,8 @@
 	return s
 }
 
-// A failing seed must reproduce exactly: the same run twice writes the same series, byte for byte.
-func TestSameSeedSameRun(t *testing.T) {
+// Two runs with the same seed write the same series.
+func TestRunsAreReproducible(t *testing.T) {
 	var a, b bytes.Buffer
 	for _, series := range []*bytes.Buffer{&a, &b} {
 		newSim(t, testConfig(t, Module, testFaults), series).Run()
@@ -46,7 +46,7 @@
 	}
 }
 
-// testFaults are some of each kind.
+// testFaults is a schedule with faults of each kind.
 const testFaults = `
 [[fault]]
 kind = "restart"
@@ -73,9 +73,9 @@
 x = 8
 `
 
-// Under restarts, resets, lost answers and a slow spell, every request gets its answer and no unsafe request runs twice,
-// with the engine and with both baselines.
-func TestFaultsLeaveNoRequestOpenAndNoSecondRun(t *testing.T) {
+// With restarts, resets, lost responses and slow servers every request ends, and no unsafe request is executed twice. This
+// holds for the engine and for both baselines.
+func TestFaultsLeaveNoRequestOpenOrExecutedTwice(t *testing.T) {
 	for _, policy := range []Policy{Module, RoundRobin, LeastBusy} {
 		t.Run(string(policy), func(t *testing.T) {
 			totals := newSim(t, testConfig(t, policy, testFaults), nil).Run()
@@ -89,7 +89,8 @@
 	}
 }
 
-func TestBadConfigIsRejected(t *testing.T) {
+// An invalid configuration is a *ConfigError.
+func TestInvalidConfig(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Config)
@@ -115,8 +116,8 @@
 	}
 }
 
-// BenchmarkFleet300 is the speed target's yardstick: 300 nodes and 200 servers with the engine, ten virtual seconds at
-// 20,000 requests a second. It reports virtual seconds per real second.
+// BenchmarkFleet300 simulates 300 nodes and 200 servers with the engine, for ten virtual seconds with 20,000 requests per
+// second. It reports virtual seconds per real second.
 func BenchmarkFleet300(b *testing.B) {
 	defaults := operatorfile.Default().Lab
 	server, traffic := defaults.Emulator, defaults.Load
@@ -131,9 +132,9 @@
 	}
 }
 
-// The platform's rule 3 in the model: once discovery has notified the nodes of a drain, nothing new goes to that server
-// past 500 ms. The engine is notified; round-robin, which does not listen, shows that the check can fail.
-func TestNothingNewToADrainedServer(t *testing.T) {
+// The platform's rule 3: no attempt is sent to a draining server later than 500 ms after the notification. The baseline
+// RoundRobin ignores notifications and proves that the check can fail.
+func TestNoAttemptToDrainedServer(t *testing.T) {
 	const drains = `
 [[fault]]
 kind = "drain"
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -8,26 +8,26 @@
 	"cherrygap/internal/settings"
 )
 
-// node is an edge node.
+// node is a simulated node.
 type node struct {
 	id int
 
-	// With the Module policy.
-	router        *routing.Router // nil with a baseline
+	// Fields of the policy Module.
+	router        *routing.Router // nil with a baseline policy
 	requests      map[*routing.Request]*request
-	decided       []*routing.Request // whose decisions are to be taken
-	timerSettings uint64             // how often the timer was set: only the last one counts
+	decided       []*routing.Request // requests with a decision that is not carried out
+	timerSettings uint64             // number of times that the timer was set; identifies the last setting
 
-	// With a baseline policy.
-	rotation int         // number of the server chosen last
-	inFlight map[int]int // attempts by server
+	// Fields of the baseline policies.
+	rotation int         // number of the last server chosen
+	inFlight map[int]int // attempts in flight by server
 	buckets  map[tenant]*bucket
 }
 
-// seedStep sets the nodes' seeds apart.
-const seedStep = 0x9e3779b97f4a7c15
+// nodeSeedStep is the difference between the seeds of consecutive nodes.
+const nodeSeedStep = 0x9e3779b97f4a7c15
 
-// newNode starts a node, which has the endpoint list.
+// newNode returns a node with the full endpoint list.
 func (s *Sim) newNode(id int, list *protocol.EndpointList) *node {
 	n := &node{id: id, requests: map[*routing.Request]*request{}, inFlight: map[int]int{}, buckets: map[tenant]*bucket{}}
 	if s.cfg.Policy != Module {
@@ -40,7 +40,7 @@
 	set := *shared
 	set.Node = settings.IntNumber(id)
 	n.router = routing.New(routing.Config{
-		Seed:          s.cfg.Seed ^ uint64(id)*seedStep,
+		Seed:          s.cfg.Seed ^ uint64(id)*nodeSeedStep,
 		Settings:      &set,
 		Clock:         s.clock,
 		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
@@ -53,13 +53,14 @@
 	return n
 }
 
-// setTimer sets a node's one timer; earlier settings of it are void.
+// setTimer sets the timer of a node. It replaces an earlier setting.
 func (s *Sim) setTimer(n *node, after time.Duration) {
 	n.timerSettings++
 	s.schedule(&event{at: s.now + max(after, 0), kind: eventTimer, node: n, timerSetting: n.timerSettings})
 }
 
-// takeDecisions carries out each decision that the node's engine has made.
+// takeDecisions carries out the decisions of a node's engine. A decision on a request with an attempt in flight waits for the
+// result of the attempt, as it does on sockets.
 func (s *Sim) takeDecisions(n *node) {
 	for len(n.decided) > 0 {
 		next := n.decided[0]
@@ -68,7 +69,7 @@
 		if req == nil {
 			continue
 		}
-		if req.attempt != nil { // as on sockets: the attempt's result is reported before the next step is taken
+		if req.attempt != nil {
 			req.decisionWaits = true
 			continue
 		}
@@ -92,7 +93,7 @@
 	}
 }
 
-// attemptTimeout ends an attempt that its node has waited for long enough.
+// attemptTimeout ends an attempt at its timeout, unless it has ended.
 func (s *Sim) attemptTimeout(a *attempt) {
 	if !a.ended {
 		a.ended, a.outcome = true, protocol.TimedOut
@@ -100,7 +101,7 @@
 	}
 }
 
-// report reports an attempt's result to its node, unless its request has gone on without it.
+// report reports the result of an attempt to its node. It ignores an attempt that its request has replaced.
 func (s *Sim) report(a *attempt) {
 	req := a.request
 	if req.attempt != a {
@@ -120,7 +121,7 @@
 		Duration: s.now - a.sentAt,
 		Units:    s.cfg.Traffic.Classes[req.class].Units,
 	})
-	if a.outcome == protocol.Completed { // the answer: no decision follows
+	if a.outcome == protocol.Completed { // the final response: no decision follows
 		s.end(req, outcomeCompleted)
 		s.release(req)
 		return
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A recorder's lines are of one second each, but for what is open and ran twice; its totals are of all.
-func TestRecorder(t *testing.T) {
+// A line counts one second, except for open requests and requests executed twice. The totals count the whole run.
+func TestRecorderCountsSecondsAndTotals(t *testing.T) {
 	var series bytes.Buffer
 	r := NewRecorder(&series)
 	r.begin(&Config{Policy: Module, Nodes: 2})
@@ -39,7 +39,7 @@
 
 var errFull = errors.New("full")
 
-// fullDisk is a writer that takes one line.
+// fullDisk is a writer that fails after one line.
 type fullDisk struct{ lines int }
 
 func (d *fullDisk) Write(text []byte) (int, error) {
@@ -49,8 +49,8 @@
 	return len(text), nil
 }
 
-// The first error of the series is kept, and nothing more is written after it.
-func TestRecorderKeepsTheFirstError(t *testing.T) {
+// Err returns the first error. After an error no line is written.
+func TestRecorderKeepsFirstError(t *testing.T) {
 	disk := &fullDisk{}
 	r := NewRecorder(disk)
 	for i := range 4 {
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -8,37 +8,37 @@
 	"cherrygap/internal/settings"
 )
 
-// tenant is the number of a customer, by which its quota and its set of nodes are found.
+// tenant is the number of a customer. It determines the customer's quota and node set.
 type tenant uint64
 
-// defaultRetryAfter is when a client comes again that has no advice.
+// defaultRetryAfter is the delay of a client's retry without a Retry-After.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// request is a client's request at one node. A retry by the client is another request.
+// request is a client's request at a node. A client's retry is another request.
 type request struct {
 	node          *node
-	routed        *routing.Request // with the Module policy, until it is released
-	class         int              // index in Traffic.Bands
+	routed        *routing.Request // policy Module: nil once it is released
+	class         int              // index into Traffic.Classes
 	tenant        tenant
 	arrivedAt     time.Duration
-	deadline      time.Duration // when its client stops waiting
-	retry         bool          // its client comes again
-	retrySafe     bool          // it may run more than once
-	attempt       *attempt      // in flight
-	decisionWaits bool          // a decision was made while an attempt is in flight: taken once its result is reported
-	attempts      int           // with a baseline: made so far
-	begun         int           // attempts that servers began to work on
-	ended         bool          // it has its final answer
+	deadline      time.Duration // time at which the client stops waiting
+	retry         bool          // whether the request is a client's retry
+	retrySafe     bool          // whether the request may be executed more than once
+	attempt       *attempt      // in flight; nil for none
+	decisionWaits bool          // whether a decision waits for the result of the attempt in flight
+	attempts      int           // baseline policies: number of attempts made
+	begun         int           // number of attempts that servers began to execute
+	ended         bool          // whether the client has the final response or stopped waiting
 }
 
-// arrive plays an arrival and schedules the next.
+// arrive handles an arrival and schedules the next one.
 func (s *Sim) arrive() {
 	a := s.nextArrival
 	s.addRequest(a.Class, tenant(a.Customer), false)
 	s.scheduleArrival()
 }
 
-// addRequest brings a request to a node of its tenant's set.
+// addRequest sends a client's request to a random node of its tenant's node set.
 func (s *Sim) addRequest(class int, from tenant, retry bool) {
 	cfg := s.cfg.Traffic.Classes[class]
 	spread := s.spread()
@@ -64,36 +64,37 @@
 	s.takeDecisions(n)
 }
 
-// spread is how many nodes take in each tenant.
+// spread returns the number of nodes in each tenant's node set.
 func (s *Sim) spread() int { return min(max(1, s.cfg.Traffic.Spread), s.cfg.Nodes) }
 
-// canceller cancels a request's attempt for its node's engine: it ends at once, as a closed connection does.
+// canceller implements the cancellation of a request's attempts for its node's engine.
 type canceller struct {
 	sim     *Sim
 	request *request
 }
 
+// Cancel ends the attempt with a number if it is in flight.
 func (c canceller) Cancel(number int) {
 	if a := c.request.attempt; a != nil && a.number == number && !a.ended {
-		c.sim.answer(a, protocol.Cancelled, 0)
+		c.sim.respond(a, protocol.Cancelled, 0)
 		a.ended = true
 	}
 }
 
-// clientTimeout has a client stop waiting.
+// clientTimeout ends a request whose client stops waiting, unless it has ended.
 func (s *Sim) clientTimeout(req *request) {
 	if req.ended {
 		return
 	}
-	s.end(req, outcomeGaveUp)
+	s.end(req, outcomeTimedOut)
 	if req.routed != nil {
 		req.routed.ClientGone()
 		s.takeDecisions(req.node)
 	}
 }
 
-// scheduleRetry brings the client of a rejected request back once, with the chance that the traffic sets, after the time
-// that it was advised.
+// scheduleRetry schedules the client's retry of a rejected request, with Traffic.RetryProbability and after retryAfter. A
+// client retries once.
 func (s *Sim) scheduleRetry(req *request, retryAfter time.Duration) {
 	if req.retry || s.random.Float64() >= s.cfg.Traffic.RetryProbability {
 		return
@@ -104,7 +105,7 @@
 	s.schedule(&event{at: s.now + retryAfter, kind: eventRetry, request: req})
 }
 
-// end gives a request its one final answer; later ones are not counted.
+// end ends a request with its final outcome, unless it has ended.
 func (s *Sim) end(req *request, outcome requestOutcome) {
 	if req.ended {
 		return
@@ -113,7 +114,7 @@
 	s.recorder.ended(req, outcome, s.now)
 }
 
-// release gives the request's room at its node back.
+// release removes a request from its node.
 func (s *Sim) release(req *request) {
 	if req.routed != nil {
 		delete(req.node.requests, req.routed)
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -13,20 +13,24 @@
 	"cherrygap/internal/routing"
 )
 
-// server is a modelled app server. Its figures are those of Config.Server; what the nodes see of it is a routing.Server.
+// minServiceUnits is the lowest number of units that the service time is multiplied with.
+const minServiceUnits = 0.1
+
+// server is a simulated app server with the parameters of Config.Server.
 type server struct {
 	id              int
-	endpoint        protocol.Endpoint
-	random          *rand.Rand // draws service times and faults
-	inWork          int
+	endpoint        protocol.Endpoint // in the endpoint list
+	random          *rand.Rand        // of service times and faults
+	executing       int               // number of attempts that the server executes
 	queue           []*attempt
-	startedAt       time.Duration // of the process; below 0 long ago
+	startedAt       time.Duration // time of the last start; negative for long ago
 	down            bool
 	draining        bool
-	drainNotifiedAt time.Duration // when the nodes were notified of its drain; -1 before
+	drainNotifiedAt time.Duration // time at which the nodes were notified of the drain; -1 before
 	sampledWork     int           // work at the last sample
 }
 
+// newServer returns a warm server. seed is the seed of the run.
 func newServer(id int, seed uint64) *server {
 	return &server{
 		id: id,
@@ -42,23 +46,23 @@
 	}
 }
 
-// work is how many attempts the server has in hand.
-func (sv *server) work() int { return sv.inWork + len(sv.queue) }
+// work returns the number of attempts that the server executes or has queued.
+func (sv *server) work() int { return sv.executing + len(sv.queue) }
 
-// attempt is one attempt of a request at a server.
+// attempt is an attempt of a request at a server.
 type attempt struct {
-	request *request
-	number  int // in its request, from 0
-	server  *server
-	sentAt  time.Duration
-	ended   bool             // for its node
-	inWork  bool             // at its server
-	lost    bool             // by a fault: its answer never comes
-	giveUp  time.Duration    // when its server no longer begins to work on it
-	outcome protocol.Outcome // once it is in work: how that will end
+	request   *request
+	number    int // in its request, from 0
+	server    *server
+	sentAt    time.Duration
+	ended     bool             // whether the node has the result
+	executing bool             // whether the server executes the attempt
+	lost      bool             // whether a fault loses the response
+	expiresAt time.Duration    // time after which the server rejects the attempt from its queue
+	outcome   protocol.Outcome // result of the execution
 }
 
-// send sends an attempt to a server, with a timeout unless that is 0.
+// send sends an attempt to a server. A timeout of 0 means none.
 func (s *Sim) send(req *request, number int, sv *server, timeout time.Duration) {
 	a := &attempt{request: req, number: number, server: sv, sentAt: s.now}
 	req.attempt = a
@@ -69,48 +73,49 @@
 		s.recorder.lateToDrained++
 	}
 	if sv.draining {
-		s.answer(a, protocol.Overloaded, s.cfg.RTT)
+		s.respond(a, protocol.Overloaded, s.cfg.RTT)
 		return
 	}
 	if sv.down {
-		s.answer(a, protocol.ConnectFailed, s.cfg.RTT)
-		a.ended = true // whatever else happens meanwhile
+		s.respond(a, protocol.ConnectFailed, s.cfg.RTT)
+		a.ended = true // a later timeout has no effect
 		return
 	}
 	s.receive(a)
 }
 
-// receive takes an attempt in at its server: it is begun, queued, rejected or never answered.
+// receive handles an attempt at its server: the server executes, queues, rejects or ignores it.
 func (s *Sim) receive(a *attempt) {
 	sv := a.server
 	faults := s.activeFaults(sv)
 	switch {
 	case hasFault(faults, emulator.Refuse):
-		s.answer(a, protocol.Overloaded, s.cfg.RTT)
+		s.respond(a, protocol.Overloaded, s.cfg.RTT)
 		return
 	case hasFault(faults, emulator.Silence):
-		return // read, but neither run nor answered
+		return
 	}
-	a.giveUp = a.request.deadline
+	a.expiresAt = a.request.deadline
 	switch {
-	case sv.inWork < s.cfg.Server.Concurrency:
+	case sv.executing < s.cfg.Server.Concurrency:
 		s.begin(a, faults)
 	case len(sv.queue) < s.cfg.Server.Queue:
 		sv.queue = append(sv.queue, a)
 	default:
-		s.answer(a, protocol.Overloaded, s.cfg.RTT)
+		s.respond(a, protocol.Overloaded, s.cfg.RTT)
 	}
 }
 
-// begin begins the work on an attempt. It takes a log-normal time, longer while the server is warming up and by faults.
+// begin begins the execution of an attempt. The service time is log-normal, and longer while the server warms up and with
+// emulator.Slow.
 func (s *Sim) begin(a *attempt, faults []emulator.Fault) {
 	sv, cfg := a.server, s.cfg.Server
-	sv.inWork++
-	a.inWork = true
+	sv.executing++
+	a.executing = true
 	a.request.begun++
 	s.recorder.begun(a.request)
 	units := s.cfg.Traffic.Classes[a.request.class].Units
-	ms := cfg.ServiceMs * math.Max(units, 0.1) * math.Exp(cfg.Spread*sv.random.NormFloat64())
+	ms := cfg.ServiceMs * math.Max(units, minServiceUnits) * math.Exp(cfg.Spread*sv.random.NormFloat64())
 	if up := (s.now - sv.startedAt).Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
 		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
@@ -129,41 +134,41 @@
 			a.lost = true
 		}
 	}
-	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
+	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventExecuted, attempt: a})
 }
 
-// workDone ends the work on an attempt, answers it, and begins the next in the server's queue.
-func (s *Sim) workDone(a *attempt) {
+// executed ends the execution of an attempt, responds to it, and begins the next attempts in the server's queue.
+func (s *Sim) executed(a *attempt) {
 	sv := a.server
-	if !a.inWork {
+	if !a.executing {
 		return
 	}
-	a.inWork = false
-	sv.inWork--
+	a.executing = false
+	sv.executing--
 	if !a.lost {
-		s.answer(a, a.outcome, s.cfg.RTT/2)
+		s.respond(a, a.outcome, s.cfg.RTT/2)
 	}
-	for len(sv.queue) > 0 && sv.inWork < s.cfg.Server.Concurrency {
+	for len(sv.queue) > 0 && sv.executing < s.cfg.Server.Concurrency {
 		next := sv.queue[0]
 		sv.queue = sv.queue[1:]
 		switch {
 		case next.ended:
-		case s.now > next.giveUp: // its client has stopped waiting
-			s.answer(next, protocol.Overloaded, s.cfg.RTT/2)
+		case s.now > next.expiresAt:
+			s.respond(next, protocol.Overloaded, s.cfg.RTT/2)
 		default:
 			s.begin(next, s.activeFaults(sv))
 		}
 	}
 }
 
-// answer brings an attempt's result to its node after a while, unless it has ended there.
-func (s *Sim) answer(a *attempt, outcome protocol.Outcome, after time.Duration) {
+// respond sends the result of an attempt to its node, which receives it after a time. It does nothing if the attempt has ended.
+func (s *Sim) respond(a *attempt, outcome protocol.Outcome, after time.Duration) {
 	if !a.ended {
 		s.schedule(&event{at: s.now + after, kind: eventResult, attempt: a, outcome: outcome})
 	}
 }
 
-// serversOf are the servers that a fault is of: one, or all where the number is -1.
+// serversOf returns the servers that a fault affects: the one with a number, or all for -1.
 func (s *Sim) serversOf(number int) []*server {
 	if number == -1 {
 		return s.servers
@@ -174,7 +179,7 @@
 	return nil
 }
 
-// restart takes servers down, whose queues are lost with their connections, or brings them back to warm up.
+// restart stops servers, which resets the attempts in their queues, or starts them with a warm-up.
 func (s *Sim) restart(number int, down bool) {
 	for _, sv := range s.serversOf(number) {
 		sv.down = down
@@ -183,20 +188,20 @@
 			continue
 		}
 		for _, a := range sv.queue {
-			s.answer(a, protocol.ConnectionReset, 0)
+			s.respond(a, protocol.ConnectionReset, 0)
 		}
 		sv.queue = nil
 	}
 }
 
-// drain has servers reject what comes.
+// drain begins the drain of servers: they reject new attempts.
 func (s *Sim) drain(number int) {
 	for _, sv := range s.serversOf(number) {
 		sv.draining = true
 	}
 }
 
-// notifyDrain notifies the nodes of a drain, as a watch event of discovery does. Baselines don't listen.
+// notifyDrain notifies the nodes of a drain with a watch event. The baseline policies ignore it.
 func (s *Sim) notifyDrain(number int) {
 	var changed []protocol.Endpoint
 	for _, sv := range s.serversOf(number) {
@@ -213,7 +218,7 @@
 	}
 }
 
-// activeFaults draws which of the faults of this time hit a server's next attempt.
+// activeFaults draws the faults that affect the next attempt at a server.
 func (s *Sim) activeFaults(sv *server) []emulator.Fault {
 	var active []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
@@ -227,6 +232,7 @@
 	return active
 }
 
+// hasFault reports whether one of the faults has a kind.
 func hasFault(faults []emulator.Fault, kind emulator.Kind) bool {
 	return slices.ContainsFunc(faults, func(f emulator.Fault) bool { return f.Kind == kind })
 }
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -1,11 +1,10 @@
-// Package model is the laboratory's fleet model: discrete events in virtual time, with edge nodes that each run the real
-// decision engine through internal/routing (or a baseline policy, for comparison), app servers modelled as the emulator
-// plays them, the load tool's arrivals, and the emulator's fault schedules. One goroutine plays one event heap ordered by
-// time and then by sequence, and random draws come from math/rand/v2 seeded per part: the same configuration and seed give
-// the same run, event for event.
+// Package model is the laboratory's model of a fleet: a simulation of discrete events in virtual time. Each simulated node
+// runs the real decision engine through internal/routing, or a baseline policy for comparison. App servers and fault
+// schedules are those of the emulator, arrivals those of the load generator. It simulates fleets that are too large for
+// sockets on one machine.
 //
-// It exists to try designs at sizes that sockets on one machine don't reach (hundreds of nodes, hundreds of servers, an
-// hour of traffic); its figures are of simulated servers and say so.
+// One goroutine processes one queue of events, ordered by time and then by sequence. Random draws come from math/rand/v2, with
+// separate seeds for the simulation, each server and the traffic. The same configuration yields the same events.
 package model
 
 import (
@@ -19,38 +18,38 @@
 	"cherrygap/internal/protocol"
 )
 
-// drainNotice is how long after a drain begins discovery notifies the nodes of it. From then on they have drainCutoff (the
-// platform's rule 3) until nothing new may reach the server.
 const (
+	// drainNotice is the time from the begin of a drain until discovery notifies the nodes.
 	drainNotice = 100 * time.Millisecond
+	// drainCutoff is the time from the notification until no new attempt may be sent to the server (the platform's rule 3).
 	drainCutoff = 500 * time.Millisecond
 )
 
-// simulationSeed sets the draws of the simulation apart from those of the servers and of the traffic.
-const simulationSeed = 0x6d6f64656c
+// simulationStream is the second word of the seed of the simulation's draws.
+const simulationStream = 0x6d6f64656c
 
-// Sim is one run in progress. It is for one goroutine.
+// Sim is a run. It is not safe for concurrent use.
 type Sim struct {
 	cfg      Config
-	random   *rand.Rand // draws nodes and retries
+	random   *rand.Rand // of nodes and clients' retries
 	recorder *Recorder
 
-	epoch  time.Time     // of virtual time
-	now    time.Duration // since the epoch
+	epoch  time.Time     // begin of virtual time
+	now    time.Duration // virtual time since epoch
 	queue  eventQueue
-	seq    uint64 // events scheduled
-	played int64  // events played
+	seq    uint64 // number of events scheduled
+	played int64  // number of events processed
 
-	stream      *load.Stream // of arrivals
+	stream      *load.Stream // of the arrivals
 	nextArrival load.Arrival
 
 	nodes    []*node
 	servers  []*server
 	byAddr   map[netip.AddrPort]*server
-	revision uint64 // of the endpoint list that the nodes have
+	revision uint64 // of the nodes' endpoint list
 }
 
-// New prepares a run, or returns a *ConfigError for a configuration that can't be run.
+// New returns a run that has not begun. For an invalid configuration the error is a *ConfigError.
 func New(cfg Config, recorder *Recorder) (*Sim, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -59,7 +58,7 @@
 	cfg.Traffic.DurationS = cfg.Seconds
 	s := &Sim{
 		cfg:      cfg,
-		random:   rand.New(rand.NewPCG(cfg.Seed, simulationSeed)),
+		random:   rand.New(rand.NewPCG(cfg.Seed, simulationStream)),
 		recorder: recorder,
 		epoch:    time.Unix(1_800_000_000, 0),
 		stream:   load.NewStream(cfg.Traffic, cfg.Seed),
@@ -88,8 +87,7 @@
 	return s, nil
 }
 
-// scheduleFaults schedules the faults that begin and end at a time. The others are looked up for each attempt: see
-// activeFaults.
+// scheduleFaults schedules restarts and drains. activeFaults handles all other faults.
 func (s *Sim) scheduleFaults() {
 	for _, f := range s.cfg.Schedule.Faults {
 		switch f.Kind {
@@ -103,7 +101,7 @@
 	}
 }
 
-// scheduleArrival draws the next arrival, if there is one more.
+// scheduleArrival schedules the next arrival, if there is one.
 func (s *Sim) scheduleArrival() {
 	var more bool
 	if s.nextArrival, more = s.stream.Next(); more {
@@ -111,9 +109,10 @@
 	}
 }
 
+// clock returns the virtual time.
 func (s *Sim) clock() time.Time { return s.epoch.Add(s.now) }
 
-// Run plays the run to its end and returns its totals.
+// Run processes all events and returns the totals. It must be called once.
 func (s *Sim) Run() Totals {
 	end := time.Duration(s.cfg.Seconds * float64(time.Second))
 	for s.queue.Len() > 0 {
@@ -129,7 +128,7 @@
 	return s.recorder.Totals(s.played)
 }
 
-// sample ends a second of the series. It is also what the LeastBusy policy sees of the servers' load.
+// sample ends a second of the series, and samples the servers' work for the policy LeastBusy.
 func (s *Sim) sample() {
 	var now fleetSample
 	concurrency := float64(s.cfg.Server.Concurrency)
