--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -14,10 +14,10 @@
 	"cherrygap/internal/protocol"
 )
 
-// agent is discovery's agent: up or down, it answers with a list of its revision.
+// agent is discovery's agent, up or down. It answers with a list of its revision.
 type agent struct {
-	mute  int           // connections at the start that are never answered
-	late  time.Duration // of every answer
+	mute  int           // number of first connections that are never answered
+	late  time.Duration // delay of each response
 	calls atomic.Int64
 
 	mu       sync.Mutex // guards all below
@@ -30,7 +30,7 @@
 	return &agent{mute: mute, late: late, up: true, revision: 1, conns: map[net.Conn]struct{}{}}
 }
 
-// serve answers calls on a listener until that is closed.
+// serve answers calls on a listener until the listener is closed.
 func (a *agent) serve(listener net.Listener) {
 	for accepted := 0; ; accepted++ {
 		conn, err := listener.Accept()
@@ -44,7 +44,7 @@
 	}
 }
 
-// answer answers the calls of one connection. One that comes while the agent is down never is.
+// answer answers the calls of one connection. A call that arrives while the agent is down is never answered.
 func (a *agent) answer(conn net.Conn, mute bool) {
 	defer nettest.Close(conn)
 	reader := bufio.NewReader(conn)
@@ -59,7 +59,7 @@
 			up, revision := a.up, a.revision
 			a.mu.Unlock()
 			if !up || mute {
-				nettest.WaitForClose(conn) // the node gives it up
+				nettest.WaitForClose(conn) // the client times out
 				return
 			}
 			if hold := request.FormValue("hold_ms"); from == "" || from != fmt.Sprint(revision) || hold == "1" {
@@ -80,7 +80,7 @@
 	a.up, a.revision = up, revision
 }
 
-// reset ends all connections.
+// reset closes all connections.
 func (a *agent) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,10 +91,10 @@
 	clear(a.conns)
 }
 
-// agentTerm is the smallest grace of a drain that any settings name: what the agent has must be known well before.
+// agentTerm bounds the time until the client has a change. It is below the shortest drain grace period.
 const agentTerm = 200 * time.Millisecond
 
-// An agent whose connections don't come up, and then do.
+// The client receives the list soon after an agent accepts connections again.
 func TestDiscoveryClientReceivesListOnceAgentIsUp(t *testing.T) {
 	addr, empty := nettest.FullServer(t)
 	listed := make(chan time.Time, 99)
@@ -104,7 +104,7 @@
 	})
 	time.Sleep(300 * time.Millisecond)
 	listener := empty()
-	for range 2 { // those that filled its queue
+	for range 2 { // the connections that filled the queue
 		if conn, err := listener.Accept(); err == nil {
 			nettest.Close(conn)
 		}
@@ -116,13 +116,13 @@
 	}
 }
 
-// What discovery's agent has counts as known, whether or not a call is open. The client hears of it in good time, whatever
-// became of its calls before: never answered, refused, without a connection, or reset.
+// In watch mode the agent's change counts as known whether or not a call is open. The client receives it in time,
+// whatever happened to its earlier calls.
 func TestDiscoveryClientReceivesChangesInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		mute  int
 		late  time.Duration
-		fault func(*agent, net.Listener) net.Listener // brings on the fault and ends it; returns the listener from then on
+		fault func(*agent, net.Listener) net.Listener // starts and ends the fault; returns the current listener
 	}{
 		"calls made while it is down are never answered": {fault: func(a *agent, listener net.Listener) net.Listener {
 			a.set(false, 1)
@@ -171,7 +171,7 @@
 	}
 }
 
-// awaitRevision waits until a revision is known, which may take a time from now on.
+// awaitRevision waits until the client has a revision, and fails the test if that takes too long.
 func awaitRevision(t *testing.T, revisions <-chan uint64, want uint64, within time.Duration) {
 	t.Helper()
 	since := time.Now()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// startDiscoveryClient runs a client, of which only what matters to a test is set, until the test ends.
+// startDiscoveryClient runs a client until the test ends, with defaults for unset fields.
 func startDiscoveryClient(t *testing.T, client *Client) {
 	t.Helper()
 	log := zerolog.Nop()
@@ -46,8 +46,8 @@
 	}
 }
 
-// A revision that goes back is of a discovery that counts anew: the client asks it for the full list, or it would wait for
-// a revision that is far off while servers drain.
+// After a lower revision the client asks for the full list. Otherwise it would wait for a distant revision while
+// servers drain.
 func TestDiscoveryClientAsksForAllWhereRevisionsGoBack(t *testing.T) {
 	listener, calls := nettest.Listen(t), make(chan string, 99)
 	go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A list that takes a second to come in is read once, and not on a dozen connections beside each other, which on one core
-// would all be late; one that stops half-way is left to another connection within the time that the agent's news has.
+// A list that takes a second to arrive is read once, not on a dozen connections side by side, which on one core would
+// all time out. After one that stops half-way another connection delivers the list in time.
 func TestDiscoveryClientReadsALongListOnce(t *testing.T) {
 	for name, stops := range map[string]bool{"slow": false, "stops half-way": true} {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// The next call follows the last answer at once; a list that can't be read is counted and dropped.
+// The next call follows the last response at once. A malformed list is counted and dropped.
 func TestDiscoveryClientGoesOn(t *testing.T) {
 	listener, calls := nettest.Listen(t), make(chan string, 9)
 	go answerInTurn(listener, calls, `{"rev":5,"all":true,"targets":[]}`, `{"rev":6,"targets":[]}`, `{"rev":"x"}`,
@@ -130,7 +130,7 @@
 	})
 	for _, want := range []string{
 		"/v1/servers", "/v1/servers?from=5&hold_ms=1000", "/v1/servers?from=6&hold_ms=1000",
-		"/v1/servers?from=6&hold_ms=1", // the first on a connection is answered at once
+		"/v1/servers?from=6&hold_ms=1", // the first call on a connection has a short hold
 	} {
 		if got := <-calls; got != want {
 			t.Errorf("call %q, want %q", got, want)
@@ -146,7 +146,7 @@
 	}
 }
 
-// answerInTurn serves one connection after another, until all answers are given.
+// answerInTurn serves one connection after another until all answers are sent.
 func answerInTurn(listener net.Listener, calls chan<- string, answers ...string) {
 	for {
 		conn, err := listener.Accept()
@@ -166,7 +166,7 @@
 	}
 }
 
-// A call that discovery takes and never answers must not leave the node deaf for long: servers are replaced meanwhile.
+// After a call that is never answered the client soon makes another one.
 func TestDiscoveryClientAsksAgainWhereACallIsLost(t *testing.T) {
 	listener, calls := nettest.Listen(t), atomic.Int64{}
 	go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -176,14 +176,14 @@
 		nettest.WriteString(w, `{"rev":5,"targets":[]}`)
 	}))
 	startedAt := time.Now()
-	startDiscoveryClient(t, &Client{Addr: listener.Addr().String()}) // nothing is told of failures
+	startDiscoveryClient(t, &Client{Addr: listener.Addr().String()}) // without OnFailure
 	nettest.Eventually(t, "another call", func() bool { return calls.Load() > 2 })
 	if took := time.Since(startedAt); took > 4*time.Second {
 		t.Errorf("deaf for %v", took)
 	}
 }
 
-// Discovery moves: the client leaves a call that is held, and asks the new address for the full list.
+// SwitchTo abandons a held call, and the client asks the new address for the full list.
 func TestDiscoveryClientSwitches(t *testing.T) {
 	calls := make(chan string, 9)
 	var addrs []string
--- a/internal/discovery/fakediscovery_test.go
+++ b/internal/discovery/fakediscovery_test.go
@@ -13,10 +13,10 @@
 	"cherrygap/internal/nettest"
 )
 
-// A fault is what discovery does to a call that it has taken. Calls that came before the fault ended keep their fate.
+// fault is how discovery mishandles a call. A call that arrived during a fault keeps it after the fault has ended.
 type fault func(conn net.Conn, answer string)
 
-// faults are what may become of calls, by name.
+// faults are the faults of single calls by name.
 var faults = map[string]fault{
 	"never answered": func(conn net.Conn, _ string) { nettest.DiscardAll(conn) },
 	"closed":         func(net.Conn, string) {},
@@ -61,31 +61,31 @@
 
 const unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-// listResponse is an answer of discovery.
+// listResponse is a response with a list.
 func listResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// fakeDiscovery knows two app servers, of which the first drains from a change on.
+// fakeDiscovery lists two app servers. The first one drains after a change.
 type fakeDiscovery struct {
 	listener net.Listener
 	addr     string
 	rand     *rand.Rand
-	strict   bool // a revision that it never had is refused
+	strict   bool // refuses calls with an unknown revision
 
 	mu          sync.Mutex // guards all below
 	fault       fault      // nil: none
 	revision    uint64
 	drains      bool
-	changed     chan struct{} // closed at each change of the above
-	faultyCalls chan struct{} // a call was taken while there is a fault
+	changed     chan struct{} // closed at each change of the fields above
+	faultyCalls chan struct{} // has an element after a call during a fault
 	conns       map[net.Conn]struct{}
-	open        int // calls that are not answered nor given up
+	open        int // calls in flight
 	mostOpen    int
-	faulty      int // calls taken while there is a fault
+	faulty      int // calls during a fault
 }
 
-// set changes what discovery says or does.
+// set changes the list or the fault.
 func (d *fakeDiscovery) set(fault fault, revision uint64, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +94,7 @@
 	d.changed = make(chan struct{})
 }
 
-// reset ends all connections.
+// reset closes all connections.
 func (d *fakeDiscovery) reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,7 +105,7 @@
 	clear(d.conns)
 }
 
-// openCalls is how many calls are not answered nor given up.
+// openCalls returns the number of calls in flight.
 func (d *fakeDiscovery) openCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// list is what discovery tells whoever knows a revision.
+// list returns the response body for a caller that knows a revision.
 func (d *fakeDiscovery) list(full bool, from uint64) string {
 	state := "in_service"
 	if d.drains {
@@ -148,7 +148,7 @@
 	return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, d.revision)
 }
 
-// answer answers one call, and reports whether the connection stays.
+// answer answers one call and reports whether the connection stays open.
 func (d *fakeDiscovery) answer(conn net.Conn, request *http.Request) bool {
 	full := request.FormValue("from") == ""
 	from, _ := strconv.ParseUint(request.FormValue("from"), 10, 64)
@@ -164,7 +164,7 @@
 		case fault != nil:
 			d.faulty++
 			d.mu.Unlock()
-			d.tellFaulty()
+			d.notifyFaulty()
 			fault(conn, text)
 			d.mu.Lock()
 			d.open--
@@ -192,7 +192,7 @@
 	}
 }
 
-func (d *fakeDiscovery) tellFaulty() {
+func (d *fakeDiscovery) notifyFaulty() {
 	select {
 	case d.faultyCalls <- struct{}{}:
 	default:
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -25,31 +25,29 @@
 	"cherrygap/internal/settings"
 )
 
-// The term: whatever happened to a call to discovery, a change counts as known so long after discovery had it and could be
-// reached. The node must have it a margin before, as a busy machine is late.
 const (
-	recoveryTerm   = 6 * time.Second
-	recoveryMargin = 500 * time.Millisecond
+	recoveryTerm   = 6 * time.Second        // after it the platform counts a change as known to the node
+	recoveryMargin = 500 * time.Millisecond // by which the node must be earlier, as a busy machine is late
 )
 
-// Faults that are no matter of one call.
+// Faults of the connection or of discovery as a whole, not of single calls.
 const (
-	faultRefused      = "refused"       // its listener is closed
-	faultNoConnection = "no connection" // its listener's queue is full
-	faultNewCount     = "counts anew"
-	faultNewStrict    = "counts anew, strictly"
+	faultRefused      = "refused"       // the listener is closed
+	faultNoConnection = "no connection" // the listener's queue is full
+	faultNewCount     = "new revisions"
+	faultNewStrict    = "new revisions, strict"
 	faultMoved        = "moved"
 	faultMovedWaiting = "moved while it waits"
 )
 
-// recovery is one node and its discovery, and the fault between them.
+// recovery is one node and its discovery, with a fault between them.
 type recovery struct {
-	mode    string // how lists come: ask or push
+	mode    string // poll or push
 	fault   string
-	follows bool // a call was held when the fault began; else it began with the node
-	failed  int  // calls that failed before
-	after   int  // the fault ends with so many calls taken in it, or where it takes none,
-	lasts   time.Duration
+	follows bool          // a call was held when the fault began; otherwise the fault began with the node
+	failed  int           // failed calls before the fault
+	after   int           // calls during the fault after which it ends, if it takes calls
+	lasts   time.Duration // how long the fault lasts after that
 	seed    uint64
 }
 
@@ -58,26 +56,26 @@
 		r.failed, r.after, r.lasts, r.seed)
 }
 
-// timed reports whether the fault takes no calls, so that it ends by time alone.
+// timed reports whether the fault takes no calls, and so ends after a time.
 func (r recovery) timed() bool { return r.fault == faultRefused || r.fault == faultNoConnection }
 
-// newCount reports whether discovery counts anew, from a lower revision.
+// newCount reports whether discovery restarts with a lower revision.
 func (r recovery) newCount() bool { return r.fault == faultNewCount || r.fault == faultNewStrict }
 
-// recoveryRun is a run of one.
+// recoveryRun is the state of one run.
 type recoveryRun struct {
 	recovery
 	discovery *fakeDiscovery
 	host      string
-	empty     func() net.Listener // makes connections come up, where they don't
+	empty     func() net.Listener // empties the full queue of faultNoConnection
 	router    *routing.Router
 	timer     *netio.Timer
 	client    *Client
-	known     chan time.Time // when the node acts on the change
+	known     chan time.Time // when the node applied the change
 }
 
-// run brings on the fault and ends it, and returns how long the node took to act on the change that discovery had from
-// then on. In ask mode it also counts calls out at once and during the fault, against a flood.
+// run starts and ends the fault and returns how long the node took to apply the change that discovery had from then on.
+// In ask mode it also checks that calls do not overlap and are not too frequent.
 func (r recovery) run(t *testing.T) (time.Duration, error) {
 	run := &recoveryRun{recovery: r, known: make(chan time.Time, 99)}
 	if err := run.startDiscovery(t); err != nil {
@@ -96,7 +94,7 @@
 		return 0, err
 	}
 	time.Sleep(r.lasts)
-	// From here on discovery has the change and can be reached.
+	// From here on discovery has the change and is reachable.
 	if strings.HasPrefix(r.fault, faultMoved) {
 		return run.move()
 	}
@@ -109,7 +107,7 @@
 		rand: rand.New(rand.NewPCG(r.seed, 2)), strict: r.fault == faultNewStrict,
 	}
 	r.discovery = d
-	// Of an address of its own, which nobody takes while it is closed.
+	// An address of its own, which no other test takes while it is closed.
 	r.host = fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
 	if r.fault == faultNoConnection {
 		var addr netip.AddrPort
@@ -128,7 +126,7 @@
 	return nil
 }
 
-// makeNode makes a node that knows what discovery has.
+// makeNode makes a node that knows discovery's first list.
 func (r *recoveryRun) makeNode() {
 	polls := make(chan struct{}, 1)
 	r.router = routing.New(routing.Config{
@@ -150,7 +148,7 @@
 	for range r.failed {
 		r.router.PollFailed()
 	}
-	if r.failed > 0 { // it has polled for the first time
+	if r.failed > 0 { // drop the first poll request
 		select {
 		case <-polls:
 		default:
@@ -182,7 +180,7 @@
 	}
 }
 
-// callFault is the fault of single calls.
+// callFault returns the fault of single calls.
 func (r *recoveryRun) callFault() fault {
 	if r.fault == faultMovedWaiting {
 		return faults["503 at once"]
@@ -201,12 +199,12 @@
 	r.discovery.set(r.callFault(), r.discovery.revision, false)
 }
 
-// beginFault starts the node, brings on the fault, and waits until it has taken its calls.
+// beginFault starts the node and the fault, and waits for the calls that the fault is to take.
 func (r *recoveryRun) beginFault() (startedAt time.Time, err error) {
 	holdsFirst, follows := r.follows && r.empty == nil, make(chan struct{})
 	if holdsFirst {
 		go func() {
-			for r.discovery.openCalls() == 0 { // until it holds a call
+			for r.discovery.openCalls() == 0 { // until discovery holds a call
 				time.Sleep(time.Millisecond)
 			}
 			close(follows)
@@ -237,7 +235,7 @@
 	return startedAt, nil
 }
 
-// move moves discovery; the old address stays as it was.
+// move moves discovery to another address; the fault at the old one stays.
 func (r *recoveryRun) move() (time.Duration, error) {
 	next := &fakeDiscovery{revision: 2, drains: true, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	listener, err := net.Listen("tcp", r.host+":0")
@@ -253,7 +251,7 @@
 	return r.await(endedAt)
 }
 
-// endFault ends the fault with the change.
+// endFault ends the fault with a change of the list.
 func (r *recoveryRun) endFault(startedAt time.Time) (time.Duration, error) {
 	d := r.discovery
 	d.mu.Lock()
@@ -280,7 +278,7 @@
 	return r.await(endedAt)
 }
 
-// await waits until the node acts on the change.
+// await waits until the node applies the change.
 func (r *recoveryRun) await(since time.Time) (time.Duration, error) {
 	select {
 	case at := <-r.known:
@@ -290,7 +288,7 @@
 	}
 }
 
-// recoveries are what is run with so many seeds: the fault ends just as a call that will fail was taken, and at other phases.
+// recoveries returns the runs for a number of seeds. Faults end just after a doomed call arrived, and at other phases.
 func recoveries(seeds uint64) (all []recovery) {
 	names := []string{faultRefused, faultNoConnection, faultNewCount, faultNewStrict, faultMoved, faultMovedWaiting}
 	names = slices.AppendSeq(names, maps.Keys(faults))
@@ -311,7 +309,7 @@
 	return all
 }
 
-// variants are the modes and phases of one fault.
+// variants returns the modes and phases of one fault.
 func (r recovery) variants(seed uint64) (all []recovery) {
 	add := func(mode string, after int, lasts time.Duration) {
 		all = append(all, recovery{mode: mode, fault: r.fault, follows: r.follows, after: after, lasts: lasts})
@@ -338,9 +336,9 @@
 	return all
 }
 
-// Whatever became of the calls before, the node acts on a change within the term, less a margin, from the moment on that
-// discovery has it and can be reached. In ask mode no two calls are out at once, and a discovery that rejects calls gets one
-// a second at most. RECOVERY_SEEDS in the environment sets how many seeds are run, 1 by default.
+// Whatever happened to earlier calls, the node applies a change within the term, less a margin, from when discovery has
+// it and is reachable. In ask mode calls do not overlap, and a discovery that rejects calls gets at most one a second.
+// RECOVERY_SEEDS in the environment sets the number of seeds, 1 by default.
 func TestAChangeIsKnownWithinTheTerm(t *testing.T) {
 	seeds := uint64(1)
 	if text := os.Getenv("RECOVERY_SEEDS"); text != "" {
--- a/internal/discovery/wireformat_test.go
+++ b/internal/discovery/wireformat_test.go
@@ -9,11 +9,12 @@
 	"cherrygap/internal/nettest"
 )
 
-// listed is an answer of discovery.
+// listed is a response of discovery.
 func listed(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// closing adds Connection: close to a response.
 func closing(answer string) string {
 	return strings.Replace(answer, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 }
--- a/internal/frontend/arrivals_test.go
+++ b/internal/frontend/arrivals_test.go
@@ -17,19 +17,18 @@
 	"cherrygap/internal/protocol"
 )
 
-// arrival is when an attempt's first and last byte came to an app server, by the kernel's own stamps: what the test's
-// goroutines are late by is no lateness of the node's. Bytes with a close or more bytes right behind have the stamp of
-// those. Of an attempt that never came whole there is no last.
+// arrival is when the first and last byte of an attempt arrived at an app server, by the kernel's timestamps, so that
+// delays of the test's goroutines do not count. last is zero for an incomplete attempt.
 type arrival struct{ first, last time.Time }
 
-// arrivalRecorder is app servers that note each attempt's arrival by its request's id.
+// arrivalRecorder records the arrivals of attempts at app servers by request id.
 type arrivalRecorder struct {
 	mu           sync.Mutex // guards both below
 	arrivals     map[string][]arrival
-	unattributed int // what can't be told whose it was
+	unattributed int // attempts without a readable request id
 }
 
-// timestampedReader reads a connection with the kernel's stamps of when bytes came.
+// timestampedReader reads a connection with the kernel's timestamps of its bytes.
 type timestampedReader struct {
 	raw         syscall.RawConn
 	first, last time.Time
@@ -64,11 +63,11 @@
 	return n, nil
 }
 
-// listen runs an app server whose attempts, once whole, are answered by answer, which tells whether the connection stays.
+// listen runs an app server. answer answers each complete attempt and reports whether the connection stays open.
 func (r *arrivalRecorder) listen(listener net.Listener, answer func(net.Conn) bool) {
 	nettest.ServeConns(listener, func(conn net.Conn) {
 		raw, _ := conn.(*net.TCPConn).SyscallConn()
-		_ = raw.Control(func(fd uintptr) { // without stamps the moment of the read counts, which is later
+		_ = raw.Control(func(fd uintptr) { // without timestamps the time of the read counts, which is later
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1)
 		})
 		stamped := &timestampedReader{raw: raw}
@@ -98,7 +97,7 @@
 	})
 }
 
-// app is an app server of a node's list.
+// app starts an app server and returns its endpoint.
 func (r *arrivalRecorder) app(t *testing.T, answer func(net.Conn) bool) protocol.Endpoint {
 	t.Helper()
 	listener := nettest.Listen(t)
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Clients are owed a response or a close within 3 s of connecting, also where a message never ends. One that has sent
-// a request may stay.
+// Clients get a response or a close within 3 s of connecting, even if a message never ends. One that has sent a request
+// may stay connected.
 func TestClientsThatNeverRequestAreClosedInTime(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	stays := node.Dial(t)
@@ -83,13 +83,13 @@
 		}()
 	}
 	all.Wait()
-	// The time that its last response had is over; one to the next request has its own.
+	// The write deadline of the last response has passed; the next response has its own.
 	if status, _, _ := frontendtest.RoundTrip(t, stays, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
 
-// A stranger may send the id of another client's request, open or lately answered: that must not run.
+// A request with the id of another one, in flight or answered lately, is rejected.
 func TestIDOfAnotherRequestIsRefused(t *testing.T) {
 	received, answer := make(chan struct{}, 9), make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -19,7 +19,7 @@
 	"cherrygap/internal/settings"
 )
 
-// dialWithReceiveBuffer connects as a client whose machine takes in so many bytes before the client reads them.
+// dialWithReceiveBuffer connects as a client with a receive buffer of size bytes.
 func dialWithReceiveBuffer(t *testing.T, n *frontendtest.Node, size int) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
@@ -40,8 +40,7 @@
 	return conn
 }
 
-// A response that closes its connection comes whole to a client that reads it slowly, though the client's next request
-// crosses the close.
+// A slow client receives the complete last response, even if its next request arrives during the close.
 func TestResponseWithACloseComesWhole(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	node.Server.Draining().Store(true)
@@ -49,9 +48,9 @@
 	body := strings.Repeat("x", protocol.MaxBody)
 	nettest.WriteString(conn, frontendtest.RequestText(3000, body))
 	nettest.Eventually(t, "the response", func() bool { return node.Counters.Completed.Load() == 1 })
-	time.Sleep(20 * time.Millisecond) // the node closes now, or does not
+	time.Sleep(20 * time.Millisecond) // the node may close now
 	nettest.WriteString(conn, frontendtest.RequestText(3000, "x"))
-	time.Sleep(20 * time.Millisecond) // a reset for it would be here by now
+	time.Sleep(20 * time.Millisecond) // a reset would have arrived
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +61,7 @@
 	}
 }
 
-// A connection whose request was read is not closed to make room for another, whatever its goroutines are at.
+// A connection whose request was read is not evicted, whatever its goroutines have done so far.
 func TestNoEvictionOverARequestThatWasRead(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	conn := node.Dial(t)
@@ -76,7 +75,7 @@
 		}
 		return client.Check().Is(frontend.PhaseIdle)
 	})
-	// serve has read bytes and is not at them yet.
+	// serve has read bytes and not parsed them.
 	if !client.Check().BeginRead() {
 		t.Fatal("an idle connection can't be read")
 	}
@@ -85,7 +84,7 @@
 	if client.Check().Is(frontend.PhaseClosed) {
 		t.Error("evicted over bytes that were read")
 	}
-	// serve has handed the request over, read another behind it, and the first is answered.
+	// serve has handed the request over and read another behind it; the first one is answered.
 	client.Check().RequestRead(0)
 	if !client.Check().BeginRead() {
 		t.Fatal("nothing can be read behind an open request")
@@ -100,7 +99,7 @@
 	}
 }
 
-// A client that takes its response in never holds its slot for longer than a message may take.
+// A client that does not read its response holds its slot for at most netio.MessageTimeout.
 func TestAResponseThatIsNotTakenHoldsNoSlot(t *testing.T) {
 	t.Parallel()
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
--- a/internal/frontend/connlimit_test.go
+++ b/internal/frontend/connlimit_test.go
@@ -14,7 +14,7 @@
 	"cherrygap/internal/nettest"
 )
 
-// failingListener fails Accept so often before it hands out its connection, and is closed after that.
+// failingListener fails Accept with each of errors, then returns conn, and then is closed.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -36,8 +36,8 @@
 
 func (l *failingListener) Close() error { return nil }
 
-// Whatever accept(2) fails with for a moment, another protocol's front end goes on accepting: its server would end for good
-// at an error that does not call itself temporary, as most of these don't.
+// Accept retries after transient errors of accept(2). gRPC's server would end at most of them, because they do not call
+// themselves temporary.
 func TestLimitedListenerOutlastsAcceptErrors(t *testing.T) {
 	client, accepted := net.Pipe()
 	t.Cleanup(func() { nettest.Close(client) })
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -18,8 +18,8 @@
 	"cherrygap/internal/settings"
 )
 
-// A client that disconnects is noticed behind whatever it sent after its request, be it more than the buffer holds: its
-// attempt is cancelled, and no other follows.
+// A disconnect is noticed behind pipelined bytes, even more than the buffer holds. The attempt is cancelled, and no
+// other starts.
 func TestDisconnectBehindFurtherBytesIsNoticed(t *testing.T) {
 	for _, more := range []string{"GET /", strings.Repeat("GET /seats ", 4<<10), frontendtest.RequestText(900, "x")} {
 		received, closed := make(chan struct{}, 9), make(chan struct{}, 9)
@@ -45,8 +45,8 @@
 	}
 }
 
-// What a client sends behind its request waits for its turn, as far as the buffer holds it; past that its response is its
-// connection's last, and comes whole.
+// Pipelined requests are answered as far as the buffer holds them. Past that, the response in flight is the
+// connection's last, and it is complete.
 func TestBytesSentBehindARequest(t *testing.T) {
 	answer := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
@@ -77,7 +77,7 @@
 	}
 }
 
-// A request that lay unread until its client had gone, as while the node was paused, runs for nobody.
+// A request that is read after its client disconnected, as after a pause of the process, is not forwarded.
 func TestRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
 	var ran atomic.Int64
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
@@ -86,7 +86,7 @@
 	})
 	for _, more := range []string{"", "GET /", strings.Repeat("x", 40<<10)} {
 		for range 10 {
-			node.Server.Mutex().Lock() // acceptLoop holds the connection here
+			node.Server.Mutex().Lock() // blocks acceptLoop with the connection
 			conn := node.Dial(t)
 			nettest.WriteString(conn, frontendtest.RequestText(3000, "x")+more)
 			nettest.Close(conn)
@@ -100,8 +100,7 @@
 	}
 }
 
-// A client that disconnects while a connection is being made, where the platform lets no attempt be cancelled: what has
-// not begun does not begin.
+// A disconnect during a dial starts no attempt, even where the settings forbid the cancellation of attempts.
 func TestDisconnectDuringADial(t *testing.T) {
 	limits := frontendtest.Limits
 	limits.ConnectTimeout = 3 * time.Second
@@ -122,12 +121,12 @@
 	select {
 	case uri := <-received:
 		t.Errorf("%s was forwarded", uri)
-	case <-time.After(1500 * time.Millisecond): // a connection attempt is repeated after a second
+	case <-time.After(1500 * time.Millisecond): // the kernel repeats a SYN after a second
 	}
 }
 
-// Clients that disconnect while their requests wait for the verdict of their customer's quota owner, a node that does not
-// answer: what would be admitted by the even share once that wait is over is not forwarded.
+// Clients disconnect while their requests wait for a quota owner that does not answer. After that wait the even share
+// would admit them; they are not forwarded.
 func TestDisconnectWhileTheQuotaOwnerIsAsked(t *testing.T) {
 	wide := settings.Values{
 		settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
@@ -149,7 +148,7 @@
 	}
 	nettest.Eventually(t, "the others' ends", func() bool { return node.Counters.ClientsGone.Load() == 20 })
 	late := send("")
-	if status, _, _ := frontendtest.RoundTrip(t, late, ""); status != 200 { // which waits as long as any of them would have
+	if status, _, _ := frontendtest.RoundTrip(t, late, ""); status != 200 { // waits as long as the others would have
 		t.Errorf("the next one got %d", status)
 	}
 	if attempts := node.Counters.Upstream.Attempts.Load(); attempts != 2 {
@@ -157,7 +156,7 @@
 	}
 }
 
-// A client that disconnects is noticed while its request waits, and the attempt's connection is closed.
+// A disconnect is noticed while the request is in flight, and closes the attempt's connection.
 func TestDisconnectIsNoticed(t *testing.T) {
 	received, closed := make(chan struct{}, 1), make(chan struct{}, 1)
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
@@ -180,7 +179,7 @@
 	})
 }
 
-// A client that disconnects before the Router knows of its request: nothing runs for nobody.
+// A request whose client disconnected before the Router knew of it is not forwarded.
 func TestDisconnectBeforeTheRequestIsStarted(t *testing.T) {
 	var ran atomic.Int64
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -19,10 +19,9 @@
 	"cherrygap/internal/settings"
 )
 
-// Clients disconnect at chance moments, by a close, a reset or an end of what they send, with bytes behind their request
-// or without: while a connection is being made, while an attempt is out that then is rejected, fails or is reset, between
-// two, while a quota owner is asked, while no connection is free, on one core. No attempt's first or last byte comes to an
-// app server more than 0.1 s after.
+// Clients disconnect at random moments, by a close, a reset or a half-close, with or without pipelined bytes. Attempts
+// are being dialled, in flight, rejected, failed or reset, or wait for a quota owner or a free connection; one run has
+// one core. No byte of an attempt arrives at an app server more than 0.1 s after the disconnect.
 func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
 	few := frontendtest.Limits
 	few.Sockets = netio.MinReserved + 16
@@ -48,21 +47,21 @@
 }
 
 const (
-	startTerm = 100 * time.Millisecond // in which something may begin yet for a client that disconnected
-	unsureBy  = 5 * time.Millisecond   // a close that takes longer has no moment that is known
+	startTerm = 100 * time.Millisecond // bound of the platform on starts after a disconnect
+	unsureBy  = 5 * time.Millisecond   // longer closes have no exact time
 )
 
-// randomDisconnects plays clients that disconnect from one node.
+// randomDisconnects is one run with clients that disconnect from one node.
 type randomDisconnects struct {
 	name     string
 	seed     int64
-	most     int // clients whose request waits as they disconnect
+	most     int // disconnects with a request in flight that end the run
 	settings settings.Values
-	pool     netio.Limits // of the connections to app servers
+	pool     netio.Limits // limits of the connection pool
 	oneCore  bool
 }
 
-// disconnects is what a run has seen.
+// disconnects is the state and result of a run.
 type disconnects struct {
 	*randomDisconnects
 	node     *frontendtest.Node
@@ -72,7 +71,7 @@
 	mu      sync.Mutex // guards all below
 	rand    *rand.Rand
 	at      map[string]time.Time // by request id
-	unclear int                  // moments known to more than unsureBy only
+	unclear int                  // disconnects without an exact time
 }
 
 func (d *disconnects) chance(n int) int {
@@ -100,7 +99,7 @@
 	addr, empty := nettest.FullServer(t)
 	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
 	d.node.Router.UpdateEndpoints(list, routing.FromDiscovery)
-	within := 400 // ms; a quota owner is waited for longer
+	within := 400 // ms; longer with a quota owner
 	if r.settings[settings.Peers] == settings.On {
 		within = 1600
 	}
@@ -118,14 +117,14 @@
 		go d.play(t, client)
 		time.Sleep(pause)
 	}
-	go d.arrivals.listen(empty(), func(net.Conn) bool { return false }) // what came up late would take in what is dialled yet
+	go d.arrivals.listen(empty(), func(net.Conn) bool { return false }) // accepts the dials that are still open
 	d.clients.Wait()
 	nettest.Eventually(t, "all ended", func() bool { return d.node.Server.OpenClients() == 0 })
-	time.Sleep(2 * startTerm) // what still comes
+	time.Sleep(2 * startTerm) // for late attempts
 	d.check(t)
 }
 
-// answer is an app server's answer to an attempt; it reports whether the connection stays.
+// answer answers an attempt at random and reports whether the connection stays open.
 func (d *disconnects) answer(conn net.Conn) bool {
 	does := d.chance(10)
 	time.Sleep(time.Duration(50+d.chance(600)) * time.Millisecond)
@@ -143,9 +142,9 @@
 	return err == nil
 }
 
-// leavingClient is one client, which disconnects after a time unless it was answered.
+// leavingClient is a client that disconnects after a time if it has no response by then.
 type leavingClient struct {
-	id, text, more string // the request, and what is sent behind it
+	id, text, more string // the request, and the bytes behind it
 	after          time.Duration
 	how            int
 }
@@ -162,7 +161,7 @@
 	nettest.WriteString(conn, client.more)
 	netio.SetReadDeadline(conn, time.Now().Add(client.after))
 	_, err = conn.Read(make([]byte, 1))
-	if !netio.TimedOut(err) { // else its request waits
+	if !netio.TimedOut(err) { // answered
 		return
 	}
 	before := time.Now()
@@ -182,17 +181,17 @@
 	}
 }
 
-// note notes when a client disconnected.
+// note records when a client disconnected.
 func (d *disconnects) note(id string, before, gone time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at[id] = before.Round(0); gone.Sub(before) > unsureBy { // when it left in between can't be told
+	if d.at[id] = before.Round(0); gone.Sub(before) > unsureBy { // the exact time is unknown
 		d.at[id] = gone.Round(0)
 		d.unclear++
 	}
 }
 
-// check looks at when each attempt came.
+// check compares the arrivals of attempts with the disconnects.
 func (d *disconnects) check(t *testing.T) {
 	t.Helper()
 	d.arrivals.mu.Lock()
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -40,11 +40,10 @@
 	}
 }
 
-// Connections that wait in the listener's queue when it is to close are accepted: closing a listener resets them, with the
-// request that they may have sent.
+// Connections in the listener's queue are accepted before it closes. A close would reset them and lose their requests.
 func TestDrainAcceptsWhatIsQueued(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
-	node.Server.Mutex().Lock() // acceptLoop is held here, with the first of them
+	node.Server.Mutex().Lock() // blocks acceptLoop with the first connection
 	var conns []net.Conn
 	for range 20 {
 		conn := node.Dial(t)
@@ -66,10 +65,9 @@
 	}
 }
 
-// A request that crosses the close of its idle connection: where its bytes are there they are read, answered with a
-// close, and only then is the connection closed.
+// A request that is pending when its idle connection is to be closed is read and answered with a close.
 func TestDrainReadsWhatIsThereBeforeItCloses(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no reader runs between the write and the look
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no reader runs between the write and the check
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	lost := 0
 	for range 20 {
@@ -107,8 +105,8 @@
 	return int(buf[9]-'0')*100 + int(buf[10]-'0')*10 + int(buf[11]-'0'), nil
 }
 
-// A connection that waits for a slot when the drain begins, one whose first request has come by half, and one that has
-// only come: each is answered with a close. One that says nothing holds up no end.
+// A connection that waits for a slot when the drain begins, one with half a request and a new one are each answered
+// with a close. A silent connection does not delay the end.
 func TestDrainWaitsForRequestsOnTheWay(t *testing.T) {
 	answer := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.LimitsForEight(), 8, func(conn net.Conn, request *http.Request) bool {
@@ -134,7 +132,7 @@
 		}
 		return halves == 1 && len(node.Server.ClientConns()) == 8 && node.Counters.Requests.Load() == 7
 	})
-	node.Server.BlockEvictions() // nobody makes room
+	node.Server.BlockEvictions() // no slot becomes free
 	waits := node.Dial(t)
 	nettest.WriteString(waits, frontendtest.RequestText(5000, "x"))
 	nettest.Eventually(t, "one that waits for a slot", node.Server.AtLimit().Load)
@@ -151,7 +149,7 @@
 	waitDrained(t, drained, 3*time.Second)
 }
 
-// One that comes as the listener closes has its time to send a request; one that never does holds up no end.
+// A connection that is accepted as the listener closes has time to send a request. A silent one does not delay the end.
 func TestDrainGivesNewConnectionsTimeToSend(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	silent, sends := node.Dial(t), node.Dial(t)
@@ -171,7 +169,7 @@
 	}
 }
 
-// A request at an app server that hangs ends within its deadline, and the drain with it.
+// A request at an app server that hangs ends by its deadline, and the drain with it.
 func TestDrainEndsWhereAppServersHang(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
 		nettest.WaitForClose(conn)
@@ -190,7 +188,7 @@
 	}
 }
 
-// drainLoad is clients that send all through a drain.
+// drainLoad is the load of clients that send throughout a drain.
 type drainLoad struct {
 	t                       *testing.T
 	addr                    string
@@ -198,9 +196,9 @@
 	noneAfter               atomic.Int64 // Unix nanoseconds: no new connection is opened from then on; 0: not set
 }
 
-// Clients that send all through a drain, on new connections for a while and on kept ones to the very end: whatever
-// connection was accepted and sent a request gets its response. A kept one may be closed as a request crosses that, which
-// the client sends once more elsewhere.
+// Clients send throughout a drain, on new connections for a while and on kept ones to the end. Each accepted connection
+// that sent a request gets its response. A kept connection may be closed while a request is in transit; the client then
+// repeats it elsewhere.
 func TestDrainUnderLoadLosesNothing(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 4, func(conn net.Conn, request *http.Request) bool {
 		time.Sleep(2 * time.Millisecond)
@@ -227,14 +225,14 @@
 	t.Logf("%d lost, %d crossed a close, %d answered", lost, crossed, answered)
 }
 
-// run is one client.
+// run plays one client.
 func (l *drainLoad) run(random *rand.Rand) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	for fresh := true; ; {
 		if conn == nil {
 			if end := l.noneAfter.Load(); end > 0 && time.Now().UnixNano() > end {
-				return // clients come for a while only
+				return // no new connections from now on
 			}
 			var err error
 			if conn, err = net.Dial("tcp", l.addr); err != nil {
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// What the external tests see of the package's internals.
+// Internals of the package for its external tests.
 
 // FirstByteTimeout is firstByteTimeout.
 const FirstByteTimeout = firstByteTimeout
--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -19,16 +19,17 @@
 	"cherrygap/internal/settings"
 )
 
-// All of it together, by seed: app servers that answer twice, reset, hang, reject, send malformed responses, trickle and
-// close, clients that disconnect, send more, send half and too much, and a drain under way. Whoever stays gets one response
-// in time, its own; an unsafe request runs once at most, and is rejected only where it has not run.
+// Rare faults at the same time, by seed. App servers answer twice, reset, hang, reject, trickle, close and send
+// malformed responses. Clients disconnect, pipeline and send too little or too much, and the node drains. Each client
+// that stays gets its own response in time. An unsafe request runs once at most, and is rejected only if it has not
+// run.
 func TestRareFaultsTogether(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { faultsTogether(t, seed) })
 	}
 }
 
-// faultMix is one run: a node, its app servers and clients.
+// faultMix is one run: a node, its app servers and its clients.
 type faultMix struct {
 	t                *testing.T
 	node             *frontendtest.Node
@@ -38,7 +39,7 @@
 
 	mu   sync.Mutex // guards all below
 	rand *rand.Rand
-	runs map[string]int // by body: how often a request ran
+	runs map[string]int // executions of a request, by its body
 }
 
 func (m *faultMix) chance(n int) int {
@@ -78,18 +79,18 @@
 	t.Logf("%d answered, %d served, %d attempts", m.answered.Load(), m.served.Load(), m.node.Counters.Upstream.Attempts.Load())
 }
 
-// serve is an app server.
+// serve answers one attempt at an app server, with a random fault.
 func (m *faultMix) serve(conn net.Conn, request *http.Request) bool {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return false
 	}
-	if request.Method != http.MethodPost { // of another test's client, which dials a port again: this node forwards POST only
+	if request.Method != http.MethodPost { // from another test's client that dials a reused port; this node forwards only POST
 		m.t.Logf("app server got %s %s, host %s", request.Method, request.RequestURI, request.Host)
 		return false
 	}
 	does := m.chance(100)
-	if does >= 5 { // all others run it
+	if does >= 5 { // the server executes the request
 		m.mu.Lock()
 		m.runs[string(body)]++
 		m.mu.Unlock()
@@ -106,7 +107,7 @@
 		nettest.WriteString(conn, "noise\r\n\r\n")
 		return false
 	case does < 14:
-		nettest.WaitForClose(conn) // the node gives it up
+		nettest.WaitForClose(conn) // the node times out
 		return false
 	case does < 16:
 		trickle(conn)
@@ -115,7 +116,7 @@
 		startedAt := time.Now()
 		nettest.WriteString(conn, good)
 		time.Sleep(time.Duration(1000+m.chance(6000)) * time.Microsecond)
-		if time.Since(startedAt) < 20*time.Millisecond { // a busy machine is no app server's fault
+		if time.Since(startedAt) < 20*time.Millisecond { // not after a pause of the process
 			nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 		}
 	case does < 40:
@@ -127,7 +128,7 @@
 	return true
 }
 
-// trickle begins a response that never ends.
+// trickle writes a response that never ends.
 func trickle(conn net.Conn) {
 	nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
 	for {
@@ -138,7 +139,7 @@
 	}
 }
 
-// faultyClient sends one request after another, on one connection as long as that stays.
+// faultyClient sends one request after another on one connection, and reconnects after a close.
 type faultyClient struct {
 	mix    *faultMix
 	conn   net.Conn // nil: none
@@ -167,7 +168,7 @@
 	}
 }
 
-// send sends one request, and reads its response unless the client disconnects before.
+// send sends one request and reads its response, unless the client disconnects first.
 func (c *faultyClient) send() {
 	timeout := time.Duration(300+c.mix.chance(600)) * time.Millisecond
 	own := fmt.Sprint("own", frontendtest.LastID.Add(1))
@@ -206,7 +207,7 @@
 	}
 }
 
-// check looks at the response to a request with a body of its own.
+// check checks the response to a request that has a unique body.
 func (m *faultMix) check(own string, status int, body string) {
 	m.mu.Lock()
 	ran := m.runs[own]
--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -22,8 +22,8 @@
 // budgetSlack is how much an attempt timeout may exceed the time left to the client.
 const budgetSlack = 150 * time.Millisecond
 
-// Each request that a client sends behind others has its time from when it was sent, however long the others take: no
-// attempt timeout exceeds the time left, and late requests are answered at once.
+// The timeout of each pipelined request starts when it was sent, however long the requests before it take. No attempt
+// timeout exceeds the time left, and late requests are answered at once.
 func TestPipelinedRequestsKeepTheirOwnTime(t *testing.T) {
 	const requests, timeout, work = 4, time.Second, 400 * time.Millisecond
 	var mu sync.Mutex
@@ -62,7 +62,7 @@
 	}
 }
 
-// pipelined is so many requests behind each other.
+// pipelined returns several requests in one text.
 func pipelined(requests, timeout int) string {
 	var text strings.Builder
 	for range requests {
@@ -71,7 +71,7 @@
 	return text.String()
 }
 
-// Requests that were read while one before them waited are answered, also where the node drains meanwhile.
+// Pipelined requests that were read are answered, even if the node starts to drain meanwhile.
 func TestDrainAnswersWhatWasReadAhead(t *testing.T) {
 	const requests = 3
 	began := make(chan struct{}, requests)
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -13,7 +13,7 @@
 	"cherrygap/internal/settings"
 )
 
-// With few descriptors, clients that send nothing, or half a request, are closed for one that sends a request.
+// At the limit, clients that send nothing or half a request are evicted for one that sends a request.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
 	for range 30 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// At the limit those who never sent a whole request are closed first, at once, however many they are.
+// At the limit, connections without a complete request are evicted first, without delay.
 func TestCrowdsThatNeverRequestAreEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
 	stays := node.Dial(t)
@@ -49,8 +49,7 @@
 	}
 }
 
-// Many clients send one request and stay: past half of the slots each response is its connection's last, before any has to
-// be evicted.
+// Over half of the slots, each response closes its connection, before any has to be evicted.
 func TestResponsesCloseNearTheLimit(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
 	for k := range 6 {
@@ -60,7 +59,7 @@
 	}
 }
 
-// A client that has only come is not evicted: its request is on its way.
+// New connections, whose request is in transit, are not evicted.
 func TestNewClientsAreNotEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
 	var all sync.WaitGroup
@@ -70,7 +69,7 @@
 		go func() {
 			defer all.Done()
 			time.Sleep(frontend.FirstByteTimeout / 10)
-			frontendtest.RoundTrip(t, conn, frontendtest.RequestText(5000, "x")) // and stays
+			frontendtest.RoundTrip(t, conn, frontendtest.RequestText(5000, "x")) // and stays connected
 		}()
 		time.Sleep(frontend.FirstByteTimeout / 30)
 	}
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -23,7 +23,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// node is one node on loopback before an app server that notes what it runs.
+// node is a node on loopback, before an app server that records its attempts.
 type node struct {
 	client GateClient
 	http   string // address of the HTTP server
@@ -47,7 +47,7 @@
 	})
 }
 
-// startNode starts a node with an authorizer, or none, before an app server.
+// startNode starts a node before an app server. authorizer may be nil.
 func startNode(t *testing.T, authorizer frontend.Authorizer, serve http.HandlerFunc) *node {
 	t.Helper()
 	n := &node{ran: map[string]int{}}
@@ -93,7 +93,7 @@
 	return n
 }
 
-// startAppServer starts an app server, and returns its address.
+// startAppServer starts an app server and returns its address.
 func (n *node) startAppServer(t *testing.T, serve http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +111,7 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// freeAddress is a loopback address whose port was free a moment ago.
+// freeAddress returns a loopback address whose port was free a moment ago.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,14 +129,14 @@
 	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
 }
 
-// runs is how many attempts of a request the app server got.
+// runs returns how many attempts of a request the app server got.
 func (n *node) runs(id string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ran[id]
 }
 
-// pass sends a request, whose client waits so long.
+// pass sends a request with a timeout.
 func (n *node) pass(ctx context.Context, id, class string, customer uint64, wait time.Duration) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -147,7 +147,7 @@
 	return n.client.Pass(ctx, call)
 }
 
-// dialTestAuthorizer readies an authorizer for the classes of startNode.
+// dialTestAuthorizer makes an authorizer for the classes of startNode.
 func dialTestAuthorizer(t *testing.T, addr string) *Authorizer {
 	t.Helper()
 	a, err := DialAuthorizer(addr, authz.Config{
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -19,10 +19,10 @@
 	"cherrygap/internal/protocol"
 )
 
-// maxLoadFactor bounds how many more requests a client sends while the authorizer has not restarted yet.
+// maxLoadFactor bounds how many more requests a client sends until the authorizer has restarted.
 const maxLoadFactor = 20
 
-// loadRun is load over both protocols against a node whose authorizer misbehaves.
+// loadRun is a run of load over both protocols against a node with a faulty authorizer.
 type loadRun struct {
 	node       *node
 	authorizer *labauthz.Server
@@ -33,7 +33,7 @@
 	latencies []time.Duration
 }
 
-// overGRPC sends a request and returns its answer as HTTP would give it.
+// overGRPC sends a request and returns the HTTP status for its result.
 func (l *loadRun) overGRPC(t *testing.T, id, class string, customer uint64) string {
 	switch _, err := l.node.pass(t.Context(), id, class, customer, time.Second); status.Code(err) {
 	case codes.OK:
@@ -50,7 +50,7 @@
 	}
 }
 
-// overHTTP sends a request and returns the status of its answer, or false where there is none.
+// overHTTP sends a request and returns the status of its response, or false without one.
 func (l *loadRun) overHTTP(t *testing.T, id, class string, customer uint64) (string, bool) {
 	method, body := http.MethodGet, ""
 	if class == "buy" {
@@ -72,12 +72,12 @@
 		t.Errorf("%s: %v", id, err)
 		return "", false
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, response.Body) // to reuse the connection
 	_ = response.Body.Close()
 	return fmt.Sprint(response.StatusCode), true
 }
 
-// check looks at what was done for a request that was answered with a status.
+// check checks the executions of a request against its status.
 func (l *loadRun) check(t *testing.T, id, class, code string) {
 	allowed, answered := l.authorizer.LastAnswer(id)
 	runs := l.node.runs(id)
@@ -90,13 +90,13 @@
 	}
 }
 
-// restarted tells whether the authorizer has started again.
+// restarted reports whether the authorizer has started again.
 func (l *loadRun) restarted() bool {
 	_, starts := l.authorizer.Counts()
 	return starts >= 2
 }
 
-// client sends so many requests one after the other, all over one protocol, and more until the authorizer has restarted.
+// client sends a number of requests in turn over one protocol, and more until the authorizer has restarted.
 func (l *loadRun) client(t *testing.T, number, requests int) {
 	random := rand.New(rand.NewSource(int64(number)))
 	for i := 0; i < requests || i < maxLoadFactor*requests && !l.restarted(); i++ {
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -1,5 +1,5 @@
 // Package grpcfrontend has the node's gRPC parts: a front end that passes requests to the same frontend.RequestHandler as
-// the HTTP front end, and the client of an external authorizer. That one speaks Envoy's envoy.service.auth.v3.Authorization.
+// the HTTP front end, and the client of an external authorizer, by Envoy's envoy.service.auth.v3.Authorization.
 // The decisions are those of internal/authz and the decision engine.
 package grpcfrontend
 
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -20,7 +20,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// echo answers with what it got, and rejects customer 255.
+// echo answers with the request's body, and rejects customer 255.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/look/00000000000000ff") {
 		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
@@ -28,7 +28,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	body, _ := io.ReadAll(r.Body) // the test looks at what was answered
+	body, _ := io.ReadAll(r.Body) // the test checks the response
 	_, _ = fmt.Fprint(w, r.Method, r.URL.Path, string(body))
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// A client that gives up while its check is in flight, or before it, is owed nothing and nothing runs.
+// A client that cancels before or during its check gets no response, and its request does not run.
 func TestClientGoneDuringItsCheck(t *testing.T) {
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{SlowProbability: 1, SlowDelay: 60 * time.Millisecond})
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// cancelTimes has when the attempts of requests came to an app server, and when their clients cancelled them.
+// cancelTimes records when attempts arrived at an app server and when their clients cancelled.
 type cancelTimes struct {
 	mu        sync.Mutex // guards all
 	random    *rand.Rand
@@ -132,7 +132,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// call sends a request that its client cancels after a while, unless it is answered before.
+// call sends a request and cancels it after a while, unless it is answered before.
 func (c *cancelTimes) call(t *testing.T, n *node, id string, customer uint64, after time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
@@ -148,8 +148,8 @@
 	}
 }
 
-// Calls that are cancelled at random moments, before their turn too, while an attempt is in flight that is then rejected or
-// fails: no attempt comes to an app server more than 0.1 s after.
+// Calls are cancelled at random moments, some before they begin, some during an attempt that is then rejected or fails. No
+// attempt arrives at an app server more than 0.1 s later.
 func TestNothingIsForwardedForCancelledCalls(t *testing.T) {
 	const most, calls = 100 * time.Millisecond, 200
 	c := &cancelTimes{random: rand.New(rand.NewSource(35)), attempts: map[string][]time.Time{}, cancelled: map[string]time.Time{}}
@@ -184,13 +184,12 @@
 	t.Logf("%d cancelled, %d further attempts before; worst %v after, %d later than %v", len(c.cancelled), again, worst, late, most)
 }
 
-// Connections over the server's part of the descriptors wait, and come in as others close; the part is bounded, and a drain
-// ends while some wait.
+// Connections over gRPC's limit wait until others close. A drain ends while some wait.
 func TestConnectionsAreBounded(t *testing.T) {
 	n := startNode(t, nil, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 	var conns []net.Conn
 	accepted := make(chan struct{}, 999)
-	for range 200 { // of 1,024 descriptors 120 are for gRPC's connections
+	for range 200 { // of 1,024 descriptors gRPC gets 120
 		conn, err := net.Dial("tcp", n.grpc)
 		if err != nil {
 			t.Fatal(err)
@@ -198,7 +197,7 @@
 		closeAtEnd(t, conn)
 		conns = append(conns, conn)
 		go func() { // until the connection closes
-			if _, err := conn.Read(make([]byte, 1)); err == nil { // its settings, which whoever is accepted is sent at once
+			if _, err := conn.Read(make([]byte, 1)); err == nil { // the server's SETTINGS frame, sent after the accept
 				accepted <- struct{}{}
 			}
 		}()
@@ -219,7 +218,7 @@
 	}
 }
 
-// awaitAccepted counts connections that are accepted, up to a number, until none has been for half a second.
+// awaitAccepted counts accepted connections, up to a number, until none was accepted for half a second.
 func awaitAccepted(accepted <-chan struct{}, most int) (k int) {
 	for k < most {
 		select {
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// The names and numbers of the service, as a client's own generated code has them.
+// The names and numbers of the service in generated code of clients.
 func TestServiceDescriptor(t *testing.T) {
 	file := (&Ticket{}).ProtoReflect().Descriptor().ParentFile()
 	got := string(file.Package())
@@ -93,10 +93,10 @@
 	}
 }
 
-// authorizerRecorder is an authorizer that notes what it was sent.
+// authorizerRecorder is an authorizer that records its calls.
 type authorizerRecorder struct {
 	auth.UnimplementedAuthorizationServer
-	mu     sync.Mutex // guards the rest: each call has a goroutine of its own
+	mu     sync.Mutex // guards all below
 	method string
 	keys   []string
 	raw    []byte
@@ -167,14 +167,14 @@
 	}
 }
 
-// checkStub gives every request of a class the same verdict.
+// checkStub is an authorizer with one verdict for each class.
 type checkStub map[string]authz.Verdict
 
 func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) frontend.Authorization {
 	return frontend.Authorization{Verdict: s[q.Class]}
 }
 
-// appRecorder is an app server that notes what it was sent, with any timeout as true.
+// appRecorder is an app server that records its attempts. It masks the attempt timeout.
 type appRecorder struct {
 	mu   sync.Mutex // guards seen
 	seen map[string]string
@@ -186,7 +186,7 @@
 	a.seen[q.Header.Get(protocol.HeaderRequestID)] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
 	a.mu.Unlock()
 	switch {
-	case strings.HasSuffix(q.URL.Path, "fe"): // breaks in its answer
+	case strings.HasSuffix(q.URL.Path, "fe"): // closes instead of a response
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			_ = conn.Close()
@@ -200,7 +200,7 @@
 	}
 }
 
-// describeCall gives the answer to a call, or its status with the types of its details.
+// describeCall returns the answer to a call, or its status with the types of its details.
 func describeCall(ctx context.Context, n *node, q *Ticket) string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// All descriptors are accounted for at any limit: what is reserved, the clients of both front ends, and the app servers.
+// At any limit the reserved descriptors, the client connections and the connections to app servers fit the descriptors.
 func TestLimitsAccountForAllDescriptors(t *testing.T) {
 	for sockets := MinReserved + 2*minPerSide; sockets < 5000; sockets++ {
 		for _, both := range []bool{false, true} {
--- a/internal/netio/ringbuffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -14,7 +14,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// pieces is a connection that reads and writes at random sizes.
+// pieces is a connection that reads in pieces of random sizes.
 type pieces struct {
 	net.Conn
 	random *rand.Rand
@@ -35,7 +35,7 @@
 
 func (c *pieces) SetReadDeadline(time.Time) error { return nil }
 
-// What goes through a ring buffer comes out as it went in, with what parsers read ahead given back.
+// Bytes leave a ring buffer as they entered it, with the bytes that parsers read ahead put back.
 func TestRingBufferKeepsBytes(t *testing.T) {
 	if err := quick.Check(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/nettest"
 )
 
-// A connection's state tells of a close behind bytes that nobody has read, and of a reset, as ppoll does.
+// TCP_INFO and ppoll(2) both report a close behind unread bytes, and a reset.
 func TestPeerHasClosed(t *testing.T) {
 	listener := nettest.Listen(t)
 	accepted := make(chan net.Conn, 1)
--- a/internal/nettest/fullserver.go
+++ b/internal/nettest/fullserver.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// FullServer is an app server whose connections don't come up until its queue is emptied.
+// FullServer starts an app server whose listen queue is full, so that connects to it time out. empty returns its
+// listener, which then accepts connections.
 func FullServer(t *testing.T) (addr netip.AddrPort, empty func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -24,7 +25,7 @@
 	}
 	bound, _ := syscall.Getsockname(fd)
 	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*syscall.SockaddrInet4).Port))
-	for range 4 { // until one does not come up
+	for range 4 { // until one times out
 		conn, err := net.DialTimeout("tcp", addr.String(), 50*time.Millisecond)
 		if err != nil {
 			break
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A socket that gives errors for as long as it is asked must not take the core for itself.
+// A socket with lasting errors does not take a whole core.
 func TestErrorsOfThePeerSocketArePaced(t *testing.T) {
 	counters := &Counters{}
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(nil, netip.AddrPort{}), counters)
--- a/internal/peersocket/wireformat_test.go
+++ b/internal/peersocket/wireformat_test.go
@@ -12,7 +12,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// A peer message is one datagram of its own bytes, and nothing is put before or behind it; one of 256 bytes is the largest.
+// A peer message is one datagram with exactly the message's bytes, at most 256.
 func TestDatagramWireFormat(t *testing.T) {
 	var peers []*net.UDPConn
 	var addrs []netip.AddrPort
@@ -34,7 +34,7 @@
 	for _, message := range []struct {
 		to   int
 		text []byte
-		at   int // the peer that gets it; -1: nobody
+		at   int // the peer that receives it; -1: none
 	}{
 		{to: 0, text: []byte{1, 0, 255}, at: 0},
 		{to: 1, text: []byte("text\r\n"), at: 1},
@@ -54,7 +54,7 @@
 			t.Errorf("%q to %d came as %q from %v, %v", message.text, message.to, buf[:n], from, err)
 		}
 	}
-	for peer, conn := range peers { // nothing more comes to anyone
+	for peer, conn := range peers { // no peer gets another datagram
 		netio.SetReadDeadline(conn, time.Now().Add(20*time.Millisecond))
 		if n, _, err := conn.ReadFromUDPAddrPort(make([]byte, 1<<10)); err == nil {
 			t.Errorf("%d bytes more to peer %d", n, peer)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// A request whose response is malformed has run; what comes behind a good one is never the next request's response.
+// A request with a malformed response has run. Bytes behind a good response are never the next request's response.
 func TestMalformedResponsesAreNotPassedOn(t *testing.T) {
 	long := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
 	for _, text := range []string{
@@ -70,7 +70,7 @@
 	}
 }
 
-// What breaks before a request's last byte has never run, and the attempt goes on over a new connection.
+// If a connection breaks before a request's last byte, the attempt continues on a new connection.
 func TestConnectionThatBreaksBeforeTheLastByte(t *testing.T) {
 	var conns atomic.Int64
 	listener := nettest.Listen(t)
@@ -103,11 +103,11 @@
 	}
 }
 
-// A server that accepts and closes is tried twice; then it is as if no connection came up. Where the server's goroutine is
-// so late with a close that the whole request was written before, the request may have run: that play is checked for
-// this, and played again.
+// An attempt at a server that accepts and closes uses two connections and ends as a failed connect. If the server's
+// goroutine closes so late that the request was written completely, the request may have run. Such a play is checked
+// for that, and repeated.
 func TestNewConnectionsThatBreak(t *testing.T) {
-	const plays = 10 // of which 1 in 500 has such a close
+	const plays = 10 // one in 500 has a late close
 	for range plays {
 		if playNewConnectionsThatBreak(t) {
 			return
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/routing"
 )
 
-// What the external tests see of the package's internals.
+// Internals of the package for its external tests.
 
 // Constants of attempts and of the pool.
 const (
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -21,17 +21,17 @@
 	"cherrygap/internal/upstream"
 )
 
-// checkedServers are app servers on loopback that note when each was checked.
+// checkedServers are app servers on loopback that record their health checks.
 type checkedServers struct {
 	list *protocol.EndpointList
 
 	mu     sync.Mutex
 	last   []time.Time
-	worst  []time.Duration // between two checks of a server
+	worst  []time.Duration // longest time between two checks
 	checks []int
 }
 
-// startCheckedServers starts so many servers, of which the first one is draining.
+// startCheckedServers starts count servers, of which the first one is draining.
 func startCheckedServers(t *testing.T, count int) *checkedServers {
 	t.Helper()
 	s := &checkedServers{
@@ -71,14 +71,14 @@
 	s.checks[i]++
 }
 
-// noteGap notes that a server went unchecked until now; the lock is held.
+// noteGap records the time since a server's last check. The caller holds mu.
 func (s *checkedServers) noteGap(i int) {
 	now := time.Now()
 	s.worst[i] = max(s.worst[i], now.Sub(s.last[i]))
 	s.last[i] = now
 }
 
-// checkingNodes are nodes on loopback that check servers together.
+// checkingNodes are nodes on loopback that share health checks.
 type checkingNodes struct {
 	t        *testing.T
 	addrs    []netip.AddrPort
@@ -153,7 +153,7 @@
 	}
 }
 
-// disturb kills and starts nodes at random for so long.
+// disturb stops and starts random nodes for a time span.
 func (n *checkingNodes) disturb(span time.Duration) {
 	n.t.Helper()
 	for began := time.Now(); time.Since(began) < span; {
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -17,7 +17,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// answerAll answers whatever comes over each connection with the same text, or never if it is empty.
+// answerAll starts a server that answers each read with text, or never if text is empty.
 func answerAll(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// The response to a health check decides whether a server is healthy, and whether its connection is kept.
+// The response to a health check decides whether the server is healthy and whether its connection is reused.
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
--- a/internal/upstream/healthwireformat_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -16,7 +16,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// A health check as the app server sees it.
+// The bytes of a health check at the app server.
 func TestHealthCheckWireFormat(t *testing.T) {
 	addr, probes := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// idleConn is the one idle connection of a pool, once a request has used it.
+// idleConn makes a request and returns the pool's one idle connection.
 func idleConn(t *testing.T, node *frontendtest.Node) (*routing.Server, *upstream.Conn) {
 	t.Helper()
 	if status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); status != 200 {
@@ -33,8 +33,7 @@
 	return nil, nil
 }
 
-// A connection that was taken and carried nothing, as its server had begun to drain, has been idle all along: its
-// server closes it by its own clock.
+// A connection that was taken and carried no message keeps its idle time, as it does at its server.
 func TestUnusedConnectionStaysIdleSince(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -55,8 +54,7 @@
 	}
 }
 
-// A connection that comes back once its server has gone is closed: no list names that server any more, so no sweep
-// would find it.
+// A connection that is put back after its server went out of service is closed.
 func TestConnectionOfAnUnlistedServerIsClosedOnPut(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -74,8 +72,8 @@
 	}
 }
 
-// A second response to the request before, which comes when the next one's first bytes have gone out and its last has
-// not: it is nobody's response, and the request goes over another connection.
+// A duplicate response that arrives between the first bytes and the last byte of the next request is not read as its
+// response. The request uses another connection.
 func TestSecondResponseBeforeTheLastByteIsNoResponse(t *testing.T) {
 	listener := nettest.Listen(t)
 	go nettest.ServeConns(listener, func(conn net.Conn) {
@@ -106,9 +104,8 @@
 	}
 }
 
-// The wait for a reset before a request's last byte goes by the connection's own round trip: where that is short a node
-// adds little (2.1 ms at 99 in 100 is what a large deployment allows for all). Half of the requests are looked at, as a
-// busy machine delays some.
+// The wait for a reset before the last byte depends on the connection's round trip, so it is short on a fast network.
+// Only the faster half of the requests counts, because a busy machine delays some.
 func TestTheWaitForAResetIsAFewRoundTrips(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 2, frontendtest.Echo)
 	conn := node.Dial(t)
@@ -126,7 +123,8 @@
 	}
 }
 
-// A server may close idle connections at any time; an attempt written to one would count as run.
+// A connection that its server closed while idle is not used: a request written to it would count as one that may have
+// run.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		frontendtest.Echo(conn, request)
@@ -157,8 +155,8 @@
 	}
 }
 
-// Servers may give up idle connections without a word, long before the timeout in the settings: one that breaks at
-// its next use is a warning of the others, or each would cost an unsafe request.
+// If an idle connection breaks at its next use, others that were idle as long are not used. Otherwise each would cost
+// an unsafe request.
 func TestStaleConnectionsAreNotTrusted(t *testing.T) {
 	first := map[string]bool{}
 	var mu sync.Mutex
@@ -185,7 +183,7 @@
 	}
 }
 
-// A second copy of a response, a moment late, would pass for the next request's: a connection first settles.
+// A connection is not used within SettleTime of a response, so a duplicate response can't be read as the next one.
 func TestConnectionSettlesAfterAResponse(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -245,7 +243,7 @@
 	all.Wait()
 }
 
-// What the node itself lacks is no fault of a server's, which would be ejected for it, by peers too.
+// Resource exhaustion of the node is not reported as a failed connect, which would eject the server, at peers too.
 func TestFullPoolBlamesNoServer(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 2, frontendtest.Echo)
 	node.Pool.Mutex().Lock()
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -17,15 +17,15 @@
 	"cherrygap/internal/upstream"
 )
 
-// A request that its app server's machine has not taken whole when the client disconnects, as while that server reads
-// nothing: the rest does not come once it reads again. One that the node has not written whole is given up at once, even
-// where the platform lets no attempt be cancelled, as it has not begun.
+// A client disconnects while its app server's machine has not acknowledged the whole request. The rest is not delivered
+// when the server reads again. A request that is not written completely is abandoned at once, even where the settings
+// forbid cancellation, because it has not started.
 func TestDisconnectWhileTheServerReadsNothing(t *testing.T) {
 	t.Run("written", func(t *testing.T) { disconnectUnread(t, "true", 12<<10, true) })
 	t.Run("half written", func(t *testing.T) { disconnectUnread(t, "false", protocol.MaxBody, false) })
 }
 
-// unreadRequests is how many requests the server leaves unread.
+// unreadRequests is the number of requests that the server leaves unread.
 const unreadRequests = 4
 
 func disconnectUnread(t *testing.T, cancelling string, size int, written bool) {
@@ -54,7 +54,7 @@
 		})
 		conns = append(conns, conn)
 	}
-	time.Sleep(10 * upstream.MaxResetWait) // the half written fill what takes them
+	time.Sleep(10 * upstream.MaxResetWait) // partly written requests fill the buffers
 	if sent := node.Counters.Upstream.Attempts.Load(); (sent == unreadRequests) != written {
 		t.Fatalf("%d written whole", sent)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// listenSmall opens a listener whose connections take in little that is not read.
+// listenSmall opens a listener whose connections have small receive buffers.
 func listenSmall(t *testing.T) net.Listener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -104,7 +104,7 @@
 	return listener
 }
 
-// openSmallConns puts connections into the pool that hold little of what is written.
+// openSmallConns adds connections with small send buffers to the pool.
 func openSmallConns(t *testing.T, n *frontendtest.Node) {
 	t.Helper()
 	var conns []*upstream.Conn
@@ -124,7 +124,7 @@
 	time.Sleep(2 * upstream.SettleTime)
 }
 
-// connsInUse is how many of the pool's connections are in use.
+// connsInUse returns how many of the pool's connections are in use.
 func connsInUse(n *frontendtest.Node) int {
 	n.Pool.Mutex().Lock()
 	defer n.Pool.Mutex().Unlock()
