--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -81,13 +81,11 @@
 // StartWith starts a node.
 func StartWith(t *testing.T, cfg Config) *Node {
 	t.Helper()
-	node := &Node{Counters: &Counters{}, Log: &Log{}}
-	log := zerolog.New(node.Log)
-	list := &protocol.EndpointList{Full: true}
+	var endpoints []protocol.Endpoint
 	for i := range cfg.Servers {
 		listener := nettest.Listen(t)
 		go nettest.ServeConns(listener, func(conn net.Conn) { nettest.ServeRequests(conn, cfg.Serve) })
-		list.Endpoints = append(list.Endpoints, Endpoint(fmt.Sprint(i), listener))
+		endpoints = append(endpoints, Endpoint(fmt.Sprint(i), listener))
 	}
 	set := settings.Values{
 		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
@@ -97,24 +95,48 @@
 		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On, settings.MaxUnits: "6",
 	}
 	maps.Copy(set, cfg.Settings)
+	return Assemble(t, Assembly{
+		Routing:    routing.Config{Seed: 3, Settings: settings.Parse(set)},
+		Endpoints:  endpoints,
+		Limits:     cfg.Limits,
+		PoolLimits: cfg.PoolLimits,
+	})
+}
+
+// Assembly is a node before app servers that the caller has started.
+type Assembly struct {
+	Routing    routing.Config // Assemble sets the timer and the callbacks
+	Endpoints  []protocol.Endpoint
+	Limits     netio.Limits
+	PoolLimits *netio.Limits       // nil: Limits
+	Authorizer frontend.Authorizer // may be nil
+}
+
+// Assemble starts a node that has no peers and no discovery.
+func Assemble(t *testing.T, a Assembly) *Node {
+	t.Helper()
+	node := &Node{Counters: &Counters{}, Log: &Log{}}
+	log := zerolog.New(node.Log)
 	timer, err := netio.NewTimer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(timer.Close)
-	node.Router = routing.New(routing.Config{
-		Seed: 3, Settings: settings.Parse(set), SetTimer: timer.Set, SendToPeer: func(int, []byte) {},
-		PollEndpoints: func() {}, LogSummary: func([]byte) {},
-	})
-	go timer.Run(node.Router.Tick)
-	node.Router.UpdateEndpoints(list, routing.FromCache)
-	poolLimits := cfg.Limits
-	if cfg.PoolLimits != nil {
-		poolLimits = *cfg.PoolLimits
+	a.Routing.SetTimer = timer.Set
+	a.Routing.SendToPeer = func(int, []byte) {}
+	a.Routing.PollEndpoints = func() {}
+	a.Routing.LogSummary = func([]byte) {}
+	node.Router = routing.New(a.Routing)
+	go timer.Run(node.Router.Tick) // ends with the timer
+	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: a.Endpoints}, routing.FromCache)
+	poolLimits := a.Limits
+	if a.PoolLimits != nil {
+		poolLimits = *a.PoolLimits
 	}
 	node.Pool = upstream.NewPool(poolLimits, &log, &node.Counters.Upstream)
 	node.Server, err = frontend.Listen(frontend.Config{
-		Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: cfg.Limits, Log: &log, Counters: &node.Counters.Counters,
+		Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: a.Limits, Authorizer: a.Authorizer,
+		Log: &log, Counters: &node.Counters.Counters,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -10,17 +10,15 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
 	"cherrygap/internal/authz"
 	"cherrygap/internal/frontend"
-	"cherrygap/internal/netio"
+	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
-	"cherrygap/internal/upstream"
 )
 
 // node is a node on loopback, before an app server that records its attempts.
@@ -53,33 +51,18 @@
 	n := &node{ran: map[string]int{}}
 	app := n.startAppServer(t, serve)
 	set := testSettings()
-	timer, err := netio.NewTimer()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(timer.Close)
-	log := zerolog.Nop()
-	router := routing.New(routing.Config{
-		Seed: 3, Settings: set, SetTimer: timer.Set, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {},
-		LogSummary: func([]byte) {},
-	})
-	go timer.Run(router.Tick)
-	router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}}}, routing.FromCache)
-	counters, upstreamCounters := &frontend.Counters{}, &upstream.Counters{}
-	limits := netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
-	n.http = freeAddress(t)
-	requests, err := frontend.Listen(frontend.Config{
-		Addr: n.http, Router: router, Pool: upstream.NewPool(limits, &log, upstreamCounters), Limits: limits,
-		Authorizer: authorizer, Log: &log, Counters: counters,
+	assembled := frontendtest.Assemble(t, frontendtest.Assembly{
+		Routing:    routing.Config{Seed: 3, Settings: set},
+		Endpoints:  []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}},
+		Limits:     frontendtest.Limits,
+		Authorizer: authorizer,
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	n.http = assembled.Server.Addr().String()
 	methods, err := HTTPMethods(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := Listen("127.0.0.1:0", requests, methods, 256)
+	server, err := Listen("127.0.0.1:0", assembled.Server, methods, 256)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,19 +94,6 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// freeAddress returns a loopback address whose port was free a moment ago.
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := listener.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return listener.Addr().String()
-}
-
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -13,14 +13,13 @@
 
 	"github.com/rs/zerolog"
 
-	"cherrygap/internal/frontend"
+	"cherrygap/internal/frontend/frontendtest"
 	lab "cherrygap/internal/lab/store"
 	"cherrygap/internal/netio"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
-	"cherrygap/internal/upstream"
 )
 
 const (
@@ -57,12 +56,12 @@
 }
 
 // endpoints lists the server under many ids, so that no limit of a server applies before the quota.
-func (a *appServer) endpoints() *protocol.EndpointList {
-	list := &protocol.EndpointList{Full: true}
+func (a *appServer) endpoints() []protocol.Endpoint {
+	var endpoints []protocol.Endpoint
 	for i := range 30 {
-		list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: fmt.Sprint(i), Weight: 1, Addr: a.addr})
+		endpoints = append(endpoints, protocol.Endpoint{UID: fmt.Sprint(i), Weight: 1, Addr: a.addr})
 	}
-	return list
+	return endpoints
 }
 
 // startNode starts a node with quotas in a store, and returns its address.
@@ -74,45 +73,24 @@
 	}, &log)
 	go quotas.Run()
 	t.Cleanup(quotas.Close)
-	timer, err := netio.NewTimer()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(timer.Close)
-	router := routing.New(routing.Config{
-		Seed: uint64(id),
-		Settings: settings.Parse(settings.Values{
-			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "buy",
-			settings.ClassKey(0, settings.ClassLatencyObjective): "8000",
-			settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
-			settings.PlanKey(0, settings.PlanName):  "team",
-			settings.PlanKey(0, settings.PlanRate):  fmt.Sprint(teamRate),
-			settings.PlanKey(0, settings.PlanBurst): "200", settings.Nodes: fmt.Sprint(fleetNodes),
-			settings.Node: fmt.Sprint(id), settings.Tick: "20", settings.MaxAttempts: "3",
-		}),
-		Quota:         quotas,
-		SetTimer:      timer.Set,
-		SendToPeer:    func(int, []byte) {},
-		PollEndpoints: func() {},
-		LogSummary:    func([]byte) {},
+	node := frontendtest.Assemble(t, frontendtest.Assembly{
+		Routing: routing.Config{
+			Seed: uint64(id),
+			Settings: settings.Parse(settings.Values{
+				settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "buy",
+				settings.ClassKey(0, settings.ClassLatencyObjective): "8000",
+				settings.ClassKey(0, settings.ClassRetrySafety):      settings.RetryUnsafe, settings.PlanCount: "1",
+				settings.PlanKey(0, settings.PlanName):  "team",
+				settings.PlanKey(0, settings.PlanRate):  fmt.Sprint(teamRate),
+				settings.PlanKey(0, settings.PlanBurst): "200", settings.Nodes: fmt.Sprint(fleetNodes),
+				settings.Node: fmt.Sprint(id), settings.Tick: "20", settings.MaxAttempts: "3",
+			}),
+			Quota: quotas,
+		},
+		Endpoints: app.endpoints(),
+		Limits:    netio.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second},
 	})
-	go timer.Run(router.Tick)
-	router.UpdateEndpoints(app.endpoints(), routing.FromCache)
-	limits := netio.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port that was free a moment ago
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	if err := ln.Close(); err != nil {
-		t.Fatal(err)
-	}
-	pool := upstream.NewPool(limits, &log, &upstream.Counters{})
-	cfg := frontend.Config{Addr: addr, Router: router, Pool: pool, Limits: limits, Log: &log, Counters: &frontend.Counters{}}
-	if _, err := frontend.Listen(cfg); err != nil {
-		t.Fatal(err)
-	}
-	return addr
+	return node.Server.Addr().String()
 }
 
 // buyer sends purchases and counts the responses by status.
