--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -26,7 +26,7 @@
 // timeout exceeds the time left, and late requests are answered at once.
 func TestPipelinedRequestsKeepTheirOwnTime(t *testing.T) {
 	const requests, timeout, work = 4, time.Second, 400 * time.Millisecond
-	var mu sync.Mutex
+	var mu sync.Mutex // guards both below
 	var sentAt time.Time
 	var overstated []time.Duration
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -180,6 +180,13 @@
 	return r.receive(sent.conn)
 }
 
+// failedOutcomes are the outcomes of attempts whose response could not be read, by the reason of the connection's close.
+var failedOutcomes = map[netio.CloseReason]protocol.Outcome{
+	netio.ReasonServerMalformed: protocol.MalformedResponse,
+	netio.ReasonServerTimeout:   protocol.TimedOut,
+	netio.ReasonServerReset:     protocol.ConnectionReset,
+}
+
 // receive reads the response to a request that was written completely, and puts the connection back or closes it.
 func (r *AttemptRunner) receive(conn *serverConn) protocol.ServerResponse {
 	sentAt, filledBefore := time.Now(), conn.in.Filled()
@@ -188,26 +195,22 @@
 		r.body = response.Body
 	}
 	cancelled := r.end().cancelled
+	reason := conn.closeReason(response, err)
 	switch {
-	case err == nil && (response.Close || !conn.in.Empty()):
-		r.pool.close(conn, netio.ReasonServerRequestedClose)
-	case err == nil:
+	case reason == reusable:
 		r.pool.put(conn)
+		return response
+	case err == nil: // complete, but the connection's last
 	case cancelled:
+		reason = netio.ReasonAttemptCancelled
 		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
-		r.pool.close(conn, netio.ReasonAttemptCancelled)
-	case conn.in.Err() == nil:
-		response = protocol.ServerResponse{Outcome: protocol.MalformedResponse}
-		r.pool.close(conn, netio.ReasonServerMalformed)
-	case netio.TimedOut(conn.in.Err()):
-		response = protocol.ServerResponse{Outcome: protocol.TimedOut}
-		r.pool.close(conn, netio.ReasonServerTimeout)
 	default:
-		if conn.requests > 1 && conn.in.Filled() == filledBefore && time.Since(sentAt) < staleResetTimeout {
+		response = protocol.ServerResponse{Outcome: failedOutcomes[reason]}
+		stale := reason == netio.ReasonServerReset && conn.requests > 1 && conn.in.Filled() == filledBefore
+		if stale && time.Since(sentAt) < staleResetTimeout {
 			r.pool.distrust(sentAt.Sub(conn.idleSince))
 		}
-		response = protocol.ServerResponse{Outcome: protocol.ConnectionReset}
-		r.pool.close(conn, netio.ReasonServerReset)
 	}
+	r.pool.close(conn, reason)
 	return response
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -42,3 +42,21 @@
 	c.in.EndMessage(parser)
 	return response, err
 }
+
+// reusable is the closeReason of a connection that can be put back.
+const reusable netio.CloseReason = ""
+
+// closeReason returns why the connection must be closed after readResponse, or reusable.
+func (c *serverConn) closeReason(response protocol.ServerResponse, err error) netio.CloseReason {
+	switch {
+	case err == nil && !response.Close && c.in.Empty():
+		return reusable
+	case err == nil:
+		return netio.ReasonServerRequestedClose
+	case c.in.Err() == nil:
+		return netio.ReasonServerMalformed
+	case netio.TimedOut(c.in.Err()):
+		return netio.ReasonServerTimeout
+	}
+	return netio.ReasonServerReset
+}
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -25,7 +25,7 @@
 type checkedServers struct {
 	list *protocol.EndpointList
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards all below
 	last   []time.Time
 	worst  []time.Duration // longest time between two checks
 	checks []int
--- a/internal/upstream/healthrequest.go
+++ b/internal/upstream/healthrequest.go
@@ -33,22 +33,10 @@
 	}
 	conn.requests++
 	response, err := conn.readResponse(nil)
-	h.releaseChecked(conn, response, err)
-	return err == nil && response.Outcome == protocol.Completed
-}
-
-// releaseChecked puts back a connection after a health check, or closes it for the reason that response and err give.
-func (h *HealthChecker) releaseChecked(conn *serverConn, response protocol.ServerResponse, err error) {
-	switch {
-	case err == nil && !response.Close && conn.in.Empty():
+	if reason := conn.closeReason(response, err); reason == reusable {
 		h.pool.put(conn)
-	case err == nil:
-		h.pool.close(conn, netio.ReasonServerRequestedClose)
-	case netio.TimedOut(conn.in.Err()):
-		h.pool.close(conn, netio.ReasonServerTimeout)
-	case conn.in.Err() == nil:
-		h.pool.close(conn, netio.ReasonServerMalformed)
-	default:
-		h.pool.close(conn, netio.ReasonServerReset)
+	} else {
+		h.pool.close(conn, reason)
 	}
+	return err == nil && response.Outcome == protocol.Completed
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -158,8 +158,8 @@
 // If an idle connection breaks at its next use, others that were idle as long are not used. Otherwise each would cost
 // an unsafe request.
 func TestStaleConnectionsAreNotTrusted(t *testing.T) {
+	var mu sync.Mutex // guards first
 	first := map[string]bool{}
-	var mu sync.Mutex
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
