--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -28,11 +28,11 @@
 	case decision.HealthCheck:
 		begin(simproto.ActionCheckHealth).Uint32(uint32(d.Server))
 	case decision.SendPeerMessage:
-		begin(simproto.ActionSendPeerMessage).Uint32(wirePeer(d.Peer)).Text(d.Payload)
-	case decision.PollEndpoints:
-		begin(simproto.ActionWatchEndpoints).Uint8(simproto.Subscribe)
+		begin(simproto.ActionSendPeerMessage).Uint32(wirePeer(d.Peer)).Bytes(d.Payload)
+	case decision.PollEndpoints: // the watch is the simulator's form of a poll that waits for changes
+		begin(simproto.ActionWatchEndpoints).Uint8(simproto.WatchStart)
 	case decision.LogSummary:
-		begin(simproto.ActionLog).Text(d.Payload)
+		begin(simproto.ActionLog).Bytes(d.Payload)
 	default:
 		panic(fmt.Sprintf("decision with unknown action %d", d.Action))
 	}
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -58,7 +58,7 @@
 	a.active = a.active[:0]
 	a.reply.Reset()
 	for batch.Records.More() {
-		record, err := batch.Records.Record()
+		record, err := batch.Records.Next()
 		if err != nil {
 			return err
 		}
@@ -78,11 +78,11 @@
 	instance := instanceID(fields.Uint16())
 	switch record.Code {
 	case simproto.EventInstanceStarted:
-		return a.begin(instance, fields)
+		return a.startInstance(instance, fields)
 	case simproto.EventInstanceKilled:
-		return a.kill(instance, record)
+		return a.killInstance(instance, record)
 	}
-	report, err := a.readEvent(record.Code, fields)
+	call, err := a.readEvent(record.Code, fields)
 	if err != nil {
 		return &simproto.FormatError{Offset: record.Offset, Err: err}
 	}
@@ -99,13 +99,13 @@
 	a.markActive(instance)
 	a.recoverFault(instance, func() {
 		engine.SetTime(a.now)
-		report(engine)
+		call(engine)
 	})
 	return nil
 }
 
-// begin starts an instance. It replaces an instance with the same number.
-func (a *adapter) begin(instance instanceID, fields *simproto.Cursor) error {
+// startInstance starts an instance. It replaces an instance with the same number.
+func (a *adapter) startInstance(instance instanceID, fields *simproto.Cursor) error {
 	seed := fields.Uint64()
 	text := fields.Bytes(fields.Uint32())
 	if fields.Err() != nil {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// kill removes an instance and its pending decisions.
-func (a *adapter) kill(instance instanceID, record simproto.Record) error {
+// killInstance removes an instance and its pending decisions.
+func (a *adapter) killInstance(instance instanceID, record simproto.Record) error {
 	if err := record.Fields.Err(); err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 func (a *adapter) recoverFault(instance instanceID, f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			a.reply.Begin(simproto.ActionFault, uint16(instance)).Text([]byte(fmt.Sprint(cause)))
+			a.reply.Begin(simproto.ActionFault, uint16(instance)).Bytes([]byte(fmt.Sprint(cause)))
 			a.reply.End()
 		}
 	}()
--- a/cmd/simadapter/codes.go
+++ b/cmd/simadapter/codes.go
@@ -15,7 +15,7 @@
 // time in the past.
 func wireMicros(t decision.Time) uint32 { return uint32(t * microsPerTime) }
 
-// listKinds, endpointStates and outcomes map the codes on the wire to the engine's types.
+// listKinds maps the kinds of endpoint list to the engine's.
 var listKinds = map[simproto.ListKind]decision.EndpointListKind{
 	simproto.ListFull:   decision.FullList,
 	simproto.ListCached: decision.CachedList,
@@ -23,12 +23,14 @@
 	simproto.ListDelta:  decision.ListUpdate,
 }
 
+// endpointStates maps the states of an endpoint to the engine's.
 var endpointStates = map[simproto.EndpointState]decision.EndpointState{
 	simproto.EndpointDraining:   decision.Draining,
 	simproto.EndpointInService:  decision.Ready,
 	simproto.EndpointTerminated: decision.Gone,
 }
 
+// outcomes maps the outcomes of attempts and health checks to the engine's.
 var outcomes = map[simproto.OutcomeCode]decision.Outcome{
 	simproto.OutcomeOK:            decision.Succeeded,
 	simproto.OutcomeError:         decision.Failed,
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -29,12 +29,12 @@
 // Error names the outcome.
 func (e unknownOutcomeError) Error() string { return fmt.Sprintf("unknown outcome %d", uint16(e)) }
 
-// reportFunc reports an event to an engine.
-type reportFunc func(*decision.Engine)
+// engineCall calls the method of an engine for an event.
+type engineCall func(*decision.Engine)
 
-// readEvent reads the fields of an event and returns the function that reports it. An undefined code in the fields is an
-// error. For truncated fields only fields.Err is set, and the caller must not call the function.
-func (a *adapter) readEvent(code simproto.EventCode, fields *simproto.Cursor) (reportFunc, error) {
+// readEvent reads the fields of an event and returns the engine call for it. An undefined code in the fields is an
+// error. For truncated fields only fields.Err is set, and the caller must not make the call.
+func (a *adapter) readEvent(code simproto.EventCode, fields *simproto.Cursor) (engineCall, error) {
 	switch code {
 	case simproto.EventRequest:
 		return readRequest(fields), nil
@@ -63,7 +63,7 @@
 }
 
 // readRequest reads an EventRequest.
-func readRequest(fields *simproto.Cursor) reportFunc {
+func readRequest(fields *simproto.Cursor) engineCall {
 	r := decision.Request{
 		ID:        decision.RequestID(fields.Uint32()),
 		Class:     decision.ClassID(fields.Uint8()),
@@ -79,7 +79,7 @@
 }
 
 // readEndpointList reads an EventEndpointList.
-func (a *adapter) readEndpointList(fields *simproto.Cursor) (reportFunc, error) {
+func (a *adapter) readEndpointList(fields *simproto.Cursor) (engineCall, error) {
 	fields.Uint32() // revision: the simulator delivers all lists, in order
 	code := simproto.ListKind(fields.Uint8())
 	kind, known := listKinds[code]
@@ -117,7 +117,7 @@
 }
 
 // readCountAdded reads an EventCountAdded. The engine does not use shared counts.
-func readCountAdded(fields *simproto.Cursor) reportFunc {
+func readCountAdded(fields *simproto.Cursor) engineCall {
 	fields.Uint64()  // name of the count
 	fields.Uint16()  // outcome
 	fields.Float32() // sum
@@ -126,7 +126,7 @@
 }
 
 // readResponseStarted reads an EventResponseStarted.
-func readResponseStarted(fields *simproto.Cursor) reportFunc {
+func readResponseStarted(fields *simproto.Cursor) engineCall {
 	request := decision.RequestID(fields.Uint32())
 	fields.Uint8()  // attempt
 	fields.Uint32() // server
@@ -135,7 +135,7 @@
 }
 
 // readAttemptEnded reads an EventAttemptEnded.
-func (a *adapter) readAttemptEnded(fields *simproto.Cursor) (reportFunc, error) {
+func (a *adapter) readAttemptEnded(fields *simproto.Cursor) (engineCall, error) {
 	r := decision.AttemptResult{
 		Request: decision.RequestID(fields.Uint32()),
 		Attempt: int(fields.Uint8()),
@@ -156,7 +156,7 @@
 }
 
 // readHealthChecked reads an EventHealthChecked.
-func (a *adapter) readHealthChecked(fields *simproto.Cursor) (reportFunc, error) {
+func (a *adapter) readHealthChecked(fields *simproto.Cursor) (engineCall, error) {
 	server, code := decision.ServerID(fields.Uint32()), simproto.OutcomeCode(fields.Uint16())
 	fields.Uint32() // time since the send
 	a.loadReport = fields.Float32s(a.loadReport)
--- a/cmd/simadapter/wireformat_test.go
+++ b/cmd/simadapter/wireformat_test.go
@@ -163,7 +163,7 @@
 	}
 	for want, got := range map[int]simproto.ActionCode{
 		codeReject: simproto.ActionReject, codeCancelAttempt: simproto.ActionCancelAttempt, codeSendPeerMessage: simproto.ActionSendPeerMessage,
-		codeLog: simproto.ActionLog, 5: simproto.ActionPollEndpoints, codeWatchEndpoints: simproto.ActionWatchEndpoints,
+		codeLog: simproto.ActionLog, 5: simproto.ActionFetchEndpoints, codeWatchEndpoints: simproto.ActionWatchEndpoints,
 		7: simproto.ActionCloseIdle, codeFault: simproto.ActionFault, codeFail: simproto.ActionFail,
 		codeForward: simproto.ActionForward, 11: simproto.ActionAddToCount, codeCheckHealth: simproto.ActionCheckHealth,
 		codeSetTimer: simproto.ActionSetTimer,
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -42,8 +42,8 @@
 	ActionSendPeerMessage ActionCode = 3
 	// ActionLog ("note_down") writes a log line.
 	ActionLog ActionCode = 4
-	// ActionPollEndpoints ("reload") polls discovery for the full endpoint list.
-	ActionPollEndpoints ActionCode = 5
+	// ActionFetchEndpoints ("reload") fetches the full endpoint list from discovery once.
+	ActionFetchEndpoints ActionCode = 5
 	// ActionWatchEndpoints ("stream_changes") starts or stops the watch of discovery.
 	ActionWatchEndpoints ActionCode = 6
 	// ActionCloseIdle ("release") closes idle connections.
@@ -104,5 +104,5 @@
 // AllPeers is the receiver of an ActionSendPeerMessage to all other instances.
 const AllPeers uint32 = 1<<32 - 1
 
-// Subscribe is the argument of an ActionWatchEndpoints that starts the watch.
-const Subscribe uint8 = 1
+// WatchStart is the argument of an ActionWatchEndpoints that starts the watch.
+const WatchStart uint8 = 1
--- a/internal/simproto/cursor.go
+++ b/internal/simproto/cursor.go
@@ -5,9 +5,8 @@
 	"math"
 )
 
-// Cursor reads the records of a batch, or the fields of a record, in order. It keeps the first error, and after an error all
-// reads return zero. Thus a caller can read all fields of a record and then check Err once. A Cursor is not safe for
-// concurrent use.
+// Cursor reads the fields of a record in order. It keeps the first error, and after an error all reads return zero. Thus a
+// caller can read all fields and then check Err once. A Cursor is not safe for concurrent use.
 type Cursor struct {
 	data     []byte
 	position int   // into data
@@ -15,13 +14,6 @@
 	err      error // nil or a *FormatError
 }
 
-// Record is an event record of a batch.
-type Record struct {
-	Code   EventCode
-	Offset int64   // of the record's first byte in the whole input
-	Fields *Cursor // the record's content
-}
-
 // Err returns the first error, a *FormatError, or nil.
 func (c *Cursor) Err() error { return c.err }
 
@@ -31,22 +23,6 @@
 // Offset returns the offset of the next byte in the whole input.
 func (c *Cursor) Offset() int64 { return c.base + int64(c.position) }
 
-// Record reads the next record. An error is a *FormatError.
-func (c *Cursor) Record() (Record, error) {
-	start := c.Offset()
-	code := EventCode(c.Uint8())
-	size := int(c.Uint32())
-	if c.err != nil {
-		return Record{}, formatErrorf(start, "record header cut off")
-	}
-	if left := len(c.data) - c.position; size > left {
-		return Record{}, formatErrorf(start, "record %d states %d bytes, the frame has %d left", code, size, left)
-	}
-	fields := &Cursor{data: c.data[c.position : c.position+size], base: c.Offset()}
-	c.position += size
-	return Record{Code: code, Offset: start, Fields: fields}, nil
-}
-
 // take returns the next n bytes, or nil after an error.
 func (c *Cursor) take(n int) []byte {
 	if left := len(c.data) - c.position; c.err == nil && n > left {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -23,8 +23,8 @@
 
 // Batch is the events of one point in time.
 type Batch struct {
-	ClockMicros uint64  // simulated time, in microseconds
-	Records     *Cursor // valid until the next call of Reader.Next
+	ClockMicros uint64   // simulated time, in microseconds
+	Records     *Records // valid until the next call of Reader.Next
 }
 
 // NewReader returns a Reader of the batches in a stream.
@@ -47,7 +47,7 @@
 	if got, err := r.readBody(size); err != nil {
 		return Batch{}, formatErrorf(r.offset+int64(got), "frame at byte %d states %d bytes, input ends early", start, size)
 	}
-	records := &Cursor{data: r.body, base: r.offset}
+	records := &Records{cursor: Cursor{data: r.body, base: r.offset}}
 	r.offset += int64(size)
 	return Batch{ClockMicros: binary.LittleEndian.Uint64(header[4:]), Records: records}, nil
 }
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -41,11 +41,11 @@
 	return r
 }
 
-// Text writes a length of two bytes and the text. It truncates a text over math.MaxUint16 bytes.
-func (r *Reply) Text(text []byte) *Reply {
-	text = text[:min(len(text), math.MaxUint16)]
-	r.Uint16(uint16(len(text)))
-	r.data = append(r.data, text...)
+// Bytes writes a length of two bytes and the bytes. It truncates more than math.MaxUint16 bytes.
+func (r *Reply) Bytes(content []byte) *Reply {
+	content = content[:min(len(content), math.MaxUint16)]
+	r.Uint16(uint16(len(content)))
+	r.data = append(r.data, content...)
 	return r
 }
 
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -34,18 +34,18 @@
 	c = batch.Records
 	checkRead(t, "batch", err, "0x805c5b at 24, more: true", fmt.Sprintf("%#x at %d, more: %v", batch.ClockMicros, c.Offset(), c.More()))
 
-	record, err := c.Record()
+	record, err := c.Next()
 	r := record.Fields
 	got := fmt.Sprintf("%d at %d:", record.Code, r.Offset())
 	got += fmt.Sprintf(" %d %#x %d %d", r.Uint16(), r.Uint32(), r.Uint8(), r.Uint32())
 	got += fmt.Sprintf(" %#x %d", r.Uint64(), r.Uint32())
 	got += fmt.Sprintf(" %v %v %v %d, more: %v, %v", r.Float32(), r.Float32(), r.Float32(), r.Uint8(), r.More(), r.Err())
 	checkRead(t, "request", err, "1 at 29: 3 0x5d3a91c4 0 0 0x91f03b7c55d20a64 240000 2 3 1 1, more: false, <nil>", got)
-	record, err = c.Record()
+	record, err = c.Next()
 	r = record.Fields
 	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", record.Code, r.Uint16(), r.Uint32(), r.More(), c.More())
 	checkRead(t, "elapsed", err, "10: 3 0x4d, more: false, true", got)
-	record, err = c.Record()
+	record, err = c.Next()
 	r = record.Fields
 	got = fmt.Sprintf("%d: %d %#x, more: %v, %v", record.Code, r.Uint16(), r.Uint32(), r.More(), c.More())
 	checkRead(t, "lapsed", err, "4: 5 0xe6f2b19, more: false, false", got)
@@ -79,7 +79,7 @@
 			batch, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
 			if err == nil {
 				var record Record
-				if record, err = batch.Records.Record(); err == nil {
+				if record, err = batch.Records.Next(); err == nil {
 					record.Fields.Uint16()
 					err = record.Fields.Err()
 				}
@@ -122,7 +122,7 @@
 		r.End()
 		r.Begin(ActionSetTimer, 3).Uint32(500000).Uint32(77)
 		r.End()
-		r.Begin(ActionLog, 3).Text([]byte("two servers known"))
+		r.Begin(ActionLog, 3).Bytes([]byte("two servers known"))
 		r.End()
 		r.Begin(ActionCancelAttempt, 3).Uint32(0x5d3a91c4).Uint8(0)
 		r.End()
@@ -140,7 +140,7 @@
 		t.Errorf("empty: %x", got)
 	}
 	r.Reset()
-	r.Begin(ActionFault, 1).Text(bytes.Repeat([]byte{'x'}, 70000)) // truncated to 65535 bytes
+	r.Begin(ActionFault, 1).Bytes(bytes.Repeat([]byte{'x'}, 70000)) // truncated to 65535 bytes
 	r.End()
 	if got := r.Finish(); len(got) != 8+5+2+2+65535 || !bytes.Equal(got[:17], fromHex(t, "08000100 01000000 08 03000100 0100 ffff")) {
 		t.Errorf("%d bytes, %x", len(got), got[:17])
