--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -89,7 +89,7 @@
 	list, ok := lists[parts[0]]
 	if !ok || len(parts) == 1 {
 		if known, ok := translations[name]; ok {
-			set[known.key] = known.value(value)
+			set[known.key] = known.form.parse(value)
 		}
 		return
 	}
@@ -101,6 +101,6 @@
 		return
 	}
 	if known, ok := translations[parts[0]+"."+parts[2]]; ok {
-		set[entryKey(list, parts[1], known.key)] = known.value(value)
+		set[entryKey(list, parts[1], known.key)] = known.form.parse(value)
 	}
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -8,8 +8,14 @@
 
 // translation describes how a setting of the platform becomes one of Values.
 type translation struct {
-	key   string                    // for an entry of a list: the field's part of the key
-	value func(value string) string // translates the text
+	key  string // for an entry of a list: the field's part of the key
+	form form   // of the text
+}
+
+// form is a translation of a setting's text between the platform's form and the form of Values.
+type form struct {
+	parse  func(text string) string // from the platform's form
+	format func(text string) string // to the platform's form; the inverse of parse for every text that parse understands
 }
 
 // lists are the prefixes of the keys of lists, by the platform's names of the lists. An entry keeps its number.
@@ -95,15 +101,23 @@
 // microsPerTimeUnit is the number of microseconds in a TimeUnit.
 const microsPerTimeUnit = int64(TimeUnit / time.Microsecond)
 
-// verbatim returns the text as it is.
-func verbatim(value string) string { return value }
+// Forms of the settings' texts.
+var (
+	verbatim  = form{parse: identity, format: identity}
+	word      = form{parse: parseWord, format: formatWord}
+	timeUnits = form{parse: parseMicros, format: formatMicros}
+	columns   = form{parse: parseColumns, format: formatColumns}
+)
+
+// identity returns the text unchanged.
+func identity(value string) string { return value }
 
-// word translates one of words. An unknown word becomes empty.
-func word(value string) string { return words[value] }
+// parseWord translates one of words. An unknown word becomes empty.
+func parseWord(value string) string { return words[value] }
 
-// timeUnits translates a number of microseconds, truncated to an integer, into whole time units, rounded towards 0. A text
+// parseMicros translates a number of microseconds, truncated to an integer, into whole time units, rounded towards 0. A text
 // that is no number stays as it is.
-func timeUnits(value string) string {
+func parseMicros(value string) string {
 	micros, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return value
@@ -111,8 +125,8 @@
 	return strconv.FormatInt(int64(micros)/microsPerTimeUnit, 10)
 }
 
-// columns translates a list of loadColumns. An unknown name becomes empty, so that the others keep their places.
-func columns(value string) string {
+// parseColumns translates a list of loadColumns. An unknown name becomes empty, so that the others keep their places.
+func parseColumns(value string) string {
 	figures := strings.Split(value, ",")
 	for i, name := range figures {
 		figures[i] = loadColumns[name]
--- /dev/null
+++ b/internal/settings/platformwriter_test.go
@@ -0,0 +1,97 @@
+package settings
+
+import (
+	"reflect"
+	"testing"
+)
+
+// fullSettings returns settings with a text in every field.
+func fullSettings() *Settings {
+	return &Settings{
+		Node: IntNumber(2), Nodes: IntNumber(9), Tick: Units(20), EndpointList: EndpointListPush, PollWithin: Milliseconds(2000),
+		LoadReportFields: []string{LoadInFlight, "", LoadErrorRate}, LoadReportChannel: "headers",
+		MaxAttempts: IntNumber(4), Hedging: true, CancelAttempts: true, HealthChecks: true, Peers: true, PeerRate: IntNumber(40),
+		RetryAfter: true, MaxRetryAfter: Milliseconds(2000), MaxRequests: IntNumber(500), IdleTimeout: Milliseconds(15000),
+		ConnectTimeout: Milliseconds(250), SlowStartSpan: Milliseconds(8000), SlowStartShare: FloatNumber(0.25),
+		OverloadMultiple: IntNumber(3), OverloadSpan: Milliseconds(2000), DrainGrace: Milliseconds(500),
+		ResponseSlack: Milliseconds(50), EstimatedUnits: true, MaxUnits: IntNumber(100),
+		Classes: NewList(
+			Class{
+				Named: true, Name: "find", RetrySafety: RetrySafe, LatencyObjective: Milliseconds(400), Deadline: Milliseconds(800),
+				IdempotencyGroup: GroupAll, IdempotencyWindow: Milliseconds(1000), PriorityWeight: IntNumber(1),
+				LateShare: FloatNumber(0.5), Streaming: true, ObjectiveStretch: FloatNumber(1.5),
+			},
+			parseClass(Values{ClassKey(1, ClassName): "7", ClassKey(1, ClassRetrySafety): RetryUnsafe}, 1),
+		),
+		Plans: NewList(Plan{
+			Name: "team", Rate: FloatNumber(1e6), Burst: FloatNumber(2.5), MaxInFlight: IntNumber(4), PriorityFactor: IntNumber(2),
+			OverQuotaShare: FloatNumber(0.1), OverQuotaCost: IntNumber(0), CeilingRate: IntNumber(15), CeilingBurst: IntNumber(40),
+			CeilingSlack: IntNumber(0),
+		}),
+	}
+}
+
+// Settings that are written and read back are the same, in every field.
+func TestPlatformJSONRoundTrip(t *testing.T) {
+	for name, set := range map[string]*Settings{"full": fullSettings(), "empty": Parse(Values{ClassCount: "0", PlanCount: "0"})} {
+		got, err := FromJSON(PlatformJSON(set))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if name == "empty" { // a list without objects has no declared length
+			got.Classes.Count, got.Plans.Count = IntNumber(0), IntNumber(0)
+		}
+		if !reflect.DeepEqual(got, set) {
+			t.Errorf("%s: %+v, want %+v", name, got, set)
+		}
+	}
+	full := reflect.ValueOf(*fullSettings())
+	for i := range full.NumField() {
+		if full.Field(i).IsZero() {
+			t.Errorf("field %s is not tested", full.Type().Field(i).Name)
+		}
+	}
+}
+
+// The writer has the platform's names and units.
+func TestPlatformJSONFormat(t *testing.T) {
+	set := &Settings{
+		Node: IntNumber(3), Tick: Units(20), EndpointList: EndpointListPush, RetryAfter: true, SlowStartShare: FloatNumber(0.25),
+		Classes: NewList(Class{Named: true, Name: "find", RetrySafety: RetryKeyed, LatencyObjective: Milliseconds(400)}),
+		Plans:   NewList(Plan{Name: "team", Rate: FloatNumber(1e6), CeilingSlack: IntNumber(0)}),
+	}
+	const want = `{"limits":{"retry_after":true},"registry_mode":"automatic","safety":{"cold_from":0.25},` +
+		`"services":[{"name":"find","semantics":"deduplicated","slo":400000}],"slot_no":3,"tick":2000,` +
+		`"tiers_of_service":[{"cap_slack":0,"name":"team","units_per_s":1000000}]}`
+	if got := string(PlatformJSON(set)); got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
+
+// Every name of the platform that is read is written too.
+func TestEveryTranslationIsInvertible(t *testing.T) {
+	written := map[string]bool{}
+	for list := range lists {
+		for _, name := range invertTranslations(list) {
+			written[list+"."+name.path[0]] = true
+		}
+		written[list] = true
+	}
+	for _, name := range platformNames {
+		key := name.path[0]
+		if len(name.path) > 1 {
+			key += "." + name.path[1]
+		}
+		written[key] = true
+	}
+	for name, known := range translations {
+		if !written[name] {
+			t.Errorf("%s is not written", name)
+		}
+		for _, text := range []string{"7", "0"} {
+			if back := known.form.parse(known.form.format(text)); known.key != EndpointList && back != text && back != "" {
+				t.Errorf("%s: %q is read back as %q", name, text, back)
+			}
+		}
+	}
+}
