--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -179,22 +179,22 @@
 	return e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
 }
 
-// checkAdmission returns the reason for which the admission limit rejects a request, or notRejected.
-func (e *Engine) checkAdmission(r *request) rejectReason {
+// checkAdmission returns the reason for which the admission limit rejects a request, or ReasonNone.
+func (e *Engine) checkAdmission(r *request) Reason {
 	ready := e.endpoints.ready
 	switch {
 	case e.tooLate(r):
-		return rejectTooLate
+		return ReasonTooLate
 	case e.admission.rate == 0:
 		if e.inFlightAtHealthy() >= e.admission.evenShare(coldStartAttemptsPerServer, ready) {
-			return rejectColdStart
+			return ReasonColdStart
 		}
 	case !e.admission.hasToken(e.now, &e.pause):
-		return rejectAdmissionRate
+		return ReasonAdmissionRate
 	case e.inFlightAtHealthy() >= e.admission.concurrencyLimit(ready):
-		return rejectConcurrency
+		return ReasonConcurrency
 	}
-	return notRejected
+	return ReasonNone
 }
 
 // inFlightAtHealthy returns the number of attempts in flight that indicate the back end's queue. It leaves out
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -5,7 +5,8 @@
 // customerSlot is an index into customerTable.all.
 type customerSlot int32
 
-// customer is the state of one customer. It is dropped after customerIdleTimeout.
+// customer is the state of one customer. It is dropped after customerIdleTimeout without a request, once its bucket is
+// full.
 type customer struct {
 	id          CustomerID
 	live        bool // the slot is in use
@@ -80,48 +81,58 @@
 
 // customerTable holds the customers by slot.
 type customerTable struct {
+	config *config
 	all    []customer
 	slots  slotIndex[CustomerID, customerSlot]
 	scanAt customerSlot // last slot checked for idleness
 }
 
-// slot returns the slot of a customer, and creates the customer if it is unknown. A new one starts with a full bucket
-// and an empty ceiling. The spread and the first node are clamped to the fleet.
-func (t *customerTable) slot(cfg *config, now Time, id CustomerID, plan PlanID, spread int, first NodeID) customerSlot {
-	i := t.slots.find(id)
+// customerRef identifies a customer, with its plan and its set of nodes, as a request or a peer message names them. The
+// plan must be in the settings.
+type customerRef struct {
+	id        CustomerID
+	plan      PlanID
+	spread    int
+	firstNode NodeID
+}
+
+// findOrAdd returns the slot of a customer. An unknown customer is added with a full bucket and an empty ceiling. A known
+// one keeps its plan and takes the set of nodes. The set is clamped to the fleet.
+func (t *customerTable) findOrAdd(ref customerRef, now Time) customerSlot {
+	i := t.slots.find(ref.id)
 	if i < 0 {
-		i = t.slots.add(id)
+		i = t.slots.add(ref.id)
 		if int(i) == len(t.all) {
 			t.all = append(t.all, customer{})
 		}
-		t.all[i] = newCustomer(id, plan, &cfg.plans[plan], now)
+		t.all[i] = newCustomer(ref, &t.config.plans[ref.plan], now)
 	}
 	c := &t.all[i]
-	c.spread = min(max(spread, 1), cfg.nodes)
-	c.firstNode = max(first, 0) % NodeID(cfg.nodes)
+	c.spread = min(max(ref.spread, 1), t.config.nodes)
+	c.firstNode = max(ref.firstNode, 0) % NodeID(t.config.nodes)
 	return i
 }
 
-// newCustomer returns a customer without demand.
-func newCustomer(id CustomerID, planID PlanID, plan *quotaPlan, now Time) customer {
+// newCustomer returns a customer without demand and without a set of nodes.
+func newCustomer(ref customerRef, plan *quotaPlan, now Time) customer {
 	empty := tokenBucket{at: now}
 	full := tokenBucket{max(plan.burst, float64(plan.maxInFlight)), now}
 	return customer{
-		id: id, live: true, plan: planID, firstSeen: now, meanUnits: defaultMeanUnits, queryRatio: defaultQueryRatio,
+		id: ref.id, live: true, plan: ref.plan, firstSeen: now, meanUnits: defaultMeanUnits, queryRatio: defaultQueryRatio,
 		bucket: full, ceiling: empty, ownerCeiling: empty,
 	}
 }
 
 // forgetIdle drops idle customers whose buckets are full. Each call checks at most idleScanCustomers customers, so that
 // it does not delay requests.
-func (t *customerTable) forgetIdle(cfg *config, now Time) {
+func (t *customerTable) forgetIdle(now Time) {
 	for range min(idleScanCustomers, len(t.all)) {
 		t.scanAt = (t.scanAt + 1) % customerSlot(len(t.all))
 		c := &t.all[t.scanAt]
 		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleTimeout {
 			continue
 		}
-		plan := &cfg.plans[c.plan]
+		plan := &t.config.plans[c.plan]
 		if plan.rate <= 0 || c.bucket.level+plan.rate*seconds(now-c.bucket.at) >= plan.burst {
 			c.live = false
 			t.slots.drop(c.id)
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -9,7 +9,7 @@
 	n := plain(3, nil)
 	const many = 5 * idleScanCustomers
 	for k := range CustomerID(many) {
-		n.customers.all[n.customers.slot(n.config, n.now, k, 0, 1, 0)].lastRequest = n.now
+		n.customers.all[n.customers.findOrAdd(customerRef{id: k, spread: 1}, n.now)].lastRequest = n.now
 	}
 	now := n.now
 	for k := range 80 {
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -81,7 +81,7 @@
 // request that the quota owner granted has passed the ceiling there.
 func (e *Engine) admit(r *request) admissionResult {
 	if r.queriedOwnerAt == 0 {
-		if reason := e.checkAdmission(r); reason != notRejected {
+		if reason := e.checkAdmission(r); reason != ReasonNone {
 			return e.rejectAdmission(reason, 0)
 		}
 	}
@@ -91,11 +91,11 @@
 		if e.owner.waits(r, e.now) {
 			return admissionResult{outcome: admissionPending}
 		}
-		return e.rejectAdmission(rejectQuota, quota.retryAfter)
+		return e.rejectAdmission(ReasonQuota, quota.retryAfter)
 	}
 	if r.ownerResponse != responseGranted {
 		if !e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) {
-			return e.rejectAdmission(rejectCeiling, 0)
+			return e.rejectAdmission(ReasonCeiling, 0)
 		}
 	}
 	return admissionResult{outcome: admissionGranted}
@@ -110,14 +110,14 @@
 }
 
 // rejectAdmission counts a rejection by a limit.
-func (e *Engine) rejectAdmission(reason rejectReason, retryAfter Time) admissionResult {
+func (e *Engine) rejectAdmission(reason Reason, retryAfter Time) admissionResult {
 	e.interval.countRejection(reason)
-	return admissionResult{outcome: admissionRejected, reason: reason.reason(), retryAfter: retryAfter}
+	return admissionResult{outcome: admissionRejected, reason: reason, retryAfter: retryAfter}
 }
 
 // rejectWithoutServer counts and rejects a request that no server may take.
 func (e *Engine) rejectWithoutServer(i requestSlot) Decision {
-	e.interval.countRejection(rejectNoServer)
+	e.interval.countRejection(ReasonNoServer)
 	return e.rejectOrFail(i, ReasonNoServer, 0)
 }
 
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -54,7 +54,7 @@
 // configure passes the settings to each mechanism and resets the state of the request classes.
 func (e *Engine) configure(c *config) {
 	e.config = c
-	e.admission.config, e.quota.config, e.owner.config, e.reports.config = c, c, c, c
+	e.customers.config, e.admission.config, e.quota.config, e.owner.config, e.reports.config = c, c, c, c, c
 	e.slowStart.config, e.subsets.config, e.selection.config, e.retries.config = c, c, c, c
 	e.outliers = outlierDetector{config: c, classes: make([]classOutliers, len(c.classes))}
 	e.classes = make([]classState, len(c.classes))
@@ -143,7 +143,7 @@
 	e.endpoints.track(e.subsets.choose(e.now, e.endpoints.ready), len(e.classes))
 }
 
-// forgetServers drops the state of servers that are gone, warm or no longer tracked.
+// forgetServers drops servers that are gone, outlier states of untracked servers, and the warming mark of warm servers.
 func (e *Engine) forgetServers() {
 	e.endpoints.forgetDeparted(e.requests.all)
 	e.endpoints.forgetUntracked(func(s outlierState) bool { return s.informative(e.now) })
@@ -172,7 +172,8 @@
 		units:       in.Units,
 		demandShare: 1,
 	}
-	r.customer = e.customers.slot(e.config, e.now, in.Customer, r.plan, in.Spread, in.FirstNode)
+	ref := customerRef{id: in.Customer, plan: r.plan, spread: in.Spread, firstNode: in.FirstNode}
+	r.customer = e.customers.findOrAdd(ref, e.now)
 	c := &e.customers.all[r.customer]
 	c.lastRequest = e.now
 	c.demand.add(in.Units, e.now, demandTimeConstant)
@@ -185,12 +186,12 @@
 	e.requests.enqueue(e.requests.add(r))
 }
 
-// SetLease sets the units of a customer's quota that this node may use, as the quota lease grants them. From then on
-// they are the customer's bucket until the next call. The bucket does not refill, belongs to this node alone, and has no
-// quota owner.
+// SetLease sets the level of a customer's bucket to the units of its quota that a lease grants to this node. A leased
+// bucket does not refill, belongs to this node alone, and has no quota owner. It remains leased from the first call on.
 func (e *Engine) SetLease(id CustomerID, plan PlanID, spread int, first NodeID, units float64) {
 	plan = min(max(plan, 0), PlanID(len(e.config.plans)-1))
-	c := &e.customers.all[e.customers.slot(e.config, e.now, id, plan, spread, first)]
+	ref := customerRef{id: id, plan: plan, spread: spread, firstNode: first}
+	c := &e.customers.all[e.customers.findOrAdd(ref, e.now)]
 	c.leased = true
 	c.bucket = tokenBucket{units, e.now}
 }
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -5,31 +5,15 @@
 	"slices"
 )
 
-// rejectReason is the limit that rejected a request's first attempt.
-type rejectReason uint8
-
-// The reasons, in the order of the interval summary.
-const (
-	rejectTooLate       rejectReason = iota // the client is likely to leave before an attempt ends
-	rejectColdStart                         // the concurrency limit of a node that knows no base latency yet
-	rejectAdmissionRate                     // no token of the admission rate
-	rejectConcurrency                       // the concurrency limit
-	rejectQuota                             // the customer's quota, here or at its owner
-	rejectCeiling                           // the plan's hard ceiling
-	rejectNoServer                          // no server may take the request
-	rejectReasons
-	notRejected = rejectReasons
-)
-
 // intervalStats counts events since the last interval ended.
 type intervalStats struct {
 	startedAt  Time
-	admitted   int       // requests
-	completed  int       // attempts
-	samples    int       // latency samples
-	latencySum float64   // sum of the latency samples
-	latencies  []float64 // latency samples, in latency objectives of their class
-	rejected   [rejectReasons]int
+	admitted   int              // requests
+	completed  int              // attempts
+	samples    int              // latency samples
+	latencySum float64          // sum of the latency samples
+	latencies  []float64        // latency samples, in latency objectives of their class
+	rejected   [reasonCount]int // requests whose first attempt a limit rejected, by reason
 }
 
 // addLatency adds a latency sample, in latency objectives of its class.
@@ -40,7 +24,7 @@
 }
 
 // countRejection counts a rejected request.
-func (s *intervalStats) countRejection(reason rejectReason) { s.rejected[reason]++ }
+func (s *intervalStats) countRejection(reason Reason) { s.rejected[reason]++ }
 
 // tail returns the 95th percentile of the latency samples, or 0 without any. It sorts them.
 func (s *intervalStats) tail() float64 {
@@ -67,15 +51,15 @@
 type intervalSummary struct {
 	inFlight           int // requests
 	concurrencyAverage float64
-	latency            float64 // normalized
-	latencyAverage     float64 // normalized
-	admissionRate      float64 // λ, in requests a second
-	targetConcurrency  float64 // a, in requests
-	admitted           float64 // requests a second
-	completed          float64 // attempts a second
-	tail               float64 // 95th percentile of the latency, in latency objectives
-	baseLatency        Time    // T
-	rejected           [rejectReasons]int
+	latency            float64          // normalized
+	latencyAverage     float64          // normalized
+	admissionRate      float64          // λ, in requests a second
+	targetConcurrency  float64          // a, in requests
+	admitted           float64          // requests a second
+	completed          float64          // attempts a second
+	tail               float64          // 95th percentile of the latency, in latency objectives
+	baseLatency        Time             // T
+	rejected           [reasonCount]int // requests, by reason
 }
 
 // appendText appends the summary as one line of text. The platform defines its keys.
@@ -83,5 +67,5 @@
 	return fmt.Appendf(b, "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
 		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.concurrencyAverage, s.latency,
 		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tail, int(s.baseLatency),
-		s.rejected)
+		s.rejected[firstSummaryReason:lastSummaryReason+1])
 }
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -43,6 +43,11 @@
 	optimistic bool          // kindGrant
 }
 
+// ref returns the customer that the report is on.
+func (r customerReport) ref() customerRef {
+	return customerRef{id: r.customer, plan: r.plan, spread: r.spread, firstNode: r.firstNode}
+}
+
 // suspicion is a server that the sender ejected for one class.
 type suspicion struct {
 	server     ServerID
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -123,7 +123,7 @@
 	e.summarize(spanSeconds)
 	e.interval.reset(e.now)
 	e.timers.intervalAt = e.now + controlInterval
-	e.customers.forgetIdle(e.config, e.now)
+	e.customers.forgetIdle(e.now)
 	e.forgetServers()
 	e.chooseSubset()
 }
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -172,7 +172,7 @@
 		t.Fatalf("%d units in 8 s of 20 a second, all stores empty at the start", f.sent)
 	}
 	n := f.nodes[11] // all stores full hold the ceiling's and no more
-	c := &n.customers.all[n.customers.slot(n.config, n.now, 5, 0, 40, 10)]
+	c := &n.customers.all[n.customers.findOrAdd(customerRef{id: 5, spread: 40, firstNode: 10}, n.now)]
 	n.SetTime(99 * Second)
 	n.quota.ceilingAllows(c, 1, n.owner.localCeilingRatio(c), n.now)
 	if all := 40*c.ceiling.level + ownerCeilingRatio*80; all > 80.01 || all < 79.99 {
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -22,7 +22,7 @@
 
 // receiveReport applies one entry of a message. The set that the entry names determines the customer's owner.
 func (e *Engine) receiveReport(kind byte, from NodeID, report customerReport) {
-	i := e.customers.slot(e.config, e.now, report.customer, report.plan, report.spread, report.firstNode)
+	i := e.customers.findOrAdd(report.ref(), e.now)
 	c := &e.customers.all[i]
 	ownedHere := e.config.owners && e.owner.isOwner(c)
 	switch {
--- a/internal/decision/reason.go
+++ b/internal/decision/reason.go
@@ -6,7 +6,7 @@
 // The reasons.
 const (
 	ReasonNone          Reason = iota
-	ReasonTooLate              // too little time is left before the deadline
+	ReasonTooLate              // too little time is left before the deadline for an attempt to end
 	ReasonColdStart            // the concurrency limit of a node that knows no base latency yet
 	ReasonAdmissionRate        // no token of the admission rate
 	ReasonConcurrency          // the concurrency limit
@@ -17,6 +17,10 @@
 	ReasonRetryBudget          // the retry budget is used up
 	ReasonMayHaveRun           // a server may have executed the request, which must not run again
 	reasonCount
+
+	// The reasons that the interval summary counts, in its order.
+	firstSummaryReason = ReasonTooLate
+	lastSummaryReason  = ReasonNoServer
 )
 
 var reasonNames = [reasonCount]string{
@@ -26,6 +30,3 @@
 
 // String returns the reason's name in the log.
 func (r Reason) String() string { return reasonNames[r] }
-
-// reason returns the Reason of a rejection. Both types list the limits in the same order.
-func (r rejectReason) reason() Reason { return ReasonTooLate + Reason(r) }
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -134,7 +134,7 @@
 		b.Run(name, func(b *testing.B) {
 			n := plain(100, nil)
 			for k := range CustomerID(2000) {
-				n.customers.slot(n.config, n.now, k, 0, 1, 0)
+				n.customers.findOrAdd(customerRef{id: k, spread: 1}, n.now)
 			}
 			if on {
 				n.StartShadow(plainSettings(nil).parse())
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -86,8 +86,8 @@
 	for k := range 100 {
 		s.addLatency(float64(99 - k))
 	}
-	s.countRejection(rejectQuota)
-	if got := s.tail(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[rejectQuota] != 1 {
+	s.countRejection(ReasonQuota)
+	if got := s.tail(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[ReasonQuota] != 1 {
 		t.Errorf("tail %v of %+v", got, s)
 	}
 	if s.reset(Second); s.samples != 0 || s.startedAt != Second || s.tail() != 0 {
