--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -35,10 +35,10 @@
 	maxInFlightBaseLatencies   = 1.5   // concurrency limit, in completions within T
 	minLatencyObjectives       = 0.125 // latency that always counts as low, in latency objectives
 
-	normalizedLatencySpan  = 4.0 // normalized latency 1 exceeds the lowest recent latency by this multiple of it
+	normalizedLatencySpan  = 4.0 // rise of latency that is normalized to 1, in lowest recent latencies
 	quietNormalizedLatency = 0.2 // normalized latency below which the back end counts as quiet
 	featureSmoothing       = 0.3 // weight of an interval's value in the features' moving averages
-	minLatencySamples      = 10  // latency samples below which the last interval's mean fills up
+	minLatencySamples      = 10  // samples in an interval's mean latency; the last interval's mean replaces missing ones
 	minConcurrencyRatio    = 0.3 // least target concurrency, in completions of the best recent interval within T
 	minTimeLeftLatencies   = 1.0 // least time left before a request's deadline, in usual latencies
 
@@ -48,7 +48,7 @@
 )
 
 // loadFeatures is the input of the load policy. Concurrency is relative to the attempts that complete within a
-// latency objective. Latency is normalized: 0 at the lowest recent latency, 1 at normalizedLatencySpan above it.
+// latency objective. Latency is normalized: 0 at the lowest recent latency, 1 at (1 + normalizedLatencySpan) times it.
 type loadFeatures struct {
 	concurrency        float64
 	concurrencyAverage float64
@@ -81,7 +81,7 @@
 		burstSeconds = max(burstSeconds, seconds(p.length))
 	}
 	burst := l.rate*burstSeconds + 1
-	if l.config.owners {
+	if l.config.usesOwners {
 		burst += randomMarginRoots * math.Sqrt(l.rate)
 	}
 	l.tokens.refill(now, l.rate, burst)
@@ -95,8 +95,8 @@
 	return max(1, share+randomMarginRoots*math.Sqrt(share))
 }
 
-// concurrencyLimit returns the number of attempts that this node may have in flight. While latency is quiet, the
-// lower bound is higher: the node may have to take over the load of failed nodes within a second.
+// concurrencyLimit returns the number of attempts that this node may have in flight. Quiet latency raises the lower bound
+// of the limit: the node may have to take over the load of failed nodes within a second.
 func (l *admissionLimit) concurrencyLimit(ready int) float64 {
 	lower := l.evenShare(minInFlightPerServer, ready)
 	if l.quiet {
@@ -104,7 +104,7 @@
 	}
 	span := max(l.throughput.baseLatency, minLatencyObjectives*float64(l.config.shortestObjective))
 	limit := maxInFlightBaseLatencies * l.throughput.completionsIn(Time(span))
-	if l.config.owners {
+	if l.config.usesOwners {
 		limit += randomMarginRoots * math.Sqrt(limit)
 	}
 	return max(lower, limit)
@@ -179,7 +179,7 @@
 	return e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
 }
 
-// checkAdmission returns the reason for which the admission limit rejects a request, or ReasonNone.
+// checkAdmission returns the reason for which the admission limit rejects a request, or ReasonNone if it admits it.
 func (e *Engine) checkAdmission(r *request) Reason {
 	ready := e.endpoints.ready
 	switch {
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -65,7 +65,7 @@
 type Endpoint struct {
 	Server  ServerID
 	Zone    uint8
-	Kind    uint16
+	Kind    uint16 // the server's model; not used
 	Cell    uint16
 	State   EndpointState
 	Weight  float64 // size relative to other servers; 0 or less: unknown
@@ -92,7 +92,7 @@
 	Outcome  Outcome
 	Duration Time
 	Final    bool      // the client has its final response
-	Units    float64   // units used; set once, with the first success, for plans that are settled afterwards; else 0
+	Units    float64   // units used, in the request's first success; 0 if the expected units are not settled
 	Load     []float64 // the server's load report; not used
 }
 
--- a/internal/decision/candidates.go
+++ b/internal/decision/candidates.go
@@ -1,25 +1,26 @@
 package decision
 
-// candidates are the servers considered for a request's next attempt. A server that may not take it has weight 0.
+// candidates are the servers considered for a request's next attempt. A server that may not take it has rotation weight
+// 0.
 type candidates struct {
-	slots    []serverSlot
-	weight   float64 // sum of the weights
-	inFlight float64 // attempts in flight at the servers with a weight
+	slots     []serverSlot
+	weightSum float64 // sum of the rotation weights
+	inFlight  float64 // attempts in flight at the servers with a rotation weight above 0
 }
 
-// weighAll sets the weights of the servers for a request.
+// weighAll sets the rotation weights of the servers for a request, and returns the servers as its candidates.
 func (e *Engine) weighAll(r *request, slots []serverSlot) candidates {
 	c, set := candidates{slots: slots}, &e.endpoints
 	meanPace := e.selection.meanPace(e.now)
 	for _, i := range slots {
 		s := &set.servers[i]
 		set.outlierStates(i, len(e.classes))
-		s.weight = 0
+		s.rotationWeight = 0
 		if !e.eligible(r, s) {
 			continue
 		}
-		s.weight = e.selection.weigh(s, meanPace, e.now)
-		c.weight += s.weight
+		s.rotationWeight = e.selection.weigh(s, meanPace, e.now)
+		c.weightSum += s.rotationWeight
 		c.inFlight += float64(s.inFlight)
 	}
 	return c
@@ -27,7 +28,7 @@
 
 // eligible reports whether a server may take a request's next attempt at all.
 func (e *Engine) eligible(r *request, s *server) bool {
-	if !s.usable() || e.config.classes[r.class].bound(r, s, e.endpoints.servers) {
+	if !s.usable() || e.config.classes[r.class].keyExcludes(r, s, e.endpoints.servers) {
 		return false
 	}
 	return e.slowStart.hasCapacity(s, e.now, e.subsets.ratio)
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -12,7 +12,7 @@
 	if r.closed || r.streaming || r.inFlight > 0 {
 		return Decision{}
 	}
-	timeout := r.deadline - e.now - e.answerMargin()
+	timeout := r.deadline - e.now - e.responseMargin()
 	switch {
 	case timeout <= 0:
 		return e.rejectOrFail(i, ReasonTooLate, 0)
@@ -60,7 +60,7 @@
 // decideRetry returns the action for a request whose attempts have all ended.
 func (e *Engine) decideRetry(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
-	if reason := e.retries.refusal(r, e.now); reason != ReasonNone {
+	if reason := e.retries.denyReason(r, e.now); reason != ReasonNone {
 		return e.rejectOrFail(i, reason, 0)
 	}
 	server := e.pick(r)
@@ -137,14 +137,14 @@
 }
 
 const (
-	answerMarginTicks            = 2   // ticks in the answer margin: one to see an attempt's end, one to respond
-	answerMarginObjectiveDivisor = 100 // rest of the answer margin, as a divisor of the shortest latency objective
+	responseMarginTicks            = 2   // ticks in the response margin: one to see an attempt's end, one to respond
+	responseMarginObjectiveDivisor = 100 // rest of the response margin, as a divisor of the shortest latency objective
 )
 
-// answerMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
+// responseMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
 // response is sent.
-func (e *Engine) answerMargin() Time {
-	return answerMarginTicks*e.config.tick + e.config.shortestObjective/answerMarginObjectiveDivisor
+func (e *Engine) responseMargin() Time {
+	return responseMarginTicks*e.config.tick + e.config.shortestObjective/responseMarginObjectiveDivisor
 }
 
 // minRetryAfterDivisor gives the least Retry-After, as a divisor of the shortest latency objective.
@@ -155,9 +155,9 @@
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
-	if e.config.classes[r.class].harmless(r) {
+	if e.config.classes[r.class].harmlessToRepeat(r) {
 		d.Action = Reject
-		if e.config.retryAfter {
+		if e.config.sendsRetryAfter {
 			least := e.config.shortestObjective / minRetryAfterDivisor
 			d.Duration = min(max(retryAfter, least), e.config.maxRetryAfter)
 		}
@@ -168,9 +168,9 @@
 
 // attemptAssessment is the information that an attempt's end carries.
 type attemptAssessment struct {
-	outcome       Outcome // for the server; NotSent if the end carries no information on it
-	latency       float64 // in latency objectives
-	countsLatency bool    // latency is a sample for the admission limit
+	outcome         Outcome // for the server; NotSent if the end carries no information on it
+	latency         float64 // in latency objectives
+	isLatencySample bool    // latency is a sample for the admission limit
 }
 
 // shortTimeoutDivisor gives the shortest timeout that carries information, as a divisor of the latency objective.
@@ -187,12 +187,12 @@
 	switch {
 	case result.Outcome == Succeeded:
 		latency := float64(result.Duration) / float64(objective)
-		return attemptAssessment{outcome: Succeeded, latency: latency, countsLatency: true}
+		return attemptAssessment{outcome: Succeeded, latency: latency, isLatencySample: true}
 	case result.Outcome == TimedOut && result.Duration < objective/shortTimeoutDivisor:
 		return attemptAssessment{outcome: NotSent}
 	case result.Outcome == TimedOut && e.outliers.lost(result.Duration, e.usualLatency(class)):
 		return attemptAssessment{outcome: TimedOut}
 	}
 	queued := result.Outcome == Overloaded || result.Outcome == TimedOut
-	return attemptAssessment{outcome: result.Outcome, latency: 1, countsLatency: queued && e.now >= state.ejectedUntil}
+	return attemptAssessment{outcome: result.Outcome, latency: 1, isLatencySample: queued && e.now >= state.ejectedUntil}
 }
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -2,9 +2,9 @@
 // no input or output and starts no goroutine.
 //
 // A host creates an Engine with New. For each event it sets the time with SetTime and calls one of UpdateEndpoints,
-// AddRequest, AttemptEnded, ResponseStarted, ClientGone, HealthChecked, ReceivePeerMessage, SetLease and TimerFired.
-// These only update the engine's state. The host then calls Next until it returns false, and carries out each decision.
-// An Engine is not safe for concurrent use.
+// ObserveServerClock, AddRequest, AttemptEnded, ResponseStarted, ClientGone, HealthChecked, ReceivePeerMessage, SetLease
+// and TimerFired. These only update the engine's state. The host then calls Next until it returns false, and carries out
+// each decision. An Engine is not safe for concurrent use.
 //
 // A request passes the admission limit, its customer's quota and the plan's hard ceiling. A limit that it does not pass
 // rejects it at once. A weighted rotation then selects a server of this node's subset. It leaves out ejected servers and
@@ -12,7 +12,7 @@
 // ejected server is cancelled, and the request is sent again.
 //
 // Each mechanism is a type in its own file, with its constants: admissionLimit, throughput, tenantQuota, quotaOwner,
-// usageReports, subsetChooser, selection, slowStart, outlierDetector, retryBudget, timers and pause. The mechanisms do
-// not depend on each other. The Engine combines them in decide.go and next.go. It also holds the tables of requests,
-// customers and servers, which make no decisions.
+// usageReports, subsetChooser, selection, slowStart, outlierDetector, retryBudget, timers and pause. The Engine combines
+// them in decide.go and next.go. A mechanism that needs another one receives it as a parameter. The Engine also holds the
+// tables of requests, customers and servers, which make no decisions.
 package decision
--- a/internal/decision/endpointorder.go
+++ b/internal/decision/endpointorder.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// endpointOrder holds the usable servers in an order that all nodes of a group share: a shuffle by a hash, for each
-// zone apart if zones alternate. A change of one server costs a binary search, and a move of the keys behind it in its
-// zone. The zero value holds no server.
+// endpointOrder holds the usable servers in an order that all nodes of a group share. It shuffles them by a hash. If zones
+// alternate, it shuffles each zone separately. A change of one server costs a binary search, and a move of the keys
+// behind it in its zone. The zero value holds no server and is not built.
 type endpointOrder struct {
-	group      int // the group whose shuffle it is, from 1; 0: not built
+	built      bool // the order matches group and zoneLayout
+	group      int  // group of nodes that share the shuffle, from 0
 	zoneLayout zoneLayout
 	zones      [math.MaxUint8 + 1]zoneOrder
 	used       []uint8                 // zones that have held a server, in order of first use
@@ -26,7 +27,7 @@
 
 // key returns a server's sort key.
 func (o *endpointOrder) key(s *server, slot serverSlot) uint64 {
-	return uint64(mix(uint32(s.Server), uint32(o.group-1)))<<32 | uint64(slot)
+	return uint64(mix(uint32(s.Server), uint32(o.group)))<<32 | uint64(slot)
 }
 
 // place adds, moves or removes a server, as its current entry of the endpoint list requires.
@@ -86,9 +87,10 @@
 	return &o.zones[zone]
 }
 
-// build builds the order of all usable servers again, for the shuffle of a group.
+// build builds the order of all usable servers again, for a group of nodes and a layout.
 func (o *endpointOrder) build(servers []server, group int, layout zoneLayout) {
-	o.group, o.zoneLayout, o.count, o.cells = group, layout, 0, map[uint16][]serverSlot{}
+	o.built, o.group, o.zoneLayout = true, group, layout
+	o.count, o.cells = 0, map[uint16][]serverSlot{}
 	for _, zone := range o.used {
 		o.zones[zone].keys = o.zones[zone].keys[:0]
 	}
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -22,7 +22,7 @@
 	inFlight       int          // attempts in flight
 	pace           decayingMean // durations of attempts, in usual latencies of their class
 	rotationCredit float64
-	weight         float64        // weight in the current selection; 0: not eligible
+	rotationWeight float64        // weight in the current selection; 0: not eligible
 	byClass        []outlierState // by request class; nil for a server without state
 	slowStart      slowStartState
 }
@@ -55,7 +55,7 @@
 	servers      []server
 	slots        slotIndex[ServerID, serverSlot]
 	ready        int           // servers that the list names as ready
-	usable       int           // tracked servers of the last choice, all of them usable then
+	usable       int           // number of tracked servers when the subset was last chosen; all were usable
 	order        endpointOrder // of the usable servers
 	subset       []serverSlot  // servers of the subset, ascending
 	tracked      []serverSlot  // tracked servers, ascending
@@ -96,9 +96,9 @@
 	return s.outlierStates(classes)
 }
 
-// recountReady counts the ready servers after a complete list. It discards the order, which track then builds again.
+// recountReady counts the ready servers after a complete list. It marks the order for track to build again.
 func (e *endpointSet) recountReady() {
-	e.order.group = 0
+	e.order.built = false
 	e.ready = 0
 	for i := range e.servers {
 		if e.servers[i].usable() {
@@ -107,11 +107,12 @@
 	}
 }
 
-// track sets the subset and the tracked servers to a choice. A server that was tracked stays so while it has attempts
-// in flight, or is draining or gone until it is dropped: Engine.inFlightAtHealthy needs the ejections of all of them.
+// track sets the subset and the tracked servers to a choice. A server outside the choice remains tracked while it has
+// attempts in flight. A draining or removed server remains tracked until it is dropped. Engine.inFlightAtHealthy counts
+// the ejections of all of them.
 func (e *endpointSet) track(choice subsetChoice, classes int) {
-	if e.order.group != choice.group+1 || e.order.zoneLayout != choice.zones {
-		e.order.build(e.servers, choice.group+1, choice.zones)
+	if !e.order.built || e.order.group != choice.group || e.order.zoneLayout != choice.zones {
+		e.order.build(e.servers, choice.group, choice.zones)
 	}
 	for _, i := range e.subset {
 		e.servers[i].inSubset = false
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -155,7 +155,7 @@
 	if i := e.endpoints.slots.find(id); i >= 0 && outcome == Succeeded {
 		states := e.endpoints.servers[i].byClass
 		for k := range states {
-			states[k].answeredAt = e.now
+			states[k].lastResponseAt = e.now
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	if e.now == e.pause.endedAt {
 		e.pause.arrived++
 	}
-	if !e.config.owners {
+	if !e.config.usesOwners {
 		e.reportUse(c, r.customer, in.Units, 0)
 	}
 	e.requests.enqueue(e.requests.add(r))
@@ -226,7 +226,7 @@
 	s.inFlight--
 	e.outliers.attemptEnded(s.byClass, r.class, assessment.outcome, e.now)
 	e.selection.attemptEnded(s, assessment.outcome, float64(result.Duration)/usualLatency, e.now)
-	if assessment.countsLatency {
+	if assessment.isLatencySample {
 		e.interval.addLatency(assessment.latency)
 	}
 	if result.Outcome == Succeeded {
@@ -261,7 +261,7 @@
 		c.bucket.level -= excess / r.demandShare
 		e.chargeShadowUse(c, excess/r.demandShare)
 	}
-	if e.config.owners {
+	if e.config.usesOwners {
 		e.reportUse(c, r.customer, 0, excess)
 	}
 }
@@ -297,7 +297,7 @@
 
 // cancelAttempt cancels an attempt, if the settings allow that.
 func (e *Engine) cancelAttempt(r *request, k int) {
-	if e.config.cancel {
+	if e.config.cancelAllowed {
 		e.requests.cancel(r, k)
 	}
 }
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// message is a datagram between nodes. Its first byte is the kind, with which no other protocol's message begins. All
-// numbers after it are variable-length integers, as encoding/binary writes them. Nodes of different versions exchange
-// messages, so that a change of the format needs all of them.
+// message is a datagram between nodes. Its first byte is the kind, which differs from the first byte of all other
+// protocols' messages. All numbers after the kind are variable-length integers, as encoding/binary writes them. Nodes of
+// different versions exchange messages, so that the format must not change.
 type message struct {
 	kind       byte
 	reports    []customerReport // empty in messages of kindSuspicion
@@ -23,8 +23,8 @@
 )
 
 const (
-	maxReported = math.MaxUint32
-	unitsScale  = 100 // units are sent in hundredths
+	maxReported = math.MaxUint32 // largest number in a message, except for customers' ids
+	unitsScale  = 100            // factor from units to their numbers in a message
 )
 
 // customerReport is one entry of a message: a customer with its plan and its set of nodes, and fields that depend on
@@ -38,7 +38,7 @@
 	firstNode  NodeID
 	request    RequestID     // kindQuery, kindGrant; kindUse: the request that has ended
 	class      ClassID       // kindQuery
-	ended      int           // kindUse: 1 if the request has ended
+	ended      int           // kindUse: above 0 if the request has ended
 	response   ownerResponse // kindGrant
 	optimistic bool          // kindGrant
 }
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -57,7 +57,7 @@
 	return Decision{Action: SendPeerMessage, Payload: m.payload, Peer: m.to}, ok
 }
 
-// checkAttempts checks the attempts in flight. It ejects silent servers, hedges late attempts, and requeues requests
+// checkAttempts checks the attempts in flight. It ejects silent servers, cancels late attempts, and requeues requests
 // whose quota owner did not respond in time. It also closes the control interval when that is over.
 func (e *Engine) checkAttempts() {
 	e.selection.sumPaces(&e.endpoints, e.now)
@@ -71,7 +71,7 @@
 			e.requests.enqueue(requestSlot(i))
 		}
 		if r.inFlight > 0 && !r.streaming {
-			e.hedge(r)
+			e.cancelLateAttempts(r)
 		}
 	}
 	if e.now >= e.timers.intervalAt {
@@ -84,8 +84,7 @@
 	servers := e.endpoints.servers
 	for _, i := range e.endpoints.tracked {
 		for k := range servers[i].byClass {
-			state := &servers[i].byClass[k]
-			state.waitedLatencies, state.lost = 0, 0
+			servers[i].byClass[k].resetSilence()
 		}
 	}
 	e.measureSilence()
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -131,8 +131,8 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); n.config.owners != c.want {
-			t.Errorf("%s nodes that receive %s messages a second: owners %v", c.nodes, c.rate, n.config.owners)
+		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); n.config.usesOwners != c.want {
+			t.Errorf("%s nodes that receive %s messages a second: owners %v", c.nodes, c.rate, n.config.usesOwners)
 		}
 	}
 }
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -10,8 +10,8 @@
 //   - Rule: an ejection lasts one latency objective, each further one twice as long. Then the server gets one trial
 //     attempt at a time. Trials after a longer ejection, or after peers' suspicions, come from the trial budget.
 //   - Protects against: failed servers, cut links, hanging processes, the loss of a zone.
-//   - Trade-off: errors that the requests cause eject healthy servers in turn. With no other server left, selection
-//     falls back on the ejected ones.
+//   - Trade-off: errors that are due to the requests eject healthy servers, one after the other. If all are ejected,
+//     selection falls back on ejected servers.
 type outlierDetector struct {
 	config  *config
 	classes []classOutliers
@@ -40,9 +40,9 @@
 	suspicions      decayingMean // peers' suspicions
 	fromPeer        bool         // a peer's suspicion caused the ejection
 	trialInFlight   bool         // a trial attempt is in flight
-	answeredAt      Time         // time of the last response or passed health check; 0 without any
+	lastResponseAt  Time         // time of the last response or passed health check; 0 without any
 	waitCountedFrom Time         // start of the waits that count; earlier ones have led to an ejection
-	waitedLatencies float64      // sum of the waits in flight since answeredAt, in usual latencies
+	waitedLatencies float64      // sum of the waits in flight since lastResponseAt, in usual latencies
 }
 
 // classOutliers holds the detector's state of one class, for all servers together.
@@ -51,8 +51,8 @@
 	trials     float64      // trial budget, in attempts
 }
 
-// informative reports whether a state carries information. It works on a copy: decaying in two steps would round
-// otherwise than in one.
+// informative reports whether a state differs from that of a server without attempts. It decays a copy of the state. A
+// decay of the state itself would change later values by rounding.
 func (s outlierState) informative(now Time) bool {
 	s.suspicions.decayTo(now, suspicionTimeConstant)
 	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeSuspicions
@@ -71,7 +71,7 @@
 	}
 }
 
-// attemptEnded updates a server's states, indexed by class, from the outcome of an attempt of the class. A refused
+// attemptEnded updates a server's states, indexed by class, from the outcome of an attempt of the class. A failed
 // connection counts for every class.
 func (d *outlierDetector) attemptEnded(states []outlierState, class ClassID, outcome Outcome, now Time) {
 	s := &states[class]
@@ -83,7 +83,7 @@
 	case Succeeded:
 		s.reset(now)
 	case Failed: // rare at healthy servers, so that one is enough
-		s.answeredAt = now
+		s.lastResponseAt = now
 		s.failures++
 		d.eject(s, now)
 	case ConnectFailed:
@@ -102,7 +102,7 @@
 // reset clears failures and ejection after a success. Counts of attempts in flight and suspicions stay.
 func (s *outlierState) reset(now Time) {
 	*s = outlierState{
-		inFlight: s.inFlight, lost: s.lost, suspicions: s.suspicions, answeredAt: now, waitCountedFrom: s.waitCountedFrom,
+		inFlight: s.inFlight, lost: s.lost, suspicions: s.suspicions, lastResponseAt: now, waitCountedFrom: s.waitCountedFrom,
 	}
 }
 
@@ -128,9 +128,12 @@
 	return s.ejectedFor > d.config.shortestObjective || s.fromPeer
 }
 
+// resetSilence prepares the state for the calls of checkSilence in one attempt check.
+func (s *outlierState) resetSilence() { s.waitedLatencies, s.lost = 0, 0 }
+
 // checkSilence adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
 func (d *outlierDetector) checkSilence(s *outlierState, sent Time, usualLatency float64, now Time) {
-	s.waitedLatencies += float64(now-max(sent, s.answeredAt, s.waitCountedFrom)) / usualLatency
+	s.waitedLatencies += float64(now-max(sent, s.lastResponseAt, s.waitCountedFrom)) / usualLatency
 	if d.lost(now-sent, usualLatency) {
 		s.lost++
 	}
@@ -156,18 +159,19 @@
 	d.eject(s, now)
 }
 
-// receive applies a peer's suspicion, where ready is the number of ready servers. It ejects the server unless this
-// node ejected it itself, or received a response from it within the shortest latency objective.
+// receiveSuspicion counts a peer's suspicion, where ready is the number of ready servers. It ejects the server if the
+// peer's ejection has not ended, or if suspectedByPeers holds. It does not eject a server that this node ejected itself,
+// or that responded to this node within the shortest latency objective.
 //
 // Protects against: one failed attempt for each of many nodes at each failed server.
 // Trade-off: if only the peer's links are cut, the server is ejected here as well.
-func (d *outlierDetector) receive(s *outlierState, reported suspicion, ready int, now Time) {
+func (d *outlierDetector) receiveSuspicion(s *outlierState, reported suspicion, ready int, now Time) {
 	shortest := d.config.shortestObjective
 	s.suspicions.add(1, now, suspicionTimeConstant)
 	d.classes[reported.class].suspicions.add(1, now, suspicionTimeConstant)
 	ejectedHere := s.failures > 0 && !s.fromPeer && now < s.ejectedUntil
-	answeredLately := s.answeredAt > 0 && now-s.answeredAt < shortest
-	if ejectedHere || answeredLately {
+	respondedRecently := s.lastResponseAt > 0 && now-s.lastResponseAt < shortest
+	if ejectedHere || respondedRecently {
 		return
 	}
 	if reported.ejectedFor > 0 || d.suspectedByPeers(s, reported.class, ready, now) {
@@ -194,7 +198,7 @@
 // reportable reports whether peers should receive a suspicion of the server. This node must have found the failure
 // itself. In a small fleet, the ejection must not have ended.
 func (d *outlierDetector) reportable(s *outlierState, now Time) bool {
-	return s.failures > 0 && !s.fromPeer && (d.config.owners || now < s.ejectedUntil)
+	return s.failures > 0 && !s.fromPeer && (d.config.usesOwners || now < s.ejectedUntil)
 }
 
 // drawMessage reports whether this node sends its suspicions now. It draws at random, so that all nodes together send
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -164,7 +164,7 @@
 		t.Errorf("%v trials left with one in flight", d.classes[0].trials)
 	}
 	d.attemptEnded(states, 0, Succeeded, now+49000)
-	if states[0] != (outlierState{answeredAt: now + 49000}) {
+	if states[0] != (outlierState{lastResponseAt: now + 49000}) {
 		t.Errorf("after an answer: %+v", states[0])
 	}
 }
@@ -199,7 +199,7 @@
 
 // Silence is the sum of the waits of all attempts in flight since the last response.
 func TestSilence(t *testing.T) {
-	d, s, now := testDetector(), &outlierState{answeredAt: 2 * Second}, 3*Second
+	d, s, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
 	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
 	d.checkSilence(s, now-2000, 2000, now) // one
 	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waitedLatencies != 6 || s.lost != 0 {
@@ -225,8 +225,8 @@
 		{"ejected there", outlierState{}, 9000, now + 9000, true},
 		{"for less than an objective", outlierState{}, 1, now + 6000, true},
 		{"for very long", outlierState{}, 99 * Second, now + 48000, true},
-		{"just answered here", outlierState{answeredAt: now - 5999}, 9000, 0, false},
-		{"answered long ago", outlierState{answeredAt: now - 6000}, 9000, now + 9000, true},
+		{"just answered here", outlierState{lastResponseAt: now - 5999}, 9000, 0, false},
+		{"answered long ago", outlierState{lastResponseAt: now - 6000}, 9000, now + 9000, true},
 		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
 		{"one suspicion without an ejection", outlierState{}, 0, 0, false},
 		{"many suspicions", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
@@ -234,7 +234,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			d, s := testDetector(), c.before
 			d.classes[0].suspicions = decayingMean{count: 40, at: now}
-			if d.receive(&s, suspicion{ejectedFor: c.sent}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
+			if d.receiveSuspicion(&s, suspicion{ejectedFor: c.sent}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
 				t.Errorf("until %d, by a peer %v", s.ejectedUntil-now, s.fromPeer)
 			}
 		})
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -19,7 +19,7 @@
 const (
 	maxMeshRateRatio       = 0.75 // share of the peer message rate up to which all nodes report to all
 	ownerTimeoutObjectives = 0.2  // wait for an owner's response, in shortest latency objectives
-	minOwnerTimeoutsLeft   = 2    // owner timeouts and answer margins left before the deadline, for a request to wait
+	minOwnerTimeoutsLeft   = 2    // least time left for a query, in sums of owner timeout and response margin
 	reservationLatencies   = 3.0  // longest reservation, in usual latencies
 	ownerCeilingRatio      = 0.5  // share of a hard ceiling that the owner keeps
 	meanUnitsSmoothing     = 0.3  // weight of a request in the moving average of units
@@ -28,7 +28,7 @@
 	maxQueryRateRatio     = 0.7  // share of the peer message rate that queries to an owner may use
 	minQueryRateRatio     = 0.2  // share of the peer message rate that queries for one customer may always use
 	minQueryRatio         = 0.01 // least share of a customer's requests for which nodes query the owner
-	queryOversubscription = 1.5  // queries that the owner asks for, for each request that the bucket can admit
+	queryOversubscription = 1.5  // queries that other nodes may send for each request that the bucket can admit
 
 	queryRatioLifetime = peerSilenceTimeout // age at which a query ratio has lost its effect
 
@@ -64,7 +64,7 @@
 
 // owned reports whether an owner keeps the customer's bucket.
 func (o *quotaOwner) owned(c *customer) bool {
-	return o.config.owners && c.spread > 1 && o.config.peers && !c.leased
+	return o.config.usesOwners && c.spread > 1 && o.config.peersEnabled && !c.leased
 }
 
 // isOwner reports whether this node is the customer's owner.
@@ -215,12 +215,12 @@
 	return r.ownerResponse == responseGranted
 }
 
-// queryOwner sends a customer's owner the query whether a request is admitted. If too little time is left to wait, the
-// query counts as timed out at once.
+// queryOwner sends a customer's owner the query whether a request is admitted. If the time left before the deadline does
+// not allow a wait, the query counts as timed out at once.
 func (e *Engine) queryOwner(c *customer, r *request) {
 	timeout := e.config.ownerTimeout
 	r.queriedOwnerAt = e.now
-	if r.deadline-e.now < minOwnerTimeoutsLeft*(timeout+e.answerMargin()) {
+	if r.deadline-e.now < minOwnerTimeoutsLeft*(timeout+e.responseMargin()) {
 		r.queriedOwnerAt -= timeout
 	}
 	report := c.report()
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -8,7 +8,7 @@
 //   - State: the length and the end of the last pause, and the requests that arrived during it.
 //   - Rule: after a pause, the requests that arrived meanwhile are decided last one first, since those still have time
 //     left. Their arrival times are set as if they had arrived evenly over the pause.
-//   - Protects against: a first turn spent on requests whose clients have left.
+//   - Protects against: time spent on requests whose clients have left, directly after the pause.
 //   - Trade-off: if the host was only late to call, requests count as older than they are.
 type pause struct {
 	length  Time
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -24,11 +24,11 @@
 func (e *Engine) receiveReport(kind byte, from NodeID, report customerReport) {
 	i := e.customers.findOrAdd(report.ref(), e.now)
 	c := &e.customers.all[i]
-	ownedHere := e.config.owners && e.owner.isOwner(c)
+	ownedHere := e.config.usesOwners && e.owner.isOwner(c)
 	switch {
 	case kind == kindUse && ownedHere:
 		e.receiveUse(c, from, report)
-	case kind == kindUse && !e.config.owners:
+	case kind == kindUse && !e.config.usesOwners:
 		c.peerDemand.add(report.demand, e.now, demandTimeConstant)
 	case kind == kindQuery && ownedHere:
 		e.receiveQuery(c, from, report)
@@ -95,7 +95,7 @@
 			continue
 		}
 		state := &e.endpoints.outlierStates(i, len(e.classes))[reported.class]
-		e.outliers.receive(state, reported, e.endpoints.ready, e.now)
+		e.outliers.receiveSuspicion(state, reported, e.endpoints.ready, e.now)
 	}
 }
 
@@ -121,8 +121,8 @@
 // reportUse adds to the unsent report on a customer, unless this node has no peer to report to. Without quota owners,
 // all peers receive the demand. With them, the owner receives the units admitted without a query or settled afterwards.
 func (e *Engine) reportUse(c *customer, i customerSlot, demand, use float64) {
-	ownedHere := e.config.owners && e.owner.isOwner(c)
-	if c.spread > 1 && e.config.peers && !ownedHere {
+	ownedHere := e.config.usesOwners && e.owner.isOwner(c)
+	if c.spread > 1 && e.config.peersEnabled && !ownedHere {
 		e.reports.add(c, i, demand, use)
 	}
 }
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -19,7 +19,7 @@
 const (
 	demandTimeConstant     = 2 * controlInterval // time constant of the decaying sums of a customer's demand
 	peerSilenceTimeout     = 4 * controlInterval // time without peer messages after which reports don't count
-	evenSharePriorQuotas   = 3.0                 // weight of the even share against measured demand, in quota rates
+	evenSharePriorQuotas   = 3.0                 // demand assumed at even shares beside the measured one, in quota rates
 	minPeerReports         = 0.1                 // decayed number of reports below which no peer reports the customer
 	minReportRounds        = 2                   // report intervals after which all peers have reported a new customer
 	unreportedShareDivisor = 2                   // largest unreported demand, as a divisor of the even share
@@ -86,7 +86,7 @@
 // peersReport reports whether peers send messages and have had time to report the customer.
 func (q *tenantQuota) peersReport(c *customer, now Time) bool {
 	switch {
-	case !q.config.peers:
+	case !q.config.peersEnabled:
 		return false
 	case now-q.lastPeerMessageAt > peerSilenceTimeout:
 		return false
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.peers = c.peers
+			cfg.peersEnabled = c.peers
 			q := tenantQuota{config: cfg, lastPeerMessageAt: c.heardAt}
 			customer := &customer{
 				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.own, count: 9, at: now},
@@ -63,7 +63,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.peers, cfg.plans = false, []quotaPlan{c.plan}
+			cfg.peersEnabled, cfg.plans = false, []quotaPlan{c.plan}
 			q := tenantQuota{config: cfg}
 			at := 100 * Second
 			if c.leased {
@@ -97,7 +97,7 @@
 		want  float64
 	}{{false, Second / 2, 5}, {false, 9 * Second, 15}, {true, Second / 2, 2.5}, {true, 9 * Second, 7.5}} {
 		cfg := testConfig()
-		cfg.plans, cfg.owners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.owned
+		cfg.plans, cfg.usesOwners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.owned
 		q, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
 		if q.ceilingAllows(customer, 6, ratio, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
--- a/internal/decision/random.go
+++ b/internal/decision/random.go
@@ -1,16 +1,20 @@
 package decision
 
-// random is a multiply-with-carry generator. Its numbers are the same on every host, so that a run can be repeated.
+// random is a multiply-with-carry generator (G. Marsaglia). Its numbers are the same on every host, so that a run can be
+// repeated.
 type random struct{ x, carry uint32 }
 
+// randomMultiplier is the generator's multiplier. The carry is always below it.
+const randomMultiplier = 4294957665
+
 // newRandom returns a generator. Any seed is valid.
 func newRandom(seed uint64) random {
-	return random{uint32(seed) | 1, uint32(seed>>32)%4294957664 + 1}
+	return random{uint32(seed) | 1, uint32(seed>>32)%(randomMultiplier-1) + 1}
 }
 
 // unit returns a number in [0, 1).
 func (r *random) unit() float64 {
-	v := uint64(4294957665)*uint64(r.x) + uint64(r.carry)
+	v := randomMultiplier*uint64(r.x) + uint64(r.carry)
 	r.x, r.carry = uint32(v), uint32(v>>32)
 	return float64(r.x) / (1 << 32)
 }
--- a/internal/decision/reports.go
+++ b/internal/decision/reports.go
@@ -32,7 +32,7 @@
 
 // write writes the pending reports to the outbox.
 func (u *usageReports) write(out *outbox, customers []customer, owner *quotaOwner, quota *tenantQuota, now Time) {
-	if u.config.owners {
+	if u.config.usesOwners {
 		u.writeToOwners(out, customers, owner)
 	} else {
 		u.writeToAll(out, customers, quota, now)
@@ -54,8 +54,8 @@
 	u.pending = u.pending[:0]
 }
 
-// writeToAll writes messages on the pending customers to all peers, within the message rate. At least one message goes
-// out, since a peer without messages counts as silent.
+// writeToAll writes messages on the pending customers to all peers, within the message rate. It writes at least one
+// message: peers would otherwise assume that this node sends no reports.
 func (u *usageReports) writeToAll(out *outbox, customers []customer, quota *tenantQuota, now Time) {
 	out.add(AllPeers, []byte{kindUse})
 	rate := reportRateRatio * u.config.peerRate * seconds(reportInterval) / float64(u.config.nodes-1)
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -53,7 +53,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.owners, cfg.peerRate = c.owners, c.rate
+			cfg.usesOwners, cfg.peerRate = c.owners, c.rate
 			u, out, all := usageReports{config: cfg}, outbox{}, slices.Clone(customers)
 			for len(all) < c.many {
 				all = append(all, customer{id: CustomerID(1<<40 + len(all)), spread: 4, demand: busy})
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -1,6 +1,6 @@
 package decision
 
-// retryBudget limits retries and hedged requests.
+// retryBudget limits retries, and the cancellations of late attempts that lead to them.
 //
 //   - Inputs: first attempts, retries, the request's class, the outcomes of its attempts.
 //   - State: the budget, in attempts.
@@ -17,23 +17,23 @@
 const (
 	retryBudgetRatio        = 0.2  // retries that a first attempt earns
 	maxRetryBudgetPerServer = 2    // largest retry budget, in attempts per usable server
-	hedgeDelayObjectives    = 0.33 // least delay before a hedge, in latency objectives
-	hedgeDelayLatencies     = 2.5  // least delay before a hedge, in usual latencies
+	cancelDelayObjectives   = 0.33 // least age of a late attempt, in latency objectives
+	cancelDelayLatencies    = 2.5  // least age of a late attempt, in usual latencies
 )
 
-// earn adds the share of a first attempt, where usable is the number of usable servers.
+// earn adds retryBudgetRatio for a first attempt. The budget's limit depends on the number of usable servers.
 func (b *retryBudget) earn(usable int) {
 	b.left = min(b.left+retryBudgetRatio, maxRetryBudgetPerServer*float64(usable))
 }
 
-// spend takes a retry off the budget.
+// spend subtracts one retry from the budget.
 func (b *retryBudget) spend() { b.left-- }
 
-// allows reports whether a request may have another attempt.
-func (b *retryBudget) allows(r *request, now Time) bool { return b.refusal(r, now) == ReasonNone }
+// allows reports whether a request may have another attempt now.
+func (b *retryBudget) allows(r *request, now Time) bool { return b.denyReason(r, now) == ReasonNone }
 
-// refusal returns the reason for which a request may have no other attempt, or ReasonNone.
-func (b *retryBudget) refusal(r *request, now Time) Reason {
+// denyReason returns the reason for which a request may have no other attempt, or ReasonNone.
+func (b *retryBudget) denyReason(r *request, now Time) Reason {
 	switch {
 	case len(r.attempts) >= b.config.maxAttempts:
 		return ReasonMaxAttempts
@@ -49,35 +49,35 @@
 	return ReasonNone
 }
 
-// repeatable reports whether a request may run again at a time, though the attempt may have run. A keyed request may,
-// while servers remember the idempotency key.
-func (c *classConfig) repeatable(a *attempt, at Time) bool {
+// repeatable reports whether a request of the class may run again at startBy, if the attempt may have run. A keyed
+// request may while servers remember the idempotency key.
+func (c *classConfig) repeatable(a *attempt, startBy Time) bool {
 	switch c.retrySafety {
 	case retryNever:
 		return false
 	case retryKeyed:
-		return at < a.sent+c.keyWindow
+		return startBy < a.sent+c.keyWindow
 	}
 	return true
 }
 
-// hedgeAfter returns the time after which an attempt at an ejected server is cancelled. The usual latency is in units
-// of Time.
-func (b *retryBudget) hedgeAfter(class ClassID, usualLatency float64) Time {
+// cancelDelay returns the age from which an attempt at an ejected server is late. The usual latency is in units of Time.
+func (b *retryBudget) cancelDelay(class ClassID, usualLatency float64) Time {
 	objective := b.config.classes[class].latencyObjective
-	return max(Time(hedgeDelayObjectives*float64(objective)), Time(hedgeDelayLatencies*usualLatency))
+	return max(Time(cancelDelayObjectives*float64(objective)), Time(cancelDelayLatencies*usualLatency))
 }
 
-// hedge cancels a request's attempts that are late at ejected servers, if the request may have another attempt in time.
-func (e *Engine) hedge(r *request) {
-	hedgeAfter := e.retries.hedgeAfter(r.class, e.usualLatency(r.class))
+// cancelLateAttempts cancels a request's attempts that are late at ejected servers, unless its latency objective has
+// passed or it may have no other attempt. The request is retried once the cancelled attempt has ended.
+func (e *Engine) cancelLateAttempts(r *request) {
+	delay := e.retries.cancelDelay(r.class, e.usualLatency(r.class))
 	objective := e.config.classes[r.class].latencyObjective
 	if e.now >= r.arrived+objective {
 		return
 	}
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		if !a.inFlight || e.now-a.sent < hedgeAfter {
+		if !a.inFlight || e.now-a.sent < delay {
 			continue
 		}
 		state := &e.endpoints.servers[a.server].byClass[r.class]
@@ -87,14 +87,14 @@
 	}
 }
 
-// harmless reports whether the client may safely repeat a request after a rejection.
-func (c *classConfig) harmless(r *request) bool {
+// harmlessToRepeat reports whether the client may safely repeat a request after a rejection.
+func (c *classConfig) harmlessToRepeat(r *request) bool {
 	return c.retrySafety == retrySafe || c.retrySafety == retryKeyed && c.keyGroup == groupAll || !r.mayHaveRun()
 }
 
-// bound reports whether a request must not go to a server because of its idempotency key. Servers outside the key group
-// of an attempt that may have run do not recognize the key.
-func (c *classConfig) bound(r *request, to *server, servers []server) bool {
+// keyExcludes reports whether a keyed request must not go to a server. A server outside the key group of an attempt that
+// may have run does not recognize the idempotency key.
+func (c *classConfig) keyExcludes(r *request, to *server, servers []server) bool {
 	if c.retrySafety != retryKeyed {
 		return false
 	}
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -55,7 +55,7 @@
 			if got := b.allows(r, now); got != c.allowed {
 				t.Errorf("allowed %v", got)
 			}
-			if got := cfg.classes[0].harmless(r); got != c.harmless {
+			if got := cfg.classes[0].harmlessToRepeat(r); got != c.harmless {
 				t.Errorf("harmless %v", got)
 			}
 		})
@@ -94,7 +94,7 @@
 	} {
 		r := &request{attempts: []attempt{{server: 0, mayHaveRun: c.ran}}}
 		for k := range servers {
-			if got := c.class.bound(r, &servers[k], servers); got != c.bound[k] {
+			if got := c.class.keyExcludes(r, &servers[k], servers); got != c.bound[k] {
 				t.Errorf("%+v: server %d bound %v", c.class, k, got)
 			}
 		}
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -7,11 +7,12 @@
 //     their class.
 //   - Rule: a server's weight is its size over its pace. Each selection adds a server's weight to its credit and takes
 //     the sum of the weights from the selected server. Servers above their share of the attempts in flight are left out.
-//   - Protects against: queues at smaller or slower servers. The cap reacts to a slowdown before the pace does.
+//   - Protects against: queues at smaller or slower servers. The limit on attempts in flight reacts to a slowdown before
+//     the pace does.
 //   - Trade-off: a server that received long requests has less weight for a while.
 type selection struct {
 	config *config
-	paces  decayingMean // of the usable tracked servers, from the last attempt check on
+	paces  decayingMean // sum of the usable tracked servers' paces; summed again at each attempt check
 }
 
 const (
@@ -31,13 +32,13 @@
 	selectionPasses
 )
 
-// warmingTurn is the place of a warming server in one turn of the rotation.
-type warmingTurn uint8
+// rotationRole is the part that a server takes in one selection of the rotation.
+type rotationRole uint8
 
 const (
-	turnTaken     warmingTurn = iota // the server takes part like a warm one
-	turnSkipped                      // the server is left out
-	turnPreferred                    // the server is selected before all others
+	roleRegular   rotationRole = iota // the server takes part by its weight and credit
+	roleSkipped                       // a warming server is left out
+	rolePreferred                     // a warming server is selected before all regular ones
 )
 
 // serverAdded sets the credit of a new server among a number of listed ones. It is random: nodes that start together
@@ -97,12 +98,12 @@
 	return s.size() / pace
 }
 
-// preferred reports whether a pass selects server a before server b. With quota owners a node has few attempts in
+// ranksBefore reports whether a pass selects server a before server b. With quota owners a node has few attempts in
 // flight at a time. Then the server with the fewest attempts for its weight comes first, and credit decides ties.
-func (l *selection) preferred(a, b *server, pass selectionPass) bool {
-	loadA := float64(a.inFlight) * b.weight
-	loadB := float64(b.inFlight) * a.weight
-	if l.config.owners && pass == passSubset && loadA != loadB {
+func (l *selection) ranksBefore(a, b *server, pass selectionPass) bool {
+	loadA := float64(a.inFlight) * b.rotationWeight
+	loadB := float64(b.inFlight) * a.rotationWeight
+	if l.config.usesOwners && pass == passSubset && loadA != loadB {
 		return loadA < loadB
 	}
 	return a.rotationCredit > b.rotationCredit
@@ -110,18 +111,18 @@
 
 // capped reports whether a server has its share of the candidates' attempts in flight.
 func (c *candidates) capped(s *server) bool {
-	return float64(s.inFlight) >= max(1, (c.inFlight+1)*s.weight/c.weight)
+	return float64(s.inFlight) >= max(1, (c.inFlight+1)*s.rotationWeight/c.weightSum)
 }
 
 // pick returns the server for a request's next attempt, or -1 if no server may take it.
 func (e *Engine) pick(r *request) serverSlot {
-	c := e.weighAll(r, e.endpoints.subset)
+	c, widened := e.weighAll(r, e.endpoints.subset), false
 	for pass := range selectionPasses {
-		if pass == passTracked && !e.config.owners { // the subset is every tracked server
+		if pass == passTracked && !e.config.usesOwners { // the subset is every tracked server
 			continue
 		}
-		if pass > passSubset && len(c.slots) == len(e.endpoints.subset) {
-			c = e.weighAll(r, e.beyondSubset(r))
+		if pass > passSubset && !widened {
+			c, widened = e.weighAll(r, e.beyondSubset(r)), true
 		}
 		if i := e.rotate(r, &c, pass); i >= 0 {
 			return i
@@ -130,26 +131,26 @@
 	return -1
 }
 
-// rotate runs one turn of the rotation over the candidates that a pass accepts. It returns the selected server, or -1
-// if there is none.
+// rotate selects among the candidates that a pass accepts, and updates their rotation credit. It returns the selected
+// server, or -1 if there is none.
 func (e *Engine) rotate(r *request, c *candidates, pass selectionPass) serverSlot {
 	best, preferred, weightSum := serverSlot(-1), serverSlot(-1), 0.0
 	servers := e.endpoints.servers
 	for _, i := range c.slots {
 		s := &servers[i]
-		if s.weight <= 0 || !e.accepts(r, c, i, pass) {
+		if s.rotationWeight <= 0 || !e.accepts(r, c, i, pass) {
 			continue
 		}
-		turn := e.turnOf(s, pass)
-		if turn == turnPreferred && (preferred < 0 || s.rotationCredit > servers[preferred].rotationCredit) {
+		role := e.roleOf(s, pass)
+		if role == rolePreferred && (preferred < 0 || s.rotationCredit > servers[preferred].rotationCredit) {
 			preferred = i
 		}
-		if turn != turnTaken {
+		if role != roleRegular {
 			continue
 		}
-		s.rotationCredit += s.weight
-		weightSum += s.weight
-		if best < 0 || e.selection.preferred(s, &servers[best], pass) {
+		s.rotationCredit += s.rotationWeight
+		weightSum += s.rotationWeight
+		if best < 0 || e.selection.ranksBefore(s, &servers[best], pass) {
 			best = i
 		}
 	}
@@ -171,18 +172,19 @@
 	return pass >= passTried || !c.capped(s) && !r.tried(i)
 }
 
-// turnOf returns a server's part in a turn. A warming server is skipped at random, less often as it warms up. A
-// server whose budget is a rate is preferred whenever it has capacity: a chance on top would leave it idle.
-func (e *Engine) turnOf(s *server, pass selectionPass) warmingTurn {
+// roleOf returns a server's role in a selection. A warming server is skipped at random, less often as it warms up. A
+// server whose budget is below one attempt is preferred whenever it has capacity. A random skip as well would leave
+// most of that budget unused.
+func (e *Engine) roleOf(s *server, pass selectionPass) rotationRole {
 	weight := e.slowStart.weight(s, e.now)
 	if weight >= 1 || pass >= passTried {
-		return turnTaken
+		return roleRegular
 	}
 	if e.slowStart.budget(s, e.now, e.subsets.ratio) < 1 {
-		return turnPreferred
+		return rolePreferred
 	}
 	if e.random.unit() > weight {
-		return turnSkipped
+		return roleSkipped
 	}
-	return turnTaken
+	return roleRegular
 }
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -28,7 +28,7 @@
 	tick           Time // longest delay of a timer, or of the notification that an attempt has ended
 	connectTimeout Time
 	maxAttempts    int  // maximum number of attempts of a request, at least 1
-	cancel         bool // attempts may be cancelled
+	cancelAllowed  bool // attempts may be cancelled
 	idleTimeout    Time // idle time after which a connection to a server is closed
 
 	slowStartSpan    Time    // time after its start at which a server is warm
@@ -36,11 +36,11 @@
 	recoveryMultiple float64 // load limit of a warming server within recoverySpan, as a multiple of its capacity
 	recoverySpan     Time    // time over which recoveryMultiple applies
 
-	peers    bool    // nodes send each other messages
-	peerRate float64 // maximum number of messages a second that a node receives
+	peersEnabled bool    // nodes send each other messages
+	peerRate     float64 // maximum number of messages a second that a node receives
 
-	retryAfter    bool // rejections carry a Retry-After
-	maxRetryAfter Time // longest Retry-After
+	sendsRetryAfter bool // rejections carry a Retry-After
+	maxRetryAfter   Time // longest Retry-After
 
 	pollEndpoints bool    // the node polls discovery; otherwise discovery pushes its lists
 	pollWithin    float64 // longest time to the next poll, in units of Time
@@ -48,7 +48,7 @@
 	classes           []classConfig // by ClassID, at least one
 	plans             []quotaPlan   // by PlanID, at least one
 	shortestObjective Time          // shortest latency objective of all classes, at least 1
-	owners            bool          // customers have quota owners: the nodes are too many for all to report to all
+	usesOwners        bool          // customers have quota owners: the nodes are too many for all to report to all
 	ownerTimeout      Time          // longest wait of a request for its quota owner's response
 }
 
@@ -80,15 +80,15 @@
 		tick:             timeOf(set.Tick),
 		connectTimeout:   timeOf(set.ConnectTimeout),
 		maxAttempts:      max(1, set.MaxAttempts.Truncated()),
-		cancel:           set.CancelAttempts,
+		cancelAllowed:    set.CancelAttempts,
 		idleTimeout:      timeOf(set.IdleTimeout),
 		slowStartSpan:    timeOf(set.SlowStartSpan),
 		slowStartShare:   set.SlowStartShare.Float(),
 		recoveryMultiple: set.OverloadMultiple.Float(),
 		recoverySpan:     timeOf(set.OverloadSpan),
-		peers:            set.Peers,
+		peersEnabled:     set.Peers,
 		peerRate:         set.PeerRate.Float(),
-		retryAfter:       set.RetryAfter,
+		sendsRetryAfter:  set.RetryAfter,
 		maxRetryAfter:    timeOf(set.MaxRetryAfter),
 		pollEndpoints:    set.PollsEndpoints(),
 		pollWithin:       set.PollWithin.FractionalUnits(),
@@ -103,7 +103,7 @@
 	for _, class := range c.classes {
 		c.shortestObjective = min(c.shortestObjective, class.latencyObjective)
 	}
-	c.owners = ownersNeeded(c.nodes, c.peerRate)
+	c.usesOwners = ownersNeeded(c.nodes, c.peerRate)
 	c.ownerTimeout = ownerTimeout(c.shortestObjective)
 	return c
 }
--- a/internal/decision/settingsreference_test.go
+++ b/internal/decision/settingsreference_test.go
@@ -30,12 +30,12 @@
 	c := &config{
 		self: NodeID(s.number(settings.Node)), nodes: max(1, int(s.number(settings.Nodes))),
 		tick: s.duration(settings.Tick), connectTimeout: s.duration(settings.ConnectTimeout),
-		maxAttempts: max(1, int(s.number(settings.MaxAttempts))), cancel: s.enabled(settings.CancelAttempts),
+		maxAttempts: max(1, int(s.number(settings.MaxAttempts))), cancelAllowed: s.enabled(settings.CancelAttempts),
 		idleTimeout:   s.duration(settings.IdleTimeout),
 		slowStartSpan: s.duration(settings.SlowStartSpan), slowStartShare: s.number(settings.SlowStartShare),
 		recoveryMultiple: s.number(settings.OverloadMultiple), recoverySpan: s.duration(settings.OverloadSpan),
-		peers: s.enabled(settings.Peers), peerRate: s.number(settings.PeerRate),
-		retryAfter: s.enabled(settings.RetryAfter), maxRetryAfter: s.duration(settings.MaxRetryAfter),
+		peersEnabled: s.enabled(settings.Peers), peerRate: s.number(settings.PeerRate),
+		sendsRetryAfter: s.enabled(settings.RetryAfter), maxRetryAfter: s.duration(settings.MaxRetryAfter),
 		pollEndpoints: s[settings.EndpointList] == settings.EndpointListPoll, pollWithin: s.number(settings.PollWithin),
 		classes: s.classes(), plans: s.plans(),
 	}
@@ -43,7 +43,7 @@
 	for _, class := range c.classes {
 		c.shortestObjective = min(c.shortestObjective, class.latencyObjective)
 	}
-	c.owners = ownersNeeded(c.nodes, c.peerRate)
+	c.usesOwners = ownersNeeded(c.nodes, c.peerRate)
 	c.ownerTimeout = ownerTimeout(c.shortestObjective)
 	return c
 }
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -10,19 +10,26 @@
 // shadow evaluates other settings and counts the decisions that would differ under them. It has no effect on the node.
 //
 // Before each decision on a request, a copy of the engine decides under the other settings. The copy has the same random
-// numbers and is dropped afterwards. Only the customers' buckets under the other settings are kept. They are charged for the
-// requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under the
-// other settings, in which queues, retries and reports would differ too.
+// numbers and is dropped afterwards. Only the customers' buckets under the other settings are kept. They are charged for
+// the requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under
+// the other settings, in which queues, retries and reports would differ too.
 type shadow struct {
-	config  *config
-	seen    int64            // decisions compared
-	differs map[string]int64 // decisions that differ, by actual and other action
-	buckets map[CustomerID]customerBuckets
+	config   *config
+	compared int64            // decisions compared
+	differs  map[string]int64 // decisions that differ, by actual and other action
+	buckets  map[CustomerID]customerBuckets
 }
 
 // customerBuckets holds a customer's buckets.
 type customerBuckets struct{ quota, ceiling, ownerCeiling tokenBucket }
 
+// The number of kept buckets, relative to that of the node's customer slots, above which those of dropped customers are
+// dropped too.
+const (
+	maxBucketsPerCustomer = 2
+	extraBuckets          = 100
+)
+
 // buckets returns the customer's buckets.
 func (c *customer) buckets() customerBuckets {
 	return customerBuckets{c.bucket, c.ceiling, c.ownerCeiling}
@@ -43,11 +50,11 @@
 
 // ShadowCounts returns the number of decisions compared, and the number of those that differ, by actual and other
 // action. It returns 0 and nil unless StartShadow was called.
-func (e *Engine) ShadowCounts() (seen int64, differs map[string]int64) {
+func (e *Engine) ShadowCounts() (compared int64, differs map[string]int64) {
 	if e.shadow == nil {
 		return 0, nil
 	}
-	return e.shadow.seen, maps.Clone(e.shadow.differs)
+	return e.shadow.compared, maps.Clone(e.shadow.differs)
 }
 
 // decideWithShadow decides on a request, and compares the decision with that under the other settings.
@@ -61,19 +68,19 @@
 	c := &other.customers.all[r.customer]
 	buckets := c.buckets()
 	wouldDecide := kindOf(other.decide(i))
-	d := e.decide(i)
+	actual := e.decide(i)
 	c.setBuckets(buckets)
-	if int(c.plan) < len(other.config.plans) && first && d.Action == Forward {
+	if int(c.plan) < len(other.config.plans) && first && actual.Action == Forward {
 		other.chargeAdmitted(c, r)
 	}
 	e.shadow.keep(&e.customers, c)
-	e.shadow.compare(kindOf(d), wouldDecide)
-	return d
+	e.shadow.compare(kindOf(actual), wouldDecide)
+	return actual
 }
 
 // compare counts a decision, and its difference from the one under the other settings.
 func (s *shadow) compare(actual, other decisionKind) {
-	s.seen++
+	s.compared++
 	switch {
 	case actual.action != other.action:
 		s.differs[actual.action+"_would_"+other.action]++
@@ -124,10 +131,10 @@
 	e.shadow.buckets[c.id] = b
 }
 
-// keep stores a customer's buckets, and drops those of customers that the node has dropped.
+// keep stores a customer's buckets. If too many are stored, it drops those of customers that the node has dropped.
 func (s *shadow) keep(table *customerTable, c *customer) {
 	s.buckets[c.id] = c.buckets()
-	if len(s.buckets) > 2*len(table.all)+100 {
+	if len(s.buckets) > maxBucketsPerCustomer*len(table.all)+extraBuckets {
 		for id := range s.buckets {
 			if table.slots.find(id) < 0 {
 				delete(s.buckets, id)
@@ -142,12 +149,12 @@
 	if e.shadow == nil {
 		return e.grantAsOwner(c, query, from)
 	}
-	other, same := e.underShadowSettings(), *c
-	same.reservations = slices.Clone(c.reservations)
-	same.setBuckets(e.shadow.bucketsOf(c, e.now))
-	wouldGrant := other.grantAsOwner(&same, query, from)
+	other, customerCopy := e.underShadowSettings(), *c
+	customerCopy.reservations = slices.Clone(c.reservations)
+	customerCopy.setBuckets(e.shadow.bucketsOf(c, e.now))
+	wouldGrant := other.grantAsOwner(&customerCopy, query, from)
 	granted := e.grantAsOwner(c, query, from)
-	e.shadow.seen++
+	e.shadow.compared++
 	switch {
 	case granted && !wouldGrant:
 		e.shadow.differs["grant_would_deny"]++
@@ -198,7 +205,7 @@
 	c := &other.customers.all[r.customer]
 	c.reservations = slices.Clone(c.reservations)
 	c.setBuckets(e.shadow.bucketsOf(c, e.now))
-	if other.config.owners != e.config.owners {
+	if other.config.usesOwners != e.config.usesOwners {
 		set.order = endpointOrder{}
 		other.chooseSubset()
 	}
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -3,8 +3,8 @@
 // slowStart limits the attempts that this node sends to servers that started recently.
 //
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
-//   - State: the rate of a warm server, and the attempts counted against each warming server. A bound on the difference
-//     between this node's clock and the servers' clock.
+//   - State: the rate of a warm server, the attempts counted against each warming server, and an upper bound of the time
+//     by which this node's clock is ahead of the servers' clock.
 //   - Rule: over recoverySpan all nodes together may send a server recoveryMultiple times its capacity. This node uses
 //     slowStartBudgetRatio of its share at once, and as much again over each span.
 //   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
@@ -16,7 +16,7 @@
 	rates           []float64    // completed attempts a second and warm server, of recent intervals
 	lastWarmServers float64      // capacity of the ready servers in the last interval, in warm servers
 	completedSizes  decayingMean // listed sizes of the servers that completed attempts
-	clockBound      Time         // upper bound of this node's clock less the servers' clock, if clockSeen
+	maxClockLead    Time         // upper bound of the lead of this node's clock over the servers' clock; valid if clockSeen
 	clockSeen       bool         // the servers' clock has been observed
 }
 
@@ -40,13 +40,13 @@
 // server that starts while this node runs is such a time.
 func (l *slowStart) observeClock(at, now Time) {
 	ahead := now - at
-	if !l.clockSeen || ahead < l.clockBound {
-		l.clockBound, l.clockSeen = ahead, true
+	if !l.clockSeen || ahead < l.maxClockLead {
+		l.maxClockLead, l.clockSeen = ahead, true
 	}
 }
 
 // startedAt returns a server's start time by this node's clock; 0 stands for long ago. The list gives the time by the
-// servers' clock. If this node's clock is ahead by more than a list's delay, clockBound corrects the time. If it is
+// servers' clock. If this node's clock is ahead by more than a list's delay, maxClockLead corrects the time. If it is
 // behind, the time at which the list first named the process is an upper bound.
 func (l *slowStart) startedAt(s *server) Time {
 	if s.Started <= 0 {
@@ -54,8 +54,8 @@
 	}
 	at := s.Started
 	tolerance := Time(clockToleranceSpans * float64(l.config.recoverySpan))
-	if l.clockSeen && l.clockBound > tolerance {
-		at += l.clockBound
+	if l.clockSeen && l.maxClockLead > tolerance {
+		at += l.maxClockLead
 	}
 	if s.knownAt > 0 {
 		at = min(at, s.knownAt)
@@ -63,7 +63,7 @@
 	return at
 }
 
-// weight returns the least share of its capacity that a server has now. It is 1 for a warm server.
+// weight returns a lower bound of the share of its capacity that a server has now. It is 1 for a warm server.
 func (l *slowStart) weight(s *server, now Time) float64 {
 	span, least := l.config.slowStartSpan, l.config.slowStartShare
 	startedAt := l.startedAt(s)
@@ -81,7 +81,7 @@
 	if weight >= 1 {
 		return true
 	}
-	l.drain(s, now, subsetRatio)
+	l.leak(s, now, subsetRatio)
 	budget := max(1, l.budget(s, now, subsetRatio))
 	maxInFlight := 1 + int(weight*extraInFlightAtFullWeight)
 	return s.inSubset && s.inFlight < maxInFlight && s.slowStart.sent+1 <= budget
@@ -104,14 +104,15 @@
 // attemptSent counts an attempt against the budget of a warming server.
 func (l *slowStart) attemptSent(s *server, now Time, subsetRatio float64) {
 	if l.weight(s, now) < 1 {
-		l.drain(s, now, subsetRatio)
+		l.leak(s, now, subsetRatio)
 		s.slowStart.sent++
 	}
 }
 
-// drain reduces the count of a warming server by its budget in each recovery span. An idle time counts for one span at
-// most: otherwise many idle nodes would all send at the same moment. A count from before the process started stays.
-func (l *slowStart) drain(s *server, now Time, subsetRatio float64) {
+// leak reduces the count of a warming server by its budget in each recovery span, as a leaky bucket. An idle time counts
+// for one span at most: otherwise many idle nodes would all send at the same moment. A count that was last updated before
+// the process started is not reduced.
+func (l *slowStart) leak(s *server, now Time, subsetRatio float64) {
 	state := &s.slowStart
 	if span := l.config.recoverySpan; span > 0 && state.at >= l.startedAt(s) {
 		elapsed := float64(min(now-state.at, span))
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -165,11 +165,11 @@
 	if l.hasCapacity(s, now, 1) {
 		t.Error("room with the budget of 15 taken")
 	}
-	if l.drain(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasCapacity(s, now+Second, 1) {
+	if l.leak(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasCapacity(s, now+Second, 1) {
 		t.Errorf("%v left after half a span", s.slowStart.sent)
 	}
 	s.slowStart = slowStartState{sent: 100, at: now - 9*Second}
-	if l.drain(s, now, 1); s.slowStart.sent != 100 { // counted for the process before
+	if l.leak(s, now, 1); s.slowStart.sent != 100 { // counted for the process before
 		t.Errorf("%v left by a new process", s.slowStart.sent)
 	}
 	s.slowStart = slowStartState{at: now}
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -4,12 +4,12 @@
 //
 //   - Inputs: the number of ready servers, the settings, the rate of this node's attempts.
 //   - State: the decaying rate of attempts.
-//   - Rule: groups of nodes share a shuffle of the servers, in which zones alternate. Each node of a group starts at
-//     an even position of it. The subset grows with this node's rate of attempts, so that each connection is used before
-//     its idle timeout. It is at least so large that minNodesPerShuffle nodes use each server. The tracked servers that
-//     follow take the requests that the subset can't.
-//   - Protects against: a new connection for every second attempt, and a scan of thousands of servers for each request.
-//     A node does not lose attempts at each failing server of the fleet.
+//   - Rule: groups of nodes share a shuffle of the servers, in which zones alternate. The nodes of a group start at
+//     evenly spaced positions in it. The subset grows with this node's rate of attempts, so that each connection is used
+//     before its idle timeout. At its least size, minNodesPerShuffle nodes use each server. The tracked servers that
+//     follow the subset take the requests that it can't.
+//   - Protects against: a new connection for every second attempt, a scan of thousands of servers for each request, and
+//     failed attempts of each node at each failing server of the fleet.
 //   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
 //     requests to the other tracked servers.
 type subsetChooser struct {
@@ -25,7 +25,7 @@
 	minSubsetServers        = 4                   // least size of a subset
 	minTrackedServers       = 256                 // least number of tracked servers
 	trackedServersPerSubset = 2                   // tracked servers for each server of the subset
-	minNodesPerShuffle      = 8                   // nodes that share a shuffle, and nodes that use each server
+	minNodesPerShuffle      = 8                   // least number of nodes that share a shuffle, and that use each server
 )
 
 // zoneLayout is the place of zones in a shuffle.
@@ -55,14 +55,14 @@
 	groupSize := c.nodesPerShuffle(ready)
 	group := self / groupSize
 	groupNodes := max(1, min(groupSize, nodes-group*groupSize)) // the last group may be smaller
-	size, tracked := c.sizes(now, ready)
-	c.ratio = max(1, float64(ready)/float64(max(1, size)))
+	sizes := c.sizes(now, ready)
+	c.ratio = max(1, float64(ready)/float64(max(1, sizes.subset)))
 	zones := zonesMerged
 	if ready > minTrackedServers {
 		zones = zonesAlternating
 	}
 	start := float64(self%groupSize) / float64(groupNodes)
-	return subsetChoice{group: group, zones: zones, start: start, size: size, tracked: tracked}
+	return subsetChoice{group: group, zones: zones, start: start, size: sizes.subset, tracked: sizes.tracked}
 }
 
 // nodesPerShuffle returns the number of nodes that share a shuffle. It doubles until the group's subsets of least size
@@ -75,18 +75,21 @@
 	return min(count, c.config.nodes)
 }
 
-// sizes returns the number of servers in the subset and of tracked servers. Without quota owners, the fleet is small
-// and the subset is every tracked server.
-func (c *subsetChooser) sizes(now Time, ready int) (size, tracked int) {
+// subsetSizes holds numbers of servers. The tracked servers include the subset.
+type subsetSizes struct{ subset, tracked int }
+
+// sizes returns the sizes for a number of ready servers. Without quota owners, the fleet is small and the subset is every
+// tracked server.
+func (c *subsetChooser) sizes(now Time, ready int) subsetSizes {
 	least := max(minSubsetServers, ready/c.config.nodes*minNodesPerShuffle)
-	size = max(minTrackedServers, least)
-	tracked = size
-	if c.config.owners && c.config.idleTimeout > 0 {
+	size := max(minTrackedServers, least)
+	tracked := size
+	if c.config.usesOwners && c.config.idleTimeout > 0 {
 		attempts := c.attemptRate(now) * seconds(c.config.idleTimeout)
 		size = max(int(attempts/attemptsPerIdleTimeout), least)
 		tracked = max(minTrackedServers, trackedServersPerSubset*size)
 	}
-	return min(size, ready), tracked
+	return subsetSizes{subset: min(size, ready), tracked: tracked}
 }
 
 // attemptRate returns the recent rate of this node's attempts, in attempts a second.
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -207,7 +207,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.nodes, cfg.self, cfg.owners = c.nodes, NodeID(c.self), c.owners
+			cfg.nodes, cfg.self, cfg.usesOwners = c.nodes, NodeID(c.self), c.owners
 			chooser := subsetChooser{config: cfg, attemptsSent: decayingMean{count: c.sent, at: 10 * Second}}
 			if got := chooser.choose(10*Second, c.ready); got != c.want {
 				t.Errorf("%+v, not %+v", got, c.want)
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -13,11 +13,11 @@
 }
 
 const (
-	checksPerObjective   = 30              // attempt checks in the shortest latency objective
-	minCheckInterval     = 1               // shortest time between two attempt checks, in units of Time
-	pollBackoffIntervals = 3.0             // longest delay of a poll after a failed one, in control intervals
-	minPollBackoffRatio  = 0.34            // least delay of a poll, as a share of the longest
-	suspicionInterval    = controlInterval // time between two messages with suspicions
+	checksPerObjective    = 30              // attempt checks in the shortest latency objective
+	minCheckInterval      = 1               // shortest time between two attempt checks, in units of Time
+	maxPollDelayIntervals = 3.0             // longest delay of a poll after a failed one, in control intervals
+	minPollDelayRatio     = 0.34            // least delay of a poll, as a share of the longest
+	suspicionInterval     = controlInterval // time between two messages with suspicions
 )
 
 // newTimers returns the timers of a node that starts now. Polls begin at once if the settings ask for them.
@@ -52,7 +52,7 @@
 		return false
 	}
 	due := now >= t.reportAt
-	if c.owners {
+	if c.usesOwners {
 		lastReportAt := t.reportAt - reportInterval
 		due = now > lastReportAt
 	}
@@ -73,9 +73,10 @@
 }
 
 // sendsToPeers reports whether this node has peers that receive messages.
-func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peers }
+func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peersEnabled }
 
-// startPoll reports whether discovery is to be polled now. The poll is then in flight until it fails.
+// startPoll reports whether discovery is to be polled now. The poll is then in flight until it fails: after a success
+// the host continues to receive updates from discovery.
 func (t *timers) startPoll(now Time) bool {
 	due := t.pollAt > 0 && now >= t.pollAt && !t.polling
 	t.polling = t.polling || due
@@ -92,10 +93,11 @@
 }
 
 // pollDelay returns a random delay before discovery is polled again. Without randomness, nodes that start together
-// would poll in step. The delay does not grow: a change must be known within 6 s of discovery being reachable.
+// would poll in step. The delay does not grow with the number of failures: the node must receive a list soon after
+// discovery is reachable again.
 func pollDelay(within float64, rng *random) Time {
-	longest := min(pollBackoffIntervals*float64(controlInterval), max(float64(controlInterval), within))
-	return Time(longest * (minPollBackoffRatio + (1-minPollBackoffRatio)*rng.unit()))
+	longest := min(maxPollDelayIntervals*float64(controlInterval), max(float64(controlInterval), within))
+	return Time(longest * (minPollDelayRatio + (1-minPollDelayRatio)*rng.unit()))
 }
 
 // nextHostTimer returns the delay for which the host's timer is to be set, and false if it is already set.
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -111,9 +111,9 @@
 		due    []Time
 	}{
 		{"all report to all", func(*config) {}, []Time{3333, 6666, 9999}},
-		{"owners", func(c *config) { c.owners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
+		{"owners", func(c *config) { c.usesOwners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
 		{"one node", func(c *config) { c.nodes = 1 }, nil},
-		{"no peers", func(c *config) { c.peers = false }, nil},
+		{"no peers", func(c *config) { c.peersEnabled = false }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg, timers, due := testConfig(), newTimers(0, &config{}), []Time(nil)
