--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -27,8 +27,8 @@
 type clientConn struct {
 	server  *Server
 	conn    *net.TCPConn
-	reader  *netio.Socket // the stream of in
-	writer  *netio.Socket // the stream of out
+	reader  *netio.Socket // in reads from it
+	writer  *netio.Socket // out writes to it
 	in, out netio.RingBuffer
 	check   closeCheck
 
@@ -142,8 +142,8 @@
 	return c.takeRequest(c.readRequest())
 }
 
-// arrivalTime returns when the next request's first byte arrived; readAt is when the node noticed it. The time counts in
-// which the connection waited in the kernel or for a slot, and in which the request waited behind others.
+// arrivalTime returns when the next request's first byte arrived. It is before any wait of the connection in the kernel or
+// for a slot, and before any wait of the request behind others. readAt is when the node noticed the byte.
 func (c *clientConn) arrivalTime(readAt time.Time) time.Time {
 	if !c.hasRequested.Load() {
 		c.arrivals.Backdate(c.reader.ReceiveAge())
@@ -161,7 +161,7 @@
 // takeRequest answers a request or hands it over. readErr is why it could not be read; it is then rejected. It returns
 // false once the connection is closed.
 func (c *clientConn) takeRequest(readErr error) bool {
-	if cap(c.request.Body) > 0 {
+	if cap(c.request.Body) > 0 { // reading the body may have allocated a larger buffer
 		c.body = netio.TrimBuffer(c.request.Body)
 	}
 	err := readErr
@@ -179,10 +179,10 @@
 	return c.handOver()
 }
 
-// inputEnd is the end of a connection's input, as it is known when a response was written.
+// inputEnd tells whether a connection's input has ended, and how.
 type inputEnd struct {
-	err        error // nil: the connection is open
-	clientGone bool  // the client disconnected before its response
+	err        error // the read error; nil: the input has not ended
+	clientGone bool  // the input ended before the request in flight had its response
 }
 
 // awaitResponse waits until the request in flight is handled. It reads ahead meanwhile, unless the connection has ended with
--- a/internal/frontend/clientresponse.go
+++ b/internal/frontend/clientresponse.go
@@ -18,8 +18,8 @@
 // acknowledgementPoll is the time between two checks whether a client's machine has acknowledged a response.
 const acknowledgementPoll = 2 * time.Millisecond
 
-// rejectMalformed answers a request that can't be handled, if err is a *protocol.RequestError, and closes the connection.
-// It returns false.
+// rejectMalformed closes the connection after a request that can't be handled. If err is a *protocol.RequestError and the
+// connection is open it answers with that error's status first. It returns false.
 func (c *clientConn) rejectMalformed(err error) bool {
 	var malformed *protocol.RequestError
 	c.server.counters.MalformedRequests.Add(1)
@@ -35,7 +35,7 @@
 // answerHealthCheck answers a health check of the node itself. It returns false once the connection is closed.
 func (c *clientConn) answerHealthCheck() bool {
 	draining := c.server.draining.Load()
-	response := protocol.ClientResponse{Status: http.StatusOK, Close: c.request.Close || draining && c.check.closeWithResponse()}
+	response := protocol.ClientResponse{Status: http.StatusOK, Close: c.request.Close || draining && c.check.tryCloseWithResponse()}
 	if draining || !c.server.router.HasServers() {
 		response.Status = http.StatusServiceUnavailable
 	}
@@ -85,9 +85,9 @@
 	}
 	c.responseDue.Store(false)
 	if late := time.Since(c.receivedAt) - c.request.Timeout; late > responseSlack {
-		c.handler.violated(&c.request, "response past the deadline")
+		c.handler.violated(&c.request, faultLateResponse)
 	}
-	response.Close = c.request.Close || c.overflowed.Load() || c.server.wantsClose() && c.check.closeWithResponse()
+	response.Close = c.request.Close || c.overflowed.Load() || c.server.wantsClose() && c.check.tryCloseWithResponse()
 	netio.SetWriteDeadline(c.conn, c.receivedAt.Add(c.request.Timeout+responseWriteTimeout))
 	switch {
 	case !c.writeResponse(&response):
--- a/internal/frontend/closecheck.go
+++ b/internal/frontend/closecheck.go
@@ -17,7 +17,7 @@
 	pipelined bool // bytes were read behind the request in flight
 }
 
-// connPhase is how far a connection is with the bytes that it has read.
+// connPhase is what the bytes that were read from a connection have led to.
 type connPhase uint8
 
 const (
@@ -92,9 +92,9 @@
 	}
 }
 
-// closeWithResponse reports whether the response to the request in flight may close the connection, because nothing was
+// tryCloseWithResponse reports whether the response to the request in flight may close the connection, because nothing was
 // read behind the request. If so no more is read.
-func (c *closeCheck) closeWithResponse() bool {
+func (c *closeCheck) tryCloseWithResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == phaseInFlight && !c.pipelined {
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -11,8 +11,8 @@
 	"cherrygap/internal/netio"
 )
 
-// limitedListener bounds the open connections of another protocol's front end. Further ones wait in the kernel's queue.
-// Protects the descriptors of discovery and of the app servers from crowds of clients.
+// limitedListener bounds the open connections of another protocol's front end. Further connections wait in the kernel's
+// queue. Protects the descriptors for discovery and app servers against crowds of clients.
 type limitedListener struct {
 	net.Listener
 	log       *zerolog.Logger
@@ -21,7 +21,8 @@
 	closeOnce sync.Once // guards the close of closed
 }
 
-// LimitListener returns a listener for another protocol's front end that shares the server's limit of client connections.
+// LimitListener wraps the listener of a gRPC front end. At most Limits.GRPCConnections of its connections are open at once;
+// the server's own limit, Limits.HTTPConnections, leaves room for them.
 func (s *Server) LimitListener(listener net.Listener) net.Listener {
 	return &limitedListener{
 		Listener: listener,
@@ -52,7 +53,7 @@
 	return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-// Close ends Accept.
+// Close closes the listener, which ends Accept. It may be called more than once.
 func (l *limitedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -7,8 +7,10 @@
 type Counters struct {
 	Connections, Requests, MalformedRequests atomic.Int64
 
-	// Results of requests. A finished request is counted in one of the first four.
-	Completed, Rejected, Failed, ClientsGone, Denied, ResponsesUnwritten atomic.Int64
+	// Results of requests. A finished request is counted in exactly one of them.
+	Completed, Rejected, Failed, ClientsGone, Denied atomic.Int64
+
+	ResponsesUnwritten atomic.Int64 // responses that could not be written completely
 
 	CloseViolations, StartViolations atomic.Int64 // of invariant.Closing and invariant.Starting
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,15 +6,18 @@
 	"cherrygap/internal/netio"
 )
 
-// Drain shuts the server down gracefully. It answers each request with a close and accepts connections for another accept
-// duration. Then it closes the listener, after its queue is accepted, and idle connections. It returns when all connections
-// are closed.
-func (s *Server) Drain(accept time.Duration) {
+// closeIdleInterval is the time between two passes of Drain over the open connections.
+const closeIdleInterval = firstRequestGrace / 10
+
+// Drain shuts the server down gracefully. From now on each response closes its connection. The listener stays open for
+// acceptFor, and until its queue is accepted. After that Drain closes idle connections. It returns when all connections are
+// closed.
+func (s *Server) Drain(acceptFor time.Duration) {
 	s.draining.Store(true)
-	netio.SetAcceptDeadline(s.listener, time.Now().Add(accept))
+	netio.SetAcceptDeadline(s.listener, time.Now().Add(acceptFor))
 	select {
 	case <-s.acceptDone:
-	case <-time.After(accept + 2*firstByteTimeout): // acceptLoop waits for a slot
+	case <-time.After(acceptFor + 2*firstRequestGrace): // acceptLoop still waits, for a slot
 		netio.CloseConn(s.listener)
 	}
 	closed := make(chan struct{})
@@ -27,7 +30,7 @@
 		select {
 		case <-closed:
 			return
-		case <-time.After(firstByteTimeout / 10):
+		case <-time.After(closeIdleInterval):
 		}
 	}
 }
@@ -45,5 +48,5 @@
 
 // mayStillSend reports whether a connection is new and its first request may be in transit.
 func (c *clientConn) mayStillSend() bool {
-	return !c.hasRequested.Load() && time.Since(c.acceptedAt) < firstByteTimeout
+	return !c.hasRequested.Load() && time.Since(c.acceptedAt) < firstRequestGrace
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -138,7 +138,7 @@
 	nettest.Eventually(t, "one that waits for a slot", node.Server.AtLimit().Load)
 	drained := startDrain(node, 0)
 	nettest.Eventually(t, "the close of what is idle", node.Server.ClosingIdle().Load)
-	time.Sleep(2 * frontend.FirstByteTimeout)
+	time.Sleep(2 * frontend.FirstRequestGrace)
 	nettest.WriteString(half, text[60:])
 	close(answer)
 	for i, conn := range append(conns, half, waits) {
@@ -164,7 +164,7 @@
 		t.Errorf("%d, %v", n, err)
 	}
 	waitDrained(t, drained, time.Second)
-	if took := time.Since(startedAt); took > 5*frontend.FirstByteTimeout {
+	if took := time.Since(startedAt); took > 5*frontend.FirstRequestGrace {
 		t.Errorf("ended after %v", took)
 	}
 }
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/netio"
 )
 
-// evict closes the connection that is first by evictedBefore, unless none is idle or another is being evicted. It skips
-// connections with bytes in transit.
+// evict closes one idle connection, the first by evictedBefore, and skips connections with bytes in transit. It closes none
+// while the slot of an earlier evicted connection is not released yet.
 func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,7 +16,7 @@
 	}
 	var skipped map[*clientConn]bool // allocated with the first entry
 	for first := s.firstToEvict(nil); first != nil; first = s.firstToEvict(skipped) {
-		if !first.mustStayOpen() && first.check.tryClose(first.partialPolicy()) {
+		if !first.mustStayOpen() && first.check.tryClose(first.evictionPolicy()) {
 			s.evicting, first.evicted = true, true
 			first.close(netio.ReasonEvicted)
 			return
@@ -43,16 +43,16 @@
 type evictionRank int
 
 const (
-	rankNeverRequested evictionRank = iota // no complete request within firstByteTimeout
-	rankRequested
-	rankNew // within firstByteTimeout
+	rankNeverRequested evictionRank = iota // older than firstRequestGrace and without a complete request
+	rankRequested                          // with a complete request
+	rankNew                                // younger than firstRequestGrace and without a complete request
 )
 
 func (c *clientConn) evictionRank() evictionRank {
 	switch {
 	case c.hasRequested.Load():
 		return rankRequested
-	case time.Since(c.acceptedAt) >= firstByteTimeout:
+	case time.Since(c.acceptedAt) >= firstRequestGrace:
 		return rankNeverRequested
 	}
 	return rankNew
@@ -66,8 +66,8 @@
 	return c.idleSinceTime().Before(other.idleSinceTime())
 }
 
-// partialPolicy returns whether a partly read request protects the connection from eviction: a first request does not.
-func (c *clientConn) partialPolicy() partialPolicy {
+// evictionPolicy returns the partialPolicy of an eviction: a partly read first request does not keep its connection open.
+func (c *clientConn) evictionPolicy() partialPolicy {
 	if c.hasRequested.Load() {
 		return keepPartial
 	}
@@ -75,4 +75,4 @@
 }
 
 // evictable reports whether the connection may be closed to free its slot.
-func (c *clientConn) evictable() bool { return c.check.mayClose(c.partialPolicy()) }
+func (c *clientConn) evictable() bool { return c.check.mayClose(c.evictionPolicy()) }
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -8,8 +8,8 @@
 
 // Internals of the package for its external tests.
 
-// FirstByteTimeout is firstByteTimeout.
-const FirstByteTimeout = firstByteTimeout
+// FirstRequestGrace is firstRequestGrace.
+const FirstRequestGrace = firstRequestGrace
 
 // The phases of a connection that tests wait for.
 const (
@@ -76,7 +76,7 @@
 func (g *CloseCheck) Answered() { g.answered() }
 
 // CloseWithResponse reports whether the open response may close the connection.
-func (g *CloseCheck) CloseWithResponse() bool { return g.closeWithResponse() }
+func (g *CloseCheck) CloseWithResponse() bool { return g.tryCloseWithResponse() }
 
 // TryClose reports whether the connection may be closed now, with no request partly read, and then stops reads.
 func (g *CloseCheck) TryClose() bool { return g.tryClose(keepPartial) }
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -15,7 +15,7 @@
 
 // Authorization is an authorizer's answer to one request.
 type Authorization struct {
-	Verdict    authz.Verdict
+	Verdict    authz.Verdict // Allow, Deny or Reject
 	RetryAfter time.Duration // of a rejected request; 0: none
 }
 
@@ -58,15 +58,15 @@
 	h.disconnected = false
 }
 
-// ClientGone notes that the client of the request in flight disconnected. It cancels the authorizer's check and withdraws
-// the request from the Router.
+// ClientGone reports to the handler that the client of the request in flight disconnected. It cancels the authorizer's check
+// and withdraws the request from the Router.
 func (h *RequestHandler) ClientGone() {
-	h.noteDisconnected()
-	h.attempts.Stop()
+	h.setDisconnected()
+	h.attempts.ClientGone()
 	h.request.ClientGone()
 }
 
-func (h *RequestHandler) noteDisconnected() {
+func (h *RequestHandler) setDisconnected() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.disconnected = true
@@ -75,7 +75,8 @@
 	}
 }
 
-func (h *RequestHandler) clientGone() bool {
+// isDisconnected reports whether ClientGone was called for the request in flight.
+func (h *RequestHandler) isDisconnected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.disconnected
@@ -87,11 +88,11 @@
 	counters := h.server.counters
 	counters.Requests.Add(1)
 	if !h.open.CompareAndSwap(false, true) {
-		h.violated(request, "another request in flight")
+		h.violated(request, faultConcurrent)
 	}
 	defer h.open.Store(false)
 	if check := h.authorize(request, receivedAt); !check.passed {
-		if h.clientGone() {
+		if h.isDisconnected() {
 			counters.ClientsGone.Add(1)
 			return protocol.ClientResponse{}, false
 		}
@@ -99,8 +100,8 @@
 	}
 	h.attempts.Reset(request, receivedAt)
 	h.request.Start(request, request.Timeout-time.Since(receivedAt))
-	if h.clientGone() { // ClientGone came before the Router knew of the request
-		h.attempts.Stop()
+	if h.isDisconnected() { // ClientGone came before the Router knew of the request
+		h.attempts.ClientGone()
 		h.request.ClientGone()
 	}
 	response, end := h.attemptUntilEnd(request)
@@ -122,7 +123,7 @@
 type requestEnd struct {
 	outcome  endOutcome
 	reason   string // of the last decision; empty for a forwarded request
-	attempts int    // that were decided on
+	attempts int    // number of Forward decisions
 }
 
 // attemptUntilEnd executes the Router's decisions until the request ends.
@@ -136,7 +137,8 @@
 		case routing.Forward:
 			end.attempts++
 			response, result := h.attempts.Run(decision, request)
-			if result.Outcome == protocol.NotSent && h.attempts.ClientGone() { // the attempt may notice before serve does
+			if result.Outcome == protocol.NotSent && h.attempts.CheckClient() == upstream.ClientDisconnected {
+				// The attempt may notice the disconnect before the front end does.
 				h.ClientGone()
 			}
 			h.request.Report(result)
@@ -153,10 +155,10 @@
 			counters.Failed.Add(1)
 			end.outcome = endFailed
 			return protocol.ClientResponse{Status: protocol.StatusFailed}, end
-		default:
+		default: // routing.Abandon
 			counters.ClientsGone.Add(1)
-			if !h.clientGone() {
-				h.violated(request, "ended without a response")
+			if !h.isDisconnected() {
+				h.violated(request, faultNoResponse)
 			}
 			end.outcome = endClientGone
 			return protocol.ClientResponse{}, end
@@ -174,9 +176,18 @@
 		Int("attempts", end.attempts).Dur("timeout_ms", request.Timeout).Dur("took_ms", time.Since(receivedAt)).Msg("request ended")
 }
 
+// requestFault is the way in which a request violated invariant.Starting, as it is logged.
+type requestFault string
+
+const (
+	faultConcurrent   requestFault = "another request in flight"
+	faultNoResponse   requestFault = "ended without a response"
+	faultLateResponse requestFault = "response past the deadline"
+)
+
 // violated counts and logs a violation of invariant.Starting.
-func (h *RequestHandler) violated(request *protocol.Request, fault string) {
-	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", fault).
+func (h *RequestHandler) violated(request *protocol.Request, fault requestFault) {
+	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", string(fault)).
 		Str("request", request.ID).Msg(invariant.ViolatedMessage)
 }
 
@@ -198,12 +209,12 @@
 	h.setCancelCheck(nil)
 	switch authorization.Verdict {
 	case authz.Allow:
-		return authorizationCheck{passed: !h.clientGone()}
+		return authorizationCheck{passed: !h.isDisconnected()}
 	case authz.Deny:
 		h.server.counters.Denied.Add(1)
 		return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusDenied}}
 	}
-	if !h.clientGone() {
+	if !h.isDisconnected() {
 		h.server.counters.Rejected.Add(1)
 	}
 	return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: authorization.RetryAfter}}
@@ -226,7 +237,7 @@
 	return s.router.KnowsClassAndPlan(request)
 }
 
-// WithinLimits reports whether a request's figures are within the limits of the settings.
+// WithinLimits reports whether a request's units and node set are within the limits of the settings.
 func (s *Server) WithinLimits(request *protocol.Request) bool { return s.router.WithinLimits(request) }
 
 // ClaimRequestID marks a request's id as in flight, and reports whether it was unknown. The caller releases it with
--- a/internal/frontend/requestids.go
+++ b/internal/frontend/requestids.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	minIDRetention   = 8 * time.Second // how long the id of an answered request is kept at least
-	maxRememberedIDs = 4 << 10         // above this many ids of answered requests they are dropped earlier
+	minIDRetention = 8 * time.Second // shortest time for which the id of an answered request is kept
+	maxRecentIDs   = 4 << 10         // size of requestIDs.recent at which ids are dropped before minIDRetention
 )
 
 // requestIDs holds the ids of requests that are in flight or were answered lately. A second request under such an id is
@@ -15,7 +15,7 @@
 type requestIDs struct {
 	mu               sync.Mutex          // guards all below
 	open             map[string]struct{} // of requests in flight
-	recent, previous map[string]struct{} // of answered requests, in two generations
+	recent, previous map[string]struct{} // of answered requests; previous is dropped when recent takes its place
 	rotatedAt        time.Time           // when recent became previous
 }
 
@@ -41,7 +41,7 @@
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
 	delete(ids.open, id)
-	if len(ids.recent) >= maxRememberedIDs || time.Since(ids.rotatedAt) >= minIDRetention {
+	if len(ids.recent) >= maxRecentIDs || time.Since(ids.rotatedAt) >= minIDRetention {
 		ids.previous, ids.recent, ids.rotatedAt = ids.recent, make(map[string]struct{}, len(ids.recent)), time.Now()
 	}
 	ids.recent[id] = struct{}{}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -14,11 +14,14 @@
 	"cherrygap/internal/upstream"
 )
 
-// Times of client connections.
 const (
-	firstByteTimeout = 100 * time.Millisecond // after it a connection without a request may be evicted or closed by Drain
-	finalAcceptWait  = 2 * time.Millisecond   // deadline of one Accept while the listener drains
-	finalAccepts     = 2                      // consecutive empty Accepts after which the listener is closed
+	// firstRequestGrace is the age below which a connection without a request counts as new: its first request may be in
+	// transit. Drain keeps new connections open, and they are evicted last.
+	firstRequestGrace = 100 * time.Millisecond
+	// finalAcceptTimeout is the timeout of one Accept while the listener drains.
+	finalAcceptTimeout = 2 * time.Millisecond
+	// maxEmptyAccepts is the number of consecutive timeouts of Accept at which a draining listener is closed.
+	maxEmptyAccepts = 2
 )
 
 // Server accepts client HTTP connections and serves them. It is safe for concurrent use.
@@ -32,7 +35,7 @@
 	listener   *net.TCPListener
 	requestIDs *requestIDs
 
-	slots       chan struct{}  // has an element for each open connection, except one that waits for its slot
+	slots       chan struct{}  // has an element for each open connection that has a slot
 	acceptDone  chan struct{}  // closed at the end of acceptLoop
 	conns       sync.WaitGroup // counts acceptLoop and each connection
 	draining    atomic.Bool    // each response closes its connection
@@ -82,25 +85,26 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// acceptLoop accepts connections until Drain has closed the listener. It runs on a goroutine of its own.
+// acceptLoop accepts connections until the listener is closed. It runs on a goroutine of its own.
+//
+// Drain sets a deadline of the listener. After that deadline the listener drains for at most firstRequestGrace: acceptLoop
+// accepts the connections in its queue, which a close would reset, and then closes it.
 func (s *Server) acceptLoop() {
 	defer s.conns.Done()
 	defer close(s.acceptDone)
-	var acceptUntil time.Time // zero until the listener drains
+	var drainUntil time.Time // zero until the listener drains
 	for emptyAccepts := 0; ; {
-		// A close would reset the connections in the listener's queue, so they are accepted first. Accept ignores the queue
-		// after its deadline, so each call gets a new one.
-		if !acceptUntil.IsZero() {
-			netio.SetAcceptDeadline(s.listener, netio.Earlier(acceptUntil, time.Now().Add(finalAcceptWait)))
+		if !drainUntil.IsZero() { // Accept ignores the queue after its deadline, so each call gets a new one
+			netio.SetAcceptDeadline(s.listener, netio.Earlier(drainUntil, time.Now().Add(finalAcceptTimeout)))
 		}
 		conn, err := s.listener.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if netio.TimedOut(err) {
-			if acceptUntil.IsZero() {
-				acceptUntil = time.Now().Add(firstByteTimeout)
-			} else if emptyAccepts++; emptyAccepts >= finalAccepts {
+			if drainUntil.IsZero() {
+				drainUntil = time.Now().Add(firstRequestGrace)
+			} else if emptyAccepts++; emptyAccepts >= maxEmptyAccepts {
 				netio.CloseConn(s.listener)
 				return
 			}
@@ -151,8 +155,8 @@
 	s.conns.Done()
 }
 
-// nearLimit reports whether over half of the slots are in use. Then each response closes its connection, so that clients
-// that ask once and stay connected do not use up the slots.
+// nearLimit reports whether over half of the slots are in use. Each response then closes its connection, so that clients
+// that send one request and stay connected do not use up the slots.
 func (s *Server) nearLimit() bool { return 2*len(s.slots) > cap(s.slots) }
 
 // wantsClose reports whether each response should close its connection.
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -36,7 +36,7 @@
 	}
 	startedAt := time.Now()
 	for i := range 30 {
-		time.Sleep(frontend.FirstByteTimeout / 5)
+		time.Sleep(frontend.FirstRequestGrace / 5)
 		nettest.WriteString(node.Dial(t), "POST /seats HTTP/1.1\r\nHost"[:i%2*24])
 	}
 	for _, conn := range []net.Conn{node.Dial(t), stays} {
@@ -68,10 +68,10 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			time.Sleep(frontend.FirstByteTimeout / 10)
+			time.Sleep(frontend.FirstRequestGrace / 10)
 			frontendtest.RoundTrip(t, conn, frontendtest.RequestText(5000, "x")) // and stays connected
 		}()
-		time.Sleep(frontend.FirstByteTimeout / 30)
+		time.Sleep(frontend.FirstRequestGrace / 30)
 	}
 	all.Wait()
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,11 +10,11 @@
 	"cherrygap/internal/routing"
 )
 
-// maxClientCheckAge is the maximum age of the client's liveness check where bytes are sent for the client. It is a tenth of
-// maxStartAfterDisconnect.
-const maxClientCheckAge = 10 * time.Millisecond
+// maxClientCheckAge is the maximum age of the last liveness check of a client when an attempt writes bytes for that client.
+const maxClientCheckAge = maxStartAfterDisconnect / 10
 
-// staleResetTimeout is how soon after a complete request a reset shows that the connection was stale before.
+// staleResetTimeout is the time after the last byte of a request within which a reset counts as that of a connection that
+// was stale before the request.
 const staleResetTimeout = 10 * time.Millisecond
 
 // noAttempt is the number of no attempt.
@@ -22,8 +22,8 @@
 
 // AttemptRunner runs the attempts of the requests of one client connection, one at a time.
 //
-// Reset and Run belong to one goroutine. ClientGone may be called between attempts. Cancel, which the Router calls under its
-// lock, and Stop may be called by any goroutine; both wake Run.
+// Reset, Run and CheckClient belong to one goroutine. Cancel, which the Router calls under its lock, and ClientGone may be
+// called by any goroutine; both wake Run.
 type AttemptRunner struct {
 	pool       *Pool
 	router     *routing.Router
@@ -58,23 +58,35 @@
 	r.check = sendCheck{clientDeadline: receivedAt.Add(request.Timeout)}
 }
 
-// ClientGone reports whether the client has disconnected. It checks the connection itself if the last check is older than
+// ClientState is the result of CheckClient.
+type ClientState int
+
+// The states.
+const (
+	ClientConnected ClientState = iota
+	ClientDisconnected
+)
+
+// CheckClient returns whether the client is still connected. It checks the connection itself if the last check is older than
 // maxClientCheckAge: after a pause of the process a response or timer may wake the attempt before the connection's reader
 // has seen the close.
-func (r *AttemptRunner) ClientGone() bool {
+func (r *AttemptRunner) CheckClient() ClientState {
 	client := r.lastClientCheck()
-	if client.disconnected || time.Since(client.checkedAt) < maxClientCheckAge {
-		return client.disconnected
+	switch {
+	case client.disconnected:
+		return ClientDisconnected
+	case time.Since(client.checkedAt) < maxClientCheckAge:
+		return ClientConnected
 	}
 	now := time.Now()
 	if r.peerClosed() {
-		r.Stop()
-		return true
+		r.ClientGone()
+		return ClientDisconnected
 	}
 	r.mu.Lock()
 	r.clientCheckedAt = now
 	r.mu.Unlock()
-	return false
+	return ClientConnected
 }
 
 func (r *AttemptRunner) lastClientCheck() clientLiveness {
@@ -99,9 +111,9 @@
 	}
 }
 
-// Stop notes that the client disconnected. No further attempt starts. An attempt that dials or writes ends, as the server
-// has not executed it. One that is written goes on until the Router cancels it, where the settings allow that.
-func (r *AttemptRunner) Stop() {
+// ClientGone reports to the runner that the client disconnected. No further attempt starts. An attempt that dials or writes
+// ends, because the server has not executed it. A completely written attempt goes on, unless the Router cancels it.
+func (r *AttemptRunner) ClientGone() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disconnected = true
@@ -116,7 +128,7 @@
 // begin makes an attempt the current one, on a connection or with a dial. It returns false if the attempt was cancelled or
 // its client disconnected.
 func (r *AttemptRunner) begin(attempt int, conn *serverConn, cancelDial context.CancelFunc) bool {
-	if r.ClientGone() {
+	if r.CheckClient() == ClientDisconnected {
 		return false
 	}
 	r.mu.Lock()
@@ -136,7 +148,7 @@
 
 func (i interruption) any() bool { return i.cancelled || i.disconnected }
 
-// end detaches the current attempt from its connection or dial, so that neither Cancel nor Stop affects them any more.
+// end detaches the current attempt from its connection or dial, so that neither Cancel nor ClientGone affects them any more.
 func (r *AttemptRunner) end() interruption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,6 +156,7 @@
 	return r.interruptionLocked()
 }
 
+// interruptionLocked returns the interruption of the current attempt. There must be one.
 func (r *AttemptRunner) interruptionLocked() interruption {
 	return interruption{cancelled: r.cancelled == r.current, disconnected: r.disconnected}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,7 +16,7 @@
 // check.
 type serverConn struct {
 	conn          *net.TCPConn
-	reader        *netio.Socket // the stream of in
+	reader        *netio.Socket // in reads from it
 	server        *routing.Server
 	in, out       netio.RingBuffer
 	openedAt      time.Time
@@ -26,8 +26,8 @@
 	requestsAtPut int           // requests when it was last put back
 }
 
-// usable reports whether an idle connection is open and has nothing to read. On a connection that the server has closed, an
-// attempt would end as one that may have run.
+// usable reports whether an idle connection is open and has nothing to read. A request on a connection that the server has
+// closed could fail after its last byte. The server might then have executed it, and an unsafe request could not be retried.
 func (c *serverConn) usable() bool {
 	netio.SetDeadline(c.conn, time.Time{})
 	return c.in.Empty() && c.reader.IsIdle()
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -139,7 +139,7 @@
 // Close ends Run. It must be called once.
 func (h *HealthChecker) Close() { close(h.done) }
 
-// MarshalZerologObject writes the numbers of tasks and servers, and the counters since the node's start.
+// MarshalZerologObject writes the numbers of owned checks, servers and dead nodes, and the counters since the node's start.
 func (h *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,8 +16,8 @@
 	"cherrygap/internal/routing"
 )
 
-// maxIdleRatio is the share of the app servers' idle timeout after which the node closes an idle connection. A request
-// written while its server closes the connection would count as one that may have run.
+// maxIdleRatio is the share of the app servers' idle timeout after which the node closes an idle connection. A server that
+// closes the connection during a request may have executed the request.
 const maxIdleRatio = 0.8
 
 // SettleTime is how long a connection stays unused after a response. A duplicate response that arrives meanwhile is detected
@@ -28,13 +28,16 @@
 // distrustDuration is how long Pool.distrust lasts.
 const distrustDuration = 10 * time.Second
 
-// How long to wait for the reset of a stale connection before a request's last byte.
+// Bounds of serverConn.resetWait, the wait for the reset of a stale connection before a request's last byte.
 const (
-	resetWaitRoundTrips = 3                      // of the connection's dial; a reset takes one
-	minResetWait        = 300 * time.Microsecond // for servers that are slow to schedule
+	resetWaitRoundTrips = 3                      // in durations of the connection's dial, which took one round trip as a reset does
+	minResetWait        = 300 * time.Microsecond // for servers whose scheduler runs them late
 	maxResetWait        = 3 * time.Millisecond
 )
 
+// expiryPassDivisor bounds the time between two calls of closeExpired to at least the idle limit divided by it.
+const expiryPassDivisor = 8
+
 // errResourceExhaustion is a dial that failed by resource exhaustion of this machine, which says nothing about the server.
 var errResourceExhaustion = errors.New("resource exhaustion on this machine")
 
@@ -55,7 +58,7 @@
 	idle     map[*routing.Server][]*serverConn // the most recently used one is last
 	total    int                               // connections that are idle, in use or being dialled
 	timer    *time.Timer                       // calls closeExpired
-	timerSet bool
+	timerSet bool                              // put or closeExpired has set the timer
 
 	inService func(*routing.Server) bool // from the last endpoint list; nil before the first
 
@@ -109,9 +112,9 @@
 }
 
 // distrust notes that a connection broke at its first use after an idle time. For distrustDuration no connection is used
-// that was idle for half as long. Protects against servers and middleboxes that drop idle connections silently long before
-// the configured timeout, where a request may have run. Trade-off: if connections break at any age, new ones cost the
-// servers a little.
+// that was idle for half as long. Protects against servers and middleboxes that drop idle connections long before the
+// configured timeout: a request on such a connection can fail after its last byte. Trade-off: where connections break at any
+// age, the servers have to accept more new ones.
 func (p *Pool) distrust(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,7 +284,7 @@
 		}
 	}
 	if p.timerSet = nextExpiry >= 0; p.timerSet {
-		p.timer.Reset(max(nextExpiry, p.idleLimit()/8))
+		p.timer.Reset(max(nextExpiry, p.idleLimit()/expiryPassDivisor))
 	}
 }
 
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -42,8 +42,8 @@
 			r.checkSent(decision)
 			return connected
 		}
-		if abandoned := r.abandon(conn, fault, newConns); !abandoned.reconnect {
-			return sendResult{outcome: abandoned.outcome}
+		if next := r.abandon(conn, fault, newConns); !next.reconnect {
+			return sendResult{outcome: next.outcome}
 		}
 	}
 }
@@ -105,7 +105,8 @@
 // On a connection that was used before, bytes that arrive before the last byte belong to an earlier response and would be
 // read as this one's. On a new connection they are left to receive.
 func (r *AttemptRunner) writeRequest(conn *serverConn, deadline time.Time) writeFault {
-	if r.ClientGone() || conn.out.FlushExcept(1) != nil { // no step between the check and the write
+	// The client is checked immediately before each write.
+	if r.CheckClient() == ClientDisconnected || conn.out.FlushExcept(1) != nil {
 		return writeBroken
 	}
 	r.check.firstByteAt = time.Now()
@@ -115,7 +116,7 @@
 	switch {
 	case readiness == netio.Readable && conn.requests > 0:
 		return writeEarly
-	case readiness == netio.Ended || interrupted || r.ClientGone():
+	case readiness == netio.Ended || interrupted || r.CheckClient() == ClientDisconnected:
 		return writeBroken
 	case !r.check.mayFinish(time.Now()):
 		return writeDelayed
@@ -138,8 +139,8 @@
 	return false
 }
 
-// noteWritten notes that the request was written completely. If the client disconnected during the write, Stop has let the
-// deadline pass; the attempt has started, so it goes on.
+// noteWritten notes that the request was written completely. If the client disconnected during the write, ClientGone has set
+// a past deadline. The attempt has started and goes on, so noteWritten restores the deadline.
 func (r *AttemptRunner) noteWritten(conn *serverConn, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +154,7 @@
 func (r *AttemptRunner) checkSent(decision routing.Decision) {
 	now := time.Now()
 	client := r.lastClientCheck()
-	fault := r.check.check(now, client)
+	fault := r.check.faultAt(now, client)
 	if fault == sendFaultNone {
 		return
 	}
@@ -164,30 +165,30 @@
 		Msg(invariant.ViolatedMessage)
 }
 
-// abandoned says how an attempt goes on whose connection was closed before the last byte.
-type abandoned struct {
+// afterAbandon is the next step of an attempt whose connection was closed before the last byte.
+type afterAbandon struct {
 	reconnect bool             // use another connection
-	outcome   protocol.Outcome // of the attempt, if it ends
+	outcome   protocol.Outcome // of the attempt; used only if it ends here
 }
 
 // abandon closes a connection to which a request was not written completely. newConns is how many new connections the
 // attempt has used.
-func (r *AttemptRunner) abandon(conn *serverConn, fault writeFault, newConns int) abandoned {
+func (r *AttemptRunner) abandon(conn *serverConn, fault writeFault, newConns int) afterAbandon {
 	switch interrupted := r.end().any(); {
 	case interrupted:
 		r.pool.close(conn, netio.ReasonAttemptCancelled)
-		return abandoned{outcome: protocol.NotSent}
+		return afterAbandon{outcome: protocol.NotSent}
 	case fault == writeDelayed: // by this process, or by a server that does not read
 		r.pool.close(conn, netio.ReasonWriteDelayed)
-		return abandoned{outcome: protocol.NotSent}
+		return afterAbandon{outcome: protocol.NotSent}
 	case conn.requests > 0: // it was stale, which says nothing about the server
 		if fault != writeEarly {
 			r.pool.distrust(time.Since(conn.idleSince))
 		}
 		r.pool.close(conn, netio.ReasonServerStale)
-		return abandoned{reconnect: true, outcome: protocol.NotSent}
+		return afterAbandon{reconnect: true}
 	}
 	// One new connection may break by chance; a second one points to the server.
 	r.pool.close(conn, netio.ReasonServerReset)
-	return abandoned{reconnect: newConns < maxNewConns, outcome: protocol.ConnectFailed}
+	return afterAbandon{reconnect: newConns < maxNewConns, outcome: protocol.ConnectFailed}
 }
--- a/internal/upstream/sendcheck.go
+++ b/internal/upstream/sendcheck.go
@@ -52,8 +52,8 @@
 	disconnected bool      // by now
 }
 
-// check returns the fault of an attempt whose last byte was written at a time, or sendFaultNone.
-func (c *sendCheck) check(writtenAt time.Time, client clientLiveness) sendFault {
+// faultAt returns the fault of an attempt whose last byte was written at a time, or sendFaultNone.
+func (c *sendCheck) faultAt(writtenAt time.Time, client clientLiveness) sendFault {
 	switch {
 	case writtenAt.After(c.clientDeadline):
 		return sendFaultDeadline
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -41,7 +41,7 @@
 	} {
 		check := good
 		c.change(&check)
-		if fault := check.check(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
+		if fault := check.faultAt(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
 			t.Errorf("%s: %q, not %q", c.name, fault, c.want)
 		}
 		if may := check.mayFinish(now); may == c.mayNotFinish {
