--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -54,7 +54,7 @@
 			return
 		}
 		a.calls.Add(1)
-		for from := request.FormValue("from"); ; time.Sleep(time.Millisecond) {
+		for from := request.FormValue(protocol.QueryRevision); ; time.Sleep(time.Millisecond) {
 			a.mu.Lock()
 			up, revision := a.up, a.revision
 			a.mu.Unlock()
@@ -62,7 +62,7 @@
 				nettest.WaitForClose(conn) // the client times out
 				return
 			}
-			if hold := request.FormValue("hold_ms"); from == "" || from != fmt.Sprint(revision) || hold == "1" {
+			if hold := request.FormValue(protocol.QueryHoldMs); from == "" || from != fmt.Sprint(revision) || hold == "1" {
 				break
 			}
 		}
@@ -99,7 +99,7 @@
 	addr, empty := nettest.FullServer(t)
 	listed := make(chan time.Time, 99)
 	startDiscoveryClient(t, &Client{
-		Addr: addr.String(), Full: true,
+		Addr: addr.String(), NeedsFullList: true,
 		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
 	})
 	time.Sleep(300 * time.Millisecond)
@@ -148,7 +148,7 @@
 			go agent.serve(listener)
 			revisions := make(chan uint64, 99)
 			startDiscoveryClient(t, &Client{
-				Addr: listener.Addr().String(), Full: true,
+				Addr: listener.Addr().String(), NeedsFullList: true,
 				OnList: func(list *protocol.EndpointList) { revisions <- list.Revision }, OnFailure: func() {},
 			})
 			awaitRevision(t, revisions, 1, agentTerm+test.late+time.Duration(test.mute)*raceInterval)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,18 +13,11 @@
 	"cherrygap/internal/protocol"
 )
 
-// query is the parameters of one call.
-type query struct {
-	full     bool          // the full list; otherwise changes since revision
-	revision uint64        // ignored if full
-	hold     time.Duration // how long discovery may hold the call without a change
-}
-
-// callTarget is the address and first query of a new connection. It is a copy of the Client's fields, which may change
-// before a racer's call ends.
+// callTarget is the address and first call of a new connection. A goroutine of a connRace uses it while Client.Run may
+// already change the Client's fields, so it is a copy of them.
 type callTarget struct {
 	addr     string
-	query    query
+	first    protocol.DiscoveryCall
 	limits   netio.Limits
 	log      *zerolog.Logger
 	counters *Counters
@@ -36,12 +29,15 @@
 	list    protocol.EndpointList
 	last    bool // discovery closes the connection after this response
 	err     error
-	patient bool        // of the racer with pollTimeout
-	keep    func() bool // detaches the connection from the context of its first call; false if the context has ended
+	patient bool // the call had callTimeout, not raceTimeout
+
+	// detach, of a first call, keeps the connection open beyond the call's context. It returns false if the context has
+	// ended and the connection is closed.
+	detach func() bool
 }
 
 // firstCall opens a connection and makes its first call, within a timeout and until ctx ends. If received is not nil, the
-// response's bytes are added to it, and a response that makes progress gets more time (progressConn).
+// response's bytes are added to it, and a response that makes progress may take up to callTimeout (progressConn).
 func (t callTarget) firstCall(ctx context.Context, timeout time.Duration, received *atomic.Int64) callResult {
 	deadline := time.Now().Add(timeout)
 	dialled, err := t.dial(ctx, deadline)
@@ -54,16 +50,18 @@
 		out: netio.NewRingBuffer(dialled, netio.MinBuffer),
 	}
 	if received != nil {
+		startedAt := deadline.Add(-timeout)
 		c.in.Stream = &progressConn{
-			Conn: dialled, received: received, deadline: deadline, lastDeadline: deadline.Add(pollTimeout - timeout),
+			Conn: dialled, received: received, deadline: deadline, lastDeadline: startedAt.Add(callTimeout),
 		}
 	}
 	c.parser = bufio.NewReaderSize(&c.in, netio.ParserBuffer)
-	keep := context.AfterFunc(ctx, func() { netio.CloseConn(dialled) })
-	result := c.call(t.query, time.Until(deadline))
+	detach := context.AfterFunc(ctx, func() { netio.CloseConn(dialled) })
+	result := c.call(t.first, time.Until(deadline))
 	c.in.Stream = dialled // later calls have a fixed timeout
-	if result.keep = keep; result.err != nil {
-		keep()
+	result.detach = detach
+	if result.err != nil {
+		detach()
 		c.close()
 	}
 	return result
@@ -120,9 +118,9 @@
 }
 
 // call makes one call and waits for the response, at most for a timeout.
-func (c *connection) call(q query, timeout time.Duration) callResult {
+func (c *connection) call(call protocol.DiscoveryCall, timeout time.Duration) callResult {
 	result := callResult{conn: c}
-	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, q.full, q.revision, q.hold))
+	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, call))
 	netio.SetDeadline(c.conn, time.Now().Add(timeout))
 	if result.err = c.out.Flush(); result.err != nil {
 		return result
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,12 +14,14 @@
 
 // Times of calls to discovery.
 const (
-	// pollHold is how long discovery holds a call without a change. A lost call delays changes by as much.
-	pollHold = time.Second
-	// pollGrace is how much later the response may come: discovery may shed a call, or answer it, 2 s after it arrived.
-	pollGrace = 1300 * time.Millisecond
-	// pollTimeout bounds a call. Together with the engine's poll interval and the next call it stays under 6 s.
-	pollTimeout = pollHold + pollGrace
+	// callHold is how long discovery holds a call without a change. A longer hold would delay the detection of a lost call.
+	callHold = time.Second
+	// responseGrace is how long after callHold the response may arrive: discovery may answer a call, or shed it, 2 s after
+	// it arrived.
+	responseGrace = 1300 * time.Millisecond
+	// callTimeout bounds a call. In poll mode a lost call, the decision engine's poll interval and the next call together
+	// take less than 6 s.
+	callTimeout = callHold + responseGrace
 
 	minConnectTimeout  = time.Second
 	failureLogInterval = time.Second           // between two log lines of failed calls during one race
@@ -36,22 +38,22 @@
 // request after a grace period of 250 to 500 ms. Calls that were made while discovery was down may never be answered. So
 // until a call is answered the Client races connections (connRace): it opens another one each raceInterval.
 //
-// In poll mode, with PollRequests, the Client makes one call at a time when the engine requests it. Trade-off: a discovery
-// that is not a local agent would suffer from races of a whole fleet, so deployments with one use this mode.
+// In poll mode, with PollRequests, the Client makes one call at a time when the decision engine requests it. This mode is
+// for a discovery that serves the whole fleet without local agents: races of all nodes would overload it.
 //
-// The exported fields are set before Run, which then owns Addr, Revision and Full and calls OnList and OnFailure. SwitchTo
-// and Stop may be called by any goroutine.
+// The exported fields are set before Run, which then owns Addr, Revision and NeedsFullList and calls OnList and OnFailure.
+// SwitchTo and Stop may be called by any goroutine.
 type Client struct {
-	Addr     string
-	Revision uint64 // of the known endpoint list
-	Full     bool   // no list is known: the next call asks for the full list
-	Limits   netio.Limits
-	Log      *zerolog.Logger
-	Counters *Counters
+	Addr          string
+	Revision      uint64 // of the known endpoint list
+	NeedsFullList bool   // the next call asks for the full list, because no list is known or its revision is of no use
+	Limits        netio.Limits
+	Log           *zerolog.Logger
+	Counters      *Counters
 
-	OnList       func(*protocol.EndpointList)
-	OnFailure    func()          // called after a failed call; may be nil
-	PollRequests <-chan struct{} // nil: watch mode; otherwise each series of calls waits for an element
+	OnList       func(*protocol.EndpointList) // called for each full list and each change; may keep the list
+	OnFailure    func()                       // called after a failed call; may be nil
+	PollRequests <-chan struct{}              // nil: watch mode; otherwise each series of calls waits for an element
 
 	closedInOrder bool // discovery closed the last connection after a response
 
@@ -96,14 +98,15 @@
 	d.cancel = cancel
 	start := seriesStart{switched: d.newAddr != "", stopped: d.stopped}
 	if start.switched {
-		d.Addr, d.Full, d.newAddr = d.newAddr, true, ""
+		d.Addr, d.NeedsFullList, d.newAddr = d.newAddr, true, ""
 	}
 	return start
 }
 
 // Run follows discovery on the caller's goroutine until Stop.
 func (d *Client) Run() {
-	for immediately := false; ; {
+	immediately := false // the next series does not wait for a poll request
+	for {
 		ctx, cancel := context.WithCancel(context.Background())
 		start := d.begin(cancel)
 		if start.stopped {
@@ -167,7 +170,8 @@
 		return result.err
 	}
 	conn := result.conn
-	defer context.AfterFunc(ctx, func() { netio.CloseConn(conn.conn) })()
+	stopWatching := context.AfterFunc(ctx, func() { netio.CloseConn(conn.conn) }) // ends a call that waits
+	defer stopWatching()
 	defer conn.close()
 	for {
 		fullNext := d.applyList(&result.list)
@@ -175,7 +179,8 @@
 			d.closedInOrder = true
 			return errConnectionClosed
 		}
-		result = conn.call(query{full: fullNext, revision: d.Revision, hold: pollHold}, pollTimeout)
+		call := protocol.DiscoveryCall{Full: fullNext, Revision: d.Revision, Hold: callHold}
+		result = conn.call(call, callTimeout)
 		if result.err != nil {
 			d.forgetRevision(result.err)
 			return result.err
@@ -188,10 +193,10 @@
 	switch {
 	case d.PollRequests != nil:
 		// A short hold shows at once whether discovery's revision is lower than ours.
-		return d.target(raceHold).firstCall(ctx, pollTimeout, nil)
+		return d.target(raceHold).firstCall(ctx, callTimeout, nil)
 	case d.closedInOrder:
 		// Discovery may close after each response; the hold keeps the client from calling without a pause.
-		return d.target(pollHold).firstCall(ctx, pollTimeout, nil)
+		return d.target(callHold).firstCall(ctx, callTimeout, nil)
 	}
 	return d.race(ctx)
 }
@@ -201,10 +206,10 @@
 // predecessor.
 func (d *Client) applyList(list *protocol.EndpointList) (fullNext bool) {
 	d.Counters.EndpointLists.Add(1)
-	wentBack := !d.Full && !list.Full && list.Revision < d.Revision
-	d.Revision, d.Full = list.Revision, wentBack
+	wentBack := !d.NeedsFullList && !list.Full && list.Revision < d.Revision
+	d.Revision, d.NeedsFullList = list.Revision, wentBack
 	if list.Full || len(list.Endpoints) > 0 {
-		applied := *list
+		applied := *list // the next call overwrites list
 		d.OnList(&applied)
 	}
 	return wentBack
@@ -213,15 +218,15 @@
 // forgetRevision drops the known revision if discovery refused the call, and reports whether it did. Discovery may refuse
 // every call that asks for changes since a revision that it never had.
 func (d *Client) forgetRevision(err error) bool {
-	forgotten := !d.Full && errors.Is(err, protocol.ErrCallRejected)
-	d.Full = d.Full || forgotten
+	forgotten := !d.NeedsFullList && errors.Is(err, protocol.ErrCallRejected)
+	d.NeedsFullList = d.NeedsFullList || forgotten
 	return forgotten
 }
 
-// target returns the address and query of a new connection.
+// target returns the address and first call of a new connection.
 func (d *Client) target(hold time.Duration) callTarget {
 	return callTarget{
-		addr: d.Addr, query: query{full: d.Full, revision: d.Revision, hold: hold},
+		addr: d.Addr, first: protocol.DiscoveryCall{Full: d.NeedsFullList, Revision: d.Revision, Hold: hold},
 		limits: d.Limits, log: d.Log, counters: d.Counters,
 	}
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -52,7 +52,7 @@
 	listener, calls := nettest.Listen(t), make(chan string, 99)
 	go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		calls <- request.RequestURI
-		switch request.FormValue("from") {
+		switch request.FormValue(protocol.QueryRevision) {
 		case "":
 			nettest.WriteString(w, `{"rev":3,"all":true,"targets":[]}`)
 		case "90":
@@ -84,7 +84,7 @@
 			listed := make(chan struct{}, 99)
 			startedAt := time.Now()
 			startDiscoveryClient(t, &Client{
-				Addr: listener.Addr().String(), Full: true,
+				Addr: listener.Addr().String(), NeedsFullList: true,
 				OnList: func(*protocol.EndpointList) { listed <- struct{}{} }, OnFailure: func() {},
 			})
 			select {
@@ -125,7 +125,7 @@
 	counters, lists := &Counters{}, make(chan *protocol.EndpointList, 9)
 	startedAt := time.Now()
 	startDiscoveryClient(t, &Client{
-		Addr: listener.Addr().String(), Full: true, Counters: counters,
+		Addr: listener.Addr().String(), NeedsFullList: true, Counters: counters,
 		OnList: func(list *protocol.EndpointList) { lists <- list }, OnFailure: func() {},
 	})
 	for _, want := range []string{
@@ -200,7 +200,7 @@
 		}))
 	}
 	var failed atomic.Bool
-	client := &Client{Addr: addrs[0], Full: true, OnFailure: func() { failed.Store(true) }}
+	client := &Client{Addr: addrs[0], NeedsFullList: true, OnFailure: func() { failed.Store(true) }}
 	startDiscoveryClient(t, client)
 	for _, addr := range []string{addrs[0], addrs[1], addrs[0]} {
 		for _, uri := range []string{"/v1/servers", "/v1/servers?from=5&hold_ms=1000"} {
--- a/internal/discovery/fakediscovery_test.go
+++ b/internal/discovery/fakediscovery_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"cherrygap/internal/nettest"
+	"cherrygap/internal/protocol"
 )
 
 // fault is how discovery mishandles a call. A call that arrived during a fault keeps it after the fault has ended.
@@ -150,9 +151,9 @@
 
 // answer answers one call and reports whether the connection stays open.
 func (d *fakeDiscovery) answer(conn net.Conn, request *http.Request) bool {
-	full := request.FormValue("from") == ""
-	from, _ := strconv.ParseUint(request.FormValue("from"), 10, 64)
-	held, _ := strconv.Atoi(request.FormValue("hold_ms"))
+	full := request.FormValue(protocol.QueryRevision) == ""
+	from, _ := strconv.ParseUint(request.FormValue(protocol.QueryRevision), 10, 64)
+	held, _ := strconv.Atoi(request.FormValue(protocol.QueryHoldMs))
 	over := time.NewTimer(time.Duration(held) * time.Millisecond)
 	defer over.Stop()
 	d.mu.Lock()
--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -16,22 +16,23 @@
 	raceInterval = 80 * time.Millisecond
 	// maxRacers bounds the connections of a race that are open at once.
 	maxRacers = netio.MaxDiscoveryConns
-	// raceTimeout bounds each connection's first call, except for one with pollTimeout, in case discovery is slow.
+	// raceTimeout bounds the first call of a connection. One call at a time is patient: it has callTimeout, in case
+	// discovery is slow.
 	raceTimeout = 3 * raceInterval
 	// raceProgress is how many bytes of responses must arrive in raceInterval for calls to get more time.
 	raceProgress = 64 << 10
 )
 
-// connRace opens connections one after another until the first call on one of them is answered. It belongs to the goroutine
-// of Client.Run. The racers' goroutines use only results and received.
+// connRace opens connections one after another until the first call on one of them is answered. Each connection, a racer,
+// has a goroutine, which uses only results and received. The other fields belong to the goroutine of Client.Run.
 type connRace struct {
 	client   *Client
 	results  chan callResult
 	received atomic.Int64 // bytes of responses on all connections
 
 	racers          int   // first calls in flight
-	hasPatient      bool  // one of them has pollTimeout
-	receivedAtStart int64 // received when the last racer was due
+	hasPatient      bool  // one of them is patient
+	receivedAtStart int64 // value of received at the last call of start
 	lastFailure     time.Time
 }
 
@@ -69,7 +70,7 @@
 	r.racers++
 	timeout, patient := raceTimeout, !r.hasPatient
 	if patient {
-		timeout, r.hasPatient = pollTimeout, true
+		timeout, r.hasPatient = callTimeout, true
 	}
 	target := r.client.target(raceHold)
 	go func() {
@@ -88,7 +89,7 @@
 // finish takes the result of one racer and reports whether it won the race. It logs failures once per failureLogInterval.
 func (r *connRace) finish(result callResult) (won bool) {
 	r.racers--
-	if result.err == nil && result.keep() {
+	if result.err == nil && result.detach() {
 		return true
 	}
 	if result.patient {
--- a/internal/discovery/wireformat_test.go
+++ b/internal/discovery/wireformat_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, calls := nettest.RecordCalls(t, test.answers...)
-			client := &Client{Addr: addr, Revision: test.rev, Full: test.rev == 0, OnFailure: func() {}}
+			client := &Client{Addr: addr, Revision: test.rev, NeedsFullList: test.rev == 0, OnFailure: func() {}}
 			if test.asked > 0 {
 				asked := make(chan struct{}, test.asked)
 				for range test.asked {
--- a/internal/lab/discovery/agent_test.go
+++ b/internal/lab/discovery/agent_test.go
@@ -22,7 +22,8 @@
 	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return protocol.EndpointList{}, err
 	}
-	if _, err := conn.Write(protocol.AppendDiscoveryCall(nil, addr, full, revision, hold)); err != nil {
+	call := protocol.DiscoveryCall{Full: full, Revision: revision, Hold: hold}
+	if _, err := conn.Write(protocol.AppendDiscoveryCall(nil, addr, call)); err != nil {
 		return protocol.EndpointList{}, err
 	}
 	list, _, err := protocol.ReadEndpointList(bufio.NewReader(conn))
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -178,7 +178,7 @@
 	none := zerolog.Nop()
 	var first sync.Once
 	return &discovery.Client{
-		Addr: agent, Full: true, Log: &none, Counters: &discovery.Counters{},
+		Addr: agent, NeedsFullList: true, Log: &none, Counters: &discovery.Counters{},
 		Limits: netio.Limits{Sockets: 64, MemoryMB: 64, ConnectTimeout: time.Second},
 		OnList: func(list *protocol.EndpointList) {
 			f.applyList(list)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -141,14 +141,14 @@
 // the full list where none is known.
 func (n *Node) buildDiscovery() error {
 	n.discovery = &discovery.Client{
-		Addr:      n.config.Discovery,
-		Revision:  n.config.known.Revision,
-		Full:      !n.hasEndpoints,
-		Limits:    n.limits,
-		Log:       &n.log,
-		Counters:  &n.counters.Discovery,
-		OnFailure: n.router.PollFailed,
-		OnList:    n.updateEndpoints,
+		Addr:          n.config.Discovery,
+		Revision:      n.config.known.Revision,
+		NeedsFullList: !n.hasEndpoints,
+		Limits:        n.limits,
+		Log:           &n.log,
+		Counters:      &n.counters.Discovery,
+		OnFailure:     n.router.PollFailed,
+		OnList:        n.updateEndpoints,
 	}
 	if n.config.pollsDiscovery() {
 		n.discovery.PollRequests = n.pollRequests
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -103,16 +103,23 @@
 		e.Weight >= 0 && e.Weight < maxWeight && e.BootMs >= 0
 }
 
-// AppendDiscoveryCall appends a call to discovery to b. host is discovery's address. A full call asks for the full list, and
-// its revision and hold are ignored. Another call asks for the changes since revision. Discovery may hold it for the time
-// hold until there is a change; the call has that time in milliseconds, rounded down.
-func AppendDiscoveryCall(b []byte, host string, full bool, revision uint64, hold time.Duration) []byte {
+// DiscoveryCall is a call to discovery. It asks for the full list, which discovery sends at once, or for the changes since a
+// revision.
+type DiscoveryCall struct {
+	Full     bool
+	Revision uint64        // ignored if Full
+	Hold     time.Duration // how long discovery may hold the call until there is a change; ignored if Full
+}
+
+// AppendDiscoveryCall appends a call to discovery to b. host is discovery's address. The call has Hold in milliseconds,
+// rounded down.
+func AppendDiscoveryCall(b []byte, host string, call DiscoveryCall) []byte {
 	b = append(b, "GET "+EndpointsPath...)
-	if !full {
+	if !call.Full {
 		b = append(b, "?"+QueryRevision+"="...)
-		b = strconv.AppendUint(b, revision, 10)
+		b = strconv.AppendUint(b, call.Revision, 10)
 		b = append(b, "&"+QueryHoldMs+"="...)
-		b = strconv.AppendInt(b, hold.Milliseconds(), 10)
+		b = strconv.AppendInt(b, call.Hold.Milliseconds(), 10)
 	}
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, host...)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -267,7 +267,7 @@
 	if err == nil || q.URI != "/seats/x/00000000b4d65521?a=1" || q.ID != "9b1f" || q.IdempotencyKey != "k" || string(q.Body) != "ab" {
 		t.Errorf("attempt read as %+v, %v; it must carry no X-Weight", q, err)
 	}
-	if w := string(AppendDiscoveryCall(nil, "d", false, 41, 20*time.Second)); !strings.HasPrefix(w,
+	if w := string(AppendDiscoveryCall(nil, "d", DiscoveryCall{Revision: 41, Hold: 20 * time.Second})); !strings.HasPrefix(w,
 		"GET /v1/servers?from=41&hold_ms="+strconv.Itoa(20000)+" HTTP/1.1\r\n") {
 		t.Errorf("discovery call %q", w)
 	}
--- a/internal/protocol/wireformat_test.go
+++ b/internal/protocol/wireformat_test.go
@@ -290,7 +290,7 @@
 		{"since the last", false, 1<<64 - 1, 1999 * time.Microsecond, "before|GET /v1/servers?from=18446744073709551615&hold_ms=1 HTTP/1.1\r\nHost: disco:80\r\n\r\n"},
 		{"since none, no hold", false, 0, 0, "before|GET /v1/servers?from=0&hold_ms=0 HTTP/1.1\r\nHost: disco:80\r\n\r\n"},
 	} {
-		expect(t, c.name, string(AppendDiscoveryCall([]byte("before|"), "disco:80", c.whole, c.rev, c.hold)), c.want)
+		expect(t, c.name, string(AppendDiscoveryCall([]byte("before|"), "disco:80", DiscoveryCall{Full: c.whole, Revision: c.rev, Hold: c.hold})), c.want)
 	}
 }
 
