--- a/internal/counters/node.go
+++ b/internal/counters/node.go
@@ -25,18 +25,8 @@
 	RepeatViolations atomic.Int64 // of invariant.Repeating
 }
 
-// outcomeFields are the log fields of upstream.Counters.AttemptOutcomes.
-var outcomeFields = [protocol.OutcomeCount]string{
-	protocol.Completed:         "attempts_completed",
-	protocol.Errored:           "attempts_errored",
-	protocol.Overloaded:        "attempts_rejected",
-	protocol.TimedOut:          "attempts_timed_out",
-	protocol.ConnectFailed:     "attempts_connect_failed",
-	protocol.ConnectionReset:   "attempts_connection_reset",
-	protocol.Cancelled:         "attempts_cancelled",
-	protocol.NotSent:           "attempts_not_sent",
-	protocol.MalformedResponse: "attempts_malformed_response",
-}
+// outcomePrefix is the beginning of the log fields of upstream.Counters.AttemptOutcomes. The outcome's name follows.
+const outcomePrefix = "attempts_"
 
 // field is one counter and its log field.
 type field struct {
@@ -52,7 +42,7 @@
 }
 
 func (n *Node) fields() []field {
-	front, up, disco, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
+	front, up, lists, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
 	fields := []field{
 		{"connections", &front.Connections},
 		{"requests", &front.Requests},
@@ -65,16 +55,16 @@
 		{"responses_unwritten", &front.ResponsesUnwritten},
 		{"attempts", &up.Attempts},
 		{"dials", &up.Dials},
-		{"endpoint_lists", &disco.EndpointLists},
-		{"endpoint_lists_malformed", &disco.MalformedLists},
+		{"endpoint_lists", &lists.EndpointLists},
+		{"endpoint_lists_malformed", &lists.MalformedLists},
 		{"peer_messages_sent", &peers.Sent},
 		{"peer_messages_unsent", &peers.Unsent},
 		{"peer_messages_received", &peers.Received},
 		{"peer_messages_dropped", &peers.Dropped},
 		{"log_lines_dropped", &n.LogLinesDropped},
 	}
-	for outcome, name := range outcomeFields {
-		fields = append(fields, field{name, &up.AttemptOutcomes[outcome]})
+	for outcome := range protocol.OutcomeCount {
+		fields = append(fields, field{outcomePrefix + outcome.String(), &up.AttemptOutcomes[outcome]})
 	}
 	return append(
 		fields,
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -43,8 +43,8 @@
 	latencies *hdrhistogram.Histogram // of finished checks, in microseconds
 }
 
-// DialAuthorizer makes an authorizer at an address and port. It does not wait for the connection. classes has the numbers of
-// cfg's classes by name. The caller ends it with Close.
+// DialAuthorizer returns a client of the authorizer at addr, "host:port". It does not wait for the connection. classes has
+// the numbers of cfg's classes by name. The caller calls Close in the end.
 func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -67,23 +67,32 @@
 
 func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
 
-// Check asks the authorizer about a request whose client waits for left. If ctx ends first, the client disconnected.
+// Check asks the authorizer about a request of a known class whose client waits for left. If ctx ends first, the client
+// disconnected.
 func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, left time.Duration) frontend.Authorization {
 	class := a.classes[request.Class]
-	decision, retryAfter := a.begin(class, left)
-	if decision.Verdict != authz.CheckNeeded {
-		return frontend.Authorization{Verdict: decision.Verdict, RetryAfter: retryAfter}
+	begun := a.begin(class, left)
+	if begun.decision.Verdict != authz.CheckNeeded {
+		return frontend.Authorization{Verdict: begun.decision.Verdict, RetryAfter: begun.retryAfter}
 	}
 	startedAt := time.Now()
-	outcome := a.call(ctx, request, decision.Timeout)
-	return a.end(class, outcome, decision.Timeout, time.Since(startedAt))
+	timeout := begun.decision.Timeout
+	outcome := a.call(ctx, request, timeout)
+	return a.end(class, outcome, timeout, time.Since(startedAt))
 }
 
-// begin returns the policy's decision before a check, and the Retry-After of a rejection without one.
-func (a *Authorizer) begin(class int, left time.Duration) (decision authz.Decision, retryAfter time.Duration) {
+// begunCheck is the result of begin.
+type begunCheck struct {
+	decision   authz.Decision
+	retryAfter time.Duration // of a request that the decision rejects
+}
+
+// begin returns the policy's decision before a check.
+func (a *Authorizer) begin(class int, left time.Duration) begunCheck {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.policy.Begin(a.now(), class, left), a.policy.RetryAfter(a.now(), class)
+	decision := a.policy.Begin(a.now(), class, left)
+	return begunCheck{decision: decision, retryAfter: a.policy.RetryAfter(a.now(), class)}
 }
 
 // end records a check and returns the policy's decision after it.
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -35,12 +35,12 @@
 
 // Statuses of calls. Their messages are on the wire.
 var (
-	errIDInUse  = status.Error(codes.AlreadyExists, "id of another ticket")
-	errDenied   = status.Error(codes.PermissionDenied, "not allowed")
-	errFailed   = status.Error(codes.Unknown, "broken off: it may have run")
-	errUnknown  = status.Error(codes.NotFound, "unknown band or plan")
-	errSafeBody = status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
-	errLimits   = status.Error(codes.InvalidArgument, "figures outside the settings")
+	errIDInUse           = status.Error(codes.AlreadyExists, "id of another ticket")
+	errDenied            = status.Error(codes.PermissionDenied, "not allowed")
+	errFailed            = status.Error(codes.Unknown, "broken off: it may have run")
+	errUnknown           = status.Error(codes.NotFound, "unknown band or plan")
+	errBodyInSafeRequest = status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
+	errOutsideLimits     = status.Error(codes.InvalidArgument, "figures outside the settings")
 
 	rejected = status.New(codes.Unavailable, "bounced: trying again is harmless")
 )
@@ -55,8 +55,8 @@
 	listener net.Listener
 }
 
-// Listen starts the gRPC front end on an address. Its requests go through the HTTP front end's RequestHandler and count to
-// its limit of client connections. methods is the HTTP method of each class. maxCalls bounds the calls in flight on one
+// Listen starts the gRPC front end on an address. Its requests go through RequestHandlers of the HTTP front end, whose
+// LimitListener bounds its connections. methods is the HTTP method of each class. maxCalls bounds the calls in flight on one
 // connection.
 //
 // It starts a goroutine that accepts connections until Drain. gRPC starts one for each connection, which ends with it.
@@ -153,9 +153,9 @@
 	case err != nil:
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case method == http.MethodGet && len(call.Body) > 0:
-		return nil, errSafeBody
+		return nil, errBodyInSafeRequest
 	case !s.requests.WithinLimits(request):
-		return nil, errLimits
+		return nil, errOutsideLimits
 	}
 	return request, nil
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Invariant is one of the node's invariants, by its name in the log. Each has a check in the type that owns the state
-// concerned. The check holds back an action that would violate the invariant; a violation is counted where the action
-// happened all the same.
+// Invariant is one of the node's invariants, by its name in the log. The type that owns the state concerned holds back an
+// action that would violate the invariant. An action that was carried out all the same is counted and logged as a violation.
+// Of Repeating each action that was held back is counted, because the decision engine should never decide on one.
 type Invariant string
 
 // The invariants.
@@ -21,7 +21,8 @@
 	Repeating Invariant = "repeating"
 	// Closing: the node closes no client connection on its own initiative while a request that it read is unanswered.
 	Closing Invariant = "closing"
-	// Starting: a request handler has one request at a time, and each request gets a final response before its deadline.
+	// Starting: a request starts only after the handler's last one has ended, and gets a final response before its deadline
+	// unless its client disconnects.
 	Starting Invariant = "starting"
 )
 
--- a/internal/netio/arrivaltimes.go
+++ b/internal/netio/arrivaltimes.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// maxArrivalTimes bounds the entries of one connection. Later bytes then count as read with the last entry.
+// maxArrivalTimes bounds the entries of one connection. When it is reached, later bytes get the time of the last entry.
 const maxArrivalTimes = 32
 
 // ArrivalTimes records when the bytes in a RingBuffer were read, so that each pipelined request has its own arrival time.
 // The zero value is empty. It belongs to the goroutine that reads the buffer.
 type ArrivalTimes struct{ entries []arrivalTime }
 
-// arrivalTime is when the bytes up to a position were read. Positions count the bytes since the buffer was made, as RingBuffer.Filled does.
+// arrivalTime is when the bytes up to a position were read. Positions count the bytes since the buffer was made, as
+// RingBuffer.Filled does.
 type arrivalTime struct {
 	upTo int
 	at   time.Time
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -25,9 +25,19 @@
 	// reservedForAccept: accepted connections without a slot, and connections that are being closed.
 	reservedForAccept = 4
 
-	MinReserved = reservedForProcess + reservedForDiscovery + reservedForServices + reservedForAccept // sum of the above
-	maxReserved = 2 * MinReserved                                                                     // includes spare ones
-	minPerSide  = 4                                                                                   // client connections at least
+	// MinReserved is the number of descriptors that are reserved at least.
+	MinReserved = reservedForProcess + reservedForDiscovery + reservedForServices + reservedForAccept
+	// maxReserved is the number of descriptors that are reserved at most. Those beyond MinReserved are spare.
+	maxReserved = 2 * MinReserved
+)
+
+// minPerSide is the lower bound of Limits.PerSide.
+const minPerSide = 4
+
+const (
+	bufferMemoryDivisor = 8       // all buffers together take at most the memory divided by it
+	buffersPerSocket    = 2       // one for each direction
+	bufferGranularity   = 1 << 10 // bytes; a buffer's size is a multiple
 )
 
 // reserved returns the number of descriptors that no connection of a client or an app server may use: a quarter of all,
@@ -49,7 +59,10 @@
 	return l.PerSide()
 }
 
-// BufferSize returns the size of one direction's buffer in bytes. All buffers together may take an eighth of the memory.
+// BufferSize returns the size of one direction's buffer in bytes, from MinBuffer to maxBuffer.
 func (l Limits) BufferSize() int {
-	return min(max(l.MemoryMB<<20/8/(2*max(1, l.Sockets))&^1023, MinBuffer), maxBuffer)
+	memory := l.MemoryMB << 20 / bufferMemoryDivisor
+	size := memory / (buffersPerSocket * max(1, l.Sockets))
+	size -= size % bufferGranularity
+	return min(max(size, MinBuffer), maxBuffer)
 }
--- a/internal/netio/ringbuffer.go
+++ b/internal/netio/ringbuffer.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// MessageTimeout bounds the reading of one message. For the first message of a connection it runs from the accept.
-// The platform owes each client a response or a close within 3 s of connecting.
+// MessageTimeout bounds the reading of one message. For the first message of a connection it runs from the accept. A client
+// that sends no complete request is closed well within the 3 s that the platform allows.
 const MessageTimeout = 2 * time.Second
 
 // Sizes of one direction's buffer of a connection, in bytes.
@@ -68,7 +68,7 @@
 	}
 }
 
-// SetMessageDeadline sets the read deadline of the current message, instead of Read.
+// SetMessageDeadline sets the read deadline of the current message. Read then does not set one for it.
 func (b *RingBuffer) SetMessageDeadline(at time.Time) {
 	b.deadlineSet = true
 	SetReadDeadline(b.conn, at)
@@ -100,10 +100,19 @@
 	return b.err
 }
 
-// fill reads once. It leaves the last ParserBuffer bytes that were taken out intact, because EndMessage may put them back.
+// readSpace returns the number of bytes that a read may put in. It spares the last ParserBuffer bytes that were taken out,
+// because EndMessage may put them back.
+func (b *RingBuffer) readSpace() int { return len(b.buf) - ParserBuffer - b.Buffered() }
+
+// contiguous returns the part of buf that begins at a position, of at most size bytes. It is shorter at the end of buf.
+func (b *RingBuffer) contiguous(position, size int) []byte {
+	at := position % len(b.buf)
+	return b.buf[at:min(len(b.buf), at+size)]
+}
+
+// fill reads once. The buffer must not be Full.
 func (b *RingBuffer) fill() {
-	at := b.filled % len(b.buf)
-	n, err := b.Stream.Read(b.buf[at:min(len(b.buf), at+len(b.buf)-ParserBuffer-(b.filled-b.taken))])
+	n, err := b.Stream.Read(b.contiguous(b.filled, b.readSpace()))
 	b.filled += n
 	if n == 0 {
 		b.err = err
@@ -126,8 +135,7 @@
 			return 0, err
 		}
 	}
-	at := b.taken % len(b.buf)
-	n := copy(p[:min(len(p), b.allowed)], b.buf[at:min(len(b.buf), at+b.filled-b.taken)])
+	n := copy(p[:min(len(p), b.allowed)], b.contiguous(b.taken, b.Buffered()))
 	b.taken += n
 	b.allowed -= n
 	return n, nil
@@ -145,7 +153,7 @@
 }
 
 // Full reports whether the buffer has no space for a read.
-func (b *RingBuffer) Full() bool { return b.filled-b.taken >= len(b.buf)-ParserBuffer }
+func (b *RingBuffer) Full() bool { return b.readSpace() <= 0 }
 
 // Discard drops the buffered bytes.
 func (b *RingBuffer) Discard() { b.taken = b.filled }
@@ -167,11 +175,12 @@
 	if b.Empty() {
 		b.taken, b.filled = 0, 0
 	}
-	at := b.filled % len(b.buf)
-	return b.buf[at:at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))]
+	free := b.contiguous(b.filled, len(b.buf)-b.Buffered())
+	return free[:0:len(free)]
 }
 
-// Commit adds the bytes that were appended to AvailableBuffer. Where these outgrew it and p is another array, it copies.
+// Commit adds p, which is the slice of AvailableBuffer after appends. If the appends have moved it to a larger array,
+// Commit copies the bytes.
 func (b *RingBuffer) Commit(p []byte) {
 	if len(p) > 0 && &p[0] == &b.buf[b.filled%len(b.buf)] {
 		b.filled += len(p)
@@ -183,11 +192,10 @@
 // Append adds bytes and writes to the stream whenever the buffer is full. The next Flush returns an error of the stream.
 func (b *RingBuffer) Append(p []byte) {
 	for n := 0; n < len(p); {
-		if b.filled-b.taken == len(b.buf) && b.Flush() != nil || b.err != nil {
+		if b.Buffered() == len(b.buf) && b.Flush() != nil || b.err != nil {
 			return
 		}
-		at := b.filled % len(b.buf)
-		copied := copy(b.buf[at:min(len(b.buf), at+len(b.buf)-(b.filled-b.taken))], p[n:])
+		copied := copy(b.contiguous(b.filled, len(b.buf)-b.Buffered()), p[n:])
 		b.filled += copied
 		n += copied
 	}
@@ -196,11 +204,10 @@
 // Flush writes all buffered bytes to the stream. After an error every call returns it.
 func (b *RingBuffer) Flush() error { return b.FlushExcept(0) }
 
-// FlushExcept writes all buffered bytes but the last ones.
-func (b *RingBuffer) FlushExcept(last int) error {
-	for b.taken < b.filled-last && b.err == nil {
-		at := b.taken % len(b.buf)
-		n, err := b.Stream.Write(b.buf[at:min(len(b.buf), at+b.filled-last-b.taken)])
+// FlushExcept writes all buffered bytes except the last heldBack bytes.
+func (b *RingBuffer) FlushExcept(heldBack int) error {
+	for b.Buffered() > heldBack && b.err == nil {
+		n, err := b.Stream.Write(b.contiguous(b.taken, b.Buffered()-heldBack))
 		b.taken += n
 		b.err = err
 	}
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"time"
 	"unsafe"
+
+	"golang.org/x/sys/unix"
 )
 
 // Socket is one direction of a TCP connection. Its system calls bypass the Go scheduler, because they never block: package
@@ -33,8 +35,8 @@
 	hangUpFD   func(fd uintptr)
 }
 
-// ReadHook is called before and after each read of a Socket, and may forbid the read. After each BeginRead that returns true the Socket makes one system call,
-// which does not block, and calls EndRead.
+// ReadHook is called before and after each read of a Socket, and may forbid the read. After each BeginRead that returns true
+// the Socket makes one system call, which does not block, and calls EndRead.
 type ReadHook interface {
 	BeginRead() bool
 	EndRead(result ReadResult)
@@ -132,7 +134,8 @@
 	return s.raw.Read(s.peekFD) == nil && s.input == inputNone
 }
 
-// HasPendingInput reports whether a connection that another goroutine reads has bytes, or its end, pending in the kernel.
+// HasPendingInput reports whether a connection that another goroutine reads has bytes, or its end, pending in the kernel. It
+// returns true if the peek fails by resource exhaustion, and false for a connection that this process has closed.
 func HasPendingInput(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -142,8 +145,8 @@
 	return raw.Control(func(fd uintptr) { s.tryPeek(fd) }) == nil && s.input != inputNone
 }
 
-// HungUp reports whether the other side has closed or reset the connection, even behind pending bytes. It may be called
-// while another goroutine reads through a Socket of its own.
+// HungUp reports whether the other side has closed or reset the connection, even behind pending bytes. It returns true for a
+// connection that this process has closed. It may be called while another goroutine reads through a Socket of its own.
 func (s *Socket) HungUp() bool {
 	if s.raw.Control(s.controlFD) != nil {
 		return true
@@ -154,11 +157,8 @@
 	return s.input == inputEnded
 }
 
-// Bits of ppoll(2).
-const (
-	pollRDHUP = 0x2000
-	pollEnded = pollRDHUP | 0x18 // and POLLERR, POLLHUP
-)
+// pollEnded are the events of ppoll(2) on a connection that the other side has closed or reset.
+const pollEnded = unix.POLLRDHUP | unix.POLLERR | unix.POLLHUP
 
 // maxInterrupts bounds the calls of ppoll(2) that signals may interrupt before checkHangUp uses TCP_INFO instead.
 const maxInterrupts = 3
@@ -169,7 +169,7 @@
 	descriptor := struct {
 		fd           int32
 		want, events int16
-	}{int32(fd), pollRDHUP, 0}
+	}{int32(fd), unix.POLLRDHUP, 0}
 	n, errno := uintptr(0), syscall.EINTR
 	for attempts := 0; errno == syscall.EINTR; attempts++ {
 		if attempts == maxInterrupts {
@@ -190,10 +190,9 @@
 // HasUnacknowledged reports whether the kernel holds written bytes that the other side has not acknowledged. It returns
 // false if that is unknown.
 func (s *Socket) HasUnacknowledged() bool {
-	const outQueue = 0x5411 // SIOCOUTQ, of tcp(7)
-	var queued int32
+	var queued int32 // result of SIOCOUTQ, see tcp(7)
 	err := s.raw.Control(func(fd uintptr) {
-		if _, _, errno := syscall.RawSyscall(syscall.SYS_IOCTL, fd, outQueue, uintptr(unsafe.Pointer(&queued))); errno != 0 {
+		if _, _, errno := syscall.RawSyscall(syscall.SYS_IOCTL, fd, unix.SIOCOUTQ, uintptr(unsafe.Pointer(&queued))); errno != 0 {
 			queued = 0
 		}
 	})
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// ErrorPause is the wait after an error of a listener or datagram socket, so that a lasting error does not take a whole core.
+// ErrorPause is the wait before the repetition of an accept, a datagram read or a dial that failed, so that a lasting error
+// does not take a whole core.
 const ErrorPause = 10 * time.Millisecond
 
 // PastDeadline is a deadline that ends the read or write which waits on a connection.
@@ -40,7 +41,7 @@
 // though its Timeout method returns true: the connection broke, or accept(2) passed on the error of a queued connection.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Earlier returns the earlier of two times.
+// Earlier returns the earlier of two times. The zero time is earlier than all others.
 func Earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/netio/timer.go
+++ b/internal/netio/timer.go
@@ -5,10 +5,9 @@
 	"syscall"
 	"time"
 	"unsafe"
-)
 
-// clockMonotonic is CLOCK_MONOTONIC, of clock_gettime(2).
-const clockMonotonic = 1
+	"golang.org/x/sys/unix"
+)
 
 // Timer is a one-shot timer on a timerfd(2), which the poller waits for as it does for sockets. A timer of the Go runtime
 // also wakes the scheduler's monitor thread at each expiry. On one core that costs as much CPU time as the tick itself.
@@ -23,7 +22,7 @@
 
 // NewTimer returns a timer that is not set.
 func NewTimer() (*Timer, error) {
-	fd, _, errno := syscall.RawSyscall(syscall.SYS_TIMERFD_CREATE, clockMonotonic, syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
+	fd, _, errno := syscall.RawSyscall(syscall.SYS_TIMERFD_CREATE, unix.CLOCK_MONOTONIC, syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 	if errno != 0 {
 		return nil, os.NewSyscallError("timerfd_create", errno)
 	}
@@ -33,7 +32,7 @@
 	return t, err
 }
 
-// Set makes the timer expire once after a duration, instead of when an earlier call said. It does not block.
+// Set makes the timer expire once after a duration. It replaces the time of an earlier call. It does not block.
 func (t *Timer) Set(after time.Duration) {
 	spec := [2]syscall.Timespec{{}, syscall.NsecToTimespec(max(1, int64(after)))} // 0 would disarm it
 	_, _, _ = syscall.RawSyscall6(syscall.SYS_TIMERFD_SETTIME, t.fd, 0, uintptr(unsafe.Pointer(&spec)), 0, 0, 0)
