--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -18,22 +18,22 @@
 	"cherrygap/internal/protocol"
 )
 
-// clients are the open-loop clients of all nodes.
+// clients are the open-loop clients of all nodes. They are safe for concurrent use.
 type clients struct {
-	cfg    *Config
-	ledger *ledger
-	nodes  []*node
+	cfg     *Config
+	checker *checker
+	nodes   []*node
 
 	lastID   atomic.Uint64
 	inFlight sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	resting map[int][]*clientConn
-	open    map[int]map[*clientConn]struct{} // by node, with a request that waits
+	mu   sync.Mutex // guards the fields below
+	idle map[int][]*clientConn
+	open map[int]map[*clientConn]struct{} // by node, with a request that waits for its response
 }
 
-func newClients(cfg *Config, l *ledger, nodes []*node) *clients {
-	c := &clients{cfg: cfg, ledger: l, nodes: nodes, resting: map[int][]*clientConn{}, open: map[int]map[*clientConn]struct{}{}}
+func newClients(cfg *Config, l *checker, nodes []*node) *clients {
+	c := &clients{cfg: cfg, checker: l, nodes: nodes, idle: map[int][]*clientConn{}, open: map[int]map[*clientConn]struct{}{}}
 	for i := range nodes {
 		c.open[i] = map[*clientConn]struct{}{}
 	}
@@ -45,38 +45,38 @@
 	net.Conn
 	reader  *bufio.Reader
 	reused  bool
-	waiting []*request // those that wait for an answer on it, in order; guarded by clients.mu
+	pending []*request // requests that wait for a response on it, in order; guarded by clients.mu
 }
 
-// habit is how a client sends a request.
-type habit int
+// pattern is the way in which a client sends a request.
+type pattern int
 
 const (
-	habitPlain    habit = iota
-	habitLeave          // it closes before its answer
-	habitHalfway        // it closes in the middle of its request
-	habitPipeline       // it sends several requests at once
-	habitSlow           // it sends in pieces
-	habitShort          // it has very little time
-	habitLong           // a long body
+	patternPlain        pattern = iota
+	patternDisconnect           // it closes before the response
+	patternPartial              // it closes in the middle of the request
+	patternPipeline             // it sends several requests at once
+	patternSlow                 // it sends in pieces
+	patternShortTimeout         // its budget is very short
+	patternLongBody             // a long body
 )
 
-// habitShares are the shares of requests by habit, in percent; the rest is plain.
-var habitShares = map[habit]int{habitLeave: 10, habitHalfway: 2, habitPipeline: 8, habitSlow: 6, habitShort: 5, habitLong: 3}
+// patternPercentages are the percentages of the patterns; the remaining requests are plain.
+var patternPercentages = map[pattern]int{patternDisconnect: 10, patternPartial: 2, patternPipeline: 8, patternSlow: 6, patternShortTimeout: 5, patternLongBody: 3}
 
-func drawHabit(rng *rand.Rand) habit {
+func drawPattern(rng *rand.Rand) pattern {
 	percent := rng.IntN(100)
-	for h := habitLeave; h <= habitLong; h++ {
-		if percent -= habitShares[h]; percent < 0 {
+	for h := patternDisconnect; h <= patternLongBody; h++ {
+		if percent -= patternPercentages[h]; percent < 0 {
 			return h
 		}
 	}
-	return habitPlain
+	return patternPlain
 }
 
 const (
-	maxResting    = 24 // connections that clients keep to a node
-	dialWithin    = time.Second
+	maxIdle       = 24 // idle connections that clients keep to a node
+	dialTimeout   = time.Second
 	maxPipelined  = 4
 	longBody      = 40 << 10
 	shortTimeout  = 40 * time.Millisecond
@@ -84,7 +84,7 @@
 	pieces        = 4
 )
 
-// generate begins the requests of one node's clients until ctx ends, whatever becomes of those before.
+// generate begins the requests of one node's clients in an open loop, until ctx ends.
 func (c *clients) generate(ctx context.Context, node int) {
 	rng := rand.New(rand.NewPCG(c.cfg.Seed, 1<<32|uint64(node)))
 	due := time.Now()
@@ -95,20 +95,20 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		to, h, seed := c.acceptingNode(node), drawHabit(rng), rng.Uint64()
+		to, h, seed := c.firstAccepting(node), drawPattern(rng), rng.Uint64()
 		if to < 0 {
 			continue
 		}
 		c.inFlight.Add(1)
-		go func() { // ends with the request's answer, or past its time
+		go func() { // ends with the request's response, or past its deadline
 			defer c.inFlight.Done()
 			c.play(to, h, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
 		}()
 	}
 }
 
-// acceptingNode is the first node from a number on that clients go to; -1 where none is.
-func (c *clients) acceptingNode(from int) int {
+// firstAccepting returns the first node from a number on that clients go to, or -1.
+func (c *clients) firstAccepting(from int) int {
 	for k := range c.nodes {
 		if i := (from + k) % len(c.nodes); c.nodes[i].acceptsClients() {
 			return i
@@ -117,22 +117,23 @@
 	return -1
 }
 
-func (c *clients) newRequest(node int, h habit, rng *rand.Rand) *request {
+// newRequest draws a request.
+func (c *clients) newRequest(node int, h pattern, rng *rand.Rand) *request {
 	class := &requestClasses[rng.IntN(len(requestClasses))]
 	r := &request{
 		id: fmt.Sprintf("%016x", c.lastID.Add(1)|c.cfg.Seed<<40), node: node, class: class, timeout: class.timeout,
-		capped: -1, nodes: len(c.nodes),
+		cappedCustomer: -1, nodes: len(c.nodes),
 	}
 	if rng.IntN(100) < cappedShare {
-		r.capped = rng.IntN(cappedCustomers)
+		r.cappedCustomer = rng.IntN(cappedCustomers)
 	}
-	if h == habitShort {
+	if h == patternShortTimeout {
 		r.timeout = shortTimeout + time.Duration(rng.Int64N(int64(shortTimeout)))
 	}
 	return r
 }
 
-// text is a request as it is written.
+// text returns a request as it is written.
 func (r *request) text(body string) string {
 	length := ""
 	if r.class.method != http.MethodGet {
@@ -141,8 +142,8 @@
 		body = ""
 	}
 	plan, customer, spread, first := planName, r.node, 1, r.node
-	if r.capped >= 0 {
-		plan, customer, spread, first = cappedPlanName, r.nodes+r.capped, r.nodes, 0
+	if r.cappedCustomer >= 0 {
+		plan, customer, spread, first = cappedPlanName, r.nodes+r.cappedCustomer, r.nodes, 0
 	}
 	lines := protocol.AppendRequestLines(nil, &protocol.Request{
 		Method:    r.class.method,
@@ -158,59 +159,59 @@
 	return string(lines) + length + "\r\n" + body
 }
 
-// play sends what a habit sends, and waits for what is owed.
-func (c *clients) play(node int, h habit, rng *rand.Rand) {
+// play sends one request, or several, in a pattern, and waits for the responses.
+func (c *clients) play(node int, h pattern, rng *rand.Rand) {
 	conn := c.connect(node)
 	if conn == nil {
-		return // refused, before anything was taken
+		return // the connection was refused
 	}
 	count := 1
-	if h == habitPipeline {
+	if h == patternPipeline {
 		count = 2 + rng.IntN(maxPipelined-1)
 	}
 	var text strings.Builder
 	requests := make([]*request, count)
 	for i := range requests {
 		requests[i] = c.newRequest(node, h, rng)
-		if i > 0 { // answers come in order: none behind one that may take longer
+		if i > 0 { // responses come in order, so none may have a shorter deadline than one before
 			requests[i].class, requests[i].timeout = requests[0].class, requests[0].timeout
 		}
 		body := "x"
-		if h == habitLong {
+		if h == patternLongBody {
 			body = strings.Repeat("x", longBody)
 		}
 		text.WriteString(requests[i].text(body))
 	}
 	switch h {
-	case habitHalfway:
+	case patternPartial:
 		_, _ = io.WriteString(conn, text.String()[:text.Len()/2])
-		time.Sleep(time.Duration(rng.Int64N(int64(maxWork))))
+		time.Sleep(time.Duration(rng.Int64N(int64(maxServiceTime))))
 		_ = conn.Close()
 		return
-	case habitSlow:
+	case patternSlow:
 		c.sendSlowly(conn, text.String(), requests)
 	default:
 		c.send(conn, text.String(), requests)
 	}
-	if h == habitLeave {
-		time.Sleep(time.Duration(rng.Int64N(int64(2 * maxWork))))
-		c.leave(conn, requests)
+	if h == patternDisconnect {
+		time.Sleep(time.Duration(rng.Int64N(int64(2 * maxServiceTime))))
+		c.disconnect(conn, requests)
 		return
 	}
-	c.await(conn, requests)
+	c.awaitResponses(conn, requests)
 }
 
-// send writes requests at once. Their time counts from then.
+// send writes requests at once. Their budgets run from then.
 func (c *clients) send(conn *clientConn, text string, requests []*request) {
-	c.wait(conn, requests)
+	c.setPending(conn, requests)
 	for _, r := range requests {
 		r.sentAt = time.Now()
-		c.ledger.sent(r)
+		c.checker.sent(r)
 	}
-	_, _ = io.WriteString(conn, text) // an error shows as a close
+	_, _ = io.WriteString(conn, text) // an error shows in a read
 }
 
-// sendSlowly writes one request in pieces; its time counts from the last.
+// sendSlowly writes one request in pieces. Its budget runs from the last one.
 func (c *clients) sendSlowly(conn *clientConn, text string, requests []*request) {
 	step := len(text) / pieces
 	for range pieces - 1 {
@@ -221,56 +222,56 @@
 	c.send(conn, text, requests)
 }
 
-// leave closes a connection whose requests wait.
-func (c *clients) leave(conn *clientConn, requests []*request) {
-	c.settle(conn)
-	c.ledger.update(func(counts *Counts) {
+// disconnect closes a connection with requests that wait for responses.
+func (c *clients) disconnect(conn *clientConn, requests []*request) {
+	c.clearPending(conn)
+	c.checker.update(func(counts *Counts) {
 		for _, r := range requests {
-			if !r.answered && r.leftAt.IsZero() {
-				r.leftAt = time.Now()
-				counts.Left++
+			if !r.answered && r.clientClosedAt.IsZero() {
+				r.clientClosedAt = time.Now()
+				counts.ClientsLeft++
 			}
 		}
 	})
 	_ = conn.Close()
 }
 
-// await reads the answers of the requests that were sent on a connection.
-func (c *clients) await(conn *clientConn, requests []*request) {
+// awaitResponses reads the responses of the requests that were sent on a connection.
+func (c *clients) awaitResponses(conn *clientConn, requests []*request) {
 	for i, r := range requests {
-		_ = conn.SetReadDeadline(r.deadline().Add(settleAfter / 2))
+		_ = conn.SetReadDeadline(r.deadline().Add(checkDelay / 2))
 		response, err := http.ReadResponse(conn.reader, nil)
 		if err != nil {
-			c.connEnded(conn, requests[i:], err)
+			c.handleConnClosed(conn, requests[i:], err)
 			return
 		}
 		body, err := io.ReadAll(response.Body)
 		if err != nil {
-			c.connEnded(conn, requests[i:], err)
+			c.handleConnClosed(conn, requests[i:], err)
 			return
 		}
-		c.ledger.answer(r, response.StatusCode, string(body))
+		c.checker.answer(r, response.StatusCode, string(body))
 		if response.Close && i+1 < len(requests) {
-			c.settle(conn)
+			c.clearPending(conn)
 			_ = conn.Close()
 			c.resend(r.node, requests[i+1:])
 			return
 		}
 		if response.Close {
-			c.settle(conn)
+			c.clearPending(conn)
 			_ = conn.Close()
 			return
 		}
 	}
-	c.settle(conn)
-	c.rest(requests[0].node, conn)
+	c.clearPending(conn)
+	c.keepIdle(requests[0].node, conn)
 }
 
-// connEnded handles a connection that ended under requests. On one that had carried others before, the node's close may
-// have crossed the request: it is sent once more. Else the request is lost, unless its client left or its node was killed,
-// which the ledger knows.
-func (c *clients) connEnded(conn *clientConn, requests []*request, err error) {
-	c.settle(conn)
+// handleConnClosed handles a connection that was closed under requests. On a reused connection, or at a node that is out of
+// descriptors, the node may have closed it before it read the requests: they are sent again. Other requests stay without a
+// response, which the checker reports unless the client had closed or the node was killed.
+func (c *clients) handleConnClosed(conn *clientConn, requests []*request, err error) {
+	c.clearPending(conn)
 	_ = conn.Close()
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
@@ -279,50 +280,50 @@
 	node := requests[0].node
 	switch {
 	case c.nodes[node].wasKilled():
-		c.ledger.killed(node)
+		c.checker.killed(node)
 	case conn.reused || c.nodes[node].crowded():
 		c.resend(node, requests)
 	}
 }
 
-// resend sends requests once more, each on a new connection and under its own id: had the node read it, it would say so.
+// resend sends requests again, each on a new connection under its own id. A node that has read one answers 409.
 func (c *clients) resend(node int, requests []*request) {
 	for _, r := range requests {
 		skip := false
-		c.ledger.update(func(counts *Counts) {
-			if skip = r.void != "" || !r.leftAt.IsZero() || time.Now().After(r.deadline()); !skip {
+		c.checker.update(func(counts *Counts) {
+			if skip = r.waiver != "" || !r.clientClosedAt.IsZero() || time.Now().After(r.deadline()); !skip {
 				counts.Resent++
 			}
 		})
 		if skip {
 			continue
 		}
-		to := c.acceptingNode(node)
+		to := c.firstAccepting(node)
 		var conn *clientConn
 		if to >= 0 {
 			conn = c.dial(to)
 		}
-		c.ledger.update(func(*Counts) {
-			r.sentAt = time.Now()         // its client waits anew
-			if r.node = to; conn == nil { // the node ends, and had not read it: nothing is owed
-				r.node, r.void = node, "its node had ended"
+		c.checker.update(func(*Counts) {
+			r.sentAt = time.Now()         // the budget runs anew
+			if r.node = to; conn == nil { // the node ends and had not read it, so no response is due
+				r.node, r.waiver = node, "its node had ended"
 			}
 		})
 		if conn == nil {
 			continue
 		}
-		c.wait(conn, []*request{r})
+		c.setPending(conn, []*request{r})
 		_, _ = io.WriteString(conn, r.text("x"))
-		c.await(conn, []*request{r})
+		c.awaitResponses(conn, []*request{r})
 	}
 }
 
-// connect gives a resting connection or a new one; nil where the node refuses.
+// connect returns an idle connection or a new one, or nil where the node refuses.
 func (c *clients) connect(node int) *clientConn {
 	c.mu.Lock()
-	if stack := c.resting[node]; len(stack) > 0 {
+	if stack := c.idle[node]; len(stack) > 0 {
 		conn := stack[len(stack)-1]
-		c.resting[node] = stack[:len(stack)-1]
+		c.idle[node] = stack[:len(stack)-1]
 		c.mu.Unlock()
 		conn.reused = true
 		return conn
@@ -331,68 +332,70 @@
 	return c.dial(node)
 }
 
+// dial opens a connection, or returns nil. A refusal by a node in service is a violation.
 func (c *clients) dial(node int) *clientConn {
-	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialWithin)
+	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
 	if err != nil {
 		if n := c.nodes[node]; errors.Is(err, syscall.ECONNREFUSED) && n.inService() {
-			c.ledger.report(ruleRefused, node, "", "%v, though the node runs and was not told to end", err)
+			c.checker.report(ruleConnectionRefused, node, "", "%v, though the node is in service", err)
 		}
 		return nil
 	}
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// rest keeps a connection for later requests.
-func (c *clients) rest(node int, conn *clientConn) {
+// keepIdle keeps a connection for later requests.
+func (c *clients) keepIdle(node int, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.resting[node]) >= maxResting {
+	if len(c.idle[node]) >= maxIdle {
 		_ = conn.Close()
 		return
 	}
-	c.resting[node] = append(c.resting[node], conn)
+	c.idle[node] = append(c.idle[node], conn)
 }
 
-// wait notes that requests wait on a connection, settle that none does any more.
-func (c *clients) wait(conn *clientConn, requests []*request) {
+// setPending records that requests wait for responses on a connection.
+func (c *clients) setPending(conn *clientConn, requests []*request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.waiting = requests
+	conn.pending = requests
 	c.open[requests[0].node][conn] = struct{}{}
 }
 
-func (c *clients) settle(conn *clientConn) {
+// clearPending records that no request waits on a connection any more.
+func (c *clients) clearPending(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(conn.waiting) > 0 {
-		delete(c.open[conn.waiting[0].node], conn)
-		conn.waiting = nil
+	if len(conn.pending) > 0 {
+		delete(c.open[conn.pending[0].node], conn)
+		conn.pending = nil
 	}
 }
 
-// leaveAll has all clients of a node leave whose requests wait.
-func (c *clients) leaveAll(node int) {
+// disconnectAll closes all connections to a node on which requests wait.
+func (c *clients) disconnectAll(node int) {
 	c.mu.Lock()
-	type waiting struct {
+	type pending struct {
 		conn     *clientConn
 		requests []*request
 	}
-	var leaving []waiting
+	var leaving []pending
 	for conn := range c.open[node] {
-		leaving = append(leaving, waiting{conn, conn.waiting})
+		leaving = append(leaving, pending{conn, conn.pending})
 	}
 	c.mu.Unlock()
 	for _, w := range leaving {
-		c.leave(w.conn, w.requests)
+		c.disconnect(w.conn, w.requests)
 	}
 }
 
-// forget closes the resting connections to a node that ends.
-func (c *clients) forget(node int) {
+// closeIdle closes the idle connections to a node that ends.
+func (c *clients) closeIdle(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.resting[node] {
+	for _, conn := range c.idle[node] {
 		_ = conn.Close()
 	}
-	c.resting[node] = nil
+	c.idle[node] = nil
 }
--- a/internal/lab/soak/config.go
+++ b/internal/lab/soak/config.go
@@ -1,8 +1,10 @@
-// Package soak runs real edge nodes, processes of this program, among app servers, discovery and clients that misbehave, all
-// on loopback, and judges what reaches servers and clients by the promises that the node's pages make (docs/invariants.md).
-// Several faults overlap at any time: signals, system calls that fail, servers, connections and clients that break off.
+// Package soak runs real edge nodes, processes of this program, among app servers, a discovery service and clients with
+// faults, all on loopback. Several faults overlap at any time: signals, failing system calls, and servers, connections and
+// clients that stop at any point.
 //
-// The same seed draws the same faults in the same order; when each meets which request is up to the machine.
+// Servers and clients record the history of each request. A checker compares the histories with the invariants of
+// docs/invariants.md. The same seed draws the same faults in the same order; the machine's timing decides which requests
+// each fault meets.
 package soak
 
 import (
@@ -12,31 +14,31 @@
 	"github.com/rs/zerolog"
 )
 
-// Config is one run.
+// Config describes a run.
 type Config struct {
-	Program  string        // this program, started anew for each node
-	Dir      string        // for configuration files and the nodes' logs; empty for one that is removed
+	Program  string        // path of this program, which is started for each node
+	Dir      string        // for configuration files and the nodes' logs; empty for a temporary one
 	Nodes    int           // edge nodes, a process each
 	Servers  int           // app servers
 	Rate     float64       // requests a second at a node, mean
-	Duration time.Duration // of the clients' requests
+	Duration time.Duration // in which clients send requests
 	Seed     uint64
-	Faults   []string // which to play; nil for all
+	Faults   []string // names of the faults to play; nil for all
 
 	Log *zerolog.Logger `json:"-"` // a line for each fault; nil for none
 }
 
-// Default is the form that is run by hand.
+// Default returns the configuration of a run by hand, without Program.
 func Default() Config {
 	return Config{Nodes: 24, Servers: 16, Rate: 16, Duration: 30 * time.Second, Seed: 1}
 }
 
 const (
-	maxNodes   = 100 // a few hundred processes are the most that a machine is to bear
+	maxNodes   = 100
 	maxServers = 200
 )
 
-// Check returns an error that names the first value that can't be played.
+// Check sets a missing log, and returns an error that names the first invalid value.
 func (c *Config) Check() error {
 	if c.Log == nil {
 		none := zerolog.Nop()
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -16,13 +16,13 @@
 	"cherrygap/internal/protocol"
 )
 
-// fault is a kind of trouble. play returns once it is over.
+// fault is a kind of fault. play returns once the fault is over.
 type fault struct {
 	name string
 	play func(r *run, ctx context.Context, rng *rand.Rand)
 }
 
-// faults are all kinds, in the order in which a seed draws from them.
+// faults are all kinds of faults. A seed's draws depend on their order.
 var faults = []fault{
 	{"terminate", (*run).playTerminate},
 	{"kill", (*run).playKill},
@@ -39,7 +39,7 @@
 	{"crowd", (*run).playCrowd},
 }
 
-// FaultNames lists them.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	names := make([]string, len(faults))
 	for i, f := range faults {
@@ -58,11 +58,11 @@
 }
 
 const (
-	overlapping   = 5 // faults at any time
-	maxFaultPause = 300 * time.Millisecond
+	concurrentFaults = 5 // faults at any time
+	maxFaultPause    = 300 * time.Millisecond
 )
 
-// playFaults plays one fault after another until ctx ends. Several of these run beside each other.
+// playFaults plays one fault after another until ctx ends. Each player has its own draws.
 func (r *run) playFaults(ctx context.Context, player int) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 3<<32|uint64(player)))
 	var playable []fault
@@ -88,12 +88,12 @@
 	}
 }
 
-// between draws a time from a range.
+// between draws a time of at least from and less than to.
 func between(rng *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rng.Int64N(int64(to-from)))
 }
 
-// lockNode draws a node that no other fault stops or starts, and locks it; nil where it is busy.
+// lockNode draws a node and locks it. It returns nil where another fault has the node.
 func (r *run) lockNode(rng *rand.Rand) *node {
 	n := r.nodes[rng.IntN(len(r.nodes))]
 	if !n.busy.TryLock() {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// playTerminate restarts a node in good order, while clients still come.
+// playTerminate restarts a node by SIGTERM, while clients still connect.
 func (r *run) playTerminate(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
@@ -110,28 +110,28 @@
 	}
 	defer n.busy.Unlock()
 	if n.terminate(between(rng, 200*time.Millisecond, 400*time.Millisecond)) {
-		r.ledger.report(ruleEnd, n.number, "", "the node had to be killed %v after SIGTERM", killAfter)
+		r.checker.report(ruleShutdown, n.number, "", "the node had to be killed %v after SIGTERM", killTimeout)
 	}
-	r.clients.forget(n.number)
+	r.clients.closeIdle(n.number)
 	r.restart(ctx, n, rng)
 }
 
-// playKill kills a node. What it had is void.
+// playKill kills a node. No response of its open requests is due.
 func (r *run) playKill(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
 		return
 	}
 	defer n.busy.Unlock()
-	r.clients.forget(n.number)
+	r.clients.closeIdle(n.number)
 	n.kill()
-	r.ledger.killed(n.number)
+	r.checker.killed(n.number)
 	sleep(ctx, between(rng, 0, time.Second))
-	r.ledger.killed(n.number) // what was just being sent
+	r.checker.killed(n.number) // requests that were just being sent
 	r.restart(ctx, n, rng)
 }
 
-// restart starts a node that has ended, at times with a list that is old or with a clock that was stepped.
+// restart starts a node that has ended, at times without a known list, or with discovery's clock ahead or behind.
 func (r *run) restart(ctx context.Context, n *node, rng *rand.Rand) {
 	if ctx.Err() != nil {
 		return
@@ -147,7 +147,7 @@
 	r.startNode(ctx, n, known)
 }
 
-// playPause stops a node for a moment.
+// playPause stops a node by SIGSTOP, several times for a moment.
 func (r *run) playPause(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
@@ -159,12 +159,12 @@
 		time.Sleep(between(rng, 20*time.Millisecond, 130*time.Millisecond))
 		n.signal(unix.SIGCONT)
 		if sleep(ctx, between(rng, 50*time.Millisecond, 300*time.Millisecond)); ctx.Err() != nil {
-			return // two stops with nothing between would be one that is too long
+			return // a further stop would follow at once, and both together last too long
 		}
 	}
 }
 
-// playReload moves some nodes to discovery's other address, at times by a file that is written slowly, or twice in a row.
+// playReload moves some nodes to discovery's other address, at times twice, or by a file that is only half written at first.
 func (r *run) playReload(ctx context.Context, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		n := r.lockNode(rng)
@@ -179,15 +179,16 @@
 	sleep(ctx, between(rng, 0, 200*time.Millisecond))
 }
 
-// reloadNotice is how long after SIGHUP what the new address tells counts as notified.
+// reloadNotice is the time from SIGHUP until notices of the new address count as received.
 const reloadNotice = 4 * time.Second
 
+// reload gives a node a new configuration.
 func (r *run) reload(n *node, rng *rand.Rand) {
 	n.mu.Lock()
 	n.agent = 1 - n.agent
 	raw := n.config(nil)
 	n.mu.Unlock()
-	n.excuse(time.Now().Add(reloadNotice))
+	n.delayNotice(time.Now().Add(reloadNotice))
 	half := len(raw) / 2
 	if rng.IntN(3) > 0 {
 		half = len(raw)
@@ -203,7 +204,7 @@
 	}
 }
 
-// lockServer draws a server that no other fault stops or starts, and locks it; nil where it is busy.
+// lockServer draws a server and locks it. It returns nil where another fault has the server.
 func (r *run) lockServer(rng *rand.Rand) *appServer {
 	s := r.servers[rng.IntN(len(r.servers))]
 	if !s.busy.TryLock() {
@@ -212,7 +213,7 @@
 	return s
 }
 
-// publish changes a server's entry and returns when.
+// publish changes a server's entry, and returns the time of the change.
 func (r *run) publish(s *appServer, state protocol.EndpointState, boot time.Time) time.Time {
 	_, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = state
@@ -223,52 +224,52 @@
 	return at
 }
 
-// playDrain drains a server, ends it, and starts it cold.
+// playDrain drains a server, ends it, and starts it as a new process.
 func (r *run) playDrain(ctx context.Context, rng *rand.Rand) {
 	s := r.lockServer(rng)
 	if s == nil {
 		return
 	}
 	defer s.busy.Unlock()
-	s.drainFrom(r.publish(s, protocol.Terminating, time.Time{}))
+	s.setDraining(r.publish(s, protocol.Terminating, time.Time{}))
 	sleep(ctx, between(rng, time.Second, 4*time.Second))
 	if rng.IntN(2) == 0 {
 		r.publish(s, protocol.Terminated, time.Time{})
 		sleep(ctx, between(rng, 0, time.Second))
 	}
-	s.judgeCold(r.capacity())
+	s.checkSlowStart(r.capacity())
 	s.kill()
 	sleep(ctx, between(rng, 0, 300*time.Millisecond))
-	r.revive(s)
+	r.restartServer(s)
 }
 
-// playCrash resets a server and starts it cold; discovery says so later.
+// playCrash resets a server and starts it as a new process, which discovery publishes later.
 func (r *run) playCrash(ctx context.Context, rng *rand.Rand) {
 	s := r.lockServer(rng)
 	if s == nil {
 		return
 	}
 	defer s.busy.Unlock()
-	s.judgeCold(r.capacity())
+	s.checkSlowStart(r.capacity())
 	s.kill()
 	sleep(ctx, between(rng, 0, 500*time.Millisecond))
 	if rng.IntN(2) == 0 {
 		r.publish(s, protocol.Terminated, time.Time{})
 	}
 	sleep(ctx, between(rng, 0, time.Second))
-	r.revive(s)
+	r.restartServer(s)
 }
 
-// revive starts a server cold, and has discovery say so at once.
-func (r *run) revive(s *appServer) {
-	if err := s.startCold(); err != nil {
+// restartServer starts a server as a new process, and publishes that at once.
+func (r *run) restartServer(s *appServer) {
+	if err := s.restartProcess(); err != nil {
 		r.fail(err)
 		return
 	}
-	s.inServiceFrom(r.publish(s, protocol.InService, time.Now()))
+	s.setInService(r.publish(s, protocol.InService, time.Now()))
 }
 
-// playMisbehave has some servers treat their requests badly.
+// playMisbehave gives some servers another behaviour.
 func (r *run) playMisbehave(ctx context.Context, rng *rand.Rand) {
 	how := int32(behaveHang) + rng.Int32N(int32(behaviours)-int32(behaveHang))
 	var servers []*appServer
@@ -285,7 +286,7 @@
 	}
 }
 
-// playIdleClose has some servers close connections long before the settings say.
+// playIdleClose makes some servers close idle connections earlier than the settings say.
 func (r *run) playIdleClose(ctx context.Context, rng *rand.Rand) {
 	servers := r.servers[:1+rng.IntN(len(r.servers))]
 	for _, s := range servers {
@@ -297,7 +298,7 @@
 	}
 }
 
-// outageNotice is how long after discovery's return what it had meanwhile may take to be read.
+// outageNotice is the time from discovery's return until the notices of the outage count as received.
 const outageNotice = 50 * time.Millisecond
 
 // playOutage silences discovery.
@@ -308,40 +309,41 @@
 	defer r.discoveryBusy.Unlock()
 	r.agent.SetSilent(true)
 	length := between(rng, 500*time.Millisecond, 4*time.Second)
-	r.excuseAll(time.Now().Add(length + outageNotice))
+	r.delayNoticeAll(time.Now().Add(length + outageNotice))
 	sleep(ctx, length)
-	r.excuseAll(time.Now().Add(outageNotice))
+	r.delayNoticeAll(time.Now().Add(outageNotice))
 	r.agent.SetSilent(false)
 }
 
-// silenceNotice is how long after a watch fell silent what it misses counts as notified.
+// silenceNotice is the time from a watch's silence until the notices that it missed count as received.
 const silenceNotice = 6 * time.Second
 
-// playWatchLoss breaks all watches at once, or leaves them open and silent.
+// playWatchLoss resets all watches at once, or leaves them open and silent.
 func (r *run) playWatchLoss(ctx context.Context, rng *rand.Rand) {
 	if !r.discoveryBusy.TryLock() {
 		return
 	}
 	defer r.discoveryBusy.Unlock()
 	if rng.IntN(2) == 0 {
-		r.excuseAll(time.Now().Add(silenceNotice))
+		r.delayNoticeAll(time.Now().Add(silenceNotice))
 		r.agent.SilenceOpen()
 		return
 	}
 	length := between(rng, time.Millisecond, 300*time.Millisecond)
-	r.excuseAll(time.Now().Add(length + outageNotice))
+	r.delayNoticeAll(time.Now().Add(length + outageNotice))
 	r.agent.DisconnectAll()
 	sleep(ctx, length)
 	r.agent.Reconnect()
 }
 
-func (r *run) excuseAll(until time.Time) {
+// delayNoticeAll is delayNotice for all nodes.
+func (r *run) delayNoticeAll(until time.Time) {
 	for _, n := range r.nodes {
-		n.excuse(until)
+		n.delayNotice(until)
 	}
 }
 
-// momentaryErrors are what system calls fail with for a moment, by call.
+// momentaryErrors are the errors that a system call may return for a moment, by call.
 var momentaryErrors = map[int][]syscall.Errno{
 	unix.SYS_ACCEPT4: {
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EINTR, unix.ENETDOWN,
@@ -356,7 +358,7 @@
 	unix.SYS_TIMERFD_CREATE: {unix.ENFILE, unix.EMFILE, unix.ENOMEM},
 }
 
-// playSystemCalls has some kinds of system calls fail at some nodes, always or at times.
+// playSystemCalls makes some system calls fail at some nodes, all or a part of them.
 func (r *run) playSystemCalls(ctx context.Context, rng *rand.Rand) {
 	share := []int64{20, 60, 100}[rng.IntN(3)]
 	length := between(rng, 50*time.Millisecond, 400*time.Millisecond)
@@ -369,7 +371,7 @@
 	var nodes []*node
 	for range 1 + rng.IntN(len(r.nodes)) {
 		n := r.nodes[rng.IntN(len(r.nodes))]
-		n.excuse(time.Now().Add(length + outageNotice))
+		n.delayNotice(time.Now().Add(length + outageNotice))
 		n.faults.share.Store(share)
 		n.faults.errnos.Store(&failing)
 		nodes = append(nodes, n)
@@ -380,17 +382,17 @@
 	}
 }
 
-// playLeave has all clients of some nodes leave at once.
+// playLeave makes all clients of some nodes close their connections at once.
 func (r *run) playLeave(_ context.Context, rng *rand.Rand) {
 	for range 1 + rng.IntN(len(r.nodes)) {
-		r.clients.leaveAll(rng.IntN(len(r.nodes)))
+		r.clients.disconnectAll(rng.IntN(len(r.nodes)))
 	}
 }
 
-// playCrowd has idle clients fill a node's descriptors.
+// playCrowd fills a node's descriptors with idle connections.
 func (r *run) playCrowd(ctx context.Context, rng *rand.Rand) {
 	n := r.nodes[rng.IntN(len(r.nodes))]
 	hold := between(rng, 200*time.Millisecond, 1500*time.Millisecond)
-	n.crowdUntil(time.Now().Add(hold + crowdLinger))
-	r.clients.crowd(ctx, n.number, hold)
+	n.setCrowded(time.Now().Add(hold + crowdAftermath))
+	r.clients.holdIdleConns(ctx, n.number, hold)
 }
--- a/internal/lab/soak/lagmeter.go
+++ b/internal/lab/soak/lagmeter.go
@@ -12,13 +12,14 @@
 	lagBucket   = 250 * time.Millisecond
 )
 
-// lagMeter measures how late this process runs what is due, so that no node is blamed for it.
+// lagMeter measures the scheduling delays of this process, so that no check blames a node for them. It keeps the last
+// lagBuckets*lagBucket of time, and is safe for concurrent use.
 type lagMeter struct {
 	startedAt time.Time
 
-	mu   sync.Mutex // guards what follows
-	lags [lagBuckets]time.Duration
-	of   [lagBuckets]int64 // the bucket's number
+	mu      sync.Mutex // guards the fields below
+	lags    [lagBuckets]time.Duration
+	numbers [lagBuckets]int64 // of the bucket whose lag is at that index
 }
 
 func newLagMeter() *lagMeter { return &lagMeter{startedAt: time.Now()} }
@@ -32,26 +33,29 @@
 	}
 }
 
+// bucket returns the number of the bucket with a moment.
 func (m *lagMeter) bucket(at time.Time) int64 { return int64(at.Sub(m.startedAt) / lagBucket) }
 
+// note records a delay.
 func (m *lagMeter) note(at time.Time, lag time.Duration) {
 	number := m.bucket(at)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	i := number % lagBuckets
-	if m.of[i] != number {
-		m.of[i], m.lags[i] = number, 0
+	if m.numbers[i] != number {
+		m.numbers[i], m.lags[i] = number, 0
 	}
 	m.lags[i] = max(m.lags[i], lag)
 }
 
-// around is the greatest lag about a moment of the last seconds.
+// around returns the greatest delay in the bucket of a moment and its neighbours. For a moment that is no longer kept it
+// returns 0.
 func (m *lagMeter) around(at time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	worst := time.Duration(0)
 	for number := max(0, m.bucket(at)-1); number <= m.bucket(at)+1; number++ {
-		if i := number % lagBuckets; m.of[i] == number {
+		if i := number % lagBuckets; m.numbers[i] == number {
 			worst = max(worst, m.lags[i])
 		}
 	}
--- /dev/null
+++ b/internal/lab/soak/malformedclient.go
@@ -0,0 +1,86 @@
+package soak
+
+import (
+	"context"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"time"
+
+	"cherrygap/internal/protocol"
+)
+
+const (
+	malformedInterval = 300 * time.Millisecond // between two clients of the whole fleet, mean
+	malformedTimeout  = 3 * time.Second
+)
+
+// malformedInputs are the texts of malformed clients, which then wait for an error or a close.
+var malformedInputs = []string{
+	"",
+	"nonsense\r\n\r\n",
+	"POST /book/0000000000000001 HTTP/1.1\r\nHost: edge\r\nContent-Le",
+	"POST /book/0000000000000001 HTTP/1.1\r\nHost: edge\r\nContent-Length: 100\r\n\r\nhalf",
+	string(protocol.AppendRequestLines(nil, &protocol.Request{
+		Method: http.MethodPost, URI: protocol.RequestPath("nothing", 1), Host: "edge", ID: "bad", Plan: "none",
+		Timeout: time.Millisecond, Units: 1, Spread: 1,
+	})) + "Content-Length: 0\r\n\r\n",
+	"GET /find/0000000000000001 HTTP/1.1\r\nHost: edge\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+}
+
+// playMalformedClients starts one malformed client after another, until ctx ends.
+func (c *clients) playMalformedClients(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(c.cfg.Seed, 2<<32))
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(time.Duration(rng.ExpFloat64() * float64(malformedInterval))):
+		}
+		if node := c.firstAccepting(rng.IntN(len(c.nodes))); node >= 0 {
+			text := malformedInputs[rng.IntN(len(malformedInputs))]
+			c.inFlight.Add(1)
+			go func() { // ends a second after malformedTimeout at most
+				defer c.inFlight.Done()
+				c.playMalformedClient(node, text)
+			}()
+		}
+	}
+}
+
+// playMalformedClient sends a text, and checks that the node responds or closes in time.
+func (c *clients) playMalformedClient(node int, text string) {
+	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	startedAt := time.Now()
+	c.checker.update(func(counts *Counts) { counts.MalformedClients++ })
+	_, _ = io.WriteString(conn, text)
+	_ = conn.SetReadDeadline(startedAt.Add(malformedTimeout + time.Second))
+	_, err = io.Copy(io.Discard, conn)
+	if took := time.Since(startedAt); took > malformedTimeout+harnessSlack+c.checker.lag.around(time.Now()) {
+		c.checker.report(ruleMalformed, node, "", "%.30q got its error or close after %v: %v", text, took, err)
+	}
+}
+
+// holdIdleConns opens nodeSockets/2 idle connections to a node, more than it has slots for clients, and closes them later.
+func (c *clients) holdIdleConns(ctx context.Context, node int, hold time.Duration) {
+	var conns []net.Conn
+	for range nodeSockets / 2 {
+		conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
+		if err != nil {
+			break
+		}
+		conns = append(conns, conn)
+	}
+	select {
+	case <-ctx.Done():
+	case <-time.After(hold):
+	}
+	for _, conn := range conns {
+		_ = conn.Close()
+	}
+}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -23,54 +23,55 @@
 	"cherrygap/internal/protocol"
 )
 
-// FaultyCalls are the system calls of nodes that a run may make fail.
+// FaultyCalls are the system calls of nodes that a run can make fail.
 var FaultyCalls = []uint32{
 	unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_OPENAT, unix.SYS_PPOLL, unix.SYS_TIMERFD_CREATE,
 	unix.SYS_SENDTO, unix.SYS_RECVFROM,
 }
 
-// NodeCommand are the arguments by which this program is started as a node whose system calls may be made to fail.
+// NodeCommand is the command line that starts this program as a node with the filter for FaultyCalls.
 var NodeCommand = []string{"lab", "soak-node"}
 
 const (
-	readyWithin   = 10 * time.Second        // of a started node
-	readyInterval = 20 * time.Millisecond   // between looks whether it is
-	killAfter     = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s and 0.7 s
+	readyTimeout      = 10 * time.Second        // of a started node
+	readyPollInterval = 20 * time.Millisecond   // between two checks whether it is
+	killTimeout       = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s and 0.7 s
 )
 
-// node is one edge node, over its restarts.
+// node is one edge node, over its restarts. It is safe for concurrent use.
 type node struct {
 	number int
 	addr   string
-	agents [2]string // where discovery is found; a new configuration moves the node from one to the other
+	agents [2]string // discovery's addresses for this node; each reload switches to the other one
 	dir    string
 	nodes  int
 
 	faults callFaults
 
-	busy sync.Mutex // held by the fault that stops, starts or reloads the node
-
-	mu        sync.Mutex // guards what follows
-	cmd       *exec.Cmd
-	exited    chan struct{} // closed once the process has ended
-	ending    bool          // it was told to end, or killed
-	killed    bool          // it was killed: nothing that it had is owed
-	accepting bool          // clients go there
-	startedAt time.Time
-	crowdedAt time.Time // until then idle clients fill its descriptors
-	excusedAt time.Time // until then what discovery told it counts as not yet notified
-	agent     int       // of agents
-	starts    int
+	busy sync.Mutex // held by a fault that stops, starts or reloads the node
+
+	mu              sync.Mutex // guards the fields below
+	cmd             *exec.Cmd
+	exited          chan struct{} // closed once the process has ended
+	ending          bool          // SIGTERM or SIGKILL was sent
+	killed          bool          // SIGKILL was sent: no response of its open requests is due
+	accepting       bool          // clients connect to it
+	startedAt       time.Time
+	crowdedUntil    time.Time // until when idle clients fill its descriptors
+	noticeDelayedTo time.Time // notices that discovery sends before count as received then
+	agent           int       // of agents
+	starts          int
 }
 
-// callFaults is which system calls of a node fail now.
+// callFaults decides which system calls of a node fail now. It is safe for concurrent use.
 type callFaults struct {
-	on     atomic.Bool                             // the node's program runs: before, the loader's calls are the system's
+	on     atomic.Bool                             // the node is ready; openat does not fail before, as the loader calls it too
 	errnos atomic.Pointer[map[int][]syscall.Errno] // by system call
-	share  atomic.Int64                            // of them that fail, in percent
+	share  atomic.Int64                            // percentage of these calls that fail
 	failed atomic.Int64
 }
 
+// decide is a syscallfault.Policy.
 func (f *callFaults) decide(call syscallfault.Call) syscall.Errno {
 	errnos := f.errnos.Load()
 	if errnos == nil || !f.on.Load() && call.Number == unix.SYS_OPENAT {
@@ -88,7 +89,7 @@
 
 func (n *node) logPath() string { return filepath.Join(n.dir, fmt.Sprintf("node%d.log", n.number)) }
 
-// config is the node's configuration as of now.
+// config returns the node's configuration as of now, with an endpoint list. The caller holds the lock.
 func (n *node) config(known json.RawMessage) []byte {
 	raw, err := json.Marshal(map[string]any{
 		"name": "n" + strconv.Itoa(n.number), "listen": n.addr, "discovery": n.agents[n.agent],
@@ -97,12 +98,12 @@
 		"known":  known, "settings": platformSettings(n.nodes, n.number),
 	})
 	if err != nil {
-		panic(err) // of strings and numbers
+		panic(err) // strings and numbers can be marshalled
 	}
 	return raw
 }
 
-// start starts the node and waits until it is ready. It tells how long that took.
+// start starts the node and waits until it is ready. It returns the time that this took.
 func (n *node) start(ctx context.Context, program string, known json.RawMessage) (time.Duration, error) {
 	n.mu.Lock()
 	n.starts++
@@ -129,9 +130,9 @@
 		return 0, err
 	}
 	exited := make(chan struct{})
-	go func() { _ = injector.Run() }() // ends with the process; where it fails the node stands still, which is seen
+	go func() { _ = injector.Run() }() // ends with the process; after an error the node hangs, which start reports
 	go func() {                        // ends with the process
-		_ = cmd.Wait() // how it ended stands in its state
+		_ = cmd.Wait() // an unexpected end shows in exited
 		_ = log.Close()
 		close(exited)
 	}()
@@ -141,8 +142,9 @@
 	return n.awaitReady(ctx, exited, startedAt)
 }
 
+// awaitReady waits until the node answers health checks, for three times readyTimeout at most.
 func (n *node) awaitReady(ctx context.Context, exited chan struct{}, startedAt time.Time) (time.Duration, error) {
-	for time.Since(startedAt) < 3*readyWithin {
+	for time.Since(startedAt) < 3*readyTimeout {
 		if n.isReady() {
 			n.faults.on.Store(true)
 			n.setAccepting(true)
@@ -153,7 +155,7 @@
 			return 0, fmt.Errorf("node %d ended at its start: %s", n.number, n.lastLogLine())
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(readyInterval):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return 0, fmt.Errorf("node %d is not ready: %s", n.number, n.lastLogLine())
@@ -169,15 +171,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// signal sends a signal to the process. It may have ended.
+// signal sends a signal to the process, which may have ended.
 func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_ = n.cmd.Process.Signal(sig)
 }
 
-// terminate sends SIGTERM, lets clients come for a moment more, and waits for the end. It kills the node at last, and tells
-// whether that was needed.
+// terminate sends SIGTERM, lets clients connect for linger, and waits for the end. After killTimeout it kills the node, and
+// reports that.
 func (n *node) terminate(linger time.Duration) (killed bool) {
 	n.mu.Lock()
 	n.ending = true
@@ -187,7 +189,7 @@
 	time.AfterFunc(linger, func() { n.setAccepting(false) })
 	select {
 	case <-exited:
-	case <-time.After(killAfter):
+	case <-time.After(killTimeout):
 		n.signal(syscall.SIGKILL)
 		<-exited
 		killed = true
@@ -196,7 +198,7 @@
 	return killed
 }
 
-// kill ends the node at once.
+// kill sends SIGKILL and waits for the end.
 func (n *node) kill() {
 	n.mu.Lock()
 	n.ending, n.killed = true, true
@@ -219,7 +221,7 @@
 	return n.accepting
 }
 
-// crashed tells whether the process has ended by itself.
+// crashed reports whether the process has ended by itself.
 func (n *node) crashed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,35 +233,35 @@
 	}
 }
 
-// excuse has what discovery tells until a moment count as notified then.
-func (n *node) excuse(until time.Time) {
+// delayNotice makes notices that discovery sends before a moment count as received at that moment.
+func (n *node) delayNotice(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until.After(n.excusedAt) {
-		n.excusedAt = until
+	if until.After(n.noticeDelayedTo) {
+		n.noticeDelayedTo = until
 	}
 }
 
-// crowdLinger is how long after a crowd has gone its node may still be closing connections unread.
-const crowdLinger = 300 * time.Millisecond
+// crowdAftermath is the time after idle clients have left in which a node may still close connections unread.
+const crowdAftermath = 300 * time.Millisecond
 
-// crowdUntil notes that idle clients fill the node's descriptors until a moment.
-func (n *node) crowdUntil(until time.Time) {
+// setCrowded records that idle clients fill the node's descriptors until a moment.
+func (n *node) setCrowded(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until.After(n.crowdedAt) {
-		n.crowdedAt = until
+	if until.After(n.crowdedUntil) {
+		n.crowdedUntil = until
 	}
 }
 
-// crowded tells whether new connections may be closed unread now.
+// crowded reports whether the node may close new connections unread now.
 func (n *node) crowded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.crowdedAt)
+	return time.Now().Before(n.crowdedUntil)
 }
 
-// inService tells whether the node was ready once, runs, and was not told to end.
+// inService reports whether the node runs, has been ready, and got no SIGTERM.
 func (n *node) inService() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -271,19 +273,19 @@
 	}
 }
 
-// wasKilled tells whether the node's present or last process was killed.
+// wasKilled reports whether the node's present or last process was killed.
 func (n *node) wasKilled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.killed
 }
 
-// notifiedAt is when a change that was published at a moment counts as notified to the node.
+// notifiedAt returns when the node counts as notified of a change that was published at a moment.
 func (n *node) notifiedAt(published time.Time) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := published
-	for _, later := range []time.Time{n.startedAt, n.excusedAt} {
+	for _, later := range []time.Time{n.startedAt, n.noticeDelayedTo} {
 		if later.After(at) {
 			at = later
 		}
@@ -300,18 +302,19 @@
 	return lines[len(lines)-1]
 }
 
-// Each kind of listener has loopback addresses of its own, so that no outgoing connection takes one while its owner is
-// restarted.
+// Each kind of listener has loopback addresses of its own. So no outgoing connection can take the port of a listener while
+// its owner restarts.
 const (
 	nodeBlock   = 112 // 127.112.x.y
 	serverBlock = 113
 )
 
+// loopbackAddress returns an address with port 0 for the nth listener of a block.
 func loopbackAddress(block, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d:0", block, number/250, number%250+1)
 }
 
-// freeAddress is an address of a node's own with a port that was free a moment ago.
+// freeAddress returns a node's own loopback address with a port that was free a moment ago.
 func freeAddress(number int) (string, error) {
 	listener, err := net.Listen("tcp", loopbackAddress(nodeBlock, number))
 	if err != nil {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -14,39 +14,39 @@
 	"cherrygap/internal/protocol"
 )
 
-// run is one run in progress.
+// run is a run in progress.
 type run struct {
 	cfg     Config
-	ledger  *ledger
+	checker *checker
 	agent   *discovery.Agent
 	servers []*appServer
 	nodes   []*node
 	clients *clients
 
-	discoveryBusy sync.Mutex // held by a fault of discovery's
+	discoveryBusy sync.Mutex // held by a fault of discovery
 
-	mu          sync.Mutex // guards what follows
-	err         error      // of this process itself
+	mu          sync.Mutex // guards the fields below
+	err         error      // of the harness itself
 	faultCounts map[string]int
 	readyTimes  []time.Duration
 }
 
-// Result is what a run counted. It is good where there are no violations.
+// Result is the result of a run. The run is good where Violations is empty.
 type Result struct {
-	Seed       uint64           `json:"seed"`
-	Nodes      int              `json:"nodes"`
-	Seconds    float64          `json:"seconds"`
-	Counts     Counts           `json:"counts"`
-	Statuses   map[string]int64 `json:"statuses"`
-	Faults     map[string]int   `json:"faults"`
-	FailedCall int64            `json:"failed_system_calls"`
-	Starts     int              `json:"starts"`
-	ReadyMax   float64          `json:"ready_max_s"`
-	Guards     map[string]int64 `json:"guards"` // what the nodes' own guards counted
-	Violations []Violation      `json:"violations"`
+	Seed              uint64           `json:"seed"`
+	Nodes             int              `json:"nodes"`
+	Seconds           float64          `json:"seconds"`
+	Counts            Counts           `json:"counts"`
+	Statuses          map[string]int64 `json:"statuses"`
+	Faults            map[string]int   `json:"faults"`
+	FailedSystemCalls int64            `json:"failed_system_calls"`
+	Starts            int              `json:"starts"`
+	ReadyMax          float64          `json:"ready_max_s"`
+	NodeViolations    map[string]int64 `json:"guards"` // sums of the nodes' violation counters
+	Violations        []Violation      `json:"violations"`
 }
 
-// Run plays cfg, and returns what was measured. It ends what it started, also where it fails or ctx ends.
+// Run plays a run. It ends all processes and goroutines that it has started, also where it fails or ctx ends.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -69,14 +69,14 @@
 	return r.result()
 }
 
-// setUp starts the servers, discovery and the nodes.
+// setUp starts the servers, discovery and the nodes. Their goroutines end with ctx or killAll.
 func (r *run) setUp(ctx context.Context) error {
 	lag := newLagMeter()
 	go lag.run(ctx) // ends with the run
-	r.ledger = newLedger(lag, r.cfg.Duration, r.cfg.Nodes)
+	r.checker = newChecker(lag, r.cfg.Duration, r.cfg.Nodes)
 	endpoints := make([]discovery.Endpoint, r.cfg.Servers)
 	for i := range endpoints {
-		s, err := newAppServer(i, r.ledger, r.noticeOf)
+		s, err := newAppServer(i, r.checker, r.notifiedAt)
 		if err != nil {
 			return err
 		}
@@ -98,14 +98,15 @@
 		n.agents = [2]string{r.agent.Addr(2 * i), r.agent.Addr(2*i + 1)}
 		r.nodes = append(r.nodes, n)
 	}
-	r.clients = newClients(&r.cfg, r.ledger, r.nodes)
+	r.clients = newClients(&r.cfg, r.checker, r.nodes)
 	r.forEachNode(func(n *node) { r.startNode(ctx, n, r.agent.Snapshot(0)) })
 	return r.failure()
 }
 
-// watches are the agent's watches of a node's two addresses of discovery.
+// watches returns the agent's numbers of the node's two watches, one for each of its discovery addresses.
 func (n *node) watches() []int { return []int{2 * n.number, 2*n.number + 1} }
 
+// forEachNode calls do for all nodes at once, and waits.
 func (r *run) forEachNode(do func(*node)) {
 	var wg sync.WaitGroup
 	for _, n := range r.nodes {
@@ -115,13 +116,13 @@
 	wg.Wait()
 }
 
-// startNode starts a node; one that does not get ready is a violation.
+// startNode starts a node. One that does not get ready is a violation.
 func (r *run) startNode(ctx context.Context, n *node, known []byte) {
 	took, err := n.start(ctx, r.cfg.Program, known)
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
-		r.ledger.report(ruleReady, n.number, "", "%v", err)
+		r.checker.report(ruleReady, n.number, "", "%v", err)
 	default:
 		r.mu.Lock()
 		r.readyTimes = append(r.readyTimes, took)
@@ -129,13 +130,13 @@
 	}
 }
 
-// play plays clients and faults for the configured time, and then waits for the last answers.
+// play plays clients and faults for the configured time, and waits for the last responses.
 func (r *run) play(ctx context.Context) error {
 	playing, stop := context.WithTimeout(ctx, r.cfg.Duration)
 	defer stop()
 	watching, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	go r.ledger.sweep(watching)
+	go r.checker.checkPeriodically(watching)
 	go r.watchForCrashes(watching)
 	var wg sync.WaitGroup
 	start := func(do func()) {
@@ -145,8 +146,8 @@
 	for i := range r.nodes {
 		start(func() { r.clients.generate(playing, i) })
 	}
-	start(func() { r.clients.playBadClients(playing) })
-	for player := range overlapping {
+	start(func() { r.clients.playMalformedClients(playing) })
+	for player := range concurrentFaults {
 		start(func() { r.playFaults(playing, player) })
 	}
 	wg.Wait()
@@ -154,54 +155,57 @@
 	return errors.Join(ctx.Err(), r.failure())
 }
 
-// crashLook is the time between two looks for nodes that ended by themselves.
-const crashLook = 100 * time.Millisecond
+// crashPollInterval is the time between two checks for nodes that ended by themselves.
+const crashPollInterval = 100 * time.Millisecond
 
+// watchForCrashes reports each node that ends by itself, once, until ctx ends.
 func (r *run) watchForCrashes(ctx context.Context) {
 	reported := map[*node]bool{}
 	for ctx.Err() == nil {
 		for _, n := range r.nodes {
 			if !reported[n] && n.crashed() {
 				reported[n] = true
-				r.ledger.report(ruleCrash, n.number, "", "%s", n.lastLogLine())
+				r.checker.report(ruleCrash, n.number, "", "%s", n.lastLogLine())
 			}
 		}
-		sleep(ctx, crashLook)
+		sleep(ctx, crashPollInterval)
 	}
 }
 
-// capacity is how many requests a second a warm server carries: its even part of all, and half as much again.
+// capacity returns the capacity of a warm server in requests a second: its even share of all, and half as much again.
 func (r *run) capacity() float64 {
 	const spare = 1.5
 	return spare * r.cfg.Rate * float64(r.cfg.Nodes) / float64(r.cfg.Servers)
 }
 
-// noticeOf is when a node counts as notified of what was published at a moment.
-func (r *run) noticeOf(node int, published time.Time) time.Time {
+// notifiedAt returns when a node counts as notified of a change that was published at a moment.
+func (r *run) notifiedAt(node int, published time.Time) time.Time {
 	return r.nodes[node].notifiedAt(published)
 }
 
+// noteFault counts and logs a fault that is over.
 func (r *run) noteFault(name string, begun time.Time) {
 	r.mu.Lock()
 	r.faultCounts[name]++
 	r.mu.Unlock()
-	r.cfg.Log.Info().Str("fault", name).Dur("for_ms", time.Since(begun)).Msg("fault is over")
+	r.cfg.Log.Info().Str("fault", name).Dur("duration_ms", time.Since(begun)).Msg("fault ended")
 }
 
-// fail notes an error of this process itself.
+// fail records an error of the harness itself, which ends the run without a result.
 func (r *run) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = errors.Join(r.err, err)
 }
 
+// failure returns the errors so far.
 func (r *run) failure() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.err
 }
 
-// killAll ends what nodes are left.
+// killAll kills all nodes and servers.
 func (r *run) killAll() {
 	r.forEachNode(func(n *node) {
 		if n.cmd != nil {
@@ -213,56 +217,64 @@
 	}
 }
 
-// result ends the nodes in good order, judges what is not judged yet, and gathers the counts.
+// result terminates the nodes, checks the remaining requests and sums the counts.
 func (r *run) result() (*Result, error) {
 	r.forEachNode(func(n *node) {
 		if n.terminate(0) {
-			r.ledger.report(ruleEnd, n.number, "", "the node had to be killed %v after the last SIGTERM", killAfter)
+			r.checker.report(ruleShutdown, n.number, "", "the node had to be killed %v after the last SIGTERM", killTimeout)
 		}
 	})
 	for _, s := range r.servers {
-		s.judgeCold(r.capacity())
+		s.checkSlowStart(r.capacity())
 	}
-	r.ledger.judge(time.Now().Add(time.Hour))
-	r.ledger.judgeCeilings()
+	r.checker.checkUntil(time.Now().Add(time.Hour))
+	r.checker.checkCeilings()
 	result := &Result{
-		Seed: r.cfg.Seed, Nodes: r.cfg.Nodes, Seconds: r.cfg.Duration.Seconds(), Counts: r.ledger.counts, Statuses: map[string]int64{},
-		Faults: r.faultCounts, Guards: map[string]int64{},
+		Seed: r.cfg.Seed, Nodes: r.cfg.Nodes, Seconds: r.cfg.Duration.Seconds(), Counts: r.checker.counts, Statuses: map[string]int64{},
+		Faults: r.faultCounts, NodeViolations: map[string]int64{},
 	}
-	for status, count := range r.ledger.statuses {
+	for status, count := range r.checker.statuses {
 		result.Statuses[strconv.Itoa(status)] = count
 	}
 	for _, n := range r.nodes {
 		result.Starts += n.starts
-		result.FailedCall += n.faults.failed.Load()
-		guards, err := readGuards(n.logPath())
-		if err != nil {
-			return nil, fmt.Errorf("log of node %d: %w", n.number, err)
-		}
-		for name, count := range guards {
-			result.Guards[name] += count
-			if count > 0 {
-				r.ledger.report(ruleGuard, n.number, "", "%s is %d", name, count)
-			}
+		result.FailedSystemCalls += n.faults.failed.Load()
+		if err := r.addNodeViolations(result.NodeViolations, n); err != nil {
+			return nil, err
 		}
 	}
 	for _, took := range r.readyTimes {
 		result.ReadyMax = max(result.ReadyMax, took.Seconds())
 	}
-	r.judgeReady()
-	result.Violations = append([]Violation{}, r.ledger.violations...)
+	r.checkStartTimes()
+	result.Violations = append([]Violation{}, r.checker.violations...)
 	return result, nil
 }
 
-// judgeReady reports where over a tenth of the starts took too long.
-func (r *run) judgeReady() {
+// addNodeViolations adds a node's violation counters to sums, and reports each that is above 0.
+func (r *run) addNodeViolations(sums map[string]int64, n *node) error {
+	counters, err := readViolationCounters(n.logPath())
+	if err != nil {
+		return fmt.Errorf("log of node %d: %w", n.number, err)
+	}
+	for name, count := range counters {
+		sums[name] += count
+		if count > 0 {
+			r.checker.report(ruleNodeCheck, n.number, "", "%s is %d", name, count)
+		}
+	}
+	return nil
+}
+
+// checkStartTimes reports where over a tenth of the starts took longer than readyTimeout.
+func (r *run) checkStartTimes() {
 	late := 0
 	for _, took := range r.readyTimes {
-		if took > readyWithin {
+		if took > readyTimeout {
 			late++
 		}
 	}
 	if 10*late > len(r.readyTimes) {
-		r.ledger.report(ruleReady, -1, "", "%d of %d starts took over %v", late, len(r.readyTimes), readyWithin)
+		r.checker.report(ruleReady, -1, "", "%d of %d starts took over %v", late, len(r.readyTimes), readyTimeout)
 	}
 }
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -16,66 +16,61 @@
 	"cherrygap/internal/protocol"
 )
 
-const statusServed = http.StatusOK
+// statusCompleted is the status of a completed request.
+const statusCompleted = http.StatusOK
 
-// servedBody is the body that an app server answers a request with.
-func servedBody(id string) string { return "done " + id }
+// responseBody returns the body of the response to a request.
+func responseBody(id string) string { return "done " + id }
 
-// behaviour is how a server treats its requests.
+// behaviour is a server's way to treat its requests.
 type behaviour int32
 
 const (
 	behaveWell   behaviour = iota
-	behaveHang             // it takes them and never answers
-	behaveReset            // it takes them whole and resets the connection
-	behaveCut              // it answers half and resets
-	behaveReject           // it rejects them unseen
-	behaveFail             // it runs them and answers with an error
-	behaveStall            // it does not read
-	behaviours
+	behaveHang             // reads requests and never responds
+	behaveReset            // reads complete requests and resets the connection
+	behaveCut              // resets the connection after half a response
+	behaveReject           // rejects requests without executing them
+	behaveFail             // responds with an error
+	behaveStall            // reads nothing
+	behaviours             // the number of behaviours
 )
 
-// closingIdle is for how long a connection stays open at a server that closes idle ones early.
-const closingIdle = 60 * time.Millisecond
+// earlyIdleTimeout is the idle timeout of a server that closes connections early.
+const earlyIdleTimeout = 60 * time.Millisecond
 
-// Work of a request at a warm server.
+// Service times of requests.
 const (
-	minWork = 2 * time.Millisecond
-	maxWork = 30 * time.Millisecond
+	minServiceTime = 2 * time.Millisecond
+	maxServiceTime = 30 * time.Millisecond
 )
 
-// appServer is one app server, over its restarts.
+// appServer is one app server, over its restarts. It reports each attempt to the checker.
 type appServer struct {
-	number int
-	ledger *ledger
+	number  int
+	checker *checker
 
 	behaves    atomic.Int32
 	closesIdle atomic.Bool
-	noticeOf   func(node int, published time.Time) time.Time
-	busy       sync.Mutex // held by the fault that stops, starts or misuses the server
+	notifiedAt func(node int, published time.Time) time.Time
+	busy       sync.Mutex // held by a fault that stops, starts or changes the server
 
-	mu       sync.Mutex // guards what follows
-	addr     string     // with the port that the first listen got
-	listener net.Listener
-	conns    map[net.Conn]struct{}
-	coldFrom time.Time // of the present process, where it started during the run
-	begun    []coldAttempt
-	revived  time.Time // when discovery said that the present process runs
-	drained  time.Time // when discovery said that it drains; zero: it is in service
+	mu               sync.Mutex // guards the fields below
+	addr             string     // with the port that the first listen got
+	listener         net.Listener
+	conns            map[net.Conn]struct{}
+	processStartedAt time.Time          // of the present process, if it started during the run
+	slowStarts       []slowStartAttempt // of the present process
+	listedAt         time.Time          // when discovery published the present process
+	drainingSince    time.Time          // when discovery published the drain; zero: in service
 }
 
-// coldAttempt is an attempt at a cold server, and whether its node counts as notified of the server's start by then.
-type coldAttempt struct {
-	at       time.Time
-	notified bool
-}
-
-func newAppServer(number int, l *ledger, noticeOf func(node int, published time.Time) time.Time) (*appServer, error) {
-	s := &appServer{number: number, ledger: l, noticeOf: noticeOf, addr: loopbackAddress(serverBlock, number), conns: map[net.Conn]struct{}{}}
+func newAppServer(number int, c *checker, notifiedAt func(node int, published time.Time) time.Time) (*appServer, error) {
+	s := &appServer{number: number, checker: c, notifiedAt: notifiedAt, addr: loopbackAddress(serverBlock, number), conns: map[net.Conn]struct{}{}}
 	return s, s.start()
 }
 
-// start opens the server's address. The goroutine that accepts ends with the listener, those of connections with these.
+// start begins to listen and to serve. The accepting goroutine ends with the listener, the others with their connections.
 func (s *appServer) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,44 +86,44 @@
 	return nil
 }
 
-// startCold starts the server anew, as a process that is cold from now on.
-func (s *appServer) startCold() error {
+// restartProcess starts the server as a new process, whose slow start begins now.
+func (s *appServer) restartProcess() error {
 	s.mu.Lock()
-	s.coldFrom, s.begun, s.revived = time.Now(), nil, time.Time{}
+	s.processStartedAt, s.slowStarts, s.listedAt = time.Now(), nil, time.Time{}
 	s.mu.Unlock()
 	return s.start()
 }
 
-// drainFrom notes that discovery said at a moment that the server drains.
-func (s *appServer) drainFrom(at time.Time) {
+// setDraining records when discovery published the server's drain.
+func (s *appServer) setDraining(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drained = at
+	s.drainingSince = at
 }
 
-// inServiceFrom notes that discovery said at a moment that the server is in service.
-func (s *appServer) inServiceFrom(at time.Time) {
+// setInService records when discovery published that the server is in service.
+func (s *appServer) setInService(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drained, s.revived = time.Time{}, at
+	s.drainingSince, s.listedAt = time.Time{}, at
 }
 
-// judgeDrain reports an attempt whose first byte came after its node had been notified of the drain, past the grace.
-func (s *appServer) judgeDrain(id string, a *attempt) {
+// checkDrain reports an attempt whose first byte arrived later than drainGrace after its node was notified of the drain.
+func (s *appServer) checkDrain(id string, a *attempt) {
 	s.mu.Lock()
-	drained := s.drained
+	drainingSince := s.drainingSince
 	s.mu.Unlock()
-	node := s.ledger.nodeOf(id)
-	if drained.IsZero() || node < 0 {
+	node := s.checker.nodeOf(id)
+	if drainingSince.IsZero() || node < 0 {
 		return
 	}
-	late := a.firstByte.Sub(s.noticeOf(node, drained)) - drainGrace - graceSlack - harnessSlack - s.ledger.lag.around(a.begunAt)
+	late := a.firstByte.Sub(s.notifiedAt(node, drainingSince)) - drainGrace - graceSlack - harnessSlack - s.checker.lag.around(a.begunAt)
 	if late > 0 {
-		s.ledger.report(ruleDrain, node, id, "server %d got it %v past the grace", s.number, late)
+		s.checker.report(ruleDraining, node, id, "server %d got it %v past the grace", s.number, late)
 	}
 }
 
-// kill refuses the address and resets what is open.
+// kill closes the listener and resets all connections.
 func (s *appServer) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,6 +133,7 @@
 	}
 }
 
+// resetConn closes a connection by a reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(interface{ SetLinger(int) error }); ok {
 		_ = tcp.SetLinger(0) // fails for a closed connection only
@@ -178,14 +174,14 @@
 	}
 }
 
-// serveRequest serves one request, and tells whether the connection goes on.
+// serveRequest serves one request, and reports whether the connection stays open.
 func (s *appServer) serveRequest(conn *stampedConn, reader *bufio.Reader) bool {
 	stalled := behaviour(s.behaves.Load()) == behaveStall
-	for behaviour(s.behaves.Load()) == behaveStall && time.Since(s.ledger.startedAt) < s.ledger.length {
-		time.Sleep(maxWork)
+	for behaviour(s.behaves.Load()) == behaveStall && time.Since(s.checker.startedAt) < s.checker.length {
+		time.Sleep(maxServiceTime)
 	}
 	if s.closesIdle.Load() {
-		_ = conn.SetReadDeadline(time.Now().Add(closingIdle))
+		_ = conn.SetReadDeadline(time.Now().Add(earlyIdleTimeout))
 	} else {
 		_ = conn.SetReadDeadline(time.Time{})
 	}
@@ -198,44 +194,33 @@
 		return false
 	}
 	_ = conn.SetReadDeadline(time.Time{})
-	told, _ := strconv.Atoi(parsed.Header.Get(protocol.HeaderTimeout))
-	a := &attempt{server: s.number, firstByte: conn.first, begunAt: conn.last, told: time.Duration(told) * time.Millisecond}
+	timeoutMs, _ := strconv.Atoi(parsed.Header.Get(protocol.HeaderTimeout))
+	a := &attempt{server: s.number, firstByte: conn.first, begunAt: conn.last, timeout: time.Duration(timeoutMs) * time.Millisecond}
 	how := behaviour(s.behaves.Load())
-	a.neverRan, a.readLate = how == behaveReject, stalled || time.Since(a.begunAt) > readLateAfter
+	a.notExecuted, a.readLate = how == behaveReject, stalled || time.Since(a.begunAt) > readLateThreshold
 	id := parsed.Header.Get(protocol.HeaderRequestID)
-	s.ledger.begun(id, a)
-	s.noteBegun(id, a.begunAt)
-	s.judgeDrain(id, a)
-	defer s.ledger.ended(a)
+	s.checker.begun(id, a)
+	s.recordSlowStart(id, a.begunAt)
+	s.checkDrain(id, a)
+	defer s.checker.ended(a)
 	return s.respond(conn, reader, how, id)
 }
 
-// noteBegun counts an attempt at a cold server.
-func (s *appServer) noteBegun(id string, at time.Time) {
-	node := s.ledger.nodeOf(id)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.coldFrom.IsZero() || node < 0 || at.Sub(s.coldFrom) >= coldSpan {
-		return
-	}
-	notified := !s.revived.IsZero() && s.noticeOf(node, s.revived).Before(at)
-	s.begun = append(s.begun, coldAttempt{at, notified})
-}
-
-// respond works on a request and answers it, unless its connection ends before.
+// respond waits for the service time and responds, unless the connection is closed meanwhile. It reports whether the
+// connection stays open.
 func (s *appServer) respond(conn net.Conn, reader *bufio.Reader, how behaviour, id string) bool {
-	work := time.Duration(0)
+	serviceTime := time.Duration(0)
 	switch how {
 	case behaveReject:
 	case behaveHang, behaveStall:
-		work = time.Minute
+		serviceTime = time.Minute
 	default:
-		work = minWork + time.Duration(rand.Int64N(int64(maxWork-minWork)))
+		serviceTime = minServiceTime + time.Duration(rand.Int64N(int64(maxServiceTime-minServiceTime)))
 	}
-	if work > 0 && connEnds(conn, reader, work) {
+	if serviceTime > 0 && connClosed(conn, reader, serviceTime) {
 		return false
 	}
-	body := servedBody(id)
+	body := responseBody(id)
 	switch how {
 	case behaveReset:
 		resetConn(conn)
@@ -257,37 +242,11 @@
 	return err == nil
 }
 
-// connEnds waits for a time, and tells whether the connection ended meanwhile.
-func connEnds(conn net.Conn, reader *bufio.Reader, within time.Duration) bool {
+// connClosed waits for a time, and reports whether the connection was closed meanwhile.
+func connClosed(conn net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(within))
 	_, err := reader.Peek(1)
 	_ = conn.SetReadDeadline(time.Time{})
 	var timeout net.Error
 	return err != nil && (!errors.As(err, &timeout) || !timeout.Timeout())
 }
-
-// judgeCold reports the worst window of a server's present process that got more than a cold one bears. capacity is what
-// a warm one carries a second.
-func (s *appServer) judgeCold(capacity float64) {
-	s.mu.Lock()
-	coldFrom, begun := s.coldFrom, s.begun
-	s.mu.Unlock()
-	for i, first := range begun {
-		from, count, notified := first.at, 0, 0
-		for _, a := range begun[i:] {
-			if a.at.Sub(from) < coldWindow {
-				count++
-				if a.notified {
-					notified++
-				}
-			}
-		}
-		middle := from.Sub(coldFrom) + coldWindow/2
-		share := min(1, coldShare+(1-coldShare)*float64(middle)/float64(coldSpan))
-		if most := coldBound(coldMultiple * capacity * share * coldWindow.Seconds()); float64(count) > most && 3*notified > 2*count {
-			s.ledger.report(ruleCold, -1, "", "server %d got %d requests within %v, %v after its start, and bears %.0f",
-				s.number, count, coldWindow, from.Sub(coldFrom), most)
-			return
-		}
-	}
-}
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// requestClass is a class of requests, as the settings and the clients know it.
+// requestClass is a request class of the settings.
 type requestClass struct {
 	name, method, semantics string
 	timeout                 time.Duration
-	window                  time.Duration // in which servers know an idempotency key
+	window                  time.Duration // within which servers know an idempotency key
 }
 
-// Semantics of a class, in the platform's words.
+// Semantics of a class, in the platform's words: safe, keyed and unsafe requests.
 const (
 	semanticsSafe   = "idempotent"
 	semanticsKeyed  = "deduplicated"
@@ -26,31 +26,31 @@
 	{"book", http.MethodPost, semanticsUnsafe, 1500 * time.Millisecond, time.Second},
 }
 
-// The plans: one without limits that matter, and one with a hard ceiling for each customer over all nodes together.
+// The plans. The first has limits that are never reached. The other has a hard ceiling for each customer over all nodes.
 const (
 	planName       = "team"
 	cappedPlanName = "capped"
 
-	cappedShare     = 12  // of requests, in percent, under the capped plan,
-	cappedCustomers = 2   // of so many customers
-	ceilingRate     = 0.5 // units a second for each node, about half of what is asked
+	cappedShare     = 12  // percentage of the requests under the capped plan
+	cappedCustomers = 2   // customers under the capped plan
+	ceilingRate     = 0.5 // units a second for each node, about half of the demand
 	ceilingDepth    = 2.5 // units for each node
 )
 
-// What the settings promise of servers.
+// The settings' values for app servers and nodes.
 const (
-	drainGrace    = 500 * time.Millisecond // nothing new to a draining server after it
-	coldSpan      = 8 * time.Second        // a server warms up in it
-	coldShare     = 0.2                    // of its capacity at its start
-	coldMultiple  = 2.0                    // of its capacity that a cold server bears within coldWindow
-	coldWindow    = 2 * time.Second
-	connIdle      = 4 * time.Second
-	connectWithin = 250 * time.Millisecond
-	nodeSockets   = 256
-	nodeMemoryMB  = 128
+	drainGrace        = 500 * time.Millisecond // from the notice of a drain to the last attempt that may begin
+	slowStartSpan     = 8 * time.Second        // age at which a server is warm
+	slowStartShare    = 0.2                    // part of its capacity that a server has at its start
+	overloadMultiple  = 2.0                    // times its capacity that a server in slow start bears within overloadWindow
+	overloadWindow    = 2 * time.Second
+	serverIdleTimeout = 4 * time.Second
+	connectTimeout    = 250 * time.Millisecond
+	nodeSockets       = 256
+	nodeMemoryMB      = 128
 )
 
-// platformSettings are a node's settings, in the platform's names; times are in microseconds.
+// platformSettings returns a node's settings by the platform's names. Times are in microseconds.
 func platformSettings(nodes, node int) json.RawMessage {
 	type object = map[string]any
 	services := make([]object, len(requestClasses))
@@ -71,17 +71,17 @@
 		},
 		"limits": object{
 			"attempts_cap": 4, "second_copies": false, "cancel": true, "probes": false, "peers": false, "retry_after": true,
-			"max_retry_after": 2000000, "conn_idle": connIdle.Microseconds(), "connect_timeout": connectWithin.Microseconds(),
+			"max_retry_after": 2000000, "conn_idle": serverIdleTimeout.Microseconds(), "connect_timeout": connectTimeout.Microseconds(),
 		},
 		"safety": object{
-			"cold": coldSpan.Microseconds(), "cold_from": coldShare, "fall_multiple": coldMultiple,
-			"tip_after": coldWindow.Microseconds(), "drain_grace": drainGrace.Microseconds(), "answer_slack": 50000,
+			"cold": slowStartSpan.Microseconds(), "cold_from": slowStartShare, "fall_multiple": overloadMultiple,
+			"tip_after": overloadWindow.Microseconds(), "drain_grace": drainGrace.Microseconds(), "answer_slack": 50000,
 			"ask_within": 2000000,
 		},
 		"specifics": object{"largest": 100},
 	})
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // constants can be marshalled
 	}
 	return raw
 }
--- a/internal/lab/soak/stampedconn.go
+++ b/internal/lab/soak/stampedconn.go
@@ -11,25 +11,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// controlSpace is room for the kernel's stamp of a read.
+// controlSpace is the size of the control data of a read, in bytes. It holds one timestamp.
 const controlSpace = 64
 
-// stampedConn reads a connection with the kernel's stamps of when bytes came, so that a server that reads late, or this
-// process being late itself, makes nothing look late.
+// stampedConn reads a connection together with the kernel's arrival timestamps. The times of an attempt do not depend on
+// when the server, or this process, reads it.
 type stampedConn struct {
 	*net.TCPConn
 	raw   syscall.RawConn
-	first time.Time // when the first byte since begin came
-	last  time.Time // when the last one did
+	first time.Time // when the first byte since begin arrived
+	last  time.Time // when the last byte arrived
 }
 
-// newStampedConn makes a connection of a listener's that stampListener was called on.
+// newStampedConn wraps a connection of a listener that stampListener has prepared.
 func newStampedConn(conn *net.TCPConn) (*stampedConn, error) {
 	raw, err := conn.SyscallConn()
 	return &stampedConn{TCPConn: conn, raw: raw}, err
 }
 
-// stampListener has the kernel stamp what comes on the listener's connections.
+// stampListener enables timestamps for the connections of a listener.
 func stampListener(listener net.Listener) error {
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -42,7 +42,7 @@
 	return errors.Join(err, optionErr)
 }
 
-// begin readies for the next message. Its first byte is read by itself, as a read has the stamp of the last.
+// begin marks the begin of the next message. Its first byte is read by itself, as a read has the timestamp of its last byte.
 func (c *stampedConn) begin() { c.first = time.Time{} }
 
 func (c *stampedConn) Read(p []byte) (int, error) {
@@ -71,7 +71,8 @@
 	return n, nil
 }
 
-// stampOf is the kernel's stamp in a read's control data, on this process's clock; now where there is none.
+// stampOf returns the timestamp in the control data of a read, by this process's monotonic clock. Without a timestamp it
+// returns the time of the call.
 func stampOf(control []byte) time.Time {
 	now := time.Now()
 	messages, err := unix.ParseSocketControlMessage(control)
--- /dev/null
+++ b/internal/lab/soak/violationcounters.go
@@ -0,0 +1,43 @@
+package soak
+
+import (
+	"bufio"
+	"encoding/json"
+	"os"
+	"strings"
+)
+
+const (
+	stoppedMessage         = "stopped"     // of the log line with a node's counters at its end
+	violationCounterPrefix = "violations_" // of the counters of the node's own invariant checks
+	maxLogLine             = 1 << 20       // bytes
+)
+
+// readViolationCounters reads a node's log. It returns the sums of the violation counters, by name, over all processes of
+// the node that ended by SIGTERM.
+func readViolationCounters(logPath string) (map[string]int64, error) {
+	file, err := os.Open(logPath)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }()
+	sums := map[string]int64{}
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		var line struct {
+			Message  string                     `json:"message"`
+			Counters map[string]json.RawMessage `json:"counters"`
+		}
+		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Message != stoppedMessage {
+			continue
+		}
+		for name, value := range line.Counters {
+			var count int64
+			if strings.HasPrefix(name, violationCounterPrefix) && json.Unmarshal(value, &count) == nil {
+				sums[name] += count
+			}
+		}
+	}
+	return sums, scanner.Err()
+}
