--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -1,43 +1,18 @@
 package decision
 
-const (
-	answerMarginTicks            = 2   // ticks in the answer margin: one to see an attempt's end, one to respond
-	answerMarginObjectiveDivisor = 100 // rest of the answer margin, as a divisor of the shortest latency objective
-	minRetryAfterDivisor         = 4   // least Retry-After, as a divisor of the shortest latency objective
-	shortTimeoutDivisor          = 2   // shortest timeout with information, as a divisor of the latency objective
-)
-
-// admissionOutcome is the decision on a request's first attempt, before a server is selected.
-type admissionOutcome uint8
-
-const (
-	admissionRejected admissionOutcome = iota
-	admissionGranted
-	admissionPending // the quota owner has not responded
-)
-
-// admission is the result of admitting a request.
-type admission struct {
-	outcome    admissionOutcome
-	reason     Reason // if rejected
-	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
-}
-
-// attemptAssessment is the information that an attempt's end carries.
-type attemptAssessment struct {
-	outcome       Outcome // for the server; NotSent if the end carries no information on it
-	latency       float64 // in latency objectives
-	countsLatency bool    // latency is a sample for the admission limit
-}
-
 // decide returns the action for a request. The action is noAction while the request has an attempt in flight, streams
 // its response, or waits for its quota owner.
+//
+//   - First attempt: the admission limit, the customer's quota and the plan's hard ceiling must admit the request.
+//   - Retry: the retry budget and the request's class must allow it.
+//   - Both: enough time must be left before the deadline, and a server must be able to take the request.
+//   - Otherwise the request is rejected if the client may safely repeat it, else it fails.
 func (e *Engine) decide(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if r.closed || r.streaming || r.inFlight > 0 {
 		return Decision{}
 	}
-	timeout := r.deadline - e.now - e.answerMargin()
+	timeout := r.deadline - e.now - e.responseMargin()
 	switch {
 	case timeout <= 0:
 		return e.rejectOrFail(i, ReasonTooLate, 0)
@@ -47,6 +22,22 @@
 	return e.decideRetry(i, timeout)
 }
 
+// admissionOutcome is the decision on a request's first attempt, before a server is selected.
+type admissionOutcome uint8
+
+const (
+	admissionRejected admissionOutcome = iota
+	admissionGranted
+	admissionPending // the quota owner has not responded
+)
+
+// admissionResult is the result of admitting a request.
+type admissionResult struct {
+	outcome    admissionOutcome
+	reason     Reason // if rejected
+	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
+}
+
 // decideFirstAttempt returns the action for a request without an attempt.
 func (e *Engine) decideFirstAttempt(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
@@ -69,7 +60,7 @@
 // decideRetry returns the action for a request whose attempts have all ended.
 func (e *Engine) decideRetry(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
-	if reason := e.retries.refusal(r, e.now); reason != ReasonNone {
+	if reason := e.retries.denyReason(r, e.now); reason != ReasonNone {
 		return e.rejectOrFail(i, reason, 0)
 	}
 	server := e.pick(r)
@@ -88,9 +79,9 @@
 
 // admit applies the limits on a first attempt: the admission limit, the customer's quota, the plan's hard ceiling. A
 // request that the quota owner granted has passed the ceiling there.
-func (e *Engine) admit(r *request) admission {
+func (e *Engine) admit(r *request) admissionResult {
 	if r.queriedOwnerAt == 0 {
-		if reason := e.checkAdmission(r); reason != notRejected {
+		if reason := e.checkAdmission(r); reason != ReasonNone {
 			return e.rejectAdmission(reason, 0)
 		}
 	}
@@ -98,16 +89,16 @@
 	quota := e.checkQuota(c, r)
 	if !quota.admitted {
 		if e.owner.waits(r, e.now) {
-			return admission{outcome: admissionPending}
+			return admissionResult{outcome: admissionPending}
 		}
-		return e.rejectAdmission(rejectQuota, quota.retryAfter)
+		return e.rejectAdmission(ReasonQuota, quota.retryAfter)
 	}
 	if r.ownerResponse != responseGranted {
 		if !e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) {
-			return e.rejectAdmission(rejectCeiling, 0)
+			return e.rejectAdmission(ReasonCeiling, 0)
 		}
 	}
-	return admission{outcome: admissionGranted}
+	return admissionResult{outcome: admissionGranted}
 }
 
 // checkQuota applies a customer's quota to a request, here or at its owner.
@@ -119,14 +110,14 @@
 }
 
 // rejectAdmission counts a rejection by a limit.
-func (e *Engine) rejectAdmission(reason rejectReason, retryAfter Time) admission {
+func (e *Engine) rejectAdmission(reason Reason, retryAfter Time) admissionResult {
 	e.interval.countRejection(reason)
-	return admission{outcome: admissionRejected, reason: reason.reason(), retryAfter: retryAfter}
+	return admissionResult{outcome: admissionRejected, reason: reason, retryAfter: retryAfter}
 }
 
 // rejectWithoutServer counts and rejects a request that no server may take.
 func (e *Engine) rejectWithoutServer(i requestSlot) Decision {
-	e.interval.countRejection(rejectNoServer)
+	e.interval.countRejection(ReasonNoServer)
 	return e.rejectOrFail(i, ReasonNoServer, 0)
 }
 
@@ -145,20 +136,28 @@
 	}
 }
 
-// answerMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
+const (
+	responseMarginTicks            = 2   // ticks in the response margin: one to see an attempt's end, one to respond
+	responseMarginObjectiveDivisor = 100 // rest of the response margin, as a divisor of the shortest latency objective
+)
+
+// responseMargin returns the time between the last attempt's timeout and a request's deadline, in which the final
 // response is sent.
-func (e *Engine) answerMargin() Time {
-	return answerMarginTicks*e.config.tick + e.config.shortestObjective/answerMarginObjectiveDivisor
+func (e *Engine) responseMargin() Time {
+	return responseMarginTicks*e.config.tick + e.config.shortestObjective/responseMarginObjectiveDivisor
 }
 
+// minRetryAfterDivisor gives the least Retry-After, as a divisor of the shortest latency objective.
+const minRetryAfterDivisor = 4
+
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
 // repeat, and fails any other. If the settings ask for it, a rejection carries retryAfter, clamped to a range.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
-	if e.config.classes[r.class].harmless(r) {
+	if e.config.classes[r.class].harmlessToRepeat(r) {
 		d.Action = Reject
-		if e.config.retryAfter {
+		if e.config.sendsRetryAfter {
 			least := e.config.shortestObjective / minRetryAfterDivisor
 			d.Duration = min(max(retryAfter, least), e.config.maxRetryAfter)
 		}
@@ -167,6 +166,16 @@
 	return d
 }
 
+// attemptAssessment is the information that an attempt's end carries.
+type attemptAssessment struct {
+	outcome         Outcome // for the server; NotSent if the end carries no information on it
+	latency         float64 // in latency objectives
+	isLatencySample bool    // latency is a sample for the admission limit
+}
+
+// shortTimeoutDivisor gives the shortest timeout that carries information, as a divisor of the latency objective.
+const shortTimeoutDivisor = 2
+
 // assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency. The
 // state is that of the server for the class.
 //
@@ -178,12 +187,12 @@
 	switch {
 	case result.Outcome == Succeeded:
 		latency := float64(result.Duration) / float64(objective)
-		return attemptAssessment{outcome: Succeeded, latency: latency, countsLatency: true}
+		return attemptAssessment{outcome: Succeeded, latency: latency, isLatencySample: true}
 	case result.Outcome == TimedOut && result.Duration < objective/shortTimeoutDivisor:
 		return attemptAssessment{outcome: NotSent}
 	case result.Outcome == TimedOut && e.outliers.lost(result.Duration, e.usualLatency(class)):
 		return attemptAssessment{outcome: TimedOut}
 	}
 	queued := result.Outcome == Overloaded || result.Outcome == TimedOut
-	return attemptAssessment{outcome: result.Outcome, latency: 1, countsLatency: queued && e.now >= state.ejectedUntil}
+	return attemptAssessment{outcome: result.Outcome, latency: 1, isLatencySample: queued && e.now >= state.ejectedUntil}
 }
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -21,17 +21,17 @@
 	"cherrygap/internal/upstream"
 )
 
-// checkedServers are app servers on loopback that note when each was checked.
+// checkedServers are app servers on loopback that record their health checks.
 type checkedServers struct {
 	list *protocol.EndpointList
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards all below
 	last   []time.Time
-	worst  []time.Duration // between two checks of a server
+	worst  []time.Duration // longest time between two checks
 	checks []int
 }
 
-// startCheckedServers starts so many servers, of which the first one is draining.
+// startCheckedServers starts count servers, of which the first one is draining.
 func startCheckedServers(t *testing.T, count int) *checkedServers {
 	t.Helper()
 	s := &checkedServers{
@@ -46,8 +46,8 @@
 			t.Fatal(err)
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
-			if q.URL.Path != "/healthz" || q.Header.Get("X-Call-Id") != "" {
-				t.Errorf("%s with id %q", q.URL, q.Header.Get("X-Call-Id"))
+			if q.URL.Path != protocol.HealthPath || q.Header.Get(protocol.HeaderRequestID) != "" {
+				t.Errorf("%s with id %q", q.URL, q.Header.Get(protocol.HeaderRequestID))
 			}
 			s.checked(i)
 		})}
@@ -71,14 +71,14 @@
 	s.checks[i]++
 }
 
-// noteGap notes that a server went unchecked until now; the lock is held.
+// noteGap records the time since a server's last check. The caller holds mu.
 func (s *checkedServers) noteGap(i int) {
 	now := time.Now()
 	s.worst[i] = max(s.worst[i], now.Sub(s.last[i]))
 	s.last[i] = now
 }
 
-// checkingNodes are nodes on loopback that check servers together.
+// checkingNodes are nodes on loopback that share health checks.
 type checkingNodes struct {
 	t        *testing.T
 	addrs    []netip.AddrPort
@@ -153,7 +153,7 @@
 	}
 }
 
-// disturb kills and starts nodes at random for so long.
+// disturb stops and starts random nodes for a time span.
 func (n *checkingNodes) disturb(span time.Duration) {
 	n.t.Helper()
 	for began := time.Now(); time.Since(began) < span; {
