--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -56,7 +56,7 @@
 		s := &Server{
 			id: i, cfg: cfg, schedule: schedule, fleetStart: f.startedAt, addr: addr.String(),
 			rng: rand.New(rand.NewPCG(seed, uint64(i))), log: log.With().Int("server", i).Logger(),
-			begunByID: map[string]int{}, workSlots: make(chan struct{}, cfg.Concurrency),
+			workSlots: make(chan struct{}, cfg.Concurrency),
 		}
 		if err := s.open(); err != nil {
 			f.Close()
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"math"
@@ -11,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"cherrygap/internal/lab/appserver"
 	"cherrygap/internal/protocol"
 )
 
@@ -32,9 +34,9 @@
 		s.answerHealthCheck(w, r)
 		return
 	}
-	id := r.Header.Get(protocol.HeaderRequestID)
+	request := appserver.RequestOf(r)
 	plan := s.drawPlan(sinceStart, r)
-	if id == "" {
+	if request.ID == "" {
 		s.count(func(c *Stats) { c.NoID++ })
 		http.NotFound(w, r)
 		return
@@ -48,18 +50,18 @@
 		<-r.Context().Done() // the client closes the connection; the request was not executed
 		return
 	}
-	if !s.acquireSlot(r.Context(), timeout(r)) {
+	if !s.acquireSlot(r.Context(), cmp.Or(request.Timeout, noTimeout)) {
 		s.reject(w)
 		return
 	}
 	defer func() { <-s.workSlots; s.working.Add(-1) }()
-	s.recordBegun(id)
+	s.recordBegun(request.ID)
 	select {
 	case <-time.After(plan.serviceTime):
 	case <-r.Context().Done():
 		return // the connection was closed: the request was executed, and nobody reads the response
 	}
-	s.answer(w, r, id, plan.faults)
+	s.answer(w, r, request.ID, plan.faults)
 }
 
 // isFirstOfConn reports whether a request is the first on its connection. It may be called once for each request.
@@ -68,15 +70,6 @@
 	return ok && !used.Swap(true)
 }
 
-// timeout returns how long the client waits according to the request's header; noTimeout if the header is missing or not
-// a positive number.
-func timeout(r *http.Request) time.Duration {
-	if ms, err := strconv.Atoi(r.Header.Get(protocol.HeaderTimeout)); err == nil && ms > 0 {
-		return time.Duration(ms) * time.Millisecond
-	}
-	return noTimeout
-}
-
 // requestPlan says how the server treats one request.
 type requestPlan struct {
 	faults      []Fault // active ones that hit the request
@@ -146,13 +139,13 @@
 
 // recordBegun counts that the execution of a request begins.
 func (s *Server) recordBegun(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.begunByID[id]++
-	s.stats.Begun++
-	if s.begunByID[id] == 2 {
-		s.stats.BegunTwice++
-	}
+	executions := s.executions.Begin(id)
+	s.count(func(c *Stats) {
+		c.Begun++
+		if executions == 2 {
+			c.BegunTwice++
+		}
+	})
 }
 
 // answer responds to an executed request, or fails to, according to the faults that hit it.
@@ -189,13 +182,12 @@
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	conn, buffer, err := hijacker.Hijack()
+	conn, _, err := hijacker.Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-	_ = buffer.Flush()
-	resetConn(conn)
+	_ = appserver.WriteHalfResponse(conn, body) // fails if the client has closed the connection
+	appserver.ResetConn(conn)
 }
 
 // reject responds 503 with the header that says that the request was not executed.
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"sync/atomic"
+
+	"cherrygap/internal/lab/appserver"
 )
 
 // cappedListener limits the number of open connections. It resets each connection past the limit, as a full app server
@@ -24,7 +26,7 @@
 		}
 		if l.open.Load() >= l.maxOpen {
 			l.refused.Add(1)
-			resetConn(conn)
+			appserver.ResetConn(conn)
 			continue
 		}
 		l.open.Add(1)
@@ -32,11 +34,3 @@
 		return conn, nil
 	}
 }
-
-// resetConn closes a connection with a TCP reset.
-func resetConn(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails for a closed connection only
-	}
-	_ = conn.Close()
-}
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,6 +11,7 @@
 
 	"github.com/rs/zerolog"
 
+	"cherrygap/internal/lab/appserver"
 	"cherrygap/internal/operatorfile"
 )
 
@@ -22,19 +23,19 @@
 	fleetStart time.Time
 	log        zerolog.Logger
 
-	mu         sync.Mutex     // guards the fields up to listener
-	addr       string         // host:port; the port is fixed by the first open
-	rng        *rand.Rand     // draws faults and service times
-	begunByID  map[string]int // executions, by request ID
-	stats      Stats          // without the listener's counts
-	bootedAt   time.Time      // of the present incarnation
+	mu         sync.Mutex // guards the fields up to listener
+	addr       string     // host:port; the port is fixed by the first open
+	rng        *rand.Rand // draws faults and service times
+	stats      Stats      // without the listener's counts
+	bootedAt   time.Time  // of the present incarnation
 	draining   bool
 	httpServer *http.Server // nil while the server is down
 	listener   *cappedListener
 
-	workSlots chan struct{} // holds one element for each request in work
-	waiting   atomic.Int64  // requests queued
-	working   atomic.Int64  // requests in work
+	executions appserver.Executions // by request ID
+	workSlots  chan struct{}        // holds one element for each request in work
+	waiting    atomic.Int64         // requests queued
+	working    atomic.Int64         // requests in work
 }
 
 // Addr returns the server's address, host:port.
@@ -57,9 +58,7 @@
 
 // TimesBegun returns how often the server began to execute the request with this ID.
 func (s *Server) TimesBegun(id string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.begunByID[id]
+	return s.executions.Times(id)
 }
 
 // Drain makes the server reject new requests and answer health checks with 503, while it still accepts connections.
