--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -1,5 +1,5 @@
-// Package discovery is the laboratory's stand-in for discovery's agent: one endpoint list and its changes, served over HTTP
-// to each node at an address of the node's own, as on a node's machine. Faults can be played on each address.
+// Package discovery is the laboratory's stand-in for discovery's agent. It serves one endpoint list and its changes over
+// HTTP, to each node at a separate address, as the agent on the node's machine does. The methods of Agent inject faults.
 package discovery
 
 import (
@@ -18,48 +18,50 @@
 // Endpoint is a server of the agent's list.
 type Endpoint struct {
 	protocol.Endpoint
-	Listed   bool   // whether the list contains the server; Publish sets it
+	Listed   bool   // the list contains the server; Publish sets it
 	revision uint64 // of the last change
 }
 
-// Agent stands in for discovery's agent: one endpoint list and its changes, served over HTTP to each node at an
-// address of the node's own, as on a node's machine.
+// Agent stands in for discovery's agent. Its methods may be called from several goroutines.
 type Agent struct {
-	watches []*watch // set by Start alone
+	watches []*watch // not changed after Start
 
-	mu             sync.Mutex // guards what follows, and the counts of all watches
+	mu             sync.Mutex // guards the fields below, and all watches except for their addr and server
 	servers        []Endpoint
 	revision       uint64
-	oldestRevision uint64        // a call from before it gets the full list
-	fullBody       []byte        // the full list as of revision; nil: to be encoded
-	changed        chan struct{} // closed, and replaced, at each change
-	disconnected   bool          // connections are closed as they come
-	silent         bool          // no call is answered
-	generation     int           // of connections: calls on those of earlier ones are not answered
+	oldestRevision uint64        // a call with an older revision gets the full list
+	fullBody       []byte        // the full list at revision; nil: not encoded yet
+	changed        chan struct{} // closed and replaced at each change
+	disconnected   bool          // new connections are closed
+	silent         bool          // calls are not answered
+	generation     int           // calls on connections of an earlier generation are not answered
 }
 
-// watch is what the agent knows of one node's watch. All but addr and server are guarded by the agent's lock; bytes
-// are of bodies.
+// watch is the agent's state of one node's watch.
 type watch struct {
-	addr         string
+	addr         string // host:port
 	server       *http.Server
-	conns        map[net.Conn]struct{}
-	clockAhead   time.Duration // by which the node's clock is ahead of all others
-	fullLists    int64
-	fullBytes    int64
-	deltaBytes   int64 // of answers with changes, or with nothing
-	acknowledged []acknowledgement
+	conns        map[net.Conn]struct{} // open ones
+	clockAhead   time.Duration         // of the node's clock, against all others
+	traffic      Traffic
+	acknowledged []acknowledgement // by time
 }
 
-// acknowledgement is a call that counts from a revision: a node takes a list over before it calls again, so that the
-// revision is applied there.
+// Traffic counts the agent's responses on one watch. Bytes are those of bodies.
+type Traffic struct {
+	FullLists   int64
+	FullBytes   int64 // of full lists
+	ChangeBytes int64 // of responses with changes or without any
+}
+
+// acknowledgement is a call for the changes since a revision. A node applies a list before its next call, so the node has
+// applied the revision by then.
 type acknowledgement struct {
 	revision uint64
 	at       time.Time
 }
 
-// Start starts the agent with a listener for each of so many watches. Each has a goroutine of its own, which ends
-// with Close.
+// Start starts the agent with a listener for each watch. Each listener has a goroutine, which ends with Close.
 func Start(servers []Endpoint, watches int) (*Agent, error) {
 	a := &Agent{servers: servers, revision: 1, oldestRevision: 1, changed: make(chan struct{})}
 	for range watches {
@@ -77,30 +79,32 @@
 			},
 		}
 		a.watches = append(a.watches, watch)
-		go func() { _ = watch.server.Serve(listener) }() // it returns an error always: that of Close
+		go func() { _ = watch.server.Serve(listener) }() // returns http.ErrServerClosed after Close
 	}
 	return a, nil
 }
 
-// generationKey is the context's key of a connection's generation.
+// generationKey is the context key of a connection's generation, an int.
 type generationKey struct{}
 
+// currentGeneration returns the generation of connections that open now.
 func (a *Agent) currentGeneration() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.generation
 }
 
-// Addr is where a watch's node finds the agent.
+// Addr returns the agent's address for a watch, host:port.
 func (a *Agent) Addr(watch int) string { return a.watches[watch].addr }
 
-// Close ends all watches.
+// Close closes all listeners and connections.
 func (a *Agent) Close() {
 	for _, w := range a.watches {
 		_ = w.server.Close()
 	}
 }
 
+// trackConn adds a new connection to the watch or removes a closed one.
 func (a *Agent) trackConn(watch *watch, conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,8 +119,8 @@
 	}
 }
 
-// serveCall answers one call: with the full list, or with what changed since a revision as soon as anything has, or with
-// no change once the time that the call allows is over.
+// serveCall answers one call. A call without a revision gets the full list. Any other call waits for changes since its
+// revision, at most for the hold time that it states.
 func (a *Agent) serveCall(watch *watch, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path != protocol.EndpointsPath {
@@ -126,7 +130,7 @@
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get(protocol.QueryRevision), 10, 64)
 	full := err != nil
-	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if it is missing
+	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if missing
 	if !full {
 		a.mu.Lock()
 		watch.acknowledged = append(watch.acknowledged, acknowledgement{from, arrived})
@@ -135,8 +139,9 @@
 	generation, _ := r.Context().Value(generationKey{}).(int)
 	hold := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 	defer hold.Stop()
-	for over := false; ; {
-		body, changed := a.answer(watch, generation, from, full, over)
+	call := listCall{generation: generation, revision: from, wantsFullList: full}
+	for {
+		body, changed := a.answer(watch, call)
 		if body != nil {
 			w.Header().Set("Date", time.Now().Add(-watch.clockAhead).UTC().Format(http.TimeFormat))
 			writeBody(w, body)
@@ -145,45 +150,53 @@
 		select {
 		case <-changed:
 		case <-hold.C:
-			over = true
+			call.holdOver = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// answer gives the body that a call is to be answered with now, or nil and the channel that is closed at the next change.
-// It breaks the connection, by a panic as net/http has it, while watches are disconnected.
-func (a *Agent) answer(watch *watch, generation int, from uint64, full, over bool) ([]byte, <-chan struct{}) {
+// listCall is a call in progress.
+type listCall struct {
+	generation    int    // of its connection
+	revision      uint64 // that the node has; not used if wantsFullList
+	wantsFullList bool
+	holdOver      bool // the hold time has passed
+}
+
+// answer returns the body of the response, or nil and the channel that is closed at the next change. While watches are
+// disconnected, it closes the connection by the panic that net/http defines for that.
+func (a *Agent) answer(watch *watch, call listCall) (body []byte, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.disconnected {
 		panic(http.ErrAbortHandler)
 	}
-	if a.silent || generation < a.generation {
+	if a.silent || call.generation < a.generation {
 		return nil, a.changed
 	}
-	if full || from < a.oldestRevision || from > a.revision {
+	if call.wantsFullList || call.revision < a.oldestRevision || call.revision > a.revision {
 		body := a.fullListFor(watch)
-		watch.fullLists++
-		watch.fullBytes += int64(len(body))
+		watch.traffic.FullLists++
+		watch.traffic.FullBytes += int64(len(body))
 		return body, nil
 	}
-	if from < a.revision || over {
-		body := a.changesSince(watch, from)
-		watch.deltaBytes += int64(len(body))
+	if call.revision < a.revision || call.holdOver {
+		body := a.changesSince(watch, call.revision)
+		watch.traffic.ChangeBytes += int64(len(body))
 		return body, nil
 	}
 	return nil, a.changed
 }
 
-// writeBody leaves it to the client to notice an answer that is cut off.
+// writeBody writes a response. The client notices an incomplete body by its length.
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// fullList is the full list's body. The caller holds the lock.
+// fullList returns the body of the full list. The caller holds mu.
 func (a *Agent) fullList() []byte {
 	if a.fullBody == nil {
 		list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
@@ -197,7 +210,7 @@
 	return a.fullBody
 }
 
-// fullListFor is the full list's body as a watch's node has to see it. The caller holds the lock.
+// fullListFor returns the body of the full list for a watch. The caller holds mu.
 func (a *Agent) fullListFor(w *watch) []byte {
 	if w.clockAhead == 0 {
 		return a.fullList()
@@ -211,7 +224,7 @@
 	return encodeList(list)
 }
 
-// seen is an entry with its time of start as it looks to a node whose clock is ahead.
+// seen returns an endpoint with its start time shifted by clockAhead.
 func (w *watch) seen(e protocol.Endpoint) protocol.Endpoint {
 	if e.BootMs > 0 {
 		e.BootMs -= w.clockAhead.Milliseconds()
@@ -219,7 +232,7 @@
 	return e
 }
 
-// changesSince is the body with what changed after a revision. The caller holds the lock.
+// changesSince returns the body with the endpoints that changed after a revision. The caller holds mu.
 func (a *Agent) changesSince(w *watch, from uint64) []byte {
 	list := protocol.EndpointList{Revision: a.revision, Endpoints: []protocol.Endpoint{}}
 	for _, e := range a.servers {
@@ -230,22 +243,24 @@
 	return encodeList(list)
 }
 
+// encodeList returns the JSON of a list.
 func encodeList(list protocol.EndpointList) []byte {
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // of strings and finite numbers
+		panic(err) // a list contains only strings and finite numbers
 	}
 	return body
 }
 
-// Snapshot is the full list as of now, as the configuration of a watch's node has it.
+// Snapshot returns the present full list in the form of a node's configuration.
 func (a *Agent) Snapshot(watch int) json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullListFor(a.watches[watch])
 }
 
-// Publish changes servers, which makes one revision, and sends it to all that wait.
+// Publish calls change for each of the servers, which makes one revision, and lists them. It returns the revision and the
+// time of its publication to waiting calls.
 func (a *Agent) Publish(change func(*Endpoint), servers ...int) (revision uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -261,7 +276,7 @@
 	return a.revision, at
 }
 
-// DisconnectAll ends all watches and accepts none until Reconnect. From then on every node gets the full list.
+// DisconnectAll closes all connections and those that open until Reconnect. Each node's next call gets the full list.
 func (a *Agent) DisconnectAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -276,7 +291,7 @@
 	a.wakeCalls()
 }
 
-// SetSilent ends or begins that no call is answered, on connections of now or later: as while discovery is down.
+// SetSilent sets whether calls stay without a response, as they do while discovery is down.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -284,43 +299,43 @@
 	a.wakeCalls()
 }
 
-// SilenceOpen leaves all calls on connections of before now without an answer; those on new ones are answered.
+// SilenceOpen leaves all calls on the open connections without a response. Calls on new connections are answered.
 func (a *Agent) SilenceOpen() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.generation++
 }
 
-// SetClockAhead plays that the clock of a watch's node is ahead of all others: to it they are behind. It is to be called
-// before the node's start.
+// SetClockAhead simulates that the clock of a watch's node is ahead of all others: the node gets times that are earlier by
+// ahead. The caller calls it before the node's start.
 func (a *Agent) SetClockAhead(watch int, ahead time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watches[watch].clockAhead = ahead
 }
 
-// Traffic is what the agent sent on a watch: full lists and their bytes, and the bytes of answers with changes or nothing.
-func (a *Agent) Traffic(watch int) (fullLists, fullBytes, changeBytes int64) {
+// Traffic returns the counts of a watch so far.
+func (a *Agent) Traffic(watch int) Traffic {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := a.watches[watch]
-	return w.fullLists, w.fullBytes, w.deltaBytes
+	return a.watches[watch].traffic
 }
 
-// wakeCalls has the calls that wait look again. The caller holds the lock.
+// wakeCalls makes the waiting calls try again. The caller holds mu.
 func (a *Agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Reconnect ends what DisconnectAll began.
+// Reconnect ends the effect of DisconnectAll on new connections.
 func (a *Agent) Reconnect() {
 	a.mu.Lock()
 	a.disconnected = false
 	a.mu.Unlock()
 }
 
-// AppliedAt is when a watch first acknowledged a revision or a later one, since a moment; the zero time if it has not.
+// AppliedAt returns the first time since a moment at which a watch acknowledged a revision or a later one; the zero time if
+// it has not.
 func (a *Agent) AppliedAt(watch int, revision uint64, since time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/discovery/agent_test.go
+++ b/internal/lab/discovery/agent_test.go
@@ -12,7 +12,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// discoveryCall makes one call to the agent over a connection of its own, as a node's watch would.
+// discoveryCall makes one call to the agent over a new connection.
 func discoveryCall(t *testing.T, addr string, full bool, revision uint64, hold time.Duration) (protocol.EndpointList, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -30,7 +30,7 @@
 	return list, err
 }
 
-// testAgent is an agent with four servers, three of them listed, and two watches.
+// testAgent starts an agent with four servers, three of them listed, and two watches.
 func testAgent(t *testing.T) *Agent {
 	t.Helper()
 	list := make([]Endpoint, 4)
@@ -47,7 +47,7 @@
 	return agent
 }
 
-// checkList compares what a call was answered with, by UID and state.
+// checkList compares the endpoint list of a response, by UID and state.
 func checkList(t *testing.T, what string, list protocol.EndpointList, err error, full bool, revision uint64, want ...string) {
 	t.Helper()
 	got := []string{}
@@ -60,7 +60,7 @@
 	}
 }
 
-// The agent sends the full list, then changes as they come, and nothing when a call's time is over.
+// The agent sends the full list, then changes when they are published, and an empty change after the hold time.
 func TestAgentSendsChanges(t *testing.T) {
 	agent := testAgent(t)
 	addr := agent.Addr(1)
@@ -86,7 +86,7 @@
 	checkList(t, "one that comes", list, err, false, revision+1, inService("s3"))
 }
 
-// A change is applied at a node once the node calls again with its revision, and at no other node.
+// A change counts as applied at a node once the node calls with its revision, and at no other node.
 func TestChangeIsAppliedWithTheNextCall(t *testing.T) {
 	agent := testAgent(t)
 	addr := agent.Addr(1)
@@ -105,7 +105,7 @@
 	}
 }
 
-// While watches are disconnected nothing is answered; after that every call gets the full list.
+// While watches are disconnected, calls fail. After that every node's next call gets the full list.
 func TestAgentDisconnects(t *testing.T) {
 	agent := testAgent(t)
 	addr := agent.Addr(1)
--- a/internal/lab/nodeprocess/process.go
+++ b/internal/lab/nodeprocess/process.go
@@ -71,6 +71,9 @@
 	return p, nil
 }
 
+// Name returns the name in the process's Command.
+func (p *Process) Name() string { return p.name }
+
 // PID returns the process's ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	directHeader = "X-Direct" // marks a request that a server doesn't count
-	directDelay  = 2 * time.Millisecond
-	answerGrace  = time.Second // how long after its timeout a request's answer is waited for
+	directHeader = "X-Direct"           // marks a request that servers do not count
+	directDelay  = 2 * time.Millisecond // between a node's response and the direct request
+	answerGrace  = time.Second          // for which a client waits after the request's timeout
 )
 
-// clientSimulator are the open-loop clients of the real nodes.
+// clientSimulator simulates the open-loop clients of the real nodes. A client sends at times drawn in advance, whatever
+// the earlier responses.
 type clientSimulator struct {
 	cfg         *Config
 	nodes       []*realNode
@@ -32,30 +33,32 @@
 	nodeConns   *connPool
 	serverConns *connPool
 
-	section    atomic.Pointer[sectionCounts] // the one in progress
-	sending    atomic.Bool
-	inFlight   sync.WaitGroup
-	lastID     atomic.Uint64
-	lastServer atomic.Int64 // number of the server that last answered
+	section    atomic.Pointer[sectionCounts] // in progress
+	sending    atomic.Bool                   // while false, no request is sent
+	inFlight   sync.WaitGroup                // counts requests
+	lastID     atomic.Uint64                 // of a request
+	lastServer atomic.Int64                  // number of the server of the last response
 
 	mu  sync.Mutex     // guards lag
-	lag *hdr.Histogram // how late requests were sent, µs
+	lag *hdr.Histogram // delay of requests behind their due time, µs
 }
 
 func newClientSimulator(cfg *Config, nodes []*realNode, servers []string) *clientSimulator {
 	return &clientSimulator{
 		cfg: cfg, nodes: nodes, servers: servers, lag: newHistogram(),
-		populations: dealTenants(*cfg, func(node int) bool { return node < cfg.Real }),
+		populations: assignTenants(*cfg, func(node int) bool { return node < cfg.Real }),
 		nodeConns:   newConnPool(cfg.Real * cfg.Sockets / 2),
 		serverConns: newConnPool(maxDirectConns),
 	}
 }
 
+// close closes the idle connections.
 func (c *clientSimulator) close() {
 	c.nodeConns.dropAll()
 	c.serverConns.dropAll()
 }
 
+// recordLag records the delay of a request that is sent now.
 func (c *clientSimulator) recordLag(due time.Time) {
 	late := time.Since(due)
 	c.mu.Lock()
@@ -63,15 +66,15 @@
 	c.mu.Unlock()
 }
 
+// lagP99 returns the 99th percentile of the requests' delay behind their due time, ms.
 func (c *clientSimulator) lagP99() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quantileMs(c.lag, 99)
 }
 
-// generate begins the requests of one node's clients, at times drawn in advance whatever becomes of those before. While
-// the node is out, its clients come in by another. It ends with ctx; each request has a goroutine of its own, which
-// inFlight counts and which ends with its answer.
+// generate sends the requests of one node's clients until ctx ends. While the node accepts no clients, they send to
+// another node. Each request has a goroutine, which inFlight counts and which ends with the response.
 func (c *clientSimulator) generate(ctx context.Context, node int) {
 	rng := rand.New(rand.NewPCG(c.cfg.Seed, 1<<33|uint64(node)))
 	due := time.Now()
@@ -90,7 +93,7 @@
 	}
 }
 
-// acceptingNode is the first node from a number on that accepts clients; the number itself where none does.
+// acceptingNode returns the first node from a number on that accepts clients, or the number itself if none does.
 func (c *clientSimulator) acceptingNode(node int) int {
 	for range c.nodes {
 		if c.nodes[node].acceptsClients() {
@@ -106,9 +109,10 @@
 	tenant     tenant
 	class      *requestClass
 	due        time.Time
-	alsoDirect bool // it is sent once more, directly to the server that answered it
+	alsoDirect bool // the request is repeated, directly to the server that completed it
 }
 
+// requestText returns the text of a request with a new ID.
 func (c *clientSimulator) requestText(r clientRequest, host, extraHeaders string) string {
 	if !r.class.idempotent {
 		extraHeaders += "Content-Length: 0\r\n"
@@ -127,7 +131,7 @@
 	return string(lines) + extraHeaders + "\r\n"
 }
 
-// send sends one request to a node, and perhaps the same again to the server that answered it.
+// send sends a request to a node and counts the response. It repeats a completed request of alsoDirect at the server.
 func (c *clientSimulator) send(ctx context.Context, node int, r clientRequest) {
 	defer c.inFlight.Done()
 	c.recordLag(r.due)
@@ -141,9 +145,9 @@
 			return
 		}
 	}
-	answer, reusable, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+answerGrace))
+	answer, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+answerGrace))
 	took := time.Since(r.due)
-	c.nodeConns.put(addr, conn, reusable)
+	c.nodeConns.put(addr, conn)
 	if err != nil {
 		section.unanswered.Add(1)
 		return
@@ -168,9 +172,9 @@
 	section.recordDirect(took)
 }
 
-var errUnexpectedAnswer = errors.New("an answer that is not an app server's")
+var errUnexpectedAnswer = errors.New("the response is not an app server's")
 
-// serverNumber is the number of the server that wrote an answer.
+// serverNumber returns the number of the server that wrote a response's body.
 func serverNumber(body string) (int, error) {
 	fields := strings.Fields(body)
 	if len(fields) != 3 {
@@ -179,7 +183,8 @@
 	return strconv.Atoi(fields[2])
 }
 
-// sendDirect sends a request to a server over an established connection, measured as the others are: from when it was due.
+// sendDirect sends a request to a server over an established connection. It returns the time from the request's due time
+// to the response.
 func (c *clientSimulator) sendDirect(ctx context.Context, r clientRequest, addr string) (time.Duration, error) {
 	conn := c.serverConns.take(addr)
 	if conn == nil {
@@ -187,17 +192,17 @@
 		if conn, err = dialClient(ctx, addr); err != nil {
 			return 0, err
 		}
-		// An uncounted health check first: the server's side of a new connection is made with its first bytes.
-		if _, _, err := conn.roundTrip("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n", time.Now().Add(r.class.timeout)); err != nil {
+		// The server's goroutine of a connection starts after the handshake. A health check keeps that out of the measurement.
+		if _, err := conn.roundTrip("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n", time.Now().Add(r.class.timeout)); err != nil {
 			conn.close()
 			return 0, err
 		}
 	}
 	due := time.Now().Add(directDelay)
 	time.Sleep(time.Until(due))
-	answer, reusable, err := conn.roundTrip(c.requestText(r, "app", directHeader+": 1\r\n"), due.Add(r.class.timeout))
+	answer, err := conn.roundTrip(c.requestText(r, "app", directHeader+": 1\r\n"), due.Add(r.class.timeout))
 	took := time.Since(due)
-	c.serverConns.put(addr, conn, reusable)
+	c.serverConns.put(addr, conn)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-const behindLagMs = 10.0 // p99 of the lag, as in lab load
+// behindLagMs is the 99th percentile of the lag above which a generator of requests is behind, as in `lab load`.
+const behindLagMs = 10.0
 
-// recordQuiet notes the CPU shares of the section without faults.
+// recordQuiet sets the CPU shares of the section without faults, which began at the measurement since.
 func (r *Result) recordQuiet(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.CoreShare, r.MaxCoreShare = shares.meanReal, shares.maxReal
@@ -17,7 +18,7 @@
 	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
 }
 
-// recordIdle notes the shares of the last part, in which the real nodes have no requests.
+// recordIdle sets the CPU shares of the section without requests, which began at the measurement since.
 func (r *Result) recordIdle(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.ControlShare, r.MaxControlShare = shares.meanReal, shares.maxReal
@@ -26,7 +27,7 @@
 	}
 }
 
-// collect asks the workers for their counts and fills in the rest of the result.
+// collect gets the workers' counts and sets the rest of the result.
 func (r *Result) collect(run *run) error {
 	var nodes nodesReply
 	if err := run.commandNodes(nodesCommand{Verb: nodesResult}, &nodes); err != nil {
@@ -60,7 +61,7 @@
 	r.DurationS, r.Faults = cfg.Duration.Seconds(), cfg.Faults
 }
 
-// collectRequests sums the clients' counts. The latencies leave out the warm-up, which is the first section.
+// collectRequests sums the clients' counts. The latencies exclude the first section, which is the warm-up.
 func (r *Result) collectRequests(sections []section) {
 	viaNode, direct := newHistogram(), newHistogram()
 	for i, s := range sections {
@@ -89,20 +90,19 @@
 	r.AddedP50, r.AddedP99 = r.ViaNodeP50-r.DirectP50, r.ViaNodeP99-r.DirectP99
 }
 
-// collectProcesses fills in memory and restarts.
+// collectProcesses sets the memory and the restarts of all processes.
 func (r *Result) collectProcesses(run *run) {
 	for _, n := range run.nodes {
 		memory := n.recordMemory()
 		r.RSSMiB = max(r.RSSMiB, float64(memory.now)/kibPerMiB)
 		r.PeakRSSMiB = max(r.PeakRSSMiB, float64(memory.peak)/kibPerMiB)
-		exits, _ := n.exitCounts()
-		r.Exited += exits
+		r.Exited += n.endings().exited
 	}
 	r.Restarts, r.SimulatedRestarts = run.realRestarts, run.simulatedRestarts
 	r.SimulatedMiB, r.ServersMiB = peakRSSMiB(run.nodesWorker.pid()), peakRSSMiB(run.serversWorker.pid())
 }
 
-// collectPeerTraffic fills in what a simulated node sent and received a second.
+// collectPeerTraffic sets the rates of messages per simulated node.
 func (r *Result) collectPeerTraffic(report *nodesReport, nodes int) {
 	r.Peers, r.BroadcastsLost = map[string]PeerBytes{}, report.BroadcastsLost
 	perNode := 1 / (report.DurationS * float64(max(1, nodes)))
@@ -116,34 +116,34 @@
 	}
 }
 
-// collectDiscoveryTraffic fills in what the agent sent a real node a second.
+// collectDiscoveryTraffic sets the rates of the agent's responses per real node.
 func (r *Result) collectDiscoveryTraffic(run *run, seconds float64) {
 	nodes := float64(len(run.nodes))
 	perNode := 1 / (seconds * nodes)
 	for watch := range run.nodes {
-		fullLists, fullBytes, changeBytes := run.agent.Traffic(watch)
-		r.DiscoveryFullBytes += float64(fullBytes) * perNode
-		r.DiscoveryChangeBytes += float64(changeBytes) * perNode
-		r.DiscoveryFullLists += float64(fullLists) / nodes
+		traffic := run.agent.Traffic(watch)
+		r.DiscoveryFullBytes += float64(traffic.FullBytes) * perNode
+		r.DiscoveryChangeBytes += float64(traffic.ChangeBytes) * perNode
+		r.DiscoveryFullLists += float64(traffic.FullLists) / nodes
 	}
 }
 
-// collectChangeDelays fills in how long changes took until 99% of the nodes, all nodes and all real nodes had applied
-// them: medians and maxima over the changes.
+// collectChangeDelays sets the medians and maxima, over the changes, of the delay until 99% of the nodes, all nodes and all
+// real nodes had applied a change.
 func (r *Result) collectChangeDelays(run *run, lists []listApplied) {
 	var to99, toAll, toReal []float64
 	for _, change := range run.changes {
 		r.Changes++
-		delays, missing := run.realDelays(change)
-		if len(delays) > 0 {
-			toReal = append(toReal, slices.Max(delays))
+		realNodes := run.realDelays(change)
+		if len(realNodes.seconds) > 0 {
+			toReal = append(toReal, slices.Max(realNodes.seconds))
 		}
-		simulated, found := simulatedDelays(change, lists)
-		if missing || !found && run.cfg.Simulated > 0 {
+		simulated := simulatedDelays(change, lists)
+		if !realNodes.complete || !simulated.complete && run.cfg.Simulated > 0 {
 			r.ChangesNotApplied++
 			continue
 		}
-		delays = append(delays, simulated...)
+		delays := slices.Concat(realNodes.seconds, simulated.seconds)
 		if len(delays) == 0 {
 			continue
 		}
@@ -156,37 +156,46 @@
 	r.AppliedReal, r.MaxAppliedReal = medianAndMax(toReal)
 }
 
-// realDelays is how long a change took to each real node that had to apply it, s, and whether one never did.
-func (r *run) realDelays(change measuredChange) (delays []float64, missing bool) {
+// applyDelays holds the delays from a change's publication until nodes had applied the change.
+type applyDelays struct {
+	seconds  []float64 // one for each node that applied the change
+	complete bool      // every node that had to apply the change did so
+}
+
+// realDelays returns the delays of the real nodes.
+func (r *run) realDelays(change measuredChange) applyDelays {
+	delays := applyDelays{complete: true}
 	for i, expected := range change.expected {
 		if !expected {
 			continue
 		}
 		at := r.agent.AppliedAt(i, change.revision, change.at)
 		if at.IsZero() {
-			missing = true
+			delays.complete = false
 			continue
 		}
-		delays = append(delays, at.Sub(change.at).Seconds())
+		delays.seconds = append(delays.seconds, at.Sub(change.at).Seconds())
 	}
-	return delays, missing
+	return delays
 }
 
-// simulatedDelays is how long a change took to each simulated node that was not away, s; false where no list had it.
-func simulatedDelays(change measuredChange, lists []listApplied) (delays []float64, found bool) {
+// simulatedDelays returns the delays of the simulated nodes, except for those that were away. They are incomplete if no
+// list with the change arrived.
+func simulatedDelays(change measuredChange, lists []listApplied) applyDelays {
 	i := slices.IndexFunc(lists, func(l listApplied) bool { return l.Revision >= change.revision })
 	if i < 0 {
-		return nil, false
+		return applyDelays{}
 	}
+	delays := applyDelays{complete: true}
 	for _, at := range lists[i].At {
 		if at > 0 {
-			delays = append(delays, max(0, float64(at-change.at.UnixMicro())/1e6))
+			delays.seconds = append(delays.seconds, max(0, float64(at-change.at.UnixMicro())/1e6))
 		}
 	}
-	return delays, true
+	return delays
 }
 
-// collectServerLoad fills in how evenly attempts fell on the servers that were in service all along.
+// collectServerLoad sets the spread of attempts over the servers that no change affected.
 func (r *Result) collectServerLoad(run *run, fromReal, fromSimulated []int64) {
 	var loads []float64
 	sum := 0.0
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -1,8 +1,13 @@
-// Package scale plays the target size on one machine: a few real edge nodes (processes of this program), many simulated
-// nodes that share a process (the real decision engine through internal/routing and real datagrams, but no client
-// sockets), many simulated app servers that share another, a stand-in for discovery's agent, and open-loop clients. It
-// measures what the size costs a node and what a client notices. Everything binds to loopback. What is and isn't
-// imitated stands in docs/lab.md.
+// Package scale runs a fleet of the target size on one machine, on loopback:
+//
+//   - a few real edge nodes, which are processes of this program;
+//   - many simulated nodes in one process, with the real decision engine (through internal/routing) and real datagrams, but
+//     without client sockets;
+//   - many simulated app servers in one process;
+//   - a stand-in for discovery's agent, and open-loop clients.
+//
+// A run measures the latency that a node adds to a request, and the CPU, memory and traffic of a node at that size.
+// docs/lab.md says how the simulation differs from a real fleet.
 package scale
 
 import (
@@ -16,41 +21,41 @@
 	"github.com/rs/zerolog"
 )
 
-// The scripted faults, as the flag and the result name them, in the order in which they are played.
+// The scripted faults, by their names in the flag and the result, in the order in which a run plays them.
 const (
-	FaultChanges        = "changes" // one server after another drains, goes, comes or changes
+	FaultChanges        = "changes" // servers drain, are removed, are added or change their weight, one after another
 	FaultRollingRestart = "roll"    // a rolling restart of all nodes
-	FaultZoneLoss       = "zone"    // a zone is lost, is reported later, and comes back cold
-	FaultWatchLoss      = "watch"   // discovery's agent breaks all watches at once and sends full lists anew
+	FaultZoneLoss       = "zone"    // a zone's servers are lost, later removed from the list, and come back cold
+	FaultWatchLoss      = "watch"   // discovery's agent closes all watches at once, and then sends full lists
 )
 
-// Faults lists them all.
+// Faults lists the names of all faults.
 var Faults = []string{FaultChanges, FaultRollingRestart, FaultZoneLoss, FaultWatchLoss}
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
-	Program       string        // this program, started anew for each child
-	Dir           string        // for configuration files and children's logs; empty for one that is removed
-	Nodes         int           // edge nodes that the settings state
-	Real          int           // of these, processes with sockets
-	Simulated     int           // and nodes that share a process; below 0: all others
-	Servers       int           // app servers
+	Program       string        // path of this program, which is started for each child
+	Dir           string        // folder of configuration files and children's logs; empty for a temporary one
+	Nodes         int           // edge nodes according to the settings
+	Real          int           // nodes that are processes with sockets
+	Simulated     int           // nodes that share a process; below 0 for all nodes that are not real
+	Servers       int           // app servers listed at first
 	Tenants       int           // customers
 	Rate          float64       // requests/s at a real node, mean
 	SimulatedRate float64       // requests/s at a simulated node, mean
-	DirectShare   float64       // part of the real nodes' completed requests that is sent once more, directly to the same server
-	PeerRate      float64       // messages/s that a node accepts from peers, as the settings state
+	DirectShare   float64       // share of the real nodes' completed requests that is repeated directly at the server
+	PeerRate      float64       // messages/s that a node accepts from peers according to the settings
 	Duration      time.Duration // of the run, from the first request on
-	TimeLimit     time.Duration // everything is stopped after so long, whatever is in progress; 0 for a default
-	Seed          uint64
-	Faults        []string // which to play; nil for all
-	Sockets       int      // descriptors of each real node
-	MemoryMB      int      // memory that each real node is configured with
+	TimeLimit     time.Duration // after which the whole run is stopped; 0 for a default
+	Seed          uint64        // of all random draws
+	Faults        []string      // to play; nil for all
+	Sockets       int           // descriptors of each real node
+	MemoryMB      int           // configured memory of each real node
 
-	Log *zerolog.Logger `json:"-"` // a line for each section; nil for none
+	Log *zerolog.Logger `json:"-"` // gets a line for each section; nil for none
 }
 
-// Default is the target size.
+// Default returns the configuration of the target size, without Program.
 func Default() Config {
 	return Config{
 		Nodes: 830, Real: 3, Simulated: -1, Servers: 13000, Tenants: 43000, Rate: 85, SimulatedRate: 2, DirectShare: 0.2,
@@ -61,17 +66,15 @@
 const (
 	regions         = 2
 	zonesPerRegion  = 6
-	serversPerSpare = 50 // there is one server more for each so many, not listed at first: changes add them
+	serversPerSpare = 50 // listed servers for each spare one; changes add the spare servers to the list
 )
 
-// An app server may be sent requests for drainGrace after its drain was published; the count of late sends allows
-// countSlack on top.
 const (
-	drainGrace = 500 * time.Millisecond
-	countSlack = 50 * time.Millisecond
+	drainGrace = 500 * time.Millisecond // after a drain's publication, in which nodes may still send to the server
+	countSlack = 50 * time.Millisecond  // allowed on top of a limit before a violation is counted
 )
 
-// Check fills in defaults and returns an error that names the first flag whose value can't be played.
+// Check sets defaults and returns an error that names the first flag with an invalid value.
 func (c *Config) Check() error {
 	c.fillDefaults()
 	for _, fault := range c.Faults {
@@ -125,15 +128,15 @@
 	return nil
 }
 
-// within is false for a NaN too.
+// within reports whether v is in the range [least, most]. It is false for a NaN.
 func within(v, least, most float64) bool { return v >= least && v <= most }
 
-// spareServers is how many servers there are beside those listed at first.
+// spareServers returns the number of servers that are not listed at first.
 func (c *Config) spareServers() int { return max(2, c.Servers/serversPerSpare) }
 
-// liveNodes is how many of the nodes run, real ones first.
+// liveNodes returns the number of nodes that run. Real nodes have the lowest numbers, simulated ones follow.
 func (c *Config) liveNodes() int { return c.Real + c.Simulated }
 
-// simulatedCores is how many cores the simulated nodes may use: each real node has one, and the app servers and the lab
-// share one.
+// simulatedCores returns the number of cores for the simulated nodes: all but one for each real node and one that the app
+// servers and the lab share.
 func (c *Config) simulatedCores() int { return max(1, runtime.NumCPU()-c.Real-1) }
--- a/internal/lab/scale/connpool.go
+++ b/internal/lab/scale/connpool.go
@@ -12,59 +12,64 @@
 
 const dialTimeout = time.Second
 
-// clientConn is one client connection, used by one request at a time.
+// clientConn is a connection of a client. It is used by one goroutine at a time.
 type clientConn struct {
-	conn   net.Conn
-	reader *bufio.Reader
+	conn     net.Conn
+	reader   *bufio.Reader
+	reusable bool // the connection can carry another request
 }
 
+// dialClient opens a connection, which the caller closes or puts into a pool.
 func dialClient(ctx context.Context, addr string) (*clientConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{conn, bufio.NewReaderSize(conn, connReadBuffer)}, nil
+	return &clientConn{conn: conn, reader: bufio.NewReaderSize(conn, connReadBufferBytes), reusable: true}, nil
 }
 
 func (c *clientConn) close() { _ = c.conn.Close() }
 
-// clientAnswer is the answer to a request.
+// clientAnswer is the response to a request.
 type clientAnswer struct {
-	status int
+	status int // HTTP
 	body   string
 }
 
-// roundTrip sends one request and reads its answer. It tells whether the connection can take another request.
-func (c *clientConn) roundTrip(text string, deadline time.Time) (answer clientAnswer, reusable bool, err error) {
+// roundTrip sends a request and reads the response. It updates reusable.
+func (c *clientConn) roundTrip(text string, deadline time.Time) (clientAnswer, error) {
+	c.reusable = false
 	if err := c.conn.SetDeadline(deadline); err != nil {
-		return answer, false, err
+		return clientAnswer{}, err
 	}
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		return answer, false, err
+		return clientAnswer{}, err
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return answer, false, err
+		return clientAnswer{}, err
 	}
 	body, err := io.ReadAll(response.Body)
-	return clientAnswer{response.StatusCode, string(body)}, err == nil && !response.Close, err
+	c.reusable = err == nil && !response.Close
+	return clientAnswer{status: response.StatusCode, body: string(body)}, err
 }
 
-// connPool keeps idle client connections, by address.
+// connPool keeps idle client connections, by address. Its methods may be called from several goroutines.
 type connPool struct {
-	maxIdle int
+	maxIdle int // connections, of all addresses
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	idle      map[string][]*clientConn
-	idleCount int
+	idleCount int // of all addresses
 }
 
+// newConnPool returns an empty pool that keeps at most maxIdle connections.
 func newConnPool(maxIdle int) *connPool {
 	return &connPool{maxIdle: maxIdle, idle: map[string][]*clientConn{}}
 }
 
-// take gives the connection that was used last, or nil.
+// take removes and returns the most recently used connection to addr, or nil if none is idle.
 func (p *connPool) take(addr string) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,25 +82,25 @@
 	return last
 }
 
-// put takes a connection back, or closes it where the pool is full or the connection can't be used again.
-func (p *connPool) put(addr string, conn *clientConn, reusable bool) {
+// put returns a connection to the pool. It closes the connection if it is not reusable or the pool is full.
+func (p *connPool) put(addr string, conn *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !reusable || p.idleCount >= p.maxIdle {
+	if !conn.reusable || p.idleCount >= p.maxIdle {
 		conn.close()
 		return
 	}
 	p.idle[addr], p.idleCount = append(p.idle[addr], conn), p.idleCount+1
 }
 
-// drop closes what is idle to an address.
+// drop closes the idle connections to addr.
 func (p *connPool) drop(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(addr)
 }
 
-// dropAll closes all that is idle.
+// dropAll closes all idle connections.
 func (p *connPool) dropAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +109,7 @@
 	}
 }
 
-// closeIdle closes what is idle to an address. The caller holds the lock.
+// closeIdle closes the idle connections to addr. The caller holds mu.
 func (p *connPool) closeIdle(addr string) {
 	for _, conn := range p.idle[addr] {
 		conn.close()
--- a/internal/lab/scale/connpool_test.go
+++ b/internal/lab/scale/connpool_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// testConns are connections to a listener of the test's own.
+// testConns returns count connections to a listener that the test closes, and its address.
 func testConns(t *testing.T, count int) (conns []*clientConn, addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,14 +28,15 @@
 
 func isClosed(c *clientConn) bool { return c.conn.SetDeadline(time.Now().Add(time.Second)) != nil }
 
-// The pool gives the connection used last, keeps no more than its limit and none that can't be used again.
-func TestConnPoolKeepsSome(t *testing.T) {
+// The pool returns the most recently used connection first. It keeps no more than its limit and only reusable connections.
+func TestConnPoolKeepsReusableConnections(t *testing.T) {
 	conns, addr := testConns(t, 4)
 	pool := newConnPool(2)
 	for _, c := range conns[:3] {
-		pool.put(addr, c, true)
+		pool.put(addr, c)
 	}
-	pool.put(addr, conns[3], false)
+	conns[3].reusable = false
+	pool.put(addr, conns[3])
 	if pool.idleCount != 2 || !isClosed(conns[2]) || !isClosed(conns[3]) {
 		t.Errorf("%d idle", pool.idleCount)
 	}
@@ -46,12 +47,12 @@
 	}
 }
 
-// To drop an address closes its idle connections alone, to drop all every one.
+// drop closes the idle connections to one address, dropAll those to all addresses.
 func TestConnPoolDrops(t *testing.T) {
 	conns, addr := testConns(t, 2)
 	pool := newConnPool(2)
-	pool.put(addr, conns[0], true)
-	pool.put("elsewhere", conns[1], true)
+	pool.put(addr, conns[0])
+	pool.put("elsewhere", conns[1])
 	pool.drop(addr)
 	if pool.idleCount != 1 || pool.take(addr) != nil || !isClosed(conns[0]) || isClosed(conns[1]) {
 		t.Errorf("%d idle after a drop", pool.idleCount)
--- a/internal/lab/scale/cpuusage.go
+++ b/internal/lab/scale/cpuusage.go
@@ -5,13 +5,16 @@
 	"time"
 )
 
-// cpuUsage is the CPU time that the run's processes have used up to a moment. A process that is gone has 0.
+// cpuUsage is the CPU time that the run's processes have used until a moment; 0 for an ended process.
 type cpuUsage struct {
-	at                  time.Time
-	real                []time.Duration // by real node
-	lab, servers, nodes time.Duration   // the lab itself, and its workers
+	at      time.Time
+	real    []time.Duration // by real node
+	lab     time.Duration   // this process
+	servers time.Duration   // the worker of the app servers
+	nodes   time.Duration   // the worker of the simulated nodes
 }
 
+// measureCPU returns the CPU time used until now.
 func (r *run) measureCPU() cpuUsage {
 	u := cpuUsage{at: time.Now()}
 	for _, n := range r.nodes {
@@ -24,13 +27,15 @@
 	return u
 }
 
-// cpuShares is how many cores the run's processes have used since an earlier measurement.
+// cpuShares is the CPU use of the run's processes over a span of time, in cores.
 type cpuShares struct {
-	meanReal, maxReal   float64 // of the real nodes
+	meanReal, maxReal   float64 // over the real nodes
 	lab, servers, nodes float64
 }
 
-func (r *run) cpuSharesSince(earlier cpuUsage) (shares cpuShares) {
+// cpuSharesSince returns the CPU use since an earlier measurement.
+func (r *run) cpuSharesSince(earlier cpuUsage) cpuShares {
+	var shares cpuShares
 	now := r.measureCPU()
 	span := now.at.Sub(earlier.at).Seconds()
 	for i := range now.real {
--- a/internal/lab/scale/descriptors.go
+++ b/internal/lab/scale/descriptors.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	baseDescriptors = 64 // of any process, beside those counted below
-	connsPerWatch   = 8  // of one watch at the agent: the client looks for an answer over several
-	maxDirectConns  = 512
+	baseDescriptors = 64  // of any process, for files and the runtime
+	connsPerWatch   = 8   // of a watch at the agent, whose client tries several connections
+	maxDirectConns  = 512 // idle ones from the clients to the servers
 )
 
-// descriptorNeed is how many descriptors one kind of process needs, and the flag that lowers it.
+// descriptorNeed is the number of descriptors that a kind of process needs.
 type descriptorNeed struct {
 	process     string
 	descriptors int
-	flag        string
+	flag        string // lowers the need
 }
 
+// descriptorNeeds returns the needs of each kind of process.
 func (c *Config) descriptorNeeds() []descriptorNeed {
 	clientConns := c.Real * c.Sockets / 2
 	return []descriptorNeed{
@@ -28,8 +29,8 @@
 	}
 }
 
-// CheckDescriptors refuses a run whose processes would need more descriptors than they may have (ulimit -n). Go raises
-// its own soft limit to the hard one at its start, as do the children; the lab itself raises none.
+// CheckDescriptors returns a *DescriptorError if a process of the run needs more descriptors than its limit (ulimit -n).
+// The Go runtime of each process raises the soft limit to the hard one; the lab does not change the limits.
 func (c *Config) CheckDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -43,12 +44,12 @@
 	return nil
 }
 
-// DescriptorError is a run that needs more descriptors than a process may have.
+// DescriptorError is the error of a run that needs more descriptors than a process may have.
 type DescriptorError struct {
-	Process string // which kind
-	Need    int
-	Limit   uint64
-	Flag    string // that lowers the need
+	Process string // kind of process
+	Need    int    // descriptors
+	Limit   uint64 // descriptors
+	Flag    string // lowers the need
 }
 
 func (e *DescriptorError) Error() string {
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -13,27 +13,27 @@
 	minChanges        = 4
 	maxChanges        = 40
 	changedWeight     = 1.25
-	clientsLinger     = 200 * time.Millisecond // after SIGTERM of a node
+	clientsLinger     = 200 * time.Millisecond // after a node's SIGTERM, in which clients still send to the node
 	watchOutage       = 100 * time.Millisecond
 	restartBatches    = 10 // of simulated nodes
 	maxRestartAway    = time.Second
 )
 
-// measuredChange is one revision whose way to all nodes is measured.
+// measuredChange is a revision of the endpoint list whose delay to all nodes is measured.
 type measuredChange struct {
 	revision uint64
-	at       time.Time
-	expected []bool // by real node: it accepted clients, and so has to apply the change
+	at       time.Time // of publication
+	expected []bool    // by real node: the node accepted clients, and so has to apply the change
 }
 
-// listChange is what changes in a server's entry of the endpoint list.
+// listChange is a change of a server's entry in the endpoint list.
 type listChange struct {
 	state  protocol.EndpointState
-	boot   time.Time // zero: as before
-	weight float64   // 0: as before
+	boot   time.Time // zero: unchanged
+	weight float64   // 0: unchanged
 }
 
-// publish changes servers in discovery, tells the app servers which of them drain, and notes the change for the result.
+// publish changes servers in discovery, notifies the app servers of a drain, and records the change for the result.
 func (r *run) publish(change listChange, servers ...int) error {
 	expected := make([]bool, len(r.nodes))
 	for i, n := range r.nodes {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// unchangedServer is the first server from a number on that was not changed yet; false where all were.
-func (r *run) unchangedServer(from int) (int, bool) {
+// unchangedServer returns the first server from a number on that no change has affected, or false if there is none.
+func (r *run) unchangedServer(from int) (server int, ok bool) {
 	for k := range r.cfg.Servers {
 		if i := (from + k) % r.cfg.Servers; !r.changedServers[i] {
 			return i, true
@@ -73,7 +73,7 @@
 	return 0, false
 }
 
-// drainLastServer drains the server that last answered a client, which some real node uses.
+// drainLastServer drains the server of the last response to a client, so that a real node is affected.
 func (r *run) drainLastServer() error {
 	server, ok := r.unchangedServer(int(r.clients.lastServer.Load()))
 	if !ok {
@@ -83,7 +83,7 @@
 	return r.publish(listChange{state: protocol.Terminating}, server)
 }
 
-// playChanges changes one server after another, spread over the section.
+// playChanges makes changes at even intervals over a section.
 func (r *run) playChanges(ctx context.Context, length time.Duration) error {
 	steps := min(max(minChanges, int(length/minChangeInterval)), maxChanges, r.cfg.Servers)
 	interval := max(length/time.Duration(steps), minChangeInterval/2)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// changeOne makes one change, by turns: a server drains, one is listed with another size, a new one comes, one that
-// drains goes.
+// changeOne makes one change. By step, in turn: a server drains, a server's weight changes, a server is added, a draining
+// server is removed.
 func (r *run) changeOne(step int) error {
 	servers := r.cfg.Servers
 	switch step % 4 {
@@ -126,14 +126,14 @@
 	return nil
 }
 
-// playRollingRestart restarts all nodes: real ones one after another, and simulated ones a batch at a time beside them.
+// playRollingRestart restarts the real nodes one after another, and concurrently the simulated nodes in batches.
 func (r *run) playRollingRestart(ctx context.Context, length time.Duration) error {
 	type outcome struct {
 		restarted int
 		err       error
 	}
 	simulated := make(chan outcome, 1)
-	go func() { // ends with the last batch, or with the worker
+	go func() { // ends after the last batch, or when the worker ends
 		restarted, err := r.restartSimulated(length)
 		simulated <- outcome{restarted, err}
 	}()
@@ -150,8 +150,8 @@
 	return done.err
 }
 
-// restartSimulated restarts the simulated nodes in batches and counts them. Where the machine doesn't keep up, the rest
-// goes on as it is, and is not counted.
+// restartSimulated restarts the simulated nodes in batches and returns the number of restarted nodes. It stops after twice
+// the section's length, so that a slow machine does not delay the run.
 func (r *run) restartSimulated(length time.Duration) (restarted int, err error) {
 	startedAt := time.Now()
 	away := min(length/restartBatches/2, maxRestartAway)
@@ -171,8 +171,8 @@
 	return restarted, nil
 }
 
-// playZoneLoss loses a zone's servers, publishes that a quarter of the section later, and brings them back cold after
-// half of it.
+// playZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and revives them cold
+// after half of it.
 func (r *run) playZoneLoss(ctx context.Context, length time.Duration) error {
 	const zones = regions * zonesPerRegion
 	var lost []int
@@ -207,8 +207,8 @@
 	return r.commandNodes(nodesCommand{Verb: nodes, Servers: numbers}, nil)
 }
 
-// playWatchLoss breaks all watches at once, after which each node gets the full list, and drains a server as soon as
-// calls are answered again.
+// playWatchLoss closes all watches at once, after which each node gets the full list. It drains a server as soon as the
+// agent answers again.
 func (r *run) playWatchLoss(ctx context.Context, _ time.Duration) error {
 	r.agent.DisconnectAll()
 	if err := pause(ctx, watchOutage); err != nil {
--- a/internal/lab/scale/histogram.go
+++ b/internal/lab/scale/histogram.go
@@ -14,10 +14,10 @@
 
 func newHistogram() *hdr.Histogram { return hdr.New(1, maxRecordedMicros, significantDigits) }
 
-// recordMicros records a time in µs, 1 at least. What is longer than the histogram takes is left out.
+// recordMicros records a time, in µs, as at least 1. Times beyond the histogram's range are dropped.
 func recordMicros(h *hdr.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
 
-// quantileMs is a quantile (percent) of µs, in ms; 0 where nothing was recorded.
+// quantileMs returns a percentile of recorded µs, in ms; 0 if nothing was recorded.
 func quantileMs(h *hdr.Histogram, percent float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
@@ -25,7 +25,7 @@
 	return float64(h.ValueAtQuantile(percent)) / 1e3
 }
 
-// medianAndMax sorts v; both are 0 where it is empty.
+// medianAndMax returns the median and the maximum of v, which it sorts; 0 if v is empty.
 func medianAndMax(v []float64) (median, most float64) {
 	if len(v) == 0 {
 		return 0, 0
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -11,21 +11,22 @@
 	"cherrygap/internal/routing"
 )
 
-const firstTimerRetry = 50 * time.Millisecond
+// notReadyRetry is the delay of an engine's timer that fires before all nodes have their first list.
+const notReadyRetry = 50 * time.Millisecond
 
-// incarnation is one start of a simulated node.
+// incarnation is the state of a simulated node between two of its starts.
 type incarnation struct {
 	router   *routing.Router
 	timer    *time.Timer
-	timerDue atomic.Int64 // when the timer is to go off, Unix ns
-	ended    atomic.Bool  // another incarnation has taken over
+	timerDue atomic.Int64 // when the timer should fire, Unix ns
+	ended    atomic.Bool  // a later incarnation has replaced this one
 	inFlight atomic.Int64 // requests
 
 	mu      sync.Mutex        // guards drained
-	drained map[int]time.Time // servers that are not to be used, and when the node learned so
+	drained map[int]time.Time // servers that are out of service, and when the node was notified
 }
 
-// newIncarnation starts the node afresh.
+// newIncarnation returns an incarnation with the node's engine in its initial state.
 func (n *simulatedNode) newIncarnation(seed uint64) *incarnation {
 	inc := &incarnation{drained: map[int]time.Time{}}
 	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) })
@@ -43,11 +44,13 @@
 	return inc
 }
 
+// timerFired calls the engine's periodic task, or retries later while some node has no endpoint list. The periodic tasks
+// of nodes that have their list would otherwise delay the setup by minutes.
 func (n *simulatedNode) timerFired(inc *incarnation) {
 	select {
 	case <-n.fleet.ready:
-	default: // until all have their first list those that have it stand by: a set-up would take minutes else
-		inc.timer.Reset(firstTimerRetry)
+	default:
+		inc.timer.Reset(notReadyRetry)
 		return
 	}
 	due := time.Unix(0, inc.timerDue.Load())
@@ -59,8 +62,8 @@
 	})
 }
 
-// applyList passes a list to the engine and records the draining servers. A list from the cache is that of an earlier
-// incarnation.
+// applyList passes a list to the engine and records the servers out of service. A list of origin routing.FromCache is the
+// list of an earlier incarnation.
 func (inc *incarnation) applyList(list *protocol.EndpointList, serverNumbers map[netip.AddrPort]int, origin routing.ListOrigin) {
 	inc.router.UpdateEndpoints(list, origin)
 	now := time.Now()
@@ -79,7 +82,7 @@
 	}
 }
 
-// drainedFor is how long the node has known that a server drains; 0 where it doesn't.
+// drainedFor returns the time since the node was notified that a server is out of service; 0 if the server is in service.
 func (inc *incarnation) drainedFor(server int) time.Duration {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/jsonformat_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// fill sets every exported figure of v to a number of its own, so that a key that goes or moves shows.
+// fill sets every exported field of v to a different value, so that a missing or moved key shows.
 func fill(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -39,8 +39,8 @@
 	}
 }
 
-// The line of lab scale has the keys, in the order, that testdata/result.json keeps, which earlier runs wrote.
-func TestResultKeys(t *testing.T) {
+// The line of `lab scale` has the keys of testdata/result.json, in its order.
+func TestResultJSONFormat(t *testing.T) {
 	want, err := os.ReadFile("testdata/result.json")
 	if err != nil {
 		t.Fatal(err)
@@ -62,9 +62,8 @@
 	}
 }
 
-// The lines between the lab and its children: one program writes and reads both, so that their keys may change, but a key
-// that only one side knows would be lost in silence.
-func TestChildLinesSurvive(t *testing.T) {
+// Every field of the lines between the lab and its workers survives encoding and decoding.
+func TestWorkerProtocolRoundTrip(t *testing.T) {
 	for name, v := range map[string]any{"nodes command": &nodesCommand{}, "nodes reply": &nodesReply{
 		Section: &nodesSection{},
 		Report:  &nodesReport{},
--- a/internal/lab/scale/loopback.go
+++ b/internal/lab/scale/loopback.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Each kind of socket has a block of loopback addresses of its own: 127.BLOCK.x.y and, past 65,535, the blocks behind it.
+// The blocks of loopback addresses, one for each kind of socket: 127.BLOCK.x.y, continued in the next block after 65,535.
 const (
 	serverBlock        = 32
 	simulatedNodeBlock = 64
@@ -11,7 +11,7 @@
 	realNodeBlock      = 96
 )
 
-// loopbackAddress is the i-th address of a block, with any port.
+// loopbackAddress returns the i-th address of a block with port 0.
 func loopbackAddress(block, i int) string {
 	i++
 	addr := netip.AddrFrom4([4]byte{127, byte(block + i>>16), byte(i >> 8), byte(i)})
--- a/internal/lab/scale/node.go
+++ b/internal/lab/scale/node.go
@@ -8,23 +8,23 @@
 	"cherrygap/internal/protocol"
 )
 
-// simulatedNode is one edge node without client sockets, over its restarts.
+// simulatedNode is an edge node without client sockets, over its restarts.
 type simulatedNode struct {
 	fleet   *nodeFleet
-	number  int // among all nodes
-	conn    *net.UDPConn
-	addr    netip.AddrPort
-	away    atomic.Bool // between two incarnations
+	number  int            // among all nodes
+	conn    *net.UDPConn   // of peer messages
+	addr    netip.AddrPort // of conn
+	away    atomic.Bool    // between two incarnations
 	current atomic.Pointer[incarnation]
 }
 
-// send sends a message for an incarnation: to one node as a datagram, and to all (peer below 0) over the fleet's queue
-// and as datagrams to the real nodes. A lost datagram is nothing unusual, so that errors are passed over.
+// send sends a peer message of an incarnation: as a datagram to one node, or to all nodes if peer is below 0. A broadcast
+// reaches the simulated nodes over the fleet's queue. Send errors are ignored, as datagrams may be lost.
 func (n *simulatedNode) send(from *incarnation, peer int, payload []byte) {
 	if len(payload) > protocol.MaxDatagram || from.ended.Load() {
 		return
 	}
-	n.fleet.countMessage(payload, false)
+	n.fleet.countMessage(payload, outgoing)
 	if peer < 0 {
 		for _, addr := range n.fleet.realAddrs {
 			_, _ = n.conn.WriteToUDPAddrPort(payload, addr)
@@ -37,14 +37,15 @@
 	}
 }
 
+// receive passes a peer message to the engine, unless the node is away.
 func (n *simulatedNode) receive(from int, payload []byte) {
 	if !n.away.Load() {
-		n.fleet.countMessage(payload, true)
+		n.fleet.countMessage(payload, incoming)
 		n.current.Load().router.ReceivePeerMessage(from, payload)
 	}
 }
 
-// readDatagrams passes on what comes in, until the socket fails.
+// readDatagrams receives peer messages until the socket is closed.
 func (n *simulatedNode) readDatagrams() {
 	buffer := make([]byte, protocol.MaxDatagram+1)
 	for {
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -22,11 +22,11 @@
 
 const (
 	firstListTimeout = 60 * time.Second
-	collectorPercent = 30 // the heap is large and lives long
+	gcPercent        = 30 // GOGC: the large heap of the engines lives as long as the process
 )
 
-// nodeFleet is the process of the simulated nodes. Its goroutines (datagram readers, relay, discovery client, requests)
-// end with the process, which ends with its standard input.
+// nodeFleet holds the simulated nodes of the worker process. Its goroutines (datagram readers, relay, discovery client,
+// requests) end with the process, which ends with its standard input.
 type nodeFleet struct {
 	cfg           nodesConfig
 	nodes         []*simulatedNode
@@ -34,12 +34,12 @@
 	serverNumbers map[netip.AddrPort]int
 	startedAt     time.Time
 
-	// engineSlots lets so many calls into engines run at once as leave a core for lists and commands.
+	// engineSlots limits the concurrent calls into engines, so that a core is left for lists and commands.
 	engineSlots chan struct{}
 
 	ready   chan struct{} // closed once all nodes have their first list
-	sending atomic.Bool
-	randoms sync.Pool // of *rand.Rand
+	sending atomic.Bool   // while false, no request is sent
+	randoms sync.Pool     // of *rand.Rand
 
 	dead          []atomic.Bool  // by server
 	attemptsBegun []atomic.Int64 // by server
@@ -49,7 +49,8 @@
 	requestCounts
 }
 
-// RunNodes plays the simulated nodes until in ends: a nodesConfig, then commands, a JSON line each.
+// RunNodes runs the simulated nodes until in ends. It reads a nodesConfig and then commands from in, and writes the
+// replies to out, each as one JSON line.
 func RunNodes(in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(in)
 	f := newNodeFleet()
@@ -59,7 +60,7 @@
 	cores := f.cfg.simulatedCores()
 	runtime.GOMAXPROCS(cores)
 	f.engineSlots = make(chan struct{}, max(1, cores-1))
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 	addresses, err := f.open()
 	if err != nil {
 		return err
@@ -76,7 +77,7 @@
 	}
 }
 
-// open makes the sockets.
+// open opens the sockets and returns their addresses.
 func (f *nodeFleet) open() (addresses nodesReply, err error) {
 	var seeds atomic.Uint64
 	f.randoms.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, 1<<32|seeds.Add(1))) }
@@ -90,7 +91,7 @@
 	servers := len(f.cfg.Servers)
 	f.endpoints, f.listed = make([]protocol.Endpoint, servers), make([]bool, servers)
 	f.dead, f.attemptsBegun = make([]atomic.Bool, servers), make([]atomic.Int64, servers)
-	f.populations = dealTenants(f.cfg.Config, func(node int) bool { return node >= f.cfg.Real })
+	f.populations = assignTenants(f.cfg.Config, func(node int) bool { return node >= f.cfg.Real })
 	for i := range f.cfg.Simulated {
 		conn, addr, err := listenUDP(simulatedNodeBlock, i)
 		if err != nil {
@@ -111,6 +112,7 @@
 	return addresses, err
 }
 
+// listenUDP opens a socket at the i-th address of a block, and returns its address with the port.
 func listenUDP(block, i int) (*net.UDPConn, string, error) {
 	addr := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(loopbackAddress(block, i)))
 	conn, err := net.ListenUDP("udp", addr)
@@ -120,6 +122,7 @@
 	return conn, conn.LocalAddr().String(), nil
 }
 
+// execute executes a command of the lab.
 func (f *nodeFleet) execute(command nodesCommand) (reply nodesReply) {
 	switch command.Verb {
 	case nodesStart:
@@ -131,7 +134,7 @@
 		case <-f.ready:
 			reply.Ready = true
 		case <-time.After(firstListTimeout):
-			reply.Error = "the simulated nodes had no endpoint list in time"
+			reply.Error = fmt.Sprintf("the simulated nodes have no endpoint list after %v", firstListTimeout)
 		}
 	case nodesSend:
 		f.sending.Store(true)
@@ -152,7 +155,7 @@
 	return reply
 }
 
-// start starts the nodes, which receive messages and endpoint lists from now on.
+// start starts the nodes. From now on they receive messages and endpoint lists.
 func (f *nodeFleet) start(command nodesCommand) error {
 	if err := f.setPeers(command.Real, f.nodes); err != nil {
 		return err
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// discoveryClient is one watch for all nodes, which hands each list to all of them.
+// discoveryClient returns a client that watches the agent and passes each list to all nodes.
 func (f *nodeFleet) discoveryClient(agent string) *discovery.Client {
 	none := zerolog.Nop()
 	var first sync.Once
@@ -190,7 +193,7 @@
 	}
 }
 
-// forEachNode calls f for all nodes, on all cores, and returns after the last.
+// forEachNode calls f for each node, concurrently on all cores, and returns after the last call.
 func forEachNode(nodes []*simulatedNode, f func(*simulatedNode)) {
 	var wg sync.WaitGroup
 	var next atomic.Int64
@@ -206,15 +209,15 @@
 	wg.Wait()
 }
 
-// withEngineSlot calls f, which calls into an engine, once a slot is free. Where the engines need more than the cores
-// give, calls wait here, and the lag that the run reports says so.
+// withEngineSlot waits for a free slot and executes a call into an engine. The waits of an overloaded machine show as lag
+// in the run's result.
 func (f *nodeFleet) withEngineSlot(call func()) {
 	f.engineSlots <- struct{}{}
 	call()
 	<-f.engineSlots
 }
 
-// random lends a random source to f.
+// random calls use with a random source that no other goroutine uses meanwhile.
 func (f *nodeFleet) random(use func(*rand.Rand)) {
 	rng := f.randoms.Get().(*rand.Rand)
 	defer f.randoms.Put(rng)
--- a/internal/lab/scale/nodelists.go
+++ b/internal/lab/scale/nodelists.go
@@ -8,16 +8,16 @@
 	"cherrygap/internal/routing"
 )
 
-// endpointHistory is what discovery has sent so far, for nodes that start anew, and when each node had applied it.
+// endpointHistory holds the endpoint lists received so far, for nodes that restart, and when each node applied them.
 type endpointHistory struct {
-	listMu    sync.Mutex          // held while a list is handed out; guards what follows
-	endpoints []protocol.Endpoint // latest state, by server
-	listed    []bool              // by server
-	history   []*protocol.EndpointList
-	applied   []listApplied
+	listMu    sync.Mutex               // guards the fields below; held while a list is applied
+	endpoints []protocol.Endpoint      // latest state, by server
+	listed    []bool                   // by server
+	history   []*protocol.EndpointList // in the order of arrival
+	applied   []listApplied            // one for each of history
 }
 
-// record takes a list into the latest state. The caller holds listMu.
+// record applies a list to the latest state. The caller holds listMu.
 func (h *endpointHistory) record(list *protocol.EndpointList, serverNumbers func(protocol.Endpoint) (int, bool)) {
 	if list.Full {
 		clear(h.listed)
@@ -30,7 +30,7 @@
 	h.history = append(h.history, list)
 }
 
-// knownList is the full list as of now. The caller holds listMu.
+// knownList returns the latest state as a full list. The caller holds listMu.
 func (h *endpointHistory) knownList() *protocol.EndpointList {
 	list := &protocol.EndpointList{Full: true}
 	for i, endpoint := range h.endpoints {
@@ -41,7 +41,7 @@
 	return list
 }
 
-// applyList hands a list to all nodes that are not away and notes when each had applied it.
+// applyList passes a list to all nodes that are not away and records when each had applied it.
 func (f *nodeFleet) applyList(list *protocol.EndpointList) {
 	f.listMu.Lock()
 	defer f.listMu.Unlock()
@@ -59,7 +59,7 @@
 	f.applied = append(f.applied, applied)
 }
 
-// restart starts nodes anew: they are away for a time, and then know nothing but the list.
+// restart replaces the incarnations of nodes, which are away for a time. The new incarnations start with the cached list.
 func (f *nodeFleet) restart(numbers []int, away time.Duration) {
 	var nodes []*simulatedNode
 	for _, i := range numbers {
@@ -78,7 +78,7 @@
 		inc.applyList(known, f.serverNumbers, routing.FromCache)
 		started[n.number-f.cfg.Real] = inc
 	})
-	f.listMu.Lock() // what came meanwhile, as the node's own watch would bring it
+	f.listMu.Lock() // then the lists that arrived meanwhile, as the node's own watch would deliver them
 	defer f.listMu.Unlock()
 	forEachNode(nodes, func(n *simulatedNode) {
 		inc := started[n.number-f.cfg.Real]
--- a/internal/lab/scale/nodelists_test.go
+++ b/internal/lab/scale/nodelists_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// testFleet is a fleet of one simulated node beside a real one, with two servers, which discovery has listed.
+// testFleet returns a fleet with one simulated node beside a real one. The simulated node has a list of two servers.
 func testFleet(t *testing.T) (*nodeFleet, *simulatedNode) {
 	t.Helper()
 	f := newNodeFleet()
@@ -41,8 +41,8 @@
 	}
 }
 
-// A simulated node may begin nothing at a server once it has applied that it drains. Away it hears of nothing, and it
-// comes back with the list as of then.
+// A simulated node does not use a server once it has applied the server's drain. While the node is away it receives no
+// list. It comes back with the latest one.
 func TestSimulatedNodeAppliesLists(t *testing.T) {
 	f, n := testFleet(t)
 	router := n.current.Load().router
@@ -50,18 +50,18 @@
 	i := f.serverNumbers[server.Addr]
 	f.applyList(&protocol.EndpointList{Revision: 2, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.Terminating)}})
 	if router.InService(server) || len(n.current.Load().drained) != 1 {
-		t.Error("it would send to a server that drains")
+		t.Error("a draining server is in service")
 	}
 	n.away.Store(true)
 	f.applyList(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.InService)}})
 	if router.InService(server) {
-		t.Error("it heard while it was away")
+		t.Error("the node applied a list while it was away")
 	}
 	f.restart([]int{0}, 0)
 	if inc := n.current.Load(); n.away.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
-		t.Error("it came back without the list")
+		t.Error("the node came back without the latest list")
 	}
 	if len(f.applied) != 3 || f.applied[0].At[0] == 0 || f.applied[2].At[0] != 0 {
-		t.Errorf("noted %+v", f.applied)
+		t.Errorf("applied %+v", f.applied)
 	}
 }
--- a/internal/lab/scale/nodepeers.go
+++ b/internal/lab/scale/nodepeers.go
@@ -10,20 +10,28 @@
 )
 
 const (
-	broadcastQueue   = 256  // messages to all that wait
-	relayBufferBytes = 2048 // more than any node sends
+	broadcastQueue   = 256  // messages
+	relayBufferBytes = 2048 // above the size of any datagram that a node sends
 )
 
-// messageKind is the first byte of a peer message.
+// messageKind is a kind of peer message.
 type messageKind struct {
-	mark byte
+	mark byte   // first byte of the message
 	name string // in the result
 }
 
-// messageKinds are the kinds that are counted apart, and all others.
+// messageKinds lists the kinds that are counted separately. The last one stands for all other kinds.
 var messageKinds = [...]messageKind{{0xC8, "use"}, {0xC9, "grant"}, {0xCA, "doubts"}, {0xCB, "ask"}, {0, "other"}}
 
-// kindName is the name of the kind of a mark.
+// messageDirection is the direction of a peer message at a simulated node.
+type messageDirection int
+
+const (
+	incoming messageDirection = iota
+	outgoing
+)
+
+// kindName returns the name of the kind with a mark.
 func kindName(mark byte) string {
 	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.mark == mark })
 	if i < 0 {
@@ -32,30 +40,32 @@
 	return messageKinds[i].name
 }
 
-// peerNetwork carries peer messages between simulated and real nodes, and counts those at simulated ones. Each real node
-// knows the other real ones by a proxy's address here.
+// peerNetwork carries peer messages between simulated and real nodes, and counts the messages of simulated nodes. Real
+// nodes reach each other by their proxies' addresses.
 type peerNetwork struct {
 	peerTable     *protocol.PeerTable
-	realAddrs     []netip.AddrPort
+	realAddrs     []netip.AddrPort // by real node
 	realNumbers   map[netip.AddrPort]int
 	proxies       []*net.UDPConn // by real node
-	broadcastConn *net.UDPConn   // what a real node sends here goes to all
+	broadcastConn *net.UDPConn   // receives the real nodes' broadcasts
 
 	broadcasts     chan broadcastMessage // to simulated nodes
-	broadcastsLost atomic.Int64
+	broadcastsLost atomic.Int64          // found the queue full
 	traffic        [len(messageKinds)]struct{ in, inBytes, out, outBytes atomic.Int64 }
 }
 
+// broadcastMessage is a peer message to all nodes.
 type broadcastMessage struct {
 	from    int // number of the sending node
 	payload []byte
 }
 
+// newPeerNetwork returns a network without nodes and sockets.
 func newPeerNetwork() peerNetwork {
 	return peerNetwork{realNumbers: map[netip.AddrPort]int{}, broadcasts: make(chan broadcastMessage, broadcastQueue)}
 }
 
-// setPeers makes the table of all nodes: real ones first, then simulated ones.
+// setPeers sets the table of all nodes: real ones first, then simulated ones.
 func (p *peerNetwork) setPeers(realNodes []string, simulated []*simulatedNode) error {
 	for i, s := range realNodes {
 		addr, err := netip.ParseAddrPort(s)
@@ -73,13 +83,14 @@
 	return nil
 }
 
-func (p *peerNetwork) countMessage(payload []byte, in bool) {
+// countMessage counts a peer message, which is not empty, by its kind.
+func (p *peerNetwork) countMessage(payload []byte, direction messageDirection) {
 	kind := slices.IndexFunc(messageKinds[:len(messageKinds)-1], func(k messageKind) bool { return k.mark == payload[0] })
 	if kind < 0 {
 		kind = len(messageKinds) - 1
 	}
 	count := &p.traffic[kind]
-	if in {
+	if direction == incoming {
 		count.in.Add(1)
 		count.inBytes.Add(int64(len(payload)))
 	} else {
@@ -88,7 +99,7 @@
 	}
 }
 
-// counts gives the messages counted so far, by kind.
+// counts returns the messages counted so far, by kind.
 func (p *peerNetwork) counts() (out []peerTraffic) {
 	for i, kind := range messageKinds {
 		t := &p.traffic[i]
@@ -99,7 +110,8 @@
 	return out
 }
 
-// queueBroadcast never waits: where the queue is full, the message is lost, and counted.
+// queueBroadcast queues a message to all simulated nodes. It does not block: if the queue is full, the message is counted
+// as lost.
 func (p *peerNetwork) queueBroadcast(from int, payload []byte) {
 	select {
 	case p.broadcasts <- broadcastMessage{from, slices.Clone(payload)}:
@@ -108,7 +120,7 @@
 	}
 }
 
-// deliverBroadcasts hands messages to all to each simulated node, without a socket. It ends with the process.
+// deliverBroadcasts delivers the queued messages to each simulated node but the sender. It ends with the process.
 func (p *peerNetwork) deliverBroadcasts(nodes []*simulatedNode) {
 	for message := range p.broadcasts {
 		for _, n := range nodes {
@@ -119,9 +131,9 @@
 	}
 }
 
-// forwardForReal stands for the i-th real node before the other real ones, which know it by this address. What they send
-// here is forwarded from the address by which the i-th node knows the sender, as a node tells its peers apart by where a
-// datagram comes from. It ends with its socket.
+// forwardForReal forwards the datagrams that other real nodes send to the i-th real node's proxy. A node identifies a peer
+// by the datagram's source address, so the sender's proxy sends the datagram on. It ends when the proxy's socket is
+// closed.
 func (p *peerNetwork) forwardForReal(i int) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -135,8 +147,8 @@
 	}
 }
 
-// relayBroadcasts stands for the address that reaches all. What a real node sends there is forwarded to the other real
-// ones by their proxies, and to the simulated ones. It ends with its socket.
+// relayBroadcasts forwards the real nodes' broadcasts: to the other real nodes from the sender's proxy, and to the
+// simulated nodes over the queue. It ends when the broadcast socket is closed.
 func (p *peerNetwork) relayBroadcasts() {
 	buffer := make([]byte, relayBufferBytes)
 	for {
--- a/internal/lab/scale/nodepeers_test.go
+++ b/internal/lab/scale/nodepeers_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Messages are counted by their first byte; what no kind has is counted as other.
+// Messages are counted by their first byte, and as "other" if no kind has it.
 func TestPeerMessagesAreCountedByKind(t *testing.T) {
 	p := newPeerNetwork()
-	p.countMessage([]byte{0xC8, 1, 2}, true)
-	p.countMessage([]byte{0xCB}, false)
-	p.countMessage([]byte{0x41, 1}, false)
+	p.countMessage([]byte{0xC8, 1, 2}, incoming)
+	p.countMessage([]byte{0xCB}, outgoing)
+	p.countMessage([]byte{0x41, 1}, outgoing)
 	got := map[string]peerTraffic{}
 	for _, kind := range p.counts() {
 		got[kindName(kind.Kind)] = kind
@@ -32,8 +32,8 @@
 	}
 }
 
-// A full queue loses a message and counts it; one in the queue keeps its bytes whatever becomes of the sender's buffer.
-func TestBroadcastQueueNeverWaits(t *testing.T) {
+// A message that finds the queue full is counted as lost. A queued message is a copy of the sender's buffer.
+func TestBroadcastQueueDoesNotBlock(t *testing.T) {
 	p := newPeerNetwork()
 	payload := []byte{0xC8, 1}
 	for range broadcastQueue + 3 {
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -12,8 +12,8 @@
 
 const maxInFlight = 1024 // requests at all simulated nodes
 
-// generate begins requests at all simulated nodes, at times drawn in advance whatever becomes of those before. It ends
-// with the process; each request has a goroutine of its own, which ends with its answer.
+// generate starts requests at random simulated nodes, at times drawn in advance. It ends with the process. Each request has
+// a goroutine, which ends with the response.
 func (f *nodeFleet) generate() {
 	rate := f.cfg.SimulatedRate * float64(len(f.nodes))
 	if rate <= 0 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// playRequest takes one request through a node's engine to its answer.
+// playRequest executes the decisions of a node's engine on a request until its response, and counts the response.
 func (f *nodeFleet) playRequest(n *simulatedNode, tenant tenant, class *requestClass, due time.Time) {
 	inc, handle := n.current.Load(), newAttemptHandle()
 	inc.inFlight.Add(1)
@@ -49,13 +49,13 @@
 		switch decision := request.Next(); decision.Action {
 		case routing.Forward:
 			startedAt := time.Now()
-			outcome, ran := f.playAttempt(inc, handle, decision)
-			if ran {
+			attempt := f.playAttempt(inc, handle, decision)
+			if attempt.begun {
 				begun++
 			}
-			result := routing.AttemptResult{Outcome: outcome, Duration: time.Since(startedAt)}
+			result := routing.AttemptResult{Outcome: attempt.outcome, Duration: time.Since(startedAt)}
 			f.withEngineSlot(func() { request.Report(result) })
-			if outcome == protocol.Completed {
+			if attempt.outcome == protocol.Completed {
 				status = http.StatusOK
 			}
 		case routing.Reject:
@@ -68,22 +68,28 @@
 	f.recordAnswer(status, time.Since(due), class, begun)
 }
 
-// playAttempt is an attempt at a simulated server, which takes a drawn time unless the server is dead by then. It tells
-// whether the attempt began to run.
-func (f *nodeFleet) playAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) (protocol.Outcome, bool) {
+// attemptEnd is the end of an attempt at a simulated server.
+type attemptEnd struct {
+	outcome protocol.Outcome
+	begun   bool // the server began to execute the request
+}
+
+// playAttempt simulates an attempt at a server. The server needs a random time, and fails the attempt if it is dead by
+// then.
+func (f *nodeFleet) playAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) attemptEnd {
 	cancelled, ok := handle.begin(d.Attempt)
 	if !ok || !inc.router.InService(d.Server) {
-		return protocol.NotSent, false
+		return attemptEnd{outcome: protocol.NotSent}
 	}
 	server, ok := f.serverNumbers[d.Server.Addr]
 	if !ok {
-		return protocol.ConnectFailed, false
+		return attemptEnd{outcome: protocol.ConnectFailed}
 	}
 	if inc.drainedFor(server) > drainGrace+countSlack {
 		f.lateSends.Add(1)
 	}
 	if f.dead[server].Load() {
-		return protocol.ConnectFailed, false
+		return attemptEnd{outcome: protocol.ConnectFailed}
 	}
 	f.attemptsBegun[server].Add(1)
 	var duration time.Duration
@@ -92,29 +98,36 @@
 	defer timer.Stop()
 	select {
 	case <-cancelled:
-		return protocol.Cancelled, true
+		return attemptEnd{outcome: protocol.Cancelled, begun: true}
 	case <-timer.C:
 	}
 	switch {
 	case f.dead[server].Load():
-		return protocol.ConnectionReset, true
+		return attemptEnd{outcome: protocol.ConnectionReset, begun: true}
 	case duration > d.Timeout:
-		return protocol.TimedOut, true
+		return attemptEnd{outcome: protocol.TimedOut, begun: true}
 	}
-	return protocol.Completed, true
+	return attemptEnd{outcome: protocol.Completed, begun: true}
 }
 
-// attemptHandle is the attempt in flight of a simulated node's request, for the router to cancel.
+// noAttempt is the number of an attempt that does not exist.
+const noAttempt = -1
+
+// attemptHandle lets the router cancel the attempts of a simulated node's request. Its methods may be called from several
+// goroutines.
 type attemptHandle struct {
-	mu            sync.Mutex // guards what follows
-	number        int        // of the attempt in flight
-	cancelled     chan struct{}
-	lastCancelled int // attempt, which may not have begun yet
+	mu            sync.Mutex    // guards the fields below
+	number        int           // of the attempt in flight; noAttempt before the first one
+	cancelled     chan struct{} // closed by Cancel; nil after that
+	lastCancelled int           // number of an attempt, which may not have begun yet; noAttempt before the first Cancel
 }
 
-func newAttemptHandle() *attemptHandle { return &attemptHandle{number: -1, lastCancelled: -1} }
+// newAttemptHandle returns the handle of a request without attempts.
+func newAttemptHandle() *attemptHandle {
+	return &attemptHandle{number: noAttempt, lastCancelled: noAttempt}
+}
 
-// Cancel ends an attempt, or keeps it from beginning.
+// Cancel cancels the attempt with a number, or keeps it from beginning. It implements routing's handle of a request.
 func (h *attemptHandle) Cancel(attempt int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,7 +138,8 @@
 	}
 }
 
-// begin gives the channel that Cancel closes, or false where the attempt is cancelled already.
+// begin begins the attempt with a number and returns the channel that Cancel closes. The result is false if the attempt is
+// cancelled already.
 func (h *attemptHandle) begin(attempt int) (cancelled <-chan struct{}, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/scale/noderequests_test.go
+++ b/internal/lab/scale/noderequests_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An attempt that was cancelled before it began doesn't begin, and one in flight ends; other numbers touch neither.
+// Cancel keeps an attempt from beginning and ends the attempt in flight. It does not affect attempts of other numbers.
 func TestAttemptHandleCancels(t *testing.T) {
 	h := newAttemptHandle()
 	first, ok := h.begin(0)
@@ -23,10 +23,10 @@
 		t.Fatal("the next attempt doesn't begin")
 	}
 	h.Cancel(2)
-	h.Cancel(2) // once more is nothing
+	h.Cancel(2) // a second Cancel does nothing
 	select {
 	case <-second:
 	default:
-		t.Error("it goes on")
+		t.Error("a cancelled attempt goes on")
 	}
 }
--- a/internal/lab/scale/nodesreport.go
+++ b/internal/lab/scale/nodesreport.go
@@ -14,25 +14,27 @@
 // requestCounts counts the simulated nodes' requests.
 type requestCounts struct {
 	inFlight   atomic.Int64 // requests
-	duplicates atomic.Int64 // unsafe requests that began more than once
+	duplicates atomic.Int64 // unsafe requests that were executed more than once
 	lateSends  atomic.Int64 // attempts begun after the server's drain and its grace
 
-	countMu      sync.Mutex // guards what follows; histograms are in µs
-	section      nodesSection
-	total        nodesSection
-	latency      *hdr.Histogram // since the last section
-	totalLatency *hdr.Histogram
-	lag          *hdr.Histogram // how late requests were begun
-	timerLag     *hdr.Histogram // how late engines' timers went off
+	countMu      sync.Mutex     // guards the fields below
+	section      nodesSection   // since the last section
+	total        nodesSection   // before the last section's end
+	latency      *hdr.Histogram // since the last section, µs
+	totalLatency *hdr.Histogram // µs
+	lag          *hdr.Histogram // delay of requests behind their due time, µs
+	timerLag     *hdr.Histogram // delay of engines' timers behind their due time, µs
 }
 
+// newRequestCounts returns counts of 0.
 func newRequestCounts() requestCounts {
 	return requestCounts{
 		latency: newHistogram(), totalLatency: newHistogram(), lag: newHistogram(), timerLag: newHistogram(),
 	}
 }
 
-// recordSent counts a request that is begun, or returns false where too many are in flight.
+// recordSent counts a request that is sent now. It returns false, and counts the request as skipped, if too many requests
+// are in flight.
 func (c *requestCounts) recordSent(due time.Time) bool {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
@@ -46,7 +48,7 @@
 	return true
 }
 
-// recordAnswer counts a request's answer by its HTTP status.
+// recordAnswer counts a response by its HTTP status. begun is the number of the request's attempts that a server executed.
 func (c *requestCounts) recordAnswer(status int, took time.Duration, class *requestClass, begun int) {
 	c.inFlight.Add(-1)
 	if begun > 1 && !class.idempotent {
@@ -69,6 +71,7 @@
 	}
 }
 
+// recordTimerLag records the delay of a timer that fires now.
 func (c *requestCounts) recordTimerLag(due time.Time) {
 	late := time.Since(due)
 	c.countMu.Lock()
@@ -76,7 +79,7 @@
 	c.countMu.Unlock()
 }
 
-// cutSection gives the requests counted since the last section.
+// cutSection returns the counts since the last section, and begins a new one.
 func (c *requestCounts) cutSection() nodesSection {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
@@ -88,7 +91,7 @@
 	return section
 }
 
-// report stops new requests, waits for the last answers as long as a client would, and gives all counts.
+// report stops new requests, waits for the last responses as long as a client does, and returns all counts.
 func (f *nodeFleet) report() *nodesReport {
 	f.sending.Store(false)
 	for end := time.Now().Add(lastAnswerTimeout()); f.inFlight.Load() > 0 && time.Now().Before(end); {
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// requestClass is a class of request.
+// requestClass is a request class.
 type requestClass struct {
 	name       string
 	method     string
-	semantics  string  // of repeats, as the platform's settings name them
+	semantics  string  // retry safety, as the platform's settings name it
 	share      float64 // of all requests
 	objective  time.Duration
-	timeout    time.Duration // until the client gives up
+	timeout    time.Duration // of the client
 	idempotent bool
 }
 
+// classes lists the request classes.
 var classes = []requestClass{
 	{"quote", http.MethodGet, "idempotent", 0.7, time.Second, 2 * time.Second, true},
 	{"order", http.MethodPost, "at_most_once", 0.3, 2 * time.Second, 4 * time.Second, false},
 }
 
-// lastAnswerTimeout is how long after the last request every answer must have come.
+// lastAnswerTimeout returns the time after the last request within which every response must arrive.
 func lastAnswerTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -33,36 +34,39 @@
 	return longest + answerGrace
 }
 
-// quotaPlan is what a tenant may spend: units/s, and units at once. Each request is one unit.
+// quotaPlan is a quota. A request costs one unit.
 type quotaPlan struct {
-	name        string
-	rate, burst float64
+	name  string
+	rate  float64 // units/s
+	burst float64 // units
 }
 
+// plans lists the plans by their rate.
 var plans = []quotaPlan{{"small", 20, 60}, {"middle", 200, 600}, {"large", 4000, 8000}}
 
 const (
-	zipfSkew              = 0.8 // of tenants' demand
-	zipfOffset            = 10  // so that the first ranks are about alike
-	minSpread             = 3   // nodes that a tenant comes in by,
-	requestsPerSpreadNode = 4.0 // and one for each so many requests/s, mean
-	quotaHeadroom         = 3.0 // quotas are so many times the mean demand at least: a tenant's bursts are not what is measured
+	zipfSkew              = 0.8 // exponent of the tenants' demand by rank
+	zipfOffset            = 10  // added to each rank, which flattens the demand of the first ones
+	minSpread             = 3   // smallest number of nodes that a tenant sends to
+	requestsPerSpreadNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread
+	quotaHeadroom         = 3.0 // smallest ratio of a tenant's quota to its mean demand, so that bursts are not rejected
 )
 
-// tenant is a customer.
+// tenant is a customer. It sends to consecutive nodes.
 type tenant struct {
 	key       uint64
 	plan      int // index of plans
-	firstNode int // of the nodes that it comes in by, which are consecutive
-	spread    int // how many those are
+	firstNode int
+	spread    int // number of nodes
 }
 
-// population are the tenants that come in by one node, and how often.
+// population holds the tenants of one node and their shares of its requests.
 type population struct {
 	tenants    []tenant
-	cumulative []float64 // share of the requests of the tenants up to this one, not scaled
+	cumulative []float64 // sum of the shares up to each tenant, not normalized
 }
 
+// add adds a tenant with its share, which is not normalized.
 func (p *population) add(t tenant, share float64) {
 	if last := len(p.cumulative) - 1; last >= 0 {
 		share += p.cumulative[last]
@@ -70,16 +74,16 @@
 	p.tenants, p.cumulative = append(p.tenants, t), append(p.cumulative, share)
 }
 
-// draw draws the tenant of a request.
+// draw draws the tenant of a request by the shares. The population must not be empty.
 func (p *population) draw(rng *rand.Rand) tenant {
 	total := p.cumulative[len(p.cumulative)-1]
 	i, _ := slices.BinarySearch(p.cumulative, rng.Float64()*total)
 	return p.tenants[min(i, len(p.tenants)-1)]
 }
 
-// dealTenants deals the tenants out to the live nodes (real ones first, then simulated ones), by the seed alone, so that
-// every process deals alike. It fills in the wanted nodes only.
-func dealTenants(cfg Config, wanted func(node int) bool) []population {
+// assignTenants returns the populations of the live nodes, by node. They depend on cfg alone, so that all processes of a
+// run agree. Only the populations of wanted nodes are set.
+func assignTenants(cfg Config, wanted func(node int) bool) []population {
 	live := cfg.liveNodes()
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0x7465))
 	populations := make([]population, live)
@@ -89,11 +93,11 @@
 		sum += weights[i]
 	}
 	for i, weight := range weights {
-		demand := weight / sum * cfg.Rate * float64(live) // requests/s, were all nodes at the mean rate
+		demand := weight / sum * cfg.Rate * float64(live) // requests/s, if all nodes have the mean rate of real ones
 		t := tenant{key: uint64(i) + 1, plan: planFor(demand)}
 		t.spread = min(max(minSpread, int(math.Ceil(demand/requestsPerSpreadNode))), live)
 		t.firstNode = rng.IntN(live)
-		if live < cfg.Nodes { // the nodes behind the last live one don't run
+		if live < cfg.Nodes { // the nodes after the last live one do not run
 			t.firstNode = min(t.firstNode, live-t.spread)
 		}
 		for k := range t.spread {
@@ -103,7 +107,7 @@
 		}
 	}
 	for node := range populations {
-		// With few tenants a node may have none of them: it gets one of its own, as there would be nobody to draw.
+		// With few tenants a node may have none. It gets an additional one, as draw needs a tenant.
 		if wanted(node) && len(populations[node].tenants) == 0 {
 			populations[node].add(tenant{key: uint64(cfg.Tenants + node + 1), firstNode: node, spread: 1}, 1)
 		}
@@ -111,7 +115,7 @@
 	return populations
 }
 
-// planFor is the smallest plan that a demand (requests/s) fits.
+// planFor returns the index of the smallest plan for a mean demand in requests/s.
 func planFor(demand float64) int {
 	plan := 0
 	for plan < len(plans)-1 && plans[plan].rate < quotaHeadroom*demand {
@@ -128,7 +132,7 @@
 	return &classes[1]
 }
 
-// drawServiceTime draws how long an app server takes: uniform from 2 to 6 ms, so that quantiles vary little by chance.
+// drawServiceTime draws an app server's service time: uniform from 2 to 6 ms, for which quantiles vary little between runs.
 func drawServiceTime(rng *rand.Rand) time.Duration {
 	return 2*time.Millisecond + time.Duration(rng.Int64N(int64(4*time.Millisecond)))
 }
--- a/internal/lab/scale/procfs.go
+++ b/internal/lab/scale/procfs.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	clockTicksPerSecond = 100 // of /proc's CPU times: the same on all of Linux
+	clockTicksPerSecond = 100 // unit of /proc's CPU times (USER_HZ, proc(5))
 	kibPerMiB           = 1024
 )
 
 var errNoCPUTime = errors.New("no CPU time in /proc")
 
-// memoryUse is a process's resident memory, KiB.
+// memoryUse is the resident memory of a process, KiB.
 type memoryUse struct {
 	now, peak int64
 }
 
-// readMemory is 0 where the process is gone.
+// readMemory returns the memory of a process; 0 if the process has ended.
 func readMemory(pid int) memoryUse {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -31,7 +31,7 @@
 	return memoryUse{now: statusField(raw, "VmRSS:"), peak: statusField(raw, "VmHWM:")}
 }
 
-// statusField is a number of a /proc status file; 0 where it is missing.
+// statusField returns a number of a /proc status file; 0 if it is missing.
 func statusField(raw []byte, name string) int64 {
 	for line := range bytes.Lines(raw) {
 		if fields := strings.Fields(string(line)); len(fields) > 1 && fields[0] == name {
@@ -42,15 +42,16 @@
 	return 0
 }
 
+// peakRSSMiB returns the largest resident memory that a process has had, MiB.
 func peakRSSMiB(pid int) float64 { return float64(readMemory(pid).peak) / kibPerMiB }
 
-// cpuTime is the CPU time that a process has used so far.
+// cpuTime returns the CPU time that a process has used.
 func cpuTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	_, rest, ok := strings.Cut(string(raw), ") ") // behind the name, which may hold anything
+	_, rest, ok := strings.Cut(string(raw), ") ") // after the program's name, which may contain blanks
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 13 {
 		return 0, errNoCPUTime
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -3,65 +3,46 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
-	"net"
-	"net/http"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strconv"
 	"sync"
 	"syscall"
 	"time"
 
-	"cherrygap/internal/protocol"
+	"cherrygap/internal/lab/nodeprocess"
 )
 
-const (
-	startTimeout       = 20 * time.Second // until a real node is ready
-	readyCheckInterval = 20 * time.Millisecond
-)
+const nodeStartTimeout = 20 * time.Second // until a real node is ready
 
-// realNode is one edge node with sockets, over its restarts.
+// realNode is an edge node with sockets, over its restarts. Its methods may be called from several goroutines.
 type realNode struct {
 	number        int
 	clientAddr    string
 	peerAddr      string
-	agentAddr     string
+	agentAddr     string           // of discovery
 	peerAddrs     []netip.AddrPort // of all nodes, by number
-	broadcastAddr string
+	broadcastAddr string           // reaches all nodes
 
-	mu        sync.Mutex // guards what follows
-	process   *process
-	accepting bool      // clients may go there
-	memory    memoryUse // the most over its starts
-	exits     int       // it ended by itself
-	killed    int       // it didn't end within stopTimeout
+	mu        sync.Mutex // guards the fields below
+	process   *nodeprocess.Process
+	accepting bool      // clients send to the node
+	memory    memoryUse // maximum over all processes of the node
+	ends      nodeEndings
 }
 
-// freeAddress is an address of a block that was free a moment ago. Another process could take it before the node does;
-// the blocks are this lab's own.
-func freeAddress(network string, block, i int) (string, error) {
-	if network == "udp" {
-		conn, err := net.ListenPacket("udp", loopbackAddress(block, i))
-		if err != nil {
-			return "", err
-		}
-		defer func() { _ = conn.Close() }()
-		return conn.LocalAddr().String(), nil
-	}
-	listener, err := net.Listen("tcp", loopbackAddress(block, i))
-	if err != nil {
-		return "", err
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String(), nil
+// nodeEndings counts the processes of a node that did not end in time after SIGTERM.
+type nodeEndings struct {
+	exited int // without a signal
+	killed int // not within childKillAfter
 }
 
-// config is what the node is started with. Each restart has a seed of its own.
+// name returns the node's name in its configuration and of its files.
+func (n *realNode) name() string { return "real" + strconv.Itoa(n.number) }
+
+// config returns the node's configuration file. Each restart has its own seed.
 func (n *realNode) config(cfg *Config, known json.RawMessage, restart int) ([]byte, error) {
 	return json.Marshal(map[string]any{
-		"name": "real" + strconv.Itoa(n.number), "listen": n.clientAddr, "discovery": n.agentAddr,
+		"name": n.name(), "listen": n.clientAddr, "discovery": n.agentAddr,
 		"seed":        strconv.FormatUint(cfg.Seed<<20|uint64(restart)<<10|uint64(n.number), 16),
 		"limits":      map[string]any{"cores": 1, "memory_mb": cfg.MemoryMB, "sockets": cfg.Sockets},
 		"peer_listen": n.peerAddr, "peers": n.peerAddrs, "peers_all": n.broadcastAddr,
@@ -69,96 +50,80 @@
 	})
 }
 
-// start starts the node, for the restart-th time after the first, and waits until it accepts requests.
+// start starts the node and waits until it is ready. known is the endpoint list in its configuration, restart the number of
+// restarts before this start.
 func (n *realNode) start(ctx context.Context, cfg *Config, known json.RawMessage, restart int) error {
 	raw, err := n.config(cfg, known, restart)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(cfg.Dir, fmt.Sprintf("real%d.json", n.number))
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
+	if err := nodeprocess.WriteConfig(cfg.Dir, n.name(), raw); err != nil {
 		return err
 	}
-	env := []string{"GW_CONFIG=" + path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY="}
-	p, err := startProcess(cfg, fmt.Sprintf("real%d", n.number), env, nil, "serve")
+	p, err := nodeprocess.Start(nodeprocess.Command{
+		Program: cfg.Program, Args: []string{"serve"}, Env: nodeprocess.ConfigEnv(cfg.Dir, n.name()), Dir: cfg.Dir, Name: n.name(),
+	})
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	n.process, n.accepting = p, false
 	n.mu.Unlock()
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
-		if n.answersHealthCheck() {
-			n.setAccepting(true)
-			return nil
-		}
-		select {
-		case <-p.exited:
-			return fmt.Errorf("real node %d ended at its start: %s", n.number, p.lastLogLine(cfg))
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(readyCheckInterval):
-		}
-	}
-	return fmt.Errorf("real node %d is not ready %v after its start", n.number, startTimeout)
-}
-
-func (n *realNode) answersHealthCheck() bool {
-	response, err := http.Get("http://" + n.clientAddr + protocol.HealthPath)
-	if err != nil {
-		return false
+	if err := p.AwaitReady(ctx, n.clientAddr, nodeStartTimeout); err != nil {
+		return err
 	}
-	_ = response.Body.Close()
-	return response.StatusCode == http.StatusOK
+	n.setAccepting(true)
+	return nil
 }
 
-// drain stops the node. Clients go there for a moment more, as to any node that is taken out.
+// drain stops the node by SIGTERM. Clients send to the node for clientsLinger more, as a load balancer notices late.
 func (n *realNode) drain(clientsLinger time.Duration) {
 	n.recordMemory()
 	n.mu.Lock()
 	p := n.process
-	if p != nil && p.hasExited() {
-		n.exits++
+	if p != nil && p.HasExited() {
+		n.ends.exited++
 	}
 	n.mu.Unlock()
 	if p == nil {
 		return
 	}
-	stopped := make(chan bool, 1)
-	go func() { stopped <- p.stop(syscall.SIGTERM) }() // ends with the process
+	ended := make(chan nodeprocess.Ending, 1)
+	go func() { ended <- p.Stop(syscall.SIGTERM, childKillAfter) }() // ends with the process
 	time.Sleep(clientsLinger)
 	n.setAccepting(false)
-	if !<-stopped {
+	if <-ended == nodeprocess.Killed {
 		n.mu.Lock()
-		n.killed++
+		n.ends.killed++
 		n.mu.Unlock()
 	}
 }
 
+// setAccepting sets whether clients send to the node.
 func (n *realNode) setAccepting(accepting bool) {
 	n.mu.Lock()
 	n.accepting = accepting
 	n.mu.Unlock()
 }
 
-// acceptsClients tells whether clients go to the node.
+// acceptsClients reports whether clients send to the node.
 func (n *realNode) acceptsClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.accepting
 }
 
-// pid is 0 where the node was never started.
+// pid returns the ID of the node's last process; 0 if the node was never started.
 func (n *realNode) pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
 		return 0
 	}
-	return n.process.pid()
+	return n.process.PID()
 }
 
-// recordMemory notes what the process holds and has held, and gives the most of both so far.
+// recordMemory measures the memory of the present process and returns the maximum over all measurements.
 func (n *realNode) recordMemory() memoryUse {
 	use := readMemory(n.pid())
 	n.mu.Lock()
@@ -167,13 +132,13 @@
 	return n.memory
 }
 
-// exitCounts counts how often the node ended by itself, a last time now included, and how often it was killed.
-func (n *realNode) exitCounts() (byItself, killed int) {
+// endings returns the counts of processes so far. A process that has ended and that drain has not stopped counts as exited.
+func (n *realNode) endings() nodeEndings {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	byItself = n.exits
-	if n.process != nil && n.process.hasExited() {
-		byItself++
+	ends := n.ends
+	if n.process != nil && n.process.HasExited() {
+		ends.exited++
 	}
-	return byItself, n.killed
+	return ends
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -1,7 +1,7 @@
 package scale
 
-// Result is what a run measured, as its one JSON line. docs/lab.md says what each figure is. The keys are those that
-// earlier versions wrote, so that old and new results compare.
+// Result holds the figures of a run, which `lab scale` prints as one JSON line. docs/lab.md describes each figure. The keys
+// are a stable format, so that results of different versions can be compared.
 type Result struct {
 	Nodes     int      `json:"nodes"`
 	Real      int      `json:"real"`
@@ -99,7 +99,8 @@
 	OutBytes float64 `json:"out_bytes_s"`
 }
 
-// Section is one part of the run. Latencies are in ms; Added is what a node adds to a direct request.
+// Section holds the figures of one part of the run. Latencies are in ms; the Added ones are the differences between
+// requests by way of a node and direct ones.
 type Section struct {
 	Name         string  `json:"name"`
 	DurationS    float64 `json:"for_s"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -12,16 +12,16 @@
 	"cherrygap/internal/lab/workdir"
 )
 
-// Sections of a run beside those of the faults.
+// The names of the sections without a fault.
 const (
 	sectionWarmUp = "warm-up"
 	sectionQuiet  = "quiet"
-	sectionIdle   = "idle" // no client sends; it is not in the result's sections
+	sectionIdle   = "idle" // without client requests; not in the result's sections
 )
 
 const minWarmUp = 500 * time.Millisecond
 
-// run is one run in progress. It is used by one goroutine, that of Run.
+// run is a run in progress. Only the goroutine of Run uses it, except for the methods that playRollingRestart starts.
 type run struct {
 	cfg           Config
 	serversWorker *worker // simulated app servers
@@ -36,7 +36,7 @@
 
 	changes        []measuredChange
 	changedServers map[int]bool
-	nextSpare      int   // server that is listed next
+	nextSpare      int   // number of the spare server that is listed next
 	draining       []int // servers, in the order of their drains
 
 	sections []section
@@ -48,7 +48,8 @@
 	simulated nodesSection
 }
 
-// Run plays cfg and returns what was measured. It stops what it started, also where it fails or ctx ends.
+// Run runs a simulation and returns its figures. It stops all child processes before it returns, also if it fails or ctx
+// ends.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -75,13 +76,12 @@
 		return nil, err
 	}
 	for _, n := range r.nodes {
-		_, killed := n.exitCounts()
-		result.Killed += killed
+		result.Killed += n.endings().killed
 	}
 	return result, nil
 }
 
-// close stops all children: nodes first, all at once, then the workers.
+// close stops all children: first the real nodes, concurrently, then the workers.
 func (r *run) close() {
 	if r.closed {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// pause waits, or returns ctx's error.
+// pause waits for a time, or until ctx ends, whose error it then returns.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -120,7 +120,7 @@
 	}
 }
 
-// play starts everything and plays the sections in order: warm-up, quiet, each fault, idle.
+// play starts all parts and plays the sections in order: warm-up, quiet, each fault, idle.
 func (r *run) play(ctx context.Context) (*Result, error) {
 	startedAt := time.Now()
 	if err := r.setUp(ctx); err != nil {
@@ -146,17 +146,24 @@
 	if err := r.playIdle(ctx, idle, result); err != nil {
 		return nil, err
 	}
-	r.cfg.Log.Info().Msg("counts are gathered")
+	r.cfg.Log.Info().Msg("collecting the counts")
 	return result, result.collect(r)
 }
 
+// playWarmUp plays the first section, at whose start the clients begin to send.
 func (r *run) playWarmUp(ctx context.Context, length time.Duration) error {
-	return r.playSection(ctx, sectionWarmUp, length, func() error {
-		r.clients.sending.Store(true)
-		return r.commandNodes(nodesCommand{Verb: nodesSend}, nil)
-	})
+	r.beginSection(sectionWarmUp)
+	r.clients.sending.Store(true)
+	if err := r.commandNodes(nodesCommand{Verb: nodesSend}, nil); err != nil {
+		return err
+	}
+	if err := pause(ctx, length); err != nil {
+		return err
+	}
+	return r.endSection()
 }
 
+// playQuiet plays a section without faults, over which the CPU use is measured.
 func (r *run) playQuiet(ctx context.Context, length time.Duration, result *Result) error {
 	r.beginSection(sectionQuiet)
 	use := r.measureCPU()
@@ -167,7 +174,7 @@
 	return r.endSection()
 }
 
-// playFaults plays the configured faults, a section each.
+// playFaults plays the configured faults, one section for each.
 func (r *run) playFaults(ctx context.Context, length time.Duration) error {
 	players := map[string]func(context.Context, time.Duration) error{
 		FaultChanges: r.playChanges, FaultRollingRestart: r.playRollingRestart,
@@ -192,7 +199,7 @@
 	return nil
 }
 
-// playIdle stops the clients, waits for their last answers, and measures what the nodes use without requests.
+// playIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
 func (r *run) playIdle(ctx context.Context, length time.Duration, result *Result) error {
 	r.clients.sending.Store(false)
 	answered := make(chan struct{})
@@ -202,7 +209,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(lastAnswerTimeout()):
-		result.Unanswered++ // one at least: no client waits so long
+		result.Unanswered++ // at least one request has no response after its client's timeout
 	}
 	r.cfg.Log.Info().Str("section", sectionIdle).Msg("section begins")
 	use := r.measureCPU()
@@ -213,18 +220,7 @@
 	return nil
 }
 
-// playSection plays a section that does one thing at its start.
-func (r *run) playSection(ctx context.Context, name string, length time.Duration, start func() error) error {
-	r.beginSection(name)
-	if err := start(); err != nil {
-		return err
-	}
-	if err := pause(ctx, length); err != nil {
-		return err
-	}
-	return r.endSection()
-}
-
+// beginSection begins to count the requests of a new section.
 func (r *run) beginSection(name string) {
 	r.cfg.Log.Info().Str("section", name).Msg("section begins")
 	counts := newSectionCounts(name)
@@ -232,6 +228,7 @@
 	r.clients.section.Store(counts)
 }
 
+// endSection ends the last section and records the simulated nodes' counts and the real nodes' memory.
 func (r *run) endSection() error {
 	var reply nodesReply
 	if err := r.commandNodes(nodesCommand{Verb: nodesCut}, &reply); err != nil {
@@ -248,7 +245,7 @@
 	return nil
 }
 
-// commandNodes has the simulated nodes execute a command; reply may be nil.
+// commandNodes sends a command to the simulated nodes and waits for the reply, which may be nil.
 func (r *run) commandNodes(command nodesCommand, reply *nodesReply) error {
 	if reply == nil {
 		reply = &nodesReply{}
@@ -256,7 +253,7 @@
 	return execute(r.nodesWorker, command, reply)
 }
 
-// commandServers has the simulated app servers execute a command; reply may be nil.
+// commandServers sends a command to the simulated app servers and waits for the reply, which may be nil.
 func (r *run) commandServers(command serversCommand, reply *serversReply) error {
 	if reply == nil {
 		reply = &serversReply{}
@@ -264,7 +261,7 @@
 	return execute(r.serversWorker, command, reply)
 }
 
-// execute has a worker execute a command. A failure that the reply states is an error too.
+// execute sends a command to a worker and decodes the reply. A failure that the reply states is returned as an error.
 func execute(w *worker, command any, reply interface{ failure() string }) error {
 	if err := w.call(command, reply); err != nil {
 		return err
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -33,19 +33,19 @@
 	}
 }
 
-// Every tenant comes in by its own nodes alone, which the settings number as the lab does, and the same seed deals out
-// the same tenants whoever asks.
-func TestTenantsComeInByTheirNodes(t *testing.T) {
+// Every tenant sends to its own nodes only, numbered as in the settings. A node's population does not depend on which other
+// populations are wanted.
+func TestTenantsSendToTheirNodes(t *testing.T) {
 	for _, c := range []Config{
 		{Nodes: 830, Real: 3, Simulated: 827, Tenants: 43000, Rate: 85, Seed: 7},
 		{Nodes: 830, Real: 2, Simulated: 10, Tenants: 300, Rate: 85, Seed: 7},
 		{Nodes: 5, Real: 2, Simulated: 3, Tenants: 2, Rate: 85, Seed: 7},
 	} {
-		all := dealTenants(c, func(int) bool { return true })
-		some := dealTenants(c, func(n int) bool { return n == 1 })
+		all := assignTenants(c, func(int) bool { return true })
+		some := assignTenants(c, func(n int) bool { return n == 1 })
 		live := c.Real + c.Simulated
 		if len(all) != live || !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].cumulative, some[1].cumulative) {
-			t.Fatal("dealt out otherwise")
+			t.Fatal("the populations differ")
 		}
 		rng := rand.New(rand.NewPCG(1, 2))
 		for n := range all {
@@ -53,7 +53,7 @@
 				x := all[n].draw(rng)
 				if at := (n - x.firstNode + c.Nodes) % c.Nodes; at >= x.spread || x.firstNode >= live || x.spread > live ||
 					live < c.Nodes && x.firstNode+x.spread > live {
-					t.Fatalf("node %d takes in %+v", n, x)
+					t.Fatalf("node %d has the tenant %+v", n, x)
 				}
 			}
 		}
--- a/internal/lab/scale/sectioncounts.go
+++ b/internal/lab/scale/sectioncounts.go
@@ -9,29 +9,30 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sectionCounts counts the clients' requests of one section.
+// sectionCounts counts the clients' requests of one section. Latencies count from a request's due time.
 type sectionCounts struct {
 	name      string
 	startedAt time.Time
 	endedAt   time.Time
 
 	sent, completed, rejected, failed atomic.Int64
-	otherStatus                       atomic.Int64 // or an answer that is not an app server's
+	otherStatus                       atomic.Int64 // or a body that is not an app server's
 	lateAnswers                       atomic.Int64
 	unanswered                        atomic.Int64
 	connectFailed                     atomic.Int64
 	directFailed                      atomic.Int64
 
-	mu      sync.Mutex     // guards what follows; µs from when each request was due
-	viaNode *hdr.Histogram // requests by way of a node
-	direct  *hdr.Histogram // the same ones, sent directly to the server
+	mu      sync.Mutex     // guards the fields below
+	viaNode *hdr.Histogram // latency of requests by way of a node, µs
+	direct  *hdr.Histogram // latency of the requests repeated directly at the server, µs
 }
 
+// newSectionCounts returns the counts of a section that begins now.
 func newSectionCounts(name string) *sectionCounts {
 	return &sectionCounts{name: name, startedAt: time.Now(), viaNode: newHistogram(), direct: newHistogram()}
 }
 
-// recordAnswer counts an answer by way of a node.
+// recordAnswer counts a node's response by its HTTP status.
 func (s *sectionCounts) recordAnswer(status int, took, timeout time.Duration) {
 	if took > timeout+countSlack {
 		s.lateAnswers.Add(1)
@@ -51,13 +52,14 @@
 	}
 }
 
+// recordDirect records the latency of a direct request.
 func (s *sectionCounts) recordDirect(took time.Duration) {
 	s.mu.Lock()
 	recordMicros(s.direct, took)
 	s.mu.Unlock()
 }
 
-// result gives the section's line of the result.
+// result returns the section's figures, without those of the simulated nodes.
 func (s *sectionCounts) result() Section {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -6,7 +6,7 @@
 	"cherrygap/internal/settings"
 )
 
-// platformSettings are a node's settings, in the platform's names; times are in microseconds.
+// platformSettings returns a node's settings in the platform's JSON form, which has times in microseconds.
 func platformSettings(cfg Config, node int) json.RawMessage {
 	type object = map[string]any
 	var services, tiers []object
@@ -33,16 +33,16 @@
 		"specifics": object{"largest": 100, "peer_in_per_s": cfg.PeerRate},
 	})
 	if err != nil {
-		panic(err) // of constants and numbers that were checked
+		panic(err) // all values are constants or were checked by Config.Check
 	}
 	return raw
 }
 
-// engineSettings are the same as the nodes of the model take them.
+// engineSettings returns the same settings for an engine without a node's process.
 func engineSettings(cfg Config, node int) *settings.Settings {
 	set, err := settings.FromJSON(platformSettings(cfg, node))
 	if err != nil {
-		panic(err) // it was written just now
+		panic(err) // platformSettings returns valid settings
 	}
 	set.Node = settings.IntNumber(node)
 	return set
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -9,11 +9,12 @@
 	"strconv"
 
 	"cherrygap/internal/lab/discovery"
+	"cherrygap/internal/lab/nodeprocess"
 	"cherrygap/internal/protocol"
 )
 
-// setUp starts everything: app servers and simulated nodes, discovery's agent, real nodes, clients. It returns once all
-// nodes have an endpoint list.
+// setUp starts the app servers, the simulated nodes, discovery's agent and the real nodes. It returns once all nodes have
+// an endpoint list.
 func (r *run) setUp(ctx context.Context) error {
 	servers, addresses, err := r.startWorkers(ctx)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return r.commandNodes(nodesCommand{Verb: nodesReady}, nil)
 }
 
-// startWorkers starts the processes of the app servers and the simulated nodes and gives the addresses of both.
+// startWorkers starts the workers of the app servers and of the simulated nodes. It returns the addresses of both.
 func (r *run) startWorkers(ctx context.Context) (servers []string, nodes nodesReply, err error) {
 	cfg := &r.cfg
 	count := strconv.Itoa(cfg.Servers + cfg.spareServers())
@@ -63,7 +64,7 @@
 	return first.Addrs, nodes, err
 }
 
-// listedEndpoints is discovery's list of all servers. Those past the configured ones are listed by changes alone.
+// listedEndpoints returns discovery's endpoints for all servers. The spare servers are not listed until a change adds them.
 func (r *run) listedEndpoints(servers []string) ([]discovery.Endpoint, error) {
 	endpoints := make([]discovery.Endpoint, len(servers))
 	for i, s := range servers {
@@ -79,13 +80,13 @@
 	return endpoints, nil
 }
 
-// zoneName is a server's zone.
+// zoneName returns the zone of a server.
 func zoneName(server int) string {
 	zone := server % (regions * zonesPerRegion)
 	return fmt.Sprintf("r%d-z%d", zone/zonesPerRegion, zone%zonesPerRegion)
 }
 
-// makeRealNodes gives the real nodes their addresses and tells each how it reaches its peers.
+// makeRealNodes creates the real nodes with their own addresses and those of their peers, but does not start them.
 func (r *run) makeRealNodes(nodes nodesReply) error {
 	peers := make([]netip.AddrPort, 0, r.cfg.liveNodes())
 	for _, s := range slices.Concat(nodes.Proxies, nodes.Nodes) {
@@ -100,10 +101,10 @@
 			number: i, agentAddr: r.agent.Addr(i), broadcastAddr: nodes.Broadcast, peerAddrs: slices.Clone(peers),
 		}
 		var err error
-		if n.clientAddr, err = freeAddress("tcp", realNodeBlock, i); err != nil {
+		if n.clientAddr, err = nodeprocess.FreeAddress("tcp", loopbackAddress(realNodeBlock, i)); err != nil {
 			return err
 		}
-		if n.peerAddr, err = freeAddress("udp", realNodeBlock, i); err != nil {
+		if n.peerAddr, err = nodeprocess.FreeAddress("udp", loopbackAddress(realNodeBlock, i)); err != nil {
 			return err
 		}
 		if n.peerAddrs[i], err = netip.ParseAddrPort(n.peerAddr); err != nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// startRealNodes starts all real nodes at once.
+// startRealNodes starts all real nodes concurrently and waits until they are ready.
 func (r *run) startRealNodes(ctx context.Context) error {
 	started := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -10,40 +10,59 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"cherrygap/internal/lab/nodeprocess"
+)
+
+const (
+	childKillAfter = 4 * time.Second // from SIGTERM to SIGKILL
+	workerExitTime = time.Second     // from the end of a worker's input to SIGTERM
 )
 
-// worker is a child that takes commands on its standard input, a JSON line each, and answers each with one line.
+// worker is a child process that reads commands from its standard input and writes one reply to each to its standard
+// output, as JSON lines. Its methods may be called from several goroutines.
 type worker struct {
-	*process
-	cfg *Config
+	process *nodeprocess.Process
 
-	mu       sync.Mutex // held over a command and its reply
+	mu       sync.Mutex // guards the fields below; held from a command to its reply
 	stdin    io.WriteCloser
 	commands *json.Encoder
 	replies  *json.Decoder
 }
 
-// startWorker starts one. It is stopped with ctx, so that no command waits for its reply any more.
+// startWorker starts this program as a worker. The worker is stopped when ctx ends, so that no call waits for a reply any
+// more.
 func startWorker(ctx context.Context, cfg *Config, name string, args ...string) (*worker, error) {
-	w := &worker{cfg: cfg}
+	w := &worker{}
 	var err error
-	w.process, err = startProcess(cfg, name, nil, func(cmd *exec.Cmd) error {
-		out, err := cmd.StdoutPipe()
-		if err == nil {
-			w.stdin, err = cmd.StdinPipe()
-		}
-		w.commands, w.replies = json.NewEncoder(w.stdin), json.NewDecoder(out)
-		return err
-	}, args...)
+	w.process, err = nodeprocess.Start(nodeprocess.Command{
+		Program: cfg.Program, Args: args, Dir: cfg.Dir, Name: name, Prepare: w.openPipes,
+	})
 	if err != nil {
 		return nil, err
 	}
-	context.AfterFunc(ctx, func() { w.stop(syscall.SIGTERM) })
+	context.AfterFunc(ctx, func() { w.process.Stop(syscall.SIGTERM, childKillAfter) })
 	return w, nil
 }
 
-// call sends a command (nil: none) and waits for the reply, which it decodes into reply. An error holds the last line of
-// the worker's log.
+// openPipes connects the worker's standard input and output.
+func (w *worker) openPipes(cmd *exec.Cmd) error {
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		return err
+	}
+	if w.stdin, err = cmd.StdinPipe(); err != nil {
+		return err
+	}
+	w.commands, w.replies = json.NewEncoder(w.stdin), json.NewDecoder(out)
+	return nil
+}
+
+// pid returns the worker's process ID.
+func (w *worker) pid() int { return w.process.PID() }
+
+// call sends a command, unless it is nil, and decodes the reply into reply. An error contains the last line of the
+// worker's log.
 func (w *worker) call(command, reply any) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,22 +74,23 @@
 		err = w.replies.Decode(reply)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w: %s", w.name, err, w.lastLogLine(w.cfg))
+		return fmt.Errorf("%s: %w: %s", w.process.Name(), err, w.process.LastLogLine())
 	}
 	return nil
 }
 
-// closeInput closes the worker's input, at which it ends by itself; it is stopped where it doesn't.
+// closeInput closes the worker's standard input, at which the worker ends, and stops a worker that does not end in time.
 func (w *worker) closeInput() {
-	_ = w.stdin.Close()
+	_ = w.stdin.Close() // fails if the worker has ended
 	select {
-	case <-w.exited:
-	case <-time.After(time.Second):
-		w.stop(syscall.SIGTERM)
+	case <-w.process.Exited():
+	case <-time.After(workerExitTime):
+		w.process.Stop(syscall.SIGTERM, childKillAfter)
 	}
 }
 
-// serveCommands is the worker's own side: it writes the first reply and then one to each command, until in ends.
+// serveCommands is the worker's side of the protocol: it writes the first reply and then one reply to each command, until
+// in ends.
 func serveCommands[Command, Reply any](in *json.Decoder, out io.Writer, first Reply, execute func(Command) Reply) error {
 	replies := json.NewEncoder(out)
 	if err := replies.Encode(first); err != nil {
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A worker writes its first line and then one to each command, until its input ends; input that is no command is an error.
+// A worker writes its first line and then one reply to each command, until its input ends. Invalid input is an error.
 func TestServeCommands(t *testing.T) {
 	double := func(command int) int { return 2 * command }
 	for name, c := range map[string]struct {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A worker whose reader has gone ends with the error of its write.
-func TestServeCommandsToNobody(t *testing.T) {
+// A worker whose output is closed ends with the error of its write.
+func TestServeCommandsWithClosedOutput(t *testing.T) {
 	reader, writer := io.Pipe()
 	if err := reader.Close(); err != nil {
 		t.Fatal(err)
