--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -8,22 +8,22 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Seeds' second halves, one a purpose, so that the draws of one don't shift those of another.
+// The second halves of random seeds. Each purpose has its own, so that its draws do not depend on those of the other.
 const (
 	arrivalStream = 0x6c6f6164
 	requestStream = 0x6964
 )
 
-// Arrival is one request that is due at an offset from the start.
+// Arrival is a request that is due at a time.
 type Arrival struct {
-	At          time.Duration
-	Class       int // index of the traffic's classes
+	At          time.Duration // since the start of the run
+	Class       int           // index of the traffic's classes
 	Customer    uint64
-	ClientRetry bool // a client tries again after a rejection
+	ClientRetry bool // the client repeats a rejected request
 }
 
-// Plan draws the first arrivals of a run: a Poisson process at cfg.Rate, multiplied by BurstX during bursts. The same
-// seed gives the same plan.
+// Plan draws the arrivals of a run without client retries: a Poisson process at cfg.Rate, multiplied by BurstX during
+// bursts. The same configuration and seed give the same plan.
 func Plan(cfg operatorfile.Traffic, seed uint64) []Arrival {
 	var out []Arrival
 	for s := NewStream(cfg, seed); ; {
@@ -35,16 +35,17 @@
 	}
 }
 
-// Stream draws a plan's arrivals one at a time, for runs too long to hold them all.
+// Stream draws the arrivals of a plan one at a time, for runs whose plan does not fit into memory. It is used by one
+// goroutine.
 type Stream struct {
 	cfg         operatorfile.Traffic
 	rng         *rand.Rand
 	customers   *rand.Zipf
 	totalShares float64 // of the classes
-	now         float64 // s
+	now         float64 // time of the last arrival, s
 }
 
-// NewStream starts the plan of cfg and seed.
+// NewStream returns the stream of the arrivals that Plan returns.
 func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
 	rng := rand.New(rand.NewPCG(seed, arrivalStream))
 	s := &Stream{cfg: cfg, rng: rng, customers: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
@@ -54,7 +55,7 @@
 	return s
 }
 
-// Next gives the next arrival, or false once the plan's duration has passed.
+// Next returns the next arrival, or false after the last one.
 func (s *Stream) Next() (Arrival, bool) {
 	rate := s.cfg.Rate
 	if inBurst(s.cfg, s.now) {
@@ -83,6 +84,7 @@
 	return max(0, len(s.cfg.Classes)-1)
 }
 
+// inBurst reports whether a time, in seconds, is in a burst.
 func inBurst(cfg operatorfile.Traffic, now float64) bool {
 	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(now, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
 }
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -1,11 +1,12 @@
-// Package load is the laboratory's open-loop load generator. Arrivals follow a Poisson process (with bursts) drawn in
-// advance from a seed, so that a slow gateway can't slow the load: each request's latency counts from when it was due, not
-// from when it could be sent (no coordinated omission), and the generator reports how late it sent requests itself when it
-// could not keep the rate. Customers follow a Zipf law; classes say the kind of request (GET for idempotent ones, POST for
-// unsafe ones) and how long its client waits. A rejected request's client tries again with a fresh ID, after Retry-After
-// where given, with a set probability.
+// Package load is the laboratory's open-loop load generator. Arrivals follow a Poisson process with bursts, drawn in
+// advance from a seed, so that a slow gateway does not slow the load. A request's latency counts from its due time, not
+// from its sending (no coordinated omission). The generator reports its own lag behind the due times.
 //
-// Latencies go into HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
+// Customers follow a Zipf distribution. A class states the method (GET for idempotent requests, POST for unsafe ones) and
+// the client's timeout. The client of a rejected request retries with a new ID, with a configured probability, after the
+// Retry-After of the response.
+//
+// Latencies are recorded in HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
 package load
 
 import (
@@ -24,27 +25,28 @@
 )
 
 const (
-	behindLagMicros   = 10_000 // p99 of the lag past which the generator didn't keep the rate
-	defaultRetryAfter = 100 * time.Millisecond
+	behindLagMicros   = 10_000                 // 99th percentile of the lag above which the generator is behind
+	defaultRetryAfter = 100 * time.Millisecond // if the response has no Retry-After
 	maxRetryAfter     = 10 * time.Second
 )
 
-// Generator sends the load.
+// Generator sends the requests of a plan.
 type Generator struct {
 	Cfg    operatorfile.Traffic
 	Seed   uint64
-	Client *http.Client // nil for one with Cfg.Conns connections
-	Series io.Writer    // JSON lines, one per second; nil for none
+	Client *http.Client // nil for a client with Cfg.Connections connections
+	Series io.Writer    // gets JSON lines, one per second; nil for none
 
-	mu      sync.Mutex // guards what follows
-	rng     *rand.Rand
+	mu      sync.Mutex // guards the fields below
+	rng     *rand.Rand // draws request IDs and retries
 	result  Result
-	second  secondCounts
-	seconds int // that were written
+	second  secondCounts // in progress
+	seconds int          // lines of the series so far
 }
 
-// Run sends the plan and waits for every request's answer or for ctx. It returns an error only when the series can't be
-// written. Each request has a goroutine of its own, which ends with its answer.
+// Run sends the requests of the plan and waits for their responses. If ctx ends, Run sends no more requests, and those in
+// flight fail. It returns an error only if the series can't be written. Each request has a goroutine, which ends with the
+// response.
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
 		g.Client = &http.Client{Transport: &http.Transport{
@@ -80,7 +82,7 @@
 	return g.result, seriesErr
 }
 
-// waitUntil waits until a time and calls flush at each tick. It returns false once ctx is done.
+// waitUntil waits until a time and calls flush at each tick. It returns false if ctx ends before.
 func waitUntil(ctx context.Context, due time.Time, tick <-chan time.Time, flush func()) bool {
 	for wait := time.Until(due); wait > 0; wait = time.Until(due) {
 		select {
@@ -94,7 +96,7 @@
 	return true
 }
 
-// send sends one request and, if it is rejected, perhaps its client's retry.
+// send sends a request and counts its outcome. If the request is rejected, send also sends the client's retry.
 func (g *Generator) send(ctx context.Context, a Arrival, due, start time.Time) {
 	id, retries := g.recordSent(a, due)
 	response := g.roundTrip(ctx, a, id, due)
@@ -110,7 +112,7 @@
 	}
 }
 
-// recordSent counts a request, and draws its ID and whether its client retries after a rejection.
+// recordSent counts a request that is sent now. It draws the request's ID, and whether the client retries after a rejection.
 func (g *Generator) recordSent(a Arrival, due time.Time) (id uint64, retries bool) {
 	lag := time.Since(due).Microseconds()
 	g.mu.Lock()
@@ -127,14 +129,14 @@
 	return id, retries
 }
 
-// response is how a request ended for its client.
+// response is the end of a request for its client.
 type response struct {
 	outcome    Outcome
-	took       time.Duration // from when it was due
-	retryAfter time.Duration // after a rejection
+	took       time.Duration // since the due time; of a completed request
+	retryAfter time.Duration // of a rejected request
 }
 
-// roundTrip sends a request and reads its answer, for as long as its client waits.
+// roundTrip sends a request and reads the response until the client's timeout.
 func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) response {
 	class := g.Cfg.Classes[a.Class]
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(class.BudgetMs)*time.Millisecond))
@@ -168,6 +170,7 @@
 	return response{outcome: Failed}
 }
 
+// newRequest returns the HTTP request of an arrival.
 func (g *Generator) newRequest(ctx context.Context, a Arrival, id uint64) (*http.Request, error) {
 	class := g.Cfg.Classes[a.Class]
 	method := http.MethodGet
@@ -190,10 +193,11 @@
 	return request, nil
 }
 
-// retryAfter reads Retry-After in seconds, whole or decimal.
+// retryAfter parses a Retry-After header in whole or decimal seconds. It returns the default for any other value, and limits
+// the result to maxRetryAfter.
 func retryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
-	if err != nil || !(seconds >= 0) { // a NaN too
+	if err != nil || !(seconds >= 0) { // the comparison is false for a NaN
 		return defaultRetryAfter
 	}
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -20,7 +20,7 @@
 	if !reflect.DeepEqual(a, b) {
 		t.Fatal("the same seed gave two plans")
 	}
-	// 8 s at 1000/s and 2 s at 3000/s: 14,000 expected; Poisson's spread is ~120
+	// 8 s at 1000/s and 2 s at 3000/s: 14,000 expected, with a standard deviation of about 120.
 	if n := len(a); n < 13500 || n > 14500 {
 		t.Fatalf("%d arrivals", n)
 	}
@@ -29,9 +29,9 @@
 	}
 }
 
-// A server that is slow on one connection must show in the latency: it counts from when each request was
-// due, so requests waiting for the connection are not hidden (no coordinated omission).
-func TestLatencyCountsFromDue(t *testing.T) {
+// A request's latency counts from its due time. It includes the wait for the only connection to a slow server (no
+// coordinated omission).
+func TestLatencyCountsFromDueTime(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, "/seat-") || r.Header.Get(protocol.HeaderRequestID) == "" {
 			w.WriteHeader(400)
@@ -52,14 +52,13 @@
 		t.Fatal(err)
 	}
 	s := res.Summary()
-	// ~100 requests through one connection at 20 ms each take ~2 s: the last waited ~1.5 s past its due time.
+	// About 100 requests of 20 ms each take 2 s over one connection: the last one is 1.5 s behind its due time.
 	if s.Outcomes["completed"] != s.Sent || s.P99Ms < 1000 {
 		t.Fatalf("%+v", s)
 	}
 }
 
-// A generator that falls behind says so: a request sent 50 ms after it was due shows in its own lag, and
-// in the request's latency.
+// A request that is sent 50 ms after its due time counts in the generator's lag and in the request's latency.
 func TestFallingBehindIsReported(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
@@ -68,13 +67,13 @@
 	cfg.Rate, cfg.DurationS = 20, 0.2
 	generator := &Generator{Cfg: cfg, Seed: 1}
 	generator.Client = srv.Client()
-	res, err := generator.Run(context.Background()) // sets up; its own plan is kept by an idle generator
+	res, err := generator.Run(context.Background()) // initializes the generator; its low rate causes no lag
 	if err != nil || res.Behind {
 		t.Fatalf("an idle generator fell behind: %v %+v", err, res.Summary())
 	}
 	start := time.Now()
 	generator.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
 	if lag, took := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || took < 40_000 {
-		t.Fatalf("lag not seen: %d µs, latency %d µs", lag, took)
+		t.Fatalf("the lag is %d µs, the latency %d µs", lag, took)
 	}
 }
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -7,26 +7,28 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how one request ended for its client.
+// Outcome is the kind of a request's end for its client.
 type Outcome int
 
-// The outcomes, as the protocol page counts them.
+// The outcomes.
 const (
-	Completed    Outcome = iota // 200
-	Rejected                    // 429 or 503
-	Failed                      // any other answer, or the connection broke
-	TimedOut                    // no answer in the time that the client waits
-	outcomeCount                // how many there are
+	Completed    Outcome = iota // response of 200
+	Rejected                    // response of 429 or 503
+	Failed                      // any other response, or a failed connection
+	TimedOut                    // no response within the client's timeout
+	outcomeCount                // number of outcomes
 )
 
-// outcomeNames are the outcomes' keys in the series and the summary, those of earlier versions.
+// outcomeNames are the keys of the outcomes in the series and the summary, a stable format.
 var outcomeNames = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
 
+// String returns the outcome's key in the series.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// outcomeCounts counts requests by how they ended.
+// outcomeCounts counts requests by outcome.
 type outcomeCounts [outcomeCount]int64
 
+// byName returns the counts by the outcomes' keys.
 func (c outcomeCounts) byName() map[string]int64 {
 	counts := map[string]int64{}
 	for outcome, n := range c {
@@ -35,16 +37,17 @@
 	return counts
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
-	Sent, ClientRetries int64
-	Outcomes            outcomeCounts
-	Latency             *hdr.Histogram // of completed requests, µs from when each was due
-	Lag                 *hdr.Histogram // how late the generator sent, µs
-	Behind              bool           // the generator didn't keep the rate: p99 of its lag above 10 ms
+	Sent          int64 // requests, with client retries
+	ClientRetries int64
+	Outcomes      outcomeCounts
+	Latency       *hdr.Histogram // of completed requests since their due time, µs
+	Lag           *hdr.Histogram // of requests' sending since their due time, µs
+	Behind        bool           // the generator did not keep the rate: its lag exceeded behindLagMicros
 }
 
-// Summary is a Result as the lab's reports take it: counts, and quantiles in ms.
+// Summary holds a Result's counts, and quantiles in ms, in the format of the lab's reports.
 type Summary struct {
 	Sent          int64            `json:"sent"`
 	ClientRetries int64            `json:"again"`
@@ -56,7 +59,7 @@
 	Behind        bool             `json:"behind"`
 }
 
-// Summary gives the result's summary.
+// Summary returns the result's summary.
 func (r Result) Summary() Summary {
 	return Summary{
 		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: quantileMs(r.Latency, 50),
@@ -66,24 +69,24 @@
 
 // Second is one line of the run's time series, as JSON.
 type Second struct {
-	T        int              `json:"t"` // from 0
+	T        int              `json:"t"` // seconds since the start
 	Sent     int64            `json:"sent"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50Ms    float64          `json:"p50_ms"`
 	P95Ms    float64          `json:"p95_ms"`
 	P99Ms    float64          `json:"p99_ms"`
-	LagMs    float64          `json:"lag_ms"` // the latest that the generator sent a request, that second
+	LagMs    float64          `json:"lag_ms"` // maximum of the second
 }
 
-// secondCounts counts the second in progress.
+// secondCounts counts the requests of one second.
 type secondCounts struct {
 	sent      int64
 	outcomes  outcomeCounts
-	latency   *hdr.Histogram // µs
-	lagMicros int64
+	latency   *hdr.Histogram // of completed requests, µs
+	lagMicros int64          // maximum
 }
 
-// recordOutcome counts how a request ended; took matters for a completed one.
+// recordOutcome counts the outcome of a request. took is the latency of a completed request, and not used for others.
 func (g *Generator) recordOutcome(outcome Outcome, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,7 +98,7 @@
 	}
 }
 
-// flushSecond writes the second that has passed and begins the next.
+// flushSecond writes the line of the second in progress, and begins the next one.
 func (g *Generator) flushSecond() error {
 	line := g.cutSecond()
 	if g.Series == nil {
@@ -109,6 +112,7 @@
 	return err
 }
 
+// cutSecond returns the line of the second in progress, and begins the next one.
 func (g *Generator) cutSecond() Second {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,16 +128,17 @@
 }
 
 const (
-	maxMicros         = 10 * 60 * 1e6 // ten minutes: longer times count as that
+	maxMicros         = 10 * 60 * 1e6 // ten minutes; longer times count as ten minutes
 	significantDigits = 3
 )
 
+// newHistogram returns an empty histogram of times, in µs.
 func newHistogram() *hdr.Histogram { return hdr.New(1, maxMicros, significantDigits) }
 
-// recordMicros records a time, within what the histogram takes.
+// recordMicros records a time, limited to the histogram's range.
 func recordMicros(h *hdr.Histogram, micros int64) { _ = h.RecordValue(min(max(micros, 1), maxMicros)) }
 
-// quantileMs is a quantile (percent) in ms; 0 where nothing was recorded.
+// quantileMs returns a percentile in ms; 0 if nothing was recorded.
 func quantileMs(h *hdr.Histogram, percent float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/lab/load/golden_test.go
+++ b/internal/lab/load/seriesformat_test.go
@@ -12,8 +12,8 @@
 	"cherrygap/internal/lab/report"
 )
 
-// A series of two seconds has the lines that testdata/series.jsonl keeps, byte for byte, and lab report reads it.
-func TestSeriesKeys(t *testing.T) {
+// The series has the lines of testdata/series.jsonl, and `lab report` reads it.
+func TestSeriesFormat(t *testing.T) {
 	var out bytes.Buffer
 	generator := &Generator{
 		Series: &out, result: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
@@ -24,7 +24,7 @@
 			generator.recordOutcome(Outcome(o), time.Duration(k+1)*time.Millisecond)
 		}
 	}
-	for range 2 { // the second one is empty
+	for range 2 { // the second line counts no requests
 		if err := generator.flushSecond(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// readEarlier reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
-// `lab model --series` and `lab load --series`).
+// readEarlier reads the recorded series testdata/earlier-*.jsonl of `lab model --series` and `lab load --series`.
 func readEarlier(t *testing.T) []Run {
 	t.Helper()
 	var runs []Run
@@ -25,13 +24,13 @@
 	return runs
 }
 
-// earlierSecond is a second of a series, as it is read.
+// earlierSecond is a sample of a recorded series.
 type earlierSecond struct {
 	t                            int
 	p50, p95, p99, mean, busiest float64
 }
 
-const none = -1 // a load tool's series carries no servers' load
+const none = -1 // load of the servers in a series of `lab load`, which has none
 
 var earlierSeconds = [][]earlierSecond{
 	{
@@ -48,7 +47,7 @@
 	},
 }
 
-// Series of an earlier version stay readable: every figure that a report takes from them.
+// Read returns every figure of the recorded series.
 func TestEarlierSeriesStayReadable(t *testing.T) {
 	for i, run := range readEarlier(t) {
 		t.Run(run.Name, func(t *testing.T) {
@@ -69,7 +68,7 @@
 	}
 }
 
-// The table and the files of earlier series are as they were.
+// The recorded series give the expected table and files.
 func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
 	runs := readEarlier(t)
 	const table = `# runs
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report turns the lab's series (JSON lines, one a second, from `lab model` or `lab load`) into PNG
-// plots with gonum.org/v1/plot and a Markdown table, comparing as many runs as are given. The same series
-// give the same files, byte for byte: runs are taken in the order given and nothing depends on map order.
+// Package report compares runs of the lab. It reads their series (JSON lines, one per second, of `lab model` or `lab load`)
+// and writes PNG plots, with gonum.org/v1/plot, and a Markdown table. The same series in the same order give the same
+// files, byte for byte.
 package report
 
 import (
@@ -14,15 +14,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Of the plots.
 const (
-	plotWidth  = 8 * vg.Inch
-	plotHeight = 4 * vg.Inch
-	lineWidth  = 1.2 // points
+	plotWidth       = 8 * vg.Inch
+	plotHeight      = 4 * vg.Inch
+	lineWidthPoints = 1.2
 )
 
-// Write makes dir/goodput.png, latency.png, outcomes.png, load.png (when the runs carry load) and report.md,
-// and returns the files' names, in this order. The directory is made if it is missing.
+// Write writes goodput.png, latency.png, outcomes.png, load.png and report.md to dir, which it creates if necessary. It
+// writes load.png only if a run has the servers' load. It returns the paths of the files, in this order.
 func Write(dir, title string, runs []Run) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -42,13 +41,15 @@
 	return append(files, path), nil
 }
 
-// chart is one plot: a figure of each sample, over the seconds, with a line a run.
+// chart is a plot of a figure over the seconds, with one line for each run.
 type chart struct {
-	file, axis, title string
-	figure            func(Sample) (value float64, ok bool) // not ok: the sample has none
+	file   string // name
+	axis   string // label of the y axis
+	title  string
+	figure func(Sample) (value float64, ok bool) // not ok: the sample does not have the figure
 }
 
-// charts are those that the runs have figures for.
+// charts returns the charts of the figures that the runs have.
 func charts(runs []Run) []chart {
 	list := []chart{
 		{"goodput.png", "completed / s", "completed requests a second", completed},
@@ -63,14 +64,18 @@
 	return list
 }
 
+// completed returns the number of completed requests.
 func completed(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
 
+// latency returns the 99th percentile of the latency, ms. A sample without completed requests has none.
 func latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
+// notCompleted returns the number of requests with any other outcome.
 func notCompleted(s Sample) (float64, bool) {
 	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeGaveUp]), true
 }
 
+// busiest returns the load of the busiest server.
 func busiest(s Sample) (float64, bool) {
 	if s.LoadMax == nil {
 		return 0, false
@@ -78,7 +83,7 @@
 	return *s.LoadMax, true
 }
 
-// draw draws the chart. A run without the figure, or with one that can't be drawn, has no line.
+// draw draws the chart. A run without values that can be drawn has no line.
 func (c chart) draw(title string, runs []Run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title + ": " + c.title
@@ -90,13 +95,14 @@
 			continue
 		}
 		line.Color = palette[i%len(palette)]
-		line.Width = vg.Points(lineWidth)
+		line.Width = vg.Points(lineWidthPoints)
 		p.Add(line)
 		p.Legend.Add(run.Name, line)
 	}
 	return p
 }
 
+// points returns a run's values of the figure.
 func (c chart) points(run Run) plotter.XYs {
 	points := plotter.XYs{}
 	for _, s := range run.Samples {
@@ -107,7 +113,7 @@
 	return points
 }
 
-// palette has the runs' colours, in their order; it begins again after the last.
+// palette holds the colours of the runs, in their order. It repeats after the last one.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff},
 	color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff},
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// writeSeries writes a series file to a directory, and returns its path.
+// writeSeries writes a series file to dir and returns its path.
 func writeSeries(t *testing.T, dir, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, "run.jsonl")
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// WriteTable writes the runs' totals as Markdown: counts of each outcome, the completed share, and the worst
-// second's p99.
+// WriteTable writes a Markdown table with one row per run: the counts of each outcome, the completed share, and the largest
+// 99th percentile of a second.
 func WriteTable(w io.Writer, title string, runs []Run) error {
 	outcomes := outcomesOf(runs)
 	var b strings.Builder
@@ -29,19 +29,20 @@
 	return err
 }
 
+// writeTableFile writes the table to a file.
 func writeTableFile(path, title string, runs []Run) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := WriteTable(f, title, runs); err != nil {
-		_ = f.Close() // the error before it says more
+		_ = f.Close() // the error of the write is returned
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return f.Close()
 }
 
-// outcomesOf are the outcomes that any run has, in the order of their names.
+// outcomesOf returns the outcomes of all runs, sorted.
 func outcomesOf(runs []Run) []string {
 	names := map[string]bool{}
 	for _, run := range runs {
@@ -54,13 +55,14 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// totals are the figures of a whole run.
+// totals holds the figures of a whole run.
 type totals struct {
 	outcomes   map[string]int64
 	requests   int64
-	worstP99Ms float64
+	worstP99Ms float64 // of a second
 }
 
+// totalsOf sums up a run.
 func totalsOf(run Run) totals {
 	t := totals{outcomes: map[string]int64{}}
 	for _, s := range run.Samples {
@@ -73,7 +75,7 @@
 	return t
 }
 
-// completedShare is the share of the requests that completed; 0 without any.
+// completedShare returns the share of the requests that completed; 0 if there were no requests.
 func (t totals) completedShare() float64 {
 	if t.requests <= 0 {
 		return 0
