--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -6,22 +6,21 @@
 	"cherrygap/internal/protocol"
 )
 
-// The baselines decide here, in the model, and nowhere else: they are yardsticks, not policies of the node. Both retry
-// what never ran at another server, and what may have run only where its class is safe to repeat, up to
-// baselineAttempts, and reject when they find no server.
-
-const baselineAttempts = 3
-
-// minTimeLeft is the least time that a retry is worth.
-const minTimeLeft = time.Millisecond
+// The baseline policies are references for the engine's figures; the nodes do not use them. A baseline retries an attempt
+// that was not executed at another server. It retries an attempt that may have been executed only if the request's class is
+// safe to repeat. It rejects a request if it finds no server.
+const (
+	baselineAttempts = 3                // of a request, at most
+	minTimeLeft      = time.Millisecond // to the deadline, for a retry
+)
 
-// bucket is a baseline's plain quota: one per tenant at each node, filled at the plan's rate.
+// bucket is a token bucket, a baseline's quota of a tenant at a node.
 type bucket struct {
-	level    float64 // units
-	filledAt time.Duration
+	level    float64       // units
+	filledAt time.Duration // last refill, in virtual time
 }
 
-// decideByBaseline sends a request's next attempt, or rejects the request.
+// decideByBaseline sends the next attempt of a request, or rejects the request.
 func (s *Sim) decideByBaseline(req *request) {
 	if req.attempts == 0 && !s.takeFromBucket(req) {
 		s.rejectByBaseline(req)
@@ -37,12 +36,13 @@
 	s.send(req, req.attempts-1, sv, req.deadline-s.now)
 }
 
+// rejectByBaseline rejects a request without a Retry-After.
 func (s *Sim) rejectByBaseline(req *request) {
 	s.end(req, outcomeRejected)
 	s.scheduleRetry(req, 0)
 }
 
-// chooseServer is the baseline's server, or nil.
+// chooseServer returns the baseline's server for a node's next attempt, or nil.
 func (s *Sim) chooseServer(n *node) *server {
 	if s.cfg.Policy == RoundRobin {
 		return s.nextBelowLimit(n)
@@ -50,7 +50,8 @@
 	return s.leastBusy(n)
 }
 
-// nextBelowLimit is the next server in rotation with room under the static limit, or nil.
+// nextBelowLimit returns the next server in rotation with fewer attempts of the node in flight than the static limit, or
+// nil if there is none.
 func (s *Sim) nextBelowLimit(n *node) *server {
 	for range s.servers {
 		n.rotation = (n.rotation + 1) % len(s.servers)
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// leastBusy is the server with the least work at the last sample, the next in rotation among equals.
+// leastBusy returns the server with the fewest attempts at the last sample. Among equal servers it returns the next one in
+// rotation.
 func (s *Sim) leastBusy(n *node) *server {
 	best := -1
 	for k := range s.servers {
@@ -74,7 +76,7 @@
 	return s.servers[best]
 }
 
-// baselineResult takes in an attempt's result for a baseline policy.
+// baselineResult ends or retries a request after an attempt's result.
 func (s *Sim) baselineResult(a *attempt) {
 	req := a.request
 	req.node.inFlight[a.server.id]--
@@ -86,7 +88,7 @@
 		s.end(req, outcomeCompleted)
 		return
 	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
-	default: // it may have run
+	default: // the server may have executed the request
 		if !req.retrySafe {
 			s.end(req, outcomeFailed)
 			return
@@ -99,17 +101,17 @@
 	s.decideByBaseline(req)
 }
 
-// takeFromBucket takes a request's units from its tenant's bucket at its node, and returns whether they were there. Each
-// node of a tenant's set has an equal part of the quota, so the set together keeps it.
+// takeFromBucket takes a request's units from its tenant's bucket at its node, and reports whether the bucket had them. Each
+// node of a tenant's set has an equal share of the quota, so the sum over the set is the quota.
 func (s *Sim) takeFromBucket(req *request) bool {
-	part := 1 / float64(s.spread())
-	burst := s.cfg.Burst * part
+	share := 1 / float64(s.spread())
+	burst := s.cfg.Burst * share
 	b, ok := req.node.buckets[req.tenant]
 	if !ok {
 		b = &bucket{level: burst, filledAt: s.now}
 		req.node.buckets[req.tenant] = b
 	}
-	b.level = min(burst, b.level+s.cfg.Quota*part*(s.now-b.filledAt).Seconds())
+	b.level = min(burst, b.level+s.cfg.Quota*share*(s.now-b.filledAt).Seconds())
 	b.filledAt = s.now
 	units := s.cfg.Traffic.Classes[req.class].Units
 	if b.level < units {
--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// A static limit holds per server and node, and a request is rejected once all servers are at it.
+// The static limit applies to each pair of server and node. No server is chosen once all are at the limit.
 func TestRoundRobinKeepsItsLimit(t *testing.T) {
 	cfg := testConfig(t, RoundRobin, "")
 	cfg.Limit = 2
@@ -32,7 +32,7 @@
 	}
 }
 
-// The least busy server is that of the last sample, whatever came since, and equals take turns.
+// The least busy server is that of the last sample, not of the present. Equal servers are chosen in rotation.
 func TestLeastBusyGoesByTheLastSample(t *testing.T) {
 	s := newSim(t, testConfig(t, LeastBusy, ""), nil)
 	n := s.nodes[0]
@@ -54,9 +54,9 @@
 	}
 }
 
-// Each node of a tenant's set has an even part of its bucket, which fills at that part of the quota.
+// Each node of a tenant's set has an equal share of the tenant's burst and of its rate.
 func TestBaselineBucket(t *testing.T) {
-	cfg := testConfig(t, RoundRobin, "") // two nodes take in a tenant
+	cfg := testConfig(t, RoundRobin, "") // a tenant's set has two nodes
 	cfg.Quota, cfg.Burst = 20, 8
 	cfg.Traffic.Classes[0].Units = 1
 	s := newSim(t, cfg, nil)
@@ -87,7 +87,8 @@
 	}
 }
 
-// What never ran is retried, what may have run only where that is safe, up to three attempts.
+// An attempt that was not executed is retried. One that may have been executed is retried only if that is safe. A request
+// has three attempts at most.
 func TestBaselineRetries(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -8,41 +8,42 @@
 	"cherrygap/internal/settings"
 )
 
-// Policy is what decides at the nodes.
+// Policy is the policy by which the nodes decide on requests.
 type Policy string
 
-// The policies. Only Module decides as the node does; the others are baselines to measure it against.
+// The policies. Module is the policy of real nodes; the others are baselines.
 const (
-	Module     Policy = "module"      // the real decision engine, through internal/routing
+	Module     Policy = "module"      // the decision engine, through internal/routing
 	RoundRobin Policy = "round-robin" // rotation with a static limit of attempts in flight per server and node
-	LeastBusy  Policy = "late"        // the server with the least work in hand, as of the last sample: up to 1 s old
+	LeastBusy  Policy = "late"        // the server with the fewest attempts at the last sample, which is up to 1 s old
 )
 
-// Config is one run's configuration.
+// Config configures a run.
 type Config struct {
 	Nodes    int
-	Seconds  float64 // virtual time of arrivals; the run ends when the last request has its answer
+	Seconds  float64 // virtual time with arrivals; the run ends with the last response
 	Policy   Policy
 	Seed     uint64
-	Traffic  operatorfile.Traffic  // Rate is the fleet's; Target and DurationS are not used
-	Server   operatorfile.Emulator // of each of Servers; Listen and Schedule are not used
+	Traffic  operatorfile.Traffic  // Rate is that of the fleet; Target and DurationS are not used
+	Server   operatorfile.Emulator // of each server; Listen and Schedule are not used
 	Schedule emulator.Schedule     // of faults
-	Settings *settings.Settings    // of each node, but for its number; nil for DefaultSettings
-	Limit    int                   // RoundRobin: attempts in flight at a server from one node; 0 for twice an even part
+	Settings *settings.Settings    // of each node, without its number; nil for DefaultSettings
+	Limit    int                   // RoundRobin: attempts in flight per server and node; 0 for twice an equal share
 	RTT      time.Duration         // round trip between a node and a server; 0 for 500 µs
-	Quota    float64               // baselines: a tenant's units a second; 0 for those of DefaultSettings
-	Burst    float64               // baselines: a tenant's bucket, units; 0 for two seconds of Quota
+	Quota    float64               // baselines: rate of a tenant, units/s; 0 for that of DefaultSettings
+	Burst    float64               // baselines: burst of a tenant, units; 0 for two seconds of Quota
 }
 
-// ConfigError is a configuration that can't be run.
+// ConfigError is the error of an invalid configuration.
 type ConfigError struct {
-	Setting string // with its value, where that helps
+	Setting string // with its value if there is one
 	Reason  string
 }
 
+// Error returns the setting and the reason.
 func (e *ConfigError) Error() string { return "model: " + e.Setting + " " + e.Reason }
 
-// check returns a *ConfigError, or nil where the configuration can be run.
+// check returns a *ConfigError if the configuration is invalid.
 func (c *Config) check() error {
 	if c.Nodes < 1 || c.Server.Servers < 1 || !(c.Seconds > 0) {
 		return &ConfigError{"nodes, servers and seconds", "must be above 0"}
@@ -55,7 +56,7 @@
 	}
 }
 
-// setDefaults sets what is 0 and has a default.
+// setDefaults replaces each 0 that stands for a default.
 func (c *Config) setDefaults() {
 	if c.RTT <= 0 {
 		c.RTT = 500 * time.Microsecond
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -4,41 +4,42 @@
 	"container/heap"
 	"time"
 
+	"cherrygap/internal/lab/load"
 	"cherrygap/internal/protocol"
 )
 
-// eventKind is what an event is of.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
-	eventArrival       eventKind = iota // the next request of the stream comes
-	eventRetry                          // a client whose request was rejected comes again
-	eventClientTimeout                  // a client stops waiting
+	eventArrival       eventKind = iota // the stream's next request arrives
+	eventRetry                          // a client retries a rejected request
+	eventClientTimeout                  // a client's timeout passes
 	eventTimer                          // a node's timer fires
-	eventWorkDone                       // a server ends its work on an attempt
-	eventTimeout                        // a node stops waiting for an attempt
+	eventWorkDone                       // a server finishes an attempt
+	eventTimeout                        // an attempt's timeout passes at its node
 	eventResult                         // an attempt's result reaches its node
 	eventSample                         // a second of the series ends
-	eventRestart                        // a server goes down, or comes back
+	eventServerDown                     // a server stops
+	eventServerUp                       // a server starts again
 	eventDrain                          // a server begins to drain
 	eventDrainNotified                  // the nodes are notified of a drain
 )
 
-// event is one event of a run. Which fields it has depends on its kind.
+// event is an event of a run. The kinds after a field are those that use it.
 type event struct {
-	at           time.Duration
-	seq          uint64 // order of scheduling, which decides at the same time
+	at           time.Duration // virtual time
+	seq          uint64        // number of the event by scheduling, which orders events of the same time
 	kind         eventKind
 	node         *node            // eventTimer
-	timerSetting uint64           // eventTimer: the setting of the timer that it is of
+	timerSetting uint64           // eventTimer: value of timerSettings when the timer was set
 	attempt      *attempt         // eventWorkDone, eventTimeout, eventResult
 	outcome      protocol.Outcome // eventResult
 	request      *request         // eventRetry, eventClientTimeout
-	server       int              // eventRestart, eventDrain, eventDrainNotified: -1 for all
-	down         bool             // eventRestart
+	server       int              // eventServerDown, eventServerUp, eventDrain, eventDrainNotified: allServers for all
 }
 
-// eventQueue is a heap of events by time, and by order of scheduling at the same time.
+// eventQueue is a heap of events by time and number. It implements heap.Interface.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -47,10 +48,10 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -58,20 +59,20 @@
 	return last
 }
 
-// schedule adds an event at its time.
+// schedule adds an event to the queue and sets its number.
 func (s *Sim) schedule(e *event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
-// handle plays one event.
+// handle executes an event.
 func (s *Sim) handle(e *event) {
 	switch e.kind {
 	case eventArrival:
 		s.arrive()
 	case eventRetry:
-		s.addRequest(e.request.class, e.request.tenant, true)
+		s.addRequest(load.Arrival{Class: e.request.class, Customer: uint64(e.request.tenant), ClientRetry: true})
 	case eventClientTimeout:
 		s.clientTimeout(e.request)
 	case eventTimer:
@@ -89,8 +90,10 @@
 	case eventSample:
 		s.sample()
 		s.schedule(&event{at: s.now + time.Second, kind: eventSample})
-	case eventRestart:
-		s.restart(e.server, e.down)
+	case eventServerDown:
+		s.stopServers(e.server)
+	case eventServerUp:
+		s.startServers(e.server)
 	case eventDrain:
 		s.drain(e.server)
 	case eventDrainNotified:
--- a/internal/lab/model/events_test.go
+++ b/internal/lab/model/events_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Events are played by time, and in the order of scheduling at the same time.
+// Events are ordered by time, and events of the same time by scheduling.
 func TestEventQueue(t *testing.T) {
 	s := &Sim{}
 	for _, at := range []time.Duration{5, 3, 5, 1, 3, 1} {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -11,7 +11,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// testConfig is a small fleet with a schedule of faults.
+// testConfig returns the configuration of a small fleet with a schedule of faults.
 func testConfig(t *testing.T, policy Policy, schedule string) Config {
 	t.Helper()
 	defaults := operatorfile.Default().Lab
@@ -25,7 +25,7 @@
 	return Config{Nodes: 6, Seconds: 20, Policy: policy, Seed: 5, Traffic: traffic, Server: server, Schedule: faults}
 }
 
-// newSim makes a run that can be run.
+// newSim returns a run of a valid configuration.
 func newSim(t *testing.T, cfg Config, series io.Writer) *Sim {
 	t.Helper()
 	s, err := New(cfg, NewRecorder(series))
@@ -35,7 +35,7 @@
 	return s
 }
 
-// A failing seed must reproduce exactly: the same run twice writes the same series, byte for byte.
+// Two runs of the same configuration and seed write the same series, byte for byte.
 func TestSameSeedSameRun(t *testing.T) {
 	var a, b bytes.Buffer
 	for _, series := range []*bytes.Buffer{&a, &b} {
@@ -46,7 +46,7 @@
 	}
 }
 
-// testFaults are some of each kind.
+// testFaults is a schedule with a restart, resets, lost responses and slow servers.
 const testFaults = `
 [[fault]]
 kind = "restart"
@@ -73,9 +73,8 @@
 x = 8
 `
 
-// Under restarts, resets, lost answers and a slow spell, every request gets its answer and no unsafe request runs twice,
-// with the engine and with both baselines.
-func TestFaultsLeaveNoRequestOpenAndNoSecondRun(t *testing.T) {
+// Under testFaults every request gets a response and no unsafe request is executed twice, with each policy.
+func TestFaultsLeaveNoRequestOpenAndNoSecondExecution(t *testing.T) {
 	for _, policy := range []Policy{Module, RoundRobin, LeastBusy} {
 		t.Run(string(policy), func(t *testing.T) {
 			totals := newSim(t, testConfig(t, policy, testFaults), nil).Run()
@@ -83,7 +82,7 @@
 				t.Errorf("%+v", totals)
 			}
 			if totals.Outcomes["broken"] == 0 && policy != Module {
-				t.Errorf("the faults broke nothing: %+v", totals.Outcomes)
+				t.Errorf("no request failed: %+v", totals.Outcomes)
 			}
 		})
 	}
@@ -106,7 +105,7 @@
 			_, err := New(cfg, NewRecorder(nil))
 			var bad *ConfigError
 			if !errors.As(err, &bad) {
-				t.Fatalf("taken, or with another error: %v", err)
+				t.Fatalf("not a *ConfigError: %v", err)
 			}
 			if bad.Error() != c.text {
 				t.Errorf("the error is %q", bad)
@@ -115,8 +114,8 @@
 	}
 }
 
-// BenchmarkFleet300 is the speed target's yardstick: 300 nodes and 200 servers with the engine, ten virtual seconds at
-// 20,000 requests a second. It reports virtual seconds per real second.
+// BenchmarkFleet300 measures the model's speed: 300 nodes and 200 servers with the engine, ten virtual seconds at 20,000
+// requests/s. It reports virtual seconds per real second.
 func BenchmarkFleet300(b *testing.B) {
 	defaults := operatorfile.Default().Lab
 	server, traffic := defaults.Emulator, defaults.Load
@@ -131,8 +130,8 @@
 	}
 }
 
-// The platform's rule 3 in the model: once discovery has notified the nodes of a drain, nothing new goes to that server
-// past 500 ms. The engine is notified; round-robin, which does not listen, shows that the check can fail.
+// The engine sends no attempt to a draining server later than 500 ms after the notice of the drain (rule 3 of the
+// platform). RoundRobin ignores the notice, which shows that the check can fail.
 func TestNothingNewToADrainedServer(t *testing.T) {
 	const drains = `
 [[fault]]
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -15,19 +15,19 @@
 	// With the Module policy.
 	router        *routing.Router // nil with a baseline
 	requests      map[*routing.Request]*request
-	decided       []*routing.Request // whose decisions are to be taken
-	timerSettings uint64             // how often the timer was set: only the last one counts
+	decided       []*routing.Request // with a decision that was not executed yet
+	timerSettings uint64             // number of times that the timer was set; only the last one is valid
 
 	// With a baseline policy.
-	rotation int         // number of the server chosen last
-	inFlight map[int]int // attempts by server
+	rotation int         // number of the last chosen server
+	inFlight map[int]int // attempts, by server
 	buckets  map[tenant]*bucket
 }
 
-// seedStep sets the nodes' seeds apart.
+// seedStep is the multiplier that separates the nodes' seeds (2^64 divided by the golden ratio).
 const seedStep = 0x9e3779b97f4a7c15
 
-// newNode starts a node, which has the endpoint list.
+// newNode returns a node that has the endpoint list.
 func (s *Sim) newNode(id int, list *protocol.EndpointList) *node {
 	n := &node{id: id, requests: map[*routing.Request]*request{}, inFlight: map[int]int{}, buckets: map[tenant]*bucket{}}
 	if s.cfg.Policy != Module {
@@ -53,13 +53,13 @@
 	return n
 }
 
-// setTimer sets a node's one timer; earlier settings of it are void.
+// setTimer sets a node's only timer. An earlier setting does not fire any more.
 func (s *Sim) setTimer(n *node, after time.Duration) {
 	n.timerSettings++
 	s.schedule(&event{at: s.now + max(after, 0), kind: eventTimer, node: n, timerSetting: n.timerSettings})
 }
 
-// takeDecisions carries out each decision that the node's engine has made.
+// takeDecisions executes the decisions that the node's engine has made.
 func (s *Sim) takeDecisions(n *node) {
 	for len(n.decided) > 0 {
 		next := n.decided[0]
@@ -68,7 +68,7 @@
 		if req == nil {
 			continue
 		}
-		if req.attempt != nil { // as on sockets: the attempt's result is reported before the next step is taken
+		if req.attempt != nil { // as with sockets, the attempt's result is reported before the next decision is executed
 			req.decisionWaits = true
 			continue
 		}
@@ -92,7 +92,7 @@
 	}
 }
 
-// attemptTimeout ends an attempt that its node has waited for long enough.
+// attemptTimeout ends an attempt whose timeout has passed.
 func (s *Sim) attemptTimeout(a *attempt) {
 	if !a.ended {
 		a.ended, a.outcome = true, protocol.TimedOut
@@ -100,7 +100,7 @@
 	}
 }
 
-// report reports an attempt's result to its node, unless its request has gone on without it.
+// report reports an attempt's result to its node, unless the request is no longer waiting for it.
 func (s *Sim) report(a *attempt) {
 	req := a.request
 	if req.attempt != a {
@@ -120,7 +120,7 @@
 		Duration: s.now - a.sentAt,
 		Units:    s.cfg.Traffic.Classes[req.class].Units,
 	})
-	if a.outcome == protocol.Completed { // the answer: no decision follows
+	if a.outcome == protocol.Completed { // the engine makes no further decision
 		s.end(req, outcomeCompleted)
 		s.release(req)
 		return
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -9,138 +9,138 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// requestOutcome is how a request ended for its client.
+// requestOutcome is the kind of a request's end for its client.
 type requestOutcome uint8
 
 const (
 	outcomeCompleted requestOutcome = iota
 	outcomeRejected
 	outcomeFailed
-	outcomeGaveUp // the client stopped waiting
-	outcomeCount
+	outcomeTimedOut // the client's timeout passed
+	outcomeCount    // number of outcomes
 )
 
-// outcomeKeys are the outcomes' keys in series and totals. Earlier runs have the same ones, so they stay.
+// outcomeKeys are the keys of the outcomes in series and totals, a stable format.
 var outcomeKeys = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
 
-// Second is one line of a run's series (JSON lines), for `lab report`. The keys are those of earlier runs.
+// Second is one line of a run's series (JSON lines). The keys are a stable format, which `lab report` reads.
 type Second struct {
 	T         int              `json:"t"`          // virtual seconds since the start
-	Arrived   int64            `json:"arrived"`    // requests that came, retries among them
-	Outcomes  map[string]int64 `json:"outcomes"`   // final answers of that second, by outcome
-	P50Ms     float64          `json:"p50_ms"`     // latency of completed requests, from arrival
+	Arrived   int64            `json:"arrived"`    // requests, with client retries
+	Outcomes  map[string]int64 `json:"outcomes"`   // requests that ended in the second, by outcome
+	P50Ms     float64          `json:"p50_ms"`     // latency of completed requests since their arrival
 	P95Ms     float64          `json:"p95_ms"`     // likewise
 	P99Ms     float64          `json:"p99_ms"`     // likewise
-	LoadMean  float64          `json:"load_mean"`  // servers' work in hand over their concurrency, at the second's end
-	LoadMax   float64          `json:"load_max"`   // that of the busiest server
-	Open      int64            `json:"open"`       // requests without a final answer yet
-	Twice     int64            `json:"twice"`      // unsafe requests that began to run more than once, so far
+	LoadMean  float64          `json:"load_mean"`  // attempts at a server over its concurrency, mean, at the second's end
+	LoadMax   float64          `json:"load_max"`   // attempts at the busiest server over its concurrency
+	Open      int64            `json:"open"`       // requests in flight at the second's end
+	Twice     int64            `json:"twice"`      // unsafe requests that were executed more than once, so far
 	ServersUp int              `json:"servers_up"` // at the second's end
 }
 
-// Totals is a whole run's summary. The keys are those of earlier runs.
+// Totals is the summary of a run. The keys are a stable format.
 type Totals struct {
 	Policy            string           `json:"policy"`
 	Nodes             int              `json:"nodes"`
 	Servers           int              `json:"servers"`
 	Seconds           float64          `json:"virtual_s"`
-	Requests          int64            `json:"tickets"` // retries by clients among them
+	Requests          int64            `json:"tickets"` // with client retries
 	Outcomes          map[string]int64 `json:"outcomes"`
 	Goodput           float64          `json:"goodput"` // completed over all requests
 	P50Ms             float64          `json:"p50_ms"`
 	P99Ms             float64          `json:"p99_ms"`
-	Twice             int64            `json:"twice"`           // unsafe requests run more than once: must be 0
-	Unanswered        int64            `json:"unanswered"`      // requests still open at the end: must be 0
-	LateToDrained     int64            `json:"late_to_drained"` // attempts sent over 500 ms after the notice of a drain: must be 0
+	Twice             int64            `json:"twice"`           // unsafe requests that were executed more than once: must be 0
+	Unanswered        int64            `json:"unanswered"`      // requests in flight at the end: must be 0
+	LateToDrained     int64            `json:"late_to_drained"` // attempts over 500 ms after the notice of a drain: must be 0
 	Events            int64            `json:"events"`
 	RealSeconds       float64          `json:"real_s"`
 	VirtualPerSecond  float64          `json:"virtual_s_per_real_s"`
 	RequestsPerSecond float64          `json:"tickets_per_real_s"` // of real time
 }
 
-// Recorder keeps a run's counts and writes its series. It is for one run and one goroutine.
+// Recorder keeps the counts of a run and writes its series. It is used for one run, by one goroutine.
 type Recorder struct {
-	// Series gets the JSON lines; nil for none.
-	Series io.Writer
+	Series io.Writer // gets the JSON lines; nil for none
 
 	policy         Policy
 	nodes, servers int
-	began          time.Time     // real
+	startedAt      time.Time     // in real time
 	last           time.Duration // virtual time of the last sample
-	seconds        int           // of the series, so far
+	seconds        int           // lines of the series so far
 
-	open, total   int64 // requests
-	ranTwice      int64 // unsafe requests that began to run more than once
-	lateToDrained int64 // attempts
+	open          int64 // requests in flight
+	total         int64 // requests
+	executedTwice int64 // unsafe requests that were executed more than once
+	lateToDrained int64 // attempts over drainCutoff after the notice of a drain
 	outcomes      [outcomeCount]int64
 	latencies     *hdr.Histogram // µs
 
-	// Of the second under way.
+	// Counts of the second in progress.
 	secondArrived   int64
 	secondOutcomes  [outcomeCount]int64
 	secondLatencies *hdr.Histogram // µs
 
-	err error // the first that writing the series met
+	err error // first error of writing the series
 }
 
-// maxLatencyMicros is the longest latency that is told from longer ones.
+// maxLatencyMicros is the upper bound of recorded latencies, ten minutes. Longer ones count as ten minutes.
 const maxLatencyMicros = 10 * 60 * 1e6
 
-// NewRecorder makes a recorder that writes its series to w (nil for none).
+// NewRecorder returns a recorder that writes the series to w (nil for none).
 func NewRecorder(w io.Writer) *Recorder {
 	return &Recorder{
-		Series: w, began: time.Now(),
+		Series: w, startedAt: time.Now(),
 		latencies: hdr.New(1, maxLatencyMicros, 3), secondLatencies: hdr.New(1, maxLatencyMicros, 3),
 	}
 }
 
-// Err returns the first error that writing the series met.
+// Err returns the first error of writing the series. No line is written after it.
 func (r *Recorder) Err() error { return r.err }
 
-// begin notes what is run.
+// begin records the run's configuration.
 func (r *Recorder) begin(cfg *Config) {
 	r.policy, r.nodes, r.servers = cfg.Policy, cfg.Nodes, cfg.Server.Servers
 }
 
-// arrived counts a request that came.
+// arrived counts a request's arrival.
 func (r *Recorder) arrived() {
 	r.open++
 	r.total++
 	r.secondArrived++
 }
 
-// begun counts that a server began to work on a request.
+// begun counts a request if its second execution begins and it is unsafe.
 func (r *Recorder) begun(req *request) {
 	if req.begun == 2 && !req.retrySafe {
-		r.ranTwice++
+		r.executedTwice++
 	}
 }
 
-// ended counts a request's final answer.
+// ended counts the end of a request.
 func (r *Recorder) ended(req *request, outcome requestOutcome, now time.Duration) {
 	r.open--
 	r.outcomes[outcome]++
 	r.secondOutcomes[outcome]++
 	if outcome == outcomeCompleted {
 		micros := min(max((now-req.arrivedAt).Microseconds(), 1), maxLatencyMicros)
-		_ = r.latencies.RecordValue(micros) // in the histogram's bounds by the line above
+		_ = r.latencies.RecordValue(micros) // within the histogram's range
 		_ = r.secondLatencies.RecordValue(micros)
 	}
 }
 
-// fleetSample is the servers' state at a second's end.
+// fleetSample is the state of the servers at the end of a second.
 type fleetSample struct {
-	loadMean, loadMax float64 // work in hand over concurrency
+	loadMean, loadMax float64 // attempts at a server over its concurrency
 	serversUp         int
 }
 
-// endSecond writes the second that ends at now.
+// endSecond writes the line of the second that ends at now, and begins the next one.
 func (r *Recorder) endSecond(now time.Duration, servers fleetSample) {
 	line := Second{
 		T: r.seconds, Arrived: r.secondArrived, Outcomes: byKey(r.secondOutcomes),
 		P50Ms: quantileMs(r.secondLatencies, 50), P95Ms: quantileMs(r.secondLatencies, 95), P99Ms: quantileMs(r.secondLatencies, 99),
 		LoadMean: servers.loadMean, LoadMax: servers.loadMax,
-		Open: r.open, Twice: r.ranTwice, ServersUp: servers.serversUp,
+		Open: r.open, Twice: r.executedTwice, ServersUp: servers.serversUp,
 	}
 	r.last = now
 	r.seconds++
@@ -158,14 +158,14 @@
 	}
 }
 
-// Totals sums the run up, in which so many events were played.
+// Totals returns the summary of a run with the given number of events.
 func (r *Recorder) Totals(events int64) Totals {
-	realSeconds := time.Since(r.began).Seconds()
+	realSeconds := time.Since(r.startedAt).Seconds()
 	t := Totals{
 		Policy: string(r.policy), Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(),
 		Requests: r.total, Outcomes: byKey(r.outcomes),
 		P50Ms: quantileMs(r.latencies, 50), P99Ms: quantileMs(r.latencies, 99),
-		Twice: r.ranTwice, Unanswered: r.open, LateToDrained: r.lateToDrained,
+		Twice: r.executedTwice, Unanswered: r.open, LateToDrained: r.lateToDrained,
 		Events: events, RealSeconds: realSeconds,
 	}
 	if r.total > 0 {
@@ -177,6 +177,7 @@
 	return t
 }
 
+// byKey returns the counts by the outcomes' keys.
 func byKey(counts [outcomeCount]int64) map[string]int64 {
 	keyed := map[string]int64{}
 	for i, n := range counts {
@@ -185,7 +186,7 @@
 	return keyed
 }
 
-// quantileMs is a percentile of latencies, in ms; 0 of none.
+// quantileMs returns a percentile of latencies, in ms; 0 if there are none.
 func quantileMs(latencies *hdr.Histogram, percentile float64) float64 {
 	if latencies.TotalCount() == 0 {
 		return 0
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A recorder's lines are of one second each, but for what is open and ran twice; its totals are of all.
+// Each line of the series counts one second, except for the requests in flight and those executed twice. The totals count
+// all seconds.
 func TestRecorder(t *testing.T) {
 	var series bytes.Buffer
 	r := NewRecorder(&series)
@@ -39,7 +40,7 @@
 
 var errFull = errors.New("full")
 
-// fullDisk is a writer that takes one line.
+// fullDisk is a writer that accepts one line.
 type fullDisk struct{ lines int }
 
 func (d *fullDisk) Write(text []byte) (int, error) {
@@ -49,7 +50,7 @@
 	return len(text), nil
 }
 
-// The first error of the series is kept, and nothing more is written after it.
+// The recorder keeps the first error of the series and writes no line after it.
 func TestRecorderKeepsTheFirstError(t *testing.T) {
 	disk := &fullDisk{}
 	r := NewRecorder(disk)
--- a/internal/lab/model/series_test.go
+++ b/internal/lab/model/series_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// seriesKeys are the keys of each line of a series, in the order in which they are written.
+// seriesKeys are the keys of each line of a series, in their order.
 const seriesKeys = "t arrived outcomes[bounced broken completed gave_up] p50_ms p95_ms p99_ms load_mean load_max open twice servers_up"
 
-// totalKeys are the keys of a run's totals, likewise.
+// totalKeys are the keys of a run's totals, in their order.
 const totalKeys = "policy nodes servers virtual_s tickets outcomes[bounced broken completed gave_up] goodput p50_ms p99_ms twice " +
 	"unanswered late_to_drained events real_s virtual_s_per_real_s tickets_per_real_s"
 
-// keysOf lists the keys of a JSON object in the order of its text, those of an object in it in brackets.
+// keysOf returns the keys of a JSON object in their order, with the keys of an inner object in brackets.
 func keysOf(t *testing.T, text []byte) string {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -55,7 +55,7 @@
 	return out.String()
 }
 
-// numbersOf lists each line's numbers in ascending order, whatever their keys are called.
+// numbersOf returns the numbers of each line in ascending order, without their keys.
 func numbersOf(t *testing.T, series []byte) string {
 	t.Helper()
 	var out strings.Builder
@@ -81,10 +81,9 @@
 	return out.String()
 }
 
-// TestSeriesText pins the text of a seeded run's series for each policy: its first two lines, the keys of all lines
-// and the digest of all numbers. A change of decisions changes all three, and is then to be pinned anew; a change of
-// the text alone must not.
-func TestSeriesText(t *testing.T) {
+// The series of a seeded run has the expected first two lines, keys in all lines, and digest of all numbers, for each
+// policy. The engine's decisions determine the lines and the digest of Module.
+func TestSeriesFormatAndFigures(t *testing.T) {
 	for _, c := range []struct {
 		policy Policy
 		first  string // two lines
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -13,20 +13,27 @@
 	"cherrygap/internal/routing"
 )
 
-// server is a modelled app server. Its figures are those of Config.Server; what the nodes see of it is a routing.Server.
+// allServers is the number that stands for all servers in events and faults.
+const allServers = -1
+
+// minUnits is the smallest weight, in units, that scales the service time, as in package emulator.
+const minUnits = 0.1
+
+// server is a simulated app server with the configuration Config.Server.
 type server struct {
 	id              int
 	endpoint        protocol.Endpoint
 	random          *rand.Rand // draws service times and faults
-	inWork          int
+	inWork          int        // attempts
 	queue           []*attempt
-	startedAt       time.Duration // of the process; below 0 long ago
+	startedAt       time.Duration // of the process; negative for a start before the run
 	down            bool
 	draining        bool
-	drainNotifiedAt time.Duration // when the nodes were notified of its drain; -1 before
+	drainNotifiedAt time.Duration // when the nodes were notified of the drain; negative before
 	sampledWork     int           // work at the last sample
 }
 
+// newServer returns a server that is in service and warmed up.
 func newServer(id int, seed uint64) *server {
 	return &server{
 		id: id,
@@ -42,23 +49,23 @@
 	}
 }
 
-// work is how many attempts the server has in hand.
+// work returns the number of attempts in work or queued.
 func (sv *server) work() int { return sv.inWork + len(sv.queue) }
 
-// attempt is one attempt of a request at a server.
+// attempt is an attempt of a request at a server.
 type attempt struct {
-	request *request
-	number  int // in its request, from 0
-	server  *server
-	sentAt  time.Duration
-	ended   bool             // for its node
-	inWork  bool             // at its server
-	lost    bool             // by a fault: its answer never comes
-	giveUp  time.Duration    // when its server no longer begins to work on it
-	outcome protocol.Outcome // once it is in work: how that will end
+	request  *request
+	number   int // in the request, from 0
+	server   *server
+	sentAt   time.Duration
+	ended    bool             // for the node
+	inWork   bool             // at the server
+	lost     bool             // a fault drops the response
+	deadline time.Duration    // after which the server does not begin to work on the attempt
+	outcome  protocol.Outcome // of an attempt in work
 }
 
-// send sends an attempt to a server, with a timeout unless that is 0.
+// send sends an attempt to a server. A timeout of 0 is none.
 func (s *Sim) send(req *request, number int, sv *server, timeout time.Duration) {
 	a := &attempt{request: req, number: number, server: sv, sentAt: s.now}
 	req.attempt = a
@@ -74,13 +81,13 @@
 	}
 	if sv.down {
 		s.answer(a, protocol.ConnectFailed, s.cfg.RTT)
-		a.ended = true // whatever else happens meanwhile
+		a.ended = true // so that neither the timeout nor Cancel changes the outcome
 		return
 	}
 	s.receive(a)
 }
 
-// receive takes an attempt in at its server: it is begun, queued, rejected or never answered.
+// receive begins, queues or rejects an attempt at its server. An attempt under the fault emulator.Silence gets no result.
 func (s *Sim) receive(a *attempt) {
 	sv := a.server
 	faults := s.activeFaults(sv)
@@ -89,9 +96,9 @@
 		s.answer(a, protocol.Overloaded, s.cfg.RTT)
 		return
 	case hasFault(faults, emulator.Silence):
-		return // read, but neither run nor answered
+		return
 	}
-	a.giveUp = a.request.deadline
+	a.deadline = a.request.deadline
 	switch {
 	case sv.inWork < s.cfg.Server.Concurrency:
 		s.begin(a, faults)
@@ -102,7 +109,7 @@
 	}
 }
 
-// begin begins the work on an attempt. It takes a log-normal time, longer while the server is warming up and by faults.
+// begin begins the work on an attempt. The service time is log-normal, and longer during warm-up and under slow faults.
 func (s *Sim) begin(a *attempt, faults []emulator.Fault) {
 	sv, cfg := a.server, s.cfg.Server
 	sv.inWork++
@@ -110,7 +117,7 @@
 	a.request.begun++
 	s.recorder.begun(a.request)
 	units := s.cfg.Traffic.Classes[a.request.class].Units
-	ms := cfg.ServiceMs * math.Max(units, 0.1) * math.Exp(cfg.Spread*sv.random.NormFloat64())
+	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.Spread*sv.random.NormFloat64())
 	if up := (s.now - sv.startedAt).Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
 		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
@@ -132,7 +139,7 @@
 	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
 }
 
-// workDone ends the work on an attempt, answers it, and begins the next in the server's queue.
+// workDone ends the work on an attempt, answers it, and begins queued attempts.
 func (s *Sim) workDone(a *attempt) {
 	sv := a.server
 	if !a.inWork {
@@ -148,7 +155,7 @@
 		sv.queue = sv.queue[1:]
 		switch {
 		case next.ended:
-		case s.now > next.giveUp: // its client has stopped waiting
+		case s.now > next.deadline:
 			s.answer(next, protocol.Overloaded, s.cfg.RTT/2)
 		default:
 			s.begin(next, s.activeFaults(sv))
@@ -156,16 +163,16 @@
 	}
 }
 
-// answer brings an attempt's result to its node after a while, unless it has ended there.
+// answer delivers an attempt's result to its node after a time, unless the attempt has ended there.
 func (s *Sim) answer(a *attempt, outcome protocol.Outcome, after time.Duration) {
 	if !a.ended {
 		s.schedule(&event{at: s.now + after, kind: eventResult, attempt: a, outcome: outcome})
 	}
 }
 
-// serversOf are the servers that a fault is of: one, or all where the number is -1.
+// serversOf returns the server with a number, or all servers for allServers.
 func (s *Sim) serversOf(number int) []*server {
-	if number == -1 {
+	if number == allServers {
 		return s.servers
 	}
 	if i := slices.IndexFunc(s.servers, func(sv *server) bool { return sv.id == number }); i >= 0 {
@@ -174,14 +181,10 @@
 	return nil
 }
 
-// restart takes servers down, whose queues are lost with their connections, or brings them back to warm up.
-func (s *Sim) restart(number int, down bool) {
+// stopServers stops servers. The connections of queued attempts are reset; attempts in work finish.
+func (s *Sim) stopServers(number int) {
 	for _, sv := range s.serversOf(number) {
-		sv.down = down
-		if !down {
-			sv.startedAt = s.now
-			continue
-		}
+		sv.down = true
 		for _, a := range sv.queue {
 			s.answer(a, protocol.ConnectionReset, 0)
 		}
@@ -189,14 +192,22 @@
 	}
 }
 
-// drain has servers reject what comes.
+// startServers starts stopped servers, which then warm up.
+func (s *Sim) startServers(number int) {
+	for _, sv := range s.serversOf(number) {
+		sv.down = false
+		sv.startedAt = s.now
+	}
+}
+
+// drain makes servers reject new attempts.
 func (s *Sim) drain(number int) {
 	for _, sv := range s.serversOf(number) {
 		sv.draining = true
 	}
 }
 
-// notifyDrain notifies the nodes of a drain, as a watch event of discovery does. Baselines don't listen.
+// notifyDrain notifies the nodes of a drain, as a watch event of discovery does. Baselines ignore it.
 func (s *Sim) notifyDrain(number int) {
 	var changed []protocol.Endpoint
 	for _, sv := range s.serversOf(number) {
@@ -213,11 +224,11 @@
 	}
 }
 
-// activeFaults draws which of the faults of this time hit a server's next attempt.
+// activeFaults draws the active faults that affect the next attempt at a server.
 func (s *Sim) activeFaults(sv *server) []emulator.Fault {
 	var active []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
-		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
+		if f.Kind == emulator.Restart || (f.Server != allServers && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
 			continue
 		}
 		if f.Probability >= 1 || sv.random.Float64() < f.Probability {
@@ -227,6 +238,7 @@
 	return active
 }
 
+// hasFault reports whether one of the faults is of a kind.
 func hasFault(faults []emulator.Fault, kind emulator.Kind) bool {
 	return slices.ContainsFunc(faults, func(f emulator.Fault) bool { return f.Kind == kind })
 }
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -5,27 +5,26 @@
 	"cherrygap/internal/settings"
 )
 
-// The default plan of a tenant: units a second, and units of its bucket.
+// The default plan of a tenant.
 const (
-	defaultRate  = 100
-	defaultBurst = 200
+	defaultRate  = 100 // units/s
+	defaultBurst = 200 // units
 )
 
-// The default settings, but for those that follow from the traffic and the fleet's size.
+// The default settings that depend neither on the traffic nor on the fleet's size.
 const (
 	tickMs              = 50
 	maxAttempts         = 3
 	maxRetryAfterMs     = 2000
-	slowStartShare      = 0.25 // of its capacity, at an app server's start
+	slowStartShare      = 0.25 // share of an app server's capacity at its start
 	slowStartMs         = 10_000
 	overloadMultiple    = 3
 	overloadMs          = 2000
 	idempotencyWindowMs = 2000
 )
 
-// DefaultSettings are the node's settings for a run, made from the traffic's classes and plan: each class's latency objective
-// is half of its client's timeout; the plan gives each tenant 100 units a second with a bucket of 200. A run may instead have
-// the settings of a real deployment (Config.Settings), read from its JSON configuration.
+// DefaultSettings returns the settings of a run without Config.Settings. The classes and the plan are those of the traffic.
+// A class's latency objective is half of its client's timeout; the plan's quota is defaultRate with defaultBurst.
 func DefaultSettings(nodes int, traffic operatorfile.Traffic) *settings.Settings {
 	classes := make([]settings.Class, len(traffic.Classes))
 	for i, class := range traffic.Classes {
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -1,11 +1,14 @@
-// Package model is the laboratory's fleet model: discrete events in virtual time, with edge nodes that each run the real
-// decision engine through internal/routing (or a baseline policy, for comparison), app servers modelled as the emulator
-// plays them, the load tool's arrivals, and the emulator's fault schedules. One goroutine plays one event heap ordered by
-// time and then by sequence, and random draws come from math/rand/v2 seeded per part: the same configuration and seed give
-// the same run, event for event.
+// Package model simulates a fleet by discrete events in virtual time:
 //
-// It exists to try designs at sizes that sockets on one machine don't reach (hundreds of nodes, hundreds of servers, an
-// hour of traffic); its figures are of simulated servers and say so.
+//   - edge nodes with the real decision engine (through internal/routing) or with a baseline policy;
+//   - app servers with the behaviour of package emulator, and its fault schedules;
+//   - the arrivals of package load.
+//
+// One goroutine executes the events, ordered by time and then by scheduling. Random draws come from math/rand/v2, with a
+// seed for each part, so that the same configuration and seed give the same run, event for event.
+//
+// The model reaches sizes that sockets on one machine do not: hundreds of nodes and servers, and an hour of traffic. Its
+// figures are those of simulated servers.
 package model
 
 import (
@@ -19,27 +22,25 @@
 	"cherrygap/internal/protocol"
 )
 
-// drainNotice is how long after a drain begins discovery notifies the nodes of it. From then on they have drainCutoff (the
-// platform's rule 3) until nothing new may reach the server.
 const (
-	drainNotice = 100 * time.Millisecond
-	drainCutoff = 500 * time.Millisecond
+	drainNotice = 100 * time.Millisecond // from the begin of a drain to the nodes' notice of it
+	drainCutoff = 500 * time.Millisecond // from the notice to the last allowed attempt (rule 3 of the platform)
 )
 
-// simulationSeed sets the draws of the simulation apart from those of the servers and of the traffic.
+// simulationSeed is the second half of the simulation's random seed, other than those of the servers and of the traffic.
 const simulationSeed = 0x6d6f64656c
 
-// Sim is one run in progress. It is for one goroutine.
+// Sim is a run in progress. It is used by one goroutine.
 type Sim struct {
 	cfg      Config
 	random   *rand.Rand // draws nodes and retries
 	recorder *Recorder
 
-	epoch  time.Time     // of virtual time
-	now    time.Duration // since the epoch
-	queue  eventQueue
-	seq    uint64 // events scheduled
-	played int64  // events played
+	epoch    time.Time     // of virtual time
+	now      time.Duration // since the epoch
+	queue    eventQueue
+	seq      uint64 // number of the last scheduled event
+	executed int64  // events
 
 	stream      *load.Stream // of arrivals
 	nextArrival load.Arrival
@@ -50,7 +51,7 @@
 	revision uint64 // of the endpoint list that the nodes have
 }
 
-// New prepares a run, or returns a *ConfigError for a configuration that can't be run.
+// New returns a run that has not begun, or a *ConfigError for an invalid configuration.
 func New(cfg Config, recorder *Recorder) (*Sim, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -88,14 +89,13 @@
 	return s, nil
 }
 
-// scheduleFaults schedules the faults that begin and end at a time. The others are looked up for each attempt: see
-// activeFaults.
+// scheduleFaults schedules the restarts and drains. For other faults see activeFaults.
 func (s *Sim) scheduleFaults() {
 	for _, f := range s.cfg.Schedule.Faults {
 		switch f.Kind {
 		case emulator.Restart:
-			s.schedule(&event{at: f.Start(), kind: eventRestart, server: f.Server, down: true})
-			s.schedule(&event{at: f.End(), kind: eventRestart, server: f.Server})
+			s.schedule(&event{at: f.Start(), kind: eventServerDown, server: f.Server})
+			s.schedule(&event{at: f.End(), kind: eventServerUp, server: f.Server})
 		case emulator.Drain:
 			s.schedule(&event{at: f.Start(), kind: eventDrain, server: f.Server})
 			s.schedule(&event{at: f.Start() + drainNotice, kind: eventDrainNotified, server: f.Server})
@@ -103,7 +103,7 @@
 	}
 }
 
-// scheduleArrival draws the next arrival, if there is one more.
+// scheduleArrival schedules the next arrival of the stream if there is one.
 func (s *Sim) scheduleArrival() {
 	var more bool
 	if s.nextArrival, more = s.stream.Next(); more {
@@ -111,9 +111,10 @@
 	}
 }
 
+// clock returns the present virtual time, for the engines.
 func (s *Sim) clock() time.Time { return s.epoch.Add(s.now) }
 
-// Run plays the run to its end and returns its totals.
+// Run executes the whole run and returns its totals. It may be called once.
 func (s *Sim) Run() Totals {
 	end := time.Duration(s.cfg.Seconds * float64(time.Second))
 	for s.queue.Len() > 0 {
@@ -122,14 +123,14 @@
 			break
 		}
 		s.now = e.at
-		s.played++
+		s.executed++
 		s.handle(e)
 	}
 	s.sample()
-	return s.recorder.Totals(s.played)
+	return s.recorder.Totals(s.executed)
 }
 
-// sample ends a second of the series. It is also what the LeastBusy policy sees of the servers' load.
+// sample ends a second of the series, and records the servers' load for the LeastBusy policy.
 func (s *Sim) sample() {
 	var now fleetSample
 	concurrency := float64(s.cfg.Server.Concurrency)
