--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -1,9 +1,8 @@
-// Package syscallfault makes system calls of another process fail, as Linux documents that they may: without special
-// rights, by a seccomp filter that the process puts on itself before it starts its program, and whose notifications this
-// process answers (seccomp_unotify(2)). The program needs no change, and one that calls the kernel without the C library,
-// as Go programs do, is reached too.
+// Package syscallfault makes system calls of a child process fail with documented errors. The child installs a seccomp
+// filter before it executes its program, and the parent answers the filter's notifications (seccomp_unotify(2)). This needs
+// no privileges and no change of the program, and works without the C library.
 //
-// Exec runs in the child, Injector in the process that decides which calls fail.
+// Exec runs in the child process, Injector in the parent.
 package syscallfault
 
 import (
@@ -15,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Offsets in the data that a filter looks at (struct seccomp_data).
+// The offsets of fields in struct seccomp_data, the input of a filter.
 const (
 	offsetOfNumber = 0
 	offsetOfArch   = 4
@@ -24,10 +23,10 @@
 // actionNotify is SECCOMP_RET_USER_NOTIF.
 const actionNotify = 0x7fc00000
 
-// Exec puts a filter on this process that reports the system calls with the given numbers, sends the filter's descriptor
-// over a Unix socket, and replaces the process with a program. It returns only an error.
+// Exec installs a filter on this process, sends the filter's descriptor over a Unix socket, and replaces the process with a
+// program. The filter reports the system calls with the given numbers. Exec returns only if it fails.
 func Exec(socket int, numbers []uint32, program string, args, env []string) error {
-	runtime.LockOSThread() // the filter is this thread's, and the program's that it starts
+	runtime.LockOSThread() // the filter applies to this thread and to the program that it executes
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no_new_privs: %w", err)
 	}
@@ -43,6 +42,7 @@
 	return syscall.Exec(program, args, env)
 }
 
+// installFilter installs the filter on this thread and returns the descriptor of its notifications.
 func installFilter(numbers []uint32) (listener int, err error) {
 	program := filterProgram(numbers)
 	fprog := unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]}
@@ -54,7 +54,7 @@
 	return int(fd), nil
 }
 
-// filterProgram reports the calls with the given numbers and allows all others.
+// filterProgram returns a BPF program that reports the calls with the given numbers and allows all others.
 func filterProgram(numbers []uint32) []unix.SockFilter {
 	program := []unix.SockFilter{
 		load(offsetOfArch),
@@ -68,14 +68,17 @@
 	return append(program, result(unix.SECCOMP_RET_ALLOW), result(actionNotify))
 }
 
+// load returns the instruction that loads a word of struct seccomp_data.
 func load(offset uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 }
 
+// jumpIfEqual returns the instruction that skips ifEqual or otherwise instructions, depending on the loaded word.
 func jumpIfEqual(value uint32, ifEqual, otherwise uint8) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jt: ifEqual, Jf: otherwise}
 }
 
+// result returns the instruction that ends the program with an action.
 func result(action uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 }
--- a/internal/lab/syscallfault/injector.go
+++ b/internal/lab/syscallfault/injector.go
@@ -12,31 +12,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// InheritedSocket is the descriptor under which the child finds the socket for Exec.
+// InheritedSocket is the descriptor of the socket for Exec in the child process.
 const InheritedSocket = 3
 
-// flagContinue is SECCOMP_USER_NOTIF_FLAG_CONTINUE: the kernel carries the call out.
+// flagContinue is SECCOMP_USER_NOTIF_FLAG_CONTINUE, which makes the kernel execute the call.
 const flagContinue = 1
 
-// Call is one system call that a process is about to make.
+// Call is a system call of the child process before its execution.
 type Call struct {
 	Number int
 	Args   [6]uint64
 }
 
-// Policy gives the error that a system call fails with; 0 lets it go through. It is called on one goroutine for each
-// process.
+// Policy returns the error of a system call, or 0 to have the kernel execute the call. An Injector calls it on one
+// goroutine.
 type Policy func(Call) syscall.Errno
 
-// Injector answers the notifications of one process.
+// Injector decides on the system calls of one child process.
 type Injector struct {
-	parentEnd, childEnd *os.File
+	parentEnd, childEnd *os.File // of the socket for Exec
 	policy              Policy
-	failed              atomic.Int64
+	failed              atomic.Int64 // calls
 }
 
-// NewInjector readies a command, which has not been started yet and whose program calls Exec, for its system calls to
-// be decided on by a policy. Run has to follow the command's start.
+// NewInjector prepares a command, which is not started yet and whose program calls Exec. The caller calls Run after the
+// command's start.
 func NewInjector(cmd *exec.Cmd, policy Policy) (*Injector, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -47,12 +47,12 @@
 	return i, nil
 }
 
-// Failed returns how many calls were made to fail.
+// Failed returns the number of calls that the policy made fail.
 func (i *Injector) Failed() int64 { return i.failed.Load() }
 
-// Run answers notifications until the process has ended.
+// Run answers the notifications until the child process ends.
 func (i *Injector) Run() error {
-	_ = i.childEnd.Close() // the child has its own
+	_ = i.childEnd.Close() // the child has its own descriptor
 	listener, err := i.receiveListener()
 	_ = i.parentEnd.Close()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return descriptors[0], nil
 }
 
-// waitForNotification waits until a call is reported, or returns false once the process has ended.
+// waitForNotification waits for a notification. It returns false if the child process has ended.
 func waitForNotification(listener int) (open bool, err error) {
 	for {
 		events := []unix.PollFd{{Fd: int32(listener), Events: unix.POLLIN}}
@@ -124,7 +124,7 @@
 	flags uint32
 }
 
-// answerOne takes one notification and answers it. A call that a signal has interrupted meanwhile needs no answer.
+// answerOne receives and answers a notification. The notification of a call that a signal interrupts is dropped.
 func (i *Injector) answerOne(listener int) error {
 	var asked notification
 	if errno := ioctl(listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&asked)); errno != 0 {
@@ -138,6 +138,7 @@
 	return ignoreInterrupted(ioctl(listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&answer)))
 }
 
+// ignoreInterrupted returns nil for 0 and for the errors of an interrupted call.
 func ignoreInterrupted(errno syscall.Errno) error {
 	if errno == 0 || errno == unix.ENOENT || errno == unix.EINTR {
 		return nil
@@ -145,6 +146,7 @@
 	return fmt.Errorf("seccomp notification: %w", errno)
 }
 
+// ioctl calls ioctl(2).
 func ioctl(fd int, request uintptr, argument unsafe.Pointer) syscall.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(argument))
 	return errno
