--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -1,5 +1,5 @@
-// Package authz is the laboratory's stand-in for an external authorizer: Envoy's published Authorization service over
-// gRPC on loopback, which allows, denies, is slow, errs, drops calls and restarts, from a seed and a schedule.
+// Package authz is the laboratory's stand-in for an external authorizer with Envoy's Authorization service (gRPC), on
+// loopback. It allows or denies requests. By its configuration it also delays, drops or malforms responses, and restarts.
 package authz
 
 import (
@@ -18,57 +18,62 @@
 )
 
 const (
-	randomStream   = 11                    // of the seed's, that this package draws from
-	relistenAfter  = 10 * time.Millisecond // between two tries to listen again after a restart
-	malformedCode  = 99                    // a status that gRPC doesn't have
-	customerRadix  = 16                    // of the customer in a check
-	customerLength = 64                    // in bits, at most
+	randomStream   = 11                    // second half of the random seed
+	relistenDelay  = 10 * time.Millisecond // between two attempts to listen again after a restart
+	malformedCode  = 99                    // not a status code of gRPC
+	customerRadix  = 16                    // of the customer's number in a check
+	customerLength = 64                    // bits
 )
 
-// Config is how it answers. Probabilities are 0 to 1.
+// Config configures an authorizer. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
-	DenyEvery            uint64        // customers whose number divides by it are denied; 0 for none
-	MeanDelay            time.Duration // of each answer, mean of an exponential
-	SlowProbability      float64       // that an answer takes SlowDelay on top
+	DenyEvery            uint64        // customers whose number is a multiple are denied; 0 for none
+	MeanDelay            time.Duration // of responses; the delay is exponentially distributed
+	SlowProbability      float64       // of a response with the additional delay SlowDelay
 	SlowDelay            time.Duration
-	DropProbability      float64       // that a call ends without an answer
-	MalformedProbability float64       // of an answer that makes no sense
-	Uptime               time.Duration // it restarts after so long, each time; 0 for never
-	Downtime             time.Duration // for which it is gone then
+	DropProbability      float64       // of a call that fails
+	MalformedProbability float64       // of a response with an invalid status
+	Uptime               time.Duration // until each restart; 0 for no restarts
+	Downtime             time.Duration // of each restart
 }
 
-// Server is a stand-in authorizer.
+// Server is a stand-in authorizer. Its methods may be called from several goroutines.
 type Server struct {
 	auth.UnimplementedAuthorizationServer
 
 	config Config
 	addr   string
 	stop   chan struct{}  // closed by Close
-	done   sync.WaitGroup // run
+	done   sync.WaitGroup // counts run
 
-	mu         sync.Mutex // guards the rest
+	mu         sync.Mutex // guards the fields below
 	random     *rand.Rand
-	lastAnswer map[string]bool // by the request's id: what was answered last, whether or not in time
-	answers    int64
-	starts     int64
+	lastAnswer map[string]bool // whether the last response allowed the request, by request ID
+	counts     Counts
 }
 
-// NotLoopbackError is an address that isn't on this machine's loopback: the lab listens nowhere else.
+// Counts counts the responses and starts of an authorizer.
+type Counts struct {
+	Answers int64 // dropped and malformed ones included
+	Starts  int64
+}
+
+// NotLoopbackError is the error of an address that other hosts could reach.
 type NotLoopbackError struct{ Addr string }
 
-// Error has the address.
+// Error returns a text with the address.
 func (e *NotLoopbackError) Error() string { return e.Addr + " is not a loopback address" }
 
-// Start starts one on a loopback address (port 0 for a free one); another is a *NotLoopbackError. Its goroutine ends with
-// Close.
+// Start starts an authorizer on a loopback address (port 0 for a free one). It returns a *NotLoopbackError for any other
+// address. The authorizer's goroutine ends with Close.
 func Start(addr string, cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if local, ok := listener.Addr().(*net.TCPAddr); !ok || !local.IP.IsLoopback() {
-		_ = listener.Close() // nothing has used it
+		_ = listener.Close() // it has accepted no connection
 		return nil, &NotLoopbackError{Addr: addr}
 	}
 	s := &Server{
@@ -80,16 +85,16 @@
 	return s, nil
 }
 
-// Addr is where it listens, when it is up.
+// Addr returns the authorizer's address, host:port, which restarts do not change.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends it; calls in flight fail.
+// Close stops the authorizer and waits for its goroutine. Calls in flight fail. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
 	s.done.Wait()
 }
 
-// run serves, and restarts where the configuration wants it, until Close.
+// run serves calls and executes the restarts until Close.
 func (s *Server) run(listener net.Listener) {
 	defer s.done.Done()
 	for listener != nil && s.serve(listener) {
@@ -100,14 +105,14 @@
 	}
 }
 
-// serve serves until the end of the uptime, and reports whether that came before Close. Calls in flight fail.
+// serve serves calls until the uptime or Close. It reports whether a restart follows. Calls in flight at the end fail.
 func (s *Server) serve(listener net.Listener) (restart bool) {
 	server := grpc.NewServer()
 	auth.RegisterAuthorizationServer(server, s)
 	s.mu.Lock()
-	s.starts++
+	s.counts.Starts++
 	s.mu.Unlock()
-	go func() { _ = server.Serve(listener) }() // until Stop, which closes the listener
+	go func() { _ = server.Serve(listener) }() // ends with Stop, which closes the listener
 	defer server.Stop()
 	var up <-chan time.Time
 	if s.config.Uptime > 0 {
@@ -121,19 +126,19 @@
 	}
 }
 
-// listenAgain listens at the same address, which another may hold for a while. It returns nil after Close.
+// listenAgain opens the same address, and retries while another process uses it. It returns nil after Close.
 func (s *Server) listenAgain() net.Listener {
 	for {
 		if listener, err := net.Listen("tcp", s.addr); err == nil {
 			return listener
 		}
-		if !s.wait(relistenAfter) {
+		if !s.wait(relistenDelay) {
 			return nil
 		}
 	}
 }
 
-// wait waits, and reports whether that was not cut short by Close.
+// wait waits for a time. It returns false if Close is called before.
 func (s *Server) wait(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -143,7 +148,8 @@
 	}
 }
 
-// LastAnswer is what it answered for a request, and whether it did.
+// LastAnswer returns the last answer to a check of the request with this ID. answered is false if there was none, or if it
+// was dropped or malformed.
 func (s *Server) LastAnswer(id string) (allowed, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,42 +157,45 @@
 	return allowed, answered
 }
 
-// Counts is how many answers it gave, and how often it started.
-func (s *Server) Counts() (answers, starts int64) {
+// Counts returns the counts so far.
+func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answers, s.starts
+	return s.counts
 }
 
-// fate is what becomes of one call.
-type fate struct {
-	delay           time.Duration
-	drop, malformed bool
+// callFaults holds the faults of a call.
+type callFaults struct {
+	delay     time.Duration
+	drop      bool
+	malformed bool
 }
 
-func (s *Server) drawFate() fate {
+// drawFaults draws the faults of a call.
+func (s *Server) drawFaults() callFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := fate{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
+	f := callFaults{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
 	if s.random.Float64() < s.config.SlowProbability {
 		f.delay += s.config.SlowDelay
 	}
-	f.drop, f.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
+	f.drop = s.random.Float64() < s.config.DropProbability
+	f.malformed = s.random.Float64() < s.config.MalformedProbability
 	return f
 }
 
-// Check answers one call. It works on after the caller gave up, as a slow authorizer does.
+// Check answers a call, also if the caller's context has ended meanwhile. It implements auth.AuthorizationServer.
 func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
 	attributes := r.GetAttributes()
 	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerRadix, customerLength)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
-	f := s.drawFate()
+	f := s.drawFaults()
 	time.Sleep(f.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
-	s.answers++
+	s.counts.Answers++
 	if !f.drop && !f.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// startServer starts an authorizer, and returns it with a client of it.
+// startServer starts an authorizer and returns it with a client.
 func startServer(t *testing.T, cfg Config) (*Server, auth.AuthorizationClient) {
 	t.Helper()
 	server, err := Start("127.0.0.1:0", cfg)
@@ -29,7 +29,7 @@
 	return server, auth.NewAuthorizationClient(conn)
 }
 
-// check asks about a request of a customer. It returns the code of the answer, or that of the call where it failed.
+// check makes a check of a customer's request. It returns the status code of the answer, or that of a failed call.
 func check(ctx context.Context, client auth.AuthorizationClient, id, customer string) codes.Code {
 	answer, err := client.Check(ctx, &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Request:           &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: id}},
@@ -70,7 +70,7 @@
 func TestRestart(t *testing.T) {
 	server, client := startServer(t, Config{Uptime: 50 * time.Millisecond, Downtime: 10 * time.Millisecond})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		_, starts := server.Counts()
+		starts := server.Counts().Starts
 		if starts >= 3 && check(t.Context(), client, "1", "1") == codes.OK {
 			return
 		}
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	usualLoss     = 0.01 // share of the datagrams
-	lossyLoss     = 0.25 // while the lossy scenario's fault is on
-	doubledOneIn  = 100  // datagrams, of which one comes twice
-	usualDelay    = 4.0  // ms on average, on top of minDelay
-	minDelay      = 1.0  // ms
-	lateShare     = 0.02 // of the datagrams, which others overtake:
-	maxLateness   = 400  // ms on top
-	flappingOneIn = 20   // nodes that go or come at a time
-	maxFlapSecs   = 3    // between two times
+	usualLoss             = 0.01 // share of the datagrams
+	lossyLoss             = 0.25 // share of the datagrams during the lossy scenario's fault
+	datagramsPerDuplicate = 100
+	minDelayMs            = 1.0
+	meanAdditionalDelayMs = 4.0
+	lateShare             = 0.02 // share of the datagrams that are delayed by up to maxLatenessMs more
+	maxLatenessMs         = 400
+	nodesPerFlap          = 20 // nodes of the fleet for each node that stops or starts in a step of flap
+	maxFlapIntervalS      = 3
 )
 
-// send sends a datagram over the simulated network.
+// send sends a datagram over the simulated network, which may lose, delay or duplicate it.
 func (s *simulation) send(from, to int, text []byte) {
-	for range 1 + s.random.IntN(doubledOneIn)/(doubledOneIn-1) {
+	for range 1 + s.random.IntN(datagramsPerDuplicate)/(datagramsPerDuplicate-1) {
 		if s.nodes[to].up && s.arrives(from, to) {
-			s.queue.schedule(event{at: s.now + s.delay(), kind: receive, node: to, from: from, text: text})
+			s.queue.schedule(event{at: s.now + s.drawDelay(), kind: receive, node: to, from: from, text: text})
 		}
 	}
 }
 
-// arrives reports whether a datagram between two nodes arrives.
+// arrives draws whether a datagram between two nodes arrives.
 func (s *simulation) arrives(from, to int) bool {
 	half := s.cfg.Nodes / 2
 	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
@@ -36,16 +36,16 @@
 	return s.random.Float64() >= loss
 }
 
-// delay returns the delay of a datagram: usually a few milliseconds, sometimes so long that others overtake it.
-func (s *simulation) delay() time.Duration {
-	delay := time.Duration(minDelay+s.random.ExpFloat64()*usualDelay) * time.Millisecond
+// drawDelay draws the delay of a datagram: usually a few milliseconds, sometimes long enough for later ones to overtake.
+func (s *simulation) drawDelay() time.Duration {
+	delay := time.Duration(minDelayMs+s.random.ExpFloat64()*meanAdditionalDelayMs) * time.Millisecond
 	if s.random.Float64() < lateShare {
-		delay += time.Duration(s.random.IntN(maxLateness)) * time.Millisecond
+		delay += time.Duration(s.random.IntN(maxLatenessMs)) * time.Millisecond
 	}
 	return delay
 }
 
-// moveFault begins or ends the scenario's fault, or its next step.
+// moveFault begins the scenario's fault, executes its next step, or ends it.
 func (s *simulation) moveFault() {
 	over := s.now >= s.faultEnds()
 	s.faulty = !s.faulty && !over
@@ -69,7 +69,7 @@
 	}
 }
 
-// vanish stops some of the nodes at once, or starts them again.
+// vanish stops a share of the nodes when the fault begins, and starts them when it ends.
 func (s *simulation) vanish() {
 	if s.faulty {
 		s.down = s.random.Perm(s.cfg.Nodes)[:int(s.cfg.VanishShare*float64(s.cfg.Nodes))]
@@ -83,15 +83,15 @@
 	}
 }
 
-// flap stops or starts one node in twenty, and schedules the next time a few seconds later.
+// flap stops or starts some random nodes, and schedules the next step a few seconds later.
 func (s *simulation) flap() {
-	for range max(1, s.cfg.Nodes/flappingOneIn) {
+	for range max(1, s.cfg.Nodes/nodesPerFlap) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
 			s.stop(id)
 		} else {
 			s.start(id)
 		}
 	}
-	pause := time.Duration(1+s.random.IntN(maxFlapSecs)) * time.Second
-	s.queue.schedule(event{at: s.now + pause, kind: moveFault})
+	interval := time.Duration(1+s.random.IntN(maxFlapIntervalS)) * time.Second
+	s.queue.schedule(event{at: s.now + interval, kind: moveFault})
 }
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -1,7 +1,9 @@
-// Package healthlab simulates a fleet's shared health checks in virtual time: N nodes that each run the real
-// internal/healthcheck, datagrams that are late, lost, duplicated and reordered, and nodes that vanish, flap or are
-// partitioned. It uses one goroutine and one queue of events ordered by time and sequence; the same configuration gives the
-// same run. A Result shows how long app servers went unchecked, how often two nodes checked one, and what the nodes sent.
+// Package healthlab simulates a fleet's shared health checks in virtual time. Each node runs the real internal/healthcheck.
+// Datagrams are delayed, lost, duplicated and reordered; nodes stop, flap or are partitioned. One goroutine executes the
+// events, ordered by time and then by scheduling, so that the same configuration gives the same run.
+//
+// A Result shows the longest time without a check of an app server, the number of duplicate checks, and the traffic of the
+// nodes.
 package healthlab
 
 import (
@@ -11,10 +13,10 @@
 	"time"
 )
 
-// The scenarios, by their fault. It begins after a third of the run and ends after two thirds.
+// The scenarios, each with one fault, which lasts from a third of the run to two thirds.
 const (
-	calm   = "calm"   // none
-	vanish = "vanish" // some of the nodes stop
+	calm   = "calm"   // no fault
+	vanish = "vanish" // a share of the nodes stops
 	flap   = "flap"   // nodes stop and start every few seconds
 	split  = "split"  // the fleet is partitioned into two halves
 	lossy  = "lossy"  // a quarter of the datagrams is lost
@@ -23,7 +25,7 @@
 // Scenarios lists the names of all scenarios.
 var Scenarios = []string{calm, vanish, flap, split, lossy}
 
-const defaultVanishShare = 0.48
+const defaultVanishShare = 0.48 // share of the nodes
 
 // Errors of Play.
 var (
@@ -31,20 +33,20 @@
 	ErrTooSmall        = errors.New("run too small")
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
 	Nodes       int
 	Servers     int
-	Duration    time.Duration // virtual
+	Duration    time.Duration // in virtual time
 	Seed        uint64
-	Scenario    string
-	ReceiveRate float64       // as healthcheck.Config has it: messages a second,
-	SendRate    float64       // and bytes a second
+	Scenario    string        // one of Scenarios
+	ReceiveRate float64       // of healthcheck.Config, messages/s
+	SendRate    float64       // of healthcheck.Config, bytes/s
 	Interval    time.Duration // between two checks of a server
-	VanishShare float64       // share of the nodes that vanish at once; 0.48 where not set
+	VanishShare float64       // share of the nodes that stop in the scenario vanish; 0 for the default of 0.48
 }
 
-// check validates a configuration and returns it with its defaults set. An error wraps ErrUnknownScenario or ErrTooSmall.
+// check returns the configuration with its defaults set. An error wraps ErrUnknownScenario or ErrTooSmall.
 func (c Config) check() (Config, error) {
 	if !slices.Contains(Scenarios, c.Scenario) {
 		return c, fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, c.Scenario, Scenarios)
@@ -58,7 +60,7 @@
 	return c, nil
 }
 
-// Result is the result of a run. Times are in seconds.
+// Result holds the figures of a run. Times are in seconds. The JSON keys are a stable format.
 type Result struct {
 	Scenario     string  `json:"scenario"`
 	Nodes        int     `json:"nodes"`
@@ -66,18 +68,18 @@
 	Period       float64 `json:"ping_period_s"`
 	Interval     float64 `json:"check_period_s"`
 	WorstGap     float64 `json:"worst_gap_s"`    // longest time between two checks of a server
-	WorstGapAt   float64 `json:"worst_gap_at_s"` // and when it ended
+	WorstGapAt   float64 `json:"worst_gap_at_s"` // end of that time
 	Checks       int64   `json:"checks"`
-	Doubled      int64   `json:"doubled"` // checks within half an interval of the last one by another node
+	Duplicates   int64   `json:"doubled"` // checks within half an interval after a check by another node
 	BytesMean    float64 `json:"bytes_a_node_a_second"`
-	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
-	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
-	Withheld     int64   `json:"held_back"`
-	WrongDeaths  int     `json:"wrong_deaths"` // members considered dead at the end, summed over all nodes; all are up then
-	Settled      float64 `json:"settled_s"`    // from the end of the fault until all members are considered alive by all; -1 for never
+	BytesMax     float64 `json:"bytes_a_second_of_the_busiest_node"`
+	MessagesMax  float64 `json:"messages_a_second_into_the_busiest_node"`
+	Withheld     int64   `json:"held_back"`    // messages, by the limit on sending
+	WrongDeaths  int     `json:"wrong_deaths"` // members considered dead at the end, when all are up, summed over all nodes
+	ConvergenceS float64 `json:"settled_s"`    // from the fault's end until no node considers a member dead; -1 for never
 }
 
-// Play simulates a run. An error wraps ErrUnknownScenario or ErrTooSmall.
+// Play runs a simulation and returns its figures. An error wraps ErrUnknownScenario or ErrTooSmall.
 func Play(cfg Config) (Result, error) {
 	cfg, err := cfg.check()
 	if err != nil {
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Through every fault no server goes unchecked for more than two intervals, all agree again afterwards, and
-// what a node sends does not grow with the fleet.
+// Through every fault, the time between two checks of a server is at most two intervals. After the fault all nodes consider
+// all members alive. The traffic of a node does not grow with the fleet.
 func TestNoServerGoesUncheckedForLong(t *testing.T) {
 	for _, scenario := range Scenarios {
 		for _, c := range []struct {
@@ -27,24 +27,25 @@
 					t.Errorf("%s, %d nodes, seed %d: a server unchecked for %.1f s, the interval is %.1f", scenario, c.nodes, seed,
 						r.WorstGap, r.Interval)
 				}
-				if r.WrongDeaths > 0 || r.Settled < 0 {
-					t.Errorf("%s, %d nodes, seed %d: %d still taken for dead at the end", scenario, c.nodes, seed, r.WrongDeaths)
+				if r.WrongDeaths > 0 || r.ConvergenceS < 0 {
+					t.Errorf("%s, %d nodes, seed %d: %d members considered dead at the end", scenario, c.nodes, seed, r.WrongDeaths)
 				}
-				if r.BytesMost > cfg.SendRate/2 || r.MessagesMost > cfg.ReceiveRate/4 {
-					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, r.BytesMost, r.MessagesMost)
+				if r.BytesMax > cfg.SendRate/2 || r.MessagesMax > cfg.ReceiveRate/4 {
+					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, r.BytesMax, r.MessagesMax)
 				}
-				// Two halves that can't hear each other check all twice for a third of the run; where a quarter of the
-				// datagrams is lost, so are some results of runs.
-				if part := map[string]int64{"split": 3, "lossy": 5}[scenario]; r.Doubled > r.Checks/max(part, 1)+5 ||
-					part == 0 && r.Doubled > r.Checks/10+5 {
-					t.Errorf("%s, %d nodes, seed %d: %d of %d checks doubled", scenario, c.nodes, seed, r.Doubled, r.Checks)
+				// Both halves of a partition check all servers, for a third of the run. In lossy, nodes miss the results of
+				// some checks.
+				if part := map[string]int64{"split": 3, "lossy": 5}[scenario]; r.Duplicates > r.Checks/max(part, 1)+5 ||
+					part == 0 && r.Duplicates > r.Checks/10+5 {
+					t.Errorf("%s, %d nodes, seed %d: %d of %d checks are duplicates", scenario, c.nodes, seed, r.Duplicates, r.Checks)
 				}
 			}
 		}
 	}
 }
 
-func TestRunsRepeatAndBadOnesAreRefused(t *testing.T) {
+// The same configuration gives the same result. An invalid one is an error.
+func TestRunsRepeatAndInvalidConfigsFail(t *testing.T) {
 	cfg := Config{Nodes: 12, Servers: 9, Duration: 30 * time.Second, Seed: 3, Scenario: "flap", ReceiveRate: 40, Interval: time.Second}
 	a, _ := Play(cfg)
 	if b, _ := Play(cfg); a != b {
@@ -66,8 +67,8 @@
 	}
 }
 
-// Events come in the order of their times, and of one time in the order in which they were scheduled.
-func TestEventsComeInOrder(t *testing.T) {
+// Events are ordered by time, and events of the same time by scheduling.
+func TestEventsAreOrdered(t *testing.T) {
 	var q eventQueue
 	for i := range 200 {
 		q.schedule(event{at: time.Duration(i * 7 % 20), node: i})
--- a/internal/lab/healthlab/resultformat_test.go
+++ b/internal/lab/healthlab/resultformat_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A run's result is the one of commit cf1acfb, to the last digit and under the same names: earlier reports stay
-// readable, and a figure that differs says that a decision or a message of a node does.
-func TestGoldenResults(t *testing.T) {
+// A seeded run of each scenario has the expected result, to the last digit and with the same JSON keys. The decisions and
+// messages of the nodes determine the figures.
+func TestResultFormatAndFigures(t *testing.T) {
 	for scenario, want := range map[string]string{
 		"calm":   `{"scenario":"calm","nodes":20,"servers":30,"ping_period_s":0.8,"check_period_s":12,"worst_gap_s":14.419864361,"worst_gap_at_s":42.796992475,"checks":166,"doubled":16,"bytes_a_node_a_second":417.65416666666664,"bytes_a_second_of_the_busiest_node":456.05,"messages_a_second_into_the_busiest_node":3.8666666666666667,"held_back":504,"wrong_deaths":0,"settled_s":1}`,
 		"vanish": `{"scenario":"vanish","nodes":20,"servers":30,"ping_period_s":0.8,"check_period_s":12,"worst_gap_s":13.497348442,"worst_gap_at_s":52.306476556,"checks":156,"doubled":6,"bytes_a_node_a_second":273.8016666666667,"bytes_a_second_of_the_busiest_node":318.75,"messages_a_second_into_the_busiest_node":3.65,"held_back":280,"wrong_deaths":0,"settled_s":4}`,
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -11,19 +11,19 @@
 const (
 	checkDuration  = 20 * time.Millisecond
 	sampleInterval = time.Second
-	idStep         = 7919 // between the IDs of two servers, so that they have no pattern
-	noNode         = -1
+	idStep         = 7919 // between the IDs of consecutive servers
+	noNode         = -1   // instead of a node's number
 )
 
-// node is one simulated node.
+// node is a simulated node, over its incarnations.
 type node struct {
-	scheduler *healthcheck.Scheduler // of its present life
-	life      int                    // number of starts
-	up        bool
-	wakeAt    time.Duration
-	received  int64 // messages, over all lives
-	sentBytes int64 // of earlier lives
-	withheld  int64 // of earlier lives
+	scheduler   *healthcheck.Scheduler // of the present incarnation
+	incarnation int                    // number of starts
+	up          bool
+	wakeAt      time.Duration // when the timer fires
+	received    int64         // messages, of all incarnations
+	sentBytes   int64         // of earlier incarnations
+	withheld    int64         // messages, of earlier incarnations
 }
 
 // server is the state of an app server.
@@ -40,12 +40,13 @@
 	queue   eventQueue
 	nodes   []*node
 	servers []server
-	checks  []healthcheck.Check // one a server
-	faulty  bool                // the scenario's fault is on
-	down    []int               // vanish: the nodes that were stopped
+	checks  []healthcheck.Check // one for each server
+	faulty  bool                // the scenario's fault is active
+	down    []int               // vanish: the stopped nodes
 	result  Result
 }
 
+// newSimulation returns a run in which all nodes start at time 0.
 func newSimulation(cfg Config) *simulation {
 	s := &simulation{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 7)), servers: make([]server, cfg.Servers)}
 	for i := range s.servers {
@@ -56,20 +57,20 @@
 		s.nodes = append(s.nodes, &node{})
 		s.start(i)
 	}
-	s.result.Settled = -1
+	s.result.ConvergenceS = -1
 	return s
 }
 
-// faultBegins is the time at which the scenario's fault begins.
+// faultBegins returns the time at which the scenario's fault begins.
 func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
 
-// faultEnds is the time at which it ends.
+// faultEnds returns the time at which the scenario's fault ends.
 func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
-// start starts a node with no state of its former lives.
+// start starts a new incarnation of a node, without state of earlier ones.
 func (s *simulation) start(id int) {
 	n := s.nodes[id]
-	n.life++
+	n.incarnation++
 	n.up = true
 	n.scheduler = healthcheck.New(healthcheck.Config{
 		Self:        healthcheck.NodeID(id),
@@ -81,9 +82,10 @@
 	}, s.now)
 	n.scheduler.SetChecks(s.now, s.checks)
 	n.wakeAt = s.now
-	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, life: n.life})
+	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
+// stop stops a node. It does nothing if the node is down.
 func (s *simulation) stop(id int) {
 	n := s.nodes[id]
 	if !n.up {
@@ -95,11 +97,11 @@
 	n.withheld += counters.Withheld
 }
 
-// play runs the whole simulation.
+// play executes the whole run.
 func (s *simulation) play() {
 	s.queue.schedule(event{at: s.faultBegins(), kind: moveFault})
 	s.queue.schedule(event{at: s.faultEnds(), kind: moveFault})
-	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleView})
+	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleMembers})
 	for s.queue.Len() > 0 {
 		e := s.queue.next()
 		if e.at > s.cfg.Duration {
@@ -113,10 +115,10 @@
 	}
 }
 
-// handle processes an event.
+// handle executes an event.
 func (s *simulation) handle(e event) {
 	switch e.kind {
-	case sampleView:
+	case sampleMembers:
 		s.sample()
 		return
 	case moveFault:
@@ -124,26 +126,26 @@
 		return
 	}
 	n := s.nodes[e.node]
-	if !n.up || n.life != e.life && e.kind != receive {
+	if !n.up || n.incarnation != e.incarnation && e.kind != receive {
 		return
 	}
 	switch e.kind {
 	case receive:
 		n.received++
-		// The node counts messages with errors; there are none to handle here.
+		// The scheduler counts invalid messages, and the simulation sends none.
 		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text)
 	case endCheck:
 		n.scheduler.CheckEnded(s.now, e.check, true)
 	default:
-		if e.at < n.wakeAt { // the timer was set anew since
+		if e.at < n.wakeAt { // the timer was set to a later time
 			return
 		}
 	}
-	s.carryOut(e.node)
+	s.executeSteps(e.node)
 }
 
-// carryOut carries out a node's steps, and sets its timer.
-func (s *simulation) carryOut(id int) {
+// executeSteps executes the steps that a node's scheduler returns, and sets the node's timer.
+func (s *simulation) executeSteps(id int) {
 	n := s.nodes[id]
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
 		switch step.Kind {
@@ -151,34 +153,34 @@
 			s.send(id, int(step.To), slices.Clone(step.Text))
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/idStep), id)
-			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, life: n.life, check: step.Check})
-		case healthcheck.Ended: // there is no router to be given the result
+			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, incarnation: n.incarnation, check: step.Check})
+		case healthcheck.Ended: // the simulated node has no router that uses the result
 		}
 	}
 	n.wakeAt = s.now + n.scheduler.Wake(s.now)
-	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, life: n.life})
+	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
-// recordCheck records that a node checks a server now.
+// recordCheck counts a check of a server that a node begins now.
 func (s *simulation) recordCheck(index, by int) {
 	server := &s.servers[index]
 	s.result.Checks++
 	halfInterval := s.nodes[by].scheduler.Interval() / 2
 	if server.checkedBy != noNode && server.checkedBy != by && s.now-server.checkedAt < halfInterval {
-		s.result.Doubled++
+		s.result.Duplicates++
 	}
 	s.recordGap(server.checkedAt, s.now)
 	server.checkedAt, server.checkedBy = s.now, by
 }
 
-// recordGap records that a server went unchecked between two times.
+// recordGap records the time between two checks of a server.
 func (s *simulation) recordGap(from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
 		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
 	}
 }
 
-// sample counts the members that are considered dead. After the fault all are up.
+// sample counts the members that the nodes consider dead. It is called after the fault, when all members are up.
 func (s *simulation) sample() {
 	wrong := 0
 	for _, n := range s.nodes {
@@ -188,11 +190,11 @@
 	}
 	s.result.WrongDeaths = wrong
 	if wrong > 0 {
-		s.result.Settled = -1
-	} else if s.result.Settled < 0 {
-		s.result.Settled = (s.now - s.faultEnds()).Seconds()
+		s.result.ConvergenceS = -1
+	} else if s.result.ConvergenceS < 0 {
+		s.result.ConvergenceS = (s.now - s.faultEnds()).Seconds()
 	}
-	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleView})
+	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleMembers})
 }
 
 // summarize returns the result of the run after play.
@@ -208,10 +210,10 @@
 		}
 		bytes := float64(n.sentBytes+current.SentBytes) / seconds
 		r.BytesMean += bytes / float64(s.cfg.Nodes)
-		r.BytesMost = max(r.BytesMost, bytes)
+		r.BytesMax = max(r.BytesMax, bytes)
 		r.Withheld += n.withheld + current.Withheld
 		received = max(received, n.received)
 	}
-	r.MessagesMost = float64(received) / seconds
+	r.MessagesMax = float64(received) / seconds
 	return r
 }
--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Errors as the protocol has them.
+// The texts of error replies.
 const (
 	replyFull       = "OOM command not allowed when used memory > 'maxmemory'."
 	replyNotInteger = "ERR value is not an integer or out of range"
@@ -16,12 +16,12 @@
 
 // command is a command of the protocol.
 type command struct {
-	words  int  // at least, its name included
-	writes bool // a full store rejects it, a forgetful one may lose it
+	words  int  // minimum number of words, with the name
+	writes bool // the faults full and forget affect the command
 	run    func(*call)
 }
 
-// commands are the known commands, by name.
+// commands holds the known commands, by name.
 var commands = map[string]command{
 	"PING":    {words: 1, run: (*call).ping},
 	"SELECT":  {words: 1, run: (*call).ok},
@@ -37,27 +37,27 @@
 	"DEL":     {words: 2, run: (*call).del},
 }
 
-// call is a command that is being run.
+// call is a command in execution.
 type call struct {
-	redcon.Conn // the reply is written to it
+	redcon.Conn // gets the reply
 	sender      *client
 	data        *data
 	words       []string
-	lost        bool // reply to the write, but don't carry it out
+	lost        bool // the write gets its reply, but does not change the data
 }
 
-// run runs a command; the lock is held.
+// run executes a command and writes the reply. The caller holds mu.
 func (s *Server) run(conn redcon.Conn, sender *client, words []string) {
 	name := words[0]
 	s.applied[name]++
 	cmd, known := commands[name]
-	if s.isOn(full) && cmd.writes {
+	if s.isActive(full) && cmd.writes {
 		conn.WriteError(replyFull)
 		return
 	}
 	c := &call{Conn: conn, sender: sender, data: s.half(sender), words: words}
 	if forgetful, on := s.faults[forget]; on && cmd.writes {
-		c.lost = s.random.Float64() < forgetful.Chance
+		c.lost = s.random.Float64() < forgetful.Probability
 	}
 	if len(words) > 1 {
 		c.data.expire(words[1])
@@ -72,19 +72,21 @@
 	}
 }
 
-// half returns the data that a client sees: of a split store, by the last digit of its name.
+// half returns the data that a client uses. In a split store it depends on the last character of the client's name.
 func (s *Server) half(c *client) *data {
-	if s.isOn(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
+	if s.isActive(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
 		return s.halves[1]
 	}
 	return s.halves[0]
 }
 
+// ping replies PONG.
 func (c *call) ping() { c.WriteString("PONG") }
 
+// ok replies OK.
 func (c *call) ok() { c.WriteString("OK") }
 
-// client handles SETNAME and accepts the other sub-commands.
+// client executes CLIENT SETNAME. Other sub-commands have no effect.
 func (c *call) client() {
 	if len(c.words) > 2 && strings.EqualFold(c.words[1], "SETNAME") {
 		c.sender.name = c.words[2]
@@ -92,6 +94,7 @@
 	c.ok()
 }
 
+// get replies the value of a string.
 func (c *call) get() {
 	if value, ok := c.data.strings[c.words[1]]; ok {
 		c.WriteBulkString(value)
@@ -100,7 +103,7 @@
 	}
 }
 
-// set handles the option NX (only if absent) and ignores others.
+// set sets a string. The option NX sets it only if the key is absent; other options are ignored.
 func (c *call) set() {
 	key := c.words[1]
 	for _, option := range c.words[3:] {
@@ -116,7 +119,7 @@
 	c.ok()
 }
 
-// setIfAbsent ignores the forget fault: a store's number is set by it.
+// setIfAbsent sets a string if the key is absent. The fault forget does not affect it, as the store's identity is set by it.
 func (c *call) setIfAbsent() {
 	key := c.words[1]
 	if _, ok := c.data.strings[key]; ok {
@@ -127,6 +130,7 @@
 	c.WriteInt(1)
 }
 
+// increment adds to an integer in a string; an absent key counts as 0.
 func (c *call) increment() {
 	key := c.words[1]
 	by, err := strconv.ParseInt(c.words[2], 10, 64)
@@ -148,6 +152,7 @@
 	c.WriteInt64(value)
 }
 
+// setFields sets fields of a hash and replies the number of new ones.
 func (c *call) setFields() {
 	key, added := c.words[1], 0
 	for i := 2; i+1 < len(c.words); i += 2 {
@@ -164,6 +169,7 @@
 	c.WriteInt(added)
 }
 
+// getFields replies all fields of a hash with their values.
 func (c *call) getFields() {
 	hash := c.data.hashes[c.words[1]]
 	c.WriteArray(2 * len(hash))
@@ -173,6 +179,7 @@
 	}
 }
 
+// expire sets the expiry of a key, in the given unit from now.
 func (c *call) expire(unit time.Duration) {
 	key := c.words[1]
 	after, err := strconv.ParseInt(c.words[2], 10, 64)
@@ -187,6 +194,7 @@
 	}
 }
 
+// del removes keys and replies the number of existing ones.
 func (c *call) del() {
 	removed := 0
 	for _, key := range c.words[1:] {
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const maxRecentWrites = 4096 // that a failover may lose
+const maxRecentWrites = 4096 // kept for a failover
 
-// write is a write of a field of a hash.
+// write is a write to a field of a hash.
 type write struct {
 	at                time.Time
 	key, field, value string
@@ -17,10 +17,11 @@
 type data struct {
 	strings map[string]string
 	hashes  map[string]map[string]string
-	expires map[string]time.Time // by key; none for those without expiry
-	recent  []write              // most recent writes
+	expires map[string]time.Time // by key; a key without expiry has no entry
+	recent  []write              // most recent writes, by time
 }
 
+// newData returns data without keys.
 func newData() *data {
 	return &data{strings: map[string]string{}, hashes: map[string]map[string]string{}, expires: map[string]time.Time{}}
 }
@@ -34,26 +35,28 @@
 	return c
 }
 
+// has reports whether a key exists.
 func (d *data) has(key string) bool {
 	_, isString := d.strings[key]
 	_, isHash := d.hashes[key]
 	return isString || isHash
 }
 
+// remove removes a key if it exists.
 func (d *data) remove(key string) {
 	delete(d.strings, key)
 	delete(d.hashes, key)
 	delete(d.expires, key)
 }
 
-// expire removes a key that has expired.
+// expire removes a key if it has expired.
 func (d *data) expire(key string) {
 	if at, ok := d.expires[key]; ok && time.Now().After(at) {
 		d.remove(key)
 	}
 }
 
-// setField sets a field of a hash, and reports whether it is new.
+// setField sets a field of a hash, and reports whether the field is new.
 func (d *data) setField(key, field, value string) (added bool) {
 	hash := d.hashes[key]
 	if hash == nil {
@@ -65,7 +68,7 @@
 	return !had
 }
 
-// recordWrites records the writes that a failover may lose.
+// recordWrites records writes, which a failover may lose. It drops the oldest ones above maxRecentWrites.
 func (d *data) recordWrites(writes ...write) {
 	d.recent = append(d.recent, writes...)
 	if len(d.recent) > maxRecentWrites {
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -12,48 +12,48 @@
 // FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of fault.
+// The kinds of fault, by their names in schedule files.
 const (
-	stall    FaultKind = "stall"    // no reply until it is over
-	slow     FaultKind = "slow"     // each reply is late
-	cut      FaultKind = "cut"      // no connection
-	empty    FaultKind = "empty"    // another, empty store in its place
-	failover FaultKind = "failover" // another that lacks the last writes; some of them come late
+	stall    FaultKind = "stall"    // replies wait for the end of the fault
+	slow     FaultKind = "slow"     // each reply is delayed
+	cut      FaultKind = "cut"      // connections are closed and refused
+	empty    FaultKind = "empty"    // the data is replaced by empty data, and connections are closed
+	failover FaultKind = "failover" // the last writes are lost, and connections are closed; some writes return at the end
 	forget   FaultKind = "forget"   // some writes are lost
-	full     FaultKind = "full"     // no writes
-	split    FaultKind = "split"    // two halves, of which the first one lasts
+	full     FaultKind = "full"     // writes are rejected
+	split    FaultKind = "split"    // clients use two copies of the data; the first one remains at the end
 )
 
 // Kinds lists the kinds of fault.
 var Kinds = []FaultKind{stall, slow, cut, empty, failover, forget, full, split}
 
-// ErrBadFault is returned for an invalid fault or schedule.
+// ErrBadFault is the error of an invalid fault or schedule.
 var ErrBadFault = errors.New("bad fault")
 
-// Fault is a fault from At seconds after the start, for For seconds.
+// Fault is a fault of the store.
 type Fault struct {
-	Kind    FaultKind `toml:"kind"`
-	At      float64   `toml:"at_s"`
-	For     float64   `toml:"for_s"`
-	DelayMs float64   `toml:"delay_ms"` // slow: of each answer
-	Chance  float64   `toml:"chance"`   // forget: of each write
-	LoseMs  float64   `toml:"lose_ms"`  // failover: writes of so long before it are gone; half come back at its end
+	Kind        FaultKind `toml:"kind"`
+	StartS      float64   `toml:"at_s"`     // seconds after the store's start
+	DurationS   float64   `toml:"for_s"`    // seconds
+	DelayMs     float64   `toml:"delay_ms"` // slow: delay of each reply
+	Probability float64   `toml:"chance"`   // forget: of losing a write
+	LoseMs      float64   `toml:"lose_ms"`  // failover: age of the writes that are lost; half of them return at the end
 }
 
-// Check validates a fault. An error wraps ErrBadFault.
+// Check returns an error that wraps ErrBadFault if the fault is invalid.
 func (f Fault) Check() error {
 	if !slices.Contains(Kinds, f.Kind) {
 		return fmt.Errorf("%w: kind %q is none of %v", ErrBadFault, f.Kind, Kinds)
 	}
-	inRange := f.At >= 0 && f.For >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Chance >= 0 && f.Chance <= 1
-	if !inRange { // or not a number
-		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.At)
+	inRange := f.StartS >= 0 && f.DurationS >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Probability >= 0 && f.Probability <= 1
+	if !inRange { // true for a NaN as well
+		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.StartS)
 	}
 	return nil
 }
 
-// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table each). For unknown keys and invalid faults the
-// error wraps ErrBadFault.
+// LoadSchedule reads the faults of a schedule file (TOML, `[[fault]]` tables). The error of an unknown key or an invalid
+// fault wraps ErrBadFault.
 func LoadSchedule(path string) ([]Fault, error) {
 	var file struct {
 		Fault []Fault `toml:"fault"`
@@ -73,24 +73,24 @@
 	return file.Fault, nil
 }
 
-// isOn reports whether a fault is on; the lock is held.
-func (s *Server) isOn(kind FaultKind) bool {
+// isActive reports whether a fault of a kind is active. The caller holds mu.
+func (s *Server) isActive(kind FaultKind) bool {
 	_, on := s.faults[kind]
 	return on
 }
 
-// runFault begins and ends a fault at its times. It returns once the fault is over, or with Close.
+// runFault begins and ends a fault at its times. It returns after the fault's end, or at Close.
 func (s *Server) runFault(f Fault) {
-	if !s.waitUntil(f.At) {
+	if !s.waitUntil(f.StartS) {
 		return
 	}
 	lost := s.beginFault(f)
-	if s.waitUntil(f.At + f.For) {
+	if s.waitUntil(f.StartS + f.DurationS) {
 		s.endFault(f, lost)
 	}
 }
 
-// waitUntil waits until so many seconds after the start, and reports whether the server still runs then.
+// waitUntil waits until a time in seconds after the store's start. It returns false if Close is called before.
 func (s *Server) waitUntil(seconds float64) bool {
 	select {
 	case <-s.stop:
@@ -114,22 +114,23 @@
 	case failover:
 		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LoseMs * float64(time.Millisecond))))
 	}
-	if f.Kind == cut || f.Kind == empty || f.Kind == failover { // another process: no connection outlives it
+	if f.Kind == cut || f.Kind == empty || f.Kind == failover { // a new process in the store's place has no connections
 		for c := range s.conns {
-			_ = c.NetConn().Close() // its own goroutine notices
+			_ = c.NetConn().Close() // fails if the connection is closed already
 		}
 	}
 	return lost
 }
 
+// endFault ends a fault; lost are the writes that beginFault returned.
 func (s *Server) endFault(f Fault, lost []write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.faults, f.Kind)
 	switch f.Kind {
-	case split: // the first half's data prevails
+	case split:
 		s.halves[1] = s.halves[0]
-	case failover: // some of the lost writes arrive late
+	case failover:
 		for _, w := range lost {
 			if s.random.IntN(2) == 0 {
 				s.halves[0].setField(w.key, w.field, w.value)
@@ -138,13 +139,13 @@
 	}
 }
 
-// delay waits for as long as the faults delay a reply.
+// delay waits for the delay of a reply by the faults slow and stall.
 func (s *Server) delay() {
-	const pollInterval = 10 * time.Millisecond // of whether a stall is over
+	const pollInterval = 10 * time.Millisecond
 	for {
 		s.mu.Lock()
 		slowness, isSlow := s.faults[slow]
-		stalled := s.isOn(stall)
+		stalled := s.isActive(stall)
 		s.mu.Unlock()
 		if isSlow {
 			time.Sleep(time.Duration(slowness.DelayMs * float64(time.Millisecond)))
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the laboratory's stand-in for a shared store that speaks Redis's protocol (RESP2, by redcon): the few
-// commands that the project uses, on loopback, with faults on a schedule. It is written from the protocol's public
+// Package store is the laboratory's stand-in for a shared store with Redis's protocol (RESP2, by package redcon). It
+// executes the commands that the project uses, on loopback, with faults on a schedule. It follows the protocol's public
 // specification and contains no code of a store.
 package store
 
@@ -16,34 +16,33 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrNotLoopback is returned for an address that other hosts could reach.
+// ErrNotLoopback is the error of an address that other hosts could reach.
 var ErrNotLoopback = errors.New("not a loopback address")
 
-// Server is a stand-in store.
+// Server is a stand-in store. Its methods may be called from several goroutines.
 type Server struct {
 	redcon   *redcon.Server
 	listener net.Listener
 	started  time.Time
 	stop     chan struct{} // closed by Close
 
-	// mu guards what follows, with the data in halves. Commands are carried out one at a time under it.
-	mu      sync.Mutex
-	random  *rand.Rand
-	halves  [2]*data // the same, unless split
-	faults  map[FaultKind]Fault
+	mu      sync.Mutex          // guards the fields below and the data; held while a command is executed
+	random  *rand.Rand          // draws lost writes
+	halves  [2]*data            // the same, unless split
+	faults  map[FaultKind]Fault // active ones
 	conns   map[redcon.Conn]bool
-	applied map[string]int64
+	applied map[string]int64 // executed commands, by name
 }
 
-// client is the state of a connection. Only the connection's own goroutine uses it.
+// client is the state of a connection. Only the connection's goroutine uses it.
 type client struct {
 	name   string     // by CLIENT SETNAME
 	multi  bool       // in a transaction
-	queued [][]string // the commands of the transaction
+	queued [][]string // commands of the transaction
 }
 
-// Start starts a store on a loopback address (port 0 for a free one); the times of the faults count from now. Connections
-// are served by goroutines that end with their connection, at the latest with Close.
+// Start starts a store on a loopback address (port 0 for a free one). The times of the faults count from now. The goroutines
+// of connections and of faults end with Close.
 func Start(addr string, seed uint64, faults []Fault) (*Server, error) {
 	for _, fault := range faults {
 		if err := fault.Check(); err != nil {
@@ -73,43 +72,44 @@
 		go s.runFault(fault)
 	}
 	s.redcon = redcon.NewServer("", s.handle, s.accept, s.closed)
-	go func() { _ = s.redcon.Serve(listener) }() // until Close, whose error it returns
+	go func() { _ = s.redcon.Serve(listener) }() // ends with Close
 	return s, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the store's address, host:port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close stops the server, its faults and its connections. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
-	_ = s.redcon.Close() // a listener that is closed already is as good
+	_ = s.redcon.Close() // fails if the listener is closed already
 }
 
-// Applied counts the commands carried out, by name.
+// Applied returns the number of executed commands, by name.
 func (s *Server) Applied() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.applied)
 }
 
-// accept accepts a connection, unless the store is cut off.
+// accept reports whether a new connection is accepted. It is not under the fault cut.
 func (s *Server) accept(c redcon.Conn) bool {
 	c.SetContext(&client{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	accepted := !s.isOn(cut)
+	accepted := !s.isActive(cut)
 	s.conns[c] = accepted
 	return accepted
 }
 
+// closed removes a closed connection.
 func (s *Server) closed(c redcon.Conn, _ error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// handle processes a command. Each connection has its own goroutine, which a stall blocks.
+// handle executes or queues a command. It is called on the connection's goroutine, which the faults stall and slow block.
 func (s *Server) handle(c redcon.Conn, received redcon.Command) {
 	words := make([]string, len(received.Args))
 	for i, arg := range received.Args {
@@ -141,7 +141,7 @@
 	s.run(c, cl, words)
 }
 
-// exec runs a transaction.
+// exec executes a transaction.
 func (s *Server) exec(c redcon.Conn, cl *client) {
 	if !cl.multi {
 		c.WriteError("ERR EXEC without MULTI")
@@ -152,7 +152,7 @@
 	s.delay()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isOn(full) {
+	if s.isActive(full) {
 		c.WriteError("EXECABORT Transaction discarded because of: " + replyFull)
 		return
 	}
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A schedule is read whole, or what is wrong with it is said.
+// LoadSchedule returns all faults of a file, or an error that wraps ErrBadFault.
 func TestLoadSchedule(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -19,7 +19,7 @@
 	}{
 		{
 			"two faults", "[[fault]]\nkind = \"cut\"\nat_s = 1.5\nfor_s = 2\n[[fault]]\nkind = \"forget\"\nat_s = 4\nchance = 0.3\n",
-			[]Fault{{Kind: cut, At: 1.5, For: 2}, {Kind: forget, At: 4, Chance: 0.3}},
+			[]Fault{{Kind: cut, StartS: 1.5, DurationS: 2}, {Kind: forget, StartS: 4, Probability: 0.3}},
 			false,
 		},
 		{"none", "", nil, false},
@@ -45,12 +45,12 @@
 	}
 }
 
-// A store that others could reach, or with a fault that can't be, does not start.
-func TestStartRefuses(t *testing.T) {
+// A store does not start at an address that other hosts could reach, or with an invalid fault.
+func TestInvalidStartFails(t *testing.T) {
 	if _, err := Start("0.0.0.0:0", 1, nil); !errors.Is(err, ErrNotLoopback) {
 		t.Errorf("on all addresses: %v", err)
 	}
-	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: cut, At: math.NaN()}}); !errors.Is(err, ErrBadFault) {
+	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: cut, StartS: math.NaN()}}); !errors.Is(err, ErrBadFault) {
 		t.Errorf("with a fault at no time: %v", err)
 	}
 	if _, err := Start("127.0.0.1:none", 1, nil); err == nil {
@@ -58,12 +58,12 @@
 	}
 }
 
-// A failover loses the writes since a time and no others, a copy of the data is one of its own, and old writes are not
-// remembered for ever.
+// loseWrites removes exactly the writes since a time. A clone does not change with its original. The number of recorded
+// writes is limited.
 func TestData(t *testing.T) {
 	d := newData()
 	if !d.setField("h", "a", "1") || !d.setField("h", "b", "1") || d.setField("h", "a", "2") {
-		t.Error("what is new and what is not is mixed up")
+		t.Error("setField reports a wrong result")
 	}
 	now := time.Now()
 	d.recordWrites(write{now.Add(-time.Second), "h", "a", "2"}, write{now, "h", "b", "1"})
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// conversation sends commands (words apart by a blank) one after the other over one connection, and reads what comes
-// back to each, as bytes.
+// conversation sends commands, with words separated by blanks, over one connection, and returns the bytes of each reply.
 func conversation(t *testing.T, addr string, commands []string) (replies []string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -41,7 +40,7 @@
 	return replies
 }
 
-// readReply reads one reply with all that is in it.
+// readReply reads one reply with its elements.
 func readReply(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -71,8 +70,8 @@
 	return line, nil
 }
 
-// goldenReplies are commands, sent one after the other, with the reply to each.
-var goldenReplies = [][2]string{
+// expectedReplies holds commands, in the order in which they are sent, with their replies.
+var expectedReplies = [][2]string{
 	{"PING", "+PONG\r\n"},
 	{"ping x", "+PONG\r\n"},
 	{"SELECT 3", "+OK\r\n"},
@@ -130,14 +129,14 @@
 	{"EXEC", "-ERR EXEC without MULTI\r\n"},
 }
 
-// Each command is answered with the bytes of commit cf1acfb.
-func TestGoldenReplies(t *testing.T) {
+// The reply to each command has the expected bytes, and the store counts each command.
+func TestReplyWireFormat(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	table := goldenReplies
+	table := expectedReplies
 	commands := make([]string, len(table))
 	for k, row := range table {
 		commands[k] = row[0]
@@ -153,9 +152,9 @@
 	}
 }
 
-// A full store refuses what writes, alone and in a transaction.
-func TestGoldenRepliesInFaults(t *testing.T) {
-	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
+// A full store rejects writes, also in a transaction.
+func TestReplyWireFormatOfAFullStore(t *testing.T) {
+	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", DurationS: 60}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +189,7 @@
 	}
 }
 
-// faultCount is how many faults are on.
+// faultCount returns the number of active faults.
 func (s *Server) faultCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
