--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -1,5 +1,6 @@
-// Package authz is the laboratory's stand-in for an external authorizer with Envoy's Authorization service (gRPC), on
-// loopback. It allows or denies requests. By its configuration it also delays, drops or malforms responses, and restarts.
+// Package authz is the laboratory's stand-in for an external authorizer. It serves Envoy's Authorization service (ext_authz,
+// version 3) over gRPC on loopback. It allows and denies requests, and has faults from a seed: slow answers, failed calls,
+// malformed answers and restarts.
 package authz
 
 import (
@@ -18,62 +19,61 @@
 )
 
 const (
-	randomStream   = 11                    // second half of the random seed
-	relistenDelay  = 10 * time.Millisecond // between two attempts to listen again after a restart
-	malformedCode  = 99                    // not a status code of gRPC
-	customerRadix  = 16                    // of the customer's number in a check
-	customerLength = 64                    // bits
+	// randomStream is the second word of the seed.
+	randomStream = 11
+	// relistenInterval is the time between two attempts to listen after a restart.
+	relistenInterval = 10 * time.Millisecond
+	// malformedCode is a status code that gRPC does not define.
+	malformedCode = 99
+	// customerBase and customerBits are the base and the maximum size of the customer in a check.
+	customerBase = 16
+	customerBits = 64
 )
 
-// Config configures an authorizer. Probabilities are 0 to 1.
+// Config configures a Server. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
-	DenyEvery            uint64        // customers whose number is a multiple are denied; 0 for none
-	MeanDelay            time.Duration // of responses; the delay is exponentially distributed
-	SlowProbability      float64       // of a response with the additional delay SlowDelay
+	DenyEvery            uint64        // customers whose number is divisible by it are denied; 0 for none
+	MeanDelay            time.Duration // mean of the exponential delay of each answer
+	SlowProbability      float64       // probability that an answer is delayed by SlowDelay in addition
 	SlowDelay            time.Duration
-	DropProbability      float64       // of a call that fails
-	MalformedProbability float64       // of a response with an invalid status
-	Uptime               time.Duration // until each restart; 0 for no restarts
-	Downtime             time.Duration // of each restart
+	DropProbability      float64       // probability that a call fails
+	MalformedProbability float64       // probability of a malformed answer
+	Uptime               time.Duration // time from each start to the next restart; 0 for no restarts
+	Downtime             time.Duration // duration of a restart
 }
 
-// Server is a stand-in authorizer. Its methods may be called from several goroutines.
+// Server is a stand-in authorizer. Its methods are safe for concurrent use.
 type Server struct {
 	auth.UnimplementedAuthorizationServer
 
 	config Config
 	addr   string
 	stop   chan struct{}  // closed by Close
-	done   sync.WaitGroup // counts run
+	done   sync.WaitGroup // run
 
-	mu         sync.Mutex // guards the fields below
-	random     *rand.Rand
-	lastAnswer map[string]bool // whether the last response allowed the request, by request ID
-	counts     Counts
+	mu         sync.Mutex      // guards the fields below
+	random     *rand.Rand      // of the draws
+	lastAnswer map[string]bool // whether the last answer allowed the request, by request id
+	answers    int64           // number of calls that ended, including failed ones
+	starts     int64           // number of starts
 }
 
-// Counts counts the responses and starts of an authorizer.
-type Counts struct {
-	Answers int64 // dropped and malformed ones included
-	Starts  int64
-}
-
-// NotLoopbackError is the error of an address that other hosts could reach.
+// NotLoopbackError is the error for an address that is not a loopback address.
 type NotLoopbackError struct{ Addr string }
 
-// Error returns a text with the address.
+// Error names the address.
 func (e *NotLoopbackError) Error() string { return e.Addr + " is not a loopback address" }
 
-// Start starts an authorizer on a loopback address (port 0 for a free one). It returns a *NotLoopbackError for any other
-// address. The authorizer's goroutine ends with Close.
+// Start starts an authorizer on a loopback address, "host:port". Port 0 stands for a free port. For another address the error
+// is a *NotLoopbackError. The caller must call Close, which ends the authorizer's goroutine.
 func Start(addr string, cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if local, ok := listener.Addr().(*net.TCPAddr); !ok || !local.IP.IsLoopback() {
-		_ = listener.Close() // it has accepted no connection
+		_ = listener.Close()
 		return nil, &NotLoopbackError{Addr: addr}
 	}
 	s := &Server{
@@ -85,16 +85,16 @@
 	return s, nil
 }
 
-// Addr returns the authorizer's address, host:port, which restarts do not change.
+// Addr returns the "host:port" of the authorizer, which stays the same over restarts.
 func (s *Server) Addr() string { return s.addr }
 
-// Close stops the authorizer and waits for its goroutine. Calls in flight fail. It must be called once.
+// Close closes the authorizer. Calls in flight fail. It must be called once.
 func (s *Server) Close() {
 	close(s.stop)
 	s.done.Wait()
 }
 
-// run serves calls and executes the restarts until Close.
+// run serves until Close, with the configured restarts.
 func (s *Server) run(listener net.Listener) {
 	defer s.done.Done()
 	for listener != nil && s.serve(listener) {
@@ -105,14 +105,14 @@
 	}
 }
 
-// serve serves calls until the uptime or Close. It reports whether a restart follows. Calls in flight at the end fail.
+// serve serves until the end of Config.Uptime or until Close. It returns true for the former. Calls in flight fail.
 func (s *Server) serve(listener net.Listener) (restart bool) {
 	server := grpc.NewServer()
 	auth.RegisterAuthorizationServer(server, s)
 	s.mu.Lock()
-	s.counts.Starts++
+	s.starts++
 	s.mu.Unlock()
-	go func() { _ = server.Serve(listener) }() // ends with Stop, which closes the listener
+	go func() { _ = server.Serve(listener) }() // until Stop, which closes the listener
 	defer server.Stop()
 	var up <-chan time.Time
 	if s.config.Uptime > 0 {
@@ -126,19 +126,19 @@
 	}
 }
 
-// listenAgain opens the same address, and retries while another process uses it. It returns nil after Close.
+// listenAgain listens at the same address again. It retries while the address is in use, and returns nil after Close.
 func (s *Server) listenAgain() net.Listener {
 	for {
 		if listener, err := net.Listen("tcp", s.addr); err == nil {
 			return listener
 		}
-		if !s.wait(relistenDelay) {
+		if !s.wait(relistenInterval) {
 			return nil
 		}
 	}
 }
 
-// wait waits for a time. It returns false if Close is called before.
+// wait waits for a time. It returns false if Close is called before the end.
 func (s *Server) wait(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -148,8 +148,8 @@
 	}
 }
 
-// LastAnswer returns the last answer to a check of the request with this ID. answered is false if there was none, or if it
-// was dropped or malformed.
+// LastAnswer returns whether the last answer for a request allowed it, and whether there was an answer. The caller of the check
+// may have timed out before the answer.
 func (s *Server) LastAnswer(id string) (allowed, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,53 +157,52 @@
 	return allowed, answered
 }
 
-// Counts returns the counts so far.
-func (s *Server) Counts() Counts {
+// Counts returns the number of calls that ended, including failed ones, and the number of starts.
+func (s *Server) Counts() (answers, starts int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts
+	return s.answers, s.starts
 }
 
-// callFaults holds the faults of a call.
-type callFaults struct {
+// drawnCall is the random part of a call.
+type drawnCall struct {
 	delay     time.Duration
-	drop      bool
-	malformed bool
+	drop      bool // whether the call fails
+	malformed bool // whether the answer is malformed
 }
 
-// drawFaults draws the faults of a call.
-func (s *Server) drawFaults() callFaults {
+// draw draws the random part of a call.
+func (s *Server) draw() drawnCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := callFaults{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
+	drawn := drawnCall{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
 	if s.random.Float64() < s.config.SlowProbability {
-		f.delay += s.config.SlowDelay
+		drawn.delay += s.config.SlowDelay
 	}
-	f.drop = s.random.Float64() < s.config.DropProbability
-	f.malformed = s.random.Float64() < s.config.MalformedProbability
-	return f
+	drawn.drop, drawn.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
+	return drawn
 }
 
-// Check answers a call, also if the caller's context has ended meanwhile. It implements auth.AuthorizationServer.
+// Check implements the Authorization service. It does not stop when the caller's context ends, as a slow authorizer would not.
 func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
 	attributes := r.GetAttributes()
-	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerRadix, customerLength)
+	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerBase, customerBits)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
-	f := s.drawFaults()
-	time.Sleep(f.delay)
+	drawn := s.draw()
+	time.Sleep(drawn.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
-	s.counts.Answers++
-	if !f.drop && !f.malformed {
+	s.answers++
+	if !drawn.drop && !drawn.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
 	s.mu.Unlock()
 	switch {
-	case f.drop:
+	case drawn.drop:
 		return nil, status.Error(codes.Unavailable, "dropped")
-	case f.malformed:
+	case drawn.malformed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: malformedCode}}, nil
 	case allowed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)}}, nil
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -1,5 +1,6 @@
-// Package discovery is the laboratory's stand-in for discovery's agent. It serves one endpoint list and its changes over
-// HTTP, to each node at a separate address, as the agent on the node's machine does. The methods of Agent inject faults.
+// Package discovery is the laboratory's stand-in for discovery's agent. It serves one endpoint list and its changes over HTTP,
+// in the platform's protocol. Each node has an address of its own, as an agent runs on each node's machine. A test can
+// disconnect or silence the watches, and set a node's clock ahead.
 package discovery
 
 import (
@@ -18,50 +19,52 @@
 // Endpoint is a server of the agent's list.
 type Endpoint struct {
 	protocol.Endpoint
-	Listed   bool   // the list contains the server; Publish sets it
+	Listed   bool   // whether the list contains the server; Publish sets it
 	revision uint64 // of the last change
 }
 
-// Agent stands in for discovery's agent. Its methods may be called from several goroutines.
+// Agent serves one endpoint list over HTTP, with an address for each watch. Its methods are safe for concurrent use.
 type Agent struct {
-	watches []*watch // not changed after Start
-
-	mu             sync.Mutex // guards the fields below, and all watches except for their addr and server
-	servers        []Endpoint
-	revision       uint64
-	oldestRevision uint64        // a call with an older revision gets the full list
-	fullBody       []byte        // the full list at revision; nil: not encoded yet
-	changed        chan struct{} // closed and replaced at each change
-	disconnected   bool          // new connections are closed
-	silent         bool          // calls are not answered
-	generation     int           // calls on connections of an earlier generation are not answered
+	watches []*watch // immutable after Start
+
+	mu             sync.Mutex    // guards the fields below, and the fields of the watches that say so
+	servers        []Endpoint    // all servers, listed or not
+	revision       uint64        // of the last change, from 1
+	oldestRevision uint64        // a call for the changes since an earlier revision gets the full list
+	fullBody       []byte        // response with the full list; nil if it must be encoded
+	changed        chan struct{} // closed and replaced at each change that waiting calls must see
+	disconnected   bool          // whether new connections are closed
+	silent         bool          // whether no call gets a response
+	generation     int           // of new connections; calls on connections of earlier generations get no response
 }
 
-// watch is the agent's state of one node's watch.
+// watch is the address and the state of one node's watch.
 type watch struct {
-	addr         string // host:port
-	server       *http.Server
-	conns        map[net.Conn]struct{} // open ones
-	clockAhead   time.Duration         // of the node's clock, against all others
-	traffic      Traffic
-	acknowledged []acknowledgement // by time
+	addr   string       // immutable
+	server *http.Server // immutable
+
+	conns        map[net.Conn]struct{} // guarded by Agent.mu: open connections
+	clockAhead   time.Duration         // guarded by Agent.mu: lead of the node's clock over all others
+	traffic      Traffic               // guarded by Agent.mu
+	acknowledged []acknowledgement     // guarded by Agent.mu
 }
 
-// Traffic counts the agent's responses on one watch. Bytes are those of bodies.
+// Traffic counts the responses of a watch.
 type Traffic struct {
-	FullLists   int64
-	FullBytes   int64 // of full lists
-	ChangeBytes int64 // of responses with changes or without any
+	FullLists   int64 // responses with the full list
+	FullBytes   int64 // bytes of their bodies
+	ChangeBytes int64 // bytes of the bodies of all other responses
 }
 
-// acknowledgement is a call for the changes since a revision. A node applies a list before its next call, so the node has
-// applied the revision by then.
+// acknowledgement is a call for the changes since a revision. A node applies a list before its next call, so the call proves
+// that the node has applied the revision.
 type acknowledgement struct {
 	revision uint64
 	at       time.Time
 }
 
-// Start starts the agent with a listener for each watch. Each listener has a goroutine, which ends with Close.
+// Start starts an agent with a listener on loopback for each watch. All watches serve the same servers. The caller must call
+// Close, which ends the agent's goroutines.
 func Start(servers []Endpoint, watches int) (*Agent, error) {
 	a := &Agent{servers: servers, revision: 1, oldestRevision: 1, changed: make(chan struct{})}
 	for range watches {
@@ -79,22 +82,22 @@
 			},
 		}
 		a.watches = append(a.watches, watch)
-		go func() { _ = watch.server.Serve(listener) }() // returns http.ErrServerClosed after Close
+		go func() { _ = watch.server.Serve(listener) }() // it returns an error always: that of Close
 	}
 	return a, nil
 }
 
-// generationKey is the context key of a connection's generation, an int.
+// generationKey is the context key of a connection's generation.
 type generationKey struct{}
 
-// currentGeneration returns the generation of connections that open now.
+// currentGeneration returns the generation of a new connection.
 func (a *Agent) currentGeneration() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.generation
 }
 
-// Addr returns the agent's address for a watch, host:port.
+// Addr returns the "host:port" of a watch.
 func (a *Agent) Addr(watch int) string { return a.watches[watch].addr }
 
 // Close closes all listeners and connections.
@@ -104,7 +107,7 @@
 	}
 }
 
-// trackConn adds a new connection to the watch or removes a closed one.
+// trackConn records the open connections of a watch. It closes new ones while watches are disconnected.
 func (a *Agent) trackConn(watch *watch, conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,8 +122,8 @@
 	}
 }
 
-// serveCall answers one call. A call without a revision gets the full list. Any other call waits for changes since its
-// revision, at most for the hold time that it states.
+// serveCall responds to a call with the full list, or with the changes since a revision. Without changes it waits for one, and
+// responds with none at the end of the call's hold time.
 func (a *Agent) serveCall(watch *watch, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path != protocol.EndpointsPath {
@@ -130,7 +133,7 @@
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get(protocol.QueryRevision), 10, 64)
 	full := err != nil
-	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if missing
+	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if it is missing
 	if !full {
 		a.mu.Lock()
 		watch.acknowledged = append(watch.acknowledged, acknowledgement{from, arrived})
@@ -139,9 +142,8 @@
 	generation, _ := r.Context().Value(generationKey{}).(int)
 	hold := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 	defer hold.Stop()
-	call := listCall{generation: generation, revision: from, wantsFullList: full}
-	for {
-		body, changed := a.answer(watch, call)
+	for holdEnded := false; ; {
+		body, changed := a.response(watch, request{generation: generation, full: full, from: from, holdEnded: holdEnded})
 		if body != nil {
 			w.Header().Set("Date", time.Now().Add(-watch.clockAhead).UTC().Format(http.TimeFormat))
 			writeBody(w, body)
@@ -150,117 +152,111 @@
 		select {
 		case <-changed:
 		case <-hold.C:
-			call.holdOver = true
+			holdEnded = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// listCall is a call in progress.
-type listCall struct {
-	generation    int    // of its connection
-	revision      uint64 // that the node has; not used if wantsFullList
-	wantsFullList bool
-	holdOver      bool // the hold time has passed
+// request is a call to the agent.
+type request struct {
+	generation int    // of the call's connection
+	full       bool   // whether the call asks for the full list
+	from       uint64 // revision after which the call asks for changes
+	holdEnded  bool   // whether the call's hold time has ended
 }
 
-// answer returns the body of the response, or nil and the channel that is closed at the next change. While watches are
-// disconnected, it closes the connection by the panic that net/http defines for that.
-func (a *Agent) answer(watch *watch, call listCall) (body []byte, changed <-chan struct{}) {
+// response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed at
+// the next change. While watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the connection.
+func (a *Agent) response(watch *watch, r request) ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.disconnected {
 		panic(http.ErrAbortHandler)
 	}
-	if a.silent || call.generation < a.generation {
+	if a.silent || r.generation < a.generation {
 		return nil, a.changed
 	}
-	if call.wantsFullList || call.revision < a.oldestRevision || call.revision > a.revision {
-		body := a.fullListFor(watch)
+	if r.full || r.from < a.oldestRevision || r.from > a.revision {
+		body := a.fullList(watch)
 		watch.traffic.FullLists++
 		watch.traffic.FullBytes += int64(len(body))
 		return body, nil
 	}
-	if call.revision < a.revision || call.holdOver {
-		body := a.changesSince(watch, call.revision)
+	if r.from < a.revision || r.holdEnded {
+		body := a.changesSince(watch, r.from)
 		watch.traffic.ChangeBytes += int64(len(body))
 		return body, nil
 	}
 	return nil, a.changed
 }
 
-// writeBody writes a response. The client notices an incomplete body by its length.
+// writeBody writes a response. It ignores the error of a closed connection, which the client notices.
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// fullList returns the body of the full list. The caller holds mu.
-func (a *Agent) fullList() []byte {
+// fullList returns the body with the full list for a watch. The caller holds a.mu.
+func (a *Agent) fullList(w *watch) []byte {
+	if w.clockAhead != 0 {
+		return a.encodeFullList(w)
+	}
 	if a.fullBody == nil {
-		list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
-		for _, e := range a.servers {
-			if e.Listed && e.State != protocol.Terminated {
-				list.Endpoints = append(list.Endpoints, e.Endpoint)
-			}
-		}
-		a.fullBody = encodeList(list)
+		a.fullBody = a.encodeFullList(w)
 	}
 	return a.fullBody
 }
 
-// fullListFor returns the body of the full list for a watch. The caller holds mu.
-func (a *Agent) fullListFor(w *watch) []byte {
-	if w.clockAhead == 0 {
-		return a.fullList()
-	}
-	list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: []protocol.Endpoint{}}
+// encodeFullList encodes the full list for a watch. The caller holds a.mu.
+func (a *Agent) encodeFullList(w *watch) []byte {
+	list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
 	for _, e := range a.servers {
 		if e.Listed && e.State != protocol.Terminated {
-			list.Endpoints = append(list.Endpoints, w.seen(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
 		}
 	}
 	return encodeList(list)
 }
 
-// seen returns an endpoint with its start time shifted by clockAhead.
-func (w *watch) seen(e protocol.Endpoint) protocol.Endpoint {
+// seenByNode returns an endpoint with its start time relative to the clock of the watch's node.
+func (w *watch) seenByNode(e protocol.Endpoint) protocol.Endpoint {
 	if e.BootMs > 0 {
 		e.BootMs -= w.clockAhead.Milliseconds()
 	}
 	return e
 }
 
-// changesSince returns the body with the endpoints that changed after a revision. The caller holds mu.
+// changesSince returns the body with the changes after a revision, for a watch. The caller holds a.mu.
 func (a *Agent) changesSince(w *watch, from uint64) []byte {
 	list := protocol.EndpointList{Revision: a.revision, Endpoints: []protocol.Endpoint{}}
 	for _, e := range a.servers {
 		if e.Listed && e.revision > from {
-			list.Endpoints = append(list.Endpoints, w.seen(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
 		}
 	}
 	return encodeList(list)
 }
 
-// encodeList returns the JSON of a list.
+// encodeList returns a list as JSON.
 func encodeList(list protocol.EndpointList) []byte {
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // a list contains only strings and finite numbers
+		panic(err) // impossible for strings and finite numbers
 	}
 	return body
 }
 
-// Snapshot returns the present full list in the form of a node's configuration.
+// Snapshot returns the current full list for a watch, as it stands in the configuration of the watch's node.
 func (a *Agent) Snapshot(watch int) json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.fullListFor(a.watches[watch])
+	return a.fullList(a.watches[watch])
 }
 
-// Publish calls change for each of the servers, which makes one revision, and lists them. It returns the revision and the
-// time of its publication to waiting calls.
+// Publish changes servers as one revision, lists them, and sends the change to all waiting calls. It returns the revision and
+// the time of the change.
 func (a *Agent) Publish(change func(*Endpoint), servers ...int) (revision uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -276,7 +272,7 @@
 	return a.revision, at
 }
 
-// DisconnectAll closes all connections and those that open until Reconnect. Each node's next call gets the full list.
+// DisconnectAll closes all connections, and new ones until Reconnect. After that every call for changes gets the full list.
 func (a *Agent) DisconnectAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -291,7 +287,7 @@
 	a.wakeCalls()
 }
 
-// SetSilent sets whether calls stay without a response, as they do while discovery is down.
+// SetSilent sets whether all calls wait without a response, as they do while discovery is down.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -299,43 +295,42 @@
 	a.wakeCalls()
 }
 
-// SilenceOpen leaves all calls on the open connections without a response. Calls on new connections are answered.
+// SilenceOpen leaves all calls on connections that are open now without a response. Calls on new connections get one.
 func (a *Agent) SilenceOpen() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.generation++
 }
 
-// SetClockAhead simulates that the clock of a watch's node is ahead of all others: the node gets times that are earlier by
-// ahead. The caller calls it before the node's start.
+// SetClockAhead sets the lead of the clock of a watch's node over all other clocks. It must be called before the node starts.
 func (a *Agent) SetClockAhead(watch int, ahead time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watches[watch].clockAhead = ahead
 }
 
-// Traffic returns the counts of a watch so far.
+// Traffic returns the counts of a watch since Start.
 func (a *Agent) Traffic(watch int) Traffic {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.watches[watch].traffic
 }
 
-// wakeCalls makes the waiting calls try again. The caller holds mu.
+// wakeCalls makes all waiting calls check for changes. The caller holds a.mu.
 func (a *Agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Reconnect ends the effect of DisconnectAll on new connections.
+// Reconnect accepts connections again after DisconnectAll.
 func (a *Agent) Reconnect() {
 	a.mu.Lock()
 	a.disconnected = false
 	a.mu.Unlock()
 }
 
-// AppliedAt returns the first time since a moment at which a watch acknowledged a revision or a later one; the zero time if
-// it has not.
+// AppliedAt returns the first time, from since on, at which a watch acknowledged a revision or a later one. It returns the
+// zero time if there is none.
 func (a *Agent) AppliedAt(watch int, revision uint64, since time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -11,44 +11,52 @@
 type eventKind uint8
 
 const (
-	wakeNode      eventKind = iota // a node's timer fires
-	receive                        // a datagram arrives
-	endCheck                       // a node's health check of a server ends
-	moveFault                      // the scenario's fault begins, ends or, in flap, continues
-	sampleMembers                  // the nodes' lists of dead members are counted, each second after the fault
+	// wakeNode is the expiry of a node's timer.
+	wakeNode eventKind = iota
+	// receive is the arrival of a datagram.
+	receive
+	// endCheck is the end of a node's health check of a server.
+	endCheck
+	// moveFault is the begin or the end of the scenario's fault, or its next step in the scenario flap.
+	moveFault
+	// sampleStates counts the dead members at all nodes. It happens each second after the fault.
+	sampleStates
 )
 
-// event is an event of a node, or of the whole fleet for moveFault and sampleMembers.
+// event is a future event. moveFault and sampleStates use only at and kind.
 type event struct {
-	at          time.Duration // virtual time
-	sequence    int           // number of the event by scheduling, which orders events of the same time
+	at          time.Duration
+	sequence    int // orders events at the same time, as they were scheduled
 	kind        eventKind
-	node        int
-	incarnation int               // of the node; timers and checks of an earlier incarnation are dropped
-	from        int               // receive: the sending node
-	text        []byte            // receive: the datagram
+	node        int // receiver of the event
+	incarnation int // of the node; timers and checks of earlier incarnations are dropped
+	from        int // receive: sender
+	text        []byte
 	check       healthcheck.Check // endCheck
 }
 
-// eventQueue is a priority queue of events. It implements heap.Interface.
+// eventQueue is a priority queue of future events. It implements heap.Interface.
 type eventQueue struct {
 	events       []event
 	lastSequence int
 }
 
+// Len implements heap.Interface.
 func (q *eventQueue) Len() int { return len(q.events) }
 
+// Less implements heap.Interface.
 func (q *eventQueue) Less(i, j int) bool {
 	a, b := &q.events[i], &q.events[j]
 	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
+// Swap implements heap.Interface.
 func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
-// Push implements heap.Interface. Callers use schedule.
+// Push implements heap.Interface. Other callers use schedule.
 func (q *eventQueue) Push(x any) { q.events = append(q.events, x.(event)) }
 
-// Pop implements heap.Interface. Callers use next.
+// Pop implements heap.Interface. Other callers use next.
 func (q *eventQueue) Pop() any {
 	last := len(q.events) - 1
 	e := q.events[last]
@@ -56,7 +64,7 @@
 	return e
 }
 
-// schedule adds an event and sets its number.
+// schedule adds an event to the queue.
 func (q *eventQueue) schedule(e event) {
 	q.lastSequence++
 	e.sequence = q.lastSequence
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -3,49 +3,58 @@
 import "time"
 
 const (
-	usualLoss             = 0.01 // share of the datagrams
-	lossyLoss             = 0.25 // share of the datagrams during the lossy scenario's fault
+	// lossProbability is the usual probability that a datagram is lost.
+	lossProbability = 0.01
+	// lossyLossProbability is that probability during the fault of the scenario lossy.
+	lossyLossProbability = 0.25
+	// datagramsPerDuplicate is the mean number of datagrams of which one arrives twice.
 	datagramsPerDuplicate = 100
-	minDelayMs            = 1.0
-	meanAdditionalDelayMs = 4.0
-	lateShare             = 0.02 // share of the datagrams that are delayed by up to maxLatenessMs more
-	maxLatenessMs         = 400
-	nodesPerFlap          = 20 // nodes of the fleet for each node that stops or starts in a step of flap
-	maxFlapIntervalS      = 3
+	// minDelayMs is the shortest delay of a datagram, in milliseconds.
+	minDelayMs = 1.0
+	// meanExtraDelayMs is the mean of the exponential delay on top of it, in milliseconds.
+	meanExtraDelayMs = 4.0
+	// lateProbability is the probability that a datagram is late, so that others overtake it.
+	lateProbability = 0.02
+	// maxLatenessMs is the largest additional delay of a late datagram, in milliseconds.
+	maxLatenessMs = 400
+	// nodesPerFlap is the number of nodes of which one stops or starts at each step of the scenario flap.
+	nodesPerFlap = 20
+	// maxFlapSeconds is the longest time between two steps of the scenario flap.
+	maxFlapSeconds = 3
 )
 
-// send sends a datagram over the simulated network, which may lose, delay or duplicate it.
+// send sends a datagram over the simulated network.
 func (s *simulation) send(from, to int, text []byte) {
 	for range 1 + s.random.IntN(datagramsPerDuplicate)/(datagramsPerDuplicate-1) {
 		if s.nodes[to].up && s.arrives(from, to) {
-			s.queue.schedule(event{at: s.now + s.drawDelay(), kind: receive, node: to, from: from, text: text})
+			s.queue.schedule(event{at: s.now + s.delay(), kind: receive, node: to, from: from, text: text})
 		}
 	}
 }
 
-// arrives draws whether a datagram between two nodes arrives.
+// arrives reports whether a datagram between two nodes arrives.
 func (s *simulation) arrives(from, to int) bool {
 	half := s.cfg.Nodes / 2
 	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
 		return false
 	}
-	loss := usualLoss
+	loss := lossProbability
 	if s.faulty && s.cfg.Scenario == lossy {
-		loss = lossyLoss
+		loss = lossyLossProbability
 	}
 	return s.random.Float64() >= loss
 }
 
-// drawDelay draws the delay of a datagram: usually a few milliseconds, sometimes long enough for later ones to overtake.
-func (s *simulation) drawDelay() time.Duration {
-	delay := time.Duration(minDelayMs+s.random.ExpFloat64()*meanAdditionalDelayMs) * time.Millisecond
-	if s.random.Float64() < lateShare {
+// delay draws the delay of a datagram, in whole milliseconds.
+func (s *simulation) delay() time.Duration {
+	delay := time.Duration(minDelayMs+s.random.ExpFloat64()*meanExtraDelayMs) * time.Millisecond
+	if s.random.Float64() < lateProbability {
 		delay += time.Duration(s.random.IntN(maxLatenessMs)) * time.Millisecond
 	}
 	return delay
 }
 
-// moveFault begins the scenario's fault, executes its next step, or ends it.
+// moveFault begins or ends the scenario's fault, or begins its next step.
 func (s *simulation) moveFault() {
 	over := s.now >= s.faultEnds()
 	s.faulty = !s.faulty && !over
@@ -83,7 +92,7 @@
 	}
 }
 
-// flap stops or starts some random nodes, and schedules the next step a few seconds later.
+// flap stops or starts random nodes, and schedules the next step.
 func (s *simulation) flap() {
 	for range max(1, s.cfg.Nodes/nodesPerFlap) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
@@ -92,6 +101,6 @@
 			s.start(id)
 		}
 	}
-	interval := time.Duration(1+s.random.IntN(maxFlapIntervalS)) * time.Second
-	s.queue.schedule(event{at: s.now + interval, kind: moveFault})
+	pause := time.Duration(1+s.random.IntN(maxFlapSeconds)) * time.Second
+	s.queue.schedule(event{at: s.now + pause, kind: moveFault})
 }
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -1,9 +1,8 @@
-// Package healthlab simulates a fleet's shared health checks in virtual time. Each node runs the real internal/healthcheck.
-// Datagrams are delayed, lost, duplicated and reordered; nodes stop, flap or are partitioned. One goroutine executes the
-// events, ordered by time and then by scheduling, so that the same configuration gives the same run.
+// Package healthlab simulates the shared health checks of a fleet in virtual time. Each simulated node runs the real
+// internal/healthcheck. Datagrams are delayed, lost, duplicated and reordered. Nodes vanish, flap or are partitioned.
 //
-// A Result shows the longest time without a check of an app server, the number of duplicate checks, and the traffic of the
-// nodes.
+// The simulation has one goroutine, and one queue of events ordered by time and sequence. The same Config yields the same
+// Result: the longest time without a check of a server, the number of duplicate checks, and the traffic of the nodes.
 package healthlab
 
 import (
@@ -13,21 +12,22 @@
 	"time"
 )
 
-// The scenarios, each with one fault, which lasts from a third of the run to two thirds.
+// Scenarios, each with one fault. The fault begins after a third of the run and ends after two thirds.
 const (
 	calm   = "calm"   // no fault
-	vanish = "vanish" // a share of the nodes stops
+	vanish = "vanish" // some nodes stop
 	flap   = "flap"   // nodes stop and start every few seconds
 	split  = "split"  // the fleet is partitioned into two halves
 	lossy  = "lossy"  // a quarter of the datagrams is lost
 )
 
-// Scenarios lists the names of all scenarios.
+// Scenarios are the names of all scenarios.
 var Scenarios = []string{calm, vanish, flap, split, lossy}
 
-const defaultVanishShare = 0.48 // share of the nodes
+// defaultVanishShare is the default of Config.VanishShare.
+const defaultVanishShare = 0.48
 
-// Errors of Play.
+// Errors that Play's errors wrap.
 var (
 	ErrUnknownScenario = errors.New("unknown scenario")
 	ErrTooSmall        = errors.New("run too small")
@@ -35,18 +35,18 @@
 
 // Config configures a run.
 type Config struct {
-	Nodes       int
-	Servers     int
-	Duration    time.Duration // in virtual time
+	Nodes       int           // at least 2
+	Servers     int           // at least 1
+	Duration    time.Duration // virtual, at least 1 s
 	Seed        uint64
 	Scenario    string        // one of Scenarios
-	ReceiveRate float64       // of healthcheck.Config, messages/s
-	SendRate    float64       // of healthcheck.Config, bytes/s
-	Interval    time.Duration // between two checks of a server
-	VanishShare float64       // share of the nodes that stop in the scenario vanish; 0 for the default of 0.48
+	ReceiveRate float64       // see healthcheck.Config
+	SendRate    float64       // see healthcheck.Config
+	Interval    time.Duration // see healthcheck.Config
+	VanishShare float64       // share of the nodes that vanish in the scenario vanish; 0 for defaultVanishShare
 }
 
-// check returns the configuration with its defaults set. An error wraps ErrUnknownScenario or ErrTooSmall.
+// check validates a configuration and returns it with defaults. An error wraps ErrUnknownScenario or ErrTooSmall.
 func (c Config) check() (Config, error) {
 	if !slices.Contains(Scenarios, c.Scenario) {
 		return c, fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, c.Scenario, Scenarios)
@@ -60,7 +60,7 @@
 	return c, nil
 }
 
-// Result holds the figures of a run. Times are in seconds. The JSON keys are a stable format.
+// Result is the result of a run. Times are in seconds.
 type Result struct {
 	Scenario     string  `json:"scenario"`
 	Nodes        int     `json:"nodes"`
@@ -70,16 +70,16 @@
 	WorstGap     float64 `json:"worst_gap_s"`    // longest time between two checks of a server
 	WorstGapAt   float64 `json:"worst_gap_at_s"` // end of that time
 	Checks       int64   `json:"checks"`
-	Duplicates   int64   `json:"doubled"` // checks within half an interval after a check by another node
+	Doubled      int64   `json:"doubled"` // checks within half an interval after a check by another node
 	BytesMean    float64 `json:"bytes_a_node_a_second"`
-	BytesMax     float64 `json:"bytes_a_second_of_the_busiest_node"`
-	MessagesMax  float64 `json:"messages_a_second_into_the_busiest_node"`
-	Withheld     int64   `json:"held_back"`    // messages, by the limit on sending
-	WrongDeaths  int     `json:"wrong_deaths"` // members considered dead at the end, when all are up, summed over all nodes
-	ConvergenceS float64 `json:"settled_s"`    // from the fault's end until no node considers a member dead; -1 for never
+	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
+	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
+	Withheld     int64   `json:"held_back"`    // messages dropped because of SendRate
+	WrongDeaths  int     `json:"wrong_deaths"` // live members that are dead at another node at the end of the run, over all nodes
+	Settled      float64 `json:"settled_s"`    // from the end of the fault until no live member is dead at any node; -1 for never
 }
 
-// Play runs a simulation and returns its figures. An error wraps ErrUnknownScenario or ErrTooSmall.
+// Play simulates a run. An error wraps ErrUnknownScenario or ErrTooSmall.
 func Play(cfg Config) (Result, error) {
 	cfg, err := cfg.check()
 	if err != nil {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -9,30 +9,34 @@
 )
 
 const (
-	checkDuration  = 20 * time.Millisecond
+	// checkDuration is the duration of a health check.
+	checkDuration = 20 * time.Millisecond
+	// sampleInterval is the time between two samples of the nodes' states.
 	sampleInterval = time.Second
-	idStep         = 7919 // between the IDs of consecutive servers
-	noNode         = -1   // instead of a node's number
+	// idStep is the difference between the ids of two consecutive servers. It avoids a pattern in the hashes.
+	idStep = 7919
+	// noNode stands for the absence of a node.
+	noNode = -1
 )
 
-// node is a simulated node, over its incarnations.
+// node is a simulated node.
 type node struct {
-	scheduler   *healthcheck.Scheduler // of the present incarnation
+	scheduler   *healthcheck.Scheduler // of the current incarnation
 	incarnation int                    // number of starts
 	up          bool
-	wakeAt      time.Duration // when the timer fires
-	received    int64         // messages, of all incarnations
-	sentBytes   int64         // of earlier incarnations
-	withheld    int64         // messages, of earlier incarnations
+	wakeAt      time.Duration // time of the current timer
+	received    int64         // messages received in all incarnations
+	sentBytes   int64         // bytes sent in earlier incarnations
+	withheld    int64         // messages withheld in earlier incarnations
 }
 
 // server is the state of an app server.
 type server struct {
-	checkedAt time.Duration
-	checkedBy int // noNode before the first check
+	checkedAt time.Duration // time of the last check
+	checkedBy int           // node of the last check; noNode before the first one
 }
 
-// simulation is one run.
+// simulation is the state of a run.
 type simulation struct {
 	cfg     Config
 	random  *rand.Rand
@@ -40,13 +44,13 @@
 	queue   eventQueue
 	nodes   []*node
 	servers []server
-	checks  []healthcheck.Check // one for each server
-	faulty  bool                // the scenario's fault is active
-	down    []int               // vanish: the stopped nodes
+	checks  []healthcheck.Check // of each server
+	faulty  bool                // whether the scenario's fault is active
+	down    []int               // vanish: nodes that were stopped
 	result  Result
 }
 
-// newSimulation returns a run in which all nodes start at time 0.
+// newSimulation returns a simulation whose nodes have started.
 func newSimulation(cfg Config) *simulation {
 	s := &simulation{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 7)), servers: make([]server, cfg.Servers)}
 	for i := range s.servers {
@@ -57,17 +61,17 @@
 		s.nodes = append(s.nodes, &node{})
 		s.start(i)
 	}
-	s.result.ConvergenceS = -1
+	s.result.Settled = -1
 	return s
 }
 
-// faultBegins returns the time at which the scenario's fault begins.
+// faultBegins returns the begin of the scenario's fault.
 func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
 
-// faultEnds returns the time at which the scenario's fault ends.
+// faultEnds returns the end of the scenario's fault.
 func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
-// start starts a new incarnation of a node, without state of earlier ones.
+// start starts a node as a new incarnation, without any state of earlier ones.
 func (s *simulation) start(id int) {
 	n := s.nodes[id]
 	n.incarnation++
@@ -85,7 +89,7 @@
 	s.queue.schedule(event{at: s.now, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
-// stop stops a node. It does nothing if the node is down.
+// stop stops a node unless it is down.
 func (s *simulation) stop(id int) {
 	n := s.nodes[id]
 	if !n.up {
@@ -97,11 +101,11 @@
 	n.withheld += counters.Withheld
 }
 
-// play executes the whole run.
+// play runs the whole simulation.
 func (s *simulation) play() {
 	s.queue.schedule(event{at: s.faultBegins(), kind: moveFault})
 	s.queue.schedule(event{at: s.faultEnds(), kind: moveFault})
-	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleMembers})
+	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: sampleStates})
 	for s.queue.Len() > 0 {
 		e := s.queue.next()
 		if e.at > s.cfg.Duration {
@@ -115,10 +119,10 @@
 	}
 }
 
-// handle executes an event.
+// handle processes an event.
 func (s *simulation) handle(e event) {
 	switch e.kind {
-	case sampleMembers:
+	case sampleStates:
 		s.sample()
 		return
 	case moveFault:
@@ -132,20 +136,19 @@
 	switch e.kind {
 	case receive:
 		n.received++
-		// The scheduler counts invalid messages, and the simulation sends none.
-		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text)
+		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.from), e.text) // the scheduler counts errors
 	case endCheck:
 		n.scheduler.CheckEnded(s.now, e.check, true)
 	default:
-		if e.at < n.wakeAt { // the timer was set to a later time
+		if e.at < n.wakeAt { // the timer was replaced by a later one
 			return
 		}
 	}
-	s.executeSteps(e.node)
+	s.carryOut(e.node)
 }
 
-// executeSteps executes the steps that a node's scheduler returns, and sets the node's timer.
-func (s *simulation) executeSteps(id int) {
+// carryOut carries out the pending steps of a node, and sets its timer.
+func (s *simulation) carryOut(id int) {
 	n := s.nodes[id]
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
 		switch step.Kind {
@@ -154,33 +157,33 @@
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/idStep), id)
 			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, incarnation: n.incarnation, check: step.Check})
-		case healthcheck.Ended: // the simulated node has no router that uses the result
+		case healthcheck.Ended: // a simulated node has no use for the result
 		}
 	}
 	n.wakeAt = s.now + n.scheduler.Wake(s.now)
 	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
-// recordCheck counts a check of a server that a node begins now.
+// recordCheck records the begin of a check of the server with an index, by a node.
 func (s *simulation) recordCheck(index, by int) {
 	server := &s.servers[index]
 	s.result.Checks++
 	halfInterval := s.nodes[by].scheduler.Interval() / 2
 	if server.checkedBy != noNode && server.checkedBy != by && s.now-server.checkedAt < halfInterval {
-		s.result.Duplicates++
+		s.result.Doubled++
 	}
 	s.recordGap(server.checkedAt, s.now)
 	server.checkedAt, server.checkedBy = s.now, by
 }
 
-// recordGap records the time between two checks of a server.
+// recordGap records a time without a check of a server.
 func (s *simulation) recordGap(from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
 		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
 	}
 }
 
-// sample counts the members that the nodes consider dead. It is called after the fault, when all members are up.
+// sample counts the dead members at all nodes. All nodes are up after the fault, so the count should be 0.
 func (s *simulation) sample() {
 	wrong := 0
 	for _, n := range s.nodes {
@@ -190,14 +193,14 @@
 	}
 	s.result.WrongDeaths = wrong
 	if wrong > 0 {
-		s.result.ConvergenceS = -1
-	} else if s.result.ConvergenceS < 0 {
-		s.result.ConvergenceS = (s.now - s.faultEnds()).Seconds()
+		s.result.Settled = -1
+	} else if s.result.Settled < 0 {
+		s.result.Settled = (s.now - s.faultEnds()).Seconds()
 	}
-	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleMembers})
+	s.queue.schedule(event{at: s.now + sampleInterval, kind: sampleStates})
 }
 
-// summarize returns the result of the run after play.
+// summarize returns the result of the run. The caller has called play.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
@@ -210,10 +213,10 @@
 		}
 		bytes := float64(n.sentBytes+current.SentBytes) / seconds
 		r.BytesMean += bytes / float64(s.cfg.Nodes)
-		r.BytesMax = max(r.BytesMax, bytes)
+		r.BytesMost = max(r.BytesMost, bytes)
 		r.Withheld += n.withheld + current.Withheld
 		received = max(received, n.received)
 	}
-	r.MessagesMax = float64(received) / seconds
+	r.MessagesMost = float64(received) / seconds
 	return r
 }
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -7,25 +7,30 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is the kind of a request's end for its client.
+// Outcome is the outcome of a request at its client.
 type Outcome int
 
-// The outcomes.
 const (
-	Completed    Outcome = iota // response of 200
-	Rejected                    // response of 429 or 503
-	Failed                      // any other response, or a failed connection
-	TimedOut                    // no response within the client's timeout
-	outcomeCount                // number of outcomes
+	// Completed is a response with status 200.
+	Completed Outcome = iota
+	// Rejected is a response with status 429 or 503.
+	Rejected
+	// Failed is any other response, or a connection that failed.
+	Failed
+	// TimedOut is a request without a response within the class's budget.
+	TimedOut
+
+	outcomeCount
 )
 
-// outcomeNames are the keys of the outcomes in the series and the summary, a stable format.
-var outcomeNames = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
+// outcomeNames are the keys of the outcomes in the series and the summary. They stay as they are, because reports of all
+// versions share them.
+var outcomeNames = [outcomeCount]string{Completed: "completed", Rejected: "bounced", Failed: "broken", TimedOut: "gave_up"}
 
-// String returns the outcome's key in the series.
+// String returns the outcome's key.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// outcomeCounts counts requests by outcome.
+// outcomeCounts is the number of requests by outcome.
 type outcomeCounts [outcomeCount]int64
 
 // byName returns the counts by the outcomes' keys.
@@ -37,17 +42,17 @@
 	return counts
 }
 
-// Result holds the measurements of a run.
+// Result is the result of a run.
 type Result struct {
-	Sent          int64 // requests, with client retries
-	ClientRetries int64
+	Sent          int64 // requests, including clients' retries
+	ClientRetries int64 // clients' retries
 	Outcomes      outcomeCounts
-	Latency       *hdr.Histogram // of completed requests since their due time, µs
-	Lag           *hdr.Histogram // of requests' sending since their due time, µs
-	Behind        bool           // the generator did not keep the rate: its lag exceeded behindLagMicros
+	Latency       *hdr.Histogram // of completed requests, in µs from the time at which each was due
+	Lag           *hdr.Histogram // time by which requests were sent late, in µs
+	Behind        bool           // whether the 99th percentile of Lag is above behindLagMicros
 }
 
-// Summary holds a Result's counts, and quantiles in ms, in the format of the lab's reports.
+// Summary is a Result in the form of the laboratory's reports.
 type Summary struct {
 	Sent          int64            `json:"sent"`
 	ClientRetries int64            `json:"again"`
@@ -59,7 +64,7 @@
 	Behind        bool             `json:"behind"`
 }
 
-// Summary returns the result's summary.
+// Summary returns the summary of the result.
 func (r Result) Summary() Summary {
 	return Summary{
 		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: quantileMs(r.Latency, 50),
@@ -67,38 +72,38 @@
 	}
 }
 
-// Second is one line of the run's time series, as JSON.
+// Second is a line of the run's time series.
 type Second struct {
-	T        int              `json:"t"` // seconds since the start
+	T        int              `json:"t"` // number of the second, from 0
 	Sent     int64            `json:"sent"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50Ms    float64          `json:"p50_ms"`
 	P95Ms    float64          `json:"p95_ms"`
 	P99Ms    float64          `json:"p99_ms"`
-	LagMs    float64          `json:"lag_ms"` // maximum of the second
+	LagMs    float64          `json:"lag_ms"` // longest lag of the second
 }
 
-// secondCounts counts the requests of one second.
+// secondCounts are the counts of the current second.
 type secondCounts struct {
 	sent      int64
 	outcomes  outcomeCounts
-	latency   *hdr.Histogram // of completed requests, µs
-	lagMicros int64          // maximum
+	latency   *hdr.Histogram // of completed requests, in µs
+	lagMicros int64          // longest lag
 }
 
-// recordOutcome counts the outcome of a request. took is the latency of a completed request, and not used for others.
-func (g *Generator) recordOutcome(outcome Outcome, took time.Duration) {
+// recordOutcome counts the end of a request. latency is recorded only for Completed.
+func (g *Generator) recordOutcome(outcome Outcome, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result.Outcomes[outcome]++
 	g.second.outcomes[outcome]++
 	if outcome == Completed {
-		recordMicros(g.result.Latency, took.Microseconds())
-		recordMicros(g.second.latency, took.Microseconds())
+		recordMicros(g.result.Latency, latency.Microseconds())
+		recordMicros(g.second.latency, latency.Microseconds())
 	}
 }
 
-// flushSecond writes the line of the second in progress, and begins the next one.
+// flushSecond writes the line of the current second and begins the next one.
 func (g *Generator) flushSecond() error {
 	line := g.cutSecond()
 	if g.Series == nil {
@@ -112,7 +117,7 @@
 	return err
 }
 
-// cutSecond returns the line of the second in progress, and begins the next one.
+// cutSecond returns the line of the current second and begins the next one.
 func (g *Generator) cutSecond() Second {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,17 +133,19 @@
 }
 
 const (
-	maxMicros         = 10 * 60 * 1e6 // ten minutes; longer times count as ten minutes
+	// maxMicros is the largest value of the histograms: 10 minutes, in microseconds.
+	maxMicros = 10 * 60 * 1e6
+	// significantDigits is the precision of the histograms, in decimal digits.
 	significantDigits = 3
 )
 
-// newHistogram returns an empty histogram of times, in µs.
+// newHistogram returns an empty histogram of times in microseconds.
 func newHistogram() *hdr.Histogram { return hdr.New(1, maxMicros, significantDigits) }
 
-// recordMicros records a time, limited to the histogram's range.
+// recordMicros records a time in microseconds, clamped to 1 to maxMicros.
 func recordMicros(h *hdr.Histogram, micros int64) { _ = h.RecordValue(min(max(micros, 1), maxMicros)) }
 
-// quantileMs returns a percentile in ms; 0 if nothing was recorded.
+// quantileMs returns a quantile in milliseconds, or 0 for an empty histogram.
 func quantileMs(h *hdr.Histogram, percent float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// readEarlier reads the recorded series testdata/earlier-*.jsonl of `lab model --series` and `lab load --series`.
+// readEarlier reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
+// `lab model --series` and `lab load --series`).
 func readEarlier(t *testing.T) []Run {
 	t.Helper()
 	var runs []Run
@@ -24,13 +25,13 @@
 	return runs
 }
 
-// earlierSecond is a sample of a recorded series.
+// earlierSecond is a second of a series, as it is read.
 type earlierSecond struct {
 	t                            int
 	p50, p95, p99, mean, busiest float64
 }
 
-const none = -1 // load of the servers in a series of `lab load`, which has none
+const none = -1 // a load tool's series carries no servers' load
 
 var earlierSeconds = [][]earlierSecond{
 	{
@@ -47,7 +48,7 @@
 	},
 }
 
-// Read returns every figure of the recorded series.
+// Series of an earlier version stay readable: every figure that a report takes from them.
 func TestEarlierSeriesStayReadable(t *testing.T) {
 	for i, run := range readEarlier(t) {
 		t.Run(run.Name, func(t *testing.T) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// The recorded series give the expected table and files.
+// The table and the files of earlier series are as they were.
 func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
 	runs := readEarlier(t)
 	const table = `# runs
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,5 @@
-// Package report compares runs of the lab. It reads their series (JSON lines, one per second, of `lab model` or `lab load`)
-// and writes PNG plots, with gonum.org/v1/plot, and a Markdown table. The same series in the same order give the same
-// files, byte for byte.
+// Package report compares runs of `lab model` and `lab load`. It reads their series, JSON lines with one line per second, and
+// writes PNG plots (gonum.org/v1/plot) and a Markdown table. The same series yield the same bytes.
 package report
 
 import (
@@ -14,14 +13,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// Sizes of the plots.
 const (
-	plotWidth       = 8 * vg.Inch
-	plotHeight      = 4 * vg.Inch
-	lineWidthPoints = 1.2
+	plotWidth  = 8 * vg.Inch
+	plotHeight = 4 * vg.Inch
+	lineWidth  = 1.2 // points
 )
 
-// Write writes goodput.png, latency.png, outcomes.png, load.png and report.md to dir, which it creates if necessary. It
-// writes load.png only if a run has the servers' load. It returns the paths of the files, in this order.
+// Write writes goodput.png, latency.png, outcomes.png, load.png and report.md to the directory dir, and returns their paths in
+// this order. It writes load.png only if a run contains the load. It creates a missing directory.
 func Write(dir, title string, runs []Run) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -41,15 +41,15 @@
 	return append(files, path), nil
 }
 
-// chart is a plot of a figure over the seconds, with one line for each run.
+// chart is a plot of a value of the samples over time, with a line for each run.
 type chart struct {
-	file   string // name
-	axis   string // label of the y axis
-	title  string
-	figure func(Sample) (value float64, ok bool) // not ok: the sample does not have the figure
+	file  string // name
+	axis  string // label of the y axis
+	title string
+	value func(Sample) (value float64, ok bool) // returns false if the sample does not have the value
 }
 
-// charts returns the charts of the figures that the runs have.
+// charts returns the charts for which the runs have values.
 func charts(runs []Run) []chart {
 	list := []chart{
 		{"goodput.png", "completed / s", "completed requests a second", completed},
@@ -67,12 +67,12 @@
 // completed returns the number of completed requests.
 func completed(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
 
-// latency returns the 99th percentile of the latency, ms. A sample without completed requests has none.
+// latency returns the 99th percentile of the latency, in milliseconds.
 func latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
-// notCompleted returns the number of requests with any other outcome.
+// notCompleted returns the number of requests with another outcome.
 func notCompleted(s Sample) (float64, bool) {
-	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeGaveUp]), true
+	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeTimedOut]), true
 }
 
 // busiest returns the load of the busiest server.
@@ -83,7 +83,7 @@
 	return *s.LoadMax, true
 }
 
-// draw draws the chart. A run without values that can be drawn has no line.
+// draw draws the chart. A run without valid values has no line.
 func (c chart) draw(title string, runs []Run) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title + ": " + c.title
@@ -95,25 +95,25 @@
 			continue
 		}
 		line.Color = palette[i%len(palette)]
-		line.Width = vg.Points(lineWidthPoints)
+		line.Width = vg.Points(lineWidth)
 		p.Add(line)
 		p.Legend.Add(run.Name, line)
 	}
 	return p
 }
 
-// points returns a run's values of the figure.
+// points returns the points of a run's line.
 func (c chart) points(run Run) plotter.XYs {
 	points := plotter.XYs{}
 	for _, s := range run.Samples {
-		if value, ok := c.figure(s); ok {
+		if value, ok := c.value(s); ok {
 			points = append(points, plotter.XY{X: float64(s.Second), Y: value})
 		}
 	}
 	return points
 }
 
-// palette holds the colours of the runs, in their order. It repeats after the last one.
+// palette is the colors of the runs, in their order. More runs than colors use the colors again.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff},
 	color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff},
--- a/internal/lab/report/series.go
+++ b/internal/lab/report/series.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	lineBufferBytes = 64 << 10 // initial size
-	maxLineBytes    = 1 << 20  // of one line of a series
+	// initialLineBytes is the initial size of the line buffer.
+	initialLineBytes = 64 << 10
+	// maxLineBytes is the maximum size of a line of a series.
+	maxLineBytes = 1 << 20
 )
 
-// The keys of outcomes in a series of `lab load` or `lab model`.
+// Outcomes of requests in a series. `lab load` and `lab model` of all versions write these names.
 const (
 	outcomeCompleted = "completed"
 	outcomeRejected  = "bounced"
 	outcomeFailed    = "broken"
-	outcomeGaveUp    = "gave_up" // the client's timeout passed
+	outcomeTimedOut  = "gave_up"
 )
 
-// Sample is one second of a series. It has the fields that both `lab model` and `lab load` write, and the servers' load,
-// which only `lab model` writes.
+// Sample is a line of a series: the values of a second.
 type Sample struct {
-	Second   int              `json:"t"`        // since the start
-	Outcomes map[string]int64 `json:"outcomes"` // requests that ended in the second, by outcome
-	P50Ms    float64          `json:"p50_ms"`   // latency of completed requests, ms
-	P95Ms    float64          `json:"p95_ms"`
-	P99Ms    float64          `json:"p99_ms"`
-	LoadMean *float64         `json:"load_mean"` // requests in flight over concurrency, mean over the servers; nil: not stated
-	LoadMax  *float64         `json:"load_max"`  // of the busiest server; nil: not stated
+	Second   int              `json:"t"`         // since the start
+	Outcomes map[string]int64 `json:"outcomes"`  // number of requests that ended, by outcome
+	P50Ms    float64          `json:"p50_ms"`    // quantile of the latency of completed requests, in ms
+	P95Ms    float64          `json:"p95_ms"`    // likewise
+	P99Ms    float64          `json:"p99_ms"`    // likewise
+	LoadMean *float64         `json:"load_mean"` // requests in flight over concurrency, mean of all servers; nil if missing
+	LoadMax  *float64         `json:"load_max"`  // requests in flight over concurrency, of the busiest server; nil if missing
 }
 
 // Run is a series with its name.
@@ -41,14 +42,14 @@
 	Samples []Sample // at least one
 }
 
-// SeriesError is the error of an invalid series.
+// SeriesError is the error for an invalid series.
 type SeriesError struct {
 	Path string
-	Line int // from 1; 0 if the error does not concern one line
+	Line int // from 1; 0 if the error is not about a line
 	Err  error
 }
 
-// Error returns the path, the line if there is one, and the cause.
+// Error returns the path, the line and the text of Err.
 func (e *SeriesError) Error() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("%s: line %d: %v", e.Path, e.Line, e.Err)
@@ -59,20 +60,20 @@
 // Unwrap returns Err.
 func (e *SeriesError) Unwrap() error { return e.Err }
 
-// ErrNoLines is the error of a series without lines.
+// ErrNoLines is the error for a series without lines.
 var ErrNoLines = errors.New("no lines")
 
-// Read reads a series file. The run's name is the file's name without its extension. Read returns a *SeriesError for an
-// invalid line and for a file without lines.
+// Read reads a series file. The name of the run is the name of the file without its extension. For a line that is not valid
+// JSON and for a file without lines the error is a *SeriesError. An error of opening the file is returned unchanged.
 func Read(path string) (Run, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return Run{}, err
 	}
-	defer func() { _ = f.Close() }() // no data was written
+	defer func() { _ = f.Close() }() // without consequence for a file that was only read
 	run := Run{Name: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))}
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(make([]byte, lineBufferBytes), maxLineBytes)
+	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	for line := 1; scanner.Scan(); line++ {
 		if strings.TrimSpace(scanner.Text()) == "" {
 			continue
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// WriteTable writes a Markdown table with one row per run: the counts of each outcome, the completed share, and the largest
-// 99th percentile of a second.
+// WriteTable writes the totals of the runs as a Markdown table: the number of requests by outcome, the share of completed
+// requests, and the largest 99th percentile of a second.
 func WriteTable(w io.Writer, title string, runs []Run) error {
 	outcomes := outcomesOf(runs)
 	var b strings.Builder
@@ -29,20 +29,20 @@
 	return err
 }
 
-// writeTableFile writes the table to a file.
+// writeTableFile writes the table of WriteTable to a file.
 func writeTableFile(path, title string, runs []Run) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := WriteTable(f, title, runs); err != nil {
-		_ = f.Close() // the error of the write is returned
+		_ = f.Close() // err has the cause
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return f.Close()
 }
 
-// outcomesOf returns the outcomes of all runs, sorted.
+// outcomesOf returns the sorted names of all outcomes of the runs.
 func outcomesOf(runs []Run) []string {
 	names := map[string]bool{}
 	for _, run := range runs {
@@ -55,14 +55,14 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// totals holds the figures of a whole run.
+// totals are the totals of a run.
 type totals struct {
 	outcomes   map[string]int64
 	requests   int64
-	worstP99Ms float64 // of a second
+	worstP99Ms float64
 }
 
-// totalsOf sums up a run.
+// totalsOf returns the totals of a run.
 func totalsOf(run Run) totals {
 	t := totals{outcomes: map[string]int64{}}
 	for _, s := range run.Samples {
@@ -75,7 +75,7 @@
 	return t
 }
 
-// completedShare returns the share of the requests that completed; 0 if there were no requests.
+// completedShare returns the share of completed requests, or 0 for a run without requests.
 func (t totals) completedShare() float64 {
 	if t.requests <= 0 {
 		return 0
--- a/internal/lab/store/data.go
+++ b/internal/lab/store/data.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-const maxRecentWrites = 4096 // kept for a failover
+// maxRecentWrites is the largest number of writes that a failover can lose.
+const maxRecentWrites = 4096
 
-// write is a write to a field of a hash.
+// write is a write of a field of a hash.
 type write struct {
-	at                time.Time
-	key, field, value string
+	at    time.Time
+	key   string
+	field string
+	value string
 }
 
-// data is the data of a store, or of one half of a split one. A key is in strings or in hashes.
+// data is the data of a store, or of one half of a split store. A key is in strings or in hashes.
 type data struct {
 	strings map[string]string
 	hashes  map[string]map[string]string
-	expires map[string]time.Time // by key; a key without expiry has no entry
-	recent  []write              // most recent writes, by time
+	expires map[string]time.Time // by key; keys without an expiry are missing
+	recent  []write              // last writes, oldest first
 }
 
-// newData returns data without keys.
+// newData returns the data of an empty store.
 func newData() *data {
 	return &data{strings: map[string]string{}, hashes: map[string]map[string]string{}, expires: map[string]time.Time{}}
 }
@@ -42,7 +45,7 @@
 	return isString || isHash
 }
 
-// remove removes a key if it exists.
+// remove removes a key.
 func (d *data) remove(key string) {
 	delete(d.strings, key)
 	delete(d.hashes, key)
@@ -56,7 +59,7 @@
 	}
 }
 
-// setField sets a field of a hash, and reports whether the field is new.
+// setField sets a field of a hash, and reports whether it is new.
 func (d *data) setField(key, field, value string) (added bool) {
 	hash := d.hashes[key]
 	if hash == nil {
@@ -68,7 +71,7 @@
 	return !had
 }
 
-// recordWrites records writes, which a failover may lose. It drops the oldest ones above maxRecentWrites.
+// recordWrites records writes for loseWrites. It drops the oldest ones beyond maxRecentWrites.
 func (d *data) recordWrites(writes ...write) {
 	d.recent = append(d.recent, writes...)
 	if len(d.recent) > maxRecentWrites {
@@ -76,7 +79,7 @@
 	}
 }
 
-// loseWrites removes the fields written since a time, and returns those writes.
+// loseWrites removes the fields that were written after a time, and returns these writes.
 func (d *data) loseWrites(since time.Time) (lost []write) {
 	for _, w := range d.recent {
 		if w.at.After(since) {
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -9,51 +9,58 @@
 	"github.com/BurntSushi/toml"
 )
 
-// FaultKind is the kind of a fault.
+// FaultKind is the kind of a fault. The values are those in schedule files.
 type FaultKind string
 
-// The kinds of fault, by their names in schedule files.
 const (
-	stall    FaultKind = "stall"    // replies wait for the end of the fault
-	slow     FaultKind = "slow"     // each reply is delayed
-	cut      FaultKind = "cut"      // connections are closed and refused
-	empty    FaultKind = "empty"    // the data is replaced by empty data, and connections are closed
-	failover FaultKind = "failover" // the last writes are lost, and connections are closed; some writes return at the end
-	forget   FaultKind = "forget"   // some writes are lost
-	full     FaultKind = "full"     // writes are rejected
-	split    FaultKind = "split"    // clients use two copies of the data; the first one remains at the end
+	// stall delays all replies until the fault ends.
+	stall FaultKind = "stall"
+	// slow delays each reply by Fault.DelayMs.
+	slow FaultKind = "slow"
+	// cut closes all connections and accepts none.
+	cut FaultKind = "cut"
+	// empty replaces the store by an empty one, and closes all connections.
+	empty FaultKind = "empty"
+	// failover loses the last writes and closes all connections. At the end half of the lost writes return.
+	failover FaultKind = "failover"
+	// forget loses writes with probability Fault.Chance.
+	forget FaultKind = "forget"
+	// full rejects writes.
+	full FaultKind = "full"
+	// split splits the store in two halves. At the end the data of the first half remains.
+	split FaultKind = "split"
 )
 
-// Kinds lists the kinds of fault.
+// Kinds are all valid kinds of fault.
 var Kinds = []FaultKind{stall, slow, cut, empty, failover, forget, full, split}
 
-// ErrBadFault is the error of an invalid fault or schedule.
+// ErrBadFault is wrapped by the error for an invalid fault or schedule.
 var ErrBadFault = errors.New("bad fault")
 
 // Fault is a fault of the store.
 type Fault struct {
-	Kind        FaultKind `toml:"kind"`
-	StartS      float64   `toml:"at_s"`     // seconds after the store's start
-	DurationS   float64   `toml:"for_s"`    // seconds
-	DelayMs     float64   `toml:"delay_ms"` // slow: delay of each reply
-	Probability float64   `toml:"chance"`   // forget: of losing a write
-	LoseMs      float64   `toml:"lose_ms"`  // failover: age of the writes that are lost; half of them return at the end
+	Kind    FaultKind `toml:"kind"`
+	At      float64   `toml:"at_s"`     // begin, in seconds since the store's start
+	For     float64   `toml:"for_s"`    // duration, in seconds
+	DelayMs float64   `toml:"delay_ms"` // slow: delay of each reply, in milliseconds
+	Chance  float64   `toml:"chance"`   // forget: probability that a write is lost, 0 to 1
+	LoseMs  float64   `toml:"lose_ms"`  // failover: time before the fault whose writes are lost, in milliseconds
 }
 
-// Check returns an error that wraps ErrBadFault if the fault is invalid.
+// Check validates a fault. An error wraps ErrBadFault.
 func (f Fault) Check() error {
 	if !slices.Contains(Kinds, f.Kind) {
 		return fmt.Errorf("%w: kind %q is none of %v", ErrBadFault, f.Kind, Kinds)
 	}
-	inRange := f.StartS >= 0 && f.DurationS >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Probability >= 0 && f.Probability <= 1
-	if !inRange { // true for a NaN as well
-		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.StartS)
+	inRange := f.At >= 0 && f.For >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Chance >= 0 && f.Chance <= 1
+	if !inRange { // also true for NaN
+		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.At)
 	}
 	return nil
 }
 
-// LoadSchedule reads the faults of a schedule file (TOML, `[[fault]]` tables). The error of an unknown key or an invalid
-// fault wraps ErrBadFault.
+// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table each). For unknown keys and invalid faults the
+// error wraps ErrBadFault.
 func LoadSchedule(path string) ([]Fault, error) {
 	var file struct {
 		Fault []Fault `toml:"fault"`
@@ -73,24 +80,24 @@
 	return file.Fault, nil
 }
 
-// isActive reports whether a fault of a kind is active. The caller holds mu.
-func (s *Server) isActive(kind FaultKind) bool {
+// isOn reports whether a fault of a kind is active. The caller holds s.mu.
+func (s *Server) isOn(kind FaultKind) bool {
 	_, on := s.faults[kind]
 	return on
 }
 
-// runFault begins and ends a fault at its times. It returns after the fault's end, or at Close.
+// runFault begins and ends a fault at its times. It returns at the end of the fault, or with Close.
 func (s *Server) runFault(f Fault) {
-	if !s.waitUntil(f.StartS) {
+	if !s.waitUntil(f.At) {
 		return
 	}
 	lost := s.beginFault(f)
-	if s.waitUntil(f.StartS + f.DurationS) {
+	if s.waitUntil(f.At + f.For) {
 		s.endFault(f, lost)
 	}
 }
 
-// waitUntil waits until a time in seconds after the store's start. It returns false if Close is called before.
+// waitUntil waits until a time in seconds since the start. It returns false if Close is called before.
 func (s *Server) waitUntil(seconds float64) bool {
 	select {
 	case <-s.stop:
@@ -114,15 +121,15 @@
 	case failover:
 		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LoseMs * float64(time.Millisecond))))
 	}
-	if f.Kind == cut || f.Kind == empty || f.Kind == failover { // a new process in the store's place has no connections
+	if f.Kind == cut || f.Kind == empty || f.Kind == failover {
 		for c := range s.conns {
-			_ = c.NetConn().Close() // fails if the connection is closed already
+			_ = c.NetConn().Close() // redcon's goroutine of the connection handles the error
 		}
 	}
 	return lost
 }
 
-// endFault ends a fault; lost are the writes that beginFault returned.
+// endFault ends a fault. lost are the writes that beginFault returned.
 func (s *Server) endFault(f Fault, lost []write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,13 +146,13 @@
 	}
 }
 
-// delay waits for the delay of a reply by the faults slow and stall.
+// delay waits as long as the faults slow and stall delay a reply.
 func (s *Server) delay() {
-	const pollInterval = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond // between two checks for the end of a stall
 	for {
 		s.mu.Lock()
 		slowness, isSlow := s.faults[slow]
-		stalled := s.isActive(stall)
+		stalled := s.isOn(stall)
 		s.mu.Unlock()
 		if isSlow {
 			time.Sleep(time.Duration(slowness.DelayMs * float64(time.Millisecond)))
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// conversation sends commands, with words separated by blanks, over one connection, and returns the bytes of each reply.
+// conversation sends commands one after the other over a connection, and returns the bytes of each reply. Blanks separate the
+// words of a command.
 func conversation(t *testing.T, addr string, commands []string) (replies []string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -40,7 +41,7 @@
 	return replies
 }
 
-// readReply reads one reply with its elements.
+// readReply reads a reply with its elements.
 func readReply(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -70,8 +71,8 @@
 	return line, nil
 }
 
-// expectedReplies holds commands, in the order in which they are sent, with their replies.
-var expectedReplies = [][2]string{
+// replyCases are commands that are sent one after the other, with the expected replies.
+var replyCases = [][2]string{
 	{"PING", "+PONG\r\n"},
 	{"ping x", "+PONG\r\n"},
 	{"SELECT 3", "+OK\r\n"},
@@ -129,14 +130,14 @@
 	{"EXEC", "-ERR EXEC without MULTI\r\n"},
 }
 
-// The reply to each command has the expected bytes, and the store counts each command.
+// Each command gets a reply with the expected bytes.
 func TestReplyWireFormat(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	table := expectedReplies
+	table := replyCases
 	commands := make([]string, len(table))
 	for k, row := range table {
 		commands[k] = row[0]
@@ -152,9 +153,9 @@
 	}
 }
 
-// A full store rejects writes, also in a transaction.
-func TestReplyWireFormatOfAFullStore(t *testing.T) {
-	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", DurationS: 60}})
+// A full store rejects writes, alone and in a transaction, with the expected bytes.
+func TestReplyWireFormatWithFaults(t *testing.T) {
+	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
 	if err != nil {
 		t.Fatal(err)
 	}
