--- a/cmd/cherrygap/lab_authz.go
+++ b/cmd/cherrygap/lab_authz.go
@@ -64,6 +64,6 @@
 	ctx, stop := contextUntilSignal(flags.duration)
 	defer stop()
 	<-ctx.Done()
-	answers, starts := service.Counts()
-	return printJSON(cmd, map[string]any{"answers": answers, "starts": starts})
+	counts := service.Counts()
+	return printJSON(cmd, map[string]any{"answers": counts.Answers, "starts": counts.Starts})
 }
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -92,8 +92,7 @@
 
 // restarted reports whether the authorizer has started again.
 func (l *loadRun) restarted() bool {
-	_, starts := l.authorizer.Counts()
-	return starts >= 2
+	return l.authorizer.Counts().Starts >= 2
 }
 
 // client sends a number of requests in turn over one protocol, and more until the authorizer has restarted.
@@ -151,14 +150,14 @@
 	all.Wait()
 	slices.Sort(l.latencies)
 	slowest := l.latencies[len(l.latencies)-1]
-	answers, starts := server.Counts()
+	counts := server.Counts()
 	c := a.policy.Counters()
-	t.Logf("%v, %d answers, %d starts, %+v, checks p50 %v p99 %v, slowest request %v", l.answers, answers, starts, c,
+	t.Logf("%v, %d answers, %d starts, %+v, checks p50 %v p99 %v, slowest request %v", l.answers, counts.Answers, counts.Starts, c,
 		a.LatencyQuantile(0.5), a.LatencyQuantile(0.99), slowest)
 	if sent := int(l.sent.Load()); sent < clients*requests || len(l.latencies) != sent || slowest > time.Second {
 		t.Errorf("%d answered, the slowest after %v", len(l.latencies), slowest)
 	}
-	if starts < 2 || c.Unanswered == 0 || c.Denied == 0 || c.FailedOpen == 0 || c.FailedClosed == 0 ||
+	if counts.Starts < 2 || c.Unanswered == 0 || c.Denied == 0 || c.FailedOpen == 0 || c.FailedClosed == 0 ||
 		l.answers["buy503"] == 0 || l.answers["look200"] < 500 {
 		t.Errorf("the run shows too little: %v, %+v", l.answers, c)
 	}
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -55,8 +55,13 @@
 	mu         sync.Mutex      // guards the fields below
 	random     *rand.Rand      // of the draws
 	lastAnswer map[string]bool // whether the last answer allowed the request, by request id
-	answers    int64           // number of calls that ended, including failed ones
-	starts     int64           // number of starts
+	counts     Counts
+}
+
+// Counts counts the events of an authorizer.
+type Counts struct {
+	Answers int64 // calls that ended, including failed ones
+	Starts  int64
 }
 
 // NotLoopbackError is the error for an address that is not a loopback address.
@@ -110,7 +115,7 @@
 	server := grpc.NewServer()
 	auth.RegisterAuthorizationServer(server, s)
 	s.mu.Lock()
-	s.starts++
+	s.counts.Starts++
 	s.mu.Unlock()
 	go func() { _ = server.Serve(listener) }() // until Stop, which closes the listener
 	defer server.Stop()
@@ -157,11 +162,11 @@
 	return allowed, answered
 }
 
-// Counts returns the number of calls that ended, including failed ones, and the number of starts.
-func (s *Server) Counts() (answers, starts int64) {
+// Counts returns the counts since Start.
+func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answers, s.starts
+	return s.counts
 }
 
 // drawnCall is the random part of a call.
@@ -194,7 +199,7 @@
 	time.Sleep(drawn.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
-	s.answers++
+	s.counts.Answers++
 	if !drawn.drop && !drawn.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -72,7 +72,7 @@
 func TestRestartKeepsAddress(t *testing.T) {
 	server, client := startServer(t, Config{Uptime: 50 * time.Millisecond, Downtime: 10 * time.Millisecond})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		_, starts := server.Counts()
+		starts := server.Counts().Starts
 		if starts >= 3 && check(t.Context(), client, "1", "1") == codes.OK {
 			return
 		}
