--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -46,7 +46,6 @@
 	return resp, string(body), err
 }
 
-// The error for an invalid schedule names the key or the line.
 func TestInvalidSchedules(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[fault]]\nkind = \"melt\"\nat_s = 0\nfor_s = 1\n":             "unknown",
@@ -62,8 +61,8 @@
 	}
 }
 
-// After a reset within the body the client has an error, and the request counts as executed.
-func TestResetWithinBody(t *testing.T) {
+// A server that resets in mid-body leaves the client with a short body and an error. The request counts as executed.
+func TestResetInMidBody(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"reset\"\nat_s = 0\nfor_s = 60\n")
 	_, body, err := get(f.Servers[0].Addr(), "a1")
 	if err == nil {
@@ -74,8 +73,8 @@
 	}
 }
 
-// Executions are counted by request id. A request without an id gets status 404.
-func TestAttemptsAreCountedByRequestID(t *testing.T) {
+// A second execution of the same request ID is counted.
+func TestExecutionsAreCountedAndNoIDIs404(t *testing.T) {
 	f := startServer(t, "")
 	addr := f.Servers[0].Addr()
 	for range 2 {
@@ -92,11 +91,11 @@
 }
 
 // A draining server rejects requests without executing them.
-func TestDrainRejectsRequests(t *testing.T) {
+func TestDrainRejectsWithoutExecution(t *testing.T) {
 	f := startServer(t, "")
 	s := f.Servers[0]
 	s.mu.Lock()
-	s.draining = true // as Drain does, without closing yet
+	s.draining = true // as Drain sets it, but without the grace timer
 	s.mu.Unlock()
 	resp, _, err := get(s.Addr(), "c3")
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue || s.TimesBegun("c3") != 0 {
@@ -104,13 +103,13 @@
 	}
 }
 
-// During a restart the address refuses connections. Afterwards the server has the same address.
-func TestRestartRefusesConnections(t *testing.T) {
+// A restart refuses connections for its duration, and then the server is back at the same address.
+func TestRestartRefusesThenReturns(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(150 * time.Millisecond)
 	if _, _, err := get(addr, "d4"); err == nil {
-		t.Fatal("response while the server is down")
+		t.Fatal("answered while down")
 	}
 	time.Sleep(400 * time.Millisecond)
 	if resp, _, err := get(addr, "d5"); err != nil || resp.StatusCode != 200 {
@@ -121,7 +120,7 @@
 	}
 }
 
-// During a scheduled drain the server accepts connections and rejects requests. After the grace it is closed.
+// During a scheduled drain the server rejects new requests on new connections. It closes after the grace.
 func TestScheduledDrain(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"drain\"\nat_s = 0.05\nfor_s = 1\n")
 	addr := f.Servers[0].Addr()
@@ -132,6 +131,6 @@
 	}
 	time.Sleep(300 * time.Millisecond) // the grace is 200 ms
 	if _, _, err := get(addr, "e7"); err == nil {
-		t.Fatal("response after the grace")
+		t.Fatal("answered after the grace")
 	}
 }
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -3,18 +3,21 @@
 import (
 	"net"
 	"sync/atomic"
+
+	"cherrygap/internal/lab/appserver"
 )
 
-// cappedListener limits the number of open connections. It resets further ones.
+// cappedListener limits the number of open connections. It resets each connection past the limit, as a full app server
+// does.
 type cappedListener struct {
 	net.Listener
 	maxOpen  int64
-	open     atomic.Int64 // open connections; decremented by the user of the listener
+	open     atomic.Int64 // the owner subtracts closed connections
 	accepted atomic.Int64
-	refused  atomic.Int64 // connections reset because of the limit
+	refused  atomic.Int64 // reset at the limit
 }
 
-// Accept returns the next connection within the limit.
+// Accept returns the next connection within the limit. It implements net.Listener.
 func (l *cappedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -23,7 +26,7 @@
 		}
 		if l.open.Load() >= l.maxOpen {
 			l.refused.Add(1)
-			resetConn(conn)
+			appserver.ResetConn(conn)
 			continue
 		}
 		l.open.Add(1)
@@ -31,11 +34,3 @@
 		return conn, nil
 	}
 }
-
-// resetConn closes a connection with a TCP reset. It ignores errors, which mean that the connection is closed already.
-func resetConn(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0)
-	}
-	_ = conn.Close()
-}
--- a/internal/lab/emulator/transitions_test.go
+++ b/internal/lab/emulator/transitions_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Transitions are sorted by time, and those to comeUp are last at the same time.
+// Restarts and drains are sorted by time. At equal times, servers that come up are last.
 func TestTransitionsInOrder(t *testing.T) {
 	schedule, err := ParseSchedule(`
 [[fault]]
--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -7,8 +7,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// The static limit applies per server and node. A request is rejected once all servers are at the limit.
-func TestRoundRobinKeepsLimit(t *testing.T) {
+// The static limit applies to each pair of server and node. No server is chosen once all are at the limit.
+func TestRoundRobinKeepsItsLimit(t *testing.T) {
 	cfg := testConfig(t, RoundRobin, "")
 	cfg.Limit = 2
 	s := newSim(t, cfg, nil)
@@ -32,8 +32,8 @@
 	}
 }
 
-// The least busy server is the one of the last sample. Equal servers take turns.
-func TestLeastBusyUsesLastSample(t *testing.T) {
+// The least busy server is that of the last sample, not of the present. Equal servers are chosen in rotation.
+func TestLeastBusyGoesByTheLastSample(t *testing.T) {
 	s := newSim(t, testConfig(t, LeastBusy, ""), nil)
 	n := s.nodes[0]
 	for _, want := range []int{1, 2, 3} {
@@ -42,9 +42,9 @@
 		}
 	}
 	for _, sv := range s.servers {
-		sv.executing = 3
+		sv.inWork = 3
 	}
-	s.servers[6].executing, s.servers[6].queue = 1, make([]*attempt, 1)
+	s.servers[6].inWork, s.servers[6].queue = 1, make([]*attempt, 1)
 	if sv := s.leastBusy(n); sv.id != 4 {
 		t.Errorf("the server %d is chosen before the sample", sv.id)
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-// Each node of a tenant's node set has an equal share of the tenant's bucket and rate.
-func TestBaselineBucketSharesQuota(t *testing.T) {
-	cfg := testConfig(t, RoundRobin, "") // two nodes take in a tenant
+// Each node of a tenant's set has an equal share of the tenant's burst and of its rate.
+func TestBaselineBucket(t *testing.T) {
+	cfg := testConfig(t, RoundRobin, "") // a tenant's set has two nodes
 	cfg.Quota, cfg.Burst = 20, 8
 	cfg.Traffic.Classes[0].Units = 1
 	s := newSim(t, cfg, nil)
@@ -87,7 +87,8 @@
 	}
 }
 
-// An attempt that may have been executed is retried only for safe classes. A request has at most three attempts.
+// An attempt that was not executed is retried. One that may have been executed is retried only if that is safe. A request
+// has three attempts at most.
 func TestBaselineRetries(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -4,6 +4,7 @@
 	"container/heap"
 	"time"
 
+	"cherrygap/internal/lab/load"
 	"cherrygap/internal/protocol"
 )
 
@@ -11,56 +12,40 @@
 type eventKind uint8
 
 const (
-	// eventArrival is the next arrival of the stream.
-	eventArrival eventKind = iota
-	// eventRetry is a client's retry of a rejected request.
-	eventRetry
-	// eventClientTimeout is the deadline of a request.
-	eventClientTimeout
-	// eventTimer is the expiry of a node's timer.
-	eventTimer
-	// eventExecuted is the end of the execution of an attempt.
-	eventExecuted
-	// eventTimeout is the timeout of an attempt.
-	eventTimeout
-	// eventResult is the arrival of an attempt's result at its node.
-	eventResult
-	// eventSample is the end of a second of the series.
-	eventSample
-	// eventRestart is the stop or the start of servers.
-	eventRestart
-	// eventDrain is the begin of a drain.
-	eventDrain
-	// eventDrainNotified is the notification of the nodes about a drain.
-	eventDrainNotified
+	eventArrival       eventKind = iota // the stream's next request arrives
+	eventRetry                          // a client retries a rejected request
+	eventClientTimeout                  // a client's timeout passes
+	eventTimer                          // a node's timer fires
+	eventWorkDone                       // a server finishes an attempt
+	eventTimeout                        // an attempt's timeout passes at its node
+	eventResult                         // an attempt's result reaches its node
+	eventSample                         // a second of the series ends
+	eventServerDown                     // a server stops
+	eventServerUp                       // a server starts again
+	eventDrain                          // a server begins to drain
+	eventDrainNotified                  // the nodes are notified of a drain
 )
 
-// event is an event of a run. Its kind determines which fields are set.
+// event is an event of a run. The kinds after a field are those that use it.
 type event struct {
-	at           time.Duration
-	seq          uint64 // orders events at the same time, as they were scheduled
+	at           time.Duration // virtual time
+	seq          uint64        // number of the event by scheduling, which orders events of the same time
 	kind         eventKind
 	node         *node            // eventTimer
-	timerSetting uint64           // eventTimer: number of the timer's setting
-	attempt      *attempt         // eventExecuted, eventTimeout, eventResult
+	timerSetting uint64           // eventTimer: value of timerSettings when the timer was set
+	attempt      *attempt         // eventWorkDone, eventTimeout, eventResult
 	outcome      protocol.Outcome // eventResult
 	request      *request         // eventRetry, eventClientTimeout
-	server       int              // eventRestart, eventDrain, eventDrainNotified: number of the server, or -1 for all
-	down         bool             // eventRestart: whether the servers stop
+	server       int              // eventServerDown, eventServerUp, eventDrain, eventDrainNotified: allServers for all
 }
 
-// eventQueue is a heap of events by time and then by seq. It implements heap.Interface.
+// eventQueue is a heap of events by time and number. It implements heap.Interface.
 type eventQueue []*event
 
-// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
-
-// Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-
-// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
@@ -74,20 +59,20 @@
 	return last
 }
 
-// schedule adds an event to the queue.
+// schedule adds an event to the queue and sets its number.
 func (s *Sim) schedule(e *event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
-// handle processes an event.
+// handle executes an event.
 func (s *Sim) handle(e *event) {
 	switch e.kind {
 	case eventArrival:
 		s.arrive()
 	case eventRetry:
-		s.addRequest(e.request.class, e.request.tenant, true)
+		s.addRequest(load.Arrival{Class: e.request.class, Customer: uint64(e.request.tenant), ClientRetry: true})
 	case eventClientTimeout:
 		s.clientTimeout(e.request)
 	case eventTimer:
@@ -95,8 +80,8 @@
 			e.node.router.Tick()
 			s.takeDecisions(e.node)
 		}
-	case eventExecuted:
-		s.executed(e.attempt)
+	case eventWorkDone:
+		s.workDone(e.attempt)
 	case eventTimeout:
 		s.attemptTimeout(e.attempt)
 	case eventResult:
@@ -105,8 +90,10 @@
 	case eventSample:
 		s.sample()
 		s.schedule(&event{at: s.now + time.Second, kind: eventSample})
-	case eventRestart:
-		s.restart(e.server, e.down)
+	case eventServerDown:
+		s.stopServers(e.server)
+	case eventServerUp:
+		s.startServers(e.server)
 	case eventDrain:
 		s.drain(e.server)
 	case eventDrainNotified:
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -8,26 +8,26 @@
 	"cherrygap/internal/settings"
 )
 
-// node is a simulated node.
+// node is an edge node.
 type node struct {
 	id int
 
-	// Fields of the policy Module.
-	router        *routing.Router // nil with a baseline policy
+	// With the Module policy.
+	router        *routing.Router // nil with a baseline
 	requests      map[*routing.Request]*request
-	decided       []*routing.Request // requests with a decision that is not carried out
-	timerSettings uint64             // number of times that the timer was set; identifies the last setting
+	decided       []*routing.Request // with a decision that was not executed yet
+	timerSettings uint64             // number of times that the timer was set; only the last one is valid
 
-	// Fields of the baseline policies.
-	rotation int         // number of the last server chosen
-	inFlight map[int]int // attempts in flight by server
+	// With a baseline policy.
+	rotation int         // number of the last chosen server
+	inFlight map[int]int // attempts, by server
 	buckets  map[tenant]*bucket
 }
 
-// nodeSeedStep is the difference between the seeds of consecutive nodes.
-const nodeSeedStep = 0x9e3779b97f4a7c15
+// seedStep is the multiplier that separates the nodes' seeds (2^64 divided by the golden ratio).
+const seedStep = 0x9e3779b97f4a7c15
 
-// newNode returns a node with the full endpoint list.
+// newNode returns a node that has the endpoint list.
 func (s *Sim) newNode(id int, list *protocol.EndpointList) *node {
 	n := &node{id: id, requests: map[*routing.Request]*request{}, inFlight: map[int]int{}, buckets: map[tenant]*bucket{}}
 	if s.cfg.Policy != Module {
@@ -40,7 +40,7 @@
 	set := *shared
 	set.Node = settings.IntNumber(id)
 	n.router = routing.New(routing.Config{
-		Seed:          s.cfg.Seed ^ uint64(id)*nodeSeedStep,
+		Seed:          s.cfg.Seed ^ uint64(id)*seedStep,
 		Settings:      &set,
 		Clock:         s.clock,
 		OnDecision:    func(req *routing.Request) { n.decided = append(n.decided, req) },
@@ -53,14 +53,13 @@
 	return n
 }
 
-// setTimer sets the timer of a node. It replaces an earlier setting.
+// setTimer sets a node's only timer. An earlier setting does not fire any more.
 func (s *Sim) setTimer(n *node, after time.Duration) {
 	n.timerSettings++
 	s.schedule(&event{at: s.now + max(after, 0), kind: eventTimer, node: n, timerSetting: n.timerSettings})
 }
 
-// takeDecisions carries out the decisions of a node's engine. A decision on a request with an attempt in flight waits for the
-// result of the attempt, as it does on sockets.
+// takeDecisions executes the decisions that the node's engine has made.
 func (s *Sim) takeDecisions(n *node) {
 	for len(n.decided) > 0 {
 		next := n.decided[0]
@@ -69,7 +68,7 @@
 		if req == nil {
 			continue
 		}
-		if req.attempt != nil {
+		if req.attempt != nil { // as with sockets, the attempt's result is reported before the next decision is executed
 			req.decisionWaits = true
 			continue
 		}
@@ -93,7 +92,7 @@
 	}
 }
 
-// attemptTimeout ends an attempt at its timeout, unless it has ended.
+// attemptTimeout ends an attempt whose timeout has passed.
 func (s *Sim) attemptTimeout(a *attempt) {
 	if !a.ended {
 		a.ended, a.outcome = true, protocol.TimedOut
@@ -101,7 +100,7 @@
 	}
 }
 
-// report reports the result of an attempt to its node. It ignores an attempt that its request has replaced.
+// report reports an attempt's result to its node, unless the request is no longer waiting for it.
 func (s *Sim) report(a *attempt) {
 	req := a.request
 	if req.attempt != a {
@@ -121,7 +120,7 @@
 		Duration: s.now - a.sentAt,
 		Units:    s.cfg.Traffic.Classes[req.class].Units,
 	})
-	if a.outcome == protocol.Completed { // the final response: no decision follows
+	if a.outcome == protocol.Completed { // the engine makes no further decision
 		s.end(req, outcomeCompleted)
 		s.release(req)
 		return
--- a/internal/lab/model/series_test.go
+++ b/internal/lab/model/series_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// seriesKeys are the keys of each line of a series, in order.
+// seriesKeys are the keys of each line of a series, in their order.
 const seriesKeys = "t arrived outcomes[bounced broken completed gave_up] p50_ms p95_ms p99_ms load_mean load_max open twice servers_up"
 
-// totalKeys are the keys of a run's totals, in order.
+// totalKeys are the keys of a run's totals, in their order.
 const totalKeys = "policy nodes servers virtual_s tickets outcomes[bounced broken completed gave_up] goodput p50_ms p99_ms twice " +
 	"unanswered late_to_drained events real_s virtual_s_per_real_s tickets_per_real_s"
 
-// keysOf returns the keys of a JSON object in the order of its text. The keys of a nested object are in brackets.
+// keysOf returns the keys of a JSON object in their order, with the keys of an inner object in brackets.
 func keysOf(t *testing.T, text []byte) string {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -81,9 +81,9 @@
 	return out.String()
 }
 
-// The series of a seeded run has the expected first lines, keys and digest of all numbers, for each policy. A change of
-// decisions changes the expected values.
-func TestSeriesFileFormat(t *testing.T) {
+// The series of a seeded run has the expected first two lines, keys in all lines, and digest of all numbers, for each
+// policy. The engine's decisions determine the lines and the digest of Module.
+func TestSeriesFormatAndFigures(t *testing.T) {
 	for _, c := range []struct {
 		policy Policy
 		first  string // two lines
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -1,10 +1,14 @@
-// Package model is the laboratory's model of a fleet: a simulation of discrete events in virtual time. Each simulated node
-// runs the real decision engine through internal/routing, or a baseline policy for comparison. App servers and fault
-// schedules are those of the emulator, arrivals those of the load generator. It simulates fleets that are too large for
-// sockets on one machine.
+// Package model simulates a fleet by discrete events in virtual time:
 //
-// One goroutine processes one queue of events, ordered by time and then by sequence. Random draws come from math/rand/v2, with
-// separate seeds for the simulation, each server and the traffic. The same configuration yields the same events.
+//   - edge nodes with the real decision engine (through internal/routing) or with a baseline policy;
+//   - app servers with the behaviour of package emulator, and its fault schedules;
+//   - the arrivals of package load.
+//
+// One goroutine executes the events, ordered by time and then by scheduling. Random draws come from math/rand/v2, with a
+// seed for each part, so that the same configuration and seed give the same run, event for event.
+//
+// The model reaches sizes that sockets on one machine do not: hundreds of nodes and servers, and an hour of traffic. Its
+// figures are those of simulated servers.
 package model
 
 import (
@@ -19,37 +23,35 @@
 )
 
 const (
-	// drainNotice is the time from the begin of a drain until discovery notifies the nodes.
-	drainNotice = 100 * time.Millisecond
-	// drainCutoff is the time from the notification until no new attempt may be sent to the server (the platform's rule 3).
-	drainCutoff = 500 * time.Millisecond
+	drainNotice = 100 * time.Millisecond // from the begin of a drain to the nodes' notice of it
+	drainCutoff = 500 * time.Millisecond // from the notice to the last allowed attempt (rule 3 of the platform)
 )
 
-// simulationStream is the second word of the seed of the simulation's draws.
-const simulationStream = 0x6d6f64656c
+// simulationSeed is the second half of the simulation's random seed, other than those of the servers and of the traffic.
+const simulationSeed = 0x6d6f64656c
 
-// Sim is a run. It is not safe for concurrent use.
+// Sim is a run in progress. It is used by one goroutine.
 type Sim struct {
 	cfg      Config
-	random   *rand.Rand // of nodes and clients' retries
+	random   *rand.Rand // draws nodes and retries
 	recorder *Recorder
 
-	epoch  time.Time     // begin of virtual time
-	now    time.Duration // virtual time since epoch
-	queue  eventQueue
-	seq    uint64 // number of events scheduled
-	played int64  // number of events processed
+	epoch    time.Time     // of virtual time
+	now      time.Duration // since the epoch
+	queue    eventQueue
+	seq      uint64 // number of the last scheduled event
+	executed int64  // events
 
-	stream      *load.Stream // of the arrivals
+	stream      *load.Stream // of arrivals
 	nextArrival load.Arrival
 
 	nodes    []*node
 	servers  []*server
 	byAddr   map[netip.AddrPort]*server
-	revision uint64 // of the nodes' endpoint list
+	revision uint64 // of the endpoint list that the nodes have
 }
 
-// New returns a run that has not begun. For an invalid configuration the error is a *ConfigError.
+// New returns a run that has not begun, or a *ConfigError for an invalid configuration.
 func New(cfg Config, recorder *Recorder) (*Sim, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -58,7 +60,7 @@
 	cfg.Traffic.DurationS = cfg.Seconds
 	s := &Sim{
 		cfg:      cfg,
-		random:   rand.New(rand.NewPCG(cfg.Seed, simulationStream)),
+		random:   rand.New(rand.NewPCG(cfg.Seed, simulationSeed)),
 		recorder: recorder,
 		epoch:    time.Unix(1_800_000_000, 0),
 		stream:   load.NewStream(cfg.Traffic, cfg.Seed),
@@ -87,13 +89,13 @@
 	return s, nil
 }
 
-// scheduleFaults schedules restarts and drains. activeFaults handles all other faults.
+// scheduleFaults schedules the restarts and drains. For other faults see activeFaults.
 func (s *Sim) scheduleFaults() {
 	for _, f := range s.cfg.Schedule.Faults {
 		switch f.Kind {
 		case emulator.Restart:
-			s.schedule(&event{at: f.Start(), kind: eventRestart, server: f.Server, down: true})
-			s.schedule(&event{at: f.End(), kind: eventRestart, server: f.Server})
+			s.schedule(&event{at: f.Start(), kind: eventServerDown, server: f.Server})
+			s.schedule(&event{at: f.End(), kind: eventServerUp, server: f.Server})
 		case emulator.Drain:
 			s.schedule(&event{at: f.Start(), kind: eventDrain, server: f.Server})
 			s.schedule(&event{at: f.Start() + drainNotice, kind: eventDrainNotified, server: f.Server})
@@ -101,7 +103,7 @@
 	}
 }
 
-// scheduleArrival schedules the next arrival, if there is one.
+// scheduleArrival schedules the next arrival of the stream if there is one.
 func (s *Sim) scheduleArrival() {
 	var more bool
 	if s.nextArrival, more = s.stream.Next(); more {
@@ -109,10 +111,10 @@
 	}
 }
 
-// clock returns the virtual time.
+// clock returns the present virtual time, for the engines.
 func (s *Sim) clock() time.Time { return s.epoch.Add(s.now) }
 
-// Run processes all events and returns the totals. It must be called once.
+// Run executes the whole run and returns its totals. It may be called once.
 func (s *Sim) Run() Totals {
 	end := time.Duration(s.cfg.Seconds * float64(time.Second))
 	for s.queue.Len() > 0 {
@@ -121,14 +123,14 @@
 			break
 		}
 		s.now = e.at
-		s.played++
+		s.executed++
 		s.handle(e)
 	}
 	s.sample()
-	return s.recorder.Totals(s.played)
+	return s.recorder.Totals(s.executed)
 }
 
-// sample ends a second of the series, and samples the servers' work for the policy LeastBusy.
+// sample ends a second of the series, and records the servers' load for the LeastBusy policy.
 func (s *Sim) sample() {
 	var now fleetSample
 	concurrency := float64(s.cfg.Server.Concurrency)
