--- a/cmd/cherrygap/crowd_test.go
+++ b/cmd/cherrygap/crowd_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/protocol"
 )
 
 // fakeDiscovery is a discovery service: silent, by taking connections and saying nothing, or one that knows a list.
@@ -46,7 +47,7 @@
 			continue
 		}
 		text := d.text
-		if hold, _ := strconv.Atoi(call.FormValue("hold_ms")); call.FormValue("from") == "7" && hold > 0 {
+		if hold, _ := strconv.Atoi(call.FormValue(protocol.QueryHoldMs)); call.FormValue(protocol.QueryRevision) == "7" && hold > 0 {
 			time.Sleep(time.Duration(hold) * time.Millisecond)
 			text = `{"rev":7,"all":false,"targets":[]}`
 		}
@@ -191,7 +192,7 @@
 type countingServers struct{ requests sync.Map }
 
 func (s *countingServers) handle(w http.ResponseWriter, q *http.Request) {
-	s.requests.Store(q.Header.Get("X-Call-Id"), true)
+	s.requests.Store(q.Header.Get(protocol.HeaderRequestID), true)
 	time.Sleep(20 * time.Millisecond)
 	_, _ = io.Copy(w, q.Body)
 }
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -14,6 +14,7 @@
 
 	"cherrygap/internal/nettest"
 	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/protocol"
 )
 
 // erraticServers are app servers that answer by chance, most of the time with a rejection, and note when bytes came.
@@ -58,16 +59,16 @@
 		if err != nil {
 			return
 		}
-		s.note(request.Header.Get("X-Call-Id"))
+		s.note(request.Header.Get(protocol.HeaderRequestID))
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		s.note(request.Header.Get("X-Call-Id"))
+		s.note(request.Header.Get(protocol.HeaderRequestID))
 		time.Sleep(time.Duration(s.chance(8000)) * time.Microsecond)
 		response := ""
 		switch does := s.chance(10); {
 		case does < 6:
-			response = "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+			response = "HTTP/1.1 503 Busy\r\n" + protocol.HeaderRejected + ": " + protocol.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
 		case does < 8:
 			response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		case does < 9:
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -21,6 +21,7 @@
 
 	"cherrygap/internal/node"
 	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/protocol"
 )
 
 // The terms of a restart: nine in ten processes are ready within readyIn, under a list of so many servers; the platform's
@@ -125,7 +126,7 @@
 func (p *restarted) ready(since time.Time) (time.Duration, bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(since) < 3*readyIn {
-		if response, err := client.Get("http://" + p.listen + "/healthz"); err == nil {
+		if response, err := client.Get("http://" + p.listen + protocol.HealthPath); err == nil {
 			if err := response.Body.Close(); err == nil && response.StatusCode == http.StatusOK {
 				return time.Since(since), true
 			}
@@ -179,7 +180,7 @@
 		switch {
 		case list == "":
 			<-q.Context().Done()
-		case q.FormValue("from") == "":
+		case q.FormValue(protocol.QueryRevision) == "":
 			time.Sleep(delay)
 			w.Header().Set("Content-Length", strconv.Itoa(len(list)))
 			_, _ = io.WriteString(w, list)
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -22,6 +22,7 @@
 	"cherrygap/internal/nettest"
 	"cherrygap/internal/node"
 	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/protocol"
 )
 
 // faultyCalls are the system calls that the tests of this file make fail.
@@ -163,7 +164,7 @@
 	var sentAt time.Time
 	overstated := make(chan time.Duration, requests)
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		ms, _ := strconv.Atoi(r.Header.Get("X-Budget-Ms"))
+		ms, _ := strconv.Atoi(r.Header.Get(protocol.HeaderTimeout))
 		overstated <- time.Duration(ms)*time.Millisecond - (faultTimeout - time.Since(sentAt))
 		_, _ = w.Write([]byte("done"))
 	})
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -128,7 +128,7 @@
 func (d *disconnects) answer(conn net.Conn) bool {
 	does := d.chance(10)
 	time.Sleep(time.Duration(50+d.chance(600)) * time.Millisecond)
-	text := "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+	text := "HTTP/1.1 503 Busy\r\n" + protocol.HeaderRejected + ": " + protocol.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
 	switch {
 	case does < 4:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -16,6 +16,7 @@
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/netio"
 	"cherrygap/internal/nettest"
+	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
 
@@ -99,7 +100,7 @@
 	good := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch {
 	case does < 5:
-		nettest.WriteString(conn, "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+		nettest.WriteString(conn, "HTTP/1.1 503 Busy\r\n"+protocol.HeaderRejected+": "+protocol.RejectedValue+"\r\nContent-Length: 0\r\n\r\n")
 	case does < 8:
 		nettest.ResetOnClose(conn)
 		return false
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -184,8 +184,11 @@
 
 // RequestText is a request with an id of its own, with a timeout in milliseconds.
 func RequestText(timeoutMs int, body string) string {
-	return fmt.Sprintf("POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %d\r\nX-Tariff: team\r\nX-Budget-Ms: %d\r\n"+
-		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: %d\r\n\r\n%s", LastID.Add(1), timeoutMs, len(body), body)
+	lines := protocol.AppendRequestLines(nil, &protocol.Request{
+		Method: http.MethodPost, URI: protocol.RequestPath("seats", 5), Host: "a", ID: fmt.Sprint(LastID.Add(1)), Plan: "team",
+		Timeout: time.Duration(timeoutMs) * time.Millisecond, Units: 1, Spread: 1,
+	})
+	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", lines, len(body), body)
 }
 
 // RoundTrip sends text and reads one response.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,6 +16,7 @@
 
 	"cherrygap/internal/nettest"
 	"cherrygap/internal/node/nodetest"
+	"cherrygap/internal/protocol"
 )
 
 // The whole node: it serves by its known list while discovery is down, follows a new file to another discovery
@@ -50,7 +51,7 @@
 	}
 	select {
 	case uri := <-asked:
-		if uri != "/v1/servers" {
+		if uri != protocol.EndpointsPath {
 			t.Errorf("the new discovery was asked %s", uri)
 		}
 	case <-time.After(3 * time.Second):
@@ -146,7 +147,7 @@
 	}
 	nodetest.CloseNow(t, tcp)
 	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool {
-		response, err := http.Get("http://" + c.Listen + "/healthz")
+		response, err := http.Get("http://" + c.Listen + protocol.HealthPath)
 		return err == nil && response.Body.Close() == nil
 	})
 	nodetest.SignalSelf(t, syscall.SIGTERM)
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"cherrygap/internal/nettest"
+	"cherrygap/internal/protocol"
 )
 
 // GoodConfig is a platform configuration that gives every key a value other than its default.
@@ -152,8 +153,10 @@
 
 // RequestText is a request of NodeConfig's class and plan, with a body and a request budget.
 func RequestText(id string, timeout time.Duration) string {
-	return fmt.Sprintf("POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %s\r\nX-Tariff: team\r\nX-Budget-Ms: %d\r\n"+
-		"X-Weight: units=1,spread=1,first=0\r\nContent-Length: %d\r\n\r\n%s", id, timeout.Milliseconds(), len(RequestBody), RequestBody)
+	lines := protocol.AppendRequestLines(nil, &protocol.Request{
+		Method: http.MethodPost, URI: protocol.RequestPath("seats", 5), Host: "a", ID: id, Plan: "team", Timeout: timeout, Units: 1, Spread: 1,
+	})
+	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", lines, len(RequestBody), RequestBody)
 }
 
 // SendRequest writes a RequestText on a new connection, which it returns.
