--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -33,8 +33,8 @@
 
 	slowStartSpan    Time    // time after its start at which a server is warm
 	slowStartShare   float64 // share of its capacity that a server has at its start
-	recoveryMultiple float64 // load limit of a warming server within recoverySpan, as a multiple of its capacity
-	recoverySpan     Time    // time over which recoveryMultiple applies
+	overloadMultiple float64 // load limit of a warming server within overloadSpan, as a multiple of its capacity
+	overloadSpan     Time    // time over which overloadMultiple applies
 
 	peersEnabled bool    // nodes send each other messages
 	peerRate     float64 // maximum number of messages a second that a node receives
@@ -84,8 +84,8 @@
 		idleTimeout:      timeOf(set.IdleTimeout),
 		slowStartSpan:    timeOf(set.SlowStartSpan),
 		slowStartShare:   set.SlowStartShare.Float(),
-		recoveryMultiple: set.OverloadMultiple.Float(),
-		recoverySpan:     timeOf(set.OverloadSpan),
+		overloadMultiple: set.OverloadMultiple.Float(),
+		overloadSpan:     timeOf(set.OverloadSpan),
 		peersEnabled:     set.Peers,
 		peerRate:         set.PeerRate.Float(),
 		sendsRetryAfter:  set.RetryAfter,
--- a/internal/decision/settings_test.go
+++ b/internal/decision/settings_test.go
@@ -62,7 +62,7 @@
 		func(c *config) any { return c.plans[0] },
 		quotaPlan{rate: 1.5, burst: -2, maxInFlight: 3, ceilingBurst: 1000},
 	},
-	{"an endless span", Settings{settings.OverloadSpan: "Inf"}, func(c *config) any { return c.recoverySpan }, Time(math.MinInt64)},
+	{"an endless span", Settings{settings.OverloadSpan: "Inf"}, func(c *config) any { return c.overloadSpan }, Time(math.MinInt64)},
 	{"the owners' timeout", Settings{settings.ClassKey(0, settings.ClassLatencyObjective): "6000"}, func(c *config) any { return c.ownerTimeout }, Time(1200)},
 }
 
--- a/internal/decision/settingsreference_test.go
+++ b/internal/decision/settingsreference_test.go
@@ -33,7 +33,7 @@
 		maxAttempts: max(1, int(s.number(settings.MaxAttempts))), cancelAllowed: s.enabled(settings.CancelAttempts),
 		idleTimeout:   s.duration(settings.IdleTimeout),
 		slowStartSpan: s.duration(settings.SlowStartSpan), slowStartShare: s.number(settings.SlowStartShare),
-		recoveryMultiple: s.number(settings.OverloadMultiple), recoverySpan: s.duration(settings.OverloadSpan),
+		overloadMultiple: s.number(settings.OverloadMultiple), overloadSpan: s.duration(settings.OverloadSpan),
 		peersEnabled: s.enabled(settings.Peers), peerRate: s.number(settings.PeerRate),
 		sendsRetryAfter: s.enabled(settings.RetryAfter), maxRetryAfter: s.duration(settings.MaxRetryAfter),
 		pollEndpoints: s[settings.EndpointList] == settings.EndpointListPoll, pollWithin: s.number(settings.PollWithin),
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -5,7 +5,7 @@
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
 //   - State: the rate of a warm server, the attempts counted against each warming server, and an upper bound of the time
 //     by which this node's clock is ahead of the servers' clock.
-//   - Rule: over recoverySpan all nodes together may send a server recoveryMultiple times its capacity. This node uses
+//   - Rule: over overloadSpan all nodes together may send a server overloadMultiple times its capacity. This node uses
 //     slowStartBudgetRatio of its share at once, and as much again over each span.
 //   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
 //   - Trade-off: if most servers restart at once, the others are overloaded while the cold ones have capacity left.
@@ -21,12 +21,12 @@
 }
 
 const (
-	slowStartBudgetRatio       = 0.4                  // share of the recovery budget usable at once, and again in each span
+	slowStartBudgetRatio       = 0.4                  // share of the load limit usable at once, and again in each overload span
 	extraInFlightAtFullWeight  = 2                    // attempts in flight beyond the first, at a weight of 1
 	warmRateIntervals          = 4                    // intervals in the mean rate of a warm server
 	maxWarmRateRatio           = 1.6                  // largest rate of a warm server, over that of an earlier interval
 	warmRateDecay              = 0.03                 // share of the best warm rate that is lost in an interval
-	clockToleranceSpans        = 1.0                  // clock difference that a list's delay explains, in recovery spans
+	clockToleranceSpans        = 1.0                  // clock difference that a list's delay explains, in overload spans
 	completedSizesTimeConstant = 33 * controlInterval // time constant of the mean size of completing servers
 )
 
@@ -53,7 +53,7 @@
 		return 0
 	}
 	at := s.Started
-	tolerance := Time(clockToleranceSpans * float64(l.config.recoverySpan))
+	tolerance := Time(clockToleranceSpans * float64(l.config.overloadSpan))
 	if l.clockSeen && l.maxClockLead > tolerance {
 		at += l.maxClockLead
 	}
@@ -87,7 +87,7 @@
 	return s.inSubset && s.inFlight < maxInFlight && s.slowStart.sent+1 <= budget
 }
 
-// budget returns the number of attempts that a server may get from this node in a recovery span. One node in
+// budget returns the number of attempts that a server may get from this node in an overload span. One node in
 // subsetRatio uses the server.
 func (l *slowStart) budget(s *server, now Time, subsetRatio float64) float64 {
 	c := l.config
@@ -95,7 +95,7 @@
 	leastRate := 1 / (float64(c.nodes) * seconds(c.shortestObjective))
 	warmRate := l.relativeSize(s) * max(l.warmRate, leastRate)
 	share := slowStartBudgetRatio * l.weight(s, now) * subsetRatio
-	return share * c.recoveryMultiple * warmRate * seconds(c.recoverySpan)
+	return share * c.overloadMultiple * warmRate * seconds(c.overloadSpan)
 }
 
 // processStarted resets the count of a server whose process is new to a random fraction of an attempt.
@@ -109,12 +109,12 @@
 	}
 }
 
-// leak reduces the count of a warming server by its budget in each recovery span, as a leaky bucket. An idle time counts
+// leak reduces the count of a warming server by its budget in each overload span, as a leaky bucket. An idle time counts
 // for one span at most: otherwise many idle nodes would all send at the same moment. A count that was last updated before
 // the process started is not reduced.
 func (l *slowStart) leak(s *server, now Time, subsetRatio float64) {
 	state := &s.slowStart
-	if span := l.config.recoverySpan; span > 0 && state.at >= l.startedAt(s) {
+	if span := l.config.overloadSpan; span > 0 && state.at >= l.startedAt(s) {
 		elapsed := float64(min(now-state.at, span))
 		state.sent = max(0, state.sent-l.budget(s, now, subsetRatio)*elapsed/float64(span))
 	}
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -8,11 +8,11 @@
 // TimeUnit is the unit of time of the settings, as of the decision engine.
 const TimeUnit = 100 * time.Microsecond
 
-// unitsPerMs is how many units of time a millisecond has.
+// unitsPerMs is the number of time units in a millisecond.
 const unitsPerMs = float64(time.Millisecond / TimeUnit)
 
-// Duration is a setting that is a time, parsed once from a number of time units. The zero Duration is a setting that is
-// not given, and reads as 0. As with Number, each reading has a method of its own.
+// Duration is the text of a time setting: a number of time units, parsed once. The zero Duration is a setting that is not
+// given, and reads as 0. Its methods interpret the text as those of Number do.
 type Duration struct{ units Number }
 
 // ParseDuration parses the text of a setting that is a time: a number of time units.
@@ -27,15 +27,15 @@
 // String returns the text that was parsed.
 func (d Duration) String() string { return d.units.String() }
 
-// FractionalUnits returns the time in time units; 0 where the text is no number or out of float64's range.
+// FractionalUnits returns the time in time units. It is 0 if the text is not a number or is out of float64's range.
 func (d Duration) FractionalUnits() float64 { return d.units.Float() }
 
-// TruncatedUnits returns FractionalUnits without the fraction.
+// TruncatedUnits returns the time in time units, rounded towards 0.
 func (d Duration) TruncatedUnits() int64 { return int64(d.units.Float()) }
 
-// Truncated returns the time of TruncatedUnits.
+// Truncated returns the time, rounded towards 0 to whole time units.
 func (d Duration) Truncated() time.Duration { return time.Duration(d.TruncatedUnits()) * TimeUnit }
 
-// Whole returns the time where the text is a decimal integer. Any other text, "1.0" too, is 0; an integer out of range
-// is taken for the nearest int.
+// Whole returns the time if the text is a decimal integer. It returns 0 for any other text, such as "1.0". An integer out
+// of int's range becomes the nearest int.
 func (d Duration) Whole() time.Duration { return time.Duration(d.units.whole) * TimeUnit }
--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// FromText reads the simulator's text, a name=value a line. Unknown names, and lines without a value, are ignored. Of a
-// name given twice the last holds.
+// FromText reads the simulator's text, which has one name=value on each line. It ignores unknown names, and lines without
+// "=". The last of several lines with the same name applies.
 func FromText(text []byte) *Settings { return Parse(valuesFromText(text)) }
 
 // FromJSON reads the nested form of the platform's configuration. The error is that of encoding/json.
@@ -63,8 +63,8 @@
 	}
 }
 
-// flattenList adds a list. A list of objects has a name for each entry, by its number, and one for its length; other lists
-// become one text, joined by commas.
+// flattenList adds a list. Each entry of a list of objects is added under the entry's number, and the list's length under
+// ".count". A list without objects becomes one text, joined by commas.
 func flattenList(set Values, name string, list []any) {
 	values := make([]string, len(list))
 	hasObject := false
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// The keys of Values. Each one holds the text of the field of Settings with the same name. Times are in time units, and a
-// switch is on where its text is On.
+// The keys of Values. Each key stands for the field of Settings with the same name. Times are in time units. A switch is on
+// if its text is On.
 const (
 	Node  = "node"
 	Nodes = "nodes"
@@ -67,7 +67,7 @@
 	PlanCount  = planList + countField
 )
 
-// ClassField is the part of a key that names a field of Class. ClassKey makes the key.
+// ClassField is the last part of a key, which names a field of Class. ClassKey returns the whole key.
 type ClassField string
 
 // The fields of Class.
@@ -98,7 +98,7 @@
 	GroupCell = "cell" // the servers of a cell
 )
 
-// PlanField is the part of a key that names a field of Plan. PlanKey makes the key.
+// PlanField is the last part of a key, which names a field of Plan. PlanKey returns the whole key.
 type PlanField string
 
 // The fields of Plan.
@@ -125,4 +125,5 @@
 	return entryKey(planList, strconv.Itoa(i), string(field))
 }
 
+// entryKey returns the key of a field of an entry of a list.
 func entryKey(list, entry, field string) string { return list + "." + entry + "." + field }
--- a/internal/settings/list.go
+++ b/internal/settings/list.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// List is a numbered list of settings: the request classes, or the plans. Its declared length and the entries that are
-// given need not agree; an entry that is not given is the zero E. The zero List is empty. A List may be read from several
-// goroutines, and copies of it share their entries.
+// List is a numbered list of settings: the request classes, or the plans. The declared length may differ from the number of
+// entries that are given. An entry that is not given is the zero E. The zero List is empty. Several goroutines may read a
+// List, and copies of it share their entries.
 type List[E any] struct {
 	// Count is the declared length.
 	Count Number
@@ -24,10 +24,12 @@
 // At returns the entry with the number i.
 func (l List[E]) At(i int) E { return l.entries[i] }
 
-// Len returns the length by which the decision engine reads the list: the declared one without its fraction, at least 1.
+// Len returns the number of entries in use: the declared length, rounded towards 0, and at least 1. The zero List thus has
+// one zero entry in use.
 func (l List[E]) Len() int { return max(1, l.Count.Truncated()) }
 
-// NamedLen returns the length by which names are looked up: the declared one, 0 where that is no decimal integer.
+// NamedLen returns the number of entries that can be found by name: the declared length, or 0 if that is not a decimal
+// integer. It differs from Len for lengths such as "" and "2.5".
 func (l List[E]) NamedLen() int {
 	n, _ := l.Count.Whole()
 	return n
--- a/internal/settings/number.go
+++ b/internal/settings/number.go
@@ -4,14 +4,14 @@
 
 // Number is a numeric setting, parsed once. The zero Number is a setting that is not given, and reads as 0.
 //
-// No text is refused. The parts of the node read odd texts differently: "1.5" is 1.5 to the decision engine, and 0 to the
-// leasing of quotas. Each reading has a method of its own.
+// All texts are accepted. The methods Float, FloatOrInf, Truncated and Whole differ in how they interpret a text that is not
+// a plain integer: "1.5" is 1.5, 1.5, 1 and 0. Users of one setting may differ in the method that they call.
 type Number struct {
 	text       string
 	float      float64 // infinite where the text is out of float64's range
 	outOfRange bool    // the text is out of float64's range
-	whole      int     // the nearest int where the text is out of int's range
-	isWhole    bool    // whole is exactly the text's number
+	whole      int     // nearest int if the text is a decimal integer, else 0
+	isWhole    bool    // the text is a decimal integer within int's range
 }
 
 // ParseNumber parses the text of a setting.
@@ -34,7 +34,7 @@
 // String returns the text that was parsed.
 func (n Number) String() string { return n.text }
 
-// Float returns the number; 0 where the text is no number or out of float64's range. "NaN" and "Inf" are numbers.
+// Float returns the number. It is 0 if the text is not a number or is out of float64's range. "NaN" and "Inf" are numbers.
 func (n Number) Float() float64 {
 	if n.outOfRange {
 		return 0
@@ -42,12 +42,12 @@
 	return n.float
 }
 
-// FloatOrInf is Float, except that a text out of float64's range is an infinity of its sign.
+// FloatOrInf returns the number as Float does, but an infinity for a text out of float64's range.
 func (n Number) FloatOrInf() float64 { return n.float }
 
-// Truncated returns Float without its fraction.
+// Truncated returns the number, rounded towards 0.
 func (n Number) Truncated() int { return int(n.Float()) }
 
-// Whole returns the number where the text is a decimal integer, and whether it fits an int. Any other text, "1.0" too,
-// is 0; an integer out of range is the nearest int.
+// Whole returns the number if the text is a decimal integer; ok reports whether it is one within int's range. It returns 0
+// for any other text, such as "1.0". An integer out of int's range becomes the nearest int.
 func (n Number) Whole() (value int, ok bool) { return n.whole, n.isWhole }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -8,7 +8,7 @@
 // Values are the texts of settings by this package's keys: Node, MaxAttempts, ClassKey and so on.
 type Values map[string]string
 
-// Parse reads all settings. Nothing is refused; Number says how an odd number reads.
+// Parse reads all settings. It accepts all texts, see Number and Duration.
 func Parse(v Values) *Settings {
 	return &Settings{
 		Node:              v.number(Node),
@@ -42,7 +42,7 @@
 	}
 }
 
-// parseList reads the entries that are given, whatever the declared length is.
+// parseList reads the entries that are given. The declared length has no effect on them.
 func parseList[E any](v Values, list, countKey string, parse func(v Values, i int) E) List[E] {
 	l := List[E]{Count: v.number(countKey), entries: map[int]E{}}
 	for key := range v {
@@ -52,7 +52,7 @@
 		}
 		i, err := strconv.Atoi(parts[1])
 		if err != nil || strconv.Itoa(i) != parts[1] {
-			continue // "01" is no entry's number
+			continue // not the decimal form of a number, such as "01"
 		}
 		if _, done := l.entries[i]; !done {
 			l.entries[i] = parse(v, i)
@@ -61,6 +61,7 @@
 	return l
 }
 
+// parseClass reads the request class with the number i.
 func parseClass(v Values, i int) Class {
 	key := func(field ClassField) string { return ClassKey(i, field) }
 	name, named := v[key(ClassName)]
@@ -79,6 +80,7 @@
 	}
 }
 
+// parsePlan reads the plan with the number i.
 func parsePlan(v Values, i int) Plan {
 	number := func(field PlanField) Number { return v.number(PlanKey(i, field)) }
 	return Plan{
@@ -95,14 +97,16 @@
 	}
 }
 
+// number reads a numeric setting.
 func (v Values) number(key string) Number { return ParseNumber(v[key]) }
 
+// duration reads a time setting.
 func (v Values) duration(key string) Duration { return ParseDuration(v[key]) }
 
 // enabled reports whether a setting is exactly On.
 func (v Values) enabled(key string) bool { return v[key] == On }
 
-// words splits a list of words; an empty text has none.
+// words reads a list of words separated by commas. It returns nil for an empty text.
 func (v Values) words(key string) []string {
 	if v[key] == "" {
 		return nil
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -12,14 +12,14 @@
 	value func(value string) string // translates the text
 }
 
-// lists are the prefixes of the keys of lists, by the platform's names of the lists. An entry keeps its number.
+// lists maps the platform's names of lists to this package's. An entry has the same number in both.
 var lists = map[string]string{
 	"services":         classList,
 	"tiers_of_service": planList,
 }
 
-// translations are the settings that are read, by the platform's names. In the names of a list's entries the number is left
-// out.
+// translations maps the platform's names to the settings that are read. The names of a list's entries stand without the
+// entry's number: "services.name" for "services.0.name".
 var translations = map[string]translation{
 	"slot_no":          {Node, verbatim},
 	"replicas_of_me":   {Nodes, verbatim},
@@ -98,11 +98,11 @@
 // verbatim returns the text as it is.
 func verbatim(value string) string { return value }
 
-// word translates one of words. An unknown word becomes empty.
+// word returns the translation in words, or an empty text for an unknown word.
 func word(value string) string { return words[value] }
 
-// timeUnits translates a number of microseconds, truncated to an integer, into whole time units, rounded towards 0. A text
-// that is no number stays as it is.
+// timeUnits converts a number of microseconds to whole time units, rounded towards 0. It returns a text that is not a number
+// as it is.
 func timeUnits(value string) string {
 	micros, err := strconv.ParseFloat(value, 64)
 	if err != nil {
@@ -111,11 +111,12 @@
 	return strconv.FormatInt(int64(micros)/microsPerTimeUnit, 10)
 }
 
-// columns translates a list of loadColumns. An unknown name becomes empty, so that the others keep their places.
+// columns translates a list of names in loadColumns, separated by commas. An unknown name becomes empty, so that the others
+// keep their places.
 func columns(value string) string {
-	figures := strings.Split(value, ",")
-	for i, name := range figures {
-		figures[i] = loadColumns[name]
+	names := strings.Split(value, ",")
+	for i, name := range names {
+		names[i] = loadColumns[name]
 	}
-	return strings.Join(figures, ",")
+	return strings.Join(names, ",")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,14 @@
 package settings
 
-// Settings are the settings of one node. Parse, FromText and FromJSON make them; a field whose setting is not given has
-// its zero value. They are read only once a node runs by them. A pointer to Settings may be read from several goroutines.
+// Settings are the settings of one node. Parse, FromText and FromJSON return them. A field whose setting is not given has
+// its zero value. A running node does not modify its Settings, and several goroutines may read them.
 type Settings struct {
 	Node  Number   // this node's number, from 0
 	Nodes Number   // size of the fleet
 	Tick  Duration // greatest delay of a timer or of the end of an attempt
 
 	EndpointList EndpointListMode
-	PollWithin   Duration // EndpointListPoll: time to the next poll, at most
+	PollWithin   Duration // EndpointListPoll: longest time to the next poll
 
 	LoadReportFields  []string // LoadInFlight and so on, in the order of app servers' load reports; "" for an unknown one
 	LoadReportChannel string   // how load reports arrive, in the platform's words
@@ -39,15 +39,16 @@
 	Plans   List[Plan]  // tenants' plans
 }
 
-// EndpointListMode is how the node receives endpoint lists: EndpointListPoll, EndpointListPush, or a text of no meaning.
+// EndpointListMode is how the node receives endpoint lists: EndpointListPoll or EndpointListPush. Any other text is treated
+// as EndpointListPush.
 type EndpointListMode string
 
-// RetrySafety is whether a request may run more than once: RetrySafe, RetryKeyed or RetryUnsafe. Any other text is to be
+// RetrySafety is whether a request may run more than once: RetrySafe, RetryKeyed or RetryUnsafe. Any other text must be
 // treated as RetryUnsafe.
 type RetrySafety string
 
-// IdempotencyGroup is the set of servers that share idempotency keys: GroupAll, GroupZone, GroupCell, or a text of no
-// meaning.
+// IdempotencyGroup is the set of servers that share idempotency keys: GroupAll, GroupZone or GroupCell. With any other text
+// the set is unknown.
 type IdempotencyGroup string
 
 // Class is the settings of one request class.
@@ -69,13 +70,13 @@
 // Plan is the settings of one tenant plan. Units are those that quotas count.
 type Plan struct {
 	Name           string
-	Rate           Number // of the quota's token bucket, units a second; 0 for none
+	Rate           Number // of the quota's token bucket, units a second; 0 or less: no limit
 	Burst          Number // of the quota's token bucket, units
-	MaxInFlight    Number // attempts of a customer in flight; 0 for no limit
+	MaxInFlight    Number // attempts of a customer in flight; 0: no limit
 	PriorityFactor Number // multiplies the class's priority weight
 	OverQuotaShare Number // share of its weight that a request over the quota earns
 	OverQuotaCost  Number // share of its weight that a request over the quota costs
-	CeilingRate    Number // of the hard ceiling's token bucket, units a second; 0 for none
+	CeilingRate    Number // of the hard ceiling's token bucket, units a second; no ceiling if this and CeilingBurst are 0
 	CeilingBurst   Number // of the hard ceiling's token bucket, units
 	CeilingSlack   Number // units by which the ceiling's token bucket may be below 0
 }
