--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -213,9 +213,9 @@
 		r.setFault()
 		close(follows)
 	}
-	go r.timer.Run(r.router.Tick)
+	go r.timer.Run(r.router.TimerFired)
 	go r.client.Run()
-	r.router.Tick()
+	r.router.TimerFired()
 	<-follows
 	if holdsFirst {
 		time.Sleep(time.Duration(r.discovery.rand.IntN(1000)) * time.Millisecond)
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -127,7 +127,7 @@
 	a.Routing.PollEndpoints = func() {}
 	a.Routing.LogSummary = func([]byte) {}
 	node.Router = routing.New(a.Routing)
-	go timer.Run(node.Router.Tick) // ends with the timer
+	go timer.Run(node.Router.TimerFired) // ends with the timer
 	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: a.Endpoints}, routing.FromCache)
 	poolLimits := a.Limits
 	if a.PoolLimits != nil {
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -76,7 +76,7 @@
 		s.clientTimeout(e.request)
 	case eventTimer:
 		if e.timerSetting == e.node.timerSettings {
-			e.node.router.Tick()
+			e.node.router.TimerFired()
 			s.takeDecisions(e.node)
 		}
 	case eventWorkDone:
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -82,7 +82,7 @@
 	s.schedule(&event{at: time.Second, kind: eventSample})
 	for _, n := range s.nodes {
 		if n.router != nil {
-			n.router.Tick()
+			n.router.TimerFired()
 		}
 	}
 	return s, nil
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -54,7 +54,7 @@
 	n.fleet.withEngineSlot(func() {
 		if !inc.ended.Load() || inc.inFlight.Load() > 0 {
 			n.fleet.recordTimerLag(due)
-			inc.router.Tick()
+			inc.router.TimerFired()
 		}
 	})
 }
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -161,7 +161,7 @@
 	forEachNode(f.nodes, func(n *simulatedNode) { n.current.Store(n.newIncarnation(f.cfg.Seed)) })
 	for _, n := range f.nodes {
 		go n.readDatagrams()
-		n.current.Load().router.Tick()
+		n.current.Load().router.TimerFired()
 	}
 	for i := range f.proxies {
 		go f.forwardForReal(i)
--- a/internal/lab/scale/nodelists.go
+++ b/internal/lab/scale/nodelists.go
@@ -87,6 +87,6 @@
 		}
 		n.current.Swap(inc).ended.Store(true)
 		n.away.Store(false)
-		inc.router.Tick()
+		inc.router.TimerFired()
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,14 +87,14 @@
 		}
 	}
 	n.startBackground()
-	n.router.Tick()
+	n.router.TimerFired()
 	n.log.Info().Str("listen", n.config.Listen).Msg("started")
 	return nil
 }
 
 // startBackground starts the parts' goroutines. Close ends them.
 func (n *Node) startBackground() {
-	n.runInBackground(func() { n.timer.Run(n.router.Tick) })
+	n.runInBackground(func() { n.timer.Run(n.router.TimerFired) })
 	n.runInBackground(n.discovery.Run)
 	if n.healthChecks != nil {
 		n.runInBackground(n.healthChecks.Run)
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -19,11 +19,11 @@
 	// Seed is the seed of the engine's random numbers.
 	Seed uint64
 
-	// Settings are the node's settings; nil where none are given. They must not change after New.
+	// Settings are the node's settings; nil if none are given. They must not change after New.
 	Settings *settings.Settings
 
-	// Shadow are other settings, of the same classes and plans in the same order, for a shadow evaluation; nil for none.
-	// They decide nothing: see Router.ShadowCounts.
+	// Shadow are other settings for a shadow evaluation, with the same classes and plans in the same order; nil for none.
+	// They have no effect on requests: see Router.ShadowCounts.
 	Shadow *settings.Settings
 
 	// Clock returns the time and must never go back; nil for the system's clock. Simulations pass a virtual clock.
@@ -34,21 +34,21 @@
 	Quota Quota
 
 	// OnDecision is called when the next step of a request is decided. The caller that caused the decision must call
-	// TryNext once its own call of the Router has returned. Nil where each request waits in Next.
+	// TryNext once its own call of the Router has returned. Nil if all callers wait in Next.
 	OnDecision func(*Request)
 
-	// OnRepeatViolation is called for each attempt or rejection that the repeat check held back; nil to ignore them.
+	// OnRepeatViolation is called for each attempt or rejection that the repeat check withholds; nil to ignore them.
 	OnRepeatViolation func(violation RepeatViolation, class ClassID, attempt int)
 
-	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.Tick.
+	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.TimerFired.
 	SetTimer func(after time.Duration)
 
-	// PollEndpoints asks the discovery client for its next poll. It does not pass through the outbox: a peer message that
-	// blocks must not keep the node from its endpoint list.
+	// PollEndpoints requests a poll from the discovery client. It does not pass through the outbox: a peer message that
+	// blocks must not delay the endpoint list.
 	PollEndpoints func()
 
-	// SendToPeer sends a message to the node with the number peer, or to all other nodes where peer is below 0. It is
-	// called without the lock, in the order of the messages and by one goroutine at a time. It may block.
+	// SendToPeer sends a message to the node with the number peer, or to all other nodes if peer is below 0. It is called
+	// without the lock, in the order of the messages and by one goroutine at a time. It may block.
 	SendToPeer func(peer int, payload []byte)
 
 	// LogSummary logs an interval summary, a line of text. It is called as SendToPeer is.
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/decision"
 )
 
-// carryOut carries out one decision of the engine. The lock must be held. An unknown action panics: it would mean that the
-// engine relies on a step that this node never takes.
+// carryOut carries out one decision of the engine. The lock must be held. It panics on an unknown action, since the engine
+// would wait for its effect.
 func (r *Router) carryOut(d decision.Decision) {
 	switch d.Action {
 	case decision.Forward:
@@ -76,6 +76,7 @@
 	req.decide(Decision{Action: Reject, RetryAfter: duration(d.Duration), Reason: d.Reason.String()})
 }
 
+// reportRepeatViolation calls OnRepeatViolation, if it is set. The lock must be held.
 func (r *Router) reportRepeatViolation(violation RepeatViolation, req *Request) {
 	if r.cfg.OnRepeatViolation != nil {
 		r.cfg.OnRepeatViolation(violation, req.class, req.attempt)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -26,7 +26,7 @@
 	}
 	r.enter()
 	if origin == FromDiscovery && !list.ServedAt.IsZero() {
-		r.engine.ObserveServerClock(unixTicks(list.ServedAt))
+		r.engine.ObserveServerClock(engineUnixTime(list.ServedAt))
 	}
 	r.engine.UpdateEndpoints(kind, r.endpoints.update(list))
 	r.leave()
--- a/internal/routing/endpointtable.go
+++ b/internal/routing/endpointtable.go
@@ -37,6 +37,7 @@
 	list    []decision.Endpoint // update's result, kept for its capacity
 }
 
+// newEndpointTable returns an empty table.
 func newEndpointTable() endpointTable {
 	return endpointTable{
 		servers: map[ServerNumber]*Server{},
@@ -47,8 +48,8 @@
 	}
 }
 
-// number returns the number of a uid: its FNV-1a hash, so that all nodes agree without a message. Where hashes collide, the
-// uid seen later has the next free number.
+// number returns the number of a uid: its FNV-1a hash, so that all nodes agree without a message. If hashes collide, the uid
+// that this node receives later has the next free number.
 func (t *endpointTable) number(uid string) ServerNumber {
 	if n, ok := t.numbers[uid]; ok {
 		return n
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -86,7 +86,7 @@
 }
 
 // Zones and models get numbers in the order of their first endpoint, and keep them. Cells are numbers already. Milliseconds
-// since 1970 become ticks.
+// since 1970 become the engine's time units.
 func TestEndpointsInTheEnginesForm(t *testing.T) {
 	table := newEndpointTable()
 	addr := netip.MustParseAddrPort("127.0.0.1:9000")
@@ -168,7 +168,7 @@
 	}
 }
 
-// Durations are truncated to ticks, not rounded. A timeout of 99 µs becomes 0, so that the request is rejected at once.
+// Durations are truncated to time units, not rounded. A timeout of 99 µs becomes 0, so that the request is rejected at once.
 func TestDurationsAreTruncatedToTicks(t *testing.T) {
 	for _, c := range []struct {
 		timeout time.Duration
@@ -177,7 +177,7 @@
 		_, req, _ := startRouter(t, settings.RetrySafe, 2)
 		req.Start(&seatRequest, c.timeout)
 		got := req.Next()
-		if got.Action != c.want || got.Timeout%tick != 0 || got.RetryAfter%tick != 0 {
+		if got.Action != c.want || got.Timeout%timeUnit != 0 || got.RetryAfter%timeUnit != 0 {
 			t.Errorf("timeout %v: %+v", c.timeout, got)
 		}
 	}
--- a/internal/routing/outbox.go
+++ b/internal/routing/outbox.go
@@ -1,7 +1,7 @@
 package routing
 
-// maxQueuedMessages is the number of peer messages that may queue while an earlier one blocks. Peer messages are lossy by
-// design, so that the newest are dropped past it.
+// maxQueuedMessages is the number of peer messages that may queue while an earlier one blocks. Further messages are dropped:
+// peers do not rely on the delivery of any message.
 const maxQueuedMessages = 1 << 10
 
 // outbox queues peer messages and the interval summary, which are delivered without the Router's lock: a socket that blocks
@@ -29,8 +29,8 @@
 // empty reports whether nothing is queued.
 func (o *outbox) empty() bool { return len(o.messages) == 0 && o.summary == nil }
 
-// bound drops the newest messages past maxQueuedMessages.
-func (o *outbox) bound() { o.messages = o.messages[:min(len(o.messages), maxQueuedMessages)] }
+// dropExcess drops the newest messages beyond maxQueuedMessages.
+func (o *outbox) dropExcess() { o.messages = o.messages[:min(len(o.messages), maxQueuedMessages)] }
 
 // takeAll empties the outbox and returns its content.
 func (o *outbox) takeAll() (messages []peerMessage, summary []byte) {
@@ -40,11 +40,11 @@
 }
 
 // deliver delivers the outbox in order, and frees the lock, which the caller must hold. The lock is free during each
-// delivery. Where another goroutine delivers already, deliver returns at once.
+// delivery. If another goroutine delivers already, deliver returns at once.
 func (r *Router) deliver() {
 	o := &r.outbox
 	if o.delivering {
-		o.bound()
+		o.dropExcess()
 		r.mu.Unlock()
 		return
 	}
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -31,12 +31,12 @@
 		now = now.Add(time.Second)
 		var ticks sync.WaitGroup
 		ticks.Add(1)
-		go func() { defer ticks.Done(); r.Tick() }() // its messages block
+		go func() { defer ticks.Done(); r.TimerFired() }() // its messages block
 		for sent.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		now = now.Add(time.Second)
-		r.Tick() // so do these, which queue
+		r.TimerFired() // so do these, which queue
 		now = now.Add(20 * time.Millisecond)
 		req := r.NewRequest(&cancelRecorder{})
 		for range 5 {
@@ -76,7 +76,7 @@
 	now = now.Add(time.Second)
 	var tick sync.WaitGroup
 	tick.Add(1)
-	go func() { defer tick.Done(); r.Tick() }() // its messages block
+	go func() { defer tick.Done(); r.TimerFired() }() // its messages block
 	for end := time.Now().Add(5 * time.Second); sent.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -85,7 +85,7 @@
 	}
 	r.PollFailed()
 	now = now.Add(3 * time.Second)
-	r.Tick()
+	r.TimerFired()
 	if len(polls) != 2 {
 		t.Errorf("%d polls after a call that failed", len(polls))
 	}
--- a/internal/routing/repeatcheck.go
+++ b/internal/routing/repeatcheck.go
@@ -104,8 +104,8 @@
 	return r.safety == settings.RetrySafe || r.safety == settings.RetryKeyed && groupOfAll
 }
 
-// finishBy returns the end of the key window of the first attempt that may have run. The server must have the whole request
-// by then. Zero: there is no such time.
+// finishBy returns the time by which a server must have received the whole request: the end of the key window of the first
+// attempt that may have run. It returns the zero Time if there is no limit.
 func (c *repeatCheck) finishBy() time.Time {
 	if c.rule.safety != settings.RetryKeyed || len(c.mayHaveRun) == 0 {
 		return time.Time{}
@@ -113,12 +113,12 @@
 	return c.mayHaveRun[0].at.Add(c.rule.window)
 }
 
-// begin records that an attempt at the server begins.
+// begin records that an attempt at the server starts now.
 func (c *repeatCheck) begin(server *Server, now time.Time) {
 	c.inFlight, c.current = true, pastAttempt{now, server.zone, server.cell}
 }
 
-// end records the outcome of the attempt in flight. Without one it does nothing.
+// end records the outcome of the attempt in flight. It has no effect if there is none.
 func (c *repeatCheck) end(outcome protocol.Outcome) {
 	if c.inFlight && !outcome.NeverRan() {
 		c.mayHaveRun = append(c.mayHaveRun, c.current)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -14,8 +14,8 @@
 // The actions. All but Forward are final.
 const (
 	Forward Action = iota + 1 // make an attempt
-	Reject                    // the request never ran: a retry by the client is harmless
-	Fail                      // the request may have run, or may still run
+	Reject                    // respond that a retry by the client is harmless
+	Fail                      // respond that the request failed; it may have run, or may still run
 	Abandon                   // the client has disconnected: no response is needed
 )
 
@@ -46,17 +46,17 @@
 type AttemptResult struct {
 	Outcome  protocol.Outcome
 	Duration time.Duration
-	Units    float64 // the request's true units from the server's response; 0 where it has none
+	Units    float64 // the request's actual units from the server's response; 0 if it gives none
 }
 
-// Request holds the requests of one client connection, one at a time. Start opens a request. A Decision other than Forward,
-// or the report of a completed attempt, closes it. At most one attempt of it is in flight.
+// Request is a handle for the requests of one client connection, of which one is open at a time. Start opens a request. A
+// Decision other than Forward, or the report of a completed attempt, closes it. At most one attempt is in flight.
 //
 // Start, Next, TryNext and Report must be called by one goroutine at a time. ClientGone may be called from another.
 type Request struct {
 	router    *Router
 	canceller Canceller
-	decided   chan struct{} // holds a token while decision is not taken
+	decided   chan struct{} // holds a token while a decision waits to be taken
 	slot      requestSlot
 
 	// Guarded by Router.mu.
@@ -67,8 +67,8 @@
 	clientGone bool             // the client has disconnected
 	class      decision.ClassID // of the request
 	repeats    repeatCheck
-	tenant     quota.Customer // zero where the quota is not leased
-	units      float64        // to use of the tenant's lease
+	tenant     quota.Customer // zero if the quota is not leased
+	units      float64        // units of the tenant's lease that the first attempt uses
 }
 
 // Start opens a request and passes it to the engine. The client waits for a response until timeout has passed.
@@ -90,7 +90,7 @@
 		Class:     req.class,
 		Plan:      plan,
 		Customer:  decision.CustomerID(in.Customer),
-		Timeout:   ticks(timeout),
+		Timeout:   engineTime(timeout),
 		Units:     in.Units,
 		Spread:    in.Spread,
 		FirstNode: decision.NodeID(in.FirstNode),
@@ -98,14 +98,14 @@
 	r.leave()
 }
 
-// lease passes the tenant's available units to the engine, where the plan's quota is leased. The lock must be held.
+// lease passes the tenant's available units to the engine, if the plan's quota is leased. The lock must be held.
 func (req *Request) lease(plan decision.PlanID, in *protocol.Request) {
 	r := req.router
 	req.tenant, req.units = quota.Customer{}, 0
 	if r.cfg.Quota == nil {
 		return
 	}
-	tenant, ok := r.settings.leased(plan, in)
+	tenant, ok := r.settings.leaseCustomer(plan, in)
 	if !ok {
 		return
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// take takes the decision. It reports false for a withheld one, after which the engine decides anew.
+// take takes the decision. It returns false for a withheld one, after which the engine decides again.
 func (req *Request) take() (Decision, bool) {
 	r := req.router
 	r.mu.Lock()
@@ -188,7 +188,7 @@
 		Attempt:  req.attempt,
 		Server:   decision.ServerID(req.server.number),
 		Outcome:  outcomes[result.Outcome],
-		Duration: ticks(result.Duration),
+		Duration: engineTime(result.Duration),
 		Final:    result.Outcome == protocol.Completed,
 		Units:    result.Units,
 	})
--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -17,6 +17,7 @@
 	maxUnits float64                     // of a request; 0 or less: no bound
 }
 
+// newRequestSettings returns the settings of requests.
 func newRequestSettings(set *settings.Settings) requestSettings {
 	s := requestSettings{
 		classes:  numbersByName[decision.ClassID](set.ClassNames()),
@@ -32,7 +33,7 @@
 	return s
 }
 
-// numbersByName maps the names of a list's entries to their numbers. A name that stands twice has the later number.
+// numbersByName maps the names of a list's entries to their numbers. A name that is given twice has the later number.
 func numbersByName[N ~int](names []string) map[string]N {
 	numbers := map[string]N{}
 	for i, name := range names {
@@ -48,16 +49,15 @@
 	return class && plan
 }
 
-// WithinLimits reports whether the request's units and set of nodes are within the settings. Missing settings set no limit on
-// units. It protects a customer's token bucket and set of nodes from a client that sends odd figures under the customer's
-// name.
+// WithinLimits reports whether the request's units and set of nodes are within the settings. Without a setting, units have no
+// limit. It protects a customer's token bucket and set of nodes from requests with wrong figures in the customer's name.
 func (r *Router) WithinLimits(req *protocol.Request) bool {
 	s := &r.settings
 	return (s.maxUnits <= 0 || req.Units <= s.maxUnits) && req.Spread <= s.nodes && req.FirstNode < s.nodes
 }
 
-// leased returns the customer of a request for its quota lease. It reports false where the plan has no quota to lease.
-func (s *requestSettings) leased(plan decision.PlanID, req *protocol.Request) (quota.Customer, bool) {
+// leaseCustomer returns the customer whose quota lease a request uses, and false if the plan has no quota to lease.
+func (s *requestSettings) leaseCustomer(plan decision.PlanID, req *protocol.Request) (quota.Customer, bool) {
 	if int(plan) < len(s.quotas) && s.quotas[plan].Rate > 0 {
 		c := s.quotas[plan]
 		c.Key, c.FirstNode, c.Spread = quota.CustomerKey(req.Customer), quota.NodeID(req.FirstNode), req.Spread
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -92,7 +92,7 @@
 			set := settingsOf(settings.RetrySafe)
 			set[settings.PlanKey(0, settings.PlanRate)], set[settings.PlanKey(0, settings.PlanBurst)] = rate, "100"
 			s := newRequestSettings(settings.Parse(set))
-			if tenant, ok := s.leased(0, &seatRequest); ok {
+			if tenant, ok := s.leaseCustomer(0, &seatRequest); ok {
 				t.Errorf("leased: %+v", tenant)
 			}
 		})
--- a/internal/routing/requesttable.go
+++ b/internal/routing/requesttable.go
@@ -10,6 +10,7 @@
 // requests, and wraps around. A late decision on a closed request therefore does not reach the next request of its slot.
 type requestNumber uint32
 
+// slot returns the slot of the request.
 func (n requestNumber) slot() requestSlot { return requestSlot(n % requestSlots) }
 
 // next returns the number of the next request of the same slot.
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -16,25 +16,27 @@
 	"cherrygap/internal/settings"
 )
 
-// tick is the engine's unit of time.
-const tick = time.Second / time.Duration(decision.Second)
+// timeUnit is the engine's unit of time.
+const timeUnit = time.Second / time.Duration(decision.Second)
 
-// ticks returns a duration in whole ticks, without the remainder.
-func ticks(d time.Duration) decision.Time { return decision.Time(d / tick) }
+// engineTime returns a duration in the engine's unit, rounded towards 0.
+func engineTime(d time.Duration) decision.Time { return decision.Time(d / timeUnit) }
 
-// unixTicks returns a wall-clock time in ticks since 1970.
-func unixTicks(at time.Time) decision.Time { return decision.Time(at.UnixNano() / int64(tick)) }
+// engineUnixTime returns a wall-clock time in the engine's unit, since 1970 (UTC).
+func engineUnixTime(at time.Time) decision.Time {
+	return decision.Time(at.UnixNano() / int64(timeUnit))
+}
 
 // duration returns a duration of the engine.
-func duration(t decision.Time) time.Duration { return time.Duration(t) * tick }
+func duration(t decision.Time) time.Duration { return time.Duration(t) * timeUnit }
 
 // Router drives one decision engine. New makes one. All methods are safe for concurrent use.
 type Router struct {
 	cfg      Config          // does not change
 	settings requestSettings // does not change
 
-	startTime  time.Time     // Config.Clock in New; does not change
-	startTicks decision.Time // startTime in ticks since 1970; does not change
+	startTime       time.Time     // Config.Clock in New; does not change
+	startEngineTime decision.Time // startTime by engineUnixTime; does not change
 
 	// mu guards the fields below, and the fields of each Request and Server that say so. Its holder must not block: each
 	// request of the node needs it.
@@ -55,13 +57,13 @@
 	}
 	now := cfg.Clock()
 	r := &Router{
-		cfg:        cfg,
-		settings:   newRequestSettings(cfg.Settings),
-		startTime:  now,
-		startTicks: unixTicks(now),
-		endpoints:  newEndpointTable(),
+		cfg:             cfg,
+		settings:        newRequestSettings(cfg.Settings),
+		startTime:       now,
+		startEngineTime: engineUnixTime(now),
+		endpoints:       newEndpointTable(),
 	}
-	r.engine = decision.New(cfg.Seed, cfg.Settings, r.startTicks)
+	r.engine = decision.New(cfg.Seed, cfg.Settings, r.startEngineTime)
 	if cfg.Shadow != nil {
 		r.engine.StartShadow(cfg.Shadow)
 	}
@@ -70,7 +72,7 @@
 
 // now returns the engine's time: the wall clock at the start, monotonic from then on.
 func (r *Router) now() decision.Time {
-	return r.startTicks + ticks(r.cfg.Clock().Sub(r.startTime))
+	return r.startEngineTime + engineTime(r.cfg.Clock().Sub(r.startTime))
 }
 
 // enter takes the lock and sets the engine's time. Each call must be followed by one of leave.
@@ -87,23 +89,23 @@
 	r.deliver()
 }
 
-// Tick lets the engine run its due timers. The timer of Config.SetTimer must call it.
-func (r *Router) Tick() {
+// TimerFired lets the engine carry out its due tasks. The timer of Config.SetTimer must call it.
+func (r *Router) TimerFired() {
 	r.enter()
 	r.engine.TimerFired()
 	r.leave()
 }
 
-// ReceivePeerMessage passes the message of a peer to the engine, and reports whether it was well formed. The peer's node
-// number is from.
+// ReceivePeerMessage passes the message of a peer to the engine, and reports whether it was well formed. Its parameter from
+// is the peer's node number.
 func (r *Router) ReceivePeerMessage(from int, payload []byte) bool {
 	r.enter()
 	defer r.leave()
 	return r.engine.ReceivePeerMessage(decision.NodeID(from), payload)
 }
 
-// ShadowCounts returns the number of decisions on requests that were compared with those of Config.Shadow. By kind it returns
-// those that the shadow's settings would have made otherwise. Without a shadow it returns 0 and nil.
+// ShadowCounts returns the number of decisions that were compared with those under Config.Shadow. It also returns the number
+// of those that differ, by kind of difference. Without a shadow it returns 0 and nil.
 func (r *Router) ShadowCounts() (compared int64, differing map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/scale_world_test.go
+++ b/internal/routing/scale_world_test.go
@@ -256,7 +256,7 @@
 		},
 	})
 	cpu := n.timeCall("", nil, func() { n.router.UpdateEndpoints(list, routing.FromDiscovery) })
-	n.timeCall("", nil, n.router.Tick)
+	n.timeCall("", nil, n.router.TimerFired)
 	return cpu
 }
 
@@ -336,7 +336,7 @@
 		e.node.take(&req, timeout)
 	case eventTimer:
 		if e.timerSetting == e.node.timerSettings {
-			e.node.timeCall("timer", nil, e.node.router.Tick)
+			e.node.timeCall("timer", nil, e.node.router.TimerFired)
 		}
 	case eventAttemptEnds:
 		if e.request.inFlight && e.attempt == e.request.attempts {
--- a/internal/routing/settings_reference_test.go
+++ b/internal/routing/settings_reference_test.go
@@ -43,7 +43,7 @@
 		repeats = append(repeats, repeatRule{
 			safety: settings.RetrySafety(m[settings.ClassKey(i, settings.ClassRetrySafety)]),
 			group:  settings.IdempotencyGroup(m[settings.ClassKey(i, settings.ClassIdempotencyGroup)]),
-			window: time.Duration(window) * tick,
+			window: time.Duration(window) * timeUnit,
 		})
 	}
 	var quotas []quota.Customer
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -130,7 +130,7 @@
 // newSettings draws the engine's settings that the play does not need itself.
 func (p *slowStartPlay) newSettings(nodes int) settings.Values {
 	messagesPerSecond := []int{0, 40, 60, 100}[p.rng.IntN(4)]
-	ticksOf := func(d time.Duration) string { return strconv.Itoa(int(ticks(d))) }
+	ticksOf := func(d time.Duration) string { return strconv.Itoa(int(engineTime(d))) }
 	return settings.Values{
 		settings.Nodes: strconv.Itoa(nodes), settings.Tick: "500", settings.EndpointList: settings.EndpointListPush,
 		settings.IdleTimeout: "150000", settings.MaxAttempts: "3",
@@ -203,7 +203,7 @@
 	})
 	p.after(listAfter, func() {
 		p.sendList(n)
-		n.router.Tick()
+		n.router.TimerFired()
 		n.takeDecisions()
 	})
 	return n
@@ -214,7 +214,7 @@
 	setting := n.timerSettings
 	n.play.after(after, func() {
 		if setting == n.timerSettings && !n.stopped {
-			n.router.Tick()
+			n.router.TimerFired()
 			n.takeDecisions()
 		}
 	})
