--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -8,8 +8,14 @@
 
 // translation describes how a setting of the platform becomes one of Values.
 type translation struct {
-	key   string                    // for an entry of a list: the field's part of the key
-	value func(value string) string // translates the text
+	key  string // for an entry of a list: the field's part of the key
+	form form   // of the text
+}
+
+// form is a translation of a setting's text between the platform's form and the form of Values.
+type form struct {
+	parse  func(text string) string // from the platform's form
+	format func(text string) string // to the platform's form; the inverse of parse for every text that parse understands
 }
 
 // lists maps the platform's names of lists to this package's. An entry has the same number in both.
@@ -95,15 +101,23 @@
 // microsPerTimeUnit is the number of microseconds in a TimeUnit.
 const microsPerTimeUnit = int64(TimeUnit / time.Microsecond)
 
-// verbatim returns the text as it is.
-func verbatim(value string) string { return value }
+// Forms of the settings' texts.
+var (
+	verbatim  = form{parse: identity, format: identity}
+	word      = form{parse: parseWord, format: formatWord}
+	timeUnits = form{parse: parseMicros, format: formatMicros}
+	columns   = form{parse: parseColumns, format: formatColumns}
+)
+
+// identity returns the text unchanged.
+func identity(value string) string { return value }
 
-// word returns the translation in words, or an empty text for an unknown word.
-func word(value string) string { return words[value] }
+// parseWord returns the translation in words, or an empty text for an unknown word.
+func parseWord(value string) string { return words[value] }
 
-// timeUnits converts a number of microseconds to whole time units, rounded towards 0. It returns a text that is not a number
-// as it is.
-func timeUnits(value string) string {
+// parseMicros converts a number of microseconds to whole time units, rounded towards 0. It returns a text that is not a
+// number as it is.
+func parseMicros(value string) string {
 	micros, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return value
@@ -111,9 +125,9 @@
 	return strconv.FormatInt(int64(micros)/microsPerTimeUnit, 10)
 }
 
-// columns translates a list of names in loadColumns, separated by commas. An unknown name becomes empty, so that the others
-// keep their places.
-func columns(value string) string {
+// parseColumns translates a list of names in loadColumns, separated by commas. An unknown name becomes empty, so that the
+// others keep their places.
+func parseColumns(value string) string {
 	names := strings.Split(value, ",")
 	for i, name := range names {
 		names[i] = loadColumns[name]
