--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,11 +1,16 @@
-// Package emulator runs stand-ins for app servers on loopback. They follow the platform's protocol: HTTP/1.1, one request at
-// a time on a connection, and limits on the number of connections, executing requests and queued requests.
+// Package emulator emulates app servers on loopback as the platform's protocol describes them:
 //
-// The service time is log-normal, and longer while a server warms up. New connections cost time. Load reports, health checks
-// and graceful shutdown can be switched on. Faults follow a schedule. A server counts the executions of each request id, so
-// that a test can prove that no unsafe request was executed twice.
+//   - HTTP/1.1 with one request at a time on a connection;
+//   - bounded numbers of connections, of requests in work and of queued requests;
+//   - a log-normal service time, which is longer while the server warms up;
+//   - a handshake delay on each new connection;
+//   - load reports, health checks and graceful shutdown;
+//   - faults from a schedule.
 //
-// Random draws come from math/rand/v2 (PCG), with one seed per server. The draws do not depend on the wall clock.
+// A server counts how often it began to execute each request ID, so that a test can prove that no unsafe request was
+// executed twice.
+//
+// Random draws come from math/rand/v2 (PCG), seeded per server. The wall clock only decides when events happen.
 package emulator
 
 import (
@@ -22,18 +27,18 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Fleet is a set of emulated servers with one schedule.
+// Fleet is a set of emulated servers with one schedule and one clock.
 type Fleet struct {
-	Servers []*Server // by number; immutable
+	Servers []*Server // by number; not changed after Start
 
 	startedAt time.Time
 	stop      chan struct{}  // closed by Close
-	wg        sync.WaitGroup // playSchedule
+	wg        sync.WaitGroup // counts playSchedule
 }
 
-// Start starts cfg.Servers servers: the first one at cfg.Listen, each further one at the next port. With port 0 all servers
-// listen on free ports. For an address that is not loopback, or a port in use, it returns an error and starts none. The
-// caller must call Close.
+// Start opens cfg.Servers servers, the first at cfg.Listen and each next one a port higher. If cfg.Listen has port 0, all
+// servers get free ports. Start returns an error for a non-loopback address or a port in use, and then leaves no server
+// open. The caller stops the fleet by Close.
 func Start(cfg operatorfile.Emulator, seed uint64, schedule Schedule, log zerolog.Logger) (*Fleet, error) {
 	first, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -51,7 +56,7 @@
 		s := &Server{
 			id: i, cfg: cfg, schedule: schedule, fleetStart: f.startedAt, addr: addr.String(),
 			rng: rand.New(rand.NewPCG(seed, uint64(i))), log: log.With().Int("server", i).Logger(),
-			begunByID: map[string]int{}, workSlots: make(chan struct{}, cfg.Concurrency),
+			workSlots: make(chan struct{}, cfg.Concurrency),
 		}
 		if err := s.open(); err != nil {
 			f.Close()
@@ -64,7 +69,7 @@
 	return f, nil
 }
 
-// Addrs returns the "host:port" of each server.
+// Addrs returns the servers' addresses, host:port, by server number.
 func (f *Fleet) Addrs() []string {
 	addrs := make([]string, len(f.Servers))
 	for i, s := range f.Servers {
@@ -73,7 +78,7 @@
 	return addrs
 }
 
-// Close closes every server and its connections. It may be called more than once, but not concurrently.
+// Close stops the schedule and every server, and closes their connections. It may be called again, but not concurrently.
 func (f *Fleet) Close() {
 	select {
 	case <-f.stop:
@@ -86,9 +91,9 @@
 	}
 }
 
-// transition is a scheduled change of a whole server.
+// transition is a scheduled change of state of a whole server.
 type transition struct {
-	at     time.Duration // since the fleet's start
+	at     time.Duration // from the fleet's start
 	server int
 	kind   transitionKind
 }
@@ -102,7 +107,7 @@
 	comeUp
 )
 
-// playSchedule carries out the scheduled restarts and drains. It ends after the last one, or with Close.
+// playSchedule executes the scheduled restarts and drains. Its goroutine ends after the last of them, or at Close.
 func (f *Fleet) playSchedule() {
 	defer f.wg.Done()
 	for _, t := range f.transitions() {
@@ -126,7 +131,7 @@
 	}
 }
 
-// transitions returns the schedule's restarts and drains by time. Of transitions at the same time, those to comeUp are last.
+// transitions returns the schedule's restarts and drains in order of time. At equal times, servers that come up are last.
 func (f *Fleet) transitions() (out []transition) {
 	for _, s := range f.Servers {
 		for _, fault := range s.schedule.Faults {
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"math"
@@ -11,82 +12,74 @@
 	"sync/atomic"
 	"time"
 
+	"cherrygap/internal/lab/appserver"
 	"cherrygap/internal/protocol"
 )
 
 const (
-	// minServiceUnits is the lowest number of units that the service time is multiplied with.
-	minServiceUnits = 0.1
-	// noTimeout is the timeout of a request without protocol.HeaderTimeout.
-	noTimeout = time.Duration(1<<62 - 1)
+	minUnits  = 0.1                      // smallest weight, in units, that scales the service time
+	noTimeout = time.Duration(1<<62 - 1) // of a request that states none
 )
 
-// connUsedKey is the context key of an *atomic.Bool: whether the connection has carried a request.
+// connUsedKey is the context key of a connection's *atomic.Bool, which is true once the connection has had a request.
 type connUsedKey struct{}
 
-// ServeHTTP responds to a request as an app server of the platform does.
+// ServeHTTP answers one request as the platform's protocol describes an app server. It implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sinceStart := time.Since(s.fleetStart)
 	if isFirstOfConn(r) && s.cfg.HandshakeMs > 0 {
 		time.Sleep(milliseconds(s.cfg.HandshakeMs))
 	}
 	if r.URL.Path == protocol.HealthPath || r.URL.Path == protocol.LoadPath {
-		s.respondToHealthCheck(w, r)
+		s.answerHealthCheck(w, r)
 		return
 	}
-	id := r.Header.Get(protocol.HeaderRequestID)
-	drawn := s.draw(sinceStart, r)
-	if id == "" {
+	request := appserver.RequestOf(r)
+	plan := s.drawPlan(sinceStart, r)
+	if request.ID == "" {
 		s.count(func(c *Stats) { c.NoID++ })
 		http.NotFound(w, r)
 		return
 	}
-	if drawn.draining || hasKind(drawn.faults, Refuse) {
+	if plan.draining || hasKind(plan.faults, Refuse) {
 		s.reject(w)
 		return
 	}
-	if hasKind(drawn.faults, Silence) {
+	if hasKind(plan.faults, Silence) {
 		s.count(func(c *Stats) { c.Unanswered++ })
-		<-r.Context().Done()
+		<-r.Context().Done() // the client closes the connection; the request was not executed
 		return
 	}
-	if !s.acquireSlot(r.Context(), timeout(r)) {
+	if !s.acquireSlot(r.Context(), cmp.Or(request.Timeout, noTimeout)) {
 		s.reject(w)
 		return
 	}
 	defer func() { <-s.workSlots; s.working.Add(-1) }()
-	s.recordBegun(id)
+	s.recordBegun(request.ID)
 	select {
-	case <-time.After(drawn.serviceTime):
+	case <-time.After(plan.serviceTime):
 	case <-r.Context().Done():
-		return // the client has closed the connection
+		return // the connection was closed: the request was executed, and nobody reads the response
 	}
-	s.respond(w, r, id, drawn.faults)
+	s.answer(w, r, request.ID, plan.faults)
 }
 
-// isFirstOfConn reports whether a request is the first one of its connection.
+// isFirstOfConn reports whether a request is the first on its connection. It may be called once for each request.
 func isFirstOfConn(r *http.Request) bool {
 	used, ok := r.Context().Value(connUsedKey{}).(*atomic.Bool)
 	return ok && !used.Swap(true)
 }
 
-// timeout returns the value of protocol.HeaderTimeout, or noTimeout if it is missing or invalid.
-func timeout(r *http.Request) time.Duration {
-	if ms, err := strconv.Atoi(r.Header.Get(protocol.HeaderTimeout)); err == nil && ms > 0 {
-		return time.Duration(ms) * time.Millisecond
-	}
-	return noTimeout
-}
-
-// drawnRequest is the random part of the service of a request.
-type drawnRequest struct {
-	faults      []Fault // that affect the request
+// requestPlan says how the server treats one request.
+type requestPlan struct {
+	faults      []Fault // active ones that hit the request
 	serviceTime time.Duration
-	draining    bool // whether the server is draining
+	draining    bool // the server was draining when the request came
 }
 
-// draw counts a request, and draws its faults and its service time. sinceStart is the time since the fleet's start.
-func (s *Server) draw(sinceStart time.Duration, r *http.Request) drawnRequest {
+// drawPlan counts a request and draws the faults that hit it and its service time. sinceStart is the time since the
+// fleet's start at which the request came.
+func (s *Server) drawPlan(sinceStart time.Duration, r *http.Request) requestPlan {
 	units := 1.0
 	if u, ok := weightUnits(r.Header.Get(protocol.HeaderWeight)); ok {
 		units = u
@@ -100,13 +93,13 @@
 			faults = append(faults, fault)
 		}
 	}
-	return drawnRequest{faults: faults, serviceTime: s.serviceTime(units, faults), draining: s.draining}
+	return requestPlan{faults: faults, serviceTime: s.drawServiceTime(units, faults), draining: s.draining}
 }
 
-// serviceTime draws a log-normal time for a request. It is longer while the server warms up and with Slow faults. The caller
-// holds s.mu.
-func (s *Server) serviceTime(units float64, faults []Fault) time.Duration {
-	ms := s.cfg.ServiceMs * math.Max(units, minServiceUnits) * math.Exp(s.cfg.Spread*s.rng.NormFloat64())
+// drawServiceTime draws a log-normal time for a weight in units. The time is longer during warm-up and under slow faults.
+// The caller holds mu.
+func (s *Server) drawServiceTime(units float64, faults []Fault) time.Duration {
+	ms := s.cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(s.cfg.Spread*s.rng.NormFloat64())
 	if up := time.Since(s.bootedAt).Seconds(); s.cfg.WarmupS > 0 && up < s.cfg.WarmupS {
 		ms *= 1 + (s.cfg.WarmupFactor-1)*(1-up/s.cfg.WarmupS)
 	}
@@ -118,8 +111,8 @@
 	return milliseconds(ms)
 }
 
-// acquireSlot waits until the server may execute a request, and reports whether it may. It does not wait if the queue is
-// full, or beyond the request's timeout or the end of ctx. After true the caller must release the slot.
+// acquireSlot takes one of workSlots and reports whether it got one. It waits for a free slot until the request's timeout
+// or the end of ctx. It fails at once if the queue is full. The caller releases the slot.
 func (s *Server) acquireSlot(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case s.workSlots <- struct{}{}:
@@ -144,19 +137,19 @@
 	return false
 }
 
-// recordBegun counts the beginning of an execution.
+// recordBegun counts that the execution of a request begins.
 func (s *Server) recordBegun(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.begunByID[id]++
-	s.stats.Begun++
-	if s.begunByID[id] == 2 {
-		s.stats.BegunTwice++
-	}
+	executions := s.executions.Begin(id)
+	s.count(func(c *Stats) {
+		c.Begun++
+		if executions == 2 {
+			c.BegunTwice++
+		}
+	})
 }
 
-// respond responds to an executed request, with its faults.
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
+// answer responds to an executed request, or fails to, according to the faults that hit it.
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
 	body := "done " + id + "\n"
 	switch {
 	case hasKind(faults, LoseAnswer):
@@ -183,22 +176,21 @@
 	_, _ = w.Write([]byte(body)) // fails if the client has closed the connection
 }
 
-// resetMidBody writes the head and half of the body, and resets the connection.
+// resetMidBody writes the response's head and half of its body, then resets the connection.
 func resetMidBody(w http.ResponseWriter, body string) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	conn, buffer, err := hijacker.Hijack()
+	conn, _, err := hijacker.Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-	_ = buffer.Flush()
-	resetConn(conn)
+	_ = appserver.WriteHalfResponse(conn, body) // fails if the client has closed the connection
+	appserver.ResetConn(conn)
 }
 
-// reject rejects a request without executing it.
+// reject responds 503 with the header that says that the request was not executed.
 func (s *Server) reject(w http.ResponseWriter) {
 	s.count(func(c *Stats) { c.Rejected++ })
 	w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
@@ -206,8 +198,9 @@
 	http.Error(w, "turned away", http.StatusServiceUnavailable)
 }
 
-// respondToHealthCheck responds to a health check, with status 404 if the configuration does not allow health checks.
-func (s *Server) respondToHealthCheck(w http.ResponseWriter, r *http.Request) {
+// answerHealthCheck responds to a health check or to a request for a load report: 503 while draining, 404 if the
+// configuration has no health checks.
+func (s *Server) answerHealthCheck(w http.ResponseWriter, r *http.Request) {
 	if !s.cfg.HealthChecks {
 		http.NotFound(w, r)
 		return
@@ -222,21 +215,21 @@
 	}
 }
 
-// addLoadReport adds a load report to a response if the configuration asks for it.
+// addLoadReport sets the load report header if the configuration has load reports.
 func (s *Server) addLoadReport(w http.ResponseWriter) {
 	if s.cfg.LoadReports {
 		w.Header().Set(protocol.HeaderLoadReport, s.loadReport())
 	}
 }
 
-// loadReport returns a load report as of now.
+// loadReport returns the present load in the protocol's form.
 func (s *Server) loadReport() string {
 	working, waiting := s.working.Load(), s.waiting.Load()
 	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", working, waiting, float64(working)/float64(s.cfg.Concurrency))
 }
 
-// weightUnits returns the units in the value of a protocol.HeaderWeight, and whether they are valid. It ignores the other
-// fields.
+// weightUnits returns the units in the value of a protocol.HeaderWeight. The result is false if they are missing or
+// negative.
 func weightUnits(header string) (float64, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), protocol.WeightUnits+"="); ok {
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -1,28 +1,23 @@
 package model
 
-// Baseline policies.
-//
-// They are simple policies of simulated nodes, to compare the decision engine with. Rule: an attempt that was not executed is
-// retried at another server. An attempt that may have been executed is retried only for classes that are safe to repeat. A
-// request has baselineAttempts attempts at most. It is rejected if its tenant has no quota left or no server is available.
-
 import (
 	"time"
 
 	"cherrygap/internal/protocol"
 )
 
+// The baseline policies are references for the engine's figures; the nodes do not use them. A baseline retries an attempt
+// that was not executed at another server. It retries an attempt that may have been executed only if the request's class is
+// safe to repeat. It rejects a request if it finds no server.
 const (
-	// baselineAttempts is the maximum number of attempts of a request.
-	baselineAttempts = 3
-	// minTimeLeft is the shortest time before the deadline at which a request is retried.
-	minTimeLeft = time.Millisecond
+	baselineAttempts = 3                // of a request, at most
+	minTimeLeft      = time.Millisecond // to the deadline, for a retry
 )
 
-// bucket is the token bucket of a tenant at a node.
+// bucket is a token bucket, a baseline's quota of a tenant at a node.
 type bucket struct {
-	level    float64 // units
-	filledAt time.Duration
+	level    float64       // units
+	filledAt time.Duration // last refill, in virtual time
 }
 
 // decideByBaseline sends the next attempt of a request, or rejects the request.
@@ -47,7 +42,7 @@
 	s.scheduleRetry(req, 0)
 }
 
-// chooseServer returns the server for an attempt, or nil if none is available.
+// chooseServer returns the baseline's server for a node's next attempt, or nil.
 func (s *Sim) chooseServer(n *node) *server {
 	if s.cfg.Policy == RoundRobin {
 		return s.nextBelowLimit(n)
@@ -55,7 +50,8 @@
 	return s.leastBusy(n)
 }
 
-// nextBelowLimit returns the next server in rotation with fewer attempts in flight than Config.Limit, or nil.
+// nextBelowLimit returns the next server in rotation with fewer attempts of the node in flight than the static limit, or
+// nil if there is none.
 func (s *Sim) nextBelowLimit(n *node) *server {
 	for range s.servers {
 		n.rotation = (n.rotation + 1) % len(s.servers)
@@ -66,7 +62,8 @@
 	return nil
 }
 
-// leastBusy returns the server with the least work at the last sample. Of equal ones it returns the next in rotation.
+// leastBusy returns the server with the fewest attempts at the last sample. Among equal servers it returns the next one in
+// rotation.
 func (s *Sim) leastBusy(n *node) *server {
 	best := -1
 	for k := range s.servers {
@@ -79,7 +76,7 @@
 	return s.servers[best]
 }
 
-// baselineResult handles the result of an attempt: the end of the request, or a retry.
+// baselineResult ends or retries a request after an attempt's result.
 func (s *Sim) baselineResult(a *attempt) {
 	req := a.request
 	req.node.inFlight[a.server.id]--
@@ -91,7 +88,7 @@
 		s.end(req, outcomeCompleted)
 		return
 	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
-	default: // the server may have executed the attempt
+	default: // the server may have executed the request
 		if !req.retrySafe {
 			s.end(req, outcomeFailed)
 			return
@@ -104,8 +101,8 @@
 	s.decideByBaseline(req)
 }
 
-// takeFromBucket takes the units of a request from its tenant's bucket at its node, and reports whether they were available.
-// Each node of a tenant's node set has an equal share of the quota.
+// takeFromBucket takes a request's units from its tenant's bucket at its node, and reports whether the bucket had them. Each
+// node of a tenant's set has an equal share of the quota, so the sum over the set is the quota.
 func (s *Sim) takeFromBucket(req *request) bool {
 	share := 1 / float64(s.spread())
 	burst := s.cfg.Burst * share
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A line counts one second, except for open requests and requests executed twice. The totals count the whole run.
-func TestRecorderCountsSecondsAndTotals(t *testing.T) {
+// Each line of the series counts one second, except for the requests in flight and those executed twice. The totals count
+// all seconds.
+func TestRecorder(t *testing.T) {
 	var series bytes.Buffer
 	r := NewRecorder(&series)
 	r.begin(&Config{Policy: Module, Nodes: 2})
@@ -39,7 +40,7 @@
 
 var errFull = errors.New("full")
 
-// fullDisk is a writer that fails after one line.
+// fullDisk is a writer that accepts one line.
 type fullDisk struct{ lines int }
 
 func (d *fullDisk) Write(text []byte) (int, error) {
@@ -49,8 +50,8 @@
 	return len(text), nil
 }
 
-// Err returns the first error. After an error no line is written.
-func TestRecorderKeepsFirstError(t *testing.T) {
+// The recorder keeps the first error of the series and writes no line after it.
+func TestRecorderKeepsTheFirstError(t *testing.T) {
 	disk := &fullDisk{}
 	r := NewRecorder(disk)
 	for i := range 4 {
