--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -33,9 +33,10 @@
 const (
 	// CheckServer is the health check of an app server.
 	CheckServer Kind = iota + 1
-	// CheckList is the refresh of a list.
+	// CheckList is the refresh of a list from a service. Nodes run no such checks yet; the value is reserved on the wire.
 	CheckList
-	// CheckCounter is the call of the counter service for a group of customers.
+	// CheckCounter is a call of a counter service for a group of customers. Nodes run no such checks yet; the value is
+	// reserved on the wire.
 	CheckCounter
 
 	lastKind = CheckCounter
@@ -64,7 +65,7 @@
 type StepKind uint8
 
 const (
-	// Send asks the host to send Text to node To.
+	// Send asks the host to send Payload to node To.
 	Send StepKind = iota + 1
 	// Run asks the host to run Check within Timeout, and to report the result with CheckEnded.
 	Run
@@ -76,7 +77,7 @@
 type Step struct {
 	Kind    StepKind
 	To      NodeID
-	Text    []byte // valid until the next call of any method
+	Payload []byte // valid until the next call of any method
 	Check   Check
 	Timeout time.Duration
 	OK      bool
--- a/internal/healthcheck/ownership_test.go
+++ b/internal/healthcheck/ownership_test.go
@@ -63,11 +63,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := New(Config{Self: 0, Nodes: 5, ReceiveRate: 40, Interval: time.Second}, 0)
 			for _, part := range c.parts {
-				text, err := hex.DecodeString("d0020000000000" + part)
+				payload, err := hex.DecodeString("d0020000000000" + part)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := s.ReceivePeerMessage(0, 1, text); err != nil {
+				if err := s.ReceivePeerMessage(0, 1, payload); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -43,25 +43,25 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := appendHeader(nil, c.in.header)
+			payload := appendHeader(nil, c.in.header)
 			for _, p := range c.in.parts {
 				switch p.kind {
 				case memberPart:
-					text = appendMemberUpdate(text, p.member)
+					payload = appendMemberUpdate(payload, p.member)
 				case eventPart:
-					text = appendEvent(text, p.event, p.age)
+					payload = appendEvent(payload, p.event, p.age)
 				case bitmapPart:
-					text = appendBitmap(text, p.first, p.bitmap)
+					payload = appendBitmap(payload, p.first, p.bitmap)
 				}
 			}
-			if got := hex.EncodeToString(text); got != c.want {
+			if got := hex.EncodeToString(payload); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			if back, err := decode(text, MaxNodes, 3); err != nil || !reflect.DeepEqual(back, c.in) {
+			if back, err := decode(payload, MaxNodes, 3); err != nil || !reflect.DeepEqual(back, c.in) {
 				t.Errorf("%+v, %v, want %+v", back, err, c.in)
 			}
-			for size := range text { // a truncated message is either a shorter valid one or malformed
-				if _, err := decode(text[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
+			for size := range payload { // a truncated message is either a shorter valid one or malformed
+				if _, err := decode(payload[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
 					t.Errorf("%d bytes: %v", size, err)
 				}
 			}
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -8,8 +8,8 @@
 // parts returns the decoded parts that a queue appends to a header.
 func parts(t *testing.T, q *gossipQueue, now time.Duration, rounds float64) []part {
 	t.Helper()
-	text := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
-	m, err := decode(text, MaxNodes, 3)
+	payload := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
+	m, err := decode(payload, MaxNodes, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	for i := range maxUpdates {
 		q.addMember(memberUpdate{id: NodeID(i), state: Suspect, incarnation: integerLimit - 1})
 	}
-	if text := q.appendTo(nil, 0, 100); len(text) > MaxMessageSize || len(text)+maxUpdateSize <= MaxMessageSize {
-		t.Errorf("%d bytes", len(text))
+	if payload := q.appendTo(nil, 0, 100); len(payload) > MaxMessageSize || len(payload)+maxUpdateSize <= MaxMessageSize {
+		t.Errorf("%d bytes", len(payload))
 	}
 	mostSent := q.updates[0].member.id
 	q.addEvent(Event{Kind: 3, ID: 1})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -73,12 +73,12 @@
 	members      []member // by NodeID; the entry of this node holds its own incarnation
 	version      uint64   // incremented with each change of a member's state
 	deadHash     uint32   // hash of the set of dead members; each message carries it
-	receivedNone bool     // no valid message was received yet
+	hasReceived  bool     // whether a valid message was received since New
 	gossip       gossipQueue
 	budget       byteBudget
 	outbox       []outgoing // messages that Next has not returned yet
 	writeBuffer  []byte     // of the last message; reused by the next one
-	probes       []pendingPing
+	pendingPings []pendingPing
 	lastSequence uint64 // of the last ping sent
 	nextPingAt   time.Duration
 	pingOrder    []int // members in the order in which they are pinged; shuffled for each pass
@@ -87,8 +87,8 @@
 
 // Message is a datagram to be sent.
 type Message struct {
-	To   NodeID
-	Text []byte // valid until the next call of any method
+	To      NodeID
+	Payload []byte // valid until the next call of any method
 }
 
 // New returns a Protocol that considers every other member alive. now is the time since any origin. The times of later
@@ -96,13 +96,12 @@
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
-		cfg:          cfg,
-		now:          now,
-		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
-		members:      make([]member, cfg.Nodes),
-		period:       pingPeriod(cfg.ReceiveRate),
-		budget:       byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
-		receivedNone: true,
+		cfg:     cfg,
+		now:     now,
+		random:  rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
+		members: make([]member, cfg.Nodes),
+		period:  pingPeriod(cfg.ReceiveRate),
+		budget:  byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
 	}
 	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingDivisor)))
 	p.deadHash = p.hashDead()
@@ -147,8 +146,8 @@
 	for len(p.outbox) > 0 {
 		next := p.outbox[0]
 		p.outbox = p.outbox[1:]
-		if text := p.encode(next); text != nil {
-			return Message{To: next.to, Text: text}, true
+		if payload := p.encode(next); payload != nil {
+			return Message{To: next.to, Payload: payload}, true
 		}
 	}
 	return Message{}, false
@@ -157,8 +156,8 @@
 // WakeAt returns the latest time of the next call of Next, provided that no message is received before.
 func (p *Protocol) WakeAt() time.Duration {
 	at := p.nextPingAt
-	for i := range p.probes {
-		at = min(at, p.probes[i].dueAt())
+	for i := range p.pendingPings {
+		at = min(at, p.pendingPings[i].dueAt())
 	}
 	return at
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -32,12 +32,12 @@
 
 // pendingPing is a ping without an ack.
 type pendingPing struct {
-	target    NodeID
-	sequence  uint64
-	requester pingRequester
-	directEnd time.Duration // time of the indirect pings
-	end       time.Duration // time at which the target becomes suspect
-	indirect  bool          // whether the indirect pings were sent
+	target     NodeID
+	sequence   uint64
+	requester  pingRequester
+	indirectAt time.Duration // time of the indirect pings
+	endAt      time.Duration // time at which the target becomes suspect, or at which a ping for a requester is dropped
+	indirect   bool          // whether the indirect pings were sent
 }
 
 // pingRequester is the member that asked for a ping with a pingRequest.
@@ -52,9 +52,9 @@
 // dueAt returns the time of the next timeout of the ping.
 func (p *pendingPing) dueAt() time.Duration {
 	if p.indirect {
-		return p.end
+		return p.endAt
 	}
-	return p.directEnd
+	return p.indirectAt
 }
 
 // probe handles the timeouts of pings and suspicions, and sends the pings of a period once it is due.
@@ -63,7 +63,7 @@
 		p.nextPingAt = p.now + p.period
 		return
 	}
-	p.checkProbes()
+	p.checkPendingPings()
 	p.expireSuspicions()
 	if p.now < p.nextPingAt {
 		return
@@ -73,25 +73,25 @@
 	p.pingSomeDead()
 }
 
-// checkProbes handles the timeouts of the pending pings: it sends indirect pings, then suspects the target.
-func (p *Protocol) checkProbes() {
-	pending := p.probes[:0]
-	for _, probe := range p.probes {
+// checkPendingPings handles the timeouts of the pending pings: it sends indirect pings, then suspects the target.
+func (p *Protocol) checkPendingPings() {
+	pending := p.pendingPings[:0]
+	for _, probe := range p.pendingPings {
 		switch {
 		case probe.requester != noRequester:
-			if p.now >= probe.end {
+			if p.now >= probe.endAt {
 				continue // the requester has its own timeout
 			}
-		case !probe.indirect && p.now >= probe.directEnd:
+		case !probe.indirect && p.now >= probe.indirectAt:
 			probe.indirect = true
 			p.requestPings(&probe)
-		case p.now >= probe.end:
+		case p.now >= probe.endAt:
 			p.suspect(probe.target)
 			continue
 		}
 		pending = append(pending, probe)
 	}
-	p.probes = pending
+	p.pendingPings = pending
 }
 
 // suspect makes a member suspect if it is alive.
@@ -124,7 +124,7 @@
 // started considers dead members alive, so several pings reach a live one sooner.
 func (p *Protocol) pingNext() {
 	pings := 1
-	if p.receivedNone {
+	if !p.hasReceived {
 		pings = initialPings
 	}
 	for range pings {
@@ -182,12 +182,12 @@
 // ping pings a member and adds a pending ping. requester is noRequester if this node itself starts the ping.
 func (p *Protocol) ping(target NodeID, requester pingRequester) {
 	p.lastSequence++
-	p.probes = append(p.probes, pendingPing{
-		target:    target,
-		sequence:  p.lastSequence,
-		requester: requester,
-		directEnd: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
-		end:       p.now + p.period,
+	p.pendingPings = append(p.pendingPings, pendingPing{
+		target:     target,
+		sequence:   p.lastSequence,
+		requester:  requester,
+		indirectAt: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
+		endAt:      p.now + p.period,
 	})
 	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
 }
@@ -195,15 +195,15 @@
 // acked removes the pending ping that an ack answers, and forwards the ack to the requester if there is one. An ack from
 // another member than the target is ignored before the indirect pings are sent.
 func (p *Protocol) acked(from NodeID, sequence uint64) {
-	i := slices.IndexFunc(p.probes, func(probe pendingPing) bool { return probe.sequence == sequence })
+	i := slices.IndexFunc(p.pendingPings, func(probe pendingPing) bool { return probe.sequence == sequence })
 	if i < 0 {
 		return
 	}
-	probe := p.probes[i]
+	probe := p.pendingPings[i]
 	if probe.target != from && !probe.indirect {
 		return
 	}
-	p.probes = slices.Delete(p.probes, i, i+1)
+	p.pendingPings = slices.Delete(p.pendingPings, i, i+1)
 	if probe.requester != noRequester {
 		p.send(outgoing{to: probe.requester.node, kind: ack, sequence: probe.requester.sequence})
 	}
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -8,7 +8,7 @@
 // sent returns the kinds and the receivers of the messages that a node sends at a time.
 func sent(p *Protocol, now time.Duration) (kinds []messageKind, to []NodeID) {
 	for m, ok := p.Next(now); ok; m, ok = p.Next(now) {
-		kinds, to = append(kinds, messageKind(m.Text[1])), append(to, m.To)
+		kinds, to = append(kinds, messageKind(m.Payload[1])), append(to, m.To)
 	}
 	return kinds, to
 }
@@ -25,27 +25,27 @@
 // A silent member is pinged directly, then by others, then becomes suspect, then dead.
 func TestSilentMemberIsProbedThenSuspectedThenDead(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
-	p.receivedNone = false
+	p.hasReceived = true
 	now := p.nextPingAt
 	kinds, to := sent(p, now)
-	if len(kinds) != 1 || kinds[0] != ping || len(p.probes) != 1 {
-		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.probes))
+	if len(kinds) != 1 || kinds[0] != ping || len(p.pendingPings) != 1 {
+		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.pendingPings))
 	}
-	target, probe := to[0], p.probes[0]
+	target, probe := to[0], p.pendingPings[0]
 	if due := now + time.Duration(directTimeoutPeriods*float64(p.period)); probe.dueAt() != due || p.WakeAt() != due {
 		t.Errorf("due at %v, wake at %v, want %v", probe.dueAt(), p.WakeAt(), due)
 	}
 	checkIndirectPings(t, p, probe)
-	sent(p, probe.end)
+	sent(p, probe.endAt)
 	if p.State(target) != Suspect {
 		t.Fatalf("state %v", p.State(target))
 	}
 	timeout := time.Duration(suspicionPeriodsPerRound * 3 * float64(p.period)) // 4 nodes: three rounds
-	sent(p, probe.end+timeout-1)
+	sent(p, probe.endAt+timeout-1)
 	if p.State(target) != Suspect {
 		t.Errorf("state %v before the end of the suspicion", p.State(target))
 	}
-	sent(p, probe.end+timeout)
+	sent(p, probe.endAt+timeout)
 	if p.State(target) != Dead {
 		t.Errorf("state %v", p.State(target))
 	}
@@ -54,17 +54,17 @@
 // checkIndirectPings fails the test unless others are asked to ping a silent member, at the end of the direct timeout.
 func checkIndirectPings(t *testing.T, p *Protocol, probe pendingPing) {
 	t.Helper()
-	if kinds, _ := sent(p, probe.directEnd-1); len(kinds) > 0 {
+	if kinds, _ := sent(p, probe.indirectAt-1); len(kinds) > 0 {
 		t.Errorf("%v sent before the direct timeout", kinds)
 	}
-	kinds, to := sent(p, probe.directEnd)
+	kinds, to := sent(p, probe.indirectAt)
 	for i, kind := range kinds {
 		if kind != pingRequest || to[i] == probe.target || to[i] == 0 {
 			t.Errorf("kind %d to %d", kind, to[i])
 		}
 	}
-	if len(kinds) == 0 || p.probes[0].dueAt() != probe.end {
-		t.Errorf("%d asked, due at %v", len(kinds), p.probes[0].dueAt())
+	if len(kinds) == 0 || p.pendingPings[0].dueAt() != probe.endAt {
+		t.Errorf("%d asked, due at %v", len(kinds), p.pendingPings[0].dueAt())
 	}
 }
 
@@ -76,21 +76,21 @@
 	p.ping(3, pingRequester{node: 1, sequence: 99})
 	sent(p, 0)
 	receive(t, p, 1, header{kind: ack, sequence: 1})
-	if len(p.probes) != 2 {
+	if len(p.pendingPings) != 2 {
 		t.Error("an ack of another member ended the probe before the indirect pings")
 	}
 	receive(t, p, 2, header{kind: ack, sequence: 7})
-	if len(p.probes) != 2 {
+	if len(p.pendingPings) != 2 {
 		t.Error("an ack with an unknown sequence ended a probe")
 	}
-	p.probes[0].indirect = true
+	p.pendingPings[0].indirect = true
 	receive(t, p, 1, header{kind: ack, sequence: 1})
-	if len(p.probes) != 1 {
+	if len(p.pendingPings) != 1 {
 		t.Error("an ack of another member did not end the probe after the indirect pings")
 	}
 	receive(t, p, 3, header{kind: ack, sequence: 2})
 	m, ok := p.Next(0)
-	if got, err := decode(m.Text, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
+	if got, err := decode(m.Payload, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.pendingPings) > 0 {
 		t.Errorf("to %d %+v, %v", m.To, got, err)
 	}
 }
@@ -104,11 +104,11 @@
 	if kinds, to := sent(p, 0); len(kinds) != 1 || kinds[0] != ping || to[0] != 2 {
 		t.Errorf("%v to %v", kinds, to)
 	}
-	if kinds, _ := sent(p, p.period-1); len(kinds) > 0 || len(p.probes) != 1 {
-		t.Errorf("%v, %d probes", kinds, len(p.probes))
+	if kinds, _ := sent(p, p.period-1); len(kinds) > 0 || len(p.pendingPings) != 1 {
+		t.Errorf("%v, %d probes", kinds, len(p.pendingPings))
 	}
-	if kinds, _ := sent(p, p.period); len(kinds) > 0 || len(p.probes) > 0 || p.State(2) != Alive {
-		t.Errorf("%v, %d probes, %v", kinds, len(p.probes), p.State(2))
+	if kinds, _ := sent(p, p.period); len(kinds) > 0 || len(p.pendingPings) > 0 || p.State(2) != Alive {
+		t.Errorf("%v, %d probes, %v", kinds, len(p.pendingPings), p.State(2))
 	}
 }
 
--- a/internal/peersocket/socket.go
+++ b/internal/peersocket/socket.go
@@ -28,10 +28,10 @@
 
 // Send sends a message to one peer, or to all if peer is negative. A message that can't be sent is counted and dropped, as
 // the network may drop any datagram.
-func (s *Socket) Send(peer int, text []byte) {
+func (s *Socket) Send(peer int, payload []byte) {
 	to, ok := s.table.AddrOf(peer)
-	if ok && len(text) <= protocol.MaxDatagram {
-		if _, err := s.conn.WriteToUDPAddrPort(text, to); err == nil {
+	if ok && len(payload) <= protocol.MaxDatagram {
+		if _, err := s.conn.WriteToUDPAddrPort(payload, to); err == nil {
 			s.counters.Sent.Add(1)
 			return
 		}
@@ -40,9 +40,9 @@
 }
 
 // Receive passes each message of a peer to handle, on the caller's goroutine, until Close. handle reports whether the
-// message was well-formed; text is valid until it returns. Malformed messages and those of other senders are counted and
+// message was well-formed; payload is valid until it returns. Malformed messages and those of other senders are counted and
 // dropped. After an error of the socket Receive waits for netio.ErrorPause.
-func (s *Socket) Receive(handle func(from int, text []byte) bool) {
+func (s *Socket) Receive(handle func(from int, payload []byte) bool) {
 	buf := make([]byte, protocol.MaxDatagram+1) // the extra byte reveals a datagram that is too long
 	for {
 		n, addr, err := s.conn.ReadFromUDPAddrPort(buf)
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -25,8 +25,8 @@
 	}
 	defer nettest.Close(socket.conn)
 	received := make(chan string, 9)
-	go socket.Receive(func(from int, text []byte) bool {
-		received <- fmt.Sprint(from, string(text))
+	go socket.Receive(func(from int, payload []byte) bool {
+		received <- fmt.Sprint(from, string(payload))
 		return true
 	})
 	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(socket.conn.LocalAddr().String()))
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -17,7 +17,7 @@
 type HealthChecker struct {
 	router  *routing.Router
 	pool    *Pool
-	send    func(to int, text []byte)
+	send    func(to int, payload []byte)
 	started time.Time     // origin of the scheduler's clock
 	changed chan struct{} // has an element if the scheduler may have a new step for Run
 	done    chan struct{} // closed by Close
@@ -29,7 +29,7 @@
 
 // NewHealthChecker makes the health checks of one node for the servers that the router has in service now. send sends a
 // message to one peer; Run calls it, without a lock. The caller starts Run.
-func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, text []byte)) *HealthChecker {
+func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, payload []byte)) *HealthChecker {
 	h := &HealthChecker{
 		router:    router,
 		pool:      pool,
@@ -71,9 +71,9 @@
 
 // ReceivePeerMessage applies a peer's message, which begins with healthcheck.MessageMark. It reports whether the message was
 // well-formed.
-func (h *HealthChecker) ReceivePeerMessage(from int, text []byte) bool {
+func (h *HealthChecker) ReceivePeerMessage(from int, payload []byte) bool {
 	h.mu.Lock()
-	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), text)
+	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), payload)
 	h.mu.Unlock()
 	h.notifyRun()
 	return err == nil
@@ -101,19 +101,19 @@
 	}
 }
 
-// next returns the scheduler's next step, with a copy of its text. ok is false if there is none.
+// next returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
 func (h *HealthChecker) next() (step healthcheck.Step, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	step, ok = h.scheduler.Next(h.now())
-	step.Text = slices.Clone(step.Text)
+	step.Payload = slices.Clone(step.Payload)
 	return step, ok
 }
 
 func (h *HealthChecker) execute(step healthcheck.Step) {
 	switch step.Kind {
 	case healthcheck.Send:
-		h.send(int(step.To), step.Text)
+		h.send(int(step.To), step.Payload)
 	case healthcheck.Run:
 		go h.check(step)
 	case healthcheck.Ended:
