--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -24,7 +24,7 @@
 
 // breaker is the circuit breaker of the authorizer. The zero value is closed.
 type breaker struct {
-	consecutiveFailures int
+	consecutiveFailures int           // before the breaker opens; one more for each failed trial since
 	openUntil           time.Duration // end of the open time; the breaker is half open from then on
 	trialInFlight       bool          // whether a check that began in the half-open state is in flight
 }
@@ -56,7 +56,7 @@
 		b.openUntil = now + min(time.Duration(openTime), maxOpenTime)
 		return true
 	}
-	if b.consecutiveFailures > maxFailures {
+	if b.consecutiveFailures > maxFailures { // only failed trials double the open time
 		b.consecutiveFailures--
 	}
 	return false
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -19,7 +19,7 @@
 	ConnectionReset
 	// Cancelled is an attempt that the node cancelled.
 	Cancelled
-	// NotSent is an attempt that the node cancelled before it wrote the first byte.
+	// NotSent is an attempt that the node ended before it wrote the last byte.
 	NotSent
 	// MalformedResponse is an attempt with a response that cannot be parsed.
 	MalformedResponse
@@ -28,7 +28,7 @@
 	OutcomeCount
 )
 
-// outcomeNames are the names of the outcomes in the log's counters.
+// outcomeNames are the names of the outcomes in the log.
 var outcomeNames = [OutcomeCount]string{
 	Completed:         "completed",
 	Errored:           "errored",
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -19,8 +19,8 @@
 	maxBackoffDoublings = 10
 	// maxBackoffPause is the longest pause.
 	maxBackoffPause = 16 * minWindow
-	// burstsPerSecond is the number of full bursts that the rate limiter refills in a second.
-	burstsPerSecond = 10
+	// fullRefillsPerSecond is the rate of the rate limiter, in capacities of its bucket.
+	fullRefillsPerSecond = 10
 )
 
 // backoff pauses the exchanges with a store that fails. The zero value does not pause.
@@ -60,7 +60,7 @@
 	if r.rate <= 0 {
 		return true
 	}
-	capacity := max(1, r.rate/burstsPerSecond)
+	capacity := max(1, r.rate/fullRefillsPerSecond)
 	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), capacity)
 	r.refilledAt = now
 	return r.tokens >= 1
