--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -32,7 +32,7 @@
 	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) })
 	inc.router = routing.New(routing.Config{
 		Seed:     rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
-		Settings: engineSettings(n.fleet.cfg.Config, n.number),
+		Settings: nodeSettings(n.fleet.cfg.Config, n.number),
 		SetTimer: func(after time.Duration) {
 			inc.timerDue.Store(time.Now().Add(after).UnixNano())
 			inc.timer.Reset(after)
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -6,23 +6,25 @@
 	"net/http"
 	"slices"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 // requestClass is a request class.
 type requestClass struct {
-	name       string
-	method     string
-	semantics  string  // retry safety, as the platform's settings name it
-	share      float64 // of all requests
-	objective  time.Duration
-	timeout    time.Duration // of the client
-	idempotent bool
+	name        string
+	method      string
+	retrySafety settings.RetrySafety
+	share       float64 // of all requests
+	objective   time.Duration
+	timeout     time.Duration // of the client
+	idempotent  bool
 }
 
 // classes lists the request classes.
 var classes = []requestClass{
-	{"quote", http.MethodGet, "idempotent", 0.7, time.Second, 2 * time.Second, true},
-	{"order", http.MethodPost, "at_most_once", 0.3, 2 * time.Second, 4 * time.Second, false},
+	{"quote", http.MethodGet, settings.RetrySafe, 0.7, time.Second, 2 * time.Second, true},
+	{"order", http.MethodPost, settings.RetryUnsafe, 0.3, 2 * time.Second, 4 * time.Second, false},
 }
 
 // lastAnswerTimeout returns the time after the last request within which every response must arrive.
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -2,48 +2,73 @@
 
 import (
 	"encoding/json"
+	"time"
 
 	"cherrygap/internal/settings"
 )
 
-// platformSettings returns a node's settings in the platform's JSON form, which has times in microseconds.
-func platformSettings(cfg Config, node int) json.RawMessage {
-	type object = map[string]any
-	var services, tiers []object
-	for _, class := range classes {
-		services = append(services, object{
-			"name": class.name, "semantics": class.semantics, "slo": class.objective.Microseconds(),
-			"deadline": class.timeout.Microseconds(), "group": "all", "window": class.objective.Microseconds(), "worth": 1,
-		})
+// Values of the nodes' settings.
+const (
+	tick              = 2 * time.Millisecond // longest delay of a node's timer
+	pollWithin        = 2 * time.Second
+	maxAttempts       = 3
+	maxRetryAfter     = 2 * time.Second
+	serverIdleTimeout = 15 * time.Second
+	connectTimeout    = 250 * time.Millisecond
+	slowStartSpan     = 10 * time.Second // age at which a server is warm
+	slowStartShare    = 0.25             // share of its capacity that a server has at its start
+	overloadMultiple  = 3                // load, relative to its capacity, that a server in slow start bears within overloadSpan
+	overloadSpan      = 2 * time.Second
+	responseSlack     = 50 * time.Millisecond // time after the deadline within which a response counts
+	maxUnits          = 100                   // units of a request
+)
+
+// nodeSettings returns the settings of a node.
+func nodeSettings(cfg Config, node int) *settings.Settings {
+	classSettings := make([]settings.Class, len(classes))
+	for i, class := range classes {
+		classSettings[i] = settings.Class{
+			Named:             true,
+			Name:              class.name,
+			RetrySafety:       class.retrySafety,
+			LatencyObjective:  settings.DurationOf(class.objective),
+			Deadline:          settings.DurationOf(class.timeout),
+			IdempotencyGroup:  settings.GroupAll,
+			IdempotencyWindow: settings.DurationOf(class.objective),
+			PriorityWeight:    settings.IntNumber(1),
+		}
 	}
-	for _, plan := range plans {
-		tiers = append(tiers, object{"name": plan.name, "units_per_s": plan.rate, "depth": plan.burst})
+	planSettings := make([]settings.Plan, len(plans))
+	for i, plan := range plans {
+		planSettings[i] = settings.Plan{Name: plan.name, Rate: settings.FloatNumber(plan.rate), Burst: settings.FloatNumber(plan.burst)}
 	}
-	raw, err := json.Marshal(object{
-		"slot_no": node, "replicas_of_me": cfg.Nodes, "tick": 2000, "registry_mode": "automatic",
-		"services": services, "tiers_of_service": tiers,
-		"limits": object{
-			"attempts_cap": 3, "second_copies": false, "cancel": true, "probes": false, "peers": true,
-			"retry_after": true, "max_retry_after": 2000000, "conn_idle": 15000000, "connect_timeout": 250000,
-		},
-		"safety": object{
-			"cold": 10000000, "cold_from": 0.25, "fall_multiple": 3, "tip_after": 2000000,
-			"drain_grace": drainGrace.Microseconds(), "answer_slack": 50000, "ask_within": 2000000,
-		},
-		"specifics": object{"largest": 100, "peer_in_per_s": cfg.PeerRate},
-	})
-	if err != nil {
-		panic(err) // all values are constants or were checked by Config.Check
+	return &settings.Settings{
+		Node:             settings.IntNumber(node),
+		Nodes:            settings.IntNumber(cfg.Nodes),
+		Tick:             settings.DurationOf(tick),
+		EndpointList:     settings.EndpointListPush,
+		PollWithin:       settings.DurationOf(pollWithin),
+		MaxAttempts:      settings.IntNumber(maxAttempts),
+		CancelAttempts:   true,
+		Peers:            true,
+		PeerRate:         settings.FloatNumber(cfg.PeerRate),
+		RetryAfter:       true,
+		MaxRetryAfter:    settings.DurationOf(maxRetryAfter),
+		IdleTimeout:      settings.DurationOf(serverIdleTimeout),
+		ConnectTimeout:   settings.DurationOf(connectTimeout),
+		SlowStartSpan:    settings.DurationOf(slowStartSpan),
+		SlowStartShare:   settings.FloatNumber(slowStartShare),
+		OverloadMultiple: settings.IntNumber(overloadMultiple),
+		OverloadSpan:     settings.DurationOf(overloadSpan),
+		DrainGrace:       settings.DurationOf(drainGrace),
+		ResponseSlack:    settings.DurationOf(responseSlack),
+		MaxUnits:         settings.IntNumber(maxUnits),
+		Classes:          settings.NewList(classSettings...),
+		Plans:            settings.NewList(planSettings...),
 	}
-	return raw
 }
 
-// engineSettings returns the same settings for an engine without a node's process.
-func engineSettings(cfg Config, node int) *settings.Settings {
-	set, err := settings.FromJSON(platformSettings(cfg, node))
-	if err != nil {
-		panic(err) // platformSettings returns valid settings
-	}
-	set.Node = settings.IntNumber(node)
-	return set
+// platformSettings returns the settings of a node in the platform's form.
+func platformSettings(cfg Config, node int) json.RawMessage {
+	return settings.PlatformJSON(nodeSettings(cfg, node))
 }
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -4,6 +4,8 @@
 	"context"
 	"net/http"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 const (
@@ -66,7 +68,7 @@
 		c.violate(ruleUnreadClose, r.node, r.id, "its connection was closed without a response, though it had been read")
 	}
 	rejected := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
-	if rejected && r.class.semantics == semanticsUnsafe && r.mayHaveExecuted() {
+	if rejected && r.class.retrySafety == settings.RetryUnsafe && r.mayHaveExecuted() {
 		c.violate(ruleRejection, r.node, r.id, "status %d though an attempt may have been executed", r.status)
 	}
 }
@@ -85,7 +87,7 @@
 
 // checkRetry checks an attempt against an earlier one that may have been executed.
 func (c *checker) checkRetry(r *request, earlier, a *attempt) {
-	unsafe := r.class.semantics == semanticsUnsafe
+	unsafe := r.class.retrySafety == settings.RetryUnsafe
 	if a.readLate || earlier.readLate { // without exact times only the number of attempts counts
 		if unsafe {
 			c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated: %s", r.class.name, r.describe())
@@ -96,7 +98,7 @@
 	switch {
 	case unsafe:
 		c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated %v after an attempt that may have been executed", r.class.name, after)
-	case r.class.semantics == semanticsKeyed && after > r.class.window+c.slackAt(graceSlack, a.begunAt):
+	case r.class.retrySafety == settings.RetryKeyed && after > r.class.window+c.slackAt(graceSlack, a.begunAt):
 		c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated %v after an attempt, past its key's window", r.class.name, after)
 	}
 	if earlier.endedAt.IsZero() || earlier.endedAt.Sub(a.begunAt) > c.slackAt(concurrencySlack, a.begunAt) {
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -4,26 +4,24 @@
 	"encoding/json"
 	"net/http"
 	"time"
+
+	"cherrygap/internal/settings"
 )
 
 // requestClass is a request class of the settings.
 type requestClass struct {
-	name, method, semantics string
-	timeout                 time.Duration
-	window                  time.Duration // within which servers know an idempotency key
+	name        string
+	method      string
+	retrySafety settings.RetrySafety
+	timeout     time.Duration
+	window      time.Duration // within which servers know an idempotency key
 }
 
-// Semantics of a class, in the platform's words: safe, keyed and unsafe requests.
-const (
-	semanticsSafe   = "idempotent"
-	semanticsKeyed  = "deduplicated"
-	semanticsUnsafe = "at_most_once"
-)
-
+// requestClasses are the request classes of the settings.
 var requestClasses = []requestClass{
-	{"find", http.MethodGet, semanticsSafe, 800 * time.Millisecond, time.Second},
-	{"hold", http.MethodPost, semanticsKeyed, time.Second, 600 * time.Millisecond},
-	{"book", http.MethodPost, semanticsUnsafe, 1500 * time.Millisecond, time.Second},
+	{"find", http.MethodGet, settings.RetrySafe, 800 * time.Millisecond, time.Second},
+	{"hold", http.MethodPost, settings.RetryKeyed, time.Second, 600 * time.Millisecond},
+	{"book", http.MethodPost, settings.RetryUnsafe, 1500 * time.Millisecond, time.Second},
 }
 
 // The plans. The first has limits that are never reached. The other has a hard ceiling for each customer over all nodes.
@@ -48,40 +46,59 @@
 	connectTimeout    = 250 * time.Millisecond
 	nodeSockets       = 256
 	nodeMemoryMB      = 128
+	tick              = 2 * time.Millisecond // longest delay of a node's timer
+	pollWithin        = 2 * time.Second
+	maxAttempts       = 4
+	maxRetryAfter     = 2 * time.Second
+	responseSlack     = 50 * time.Millisecond // time after the deadline within which a response counts
+	maxUnits          = 100                   // units of a request
+	unlimitedUnits    = 1_000_000             // rate and burst of a quota that is never reached
 )
 
-// platformSettings returns a node's settings by the platform's names. Times are in microseconds.
+// platformSettings returns a node's settings in the platform's form.
 func platformSettings(nodes, node int) json.RawMessage {
-	type object = map[string]any
-	services := make([]object, len(requestClasses))
+	classes := make([]settings.Class, len(requestClasses))
 	for i, class := range requestClasses {
-		services[i] = object{
-			"name": class.name, "semantics": class.semantics, "slo": (class.timeout / 2).Microseconds(),
-			"deadline": class.timeout.Microseconds(), "group": "all", "window": class.window.Microseconds(), "worth": 1,
+		classes[i] = settings.Class{
+			Name:              class.name,
+			RetrySafety:       class.retrySafety,
+			LatencyObjective:  settings.DurationOf(class.timeout / 2),
+			Deadline:          settings.DurationOf(class.timeout),
+			IdempotencyGroup:  settings.GroupAll,
+			IdempotencyWindow: settings.DurationOf(class.window),
+			PriorityWeight:    settings.IntNumber(1),
 		}
 	}
-	raw, err := json.Marshal(object{
-		"slot_no": node, "replicas_of_me": nodes, "tick": 2000, "registry_mode": "automatic", "services": services,
-		"tiers_of_service": []object{
-			{"name": planName, "units_per_s": 1e6, "depth": 1e6},
-			{
-				"name": cappedPlanName, "units_per_s": 1e6, "depth": 1e6, "hard_rate": ceilingRate * float64(nodes),
-				"never_over_depth": ceilingDepth * float64(nodes), "cap_slack": 0,
+	return settings.PlatformJSON(&settings.Settings{
+		Node:             settings.IntNumber(node),
+		Nodes:            settings.IntNumber(nodes),
+		Tick:             settings.DurationOf(tick),
+		EndpointList:     settings.EndpointListPush,
+		PollWithin:       settings.DurationOf(pollWithin),
+		MaxAttempts:      settings.IntNumber(maxAttempts),
+		CancelAttempts:   true,
+		RetryAfter:       true,
+		MaxRetryAfter:    settings.DurationOf(maxRetryAfter),
+		IdleTimeout:      settings.DurationOf(serverIdleTimeout),
+		ConnectTimeout:   settings.DurationOf(connectTimeout),
+		SlowStartSpan:    settings.DurationOf(slowStartSpan),
+		SlowStartShare:   settings.FloatNumber(slowStartShare),
+		OverloadMultiple: settings.FloatNumber(overloadMultiple),
+		OverloadSpan:     settings.DurationOf(overloadWindow),
+		DrainGrace:       settings.DurationOf(drainGrace),
+		ResponseSlack:    settings.DurationOf(responseSlack),
+		MaxUnits:         settings.IntNumber(maxUnits),
+		Classes:          settings.NewList(classes...),
+		Plans: settings.NewList(
+			settings.Plan{Name: planName, Rate: settings.IntNumber(unlimitedUnits), Burst: settings.IntNumber(unlimitedUnits)},
+			settings.Plan{
+				Name:         cappedPlanName,
+				Rate:         settings.IntNumber(unlimitedUnits),
+				Burst:        settings.IntNumber(unlimitedUnits),
+				CeilingRate:  settings.FloatNumber(ceilingRate * float64(nodes)),
+				CeilingBurst: settings.FloatNumber(ceilingDepth * float64(nodes)),
+				CeilingSlack: settings.IntNumber(0),
 			},
-		},
-		"limits": object{
-			"attempts_cap": 4, "second_copies": false, "cancel": true, "probes": false, "peers": false, "retry_after": true,
-			"max_retry_after": 2000000, "conn_idle": serverIdleTimeout.Microseconds(), "connect_timeout": connectTimeout.Microseconds(),
-		},
-		"safety": object{
-			"cold": slowStartSpan.Microseconds(), "cold_from": slowStartShare, "fall_multiple": overloadMultiple,
-			"tip_after": overloadWindow.Microseconds(), "drain_grace": drainGrace.Microseconds(), "answer_slack": 50000,
-			"ask_within": 2000000,
-		},
-		"specifics": object{"largest": 100},
+		),
 	})
-	if err != nil {
-		panic(err) // constants can be marshalled
-	}
-	return raw
 }
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -24,6 +24,9 @@
 // Units returns a setting with a time of n time units.
 func Units(n int) Duration { return ParseDuration(strconv.Itoa(n)) }
 
+// DurationOf returns a setting with the time d, rounded towards 0 to whole time units.
+func DurationOf(d time.Duration) Duration { return Units(int(d / TimeUnit)) }
+
 // String returns the text that was parsed.
 func (d Duration) String() string { return d.units.String() }
 
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -3,6 +3,7 @@
 import (
 	"reflect"
 	"testing"
+	"time"
 )
 
 // fullSettings returns settings with a text in every field.
@@ -95,3 +96,12 @@
 		}
 	}
 }
+
+// DurationOf rounds towards 0 to whole time units.
+func TestDurationOf(t *testing.T) {
+	for d, want := range map[time.Duration]string{250 * time.Millisecond: "2500", 199 * time.Microsecond: "1", -time.Second: "-10000"} {
+		if got := DurationOf(d).String(); got != want {
+			t.Errorf("%v: %s time units, want %s", d, got, want)
+		}
+	}
+}
