--- a/internal/operatorfile/deprecated.go
+++ b/internal/operatorfile/deprecated.go
@@ -10,8 +10,8 @@
 	"cherrygap/internal/settings"
 )
 
-// The structs below hold the deprecated keys. Each is embedded beside the standard keys of its table. adoptDeprecated moves
-// their values to the standard keys, so that deprecated fields are nil in a File that Parse returns.
+// The structs below hold the deprecated keys. Each is embedded in the struct of its table, beside the standard keys.
+// adoptDeprecated moves their values to the standard keys, so that deprecated fields are nil in a File that Parse returns.
 
 // Deprecation is a deprecated key, or a deprecated word at a key, in a file.
 type Deprecation struct {
@@ -25,22 +25,26 @@
 	return KeyError{Key: d.Key, Line: d.Line, Reason: "deprecated; write " + d.Standard}.Error()
 }
 
+// deprecatedTables are the deprecated names of tables in File.
 type deprecatedTables struct {
 	Duties *deprecatedHealthChecks `toml:"duties"`
 	Watch  *deprecatedShadow       `toml:"watch"`
 }
 
+// deprecatedHealthChecks is the deprecated form of HealthChecks.
 type deprecatedHealthChecks struct {
 	On      *bool    `toml:"on"`
 	CheckMs *float64 `toml:"check_ms"`
 	Bytes   *float64 `toml:"bytes"`
 }
 
+// deprecatedShadow is the deprecated form of Shadow.
 type deprecatedShadow struct {
 	On       *bool            `toml:"on"`
 	Settings SettingsOverride `toml:"settings"`
 }
 
+// deprecatedSettings are the deprecated keys of SettingsOverride.
 type deprecatedSettings struct {
 	Executions   *int            `toml:"executions"`
 	Withdraw     *bool           `toml:"withdraw"`
@@ -54,28 +58,33 @@
 	Bands        []ClassOverride `toml:"band"`
 }
 
+// deprecatedClassOverride are the deprecated keys of ClassOverride.
 type deprecatedClassOverride struct {
 	Repeats    *string  `toml:"repeats"`
 	ContractMs *float64 `toml:"contract_ms"`
 }
 
+// deprecatedPlanOverride are the deprecated keys of PlanOverride.
 type deprecatedPlanOverride struct {
 	Depth        *float64 `toml:"depth"`
 	Open         *int     `toml:"open"`
 	CeilingDepth *float64 `toml:"ceiling_depth"`
 }
 
+// deprecatedAuthz are the deprecated keys of Authz.
 type deprecatedAuthz struct {
 	Most     *int      `toml:"most"`
 	PassOpen *[]string `toml:"pass_open"`
 }
 
+// deprecatedEmulator are the deprecated keys of Emulator.
 type deprecatedEmulator struct {
 	ColdFactor *float64 `toml:"cold_factor"`
 	Reports    *bool    `toml:"reports"`
 	Probes     *bool    `toml:"probes"`
 }
 
+// deprecatedTraffic are the deprecated keys of Traffic.
 type deprecatedTraffic struct {
 	AgainP *float64       `toml:"again_p"`
 	Conns  *int           `toml:"conns"`
@@ -85,6 +94,7 @@
 // deprecatedRetrySafetyKey is the deprecated key of a class's retry safety.
 const deprecatedRetrySafetyKey = "repeats"
 
+// deprecatedClass are the deprecated keys of TrafficClass.
 type deprecatedClass struct {
 	Repeats *string `toml:"repeats"`
 }
@@ -92,7 +102,8 @@
 // keyNames maps standard keys, tables and lists to the deprecated names that a file gives them.
 type keyNames map[string]string
 
-// of returns a standard key as the file spells it.
+// of returns a standard key as the file spells it. It replaces the longest leading part of the key that has a deprecated
+// name: with "settings.class" as "settings.band", "settings.class.0.name" becomes "settings.band.0.name".
 func (n keyNames) of(key string) string {
 	for table, rest := key, ""; table != ""; {
 		if name, ok := n[table]; ok {
@@ -107,7 +118,7 @@
 // adopter moves the values of deprecated keys to the standard keys.
 type adopter struct {
 	defined      map[string]bool // keys in the file, in lower case, lists without numbers
-	written      keyNames
+	fileKeys     keyNames
 	deprecations []Deprecation
 	errors       []KeyError
 }
@@ -115,7 +126,7 @@
 // adoptDeprecated moves the values of deprecated keys to the standard keys. A key that the file gives under both names is an
 // error.
 func (f *File) adoptDeprecated(meta toml.MetaData) []KeyError {
-	a := adopter{defined: map[string]bool{}, written: keyNames{}}
+	a := adopter{defined: map[string]bool{}, fileKeys: keyNames{}}
 	for _, key := range meta.Keys() {
 		a.defined[strings.ToLower(key.String())] = true
 	}
@@ -129,12 +140,12 @@
 	adopt(&a, "lab.emulator.load_reports", "reports", &e.Reports, &e.LoadReports)
 	adopt(&a, "lab.emulator.health_checks", "probes", &e.Probes, &e.HealthChecks)
 	a.traffic("lab.load", &f.Lab.Load)
-	f.written, f.Deprecations = a.written, a.deprecations
+	f.fileKeys, f.Deprecations = a.fileKeys, a.deprecations
 	return a.errors
 }
 
-// given reports whether the file has a standard key, or a key below it.
-func (a *adopter) given(standard string) bool {
+// isGiven reports whether the file has a standard key, or a key below it.
+func (a *adopter) isGiven(standard string) bool {
 	for key := range a.defined {
 		if key == standard || strings.HasPrefix(key, standard+".") {
 			return true
@@ -143,25 +154,25 @@
 	return false
 }
 
-// deprecated records that a file gives a standard key under a deprecated name. It reports false, and adds an error, where
-// the standard name is given too.
-func (a *adopter) deprecated(standard, name string, given bool) bool {
-	a.written[standard] = name
+// recordDeprecated records that a file gives a standard key under a deprecated name. It reports whether the value of the
+// deprecated name applies. If the standard name is given too, the value does not apply, and an error is added.
+func (a *adopter) recordDeprecated(standard, name string, standardGiven bool) bool {
+	a.fileKeys[standard] = name
 	a.deprecations = append(a.deprecations, Deprecation{Key: name, Standard: standard})
-	if given {
+	if standardGiven {
 		a.errors = append(a.errors, KeyError{Key: name, Reason: "deprecated name of " + standard + ", which is given too; keep that one"})
 	}
-	return !given
+	return !standardGiven
 }
 
 // sibling returns the key of a deprecated name beside a standard key, as the file spells its table.
 func (a *adopter) sibling(standard, name string) string {
-	return a.written.of(parent(standard)) + "." + name
+	return a.fileKeys.of(parent(standard)) + "." + name
 }
 
 // adopt moves a value from the field of a deprecated name to that of a standard key.
 func adopt[T any](a *adopter, standard, name string, from **T, to *T) {
-	if *from != nil && a.deprecated(standard, a.sibling(standard, name), a.given(standard)) {
+	if *from != nil && a.recordDeprecated(standard, a.sibling(standard, name), a.isGiven(standard)) {
 		*to = **from
 	}
 	*from = nil
@@ -169,7 +180,7 @@
 
 // adoptPointer is adopt for a field that is nil unless the file gives the standard key.
 func adoptPointer[T any](a *adopter, standard, name string, from, to **T) {
-	if *from != nil && a.deprecated(standard, a.sibling(standard, name), *to != nil) {
+	if *from != nil && a.recordDeprecated(standard, a.sibling(standard, name), *to != nil) {
 		*to = *from
 	}
 	*from = nil
@@ -177,7 +188,7 @@
 
 // adoptList is adopt for a list of tables.
 func adoptList[T any](a *adopter, standard, name string, from, to *[]T) {
-	if *from != nil && a.deprecated(standard, a.sibling(standard, name), *to != nil) {
+	if *from != nil && a.recordDeprecated(standard, a.sibling(standard, name), *to != nil) {
 		*to = *from
 	}
 	*from = nil
@@ -185,7 +196,7 @@
 
 // shadow adopts the table "watch".
 func (a *adopter) shadow(f *File) {
-	if f.Watch != nil && a.deprecated("shadow", "watch", a.given("shadow")) {
+	if f.Watch != nil && a.recordDeprecated("shadow", "watch", a.isGiven("shadow")) {
 		f.Shadow.Settings = f.Watch.Settings
 		adopt(a, "shadow.enabled", "on", &f.Watch.On, &f.Shadow.Enabled)
 	}
@@ -195,7 +206,7 @@
 
 // healthChecks adopts the table "duties".
 func (a *adopter) healthChecks(f *File) {
-	if old := f.Duties; old != nil && a.deprecated("health_checks", "duties", a.given("health_checks")) {
+	if old := f.Duties; old != nil && a.recordDeprecated("health_checks", "duties", a.isGiven("health_checks")) {
 		adopt(a, "health_checks.enabled", "on", &old.On, &f.HealthChecks.Enabled)
 		adopt(a, "health_checks.interval_ms", "check_ms", &old.CheckMs, &f.HealthChecks.IntervalMs)
 		adopt(a, "health_checks.max_bytes_per_s", "bytes", &old.Bytes, &f.HealthChecks.MaxBytesPerS)
@@ -238,10 +249,11 @@
 	adoptList(a, prefix+".class", "band", &t.Bands, &t.Classes)
 	for i := range t.Classes {
 		c, key := &t.Classes[i], entryKey(prefix+".class", i)+".retry_safety"
-		if c.Repeats != nil && a.deprecated(key, a.sibling(key, deprecatedRetrySafetyKey), c.RetrySafety != "") {
+		if c.Repeats != nil && a.recordDeprecated(key, a.sibling(key, deprecatedRetrySafetyKey), c.RetrySafety != "") {
 			c.RetrySafety = *c.Repeats
-		} else if _, deprecated := a.written[prefix+".class"]; deprecated && c.RetrySafety == "" {
-			a.written[key] = a.sibling(key, deprecatedRetrySafetyKey) // for the error on the missing key
+		} else if _, deprecated := a.fileKeys[prefix+".class"]; deprecated && c.RetrySafety == "" {
+			// Validate reports the missing key. In a list with a deprecated name it names the deprecated key.
+			a.fileKeys[key] = a.sibling(key, deprecatedRetrySafetyKey)
 		}
 		c.Repeats = nil
 		c.RetrySafety = a.retrySafety(key, c.RetrySafety)
@@ -259,18 +271,20 @@
 	if !deprecated {
 		return word
 	}
-	a.deprecatedWord(key, fmt.Sprintf("%s = %q", key, standard))
+	a.recordDeprecatedWord(key, fmt.Sprintf("%s = %q", key, standard))
 	return standard
 }
 
-// deprecatedWord records the standard form of a deprecated word. A deprecation of the key itself becomes part of it.
-func (a *adopter) deprecatedWord(key, standard string) {
-	written := a.written.of(key)
-	if last := len(a.deprecations) - 1; last >= 0 && a.deprecations[last].Key == written {
+// recordDeprecatedWord records that a key has a deprecated word. If the last deprecation is that of the key, it gets the
+// standard form of both; otherwise a new one is added.
+func (a *adopter) recordDeprecatedWord(key, standard string) {
+	fileKey := a.fileKeys.of(key)
+	if last := len(a.deprecations) - 1; last >= 0 && a.deprecations[last].Key == fileKey {
 		a.deprecations[last].Standard = standard
 		return
 	}
-	a.deprecations = append(a.deprecations, Deprecation{Key: written, Standard: standard})
+	a.deprecations = append(a.deprecations, Deprecation{Key: fileKey, Standard: standard})
 }
 
+// entryKey returns the key of an entry of a list.
 func entryKey(list string, i int) string { return list + "." + strconv.Itoa(i) }
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -16,7 +16,7 @@
 	// Deprecations are the deprecated keys in the file, in the order of their lines.
 	Deprecations []Deprecation `toml:"-"`
 
-	written keyNames // deprecated keys in the file, for errors
+	fileKeys keyNames // deprecated names that the file gives, for errors
 	deprecatedTables
 }
 
@@ -40,8 +40,8 @@
 	MaxBytesPerS float64 `toml:"max_bytes_per_s"` // of peer messages that this node sends for health checks
 }
 
-// Quota configures the leasing of customers' quotas from a shared store (docs/quota.md). Without a store each node admits by
-// token buckets of its own.
+// Quota configures the leasing of customers' quotas from a shared store (docs/quota.md). Without a store, each node admits
+// requests by its own token buckets.
 type Quota struct {
 	Store        string  `toml:"store"` // address and port of a store with the Redis protocol; empty for none
 	MaxCallsPerS float64 `toml:"calls"` // exchanges of this node with the store, a second
--- a/internal/operatorfile/load.go
+++ b/internal/operatorfile/load.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Load reads the file at path. Keys that it does not give have their defaults. A file with errors in it is a *FileError. With
-// any error the returned File is Default.
+// Load reads the file at path. Keys that it does not give have their defaults. The error is a *FileError if the content has
+// errors. With any error the returned File is Default.
 func Load(path string) (File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return lines
 }
 
-// of returns the line of a key, or else of the nearest table around it; 0 where neither is found.
+// of returns the line of a key, or of the innermost table around it that has a line. It returns 0 if there is none.
 func (l keyLines) of(key string) int {
 	for key != "" {
 		if number, ok := l[key]; ok {
@@ -113,7 +113,7 @@
 	return 0
 }
 
-// parent returns the table of a dotted key; empty for a key without one.
+// parent returns the table of a dotted key, or an empty string if the key has none.
 func parent(key string) string {
 	dot := strings.LastIndexByte(key, '.')
 	if dot < 0 {
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -51,25 +51,25 @@
 	deprecatedPlanOverride
 }
 
-// givenSetting is one setting that the file gives.
-type givenSetting struct {
+// settingOverride is one setting that the file gives: either a word or a number.
+type settingOverride struct {
 	key   string // below [settings]
 	apply func(*settings.Settings)
 
-	word            string   // as given, where it is one
-	words           []string // that word may be; nil for a number
-	number          float64  // as given, where it is one
-	lowest, highest float64  // range of number
+	word            string   // the value, if it is a word
+	words           []string // the valid words; nil if the value is a number
+	number          float64  // the value, if it is a number
+	lowest, highest float64  // range of valid numbers
 }
 
-// givenSettings collects settings. Each method adds a setting unless its value is nil.
-type givenSettings []givenSetting
+// settingOverrides collects the settings that the file gives. Each method adds a setting unless its value is nil.
+type settingOverrides []settingOverride
 
 // number adds a number, which must be from lowest to highest.
-func (g *givenSettings) number(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
+func (g *settingOverrides) number(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := settings.FloatNumber(*value)
-		*g = append(*g, givenSetting{
+		*g = append(*g, settingOverride{
 			key: key, number: *value, lowest: lowest, highest: highest,
 			apply: func(s *settings.Settings) { set(s, number) },
 		})
@@ -77,10 +77,10 @@
 }
 
 // duration adds a time of *value milliseconds, which must be from lowest to hourMs.
-func (g *givenSettings) duration(key string, value *float64, lowest float64, set func(*settings.Settings, settings.Duration)) {
+func (g *settingOverrides) duration(key string, value *float64, lowest float64, set func(*settings.Settings, settings.Duration)) {
 	if value != nil {
 		duration := settings.Milliseconds(*value)
-		*g = append(*g, givenSetting{
+		*g = append(*g, settingOverride{
 			key: key, number: *value, lowest: lowest, highest: hourMs,
 			apply: func(s *settings.Settings) { set(s, duration) },
 		})
@@ -88,7 +88,7 @@
 }
 
 // count adds an integer, which must be from lowest to highest.
-func (g *givenSettings) count(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
+func (g *settingOverrides) count(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := float64(*value)
 		g.number(key, &number, lowest, highest, set)
@@ -96,10 +96,10 @@
 }
 
 // flag adds a switch.
-func (g *givenSettings) flag(key string, value *bool, set func(*settings.Settings, bool)) {
+func (g *settingOverrides) flag(key string, value *bool, set func(*settings.Settings, bool)) {
 	if value != nil {
 		enabled := *value
-		*g = append(*g, givenSetting{
+		*g = append(*g, settingOverride{
 			key: key, word: strconv.FormatBool(enabled), words: []string{"true", "false"},
 			apply: func(s *settings.Settings) { set(s, enabled) },
 		})
@@ -107,24 +107,24 @@
 }
 
 // choice adds a choice, which must be one of words.
-func (g *givenSettings) choice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
+func (g *settingOverrides) choice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
 	if value != nil {
 		word := *value
-		*g = append(*g, givenSetting{
+		*g = append(*g, settingOverride{
 			key: key, word: word, words: words,
 			apply: func(s *settings.Settings) { set(s, word) },
 		})
 	}
 }
 
-// given lists the settings that the file gives; classIndex and planIndex find the numbers of classes and plans by name.
-func (s *SettingsOverride) given(classIndex, planIndex func(name string) int) []givenSetting {
+// overrides returns the settings that the file gives. The functions return the number of a class or plan by its name.
+func (s *SettingsOverride) overrides(classIndex, planIndex func(name string) int) []settingOverride {
 	type (
 		node   = settings.Settings
 		number = settings.Number
 		span   = settings.Duration
 	)
-	var g givenSettings
+	var g settingOverrides
 	g.count("max_attempts", s.MaxAttempts, 1, 100, func(n *node, v number) { n.MaxAttempts = v })
 	g.flag("cancel_attempts", s.CancelAttempts, func(n *node, v bool) { n.CancelAttempts = v })
 	g.flag("peers", s.Peers, func(n *node, v bool) { n.Peers = v })
@@ -137,37 +137,37 @@
 	g.number("overload_multiple", s.OverloadMultiple, 0.1, 1000, func(n *node, v number) { n.OverloadMultiple = v })
 	g.duration("overload_ms", s.OverloadMs, 1, func(n *node, v span) { n.OverloadSpan = v })
 	for i, c := range s.Classes {
-		c.given(&g, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
+		c.addTo(&g, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
 	}
 	for i, p := range s.Plans {
-		p.given(&g, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
+		p.addTo(&g, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
 	}
 	return g
 }
 
-// given adds the settings that the file gives for a class. Their keys begin with prefix; index is the class's number.
-func (c *ClassOverride) given(g *givenSettings, prefix string, index int) {
-	change := func(s *settings.Settings, change func(class *settings.Class)) {
+// addTo adds the settings that the file gives for a class. Their keys begin with prefix; index is the class's number.
+func (c *ClassOverride) addTo(g *settingOverrides, prefix string, index int) {
+	changeClass := func(s *settings.Settings, change func(class *settings.Class)) {
 		class := s.Classes.At(index)
 		change(&class)
 		s.Classes = s.Classes.With(index, class)
 	}
 	g.choice(prefix+"retry_safety", c.RetrySafety, func(s *settings.Settings, word string) {
-		change(s, func(class *settings.Class) { class.RetrySafety = settings.RetrySafety(word) })
+		changeClass(s, func(class *settings.Class) { class.RetrySafety = settings.RetrySafety(word) })
 	}, settings.RetrySafe, settings.RetryKeyed, settings.RetryUnsafe)
 	g.choice(prefix+"group", c.Group, func(s *settings.Settings, word string) {
-		change(s, func(class *settings.Class) { class.IdempotencyGroup = settings.IdempotencyGroup(word) })
+		changeClass(s, func(class *settings.Class) { class.IdempotencyGroup = settings.IdempotencyGroup(word) })
 	}, settings.GroupAll, settings.GroupZone, settings.GroupCell)
 	g.duration(prefix+"window_ms", c.WindowMs, 0, func(s *settings.Settings, v settings.Duration) {
-		change(s, func(class *settings.Class) { class.IdempotencyWindow = v })
+		changeClass(s, func(class *settings.Class) { class.IdempotencyWindow = v })
 	})
 	g.duration(prefix+"latency_objective_ms", c.LatencyObjectiveMs, 1, func(s *settings.Settings, v settings.Duration) {
-		change(s, func(class *settings.Class) { class.LatencyObjective = v })
+		changeClass(s, func(class *settings.Class) { class.LatencyObjective = v })
 	})
 }
 
-// given adds the settings that the file gives for a plan. Their keys begin with prefix; index is the plan's number.
-func (p *PlanOverride) given(g *givenSettings, prefix string, index int) {
+// addTo adds the settings that the file gives for a plan. Their keys begin with prefix; index is the plan's number.
+func (p *PlanOverride) addTo(g *settingOverrides, prefix string, index int) {
 	setter := func(field func(plan *settings.Plan) *settings.Number) func(*settings.Settings, settings.Number) {
 		return func(s *settings.Settings, v settings.Number) {
 			plan := s.Plans.At(index)
@@ -181,7 +181,7 @@
 	)
 	g.number(prefix+"rate", p.Rate, 0, maxUnits, setter(func(p *plan) *number { return &p.Rate }))
 	g.number(prefix+"burst", p.Burst, 0, maxUnits, setter(func(p *plan) *number { return &p.Burst }))
-	g.count(prefix+"max_in_flight", p.MaxInFlight, 0, maxAtOnce, setter(func(p *plan) *number { return &p.MaxInFlight }))
+	g.count(prefix+"max_in_flight", p.MaxInFlight, 0, maxAttemptsInFlight, setter(func(p *plan) *number { return &p.MaxInFlight }))
 	g.number(prefix+"ceiling_rate", p.CeilingRate, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingRate }))
 	g.number(prefix+"ceiling_burst", p.CeilingBurst, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingBurst }))
 }
@@ -204,8 +204,8 @@
 	return fmt.Sprintf("%s %q: the platform's settings name %s", e.List, e.Name, strings.Join(e.Known, ", "))
 }
 
-// Apply returns a copy of the node's settings with the given settings written over it. A class or plan that the settings
-// do not name is an *UnknownNameError; then there is no copy. It may be called on a nil set.
+// Apply returns a copy of the node's settings in which the file's settings replace those of the platform. For a class or
+// plan that is not in set it returns nil and an *UnknownNameError. A nil set has no settings.
 func (s *SettingsOverride) Apply(set *settings.Settings) (*settings.Settings, error) {
 	out := settings.Settings{}
 	if set != nil {
@@ -221,12 +221,12 @@
 			return i
 		}
 	}
-	given := s.given(indexIn(classLabel, out.ClassNames()), indexIn(planLabel, out.PlanNames()))
+	overrides := s.overrides(indexIn(classLabel, out.ClassNames()), indexIn(planLabel, out.PlanNames()))
 	if unknown != nil {
 		return nil, unknown
 	}
-	for _, setting := range given {
-		setting.apply(&out)
+	for _, override := range overrides {
+		override.apply(&out)
 	}
 	return &out, nil
 }
--- a/internal/operatorfile/validate.go
+++ b/internal/operatorfile/validate.go
@@ -10,21 +10,21 @@
 	"cherrygap/internal/settings"
 )
 
-// Greatest values of several keys.
+// Largest values that several keys accept.
 const (
-	hourMs    = 3.6e6 // ms
-	maxCount  = 1 << 16
-	maxLabMs  = 600_000 // ms
-	maxDayS   = 86_400  // s
-	maxHourS  = 3600    // s
-	maxAtOnce = 1e6
-	maxUnits  = 1e9
+	hourMs              = 3.6e6   // an hour, ms
+	hourS               = 3600    // an hour, s
+	dayS                = 86_400  // a day, s
+	maxLabMs            = 600_000 // of times in the laboratory, ms
+	maxCount            = 1 << 16 // of requests, connections and places in a queue
+	maxAttemptsInFlight = 1e6     // of a customer
+	maxUnits            = 1e9     // of quotas, in units or units a second
 )
 
-// Validate returns an error for each value out of its range, with the key as the file spells it, and no line. Parse calls
-// it. Callers call it after they change a value.
+// Validate returns an error for each value out of its range, with the key as the file spells it, and without a line. Parse
+// calls it. A caller that changes a value must call it again.
 func (f *File) Validate() []KeyError {
-	v := validator{written: f.written}
+	v := validator{fileKeys: f.fileKeys}
 	v.oneOf("log.level", f.Log.Level, "debug", "info", "warn", "error")
 	v.settings("settings", &f.Settings)
 	v.settings("shadow.settings", &f.Shadow.Settings)
@@ -43,18 +43,18 @@
 
 // validator collects errors.
 type validator struct {
-	written keyNames
-	errors  []KeyError
+	fileKeys keyNames
+	errors   []KeyError
 }
 
 // add adds an error at a key.
 func (v *validator) add(key, format string, args ...any) {
-	v.errors = append(v.errors, KeyError{Key: v.written.of(key), Reason: fmt.Sprintf(format, args...)})
+	v.errors = append(v.errors, KeyError{Key: v.fileKeys.of(key), Reason: fmt.Sprintf(format, args...)})
 }
 
 // within checks that a value is in its range.
 func (v *validator) within(key string, value, lowest, highest float64) {
-	if !(value >= lowest && value <= highest) { // a NaN is in no range
+	if !(value >= lowest && value <= highest) { // true for a NaN too
 		v.add(key, "%v is out of range %v to %v", value, lowest, highest)
 	}
 }
@@ -66,10 +66,10 @@
 	}
 }
 
-// fileWords returns the words for an error at a key. Where the file gives the deprecated key of retry safety, they are the
-// deprecated words.
+// fileWords returns the standard words as an error at the key must spell them. If the file gives the deprecated key of retry
+// safety, it returns the deprecated words.
 func (v *validator) fileWords(key string, words []string) []string {
-	if lastPart(v.written.of(key)) != deprecatedRetrySafetyKey {
+	if lastPart(v.fileKeys.of(key)) != deprecatedRetrySafetyKey {
 		return words
 	}
 	out := slices.Clone(words)
@@ -102,12 +102,12 @@
 
 // settings checks the values that the file gives. It does not know the platform's names of classes and plans.
 func (v *validator) settings(prefix string, s *SettingsOverride) {
-	first := func(string) int { return 0 } // the settings are not applied
-	for _, e := range s.given(first, first) {
-		if e.words != nil {
-			v.oneOf(prefix+"."+e.key, e.word, e.words...)
+	anyIndex := func(string) int { return 0 } // only apply uses the index, and it is not called
+	for _, o := range s.overrides(anyIndex, anyIndex) {
+		if o.words != nil {
+			v.oneOf(prefix+"."+o.key, o.word, o.words...)
 		} else {
-			v.within(prefix+"."+e.key, e.number, e.lowest, e.highest)
+			v.within(prefix+"."+o.key, o.number, o.lowest, o.highest)
 		}
 	}
 	classes := make([]string, len(s.Classes))
@@ -127,7 +127,7 @@
 	for i, name := range names {
 		key := list + "." + strconv.Itoa(i) + ".name"
 		if name == "" {
-			v.add(key, "is empty; it is the platform's name of the %s", lastPart(v.written.of(list)))
+			v.add(key, "is empty; it is the platform's name of the %s", lastPart(v.fileKeys.of(list)))
 		} else if slices.Contains(names[:i], name) {
 			v.add(key, "%q is given twice", name)
 		}
@@ -145,9 +145,9 @@
 	v.within(prefix+"service_ms", e.ServiceMs, 0.01, 60000)
 	v.within(prefix+"spread", e.Spread, 0, 3)
 	v.within(prefix+"handshake_ms", e.HandshakeMs, 0, 10000)
-	v.within(prefix+"warmup_s", e.WarmupS, 0, maxHourS)
+	v.within(prefix+"warmup_s", e.WarmupS, 0, hourS)
 	v.within(prefix+"warmup_factor", e.WarmupFactor, 1, 100)
-	v.within(prefix+"idle_s", e.IdleS, 0.1, maxHourS)
+	v.within(prefix+"idle_s", e.IdleS, 0.1, hourS)
 	v.within(prefix+"drain_ms", e.DrainMs, 0, maxLabMs)
 }
 
@@ -156,11 +156,11 @@
 	const prefix = "lab.load."
 	v.loopback(prefix+"target", t.Target)
 	v.within(prefix+"rate", t.Rate, 0.01, 1e6)
-	v.within(prefix+"duration_s", t.DurationS, 0.1, maxDayS)
+	v.within(prefix+"duration_s", t.DurationS, 0.1, dayS)
 	v.within(prefix+"customers", float64(t.Customers), 1, 1<<33)
 	v.within(prefix+"skew", t.Skew, 1.0001, 10)
-	v.within(prefix+"burst_s", t.BurstS, 0, maxDayS)
-	v.within(prefix+"burst_len_s", t.BurstLenS, 0, maxDayS)
+	v.within(prefix+"burst_s", t.BurstS, 0, dayS)
+	v.within(prefix+"burst_len_s", t.BurstLenS, 0, dayS)
 	v.within(prefix+"burst_x", t.BurstX, 1, 1000)
 	v.within(prefix+"retry_p", t.RetryProbability, 0, 1)
 	v.within(prefix+"connections", float64(t.Connections), 1, maxCount)
@@ -174,7 +174,7 @@
 // trafficClasses checks the classes of the traffic.
 func (v *validator) trafficClasses(list string, classes []TrafficClass) {
 	if len(classes) == 0 {
-		v.add(list, "no %s is given", lastPart(v.written.of(list)))
+		v.add(list, "no %s is given", lastPart(v.fileKeys.of(list)))
 		return
 	}
 	total := 0.0
@@ -184,15 +184,17 @@
 			v.add(prefix+"name", "%q is no path part", c.Name)
 		}
 		if c.RetrySafety != settings.RetrySafe && c.RetrySafety != settings.RetryUnsafe {
-			words := v.fileWords(prefix+"retry_safety", []string{c.RetrySafety, settings.RetrySafe, settings.RetryUnsafe})
-			v.add(prefix+"retry_safety", "%q is neither %s nor %s", words[0], words[1], words[2])
+			key := prefix + "retry_safety"
+			given := v.fileWords(key, []string{c.RetrySafety})
+			valid := v.fileWords(key, []string{settings.RetrySafe, settings.RetryUnsafe})
+			v.add(key, "%q is neither %s nor %s", given[0], valid[0], valid[1])
 		}
 		v.within(prefix+"share", c.Share, 0, 1e6)
 		v.within(prefix+"budget_ms", float64(c.BudgetMs), 1, maxLabMs)
 		v.within(prefix+"units", c.Units, 0, maxUnits)
 		total += c.Share
 	}
-	if !(total > 0) { // a NaN is not
+	if !(total > 0) { // true for a NaN too
 		v.add(list, "shares add up to %v", total)
 	}
 }
