--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -173,7 +173,7 @@
 	}
 	c.hasRequested.Store(true)
 	c.check.requestRead(c.in.Buffered())
-	if c.request.ForNode() {
+	if c.request.IsNodeHealthCheck() {
 		return c.answerHealthCheck()
 	}
 	return c.handOver()
@@ -216,7 +216,7 @@
 // checkRequest claims the id of a well-formed request. It returns a *protocol.RequestError if the request is rejected.
 func (c *clientConn) checkRequest() error {
 	switch router := c.server.router; {
-	case c.request.ForNode():
+	case c.request.IsNodeHealthCheck():
 		return nil
 	case !router.KnowsClassAndPlan(&c.request):
 		return &protocol.RequestError{Status: http.StatusNotFound, Reason: "unknown class or plan"}
--- a/internal/protocol/wireformat_test.go
+++ b/internal/protocol/wireformat_test.go
@@ -38,7 +38,7 @@
 	}
 	return fmt.Sprintf("%s %s %s type=%q key=%q id=%q class=%q plan=%q customer=%x budget=%v units=%v spread=%d first=%d body=%q close=%v own=%v",
 		q.Method, q.URI, q.Host, q.ContentType, q.IdempotencyKey, q.ID, q.Class, q.Plan, q.Customer, q.Timeout, q.Units, q.Spread, q.FirstNode,
-		shorten(q.Body), q.Close, q.ForNode())
+		shorten(q.Body), q.Close, q.IsNodeHealthCheck())
 }
 
 func shorten(body []byte) string {
