--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -192,7 +192,7 @@
 		addrs = append(addrs, listener.Addr().String())
 		go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 			calls <- request.Host + request.RequestURI
-			if request.RequestURI != "/v1/servers" {
+			if request.RequestURI != protocol.EndpointsPath {
 				<-request.Context().Done()
 				return
 			}
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -30,7 +30,7 @@
 	if dials := node.Counters.Upstream.Dials.Load(); dials != 1 {
 		t.Errorf("%d connections to the server", dials)
 	}
-	if status, _, _ := frontendtest.RoundTrip(t, conn, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
+	if status, _, _ := frontendtest.RoundTrip(t, conn, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
 		t.Errorf("health %d", status)
 	}
 	nettest.Close(conn)
@@ -84,7 +84,7 @@
 	}
 	all.Wait()
 	// The write deadline of the last response has passed; the next response has its own.
-	if status, _, _ := frontendtest.RoundTrip(t, stays, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
+	if status, _, _ := frontendtest.RoundTrip(t, stays, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 }
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -90,7 +90,7 @@
 		t.Fatal("nothing can be read behind an open request")
 	}
 	client.Check().EndRead(netio.ReadBytes)
-	if client.Check().CloseWithResponse() {
+	if client.Check().TryCloseWithResponse() {
 		t.Error("closed over a request that was read ahead")
 	}
 	client.Check().Answered()
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -17,6 +17,7 @@
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/netio"
 	"cherrygap/internal/nettest"
+	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
 
@@ -274,7 +275,7 @@
 	<-received
 	drained := startDrain(node, 300*time.Millisecond)
 	nettest.Eventually(t, "the drain", node.Server.Draining().Load)
-	if status, _, closes := frontendtest.RoundTrip(t, checking, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 || !closes {
+	if status, _, closes := frontendtest.RoundTrip(t, checking, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 || !closes {
 		t.Errorf("health %d, closes %v", status, closes)
 	}
 	if _, err := io.ReadAll(idle); err != nil {
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -45,7 +45,7 @@
 	s.evicting = true
 }
 
-// Evict closes the connection that has been idle longest.
+// Evict closes one idle connection, the first by evictedBefore.
 func (s *Server) Evict() { s.evict() }
 
 // CloseIdle closes the idle connections.
@@ -69,14 +69,15 @@
 // Is reports whether the connection is in a phase.
 func (g *CloseCheck) Is(phase connPhase) bool { return g.is(phase) }
 
-// RequestRead notes that a whole request was read.
+// RequestRead notes that a request was read completely, and how many bytes are buffered behind it.
 func (g *CloseCheck) RequestRead(bytesBehind int) { g.requestRead(bytesBehind) }
 
-// Answered notes that the open request has its response.
+// Answered notes that the request in flight has its response.
 func (g *CloseCheck) Answered() { g.answered() }
 
-// CloseWithResponse reports whether the open response may close the connection.
-func (g *CloseCheck) CloseWithResponse() bool { return g.tryCloseWithResponse() }
+// TryCloseWithResponse reports whether the response to the request in flight may close the connection. If so no more is
+// read.
+func (g *CloseCheck) TryCloseWithResponse() bool { return g.tryCloseWithResponse() }
 
-// TryClose reports whether the connection may be closed now, with no request partly read, and then stops reads.
+// TryClose reports whether the connection may be closed now, with no request partly read. If so no more is read.
 func (g *CloseCheck) TryClose() bool { return g.tryClose(keepPartial) }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -69,7 +69,7 @@
 // NewPool makes an empty pool.
 func NewPool(limits netio.Limits, log *zerolog.Logger, counters *Counters) *Pool {
 	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*serverConn{}}
-	p.timer = time.AfterFunc(time.Hour, p.closeExpired)
+	p.timer = time.AfterFunc(time.Hour, p.closeExpired) // put sets it earlier
 	return p
 }
 
