--- a/cmd/cherrygap/crowd_test.go
+++ b/cmd/cherrygap/crowd_test.go
@@ -16,7 +16,7 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// fakeDiscovery is a discovery service: silent, by taking connections and saying nothing, or one that knows a list.
+// fakeDiscovery is a discovery service. A silent one accepts connections and never responds; another one serves one list.
 type fakeDiscovery struct {
 	listed chan time.Time // when its first list was written
 	text   string
@@ -69,14 +69,14 @@
 	return ln
 }
 
-// crowd is many idle clients that open connections until none is taken any more, and a look at the node's descriptors.
+// crowd is a number of clients that hold idle connections, and a sampler of the node's descriptors.
 type crowd struct {
 	stop    chan struct{}
 	members sync.WaitGroup
 	peak    int // descriptors that the node held at most; to be read after leave
 }
 
-// gather starts the crowd: a third asks once and stays, the others say nothing or half a request.
+// gather starts the crowd. A third of the clients send one request and stay, the others send nothing or half a request.
 func gather(p *process, clients int) *crowd {
 	c := &crowd{stop: make(chan struct{})}
 	c.start(func() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// hold opens one connection, says something and stays until the node closes it or the crowd leaves.
+// hold opens one connection, sends a text, and keeps the connection until the node closes it or the crowd leaves.
 func (c *crowd) hold(address, says string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -204,9 +204,9 @@
 	return n
 }
 
-// Idle clients open connections until none is taken any more, for seconds in which discovery is down: it refuses, or takes
-// connections and says nothing. At its return the node has its list in time and serves who comes then, over new connections
-// to app servers; no kind of descriptor is ever wanting.
+// Idle clients fill the node's connections while discovery is down: it refuses connections, or accepts them and is silent.
+// Once discovery is back, the node has its list in time and serves new clients over new connections to app servers. It never
+// runs out of descriptors.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, sockets := range []int{64, 128, 256} {
 		for _, silent := range []bool{false, true} {
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -20,7 +20,7 @@
 	descriptorLimit = "TEST_FILES"                // of such a node
 )
 
-// TestMain makes this program a node where it is started as one: tests stop it, limit it and look into it from outside.
+// TestMain makes this program a node where the environment says so. Tests stop, limit and inspect it from outside.
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		main()
@@ -46,7 +46,7 @@
 	os.Exit(code)
 }
 
-// runLimitedNode runs a node that may have as many descriptors as the environment says.
+// runLimitedNode runs a node with the descriptor limit of the environment.
 func runLimitedNode() error {
 	if n, err := strconv.ParseUint(os.Getenv(descriptorLimit), 10, 64); err == nil {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -99,11 +99,13 @@
 	return again, late
 }
 
-// Clients leave while the node stands still, at chance moments of their requests: unread, before an attempt, half written,
-// out, rejected. When it goes on, a leaving and what would make it send on are there together, in either order; no
-// attempt's first or last byte may come for those who left. A stop that falls between the node's look at a client and the
-// write behind it, a few microseconds of a request's milliseconds, is out of any process's hands: one leave in a hundred.
-func TestLeavingWhileTheNodeStandsStill(t *testing.T) {
+// Clients close their connections while the node is stopped, at random points of their requests: unread, before an attempt,
+// half written, in flight, rejected. When the node continues, the close and the event that would start an attempt are both
+// pending, in either order. No attempt's first or last byte may be written for a client that closed.
+//
+// A stop may fall between the node's liveness check of a client and the write behind it. No process can prevent that, so one
+// close in a hundred may be late.
+func TestClientsThatCloseWhileTheNodeIsStopped(t *testing.T) {
 	const rounds, clients, still = 25, 8, 120 * time.Millisecond
 	app := newErraticServers()
 	var listeners []net.Listener
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf(`{"uid":"%s","endpoint":"%s","state":"in_service"}`, ln.Addr(), ln.Addr())
 }
 
-// startProcess starts a node of one core, with so many descriptors, by a list of app servers as last known.
+// startProcess starts a node of one core with a limit on descriptors and a known list of app servers.
 func startProcess(t *testing.T, discovery string, sockets int, servers ...net.Listener) *process {
 	t.Helper()
 	p := &process{addr: nodetest.FreeAddress(t)}
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -23,8 +23,8 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// The terms of a restart: nine in ten processes are ready within readyIn, under a list of so many servers; the platform's
-// smallest limit on memory.
+// The platform's limits on restarts: nine in ten processes are ready within readyIn, with a list of manyServers servers and
+// leastMemory of memory.
 const (
 	readyIn     = 10 * time.Second
 	manyServers = 13000
@@ -121,7 +121,7 @@
 	return p
 }
 
-// ready waits until the node says that it is, and returns how long that took.
+// ready waits until the node's health check succeeds. It returns the time since a moment, and whether it succeeded.
 func (p *restarted) ready(since time.Time) (time.Duration, bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(since) < 3*readyIn {
@@ -139,7 +139,7 @@
 	return time.Since(since), false
 }
 
-// memory is what the process holds, and what it held at most, in KiB.
+// memory returns the process's resident memory now and at most, in KiB.
 func (p *restarted) memory(t *testing.T) (now, most int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -161,7 +161,7 @@
 	return now, most
 }
 
-// configOf is a node's configuration at addresses that were free a moment ago.
+// configOf returns a node's configuration with addresses that were free a moment ago.
 func configOf(t *testing.T, mode, known, discovery string) (text, listenOn string) {
 	t.Helper()
 	listenOn = nodetest.FreeAddress(t)
@@ -190,15 +190,15 @@
 	}).Addr().String()
 }
 
-// restartCase is how nodes start: how they follow discovery, the list as last known, and what discovery does.
+// restartCase is a way to start nodes: the mode of discovery, the known list, and the discovery service.
 type restartCase struct {
 	name, mode, known string
 	discovery         func() (address string)
 }
 
-// Nine in ten of the processes that are restarted at once, as a tenth of a fleet on one machine, are ready in time: by a
-// known list of 13,000 servers, indented or not, while discovery is silent or gone; by what discovery sends where the known
-// list can't be read. None takes more memory than the platform's smallest limit.
+// Of ten processes that start at once on one machine, nine are ready in time and none takes more than leastMemory. They start
+// by a known list of manyServers servers while discovery is silent or gone, or by discovery's list where the known list is
+// malformed.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	plain, indented := listText(t, false), listText(t, true)
 	odd := plain[:len(plain)-2] + `,{"uid":7}]}`
@@ -252,9 +252,9 @@
 	t.Logf("%s: ready after %v to %v; %d KiB, %d at most", c.name, took[0], took[together-1], now, most)
 }
 
-// Discovery sends 13,000 servers in full again and again, as where it restarts and counts anew: the node's memory stays under
-// the platform's smallest limit, and it goes on saying that it is ready.
-func TestListsToldAgainAndAgainFitTheMemory(t *testing.T) {
+// Discovery sends the full list of manyServers servers many times, as after restarts. The node's memory stays under
+// leastMemory, and its health checks succeed.
+func TestRepeatedFullListsFitTheMemory(t *testing.T) {
 	const times = 30
 	mustBuild(t)
 	listed := make(chan struct{}, times)
@@ -294,8 +294,8 @@
 	t.Logf("%d KiB, %d at most, after %d lists", now, most, times)
 }
 
-// The processes before hold their addresses until their last requests end, which are answered shortly before SIGKILL could
-// come: the ones that are started at the moment of SIGTERM are ready in time, and each request of the old ones is answered.
+// Processes that are started at the moment of SIGTERM wait for the addresses of the old ones, which drain until shortly before
+// SIGKILL would follow. The new ones are ready in time, and every request of the old ones gets its response.
 func TestRestartIsReadyInTimeBehindADrain(t *testing.T) {
 	const together, lasts = 4, 3500 * time.Millisecond
 	mustBuild(t)
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -134,7 +134,7 @@
 	return received, bad
 }
 
-// Interrupted half-way, at its start or where a child can't start, it leaves no process behind and says why.
+// A run that is interrupted, or whose child can't start, leaves no process behind, and its error names the cause.
 func TestScaleInterrupted(t *testing.T) {
 	for name, c := range map[string]struct {
 		after  time.Duration
@@ -171,8 +171,8 @@
 	}
 }
 
-// Where descriptors lack it says so in one line, and starts nothing.
-func TestScaleNamesTheDescriptorsItLacks(t *testing.T) {
+// Without enough descriptors the command fails with one line that names them, and starts nothing.
+func TestScaleNamesMissingDescriptors(t *testing.T) {
 	cfg := smallScale(t)
 	cmd := exec.Command("sh", "-c", `ulimit -n 640; exec "$0" lab scale --nodes 8 --real 1 --servers 40 --sockets 64 --dir "$1"`,
 		cfg.Program, cfg.Dir)
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -131,8 +131,8 @@
 	return response.StatusCode
 }
 
-// TestAcceptErrorsStopNoListener: whatever accept(2) returns for a moment, clients are accepted afterwards.
-func TestAcceptErrorsStopNoListener(t *testing.T) {
+// After a moment of any error of accept(2) clients are accepted again.
+func TestAcceptErrorsDoNotStopTheListener(t *testing.T) {
 	t.Parallel()
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestRequestsThatWaitToBeAcceptedKeepTheirTime: the time in which a connection waits with its requests until accept(2)
-// works again is its client's: no server is told that more is left, also for those behind the first.
-func TestRequestsThatWaitToBeAcceptedKeepTheirTime(t *testing.T) {
+// The time that a connection waits for accept(2) counts against the deadlines of its requests. No attempt's timeout is longer
+// than the time left, for pipelined requests too.
+func TestTimeBeforeAcceptCountsAgainstTheDeadline(t *testing.T) {
 	t.Parallel()
 	const requests, waits, slack = 3, 400 * time.Millisecond, 150 * time.Millisecond
 	var sentAt time.Time
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestWhatThisMachineLacksSaysNothingOfServers: while no connection can be made for reasons of the node's own machine, no
-// server is ejected, and a request that comes then is served once the connection can be made.
-func TestWhatThisMachineLacksSaysNothingOfServers(t *testing.T) {
+// While the node's own machine can't open connections, no server is ejected. A request of that time is served once they can
+// be opened again.
+func TestResourceExhaustionEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		number int
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestAnswersOutlastFullBuffers: a response and an attempt that the kernel has no memory for, for a moment, are written
-// once it has; a look at a connection that it has none for holds up no request.
-func TestAnswersOutlastFullBuffers(t *testing.T) {
+// A response or attempt that the kernel has no memory for is written once there is memory. A liveness check that fails so
+// delays no request.
+func TestResponsesOutlastFullBuffers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
@@ -273,9 +273,8 @@
 	}
 }
 
-// TestStartOutlastsWhatTheMachineLacks: a node whose own sockets can't be opened for a moment at its start is ready
-// once they can.
-func TestStartOutlastsWhatTheMachineLacks(t *testing.T) {
+// A node whose own sockets can't be opened at its start is ready once they can be opened.
+func TestStartOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
@@ -293,9 +292,9 @@
 	}
 }
 
-// TestReloadOutlastsAHalfWrittenFile: a SIGHUP that comes while the configuration is being written moves discovery once
-// all of it is there, with one line in the log for what was not.
-func TestReloadOutlastsAHalfWrittenFile(t *testing.T) {
+// A SIGHUP while the configuration is being written moves discovery once the file is complete. The log has one line on the
+// partial file.
+func TestReloadOutlastsPartialFile(t *testing.T) {
 	t.Parallel()
 	before, after := nettest.Listen(t), nettest.Listen(t)
 	called := make(chan struct{})
@@ -324,8 +323,8 @@
 	}
 }
 
-// TestReloadOutlastsWhatTheMachineLacks: a SIGHUP whose configuration can't be opened for a moment still moves discovery.
-func TestReloadOutlastsWhatTheMachineLacks(t *testing.T) {
+// A SIGHUP whose configuration can't be opened for a moment still moves discovery.
+func TestReloadOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM, unix.EIO} {
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
@@ -355,9 +354,9 @@
 	}
 }
 
-// TestPollOutlastsWhatTheMachineLacks: where lists are asked for, a call that can't be made for a moment is made once it
-// can: the next one would be due seconds later.
-func TestPollOutlastsWhatTheMachineLacks(t *testing.T) {
+// Where lists are polled, a call whose connection can't be opened is made once it can. The next poll would be due seconds
+// later.
+func TestPollOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
 	const outage, atOnce = 100 * time.Millisecond, 300 * time.Millisecond
 	fault := &failingCall{number: unix.SYS_CONNECT}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// A known list that can't be read, by any of its entries, must not keep a node from its start, nor from following
-// discovery to another address on SIGHUP; all else must, and `config check` goes on refusing such a file.
-func TestOddKnownListIsNoReasonNotToStart(t *testing.T) {
+// A malformed endpoint list prevents neither a start nor a reload's change of discovery. Any other malformed value does, and
+// the check of a file rejects both.
+func TestMalformedKnownListDoesNotPreventStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
 	old := mustParse(t, nodetest.GoodConfig)
@@ -73,8 +73,8 @@
 	}
 }
 
-// A new file changes nothing unless all of it is good, and discovery's address only where it names another.
-func TestNewConfiguration(t *testing.T) {
+// A reload changes nothing unless the complete file is valid, and moves discovery only to another address.
+func TestReloadAppliesOnlyValidFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
 	c, err := parseConfig([]byte(nodetest.GoodConfig), os.Getenv)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestBadConfigurationIsOneError(t *testing.T) {
+func TestMalformedConfigurationIsOneError(t *testing.T) {
 	for _, c := range [][2]string{
 		{nodetest.GoodConfig, ""},
 		{`"127.0.0.4:9000"`, `"here"`},
@@ -114,8 +114,8 @@
 	}
 }
 
-// The operator file's settings are written over the platform's; none given changes nothing, and a class that the
-// platform does not name ends the start with its name.
+// The operator file's settings take precedence over the platform's. A class that the platform does not name is an error that
+// contains the name.
 func TestOperatorSettings(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
 	for _, c := range []struct {
@@ -151,8 +151,8 @@
 	}
 }
 
-// Shared health checks are done only where the operators want them and the platform allows probes and peers.
-func TestHealthChecksNeedThePlatformsLeave(t *testing.T) {
+// A node shares health checks only where the operators enable them and the platform allows health checks and peer messages.
+func TestHealthChecksNeedThePlatformsPermission(t *testing.T) {
 	text := strings.NewReplacer(`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
 		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
 	for k, c := range []struct {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Errors on a key can be told by their type, with their cause.
+// An error on a key has a type with the key and the cause.
 func TestConfigurationErrorTypes(t *testing.T) {
 	for _, c := range []struct {
 		old, new, key string
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -17,7 +17,7 @@
 var errForeignGRPCAddress error = syscall.EADDRNOTAVAIL
 
 // Request classes that fail open are the platform's, by name.
-func TestAuthorizationIsByThePlatformsClasses(t *testing.T) {
+func TestAuthorizationUsesThePlatformsClasses(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
 	for _, open := range []string{"look", "fly"} {
 		c := mustParse(t, text)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -17,7 +17,7 @@
 	return c
 }
 
-// startNode runs a node in the test's own process. The channel gives what it ended with.
+// startNode runs a node in the test's own process. The channel receives the error of Serve.
 func startNode(c *Config) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(c, CatchSignals()) }() // ends once a test has sent SIGTERM
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// processResources counts what a node that is not closed would keep.
+// processResources are counts that a node which is not closed would raise.
 type processResources struct{ goroutines, descriptors int }
 
 func resourcesNow(t *testing.T) processResources {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// The whole node: it serves by its known list while discovery is down, follows a new file to another discovery
-// on SIGHUP, passes over a bad one, and SIGTERM ends it once it has answered what it took.
+// A node serves by its known list while discovery is down. SIGHUP moves it to another discovery address, or changes nothing
+// where the file is malformed. SIGTERM ends it once every accepted request has its response.
 func TestNodeServesAndDrains(t *testing.T) {
 	started, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Nobody reads the log: the node serves, and ends on SIGTERM, all the same.
-func TestAStuckLogHoldsUpNoEnd(t *testing.T) {
+// A node whose log is never read serves, and ends on SIGTERM.
+func TestBlockedLogDoesNotDelayShutdown(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -130,8 +130,8 @@
 	}
 }
 
-// A node that is started while the process before it still holds its addresses waits for them; any other fault of an
-// address ends the start at once.
+// A node waits at its start for addresses that the previous process still holds. Any other error on an address ends the start
+// at once.
 func TestStartWaitsForItsAddresses(t *testing.T) {
 	tcp, udp := nettest.Listen(t), nodetest.ListenPacket(t)
 	c := mustParse(t, nodetest.ConfigAt(tcp.Addr().String(), nodetest.FreeAddress(t), udp.LocalAddr().String()))
@@ -158,7 +158,7 @@
 	}
 }
 
-// A part that was opened last is closed first, each once, also where closing is asked for again.
+// Close closes the parts in the reverse order, each once, also where it is called twice.
 func TestPartsAreClosedInReverse(t *testing.T) {
 	var s Node
 	var closed []int
@@ -172,7 +172,7 @@
 	}
 }
 
-// A start that fails closes what it has opened: here the timer, when the peers' address is no address of this machine.
+// After a start that failed Close closes the opened parts: here the log and the timer, as the peer socket's address is foreign.
 func TestFailedStartIsClosed(t *testing.T) {
 	s := New(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
 	err := s.Start()
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -13,8 +13,8 @@
 // errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
 var errForeignGRPCAddress = errNoGRPC
 
-// A program without gRPC must not start as if requests were authorized.
-func TestWithoutGRPCItIsRefused(t *testing.T) {
+// A program without gRPC must not start without the authorization that the operator file wants.
+func TestStartFailsWithoutGRPC(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
 		op, faults := operatorfile.Parse(text)
 		if len(faults) > 0 {
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Signals that come before the node listens, many at once, and during the drain: none ends the process, none is lost
-// for another. A SIGHUP during the drain moves discovery, as open requests may still be forwarded.
+// Signals before the start, many at once, and during a drain neither end the process nor displace a signal of another kind. A
+// SIGHUP during a drain moves discovery, as open requests may still be forwarded.
 func TestSignalsAtAnyMoment(t *testing.T) {
 	file, asked := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
 	first, second := serveDiscovery(t, asked), serveDiscovery(t, asked)
@@ -87,7 +87,7 @@
 	caught.discard()
 }
 
-// discard takes out what waits, which is no other test's.
+// discard removes pending signals, so that no other test receives them.
 func (s Signals) discard() {
 	for len(s.terminate)+len(s.reload)+len(s.counters) > 0 {
 		select {
@@ -98,8 +98,8 @@
 	}
 }
 
-// The log's reader goes, as when it restarts: a node is not ended by that. The test runs itself as the process that writes.
-func TestALogWhoseReaderWentEndsNoNode(t *testing.T) {
+// A log reader that closes its end, as in a restart, does not end the node. The test runs itself as the writing process.
+func TestClosedLogPipeDoesNotEndNode(t *testing.T) {
 	if os.Getenv("LOG_READER_WENT") != "" {
 		CatchSignals()
 		for range 3 {
@@ -114,7 +114,7 @@
 	}
 	nodetest.CloseNow(t, r)
 	nodetest.CloseAtEnd(t, w)
-	cmd := exec.Command(os.Args[0], "-test.run=^TestALogWhoseReaderWentEndsNoNode$")
+	cmd := exec.Command(os.Args[0], "-test.run=^TestClosedLogPipeDoesNotEndNode$")
 	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_WENT=1"), w
 	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "goes on") {
 		t.Errorf("%q, %v", out, err)
