--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,40 +11,41 @@
 
 	"github.com/rs/zerolog"
 
+	"cherrygap/internal/lab/appserver"
 	"cherrygap/internal/operatorfile"
 )
 
-// Server is an emulated app server. Its methods are safe for concurrent use.
+// Server is one emulated app server. Its methods may be called from several goroutines.
 type Server struct {
-	id         int // number in the fleet
+	id         int // number in the fleet, from 0
 	cfg        operatorfile.Emulator
 	schedule   Schedule
 	fleetStart time.Time
 	log        zerolog.Logger
 
-	mu         sync.Mutex      // guards the fields up to listener
-	addr       string          // with the port of the first open
-	rng        *rand.Rand      // of the draws
-	begunByID  map[string]int  // executions by request id
-	stats      Stats           // without the counts of listener
-	bootedAt   time.Time       // time of the last open
-	draining   bool            // whether new requests are rejected
-	httpServer *http.Server    // nil while the server is down
-	listener   *cappedListener // of the last open
+	mu         sync.Mutex // guards the fields up to listener
+	addr       string     // host:port; the port is fixed by the first open
+	rng        *rand.Rand // draws faults and service times
+	stats      Stats      // without the listener's counts
+	bootedAt   time.Time  // of the present incarnation
+	draining   bool
+	httpServer *http.Server // nil while the server is down
+	listener   *cappedListener
 
-	workSlots chan struct{} // holds an element for each executing request
-	waiting   atomic.Int64  // queued requests
-	working   atomic.Int64  // executing requests
+	executions appserver.Executions // by request ID
+	workSlots  chan struct{}        // holds one element for each request in work
+	waiting    atomic.Int64         // requests queued
+	working    atomic.Int64         // requests in work
 }
 
-// Addr returns the server's "host:port".
+// Addr returns the server's address, host:port.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Stats returns the server's counts.
+// Stats returns the counts since the fleet's start. Connections and Refused are those since the last restart.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,15 +56,13 @@
 	return stats
 }
 
-// TimesBegun returns the number of executions of the request with an id.
+// TimesBegun returns how often the server began to execute the request with this ID.
 func (s *Server) TimesBegun(id string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.begunByID[id]
+	return s.executions.Times(id)
 }
 
-// Drain starts the graceful shutdown. From then on the server rejects new requests, and responds to health checks with status
-// 503. It still accepts connections and finishes its requests. After cfg.DrainMs it closes everything.
+// Drain makes the server reject new requests and answer health checks with 503, while it still accepts connections.
+// Requests in flight may finish within the configured grace, after which the server closes.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -74,15 +73,16 @@
 	}
 	time.AfterFunc(milliseconds(s.cfg.DrainMs), func() {
 		s.mu.Lock()
-		stillOpen := s.httpServer == drained
+		same := s.httpServer == drained
 		s.mu.Unlock()
-		if stillOpen {
+		if same {
 			s.close()
 		}
 	})
 }
 
-// open starts the server at its address, with a warm-up. Its goroutine ends with close.
+// open listens at the server's address and starts a new incarnation, which warms up. The goroutine that accepts
+// connections ends with close.
 func (s *Server) open() error {
 	listener, err := net.Listen("tcp", s.Addr())
 	if err != nil {
@@ -104,11 +104,11 @@
 	s.mu.Lock()
 	s.addr, s.httpServer, s.listener, s.bootedAt, s.draining = listener.Addr().String(), server, capped, time.Now(), false
 	s.mu.Unlock()
-	go func() { _ = server.Serve(capped) }() // always returns an error: http.ErrServerClosed after close
+	go func() { _ = server.Serve(capped) }() // returns http.ErrServerClosed after close
 	return nil
 }
 
-// close closes the listener and all connections.
+// close closes the listener and all connections. It does nothing if the server is down.
 func (s *Server) close() {
 	s.mu.Lock()
 	server := s.httpServer
@@ -119,19 +119,17 @@
 	}
 }
 
-// count calls change with the counts, under the lock.
+// count changes the counts under the lock.
 func (s *Server) count(change func(*Stats)) {
 	s.mu.Lock()
 	change(&s.stats)
 	s.mu.Unlock()
 }
 
-// isDraining reports whether the server rejects new requests.
 func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
-// milliseconds returns a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -11,7 +11,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// testConfig returns the configuration of a small fleet with faults.
+// testConfig returns the configuration of a small fleet with a schedule of faults.
 func testConfig(t *testing.T, policy Policy, schedule string) Config {
 	t.Helper()
 	defaults := operatorfile.Default().Lab
@@ -35,8 +35,8 @@
 	return s
 }
 
-// Two runs with the same seed write the same series.
-func TestRunsAreReproducible(t *testing.T) {
+// Two runs of the same configuration and seed write the same series, byte for byte.
+func TestSameSeedSameRun(t *testing.T) {
 	var a, b bytes.Buffer
 	for _, series := range []*bytes.Buffer{&a, &b} {
 		newSim(t, testConfig(t, Module, testFaults), series).Run()
@@ -46,7 +46,7 @@
 	}
 }
 
-// testFaults is a schedule with faults of each kind.
+// testFaults is a schedule with a restart, resets, lost responses and slow servers.
 const testFaults = `
 [[fault]]
 kind = "restart"
@@ -73,9 +73,8 @@
 x = 8
 `
 
-// With restarts, resets, lost responses and slow servers every request ends, and no unsafe request is executed twice. This
-// holds for the engine and for both baselines.
-func TestFaultsLeaveNoRequestOpenOrExecutedTwice(t *testing.T) {
+// Under testFaults every request gets a response and no unsafe request is executed twice, with each policy.
+func TestFaultsLeaveNoRequestOpenAndNoSecondExecution(t *testing.T) {
 	for _, policy := range []Policy{Module, RoundRobin, LeastBusy} {
 		t.Run(string(policy), func(t *testing.T) {
 			totals := newSim(t, testConfig(t, policy, testFaults), nil).Run()
@@ -83,14 +82,13 @@
 				t.Errorf("%+v", totals)
 			}
 			if totals.Outcomes["broken"] == 0 && policy != Module {
-				t.Errorf("the faults broke nothing: %+v", totals.Outcomes)
+				t.Errorf("no request failed: %+v", totals.Outcomes)
 			}
 		})
 	}
 }
 
-// An invalid configuration is a *ConfigError.
-func TestInvalidConfig(t *testing.T) {
+func TestBadConfigIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Config)
@@ -107,7 +105,7 @@
 			_, err := New(cfg, NewRecorder(nil))
 			var bad *ConfigError
 			if !errors.As(err, &bad) {
-				t.Fatalf("taken, or with another error: %v", err)
+				t.Fatalf("not a *ConfigError: %v", err)
 			}
 			if bad.Error() != c.text {
 				t.Errorf("the error is %q", bad)
@@ -116,8 +114,8 @@
 	}
 }
 
-// BenchmarkFleet300 simulates 300 nodes and 200 servers with the engine, for ten virtual seconds with 20,000 requests per
-// second. It reports virtual seconds per real second.
+// BenchmarkFleet300 measures the model's speed: 300 nodes and 200 servers with the engine, ten virtual seconds at 20,000
+// requests/s. It reports virtual seconds per real second.
 func BenchmarkFleet300(b *testing.B) {
 	defaults := operatorfile.Default().Lab
 	server, traffic := defaults.Emulator, defaults.Load
@@ -132,9 +130,9 @@
 	}
 }
 
-// The platform's rule 3: no attempt is sent to a draining server later than 500 ms after the notification. The baseline
-// RoundRobin ignores notifications and proves that the check can fail.
-func TestNoAttemptToDrainedServer(t *testing.T) {
+// The engine sends no attempt to a draining server later than 500 ms after the notice of the drain (rule 3 of the
+// platform). RoundRobin ignores the notice, which shows that the check can fail.
+func TestNothingNewToADrainedServer(t *testing.T) {
 	const drains = `
 [[fault]]
 kind = "drain"
