--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -74,28 +74,60 @@
 	countSlack = 50 * time.Millisecond  // allowed on top of a limit before a violation is counted
 )
 
+// FlagError is the error of a flag whose value is out of range.
+type FlagError struct {
+	Flag  string
+	Value any
+	Range string // of valid values
+}
+
+// Error names the flag, the value and the valid range.
+func (e *FlagError) Error() string {
+	return fmt.Sprintf("%s: %v is out of range: %s", e.Flag, e.Value, e.Range)
+}
+
 // Check sets defaults and returns an error that names the first flag with an invalid value.
 func (c *Config) Check() error {
 	c.fillDefaults()
+	if c.Program == "" {
+		return errors.New("no program to start")
+	}
 	for _, fault := range c.Faults {
 		if !slices.Contains(Faults, fault) {
 			return fmt.Errorf("fault %q: one of %s", fault, strings.Join(Faults, ", "))
 		}
 	}
-	if err := c.checkSizes(); err != nil {
-		return err
-	}
-	switch {
-	case !within(c.SimulatedRate, 0, 1e4) || !within(c.DirectShare, 0, 1) || c.Rate == 0 || !within(c.Rate, 0, 1e4):
-		return errors.New("rate: above 0 to 10000 requests/s, simulated-rate: 0 to 10000, direct: 0 to 1")
-	case c.Duration < time.Second || c.TimeLimit < c.Duration:
-		return errors.New("for: a second at least, and not more than the hard stop")
-	case c.Sockets < 64 || c.MemoryMB < 16:
-		return errors.New("sockets: 64 at least, memory-mb: 16 at least")
+	for _, check := range c.rangeChecks() {
+		if !check.valid {
+			return &check.FlagError
+		}
 	}
 	return nil
 }
 
+// rangeCheck is the check of a flag's value.
+type rangeCheck struct {
+	FlagError
+	valid bool
+}
+
+// rangeChecks returns the checks of all numeric flags, after fillDefaults.
+func (c *Config) rangeChecks() []rangeCheck {
+	return []rangeCheck{
+		{FlagError{"real", c.Real, "1 to 64 nodes"}, c.Real >= 1 && c.Real <= 64},
+		{FlagError{"nodes", c.Nodes, "real and simulated nodes at least, 32768 at most"}, c.Nodes >= c.liveNodes() && c.Nodes <= 1<<15},
+		{FlagError{"servers", c.Servers, "1 to 131072"}, c.Servers >= 1 && c.Servers <= 1<<17},
+		{FlagError{"tenants", c.Tenants, "1 to 1048576"}, c.Tenants >= 1 && c.Tenants <= 1<<20},
+		{FlagError{"rate", c.Rate, "above 0 to 10000 requests/s"}, c.Rate != 0 && within(c.Rate, 0, 1e4)},
+		{FlagError{"simulated-rate", c.SimulatedRate, "0 to 10000 requests/s"}, within(c.SimulatedRate, 0, 1e4)},
+		{FlagError{"direct", c.DirectShare, "0 to 1"}, within(c.DirectShare, 0, 1)},
+		{FlagError{"for", c.Duration, "1s to the hard stop"}, c.Duration >= time.Second && c.TimeLimit >= c.Duration},
+		{FlagError{"sockets", c.Sockets, "64 at least"}, c.Sockets >= 64},
+		{FlagError{"memory-mb", c.MemoryMB, "16 at least"}, c.MemoryMB >= 16},
+	}
+}
+
+// fillDefaults replaces the values that stand for defaults.
 func (c *Config) fillDefaults() {
 	if c.Simulated < 0 {
 		c.Simulated = max(0, c.Nodes-c.Real)
@@ -112,22 +144,6 @@
 	}
 }
 
-func (c *Config) checkSizes() error {
-	switch {
-	case c.Program == "":
-		return errors.New("no program to start")
-	case c.Real < 1 || c.Real > 64:
-		return errors.New("real: 1 to 64 nodes")
-	case c.Nodes < c.Real+c.Simulated || c.Nodes > 1<<15:
-		return errors.New("nodes: real and simulated ones at least, 32768 at most")
-	case c.Servers < 1 || c.Servers > 1<<17:
-		return errors.New("servers: 1 to 131072")
-	case c.Tenants < 1 || c.Tenants > 1<<20:
-		return errors.New("tenants: 1 to 1048576")
-	}
-	return nil
-}
-
 // within reports whether v is in the range [least, most]. It is false for a NaN.
 func within(v, least, most float64) bool { return v >= least && v <= most }
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"math"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -15,9 +16,13 @@
 		"nodes:":       func(c *Config) { c.Simulated = 900 },
 		"servers:":     func(c *Config) { c.Servers = 0 },
 		"tenants:":     func(c *Config) { c.Tenants = 0 },
-		"rate:":        func(c *Config) { c.Rate = 0 },
+		"rate: 0":      func(c *Config) { c.Rate = 0 },
 		"for:":         func(c *Config) { c.Duration = 0 },
-		"sockets:":     func(c *Config) { c.Sockets = 3 },
+		"sockets: 3 ":  func(c *Config) { c.Sockets = 3 },
+
+		"simulated-rate: NaN": func(c *Config) { c.SimulatedRate = math.NaN() },
+		"direct: 1.5":         func(c *Config) { c.DirectShare = 1.5 },
+		"memory-mb: 15":       func(c *Config) { c.MemoryMB = 15 },
 	} {
 		c := Default()
 		c.Program = "cherrygap"
