--- a/internal/lab/load/fileformat_test.go
+++ b/internal/lab/load/fileformat_test.go
@@ -7,8 +7,7 @@
 	"testing"
 	"time"
 
-	hdr "github.com/HdrHistogram/hdrhistogram-go"
-
+	"cherrygap/internal/lab/histogram"
 	"cherrygap/internal/lab/report"
 )
 
@@ -16,8 +15,8 @@
 func TestSeriesFileFormat(t *testing.T) {
 	var out bytes.Buffer
 	generator := &Generator{
-		Series: &out, result: Result{Latency: hdr.New(1, maxMicros, 3), Lag: hdr.New(1, maxMicros, 3), Sent: 10, ClientRetries: 1},
-		second: secondCounts{latency: hdr.New(1, maxMicros, 3), sent: 10, lagMicros: 1500},
+		Series: &out, result: Result{Latency: histogram.New(), Lag: histogram.New(), Sent: 10, ClientRetries: 1},
+		second: secondCounts{latency: histogram.New(), sent: 10, lagMicros: 1500},
 	}
 	for o, n := range []int{4, 3, 2, 1} {
 		for k := range n {
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -18,6 +18,7 @@
 	"sync"
 	"time"
 
+	"cherrygap/internal/lab/histogram"
 	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
@@ -55,8 +56,8 @@
 		}}
 	}
 	g.rng = rand.New(rand.NewPCG(g.Seed, requestStream))
-	g.result = Result{Latency: newHistogram(), Lag: newHistogram()}
-	g.second = secondCounts{latency: newHistogram()}
+	g.result = Result{Latency: histogram.New(), Lag: histogram.New()}
+	g.second = secondCounts{latency: histogram.New()}
 	start := time.Now()
 	plan := Plan(g.Cfg, g.Seed)
 	var wg sync.WaitGroup
@@ -121,15 +122,15 @@
 
 // recordSent counts a request that is due, and draws its random part.
 func (g *Generator) recordSent(a Arrival, due time.Time) drawnRequest {
-	lag := time.Since(due).Microseconds()
+	lag := time.Since(due)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	drawn := drawnRequest{id: g.rng.Uint64()}
 	drawn.retries = g.rng.Float64() < g.Cfg.RetryProbability
-	recordMicros(g.result.Lag, lag)
+	histogram.Record(g.result.Lag, lag)
 	g.result.Sent++
 	g.second.sent++
-	g.second.lagMicros = max(g.second.lagMicros, lag)
+	g.second.lagMicros = max(g.second.lagMicros, lag.Microseconds())
 	if a.ClientRetry {
 		g.result.ClientRetries++
 	}
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -5,6 +5,8 @@
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
+
+	"cherrygap/internal/lab/histogram"
 )
 
 // Outcome is the outcome of a request at its client.
@@ -67,8 +69,8 @@
 // Summary returns the summary of the result.
 func (r Result) Summary() Summary {
 	return Summary{
-		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: quantileMs(r.Latency, 50),
-		P99Ms: quantileMs(r.Latency, 99), P999Ms: quantileMs(r.Latency, 99.9), LagP99Ms: quantileMs(r.Lag, 99), Behind: r.Behind,
+		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: histogram.QuantileMs(r.Latency, 50),
+		P99Ms: histogram.QuantileMs(r.Latency, 99), P999Ms: histogram.QuantileMs(r.Latency, 99.9), LagP99Ms: histogram.QuantileMs(r.Lag, 99), Behind: r.Behind,
 	}
 }
 
@@ -98,8 +100,8 @@
 	g.result.Outcomes[outcome]++
 	g.second.outcomes[outcome]++
 	if outcome == Completed {
-		recordMicros(g.result.Latency, latency.Microseconds())
-		recordMicros(g.second.latency, latency.Microseconds())
+		histogram.Record(g.result.Latency, latency)
+		histogram.Record(g.second.latency, latency)
 	}
 }
 
@@ -123,32 +125,11 @@
 	defer g.mu.Unlock()
 	counts := &g.second
 	line := Second{
-		T: g.seconds, Sent: counts.sent, Outcomes: counts.outcomes.byName(), P50Ms: quantileMs(counts.latency, 50),
-		P95Ms: quantileMs(counts.latency, 95), P99Ms: quantileMs(counts.latency, 99), LagMs: float64(counts.lagMicros) / 1e3,
+		T: g.seconds, Sent: counts.sent, Outcomes: counts.outcomes.byName(), P50Ms: histogram.QuantileMs(counts.latency, 50),
+		P95Ms: histogram.QuantileMs(counts.latency, 95), P99Ms: histogram.QuantileMs(counts.latency, 99), LagMs: float64(counts.lagMicros) / 1e3,
 	}
 	g.seconds++
 	counts.latency.Reset()
 	*counts = secondCounts{latency: counts.latency}
 	return line
 }
-
-const (
-	// maxMicros is the largest value of the histograms: 10 minutes, in microseconds.
-	maxMicros = 10 * 60 * 1e6
-	// significantDigits is the precision of the histograms, in decimal digits.
-	significantDigits = 3
-)
-
-// newHistogram returns an empty histogram of times in microseconds.
-func newHistogram() *hdr.Histogram { return hdr.New(1, maxMicros, significantDigits) }
-
-// recordMicros records a time in microseconds, clamped to 1 to maxMicros.
-func recordMicros(h *hdr.Histogram, micros int64) { _ = h.RecordValue(min(max(micros, 1), maxMicros)) }
-
-// quantileMs returns a quantile in milliseconds, or 0 for an empty histogram.
-func quantileMs(h *hdr.Histogram, percent float64) float64 {
-	if h.TotalCount() == 0 {
-		return 0
-	}
-	return float64(h.ValueAtQuantile(percent)) / 1e3
-}
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -7,6 +7,8 @@
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
+
+	"cherrygap/internal/lab/histogram"
 )
 
 // requestOutcome is the kind of a request's end for its client.
@@ -83,14 +85,11 @@
 	err error // first error of writing the series
 }
 
-// maxLatencyMicros is the upper bound of recorded latencies, ten minutes. Longer ones count as ten minutes.
-const maxLatencyMicros = 10 * 60 * 1e6
-
 // NewRecorder returns a recorder that writes the series to w (nil for none).
 func NewRecorder(w io.Writer) *Recorder {
 	return &Recorder{
 		Series: w, startedAt: time.Now(),
-		latencies: hdr.New(1, maxLatencyMicros, 3), secondLatencies: hdr.New(1, maxLatencyMicros, 3),
+		latencies: histogram.New(), secondLatencies: histogram.New(),
 	}
 }
 
@@ -122,9 +121,8 @@
 	r.outcomes[outcome]++
 	r.secondOutcomes[outcome]++
 	if outcome == outcomeCompleted {
-		micros := min(max((now-req.arrivedAt).Microseconds(), 1), maxLatencyMicros)
-		_ = r.latencies.RecordValue(micros) // within the histogram's range
-		_ = r.secondLatencies.RecordValue(micros)
+		histogram.Record(r.latencies, now-req.arrivedAt)
+		histogram.Record(r.secondLatencies, now-req.arrivedAt)
 	}
 }
 
@@ -138,7 +136,7 @@
 func (r *Recorder) endSecond(now time.Duration, servers fleetSample) {
 	line := Second{
 		T: r.seconds, Arrived: r.secondArrived, Outcomes: byKey(r.secondOutcomes),
-		P50Ms: quantileMs(r.secondLatencies, 50), P95Ms: quantileMs(r.secondLatencies, 95), P99Ms: quantileMs(r.secondLatencies, 99),
+		P50Ms: histogram.QuantileMs(r.secondLatencies, 50), P95Ms: histogram.QuantileMs(r.secondLatencies, 95), P99Ms: histogram.QuantileMs(r.secondLatencies, 99),
 		LoadMean: servers.loadMean, LoadMax: servers.loadMax,
 		Open: r.open, Twice: r.executedTwice, ServersUp: servers.serversUp,
 	}
@@ -164,7 +162,7 @@
 	t := Totals{
 		Policy: string(r.policy), Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(),
 		Requests: r.total, Outcomes: byKey(r.outcomes),
-		P50Ms: quantileMs(r.latencies, 50), P99Ms: quantileMs(r.latencies, 99),
+		P50Ms: histogram.QuantileMs(r.latencies, 50), P99Ms: histogram.QuantileMs(r.latencies, 99),
 		Twice: r.executedTwice, Unanswered: r.open, LateToDrained: r.lateToDrained,
 		Events: events, RealSeconds: realSeconds,
 	}
@@ -185,11 +183,3 @@
 	}
 	return keyed
 }
-
-// quantileMs returns a percentile of latencies, in ms; 0 if there are none.
-func quantileMs(latencies *hdr.Histogram, percentile float64) float64 {
-	if latencies.TotalCount() == 0 {
-		return 0
-	}
-	return float64(latencies.ValueAtQuantile(percentile)) / 1e3
-}
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -14,6 +14,7 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
+	"cherrygap/internal/lab/histogram"
 	"cherrygap/internal/protocol"
 )
 
@@ -45,7 +46,7 @@
 
 func newClientSimulator(cfg *Config, nodes []*realNode, servers []string) *clientSimulator {
 	return &clientSimulator{
-		cfg: cfg, nodes: nodes, servers: servers, lag: newHistogram(),
+		cfg: cfg, nodes: nodes, servers: servers, lag: histogram.New(),
 		populations: assignTenants(*cfg, func(node int) bool { return node < cfg.Real }),
 		nodeConns:   newConnPool(cfg.Real * cfg.Sockets / 2),
 		serverConns: newConnPool(maxDirectConns),
@@ -62,7 +63,7 @@
 func (c *clientSimulator) recordLag(due time.Time) {
 	late := time.Since(due)
 	c.mu.Lock()
-	recordMicros(c.lag, late)
+	histogram.Record(c.lag, late)
 	c.mu.Unlock()
 }
 
@@ -70,7 +71,7 @@
 func (c *clientSimulator) lagP99() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return quantileMs(c.lag, 99)
+	return histogram.QuantileMs(c.lag, 99)
 }
 
 // generate sends the requests of one node's clients until ctx ends. While the node accepts no clients, they send to
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"cherrygap/internal/lab/histogram"
 )
 
 // behindLagMs is the 99th percentile of the lag above which a generator of requests is behind, as in `lab load`.
@@ -63,7 +65,7 @@
 
 // collectRequests sums the clients' counts. The latencies exclude the first section, which is the warm-up.
 func (r *Result) collectRequests(sections []section) {
-	viaNode, direct := newHistogram(), newHistogram()
+	viaNode, direct := histogram.New(), histogram.New()
 	for i, s := range sections {
 		r.Sent += s.sent.Load()
 		r.Completed += s.completed.Load()
@@ -85,8 +87,8 @@
 		}
 	}
 	r.Direct = direct.TotalCount()
-	r.ViaNodeP50, r.ViaNodeP99 = quantileMs(viaNode, 50), quantileMs(viaNode, 99)
-	r.DirectP50, r.DirectP99 = quantileMs(direct, 50), quantileMs(direct, 99)
+	r.ViaNodeP50, r.ViaNodeP99 = histogram.QuantileMs(viaNode, 50), histogram.QuantileMs(viaNode, 99)
+	r.DirectP50, r.DirectP99 = histogram.QuantileMs(direct, 50), histogram.QuantileMs(direct, 99)
 	r.AddedP50, r.AddedP99 = r.ViaNodeP50-r.DirectP50, r.ViaNodeP99-r.DirectP99
 }
 
@@ -214,3 +216,12 @@
 	r.LoadMax = loads[len(loads)-1] / r.LoadMean
 	r.LoadP99 = loads[min(len(loads)*99/100, len(loads)-1)] / r.LoadMean
 }
+
+// medianAndMax returns the median and the maximum of v, which it sorts; 0 if v is empty.
+func medianAndMax(v []float64) (median, most float64) {
+	if len(v) == 0 {
+		return 0, 0
+	}
+	slices.Sort(v)
+	return v[len(v)/2], v[len(v)-1]
+}
--- a/internal/lab/scale/nodesreport.go
+++ b/internal/lab/scale/nodesreport.go
@@ -7,6 +7,8 @@
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
+
+	"cherrygap/internal/lab/histogram"
 )
 
 const answerCheckInterval = 10 * time.Millisecond
@@ -29,7 +31,7 @@
 // newRequestCounts returns counts of 0.
 func newRequestCounts() requestCounts {
 	return requestCounts{
-		latency: newHistogram(), totalLatency: newHistogram(), lag: newHistogram(), timerLag: newHistogram(),
+		latency: histogram.New(), totalLatency: histogram.New(), lag: histogram.New(), timerLag: histogram.New(),
 	}
 }
 
@@ -43,7 +45,7 @@
 		return false
 	}
 	c.section.Sent++
-	recordMicros(c.lag, time.Since(due))
+	histogram.Record(c.lag, time.Since(due))
 	c.inFlight.Add(1)
 	return true
 }
@@ -62,8 +64,8 @@
 	switch status {
 	case http.StatusOK:
 		c.section.Completed++
-		recordMicros(c.latency, took)
-		recordMicros(c.totalLatency, took)
+		histogram.Record(c.latency, took)
+		histogram.Record(c.totalLatency, took)
 	case http.StatusServiceUnavailable:
 		c.section.Rejected++
 	default:
@@ -75,7 +77,7 @@
 func (c *requestCounts) recordTimerLag(due time.Time) {
 	late := time.Since(due)
 	c.countMu.Lock()
-	recordMicros(c.timerLag, late)
+	histogram.Record(c.timerLag, late)
 	c.countMu.Unlock()
 }
 
@@ -84,7 +86,7 @@
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
 	section := c.section
-	section.P50, section.P99 = quantileMs(c.latency, 50), quantileMs(c.latency, 99)
+	section.P50, section.P99 = histogram.QuantileMs(c.latency, 50), histogram.QuantileMs(c.latency, 99)
 	c.total.add(section)
 	c.section = nodesSection{}
 	c.latency.Reset()
@@ -108,8 +110,8 @@
 	}
 	f.countMu.Lock()
 	r.nodesSection = f.total
-	r.P50, r.P99 = quantileMs(f.totalLatency, 50), quantileMs(f.totalLatency, 99)
-	r.LagP99, r.TimerLagP99 = quantileMs(f.lag, 99), quantileMs(f.timerLag, 99)
+	r.P50, r.P99 = histogram.QuantileMs(f.totalLatency, 50), histogram.QuantileMs(f.totalLatency, 99)
+	r.LagP99, r.TimerLagP99 = histogram.QuantileMs(f.lag, 99), histogram.QuantileMs(f.timerLag, 99)
 	f.countMu.Unlock()
 	f.listMu.Lock()
 	r.Lists = f.applied
--- a/internal/lab/scale/sectioncounts.go
+++ b/internal/lab/scale/sectioncounts.go
@@ -7,6 +7,8 @@
 	"time"
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
+
+	"cherrygap/internal/lab/histogram"
 )
 
 // sectionCounts counts the clients' requests of one section. Latencies count from a request's due time.
@@ -29,7 +31,7 @@
 
 // newSectionCounts returns the counts of a section that begins now.
 func newSectionCounts(name string) *sectionCounts {
-	return &sectionCounts{name: name, startedAt: time.Now(), viaNode: newHistogram(), direct: newHistogram()}
+	return &sectionCounts{name: name, startedAt: time.Now(), viaNode: histogram.New(), direct: histogram.New()}
 }
 
 // recordAnswer counts a node's response by its HTTP status.
@@ -41,7 +43,7 @@
 	case http.StatusOK:
 		s.completed.Add(1)
 		s.mu.Lock()
-		recordMicros(s.viaNode, took)
+		histogram.Record(s.viaNode, took)
 		s.mu.Unlock()
 	case http.StatusServiceUnavailable:
 		s.rejected.Add(1)
@@ -55,7 +57,7 @@
 // recordDirect records the latency of a direct request.
 func (s *sectionCounts) recordDirect(took time.Duration) {
 	s.mu.Lock()
-	recordMicros(s.direct, took)
+	histogram.Record(s.direct, took)
 	s.mu.Unlock()
 }
 
@@ -66,8 +68,8 @@
 	section := Section{
 		Name: s.name, DurationS: s.endedAt.Sub(s.startedAt).Seconds(), Sent: s.sent.Load(), Completed: s.completed.Load(),
 		Rejected: s.rejected.Load(), Failed: s.failed.Load(), Unanswered: s.unanswered.Load(),
-		P50: quantileMs(s.viaNode, 50), P99: quantileMs(s.viaNode, 99), Direct: s.direct.TotalCount(),
-		DirectP50: quantileMs(s.direct, 50), DirectP99: quantileMs(s.direct, 99),
+		P50: histogram.QuantileMs(s.viaNode, 50), P99: histogram.QuantileMs(s.viaNode, 99), Direct: s.direct.TotalCount(),
+		DirectP50: histogram.QuantileMs(s.direct, 50), DirectP99: histogram.QuantileMs(s.direct, 99),
 	}
 	section.AddedP50, section.AddedP99 = section.P50-section.DirectP50, section.P99-section.DirectP99
 	return section
