--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -135,7 +135,7 @@
 func (f *Fleet) transitions() (out []transition) {
 	for _, s := range f.Servers {
 		for _, fault := range s.schedule.Faults {
-			if !fault.hits(s.id) {
+			if !fault.Affects(s.id) {
 				continue
 			}
 			switch fault.Kind {
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"cherrygap/internal/lab/appserver"
+	"cherrygap/internal/operatorfile"
 	"cherrygap/internal/protocol"
 )
 
@@ -41,11 +42,11 @@
 		http.NotFound(w, r)
 		return
 	}
-	if plan.draining || hasKind(plan.faults, Refuse) {
+	if plan.draining || HasKind(plan.faults, Refuse) {
 		s.reject(w)
 		return
 	}
-	if hasKind(plan.faults, Silence) {
+	if HasKind(plan.faults, Silence) {
 		s.count(func(c *Stats) { c.Unanswered++ })
 		<-r.Context().Done() // the client closes the connection; the request was not executed
 		return
@@ -93,15 +94,18 @@
 			faults = append(faults, fault)
 		}
 	}
-	return requestPlan{faults: faults, serviceTime: s.drawServiceTime(units, faults), draining: s.draining}
+	serviceTime := DrawServiceTime(s.cfg, s.rng, units, time.Since(s.bootedAt), faults)
+	return requestPlan{faults: faults, serviceTime: serviceTime, draining: s.draining}
 }
 
-// drawServiceTime draws a log-normal time for a weight in units. The time is longer during warm-up and under slow faults.
-// The caller holds mu.
-func (s *Server) drawServiceTime(units float64, faults []Fault) time.Duration {
-	ms := s.cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(s.cfg.Spread*s.rng.NormFloat64())
-	if up := time.Since(s.bootedAt).Seconds(); s.cfg.WarmupS > 0 && up < s.cfg.WarmupS {
-		ms *= 1 + (s.cfg.WarmupFactor-1)*(1-up/s.cfg.WarmupS)
+// DrawServiceTime draws a log-normal service time of a request with a weight in units. The time is longer while uptime, the
+// time since the server's start, is within the warm-up, and under slow faults.
+func DrawServiceTime(
+	cfg operatorfile.Emulator, rng *rand.Rand, units float64, uptime time.Duration, faults []Fault,
+) time.Duration {
+	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.Spread*rng.NormFloat64())
+	if up := uptime.Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
+		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
 	for _, fault := range faults {
 		if fault.Kind == Slow {
@@ -152,20 +156,20 @@
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
 	body := "done " + id + "\n"
 	switch {
-	case hasKind(faults, LoseAnswer):
+	case HasKind(faults, LoseAnswer):
 		s.count(func(c *Stats) { c.AnswersLost++ })
 		<-r.Context().Done()
 		return
-	case hasKind(faults, Error):
+	case HasKind(faults, Error):
 		s.count(func(c *Stats) { c.Errors++ })
 		s.addLoadReport(w)
 		http.Error(w, "error", http.StatusInternalServerError)
 		return
-	case hasKind(faults, Reset):
+	case HasKind(faults, Reset):
 		s.count(func(c *Stats) { c.Resets++ })
 		resetMidBody(w, body)
 		return
-	case hasKind(faults, Malform):
+	case HasKind(faults, Malform):
 		s.count(func(c *Stats) { c.Malformed++ })
 		body = "done " + strconv.FormatUint(rand.Uint64(), 16) + "\n"
 	default:
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -37,8 +37,8 @@
 	maxFactor          = 1000
 )
 
-// everyServer is the Server of a fault that affects all servers.
-const everyServer = -1
+// EveryServer is the Server of a fault that affects all servers.
+const EveryServer = -1
 
 // Fault is one entry of a schedule.
 type Fault struct {
@@ -58,15 +58,15 @@
 	return time.Duration((f.StartS + f.DurationS) * float64(time.Second))
 }
 
-// hits reports whether the fault affects a server.
-func (f Fault) hits(server int) bool { return f.Server == everyServer || f.Server == server }
+// Affects reports whether the fault affects the server with a number.
+func (f Fault) Affects(server int) bool { return f.Server == EveryServer || f.Server == server }
 
 // check returns an error that names the first key whose value is out of range.
 func (f Fault) check(servers int) error {
 	switch {
 	case !slices.Contains(kinds, f.Kind):
 		return fmt.Errorf("kind %q is unknown", f.Kind)
-	case f.Server < everyServer || f.Server >= servers:
+	case f.Server < EveryServer || f.Server >= servers:
 		return fmt.Errorf("server %d is not one of 0 to %d (or -1)", f.Server, servers-1)
 	case !(f.StartS >= 0) || !(f.DurationS > 0): // true for a NaN as well
 		return errors.New("at_s must be 0 or more and for_s above 0")
@@ -144,14 +144,14 @@
 		if f.Start() > since {
 			break
 		}
-		if f.hits(server) && since < f.End() {
+		if f.Affects(server) && since < f.End() {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-// hasKind reports whether one of the faults is of a kind.
-func hasKind(faults []Fault, kind Kind) bool {
+// HasKind reports whether one of the faults is of a kind.
+func HasKind(faults []Fault, kind Kind) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return f.Kind == kind })
 }
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -36,7 +36,7 @@
 	attempt      *attempt         // eventWorkDone, eventTimeout, eventResult
 	outcome      protocol.Outcome // eventResult
 	request      *request         // eventRetry, eventClientTimeout
-	server       int              // eventServerDown, eventServerUp, eventDrain, eventDrainNotified: allServers for all
+	server       int              // eventServerDown, eventServerUp, eventDrain, eventDrainNotified: emulator.EveryServer for all
 }
 
 // eventQueue is a heap of events by time and number. It implements heap.Interface.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"math"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
@@ -13,12 +12,6 @@
 	"cherrygap/internal/routing"
 )
 
-// allServers is the number that stands for all servers in events and faults.
-const allServers = -1
-
-// minUnits is the smallest weight, in units, that scales the service time, as in package emulator.
-const minUnits = 0.1
-
 // server is a simulated app server with the configuration Config.Server.
 type server struct {
 	id              int
@@ -92,10 +85,10 @@
 	sv := a.server
 	faults := s.activeFaults(sv)
 	switch {
-	case hasFault(faults, emulator.Refuse):
+	case emulator.HasKind(faults, emulator.Refuse):
 		s.answer(a, protocol.Overloaded, s.cfg.RTT)
 		return
-	case hasFault(faults, emulator.Silence):
+	case emulator.HasKind(faults, emulator.Silence):
 		return
 	}
 	a.deadline = a.request.deadline
@@ -111,21 +104,16 @@
 
 // begin begins the work on an attempt. The service time is log-normal, and longer during warm-up and under slow faults.
 func (s *Sim) begin(a *attempt, faults []emulator.Fault) {
-	sv, cfg := a.server, s.cfg.Server
+	sv := a.server
 	sv.inWork++
 	a.inWork = true
 	a.request.begun++
 	s.recorder.begun(a.request)
 	units := s.cfg.Traffic.Classes[a.request.class].Units
-	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.Spread*sv.random.NormFloat64())
-	if up := (s.now - sv.startedAt).Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
-		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
-	}
+	serviceTime := emulator.DrawServiceTime(s.cfg.Server, sv.random, units, s.now-sv.startedAt, faults)
 	a.outcome = protocol.Completed
 	for _, f := range faults {
 		switch f.Kind {
-		case emulator.Slow:
-			ms *= f.Factor
 		case emulator.Error:
 			a.outcome = protocol.Errored
 		case emulator.Reset:
@@ -136,7 +124,7 @@
 			a.lost = true
 		}
 	}
-	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
+	s.schedule(&event{at: s.now + serviceTime + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
 }
 
 // workDone ends the work on an attempt, answers it, and begins queued attempts.
@@ -170,9 +158,9 @@
 	}
 }
 
-// serversOf returns the server with a number, or all servers for allServers.
+// serversOf returns the server with a number, or all servers for emulator.EveryServer.
 func (s *Sim) serversOf(number int) []*server {
-	if number == allServers {
+	if number == emulator.EveryServer {
 		return s.servers
 	}
 	if i := slices.IndexFunc(s.servers, func(sv *server) bool { return sv.id == number }); i >= 0 {
@@ -228,7 +216,7 @@
 func (s *Sim) activeFaults(sv *server) []emulator.Fault {
 	var active []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
-		if f.Kind == emulator.Restart || (f.Server != allServers && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
+		if f.Kind == emulator.Restart || !f.Affects(sv.id) || s.now < f.Start() || s.now >= f.End() {
 			continue
 		}
 		if f.Probability >= 1 || sv.random.Float64() < f.Probability {
@@ -237,8 +225,3 @@
 	}
 	return active
 }
-
-// hasFault reports whether one of the faults is of a kind.
-func hasFault(faults []emulator.Fault, kind emulator.Kind) bool {
-	return slices.ContainsFunc(faults, func(f emulator.Fault) bool { return f.Kind == kind })
-}
