--- a/internal/lab/nodeprocess/process.go
+++ b/internal/lab/nodeprocess/process.go
@@ -39,11 +39,14 @@
 	Killed             // it did not end in time after the signal
 )
 
+// LogPath returns the path of the log file of the processes with a name in dir.
+func LogPath(dir, name string) string { return filepath.Join(dir, name+".log") }
+
 // Start starts a process whose standard error is appended to its log file. The process has its own process group, so that
 // a terminal's interrupt reaches only the laboratory, which then stops its children in order. The kernel kills the process
 // if the laboratory itself is killed. The goroutine that waits for the process ends with it.
 func Start(command Command) (*Process, error) {
-	logPath := filepath.Join(command.Dir, command.Name+".log")
+	logPath := LogPath(command.Dir, command.Name)
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("start of %s: %w", command.Name, err)
