--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -84,6 +84,7 @@
 	Err   error // names the key and its value
 }
 
+// Error returns the entry's number and the cause.
 func (e *FaultError) Error() string { return fmt.Sprintf("fault %d: %v", e.Index, e.Err) }
 
 // Unwrap returns Err.
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -126,10 +126,12 @@
 	s.mu.Unlock()
 }
 
+// isDraining reports whether the server rejects new requests.
 func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
+// milliseconds converts a number of milliseconds.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -42,10 +42,15 @@
 // eventQueue is a heap of events by time and number. It implements heap.Interface.
 type eventQueue []*event
 
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
+
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
--- a/internal/lab/nodeprocess/node.go
+++ b/internal/lab/nodeprocess/node.go
@@ -25,6 +25,7 @@
 	LogLine string        // the last one
 }
 
+// Error names the node and the last line of its log.
 func (e *NotReadyError) Error() string {
 	if e.Exited {
 		return fmt.Sprintf("%s ended during its start: %s", e.Name, e.LogLine)
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -44,6 +44,7 @@
 	lag *hdr.Histogram // delay of requests behind their due time, µs
 }
 
+// newClientSimulator returns the clients of nodes. They send nothing before generate is called and sending is true.
 func newClientSimulator(cfg *Config, nodes []*realNode, servers []string) *clientSimulator {
 	return &clientSimulator{
 		cfg: cfg, nodes: nodes, servers: servers, lag: histogram.New(),
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// collectConfig sets the sizes of the run.
 func (r *Result) collectConfig(cfg *Config) {
 	r.Nodes, r.Real, r.Simulated = cfg.Nodes, cfg.Real, cfg.Simulated
 	r.Servers, r.Tenants, r.Seed = cfg.Servers, cfg.Tenants, cfg.Seed
--- a/internal/lab/scale/connpool.go
+++ b/internal/lab/scale/connpool.go
@@ -29,6 +29,7 @@
 	return &clientConn{conn: conn, reader: bufio.NewReaderSize(conn, connReadBufferBytes), reusable: true}, nil
 }
 
+// close closes the connection.
 func (c *clientConn) close() { _ = c.conn.Close() }
 
 // clientAnswer is the response to a request.
--- a/internal/lab/scale/descriptors.go
+++ b/internal/lab/scale/descriptors.go
@@ -52,6 +52,7 @@
 	Flag    string // lowers the need
 }
 
+// Error names the process, its need, the limit and the flag.
 func (e *DescriptorError) Error() string {
 	return fmt.Sprintf("%s need %d descriptors in one process, which may have %d (ulimit -n): lower %s",
 		e.Process, e.Need, e.Limit, e.Flag)
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -68,6 +68,7 @@
 	return serveCommands(decoder, out, addresses, f.execute)
 }
 
+// newNodeFleet returns a fleet without nodes and sockets.
 func newNodeFleet() *nodeFleet {
 	return &nodeFleet{
 		serverNumbers: map[netip.AddrPort]int{},
--- a/internal/lab/scale/nodesprotocol.go
+++ b/internal/lab/scale/nodesprotocol.go
@@ -13,10 +13,10 @@
 const (
 	nodesStart   nodesVerb = "start"   // start all nodes, with the addresses in Real and Agent
 	nodesReady   nodesVerb = "ready"   // wait until all nodes have their first endpoint list
-	nodesSend    nodesVerb = "load"    // begin to send requests
+	nodesSend    nodesVerb = "send"    // begin to send requests
 	nodesDead    nodesVerb = "dead"    // Servers fail from now on
 	nodesAlive   nodesVerb = "alive"   // Servers answer again
-	nodesRestart nodesVerb = "roll"    // stop Nodes for Ms, then start them
+	nodesRestart nodesVerb = "restart" // stop Nodes for Ms, then start them
 	nodesCut     nodesVerb = "section" // return the counts since the last section
 	nodesResult  nodesVerb = "report"  // stop sending and return all counts
 )
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -130,6 +130,20 @@
 	{"EXEC", "-ERR EXEC without MULTI\r\n"},
 }
 
+// checkReplies sends the commands of cases, each with its expected reply, over one connection.
+func checkReplies(t *testing.T, server *Server, cases [][2]string) {
+	t.Helper()
+	commands := make([]string, len(cases))
+	for k, row := range cases {
+		commands[k] = row[0]
+	}
+	for k, got := range conversation(t, server.Addr(), commands) {
+		if got != cases[k][1] {
+			t.Errorf("%q: %q, want %q", cases[k][0], got, cases[k][1])
+		}
+	}
+}
+
 // Each command gets a reply with the expected bytes.
 func TestReplyWireFormat(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
@@ -137,16 +151,7 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	table := replyCases
-	commands := make([]string, len(table))
-	for k, row := range table {
-		commands[k] = row[0]
-	}
-	for k, got := range conversation(t, server.Addr(), commands) {
-		if got != table[k][1] {
-			t.Errorf("%q: %q, want %q", table[k][0], got, table[k][1])
-		}
-	}
+	checkReplies(t, server, replyCases)
 	counts := fmt.Sprint(server.Applied())
 	if want := "map[BAD:1 CLIENT:2 DEL:2 EXPIRE:4 FLY:1 GET:8 HELLO:1 HGETALL:4 HSET:5 INCRBY:6 PEXPIRE:2 PING:2 SELECT:1 SET:5 SETNX:3]"; counts != want {
 		t.Errorf("counted %s, want %s", counts, want)
@@ -166,7 +171,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	table := [][2]string{
+	checkReplies(t, server, [][2]string{
 		{"SET a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"SETNX a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"INCRBY a 1", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
@@ -178,16 +183,7 @@
 		{"SET a 1", "+QUEUED\r\n"},
 		{"EXEC", "-EXECABORT Transaction discarded because of: OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		{"EXEC", "-ERR EXEC without MULTI\r\n"},
-	}
-	commands := make([]string, len(table))
-	for k, row := range table {
-		commands[k] = row[0]
-	}
-	for k, got := range conversation(t, server.Addr(), commands) {
-		if got != table[k][1] {
-			t.Errorf("%q: %q, want %q", table[k][0], got, table[k][1])
-		}
-	}
+	})
 }
 
 // faultCount returns the number of active faults.
