--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -46,18 +46,18 @@
 // succeeded records an answer of the authorizer.
 func (b *breaker) succeeded() { b.consecutiveFailures = 0 }
 
-// failed records a failed check of a class, and reports whether the breaker opens. Failures of checks that were already in
-// flight when the breaker opened do not prolong the open time.
+// failed records a failed check of a class, and reports whether the breaker opens. Failures while the breaker is open, of
+// checks that began before, do not count.
 func (b *breaker) failed(now, latencyObjective time.Duration) (opened bool) {
-	b.consecutiveFailures++
-	if b.tripped() && now >= b.openUntil {
-		doublings := min(b.consecutiveFailures-maxFailures, maxOpenDoublings)
-		openTime := firstOpenTimeouts * timeoutObjectives * float64(latencyObjective) * math.Exp2(float64(doublings))
-		b.openUntil = now + min(time.Duration(openTime), maxOpenTime)
-		return true
+	if b.tripped() && now < b.openUntil {
+		return false
 	}
-	if b.consecutiveFailures > maxFailures {
-		b.consecutiveFailures--
+	b.consecutiveFailures++
+	if !b.tripped() || now < b.openUntil {
+		return false
 	}
-	return false
+	doublings := min(b.consecutiveFailures-maxFailures, maxOpenDoublings)
+	openTime := firstOpenTimeouts * timeoutObjectives * float64(latencyObjective) * math.Exp2(float64(doublings))
+	b.openUntil = now + min(time.Duration(openTime), maxOpenTime)
+	return true
 }
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,5 +1,4 @@
-// Package healthcheck distributes the health checks of app servers, and other periodic checks, among the edge nodes of a
-// fleet. It decides which node runs a check, and when.
+// Package healthcheck distributes the health checks of app servers among the edge nodes of a fleet. It decides which node runs a check, and when.
 //
 // The owner of a check is the first member in the check's rendezvous order that internal/membership considers alive. While
 // members fail and rejoin, the next member is a backup owner. The result of each run is gossiped. Thus every node learns the
@@ -33,9 +32,9 @@
 const (
 	// CheckServer is the health check of an app server.
 	CheckServer Kind = iota + 1
-	// CheckList is the refresh of a list.
+	// CheckList is not in use. Its number is reserved.
 	CheckList
-	// CheckCounter is the call of the counter service for a group of customers.
+	// CheckCounter is not in use. Its number is reserved.
 	CheckCounter
 
 	lastKind = CheckCounter
@@ -64,7 +63,7 @@
 type StepKind uint8
 
 const (
-	// Send asks the host to send Text to node To.
+	// Send asks the host to send Payload to node To.
 	Send StepKind = iota + 1
 	// Run asks the host to run Check within Timeout, and to report the result with CheckEnded.
 	Run
@@ -76,7 +75,7 @@
 type Step struct {
 	Kind    StepKind
 	To      NodeID
-	Text    []byte // valid until the next call of any method
+	Payload []byte // valid until the next call of any method
 	Check   Check
 	Timeout time.Duration
 	OK      bool
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -23,7 +23,7 @@
 	firstRunSlots = 1024
 	// backupDelayIntervals is the delay of the backup owner's run after the primary owner's, in intervals.
 	backupDelayIntervals = 0.25
-	// sameRunDivisor bounds the difference between two reported times of one run to period/sameRunDivisor.
+	// sameRunDivisor sets when two reports are about the same run: if their times differ by period/sameRunDivisor at most.
 	sameRunDivisor = 8
 )
 
@@ -109,12 +109,12 @@
 		s.checks[i].listed = true
 	}
 	listed := s.checks[:0]
-	for _, t := range s.checks {
-		if t.listed {
-			s.index[t.check] = len(listed)
-			listed = append(listed, t)
+	for _, c := range s.checks {
+		if c.listed {
+			s.index[c.check] = len(listed)
+			listed = append(listed, c)
 		} else {
-			delete(s.index, t.check)
+			delete(s.index, c.check)
 		}
 	}
 	s.checks, s.checksChanged = listed, true
@@ -137,16 +137,15 @@
 	if !known {
 		return
 	}
-	t := &s.checks[i]
-	t.running, t.lastRunAt = false, now
+	s.checks[i].running, s.checks[i].lastRunAt = false, now
 	s.members.Publish(membership.Event{Kind: uint8(c.Kind), ID: uint64(c.ID), OK: ok, At: now})
 }
 
 // ReceivePeerMessage processes a peer message of node from. An error wraps ErrMalformed. A message with an error changes
 // only the counters.
-func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, text []byte) error {
+func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, payload []byte) error {
 	s.advance(now)
-	return s.members.Receive(now, from, text, s.receiveEvent)
+	return s.members.Receive(now, from, payload, s.receiveEvent)
 }
 
 // receiveEvent processes the result of a run at another node. It reports whether the run is a new one.
@@ -162,9 +161,9 @@
 }
 
 // dueAt returns the time of this node's next run of a check that it owns.
-func (s *Scheduler) dueAt(t *checkState) time.Duration {
-	at := t.lastRunAt + s.interval
-	if t.ownership != PrimaryOwner {
+func (s *Scheduler) dueAt(c *checkState) time.Duration {
+	at := c.lastRunAt + s.interval
+	if c.ownership != PrimaryOwner {
 		at += time.Duration(backupDelayIntervals * float64(s.interval))
 	}
 	return at
@@ -179,28 +178,28 @@
 		return step, true
 	}
 	if message, ok := s.members.Next(now); ok {
-		return Step{Kind: Send, To: message.To, Text: message.Text}, true
+		return Step{Kind: Send, To: message.To, Payload: message.Payload}, true
 	}
 	s.updateOwnership()
 	for i := range s.checks {
-		if t := &s.checks[i]; t.awaitsRun() && now >= s.dueAt(t) {
-			return s.run(t), true
+		if c := &s.checks[i]; c.awaitsRun() && now >= s.dueAt(c) {
+			return s.run(c), true
 		}
 	}
 	return Step{}, false
 }
 
 // awaitsRun reports whether this node owns the check and is not running it.
-func (t *checkState) awaitsRun() bool { return t.ownership != NotOwner && !t.running }
+func (c *checkState) awaitsRun() bool { return c.ownership != NotOwner && !c.running }
 
 // run starts a run of a check.
-func (s *Scheduler) run(t *checkState) Step {
-	t.running = true
+func (s *Scheduler) run(c *checkState) Step {
+	c.running = true
 	s.counters.Checks++
-	if t.ownership == BackupOwner {
+	if c.ownership == BackupOwner {
 		s.counters.BackupChecks++
 	}
-	return Step{Kind: Run, Check: t.check, Timeout: s.members.Period()}
+	return Step{Kind: Run, Check: c.check, Timeout: s.members.Period()}
 }
 
 // Wake returns the time from now until the latest next call of Next, provided that the host reports nothing before. It is
@@ -209,8 +208,8 @@
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
 	for i := range s.checks {
-		if t := &s.checks[i]; t.awaitsRun() {
-			at = min(at, s.dueAt(t))
+		if c := &s.checks[i]; c.awaitsRun() {
+			at = min(at, s.dueAt(c))
 		}
 	}
 	return max(at-now, time.Millisecond)
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -59,7 +59,7 @@
 	switch step.Kind {
 	case Send:
 		if to := f.nodes[step.To]; to != nil {
-			if err := to.ReceivePeerMessage(f.now, id, slices.Clone(step.Text)); err != nil {
+			if err := to.ReceivePeerMessage(f.now, id, slices.Clone(step.Payload)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/healthcheck/wireformat_test.go
+++ b/internal/healthcheck/wireformat_test.go
@@ -25,7 +25,7 @@
 func sends(node *Scheduler, at time.Duration) (list []string) {
 	for decision, ok := node.Next(at); ok; decision, ok = node.Next(at) {
 		if decision.Kind == Send {
-			list = append(list, fmt.Sprintf("%d:%x", decision.To, decision.Text))
+			list = append(list, fmt.Sprintf("%d:%x", decision.To, decision.Payload))
 		}
 	}
 	return list
@@ -213,7 +213,7 @@
 			for decision, ok := node.Next(p.now); ok; decision, ok = node.Next(p.now) {
 				switch decision.Kind {
 				case Send:
-					p.send(i, int(decision.To), append([]byte(nil), decision.Text...))
+					p.send(i, int(decision.To), append([]byte(nil), decision.Payload...))
 				case Run:
 					p.write("%d runs %d/%d within %v", i, decision.Check.Kind, decision.Check.ID, decision.Timeout)
 					if i != p.idle {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -153,7 +153,7 @@
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
 		switch step.Kind {
 		case healthcheck.Send:
-			s.send(id, int(step.To), slices.Clone(step.Text))
+			s.send(id, int(step.To), slices.Clone(step.Payload))
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/idStep), id)
 			s.queue.schedule(event{at: s.now + checkDuration, kind: endCheck, node: id, incarnation: n.incarnation, check: step.Check})
--- a/internal/lab/scale/node.go
+++ b/internal/lab/scale/node.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return
 		}
-		if from, ok := n.fleet.peerTable.NumberOf(addr, size); ok {
+		if from, ok := n.fleet.peerTable.SenderOf(addr, size); ok {
 			n.receive(from, buffer[:size])
 		}
 	}
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -91,57 +91,57 @@
 	age   time.Duration // eventPart: time from the event to the sending of the message
 
 	first  NodeID // bitmapPart: the member of the first bit
-	bitmap []byte // bitmapPart: refers to the message's text
+	bitmap []byte // bitmapPart: refers to the message's payload
 }
 
 // appendHeader appends a header to a message.
-func appendHeader(text []byte, h header) []byte {
-	text = append(text, MessageMark, byte(h.kind))
-	text = binary.AppendUvarint(text, h.sequence)
-	text = binary.BigEndian.AppendUint32(text, h.deadHash)
+func appendHeader(payload []byte, h header) []byte {
+	payload = append(payload, MessageMark, byte(h.kind))
+	payload = binary.AppendUvarint(payload, h.sequence)
+	payload = binary.BigEndian.AppendUint32(payload, h.deadHash)
 	if h.kind == pingRequest {
-		text = binary.AppendUvarint(text, uint64(h.target))
+		payload = binary.AppendUvarint(payload, uint64(h.target))
 	}
-	return text
+	return payload
 }
 
 // appendMemberUpdate appends a memberPart to a message.
-func appendMemberUpdate(text []byte, u memberUpdate) []byte {
-	text = append(text, byte(memberPart))
-	text = binary.AppendUvarint(text, uint64(u.id)<<stateBits|uint64(u.state))
-	return binary.AppendUvarint(text, uint64(u.incarnation))
+func appendMemberUpdate(payload []byte, u memberUpdate) []byte {
+	payload = append(payload, byte(memberPart))
+	payload = binary.AppendUvarint(payload, uint64(u.id)<<stateBits|uint64(u.state))
+	return binary.AppendUvarint(payload, uint64(u.incarnation))
 }
 
 // appendEvent appends an eventPart to a message. age replaces e.At, which other nodes' clocks do not share.
-func appendEvent(text []byte, e Event, age time.Duration) []byte {
+func appendEvent(payload []byte, e Event, age time.Duration) []byte {
 	okBit := byte(0)
 	if e.OK {
 		okBit = 1
 	}
-	text = append(text, byte(eventPart), e.Kind<<1|okBit)
-	text = binary.AppendUvarint(text, e.ID)
-	return binary.AppendUvarint(text, uint64(age/eventAgeUnit))
+	payload = append(payload, byte(eventPart), e.Kind<<1|okBit)
+	payload = binary.AppendUvarint(payload, e.ID)
+	return binary.AppendUvarint(payload, uint64(age/eventAgeUnit))
 }
 
 // appendBitmap appends a bitmapPart to a message. first is the member of the first bit.
-func appendBitmap(text []byte, first NodeID, bitmap []byte) []byte {
-	text = append(text, byte(bitmapPart))
-	text = binary.AppendUvarint(text, uint64(first))
-	text = binary.AppendUvarint(text, uint64(len(bitmap)))
-	return append(text, bitmap...)
+func appendBitmap(payload []byte, first NodeID, bitmap []byte) []byte {
+	payload = append(payload, byte(bitmapPart))
+	payload = binary.AppendUvarint(payload, uint64(first))
+	payload = binary.AppendUvarint(payload, uint64(len(bitmap)))
+	return append(payload, bitmap...)
 }
 
 // decode decodes a message of a fleet. nodes is the fleet's size, eventKinds is Config.EventKinds. An error wraps
 // ErrMalformed.
-func decode(text []byte, nodes int, eventKinds uint8) (message, error) {
-	if len(text) < 2 || len(text) > MaxMessageSize {
-		return message{}, fmt.Errorf("%w: size of %d bytes", ErrMalformed, len(text))
+func decode(payload []byte, nodes int, eventKinds uint8) (message, error) {
+	if len(payload) < 2 || len(payload) > MaxMessageSize {
+		return message{}, fmt.Errorf("%w: size of %d bytes", ErrMalformed, len(payload))
 	}
-	if text[0] != MessageMark {
-		return message{}, fmt.Errorf("%w: mark %#x", ErrMalformed, text[0])
+	if payload[0] != MessageMark {
+		return message{}, fmt.Errorf("%w: mark %#x", ErrMalformed, payload[0])
 	}
-	r := reader{rest: text[2:], nodes: nodes, eventKinds: eventKinds}
-	m := message{header: r.header(messageKind(text[1]))}
+	r := reader{rest: payload[2:], nodes: nodes, eventKinds: eventKinds}
+	m := message{header: r.header(messageKind(payload[1]))}
 	for r.err == nil && len(r.rest) > 0 {
 		m.parts = append(m.parts, r.part())
 	}
@@ -180,7 +180,7 @@
 // node reads the number of a node of the fleet.
 func (r *reader) node() NodeID { return NodeID(r.uvarint("node", uint64(r.nodes))) }
 
-// bytes reads size bytes. The result refers to the message's text; it is nil after an error.
+// bytes reads size bytes. The result refers to the message's payload; it is nil after an error.
 func (r *reader) bytes(field string, size int) []byte {
 	if r.err != nil || size > len(r.rest) {
 		r.fail(field)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -95,22 +95,22 @@
 
 // appendTo appends updates to a message until it is full, and returns the message. It removes the updates that have been
 // sent maxSends times. rounds is Protocol.GossipRounds.
-func (q *gossipQueue) appendTo(text []byte, now time.Duration, rounds float64) []byte {
+func (q *gossipQueue) appendTo(payload []byte, now time.Duration, rounds float64) []byte {
 	q.sort()
 	for i := range q.updates {
-		if len(text)+maxUpdateSize > MaxMessageSize {
+		if len(payload)+maxUpdateSize > MaxMessageSize {
 			break
 		}
 		u := &q.updates[i]
 		u.sent++
 		if !u.isEvent() {
-			text = appendMemberUpdate(text, u.member)
+			payload = appendMemberUpdate(payload, u.member)
 		} else if age := now - u.event.At; age <= maxEventAge {
-			text = appendEvent(text, u.event, age)
+			payload = appendEvent(payload, u.event, age)
 		}
 	}
 	q.updates = slices.DeleteFunc(q.updates, func(u update) bool { return float64(u.sent) >= u.maxSends(rounds) })
-	return text
+	return payload
 }
 
 // sort orders the queue: members before events, then the least sent first, then the order of arrival.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -70,25 +70,25 @@
 	period   time.Duration // time between two pings of this node
 	counters Counters
 
-	members      []member // by NodeID; the entry of this node holds its own incarnation
-	version      uint64   // incremented with each change of a member's state
-	deadHash     uint32   // hash of the set of dead members; each message carries it
-	receivedNone bool     // no valid message was received yet
-	gossip       gossipQueue
-	budget       byteBudget
-	outbox       []outgoing // messages that Next has not returned yet
-	writeBuffer  []byte     // of the last message; reused by the next one
-	probes       []pendingPing
-	lastSequence uint64 // of the last ping sent
-	nextPingAt   time.Duration
-	pingOrder    []int // members in the order in which they are pinged; shuffled for each pass
-	pingIndex    int   // into pingOrder: the next member
+	members              []member // by NodeID; the entry of this node holds its own incarnation
+	version              uint64   // incremented with each change of a member's state
+	deadHash             uint32   // hash of the set of dead members; each message carries it
+	awaitingFirstMessage bool     // no valid message was received yet
+	gossip               gossipQueue
+	budget               byteBudget
+	outbox               []outgoing // messages that Next has not returned yet
+	writeBuffer          []byte     // of the last message; reused by the next one
+	probes               []probe
+	lastSequence         uint64 // of the last ping sent
+	nextPingAt           time.Duration
+	pingOrder            []int // members in the order in which they are pinged; shuffled for each pass
+	pingIndex            int   // into pingOrder: the next member
 }
 
 // Message is a datagram to be sent.
 type Message struct {
-	To   NodeID
-	Text []byte // valid until the next call of any method
+	To      NodeID
+	Payload []byte // valid until the next call of any method
 }
 
 // New returns a Protocol that considers every other member alive. now is the time since any origin. The times of later
@@ -96,13 +96,13 @@
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
-		cfg:          cfg,
-		now:          now,
-		random:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
-		members:      make([]member, cfg.Nodes),
-		period:       pingPeriod(cfg.ReceiveRate),
-		budget:       byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
-		receivedNone: true,
+		cfg:                  cfg,
+		now:                  now,
+		random:               rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
+		members:              make([]member, cfg.Nodes),
+		period:               pingPeriod(cfg.ReceiveRate),
+		budget:               byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
+		awaitingFirstMessage: true,
 	}
 	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingDivisor)))
 	p.deadHash = p.hashDead()
@@ -143,12 +143,12 @@
 // Next returns the next message to send. It returns false if there is none at the time now.
 func (p *Protocol) Next(now time.Duration) (Message, bool) {
 	p.Advance(now)
-	p.probe()
+	p.runProbes()
 	for len(p.outbox) > 0 {
 		next := p.outbox[0]
 		p.outbox = p.outbox[1:]
-		if text := p.encode(next); text != nil {
-			return Message{To: next.to, Text: text}, true
+		if payload := p.encode(next); payload != nil {
+			return Message{To: next.to, Payload: payload}, true
 		}
 	}
 	return Message{}, false
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -42,7 +42,7 @@
 }
 
 func (f *fleet) deliver(from NodeID, m Message) {
-	_ = f.nodes[m.To].Receive(f.now, from, slices.Clone(m.Text), func(e Event) bool {
+	_ = f.nodes[m.To].Receive(f.now, from, slices.Clone(m.Payload), func(e Event) bool {
 		isNew := !slices.ContainsFunc(f.got[m.To], func(known Event) bool { return known.Kind == e.Kind && known.ID == e.ID })
 		if isNew {
 			f.got[m.To] = append(f.got[m.To], e)
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -25,35 +25,36 @@
 		p.counters.Withheld++
 		return nil
 	}
-	text := appendHeader(p.writeBuffer[:0], header{kind: o.kind, sequence: o.sequence, deadHash: p.deadHash, target: o.target})
+	payload := appendHeader(p.writeBuffer[:0], header{kind: o.kind, sequence: o.sequence, deadHash: p.deadHash, target: o.target})
 	if m := &p.members[o.to]; m.state != Alive { // only the receiver can refute its own suspicion or death
-		text = appendMemberUpdate(text, memberUpdate{id: o.to, state: m.state, incarnation: m.incarnation})
+		payload = appendMemberUpdate(payload, memberUpdate{id: o.to, state: m.state, incarnation: m.incarnation})
 	}
 	if o.withBitmap {
-		text = p.appendDead(text)
+		payload = p.appendDead(payload)
 	}
 	for _, id := range o.members {
-		if len(text)+maxUpdateSize <= MaxMessageSize {
+		if len(payload)+maxUpdateSize <= MaxMessageSize {
 			m := &p.members[id]
-			text = appendMemberUpdate(text, memberUpdate{id: id, state: min(m.state, Suspect), incarnation: m.incarnation})
+			state := min(m.state, Suspect) // an object message sends dead members as suspect, see object
+			payload = appendMemberUpdate(payload, memberUpdate{id: id, state: state, incarnation: m.incarnation})
 		}
 	}
-	text = p.gossip.appendTo(text, p.now, p.GossipRounds())
-	p.writeBuffer = text
-	p.budget.spend(len(text))
+	payload = p.gossip.appendTo(payload, p.now, p.GossipRounds())
+	p.writeBuffer = payload
+	p.budget.spend(len(payload))
 	p.counters.Sent++
-	p.counters.SentBytes += int64(len(text))
-	return text
+	p.counters.SentBytes += int64(len(payload))
+	return payload
 }
 
 // appendDead appends the set of dead members. In a fleet of more than 8*maxBitmapSize nodes it appends a random section.
-func (p *Protocol) appendDead(text []byte) []byte {
+func (p *Protocol) appendDead(payload []byte) []byte {
 	first, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
 	if sections := (p.cfg.Nodes + count - 1) / count; sections > 1 {
 		first = p.random.IntN(sections) * count
 		count = min(count, p.cfg.Nodes-first)
 	}
-	return appendBitmap(text, NodeID(first), p.deadBitmap(NodeID(first), count))
+	return appendBitmap(payload, NodeID(first), p.deadBitmap(NodeID(first), count))
 }
 
 // Publish gossips an event to the other nodes. It replaces an earlier event of the same subject.
@@ -62,15 +63,15 @@
 // Receive processes a message of member from. For each event in the message it calls deliver, with At by this node's clock.
 // If deliver reports that the event is new, the event is gossiped further. An error wraps ErrMalformed. A message with an
 // error changes only the counters.
-func (p *Protocol) Receive(now time.Duration, from NodeID, text []byte, deliver func(Event) (isNew bool)) error {
+func (p *Protocol) Receive(now time.Duration, from NodeID, payload []byte, deliver func(Event) (isNew bool)) error {
 	p.Advance(now)
-	m, err := p.decodeFrom(from, text)
+	m, err := p.decodeFrom(from, payload)
 	if err != nil {
 		p.counters.Malformed++
 		return err
 	}
 	p.counters.Received++
-	p.receivedNone = false
+	p.awaitingFirstMessage = false
 	disputed := p.receiveParts(from, m, deliver)
 	if len(disputed) > 0 {
 		p.send(outgoing{to: from, kind: object, members: disputed})
@@ -83,8 +84,8 @@
 }
 
 // decodeFrom decodes a message and checks that its sender is another member.
-func (p *Protocol) decodeFrom(from NodeID, text []byte) (message, error) {
-	m, err := decode(text, p.cfg.Nodes, p.cfg.EventKinds)
+func (p *Protocol) decodeFrom(from NodeID, payload []byte) (message, error) {
+	m, err := decode(payload, p.cfg.Nodes, p.cfg.EventKinds)
 	if err != nil {
 		return message{}, err
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -30,14 +30,14 @@
 	randomAliveDraws = 8
 )
 
-// pendingPing is a ping without an ack.
-type pendingPing struct {
-	target    NodeID
-	sequence  uint64
-	requester pingRequester
-	directEnd time.Duration // time of the indirect pings
-	end       time.Duration // time at which the target becomes suspect
-	indirect  bool          // whether the indirect pings were sent
+// probe is a ping that was sent and has no ack yet.
+type probe struct {
+	target       NodeID
+	sequence     uint64
+	requester    pingRequester
+	indirectAt   time.Duration // time of the indirect pings
+	endAt        time.Duration // time at which the target becomes suspect, or at which the ping for a requester is dropped
+	indirectSent bool          // whether the indirect pings were sent
 }
 
 // pingRequester is the member that asked for a ping with a pingRequest.
@@ -50,15 +50,15 @@
 var noRequester = pingRequester{node: noNode}
 
 // dueAt returns the time of the next timeout of the ping.
-func (p *pendingPing) dueAt() time.Duration {
-	if p.indirect {
-		return p.end
+func (p *probe) dueAt() time.Duration {
+	if p.indirectSent {
+		return p.endAt
 	}
-	return p.directEnd
+	return p.indirectAt
 }
 
-// probe handles the timeouts of pings and suspicions, and sends the pings of a period once it is due.
-func (p *Protocol) probe() {
+// runProbes handles the timeouts of probes and suspicions, and sends the pings of a period once it is due.
+func (p *Protocol) runProbes() {
 	if p.cfg.Nodes < 2 {
 		p.nextPingAt = p.now + p.period
 		return
@@ -79,13 +79,13 @@
 	for _, probe := range p.probes {
 		switch {
 		case probe.requester != noRequester:
-			if p.now >= probe.end {
+			if p.now >= probe.endAt {
 				continue // the requester has its own timeout
 			}
-		case !probe.indirect && p.now >= probe.directEnd:
-			probe.indirect = true
+		case !probe.indirectSent && p.now >= probe.indirectAt:
+			probe.indirectSent = true
 			p.requestPings(&probe)
-		case p.now >= probe.end:
+		case p.now >= probe.endAt:
 			p.suspect(probe.target)
 			continue
 		}
@@ -102,7 +102,7 @@
 }
 
 // requestPings asks up to indirectProbes random members to ping the target of a probe.
-func (p *Protocol) requestPings(probe *pendingPing) {
+func (p *Protocol) requestPings(probe *probe) {
 	for range indirectProbes {
 		if helper := p.randomAlive(probe.target); helper != noNode {
 			p.send(outgoing{to: helper, kind: pingRequest, sequence: probe.sequence, target: probe.target})
@@ -124,7 +124,7 @@
 // started considers dead members alive, so several pings reach a live one sooner.
 func (p *Protocol) pingNext() {
 	pings := 1
-	if p.receivedNone {
+	if p.awaitingFirstMessage {
 		pings = initialPings
 	}
 	for range pings {
@@ -182,12 +182,12 @@
 // ping pings a member and adds a pending ping. requester is noRequester if this node itself starts the ping.
 func (p *Protocol) ping(target NodeID, requester pingRequester) {
 	p.lastSequence++
-	p.probes = append(p.probes, pendingPing{
-		target:    target,
-		sequence:  p.lastSequence,
-		requester: requester,
-		directEnd: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
-		end:       p.now + p.period,
+	p.probes = append(p.probes, probe{
+		target:     target,
+		sequence:   p.lastSequence,
+		requester:  requester,
+		indirectAt: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
+		endAt:      p.now + p.period,
 	})
 	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
 }
@@ -195,12 +195,12 @@
 // acked removes the pending ping that an ack answers, and forwards the ack to the requester if there is one. An ack from
 // another member than the target is ignored before the indirect pings are sent.
 func (p *Protocol) acked(from NodeID, sequence uint64) {
-	i := slices.IndexFunc(p.probes, func(probe pendingPing) bool { return probe.sequence == sequence })
+	i := slices.IndexFunc(p.probes, func(probe probe) bool { return probe.sequence == sequence })
 	if i < 0 {
 		return
 	}
 	probe := p.probes[i]
-	if probe.target != from && !probe.indirect {
+	if probe.target != from && !probe.indirectSent {
 		return
 	}
 	p.probes = slices.Delete(p.probes, i, i+1)
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -8,7 +8,7 @@
 // sent returns the kinds and the receivers of the messages that a node sends at a time.
 func sent(p *Protocol, now time.Duration) (kinds []messageKind, to []NodeID) {
 	for m, ok := p.Next(now); ok; m, ok = p.Next(now) {
-		kinds, to = append(kinds, messageKind(m.Text[1])), append(to, m.To)
+		kinds, to = append(kinds, messageKind(m.Payload[1])), append(to, m.To)
 	}
 	return kinds, to
 }
@@ -25,7 +25,7 @@
 // A silent member is pinged directly, then by others, then becomes suspect, then dead.
 func TestSilentMemberIsProbedThenSuspectedThenDead(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
-	p.receivedNone = false
+	p.awaitingFirstMessage = false
 	now := p.nextPingAt
 	kinds, to := sent(p, now)
 	if len(kinds) != 1 || kinds[0] != ping || len(p.probes) != 1 {
@@ -36,34 +36,34 @@
 		t.Errorf("due at %v, wake at %v, want %v", probe.dueAt(), p.WakeAt(), due)
 	}
 	checkIndirectPings(t, p, probe)
-	sent(p, probe.end)
+	sent(p, probe.endAt)
 	if p.State(target) != Suspect {
 		t.Fatalf("state %v", p.State(target))
 	}
 	timeout := time.Duration(suspicionPeriodsPerRound * 3 * float64(p.period)) // 4 nodes: three rounds
-	sent(p, probe.end+timeout-1)
+	sent(p, probe.endAt+timeout-1)
 	if p.State(target) != Suspect {
 		t.Errorf("state %v before the end of the suspicion", p.State(target))
 	}
-	sent(p, probe.end+timeout)
+	sent(p, probe.endAt+timeout)
 	if p.State(target) != Dead {
 		t.Errorf("state %v", p.State(target))
 	}
 }
 
 // checkIndirectPings fails the test unless others are asked to ping a silent member, at the end of the direct timeout.
-func checkIndirectPings(t *testing.T, p *Protocol, probe pendingPing) {
+func checkIndirectPings(t *testing.T, p *Protocol, probe probe) {
 	t.Helper()
-	if kinds, _ := sent(p, probe.directEnd-1); len(kinds) > 0 {
+	if kinds, _ := sent(p, probe.indirectAt-1); len(kinds) > 0 {
 		t.Errorf("%v sent before the direct timeout", kinds)
 	}
-	kinds, to := sent(p, probe.directEnd)
+	kinds, to := sent(p, probe.indirectAt)
 	for i, kind := range kinds {
 		if kind != pingRequest || to[i] == probe.target || to[i] == 0 {
 			t.Errorf("kind %d to %d", kind, to[i])
 		}
 	}
-	if len(kinds) == 0 || p.probes[0].dueAt() != probe.end {
+	if len(kinds) == 0 || p.probes[0].dueAt() != probe.endAt {
 		t.Errorf("%d asked, due at %v", len(kinds), p.probes[0].dueAt())
 	}
 }
@@ -83,14 +83,14 @@
 	if len(p.probes) != 2 {
 		t.Error("an ack with an unknown sequence ended a probe")
 	}
-	p.probes[0].indirect = true
+	p.probes[0].indirectSent = true
 	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 1 {
 		t.Error("an ack of another member did not end the probe after the indirect pings")
 	}
 	receive(t, p, 3, header{kind: ack, sequence: 2})
 	m, ok := p.Next(0)
-	if got, err := decode(m.Text, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
+	if got, err := decode(m.Payload, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
 		t.Errorf("to %d %+v, %v", m.To, got, err)
 	}
 }
--- a/internal/peersocket/socket.go
+++ b/internal/peersocket/socket.go
@@ -54,7 +54,7 @@
 			time.Sleep(netio.ErrorPause)
 			continue
 		}
-		if from, ok := s.table.NumberOf(addr, n); ok && handle(from, buf[:n]) {
+		if from, ok := s.table.SenderOf(addr, n); ok && handle(from, buf[:n]) {
 			s.counters.Received.Add(1)
 		} else {
 			s.counters.Dropped.Add(1)
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -19,7 +19,7 @@
 	ConnectionReset
 	// Cancelled is an attempt that the node cancelled.
 	Cancelled
-	// NotSent is an attempt that the node cancelled before it wrote the first byte.
+	// NotSent is an attempt that the node gave up before it wrote the last byte.
 	NotSent
 	// MalformedResponse is an attempt with a response that cannot be parsed.
 	MalformedResponse
--- a/internal/protocol/peertable.go
+++ b/internal/protocol/peertable.go
@@ -35,9 +35,9 @@
 	return t.addrs[peer], true
 }
 
-// NumberOf returns the number of the node that sent a datagram from addr with size bytes. It returns false if addr is not a
+// SenderOf returns the number of the node that sent a datagram from addr with size bytes. It returns false if addr is not a
 // node's address, or if the datagram is empty or larger than MaxDatagram.
-func (t *PeerTable) NumberOf(addr netip.AddrPort, size int) (int, bool) {
+func (t *PeerTable) SenderOf(addr netip.AddrPort, size int) (int, bool) {
 	peer, ok := t.numbers[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 	return peer, ok && size > 0 && size <= MaxDatagram
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -234,7 +234,7 @@
 	a := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.2:1")}
 	p := NewPeerTable(a, netip.MustParseAddrPort("127.0.0.9:1"))
 	for i, addr := range a {
-		if n, ok := p.NumberOf(addr, MaxDatagram); !ok || n != i {
+		if n, ok := p.SenderOf(addr, MaxDatagram); !ok || n != i {
 			t.Errorf("%v is node %d, %v", addr, n, ok)
 		}
 		if to, ok := p.AddrOf(i); !ok || to != addr {
@@ -244,9 +244,9 @@
 	if to, ok := p.AddrOf(-1); !ok || to.String() != "127.0.0.9:1" {
 		t.Errorf("every node is at %v, %v", to, ok)
 	}
-	_, unknown := p.NumberOf(netip.MustParseAddrPort("127.0.0.3:1"), 10)
-	_, long := p.NumberOf(a[0], MaxDatagram+1)
-	_, empty := p.NumberOf(a[0], 0)
+	_, unknown := p.SenderOf(netip.MustParseAddrPort("127.0.0.3:1"), 10)
+	_, long := p.SenderOf(a[0], MaxDatagram+1)
+	_, empty := p.SenderOf(a[0], 0)
 	if _, beyond := p.AddrOf(2); unknown || long || empty || beyond {
 		t.Errorf("accepted: unknown sender %v, long datagram %v, empty datagram %v, node 2 %v", unknown, long, empty, beyond)
 	}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -73,7 +73,7 @@
 	if r.ForNode() {
 		return nil
 	}
-	timeout, weight, err := r.readHeaders(parsed.Header)
+	unparsed, err := r.readHeaders(parsed.Header)
 	if err != nil {
 		return err
 	}
@@ -83,10 +83,10 @@
 	if !validID(r.ID) {
 		return badRequest("malformed " + HeaderRequestID)
 	}
-	if !r.readTimeout(timeout) {
+	if !r.readTimeout(unparsed.timeout) {
 		return badRequest("malformed " + HeaderTimeout)
 	}
-	if !r.readWeight(weight) {
+	if !r.readWeight(unparsed.weight) {
 		return badRequest("malformed " + HeaderWeight)
 	}
 	return nil
@@ -120,17 +120,22 @@
 	return malformed(err)
 }
 
-// readHeaders sets the fields that are headers as they stand. It returns the values of HeaderTimeout and HeaderWeight, which
-// the caller parses.
-func (r *Request) readHeaders(header http.Header) (timeout, weight string, err error) {
+// unparsedHeaders are the values of the headers that must be parsed.
+type unparsedHeaders struct {
+	timeout string // HeaderTimeout
+	weight  string // HeaderWeight
+}
+
+// readHeaders sets the fields that are headers as they stand, and returns the headers that the caller must parse.
+func (r *Request) readHeaders(header http.Header) (unparsedHeaders, error) {
 	h := singleHeaders{header: header}
 	r.ContentType, r.IdempotencyKey = h.get(headerContentType), h.get(headerIdempotencyKey)
 	r.ID, r.Plan = h.get(HeaderRequestID), h.get(HeaderPlan)
-	timeout, weight = h.get(HeaderTimeout), h.get(HeaderWeight)
+	unparsed := unparsedHeaders{timeout: h.get(HeaderTimeout), weight: h.get(HeaderWeight)}
 	if h.err == nil && !printable(r.Host) {
 		h.err = invalidHeader("Host")
 	}
-	return timeout, weight, h.err
+	return unparsed, h.err
 }
 
 // singleHeaders reads headers that may occur at most once.
@@ -214,7 +219,7 @@
 	case len(r.Body) > MaxBody:
 		return errBodyTooLarge
 	case !printable(r.ContentType) || !printable(r.IdempotencyKey) || len(r.ContentType)+len(r.IdempotencyKey) > MaxHead/2:
-		return errOddHeader
+		return errInvalidHeader
 	}
 	return nil
 }
--- a/internal/protocol/requesterror.go
+++ b/internal/protocol/requesterror.go
@@ -45,5 +45,5 @@
 	errMalformedID       = errors.New("malformed id")
 	errMalformedCustomer = errors.New("malformed customer")
 	errMalformedWeight   = errors.New("malformed units or set")
-	errOddHeader         = errors.New("odd type or key")
+	errInvalidHeader     = errors.New("odd type or key")
 )
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// windowBurstTimes is the length of a window, in times that the rate needs to fill the burst.
+	// windowBurstTimes is the length of a window, as a multiple of the time in which the rate fills the burst.
 	windowBurstTimes = 0.5
 	minWindow        = 500 * time.Millisecond
 	maxWindow        = 2 * time.Second
@@ -93,13 +93,14 @@
 // slice returns an equal share of the allowance for each node of the customer's set, in units.
 func (a *account) slice() float64 { return a.allowance / float64(a.customer.Spread) }
 
-// releaseMargin returns the smallest reduction of the cap that is worth an exchange, in units.
+// releaseMargin returns the smallest reduction of the cap that is worth an exchange, in units. All versions of this code
+// multiply before they divide, so that they round it alike.
 func (a *account) releaseMargin() float64 {
 	return releaseMarginSlices * a.allowance / float64(a.customer.Spread)
 }
 
-// begin returns the time at which the account's window began.
-func (a *account) begin() time.Duration { return time.Duration(a.number) * a.windowLength }
+// windowBegin returns the time at which the account's window began.
+func (a *account) windowBegin() time.Duration { return time.Duration(a.number) * a.windowLength }
 
 // wantedCap returns the cap that covers the forecast demand with a margin, in units. It is never below the use so far.
 func (a *account) wantedCap() float64 {
@@ -130,7 +131,7 @@
 
 // startedWithin reports whether this node started within the account's window. The store may then hold entries of this
 // node's previous process.
-func (l *Ledger) startedWithin(a *account) bool { return a.begin() < l.started }
+func (l *Ledger) startedWithin(a *account) bool { return a.windowBegin() < l.started }
 
 // invalidateStored records that the last commitment in the store is unknown. The next exchange puts the cap again.
 func (a *account) invalidateStored() { a.storedCap = math.NaN() }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -50,8 +50,8 @@
 	if late := a.exchangeAt - l.now; late < 0 || late > 100*time.Millisecond { // a twentieth of a window
 		t.Errorf("first exchange %v after the begin of the window", late)
 	}
-	if a.demand.forecast != 7 || a.begin() != 2*time.Second || len(a.others) != 0 {
-		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecast, a.begin(), a.others)
+	if a.demand.forecast != 7 || a.windowBegin() != 2*time.Second || len(a.others) != 0 {
+		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecast, a.windowBegin(), a.others)
 	}
 	a.others = nil
 	want := window{number: 1, allowance: 20, cap: 5, storedCap: 5}
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -97,7 +97,7 @@
 	case a.storedCap == a.cap:
 		return Exchange{}, false
 	}
-	return l.begin(a, put), true
+	return l.beginExchange(a, put), true
 }
 
 // mayBorrow reports whether an account's cap may be raised now. It may not in a window with a proven loss of entries, nor in
@@ -111,8 +111,8 @@
 	return slices.ContainsFunc(l.pending, func(e pendingExchange) bool { return e.key == a.customer.Key })
 }
 
-// begin begins an exchange that puts a commitment to newCap units.
-func (l *Ledger) begin(a *account, newCap float64) Exchange {
+// beginExchange begins an exchange that puts a commitment to newCap units.
+func (l *Ledger) beginExchange(a *account, newCap float64) Exchange {
 	a.sequence++
 	l.lastID++
 	gap := exchangeGapWindows * float64(a.windowLength) * (0.5 + l.random.Float64())
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -19,8 +19,8 @@
 	maxBackoffDoublings = 10
 	// maxBackoffPause is the longest pause.
 	maxBackoffPause = 16 * minWindow
-	// burstsPerSecond is the number of full bursts that the rate limiter refills in a second.
-	burstsPerSecond = 10
+	// burstDivisor is the divisor of the rate that gives the capacity of the token bucket.
+	burstDivisor = 10
 )
 
 // backoff pauses the exchanges with a store that fails. The zero value does not pause.
@@ -60,7 +60,7 @@
 	if r.rate <= 0 {
 		return true
 	}
-	capacity := max(1, r.rate/burstsPerSecond)
+	capacity := max(1, r.rate/burstDivisor)
 	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), capacity)
 	r.refilledAt = now
 	return r.tokens >= 1
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -46,14 +46,14 @@
 
 // applyReply updates an account by the entries of a reply for its current window.
 func (l *Ledger) applyReply(a *account, exchange pendingExchange, entries []Commitment) {
-	own := l.recordEntries(a, entries)
-	if l.hasLostEntries(a, exchange, own) {
+	lastOwn := l.recordEntries(a, entries)
+	if l.hasLostEntries(a, exchange, lastOwn) {
 		a.lossWindow = a.number
 		a.invalidateStored()
 		l.counters.Forgotten++
 		return
 	}
-	a.stored, a.storedCap = own, exchange.put.Cap
+	a.stored, a.storedCap = lastOwn, exchange.put.Cap
 	if exchange.put.Cap > a.cap {
 		l.borrow(a, exchange.put.Cap)
 	}
@@ -61,10 +61,10 @@
 
 // recordEntries records the commitments of the other nodes, and returns the highest sequence of this node. Entries with an
 // invalid node or cap are ignored.
-func (l *Ledger) recordEntries(a *account, entries []Commitment) (own Sequence) {
+func (l *Ledger) recordEntries(a *account, entries []Commitment) (lastOwn Sequence) {
 	for _, entry := range entries {
 		if entry.Node == l.cfg.Self {
-			own = max(own, entry.Sequence)
+			lastOwn = max(lastOwn, entry.Sequence)
 			continue
 		}
 		isNode := entry.Node >= 0 && int(entry.Node) < l.cfg.Nodes
@@ -72,13 +72,13 @@
 			a.others[entry.Node] = entry
 		}
 	}
-	return own
+	return lastOwn
 }
 
 // hasLostEntries reports whether an entry of this node is missing, or the store was first seen after the window had begun.
-// Entries of other nodes may then be missing too. own is the highest sequence of this node in the reply.
-func (l *Ledger) hasLostEntries(a *account, exchange pendingExchange, own Sequence) bool {
-	return own < max(exchange.put.Sequence, a.stored) || a.begin() < l.storeSince
+// Entries of other nodes may then be missing too. lastOwn is the highest sequence of this node in the reply.
+func (l *Ledger) hasLostEntries(a *account, exchange pendingExchange, lastOwn Sequence) bool {
+	return lastOwn < max(exchange.put.Sequence, a.stored) || a.windowBegin() < l.storeSince
 }
 
 // borrow raises the cap to wanted units, or to the units that the other nodes leave. If those are fewer than wanted, the
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -23,8 +23,8 @@
 	maxPollInterval = 100 * time.Millisecond
 )
 
-// Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use. Only Run and Close wait for
-// the store.
+// Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use. Only Close waits for the
+// store.
 type Quotas struct {
 	client    *redis.Client
 	log       *zerolog.Logger
@@ -32,12 +32,13 @@
 	done      chan struct{}  // closed by Close
 	active    sync.WaitGroup // Run and the running exchanges
 
-	mu     sync.Mutex    // guards ledger and down; never held during a call to the store
-	ledger *quota.Ledger // guarded by mu
-	down   bool          // guarded by mu: whether the last exchange failed
+	mu     sync.Mutex // guards ledger and down; never held during a call to the store
+	ledger *quota.Ledger
+	down   bool // whether the last exchange failed
 }
 
-// Open returns the Quotas of a node. addr is the store's "host:port", name the name of the node's connections. Open does not
+// Open returns the Quotas of a node. addr is the store's "host:port", name the client name of the connections
+// (CLIENT SETNAME). Open does not
 // connect; the store may be unreachable. The caller starts Run and calls Close.
 func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	startedAt := time.Now()
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -106,14 +106,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	step, ok = h.scheduler.Next(h.now())
-	step.Text = slices.Clone(step.Text)
+	step.Payload = slices.Clone(step.Payload)
 	return step, ok
 }
 
 func (h *HealthChecker) execute(step healthcheck.Step) {
 	switch step.Kind {
 	case healthcheck.Send:
-		h.send(int(step.To), step.Text)
+		h.send(int(step.To), step.Payload)
 	case healthcheck.Run:
 		go h.check(step)
 	case healthcheck.Ended:
