--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// handleBatch reports all events of a batch to the engines. Then it builds the reply from the decisions of each instance
+// handleBatch passes all events of a batch to the engines. Then it builds the reply from the decisions of each instance
 // that had an event.
 func (a *adapter) handleBatch(batch simproto.Batch) error {
 	a.now = decision.Time(batch.ClockMicros / microsPerTime)
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// handleEvent reports an event to the engine of its instance. An error is a *simproto.FormatError.
+// handleEvent passes an event to the engine of its instance, or starts or removes the instance. An error is a
+// *simproto.FormatError.
 func (a *adapter) handleEvent(record simproto.Record) error {
 	fields := record.Fields
 	instance := instanceID(fields.Uint16())
@@ -159,7 +160,8 @@
 	})
 }
 
-// recoverFault calls f. It turns a panic into an ActionFault of the instance, on which the simulator ends the run.
+// recoverFault calls f. If f panics, it adds an ActionFault of the instance to the reply, at which the simulator ends the
+// run.
 func (a *adapter) recoverFault(instance instanceID, f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -38,7 +38,7 @@
 	ActionReject ActionCode = 1
 	// ActionCancelAttempt ("recall") cancels an attempt.
 	ActionCancelAttempt ActionCode = 2
-	// ActionSendPeerMessage ("write_peer") sends a message to one instance, or to all others.
+	// ActionSendPeerMessage ("write_peer") sends a message to one instance, or to all others (AllPeers).
 	ActionSendPeerMessage ActionCode = 3
 	// ActionLog ("note_down") writes a log line.
 	ActionLog ActionCode = 4
