--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -11,73 +11,64 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Kind is the kind of a fault. The values are those in schedule files.
+// Kind is a kind of fault, by its name in schedule files.
 type Kind string
 
-// Kinds of fault. Restart and Drain affect a whole server, the others each request with a probability.
+// The kinds of fault. Restart and Drain affect the whole server. Each of the others affects a share of the requests for
+// the fault's duration.
 const (
-	// Slow multiplies the service time by Fault.Factor.
-	Slow Kind = "slow"
-	// Error responds with status 500 after the execution.
-	Error Kind = "error"
-	// Reset resets the connection after half of the response's body.
-	Reset Kind = "reset"
-	// Malform responds with status 200 and the body of another request.
-	Malform Kind = "spoil"
-	// Silence reads the request, and neither executes it nor responds.
-	Silence Kind = "silence"
-	// LoseAnswer executes the request and does not respond.
-	LoseAnswer Kind = "lose"
-	// Refuse rejects the request.
-	Refuse Kind = "refuse"
-	// Restart closes the server for the fault's duration. Afterwards the server warms up.
-	Restart Kind = "restart"
-	// Drain starts a graceful shutdown. It does not use Fault.DurationS.
-	Drain Kind = "drain"
+	Slow       Kind = "slow"    // the service time is multiplied by Factor
+	Error      Kind = "error"   // the request is executed, the response is 500
+	Reset      Kind = "reset"   // the request is executed, the connection reset in the middle of the response's body
+	Malform    Kind = "spoil"   // the request is executed, the response is 200 with the body of another request
+	Silence    Kind = "silence" // the request is read, but neither executed nor answered
+	LoseAnswer Kind = "lose"    // the request is executed, but not answered
+	Refuse     Kind = "refuse"  // the request is rejected: 503 with protocol.HeaderRejected
+	Restart    Kind = "restart" // connections are closed and refused for the duration, then the server warms up
+	Drain      Kind = "drain"   // new requests are rejected, those in flight finish; the duration is not used
 )
 
-// kinds are all valid kinds.
 var kinds = []Kind{Slow, Error, Reset, Malform, Silence, LoseAnswer, Refuse, Restart, Drain}
 
-// Limits and defaults of a fault's optional keys.
+// Defaults and bounds of a fault's optional keys.
 const (
 	defaultProbability = 1
 	defaultFactor      = 5
 	maxFactor          = 1000
 )
 
-// everyServer is the Fault.Server of a fault on all servers.
+// everyServer is the Server of a fault that affects all servers.
 const everyServer = -1
 
-// Fault is an entry of a schedule.
+// Fault is one entry of a schedule.
 type Fault struct {
 	Kind        Kind    `toml:"kind"`
-	Server      int     `toml:"server"` // number of the server, or everyServer
-	StartS      float64 `toml:"at_s"`   // seconds since the emulator's start
-	DurationS   float64 `toml:"for_s"`  // seconds, above 0
-	Probability float64 `toml:"p"`      // that a request is affected, above 0 to 1; defaultProbability if missing
-	Factor      float64 `toml:"x"`      // of Slow, 1 to maxFactor; defaultFactor if missing
+	Server      int     `toml:"server"` // number from 0; -1 for every server
+	StartS      float64 `toml:"at_s"`   // seconds after the emulator's start
+	DurationS   float64 `toml:"for_s"`  // seconds
+	Probability float64 `toml:"p"`      // share of the requests that are affected, above 0 to 1 (default 1)
+	Factor      float64 `toml:"x"`      // of Slow: 1 to 1000 (default 5)
 }
 
-// Start returns the time from the emulator's start to the begin of the fault.
+// Start returns when the fault begins, after the emulator's start.
 func (f Fault) Start() time.Duration { return time.Duration(f.StartS * float64(time.Second)) }
 
-// End returns the time from the emulator's start to the end of the fault.
+// End returns when the fault ends, after the emulator's start.
 func (f Fault) End() time.Duration {
 	return time.Duration((f.StartS + f.DurationS) * float64(time.Second))
 }
 
-// hits reports whether a fault affects a server.
+// hits reports whether the fault affects a server.
 func (f Fault) hits(server int) bool { return f.Server == everyServer || f.Server == server }
 
-// check returns an error for the first key with an invalid value. servers is the number of servers.
+// check returns an error that names the first key whose value is out of range.
 func (f Fault) check(servers int) error {
 	switch {
 	case !slices.Contains(kinds, f.Kind):
 		return fmt.Errorf("kind %q is unknown", f.Kind)
 	case f.Server < everyServer || f.Server >= servers:
 		return fmt.Errorf("server %d is not one of 0 to %d (or -1)", f.Server, servers-1)
-	case !(f.StartS >= 0) || !(f.DurationS > 0): // also true for NaN
+	case !(f.StartS >= 0) || !(f.DurationS > 0): // true for a NaN as well
 		return errors.New("at_s must be 0 or more and for_s above 0")
 	case !(f.Probability > 0 && f.Probability <= 1):
 		return fmt.Errorf("p %v is out of range (0, 1]", f.Probability)
@@ -87,25 +78,24 @@
 	return nil
 }
 
-// FaultError is the error for an invalid entry of a schedule.
+// FaultError is the error of an invalid entry of a schedule.
 type FaultError struct {
-	Index int   // number of the entry, from 0
+	Index int   // of the entry, from 0
 	Err   error // names the key and its value
 }
 
-// Error returns the number of the entry and the text of Err.
 func (e *FaultError) Error() string { return fmt.Sprintf("fault %d: %v", e.Index, e.Err) }
 
 // Unwrap returns Err.
 func (e *FaultError) Unwrap() error { return e.Err }
 
-// Schedule is the faults of a run. The zero value has none.
+// Schedule holds the faults of a run.
 type Schedule struct {
 	Faults []Fault `toml:"fault"` // by start
 }
 
-// LoadSchedule reads a schedule file for an emulator with a number of servers: TOML with a `[[fault]]` table for each fault.
-// An error contains the path, and the line of a syntax error. For an invalid entry it wraps a *FaultError.
+// LoadSchedule reads a schedule file (TOML, `[[fault]]` tables) for an emulator of the given number of servers. Errors name
+// the file and the line of a syntax error, or wrap a *FaultError that names the entry.
 func LoadSchedule(path string, servers int) (Schedule, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +108,7 @@
 	return s, nil
 }
 
-// ParseSchedule parses the text of a schedule file. Its errors are those of LoadSchedule without the path.
+// ParseSchedule parses the text of a schedule file; see LoadSchedule.
 func ParseSchedule(text string, servers int) (Schedule, error) {
 	var s Schedule
 	meta, err := toml.Decode(text, &s)
@@ -148,7 +138,7 @@
 	return s, nil
 }
 
-// active returns the faults of a server at a time since the emulator's start, in the schedule's order.
+// active returns the faults of a server at a time since the emulator's start, by their start.
 func (s Schedule) active(server int, since time.Duration) (out []Fault) {
 	for _, f := range s.Faults {
 		if f.Start() > since {
@@ -161,7 +151,7 @@
 	return out
 }
 
-// hasKind reports whether one of the faults has a kind.
+// hasKind reports whether one of the faults is of a kind.
 func hasKind(faults []Fault, kind Kind) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return f.Kind == kind })
 }
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -9,117 +9,107 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// requestOutcome is the outcome of a request at its client.
+// requestOutcome is the kind of a request's end for its client.
 type requestOutcome uint8
 
 const (
 	outcomeCompleted requestOutcome = iota
 	outcomeRejected
 	outcomeFailed
-	outcomeTimedOut // the client stopped waiting
-	outcomeCount
+	outcomeTimedOut // the client's timeout passed
+	outcomeCount    // number of outcomes
 )
 
-// outcomeKeys are the keys of the outcomes in series and totals. They stay as they are, because reports of all versions share
-// them.
-var outcomeKeys = [outcomeCount]string{
-	outcomeCompleted: "completed", outcomeRejected: "bounced", outcomeFailed: "broken", outcomeTimedOut: "gave_up",
-}
+// outcomeKeys are the keys of the outcomes in series and totals, a stable format.
+var outcomeKeys = [outcomeCount]string{"completed", "bounced", "broken", "gave_up"}
 
-// Second is a line of a run's series (JSON lines). `lab report` reads it. Its keys stay as they are.
+// Second is one line of a run's series (JSON lines). The keys are a stable format, which `lab report` reads.
 type Second struct {
 	T         int              `json:"t"`          // virtual seconds since the start
-	Arrived   int64            `json:"arrived"`    // requests that arrived, including clients' retries
-	Outcomes  map[string]int64 `json:"outcomes"`   // requests that ended, by outcome
-	P50Ms     float64          `json:"p50_ms"`     // quantile of the latency of completed requests, in ms
+	Arrived   int64            `json:"arrived"`    // requests, with client retries
+	Outcomes  map[string]int64 `json:"outcomes"`   // requests that ended in the second, by outcome
+	P50Ms     float64          `json:"p50_ms"`     // latency of completed requests since their arrival
 	P95Ms     float64          `json:"p95_ms"`     // likewise
 	P99Ms     float64          `json:"p99_ms"`     // likewise
-	LoadMean  float64          `json:"load_mean"`  // work of the servers over their concurrency, at the end of the second
-	LoadMax   float64          `json:"load_max"`   // work over concurrency of the busiest server
-	Open      int64            `json:"open"`       // requests that have not ended
-	Twice     int64            `json:"twice"`      // unsafe requests executed more than once since the start
-	ServersUp int              `json:"servers_up"` // at the end of the second
+	LoadMean  float64          `json:"load_mean"`  // attempts at a server over its concurrency, mean, at the second's end
+	LoadMax   float64          `json:"load_max"`   // attempts at the busiest server over its concurrency
+	Open      int64            `json:"open"`       // requests in flight at the second's end
+	Twice     int64            `json:"twice"`      // unsafe requests that were executed more than once, so far
+	ServersUp int              `json:"servers_up"` // at the second's end
 }
 
-// Totals is the summary of a run. Its keys stay as they are.
+// Totals is the summary of a run. The keys are a stable format.
 type Totals struct {
 	Policy            string           `json:"policy"`
 	Nodes             int              `json:"nodes"`
 	Servers           int              `json:"servers"`
 	Seconds           float64          `json:"virtual_s"`
-	Requests          int64            `json:"tickets"` // including clients' retries
+	Requests          int64            `json:"tickets"` // with client retries
 	Outcomes          map[string]int64 `json:"outcomes"`
-	Goodput           float64          `json:"goodput"` // share of completed requests
+	Goodput           float64          `json:"goodput"` // completed over all requests
 	P50Ms             float64          `json:"p50_ms"`
 	P99Ms             float64          `json:"p99_ms"`
-	Twice             int64            `json:"twice"`           // unsafe requests executed more than once; must be 0
-	Unanswered        int64            `json:"unanswered"`      // requests that have not ended; must be 0
-	LateToDrained     int64            `json:"late_to_drained"` // attempts sent more than drainCutoff after a notification; must be 0
+	Twice             int64            `json:"twice"`           // unsafe requests that were executed more than once: must be 0
+	Unanswered        int64            `json:"unanswered"`      // requests in flight at the end: must be 0
+	LateToDrained     int64            `json:"late_to_drained"` // attempts over 500 ms after the notice of a drain: must be 0
 	Events            int64            `json:"events"`
 	RealSeconds       float64          `json:"real_s"`
 	VirtualPerSecond  float64          `json:"virtual_s_per_real_s"`
-	RequestsPerSecond float64          `json:"tickets_per_real_s"`
+	RequestsPerSecond float64          `json:"tickets_per_real_s"` // of real time
 }
 
-// Recorder counts the events of a run and writes its series. It is not safe for concurrent use.
+// Recorder keeps the counts of a run and writes its series. It is used for one run, by one goroutine.
 type Recorder struct {
-	// Series receives the JSON lines; nil for none.
-	Series io.Writer
+	Series io.Writer // gets the JSON lines; nil for none
 
-	policy  Policy
-	nodes   int
-	servers int
-	began   time.Time     // real time of NewRecorder
-	last    time.Duration // virtual time of the last sample
-	seconds int           // number of lines so far
+	policy         Policy
+	nodes, servers int
+	startedAt      time.Time     // in real time
+	last           time.Duration // virtual time of the last sample
+	seconds        int           // lines of the series so far
 
-	open          int64 // requests that have not ended
+	open          int64 // requests in flight
 	total         int64 // requests
-	executedTwice int64 // unsafe requests executed more than once
-	lateToDrained int64 // attempts sent more than drainCutoff after a notification
+	executedTwice int64 // unsafe requests that were executed more than once
+	lateToDrained int64 // attempts over drainCutoff after the notice of a drain
 	outcomes      [outcomeCount]int64
-	latencies     *hdr.Histogram // of completed requests, in µs
+	latencies     *hdr.Histogram // µs
 
-	// Counts of the current second.
+	// Counts of the second in progress.
 	secondArrived   int64
 	secondOutcomes  [outcomeCount]int64
-	secondLatencies *hdr.Histogram // of completed requests, in µs
+	secondLatencies *hdr.Histogram // µs
 
 	err error // first error of writing the series
 }
 
-const (
-	// maxLatencyMicros is the largest value of the histograms: 10 minutes, in microseconds.
-	maxLatencyMicros = 10 * 60 * 1e6
-	// significantDigits is the precision of the histograms, in decimal digits.
-	significantDigits = 3
-)
+// maxLatencyMicros is the upper bound of recorded latencies, ten minutes. Longer ones count as ten minutes.
+const maxLatencyMicros = 10 * 60 * 1e6
 
-// NewRecorder returns a Recorder that writes its series to w, or none if w is nil.
+// NewRecorder returns a recorder that writes the series to w (nil for none).
 func NewRecorder(w io.Writer) *Recorder {
 	return &Recorder{
-		Series: w, began: time.Now(),
-		latencies:       hdr.New(1, maxLatencyMicros, significantDigits),
-		secondLatencies: hdr.New(1, maxLatencyMicros, significantDigits),
+		Series: w, startedAt: time.Now(),
+		latencies: hdr.New(1, maxLatencyMicros, 3), secondLatencies: hdr.New(1, maxLatencyMicros, 3),
 	}
 }
 
-// Err returns the first error of writing the series. After an error no further line is written.
+// Err returns the first error of writing the series. No line is written after it.
 func (r *Recorder) Err() error { return r.err }
 
-// begin records the configuration.
+// begin records the run's configuration.
 func (r *Recorder) begin(cfg *Config) {
 	r.policy, r.nodes, r.servers = cfg.Policy, cfg.Nodes, cfg.Server.Servers
 }
 
-// arrived counts the arrival of a request.
+// arrived counts a request's arrival.
 func (r *Recorder) arrived() {
 	r.open++
 	r.total++
 	r.secondArrived++
 }
 
-// begun counts the begin of an execution. The caller has incremented req.begun.
+// begun counts a request if its second execution begins and it is unsafe.
 func (r *Recorder) begun(req *request) {
 	if req.begun == 2 && !req.retrySafe {
 		r.executedTwice++
@@ -133,16 +123,15 @@
 	r.secondOutcomes[outcome]++
 	if outcome == outcomeCompleted {
 		micros := min(max((now-req.arrivedAt).Microseconds(), 1), maxLatencyMicros)
-		_ = r.latencies.RecordValue(micros) // cannot fail: micros is clamped
+		_ = r.latencies.RecordValue(micros) // within the histogram's range
 		_ = r.secondLatencies.RecordValue(micros)
 	}
 }
 
 // fleetSample is the state of the servers at the end of a second.
 type fleetSample struct {
-	loadMean  float64 // work over concurrency, mean of all servers
-	loadMax   float64 // work over concurrency, of the busiest server
-	serversUp int
+	loadMean, loadMax float64 // attempts at a server over its concurrency
+	serversUp         int
 }
 
 // endSecond writes the line of the second that ends at now, and begins the next one.
@@ -169,9 +158,9 @@
 	}
 }
 
-// Totals returns the summary of the run. events is the number of events processed.
+// Totals returns the summary of a run with the given number of events.
 func (r *Recorder) Totals(events int64) Totals {
-	realSeconds := time.Since(r.began).Seconds()
+	realSeconds := time.Since(r.startedAt).Seconds()
 	t := Totals{
 		Policy: string(r.policy), Nodes: r.nodes, Servers: r.servers, Seconds: r.last.Seconds(),
 		Requests: r.total, Outcomes: byKey(r.outcomes),
@@ -188,7 +177,7 @@
 	return t
 }
 
-// byKey returns counts by the outcomes' keys.
+// byKey returns the counts by the outcomes' keys.
 func byKey(counts [outcomeCount]int64) map[string]int64 {
 	keyed := map[string]int64{}
 	for i, n := range counts {
@@ -197,7 +186,7 @@
 	return keyed
 }
 
-// quantileMs returns a percentile of latencies in milliseconds, or 0 for an empty histogram.
+// quantileMs returns a percentile of latencies, in ms; 0 if there are none.
 func quantileMs(latencies *hdr.Histogram, percentile float64) float64 {
 	if latencies.TotalCount() == 0 {
 		return 0
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -13,24 +13,27 @@
 	"cherrygap/internal/routing"
 )
 
-// minServiceUnits is the lowest number of units that the service time is multiplied with.
-const minServiceUnits = 0.1
+// allServers is the number that stands for all servers in events and faults.
+const allServers = -1
 
-// server is a simulated app server with the parameters of Config.Server.
+// minUnits is the smallest weight, in units, that scales the service time, as in package emulator.
+const minUnits = 0.1
+
+// server is a simulated app server with the configuration Config.Server.
 type server struct {
 	id              int
-	endpoint        protocol.Endpoint // in the endpoint list
-	random          *rand.Rand        // of service times and faults
-	executing       int               // number of attempts that the server executes
+	endpoint        protocol.Endpoint
+	random          *rand.Rand // draws service times and faults
+	inWork          int        // attempts
 	queue           []*attempt
-	startedAt       time.Duration // time of the last start; negative for long ago
+	startedAt       time.Duration // of the process; negative for a start before the run
 	down            bool
 	draining        bool
-	drainNotifiedAt time.Duration // time at which the nodes were notified of the drain; -1 before
+	drainNotifiedAt time.Duration // when the nodes were notified of the drain; negative before
 	sampledWork     int           // work at the last sample
 }
 
-// newServer returns a warm server. seed is the seed of the run.
+// newServer returns a server that is in service and warmed up.
 func newServer(id int, seed uint64) *server {
 	return &server{
 		id: id,
@@ -46,23 +49,23 @@
 	}
 }
 
-// work returns the number of attempts that the server executes or has queued.
-func (sv *server) work() int { return sv.executing + len(sv.queue) }
+// work returns the number of attempts in work or queued.
+func (sv *server) work() int { return sv.inWork + len(sv.queue) }
 
 // attempt is an attempt of a request at a server.
 type attempt struct {
-	request   *request
-	number    int // in its request, from 0
-	server    *server
-	sentAt    time.Duration
-	ended     bool             // whether the node has the result
-	executing bool             // whether the server executes the attempt
-	lost      bool             // whether a fault loses the response
-	expiresAt time.Duration    // time after which the server rejects the attempt from its queue
-	outcome   protocol.Outcome // result of the execution
+	request  *request
+	number   int // in the request, from 0
+	server   *server
+	sentAt   time.Duration
+	ended    bool             // for the node
+	inWork   bool             // at the server
+	lost     bool             // a fault drops the response
+	deadline time.Duration    // after which the server does not begin to work on the attempt
+	outcome  protocol.Outcome // of an attempt in work
 }
 
-// send sends an attempt to a server. A timeout of 0 means none.
+// send sends an attempt to a server. A timeout of 0 is none.
 func (s *Sim) send(req *request, number int, sv *server, timeout time.Duration) {
 	a := &attempt{request: req, number: number, server: sv, sentAt: s.now}
 	req.attempt = a
@@ -73,49 +76,48 @@
 		s.recorder.lateToDrained++
 	}
 	if sv.draining {
-		s.respond(a, protocol.Overloaded, s.cfg.RTT)
+		s.answer(a, protocol.Overloaded, s.cfg.RTT)
 		return
 	}
 	if sv.down {
-		s.respond(a, protocol.ConnectFailed, s.cfg.RTT)
-		a.ended = true // a later timeout has no effect
+		s.answer(a, protocol.ConnectFailed, s.cfg.RTT)
+		a.ended = true // so that neither the timeout nor Cancel changes the outcome
 		return
 	}
 	s.receive(a)
 }
 
-// receive handles an attempt at its server: the server executes, queues, rejects or ignores it.
+// receive begins, queues or rejects an attempt at its server. An attempt under the fault emulator.Silence gets no result.
 func (s *Sim) receive(a *attempt) {
 	sv := a.server
 	faults := s.activeFaults(sv)
 	switch {
 	case hasFault(faults, emulator.Refuse):
-		s.respond(a, protocol.Overloaded, s.cfg.RTT)
+		s.answer(a, protocol.Overloaded, s.cfg.RTT)
 		return
 	case hasFault(faults, emulator.Silence):
 		return
 	}
-	a.expiresAt = a.request.deadline
+	a.deadline = a.request.deadline
 	switch {
-	case sv.executing < s.cfg.Server.Concurrency:
+	case sv.inWork < s.cfg.Server.Concurrency:
 		s.begin(a, faults)
 	case len(sv.queue) < s.cfg.Server.Queue:
 		sv.queue = append(sv.queue, a)
 	default:
-		s.respond(a, protocol.Overloaded, s.cfg.RTT)
+		s.answer(a, protocol.Overloaded, s.cfg.RTT)
 	}
 }
 
-// begin begins the execution of an attempt. The service time is log-normal, and longer while the server warms up and with
-// emulator.Slow.
+// begin begins the work on an attempt. The service time is log-normal, and longer during warm-up and under slow faults.
 func (s *Sim) begin(a *attempt, faults []emulator.Fault) {
 	sv, cfg := a.server, s.cfg.Server
-	sv.executing++
-	a.executing = true
+	sv.inWork++
+	a.inWork = true
 	a.request.begun++
 	s.recorder.begun(a.request)
 	units := s.cfg.Traffic.Classes[a.request.class].Units
-	ms := cfg.ServiceMs * math.Max(units, minServiceUnits) * math.Exp(cfg.Spread*sv.random.NormFloat64())
+	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.Spread*sv.random.NormFloat64())
 	if up := (s.now - sv.startedAt).Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
 		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
@@ -134,43 +136,43 @@
 			a.lost = true
 		}
 	}
-	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventExecuted, attempt: a})
+	s.schedule(&event{at: s.now + time.Duration(ms*float64(time.Millisecond)) + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
 }
 
-// executed ends the execution of an attempt, responds to it, and begins the next attempts in the server's queue.
-func (s *Sim) executed(a *attempt) {
+// workDone ends the work on an attempt, answers it, and begins queued attempts.
+func (s *Sim) workDone(a *attempt) {
 	sv := a.server
-	if !a.executing {
+	if !a.inWork {
 		return
 	}
-	a.executing = false
-	sv.executing--
+	a.inWork = false
+	sv.inWork--
 	if !a.lost {
-		s.respond(a, a.outcome, s.cfg.RTT/2)
+		s.answer(a, a.outcome, s.cfg.RTT/2)
 	}
-	for len(sv.queue) > 0 && sv.executing < s.cfg.Server.Concurrency {
+	for len(sv.queue) > 0 && sv.inWork < s.cfg.Server.Concurrency {
 		next := sv.queue[0]
 		sv.queue = sv.queue[1:]
 		switch {
 		case next.ended:
-		case s.now > next.expiresAt:
-			s.respond(next, protocol.Overloaded, s.cfg.RTT/2)
+		case s.now > next.deadline:
+			s.answer(next, protocol.Overloaded, s.cfg.RTT/2)
 		default:
 			s.begin(next, s.activeFaults(sv))
 		}
 	}
 }
 
-// respond sends the result of an attempt to its node, which receives it after a time. It does nothing if the attempt has ended.
-func (s *Sim) respond(a *attempt, outcome protocol.Outcome, after time.Duration) {
+// answer delivers an attempt's result to its node after a time, unless the attempt has ended there.
+func (s *Sim) answer(a *attempt, outcome protocol.Outcome, after time.Duration) {
 	if !a.ended {
 		s.schedule(&event{at: s.now + after, kind: eventResult, attempt: a, outcome: outcome})
 	}
 }
 
-// serversOf returns the servers that a fault affects: the one with a number, or all for -1.
+// serversOf returns the server with a number, or all servers for allServers.
 func (s *Sim) serversOf(number int) []*server {
-	if number == -1 {
+	if number == allServers {
 		return s.servers
 	}
 	if i := slices.IndexFunc(s.servers, func(sv *server) bool { return sv.id == number }); i >= 0 {
@@ -179,29 +181,33 @@
 	return nil
 }
 
-// restart stops servers, which resets the attempts in their queues, or starts them with a warm-up.
-func (s *Sim) restart(number int, down bool) {
+// stopServers stops servers. The connections of queued attempts are reset; attempts in work finish.
+func (s *Sim) stopServers(number int) {
 	for _, sv := range s.serversOf(number) {
-		sv.down = down
-		if !down {
-			sv.startedAt = s.now
-			continue
-		}
+		sv.down = true
 		for _, a := range sv.queue {
-			s.respond(a, protocol.ConnectionReset, 0)
+			s.answer(a, protocol.ConnectionReset, 0)
 		}
 		sv.queue = nil
 	}
 }
 
-// drain begins the drain of servers: they reject new attempts.
+// startServers starts stopped servers, which then warm up.
+func (s *Sim) startServers(number int) {
+	for _, sv := range s.serversOf(number) {
+		sv.down = false
+		sv.startedAt = s.now
+	}
+}
+
+// drain makes servers reject new attempts.
 func (s *Sim) drain(number int) {
 	for _, sv := range s.serversOf(number) {
 		sv.draining = true
 	}
 }
 
-// notifyDrain notifies the nodes of a drain with a watch event. The baseline policies ignore it.
+// notifyDrain notifies the nodes of a drain, as a watch event of discovery does. Baselines ignore it.
 func (s *Sim) notifyDrain(number int) {
 	var changed []protocol.Endpoint
 	for _, sv := range s.serversOf(number) {
@@ -218,11 +224,11 @@
 	}
 }
 
-// activeFaults draws the faults that affect the next attempt at a server.
+// activeFaults draws the active faults that affect the next attempt at a server.
 func (s *Sim) activeFaults(sv *server) []emulator.Fault {
 	var active []emulator.Fault
 	for _, f := range s.cfg.Schedule.Faults {
-		if f.Kind == emulator.Restart || (f.Server != -1 && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
+		if f.Kind == emulator.Restart || (f.Server != allServers && f.Server != sv.id) || s.now < f.Start() || s.now >= f.End() {
 			continue
 		}
 		if f.Probability >= 1 || sv.random.Float64() < f.Probability {
@@ -232,7 +238,7 @@
 	return active
 }
 
-// hasFault reports whether one of the faults has a kind.
+// hasFault reports whether one of the faults is of a kind.
 func hasFault(faults []emulator.Fault, kind emulator.Kind) bool {
 	return slices.ContainsFunc(faults, func(f emulator.Fault) bool { return f.Kind == kind })
 }
