--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -190,7 +190,7 @@
 		return attemptAssessment{outcome: Succeeded, latency: latency, isLatencySample: true}
 	case result.Outcome == TimedOut && result.Duration < objective/shortTimeoutDivisor:
 		return attemptAssessment{outcome: NotSent}
-	case result.Outcome == TimedOut && e.outliers.lost(result.Duration, e.usualLatency(class)):
+	case result.Outcome == TimedOut && e.outliers.presumedLost(result.Duration, e.usualLatency(class)):
 		return attemptAssessment{outcome: TimedOut}
 	}
 	queued := result.Outcome == Overloaded || result.Outcome == TimedOut
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -26,8 +26,8 @@
 // countRejection counts a rejected request.
 func (s *intervalStats) countRejection(reason Reason) { s.rejected[reason]++ }
 
-// tail returns the 95th percentile of the latency samples, or 0 without any. It sorts them.
-func (s *intervalStats) tail() float64 {
+// tailLatency returns the 95th percentile of the latency samples, or 0 without any. It sorts them.
+func (s *intervalStats) tailLatency() float64 {
 	slices.Sort(s.latencies)
 	if k := len(s.latencies); k > 0 {
 		return s.latencies[k*95/100]
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -31,7 +31,7 @@
 // the kind.
 type customerReport struct {
 	customer   CustomerID
-	demand     float64 // kindUse, kindQuery: units requested since the last report; kindGrant: the query ratio
+	demand     float64 // kindUse, kindQuery: units requested since the last report; kindGrant: see queryRatio
 	use        float64 // kindUse: units admitted and settled, may be below 0; kindQuery: units of the request
 	plan       PlanID
 	spread     int
@@ -43,6 +43,9 @@
 	optimistic bool          // kindGrant
 }
 
+// queryRatio returns the query ratio of a kindGrant, which the format holds in the field of the demand.
+func (r customerReport) queryRatio() float64 { return r.demand }
+
 // ref returns the customer that the report is on.
 func (r customerReport) ref() customerRef {
 	return customerRef{id: r.customer, plan: r.plan, spread: r.spread, firstNode: r.firstNode}
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -3,7 +3,7 @@
 // Next returns the next decision, and false if there is none until the next event or timer. The decision's payload is
 // valid until the next call.
 func (e *Engine) Next() (Decision, bool) {
-	if e.timers.startCheck(e.now, e.config) {
+	if e.timers.startCheckIfDue(e.now, e.config) {
 		e.checkAttempts()
 	}
 	e.pause.reorder(&e.requests, e.now)
@@ -17,7 +17,7 @@
 	if d, ok := e.nextPeerMessage(); ok {
 		return d, true
 	}
-	if e.timers.startPoll(e.now) {
+	if e.timers.startPollIfDue(e.now) {
 		return Decision{Action: PollEndpoints}, true
 	}
 	if delay, ok := e.timers.nextHostTimer(e.now); ok {
@@ -44,10 +44,10 @@
 
 // nextPeerMessage returns the next message to a peer. It writes the periodic ones when they are due.
 func (e *Engine) nextPeerMessage() (Decision, bool) {
-	if e.timers.startReport(e.now, e.config) {
+	if e.timers.startReportIfDue(e.now, e.config) {
 		e.reports.write(&e.outbox, e.customers.all, &e.owner, &e.quota, e.now)
 	}
-	if e.timers.startSuspicions(e.now, e.config) {
+	if e.timers.startSuspicionsIfDue(e.now, e.config) {
 		payload := e.suspicionMessage()
 		if len(payload) > 1 && e.outliers.drawMessage(&e.random) {
 			return Decision{Action: SendPeerMessage, Payload: payload, Peer: AllPeers}, true
@@ -139,7 +139,7 @@
 		targetConcurrency:  limit.targetConcurrency,
 		admitted:           float64(stats.admitted) / spanSeconds,
 		completed:          float64(stats.completed) / spanSeconds,
-		tail:               stats.tail(),
+		tail:               stats.tailLatency(),
 		baseLatency:        Time(limit.throughput.baseLatency),
 		rejected:           stats.rejected,
 	}
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -51,8 +51,8 @@
 	trials     float64      // trial budget, in attempts
 }
 
-// informative reports whether a state differs from that of a server without attempts. It decays a copy of the state. A
-// decay of the state itself would change later values by rounding.
+// informative reports whether a state must be kept: it has attempts in flight, failures, an ejection or recent suspicions.
+// It decays a copy of the state, since a decay of the state itself would change later values by rounding.
 func (s outlierState) informative(now Time) bool {
 	s.suspicions.decayTo(now, suspicionTimeConstant)
 	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeSuspicions
@@ -134,13 +134,13 @@
 // checkSilence adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
 func (d *outlierDetector) checkSilence(s *outlierState, sent Time, usualLatency float64, now Time) {
 	s.waitedLatencies += float64(now-max(sent, s.lastResponseAt, s.waitCountedFrom)) / usualLatency
-	if d.lost(now-sent, usualLatency) {
+	if d.presumedLost(now-sent, usualLatency) {
 		s.lost++
 	}
 }
 
-// lost reports whether an attempt took so long that its response is presumed lost.
-func (d *outlierDetector) lost(duration Time, usualLatency float64) bool {
+// presumedLost reports whether an attempt took so long that its response is presumed lost.
+func (d *outlierDetector) presumedLost(duration Time, usualLatency float64) bool {
 	return float64(duration) > silenceLatencies*usualLatency
 }
 
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -68,7 +68,7 @@
 func (e *Engine) receiveGrant(i customerSlot, grant customerReport) {
 	c := &e.customers.all[i]
 	c.lastRequest = e.now
-	c.queryRatio = min(grant.demand, 1)
+	c.queryRatio = min(grant.queryRatio(), 1)
 	c.queryRatioAt = e.now
 	c.optimistic = grant.optimistic
 	e.receiveResponse(i, grant.request, grant.response)
@@ -131,7 +131,7 @@
 // is 0 and the response pending in a message that responds to no query.
 func (e *Engine) sendGrant(c *customer, to NodeID, id RequestID, response ownerResponse) {
 	report := c.report()
-	report.demand = c.queryRatio
+	report.demand = c.queryRatio // see customerReport.queryRatio
 	report.request = id
 	report.response = response
 	report.optimistic = c.optimistic
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -87,10 +87,10 @@
 		s.addLatency(float64(99 - k))
 	}
 	s.countRejection(ReasonQuota)
-	if got := s.tail(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[ReasonQuota] != 1 {
+	if got := s.tailLatency(); got != 95 || s.samples != 100 || s.latencySum != 4950 || s.rejected[ReasonQuota] != 1 {
 		t.Errorf("tail %v of %+v", got, s)
 	}
-	if s.reset(Second); s.samples != 0 || s.startedAt != Second || s.tail() != 0 {
+	if s.reset(Second); s.samples != 0 || s.startedAt != Second || s.tailLatency() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -36,8 +36,8 @@
 	return max(c.tick, c.shortestObjective/checksPerObjective, minCheckInterval)
 }
 
-// startCheck reports whether an attempt check is due, and sets the time of the next one.
-func (t *timers) startCheck(now Time, c *config) bool {
+// startCheckIfDue reports whether an attempt check is due. If so, it sets the time of the next one.
+func (t *timers) startCheckIfDue(now Time, c *config) bool {
 	if now < t.checkAt {
 		return false
 	}
@@ -45,9 +45,9 @@
 	return true
 }
 
-// startReport reports whether usage reports to peers are due, and sets the time of the next ones. Quota owners receive
-// reports without delay: they have no other information on the use.
-func (t *timers) startReport(now Time, c *config) bool {
+// startReportIfDue reports whether usage reports to peers are due. If so, it sets the time of the next ones. Quota owners
+// receive reports without delay: they have no other information on the use.
+func (t *timers) startReportIfDue(now Time, c *config) bool {
 	if !c.sendsToPeers() {
 		return false
 	}
@@ -63,8 +63,8 @@
 	return true
 }
 
-// startSuspicions reports whether suspicions to peers are due, and sets the time of the next ones.
-func (t *timers) startSuspicions(now Time, c *config) bool {
+// startSuspicionsIfDue reports whether suspicions to peers are due. If so, it sets the time of the next ones.
+func (t *timers) startSuspicionsIfDue(now Time, c *config) bool {
 	if !c.sendsToPeers() || now < t.suspicionAt {
 		return false
 	}
@@ -75,9 +75,9 @@
 // sendsToPeers reports whether this node has peers that receive messages.
 func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peersEnabled }
 
-// startPoll reports whether discovery is to be polled now. The poll is then in flight until it fails: after a success
+// startPollIfDue reports whether discovery is to be polled now. The poll is then in flight until it fails: after a success,
 // the host continues to receive updates from discovery.
-func (t *timers) startPoll(now Time) bool {
+func (t *timers) startPollIfDue(now Time) bool {
 	due := t.pollAt > 0 && now >= t.pollAt && !t.polling
 	t.polling = t.polling || due
 	return due
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -119,7 +119,7 @@
 			cfg, timers, due := testConfig(), newTimers(0, &config{}), []Time(nil)
 			c.change(cfg)
 			for now := Time(1111); now <= 9999; now += 1111 {
-				for timers.startReport(now, cfg) {
+				for timers.startReportIfDue(now, cfg) {
 					due = append(due, now)
 				}
 			}
@@ -134,7 +134,7 @@
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
 		timers := newTimers(Second, &config{})
-		if !timers.startCheck(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
+		if !timers.startCheckIfDue(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
 			t.Errorf("tick %d, objective %d: next check after %d", c.tick, c.objective, timers.checkAt-Second)
 		}
 		if after, ok := timers.nextHostTimer(Second); !ok || after != c.want {
@@ -150,16 +150,16 @@
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
 	never, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
-	if never.startPoll(99 * Second) {
+	if never.startPollIfDue(99 * Second) {
 		t.Error("polled where lists are pushed")
 	}
-	if !timers.startPoll(Second) || timers.startPoll(99*Second) {
+	if !timers.startPollIfDue(Second) || timers.startPollIfDue(99*Second) {
 		t.Error("not one poll at the start")
 	}
 	timers.pollFailed(2*Second, 99999, &rng)
 	next := timers.pollAt
 	timers.pollFailed(3*Second, 99999, &rng)
-	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPoll(next-1) || !timers.startPoll(next) {
+	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPollIfDue(next-1) || !timers.startPollIfDue(next) {
 		t.Errorf("the next poll after %d", next-2*Second)
 	}
 }
