--- a/internal/settings/platformwriter.go
+++ b/internal/settings/platformwriter.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// PlatformJSON returns settings in the nested form of the platform's configuration. FromJSON reads them back. The stand-ins
-// of the laboratory use it to configure real nodes.
+// PlatformJSON returns settings in the nested form of the platform's configuration. The stand-ins of the laboratory use it to
+// configure real nodes.
 //
-// It leaves out fields without a text, switches that are off, and entries of lists from the declared length on. A time that
-// is not a whole number of time units is written as a number of time units.
+// It leaves out fields without a text, switches that are off, and entries of lists from the declared length on. FromJSON
+// reads all other settings back, except for times that are not a whole number of time units: PlatformJSON writes their text
+// as it is, and FromJSON takes it for microseconds.
 func PlatformJSON(s *Settings) json.RawMessage {
 	root := object{}
 	for key, text := range settingTexts(s) {
@@ -110,7 +111,7 @@
 	return text
 }
 
-// formatWord translates a word to the platform's. An unknown word stays as it is.
+// formatWord returns the platform's word for one of words. It returns an unknown word as it is.
 func formatWord(text string) string {
 	for platform, standard := range words {
 		if standard == text {
@@ -120,7 +121,7 @@
 	return text
 }
 
-// formatMicros translates a whole number of time units into microseconds. Another text stays as it is.
+// formatMicros converts a whole number of time units to microseconds. It returns any other text as it is.
 func formatMicros(text string) string {
 	units, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
