--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,5 +1,4 @@
-// Package healthcheck distributes the health checks of app servers, and other periodic checks, among the edge nodes of a
-// fleet. It decides which node runs a check, and when.
+// Package healthcheck distributes the health checks of app servers among the edge nodes of a fleet. It decides which node runs a check, and when.
 //
 // The owner of a check is the first member in the check's rendezvous order that internal/membership considers alive. While
 // members fail and rejoin, the next member is a backup owner. The result of each run is gossiped. Thus every node learns the
@@ -33,10 +32,9 @@
 const (
 	// CheckServer is the health check of an app server.
 	CheckServer Kind = iota + 1
-	// CheckList is the refresh of a list from a service. Nodes run no such checks yet; the value is reserved on the wire.
+	// CheckList is not in use. Its number is reserved.
 	CheckList
-	// CheckCounter is a call of a counter service for a group of customers. Nodes run no such checks yet; the value is
-	// reserved on the wire.
+	// CheckCounter is not in use. Its number is reserved.
 	CheckCounter
 
 	lastKind = CheckCounter
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -23,8 +23,7 @@
 	firstRunSlots = 1024
 	// backupDelayIntervals is the delay of the backup owner's run after the primary owner's, in intervals.
 	backupDelayIntervals = 0.25
-	// sameRunDivisor tells reports of one run from those of two: reported times that differ by at most period/sameRunDivisor
-	// belong to the same run. They differ because an event's age is rounded and excludes the time in transit.
+	// sameRunDivisor sets when two reports are about the same run: if their times differ by period/sameRunDivisor at most.
 	sameRunDivisor = 8
 )
 
@@ -110,12 +109,12 @@
 		s.checks[i].listed = true
 	}
 	listed := s.checks[:0]
-	for _, state := range s.checks {
-		if state.listed {
-			s.index[state.check] = len(listed)
-			listed = append(listed, state)
+	for _, c := range s.checks {
+		if c.listed {
+			s.index[c.check] = len(listed)
+			listed = append(listed, c)
 		} else {
-			delete(s.index, state.check)
+			delete(s.index, c.check)
 		}
 	}
 	s.checks, s.checksChanged = listed, true
@@ -138,8 +137,7 @@
 	if !known {
 		return
 	}
-	state := &s.checks[i]
-	state.running, state.lastRunAt = false, now
+	s.checks[i].running, s.checks[i].lastRunAt = false, now
 	s.members.Publish(membership.Event{Kind: uint8(c.Kind), ID: uint64(c.ID), OK: ok, At: now})
 }
 
@@ -163,9 +161,9 @@
 }
 
 // dueAt returns the time of this node's next run of a check that it owns.
-func (s *Scheduler) dueAt(state *checkState) time.Duration {
-	at := state.lastRunAt + s.interval
-	if state.ownership != PrimaryOwner {
+func (s *Scheduler) dueAt(c *checkState) time.Duration {
+	at := c.lastRunAt + s.interval
+	if c.ownership != PrimaryOwner {
 		at += time.Duration(backupDelayIntervals * float64(s.interval))
 	}
 	return at
@@ -184,8 +182,8 @@
 	}
 	s.updateOwnership()
 	for i := range s.checks {
-		if state := &s.checks[i]; state.awaitsRun() && now >= s.dueAt(state) {
-			return s.run(state), true
+		if c := &s.checks[i]; c.awaitsRun() && now >= s.dueAt(c) {
+			return s.run(c), true
 		}
 	}
 	return Step{}, false
@@ -195,13 +193,13 @@
 func (c *checkState) awaitsRun() bool { return c.ownership != NotOwner && !c.running }
 
 // run starts a run of a check.
-func (s *Scheduler) run(state *checkState) Step {
-	state.running = true
+func (s *Scheduler) run(c *checkState) Step {
+	c.running = true
 	s.counters.Checks++
-	if state.ownership == BackupOwner {
+	if c.ownership == BackupOwner {
 		s.counters.BackupChecks++
 	}
-	return Step{Kind: Run, Check: state.check, Timeout: s.members.Period()}
+	return Step{Kind: Run, Check: c.check, Timeout: s.members.Period()}
 }
 
 // Wake returns the time from now until the latest next call of Next, provided that the host reports nothing before. It is
@@ -210,8 +208,8 @@
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
 	for i := range s.checks {
-		if state := &s.checks[i]; state.awaitsRun() {
-			at = min(at, s.dueAt(state))
+		if c := &s.checks[i]; c.awaitsRun() {
+			at = min(at, s.dueAt(c))
 		}
 	}
 	return max(at-now, time.Millisecond)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -70,19 +70,19 @@
 	period   time.Duration // time between two pings of this node
 	counters Counters
 
-	members      []member // by NodeID; the entry of this node holds its own incarnation
-	version      uint64   // incremented with each change of a member's state
-	deadHash     uint32   // hash of the set of dead members; each message carries it
-	hasReceived  bool     // whether a valid message was received since New
-	gossip       gossipQueue
-	budget       byteBudget
-	outbox       []outgoing // messages that Next has not returned yet
-	writeBuffer  []byte     // of the last message; reused by the next one
-	pendingPings []pendingPing
-	lastSequence uint64 // of the last ping sent
-	nextPingAt   time.Duration
-	pingOrder    []int // members in the order in which they are pinged; shuffled for each pass
-	pingIndex    int   // into pingOrder: the next member
+	members              []member // by NodeID; the entry of this node holds its own incarnation
+	version              uint64   // incremented with each change of a member's state
+	deadHash             uint32   // hash of the set of dead members; each message carries it
+	awaitingFirstMessage bool     // no valid message was received yet
+	gossip               gossipQueue
+	budget               byteBudget
+	outbox               []outgoing // messages that Next has not returned yet
+	writeBuffer          []byte     // of the last message; reused by the next one
+	probes               []probe
+	lastSequence         uint64 // of the last ping sent
+	nextPingAt           time.Duration
+	pingOrder            []int // members in the order in which they are pinged; shuffled for each pass
+	pingIndex            int   // into pingOrder: the next member
 }
 
 // Message is a datagram to be sent.
@@ -96,12 +96,13 @@
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
-		cfg:     cfg,
-		now:     now,
-		random:  rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
-		members: make([]member, cfg.Nodes),
-		period:  pingPeriod(cfg.ReceiveRate),
-		budget:  byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
+		cfg:                  cfg,
+		now:                  now,
+		random:               rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))),
+		members:              make([]member, cfg.Nodes),
+		period:               pingPeriod(cfg.ReceiveRate),
+		budget:               byteBudget{rate: cfg.SendRate, available: cfg.SendRate, refilledAt: now},
+		awaitingFirstMessage: true,
 	}
 	p.nextPingAt = now + time.Duration(p.random.Int64N(int64(p.period/firstPingDivisor)))
 	p.deadHash = p.hashDead()
@@ -142,7 +143,7 @@
 // Next returns the next message to send. It returns false if there is none at the time now.
 func (p *Protocol) Next(now time.Duration) (Message, bool) {
 	p.Advance(now)
-	p.probe()
+	p.runProbes()
 	for len(p.outbox) > 0 {
 		next := p.outbox[0]
 		p.outbox = p.outbox[1:]
@@ -156,8 +157,8 @@
 // WakeAt returns the latest time of the next call of Next, provided that no message is received before.
 func (p *Protocol) WakeAt() time.Duration {
 	at := p.nextPingAt
-	for i := range p.pendingPings {
-		at = min(at, p.pendingPings[i].dueAt())
+	for i := range p.probes {
+		at = min(at, p.probes[i].dueAt())
 	}
 	return at
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -35,7 +35,7 @@
 	for _, id := range o.members {
 		if len(payload)+maxUpdateSize <= MaxMessageSize {
 			m := &p.members[id]
-			state := min(m.state, Suspect) // see the message kind object
+			state := min(m.state, Suspect) // an object message sends dead members as suspect, see object
 			payload = appendMemberUpdate(payload, memberUpdate{id: id, state: state, incarnation: m.incarnation})
 		}
 	}
@@ -71,7 +71,7 @@
 		return err
 	}
 	p.counters.Received++
-	p.hasReceived = true
+	p.awaitingFirstMessage = false
 	disputed := p.receiveParts(from, m, deliver)
 	if len(disputed) > 0 {
 		p.send(outgoing{to: from, kind: object, members: disputed})
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -120,13 +120,13 @@
 	return malformed(err)
 }
 
-// unparsedHeaders are the values of headers that are not text.
+// unparsedHeaders are the values of the headers that must be parsed.
 type unparsedHeaders struct {
-	timeout string // value of HeaderTimeout
-	weight  string // value of HeaderWeight
+	timeout string // HeaderTimeout
+	weight  string // HeaderWeight
 }
 
-// readHeaders sets the fields whose values are headers as received, and returns the headers that the caller parses.
+// readHeaders sets the fields that are headers as they stand, and returns the headers that the caller must parse.
 func (r *Request) readHeaders(header http.Header) (unparsedHeaders, error) {
 	h := singleHeaders{header: header}
 	r.ContentType, r.IdempotencyKey = h.get(headerContentType), h.get(headerIdempotencyKey)
