--- a/internal/lab/appserver/appserver_test.go
+++ b/internal/lab/appserver/appserver_test.go
@@ -77,6 +77,26 @@
 	}
 }
 
+// A connection that was accepted before Kill and is served after it is not tracked, and so is reset.
+func TestConnectionAcceptedBeforeKillIsReset(t *testing.T) {
+	s := startEcho(t)
+	s.mu.Lock()
+	listener := s.listener
+	s.mu.Unlock()
+	s.Kill()
+	ours, theirs := net.Pipe()
+	defer func() { _, _ = ours.Close(), theirs.Close() }()
+	if s.track(listener, ours) {
+		t.Error("a killed server tracks a connection")
+	}
+	if err := s.Listen(nil); err != nil {
+		t.Fatal(err)
+	}
+	if s.track(listener, ours) {
+		t.Error("a restarted server tracks a connection of its earlier listener")
+	}
+}
+
 func TestListenerIsClosedIfPreparationFails(t *testing.T) {
 	s := New("127.0.0.1:0", func(net.Conn) {})
 	failure := errors.New("no such option")
--- a/internal/lab/appserver/server.go
+++ b/internal/lab/appserver/server.go
@@ -18,9 +18,9 @@
 type Server struct {
 	serve func(net.Conn)
 
-	mu       sync.Mutex // guards the fields below
-	addr     string     // host:port; the port is fixed by the first Listen
-	listener net.Listener
+	mu       sync.Mutex            // guards the fields below
+	addr     string                // host:port; the port is fixed by the first Listen
+	listener net.Listener          // nil while the server is killed
 	conns    map[net.Conn]struct{} // open ones
 }
 
@@ -56,20 +56,22 @@
 	return nil
 }
 
-// Kill closes the listener and resets all connections, as if the process had been killed. It does nothing before the first
-// Listen, and does not wait for the connections' goroutines.
+// Kill closes the listener and resets all connections, as if the process had been killed. It does nothing if the server does
+// not listen, and does not wait for the connections' goroutines.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener == nil {
 		return
 	}
-	_ = s.listener.Close() // fails if it is closed already
+	_ = s.listener.Close()
+	s.listener = nil
 	for conn := range s.conns {
 		ResetConn(conn)
 	}
 }
 
+// accept accepts connections until the listener is closed.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -80,13 +82,26 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.mu.Lock()
-		s.conns[conn] = struct{}{}
-		s.mu.Unlock()
+		if !s.track(listener, conn) {
+			ResetConn(conn)
+			continue
+		}
 		go s.serveConn(conn)
 	}
 }
 
+// track adds an accepted connection to conns. It returns false if Kill was called after the accept.
+func (s *Server) track(listener net.Listener, conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener != listener {
+		return false
+	}
+	s.conns[conn] = struct{}{}
+	return true
+}
+
+// serveConn serves a connection and closes it.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() {
 		_ = conn.Close() // fails if it is closed already
