--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -59,14 +59,14 @@
 }
 
 // attemptStarted records an attempt. It is a trial if the server has failed since its last success.
-func (d *outlierDetector) attemptStarted(s *outlierState, class ClassID, now Time) {
+func (d *outlierDetector) attemptStarted(state *outlierState, class ClassID, now Time) {
 	c := &d.classes[class]
 	c.trials = min(c.trials+trialsPerAttempt, maxTrials)
-	if now >= s.ejectedUntil && s.failures == 0 {
+	if now >= state.ejectedUntil && state.failures == 0 {
 		return
 	}
-	s.trialInFlight = true
-	if d.needsBudget(s) {
+	state.trialInFlight = true
+	if d.needsBudget(state) {
 		c.trials = max(0, c.trials-1)
 	}
 }
@@ -74,27 +74,27 @@
 // attemptEnded updates a server's states, indexed by class, from the outcome of an attempt of the class. A failed
 // connection counts for every class.
 func (d *outlierDetector) attemptEnded(states []outlierState, class ClassID, outcome Outcome, now Time) {
-	s := &states[class]
-	trial := s.trialInFlight
-	s.inFlight--
-	s.lost = min(s.lost, s.inFlight)
-	s.trialInFlight = false
+	state := &states[class]
+	trial := state.trialInFlight
+	state.inFlight--
+	state.lost = min(state.lost, state.inFlight)
+	state.trialInFlight = false
 	switch outcome {
 	case Succeeded:
-		s.reset(now)
+		state.reset(now)
 	case Failed: // rare at healthy servers, so that one is enough
-		s.lastResponseAt = now
-		s.failures++
-		d.eject(s, now)
+		state.lastResponseAt = now
+		state.failures++
+		d.eject(state, now)
 	case ConnectFailed:
 		for k := range states {
 			states[k].failures++
 			d.eject(&states[k], now)
 		}
 	case Overloaded, TimedOut, MalformedResponse, ConnectionReset:
-		s.failures++
-		if trial || s.failures >= maxConsecutiveFailures {
-			d.eject(s, now)
+		state.failures++
+		if trial || state.failures >= maxConsecutiveFailures {
+			d.eject(state, now)
 		}
 	}
 }
@@ -107,35 +107,35 @@
 }
 
 // eject takes a server out of a class's rotation, for twice as long as the last time.
-func (d *outlierDetector) eject(s *outlierState, now Time) {
+func (d *outlierDetector) eject(state *outlierState, now Time) {
 	shortest := d.config.shortestObjective
-	s.ejectedFor = min(max(2*s.ejectedFor, shortest), maxEjectionObjectives*shortest)
-	s.ejectedUntil = now + s.ejectedFor
-	s.fromPeer = false
+	state.ejectedFor = min(max(2*state.ejectedFor, shortest), maxEjectionObjectives*shortest)
+	state.ejectedUntil = now + state.ejectedFor
+	state.fromPeer = false
 }
 
 // ejected reports whether the server is out of rotation for the class. This includes a server whose trial is in
 // flight, and one that waits for the trial budget.
-func (d *outlierDetector) ejected(s *outlierState, class ClassID, now Time) bool {
-	if now < s.ejectedUntil || s.trialInFlight {
+func (d *outlierDetector) ejected(state *outlierState, class ClassID, now Time) bool {
+	if now < state.ejectedUntil || state.trialInFlight {
 		return true
 	}
-	return d.classes[class].trials < 1 && d.needsBudget(s)
+	return d.classes[class].trials < 1 && d.needsBudget(state)
 }
 
 // needsBudget reports whether trials at the server come from the trial budget.
-func (d *outlierDetector) needsBudget(s *outlierState) bool {
-	return s.ejectedFor > d.config.shortestObjective || s.fromPeer
+func (d *outlierDetector) needsBudget(state *outlierState) bool {
+	return state.ejectedFor > d.config.shortestObjective || state.fromPeer
 }
 
 // resetSilence prepares the state for the calls of checkSilence in one attempt check.
 func (s *outlierState) resetSilence() { s.waitedLatencies, s.lost = 0, 0 }
 
 // checkSilence adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
-func (d *outlierDetector) checkSilence(s *outlierState, sent Time, usualLatency float64, now Time) {
-	s.waitedLatencies += float64(now-max(sent, s.lastResponseAt, s.waitCountedFrom)) / usualLatency
+func (d *outlierDetector) checkSilence(state *outlierState, sent Time, usualLatency float64, now Time) {
+	state.waitedLatencies += float64(now-max(sent, state.lastResponseAt, state.waitCountedFrom)) / usualLatency
 	if d.presumedLost(now-sent, usualLatency) {
-		s.lost++
+		state.lost++
 	}
 }
 
@@ -148,15 +148,15 @@
 //
 // Protects against: processes that hang without an error, cut links.
 // Trade-off: a server with requests far longer than usual is ejected while others take its place.
-func (d *outlierDetector) ejectSilent(s *outlierState, now Time) {
-	silent := s.waitedLatencies > silenceLatencies
-	if !silent || now < s.ejectedUntil {
+func (d *outlierDetector) ejectSilent(state *outlierState, now Time) {
+	silent := state.waitedLatencies > silenceLatencies
+	if !silent || now < state.ejectedUntil {
 		return
 	}
-	s.failures++
-	s.waitCountedFrom = now
-	s.trialInFlight = false
-	d.eject(s, now)
+	state.failures++
+	state.waitCountedFrom = now
+	state.trialInFlight = false
+	d.eject(state, now)
 }
 
 // receiveSuspicion counts a peer's suspicion, where ready is the number of ready servers. It ejects the server if the
@@ -165,40 +165,40 @@
 //
 // Protects against: one failed attempt for each of many nodes at each failed server.
 // Trade-off: if only the peer's links are cut, the server is ejected here as well.
-func (d *outlierDetector) receiveSuspicion(s *outlierState, reported suspicion, ready int, now Time) {
+func (d *outlierDetector) receiveSuspicion(state *outlierState, reported suspicion, ready int, now Time) {
 	shortest := d.config.shortestObjective
-	s.suspicions.add(1, now, suspicionTimeConstant)
+	state.suspicions.add(1, now, suspicionTimeConstant)
 	d.classes[reported.class].suspicions.add(1, now, suspicionTimeConstant)
-	ejectedHere := s.failures > 0 && !s.fromPeer && now < s.ejectedUntil
-	respondedRecently := s.lastResponseAt > 0 && now-s.lastResponseAt < shortest
+	ejectedHere := state.failures > 0 && !state.fromPeer && now < state.ejectedUntil
+	respondedRecently := state.lastResponseAt > 0 && now-state.lastResponseAt < shortest
 	if ejectedHere || respondedRecently {
 		return
 	}
-	if reported.ejectedFor > 0 || d.suspectedByPeers(s, reported.class, ready, now) {
+	if reported.ejectedFor > 0 || d.suspectedByPeers(state, reported.class, ready, now) {
 		ejectFor := min(max(reported.ejectedFor, shortest), maxEjectionObjectives*shortest)
-		s.failures = max(s.failures, 1)
-		s.fromPeer = true
-		s.ejectedUntil = max(s.ejectedUntil, now+ejectFor)
+		state.failures = max(state.failures, 1)
+		state.fromPeer = true
+		state.ejectedUntil = max(state.ejectedUntil, now+ejectFor)
 	}
 }
 
 // suspectedByPeers reports whether peers suspect a server clearly more often than the mean of the ready servers.
 // Overload of a whole fleet raises the mean as well and suspects no single server.
-func (d *outlierDetector) suspectedByPeers(s *outlierState, class ClassID, ready int, now Time) bool {
-	if s.suspicions.count == 0 {
+func (d *outlierDetector) suspectedByPeers(state *outlierState, class ClassID, ready int, now Time) bool {
+	if state.suspicions.count == 0 {
 		return false
 	}
 	all := &d.classes[class].suspicions
-	s.suspicions.decayTo(now, suspicionTimeConstant)
+	state.suspicions.decayTo(now, suspicionTimeConstant)
 	all.decayTo(now, suspicionTimeConstant)
 	mean := all.count / float64(max(1, ready))
-	return s.suspicions.count >= minExcessSuspicions+mean+suspicionDeviations*math.Sqrt(mean)
+	return state.suspicions.count >= minExcessSuspicions+mean+suspicionDeviations*math.Sqrt(mean)
 }
 
 // reportable reports whether peers should receive a suspicion of the server. This node must have found the failure
 // itself. In a small fleet, the ejection must not have ended.
-func (d *outlierDetector) reportable(s *outlierState, now Time) bool {
-	return s.failures > 0 && !s.fromPeer && (d.config.usesOwners || now < s.ejectedUntil)
+func (d *outlierDetector) reportable(state *outlierState, now Time) bool {
+	return state.failures > 0 && !state.fromPeer && (d.config.usesOwners || now < state.ejectedUntil)
 }
 
 // drawMessage reports whether this node sends its suspicions now. It draws at random, so that all nodes together send
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -36,7 +36,7 @@
 type rotationRole uint8
 
 const (
-	roleRegular   rotationRole = iota // the server takes part by its weight and credit
+	roleRegular   rotationRole = iota // the server is a candidate by its weight and credit
 	roleSkipped                       // a warming server is left out
 	rolePreferred                     // a warming server is selected before all regular ones
 )
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -3,8 +3,8 @@
 // slowStart limits the attempts that this node sends to servers that started recently.
 //
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
-//   - State: the rate of a warm server, the attempts counted against each warming server, and an upper bound of the time
-//     by which this node's clock is ahead of the servers' clock.
+//   - State: the rate of a warm server, and the attempts counted against each warming server. An upper bound of the lead
+//     of this node's clock over the servers' clock.
 //   - Rule: over overloadSpan all nodes together may send a server overloadMultiple times its capacity. This node uses
 //     slowStartBudgetRatio of its share at once, and as much again over each span.
 //   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -8,8 +8,8 @@
 //     evenly spaced positions in it. The subset grows with this node's rate of attempts, so that each connection is used
 //     before its idle timeout. At its least size, minNodesPerShuffle nodes use each server. The tracked servers that
 //     follow the subset take the requests that it can't.
-//   - Protects against: a new connection for every second attempt, a scan of thousands of servers for each request, and
-//     failed attempts of each node at each failing server of the fleet.
+//   - Protects against: a new connection for every second attempt, and a scan of thousands of servers for each request.
+//     It also limits the failing servers at which a node loses attempts.
 //   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
 //     requests to the other tracked servers.
 type subsetChooser struct {
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -21,11 +21,11 @@
 )
 
 // newTimers returns the timers of a node that starts now. Polls begin at once if the settings ask for them.
-func newTimers(now Time, c *config) timers {
+func newTimers(now Time, cfg *config) timers {
 	t := timers{
 		checkAt: now, intervalAt: now + controlInterval, reportAt: now + reportInterval, suspicionAt: now + reportInterval,
 	}
-	if c.pollEndpoints {
+	if cfg.pollEndpoints {
 		t.pollAt = now
 	}
 	return t
@@ -37,22 +37,22 @@
 }
 
 // startCheckIfDue reports whether an attempt check is due. If so, it sets the time of the next one.
-func (t *timers) startCheckIfDue(now Time, c *config) bool {
+func (t *timers) startCheckIfDue(now Time, cfg *config) bool {
 	if now < t.checkAt {
 		return false
 	}
-	t.checkAt = now + c.checkInterval()
+	t.checkAt = now + cfg.checkInterval()
 	return true
 }
 
 // startReportIfDue reports whether usage reports to peers are due. If so, it sets the time of the next ones. Quota owners
 // receive reports without delay: they have no other information on the use.
-func (t *timers) startReportIfDue(now Time, c *config) bool {
-	if !c.sendsToPeers() {
+func (t *timers) startReportIfDue(now Time, cfg *config) bool {
+	if !cfg.sendsToPeers() {
 		return false
 	}
 	due := now >= t.reportAt
-	if c.usesOwners {
+	if cfg.usesOwners {
 		lastReportAt := t.reportAt - reportInterval
 		due = now > lastReportAt
 	}
@@ -64,8 +64,8 @@
 }
 
 // startSuspicionsIfDue reports whether suspicions to peers are due. If so, it sets the time of the next ones.
-func (t *timers) startSuspicionsIfDue(now Time, c *config) bool {
-	if !c.sendsToPeers() || now < t.suspicionAt {
+func (t *timers) startSuspicionsIfDue(now Time, cfg *config) bool {
+	if !cfg.sendsToPeers() || now < t.suspicionAt {
 		return false
 	}
 	t.suspicionAt = now + suspicionInterval
