--- a/cmd/cherrygap/commandline_test.go
+++ b/cmd/cherrygap/commandline_test.go
@@ -153,7 +153,7 @@
 // deprecatedName is a command line with an old name, the notice that it writes on standard error, and the error behind that.
 type deprecatedName struct{ args, notice, fault string }
 
-const noRealNode = "cherrygap: real: 1 to 64 nodes\n" // before anything is started
+const noRealNode = "cherrygap: real: 0 is out of range: 1 to 64 nodes\n" // before anything is started
 
 var deprecatedNames = []deprecatedName{
 	{"lab duties --nodes 2 --servers 1 --for 1s", "Command \"duties\" is deprecated, write lab health-checks\n", ""},
