--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -179,7 +179,7 @@
 	return c.handOver()
 }
 
-// inputEnd tells whether a connection's input has ended, and how.
+// inputEnd is the state of a connection's input after a read.
 type inputEnd struct {
 	err        error // the read error; nil: the input has not ended
 	clientGone bool  // the input ended before the request in flight had its response
--- a/internal/frontend/closecheck.go
+++ b/internal/frontend/closecheck.go
@@ -17,7 +17,7 @@
 	pipelined bool // bytes were read behind the request in flight
 }
 
-// connPhase is what the bytes that were read from a connection have led to.
+// connPhase is the progress of a connection with the bytes that were read from it.
 type connPhase uint8
 
 const (
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ErrorPause is the wait before the repetition of an accept, a datagram read or a dial that failed, so that a lasting error
-// does not take a whole core.
+// ErrorPause is the wait before a failed accept, datagram read or dial is repeated. Without it a lasting error would take a
+// whole core.
 const ErrorPause = 10 * time.Millisecond
 
 // PastDeadline is a deadline that ends the read or write which waits on a connection.
