--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -22,27 +22,32 @@
 //     its request is in flight. It ends with the connection.
 //   - handleRequests, which the first request starts, takes requests to their responses. It ends when serve closes pending.
 //
-// pending passes a request to handleRequests and handled passes it back. Fields that are not atomic belong to the goroutine
-// that has the request, except in and reader, which always belong to serve.
+// pending passes a request to handleRequests and handled passes it back. The fields below say to which goroutine they belong;
+// atomic fields and channels belong to both. Any goroutine may call close, evictable, mayStillSend, mustStayOpen and the
+// methods of check.
 type clientConn struct {
-	server  *Server
-	conn    *net.TCPConn
-	reader  *netio.Socket // in reads from it
-	writer  *netio.Socket // out writes to it
-	in, out netio.RingBuffer
-	check   closeCheck
-
-	handler     *RequestHandler // nil before the first request
-	request     protocol.Request
+	server     *Server
+	conn       *net.TCPConn
+	acceptedAt time.Time
+	check      closeCheck
+	evicted    bool // closed to free a slot; guarded by Server.mu
+
+	// Fields of serve.
+	reader      *netio.Socket // in reads from it
+	in          netio.RingBuffer
 	lengthLines protocol.ContentLengthScanner // of the head being read
 	body        []byte                        // buffer of the request's body, reused for the next
-	receivedAt  time.Time                     // when the request's first byte arrived
 	arrivals    netio.ArrivalTimes            // of the bytes in the ring buffer
-	acceptedAt  time.Time
-	queuedSince time.Time // when the connection began to wait for a slot; zero if it did not, or its first request is read
-	requests    int       // requests handed over
-	handedOver  bool      // handleRequests has the request
-	evicted     bool      // closed to free a slot; guarded by Server.mu
+	queuedSince time.Time                     // when the connection began to wait for a slot; zero if it did not, or its first request is read
+	handedOver  bool                          // handleRequests has the request
+
+	// Fields that pass with the request.
+	writer     *netio.Socket // out writes to it
+	out        netio.RingBuffer
+	handler    *RequestHandler // nil before the first request; serve may call its ClientGone at any time
+	request    protocol.Request
+	receivedAt time.Time // when the request's first byte arrived
+	requests   int       // requests handed over
 
 	pending chan struct{} // has an element if a request is to be handled; closed by serve
 	handled chan struct{} // has an element if the request was handled; closed by handleRequests
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -188,7 +188,7 @@
 }
 
 // HasUnacknowledged reports whether the kernel holds written bytes that the other side has not acknowledged. It returns
-// false if that is unknown.
+// false if that is unknown. Unlike the other methods it may be called by any goroutine.
 func (s *Socket) HasUnacknowledged() bool {
 	var queued int32 // result of SIOCOUTQ, see tcp(7)
 	err := s.raw.Control(func(fd uintptr) {
