--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Servers that replace others over and over take no more slots than the listed ones need.
+// Servers that replace others repeatedly use no more slots than the listed ones need.
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
 	n := plain(0, nil)
 	now := Second
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -32,11 +32,11 @@
 		t.Fatal(err)
 	}
 	if complete == 0 || rejected == 0 || sent < complete {
-		t.Fatalf("the runs show nothing: sent %d, completed %d, given up %d", sent, complete, rejected)
+		t.Fatalf("the runs show nothing: sent %d, completed %d, rejected %d", sent, complete, rejected)
 	}
 }
 
-// plain is a node of one safe class and one plan, with some servers, and what a test adds.
+// plain returns a node with one safe class, one plan and a number of ready servers. The additional settings may be nil.
 func plain(servers int, more Settings) *Engine {
 	n := New(7, plainSettings(more).parse(), Second)
 	list := []Endpoint{}
@@ -61,10 +61,10 @@
 	return set
 }
 
-// pull gathers the decisions of one verb.
-func pull(n *Engine, v Action) (out []Decision) {
+// pull calls Next until it returns false, and returns the decisions with the action.
+func pull(n *Engine, action Action) (out []Decision) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		if d.Action == v {
+		if d.Action == action {
 			d.Payload = append([]byte(nil), d.Payload...)
 			out = append(out, d)
 		}
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -391,7 +391,7 @@
 			sum, k = sum+p.work, k+1
 		}
 	}
-	if h.engine.config.usesOwners && k == 1 { // many nodes start at a chance part of one: a first says nothing of the others
+	if h.engine.config.usesOwners && k == 1 { // each node's count starts at a random fraction, so that a single attempt is no evidence
 		return
 	}
 	most := h.set.Number(settings.OverloadMultiple) * share * float64(span)
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -9,15 +9,15 @@
 	"cherrygap/internal/settings"
 )
 
-// fleet is a set of 40 nodes of 60, from number 10, that hear each other at once.
+// fleet is a fleet of 60 nodes. The customer's set holds 40 of them, from number 10. Messages arrive at once.
 type fleet struct {
 	nodes          []*Engine
 	sets           []Settings
 	sent, inFlight int
-	mostInFlight   int // out at once
-	lost           func(from int, to NodeID, text []byte) bool
+	mostInFlight   int                                         // largest value of inFlight
+	lost           func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: none is
 	t              *testing.T
-	ends           map[Time][]func()
+	ends           map[Time][]func() // ends of attempts, by time
 }
 
 func newFleet(t *testing.T, more Settings) *fleet {
@@ -38,7 +38,7 @@
 	return f
 }
 
-// settle carries out what all nodes want now; attempts take so long.
+// settle carries out the decisions of all nodes at an instant. Each attempt takes the given time.
 func (f *fleet) settle(now, took Time) {
 	for _, end := range f.ends[now] {
 		end()
@@ -72,10 +72,10 @@
 	}
 }
 
-// fleetCustomer is the customer that asks.
+// fleetCustomer is the customer that sends requests.
 const fleetCustomer CustomerID = 5
 
-// ask lets the customer ask by all its nodes in turn, so many requests a second of one unit each.
+// ask sends the customer's requests to its nodes in turn, at a rate in requests a second, with one unit each.
 func (f *fleet) ask(rate int, from, until Time) {
 	id := RequestID(fleetCustomer) * 100000
 	for now := from; now < until; now += 50 {
@@ -94,7 +94,7 @@
 func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
 	f.ask(30, Second, 11*Second)
-	if f.sent < 20 || f.sent > 30 { // 26 are inside the quota, 300 were asked
+	if f.sent < 20 || f.sent > 30 { // 26 are within the quota, 300 were sent by the client
 		t.Fatalf("%d sent", f.sent)
 	}
 	n := f.nodes[11]
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -22,7 +22,7 @@
 		t.Fatalf("sent again to %v after %v", again, first)
 	}
 	if !n.outliers.ejected(&n.endpoints.servers[first[0].Server].byClass[0], 0, n.now) {
-		t.Fatal("the silent server is in good standing")
+		t.Fatal("the silent server is not ejected")
 	}
 }
 
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -86,7 +86,7 @@
 	r := &request{attempts: []attempt{{server: 0}}}
 	n.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
 	if got := n.pick(r); got != 2 {
-		t.Errorf("server %d before the one that is in good standing", got)
+		t.Errorf("server %d before the one that is not ejected", got)
 	}
 	n.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
 	if got := n.pick(r); got != 0 {
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// BenchmarkDecision is what a request costs at a node of a hundred servers and two thousand customers, without and
-// with a shadow.
+// BenchmarkDecision measures the time of a request at a node with a hundred servers and two thousand customers, without
+// and with shadow evaluation.
 func BenchmarkDecision(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		name := "off"
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// fiveASecond plays so many seconds of five requests each, which take 0.1 s, and gives the attempts by server.
+// fiveASecond sends five requests a second for a number of seconds. Each takes 0.1 s. It returns the attempts by server.
 func fiveASecond(n *Engine, seconds int) map[ServerID]int {
 	met, last := map[ServerID]int{}, Second
 	for k := range RequestID(seconds * 5) {
--- a/internal/routing/slowstart_crossings_test.go
+++ b/internal/routing/slowstart_crossings_test.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Crossings of what a warming server bears with other events at the nodes. The plays are those of
-// TestWarmingServersBearTheSumOfAllNodes, each with one more event.
+// The plays of TestWarmingServersBearTheSumOfAllNodes, each with one more event at the nodes.
 
 const crossingPlays = 28 // of each size of the fleet
 
-// playCrossing plays some seeds with an event added, and fails where a warming server got more than it bears.
+// playCrossing plays some seeds with an event added. It fails if a warming server got more attempts than its bound.
 func playCrossing(t *testing.T, add func(p *slowStartPlay)) {
 	t.Helper()
 	for _, nodes := range []int{1, 4, 20} {
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// sendListToAll sends all nodes the list, to each within so many seconds.
+// sendListToAll sends the list to all nodes, to each within a number of seconds.
 func (p *slowStartPlay) sendListToAll(within float64) {
 	p.revision++
 	for _, n := range p.nodes {
--- a/internal/routing/slowstart_scenes_test.go
+++ b/internal/routing/slowstart_scenes_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// slowStartScenes are what a fleet goes through in one play, by seed. Traffic is uneven over the nodes in all.
+// slowStartScenes are the scenes of the plays, which the seed selects. In all scenes, traffic is uneven over the nodes.
 var slowStartScenes = []string{
 	"one",    // one server restarts
 	"half",   // half of the servers start at once
@@ -27,7 +27,8 @@
 	noticeWithin float64       // s from a change to the last node's notice of it
 }
 
-// schedule sets what the fleet goes through. The order of the random draws is part of what a seed names.
+// schedule schedules the events of the play's scenes. A change of the order of its random draws changes the play of each
+// seed.
 func (p *slowStartPlay) schedule() {
 	p.startAt = p.uniformSeconds(8, 14)
 	p.endAt = p.startAt + p.slowStartSpan + 2*p.span
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -16,15 +16,16 @@
 var slowStartSeeds = flag.Int("cold.seeds", 0,
 	"plays of each size of the fleet in the slow-start test; 0: 52, or one of each scene under -race")
 
-// windowLoad is what a warming server got within one window of the play's span.
+// windowLoad is the load of a warming server within one window of the play's overload span.
 type windowLoad struct {
 	attempts int
 	capacity float64 // N: the multiple of what the server can do within it, the integral of its rising share
 }
 
-// bound is the most that a warming server is to bear.
+// bound returns the largest number of attempts that a warming server may get in the window.
 func (l windowLoad) bound() float64 { return l.capacity + 2*math.Sqrt(l.capacity) + 2 }
 
+// ratio returns the attempts over their bound.
 func (l windowLoad) ratio() float64 { return float64(l.attempts) / l.bound() }
 
 // worst returns the window with the most attempts over its bound, of those that end while the process is warming up, and
@@ -81,9 +82,10 @@
 	}
 }
 
-// Whatever a fleet of any size goes through, all its nodes together must not overload a warming server: within any
-// window it gets at most N + 2√N + 2. N is two to four times what a warming server can do by then and many plays have
-// lulls or outages, so the part of N that is used, and what is served, may be low; far lower would be starving.
+// In every scene and at every size of the fleet, all nodes together must not overload a warming server: within any window
+// it gets at most N + 2√N + 2 attempts. N is two to four times the attempts that the server can complete in the window, and
+// many plays have lulls or outages. Therefore the used part of N, and the served part of the requests, may be low. The
+// lower limits detect servers that get hardly any attempts.
 func TestWarmingServersBearTheSumOfAllNodes(t *testing.T) {
 	var mu sync.Mutex // guards tallies
 	tallies := map[string]*slowStartTally{}
