--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -24,7 +24,7 @@
 
 // breaker is the circuit breaker of the authorizer. The zero value is closed.
 type breaker struct {
-	consecutiveFailures int
+	consecutiveFailures int           // without those of checks that ended while the breaker was open
 	openUntil           time.Duration // end of the open time; the breaker is half open from then on
 	trialInFlight       bool          // whether a check that began in the half-open state is in flight
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// windowBurstTimes is the length of a window, as a multiple of the time in which the rate fills the burst.
-	windowBurstTimes = 0.5
+	// windowBurstRatio is the ratio of a window's length to the time in which Customer.Rate adds up to Customer.Burst.
+	windowBurstRatio = 0.5
 	minWindow        = 500 * time.Millisecond
 	maxWindow        = 2 * time.Second
 
@@ -76,7 +76,7 @@
 	if c.Rate <= 0 {
 		return maxWindow
 	}
-	seconds := windowBurstTimes * c.Burst / c.Rate
+	seconds := windowBurstRatio * c.Burst / c.Rate
 	return min(max(time.Duration(seconds*float64(time.Second)), minWindow), maxWindow)
 }
 
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -37,10 +37,9 @@
 	down   bool // whether the last exchange failed
 }
 
-// Open returns the Quotas of a node. addr is the store's "host:port", name the client name of the connections
-// (CLIENT SETNAME). Open does not
-// connect; the store may be unreachable. The caller starts Run and calls Close.
-func Open(addr, name string, cfg quota.Config, log *zerolog.Logger) *Quotas {
+// Open returns the Quotas of a node. addr is the store's "host:port". clientName is the name of the node's connections at the
+// store (CLIENT SETNAME). Open does not connect; the store may be unreachable. The caller starts Run and calls Close.
+func Open(addr, clientName string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	startedAt := time.Now()
 	return &Quotas{
 		log:       log,
@@ -49,7 +48,7 @@
 		ledger:    quota.New(cfg, time.Duration(startedAt.UnixNano())),
 		client: redis.NewClient(&redis.Options{
 			Addr:                  addr,
-			ClientName:            name,
+			ClientName:            clientName,
 			Protocol:              2,
 			DisableIdentity:       true,
 			MaxRetries:            -1, // no retries
