--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,9 +19,9 @@
 const (
 	EnvConfig    = "GW_CONFIG"    // path of the platform's configuration
 	EnvOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
-	envName      = "GW_NAME"      // over "name" in the configuration
-	envListen    = "GW_LISTEN"    // over "listen"
-	envDiscovery = "GW_DISCOVERY" // over "discovery", until a reload names another address
+	envName      = "GW_NAME"      // overrides "name" in the configuration
+	envListen    = "GW_LISTEN"    // overrides "listen"
+	envDiscovery = "GW_DISCOVERY" // overrides "discovery", until a reload names another address
 )
 
 // Keys of the platform's configuration that an error may name.
@@ -56,7 +56,8 @@
 	Settings json.RawMessage `json:"settings"` // nested, by the platform's names
 }
 
-// documentType is the name by which errors of encoding/json have always called the type of the whole document.
+// documentType is the type's name in the error on a configuration that is no JSON object. Operators see this text, so it does
+// not follow the name of config.
 const documentType = "main.config"
 
 // Config is the configuration of one node: the platform's file and the operator file. LoadConfigAtStart or
@@ -73,7 +74,7 @@
 	operator       operatorfile.File     // the zero value before ApplyOperator
 }
 
-// keyError is a key of the platform's configuration, or a part of the operator file, with an invalid value.
+// keyError is the error of an invalid value, in the platform's configuration or the operator file's settings.
 type keyError struct {
 	key string
 	err error
@@ -83,17 +84,17 @@
 
 func (e *keyError) Unwrap() error { return e.err }
 
-// documentTypeError is a configuration that is JSON but no object.
-type documentTypeError struct{ kind string }
+// documentTypeError is the error of a configuration that is JSON but no object.
+type documentTypeError struct{ kind string } // the JSON value's kind, such as "array"
 
 func (e *documentTypeError) Error() string {
 	return "json: cannot unmarshal " + e.kind + " into Go value of type " + documentType
 }
 
-// errNotPositive is a limit of the platform's that is missing, zero or negative.
+// errNotPositive is the error of a platform limit that is missing, zero or negative.
 var errNotPositive = errors.New("cores, memory_mb and sockets must be above 0")
 
-// errNoConfigPath is a start without a configuration.
+// errNoConfigPath is the error of a start without a configuration.
 var errNoConfigPath = errors.New(EnvConfig + " is not set")
 
 // truncatedJSON is the text of encoding/json's error on a document without its end.
@@ -127,7 +128,7 @@
 	return c, nil
 }
 
-// LoadPlatformFile reads and checks a platform configuration. Environment variables take no part, and a malformed endpoint
+// LoadPlatformFile reads and checks a platform configuration. It ignores environment variables, and a malformed endpoint
 // list is an error.
 func LoadPlatformFile(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
@@ -246,10 +247,10 @@
 	return nil
 }
 
-// reload reads the configuration again. It calls move where the file names another discovery address, even where
-// GW_DISCOVERY gave the address at the start. It returns the new configuration with the settings and operator file in force.
+// reload reads the configuration again. It calls switchTo if the file names another discovery address than before, even where
+// GW_DISCOVERY gave the address at the start. It returns the new configuration, with the settings and the operator file of c.
 // After an error it returns c, and nothing has changed.
-func (c *Config) reload(move func(address string)) (*Config, error) {
+func (c *Config) reload(switchTo func(address string)) (*Config, error) {
 	next, err := loadConfig()
 	if err != nil {
 		return c, err
@@ -258,7 +259,7 @@
 		if err := checkAddress(keyDiscovery, next.fileDiscovery); err != nil {
 			return c, err
 		}
-		move(next.fileDiscovery)
+		switchTo(next.fileDiscovery)
 	}
 	next.settings, next.shadowSettings, next.operator = c.settings, c.shadowSettings, c.operator
 	return next, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,13 +21,14 @@
 	"cherrygap/internal/upstream"
 )
 
-// drainAcceptTime is how long a node still accepts connections after SIGTERM. The platform sends new clients for 0.4 s.
+// drainAcceptTime is how long a node still accepts connections after SIGTERM. The platform routes new clients to the node for
+// up to 0.4 s after it has sent the signal.
 const drainAcceptTime = 500 * time.Millisecond
 
 // Node is one running edge node. It owns the node's parts from Start to Close.
 //
-// One goroutine at a time may call the methods. The fields are written before the parts' goroutines start, except config
-// and reloadRetry, which those goroutines do not read. The parts are safe for concurrent use.
+// One goroutine at a time may call the methods. Only Drain may run beside LogCounters and Reload, as in Run. The fields that
+// the parts' goroutines and Drain read are written before those start. The parts are safe for concurrent use.
 type Node struct {
 	config   *Config // replaced by Reload
 	limits   netio.Limits
@@ -49,7 +50,7 @@
 
 	reloadRetry reloadRetry
 
-	hasEndpoints bool           // the configuration held an endpoint list
+	hasEndpoints bool           // the configuration held a valid endpoint list that is not empty
 	pollRequests chan struct{}  // holds one element while the decision engine waits for an endpoint list
 	drainOnce    sync.Once      // drain runs once
 	closers      []func()       // steps that closeParts calls, the last first
@@ -115,7 +116,7 @@
 }
 
 // Drain stops both front ends at the same time. It still accepts connections for drainAcceptTime, and returns once every
-// accepted request has its response. Further calls return at once.
+// accepted request has its response. A further call, and Close, wait for the first one and do not drain again.
 func (n *Node) Drain() { n.drainOnce.Do(func() { n.drain(drainAcceptTime) }) }
 
 // drain is Drain with a time in which connections are still accepted.
@@ -133,8 +134,9 @@
 	<-ended
 }
 
-// Close closes all that New and Start opened, and returns once the parts' goroutines have ended. A health check that is out
-// ends within its own timeout. Without a Drain before, Close refuses new connections at once and waits for the open requests.
+// Close closes all that New and Start opened, and returns once the parts' goroutines have ended. A health check in flight
+// ends within its own timeout. Without a Drain before, Close stops accepting connections at once and waits for the requests in
+// flight.
 func (n *Node) Close() {
 	if n.frontEnd != nil {
 		n.drainOnce.Do(func() { n.drain(0) })
@@ -156,8 +158,8 @@
 	}
 }
 
-// stopForwarding ends discovery, the peer socket and the pool, which serve until the last request has ended. It follows the
-// close of the log, so that "stopped" stays the log's last line.
+// stopForwarding ends discovery, the peer socket and the pool, which serve until the last request has ended. Close calls it
+// after the log is closed. So "stopped" stays the log's last line, and lines that these parts log at their end are lost.
 func (n *Node) stopForwarding() {
 	if n.discovery != nil {
 		n.discovery.Stop()
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -31,7 +31,7 @@
 // AnyPort is a loopback address whose port the kernel chooses.
 const AnyPort = "127.0.0.1:0"
 
-// GoodSettings are the settings in it.
+// GoodSettings are the settings in GoodConfig.
 const GoodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
 
 // WriteFile writes a text file that only its owner reads.
@@ -59,7 +59,7 @@
 	return conn
 }
 
-// FreeAddress is an address that was free a moment ago.
+// FreeAddress returns a loopback address that was free a moment ago.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	ln := nettest.Listen(t)
@@ -94,7 +94,7 @@
 	return conn
 }
 
-// Eventually waits until ok, or fails the test after a limit.
+// Eventually waits until ok returns true, and fails the test after a limit. what names the awaited state.
 func Eventually(t *testing.T, limit time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
@@ -140,7 +140,7 @@
 	})
 }
 
-// NodeConfig is a good configuration of a node that serves requests of one class and plan on an address, by one app server.
+// NodeConfig returns a valid configuration of a node with one app server, one request class and one plan.
 func NodeConfig(t *testing.T, server net.Addr, listenOn, discovery string) string {
 	t.Helper()
 	return strings.NewReplacer(`"targets":[]`, `"targets":[{"uid":"s","endpoint":"`+server.String()+`","state":"in_service"}]`,
@@ -159,7 +159,7 @@
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", lines, len(RequestBody), RequestBody)
 }
 
-// SendRequest writes a RequestText on a new connection, which it returns.
+// SendRequest opens a connection, writes a RequestText on it, and returns the connection.
 func SendRequest(t *testing.T, address, id string, timeout time.Duration) net.Conn {
 	t.Helper()
 	conn := Dial(t, address)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// sendToPeer sends a message to one peer, by its node number, or to all peers where the number is negative. Without a socket
-// the message counts as unsent.
+// sendToPeer sends a message to the peer with that node number, or to all peers if peer is below 0. Without a peer socket it
+// counts the message as unsent.
 func (n *Node) sendToPeer(peer int, payload []byte) {
 	if n.peers == nil {
 		n.counters.Peers.Unsent.Add(1)
@@ -96,14 +96,14 @@
 	return n.router.ReceivePeerMessage(peer, payload)
 }
 
-// countRepeatViolation counts and logs an attempt or a rejection that the router's repeat check held back. The router calls
-// it under its lock, so it must not block: the log is buffered.
+// countRepeatViolation counts and logs an attempt or a rejection that the router withheld, because it violated
+// invariant.Repeating. The router calls it under its lock, so it must not block: the log is buffered.
 func (n *Node) countRepeatViolation(violation routing.RepeatViolation, class routing.ClassID, attempt int) {
 	invariant.Violated(&n.counters.RepeatViolations, &n.log, invariant.Repeating).Str("fault", string(violation)).Int("class", int(class)).
 		Int("attempt", attempt).Msg("attempt held back")
 }
 
-// requestPoll notes that the decision engine wants the endpoint list. The router calls it under its lock, so it never blocks.
+// requestPoll makes the discovery client poll for the endpoint list. The router calls it under its lock, so it never blocks.
 func (n *Node) requestPoll() {
 	select {
 	case n.pollRequests <- struct{}{}:
@@ -129,7 +129,7 @@
 	}
 }
 
-// buildHealthChecks makes the node's share of the fleet's health checks, where the configuration enables them.
+// buildHealthChecks makes the checker for this node's part of the fleet's health checks, where the configuration enables them.
 func (n *Node) buildHealthChecks() error {
 	if n.config.sharesHealthChecks() {
 		n.healthChecks = upstream.NewHealthChecker(n.config.healthCheckConfig(), n.router, n.pool, n.sendToPeer)
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// updateEndpoints applies an endpoint list, or a change of it, from the discovery service. Its goroutine is that of the
-// discovery client.
+// updateEndpoints applies an endpoint list, or a change of it, from the discovery service. It runs on the
+// discovery client's goroutine.
 func (n *Node) updateEndpoints(list *protocol.EndpointList) {
 	n.logEndpoints(list)
 	n.router.UpdateEndpoints(list, routing.FromDiscovery)
--- a/internal/node/partsconfig.go
+++ b/internal/node/partsconfig.go
@@ -12,7 +12,7 @@
 	"cherrygap/internal/quota"
 )
 
-// defaultConnectTimeout holds where the settings give no timeout above 0.
+// defaultConnectTimeout is the connect timeout where the settings give none above 0.
 const defaultConnectTimeout = time.Second
 
 // socketLimits returns the limits of the node's sockets and buffers. The limit on descriptors is the platform's or that of
@@ -59,7 +59,7 @@
 	}
 }
 
-// requestClass is a request class as the parts beside the decision engine know it.
+// requestClass holds the values of a request class that the node's parts outside the decision engine use.
 type requestClass struct {
 	name             string
 	latencyObjective time.Duration
@@ -102,10 +102,12 @@
 }
 
 // authorization returns the configuration of the external authorizer's client. A name in authz.fail_open that is no request
-// class of the platform is an operatorfile.UnknownNameError.
+// class of the platform is an operatorfile.UnknownNameError; the limits are complete even then.
 func (c *Config) authorization() (authorizationConfig, error) {
 	failOpen := c.operator.Authz.FailOpen
-	limits, numbers, names := authz.Config{MaxInFlight: c.operator.Authz.MaxInFlight}, map[string]int{}, []string(nil)
+	limits := authz.Config{MaxInFlight: c.operator.Authz.MaxInFlight}
+	numbers := map[string]int{}
+	var names []string
 	if c.settings.RetryAfter {
 		limits.MaxRetryAfter = c.settings.MaxRetryAfter.Whole()
 	}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ReloadRetryInterval is the time between two attempts to read a configuration that could not be read.
+// ReloadRetryInterval is the time between two attempts of a reload.
 const ReloadRetryInterval = 100 * time.Millisecond
 
-// reloadRetryTimeout is the time from SIGHUP to the last attempt to read a configuration.
+// reloadRetryTimeout is the time after SIGHUP within which retries of a reload are scheduled.
 const reloadRetryTimeout = 20 * time.Second
 
 // Serve runs a node from New to Close. It returns once the drain that SIGTERM begins is over, or with the error of Start.
@@ -46,13 +46,14 @@
 	}
 }
 
-// reloadRetry is the plan to read a configuration again after an attempt that failed. The zero value plans nothing.
+// reloadRetry is the scheduled retry of a reload that failed. The zero value schedules none.
 type reloadRetry struct {
 	due   <-chan time.Time // the next attempt; nil for none
-	until time.Time        // no attempt after
+	until time.Time        // the last moment at which a retry may be scheduled
 }
 
-// reloadAndRetry reloads the configuration. Where the error may pass it plans a further attempt, as the signal comes once.
+// reloadAndRetry reloads the configuration. After an error that may be temporary it schedules another attempt, because SIGHUP
+// is not sent again.
 func (n *Node) reloadAndRetry() error {
 	n.reloadRetry.due = nil
 	err := n.Reload()
@@ -62,7 +63,7 @@
 	return err
 }
 
-// Reload reads the platform's configuration again, and follows discovery to the address in it. All other values stay as
+// Reload reads the platform's configuration again, and switches to the discovery address in it. All other values stay as
 // they were at the start. After an error nothing has changed.
 func (n *Node) Reload() error {
 	next, err := n.config.reload(n.discovery.SwitchTo)
