--- a/cmd/cherrygap/config_check.go
+++ b/cmd/cherrygap/config_check.go
@@ -41,7 +41,7 @@
 }
 
 // checkFile checks a platform configuration (.json) or an operator file. It returns the deprecated keys of an operator file.
-// Environment variables take no part.
+// It ignores environment variables.
 func checkFile(path string) ([]operatorfile.Deprecation, error) {
 	if filepath.Ext(path) == ".json" {
 		_, err := node.LoadPlatformFile(path)
--- a/cmd/cherrygap/deprecated.go
+++ b/cmd/cherrygap/deprecated.go
@@ -5,8 +5,8 @@
 	"github.com/spf13/pflag"
 )
 
-// addDeprecatedFlag keeps the old name of a flag. It sets the same value, and writes the new name on standard error. Flags.Changed
-// reports a flag given by its old name under that name only.
+// addDeprecatedFlag adds the old name of a flag. A flag given by that name sets the same value, and cobra writes the new name on
+// standard error. Changed of the new name stays false then, so override does not work with flags that have an old name.
 func addDeprecatedFlag(flags *pflag.FlagSet, old, name string) {
 	flag := *flags.Lookup(name)
 	flag.Name = old
@@ -15,7 +15,7 @@
 	flags.AddFlag(&flag)
 }
 
-// deprecateCommand turns a command into the old name of another. It does the same, and writes the new name on standard
+// deprecateCommand gives a command its old name. Such a command works as before, and cobra writes the new name on standard
 // error.
 func deprecateCommand(cmd *cobra.Command, old, name string) *cobra.Command {
 	cmd.Use = old
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// newLabCommand makes the laboratory's commands. Each reads the [lab] part of the operator file; flags take precedence.
+// newLabCommand makes the laboratory's commands. Most read the [lab] part of the operator file; flags take precedence.
 func newLabCommand(operatorPath *string) *cobra.Command {
 	lab := &cobra.Command{
 		Use:   "lab",
@@ -61,10 +61,10 @@
 	return json.NewEncoder(cmd.OutOrStdout()).Encode(value)
 }
 
-// announce prints the JSON line with a server's addresses. The server runs on where it can't be written.
+// announce prints the JSON line with a server's addresses. It ignores write errors, because the server does not need the line.
 func announce(cmd *cobra.Command, value any) { _ = printJSON(cmd, value) }
 
-// contextUntilSignal returns a context that ends on SIGINT or SIGTERM, or after a limit above 0.
+// contextUntilSignal returns a context that ends on SIGINT or SIGTERM, and also after limit if that is above 0.
 func contextUntilSignal(limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	if limit <= 0 {
@@ -77,15 +77,15 @@
 	}
 }
 
-// override replaces a value of the operator file by that of a flag, where the flag was given.
+// override sets target, a value of the operator file, to value if the flag was given on the command line.
 func override[T any](cmd *cobra.Command, flag string, target *T, value T) {
 	if cmd.Flags().Changed(flag) {
 		*target = value
 	}
 }
 
-// checkFlags validates the values of flags as those of the operator file, once override has set them. The error names their
-// keys.
+// checkFlags validates the operator file after override has put the flags' values into it. The error names the keys of the
+// operator file, not the flags.
 func checkFlags(file operatorfile.File) error {
 	faults := file.Validate()
 	if len(faults) == 0 {
@@ -98,8 +98,8 @@
 	return errors.New(strings.Join(texts, "; "))
 }
 
-// withSeries calls run with a new file for the series, one JSON line a second. An empty path gives nil. The file stays where
-// run fails.
+// withSeries creates the file for a series (one JSON line a second), calls run with it and closes it. With an empty path run
+// gets nil. The file is kept even if run fails.
 func withSeries(path string, run func(series io.Writer) error) error {
 	if path == "" {
 		return run(nil)
--- a/cmd/cherrygap/lab_emulate.go
+++ b/cmd/cherrygap/lab_emulate.go
@@ -41,19 +41,19 @@
 }
 
 func runEmulate(cmd *cobra.Command, file operatorfile.File, flags emulateFlags) error {
-	servers := &file.Lab.Emulator
-	override(cmd, "servers", &servers.Servers, flags.servers)
-	override(cmd, "listen", &servers.Listen, flags.listen)
-	override(cmd, "schedule", &servers.Schedule, flags.schedule)
+	cfg := &file.Lab.Emulator
+	override(cmd, "servers", &cfg.Servers, flags.servers)
+	override(cmd, "listen", &cfg.Listen, flags.listen)
+	override(cmd, "schedule", &cfg.Schedule, flags.schedule)
 	override(cmd, "seed", &file.Lab.Seed, flags.seed)
 	if err := checkFlags(file); err != nil {
 		return err
 	}
-	schedule, err := loadServerSchedule(servers.Schedule, servers.Servers)
+	schedule, err := loadServerSchedule(cfg.Schedule, cfg.Servers)
 	if err != nil {
 		return err
 	}
-	fleet, err := emulator.Start(*servers, file.Lab.Seed, schedule, newLabLog(file))
+	fleet, err := emulator.Start(*cfg, file.Lab.Seed, schedule, newLabLog(file))
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	return printJSON(cmd, map[string]any{"stats": stats})
 }
 
-// loadServerSchedule reads a fault schedule for a number of app servers. An empty path gives one without faults.
+// loadServerSchedule reads a fault schedule for a fleet of servers app servers. An empty path gives a schedule without faults.
 func loadServerSchedule(path string, servers int) (emulator.Schedule, error) {
 	if path == "" {
 		return emulator.Schedule{}, nil
--- a/cmd/cherrygap/lab_load.go
+++ b/cmd/cherrygap/lab_load.go
@@ -49,12 +49,12 @@
 	if err := checkFlags(file); err != nil {
 		return err
 	}
-	tool := &load.Generator{Cfg: *traffic, Seed: file.Lab.Seed}
+	generator := &load.Generator{Cfg: *traffic, Seed: file.Lab.Seed}
 	return withSeries(flags.series, func(series io.Writer) error {
-		tool.Series = series
+		generator.Series = series
 		ctx, stop := contextUntilSignal(0)
 		defer stop()
-		result, err := tool.Run(ctx)
+		result, err := generator.Run(ctx)
 		if err != nil {
 			return err
 		}
--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -77,19 +77,19 @@
 // modelConfig returns the model's configuration. Flags take precedence over the operator file.
 func modelConfig(cmd *cobra.Command, file operatorfile.File, flags modelFlags) (model.Config, error) {
 	override(cmd, "seed", &file.Lab.Seed, flags.seed)
-	servers := file.Lab.Emulator
-	servers.Servers = flags.servers
+	server := file.Lab.Emulator
+	server.Servers = flags.servers
 	traffic := file.Lab.Load
 	traffic.Rate = flags.rate
 	override(cmd, "customers", &traffic.Customers, flags.customers)
 	override(cmd, "spread", &traffic.Spread, flags.spread)
 	cfg := model.Config{
 		Nodes: flags.nodes, Seconds: flags.seconds, Policy: model.Policy(flags.policy), Seed: file.Lab.Seed,
-		Traffic: traffic, Server: servers,
+		Traffic: traffic, Server: server,
 	}
 	schedulePath := flags.schedule
 	if schedulePath == "" {
-		schedulePath = servers.Schedule
+		schedulePath = server.Schedule
 	}
 	var err error
 	if cfg.Schedule, err = loadServerSchedule(schedulePath, flags.servers); err != nil {
--- a/cmd/cherrygap/lab_soak.go
+++ b/cmd/cherrygap/lab_soak.go
@@ -64,7 +64,7 @@
 // newSoakNodeCommand makes the child process of lab soak. It installs the filter of system calls on itself and becomes a node.
 func newSoakNodeCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:    soak.NodeCommand[len(soak.NodeCommand)-1],
+		Use:    soak.NodeCommand[len(soak.NodeCommand)-1], // below lab, which the command line names first
 		Short:  "A node of lab soak",
 		Hidden: true,
 		Args:   cobra.NoArgs,
