--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -13,10 +13,10 @@
 	lag       *lagMeter
 	now       func() time.Time
 
-	mu         sync.Mutex // guards the fields below, and all requests and attempts
-	requests   map[string]*request
-	ceilings   [cappedCustomers]*hardCeiling
-	statuses   map[int]int64
+	mu         sync.Mutex                    // guards the fields below, and all requests and attempts
+	requests   map[string]*request           // by ID; those that are not yet checked
+	ceilings   [cappedCustomers]*hardCeiling // by capped customer
+	statuses   map[int]int64                 // responses by HTTP status
 	counts     Counts
 	violations []Violation
 }
@@ -46,7 +46,8 @@
 	return c
 }
 
-// violate records a violation. The caller holds the lock.
+// violate records a violation. node is -1 if it is not of one node, and id is empty if it is not of one request. The caller
+// holds the lock.
 func (c *checker) violate(rule Rule, node int, id, format string, args ...any) {
 	c.violations = append(c.violations, Violation{
 		Rule: rule, Request: id, Node: node, At: c.now().Sub(c.startedAt), Detail: fmt.Sprintf(format, args...),
@@ -60,23 +61,23 @@
 	c.violate(rule, node, id, format, args...)
 }
 
-// sent records a request whose last byte is about to be written.
-func (c *checker) sent(r *request) {
+// recordRequest records a request whose last byte is about to be written.
+func (c *checker) recordRequest(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests[r.id] = r
 	c.counts.Requests++
 }
 
-// update calls change under the lock, so that it may change requests too.
+// update calls change with the lock held. change may also change requests.
 func (c *checker) update(change func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.counts)
 }
 
-// begun records an attempt that a server has read completely.
-func (c *checker) begun(id string, a *attempt) {
+// recordAttempt records an attempt that a server has read completely.
+func (c *checker) recordAttempt(id string, a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Attempts++
@@ -104,8 +105,8 @@
 	return -1
 }
 
-// ended records that an attempt's response was written, or that its connection ended.
-func (c *checker) ended(a *attempt) {
+// recordAttemptEnd records that an attempt's response was written, or that its connection ended.
+func (c *checker) recordAttemptEnd(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.endedAt.IsZero() {
@@ -113,8 +114,8 @@
 	}
 }
 
-// answer records and checks a final response.
-func (c *checker) answer(r *request, status int, body string) {
+// recordResponse records and checks a final response.
+func (c *checker) recordResponse(r *request, status int, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -133,8 +134,8 @@
 	}
 }
 
-// killed waives the responses to the open requests of a node that was killed.
-func (c *checker) killed(node int) {
+// waiveOpenRequests waives the responses to the open requests of a node that was killed.
+func (c *checker) waiveOpenRequests(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.requests {
@@ -145,7 +146,7 @@
 	}
 }
 
-// slackAt returns a tolerance plus the delay of this process around a moment. The caller holds the lock.
+// slackAt returns a tolerance plus harnessSlack and the delay of this process around a moment. The caller holds the lock.
 func (c *checker) slackAt(slack time.Duration, at time.Time) time.Duration {
 	lag := c.lag.around(at)
 	if lag > harnessSlack {
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -53,7 +53,7 @@
 	h.t.Helper()
 	c := classNamed(h.t, class)
 	r := &request{id: id, node: testNode, nodes: testNodes, class: c, cappedCustomer: -1, sentAt: h.start.Add(at), timeout: c.timeout}
-	h.checker.sent(r)
+	h.checker.recordRequest(r)
 	return r
 }
 
@@ -61,14 +61,14 @@
 func (h *history) attempt(r *request, from time.Duration) *attempt {
 	begunAt := h.start.Add(from)
 	a := &attempt{server: 2, firstByte: begunAt, begunAt: begunAt, timeout: r.deadline().Sub(begunAt)}
-	h.checker.begun(r.id, a)
+	h.checker.recordAttempt(r.id, a)
 	return a
 }
 
 // end records the end of an attempt.
 func (h *history) end(a *attempt, at time.Duration) {
 	h.clock = h.start.Add(at)
-	h.checker.ended(a)
+	h.checker.recordAttemptEnd(a)
 }
 
 // attempted records an attempt from its begin to its end.
@@ -94,7 +94,7 @@
 
 func (h *history) respondWith(r *request, at time.Duration, status int, body string) {
 	h.clock = h.start.Add(at)
-	h.checker.answer(r, status, body)
+	h.checker.recordResponse(r, status, body)
 }
 
 // clientClose is when clients close their connections.
@@ -146,11 +146,11 @@
 	}, nil},
 	{"no response, but the node was killed", func(h *history) {
 		h.attempted(h.send(safe, "a", 0), 5*ms, 20*ms)
-		h.checker.killed(testNode)
+		h.checker.waiveOpenRequests(testNode)
 	}, nil},
 	{"no response, and another node was killed", func(h *history) {
 		h.attempted(h.send(safe, "a", 0), 5*ms, 20*ms)
-		h.checker.killed(testNode + 1)
+		h.checker.waiveOpenRequests(testNode + 1)
 	}, []Rule{ruleAnswer}},
 	{"response at the end of the slack", func(h *history) {
 		r := h.send(safe, "a", 0)
@@ -318,7 +318,7 @@
 		h.respondWith(r, 11*ms, statusCompleted, responseBody("a")[:3])
 	}, []Rule{ruleForeignResponse}},
 	{"an attempt of a request that no client sent", func(h *history) {
-		h.checker.begun("b", &attempt{server: 2})
+		h.checker.recordAttempt("b", &attempt{server: 2})
 	}, []Rule{ruleUnknownRequest}},
 }
 
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -27,13 +27,13 @@
 	lastID   atomic.Uint64
 	inFlight sync.WaitGroup
 
-	mu   sync.Mutex // guards the fields below
-	idle map[int][]*clientConn
-	open map[int]map[*clientConn]struct{} // by node, with a request that waits for its response
+	mu   sync.Mutex                       // guards the fields below
+	idle map[int][]*clientConn            // by node
+	open map[int]map[*clientConn]struct{} // by node; connections on which a request waits for its response
 }
 
-func newClients(cfg *Config, l *checker, nodes []*node) *clients {
-	c := &clients{cfg: cfg, checker: l, nodes: nodes, idle: map[int][]*clientConn{}, open: map[int]map[*clientConn]struct{}{}}
+func newClients(cfg *Config, checker *checker, nodes []*node) *clients {
+	c := &clients{cfg: cfg, checker: checker, nodes: nodes, idle: map[int][]*clientConn{}, open: map[int]map[*clientConn]struct{}{}}
 	for i := range nodes {
 		c.open[i] = map[*clientConn]struct{}{}
 	}
@@ -44,7 +44,7 @@
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	reused  bool
+	reused  bool       // the connection has carried an earlier request
 	pending []*request // requests that wait for a response on it, in order; guarded by clients.mu
 }
 
@@ -57,7 +57,7 @@
 	patternPartial              // it closes in the middle of the request
 	patternPipeline             // it sends several requests at once
 	patternSlow                 // it sends in pieces
-	patternShortTimeout         // its budget is very short
+	patternShortTimeout         // its timeout is very short
 	patternLongBody             // a long body
 )
 
@@ -66,9 +66,9 @@
 
 func drawPattern(rng *rand.Rand) pattern {
 	percent := rng.IntN(100)
-	for h := patternDisconnect; h <= patternLongBody; h++ {
-		if percent -= patternPercentages[h]; percent < 0 {
-			return h
+	for p := patternDisconnect; p <= patternLongBody; p++ {
+		if percent -= patternPercentages[p]; percent < 0 {
+			return p
 		}
 	}
 	return patternPlain
@@ -77,11 +77,11 @@
 const (
 	maxIdle       = 24 // idle connections that clients keep to a node
 	dialTimeout   = time.Second
-	maxPipelined  = 4
-	longBody      = 40 << 10
-	shortTimeout  = 40 * time.Millisecond
+	maxPipelined  = 4                     // requests that a client sends at once
+	longBody      = 40 << 10              // bytes
+	shortTimeout  = 40 * time.Millisecond // shortest one of patternShortTimeout; the longest is twice as long
 	pieceInterval = 15 * time.Millisecond
-	pieces        = 4
+	pieces        = 4 // of a request that is sent slowly
 )
 
 // generate begins the requests of one node's clients in an open loop, until ctx ends.
@@ -95,19 +95,21 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		to, h, seed := c.firstAccepting(node), drawPattern(rng), rng.Uint64()
+		to := c.firstAccepting(node)
+		pattern := drawPattern(rng)
+		seed := rng.Uint64()
 		if to < 0 {
 			continue
 		}
 		c.inFlight.Add(1)
 		go func() { // ends with the request's response, or past its deadline
 			defer c.inFlight.Done()
-			c.play(to, h, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
+			c.play(to, pattern, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
 		}()
 	}
 }
 
-// firstAccepting returns the first node from a number on that clients go to, or -1.
+// firstAccepting returns the number of the first node, from a number on, that accepts clients. It returns -1 if none does.
 func (c *clients) firstAccepting(from int) int {
 	for k := range c.nodes {
 		if i := (from + k) % len(c.nodes); c.nodes[i].acceptsClients() {
@@ -118,7 +120,7 @@
 }
 
 // newRequest draws a request.
-func (c *clients) newRequest(node int, h pattern, rng *rand.Rand) *request {
+func (c *clients) newRequest(node int, p pattern, rng *rand.Rand) *request {
 	class := &requestClasses[rng.IntN(len(requestClasses))]
 	r := &request{
 		id: fmt.Sprintf("%016x", c.lastID.Add(1)|c.cfg.Seed<<40), node: node, class: class, timeout: class.timeout,
@@ -127,13 +129,13 @@
 	if rng.IntN(100) < cappedShare {
 		r.cappedCustomer = rng.IntN(cappedCustomers)
 	}
-	if h == patternShortTimeout {
+	if p == patternShortTimeout {
 		r.timeout = shortTimeout + time.Duration(rng.Int64N(int64(shortTimeout)))
 	}
 	return r
 }
 
-// text returns a request as it is written.
+// text returns the request as it is written to the connection. A GET has no body.
 func (r *request) text(body string) string {
 	length := ""
 	if r.class.method != http.MethodGet {
@@ -141,48 +143,49 @@
 	} else {
 		body = ""
 	}
-	plan, customer, spread, first := planName, r.node, 1, r.node
-	if r.cappedCustomer >= 0 {
-		plan, customer, spread, first = cappedPlanName, r.nodes+r.cappedCustomer, r.nodes, 0
-	}
-	lines := protocol.AppendRequestLines(nil, &protocol.Request{
+	customer := r.node // customers under the plan without limits have the numbers of their nodes
+	head := protocol.Request{
 		Method:    r.class.method,
-		URI:       protocol.RequestPath(r.class.name, uint64(customer)),
 		Host:      "edge",
 		ID:        r.id,
-		Plan:      plan,
+		Plan:      planName,
 		Timeout:   r.timeout,
 		Units:     1,
-		Spread:    spread,
-		FirstNode: first,
-	})
-	return string(lines) + length + "\r\n" + body
+		Spread:    1,
+		FirstNode: r.node,
+	}
+	if r.cappedCustomer >= 0 {
+		customer = r.nodes + r.cappedCustomer
+		head.Plan, head.Spread, head.FirstNode = cappedPlanName, r.nodes, 0
+	}
+	head.URI = protocol.RequestPath(r.class.name, uint64(customer))
+	return string(protocol.AppendRequestLines(nil, &head)) + length + "\r\n" + body
 }
 
 // play sends one request, or several, in a pattern, and waits for the responses.
-func (c *clients) play(node int, h pattern, rng *rand.Rand) {
+func (c *clients) play(node int, p pattern, rng *rand.Rand) {
 	conn := c.connect(node)
 	if conn == nil {
 		return // the connection was refused
 	}
 	count := 1
-	if h == patternPipeline {
+	if p == patternPipeline {
 		count = 2 + rng.IntN(maxPipelined-1)
 	}
 	var text strings.Builder
 	requests := make([]*request, count)
 	for i := range requests {
-		requests[i] = c.newRequest(node, h, rng)
+		requests[i] = c.newRequest(node, p, rng)
 		if i > 0 { // responses come in order, so none may have a shorter deadline than one before
 			requests[i].class, requests[i].timeout = requests[0].class, requests[0].timeout
 		}
 		body := "x"
-		if h == patternLongBody {
+		if p == patternLongBody {
 			body = strings.Repeat("x", longBody)
 		}
 		text.WriteString(requests[i].text(body))
 	}
-	switch h {
+	switch p {
 	case patternPartial:
 		_, _ = io.WriteString(conn, text.String()[:text.Len()/2])
 		time.Sleep(time.Duration(rng.Int64N(int64(maxServiceTime))))
@@ -193,7 +196,7 @@
 	default:
 		c.send(conn, text.String(), requests)
 	}
-	if h == patternDisconnect {
+	if p == patternDisconnect {
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * maxServiceTime))))
 		c.disconnect(conn, requests)
 		return
@@ -201,17 +204,17 @@
 	c.awaitResponses(conn, requests)
 }
 
-// send writes requests at once. Their budgets run from then.
+// send writes requests at once. Their timeouts begin now.
 func (c *clients) send(conn *clientConn, text string, requests []*request) {
 	c.setPending(conn, requests)
 	for _, r := range requests {
 		r.sentAt = time.Now()
-		c.checker.sent(r)
+		c.checker.recordRequest(r)
 	}
 	_, _ = io.WriteString(conn, text) // an error shows in a read
 }
 
-// sendSlowly writes one request in pieces. Its budget runs from the last one.
+// sendSlowly writes one request in pieces. Its timeout begins with the last piece.
 func (c *clients) sendSlowly(conn *clientConn, text string, requests []*request) {
 	step := len(text) / pieces
 	for range pieces - 1 {
@@ -250,7 +253,7 @@
 			c.handleConnClosed(conn, requests[i:], err)
 			return
 		}
-		c.checker.answer(r, response.StatusCode, string(body))
+		c.checker.recordResponse(r, response.StatusCode, string(body))
 		if response.Close && i+1 < len(requests) {
 			c.clearPending(conn)
 			_ = conn.Close()
@@ -280,13 +283,14 @@
 	node := requests[0].node
 	switch {
 	case c.nodes[node].wasKilled():
-		c.checker.killed(node)
+		c.checker.waiveOpenRequests(node)
 	case conn.reused || c.nodes[node].crowded():
 		c.resend(node, requests)
 	}
 }
 
-// resend sends requests again, each on a new connection under its own id. A node that has read one answers 409.
+// resend sends requests again, each on a new connection with the ID that it had. A node that has read a request with the same
+// ID before responds 409.
 func (c *clients) resend(node int, requests []*request) {
 	for _, r := range requests {
 		skip := false
@@ -304,10 +308,12 @@
 			conn = c.dial(to)
 		}
 		c.checker.update(func(*Counts) {
-			r.sentAt = time.Now()         // the budget runs anew
-			if r.node = to; conn == nil { // the node ends and had not read it, so no response is due
+			r.sentAt = time.Now() // the timeout begins anew
+			if conn == nil {      // the node was ending and had not read the request, so no response is due
 				r.node, r.waiver = node, "its node had ended"
+				return
 			}
+			r.node = to
 		})
 		if conn == nil {
 			continue
@@ -318,7 +324,7 @@
 	}
 }
 
-// connect returns an idle connection or a new one, or nil where the node refuses.
+// connect returns an idle connection or a new one, or nil if the dial fails.
 func (c *clients) connect(node int) *clientConn {
 	c.mu.Lock()
 	if stack := c.idle[node]; len(stack) > 0 {
@@ -332,7 +338,7 @@
 	return c.dial(node)
 }
 
-// dial opens a connection, or returns nil. A refusal by a node in service is a violation.
+// dial opens a connection. It returns nil after an error, and reports a violation if a node in service has refused.
 func (c *clients) dial(node int) *clientConn {
 	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
 	if err != nil {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -93,7 +93,7 @@
 	return from + time.Duration(rng.Int64N(int64(to-from)))
 }
 
-// lockNode draws a node and locks it. It returns nil where another fault has the node.
+// lockNode draws a node and locks it. It returns nil if another fault holds the node.
 func (r *run) lockNode(rng *rand.Rand) *node {
 	n := r.nodes[rng.IntN(len(r.nodes))]
 	if !n.busy.TryLock() {
@@ -125,9 +125,9 @@
 	defer n.busy.Unlock()
 	r.clients.closeIdle(n.number)
 	n.kill()
-	r.checker.killed(n.number)
+	r.checker.waiveOpenRequests(n.number)
 	sleep(ctx, between(rng, 0, time.Second))
-	r.checker.killed(n.number) // requests that were just being sent
+	r.checker.waiveOpenRequests(n.number) // requests that were just being sent
 	r.restart(ctx, n, rng)
 }
 
@@ -159,7 +159,7 @@
 		time.Sleep(between(rng, 20*time.Millisecond, 130*time.Millisecond))
 		n.signal(unix.SIGCONT)
 		if sleep(ctx, between(rng, 50*time.Millisecond, 300*time.Millisecond)); ctx.Err() != nil {
-			return // a further stop would follow at once, and both together last too long
+			return // without the pause, further stops would add up to a longer one
 		}
 	}
 }
@@ -189,11 +189,11 @@
 	raw := n.config(nil)
 	n.mu.Unlock()
 	n.delayNotice(time.Now().Add(reloadNotice))
-	half := len(raw) / 2
-	if rng.IntN(3) > 0 {
-		half = len(raw)
+	firstWrite := len(raw) // bytes; in a third of the reloads half of the file
+	if rng.IntN(3) == 0 {
+		firstWrite = len(raw) / 2
 	}
-	if err := nodeprocess.WriteConfig(n.dir, n.fileName(), raw[:half]); err != nil {
+	if err := nodeprocess.WriteConfig(n.dir, n.fileName(), raw[:firstWrite]); err != nil {
 		r.fail(err)
 		return
 	}
@@ -204,7 +204,7 @@
 	}
 }
 
-// lockServer draws a server and locks it. It returns nil where another fault has the server.
+// lockServer draws a server and locks it. It returns nil if another fault holds the server.
 func (r *run) lockServer(rng *rand.Rand) *appServer {
 	s := r.servers[rng.IntN(len(r.servers))]
 	if !s.busy.TryLock() {
@@ -271,7 +271,7 @@
 
 // playMisbehave gives some servers another behaviour.
 func (r *run) playMisbehave(ctx context.Context, rng *rand.Rand) {
-	how := int32(behaveHang) + rng.Int32N(int32(behaviours)-int32(behaveHang))
+	how := int32(behaveHang) + rng.Int32N(int32(behaviourCount)-int32(behaveHang))
 	var servers []*appServer
 	for range 1 + rng.IntN(max(1, len(r.servers)/4)) {
 		if s := r.lockServer(rng); s != nil {
@@ -286,7 +286,7 @@
 	}
 }
 
-// playIdleClose makes some servers close idle connections earlier than the settings say.
+// playIdleClose makes some servers close idle connections earlier than their idle timeout in the settings.
 func (r *run) playIdleClose(ctx context.Context, rng *rand.Rand) {
 	servers := r.servers[:1+rng.IntN(len(r.servers))]
 	for _, s := range servers {
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -54,7 +54,7 @@
 	server      int
 	firstByte   time.Time     // when its first byte arrived
 	begunAt     time.Time     // when its last byte arrived
-	timeout     time.Duration // the budget in its head
+	timeout     time.Duration // in its header
 	endedAt     time.Time     // when its response was written or its connection ended; zero: not yet
 	notExecuted bool          // the server rejected it
 	readLate    bool          // the server read it long after its arrival: the times are not exact
--- a/internal/lab/soak/invariants.go
+++ b/internal/lab/soak/invariants.go
@@ -32,10 +32,10 @@
 	answerSlack       = 500 * time.Millisecond
 	clientCloseSlack  = 100 * time.Millisecond
 	deadlineSlack     = 150 * time.Millisecond
-	graceSlack        = 50 * time.Millisecond
+	graceSlack        = 50 * time.Millisecond  // past the drain grace, and past the window of an idempotency key
 	concurrencySlack  = 100 * time.Millisecond // a server may notice the end of a connection that late
-	readLateThreshold = 20 * time.Millisecond  // a server that reads a request later than this was stalled
-	harnessSlack      = 30 * time.Millisecond
+	readLateThreshold = 20 * time.Millisecond  // a request that is read later than this after its arrival has no exact times
+	harnessSlack      = 30 * time.Millisecond  // part of each tolerance, for the delays of this process
 )
 
 // Violation is one violation of an invariant.
--- a/internal/lab/soak/lagmeter.go
+++ b/internal/lab/soak/lagmeter.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	lagInterval = 5 * time.Millisecond
+	lagInterval = 5 * time.Millisecond // between two measurements
 	lagBuckets  = 64
 	lagBucket   = 250 * time.Millisecond
 )
@@ -19,7 +19,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	lags    [lagBuckets]time.Duration
-	numbers [lagBuckets]int64 // of the bucket whose lag is at that index
+	numbers [lagBuckets]int64 // number of the bucket at each index of lags
 }
 
 func newLagMeter() *lagMeter { return &lagMeter{startedAt: time.Now()} }
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// holdIdleConns opens nodeSockets/2 idle connections to a node, more than it has slots for clients, and closes them later.
+// holdIdleConns opens nodeSockets/2 idle connections to a node, and closes them after hold or when ctx ends. They are more than
+// the node's limit of client connections.
 func (c *clients) holdIdleConns(ctx context.Context, node int, hold time.Duration) {
 	var conns []net.Conn
 	for range nodeSockets / 2 {
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -30,20 +30,23 @@
 const (
 	readyTimeout = 10 * time.Second        // of a started node; a tenth of the starts may take longer
 	startTimeout = 3 * readyTimeout        // after which a start has failed
-	killTimeout  = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s and 0.7 s
+	killTimeout  = 3700 * time.Millisecond // from SIGTERM to SIGKILL
 )
 
+// watchesPerNode is the number of discovery addresses of a node.
+const watchesPerNode = 2
+
 // node is one edge node, over its restarts. It is safe for concurrent use.
 type node struct {
 	number int
 	addr   string
-	agents [2]string // discovery's addresses for this node; each reload switches to the other one
+	agents [watchesPerNode]string // discovery's addresses for this node; each reload switches to the other one
 	dir    string
-	nodes  int
+	nodes  int // of the fleet
 
 	faults callFaults
 
-	busy sync.Mutex // held by a fault that stops, starts or reloads the node
+	busy sync.Mutex // held by a fault that stops, starts or reloads the node; guards no field
 
 	mu              sync.Mutex           // guards the fields below
 	process         *nodeprocess.Process // the present or last one; nil before the first start
@@ -53,7 +56,7 @@
 	startedAt       time.Time
 	crowdedUntil    time.Time // until when idle clients fill its descriptors
 	noticeDelayedTo time.Time // notices that discovery sends before count as received then
-	agent           int       // of agents
+	agent           int       // index in agents of the address in the configuration
 	starts          int
 }
 
@@ -65,7 +68,7 @@
 	failed atomic.Int64
 }
 
-// decide is a syscallfault.Policy.
+// decide returns the errno with which a call fails, or 0. It is a syscallfault.Policy.
 func (f *callFaults) decide(call syscallfault.Call) syscall.Errno {
 	errnos := f.errnos.Load()
 	if errnos == nil || !f.on.Load() && call.Number == unix.SYS_OPENAT {
@@ -79,6 +82,9 @@
 	return list[rand.IntN(len(list))]
 }
 
+// watches returns the agent's numbers of the node's watches, one for each of its discovery addresses.
+func (n *node) watches() [watchesPerNode]int { return [...]int{2 * n.number, 2*n.number + 1} }
+
 // fileName returns the name of the node's files, without their extensions.
 func (n *node) fileName() string { return "node" + strconv.Itoa(n.number) }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -24,12 +24,12 @@
 	nodes   []*node
 	clients *clients
 
-	discoveryBusy sync.Mutex // held by a fault of discovery
+	discoveryBusy sync.Mutex // held by a fault of discovery; guards no field
 
-	mu          sync.Mutex // guards the fields below
-	err         error      // of the harness itself
-	faultCounts map[string]int
-	readyTimes  []time.Duration
+	mu          sync.Mutex      // guards the fields below
+	err         error           // of the harness itself
+	faultCounts map[string]int  // by the fault's name
+	readyTimes  []time.Duration // of each start that succeeded
 }
 
 // Result is the result of a run. The run is good where Violations is empty.
@@ -47,7 +47,8 @@
 	Violations        []Violation      `json:"violations"`
 }
 
-// Run plays a run. It ends all processes and goroutines that it has started, also where it fails or ctx ends.
+// Run plays a run. It ends all processes that it has started before it returns, also after an error or when ctx ends. The
+// goroutine that measures this process's delays ends with ctx.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -70,10 +71,10 @@
 	return r.result()
 }
 
-// setUp starts the servers, discovery and the nodes. Their goroutines end with ctx or killAll.
+// setUp starts the servers, the discovery agent and the nodes. The goroutines of servers and nodes end after killAll.
 func (r *run) setUp(ctx context.Context) error {
 	lag := newLagMeter()
-	go lag.run(ctx) // ends with the run
+	go lag.run(ctx) // ends with ctx
 	r.checker = newChecker(lag, r.cfg.Duration, r.cfg.Nodes)
 	endpoints := make([]discovery.Endpoint, r.cfg.Servers)
 	for i := range endpoints {
@@ -83,12 +84,12 @@
 		}
 		r.servers = append(r.servers, s)
 		endpoints[i] = discovery.Endpoint{Endpoint: protocol.Endpoint{
-			UID: "app-" + strconv.Itoa(i), Addr: netip.MustParseAddrPort(s.server.Addr()), Zone: "z" + strconv.Itoa(i%3), Model: "m", Cell: i / 4,
+			UID: "app-" + strconv.Itoa(i), Addr: netip.MustParseAddrPort(s.server.Addr()), Zone: "z" + strconv.Itoa(i%zones), Model: "m", Cell: i / serversPerCell,
 			State: protocol.InService, Weight: 1,
 		}, Listed: true}
 	}
 	var err error
-	if r.agent, err = discovery.Start(endpoints, 2*r.cfg.Nodes); err != nil {
+	if r.agent, err = discovery.Start(endpoints, watchesPerNode*r.cfg.Nodes); err != nil {
 		return err
 	}
 	for i := range r.cfg.Nodes {
@@ -96,7 +97,9 @@
 		if n.addr, err = nodeprocess.FreeAddress("tcp", loopbackAddress(nodeBlock, i)); err != nil {
 			return err
 		}
-		n.agents = [2]string{r.agent.Addr(2 * i), r.agent.Addr(2*i + 1)}
+		for k, watch := range n.watches() {
+			n.agents[k] = r.agent.Addr(watch)
+		}
 		r.nodes = append(r.nodes, n)
 	}
 	r.clients = newClients(&r.cfg, r.checker, r.nodes)
@@ -104,10 +107,7 @@
 	return r.failure()
 }
 
-// watches returns the agent's numbers of the node's two watches, one for each of its discovery addresses.
-func (n *node) watches() []int { return []int{2 * n.number, 2*n.number + 1} }
-
-// forEachNode calls do for all nodes at once, and waits.
+// forEachNode calls do for all nodes concurrently, and returns after the last call.
 func (r *run) forEachNode(do func(*node)) {
 	var wg sync.WaitGroup
 	for _, n := range r.nodes {
@@ -117,7 +117,7 @@
 	wg.Wait()
 }
 
-// startNode starts a node. One that does not get ready is a violation.
+// startNode starts a node. It reports a violation if the node does not become ready, unless ctx has ended.
 func (r *run) startNode(ctx context.Context, n *node, known []byte) {
 	took, err := n.start(ctx, r.cfg.Program, known)
 	switch {
@@ -159,7 +159,7 @@
 // crashPollInterval is the time between two checks for nodes that ended by themselves.
 const crashPollInterval = 100 * time.Millisecond
 
-// watchForCrashes reports each node that ends by itself, once, until ctx ends.
+// watchForCrashes reports the first crash of each node, until ctx ends.
 func (r *run) watchForCrashes(ctx context.Context) {
 	reported := map[*node]bool{}
 	for ctx.Err() == nil {
@@ -173,10 +173,10 @@
 	}
 }
 
-// capacity returns the capacity of a warm server in requests a second: its even share of all, and half as much again.
+// capacity returns the capacity of a warm server in requests a second: headroom times its even share of all requests.
 func (r *run) capacity() float64 {
-	const spare = 1.5
-	return spare * r.cfg.Rate * float64(r.cfg.Nodes) / float64(r.cfg.Servers)
+	const headroom = 1.5
+	return headroom * r.cfg.Rate * float64(r.cfg.Nodes) / float64(r.cfg.Servers)
 }
 
 // notifiedAt returns when a node counts as notified of a change that was published at a moment.
@@ -192,7 +192,7 @@
 	r.cfg.Log.Info().Str("fault", name).Dur("duration_ms", time.Since(begun)).Msg("fault ended")
 }
 
-// fail records an error of the harness itself, which ends the run without a result.
+// fail records an error of the harness itself. The run then returns it in place of a result.
 func (r *run) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,7 +228,7 @@
 	for _, s := range r.servers {
 		s.checkSlowStart(r.capacity())
 	}
-	r.checker.checkUntil(time.Now().Add(time.Hour))
+	r.checker.checkUntil(time.Now().Add(time.Hour)) // all requests: no deadline is that late
 	r.checker.checkCeilings()
 	result := &Result{
 		Seed: r.cfg.Seed, Nodes: r.cfg.Nodes, Seconds: r.cfg.Duration.Seconds(), Counts: r.checker.counts, Statuses: map[string]int64{},
@@ -267,7 +267,7 @@
 	return nil
 }
 
-// checkStartTimes reports where over a tenth of the starts took longer than readyTimeout.
+// checkStartTimes reports a violation if over a tenth of the starts took longer than readyTimeout.
 func (r *run) checkStartTimes() {
 	late := 0
 	for _, took := range r.readyTimes {
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -15,24 +15,24 @@
 	"cherrygap/internal/protocol"
 )
 
-// statusCompleted is the status of a completed request.
+// statusCompleted is the HTTP status of a completed request.
 const statusCompleted = http.StatusOK
 
 // responseBody returns the body of the response to a request.
 func responseBody(id string) string { return "done " + id }
 
-// behaviour is a server's way to treat its requests.
+// behaviour is the way in which a server handles its requests.
 type behaviour int32
 
 const (
-	behaveWell   behaviour = iota
-	behaveHang             // reads requests and never responds
-	behaveReset            // reads complete requests and resets the connection
-	behaveCut              // resets the connection after half a response
-	behaveReject           // rejects requests without executing them
-	behaveFail             // responds with an error
-	behaveStall            // reads nothing
-	behaviours             // the number of behaviours
+	behaveWell     behaviour = iota
+	behaveHang               // reads requests and never responds
+	behaveReset              // reads complete requests and resets the connection
+	behaveCut                // resets the connection after half a response
+	behaveReject             // rejects requests without executing them
+	behaveFail               // responds with an error
+	behaveStall              // reads nothing
+	behaviourCount           // not a behaviour
 )
 
 // earlyIdleTimeout is the idle timeout of a server that closes connections early.
@@ -50,10 +50,10 @@
 	checker *checker
 	server  *appserver.Server
 
-	behaves    atomic.Int32
-	closesIdle atomic.Bool
+	behaves    atomic.Int32 // a behaviour
+	closesIdle atomic.Bool  // after earlyIdleTimeout
 	notifiedAt func(node int, published time.Time) time.Time
-	busy       sync.Mutex // held by a fault that stops, starts or changes the server
+	busy       sync.Mutex // held by a fault that stops, starts or changes the server; guards no field
 
 	mu               sync.Mutex         // guards the fields below
 	processStartedAt time.Time          // of the present process, if it started during the run
@@ -147,11 +147,12 @@
 	_ = conn.SetReadDeadline(time.Time{})
 	a := &attempt{server: s.number, firstByte: conn.first, begunAt: conn.last, timeout: request.Timeout}
 	how := behaviour(s.behaves.Load())
-	a.notExecuted, a.readLate = how == behaveReject, stalled || time.Since(a.begunAt) > readLateThreshold
-	s.checker.begun(request.ID, a)
+	a.notExecuted = how == behaveReject
+	a.readLate = stalled || time.Since(a.begunAt) > readLateThreshold
+	s.checker.recordAttempt(request.ID, a)
 	s.recordSlowStart(request.ID, a.begunAt)
 	s.checkDrain(request.ID, a)
-	defer s.checker.ended(a)
+	defer s.checker.recordAttemptEnd(a)
 	return s.respond(conn, reader, how, request.ID)
 }
 
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -24,6 +24,12 @@
 	{"book", http.MethodPost, settings.RetryUnsafe, 1500 * time.Millisecond, time.Second},
 }
 
+// The zones and cells of the app servers.
+const (
+	zones          = 3
+	serversPerCell = 4
+)
+
 // The plans. The first has limits that are never reached. The other has a hard ceiling for each customer over all nodes.
 const (
 	planName       = "team"
--- a/internal/lab/soak/slowstart.go
+++ b/internal/lab/soak/slowstart.go
@@ -23,38 +23,44 @@
 	s.slowStarts = append(s.slowStarts, slowStartAttempt{at, notified})
 }
 
-// checkSlowStart reports the first window in which the server's present process got more attempts than one in slow start
-// bears. A window counts if over two thirds of the attempts came from notified nodes. capacity is that of a warm server, in
+// checkSlowStart reports the first window in which the server's present process got more attempts than slowStartBound. A window counts if over two thirds of the attempts came from notified nodes. capacity is that of a warm server, in
 // requests a second.
 func (s *appServer) checkSlowStart(capacity float64) {
 	s.mu.Lock()
 	startedAt, attempts := s.processStartedAt, s.slowStarts
 	s.mu.Unlock()
 	for i, first := range attempts {
-		count, notified := countWindow(attempts[i:])
+		window := countWindow(attempts[i:])
 		sinceStart := first.at.Sub(startedAt)
 		bound := slowStartBound(capacity, sinceStart+overloadWindow/2)
-		if float64(count) > bound && 3*notified > 2*count {
+		if float64(window.attempts) > bound && 3*window.notified > 2*window.attempts {
 			s.checker.report(ruleSlowStart, -1, "", "server %d got %d requests within %v, %v after its start, and bears %.0f",
-				s.number, count, overloadWindow, sinceStart, bound)
+				s.number, window.attempts, overloadWindow, sinceStart, bound)
 			return
 		}
 	}
 }
 
-// countWindow counts the attempts within overloadWindow from the first one on, and those of notified nodes.
-func countWindow(attempts []slowStartAttempt) (count, notified int) {
+// windowCounts counts the attempts within one overloadWindow.
+type windowCounts struct {
+	attempts int
+	notified int // those of them that came from notified nodes
+}
+
+// countWindow counts the attempts within overloadWindow from the first one on. attempts must not be empty.
+func countWindow(attempts []slowStartAttempt) windowCounts {
+	var window windowCounts
 	from := attempts[0].at
 	for _, a := range attempts {
 		if a.at.Sub(from) >= overloadWindow {
 			continue
 		}
-		count++
+		window.attempts++
 		if a.notified {
-			notified++
+			window.notified++
 		}
 	}
-	return count, notified
+	return window
 }
 
 // slowStartBound returns the number of requests that a server bears within overloadWindow, at an age of its process. The
