--- a/internal/lab/appserver/executions.go
+++ b/internal/lab/appserver/executions.go
@@ -12,8 +12,8 @@
 }
 
 type executionShard struct {
-	mu    sync.Mutex // guards begun
-	begun map[string]int
+	mu    sync.Mutex     // guards begun
+	begun map[string]int // executions, by request ID
 }
 
 // Begin counts an execution of a request that begins now, and returns the number of its executions so far.
--- a/internal/lab/appserver/server.go
+++ b/internal/lab/appserver/server.go
@@ -21,7 +21,7 @@
 	mu       sync.Mutex            // guards the fields below
 	addr     string                // host:port; the port is fixed by the first Listen
 	listener net.Listener          // nil while the server is killed
-	conns    map[net.Conn]struct{} // open ones
+	conns    map[net.Conn]struct{} // open connections
 }
 
 // New returns a server of addr (port 0 for a free port) that does not listen yet. serve is called on a new goroutine for
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -71,7 +71,7 @@
 	return ok && !used.Swap(true)
 }
 
-// requestPlan says how the server treats one request.
+// requestPlan holds what the server has drawn for one request.
 type requestPlan struct {
 	faults      []Fault // active ones that hit the request
 	serviceTime time.Duration
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -12,7 +12,7 @@
 type cappedListener struct {
 	net.Listener
 	maxOpen  int64
-	open     atomic.Int64 // the owner subtracts closed connections
+	open     atomic.Int64 // connections; ConnState of Server.open subtracts the closed ones
 	accepted atomic.Int64
 	refused  atomic.Int64 // reset at the limit
 }
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -50,10 +50,10 @@
 	Factor      float64 `toml:"x"`      // of Slow: 1 to 1000 (default 5)
 }
 
-// Start returns when the fault begins, after the emulator's start.
+// Start returns the time from the emulator's start to the fault's begin.
 func (f Fault) Start() time.Duration { return time.Duration(f.StartS * float64(time.Second)) }
 
-// End returns when the fault ends, after the emulator's start.
+// End returns the time from the emulator's start to the fault's end.
 func (f Fault) End() time.Duration {
 	return time.Duration((f.StartS + f.DurationS) * float64(time.Second))
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -62,7 +62,7 @@
 }
 
 // Drain makes the server reject new requests and answer health checks with 503, while it still accepts connections.
-// Requests in flight may finish within the configured grace, after which the server closes.
+// Requests in flight may finish within the configured grace. After that the server closes, with all connections.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -41,7 +41,7 @@
 	rng         *rand.Rand
 	customers   *rand.Zipf
 	totalShares float64 // sum of the classes' shares
-	now         float64 // time of the last arrival since the start, in seconds
+	now         float64 // seconds from the start to the last arrival
 }
 
 // NewStream returns the Stream of the plan that Plan returns for cfg and seed.
@@ -83,7 +83,7 @@
 	return max(0, len(s.cfg.Classes)-1)
 }
 
-// inBurst reports whether there is a burst at a time since the start, in seconds. Each period of cfg.BurstS seconds ends with a
+// inBurst reports whether there is a burst now seconds after the start. Each period of cfg.BurstS seconds ends with a
 // burst of cfg.BurstLenS seconds.
 func inBurst(cfg operatorfile.Traffic, now float64) bool {
 	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(now, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -47,7 +47,8 @@
 	seconds int          // number of seconds flushed
 }
 
-// Run sends all requests of the plan, and waits until each has ended or ctx is done. An error is one of writing the series.
+// Run sends all requests of the plan, and returns once each has ended. When ctx is done it sends no more, and the open requests
+// end as timed out; Behind is not set if that is before the last arrival. Run returns the first error of writing the series.
 // Each request has its own goroutine, which ends with the request.
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
@@ -98,7 +99,8 @@
 	return true
 }
 
-// send sends a request. If it is rejected and its client retries, send also sends the retry. start is the start of the run.
+// send sends a request that was due at the time due. If it is rejected and its client retries, send also sends the retry, which
+// is due after the Retry-After. start is the start of the run.
 func (g *Generator) send(ctx context.Context, a Arrival, due, start time.Time) {
 	drawn := g.recordSent(a, due)
 	response := g.roundTrip(ctx, a, drawn.id, due)
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -62,7 +62,7 @@
 
 // Recorder keeps the counts of a run and writes its series. It is used for one run, by one goroutine.
 type Recorder struct {
-	Series io.Writer // gets the JSON lines; nil for none
+	series io.Writer // gets the JSON lines; nil for none
 
 	policy         Policy
 	nodes, servers int
@@ -88,7 +88,7 @@
 // NewRecorder returns a recorder that writes the series to w (nil for none).
 func NewRecorder(w io.Writer) *Recorder {
 	return &Recorder{
-		Series: w, startedAt: time.Now(),
+		series: w, startedAt: time.Now(),
 		latencies: histogram.New(), secondLatencies: histogram.New(),
 	}
 }
@@ -101,22 +101,22 @@
 	r.policy, r.nodes, r.servers = cfg.Policy, cfg.Nodes, cfg.Server.Servers
 }
 
-// arrived counts a request's arrival.
-func (r *Recorder) arrived() {
+// recordArrival counts a request's arrival.
+func (r *Recorder) recordArrival() {
 	r.open++
 	r.total++
 	r.secondArrived++
 }
 
-// begun counts a request if its second execution begins and it is unsafe.
-func (r *Recorder) begun(req *request) {
+// recordBegun is called when an execution begins. It counts an unsafe request at its second execution.
+func (r *Recorder) recordBegun(req *request) {
 	if req.begun == 2 && !req.retrySafe {
 		r.executedTwice++
 	}
 }
 
-// ended counts the end of a request.
-func (r *Recorder) ended(req *request, outcome requestOutcome, now time.Duration) {
+// recordEnd counts the end of a request.
+func (r *Recorder) recordEnd(req *request, outcome requestOutcome, now time.Duration) {
 	r.open--
 	r.outcomes[outcome]++
 	r.secondOutcomes[outcome]++
@@ -144,12 +144,12 @@
 	r.seconds++
 	r.secondOutcomes, r.secondArrived = [outcomeCount]int64{}, 0
 	r.secondLatencies.Reset()
-	if r.Series == nil || r.err != nil {
+	if r.series == nil || r.err != nil {
 		return
 	}
 	text, err := json.Marshal(line)
 	if err == nil {
-		_, err = r.Series.Write(append(text, '\n'))
+		_, err = r.series.Write(append(text, '\n'))
 	}
 	if err != nil {
 		r.err = fmt.Errorf("model: series: %w", err)
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -15,15 +15,15 @@
 	r.begin(&Config{Policy: Module, Nodes: 2})
 	safe, unsafe := &request{retrySafe: true}, &request{}
 	for _, req := range []*request{safe, unsafe} {
-		r.arrived()
+		r.recordArrival()
 		for range 3 {
 			req.begun++
-			r.begun(req)
+			r.recordBegun(req)
 		}
 	}
-	r.ended(safe, outcomeCompleted, 20*time.Millisecond)
+	r.recordEnd(safe, outcomeCompleted, 20*time.Millisecond)
 	r.endSecond(time.Second, fleetSample{loadMean: 0.5, loadMax: 1, serversUp: 3})
-	r.ended(unsafe, outcomeFailed, time.Second)
+	r.recordEnd(unsafe, outcomeFailed, time.Second)
 	r.endSecond(2*time.Second, fleetSample{serversUp: 2})
 	const want = `{"t":0,"arrived":2,"outcomes":{"bounced":0,"broken":0,"completed":1,"gave_up":0},"p50_ms":20.015,"p95_ms":20.015,"p99_ms":20.015,"load_mean":0.5,"load_max":1,"open":1,"twice":1,"servers_up":3}
 {"t":1,"arrived":0,"outcomes":{"bounced":0,"broken":1,"completed":0,"gave_up":0},"p50_ms":0,"p95_ms":0,"p99_ms":0,"load_mean":0,"load_max":0,"open":0,"twice":1,"servers_up":2}
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -49,7 +49,7 @@
 		node: n, class: a.Class, tenant: tenant(a.Customer), clientRetry: a.ClientRetry,
 		retrySafe: cfg.RetrySafety == settings.RetrySafe, arrivedAt: s.now, deadline: s.now + timeout,
 	}
-	s.recorder.arrived()
+	s.recorder.recordArrival()
 	s.schedule(&event{at: req.deadline, kind: eventClientTimeout, request: req})
 	if n.router == nil {
 		s.decideByBaseline(req)
@@ -78,7 +78,7 @@
 func (c canceller) Cancel(number int) {
 	if a := c.request.attempt; a != nil && a.number == number && !a.ended {
 		c.sim.answer(a, protocol.Cancelled, 0)
-		a.ended = true
+		a.ended = true // after answer, which ignores an ended attempt
 	}
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	req.ended = true
-	s.recorder.ended(req, outcome, s.now)
+	s.recorder.recordEnd(req, outcome, s.now)
 }
 
 // release releases a request's resources at its node's engine. It does nothing if they are released.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -26,6 +26,12 @@
 	sampledWork     int           // work at the last sample
 }
 
+// The numbers of the servers' zones and cells.
+const (
+	zones = 3
+	cells = 8
+)
+
 // newServer returns a server that is in service and warmed up.
 func newServer(id int, seed uint64) *server {
 	return &server{
@@ -33,7 +39,7 @@
 		endpoint: protocol.Endpoint{
 			UID:  "s-" + strconv.Itoa(id),
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(id >> 8), byte(id)}), 9000),
-			Zone: string(rune('a' + id%3)), Model: "m", Cell: id % 8,
+			Zone: string(rune('a' + id%zones)), Model: "m", Cell: id % cells,
 			State: protocol.InService, Weight: 1,
 		},
 		random:          rand.New(rand.NewPCG(seed, uint64(id)+1)),
@@ -108,7 +114,7 @@
 	sv.inWork++
 	a.inWork = true
 	a.request.begun++
-	s.recorder.begun(a.request)
+	s.recorder.recordBegun(a.request)
 	units := s.cfg.Traffic.Classes[a.request.class].Units
 	serviceTime := emulator.DrawServiceTime(s.cfg.Server, sv.random, units, s.now-sv.startedAt, faults)
 	a.outcome = protocol.Completed
@@ -124,6 +130,7 @@
 			a.lost = true
 		}
 	}
+	// The half round trip from the node to the server counts as work, also for a queued attempt.
 	s.schedule(&event{at: s.now + serviceTime + s.cfg.RTT/2, kind: eventWorkDone, attempt: a})
 }
 
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -24,10 +24,10 @@
 
 const (
 	drainNotice = 100 * time.Millisecond // from the begin of a drain to the nodes' notice of it
-	drainCutoff = 500 * time.Millisecond // from the notice to the last allowed attempt (rule 3 of the platform)
+	drainCutoff = 500 * time.Millisecond // from the notice to the last attempt that the platform allows
 )
 
-// simulationSeed is the second half of the simulation's random seed, other than those of the servers and of the traffic.
+// simulationSeed is the second word of the seed of Sim.random. It differs from those of the servers and of the traffic.
 const simulationSeed = 0x6d6f64656c
 
 // Sim is a run in progress. It is used by one goroutine.
@@ -132,16 +132,16 @@
 
 // sample ends a second of the series, and records the servers' load for the LeastBusy policy.
 func (s *Sim) sample() {
-	var now fleetSample
+	var fleet fleetSample
 	concurrency := float64(s.cfg.Server.Concurrency)
 	for _, sv := range s.servers {
 		sv.sampledWork = sv.work()
 		load := float64(sv.sampledWork) / concurrency
-		now.loadMean += load / float64(len(s.servers))
-		now.loadMax = max(now.loadMax, load)
+		fleet.loadMean += load / float64(len(s.servers))
+		fleet.loadMax = max(fleet.loadMax, load)
 		if !sv.down {
-			now.serversUp++
+			fleet.serversUp++
 		}
 	}
-	s.recorder.endSecond(s.now, now)
+	s.recorder.endSecond(s.now, fleet)
 }
--- a/internal/lab/nodeprocess/node.go
+++ b/internal/lab/nodeprocess/node.go
@@ -22,7 +22,7 @@
 	Name    string
 	After   time.Duration // since the wait began
 	Exited  bool          // the process ended before it was ready
-	LogLine string        // the last one
+	LogLine string        // last line of the process's log
 }
 
 // Error names the node and the last line of its log.
@@ -41,8 +41,8 @@
 	return os.WriteFile(ConfigPath(dir, name), config, 0o600)
 }
 
-// ConfigEnv returns the environment by which a node reads its configuration file in dir, whatever the laboratory's own
-// environment sets.
+// ConfigEnv returns the environment variables with which a node reads its configuration file in dir. They override those of the
+// laboratory's own environment, except for GW_OPERATOR, which the node inherits.
 func ConfigEnv(dir, name string) []string {
 	return []string{"GW_CONFIG=" + ConfigPath(dir, name), "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY="}
 }
--- a/internal/lab/nodeprocess/process.go
+++ b/internal/lab/nodeprocess/process.go
@@ -30,13 +30,13 @@
 	exited  chan struct{} // closed once the process has ended and was waited for
 }
 
-// Ending says how a process ended in Stop.
+// Ending is the way in which a process ended in Stop.
 type Ending int
 
 // The endings.
 const (
-	EndedInTime Ending = iota
-	Killed             // it did not end in time after the signal
+	EndedInTime Ending = iota // or before Stop was called
+	Killed                    // it did not end in time after the signal
 )
 
 // LogPath returns the path of the log file of the processes with a name in dir.
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -107,7 +107,8 @@
 	case 0:
 		return r.drainLastServer()
 	case 1:
-		if server, ok := r.unchangedServer(servers / 7 * (step/4 + 1) % servers); ok {
+		const stride = 7 // consecutive changes of a weight are a seventh of the servers apart
+		if server, ok := r.unchangedServer(servers / stride * (step/4 + 1) % servers); ok {
 			return r.publish(listChange{state: protocol.InService, weight: changedWeight}, server)
 		}
 	case 2:
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -29,7 +29,7 @@
 // newIncarnation returns an incarnation with the node's engine in its initial state.
 func (n *simulatedNode) newIncarnation(seed uint64) *incarnation {
 	inc := &incarnation{drained: map[int]time.Time{}}
-	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) })
+	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) }) // SetTimer replaces the hour
 	inc.router = routing.New(routing.Config{
 		Seed:     rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
 		Settings: nodeSettings(n.fleet.cfg.Config, n.number),
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -12,6 +12,9 @@
 
 const maxInFlight = 1024 // requests at all simulated nodes
 
+// nodeRequestStream is the second word of the seed of the simulated nodes' requests.
+const nodeRequestStream = 0x686f
+
 // generate starts requests at random simulated nodes, at times drawn in advance. It ends with the process. Each request has
 // a goroutine, which ends with the response.
 func (f *nodeFleet) generate() {
@@ -19,7 +22,7 @@
 	if rate <= 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(f.cfg.Seed, 0x686f))
+	rng := rand.New(rand.NewPCG(f.cfg.Seed, nodeRequestStream))
 	for due := time.Now(); ; due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) {
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -30,10 +30,10 @@
 	ends      nodeEndings
 }
 
-// nodeEndings counts the processes of a node that did not end in time after SIGTERM.
+// nodeEndings counts the processes of a node that ended otherwise than in time after SIGTERM.
 type nodeEndings struct {
-	exited int // without a signal
-	killed int // not within childKillAfter
+	exited int // before drain sent a signal
+	killed int // by SIGKILL, childKillAfter later than SIGTERM
 }
 
 // name returns the node's name in its configuration and of its files.
@@ -132,7 +132,7 @@
 	return n.memory
 }
 
-// endings returns the counts of processes so far. A process that has ended and that drain has not stopped counts as exited.
+// endings returns the counts of processes so far. The last process counts as exited if it has ended.
 func (n *realNode) endings() nodeEndings {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -1,7 +1,8 @@
 package scale
 
-// Result holds the figures of a run, which `lab scale` prints as one JSON line. docs/lab.md describes each figure. The keys
-// are a stable format, so that results of different versions can be compared.
+// Result holds the figures of a run, which `lab scale` prints as one JSON line. Quantiles (P50, P99) are in ms, Applied figures in
+// seconds, shares and cores in cores, traffic per node and second. docs/lab.md describes each figure. The keys are a stable
+// format, so that results of different versions can be compared.
 type Result struct {
 	Nodes     int      `json:"nodes"`
 	Real      int      `json:"real"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -21,7 +21,8 @@
 
 const minWarmUp = 500 * time.Millisecond
 
-// run is a run in progress. Only the goroutine of Run uses it, except for the methods that playRollingRestart starts.
+// run is a run in progress. Only the goroutine of Run uses it, except for restartSimulated, which reads cfg and nodesWorker on
+// a goroutine of its own.
 type run struct {
 	cfg           Config
 	serversWorker *worker // simulated app servers
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -13,6 +13,14 @@
 	"cherrygap/internal/protocol"
 )
 
+// The models and the cells of the app servers, which follow each other in the order of the servers' numbers.
+const (
+	serversPerModel = 7
+	models          = 3
+	serversPerCell  = 24
+	cells           = 4096
+)
+
 // setUp starts the app servers, the simulated nodes, discovery's agent and the real nodes. It returns once all nodes have
 // an endpoint list.
 func (r *run) setUp(ctx context.Context) error {
@@ -73,8 +81,8 @@
 			return nil, err
 		}
 		endpoints[i] = discovery.Endpoint{Endpoint: protocol.Endpoint{
-			UID: fmt.Sprintf("app-%05d", i), Addr: addr, Zone: zoneName(i), Model: "m" + strconv.Itoa(i/7%3),
-			Cell: i / 24 % 4096, State: protocol.InService, Weight: 1,
+			UID: fmt.Sprintf("app-%05d", i), Addr: addr, Zone: zoneName(i), Model: "m" + strconv.Itoa(i/serversPerModel%models),
+			Cell: i / serversPerCell % cells, State: protocol.InService, Weight: 1,
 		}, Listed: i < r.cfg.Servers}
 	}
 	return endpoints, nil
@@ -119,7 +127,7 @@
 func (r *run) startRealNodes(ctx context.Context) error {
 	started := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
-		go func() { started <- n.start(ctx, &r.cfg, r.agent.Snapshot(0), 0) }() // ends within startTimeout
+		go func() { started <- n.start(ctx, &r.cfg, r.agent.Snapshot(0), 0) }() // ends after nodeStartTimeout at the latest
 	}
 	var err error
 	for range r.nodes {
