--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -144,7 +144,7 @@
 	if err := quick.Check(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		q, err := read(string(mutate(random, head+"Content-Length: 4\r\n\r\nbody", 1+random.Intn(6))))
-		if err == nil && !q.ForNode() && (!(q.Units >= 0) || q.Spread < 1 || q.FirstNode < 0 || q.ID == "" || len(q.Body) > MaxBody) {
+		if err == nil && !q.IsNodeHealthCheck() && (!(q.Units >= 0) || q.Spread < 1 || q.FirstNode < 0 || q.ID == "" || len(q.Body) > MaxBody) {
 			return false
 		}
 		list, err := ParseEndpointList(mutate(random,
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -70,7 +70,7 @@
 	if err := r.readBody(parsed, src, body); err != nil {
 		return err
 	}
-	if r.ForNode() {
+	if r.IsNodeHealthCheck() {
 		return nil
 	}
 	unparsed, err := r.readHeaders(parsed.Header)
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// ForNode reports whether the request is a health check of the node itself.
-func (r *Request) ForNode() bool { return r.URI == HealthPath }
+// IsNodeHealthCheck reports whether the request is a health check of the node itself.
+func (r *Request) IsNodeHealthCheck() bool { return r.URI == HealthPath }
 
 // validWeight reports whether units and node set are within their ranges. NaN is not.
 func (r *Request) validWeight() bool {
