--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -40,6 +40,8 @@
 	Client *http.Client // nil for a client with Cfg.Connections connections
 	Series io.Writer    // receives a JSON line for each second; nil for none
 
+	startedAt time.Time // of the run
+
 	mu      sync.Mutex   // guards the fields below
 	rng     *rand.Rand   // of request ids and clients' retries
 	result  Result       // so far
@@ -59,7 +61,7 @@
 	g.rng = rand.New(rand.NewPCG(g.Seed, requestStream))
 	g.result = Result{Latency: histogram.New(), Lag: histogram.New()}
 	g.second = secondCounts{latency: histogram.New()}
-	start := time.Now()
+	g.startedAt = time.Now()
 	plan := Plan(g.Cfg, g.Seed)
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Second)
@@ -71,13 +73,12 @@
 		}
 	}
 	for _, a := range plan {
-		due := start.Add(a.At)
-		if !waitUntil(ctx, due, tick.C, flush) {
+		if !waitUntil(ctx, g.startedAt.Add(a.At), tick.C, flush) {
 			wg.Wait()
 			return g.result, seriesErr
 		}
 		wg.Add(1)
-		go func() { defer wg.Done(); g.send(ctx, a, due, start) }()
+		go func() { defer wg.Done(); g.send(ctx, a) }()
 	}
 	wg.Wait()
 	flush()
@@ -99,20 +100,22 @@
 	return true
 }
 
-// send sends a request that was due at the time due. If it is rejected and its client retries, send also sends the retry, which
-// is due after the Retry-After. start is the start of the run.
-func (g *Generator) send(ctx context.Context, a Arrival, due, start time.Time) {
+// send sends a request, which is due now. If it is rejected and its client retries, send also sends the retry, which is due after
+// the Retry-After.
+func (g *Generator) send(ctx context.Context, a Arrival) {
+	due := g.startedAt.Add(a.At)
 	drawn := g.recordSent(a, due)
 	response := g.roundTrip(ctx, a, drawn.id, due)
 	g.recordOutcome(response.outcome, response.latency)
 	if response.outcome != Rejected || !drawn.retries || a.ClientRetry || ctx.Err() != nil {
 		return
 	}
-	a.ClientRetry, a.At = true, time.Since(start)+response.retryAfter
+	a.ClientRetry = true
+	a.At = time.Since(g.startedAt) + response.retryAfter
 	select {
 	case <-ctx.Done():
 	case <-time.After(response.retryAfter):
-		g.send(ctx, a, start.Add(a.At), start)
+		g.send(ctx, a)
 	}
 }
 
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -71,8 +71,8 @@
 	if err != nil || res.Behind {
 		t.Fatalf("a generator with little load is behind: %v %+v", err, res.Summary())
 	}
-	start := time.Now()
-	generator.send(context.Background(), Arrival{Class: 0, Customer: 1}, start.Add(-50*time.Millisecond), start)
+	generator.startedAt = time.Now().Add(-50 * time.Millisecond)
+	generator.send(context.Background(), Arrival{Class: 0, Customer: 1})
 	if lag, took := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || took < 40_000 {
 		t.Fatalf("lag %d µs, latency %d µs", lag, took)
 	}
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -78,7 +78,7 @@
 // generate sends the requests of one node's clients until ctx ends. While the node accepts no clients, they send to
 // another node. Each request has a goroutine, which inFlight counts and which ends with the response.
 func (c *clientSimulator) generate(ctx context.Context, node int) {
-	rng := rand.New(rand.NewPCG(c.cfg.Seed, 1<<33|uint64(node)))
+	rng := rand.New(rand.NewPCG(c.cfg.Seed, clientStream|uint64(node)))
 	due := time.Now()
 	for {
 		due = due.Add(time.Duration(rng.ExpFloat64() / c.cfg.Rate * float64(time.Second)))
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -69,6 +69,14 @@
 	serversPerSpare = 50 // listed servers for each spare one; changes add the spare servers to the list
 )
 
+// Second words of the seeds of the run's random streams.
+const (
+	tenantStream      = 0x7465  // the tenants' nodes
+	nodeRequestStream = 0x686f  // times, nodes, tenants and classes of the simulated nodes' requests
+	nodeRandomStream  = 1 << 32 // random sources of the simulated nodes; combined with a number
+	clientStream      = 1 << 33 // clients of the real nodes; combined with the number of the node
+)
+
 const (
 	drainGrace = 500 * time.Millisecond // after a drain's publication, in which nodes may still send to the server
 	countSlack = 50 * time.Millisecond  // allowed on top of a limit before a violation is counted
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -81,7 +81,7 @@
 // open opens the sockets and returns their addresses.
 func (f *nodeFleet) open() (addresses nodesReply, err error) {
 	var seeds atomic.Uint64
-	f.randoms.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, 1<<32|seeds.Add(1))) }
+	f.randoms.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, nodeRandomStream|seeds.Add(1))) }
 	for i, s := range f.cfg.Servers {
 		addr, err := netip.ParseAddrPort(s)
 		if err != nil {
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -12,9 +12,6 @@
 
 const maxInFlight = 1024 // requests at all simulated nodes
 
-// nodeRequestStream is the second word of the seed of the simulated nodes' requests.
-const nodeRequestStream = 0x686f
-
 // generate starts requests at random simulated nodes, at times drawn in advance. It ends with the process. Each request has
 // a goroutine, which ends with the response.
 func (f *nodeFleet) generate() {
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -83,9 +83,6 @@
 	return p.tenants[min(i, len(p.tenants)-1)]
 }
 
-// tenantStream is the second word of the seed of the tenants' nodes.
-const tenantStream = 0x7465
-
 // assignTenants returns the populations of the live nodes, by node. They depend on cfg alone, so that all processes of a
 // run agree. Only the populations of wanted nodes are set.
 func assignTenants(cfg Config, wanted func(node int) bool) []population {
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -86,7 +86,7 @@
 
 // generate begins the requests of one node's clients in an open loop, until ctx ends.
 func (c *clients) generate(ctx context.Context, node int) {
-	rng := rand.New(rand.NewPCG(c.cfg.Seed, 1<<32|uint64(node)))
+	rng := rand.New(rand.NewPCG(c.cfg.Seed, clientStream|uint64(node)))
 	due := time.Now()
 	for {
 		due = due.Add(time.Duration(rng.ExpFloat64() / c.cfg.Rate * float64(time.Second)))
--- a/internal/lab/soak/config.go
+++ b/internal/lab/soak/config.go
@@ -33,6 +33,14 @@
 	return Config{Nodes: 24, Servers: 16, Rate: 16, Duration: 30 * time.Second, Seed: 1}
 }
 
+// Second words of the seeds of the run's random streams. Clients combine theirs with the
+// number of the node, fault players with their own number.
+const (
+	clientStream    = 1 << 32
+	malformedStream = 2 << 32
+	faultStream     = 3 << 32
+)
+
 const (
 	maxNodes   = 100
 	maxServers = 200
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -64,7 +64,7 @@
 
 // playFaults plays one fault after another until ctx ends. Each player has its own draws.
 func (r *run) playFaults(ctx context.Context, player int) {
-	rng := rand.New(rand.NewPCG(r.cfg.Seed, 3<<32|uint64(player)))
+	rng := rand.New(rand.NewPCG(r.cfg.Seed, faultStream|uint64(player)))
 	var playable []fault
 	for _, f := range faults {
 		if r.cfg.Faults == nil || slices.Contains(r.cfg.Faults, f.name) {
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -31,7 +31,7 @@
 
 // playMalformedClients starts one malformed client after another, until ctx ends.
 func (c *clients) playMalformedClients(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(c.cfg.Seed, 2<<32))
+	rng := rand.New(rand.NewPCG(c.cfg.Seed, malformedStream))
 	for {
 		select {
 		case <-ctx.Done():
