--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -44,11 +44,12 @@
 	}
 }
 
-// checkRequest checks a request's complete history. The caller holds the lock.
+// checkRequest checks a request's complete history. It skips the times of attempts that the server read late: if the connection
+// was closed before the read, they are the time of its close. The caller holds the lock.
 func (c *checker) checkRequest(r *request) {
 	c.checkResponse(r)
 	for i, a := range r.attempts {
-		if !a.readLate { // a connection that was closed by then has the time of its close
+		if !a.readLate {
 			c.checkTimes(r, a)
 		}
 		for _, earlier := range r.attempts[:i] {
@@ -64,7 +65,7 @@
 	if !r.answered && r.clientClosedAt.IsZero() && r.waiver == "" {
 		c.violate(ruleAnswer, r.node, r.id, "%s: no response, %d attempts", r.class.name, len(r.attempts))
 	}
-	if r.status == http.StatusConflict { // the node knows the id of the request that was sent again
+	if r.status == http.StatusConflict { // the node had read the request before its client sent it again
 		c.violate(ruleUnreadClose, r.node, r.id, "its connection was closed without a response, though it had been read")
 	}
 	rejected := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -68,7 +68,7 @@
 	fileDiscovery  string                // Discovery in the file, without the environment's value
 	randomSeed     uint64                // Seed
 	known          protocol.EndpointList // Known; empty where that is malformed
-	knownErr       error                 // why Known is malformed
+	knownErr       error                 // the error of a malformed Known; nil if it is valid or missing
 	settings       *settings.Settings    // Settings, with the operator file's over them
 	shadowSettings *settings.Settings    // for the shadow evaluation; nil for none
 	operator       operatorfile.File     // the zero value before ApplyOperator
--- a/internal/node/partsconfig.go
+++ b/internal/node/partsconfig.go
@@ -47,7 +47,7 @@
 	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && ok && self >= 0 && self < len(c.Peers)
 }
 
-// healthCheckConfig returns the configuration of the shared health checks.
+// healthCheckConfig returns the configuration of the shared health checks. It is valid only if sharesHealthChecks.
 func (c *Config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
 		Self:        healthcheck.NodeID(int(c.settings.Node.FloatOrInf())),
@@ -84,7 +84,7 @@
 			shortest = class.latencyObjective
 		}
 	}
-	self, _ := c.settings.Node.Whole()
+	self, _ := c.settings.Node.Whole() // 0 if the settings have no whole number
 	nodes, _ := c.settings.Nodes.Whole()
 	return quota.Config{
 		Self:         quota.NodeID(self),
