--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkScaleFleet checks that the faults of a small run were played, and that all was measured.
+// checkScaleFleet checks that the faults of a small run took effect and that its result is complete.
 func checkScaleFleet(t *testing.T, r *scale.Result) {
 	t.Helper()
 	if r.Changes < 6 || r.ChangesNotApplied != 0 || r.MaxAppliedAll > 6 {
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -32,7 +32,7 @@
 	selectionPasses
 )
 
-// rotationRole is the part that a server takes in one selection of the rotation.
+// rotationRole is the role of a server in one selection of the rotation.
 type rotationRole uint8
 
 const (
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -71,7 +71,7 @@
 	return ok && !used.Swap(true)
 }
 
-// requestPlan holds what the server has drawn for one request.
+// requestPlan is the drawn course of one request.
 type requestPlan struct {
 	faults      []Fault // active ones that hit the request
 	serviceTime time.Duration
