--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -16,6 +16,7 @@
 	"cherrygap/internal/authz"
 	"cherrygap/internal/frontend"
 	"cherrygap/internal/frontend/frontendtest"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
@@ -79,7 +80,7 @@
 // startAppServer starts an app server and returns its address.
 func (n *node) startAppServer(t *testing.T, serve http.HandlerFunc) netip.AddrPort {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -23,6 +23,7 @@
 
 	"cherrygap/internal/authz"
 	"cherrygap/internal/frontend"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/settings"
 )
@@ -115,7 +116,7 @@
 }
 
 func TestCheckRequestWireFormat(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -26,10 +27,26 @@
 	}
 }
 
-// Listen opens a listener on loopback that is closed with the test.
+// Addresses of AnyPort: 127.200.0.1 to 127.231.255.1, which nothing else in this repository uses.
+const (
+	firstProcessNetwork = 200
+	processNetworks     = 32
+	processesPerNetwork = 256
+)
+
+// AnyPort returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
+// time have different addresses. Otherwise one process could open a port that another has just closed, and would receive the
+// connections of clients that still dial it, such as a discovery client without its server.
+func AnyPort() string {
+	id := os.Getpid()
+	network := firstProcessNetwork + id/processesPerNetwork%processNetworks
+	return fmt.Sprintf("127.%d.%d.1:0", network, id%processesPerNetwork)
+}
+
+// Listen opens a listener on an address of this process that is closed with the test.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -16,6 +16,7 @@
 	"cherrygap/internal/frontend/frontendtest"
 	lab "cherrygap/internal/lab/store"
 	"cherrygap/internal/netio"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/quota"
 	"cherrygap/internal/routing"
@@ -37,7 +38,7 @@
 
 func startAppServer(t *testing.T) *appServer {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quotastore/wireformat_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -18,6 +18,7 @@
 
 	"github.com/rs/zerolog"
 
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/quota"
 )
 
@@ -33,7 +34,7 @@
 // other commands.
 func startScripted(t *testing.T, exec string) *scripted {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -14,6 +14,7 @@
 
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/peersocket"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
@@ -41,7 +42,7 @@
 		checks: make([]int, count),
 	}
 	for i := range count {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		ln, err := net.Listen("tcp", nettest.AnyPort())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -11,6 +11,7 @@
 
 	"cherrygap/internal/frontend/frontendtest"
 	"cherrygap/internal/healthcheck"
+	"cherrygap/internal/nettest"
 	"cherrygap/internal/protocol"
 	"cherrygap/internal/routing"
 	"cherrygap/internal/settings"
@@ -20,7 +21,7 @@
 // answerAll starts a server that answers each read with text, or never if text is empty.
 func answerAll(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -96,7 +96,7 @@
 		}
 		return setErr
 	}}
-	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := config.Listen(t.Context(), "tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
