--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -35,8 +35,8 @@
 )
 
 // AnyPort returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
-// time have different addresses. Otherwise one process could open a port that another has just closed, and would receive the
-// connections of clients that still dial it, such as a discovery client without its server.
+// time have different addresses. With a common address, one process could open a port that another has just closed. It
+// would then receive connections of the other's clients, such as a discovery client whose server is closed.
 func AnyPort() string {
 	id := os.Getpid()
 	network := firstProcessNetwork + id/processesPerNetwork%processNetworks
