--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -11,7 +11,7 @@
 	classes      []classState
 	endpoints    endpointSet
 	requests     requestTable
-	listReceived bool // discovery has sent a list: a server that a later one adds has just started
+	listReceived bool // discovery has sent a list; a server that a later list adds has just started
 	customers    customerTable
 	outbox       outbox
 	scratch      []byte // buffer for the payloads of summaries and suspicions
@@ -29,7 +29,7 @@
 	pause     pause
 
 	interval   intervalStats
-	summaryDue bool // scratch holds the summary of an interval
+	summaryDue bool // scratch holds an interval summary that Next has not returned yet
 }
 
 // New returns an engine with the settings and no other state. Engines with the same seed and inputs make the same
@@ -60,7 +60,7 @@
 	e.classes = make([]classState, len(c.classes))
 }
 
-// SetTime sets the time. It must not go back.
+// SetTime sets the engine's time, which must not go back.
 func (e *Engine) SetTime(now Time) {
 	if e.timers.hostAt > 0 {
 		e.pause.observe(e.now, now, e.config.shortestObjective)
@@ -68,10 +68,11 @@
 	e.now = now
 }
 
-// TimerFired notifies the engine that the host's timer has fired. Only the time matters, see SetTime.
+// TimerFired notifies the engine that the host's timer has fired. The call has no effect: the engine acts on the time that
+// SetTime has set.
 func (e *Engine) TimerFired() {}
 
-// UpdateEndpoints applies a list of discovery, or records that a poll failed.
+// UpdateEndpoints applies an endpoint list of discovery, or records that a poll failed.
 func (e *Engine) UpdateEndpoints(kind EndpointListKind, list []Endpoint) {
 	if kind == PollFailed {
 		e.timers.pollFailed(e.now, e.config.pollWithin, &e.random)
@@ -105,10 +106,11 @@
 	e.chooseSubset()
 }
 
-// ObserveServerClock records a time that the servers' clock showed a moment ago. Endpoint.Started is by that clock.
+// ObserveServerClock records a time that the servers' clock showed a moment ago. Endpoint.Started refers to that clock.
 func (e *Engine) ObserveServerClock(at Time) { e.slowStart.observeClock(at, e.now) }
 
-// updateServer applies one entry of an endpoint list, where listed is the number of listed servers.
+// updateServer applies one entry of an endpoint list and returns the server's slot. The argument listed is the number of
+// servers in the list.
 func (e *Engine) updateServer(endpoint Endpoint, listed int) serverSlot {
 	i := e.endpoints.slots.find(endpoint.Server)
 	if i < 0 {
@@ -143,14 +145,15 @@
 	e.endpoints.track(e.subsets.choose(e.now, e.endpoints.ready), len(e.classes))
 }
 
-// forgetServers drops servers that are gone, outlier states of untracked servers, and the warming mark of warm servers.
+// forgetServers drops the servers that neither the endpoint list nor an open request refers to. It also drops uninformative
+// outlier states of untracked servers, and the warming marks of warm servers.
 func (e *Engine) forgetServers() {
 	e.endpoints.forgetDeparted(e.requests.all)
 	e.endpoints.forgetUntracked(func(s outlierState) bool { return s.informative(e.now) })
 	e.endpoints.forgetWarm(func(s *server) bool { return e.slowStart.weight(s, e.now) >= 1 })
 }
 
-// HealthChecked records a health check that succeeded. A failed one has no effect: attempts carry more information.
+// HealthChecked records a successful health check. A failed one has no effect, since attempts carry more information.
 func (e *Engine) HealthChecked(id ServerID, outcome Outcome, _ []float64) {
 	if i := e.endpoints.slots.find(id); i >= 0 && outcome == Succeeded {
 		states := e.endpoints.servers[i].byClass
@@ -160,7 +163,7 @@
 	}
 }
 
-// AddRequest adds a new request. Next decides on it.
+// AddRequest adds a new request, on which Next then decides.
 func (e *Engine) AddRequest(in Request) {
 	r := request{
 		id:          in.ID,
@@ -187,7 +190,7 @@
 }
 
 // SetLease sets the level of a customer's bucket to the units of its quota that a lease grants to this node. A leased
-// bucket does not refill, belongs to this node alone, and has no quota owner. It remains leased from the first call on.
+// bucket does not refill, belongs to this node alone, and has no quota owner. The bucket remains leased from then on.
 func (e *Engine) SetLease(id CustomerID, plan PlanID, spread int, first NodeID, units float64) {
 	plan = min(max(plan, 0), PlanID(len(e.config.plans)-1))
 	ref := customerRef{id: id, plan: plan, spread: spread, firstNode: first}
@@ -196,8 +199,8 @@
 	c.bucket = tokenBucket{units, e.now}
 }
 
-// ResponseStarted records that the response to the client has begun. The request has no further attempt, and none is
-// cancelled.
+// ResponseStarted records that the response to the client has begun. From then on, the engine neither starts nor cancels
+// an attempt of the request.
 func (e *Engine) ResponseStarted(id RequestID) {
 	if i := e.requests.slots.find(id); i >= 0 {
 		e.requests.all[i].streaming = true
@@ -211,7 +214,7 @@
 	}
 }
 
-// AttemptEnded records the end of an attempt. It has no effect if the attempt is not in flight.
+// AttemptEnded records the end of an attempt. The call has no effect if the attempt is not in flight.
 func (e *Engine) AttemptEnded(result AttemptResult) {
 	i := e.requests.slots.find(result.Request)
 	if i < 0 || !e.requests.all[i].attemptInFlight(result.Attempt) {
@@ -243,7 +246,7 @@
 	}
 }
 
-// attemptCompleted updates the measurements from a completed attempt, and settles the request's quota.
+// attemptCompleted updates the measurements from a successful attempt, and settles the request's quota.
 func (e *Engine) attemptCompleted(r *request, s *server, result AttemptResult) {
 	e.interval.completed++
 	e.admission.throughput.recordCompletion(result.Duration)
@@ -254,7 +257,7 @@
 	}
 }
 
-// settle charges the units that a request used beyond the expected ones. The bucket may fall below 0.
+// settle charges the units that a request used beyond the expected ones. The bucket's level may fall below 0.
 func (e *Engine) settle(r *request, excess float64) {
 	c := &e.customers.all[r.customer]
 	if !e.owner.owned(c) || e.owner.isOwner(c) {
@@ -266,7 +269,7 @@
 	}
 }
 
-// startAttempt records an attempt that is sent to a server now.
+// startAttempt records that an attempt is sent to a server now.
 func (e *Engine) startAttempt(r *request, to serverSlot) {
 	s := &e.endpoints.servers[to]
 	state := &s.byClass[r.class]
@@ -287,18 +290,18 @@
 		return
 	}
 	r.closed = true
-	for k := range r.attempts {
-		e.cancelAttempt(r, k)
+	for number := range r.attempts {
+		e.cancelAttempt(r, number)
 	}
 	if r.inFlight == 0 {
 		e.freeRequest(i)
 	}
 }
 
-// cancelAttempt cancels an attempt, if the settings allow that.
-func (e *Engine) cancelAttempt(r *request, k int) {
+// cancelAttempt cancels an attempt, if the settings allow cancellation.
+func (e *Engine) cancelAttempt(r *request, number int) {
 	if e.config.cancelAllowed {
-		e.requests.cancel(r, k)
+		e.requests.cancel(r, number)
 	}
 }
 
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -1,7 +1,7 @@
 package decision
 
-// Next returns the next decision, and false if there is none until the next event or timer. The decision's payload is
-// valid until the next call.
+// Next returns the next decision. It returns false if there is no decision until the next event or timer. The decision's
+// payload is valid until the next call.
 func (e *Engine) Next() (Decision, bool) {
 	if e.timers.startCheckIfDue(e.now, e.config) {
 		e.checkAttempts()
@@ -26,7 +26,8 @@
 	return Decision{}, false
 }
 
-// nextRequestDecision returns the next cancellation, or the next decision on a pending request.
+// nextRequestDecision returns the next cancellation, or else the next decision on a pending request. It returns false if
+// there is neither.
 func (e *Engine) nextRequestDecision() (Decision, bool) {
 	for {
 		if c, ok := e.requests.nextCancellation(); ok {
@@ -42,7 +43,8 @@
 	}
 }
 
-// nextPeerMessage returns the next message to a peer. It writes the periodic ones when they are due.
+// nextPeerMessage returns the next message to peers, and false if there is none. It writes the periodic messages that are
+// due.
 func (e *Engine) nextPeerMessage() (Decision, bool) {
 	if e.timers.startReportIfDue(e.now, e.config) {
 		e.reports.write(&e.outbox, e.customers.all, &e.owner, &e.quota, e.now)
@@ -58,7 +60,7 @@
 }
 
 // checkAttempts checks the attempts in flight. It ejects silent servers, cancels late attempts, and requeues requests
-// whose quota owner did not respond in time. It also closes the control interval when that is over.
+// whose quota owner did not respond in time. It also closes the control interval once the interval is over.
 func (e *Engine) checkAttempts() {
 	e.selection.sumPaces(&e.endpoints, e.now)
 	e.ejectSilent()
@@ -112,8 +114,8 @@
 	}
 }
 
-// closeInterval closes the control interval: it updates the admission rate, the rate of a warm server and the subset,
-// and drops idle state.
+// closeInterval ends the control interval. It updates the admission rate, the rate of a warm server and the subset, and
+// drops idle state.
 func (e *Engine) closeInterval() {
 	spanSeconds := seconds(e.now - e.interval.startedAt)
 	load := intervalLoad{requests: e.requests.inFlight, healthy: e.inFlightAtHealthy(), ready: e.endpoints.ready}
@@ -127,7 +129,7 @@
 	e.chooseSubset()
 }
 
-// summarize writes the summary of the interval to scratch, for the next call of Next.
+// summarize writes the summary of the interval to scratch, from which Next returns it.
 func (e *Engine) summarize(spanSeconds float64) {
 	limit, stats := &e.admission, &e.interval
 	summary := intervalSummary{
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -10,11 +10,11 @@
 	server     serverSlot
 	sent       Time
 	inFlight   bool
-	mayHaveRun bool // no outcome proves that the server did not execute it
-	cancelled  bool
+	mayHaveRun bool // the server may have executed the attempt; true while the attempt is in flight
+	cancelled  bool // the cancellation has been queued
 }
 
-// request is the state of a request. It exists until the request is closed and has no attempt in flight.
+// request is the state of a request. The state exists until the request is closed and has no attempt in flight.
 type request struct {
 	id          RequestID
 	live        bool // the slot is in use
@@ -25,13 +25,13 @@
 	plan        PlanID
 	customer    customerSlot
 	arrived     Time
-	deadline    Time    // of the client
+	deadline    Time    // the client's deadline
 	units       float64 // expected use of the quota
 	demandShare float64 // this node's share of the customer's demand, by which the quota was charged
 	attempts    []attempt
-	inFlight    int // attempts in flight
+	inFlight    int // number of attempts in flight
 
-	queriedOwnerAt Time // time of the query to the quota owner; 0 without one
+	queriedOwnerAt Time // time of the query to the quota owner; 0 if no query was sent
 	ownerResponse  ownerResponse
 }
 
@@ -44,7 +44,7 @@
 	responseDenied
 )
 
-// tried reports whether an attempt of the request was sent to a server.
+// tried reports whether an attempt of the request was sent to the server.
 func (r *request) tried(s serverSlot) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
@@ -54,7 +54,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
-// attemptInFlight reports whether the request has an attempt with the number in flight.
+// attemptInFlight reports whether the attempt with the given number is in flight.
 func (r *request) attemptInFlight(number int) bool {
 	return number < len(r.attempts) && r.attempts[number].inFlight
 }
@@ -69,9 +69,9 @@
 type requestTable struct {
 	all           []request
 	slots         slotIndex[RequestID, requestSlot]
-	pending       []requestSlot  // requests to decide on, first one first
-	cancellations []cancellation // attempts to cancel, last one first
-	inFlight      int            // requests with an attempt in flight
+	pending       []requestSlot  // queue of requests to decide on
+	cancellations []cancellation // stack of attempts to cancel
+	inFlight      int            // number of requests with an attempt in flight
 }
 
 // add adds a request and returns its slot.
@@ -80,12 +80,12 @@
 	if int(i) == len(t.all) {
 		t.all = append(t.all, request{})
 	}
-	r.attempts = t.all[i].attempts[:0] // reuses the memory
+	r.attempts = t.all[i].attempts[:0] // reuses the memory of the slot's former request
 	t.all[i] = r
 	return i
 }
 
-// enqueue adds a request to the pending ones, unless it is among them.
+// enqueue adds a request to the pending ones, unless the request is already pending.
 func (t *requestTable) enqueue(i requestSlot) {
 	if r := &t.all[i]; !r.queued {
 		r.queued = true
@@ -93,8 +93,8 @@
 	}
 }
 
-// dequeue removes and returns the first pending request, and false if there is none. It releases the slots of pending
-// requests that have ended.
+// dequeue removes and returns the first pending request, and false if there is none. It skips pending requests that have
+// ended and releases their slots.
 func (t *requestTable) dequeue() (requestSlot, bool) {
 	for len(t.pending) > 0 {
 		i := t.pending[0]
@@ -110,35 +110,35 @@
 	return -1, false
 }
 
-// release ends a request. Its slot is free at once, or when dequeue reaches it.
+// release ends a request. The slot becomes free at once, unless the request is pending: then dequeue frees it.
 func (t *requestTable) release(r *request) {
 	r.live = false
-	r.attempts = r.attempts[:0] // releases the references to their servers
+	r.attempts = r.attempts[:0] // drops the references to the attempts' servers
 	if !r.queued {
 		t.slots.drop(r.id)
 	}
 }
 
-// cancel queues the cancellation of an attempt in flight. It has no effect once the response to the client has begun.
-func (t *requestTable) cancel(r *request, k int) {
-	if a := &r.attempts[k]; a.inFlight && !a.cancelled && !r.streaming {
+// cancel queues the cancellation of an attempt in flight. The call has no effect once the response to the client has begun.
+func (t *requestTable) cancel(r *request, number int) {
+	if a := &r.attempts[number]; a.inFlight && !a.cancelled && !r.streaming {
 		a.cancelled = true
-		t.cancellations = append(t.cancellations, cancellation{r.id, k})
+		t.cancellations = append(t.cancellations, cancellation{r.id, number})
 	}
 }
 
-// nextCancellation removes and returns the next attempt to cancel, and false if there is none.
+// nextCancellation removes and returns the cancellation that was queued last, and false if there is none.
 func (t *requestTable) nextCancellation() (cancellation, bool) {
-	k := len(t.cancellations) - 1
-	if k < 0 {
+	last := len(t.cancellations) - 1
+	if last < 0 {
 		return cancellation{}, false
 	}
-	c := t.cancellations[k]
-	t.cancellations = t.cancellations[:k]
+	c := t.cancellations[last]
+	t.cancellations = t.cancellations[:last]
 	return c, true
 }
 
-// attemptStarted adds an attempt that is sent now.
+// attemptStarted adds an attempt that is sent to a server now.
 func (t *requestTable) attemptStarted(r *request, s serverSlot, now Time) {
 	r.attempts = append(r.attempts, attempt{server: s, sent: now, inFlight: true, mayHaveRun: true})
 	r.inFlight++
@@ -148,8 +148,8 @@
 }
 
 // attemptEnded records the outcome of an attempt in flight.
-func (t *requestTable) attemptEnded(r *request, k int, outcome Outcome) {
-	a := &r.attempts[k]
+func (t *requestTable) attemptEnded(r *request, number int, outcome Outcome) {
+	a := &r.attempts[number]
 	a.inFlight = false
 	a.mayHaveRun = outcome.mayHaveRun()
 	r.inFlight--
@@ -158,5 +158,5 @@
 	}
 }
 
-// mayHaveRun reports whether the server may have executed an attempt with the outcome.
+// mayHaveRun reports whether a server may have executed an attempt that had the outcome.
 func (o Outcome) mayHaveRun() bool { return o != Overloaded && o != ConnectFailed && o != NotSent }
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -2,20 +2,20 @@
 
 import "cherrygap/internal/settings"
 
-// retrySafety is the rule for repeating a request of a class.
+// retrySafety is the rule for retrying the requests of a class.
 type retrySafety uint8
 
 const (
-	retrySafe  retrySafety = iota // idempotent: may run any number of times
-	retryKeyed                    // idempotent at servers that know its idempotency key
-	retryNever                    // must run once at most
+	retrySafe  retrySafety = iota // the request is idempotent and may run any number of times
+	retryKeyed                    // the request is idempotent at servers that know its idempotency key
+	retryNever                    // the request must run at most once
 )
 
-// keyGroup names the servers that share idempotency keys.
+// keyGroup is the set of servers that share idempotency keys.
 type keyGroup uint8
 
 const (
-	groupOther keyGroup = iota // unknown: attempts may go anywhere, and a rejection is not harmless
+	groupOther keyGroup = iota // unknown: attempts may go to any server, but clients can't safely repeat a request that may have run
 	groupAll                   // all servers
 	groupZone                  // the servers of a zone
 	groupCell                  // the servers of a cell
@@ -24,14 +24,14 @@
 // config holds the settings of one node as the engine uses them. It is not modified after newConfig.
 type config struct {
 	self           NodeID
-	nodes          int  // size of the fleet, at least 1
+	nodes          int  // number of nodes in the fleet, at least 1
 	tick           Time // longest delay of a timer, or of the notification that an attempt has ended
 	connectTimeout Time
 	maxAttempts    int  // maximum number of attempts of a request, at least 1
 	cancelAllowed  bool // attempts may be cancelled
 	idleTimeout    Time // idle time after which a connection to a server is closed
 
-	slowStartSpan    Time    // time after its start at which a server is warm
+	slowStartSpan    Time    // time from a server's start until the server is warm
 	slowStartShare   float64 // share of its capacity that a server has at its start
 	overloadMultiple float64 // load limit of a warming server within overloadSpan, as a multiple of its capacity
 	overloadSpan     Time    // time over which overloadMultiple applies
@@ -43,12 +43,12 @@
 	maxRetryAfter   Time // longest Retry-After
 
 	pollEndpoints bool    // the node polls discovery; otherwise discovery pushes its lists
-	pollWithin    float64 // longest time to the next poll, in units of Time
+	pollWithin    float64 // longest time from a failed poll to the next one, in units of Time
 
 	classes           []classConfig // by ClassID, at least one
 	plans             []quotaPlan   // by PlanID, at least one
 	shortestObjective Time          // shortest latency objective of all classes, at least 1
-	usesOwners        bool          // customers have quota owners: the nodes are too many for all to report to all
+	usesOwners        bool          // customers have quota owners, since the nodes are too many for all to report to all
 	ownerTimeout      Time          // longest wait of a request for its quota owner's response
 }
 
@@ -62,11 +62,11 @@
 
 // quotaPlan holds the settings of one quota plan.
 type quotaPlan struct {
-	rate         float64 // units a second; 0 or less: no limit
-	burst        float64 // units
-	maxInFlight  int     // attempts; 0: no limit
-	ceilingRate  float64 // hard ceiling, in units a second
-	ceilingBurst float64 // hard ceiling, in units
+	rate         float64 // refill rate in units a second; 0 or less means no limit
+	burst        float64 // capacity of the bucket, in units
+	maxInFlight  int     // maximum number of attempts in flight; 0 means no limit
+	ceilingRate  float64 // refill rate of the hard ceiling, in units a second
+	ceilingBurst float64 // capacity of the hard ceiling's bucket, in units
 }
 
 // noCeiling reports whether the plan has no hard ceiling. A ceiling that is not a number rejects every request.
@@ -108,10 +108,10 @@
 	return c
 }
 
-// timeOf returns a duration of the settings as engine time: both have the same unit.
+// timeOf converts a duration of the settings, rounded towards 0. Both types have the same unit.
 func timeOf(d settings.Duration) Time { return Time(d.TruncatedUnits()) }
 
-// newClassConfig returns the settings of a request class. Requests of an unknown retry safety run once at most.
+// newClassConfig returns the settings of a request class. If the retry safety is unknown, the requests run at most once.
 func newClassConfig(class settings.Class) classConfig {
 	c := classConfig{
 		latencyObjective: max(timeOf(class.LatencyObjective), 1),
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -14,17 +14,17 @@
 // the requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under
 // the other settings, in which queues, retries and reports would differ too.
 type shadow struct {
-	config   *config
-	compared int64            // decisions compared
-	differs  map[string]int64 // decisions that differ, by actual and other action
-	buckets  map[CustomerID]customerBuckets
+	config      *config                        // the other settings
+	compared    int64                          // number of decisions compared
+	differences map[string]int64               // number of decisions that differ, by actual and other action
+	buckets     map[CustomerID]customerBuckets // buckets under the other settings
 }
 
-// customerBuckets holds a customer's buckets.
+// customerBuckets holds the three token buckets of a customer.
 type customerBuckets struct{ quota, ceiling, ownerCeiling tokenBucket }
 
-// The number of kept buckets, relative to that of the node's customer slots, above which those of dropped customers are
-// dropped too.
+// shadow.keep drops the buckets of customers that the node has dropped once too many are stored. The limit is
+// maxBucketsPerCustomer times the number of the node's customer slots, plus extraBuckets.
 const (
 	maxBucketsPerCustomer = 2
 	extraBuckets          = 100
@@ -41,20 +41,20 @@
 }
 
 // StartShadow starts the evaluation of other settings. They must have the same classes and plans in the same order. Each
-// decision then takes a copy of the engine's state.
+// decision then copies the engine's state.
 func (e *Engine) StartShadow(set *settings.Settings) {
 	e.shadow = &shadow{
-		config: newConfig(set), differs: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
+		config: newConfig(set), differences: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
 	}
 }
 
 // ShadowCounts returns the number of decisions compared, and the number of those that differ, by actual and other
 // action. It returns 0 and nil unless StartShadow was called.
-func (e *Engine) ShadowCounts() (compared int64, differs map[string]int64) {
+func (e *Engine) ShadowCounts() (compared int64, differences map[string]int64) {
 	if e.shadow == nil {
 		return 0, nil
 	}
-	return e.shadow.compared, maps.Clone(e.shadow.differs)
+	return e.shadow.compared, maps.Clone(e.shadow.differences)
 }
 
 // decideWithShadow decides on a request, and compares the decision with that under the other settings.
@@ -78,14 +78,14 @@
 	return actual
 }
 
-// compare counts a decision, and its difference from the one under the other settings.
+// compare counts a decision, and whether it differs from the one under the other settings.
 func (s *shadow) compare(actual, other decisionKind) {
 	s.compared++
 	switch {
 	case actual.action != other.action:
-		s.differs[actual.action+"_would_"+other.action]++
+		s.differences[actual.action+"_would_"+other.action]++
 	case actual.server != other.server:
-		s.differs["forward_would_forward_elsewhere"]++
+		s.differences["forward_would_forward_elsewhere"]++
 	}
 }
 
@@ -93,7 +93,7 @@
 func (e *Engine) chargeAdmitted(c *customer, r *request) {
 	plan, owned := &e.config.plans[c.plan], e.owner.owned(c)
 	c.refill(plan, e.now)
-	e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) // refills the ceiling
+	e.quota.ceilingAllows(c, r.units, e.owner.localCeilingRatio(c), e.now) // called only to refill the ceiling
 	demandShare := 1.0
 	if !owned {
 		demandShare = e.quota.demandShare(c, e.now)
@@ -143,8 +143,8 @@
 	}
 }
 
-// grantWithShadow applies a query at the customer's owner and reports whether it is granted. It compares the response
-// with that under the other settings.
+// grantWithShadow applies a query at the customer's owner and reports whether the query is granted. It compares the
+// response with the one under the other settings.
 func (e *Engine) grantWithShadow(c *customer, query customerReport, from NodeID) bool {
 	if e.shadow == nil {
 		return e.grantAsOwner(c, query, from)
@@ -157,17 +157,17 @@
 	e.shadow.compared++
 	switch {
 	case granted && !wouldGrant:
-		e.shadow.differs["grant_would_deny"]++
+		e.shadow.differences["grant_would_deny"]++
 	case !granted && wouldGrant:
-		e.shadow.differs["deny_would_grant"]++
+		e.shadow.differences["deny_would_grant"]++
 	}
 	return granted
 }
 
-// decisionKind is the part of a decision that shadow compares. The actions are part of the counters' names.
+// decisionKind is the part of a decision that shadow compares. The counters' names contain the actions.
 type decisionKind struct {
 	action string
-	server ServerID // of "forward"
+	server ServerID // the chosen server, if the action is "forward"
 }
 
 // kindOf returns the kind of a decision on a request.
