--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -8,37 +8,38 @@
 	"cherrygap/internal/settings"
 )
 
-// TestRulesHoldOnRandomRuns simulates random days under random settings and checks the rules on each decision.
+// TestRulesHoldOnRandomRuns simulates random traffic and faults under random settings. It guards against decisions that
+// break a rule of simulatedHost in a situation that no other test constructs.
 func TestRulesHoldOnRandomRuns(t *testing.T) {
 	sent, complete, rejected := 0, 0, 0
 	run := func(seed int64) bool {
-		h := newHost(seed)
+		h := newSimulatedHost(seed)
 		for range 1500 {
 			if h.step(); h.err != nil {
-				t.Logf("seed %d, settings %v: %v", seed, h.set, h.err)
+				t.Logf("random run with seed %d and settings %v broke a rule: %v", seed, h.set, h.err)
 				return false
 			}
 		}
-		for h.idle = true; len(h.order) > 0; {
+		for h.noNewRequests = true; len(h.openRequests) > 0; {
 			if h.step(); h.err != nil {
-				t.Logf("seed %d, settings %v: %v", seed, h.set, h.err)
+				t.Logf("random run with seed %d and settings %v broke a rule: %v", seed, h.set, h.err)
 				return false
 			}
 		}
-		sent, complete, rejected = sent+h.sent, complete+h.complete, rejected+h.rejected
+		sent, complete, rejected = sent+h.sent, complete+h.completed, rejected+h.rejected
 		return true
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
-		t.Fatal(err)
+		t.Fatal("a random run broke a rule, want none: ", err)
 	}
 	if complete == 0 || rejected == 0 || sent < complete {
-		t.Fatalf("the runs show nothing: sent %d, completed %d, rejected %d", sent, complete, rejected)
+		t.Fatalf("the random runs sent %d attempts, completed %d and rejected %d requests; want completed and rejected above 0, and no more completed than sent", sent, complete, rejected)
 	}
 }
 
-// plain returns a node with one safe class, one plan and a number of ready servers. The additional settings may be nil.
-func plain(servers int, more Settings) *Engine {
-	n := New(7, plainSettings(more).parse(), Second)
+// plain returns an engine with plainSettings and a number of ready servers. The changed settings may be nil.
+func plain(servers int, changes Settings) *Engine {
+	n := New(7, plainSettings(changes).parse(), Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i), State: Ready, Weight: 1})
@@ -47,7 +48,8 @@
 	return n
 }
 
-func plainSettings(more Settings) Settings {
+// plainSettings returns settings with one safe class and one plan, and with the changes.
+func plainSettings(changes Settings) Settings {
 	set := Settings{
 		settings.Nodes: "3", settings.Tick: "10", settings.ClassCount: "1",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
@@ -55,25 +57,25 @@
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
 		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On,
 	}
-	for k, v := range more {
-		set[k] = v
+	for key, value := range changes {
+		set[key] = value
 	}
 	return set
 }
 
-// pull calls Next until it returns false, and returns the decisions with the action.
-func pull(n *Engine, action Action) (out []Decision) {
+// pull takes all decisions of an engine, and returns those with the action.
+func pull(n *Engine, action Action) (decisions []Decision) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		if d.Action == action {
 			d.Payload = append([]byte(nil), d.Payload...)
-			out = append(out, d)
+			decisions = append(decisions, d)
 		}
 	}
-	return out
+	return decisions
 }
 
-// Without a tick and with a very short objective, the next attempt check is in the future. Otherwise Next would never
-// return false.
+// Without a tick and with a very short objective, the next attempt check must still be later than now. Otherwise each call
+// of Next would begin another check, and Next would never return false.
 func TestDecisionsEndWhateverTheSettings(t *testing.T) {
 	objective := settings.ClassKey(0, settings.ClassLatencyObjective)
 	for _, set := range []Settings{
@@ -85,7 +87,7 @@
 			k := 0
 			for _, ok := n.Next(); ok; _, ok = n.Next() {
 				if k++; k > 100 {
-					t.Fatalf("decisions without end with %v", set)
+					t.Fatalf("settings %v, time %d: Next returned %d decisions in a row, want at most 100", set, now, k)
 				}
 			}
 		}
--- a/internal/decision/expected_test.go
+++ b/internal/decision/expected_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// The expected outputs of the engine, by name: one a line, name and value separated by a tab.
+// expectedFiles holds the expected outputs of the engine. Each line has a name and a value, separated by a tab.
 //
 //go:embed testdata/*.txt
 var expectedFiles embed.FS
 
-// expectedOutputs returns the expected outputs of all files.
+// expectedOutputs returns the expected outputs of all files, by name.
 var expectedOutputs = sync.OnceValue(func() map[string]string {
 	outputs := map[string]string{}
 	for _, file := range []string{"testdata/engine_outputs.txt", "testdata/fleet_simulations.txt"} {
@@ -22,7 +22,7 @@
 		}
 		for line := range strings.Lines(string(text)) {
 			name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
-			if _, twice := outputs[name]; twice {
+			if _, duplicate := outputs[name]; duplicate {
 				panic(file + " has two values of " + name)
 			}
 			outputs[name] = value
@@ -36,8 +36,8 @@
 	t.Helper()
 	want, ok := expectedOutputs()[name]
 	if !ok {
-		t.Errorf("%s: no expected output; got\n%s", name, got)
+		t.Errorf("output %q is not in testdata, want one expected value; got\n%s", name, got)
 	} else if got != want {
-		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+		t.Errorf("output %q =\n%s\nwant\n%s", name, got, want)
 	}
 }
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// intervalSummaries returns the first interval summaries of a scenario.
+// intervalSummaries returns the first interval summaries of the scenario with the name.
 func intervalSummaries(t *testing.T, name string, count int) []string {
 	t.Helper()
 	for seed, c := range fleetScenarios {
@@ -20,12 +20,12 @@
 			return p.summaries[:count]
 		}
 	}
-	t.Fatal("no scenario ", name)
+	t.Fatal("fleetScenarios contains no scenario with the name ", name)
 	return nil
 }
 
-// TestIntervalSummaryFormat compares the exact text of interval summaries: of a fresh node, with rejections by each limit,
-// and without requests.
+// TestIntervalSummaryFormat compares the exact text of interval summaries with the expected one. The scenarios cover a new
+// node, rejections by each limit, and intervals without requests.
 func TestIntervalSummaryFormat(t *testing.T) {
 	for _, name := range []string{
 		"four nodes that all report to all", "quota owners in a large fleet",
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestPollTimes compares the times of polls after failed ones, for several settings.
+// TestPollTimes compares the times of polls after failed ones with the expected times, for several settings.
 func TestPollTimes(t *testing.T) {
 	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
 		var polls []string
@@ -63,12 +63,13 @@
 	}
 }
 
-// TestFirstFleetDecisions compares the first decisions and messages of a scenario, field by field.
+// TestFirstFleetDecisions compares the first decisions and messages of a scenario with the expected ones. Unlike a digest,
+// they show which field has changed.
 func TestFirstFleetDecisions(t *testing.T) {
 	p := newFleetSimulation(42, fleetScenarios[1].setup)
 	p.run()
 	kinds := map[string]int{}
-	for _, line := range p.firstLines {
+	for _, line := range p.firstDecisions {
 		kind := strings.Fields(line)[2]
 		if i := strings.Index(line, "payload="); len(line) > i+10 {
 			kind = line[i : i+10]
@@ -79,7 +80,7 @@
 	}
 }
 
-// subsetDigest returns the numbers of a node's subset and tracked servers, and a hash of both.
+// subsetDigest returns the number of servers in a node's subset, the number of tracked servers, and a hash of both sets.
 func subsetDigest(n *Engine) string {
 	h := uint32(len(n.endpoints.subset))
 	for _, i := range n.endpoints.subset {
@@ -92,8 +93,8 @@
 	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
 }
 
-// TestFleetSubsets compares the subsets of several nodes of fleets of many sizes. It does so after a complete list without
-// traffic, and after changes with traffic.
+// TestFleetSubsets compares the subsets of several nodes with the expected ones, in fleets of many sizes. It does so after a
+// complete list without traffic, and after changes with traffic.
 func TestFleetSubsets(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, zones int
@@ -112,12 +113,12 @@
 	} {
 		got := []string{}
 		members := []int{0, 1, 7, 8, 9, c.nodes / 2, c.nodes - 1}
-		for k, me := range members {
-			if me >= c.nodes || slices.Contains(members[:k], me) {
+		for k, node := range members {
+			if node >= c.nodes || slices.Contains(members[:k], node) {
 				continue
 			}
-			n := New(uint64(me), Settings{
-				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(me), "peers": "true", "peer_messages_per_s": "40",
+			n := New(uint64(node), Settings{
+				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(node), "peers": "true", "peer_messages_per_s": "40",
 				"tick": "10", "class.0.latency_objective": "6000", "idle_timeout": "300000",
 			}.parse(), Second)
 			list := []Endpoint{}
@@ -128,12 +129,12 @@
 				})
 			}
 			n.UpdateEndpoints(FullList, list)
-			at := subsetDigest(n)
+			withoutTraffic := subsetDigest(n)
 			changes := []Endpoint{}
-			for i, l := range list {
+			for i, endpoint := range list {
 				if i%9 == 0 {
-					l.State = Gone
-					changes = append(changes, l)
+					endpoint.State = Gone
+					changes = append(changes, endpoint)
 				}
 			}
 			n.UpdateEndpoints(ListUpdate, changes)
@@ -141,7 +142,7 @@
 			n.subsets.attemptsSent.count = float64(400 * (k + 1))
 			n.SetTime(2 * Second)
 			pollsDiscovery(n)
-			got = append(got, at+" "+subsetDigest(n))
+			got = append(got, withoutTraffic+" "+subsetDigest(n))
 		}
 		compareExpected(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
 	}
--- a/internal/decision/fleetscenarios_test.go
+++ b/internal/decision/fleetscenarios_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// fleetSettings returns settings with which every mechanism takes effect, and some changes to them.
-func fleetSettings(more Settings) Settings {
+// fleetSettings returns settings with which every mechanism takes effect, with the changes.
+func fleetSettings(changes Settings) Settings {
 	s := Settings{
 		"nodes": "4", "peer_messages_per_s": "40", "peers": "true", "tick": "50", "max_attempts": "4",
 		"cancel_attempts": "true", "retry_after": "true", "max_retry_after": "10000", "slow_start_share": "0.25",
@@ -22,55 +22,55 @@
 		"plan.1.burst": "90", "plan.2.max_in_flight": "6", "plan.2.rate": "90", "plan.2.burst": "120",
 		"plan.3.ceiling_rate": "40", "plan.3.ceiling_burst": "50",
 	}
-	for name, v := range more {
-		s[name] = v
+	for key, value := range changes {
+		s[key] = value
 	}
 	return s
 }
 
-// customerCount returns the number of customers that a node holds.
+// customerCount returns the number of customers in a node's state.
 func customerCount(n *Engine) int { return len(n.customers.slots.slots) }
 
-// nodeNumbers returns the numbers of the first n nodes.
-func nodeNumbers(n int) (list []int) {
+// firstNodes returns the numbers of the first n nodes.
+func firstNodes(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
 	}
 	return list
 }
 
-// fleetScenarios are the simulated scenarios. The index of each is part of its seed.
+// fleetScenarios are the simulated scenarios. The seed of each derives from its index.
 var fleetScenarios = []struct {
 	name  string
 	setup fleetScenario
 }{
 	{"four nodes that all report to all", fleetScenario{
-		set: fleetSettings(nil), members: nodeNumbers(4), servers: 12, zones: 3,
+		nodeSettings: fleetSettings(nil), members: firstNodes(4), serverCount: 12, zones: 3,
 		serversPerCell: 2, serviceTime: 250, requestsPerStep: 2, customers: 40, spread: 3, seconds: 16, firstList: CachedList,
 	}},
 	{"quota owners in a large fleet", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "18"}), members: nodeNumbers(18),
-		servers: 20, zones: 4, serversPerCell: 3, serviceTime: 250, requestsPerStep: 3.5, customers: 30, spread: 12, seconds: 10, firstList: FullList,
+		nodeSettings: fleetSettings(Settings{"nodes": "18"}), members: firstNodes(18),
+		serverCount: 20, zones: 4, serversPerCell: 3, serviceTime: 250, requestsPerStep: 3.5, customers: 30, spread: 12, seconds: 10, firstList: FullList,
 	}},
 	{"leased quotas, no peers, an outage", fleetScenario{
-		set:     fleetSettings(Settings{"nodes": "3", "peers": "false", "cancel_attempts": "false"}),
-		members: []int{0}, servers: 6, zones: 2, serversPerCell: 1, serviceTime: 250, requestsPerStep: 1, customers: 20, spread: 2, seconds: 12,
+		nodeSettings: fleetSettings(Settings{"nodes": "3", "peers": "false", "cancel_attempts": "false"}),
+		members:      []int{0}, serverCount: 6, zones: 2, serversPerCell: 1, serviceTime: 250, requestsPerStep: 1, customers: 20, spread: 2, seconds: 12,
 		firstList: FullList, leasedCustomers: 4, outage: true,
 	}},
 	{"420 nodes, 330 servers, few faults", fleetScenario{
-		set:     fleetSettings(Settings{"nodes": "420", "peer_messages_per_s": "300"}),
-		members: []int{0, 1, 6, 76, 77, 255, 256, 313, 416, 419}, servers: 330, zones: 12, serversPerCell: 5, serviceTime: 60, requestsPerStep: 2,
+		nodeSettings: fleetSettings(Settings{"nodes": "420", "peer_messages_per_s": "300"}),
+		members:      []int{0, 1, 6, 76, 77, 255, 256, 313, 416, 419}, serverCount: 330, zones: 12, serversPerCell: 5, serviceTime: 60, requestsPerStep: 2,
 		customers: 60, spread: 400, seconds: 8, firstList: FullList, fewFaults: true, unlimited: true,
 	}},
 	{"830 nodes, 1300 servers, many faults", fleetScenario{
-		set: fleetSettings(Settings{
+		nodeSettings: fleetSettings(Settings{
 			"nodes": "830", "peer_messages_per_s": "400",
 			"idle_timeout": "600000",
-		}), members: []int{3, 4, 420, 828}, servers: 1300, zones: 7, serversPerCell: 9, serviceTime: 60, requestsPerStep: 2,
+		}), members: []int{3, 4, 420, 828}, serverCount: 1300, zones: 7, serversPerCell: 9, serviceTime: 60, requestsPerStep: 2,
 		customers: 60, spread: 830, seconds: 7, firstList: CachedList, unlimited: true, resetPercent: 8,
 	}},
 	{"shadow evaluation", fleetScenario{
-		set: fleetSettings(nil), members: nodeNumbers(3), servers: 8, zones: 3,
+		nodeSettings: fleetSettings(nil), members: firstNodes(3), serverCount: 8, zones: 3,
 		serversPerCell: 2, serviceTime: 250, requestsPerStep: 1, customers: 20, spread: 3, seconds: 6, firstList: CachedList,
 		shadow: Settings{
 			"plan.1.rate": "8", "plan.1.burst": "9", "max_attempts": "2", "nodes": "18",
@@ -78,71 +78,72 @@
 		},
 	}},
 	{"shadow evaluation in a large fleet", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "14"}), members: nodeNumbers(14),
-		servers: 12, zones: 3, serversPerCell: 2, serviceTime: 200, requestsPerStep: 2, customers: 12, spread: 12, seconds: 3, firstList: CachedList,
+		nodeSettings: fleetSettings(Settings{"nodes": "14"}), members: firstNodes(14),
+		serverCount: 12, zones: 3, serversPerCell: 2, serviceTime: 200, requestsPerStep: 2, customers: 12, spread: 12, seconds: 3, firstList: CachedList,
 		shadow: Settings{
 			"plan.1.rate": "8", "plan.1.burst": "9", "plan.2.max_in_flight": "2", "plan.3.ceiling_rate": "10",
 		},
 	}},
 	{"customers with one request that expire", fleetScenario{
-		set:     fleetSettings(Settings{"nodes": "2", "peer_messages_per_s": "9"}),
-		members: nodeNumbers(2), servers: 5, zones: 2, serversPerCell: 2, serviceTime: 250, requestsPerStep: 0.12, customers: 9000, spread: 2,
+		nodeSettings: fleetSettings(Settings{"nodes": "2", "peer_messages_per_s": "9"}),
+		members:      firstNodes(2), serverCount: 5, zones: 2, serversPerCell: 2, serviceTime: 250, requestsPerStep: 0.12, customers: 9000, spread: 2,
 		seconds: 80, firstList: FullList, fewFaults: true,
 	}},
 	{"a node without peer messages", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "5", "retry_after": "false"}), members: []int{2}, servers: 6,
+		nodeSettings: fleetSettings(Settings{"nodes": "5", "retry_after": "false"}), members: []int{2}, serverCount: 6,
 		zones: 3, serversPerCell: 1, serviceTime: 250, requestsPerStep: 1, customers: 20, spread: 4, seconds: 8, firstList: FullList, outage: true,
 	}},
 	{"few requests at a slow server", fleetScenario{
-		set:     fleetSettings(Settings{"nodes": "1", "max_attempts": "1", "cancel_attempts": "false"}),
-		members: []int{0}, servers: 1, zones: 1, serversPerCell: 1, serviceTime: 9000, requestsPerStep: 0.03, customers: 3, spread: 1, seconds: 20,
+		nodeSettings: fleetSettings(Settings{"nodes": "1", "max_attempts": "1", "cancel_attempts": "false"}),
+		members:      []int{0}, serverCount: 1, zones: 1, serversPerCell: 1, serviceTime: 9000, requestsPerStep: 0.03, customers: 3, spread: 1, seconds: 20,
 		firstList: FullList, fewFaults: true, outage: true,
 	}},
 	{"many customers and a low message rate", fleetScenario{
-		set:     fleetSettings(Settings{"nodes": "3", "peer_messages_per_s": "9"}),
-		members: nodeNumbers(3), servers: 9, zones: 3, serversPerCell: 2, serviceTime: 250, requestsPerStep: 1.5, customers: 300, spread: 3,
+		nodeSettings: fleetSettings(Settings{"nodes": "3", "peer_messages_per_s": "9"}),
+		members:      firstNodes(3), serverCount: 9, zones: 3, serversPerCell: 2, serviceTime: 250, requestsPerStep: 1.5, customers: 300, spread: 3,
 		seconds: 8, firstList: FullList, fewFaults: true,
 	}},
 	{"falling load and servers that slow down", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "1"}), members: []int{0}, servers: 5,
+		nodeSettings: fleetSettings(Settings{"nodes": "1"}), members: []int{0}, serverCount: 5,
 		zones: 2, serversPerCell: 2, serviceTime: 200, requestsPerStep: 0.7, customers: 30, spread: 1, seconds: 70, firstList: FullList, fewFaults: true,
 		period: 21 * Second, slowdownAfter: 24,
 	}},
 	{"demand far above the quotas of owners", fleetScenario{
-		set: fleetSettings(Settings{
+		nodeSettings: fleetSettings(Settings{
 			"nodes": "60", "peer_messages_per_s": "200", "plan.1.rate": "0.8",
 			"plan.2.max_in_flight": "2", "plan.0.rate": "12",
-		}), members: nodeNumbers(12), servers: 30, zones: 3, serversPerCell: 4, serviceTime: 200, requestsPerStep: 4,
+		}), members: firstNodes(12), serverCount: 30, zones: 3, serversPerCell: 4, serviceTime: 200, requestsPerStep: 4,
 		customers: 25, spread: 12, seconds: 8, firstList: FullList, oneNodeSet: true, resetPercent: 3,
 	}},
 	{"settled quotas, few faults", fleetScenario{
-		set:     fleetSettings(Settings{"peer_messages_per_s": "6", "nodes": "3"}),
-		members: nodeNumbers(3), servers: 9, zones: 3, serversPerCell: 2, serviceTime: 250, requestsPerStep: 1, customers: 300, spread: 3,
+		nodeSettings: fleetSettings(Settings{"peer_messages_per_s": "6", "nodes": "3"}),
+		members:      firstNodes(3), serverCount: 9, zones: 3, serversPerCell: 2, serviceTime: 250, requestsPerStep: 1, customers: 300, spread: 3,
 		seconds: 16, firstList: FullList, fewFaults: true,
 	}},
 	{"servers that process in parallel", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "1"}), members: []int{0}, servers: 5, zones: 2, serversPerCell: 2, serviceTime: 1500, requestsPerStep: 1.2,
+		nodeSettings: fleetSettings(Settings{"nodes": "1"}), members: []int{0}, serverCount: 5, zones: 2, serversPerCell: 2, serviceTime: 1500, requestsPerStep: 1.2,
 		customers: 30, spread: 1, seconds: 44, firstList: FullList, fewFaults: true, unlimited: true, period: 21 * Second, parallel: true,
 	}},
 	{"many suspicions among many nodes", fleetScenario{
-		set: fleetSettings(Settings{"nodes": "60"}), members: nodeNumbers(12), servers: 12, zones: 3, serversPerCell: 4, serviceTime: 200, requestsPerStep: 3,
+		nodeSettings: fleetSettings(Settings{"nodes": "60"}), members: firstNodes(12), serverCount: 12, zones: 3, serversPerCell: 4, serviceTime: 200, requestsPerStep: 3,
 		customers: 40, spread: 12, seconds: 12, firstList: FullList, oneNodeSet: true, unlimited: true, resetPercent: 10,
 	}},
 }
 
-// TestFleetSimulationDecisions compares all decisions and messages of the scenarios with the expected ones.
+// TestFleetSimulationDecisions compares digests of all decisions and messages of the scenarios with the expected digests. It
+// guards against changes that alter a decision unintentionally.
 func TestFleetSimulationDecisions(t *testing.T) {
 	for seed, c := range fleetScenarios {
 		t.Run(c.name, func(t *testing.T) {
 			p := newFleetSimulation(int64(seed+41), c.setup)
 			got := p.run()
-			count := fmt.Sprint(p.count)
+			counts := fmt.Sprint(p.counts)
 			for _, n := range p.nodes {
-				if seen, differs := n.ShadowCounts(); differs != nil {
-					count += fmt.Sprint(" ", seen, differs)
+				if compared, differences := n.ShadowCounts(); differences != nil {
+					counts += fmt.Sprint(" ", compared, differences)
 				}
 			}
-			compareExpected(t, c.name+", counts", count)
+			compareExpected(t, c.name+", counts", counts)
 			for i, digest := range got {
 				compareExpected(t, fmt.Sprintf("%s, second %d", c.name, i), digest)
 			}
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -8,48 +8,52 @@
 	"cherrygap/internal/settings"
 )
 
-// host plays clients, endpoint list and app servers at random for one node and checks the five rules on every
-// decision.
-type host struct {
-	rng      *rand.Rand
-	set      Settings
-	engine   *Engine
-	now      Time
-	start    Time
-	servers  []*hostServer
-	requests map[RequestID]*hostRequest
-	order    []RequestID
-	nextID   RequestID
-	ceiling  map[CustomerID]*hostBucket
-	idle     bool // no new requests
-	rejected int
-	sent     int
-	complete int
-	err      error
+// simulatedHost simulates clients, discovery and app servers for one node at random. It checks each decision against the
+// rules on final responses, retries, hard ceilings, slow start and peer messages.
+type simulatedHost struct {
+	rng           *rand.Rand
+	set           Settings
+	engine        *Engine
+	now           Time
+	start         Time // start of the simulation
+	servers       []*hostServer
+	requests      map[RequestID]*hostRequest
+	openRequests  []RequestID // open, or with an attempt in flight
+	nextID        RequestID
+	ceilings      map[CustomerID]*hostBucket
+	noNewRequests bool  // no further requests arrive
+	rejected      int   // number of requests that the engine rejected or failed
+	sent          int   // number of attempts
+	completed     int   // number of requests with a successful attempt
+	err           error // first violation of a rule
 }
 
+// hostServer is a simulated app server.
 type hostServer struct {
 	id           ServerID
 	zone         uint8
 	cell         uint16
 	state        EndpointState
-	known        bool
+	known        bool // some endpoint list has named the server
 	started      Time
-	each         Time // one at a time, so much each, when warm
-	free         Time
+	serviceTime  Time // mean service time at full capacity; the server processes one attempt at a time
+	busyUntil    Time
 	coldAttempts []coldAttempt
 }
 
+// coldAttempt is an attempt that was sent to a server during its slow start.
 type coldAttempt struct {
-	at   Time
-	work Time
+	sentAt Time
+	work   Time
 }
 
+// hostBucket is the token bucket by which the host checks a customer's hard ceiling.
 type hostBucket struct {
-	level float64
-	at    Time
+	level     float64
+	updatedAt Time
 }
 
+// hostRequest is the state of a request at the simulated client.
 type hostRequest struct {
 	request   Request
 	deadline  Time
@@ -58,34 +62,37 @@
 	streaming bool
 }
 
+// hostAttempt is an attempt at a simulated server.
 type hostAttempt struct {
 	server     *hostServer
-	sent       Time
-	end        Time
+	sentAt     Time
+	endsAt     Time
 	outcome    Outcome
 	inFlight   bool
-	mayHaveRun bool
+	mayHaveRun bool // the server may have executed the attempt; true while the attempt is in flight
 }
 
-const testPlans = 3
+const testPlanCount = 3 // quota plans in randomSettings
 
+// randomSettings returns random settings with five classes and testPlanCount plans.
 func randomSettings(r *rand.Rand) Settings {
-	yes := func() string { return strconv.FormatBool(r.Intn(2) == 0) }
+	randomBool := func() string { return strconv.FormatBool(r.Intn(2) == 0) }
 	s := Settings{
 		settings.Node: "0", settings.Nodes: strconv.Itoa([]int{1, 2, 3, 4, 60}[r.Intn(5)]), settings.PeerRate: "40",
 		settings.Tick: strconv.Itoa(10 + r.Intn(40)), settings.MaxAttempts: strconv.Itoa(1 + r.Intn(6)),
-		settings.Hedging: yes(), settings.CancelAttempts: yes(), settings.Peers: yes(), settings.RetryAfter: yes(),
+		settings.Hedging: randomBool(), settings.CancelAttempts: randomBool(), settings.Peers: randomBool(),
+		settings.RetryAfter:    randomBool(),
 		settings.MaxRetryAfter: "10000", settings.SlowStartShare: "0.25", settings.SlowStartSpan: "100000",
 		settings.OverloadMultiple: "3", settings.OverloadSpan: "20000",
 		settings.ConnectTimeout: strconv.Itoa(r.Intn(3000)), settings.ClassCount: "5",
-		settings.PlanCount:    strconv.Itoa(testPlans),
+		settings.PlanCount:    strconv.Itoa(testPlanCount),
 		settings.EndpointList: []string{settings.EndpointListPush, settings.EndpointListPoll}[r.Intn(2)],
 	}
 	groups := []string{settings.GroupAll, settings.GroupAll, settings.GroupAll, settings.GroupZone, settings.GroupCell}
-	for i, repeats := range []string{
+	for i, retrySafety := range []string{
 		settings.RetrySafe, settings.RetryUnsafe, settings.RetryKeyed, settings.RetryKeyed, settings.RetryKeyed,
 	} {
-		s[settings.ClassKey(i, settings.ClassRetrySafety)] = repeats
+		s[settings.ClassKey(i, settings.ClassRetrySafety)] = retrySafety
 		s[settings.ClassKey(i, settings.ClassLatencyObjective)] = strconv.Itoa(3000 + r.Intn(10000))
 		s[settings.ClassKey(i, settings.ClassIdempotencyWindow)] = strconv.Itoa(2000 + r.Intn(20000))
 		s[settings.ClassKey(i, settings.ClassIdempotencyGroup)] = groups[i]
@@ -97,26 +104,29 @@
 	return s
 }
 
-func newHost(seed int64) *host {
+// newSimulatedHost returns a host with a started engine. Equal seeds give equal runs.
+func newSimulatedHost(seed int64) *simulatedHost {
 	r := rand.New(rand.NewSource(seed))
-	h := &host{rng: r, set: randomSettings(r), now: 5 * Second, requests: map[RequestID]*hostRequest{}, ceiling: map[CustomerID]*hostBucket{}}
+	h := &simulatedHost{rng: r, set: randomSettings(r), now: 5 * Second, requests: map[RequestID]*hostRequest{}, ceilings: map[CustomerID]*hostBucket{}}
 	h.start = h.now
 	for i := range 3 + r.Intn(8) {
 		h.servers = append(h.servers, &hostServer{
 			id: ServerID(r.Intn(1 << 30)), zone: uint8(i % 3), cell: uint16(i / 2),
-			state: Ready, each: Time(200 + r.Intn(800)),
+			state: Ready, serviceTime: Time(200 + r.Intn(800)),
 		})
 	}
-	h.begin()
+	h.startEngine()
 	return h
 }
 
-func (h *host) begin() {
+// startEngine starts an engine without state, as after a restart of the node.
+func (h *simulatedHost) startEngine() {
 	h.engine = New(uint64(h.rng.Int63()), h.set.parse(), h.now)
-	h.update(CachedList)
+	h.updateEndpoints(CachedList)
 }
 
-func (h *host) update(kind EndpointListKind) {
+// updateEndpoints sends the entries of all servers to the engine.
+func (h *simulatedHost) updateEndpoints(kind EndpointListKind) {
 	list := []Endpoint{}
 	for _, s := range h.servers {
 		s.known = true
@@ -124,219 +134,230 @@
 	}
 	h.engine.SetTime(h.now)
 	h.engine.UpdateEndpoints(kind, list)
-	h.pull()
+	h.checkDecisions()
 }
 
-func (h *host) fail(format string, args ...any) {
+// fail records the first violation of a rule, with the time since the start in units of Time.
+func (h *simulatedHost) fail(format string, args ...any) {
 	if h.err == nil {
-		h.err = fmt.Errorf("at %d: "+format, append([]any{h.now - h.start}, args...)...)
+		h.err = fmt.Errorf("at time %d after the start: "+format, append([]any{h.now - h.start}, args...)...)
 	}
 }
 
 // step lets one tick pass.
-func (h *host) step() {
+func (h *simulatedHost) step() {
 	h.now += Time(h.set.Number(settings.Tick))
 	h.engine.SetTime(h.now)
 	h.engine.TimerFired()
-	for _, id := range h.order {
-		h.ends(id)
+	for _, id := range h.openRequests {
+		h.endAttempts(id)
 	}
-	kept := h.order[:0]
-	for _, id := range h.order {
-		if t := h.requests[id]; !t.closed || t.anyInFlight() {
+	kept := h.openRequests[:0]
+	for _, id := range h.openRequests {
+		if r := h.requests[id]; !r.closed || r.anyInFlight() {
 			kept = append(kept, id)
 		}
 	}
-	h.order = kept
+	h.openRequests = kept
 	if h.rng.Intn(80) == 0 {
-		h.disturb()
+		h.injectRandomEvent()
 	}
-	for h.rng.Intn(3) > 0 && !h.idle {
-		h.arrive()
+	for h.rng.Intn(3) > 0 && !h.noNewRequests {
+		h.addRequest()
 	}
-	h.pull()
-	for _, id := range h.order {
-		if t := h.requests[id]; !t.closed && !t.streaming && h.now > t.deadline {
-			h.fail("request %d has no final answer in time", id)
+	h.checkDecisions()
+	for _, id := range h.openRequests {
+		if r := h.requests[id]; !r.closed && !r.streaming && h.now > r.deadline {
+			h.fail("request %d has no final response %d after its deadline, want one by the deadline", id, h.now-r.deadline)
 		}
 	}
 }
 
-func (t *hostRequest) anyInFlight() bool {
-	for _, x := range t.attempts {
-		if x.inFlight {
+// anyInFlight reports whether the request has an attempt in flight.
+func (r *hostRequest) anyInFlight() bool {
+	for _, a := range r.attempts {
+		if a.inFlight {
 			return true
 		}
 	}
 	return false
 }
 
-func (h *host) arrive() {
+// addRequest sends a random request to the engine.
+func (h *simulatedHost) addRequest() {
 	spread := 1 + h.rng.Intn(int(h.set.Number(settings.Nodes)))
 	customer := h.rng.Intn(12)
-	a := Request{
-		ID: h.nextID, Class: ClassID(h.rng.Intn(5)), Plan: PlanID(customer % testPlans), Customer: CustomerID(customer),
+	newRequest := Request{
+		ID: h.nextID, Class: ClassID(h.rng.Intn(5)), Plan: PlanID(customer % testPlanCount), Customer: CustomerID(customer),
 		Timeout: Time(h.rng.Intn(20000)), Units: 1 + h.rng.Float64(), Spread: spread,
 	}
 	h.nextID++
-	h.requests[a.ID] = &hostRequest{request: a, deadline: h.now + a.Timeout}
-	h.order = append(h.order, a.ID)
-	h.engine.AddRequest(a)
+	h.requests[newRequest.ID] = &hostRequest{request: newRequest, deadline: h.now + newRequest.Timeout}
+	h.openRequests = append(h.openRequests, newRequest.ID)
+	h.engine.AddRequest(newRequest)
 }
 
-// disturb changes the endpoint list, sends a peer message, or restarts the node.
-func (h *host) disturb() {
+// injectRandomEvent changes the endpoint list, delivers a peer message, or restarts the node.
+func (h *simulatedHost) injectRandomEvent() {
 	i := h.rng.Intn(len(h.servers))
 	s := h.servers[i]
 	switch h.rng.Intn(6) {
 	case 0:
 		s.state = []EndpointState{Draining, Gone}[h.rng.Intn(2)]
-		h.update([]EndpointListKind{FullList, ListUpdate}[h.rng.Intn(2)])
+		h.updateEndpoints([]EndpointListKind{FullList, ListUpdate}[h.rng.Intn(2)])
 	case 1:
 		s.state, s.started, s.coldAttempts = Ready, h.now, nil
-		s.free = h.now
-		h.update(ListUpdate)
+		s.busyUntil = h.now
+		h.updateEndpoints(ListUpdate)
 	case 2:
 		h.engine.UpdateEndpoints(PollFailed, nil)
 	case 3:
 		b := make([]byte, h.rng.Intn(20))
 		h.rng.Read(b)
 		h.engine.ReceivePeerMessage(NodeID(h.rng.Intn(6)-1), append([]byte{byte(kindUse + h.rng.Intn(3))}, b...))
-	case 4: // killed outright: what it held is lost, the servers and ceilings are not
-		h.order = h.order[:0]
+	case 4: // the node is killed: its requests are lost, but servers and ceilings keep their state
+		h.openRequests = h.openRequests[:0]
 		h.requests = map[RequestID]*hostRequest{}
-		h.begin()
-	case 5: // a warm one takes its place, under a new id
+		h.startEngine()
+	case 5: // a warm server with a new ID replaces the server
 		h.servers[i] = &hostServer{
-			id: ServerID(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, each: s.each,
-			free: h.now,
+			id: ServerID(h.rng.Intn(1 << 30)), zone: s.zone, cell: s.cell, state: Ready, serviceTime: s.serviceTime,
+			busyUntil: h.now,
 		}
-		h.update(FullList)
+		h.updateEndpoints(FullList)
 	}
 }
 
-func (h *host) ends(id RequestID) {
-	t := h.requests[id]
-	for k, x := range t.attempts {
-		if !x.inFlight || x.end > h.now {
+// endAttempts reports the attempts of a request that have ended.
+func (h *simulatedHost) endAttempts(id RequestID) {
+	r := h.requests[id]
+	for number, a := range r.attempts {
+		if !a.inFlight || a.endsAt > h.now {
 			continue
 		}
-		x.inFlight = false
-		x.mayHaveRun = x.outcome != Overloaded && x.outcome != ConnectFailed && x.outcome != NotSent
-		if x.outcome == Succeeded && !t.closed {
-			t.closed = true
-			h.complete++
-		} else if t.streaming && !t.closed {
-			t.closed = true
+		a.inFlight = false
+		a.mayHaveRun = a.outcome != Overloaded && a.outcome != ConnectFailed && a.outcome != NotSent
+		if a.outcome == Succeeded && !r.closed {
+			r.closed = true
+			h.completed++
+		} else if r.streaming && !r.closed {
+			r.closed = true
 		}
 		h.engine.AttemptEnded(AttemptResult{
-			Request: id, Attempt: k, Server: x.server.id, Outcome: x.outcome, Duration: h.now - x.sent,
-			Final: t.closed, Units: float64(h.rng.Intn(3)),
+			Request: id, Attempt: number, Server: a.server.id, Outcome: a.outcome, Duration: h.now - a.sentAt,
+			Final: r.closed, Units: float64(h.rng.Intn(3)),
 		})
-		h.pull()
+		h.checkDecisions()
 	}
 }
 
-// pull takes decisions until there is none and checks each.
-func (h *host) pull() {
+// checkDecisions takes decisions until none is left, and checks and carries out each.
+func (h *simulatedHost) checkDecisions() {
 	for k := 0; ; k++ {
 		d, ok := h.engine.Next()
 		if !ok {
 			return
 		}
 		if k > 100000 {
-			h.fail("decisions without end")
+			h.fail("Next returned more than %d decisions in a row, want an end", k)
 			return
 		}
-		h.check(d)
+		h.checkDecision(d)
 	}
 }
 
-func (h *host) check(d Decision) {
-	t := h.requests[d.Request]
+// checkDecision checks a decision against the rules and carries it out.
+func (h *simulatedHost) checkDecision(d Decision) {
+	r := h.requests[d.Request]
 	switch d.Action {
 	case Forward:
-		h.send(t, d)
+		h.startAttempt(r, d)
 	case Reject, Fail:
-		h.checkAnswer(t, d)
+		h.checkFinalResponse(r, d)
 	case CancelAttempt:
-		if h.set[settings.CancelAttempts] != settings.On || d.Attempt >= len(t.attempts) {
-			h.fail("cancellation that is not allowed")
-		} else if x := t.attempts[d.Attempt]; x.inFlight {
-			x.outcome, x.end = Cancelled, h.now
+		if h.set[settings.CancelAttempts] != settings.On || d.Attempt >= len(r.attempts) {
+			h.fail("attempt %d of request %d was cancelled, want an existing attempt, and none with cancellation off",
+				d.Attempt, d.Request)
+		} else if a := r.attempts[d.Attempt]; a.inFlight {
+			a.outcome, a.endsAt = Cancelled, h.now
 		}
 	case SendPeerMessage:
 		if nodes, _ := strconv.Atoi(h.set[settings.Nodes]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= NodeID(nodes) {
-			h.fail("message to node %d of %d", d.Peer, nodes)
+			h.fail("peer message went to node %d, want another node of the %d, or all peers", d.Peer, nodes)
 		}
 		if len(d.Payload) > 256 || h.set[settings.Peers] != settings.On {
-			h.fail("message of %d bytes", len(d.Payload))
+			h.fail("peer message has %d bytes with peers = %q, want at most 256 bytes and peers on",
+				len(d.Payload), h.set[settings.Peers])
 		}
 	}
 }
 
-// checkAnswer checks a final answer that the node gives by itself.
-func (h *host) checkAnswer(t *hostRequest, d Decision) {
-	if t == nil || t.closed || t.streaming {
-		h.fail("second final answer for request %d", d.Request)
+// checkFinalResponse checks a final response that the node sends without a server's response.
+func (h *simulatedHost) checkFinalResponse(r *hostRequest, d Decision) {
+	if r == nil || r.closed || r.streaming {
+		h.fail("request %d got a final response, want one for each open request only", d.Request)
 		return
 	}
-	t.closed = true
+	r.closed = true
 	h.rejected++
-	for _, x := range t.attempts {
-		repeats, group := h.class(t, settings.ClassRetrySafety), h.class(t, settings.ClassIdempotencyGroup)
-		if d.Action == Reject && x.mayHaveRun &&
-			(repeats == settings.RetryUnsafe || repeats == settings.RetryKeyed && group != settings.GroupAll) {
-			h.fail("request %d rejected though it may have run", d.Request)
+	for _, a := range r.attempts {
+		retrySafety, group := h.classSetting(r, settings.ClassRetrySafety), h.classSetting(r, settings.ClassIdempotencyGroup)
+		if d.Action == Reject && a.mayHaveRun &&
+			(retrySafety == settings.RetryUnsafe || retrySafety == settings.RetryKeyed && group != settings.GroupAll) {
+			h.fail("request %d (%s) was rejected though an attempt may have run, want it failed", d.Request, retrySafety)
 		}
 	}
-	if h.now > t.deadline {
-		h.fail("final answer for %d after its deadline", d.Request)
+	if h.now > r.deadline {
+		h.fail("request %d got its final response %d after its deadline, want it by the deadline", d.Request, h.now-r.deadline)
 	}
 }
 
-// class is a setting of a request's class.
-func (h *host) class(t *hostRequest, field settings.ClassField) string {
-	return h.set[settings.ClassKey(int(t.request.Class), field)]
+// classSetting returns a setting of a request's class.
+func (h *simulatedHost) classSetting(r *hostRequest, field settings.ClassField) string {
+	return h.set[settings.ClassKey(int(r.request.Class), field)]
 }
 
-// send checks an attempt and plays its server.
-func (h *host) send(t *hostRequest, d Decision) {
-	if t == nil || t.closed || t.streaming || h.now+d.Duration > t.deadline || d.Duration <= 0 {
-		h.fail("attempt of request %d, closed or past its deadline", d.Request)
+// startAttempt checks an attempt and draws its end at the server.
+func (h *simulatedHost) startAttempt(r *hostRequest, d Decision) {
+	if r == nil || r.closed || r.streaming || h.now+d.Duration > r.deadline || d.Duration <= 0 {
+		h.fail("request %d got an attempt with timeout %d, want an open request, and a timeout above 0 that ends by its deadline",
+			d.Request, d.Duration)
 		return
 	}
 	s := h.server(d.Server)
 	if s == nil || s.state != Ready {
-		h.fail("send to a server that is draining, gone or unknown")
+		h.fail("attempt of request %d went to server %d, which is draining, gone or unknown; want a ready one",
+			d.Request, d.Server)
 		return
 	}
 	h.sent++
-	for _, x := range t.attempts {
-		h.checkRepeat(t, x, s)
+	for _, a := range r.attempts {
+		h.checkRetry(r, a, s)
 	}
-	if len(t.attempts) >= int(h.set.Number(settings.MaxAttempts)) {
-		h.fail("too many attempts of %d", d.Request)
+	if len(r.attempts) >= int(h.set.Number(settings.MaxAttempts)) {
+		h.fail("request %d has an attempt after %d others, want at most %s in all",
+			d.Request, len(r.attempts), h.set[settings.MaxAttempts])
 	}
-	if len(t.attempts) == 0 && t.request.Plan == 2 {
-		h.checkCeiling(t)
+	if len(r.attempts) == 0 && r.request.Plan == 2 {
+		h.checkCeiling(r)
 	}
 	h.checkSlowStart(s)
-	x := &hostAttempt{server: s, sent: h.now, inFlight: true, mayHaveRun: true, outcome: Succeeded}
-	work := s.each * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number(settings.Nodes)) // the other nodes take their part
-	s.free = max(s.free, h.now) + work
-	x.end = s.free
+	a := &hostAttempt{server: s, sentAt: h.now, inFlight: true, mayHaveRun: true, outcome: Succeeded}
+	work := s.serviceTime * Time(50+h.rng.Intn(100)) / 100 * Time(h.set.Number(settings.Nodes)) // for all nodes
+	s.busyUntil = max(s.busyUntil, h.now) + work
+	a.endsAt = s.busyUntil
 	if k := h.rng.Intn(12); k < 4 {
-		x.outcome = []Outcome{Failed, Overloaded, ConnectFailed, ConnectionReset}[k]
-		x.end = h.now + Time(h.rng.Intn(500))
+		a.outcome = []Outcome{Failed, Overloaded, ConnectFailed, ConnectionReset}[k]
+		a.endsAt = h.now + Time(h.rng.Intn(500))
 	}
-	if x.end > h.now+d.Duration {
-		x.outcome, x.end = TimedOut, h.now+d.Duration
+	if a.endsAt > h.now+d.Duration {
+		a.outcome, a.endsAt = TimedOut, h.now+d.Duration
 	}
-	t.attempts = append(t.attempts, x)
+	r.attempts = append(r.attempts, a)
 }
 
-func (h *host) server(id ServerID) *hostServer {
+// server returns the server with an ID, or nil.
+func (h *simulatedHost) server(id ServerID) *hostServer {
 	for _, s := range h.servers {
 		if s.id == id {
 			return s
@@ -345,57 +366,62 @@
 	return nil
 }
 
-// checkRepeat checks an attempt against an earlier one of its request.
-func (h *host) checkRepeat(t *hostRequest, x *hostAttempt, s *hostServer) {
-	window := h.set.Duration(settings.ClassKey(int(t.request.Class), settings.ClassIdempotencyWindow))
+// checkRetry checks an attempt at server s against an earlier attempt of the request.
+func (h *simulatedHost) checkRetry(r *hostRequest, a *hostAttempt, s *hostServer) {
+	window := h.set.Duration(settings.ClassKey(int(r.request.Class), settings.ClassIdempotencyWindow))
 	switch {
-	case x.inFlight && h.set[settings.Hedging] != settings.On:
-		h.fail("two attempts of %d in flight at once", t.request.ID)
-	case !x.mayHaveRun || h.class(t, settings.ClassRetrySafety) == settings.RetrySafe:
-	case h.class(t, settings.ClassRetrySafety) == settings.RetryUnsafe:
-		h.fail("unsafe request %d may run twice", t.request.ID)
-	case h.now+h.set.Duration(settings.ConnectTimeout) >= x.sent+window: // a new connection may take so long
-		h.fail("keyed request %d may come after its window", t.request.ID)
-	case h.class(t, settings.ClassIdempotencyGroup) == settings.GroupZone && x.server.zone != s.zone,
-		h.class(t, settings.ClassIdempotencyGroup) == settings.GroupCell && x.server.cell != s.cell:
-		h.fail("keyed request %d sent outside its group", t.request.ID)
+	case a.inFlight && h.set[settings.Hedging] != settings.On:
+		h.fail("request %d has two attempts in flight, want one with hedging off", r.request.ID)
+	case !a.mayHaveRun || h.classSetting(r, settings.ClassRetrySafety) == settings.RetrySafe:
+	case h.classSetting(r, settings.ClassRetrySafety) == settings.RetryUnsafe:
+		h.fail("unsafe request %d was sent again though an attempt may have run, want no further attempt", r.request.ID)
+	case h.now+h.set.Duration(settings.ConnectTimeout) >= a.sentAt+window: // a new connection may delay the attempt by the timeout
+		h.fail("keyed request %d was sent again after %d, want less than its window %d minus the connect timeout",
+			r.request.ID, h.now-a.sentAt, window)
+	case h.classSetting(r, settings.ClassIdempotencyGroup) == settings.GroupZone && a.server.zone != s.zone,
+		h.classSetting(r, settings.ClassIdempotencyGroup) == settings.GroupCell && a.server.cell != s.cell:
+		h.fail("keyed request %d was sent to server %d, want a server in the key group of server %d",
+			r.request.ID, s.id, a.server.id)
 	}
 }
 
-func (h *host) checkCeiling(t *hostRequest) {
-	c := h.ceiling[t.request.Customer]
-	depth := h.set.Number(settings.PlanKey(2, settings.PlanCeilingBurst))
+// checkCeiling checks the first attempt of a request against the hard ceiling of plan 2.
+func (h *simulatedHost) checkCeiling(r *hostRequest) {
+	c := h.ceilings[r.request.Customer]
+	burst := h.set.Number(settings.PlanKey(2, settings.PlanCeilingBurst))
 	if c == nil {
-		c = &hostBucket{level: depth, at: h.start}
-		h.ceiling[t.request.Customer] = c
+		c = &hostBucket{level: burst, updatedAt: h.start}
+		h.ceilings[r.request.Customer] = c
 	}
-	c.level = min(depth, c.level+h.set.Number(settings.PlanKey(2, settings.PlanCeilingRate))*float64(h.now-c.at)/float64(Second))
-	c.at = h.now
-	if c.level -= t.request.Units; c.level < 0 {
-		h.fail("ceiling passed by %.2f units", -c.level)
+	c.level = min(burst, c.level+h.set.Number(settings.PlanKey(2, settings.PlanCeilingRate))*float64(h.now-c.updatedAt)/float64(Second))
+	c.updatedAt = h.now
+	if c.level -= r.request.Units; c.level < 0 {
+		h.fail("customer %d is %.2f units above its hard ceiling, want 0 or less", r.request.Customer, -c.level)
 	}
 }
 
-// checkSlowStart counts the work sent to a fresh server by all nodes: this one's, as often as there are nodes.
-func (h *host) checkSlowStart(s *hostServer) {
+// checkSlowStart checks the work that all nodes send to a warming server. That is the work of this node, multiplied by the
+// number of nodes.
+func (h *simulatedHost) checkSlowStart(s *hostServer) {
 	span, warm := h.set.Duration(settings.OverloadSpan), h.set.Duration(settings.SlowStartSpan)
 	if s.started == 0 || h.now >= s.started+warm {
 		return
 	}
-	s.coldAttempts = append(s.coldAttempts, coldAttempt{h.now, s.each})
-	from := h.set.Number(settings.SlowStartShare)
-	share := from + (1-from)*float64(h.now-s.started)/float64(warm)
-	sum, k := Time(0), 0
-	for _, p := range s.coldAttempts {
-		if p.at > h.now-span {
-			sum, k = sum+p.work, k+1
+	s.coldAttempts = append(s.coldAttempts, coldAttempt{h.now, s.serviceTime})
+	startShare := h.set.Number(settings.SlowStartShare)
+	share := startShare + (1-startShare)*float64(h.now-s.started)/float64(warm)
+	work, count := Time(0), 0
+	for _, a := range s.coldAttempts {
+		if a.sentAt > h.now-span {
+			work, count = work+a.work, count+1
 		}
 	}
-	if h.engine.config.usesOwners && k == 1 { // each node's count starts at a random fraction, so that a single attempt is no evidence
+	if h.engine.config.usesOwners && count == 1 { // each node's count starts at a random fraction, so one attempt shows nothing
 		return
 	}
-	most := h.set.Number(settings.OverloadMultiple) * share * float64(span)
-	if float64(sum)*h.set.Number(settings.Nodes) > most*1.1 {
-		h.fail("cold server pushed: %d of %.0f by %s nodes", sum, most, h.set[settings.Nodes])
+	limit := h.set.Number(settings.OverloadMultiple) * share * float64(span)
+	if float64(work)*h.set.Number(settings.Nodes) > limit*1.1 {
+		h.fail("warming server %d got work %d from each of %s nodes, want at most %.0f in all",
+			s.id, work, h.set[settings.Nodes], limit)
 	}
 }
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/settings"
 )
 
-// TestNumberSettingForms checks which texts are numbers. Any other text is 0.
+// TestNumberSettingForms checks which texts are numbers, durations, switches and lists. Any other text is 0 or off.
 func TestNumberSettingForms(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "0 0 false", "0": "0 0 false", "7": "7 7 false", "-7": "-7 -7 false", "+7": "7 7 false", "2.7": "2.7 2 false",
@@ -22,23 +22,23 @@
 	} {
 		set := Settings{"a": text}
 		if got := fmt.Sprint(set.Number("a"), int64(set.Duration("a")), set.Enabled("a")); got != want {
-			t.Errorf("%q reads as %s, not %s", text, got, want)
+			t.Errorf("number, duration and switch of the text %q = %s, want %s", text, got, want)
 		}
 	}
 	if got := Settings(nil).Number("a"); got != 0 {
-		t.Errorf("missing reads as %v", got)
+		t.Errorf("Number of a missing setting = %v, want 0", got)
 	}
 	for text, want := range map[string][]string{"": nil, "a": {"a"}, "a,b": {"a", "b"}, "a,,b,\t": {"a", "", "b", "\t"}} {
-		if got := (Settings{"a": text}).Words("a"); !slices.Equal(got, want) {
-			t.Errorf("%q reads as %q", text, got)
+		if got := (Settings{"a": text}).List("a"); !slices.Equal(got, want) {
+			t.Errorf("list of the text %q = %q, want %q", text, got, want)
 		}
 	}
 	if got := settings.ClassKey(3, settings.ClassIdempotencyWindow); got != "class.3.idempotency_window" {
-		t.Errorf("%q", got)
+		t.Errorf("ClassKey(3, ClassIdempotencyWindow) = %q, want \"class.3.idempotency_window\"", got)
 	}
 }
 
-// engineSettingKeys returns the keys that the engine reads.
+// engineSettingKeys returns the keys that the engine reads, for some of the classes and plans.
 func engineSettingKeys() []string {
 	names := []string{
 		"node", "nodes", "tick", "connect_timeout", "slow_start_span", "slow_start_share", "peer_messages_per_s", "peers",
@@ -54,38 +54,40 @@
 	return names
 }
 
-// oddSettingValues are the values that each setting gets in turn. The first one removes it.
+// oddSettingValues are the values that each setting gets in turn. The value "missing" removes the setting.
 var oddSettingValues = []string{"missing", "x7", "-3", "2.7", "NaN", "TRUE", "3000"}
 
-// simulateOddSetting simulates two seconds with one odd setting. It returns the digest, or the panic's text.
+// simulateOddSetting simulates two seconds with one odd setting. It returns the digest of the decisions, or the text of a
+// panic.
 func simulateOddSetting(base Settings, name, value string) (digest string) {
 	defer func() {
 		if r := recover(); r != nil {
 			digest = fmt.Sprint("panic: ", r)
 		}
 	}()
-	set := fleetSettings(base)
-	set[name] = value
+	nodeSettings := fleetSettings(base)
+	nodeSettings[name] = value
 	if value == "missing" {
-		delete(set, name)
+		delete(nodeSettings, name)
 	}
 	setup := fleetScenario{
-		set: set, members: []int{1}, servers: 6, zones: 2, serversPerCell: 2, serviceTime: 150, requestsPerStep: 1, customers: 9,
+		nodeSettings: nodeSettings, members: []int{1}, serverCount: 6, zones: 2, serversPerCell: 2, serviceTime: 150, requestsPerStep: 1, customers: 9,
 		spread: 3, seconds: 2, firstList: CachedList, resetPercent: 12, restartedServers: 2, silentServers: 1, firstPollFails: true,
 	}
-	if set["nodes"] == "18" {
+	if nodeSettings["nodes"] == "18" {
 		setup.members, setup.spread = []int{1, 2}, 9
 	}
 	p := newFleetSimulation(7, setup)
 	if name == "node" {
 		for _, n := range p.nodes {
-			n.configure(parseSettings(set))
+			n.configure(parseSettings(nodeSettings))
 		}
 	}
 	return p.run()[1][:8]
 }
 
-// TestOddSettingsDecisions compares the decisions under missing, malformed and negative settings with the expected ones.
+// TestOddSettingsDecisions compares the decisions under missing, malformed and negative settings with the expected ones. It
+// guards against a change of the settings' meaning, or a panic, under settings that no other test has.
 func TestOddSettingsDecisions(t *testing.T) {
 	for _, base := range []Settings{{}, {"nodes": "18"}} {
 		usual := simulateOddSetting(base, "none", "")
@@ -110,7 +112,7 @@
 	}
 }
 
-// TestQuotaOwnersByFleetSize checks from which fleet size on customers have quota owners.
+// TestQuotaOwnersByFleetSize checks the fleet size from which on customers have quota owners.
 func TestQuotaOwnersByFleetSize(t *testing.T) {
 	for _, c := range []struct {
 		nodes, rate string
@@ -132,7 +134,8 @@
 		{"40", "NaN", false},
 	} {
 		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); n.config.usesOwners != c.want {
-			t.Errorf("%s nodes that receive %s messages a second: owners %v", c.nodes, c.rate, n.config.usesOwners)
+			t.Errorf("usesOwners with %q nodes and a peer rate of %q messages a second = %v, want %v",
+				c.nodes, c.rate, n.config.usesOwners, c.want)
 		}
 	}
 }
--- a/internal/decision/requests_test.go
+++ b/internal/decision/requests_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A request is pending only once. Its slot is reused only when it is no longer pending.
+// A request is pending at most once. Its slot is reused only once the request is no longer pending: otherwise the new
+// request would be decided on in place of the old one.
 func TestRequestTable(t *testing.T) {
 	table := requestTable{slots: newSlotIndex[RequestID, requestSlot]()}
 	a, b := table.add(request{id: 7, live: true}), table.add(request{id: 8, live: true})
@@ -11,21 +12,21 @@
 	table.enqueue(a)
 	table.release(&table.all[a])
 	if c := table.add(request{id: 9, live: true}); c == a {
-		t.Error("the slot of a request that waits was used again")
+		t.Error("add(request 9) = slot ", c, ", which is the slot of the pending request 7; want another slot")
 	}
 	if i, ok := table.dequeue(); !ok || i != b {
-		t.Errorf("request %d was next", i)
+		t.Errorf("dequeue() = slot %d, %v, want slot %d, true", i, ok, b)
 	}
 	if _, ok := table.dequeue(); ok || table.slots.find(7) >= 0 {
-		t.Error("a request that ended was next, or is kept")
+		t.Error("dequeue() with no live request = _, ", ok, ", and request 7 has slot ", table.slots.find(7), "; want false and no slot")
 	}
 	if c := table.add(request{id: 10, live: true}); c != a {
-		t.Errorf("slot %d, not the free one", c)
+		t.Errorf("add(request 10) = slot %d, want the free slot %d", c, a)
 	}
 }
 
-// An attempt is cancelled once, and not after its response has begun or it has ended. The last cancellation comes
-// first.
+// An attempt is cancelled at most once, and neither after its end nor after the response to the client has begun. The last
+// cancellation comes first.
 func TestCancellations(t *testing.T) {
 	table := requestTable{slots: newSlotIndex[RequestID, requestSlot]()}
 	r := &request{id: 7}
@@ -42,13 +43,14 @@
 	table.cancel(streaming, 0)
 	for _, want := range []cancellation{{7, 2}, {7, 1}} {
 		if got, ok := table.nextCancellation(); !ok || got != want {
-			t.Errorf("%+v, not %+v", got, want)
+			t.Errorf("nextCancellation() = %+v, %v, want %+v, true", got, ok, want)
 		}
 	}
 	if got, ok := table.nextCancellation(); ok {
-		t.Errorf("%+v", got)
+		t.Errorf("nextCancellation() after the last one = %+v, true, want false", got)
 	}
 	if r.inFlight != 2 || table.inFlight != 1 || r.attempts[0].mayHaveRun || !r.attempts[1].mayHaveRun {
-		t.Errorf("%+v, %d requests in flight", r, table.inFlight)
+		t.Errorf("request %+v, %d requests in flight; want 2 attempts and 1 request in flight, and mayHaveRun false, then true",
+			r, table.inFlight)
 	}
 }
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -15,10 +15,10 @@
 type keyGroup uint8
 
 const (
-	groupOther keyGroup = iota // unknown: attempts may go to any server, but clients can't safely repeat a request that may have run
-	groupAll                   // all servers
-	groupZone                  // the servers of a zone
-	groupCell                  // the servers of a cell
+	groupUnknown keyGroup = iota // attempts may go to any server, but clients can't safely repeat a request
+	groupAll                     // all servers
+	groupZone                    // the servers of a zone
+	groupCell                    // the servers of a cell
 )
 
 // config holds the settings of one node as the engine uses them. It is not modified after newConfig.
--- a/internal/decision/settings_test.go
+++ b/internal/decision/settings_test.go
@@ -7,6 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
+// settingsCases are settings with a value that newConfig derives from them.
 var settingsCases = []struct {
 	name string
 	set  Settings
@@ -45,8 +46,8 @@
 	{"safe", Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe}, func(c *config) any { return c.classes[0].retrySafety }, retrySafe},
 	{"keyed", Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryKeyed}, func(c *config) any { return c.classes[0].retrySafety }, retryKeyed},
 	{"unsafe", Settings{settings.ClassKey(0, settings.ClassRetrySafety): settings.RetryUnsafe}, func(c *config) any { return c.classes[0].retrySafety }, retryNever},
-	{"an unknown group", Settings{settings.ClassKey(0, settings.ClassIdempotencyGroup): "rack"}, func(c *config) any { return c.classes[0].keyGroup }, groupOther},
-	{"no group", nil, func(c *config) any { return c.classes[0].keyGroup }, groupOther},
+	{"an unknown group", Settings{settings.ClassKey(0, settings.ClassIdempotencyGroup): "rack"}, func(c *config) any { return c.classes[0].keyGroup }, groupUnknown},
+	{"no group", nil, func(c *config) any { return c.classes[0].keyGroup }, groupUnknown},
 	{"all", Settings{settings.ClassKey(0, settings.ClassIdempotencyGroup): settings.GroupAll}, func(c *config) any { return c.classes[0].keyGroup }, groupAll},
 	{"zone", Settings{settings.ClassKey(0, settings.ClassIdempotencyGroup): settings.GroupZone}, func(c *config) any { return c.classes[0].keyGroup }, groupZone},
 	{"cell", Settings{settings.ClassKey(0, settings.ClassIdempotencyGroup): settings.GroupCell}, func(c *config) any { return c.classes[0].keyGroup }, groupCell},
@@ -66,12 +67,12 @@
 	{"the owners' timeout", Settings{settings.ClassKey(0, settings.ClassLatencyObjective): "6000"}, func(c *config) any { return c.ownerTimeout }, Time(1200)},
 }
 
-// Missing, malformed, odd and negative settings are read without an error.
+// newConfig reads missing, malformed, fractional and negative settings without an error, and gives each a usable value.
 func TestParseSettings(t *testing.T) {
 	for _, c := range settingsCases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.get(parseSettings(c.set)); got != c.want {
-				t.Errorf("%v, not %v", got, c.want)
+				t.Errorf("newConfig(%v) has the value %v, want %v", c.set, got, c.want)
 			}
 		})
 	}
--- a/internal/decision/settingsreference_test.go
+++ b/internal/decision/settingsreference_test.go
@@ -10,8 +10,8 @@
 	"cherrygap/internal/settings"
 )
 
-// mapReader reads settings from their texts, each time anew, as the engine did before package settings had a type for
-// them. It is the reference for what odd texts mean.
+// mapReader reads settings from their texts at each use, without package settings' typed form. It is the reference for
+// the meaning of odd texts.
 type mapReader map[string]string
 
 func (s mapReader) number(name string) float64 {
@@ -48,7 +48,7 @@
 	return c
 }
 
-func (s mapReader) classes() (out []classConfig) {
+func (s mapReader) classes() (classes []classConfig) {
 	for i := range max(1, int(s.number(settings.ClassCount))) {
 		c := classConfig{
 			latencyObjective: max(s.duration(settings.ClassKey(i, settings.ClassLatencyObjective)), 1),
@@ -65,24 +65,24 @@
 		if g := slices.Index(groups, s[settings.ClassKey(i, settings.ClassIdempotencyGroup)]); g > 0 {
 			c.keyGroup = keyGroup(g)
 		}
-		out = append(out, c)
+		classes = append(classes, c)
 	}
-	return out
+	return classes
 }
 
-func (s mapReader) plans() (out []quotaPlan) {
+func (s mapReader) plans() (plans []quotaPlan) {
 	for i := range max(1, int(s.number(settings.PlanCount))) {
 		number := func(field settings.PlanField) float64 { return s.number(settings.PlanKey(i, field)) }
-		out = append(out, quotaPlan{
+		plans = append(plans, quotaPlan{
 			rate: number(settings.PlanRate), burst: number(settings.PlanBurst),
 			maxInFlight: int(number(settings.PlanMaxInFlight)),
 			ceilingRate: number(settings.PlanCeilingRate), ceilingBurst: number(settings.PlanCeilingBurst),
 		})
 	}
-	return out
+	return plans
 }
 
-// oddTexts are texts that a setting may have, valid or not.
+// oddTexts are valid and malformed texts of settings.
 var oddTexts = []string{
 	"", "0", "1", "3", "-3", "+7", "2.7", "-2.7", ".5", "5.", "1e3", "1E-3", "0x10", "0x1p4", "1_000", "1,5", " 4", "4 ", "4s",
 	"x", "true", "True", "TRUE", "false", " true", "1e400", "-1e400", "1e300", "Inf", "-inf", "NaN", "12345678901234567890", "007",
@@ -90,7 +90,8 @@
 	settings.GroupAll, settings.GroupZone, settings.GroupCell, "Safe", "rack", "60", "3000", "6000", "15005", "15000.5",
 }
 
-// settingKeys are the keys that the engine reads, with those of entries past the declared length of their list.
+// settingKeys returns the keys that the engine reads, also for entries past the declared length of their list, and some
+// malformed keys.
 func settingKeys() []string {
 	keys := []string{
 		settings.Node, settings.Nodes, settings.Tick, settings.ConnectTimeout, settings.MaxAttempts, settings.CancelAttempts,
@@ -114,7 +115,8 @@
 	return append(keys, "class.00.latency_objective", "plan.+1.rate", "class..retry_safety", "class.0", "plan.0.rate.x")
 }
 
-// TestTypedSettingsReadAsTheirTexts compares the typed settings with the reference on odd texts of every setting.
+// TestTypedSettingsReadAsTheirTexts compares newConfig with the reference on odd texts of every setting. It guards against
+// changes of the settings' parser that give a text another meaning.
 func TestTypedSettingsReadAsTheirTexts(t *testing.T) {
 	keys, counts := settingKeys(), []string{"", "0", "1", "2", "3", "-2", "2.9", "3e0", "x", "NaN", "1e300"}
 	for seed := range int64(3000) {
@@ -126,8 +128,8 @@
 			}
 		}
 		got, want := fmt.Sprintf("%+v", *newConfig(settings.Parse(settings.Values(set)))), fmt.Sprintf("%+v", *set.config())
-		if got != want { // as text, in which a NaN is equal to a NaN
-			t.Fatalf("seed %d, %v:\ngot  %s\nwant %s", seed, set, got, want)
+		if got != want { // compared as texts, in which NaN equals NaN
+			t.Fatalf("seed %d: newConfig(%v) =\n%s\nwant\n%s", seed, set, got, want)
 		}
 	}
 }
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -8,8 +8,9 @@
 	"cherrygap/internal/settings"
 )
 
-// shadowedRun runs 400 requests of one customer, of which some fail, and returns the decisions.
-func shadowedRun(own, other Settings) (did []Decision, n *Engine) {
+// shadowedRun sends 400 requests of three customers, some with a failed first attempt. It returns the decisions and the
+// engine. Shadow evaluation is off if other is nil.
+func shadowedRun(own, other Settings) (decisions []Decision, n *Engine) {
 	n = plain(6, own)
 	if other != nil {
 		all := plainSettings(own)
@@ -21,7 +22,7 @@
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id % 3), Timeout: Second, Units: 1, Spread: 1})
 		for d, ok := n.Next(); ok; d, ok = n.Next() {
 			d.Payload = nil
-			did = append(did, d)
+			decisions = append(decisions, d)
 			if d.Action == Forward {
 				r := AttemptResult{
 					Request: d.Request, Attempt: len(n.requests.all[n.requests.slots.find(d.Request)].attempts) - 1, Server: d.Server,
@@ -34,10 +35,11 @@
 			}
 		}
 	}
-	return did, n
+	return decisions, n
 }
 
-// Shadow evaluation counts no difference under equal settings, counts a known one by its kind, and changes no decision.
+// Shadow evaluation changes no decision. It counts no difference under equal settings, and counts the differences under
+// other settings by kind.
 func TestShadowCountsAndNeverActs(t *testing.T) {
 	want, _ := shadowedRun(nil, nil)
 	for _, c := range []struct {
@@ -59,24 +61,26 @@
 		if other == nil {
 			other = Settings{}
 		}
-		did, n := shadowedRun(nil, other)
-		if !reflect.DeepEqual(did, want) {
-			t.Errorf("%v: the shadow changed what was decided", other)
+		decisions, n := shadowedRun(nil, other)
+		if !reflect.DeepEqual(decisions, want) {
+			t.Errorf("shadow settings %v changed the decisions of the node, want the same as without shadow evaluation", other)
 		}
-		seen, differs := n.ShadowCounts()
-		if seen < 400 || differs[c.kind] < c.least || (c.kind == "") != (len(differs) == 0) {
-			t.Errorf("%v: of %d decisions %v", other, seen, differs)
+		compared, differences := n.ShadowCounts()
+		if compared < 400 || differences[c.kind] < c.least || (c.kind == "") != (len(differences) == 0) {
+			t.Errorf("shadow settings %v: ShadowCounts() = %d, %v, want at least 400, and at least %d of %q (none if the name is empty)",
+				other, compared, differences, c.least, c.kind)
 		}
 	}
-	if seen, differs := plain(1, nil).ShadowCounts(); seen != 0 || differs != nil {
-		t.Error("counted without a shadow")
+	if compared, differences := plain(1, nil).ShadowCounts(); compared != 0 || differences != nil {
+		t.Error("ShadowCounts() without shadow evaluation = ", compared, ", ", differences, ", want 0, nil")
 	}
 }
 
-// Random days with shadow evaluation keep the rules and have the same decisions as without it.
+// Random runs with shadow evaluation keep the rules and send, complete and reject as much as without it. That fails if the
+// evaluation changes the engine's state, such as its random numbers.
 func TestShadowChangesNoDecision(t *testing.T) {
 	for seed := range int64(12) {
-		a, b := newHost(seed), newHost(seed)
+		a, b := newSimulatedHost(seed), newSimulatedHost(seed)
 		other := maps.Clone(b.set)
 		maps.Copy(other, Settings{
 			settings.Nodes: "60", settings.PlanKey(0, settings.PlanRate): "1",
@@ -88,15 +92,15 @@
 			a.step()
 			b.step()
 		}
-		if a.err != nil || b.err != nil || a.sent != b.sent || a.complete != b.complete || a.rejected != b.rejected {
-			t.Fatalf("seed %d: %d, %d, %d without, %d, %d, %d with a shadow: %v", seed, a.sent, a.complete, a.rejected,
-				b.sent, b.complete, b.rejected, b.err)
+		if a.err != nil || b.err != nil || a.sent != b.sent || a.completed != b.completed || a.rejected != b.rejected {
+			t.Fatalf("seed %d: %d sent, %d completed, %d rejected (%v); with shadow evaluation %d, %d, %d (%v); want equal numbers and no error",
+				seed, a.sent, a.completed, a.rejected, a.err, b.sent, b.completed, b.rejected, b.err)
 		}
 	}
 }
 
-// In a large fleet, equal settings count no difference: the buckets at an owner are charged for the requests that it
-// grants to others.
+// With quota owners, shadow evaluation counts no difference under equal settings. That holds only if the other buckets at an
+// owner are charged for the requests of other nodes that the owner grants.
 func TestShadowWithQuotaOwners(t *testing.T) {
 	for _, other := range []Settings{
 		{}, {settings.PlanKey(0, settings.PlanRate): "1", settings.PlanKey(0, settings.PlanBurst): "3"},
@@ -110,21 +114,21 @@
 			n.StartShadow(all.parse())
 		}
 		f.ask(10, Second, 9*Second)
-		differs := int64(0)
+		differences := int64(0)
 		for _, n := range f.nodes {
-			_, kinds := n.ShadowCounts()
-			for _, k := range kinds {
-				differs += k
+			_, byKind := n.ShadowCounts()
+			for _, count := range byKind {
+				differences += count
 			}
 		}
-		if (len(other) == 0) != (differs == 0) {
-			t.Errorf("%v: %d differences", other, differs)
+		if (len(other) == 0) != (differences == 0) {
+			t.Errorf("shadow settings %v count %d differences, want none only under equal settings", other, differences)
 		}
 	}
 }
 
-// BenchmarkDecision measures the time of a request at a node with a hundred servers and two thousand customers, without
-// and with shadow evaluation.
+// BenchmarkDecision measures the time of a request at a node with 100 servers and 2000 customers, without and with shadow
+// evaluation.
 func BenchmarkDecision(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		name := "off"
