--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -68,8 +68,8 @@
 	e.now = now
 }
 
-// TimerFired notifies the engine that the host's timer has fired. The call has no effect: the engine acts on the time that
-// SetTime has set.
+// TimerFired notifies the engine that the host's timer has fired. The call has no effect of its own: the engine acts on
+// the time that SetTime has set.
 func (e *Engine) TimerFired() {}
 
 // UpdateEndpoints applies an endpoint list of discovery, or records that a poll failed.
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -11,7 +11,7 @@
 // TestRulesHoldOnRandomRuns simulates random traffic and faults under random settings. It guards against decisions that
 // break a rule of simulatedHost in a situation that no other test constructs.
 func TestRulesHoldOnRandomRuns(t *testing.T) {
-	sent, complete, rejected := 0, 0, 0
+	sent, completed, rejected := 0, 0, 0
 	run := func(seed int64) bool {
 		h := newSimulatedHost(seed)
 		for range 1500 {
@@ -26,14 +26,15 @@
 				return false
 			}
 		}
-		sent, complete, rejected = sent+h.sent, complete+h.completed, rejected+h.rejected
+		sent, completed, rejected = sent+h.sent, completed+h.completed, rejected+h.rejected
 		return true
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Fatal("a random run broke a rule, want none: ", err)
 	}
-	if complete == 0 || rejected == 0 || sent < complete {
-		t.Fatalf("the random runs sent %d attempts, completed %d and rejected %d requests; want completed and rejected above 0, and no more completed than sent", sent, complete, rejected)
+	if completed == 0 || rejected == 0 || sent < completed {
+		t.Fatalf("the random runs sent %d attempts, completed %d and rejected %d requests; want completed and rejected above 0, and "+
+			"no more completed than sent", sent, completed, rejected)
 	}
 }
 
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestIntervalSummaryFormat compares the exact text of interval summaries with the expected one. The scenarios cover a new
-// node, rejections by each limit, and intervals without requests.
+// node, rejections by each limit, and intervals without requests. It guards against unintended changes of the logged text.
 func TestIntervalSummaryFormat(t *testing.T) {
 	for _, name := range []string{
 		"four nodes that all report to all", "quota owners in a large fleet",
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestPollTimes compares the times of polls after failed ones with the expected times, for several settings.
+// TestPollTimes compares the times of polls after failed ones with the expected times, for several settings. It guards
+// against a changed delay, and against a second poll when a failure is reported twice.
 func TestPollTimes(t *testing.T) {
 	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
 		var polls []string
@@ -94,7 +95,7 @@
 }
 
 // TestFleetSubsets compares the subsets of several nodes with the expected ones, in fleets of many sizes. It does so after a
-// complete list without traffic, and after changes with traffic.
+// complete list without traffic, and after changes with traffic. It guards against changes that move a fleet's subsets.
 func TestFleetSubsets(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, zones int
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -135,7 +135,7 @@
 		Server: ServerID(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
 		Cell: uint16(i / p.serversPerCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5],
 	}}
-	p.fleetScenario.serverCount = max(p.fleetScenario.serverCount, i+1)
+	p.serverCount = max(p.serverCount, i+1)
 	p.servers = append(p.servers, s)
 	p.serversByID[s.Server] = s
 	return s
@@ -306,7 +306,7 @@
 func (p *fleetSimulation) replaceServer(s *simulatedServer) {
 	s.State = Gone
 	p.sendList(ListUpdate, s)
-	replacement := p.addServer(p.fleetScenario.serverCount)
+	replacement := p.addServer(p.serverCount)
 	p.servers = slices.DeleteFunc(p.servers, func(v *simulatedServer) bool { return v == s })
 	replacement.Started = p.now
 	p.schedule(p.now+Time(p.rng.Intn(5000)), func() { p.sendList(ListUpdate, replacement) })
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestQuotaOwnersByFleetSize checks the fleet size from which on customers have quota owners.
+// TestQuotaOwnersByFleetSize checks the fleet size from which on customers have quota owners. With a wrong limit, the
+// reports of all nodes to all others would exceed the peer rate.
 func TestQuotaOwnersByFleetSize(t *testing.T) {
 	for _, c := range []struct {
 		nodes, rate string
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -15,7 +15,7 @@
 type keyGroup uint8
 
 const (
-	groupUnknown keyGroup = iota // attempts may go to any server, but clients can't safely repeat a request
+	groupUnknown keyGroup = iota // no known group: attempts may go to any server, but clients can't safely repeat a request
 	groupAll                     // all servers
 	groupZone                    // the servers of a zone
 	groupCell                    // the servers of a cell
@@ -47,14 +47,14 @@
 
 	classes           []classConfig // by ClassID, at least one
 	plans             []quotaPlan   // by PlanID, at least one
-	shortestObjective Time          // shortest latency objective of all classes, at least 1
+	shortestObjective Time          // shortest latency objective of all classes, at least 1 unit of Time
 	usesOwners        bool          // customers have quota owners, since the nodes are too many for all to report to all
 	ownerTimeout      Time          // longest wait of a request for its quota owner's response
 }
 
 // classConfig holds the settings of one request class.
 type classConfig struct {
-	latencyObjective Time // at least 1
+	latencyObjective Time // latency objective, at least 1 unit of Time
 	keyWindow        Time // time after an attempt for which servers know its idempotency key
 	retrySafety      retrySafety
 	keyGroup         keyGroup
--- a/internal/decision/settings_test.go
+++ b/internal/decision/settings_test.go
@@ -67,7 +67,7 @@
 	{"the owners' timeout", Settings{settings.ClassKey(0, settings.ClassLatencyObjective): "6000"}, func(c *config) any { return c.ownerTimeout }, Time(1200)},
 }
 
-// newConfig reads missing, malformed, fractional and negative settings without an error, and gives each a usable value.
+// A missing, malformed, fractional or negative setting must not stop a node: newConfig reads each as a defined value.
 func TestParseSettings(t *testing.T) {
 	for _, c := range settingsCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -57,7 +57,7 @@
 	return e.shadow.compared, maps.Clone(e.shadow.differences)
 }
 
-// decideWithShadow decides on a request, and compares the decision with that under the other settings.
+// decideWithShadow decides on a request, and compares the decision with the one under the other settings.
 func (e *Engine) decideWithShadow(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if e.shadow == nil || r.closed || r.streaming || r.inFlight > 0 {
