--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -6,71 +6,71 @@
 //
 //   - Inputs: completed attempts, their latencies, and the attempts in flight, by interval.
 //   - State: the base latency T, the target concurrency a, the admission rate λ with its token bucket.
-//   - Rule: a request takes a token, and the attempts in flight stay below a concurrency limit. Each interval, a is
-//     the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
+//   - Rule: each request takes a token, and the attempts in flight stay below a concurrency limit. Each interval sets a
+//     to the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
 //   - Protects against: a back end that receives more than it completes, whose queues outlast the clients.
-//   - Trade-off: a few long requests look like a queue. Therefore a has a lower bound, and while latency is quiet
-//     the limit does not fall below the rate admitted before.
+//   - Trade-off: a few long requests look like a queue. Therefore a has a lower bound. While latency is low, the limit
+//     does not fall below the rate admitted before.
 type admissionLimit struct {
 	config            *config
-	rate              float64 // λ, in requests a second; 0 while T is unknown
+	rate              float64 // admission rate λ, in requests a second; 0 while T is unknown
 	tokens            tokenBucket
-	quiet             bool    // the normalized latency is below quietNormalizedLatency
-	targetConcurrency float64 // a, in requests
+	latencyLow        bool    // normalized latency of the last interval was below lowNormalizedLatency
+	targetConcurrency float64 // a, the target number of requests in flight
 	features          loadFeatures
-	lastLatency       float64 // mean latency of the last interval, in latency objectives
+	lastLatency       float64 // mean latency of the last interval with samples, in latency objectives
 	throughput        throughput
 }
 
 const (
 	controlInterval = Second // time between two updates of the admission rate and the subset
 
-	burstIntervals    = 0.15 // tokens that the bucket holds, in intervals of the admission rate
-	randomMarginRoots = 0.3  // margin on a limit for random arrivals, in square roots of the limit
+	burstIntervals          = 0.15 // capacity of the token bucket, in control intervals of the admission rate
+	randomMarginSquareRoots = 0.3  // margin on a limit for random arrivals, in square roots of the limit
 
-	coldStartAttemptsPerServer = 3.0   // attempts in flight of the whole fleet, per ready server, before T is known
-	minInFlightPerServer       = 1.1   // least concurrency limit of the whole fleet, in attempts per ready server
-	quietLimitFactor           = 1.4   // factor on the least concurrency limit while latency is quiet
-	quietLimitFactorPerRoot    = 0.6   // added to quietLimitFactor for each square root of the number of nodes
-	maxInFlightBaseLatencies   = 1.5   // concurrency limit, in completions within T
-	minLatencyObjectives       = 0.125 // latency that always counts as low, in latency objectives
+	coldStartAttemptsPerServer         = 3.0   // limit on the fleet's attempts in flight per ready server while T is unknown
+	minInFlightPerServer               = 1.1   // least concurrency limit of the whole fleet, in attempts per ready server
+	lowLatencyLimitFactor              = 1.4   // factor on the least concurrency limit while latency is low
+	lowLatencyLimitFactorPerSquareRoot = 0.6   // addition to lowLatencyLimitFactor for each square root of the number of nodes
+	maxInFlightBaseLatencies           = 1.5   // concurrency limit, as a multiple of the attempts that complete within T
+	minLatencyObjectives               = 0.125 // latency that always counts as low, in latency objectives
 
-	normalizedLatencySpan  = 4.0 // rise of latency that is normalized to 1, in lowest recent latencies
-	quietNormalizedLatency = 0.2 // normalized latency below which the back end counts as quiet
-	featureSmoothing       = 0.3 // weight of an interval's value in the features' moving averages
-	minLatencySamples      = 10  // samples in an interval's mean latency; the last interval's mean replaces missing ones
-	minConcurrencyRatio    = 0.3 // least target concurrency, in completions of the best recent interval within T
-	minTimeLeftLatencies   = 1.0 // least time left before a request's deadline, in usual latencies
+	normalizedLatencySpan = 4.0 // rise of latency that is normalized to 1, as a multiple of the lowest recent latency
+	lowNormalizedLatency  = 0.2 // normalized latency below which latency counts as low
+	featureSmoothing      = 0.3 // weight of an interval's value in the features' moving averages
+	minLatencySamples     = 10  // least samples in an interval's mean latency; the previous mean replaces missing ones
+	minConcurrencyRatio   = 0.3 // least target concurrency, as a share of the best recent completions within T
+	minTimeLeftLatencies  = 1.0 // least time left before a request's deadline, in usual latencies
 
 	// The back end counts as stopped if more than this fraction of the servers is ejected.
 	stoppedNumerator   = 2
 	stoppedDenominator = 3
 )
 
-// loadFeatures is the input of the load policy. Concurrency is relative to the attempts that complete within a
-// latency objective. Latency is normalized: 0 at the lowest recent latency, 1 at (1 + normalizedLatencySpan) times it.
+// loadFeatures is the input of the load policy. Concurrency is relative to the attempts that complete within a latency
+// objective. Latency is normalized: 0 at the lowest recent latency, 1 at (1 + normalizedLatencySpan) times that latency.
 type loadFeatures struct {
 	concurrency        float64
-	concurrencyAverage float64
+	concurrencyAverage float64 // moving average of concurrency
 	latency            float64
-	latencyAverage     float64
+	latencyAverage     float64 // moving average of latency
 }
 
-// loadPolicy maps load features to the target concurrency, relative to the best recent throughput. Its output is 1.2
+// loadPolicy maps load features to the target concurrency, relative to the best recent throughput. The output is 1.2
 // while latency and concurrency are low, and falls as either rises.
-var loadPolicy = network{
+var loadPolicy = neuralNetwork{
 	hidden: [4][5]float64{
-		{0, 0, 1, 0, -quietNormalizedLatency},
-		{0, 0, 0, 1, -quietNormalizedLatency},
-		{1, 0, 0, 0, -quietNormalizedLatency},
-		{0, 1, 0, 0, -quietNormalizedLatency},
+		{0, 0, 1, 0, -lowNormalizedLatency},
+		{0, 0, 0, 1, -lowNormalizedLatency},
+		{1, 0, 0, 0, -lowNormalizedLatency},
+		{0, 1, 0, 0, -lowNormalizedLatency},
 	},
-	out: [5]float64{-0.4, -0.4, -0.4, -0.4, 1.2},
+	output: [5]float64{-0.4, -0.4, -0.4, -0.4, 1.2},
 }
 
 // newAdmissionLimit returns a limit that has seen no attempt. Its config must be set before use.
 func newAdmissionLimit(now Time) admissionLimit {
-	return admissionLimit{quiet: true, lastLatency: minLatencyObjectives, tokens: tokenBucket{at: now}}
+	return admissionLimit{latencyLow: true, lastLatency: minLatencyObjectives, tokens: tokenBucket{at: now}}
 }
 
 // hasToken refills the token bucket and reports whether it holds a token. Directly after a scheduling pause, the
@@ -82,7 +82,7 @@
 	}
 	burst := l.rate*burstSeconds + 1
 	if l.config.usesOwners {
-		burst += randomMarginRoots * math.Sqrt(l.rate)
+		burst += randomMarginSquareRoots * math.Sqrt(l.rate)
 	}
 	l.tokens.refill(now, l.rate, burst)
 	return l.tokens.level >= 1
@@ -92,20 +92,20 @@
 // margin for random arrivals and is at least 1.
 func (l *admissionLimit) evenShare(attemptsPerServer float64, ready int) float64 {
 	share := attemptsPerServer * float64(ready) / float64(l.config.nodes)
-	return max(1, share+randomMarginRoots*math.Sqrt(share))
+	return max(1, share+randomMarginSquareRoots*math.Sqrt(share))
 }
 
-// concurrencyLimit returns the number of attempts that this node may have in flight. Quiet latency raises the lower bound
-// of the limit: the node may have to take over the load of failed nodes within a second.
+// concurrencyLimit returns the number of attempts that this node may have in flight. Low latency raises the lower bound of
+// the limit: the node may have to take over the load of failed nodes within a second.
 func (l *admissionLimit) concurrencyLimit(ready int) float64 {
 	lower := l.evenShare(minInFlightPerServer, ready)
-	if l.quiet {
-		lower *= quietLimitFactor + quietLimitFactorPerRoot*math.Sqrt(float64(l.config.nodes))
+	if l.latencyLow {
+		lower *= lowLatencyLimitFactor + lowLatencyLimitFactorPerSquareRoot*math.Sqrt(float64(l.config.nodes))
 	}
 	span := max(l.throughput.baseLatency, minLatencyObjectives*float64(l.config.shortestObjective))
 	limit := maxInFlightBaseLatencies * l.throughput.completionsIn(Time(span))
 	if l.config.usesOwners {
-		limit += randomMarginRoots * math.Sqrt(limit)
+		limit += randomMarginSquareRoots * math.Sqrt(limit)
 	}
 	return max(lower, limit)
 }
@@ -121,7 +121,7 @@
 	baseLatencySeconds := seconds(Time(l.throughput.baseLatency))
 	best := max(l.throughput.bestRate()*baseLatencySeconds, l.evenShare(minInFlightPerServer, load.ready))
 	l.targetConcurrency = max(minConcurrencyRatio, loadPolicy.evaluate(l.features.vector())) * best
-	if l.quiet {
+	if l.latencyLow {
 		admitted := float64(stats.admitted) / spanSeconds * baseLatencySeconds
 		l.targetConcurrency = max(l.targetConcurrency, l.evenShare(coldStartAttemptsPerServer, load.ready), admitted)
 	}
@@ -131,8 +131,8 @@
 	l.rate = max(l.targetConcurrency/baseLatencySeconds, 1)
 }
 
-// intervalLatency returns the mean latency of an interval in latency objectives. Where samples are missing, the last
-// interval's mean stands for them. Without any sample it returns 1 if requests are in flight, else 0.
+// intervalLatency returns the mean latency of an interval in latency objectives. The previous interval's mean
+// replaces samples that are missing. Without any sample, the result is 1 if requests are in flight, else 0.
 func (l *admissionLimit) intervalLatency(stats *intervalStats, requests int) float64 {
 	if stats.samples > 0 {
 		missing := float64(max(0, minLatencySamples-stats.samples))
@@ -157,7 +157,7 @@
 	f.latency = (latency/lowest - 1) / normalizedLatencySpan
 	f.concurrencyAverage += featureSmoothing * (f.concurrency - f.concurrencyAverage)
 	f.latencyAverage += featureSmoothing * (f.latency - f.latencyAverage)
-	l.quiet = f.latency < quietNormalizedLatency
+	l.latencyLow = f.latency < lowNormalizedLatency
 }
 
 // vector returns the features in the order of the policy's weights.
@@ -197,9 +197,9 @@
 	return ReasonNone
 }
 
-// inFlightAtHealthy returns the number of attempts in flight that indicate the back end's queue. It leaves out
-// attempts at ejected servers, and attempts that have waited so long that their response must be lost. If more than
-// two thirds of the servers are ejected, the back end itself has stopped, and all attempts count.
+// inFlightAtHealthy returns the number of attempts in flight that indicate the back end's queue. Attempts at ejected
+// servers don't count, nor attempts that have waited so long that their response is presumed lost. If more than two
+// thirds of the servers are ejected, the back end itself counts as stopped, and all attempts count.
 func (e *Engine) inFlightAtHealthy() float64 {
 	healthy, all, ejected := 0, 0, 0
 	for _, i := range e.endpoints.tracked {
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	if stoppedDenominator*ejected > stoppedNumerator*e.endpoints.usable*len(e.classes) {
+	if stoppedDenominator*ejected > stoppedNumerator*e.endpoints.usableTracked*len(e.classes) {
 		return float64(all)
 	}
 	return float64(healthy)
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -153,10 +153,10 @@
 	}
 	l := fresh()
 	quiet := closeIntervals(l, 5, 100, 500, load)
-	if !l.quiet || quiet < 100 || l.throughput.baseLatency != 500 {
+	if !l.latencyLow || quiet < 100 || l.throughput.baseLatency != 500 {
 		t.Errorf("while quiet λ is %v, T %v", quiet, l.throughput.baseLatency)
 	}
-	if busy := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.quiet || busy > quiet/2 {
+	if busy := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.latencyLow || busy > quiet/2 {
 		t.Errorf("λ is %v under pressure, %v while quiet", busy, quiet)
 	}
 	if l.throughput.baseLatency != 500 {
@@ -187,13 +187,13 @@
 	if got := l.concurrencyLimit(8); !near(got, 1.5*100*0.2) {
 		t.Errorf("%v under pressure", got)
 	}
-	l.quiet = true
+	l.latencyLow = true
 	if got, least := l.concurrencyLimit(80), (22+0.3*math.Sqrt(22))*(1.4+0.6*2); !near(got, least) {
 		t.Errorf("%v while quiet, not %v", got, least)
 	}
 }
 
-func TestNetwork(t *testing.T) {
+func TestLoadPolicy(t *testing.T) {
 	for _, c := range []struct {
 		features [4]float64
 		want     float64
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -32,7 +32,7 @@
 	Succeeded         Outcome = iota
 	Failed                    // the server responded with an error
 	Overloaded                // the server rejected the request without executing it
-	TimedOut                  // no response within the attempt's timeout
+	TimedOut                  // no response arrived within the attempt's timeout
 	ConnectFailed             // no connection was established
 	ConnectionReset           // the connection broke before the response was complete
 	Cancelled                 // this node cancelled the attempt
@@ -40,15 +40,15 @@
 	MalformedResponse         // the response could not be parsed
 )
 
-// EndpointListKind is the content of an update of the endpoint list.
+// EndpointListKind describes the content of an update of the endpoint list.
 type EndpointListKind uint8
 
 // The kinds of endpoint list.
 const (
-	FullList   EndpointListKind = iota // the complete list
-	CachedList                         // a complete list from an earlier time
-	PollFailed                         // none: a poll failed
-	ListUpdate                         // the entries that changed
+	FullList   EndpointListKind = iota // list of all servers
+	CachedList                         // list of all servers from an earlier time
+	PollFailed                         // no list, because a poll failed
+	ListUpdate                         // only the entries that changed
 )
 
 // EndpointState is the state of an app server in the endpoint list.
@@ -56,20 +56,20 @@
 
 // The states of an app server.
 const (
-	Draining EndpointState = iota
-	Ready
-	Gone
+	Draining EndpointState = iota // the server takes no new attempts
+	Ready                         // the server takes attempts
+	Gone                          // the server has left the list
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Server  ServerID
 	Zone    uint8
-	Kind    uint16 // the server's model; not used
-	Cell    uint16
+	Kind    uint16 // model of the server; the engine ignores it
+	Cell    uint16 // group of servers within which idempotency keys may be shared
 	State   EndpointState
-	Weight  float64 // size relative to other servers; 0 or less: unknown
-	Started Time    // latest start by the servers' clock; 0: long ago
+	Weight  float64 // size relative to other servers; 0 or less means unknown
+	Started Time    // time of the last start by the servers' clock; 0 means long ago
 }
 
 // Request is a new request of a client.
@@ -91,9 +91,9 @@
 	Server   ServerID
 	Outcome  Outcome
 	Duration Time
-	Final    bool      // the client has its final response
-	Units    float64   // units used, in the request's first success; 0 if the expected units are not settled
-	Load     []float64 // the server's load report; not used
+	Final    bool      // the client has received its final response
+	Units    float64   // units that the request used, set in its first success; 0 leaves the expected units charged
+	Load     []float64 // load report of the server; the engine ignores it
 }
 
 // Action is the host's task in a Decision.
@@ -101,13 +101,13 @@
 
 // The actions.
 const (
-	noAction        Action = iota // Next never returns it
+	noAction        Action = iota // no task; Next never returns it
 	Forward                       // send an attempt to a server
 	Reject                        // respond that the client may repeat the request
 	Fail                          // respond that the request failed
 	CancelAttempt                 // cancel an attempt that is in flight
 	SetTimer                      // call TimerFired after a duration
-	HealthCheck                   // check a server; the engine does not use it
+	HealthCheck                   // check a server's health; the engine never returns it
 	SendPeerMessage               // send a message to one peer or to all
 	PollEndpoints                 // poll discovery
 	LogSummary                    // log the summary of an interval
@@ -117,12 +117,12 @@
 type Decision struct {
 	Action   Action
 	Request  RequestID
-	Attempt  int      // CancelAttempt
-	Server   ServerID // Forward, HealthCheck
-	Duration Time     // Forward: the attempt's timeout; Reject: Retry-After; SetTimer: the delay
-	Payload  []byte   // SendPeerMessage, LogSummary; valid until the next call of Next
-	Peer     NodeID   // SendPeerMessage: one node, or AllPeers
-	Reason   Reason   // Reject, Fail
+	Attempt  int      // number of the attempt to cancel, in CancelAttempt
+	Server   ServerID // target server, in Forward and HealthCheck
+	Duration Time     // attempt timeout in Forward, Retry-After in Reject, delay in SetTimer
+	Payload  []byte   // content of SendPeerMessage and LogSummary, valid until the next call of Next
+	Peer     NodeID   // receiver of SendPeerMessage, or AllPeers
+	Reason   Reason   // cause of Reject and Fail
 }
 
 // AllPeers as the Peer of a Decision stands for every other node.
--- a/internal/decision/candidates.go
+++ b/internal/decision/candidates.go
@@ -1,6 +1,6 @@
 package decision
 
-// candidates are the servers considered for a request's next attempt. A server that may not take it has rotation weight
+// candidates are the servers considered for a request's next attempt. Servers that may not take it have rotation weight
 // 0.
 type candidates struct {
 	slots     []serverSlot
@@ -34,8 +34,8 @@
 	return e.slowStart.hasCapacity(s, e.now, e.subsets.ratio)
 }
 
-// beyondSubset returns the servers that a request may go to when the subset can't take it: the tracked ones. A keyed
-// request that may have run in a cell gets all servers of that cell instead, since few of them may be tracked.
+// beyondSubset returns the servers to consider when the subset can't take a request: the tracked ones. For a keyed request
+// that may have run in a cell, these are all servers of that cell instead, since few of them may be tracked.
 func (e *Engine) beyondSubset(r *request) []serverSlot {
 	c := &e.config.classes[r.class]
 	if c.retrySafety != retryKeyed || c.keyGroup != groupCell {
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -11,24 +11,24 @@
 	id          CustomerID
 	live        bool // the slot is in use
 	plan        PlanID
-	spread      int    // number of nodes that receive the customer's requests: the customer's set
+	spread      int    // number of nodes in the customer's set, which receive its requests
 	firstNode   NodeID // first node of the set; the others follow it
 	firstSeen   Time
 	lastRequest Time
-	bucket      tokenBucket  // of the whole quota, see tenantQuota
+	bucket      tokenBucket  // tokens of the whole quota, see tenantQuota
 	demand      decayingMean // units requested at this node
-	peerDemand  decayingMean // units requested at other nodes; at the owner, at all nodes
+	peerDemand  decayingMean // units requested at other nodes, or at all nodes if this node is the owner
 	inFlight    int          // attempts in flight at this node
-	leased      bool         // SetLease fills the bucket
+	leased      bool         // only SetLease fills the bucket
 	ceiling     tokenBucket  // this node's share of the plan's hard ceiling
 
 	queryRatio       float64       // share of the requests for which the owner is queried
 	queryRatioAt     Time          // time at which the owner set queryRatio
 	optimistic       bool          // requests are admitted first and reported to the owner afterwards
-	unreportedDemand float64       // at other nodes: units requested since the last query
-	meanUnits        float64       // at the owner: moving average of the units of a request
-	reservations     []reservation // at the owner: granted requests in flight
-	ownerCeiling     tokenBucket   // at the owner: its part of the hard ceiling
+	unreportedDemand float64       // units requested since the last query, if this node is not the owner
+	meanUnits        float64       // moving average of the units of a request, if this node is the owner
+	reservations     []reservation // granted requests in flight, if this node is the owner
+	ownerCeiling     tokenBucket   // the owner's part of the hard ceiling, if this node is the owner
 
 	reportPending bool    // the next report to peers covers the customer
 	reportDemand  float64 // units requested since the last report
@@ -37,8 +37,8 @@
 
 const (
 	customerIdleTimeout = 60 * controlInterval // idle time after which a customer with a full bucket is dropped
-	idleScanCustomers   = 1024                 // customers checked for idleness in an interval
-	defaultMeanUnits    = 1                    // mean units of a request before the first one
+	idleScanCustomers   = 1024                 // largest number of customers checked for idleness in an interval
+	defaultMeanUnits    = 1                    // mean units of a request while no request is known
 	defaultQueryRatio   = 1                    // query ratio before the owner sets one
 )
 
@@ -58,7 +58,7 @@
 type reservation struct {
 	node    NodeID
 	request RequestID
-	until   Time // expiry, if the end of the request is not reported before
+	until   Time // time of expiry, unless the end of the request is reported earlier
 }
 
 // release drops the reservation of a node's request, if there is one.
@@ -68,7 +68,7 @@
 	})
 }
 
-// expireReservations drops the reservations whose time is over.
+// expireReservations drops the reservations that have expired.
 func (c *customer) expireReservations(now Time) {
 	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.until <= now })
 }
@@ -81,14 +81,14 @@
 
 // customerTable holds the customers by slot.
 type customerTable struct {
-	config *config
-	all    []customer
-	slots  slotIndex[CustomerID, customerSlot]
-	scanAt customerSlot // last slot checked for idleness
+	config      *config
+	all         []customer
+	slots       slotIndex[CustomerID, customerSlot]
+	lastScanned customerSlot // last slot checked for idleness
 }
 
 // customerRef identifies a customer, with its plan and its set of nodes, as a request or a peer message names them. The
-// plan must be in the settings.
+// settings must have the plan.
 type customerRef struct {
 	id        CustomerID
 	plan      PlanID
@@ -97,7 +97,7 @@
 }
 
 // findOrAdd returns the slot of a customer. An unknown customer is added with a full bucket and an empty ceiling. A known
-// one keeps its plan and takes the set of nodes. The set is clamped to the fleet.
+// customer keeps its plan and takes over the new set of nodes, clamped to the fleet.
 func (t *customerTable) findOrAdd(ref customerRef, now Time) customerSlot {
 	i := t.slots.find(ref.id)
 	if i < 0 {
@@ -123,12 +123,12 @@
 	}
 }
 
-// forgetIdle drops idle customers whose buckets are full. Each call checks at most idleScanCustomers customers, so that
-// it does not delay requests.
+// forgetIdle drops idle customers whose buckets are full. Each call checks at most idleScanCustomers customers, to
+// avoid delaying requests.
 func (t *customerTable) forgetIdle(now Time) {
 	for range min(idleScanCustomers, len(t.all)) {
-		t.scanAt = (t.scanAt + 1) % customerSlot(len(t.all))
-		c := &t.all[t.scanAt]
+		t.lastScanned = (t.lastScanned + 1) % customerSlot(len(t.all))
+		c := &t.all[t.lastScanned]
 		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleTimeout {
 			continue
 		}
--- a/internal/decision/decay.go
+++ b/internal/decision/decay.go
@@ -5,10 +5,10 @@
 // decayingMean holds an exponentially decaying sum and count of values. Their quotient is the decaying mean.
 type decayingMean struct {
 	sum, count float64
-	at         Time // time as of which sum and count hold
+	at         Time // time to which sum and count have decayed
 }
 
-// decayTo decays sum and count to now. After the time constant, 1/e of them is left. An earlier time has no effect.
+// decayTo decays sum and count to now. After the time constant, 1/e of them is left. A time before m.at has no effect.
 func (m *decayingMean) decayTo(now, timeConstant Time) {
 	if now > m.at {
 		left := math.Exp(-float64(now-m.at) / float64(timeConstant))
@@ -16,7 +16,7 @@
 	}
 }
 
-// add adds a value.
+// add adds a value at the time now, after decaying the earlier ones.
 func (m *decayingMean) add(v float64, now, timeConstant Time) {
 	m.decayTo(now, timeConstant)
 	m.sum, m.count = m.sum+v, m.count+1
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -6,7 +6,7 @@
 //   - First attempt: the admission limit, the customer's quota and the plan's hard ceiling must admit the request.
 //   - Retry: the retry budget and the request's class must allow it.
 //   - Both: enough time must be left before the deadline, and a server must be able to take the request.
-//   - Otherwise the request is rejected if the client may safely repeat it, else it fails.
+//   - Otherwise: the request is rejected if the client may safely repeat it. Else it fails.
 func (e *Engine) decide(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if r.closed || r.streaming || r.inFlight > 0 {
@@ -34,11 +34,11 @@
 // admissionResult is the result of admitting a request.
 type admissionResult struct {
 	outcome    admissionOutcome
-	reason     Reason // if rejected
-	retryAfter Time   // if rejected: wait until the limit may admit the request; 0 if unknown
+	reason     Reason // cause of a rejection
+	retryAfter Time   // time until the limit may admit a rejected request; 0 if unknown
 }
 
-// decideFirstAttempt returns the action for a request without an attempt.
+// decideFirstAttempt returns the action for a request that has had no attempt. The timeout is that of the attempt.
 func (e *Engine) decideFirstAttempt(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
 	result := e.admit(r)
@@ -53,11 +53,11 @@
 		return e.rejectWithoutServer(i)
 	}
 	e.charge(r)
-	e.retries.earn(e.endpoints.usable)
+	e.retries.earn(e.endpoints.usableTracked)
 	return e.forward(r, server, timeout)
 }
 
-// decideRetry returns the action for a request whose attempts have all ended.
+// decideRetry returns the action for a request whose attempts have all ended. The timeout is that of the next attempt.
 func (e *Engine) decideRetry(i requestSlot, timeout Time) Decision {
 	r := &e.requests.all[i]
 	if reason := e.retries.denyReason(r, e.now); reason != ReasonNone {
@@ -77,8 +77,8 @@
 	return Decision{Action: Forward, Request: r.id, Server: e.endpoints.servers[to].Server, Duration: timeout}
 }
 
-// admit applies the limits on a first attempt: the admission limit, the customer's quota, the plan's hard ceiling. A
-// request that the quota owner granted has passed the ceiling there.
+// admit applies the limits on a first attempt: the admission limit, the customer's quota and the plan's hard ceiling. A
+// request that the quota owner granted has already passed the ceiling at the owner.
 func (e *Engine) admit(r *request) admissionResult {
 	if r.queriedOwnerAt == 0 {
 		if reason := e.checkAdmission(r); reason != ReasonNone {
@@ -101,7 +101,7 @@
 	return admissionResult{outcome: admissionGranted}
 }
 
-// checkQuota applies a customer's quota to a request, here or at its owner.
+// checkQuota applies a customer's quota to a request, at this node or at the quota owner.
 func (e *Engine) checkQuota(c *customer, r *request) quotaResult {
 	if e.owner.owned(c) {
 		return quotaResult{admitted: e.ownerAdmits(c, r), retryAfter: controlInterval}
@@ -109,7 +109,7 @@
 	return e.quota.admit(c, r, e.usualLatency(r.class), e.now)
 }
 
-// rejectAdmission counts a rejection by a limit.
+// rejectAdmission counts a rejection by a limit and returns it.
 func (e *Engine) rejectAdmission(reason Reason, retryAfter Time) admissionResult {
 	e.interval.countRejection(reason)
 	return admissionResult{outcome: admissionRejected, reason: reason, retryAfter: retryAfter}
@@ -137,7 +137,7 @@
 }
 
 const (
-	responseMarginTicks            = 2   // ticks in the response margin: one to see an attempt's end, one to respond
+	responseMarginTicks            = 2   // ticks in the response margin: one to notice an attempt's end, one to respond
 	responseMarginObjectiveDivisor = 100 // rest of the response margin, as a divisor of the shortest latency objective
 )
 
@@ -151,7 +151,8 @@
 const minRetryAfterDivisor = 4
 
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
-// repeat, and fails any other. If the settings ask for it, a rejection carries retryAfter, clamped to a range.
+// repeat, and fails any other. If the settings ask for a Retry-After, a rejection carries retryAfter, clamped to
+// the allowed range.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
@@ -168,9 +169,9 @@
 
 // attemptAssessment is the information that an attempt's end carries.
 type attemptAssessment struct {
-	outcome         Outcome // for the server; NotSent if the end carries no information on it
-	latency         float64 // in latency objectives
-	isLatencySample bool    // latency is a sample for the admission limit
+	outcome         Outcome // outcome that counts for the server; NotSent if the end carries no information on it
+	latency         float64 // latency of the attempt, in latency objectives
+	isLatencySample bool    // the admission limit takes latency as a sample
 }
 
 // shortTimeoutDivisor gives the shortest timeout that carries information, as a divisor of the latency objective.
@@ -179,9 +180,9 @@
 // assessAttempt returns the information that an attempt's end carries on its server and on the back end's latency. The
 // state is that of the server for the class.
 //
-// A timeout below half the latency objective carries no information: the client was impatient. Some ends concern only
-// the server, not the back end's queue: a timeout whose response is presumed lost, a broken connection, and any end at
-// an ejected server. Other timeouts, and rejections by the server, count as one latency objective.
+// A timeout below half the latency objective carries no information, since the client left too little time. Some ends
+// concern only the server, not the back end's queue: a timeout whose response is presumed lost, a broken connection, and
+// any end at an ejected server. Other timeouts, and rejections by the server, count as one latency objective.
 func (e *Engine) assessAttempt(result AttemptResult, class ClassID, state *outlierState) attemptAssessment {
 	objective := e.config.classes[class].latencyObjective
 	switch {
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -8,29 +8,29 @@
 // server is the state of one app server. It exists while the endpoint list or an attempt refers to the server.
 type server struct {
 	Endpoint
-	listed         bool
-	knownAt        Time         // time at which the list first named the server's current process
-	live           bool         // the slot is in use
-	inSubset       bool         // in endpointSet.subset
-	tracked        bool         // in endpointSet.tracked
-	departed       bool         // in endpointSet.departed
-	warming        bool         // in endpointSet.warming
-	ordered        bool         // in endpointSet.order
-	orderZone      uint8        // zone under which the order holds the server
-	orderCell      uint16       // cell under which the order holds the server
-	inUse          bool         // an open request refers to the server; set only within forgetDeparted
-	inFlight       int          // attempts in flight
-	pace           decayingMean // durations of attempts, in usual latencies of their class
-	rotationCredit float64
-	rotationWeight float64        // weight in the current selection; 0: not eligible
-	byClass        []outlierState // by request class; nil for a server without state
+	listed         bool           // the endpoint list names the server
+	knownAt        Time           // time at which the list first named the server's current process
+	live           bool           // the slot is in use
+	inSubset       bool           // the server is in endpointSet.subset
+	tracked        bool           // the server is in endpointSet.tracked
+	departed       bool           // the server is in endpointSet.departed
+	warming        bool           // the server is in endpointSet.warming
+	ordered        bool           // the server is in endpointSet.order
+	orderZone      uint8          // zone under which the order holds the server
+	orderCell      uint16         // cell under which the order holds the server
+	inUse          bool           // an open request refers to the server; set only within forgetDeparted
+	inFlight       int            // number of attempts in flight
+	pace           decayingMean   // decaying mean of the durations of attempts, in usual latencies of their class
+	rotationCredit float64        // credit in the weighted rotation, see selection
+	rotationWeight float64        // weight in the current selection; 0 if the server is not eligible
+	byClass        []outlierState // states by request class; nil if the server has none
 	slowStart      slowStartState
 }
 
 // usable reports whether attempts may go to the server.
 func (s *server) usable() bool { return s.listed && s.State == Ready }
 
-// size returns the server's listed size, or 1 if the list gives none.
+// size returns the server's listed weight, or 1 if the list gives none.
 func (s *server) size() float64 {
 	if s.Weight <= 0 {
 		return 1
@@ -46,23 +46,23 @@
 	return s.byClass
 }
 
-// endpointSet holds the servers, and which of them this node uses.
+// endpointSet holds the app servers and the selection of them that this node uses.
 //
 // The subset holds the servers that requests go to first. The tracked servers are the subset, the servers that requests
 // go to next, and any others with attempts in flight. Every tracked server has outlier states. An untracked one has them
 // only while they carry information, such as a peer's suspicion.
 type endpointSet struct {
-	servers      []server
-	slots        slotIndex[ServerID, serverSlot]
-	ready        int           // servers that the list names as ready
-	usable       int           // number of tracked servers when the subset was last chosen; all were usable
-	order        endpointOrder // of the usable servers
-	subset       []serverSlot  // servers of the subset, ascending
-	tracked      []serverSlot  // tracked servers, ascending
-	spareTracked []serverSlot  // buffer for the next tracked servers
-	warming      []serverSlot  // servers that started recently
-	untracked    []serverSlot  // servers with outlier states that are not tracked
-	departed     []serverSlot  // servers that the list no longer names
+	servers       []server
+	slots         slotIndex[ServerID, serverSlot]
+	ready         int           // number of servers that the list names as ready
+	usableTracked int           // number of usable servers that the last choice tracked
+	order         endpointOrder // order of the usable servers
+	subset        []serverSlot  // servers of the subset, ascending
+	tracked       []serverSlot  // tracked servers, ascending
+	spareTracked  []serverSlot  // buffer for the next tracked servers
+	warming       []serverSlot  // servers that started recently, in no order
+	untracked     []serverSlot  // servers with outlier states that are not tracked, in no order
+	departed      []serverSlot  // servers that the list no longer names, in no order
 }
 
 // add adds a server that has no slot yet, and returns its slot.
@@ -76,7 +76,7 @@
 	return i
 }
 
-// remove records that the list no longer names a server.
+// remove records that the list no longer names a server. The server keeps its slot until forgetDeparted drops it.
 func (e *endpointSet) remove(i serverSlot) {
 	s := &e.servers[i]
 	s.listed = false
@@ -86,8 +86,8 @@
 	}
 }
 
-// outlierStates returns a server's states by class. If it creates them, the server is added to the untracked ones, from
-// which forgetUntracked removes it.
+// outlierStates returns a server's states by class. If the states are missing, it creates them and adds the server to
+// untracked, from which forgetUntracked removes it.
 func (e *endpointSet) outlierStates(i serverSlot, classes int) []outlierState {
 	s := &e.servers[i]
 	if s.byClass == nil {
@@ -96,7 +96,8 @@
 	return s.outlierStates(classes)
 }
 
-// recountReady counts the ready servers after a complete list. It marks the order for track to build again.
+// recountReady counts the ready servers after a complete list. It also marks the order as outdated, so that track builds
+// it again.
 func (e *endpointSet) recountReady() {
 	e.order.built = false
 	e.ready = 0
@@ -108,8 +109,8 @@
 }
 
 // track sets the subset and the tracked servers to a choice. A server outside the choice remains tracked while it has
-// attempts in flight. A draining or removed server remains tracked until it is dropped. Engine.inFlightAtHealthy counts
-// the ejections of all of them.
+// attempts in flight. A draining or removed server remains tracked until its slot is released. Engine.inFlightAtHealthy
+// counts the ejections of all tracked servers.
 func (e *endpointSet) track(choice subsetChoice, classes int) {
 	if !e.order.built || e.order.group != choice.group || e.order.zoneLayout != choice.zones {
 		e.order.build(e.servers, choice.group, choice.zones)
@@ -121,10 +122,10 @@
 		e.servers[i].tracked = false
 	}
 	before := e.tracked
-	e.subset, e.tracked, e.usable = e.subset[:0], e.spareTracked[:0], 0
+	e.subset, e.tracked, e.usableTracked = e.subset[:0], e.spareTracked[:0], 0
 	e.order.walk(choice.start, choice.tracked, func(i serverSlot) {
-		e.usable++
-		if e.usable <= choice.size {
+		e.usableTracked++
+		if e.usableTracked <= choice.size {
 			e.servers[i].inSubset = true
 			e.subset = append(e.subset, i)
 		}
@@ -140,8 +141,8 @@
 	slices.Sort(e.tracked)
 }
 
-// keepTracked keeps a server tracked that the new choice leaves out, if it must stay so. Otherwise the server joins the
-// untracked ones.
+// keepTracked keeps a server tracked that the new choice leaves out, while the rules of track require it. Otherwise the
+// server is added to untracked, if it has outlier states.
 func (e *endpointSet) keepTracked(i serverSlot) {
 	s := &e.servers[i]
 	switch {
@@ -154,7 +155,7 @@
 	}
 }
 
-// trackServer tracks a server that an attempt is sent to.
+// trackServer adds the target of an attempt to the tracked servers, unless it is tracked already.
 func (e *endpointSet) trackServer(i serverSlot) {
 	s := &e.servers[i]
 	if s.tracked {
@@ -165,8 +166,8 @@
 	e.tracked = slices.Insert(e.tracked, k, i)
 }
 
-// forgetDeparted releases the slots of servers that neither the list nor an open request refers to. Without it, new
-// servers that replace old ones would use more and more memory.
+// forgetDeparted releases the slots of servers that neither the list nor an open request refers to. Without this,
+// memory would grow with each server that replaces another.
 func (e *endpointSet) forgetDeparted(requests []request) {
 	if len(e.departed) == 0 {
 		return
@@ -207,7 +208,7 @@
 	})
 }
 
-// forgetWarm removes the servers that are warm now from the warming ones.
+// forgetWarm removes the servers that are warm now from warming.
 func (e *endpointSet) forgetWarm(isWarm func(*server) bool) {
 	e.warming = slices.DeleteFunc(e.warming, func(i serverSlot) bool {
 		s := &e.servers[i]
@@ -216,7 +217,7 @@
 	})
 }
 
-// addWarming adds a server to the warming ones.
+// addWarming adds a server to warming, unless it is there already.
 func (e *endpointSet) addWarming(i serverSlot) {
 	s := &e.servers[i]
 	if s.warming {
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -8,12 +8,12 @@
 // intervalStats counts events since the last interval ended.
 type intervalStats struct {
 	startedAt  Time
-	admitted   int              // requests
-	completed  int              // attempts
-	samples    int              // latency samples
+	admitted   int              // number of requests admitted
+	completed  int              // number of attempts completed
+	samples    int              // number of latency samples
 	latencySum float64          // sum of the latency samples
 	latencies  []float64        // latency samples, in latency objectives of their class
-	rejected   [reasonCount]int // requests whose first attempt a limit rejected, by reason
+	rejected   [reasonCount]int // number of requests whose first attempt a limit rejected, by reason
 }
 
 // addLatency adds a latency sample, in latency objectives of its class.
@@ -26,7 +26,7 @@
 // countRejection counts a rejected request.
 func (s *intervalStats) countRejection(reason Reason) { s.rejected[reason]++ }
 
-// tailLatency returns the 95th percentile of the latency samples, or 0 without any. It sorts them.
+// tailLatency returns the 95th percentile of the latency samples, or 0 without any. It sorts latencies.
 func (s *intervalStats) tailLatency() float64 {
 	slices.Sort(s.latencies)
 	if k := len(s.latencies); k > 0 {
@@ -42,27 +42,27 @@
 
 // intervalLoad is the load at the end of an interval.
 type intervalLoad struct {
-	requests int     // requests in flight
-	healthy  float64 // attempts in flight, see Engine.inFlightAtHealthy
-	ready    int     // servers listed as ready
+	requests int     // number of requests in flight
+	healthy  float64 // attempts in flight that count, see Engine.inFlightAtHealthy
+	ready    int     // number of servers listed as ready
 }
 
-// intervalSummary holds the figures of an interval that the host logs.
+// intervalSummary holds the figures of one interval, which the host logs.
 type intervalSummary struct {
-	inFlight           int // requests
-	concurrencyAverage float64
-	latency            float64          // normalized
-	latencyAverage     float64          // normalized
-	admissionRate      float64          // λ, in requests a second
-	targetConcurrency  float64          // a, in requests
-	admitted           float64          // requests a second
-	completed          float64          // attempts a second
+	inFlight           int              // number of requests in flight
+	concurrencyAverage float64          // moving average of the concurrency, see loadFeatures
+	latency            float64          // normalized latency, see loadFeatures
+	latencyAverage     float64          // moving average of the normalized latency
+	admissionRate      float64          // admission rate λ, in requests a second
+	targetConcurrency  float64          // target concurrency a, in requests
+	admitted           float64          // rate of admitted requests, in requests a second
+	completed          float64          // rate of completed attempts, in attempts a second
 	tail               float64          // 95th percentile of the latency, in latency objectives
-	baseLatency        Time             // T
-	rejected           [reasonCount]int // requests, by reason
+	baseLatency        Time             // base latency T
+	rejected           [reasonCount]int // number of rejected requests, by reason
 }
 
-// appendText appends the summary as one line of text. The platform defines its keys.
+// appendText appends the summary to b as one line of text. The platform defines the keys.
 func (s *intervalSummary) appendText(b []byte) []byte {
 	return fmt.Appendf(b, "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
 		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.concurrencyAverage, s.latency,
--- a/internal/decision/latency.go
+++ b/internal/decision/latency.go
@@ -1,7 +1,7 @@
 package decision
 
-// classState holds the measured latency of a request class. Every mechanism that asks for the usual latency of a class
-// takes it from here.
+// classState holds the measured latency of a request class. All mechanisms that need the usual latency of a class
+// use this one.
 type classState struct {
 	latency decayingMean // durations of completed attempts, in units of Time
 }
@@ -21,7 +21,7 @@
 	return c.latency.sum / c.latency.count
 }
 
-// recordCompletion adds the duration of a completed attempt.
+// recordCompletion adds the duration of an attempt that completed at the time now.
 func (c *classState) recordCompletion(duration, now Time) {
 	c.latency.add(float64(duration), now, usualLatencyTimeConstant)
 }
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -6,12 +6,12 @@
 )
 
 // message is a datagram between nodes. Its first byte is the kind, which differs from the first byte of all other
-// protocols' messages. All numbers after the kind are variable-length integers, as encoding/binary writes them. Nodes of
-// different versions exchange messages, so that the format must not change.
+// protocols' messages. All numbers after the kind are variable-length integers, as encoding/binary writes them. The format
+// must not change, since nodes of different versions exchange messages.
 type message struct {
 	kind       byte
-	reports    []customerReport // empty in messages of kindSuspicion
-	suspicions []suspicion      // empty in messages of all other kinds
+	reports    []customerReport // reports in the message; none in kindSuspicion
+	suspicions []suspicion      // suspicions in the message; none in any other kind
 }
 
 // The kinds of message.
@@ -23,27 +23,27 @@
 )
 
 const (
-	maxReported = math.MaxUint32 // largest number in a message, except for customers' ids
-	unitsScale  = 100            // factor from units to their numbers in a message
+	maxMessageNumber = math.MaxUint32 // largest number in a message, except for customer ids
+	unitsScale       = 100            // number in a message that stands for one unit
 )
 
-// customerReport is one entry of a message: a customer with its plan and its set of nodes, and fields that depend on
-// the kind.
+// customerReport is one entry of a message. It names a customer with its plan and its set of nodes. The meaning of the
+// other fields depends on the kind, and a field without a meaning is zero.
 type customerReport struct {
 	customer   CustomerID
-	demand     float64 // kindUse, kindQuery: units requested since the last report; kindGrant: see queryRatio
-	use        float64 // kindUse: units admitted and settled, may be below 0; kindQuery: units of the request
+	demand     float64 // units requested since the last kindUse or kindQuery; in kindGrant see queryRatio
+	use        float64 // units admitted and settled in kindUse, possibly below 0; units of the request in kindQuery
 	plan       PlanID
 	spread     int
 	firstNode  NodeID
-	request    RequestID     // kindQuery, kindGrant; kindUse: the request that has ended
-	class      ClassID       // kindQuery
-	ended      int           // kindUse: above 0 if the request has ended
-	response   ownerResponse // kindGrant
-	optimistic bool          // kindGrant
+	request    RequestID     // request of kindQuery or kindGrant, or the request that has ended in kindUse
+	class      ClassID       // class of the request, in kindQuery
+	ended      int           // above 0 in a kindUse on a request that has ended
+	response   ownerResponse // response to the query, in kindGrant
+	optimistic bool          // optimistic admission is allowed, in kindGrant
 }
 
-// queryRatio returns the query ratio of a kindGrant, which the format holds in the field of the demand.
+// queryRatio returns the query ratio of a kindGrant, which the format stores in the field demand.
 func (r customerReport) queryRatio() float64 { return r.demand }
 
 // ref returns the customer that the report is on.
@@ -55,14 +55,14 @@
 type suspicion struct {
 	server     ServerID
 	class      ClassID
-	ejectedFor Time // remaining time; 0 if the ejection is over and the server has not responded since
+	ejectedFor Time // remaining time of the ejection; 0 if it is over and the server has not responded since
 }
 
 // appendReport appends the encoding of a report. Values outside the encoding's range are clamped to it.
 func appendReport(b []byte, r customerReport) []byte {
 	b = binary.AppendUvarint(b, uint64(r.customer))
-	b = binary.AppendUvarint(b, uint64(min(max(0, r.demand*unitsScale+0.5), maxReported)))
-	b = binary.AppendVarint(b, int64(min(max(-maxReported, r.use*unitsScale), maxReported)))
+	b = binary.AppendUvarint(b, uint64(min(max(0, r.demand*unitsScale+0.5), maxMessageNumber)))
+	b = binary.AppendVarint(b, int64(min(max(-maxMessageNumber, r.use*unitsScale), maxMessageNumber)))
 	b = binary.AppendUvarint(b, uint64(r.plan))
 	b = binary.AppendUvarint(b, uint64(r.spread))
 	b = binary.AppendUvarint(b, uint64(r.firstNode))
@@ -83,13 +83,14 @@
 	return binary.AppendUvarint(b, uint64(s.ejectedFor))
 }
 
-// messageReader reads numbers from a payload. At a malformed or too large number, ok becomes false and rest empty.
+// messageReader reads numbers from a payload. At a malformed or too large number, ok becomes false and rest
+// becomes empty.
 type messageReader struct {
 	rest []byte
 	ok   bool
 }
 
-// number reads a number of at most the limit. It returns 0 after an error.
+// number reads a number that must not exceed the limit. It returns 0 at and after an error.
 func (r *messageReader) number(limit uint64) uint64 {
 	v, k := binary.Uvarint(r.rest)
 	if k <= 0 || v > limit {
@@ -100,36 +101,36 @@
 	return v
 }
 
-// report reads a report.
+// report reads a report. Fields that can't be read are 0.
 func (r *messageReader) report() customerReport {
 	var c customerReport
 	c.customer = CustomerID(r.number(math.MaxUint64))
-	c.demand = float64(r.number(maxReported)) / unitsScale
-	use := r.number(2*maxReported + 1) // zigzag, as binary.AppendVarint writes it
+	c.demand = float64(r.number(maxMessageNumber)) / unitsScale
+	use := r.number(2*maxMessageNumber + 1) // zigzag encoding, as binary.AppendVarint writes it
 	c.use = float64(int64(use>>1)^-int64(use&1)) / unitsScale
-	c.plan = PlanID(r.number(maxReported))
-	c.spread = int(r.number(maxReported))
-	c.firstNode = NodeID(r.number(maxReported))
-	c.request = RequestID(r.number(maxReported))
-	c.class = ClassID(r.number(maxReported))
-	c.ended = int(r.number(maxReported))
+	c.plan = PlanID(r.number(maxMessageNumber))
+	c.spread = int(r.number(maxMessageNumber))
+	c.firstNode = NodeID(r.number(maxMessageNumber))
+	c.request = RequestID(r.number(maxMessageNumber))
+	c.class = ClassID(r.number(maxMessageNumber))
+	c.ended = int(r.number(maxMessageNumber))
 	flags := r.number(uint64(responseDenied)<<1 | 1)
 	c.response = ownerResponse(flags >> 1)
 	c.optimistic = flags&1 == 1
 	return c
 }
 
-// suspicion reads a suspicion.
+// suspicion reads a suspicion. Fields that can't be read are 0.
 func (r *messageReader) suspicion() suspicion {
 	var s suspicion
-	s.server = ServerID(r.number(maxReported))
-	s.class = ClassID(r.number(maxReported))
-	s.ejectedFor = Time(r.number(maxReported))
+	s.server = ServerID(r.number(maxMessageNumber))
+	s.class = ClassID(r.number(maxMessageNumber))
+	s.ejectedFor = Time(r.number(maxMessageNumber))
 	return s
 }
 
 // decodeMessage decodes a payload, and returns false if any part of it is malformed. Plans and sets of nodes beyond the
-// settings' numbers count as malformed.
+// numbers of plans and nodes count as malformed.
 func decodeMessage(payload []byte, plans, nodes int) (message, bool) {
 	if len(payload) < 1 || payload[0] < kindUse || payload[0] > kindQuery {
 		return message{}, false
@@ -153,7 +154,7 @@
 	payload []byte
 }
 
-// outbox holds the messages to be sent. The last one added is sent first.
+// outbox holds the messages to be sent. The message added last is sent first.
 type outbox struct{ messages []peerMessage }
 
 // add adds a message. The outbox keeps the payload.
@@ -161,16 +162,16 @@
 	o.messages = append(o.messages, peerMessage{to, payload})
 }
 
-// last returns the last message added. The outbox must not be empty.
+// last returns the message added last. The outbox must not be empty.
 func (o *outbox) last() *peerMessage { return &o.messages[len(o.messages)-1] }
 
-// appendReport appends a report to the last message added.
+// appendReport appends a report to the message added last. The outbox must not be empty.
 func (o *outbox) appendReport(report customerReport) {
 	m := o.last()
 	m.payload = appendReport(m.payload, report)
 }
 
-// next removes and returns the message to send next, and false if there is none.
+// next removes and returns the message to send next. It returns false if there is none.
 func (o *outbox) next() (peerMessage, bool) {
 	k := len(o.messages) - 1
 	if k < 0 {
