--- a/internal/decision/candidates_test.go
+++ b/internal/decision/candidates_test.go
@@ -5,30 +5,33 @@
 	"testing"
 )
 
-// A keyed request that may have run is sent only to servers of the same cell, few of which are tracked. It finds the
-// others too, and attempts at them count as in flight.
+// A keyed request that may have run is retried only at servers of the same cell, few of which are tracked. The retry must
+// consider the untracked servers of the cell too. Otherwise most such requests would fail. Attempts at these servers count
+// as in flight.
 func TestKeyedRequestsFindTheirCell(t *testing.T) {
-	n := fleetOf(830, 13000, 12)
-	n.config.classes[0].retrySafety, n.config.classes[0].keyGroup, n.config.classes[0].keyWindow = retryKeyed, groupCell, 60*Second
-	n.config.maxAttempts = 3
-	n.retries.left = 99
-	again := 0
+	engine := fleetOf(830, 13000, 12)
+	engine.config.classes[0].retrySafety, engine.config.classes[0].keyGroup, engine.config.classes[0].keyWindow = retryKeyed, groupCell, 60*Second
+	engine.config.maxAttempts = 3
+	engine.retries.left = 99
+	retried := 0
 	for id := range RequestID(60) {
-		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
-		first := pull(n, Forward)
-		if len(first) != 1 {
-			t.Fatalf("%d attempts", len(first))
+		engine.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+		attempts := pull(engine, Forward)
+		if len(attempts) != 1 {
+			t.Fatalf("request %d has %d first attempts, want 1", id, len(attempts))
 		}
-		n.AttemptEnded(AttemptResult{Request: id, Server: first[0].Server, Outcome: ConnectionReset, Duration: Second / 50})
-		if next := pull(n, Forward); len(next) == 1 {
-			a, b := n.endpoints.slots.find(first[0].Server), n.endpoints.slots.find(next[0].Server)
-			if again++; a == b || n.endpoints.servers[a].Cell != n.endpoints.servers[b].Cell || !slices.Contains(n.endpoints.tracked, b) || n.endpoints.servers[b].inFlight != 1 {
-				t.Fatalf("a keyed request of cell %d went on in %d", n.endpoints.servers[a].Cell, n.endpoints.servers[b].Cell)
+		engine.AttemptEnded(AttemptResult{Request: id, Server: attempts[0].Server, Outcome: ConnectionReset, Duration: Second / 50})
+		if retries := pull(engine, Forward); len(retries) == 1 {
+			a, b := engine.endpoints.slots.find(attempts[0].Server), engine.endpoints.slots.find(retries[0].Server)
+			if retried++; a == b || engine.endpoints.servers[a].Cell != engine.endpoints.servers[b].Cell || !slices.Contains(engine.endpoints.tracked, b) || engine.endpoints.servers[b].inFlight != 1 {
+				t.Fatalf("request %d: first attempt at slot %d in cell %d, retry at slot %d in cell %d (tracked %v, %d in flight); "+
+					"want another slot in the same cell (tracked true, 1 in flight)",
+					id, a, engine.endpoints.servers[a].Cell, b, engine.endpoints.servers[b].Cell, slices.Contains(engine.endpoints.tracked, b), engine.endpoints.servers[b].inFlight)
 			}
-			n.AttemptEnded(AttemptResult{Request: id, Attempt: 1, Server: next[0].Server, Duration: Second / 50, Final: true})
+			engine.AttemptEnded(AttemptResult{Request: id, Attempt: 1, Server: retries[0].Server, Duration: Second / 50, Final: true})
 		}
 	}
-	if again < 50 {
-		t.Errorf("%d of 60 keyed requests found a second server in their cell", again)
+	if retried < 50 {
+		t.Errorf("%d of 60 keyed requests were retried at another server in their cell, want at least 50", retried)
 	}
 }
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -4,23 +4,25 @@
 	"testing"
 )
 
-// Idle customers are dropped over several intervals: no interval checks all of tens of thousands.
+// Idle customers are dropped over several intervals. A check of tens of thousands of customers in one interval would delay
+// requests.
 func TestManyIdleCustomersAreForgotten(t *testing.T) {
-	n := plain(3, nil)
-	const many = 5 * idleScanCustomers
-	for k := range CustomerID(many) {
-		n.customers.all[n.customers.findOrAdd(customerRef{id: k, spread: 1}, n.now)].lastRequest = n.now
+	engine := plain(3, nil)
+	const customers = 5 * idleScanCustomers
+	for k := range CustomerID(customers) {
+		engine.customers.all[engine.customers.findOrAdd(customerRef{id: k, spread: 1}, engine.now)].lastRequest = engine.now
 	}
-	now := n.now
+	now := engine.now
 	for k := range 80 {
 		now += controlInterval
-		n.SetTime(now)
-		pull(n, Forward)
-		if left := len(n.customers.slots.slots); k < 59 && left < many || k > 59 && left < many-(k-58)*idleScanCustomers {
-			t.Fatalf("%d of %d customers left after %d intervals", left, many, k)
+		engine.SetTime(now)
+		pull(engine, Forward)
+		if left := len(engine.customers.slots.slots); k < 59 && left < customers || k > 59 && left < customers-(k-58)*idleScanCustomers {
+			t.Fatalf("%d of %d customers are left in interval %d, want all before interval 59, and later at least %d",
+				left, customers, k, customers-(k-58)*idleScanCustomers)
 		}
 	}
-	if left := len(n.customers.slots.slots); left > 0 {
-		t.Errorf("%d of %d idle customers left", left, many)
+	if left := len(engine.customers.slots.slots); left > 0 {
+		t.Errorf("%d of %d idle customers are left after 80 intervals, want 0", left, customers)
 	}
 }
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -7,71 +7,73 @@
 	"testing"
 )
 
-// Single changes lead to the same order as building it at once. A walk visits each usable server once, and any stretch
-// of it holds each zone's share, to within one server.
+// Single changes lead to the same order as building it at once. Otherwise nodes that received different updates would use
+// different orders, and the load of the servers would be uneven. A walk visits each usable server once, and any stretch of
+// the walk holds each zone's share, to within one server.
 func TestOrderIsTheSameByChangesAndAtOnce(t *testing.T) {
-	r := rand.New(rand.NewSource(34))
+	rng := rand.New(rand.NewSource(34))
 	for range 30 {
-		zones := 1 + r.Intn(12)
+		zones := 1 + rng.Intn(12)
 		var kept endpointOrder
 		kept.build(nil, 3, zonesAlternating)
-		servers := make([]server, 20+r.Intn(200))
+		servers := make([]server, 20+rng.Intn(200))
 		for range 5 * len(servers) {
-			k := r.Intn(len(servers))
+			k := rng.Intn(len(servers))
 			s := &servers[k]
-			s.Endpoint = Endpoint{Server: ServerID(k * 7919), Zone: uint8(r.Intn(zones)), Cell: uint16(r.Intn(9)), State: EndpointState(r.Intn(2))}
-			s.listed = r.Intn(4) > 0
+			s.Endpoint = Endpoint{Server: ServerID(k * 7919), Zone: uint8(rng.Intn(zones)), Cell: uint16(rng.Intn(9)), State: EndpointState(rng.Intn(2))}
+			s.listed = rng.Intn(4) > 0
 			kept.place(s, serverSlot(k))
 		}
 		var built endpointOrder
-		other := slices.Clone(servers)
-		built.build(other, 3, zonesAlternating)
-		usable, ofZone := 0, make([]int, zones)
+		copied := slices.Clone(servers)
+		built.build(copied, 3, zonesAlternating)
+		usable, usableInZone := 0, make([]int, zones)
 		for _, s := range servers {
 			if s.usable() {
 				usable++
-				ofZone[s.Zone]++
+				usableInZone[s.Zone]++
 			}
 		}
-		sameOrder(t, &kept, &built)
+		requireSameOrder(t, &kept, &built)
 		if kept.count != usable || built.count != usable {
-			t.Fatalf("%d and %d of %d servers", kept.count, built.count, usable)
+			t.Fatalf("count = %d after single changes and %d when built at once, want %d", kept.count, built.count, usable)
 		}
-		from, seen, count := r.Float64(), map[serverSlot]int{}, make([]int, zones)
-		kept.walk(from, len(servers)+1, func(slot serverSlot) {
-			seen[slot]++
-			count[servers[slot].Zone]++
-			for zone, k := range count {
-				part := float64(ofZone[zone]) * float64(len(seen)) / float64(usable)
-				if math.Abs(float64(k)-part) > 1.5 {
-					t.Fatalf("after %d of %d servers, %d of zone %d, its share is %.1f", len(seen), usable, k, zone, part)
+		start, visits, visitedInZone := rng.Float64(), map[serverSlot]int{}, make([]int, zones)
+		kept.walk(start, len(servers)+1, func(slot serverSlot) {
+			visits[slot]++
+			visitedInZone[servers[slot].Zone]++
+			for zone, k := range visitedInZone {
+				share := float64(usableInZone[zone]) * float64(len(visits)) / float64(usable)
+				if math.Abs(float64(k)-share) > 1.5 {
+					t.Fatalf("after %d of %d servers, the walk has visited %d of zone %d, want %.1f with a tolerance of 1.5", len(visits), usable, k, zone, share)
 				}
 			}
 		})
-		if len(seen) != usable {
-			t.Fatalf("a walk visits %d of %d servers", len(seen), usable)
+		if len(visits) != usable {
+			t.Fatalf("the walk visited %d servers, want %d", len(visits), usable)
 		}
-		for slot, k := range seen {
+		for slot, k := range visits {
 			if k != 1 || !servers[slot].usable() {
-				t.Fatalf("server %d was visited %d times", slot, k)
+				t.Fatalf("the walk visited slot %d (usable %v) %d times, want one visit of a usable server", slot, servers[slot].usable(), k)
 			}
 		}
 	}
 }
 
-func sameOrder(t *testing.T, kept, built *endpointOrder) {
+// requireSameOrder fails the test unless an order kept by single changes equals one built at once.
+func requireSameOrder(t *testing.T, kept, built *endpointOrder) {
 	t.Helper()
 	if len(kept.cells) != len(built.cells) {
-		t.Fatalf("%d cells by changes, %d at once", len(kept.cells), len(built.cells))
+		t.Fatalf("the order has %d cells after single changes, want %d as when built at once", len(kept.cells), len(built.cells))
 	}
 	for cell, slots := range built.cells {
 		if !slices.Equal(kept.cells[cell], slots) {
-			t.Fatalf("cell %d: %v by changes, %v at once", cell, kept.cells[cell], slots)
+			t.Fatalf("cell %d holds slots %v after single changes, want %v as when built at once", cell, kept.cells[cell], slots)
 		}
 	}
 	for zone := range kept.zones {
 		if !slices.Equal(kept.zones[zone].keys, built.zones[zone].keys) {
-			t.Fatalf("zone %d: %d servers by changes, %d at once", zone, len(kept.zones[zone].keys), len(built.zones[zone].keys))
+			t.Fatalf("zone %d holds keys %x after single changes, want %x as when built at once", zone, kept.zones[zone].keys, built.zones[zone].keys)
 		}
 	}
 }
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -5,71 +5,77 @@
 	"testing"
 )
 
-// A change of a server outside the subset leaves the subset as it is. A draining server of the subset is replaced at
-// once, and its attempts in flight count until they end.
+// A change of a server outside the subset changes at most one server of the subset. Otherwise each change would make all
+// nodes open new connections. A draining server leaves the subset at once, and receives no new attempt. Its attempts in
+// flight count until they end.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
-	n := fleetOf(830, 13000, 12)
-	own, view := slices.Clone(n.endpoints.subset), slices.Clone(n.endpoints.tracked)
-	if len(own) < 13000/830*minNodesPerShuffle || len(view) < minTrackedServers || len(view) > max(minTrackedServers, trackedServersPerSubset*len(own)) {
-		t.Fatalf("%d in the subset, %d tracked", len(own), len(view))
+	engine := fleetOf(830, 13000, 12)
+	subset, tracked := slices.Clone(engine.endpoints.subset), slices.Clone(engine.endpoints.tracked)
+	if len(subset) < 13000/830*minNodesPerShuffle || len(tracked) < minTrackedServers || len(tracked) > max(minTrackedServers, trackedServersPerSubset*len(subset)) {
+		t.Fatalf("%d servers in the subset and %d tracked, want at least %d in the subset and %d to %d tracked", len(subset), len(tracked),
+			13000/830*minNodesPerShuffle, minTrackedServers, max(minTrackedServers, trackedServersPerSubset*len(subset)))
 	}
-	far := n.endpoints.servers[slices.IndexFunc(n.endpoints.servers, func(s server) bool { return !slices.Contains(view, n.endpoints.slots.find(s.Server)) })]
-	last := far.Endpoint
-	last.State = Draining
-	n.UpdateEndpoints(ListUpdate, []Endpoint{last})
-	if moved := diff(n.endpoints.subset, own); moved > 1 {
-		t.Errorf("%d of the node's servers changed with one that it does not use", moved)
+	untracked := engine.endpoints.servers[slices.IndexFunc(engine.endpoints.servers, func(s server) bool { return !slices.Contains(tracked, engine.endpoints.slots.find(s.Server)) })]
+	changed := untracked.Endpoint
+	changed.State = Draining
+	engine.UpdateEndpoints(ListUpdate, []Endpoint{changed})
+	if moved := diff(engine.endpoints.subset, subset); moved > 1 {
+		t.Errorf("after a change of a server outside the subset, %d servers of the subset are new, want at most 1", moved)
 	}
-	n.AddRequest(Request{ID: 1, Customer: 5, Timeout: 4 * Second, Units: 1, Spread: 1})
-	sends := pull(n, Forward)
-	if len(sends) != 1 {
-		t.Fatalf("%d attempts", len(sends))
+	engine.AddRequest(Request{ID: 1, Customer: 5, Timeout: 4 * Second, Units: 1, Spread: 1})
+	attempts := pull(engine, Forward)
+	if len(attempts) != 1 {
+		t.Fatalf("request 1 has %d attempts, want 1", len(attempts))
 	}
-	s := &n.endpoints.servers[n.endpoints.slots.find(sends[0].Server)]
-	before := n.inFlightAtHealthy()
+	s := &engine.endpoints.servers[engine.endpoints.slots.find(attempts[0].Server)]
+	before := engine.inFlightAtHealthy()
 	drained := s.Endpoint
 	drained.State = Draining
-	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
-	i := n.endpoints.slots.find(drained.Server)
-	if s = &n.endpoints.servers[i]; s.inSubset || slices.Contains(n.endpoints.subset, i) || !slices.Contains(n.endpoints.tracked, i) || n.inFlightAtHealthy() != before {
-		t.Errorf("a draining server: in the subset %v, tracked %v; in flight %v of %v", s.inSubset, slices.Contains(n.endpoints.tracked, i), n.inFlightAtHealthy(), before)
+	engine.UpdateEndpoints(ListUpdate, []Endpoint{drained})
+	i := engine.endpoints.slots.find(drained.Server)
+	if s = &engine.endpoints.servers[i]; s.inSubset || slices.Contains(engine.endpoints.subset, i) || !slices.Contains(engine.endpoints.tracked, i) || engine.inFlightAtHealthy() != before {
+		t.Errorf("draining server %d: inSubset = %v, in subset %v, tracked %v, in flight at healthy servers %v; want false, false, true, %v",
+			drained.Server, s.inSubset, slices.Contains(engine.endpoints.subset, i), slices.Contains(engine.endpoints.tracked, i), engine.inFlightAtHealthy(), before)
 	}
 	for id := range RequestID(300) {
-		n.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Forward) {
+		engine.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(engine, Forward) {
 			if d.Server == drained.Server {
-				t.Fatal("an attempt began at a server that drains")
+				t.Fatalf("request %d was sent to draining server %d, want a ready server", d.Request, d.Server)
 			}
 		}
 	}
-	n.AttemptEnded(AttemptResult{Request: 1, Server: drained.Server, Duration: Second / 10, Final: true})
+	engine.AttemptEnded(AttemptResult{Request: 1, Server: drained.Server, Duration: Second / 10, Final: true})
 	drained.State = Gone
-	n.UpdateEndpoints(ListUpdate, []Endpoint{drained})
-	n.SetTime(n.now + controlInterval)
-	if pull(n, Forward); slices.Contains(n.endpoints.tracked, i) || n.endpoints.slots.find(drained.Server) >= 0 {
-		t.Error("a server that is gone stays tracked without attempts in flight")
+	engine.UpdateEndpoints(ListUpdate, []Endpoint{drained})
+	engine.SetTime(engine.now + controlInterval)
+	if pull(engine, Forward); slices.Contains(engine.endpoints.tracked, i) || engine.endpoints.slots.find(drained.Server) >= 0 {
+		t.Errorf("server %d, which is gone and has no attempt in flight: tracked %v, slot %d; want false, -1",
+			drained.Server, slices.Contains(engine.endpoints.tracked, i), engine.endpoints.slots.find(drained.Server))
 	}
 }
 
-// Servers that replace others repeatedly use no more slots than the listed ones need.
+// Servers that repeatedly replace others must not use more and more slots. Slots of servers that are gone are reused once
+// their last attempts have ended.
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
-	n := plain(0, nil)
+	engine := plain(0, nil)
 	now := Second
 	for k := range ServerID(300) {
 		now += controlInterval / 3
-		n.SetTime(now)
-		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
-		n.AddRequest(Request{ID: RequestID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Forward) {
+		engine.SetTime(now)
+		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
+		engine.AddRequest(Request{ID: RequestID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(engine, Forward) {
 			if d.Server+4 <= k || d.Server > k {
-				t.Fatalf("sent to server %d at %d", d.Server, k)
+				t.Fatalf("request %d was sent to server %d, want one of the last 4 servers up to %d", d.Request, d.Server, k)
 			}
 		}
-		if k >= 9 { // answers come late, from servers that are gone
-			n.AttemptEnded(AttemptResult{Request: RequestID(k - 9), Outcome: Succeeded, Duration: 3 * Second, Final: true})
+		if k >= 9 { // responses arrive late, from servers that are gone
+			engine.AttemptEnded(AttemptResult{Request: RequestID(k - 9), Outcome: Succeeded, Duration: 3 * Second, Final: true})
 		}
 	}
-	if len(n.endpoints.servers) > 30 || len(n.endpoints.slots.slots) > 30 || len(n.requests.all) > 30 {
-		t.Errorf("%d servers, %d requests", len(n.endpoints.servers), len(n.requests.all))
+	if len(engine.endpoints.servers) > 30 || len(engine.endpoints.slots.slots) > 30 || len(engine.requests.all) > 30 {
+		t.Errorf("after 300 servers, %d server slots, %d known servers and %d request slots; want at most 30 of each",
+			len(engine.endpoints.servers), len(engine.endpoints.slots.slots), len(engine.requests.all))
 	}
 }
