--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -110,7 +110,7 @@
 	return max(lower, limit)
 }
 
-// closeInterval updates the admission rate from an interval that lasted spanSeconds.
+// closeInterval updates the admission rate from an interval that lasted spanSeconds. The rate stays 0 while T is unknown.
 func (l *admissionLimit) closeInterval(now Time, spanSeconds float64, stats *intervalStats, load intervalLoad) {
 	latency := l.intervalLatency(stats, load.requests)
 	l.throughput.closeInterval(float64(stats.completed)/spanSeconds, load.requests)
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -5,16 +5,16 @@
 // customerSlot is an index into customerTable.all.
 type customerSlot int32
 
-// customer is the state of one customer. It is dropped after customerIdleTimeout without a request, once its bucket is
-// full.
+// customer is the state of one customer. It is dropped once its bucket is full, and customerIdleTimeout has passed without
+// a request or a message between the owner and its nodes.
 type customer struct {
 	id          CustomerID
 	live        bool // the slot is in use
 	plan        PlanID
-	spread      int    // number of nodes in the customer's set, which receive its requests
-	firstNode   NodeID // first node of the set; the others follow it
-	firstSeen   Time
-	lastRequest Time
+	spread      int          // number of nodes in the customer's set, which receive its requests
+	firstNode   NodeID       // first node of the set; the others follow it
+	firstSeen   Time         // time at which this node added the customer
+	lastRequest Time         // time of the last request, or of the last message between the owner and its nodes
 	bucket      tokenBucket  // tokens of the whole quota, see tenantQuota
 	demand      decayingMean // units requested at this node
 	peerDemand  decayingMean // units requested at other nodes, or at all nodes if this node is the owner
@@ -32,7 +32,7 @@
 
 	reportPending bool    // the next report to peers covers the customer
 	reportDemand  float64 // units requested since the last report
-	reportUse     float64 // units admitted or settled since the last report
+	reportUse     float64 // units admitted or settled since the last report, possibly below 0
 }
 
 const (
@@ -73,7 +73,7 @@
 	c.reservations = slices.DeleteFunc(c.reservations, func(r reservation) bool { return r.until <= now })
 }
 
-// demandRate returns a decaying sum of demand as a rate a second. The sum must decay with demandTimeConstant.
+// demandRate returns a decaying sum of demand as a rate, in units a second. The sum must decay with demandTimeConstant.
 func demandRate(demand *decayingMean, now Time) float64 {
 	demand.decayTo(now, demandTimeConstant)
 	return demand.sum / seconds(demandTimeConstant)
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -1,7 +1,7 @@
 package decision
 
-// decide returns the action for a request. The action is noAction while the request has an attempt in flight, streams
-// its response, or waits for its quota owner.
+// decide returns the action for a request. The action is noAction if the request is closed, has an attempt in flight,
+// streams its response, or waits for its quota owner.
 //
 //   - First attempt: the admission limit, the customer's quota and the plan's hard ceiling must admit the request.
 //   - Retry: the retry budget and the request's class must allow it.
@@ -151,8 +151,8 @@
 const minRetryAfterDivisor = 4
 
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
-// repeat, and fails any other. If the settings ask for a Retry-After, a rejection carries retryAfter, clamped to
-// the allowed range.
+// repeat, and fails any other. If the settings ask for a Retry-After, a rejection carries retryAfter, which is
+// raised to the least Retry-After or lowered to the longest one of the settings.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
--- a/internal/decision/endpointorder.go
+++ b/internal/decision/endpointorder.go
@@ -7,7 +7,7 @@
 
 // endpointOrder holds the usable servers in an order that all nodes of a group share. A hash determines the order. If
 // zones alternate, each zone has an order of its own. A change of one server costs a binary search, and a move of the
-// keys behind it in its zone. The zero value holds no server and is not built.
+// keys behind it in its zone. The zero value holds no server. The order must be built before a server is placed.
 type endpointOrder struct {
 	built      bool // the order matches the list, group and zoneLayout
 	group      int  // number of the group of nodes that share the shuffle, from 0
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -197,7 +197,8 @@
 	}
 }
 
-// forgetUntracked drops the states of untracked servers in which no class is informative.
+// forgetUntracked drops a server's states unless the server is tracked or a state is informative. It then removes from
+// untracked the servers that are tracked now or have no states.
 func (e *endpointSet) forgetUntracked(informative func(outlierState) bool) {
 	e.untracked = slices.DeleteFunc(e.untracked, func(i serverSlot) bool {
 		s := &e.servers[i]
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -9,11 +9,11 @@
 type intervalStats struct {
 	startedAt  Time
 	admitted   int              // number of requests admitted
-	completed  int              // number of attempts completed
+	completed  int              // number of attempts that succeeded
 	samples    int              // number of latency samples
 	latencySum float64          // sum of the latency samples
 	latencies  []float64        // latency samples, in latency objectives of their class
-	rejected   [reasonCount]int // number of requests whose first attempt a limit rejected, by reason
+	rejected   [reasonCount]int // number of first attempts that a limit rejected and of attempts without a server, by reason
 }
 
 // addLatency adds a latency sample, in latency objectives of its class.
@@ -59,7 +59,7 @@
 	completed          float64          // rate of completed attempts, in attempts a second
 	tail               float64          // 95th percentile of the latency, in latency objectives
 	baseLatency        Time             // base latency T
-	rejected           [reasonCount]int // number of rejected requests, by reason
+	rejected           [reasonCount]int // number of rejections, by reason, see intervalStats
 }
 
 // appendText appends the summary to b as one line of text. The platform defines the keys.
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -58,7 +58,7 @@
 	ejectedFor Time // remaining time of the ejection; 0 if it is over and the server has not responded since
 }
 
-// appendReport appends the encoding of a report. Values outside the encoding's range are clamped to it.
+// appendReport appends the encoding of a report. A demand or use outside the encoding's range is clamped to it.
 func appendReport(b []byte, r customerReport) []byte {
 	b = binary.AppendUvarint(b, uint64(r.customer))
 	b = binary.AppendUvarint(b, uint64(min(max(0, r.demand*unitsScale+0.5), maxMessageNumber)))
