--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -9,7 +9,7 @@
 //	eventPart:  kind<<1|ok (byte), id (uvarint), age in eventAgeUnit (uvarint)
 //	bitmapPart: first member (uvarint), size in bytes (uvarint), bitmap of the dead members
 //
-// Integers are encoded as encoding/binary's uvarint. A message with any invalid field is rejected as a whole.
+// Integers are encoded as uvarints of encoding/binary. A message with any invalid field is rejected as a whole.
 
 import (
 	"encoding/binary"
@@ -20,7 +20,7 @@
 )
 
 const (
-	// MessageMark is the first byte of each message. Other protocols on the same socket use other bytes.
+	// MessageMark is the first byte of each message. Other protocols on the same socket use other first bytes.
 	MessageMark = 0xD0
 	// MaxMessageSize is the maximum size of a message, in bytes.
 	MaxMessageSize = 256
@@ -31,7 +31,7 @@
 	maxBitmapSize = 128
 	// eventAgeUnit is the unit of an event's age.
 	eventAgeUnit = time.Millisecond
-	// integerLimit is an exclusive upper bound of sequence numbers and incarnations.
+	// integerLimit is the exclusive upper bound of sequence numbers and incarnations.
 	integerLimit = 1 << 62
 	// stateBits is the number of low bits that hold the state in the first integer of a memberPart.
 	stateBits = 2
@@ -47,11 +47,11 @@
 	ack
 	// pingRequest asks the receiver to ping the target and to forward the target's ack.
 	pingRequest
-	// correct carries members that are dead at the receiver and not at the sender.
-	correct
-	// object answers a correct message. It carries members that stay dead at the sender because their incarnations there are
-	// as high. They are sent as suspect, so that the receiver suspects them and they can refute that.
-	object
+	// correction carries members that are dead at the receiver and not dead at the sender.
+	correction
+	// dispute answers a correction. A dispute carries members that stay dead at its sender because their incarnations there
+	// are as high. The dispute calls them suspect. The receiver then suspects them, and they can refute the suspicion.
+	dispute
 )
 
 // partKind is the kind of a part. The values are those on the wire.
@@ -66,13 +66,13 @@
 // ErrMalformed is wrapped by every error of Receive.
 var ErrMalformed = errors.New("malformed membership message")
 
-// header is the beginning of each message. On the wire: MessageMark, kind, sequence (uvarint), deadHash (4 bytes, big
+// header is the beginning of each message. The encoding is MessageMark, kind, sequence (uvarint), deadHash (4 bytes, big
 // endian), and target (uvarint) if the kind is pingRequest.
 type header struct {
 	kind     messageKind
-	sequence uint64 // of the ping that is sent, answered or requested; 0 in other kinds
+	sequence uint64 // sequence of the ping that is sent, answered or requested; 0 in other kinds
 	deadHash uint32 // hash of the sender's dead members
-	target   NodeID // of a pingRequest
+	target   NodeID // node to ping in a pingRequest; 0 in other kinds
 }
 
 // message is a decoded message.
@@ -85,13 +85,13 @@
 type part struct {
 	kind partKind
 
-	member memberUpdate // memberPart
+	member memberUpdate // set in a memberPart
 
-	event Event         // eventPart, without At
-	age   time.Duration // eventPart: time from the event to the sending of the message
+	event Event         // set in an eventPart, except for At
+	age   time.Duration // set in an eventPart: time from the event to the sending of the message
 
-	first  NodeID // bitmapPart: the member of the first bit
-	bitmap []byte // bitmapPart: refers to the message's payload
+	firstMember NodeID // set in a bitmapPart: member of the first bit
+	bitmap      []byte // set in a bitmapPart: slice of the message's payload
 }
 
 // appendHeader appends a header to a message.
@@ -112,7 +112,7 @@
 	return binary.AppendUvarint(payload, uint64(u.incarnation))
 }
 
-// appendEvent appends an eventPart to a message. age replaces e.At, which other nodes' clocks do not share.
+// appendEvent appends an eventPart to a message. age replaces e.At, because nodes do not share a clock.
 func appendEvent(payload []byte, e Event, age time.Duration) []byte {
 	okBit := byte(0)
 	if e.OK {
@@ -123,22 +123,22 @@
 	return binary.AppendUvarint(payload, uint64(age/eventAgeUnit))
 }
 
-// appendBitmap appends a bitmapPart to a message. first is the member of the first bit.
-func appendBitmap(payload []byte, first NodeID, bitmap []byte) []byte {
+// appendBitmap appends a bitmapPart to a message. firstMember is the member of the first bit.
+func appendBitmap(payload []byte, firstMember NodeID, bitmap []byte) []byte {
 	payload = append(payload, byte(bitmapPart))
-	payload = binary.AppendUvarint(payload, uint64(first))
+	payload = binary.AppendUvarint(payload, uint64(firstMember))
 	payload = binary.AppendUvarint(payload, uint64(len(bitmap)))
 	return append(payload, bitmap...)
 }
 
-// decode decodes a message of a fleet. nodes is the fleet's size, eventKinds is Config.EventKinds. An error wraps
+// decode decodes a message of a fleet. nodes is the size of the fleet, and eventKinds is Config.EventKinds. An error wraps
 // ErrMalformed.
 func decode(payload []byte, nodes int, eventKinds uint8) (message, error) {
 	if len(payload) < 2 || len(payload) > MaxMessageSize {
-		return message{}, fmt.Errorf("%w: size of %d bytes", ErrMalformed, len(payload))
+		return message{}, fmt.Errorf("%w: size is %d bytes, want 2 to %d", ErrMalformed, len(payload), MaxMessageSize)
 	}
 	if payload[0] != MessageMark {
-		return message{}, fmt.Errorf("%w: mark %#x", ErrMalformed, payload[0])
+		return message{}, fmt.Errorf("%w: first byte is %#x, want %#x", ErrMalformed, payload[0], MessageMark)
 	}
 	r := reader{rest: payload[2:], nodes: nodes, eventKinds: eventKinds}
 	m := message{header: r.header(messageKind(payload[1]))}
@@ -151,18 +151,18 @@
 	return m, nil
 }
 
-// reader decodes the fields of a message in order. It keeps the first error. After an error every read returns zero.
+// reader decodes the fields of a message in order. The first error is kept, and every later read returns the zero value.
 type reader struct {
-	rest       []byte // not yet decoded
+	rest       []byte // bytes that are not yet decoded
 	nodes      int    // size of the fleet
-	eventKinds uint8  // Config.EventKinds
-	err        error  // wraps ErrMalformed
+	eventKinds uint8  // value of Config.EventKinds
+	err        error  // first error; wraps ErrMalformed
 }
 
-// fail sets the error unless there is one. field names the invalid field.
-func (r *reader) fail(field string) {
+// setError sets the error unless there already is one. field names the invalid field.
+func (r *reader) setError(field string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: invalid %s, %d bytes before the end", ErrMalformed, field, len(r.rest))
+		r.err = fmt.Errorf("%w: invalid %s, %d bytes before the end of the message", ErrMalformed, field, len(r.rest))
 	}
 }
 
@@ -170,7 +170,7 @@
 func (r *reader) uvarint(field string, limit uint64) uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if r.err != nil || size <= 0 || value >= limit {
-		r.fail(field)
+		r.setError(field)
 		return 0
 	}
 	r.rest = r.rest[size:]
@@ -180,10 +180,10 @@
 // node reads the number of a node of the fleet.
 func (r *reader) node() NodeID { return NodeID(r.uvarint("node", uint64(r.nodes))) }
 
-// bytes reads size bytes. The result refers to the message's payload; it is nil after an error.
+// bytes reads size bytes. The result refers to the message's payload. After an error the result is nil.
 func (r *reader) bytes(field string, size int) []byte {
 	if r.err != nil || size > len(r.rest) {
-		r.fail(field)
+		r.setError(field)
 		return nil
 	}
 	value := r.rest[:size]
@@ -191,8 +191,8 @@
 	return value
 }
 
-// octet reads one byte.
-func (r *reader) octet(field string) byte {
+// readByte reads one byte.
+func (r *reader) readByte(field string) byte {
 	if b := r.bytes(field, 1); r.err == nil {
 		return b[0]
 	}
@@ -208,15 +208,15 @@
 	if kind == pingRequest {
 		h.target = r.node()
 	}
-	if kind < ping || kind > object {
-		r.fail("message kind")
+	if kind < ping || kind > dispute {
+		r.setError("message kind")
 	}
 	return h
 }
 
 // part reads one part of any kind.
 func (r *reader) part() part {
-	p := part{kind: partKind(r.octet("part kind"))}
+	p := part{kind: partKind(r.readByte("part kind"))}
 	switch p.kind {
 	case memberPart:
 		p.member = r.memberUpdate()
@@ -224,11 +224,11 @@
 		p.event = r.event()
 		p.age = r.eventAge()
 	case bitmapPart:
-		p.first = r.node()
+		p.firstMember = r.node()
 		size := r.uvarint("bitmap size", maxBitmapSize+1)
 		p.bitmap = r.bytes("bitmap", int(size))
 	default:
-		r.fail("part kind")
+		r.setError("part kind")
 	}
 	return p
 }
@@ -239,18 +239,18 @@
 	u := memberUpdate{id: NodeID(idAndState >> stateBits), state: State(idAndState & (1<<stateBits - 1))}
 	u.incarnation = incarnation(r.uvarint("incarnation", integerLimit))
 	if u.state > Dead {
-		r.fail("state")
+		r.setError("state")
 	}
 	return u
 }
 
 // event reads the fields of an eventPart that precede its age.
 func (r *reader) event() Event {
-	kindAndOK := r.octet("event kind")
+	kindAndOK := r.readByte("event kind")
 	e := Event{Kind: kindAndOK >> 1, OK: kindAndOK&1 == 1}
 	e.ID = r.uvarint("event id", math.MaxUint64)
 	if e.Kind < 1 || e.Kind > r.eventKinds {
-		r.fail("event kind")
+		r.setError("event kind")
 	}
 	return e
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -23,17 +23,17 @@
 			"d002ffffffffffffffff3f00000000",
 		},
 		{"ping request", message{header: header{kind: pingRequest, sequence: 255, target: 300}}, "d003ff0100000000ac02"},
-		{"correct", message{header: header{kind: correct}, parts: []part{
+		{"correct", message{header: header{kind: correction}, parts: []part{
 			{kind: memberPart, member: memberUpdate{id: 5, state: Suspect, incarnation: 300}},
 			{kind: memberPart, member: memberUpdate{id: MaxNodes - 1, state: Dead}},
 		}}, "d004000000000001" + "15ac02" + "01feff0f00"},
-		{"object with events", message{header: header{kind: object}, parts: []part{
+		{"object with events", message{header: header{kind: dispute}, parts: []part{
 			{kind: eventPart, event: Event{Kind: 1, ID: 99, OK: true}, age: 100 * time.Millisecond},
 			{kind: eventPart, event: Event{Kind: 3, ID: math.MaxUint64 - 1}, age: time.Minute},
 		}}, "d0050000000000" + "02036364" + "0206" + "feffffffffffffffff01" + "e0d403"},
 		{
 			"bitmap",
-			message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, first: 1024, bitmap: []byte{0x81, 2}}}},
+			message{header: header{kind: ack}, parts: []part{{kind: bitmapPart, firstMember: 1024, bitmap: []byte{0x81, 2}}}},
 			"d0020000000000" + "038008" + "02" + "8102",
 		},
 		{
@@ -43,25 +43,25 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := appendHeader(nil, c.in.header)
+			payload := appendHeader(nil, c.in.header)
 			for _, p := range c.in.parts {
 				switch p.kind {
 				case memberPart:
-					text = appendMemberUpdate(text, p.member)
+					payload = appendMemberUpdate(payload, p.member)
 				case eventPart:
-					text = appendEvent(text, p.event, p.age)
+					payload = appendEvent(payload, p.event, p.age)
 				case bitmapPart:
-					text = appendBitmap(text, p.first, p.bitmap)
+					payload = appendBitmap(payload, p.firstMember, p.bitmap)
 				}
 			}
-			if got := hex.EncodeToString(text); got != c.want {
+			if got := hex.EncodeToString(payload); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			if back, err := decode(text, MaxNodes, 3); err != nil || !reflect.DeepEqual(back, c.in) {
-				t.Errorf("%+v, %v, want %+v", back, err, c.in)
+			if decoded, err := decode(payload, MaxNodes, 3); err != nil || !reflect.DeepEqual(decoded, c.in) {
+				t.Errorf("%+v, %v, want %+v", decoded, err, c.in)
 			}
-			for size := range text { // a truncated message is either a shorter valid one or malformed
-				if _, err := decode(text[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
+			for size := range payload { // a truncated message is either a shorter valid one or malformed
+				if _, err := decode(payload[:size], MaxNodes, 3); err != nil && !errors.Is(err, ErrMalformed) {
 					t.Errorf("%d bytes: %v", size, err)
 				}
 			}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -3,10 +3,10 @@
 // Gossip queue.
 //
 // Inputs: updates about members, and events of the application. State: one queue with the last update of each subject and
-// the number of times that it was sent. Rule: every message is filled up with updates, members before events, the least
-// sent first. An update leaves the queue after memberUpdateRounds or eventRounds gossip rounds. Protects against lost
-// datagrams, because several messages carry each update. Trade-off: an update can miss a member, which is why nodes also
-// compare their sets of dead members (compareDead).
+// the number of messages that carried the update. Rule: every message is filled up with updates, members before events, the
+// least sent first. An update leaves the queue after memberUpdateRounds or eventRounds gossip rounds. Purpose: an update
+// survives the loss of datagrams, because several messages carry each update. Trade-off: an update can miss a member.
+// Therefore nodes also compare their sets of dead members (compareDead).
 
 import (
 	"cmp"
@@ -21,30 +21,31 @@
 	memberUpdateRounds = 3
 	// eventRounds is the number of gossip rounds for which an event is sent.
 	eventRounds = 1
-	// maxEventAge is the age beyond which an event is not sent, and is malformed in a received message.
+	// maxEventAge is the largest age of a gossiped event. Older events are not sent, and are malformed in a received
+	// message.
 	maxEventAge = time.Minute
 )
 
-// Event is an event of the application: the result of an operation, and its time. Kind and ID are its subject. Only the
-// last event of a subject is gossiped.
+// Event is an event of the application: the result of an operation, and its time. Kind and ID are its subject. Only the last
+// event of each subject is gossiped.
 type Event struct {
-	Kind uint8         // 1 to Config.EventKinds
-	ID   uint64        // of the operation, among those of its kind
-	OK   bool          // result of the operation
-	At   time.Duration // by this node's clock; on the wire it is an age
+	Kind uint8         // kind of the operation, from 1 to Config.EventKinds
+	ID   uint64        // id of the operation, unique within its kind
+	OK   bool          // whether the operation succeeded
+	At   time.Duration // time of the event by this node's clock; encoded as an age on the wire
 }
 
 // update is an entry of the gossip queue. Either member or event is set.
 type update struct {
-	member memberUpdate
-	event  Event // with Kind 0 if the update is about a member
-	sent   int   // number of messages that carried the update
+	member    memberUpdate // update about a member; ignored if event is set
+	event     Event        // event of the application; Kind is 0 if the update is about a member
+	sendCount int          // number of messages that carried the update
 }
 
 // isEvent reports whether the update is an event of the application.
 func (u *update) isEvent() bool { return u.event.Kind != 0 }
 
-// maxSends returns the number of messages that carry the update. rounds is Protocol.GossipRounds.
+// maxSends returns the number of messages that may carry the update. rounds is the result of Protocol.GossipRounds.
 func (u *update) maxSends(rounds float64) float64 {
 	if u.isEvent() {
 		return eventRounds * rounds
@@ -62,7 +63,7 @@
 
 // gossipQueue holds the updates for the next messages. The zero value is empty.
 type gossipQueue struct {
-	updates []update // at most maxUpdates, one per subject
+	updates []update // at most maxUpdates updates, one per subject
 }
 
 // addMember queues an update about a member.
@@ -71,8 +72,8 @@
 // addEvent queues an event.
 func (q *gossipQueue) addEvent(e Event) { q.add(update{event: e}) }
 
-// add queues an update. It replaces the queued update of the same subject. Without one, an update in a full queue replaces
-// the update that was sent most often, because most members have received that one.
+// add queues an update. A queued update of the same subject is replaced. Otherwise a full queue drops the update that was
+// sent most often, because most members have received that one.
 func (q *gossipQueue) add(u update) {
 	for i := range q.updates {
 		if q.updates[i].sameSubject(&u) {
@@ -84,17 +85,17 @@
 		q.updates = append(q.updates, u)
 		return
 	}
-	mostSent := 0
+	mostSentIndex := 0
 	for i := range q.updates {
-		if q.updates[i].sent > q.updates[mostSent].sent {
-			mostSent = i
+		if q.updates[i].sendCount > q.updates[mostSentIndex].sendCount {
+			mostSentIndex = i
 		}
 	}
-	q.updates[mostSent] = u
+	q.updates[mostSentIndex] = u
 }
 
-// appendTo appends updates to a message until it is full, and returns the message. It removes the updates that have been
-// sent maxSends times. rounds is Protocol.GossipRounds.
+// appendTo appends updates to a message until the message is full, and returns the message. Updates that have been sent
+// maxSends times are removed from the queue. rounds is the result of Protocol.GossipRounds.
 func (q *gossipQueue) appendTo(payload []byte, now time.Duration, rounds float64) []byte {
 	q.sort()
 	for i := range q.updates {
@@ -102,29 +103,29 @@
 			break
 		}
 		u := &q.updates[i]
-		u.sent++
+		u.sendCount++
 		if !u.isEvent() {
 			payload = appendMemberUpdate(payload, u.member)
 		} else if age := now - u.event.At; age <= maxEventAge {
 			payload = appendEvent(payload, u.event, age)
 		}
 	}
-	q.updates = slices.DeleteFunc(q.updates, func(u update) bool { return float64(u.sent) >= u.maxSends(rounds) })
+	q.updates = slices.DeleteFunc(q.updates, func(u update) bool { return float64(u.sendCount) >= u.maxSends(rounds) })
 	return payload
 }
 
-// sort orders the queue: members before events, then the least sent first, then the order of arrival.
+// sort orders the queue: members before events, then the least sent first, then in the order of arrival.
 func (q *gossipQueue) sort() {
 	slices.SortStableFunc(q.updates, func(a, b update) int {
-		return cmp.Or(cmp.Compare(min(a.event.Kind, 1), min(b.event.Kind, 1)), cmp.Compare(a.sent, b.sent))
+		return cmp.Or(cmp.Compare(min(a.event.Kind, 1), min(b.event.Kind, 1)), cmp.Compare(a.sendCount, b.sendCount))
 	})
 }
 
-// byteBudget limits the bytes that a node sends. It is a token bucket whose capacity is the rate of one second.
+// byteBudget limits the bytes that a node sends, with a token bucket. Its capacity is the bytes of one second.
 type byteBudget struct {
-	rate       float64 // bytes per second; 0 for no limit
-	available  float64 // bytes; negative if more was spent
-	refilledAt time.Duration
+	rate       float64       // bytes per second; 0 or less for no limit
+	available  float64       // bytes that may be sent now; negative if more were sent
+	refilledAt time.Duration // time of the last refill
 }
 
 // allows refills the budget and reports whether a message of MaxMessageSize may be sent.
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -6,10 +6,10 @@
 )
 
 // parts returns the decoded parts that a queue appends to a header.
-func parts(t *testing.T, q *gossipQueue, now time.Duration, rounds float64) []part {
+func sendParts(t *testing.T, q *gossipQueue, now time.Duration, rounds float64) []part {
 	t.Helper()
-	text := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
-	m, err := decode(text, MaxNodes, 3)
+	payload := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
+	m, err := decode(payload, MaxNodes, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		if round == 1 {
 			q.addMember(memberUpdate{id: 5, state: Alive, incarnation: 1})
 		}
-		got := parts(t, &q, 0, 3)
+		got := sendParts(t, &q, 0, 3)
 		if round == 1 && (len(got) != 3 || got[0].member.id != 5 || got[1].member.id != 3 || got[2].kind != eventPart) {
 			t.Errorf("%+v", got)
 		}
@@ -50,13 +50,13 @@
 	q.addEvent(Event{Kind: 2, ID: 8})
 	q.addMember(memberUpdate{id: 3, state: Suspect})
 	q.addMember(memberUpdate{id: 4, state: Suspect})
-	parts(t, &q, 0, 9)
+	sendParts(t, &q, 0, 9)
 	q.addEvent(Event{Kind: 1, ID: 8, OK: false, At: time.Second})
 	q.addMember(memberUpdate{id: 3, state: Dead})
 	if len(q.updates) != 4 {
 		t.Fatalf("%+v", q.updates)
 	}
-	got := parts(t, &q, 3*time.Second, 9)
+	got := sendParts(t, &q, 3*time.Second, 9)
 	if len(got) != 4 || got[0].member != (memberUpdate{id: 3, state: Dead}) || got[2].event != (Event{Kind: 1, ID: 8}) ||
 		got[2].age != 2*time.Second {
 		t.Errorf("%+v", got)
@@ -70,8 +70,8 @@
 	for i := range maxUpdates {
 		q.addMember(memberUpdate{id: NodeID(i), state: Suspect, incarnation: integerLimit - 1})
 	}
-	if text := q.appendTo(nil, 0, 100); len(text) > MaxMessageSize || len(text)+maxUpdateSize <= MaxMessageSize {
-		t.Errorf("%d bytes", len(text))
+	if payload := q.appendTo(nil, 0, 100); len(payload) > MaxMessageSize || len(payload)+maxUpdateSize <= MaxMessageSize {
+		t.Errorf("%d bytes", len(payload))
 	}
 	mostSent := q.updates[0].member.id
 	q.addEvent(Event{Kind: 3, ID: 1})
@@ -80,10 +80,10 @@
 	}
 	q = gossipQueue{}
 	q.addEvent(Event{Kind: 3, ID: 1})
-	if got := parts(t, &q, maxEventAge+1, 100); len(got) > 0 {
+	if got := sendParts(t, &q, maxEventAge+1, 100); len(got) > 0 {
 		t.Errorf("%+v", got)
 	}
-	if got := parts(t, &q, maxEventAge, 100); len(got) != 1 || got[0].age != maxEventAge {
+	if got := sendParts(t, &q, maxEventAge, 100); len(got) != 1 || got[0].age != maxEventAge {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -3,9 +3,10 @@
 // States of the members.
 //
 // Inputs: updates about members, from other nodes and from this node's own probes. State: state and incarnation of each
-// member. Rule: the update with the higher incarnation holds; at the same incarnation dead overrides suspect and suspect
-// overrides alive (section 4.2 of the SWIM paper). Only the member itself raises its incarnation. In addition nodes whose
-// sets of dead members differ exchange them. Protects against updates that arrive late, repeatedly or not at all.
+// member. Rule: the update with the higher incarnation holds. At the same incarnation dead overrides suspect, and suspect
+// overrides alive (section 4.2 of the SWIM paper). Only the member itself raises its incarnation. In addition, nodes whose
+// sets of dead members differ exchange the sets. Purpose: the nodes agree although updates arrive late, repeatedly or not at
+// all.
 
 import (
 	"time"
@@ -13,41 +14,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the state of a member as seen by one node. The values are those on the wire.
+// State is the state of a member as known to one node. The values are those on the wire.
 type State uint8
 
-// States of a member. At the same incarnation a greater state overrides a lesser one.
+// Possible states of a member. At the same incarnation a greater state overrides a lesser one.
 const (
 	Alive State = iota
 	Suspect
 	Dead
 )
 
-// incarnation is the version of a member's state. Only the member itself raises it, to refute a suspicion or its death. An
-// update with a lower incarnation is out of date.
+// incarnation is the version of a member's state. Only the member itself raises the incarnation, to refute a suspicion or
+// its death. An update with a lower incarnation is out of date.
 type incarnation uint64
 
-// member is the record of one node of the fleet. The zero value is alive and was never dead.
+// member is the record of one node of the fleet. The zero value is an alive member that was never dead.
 type member struct {
 	state       State
 	incarnation incarnation
-	since       time.Duration // time of the last change of state
-	rejoined    bool          // whether the member was dead and then alive or suspect at least once
-	rejoinedAt  time.Duration // time of the last such change
+	stateSince  time.Duration // time of the last change of state; 0 before the first
+	rejoined    bool          // whether the member has rejoined: was dead, then alive or suspect
+	rejoinedAt  time.Duration // time of the last rejoining
 }
 
-// memberUpdate is an update about a member, as gossiped.
+// memberUpdate is a gossiped update about a member.
 type memberUpdate struct {
 	id          NodeID
 	state       State
 	incarnation incarnation
 }
 
-// State returns the state of another member. It panics if id is not below Nodes. The result for Self is meaningless.
+// State returns the state of another member. State panics if id is not in the range from 0 to Nodes-1. The result for Self
+// is meaningless.
 func (p *Protocol) State(id NodeID) State { return p.members[id].state }
 
-// AliveFor reports whether a member last rejoined, after it was dead, at least minAge ago. It returns true for a member that
-// was never dead.
+// AliveFor reports whether a member last rejoined, after its death, at least minAge ago. The result is true for a member
+// that was never dead.
 func (p *Protocol) AliveFor(id NodeID, minAge time.Duration) bool {
 	m := &p.members[id]
 	return !m.rejoined || p.now-m.rejoinedAt >= minAge
@@ -67,7 +69,7 @@
 	return count
 }
 
-// apply applies an update about a member. It gossips the update if the member's state changes. An update that calls this
+// apply applies an update about a member. An update that changes the member's state is gossiped. An update that calls this
 // node suspect or dead is refuted.
 func (p *Protocol) apply(u memberUpdate) {
 	if u.id == p.cfg.Self {
@@ -91,7 +93,7 @@
 	case u.state == Dead:
 		p.counters.Died++
 	}
-	m.state, m.incarnation, m.since = u.state, u.incarnation, p.now
+	m.state, m.incarnation, m.stateSince = u.state, u.incarnation, p.now
 	p.version++
 	p.deadHash = p.hashDead()
 	p.gossip.addMember(u)
@@ -105,7 +107,8 @@
 	return u.state > m.state
 }
 
-// refute answers an update about this node with a higher incarnation, unless the update is out of date or says alive.
+// refute raises this node's incarnation above that of an update about this node, and gossips the new incarnation. refute
+// ignores an update that is out of date or says alive.
 func (p *Protocol) refute(u memberUpdate) {
 	self := &p.members[p.cfg.Self]
 	if u.state == Alive || u.incarnation < self.incarnation {
@@ -117,14 +120,14 @@
 }
 
 // hashDead returns a hash of the set of dead members. Nodes whose hashes differ exchange the sets. Gossip alone is not
-// enough: each update is sent a few times, and a member that is unreachable then never receives it.
+// enough: each update is sent a few times only, and a member that is unreachable then never receives it.
 func (p *Protocol) hashDead() uint32 { return uint32(xxhash.Sum64(p.deadBitmap(0, p.cfg.Nodes))) }
 
-// deadBitmap returns a bitmap of count members from first on. The bit of a dead member is set; the lowest bit comes first.
-func (p *Protocol) deadBitmap(first NodeID, count int) []byte {
+// deadBitmap returns a bitmap of count members from firstMember on, lowest bit first. The bit of a dead member is set.
+func (p *Protocol) deadBitmap(firstMember NodeID, count int) []byte {
 	bitmap := make([]byte, (count+7)/8)
 	for i := range count {
-		id := first + NodeID(i)
+		id := firstMember + NodeID(i)
 		if p.members[id].state == Dead && id != p.cfg.Self {
 			bitmap[i/8] |= 1 << (i % 8)
 		}
@@ -132,16 +135,17 @@
 	return bitmap
 }
 
-// compareDead compares the bitmap of a peer's dead members with this node's records. first is the member of the first bit.
-// It returns the members that are dead at the peer and not here, in random order because one message may not hold all.
+// compareDead compares the bitmap of a peer's dead members with this node's records. firstMember is the member of the first
+// bit. compareDead returns the members that are dead at the peer and not here. Their order is random because one message may
+// not hold all of them.
 //
-// The caller sends the peer a correct message with their incarnations. If the peer knows of incarnations as high, it
-// answers with an object message. The members then become suspect here too, and refute the suspicion or die. If the peer
-// considers this node dead, compareDead refutes that. Thus the halves of a partitioned fleet converge, and a node that has
-// just started learns the dead members.
-func (p *Protocol) compareDead(first NodeID, bitmap []byte) (notDead []NodeID) {
+// The caller sends the peer a correction with their incarnations. If the peer knows of incarnations as high, the peer
+// answers with a dispute. The members then become suspect here too, and refute the suspicion or die. If the peer considers
+// this node dead, compareDead refutes that. Thus the halves of a partitioned fleet converge, and a node that has just
+// started learns the dead members.
+func (p *Protocol) compareDead(firstMember NodeID, bitmap []byte) (notDead []NodeID) {
 	for i := range 8 * len(bitmap) {
-		id := first + NodeID(i)
+		id := firstMember + NodeID(i)
 		if bitmap[i/8]>>(i%8)&1 == 0 || int(id) >= p.cfg.Nodes {
 			continue
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -6,8 +6,8 @@
 // a higher incarnation becomes dead. Updates about members are gossiped: pings and acks carry them. Events of the
 // application are gossiped in the same way.
 //
-// The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It passes received
-// datagrams to Receive and sends the messages that Next returns. The same calls with the same seed yield the same
+// The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. The host also passes
+// received datagrams to Receive, and sends the messages that Next returns. The same calls with the same seed yield the same
 // messages. A Protocol is not safe for concurrent use.
 //
 // docs/design-healthcheck.md lists the alternatives and the differences from SWIM.
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// NodeID is the number of a node of the fleet, from 0. All nodes use the same numbering.
+// NodeID is the number of a node of the fleet, counted from 0. All nodes use the same numbering.
 type NodeID int
 
 // noNode stands for the absence of a node.
@@ -31,22 +31,22 @@
 const (
 	// minPeriod is the shortest time between two pings of a node.
 	minPeriod = 100 * time.Millisecond
-	// receiveRateShare is the share of Config.ReceiveRate that this protocol may use.
+	// receiveRateShare is the share of Config.ReceiveRate that this protocol may use, as a ratio.
 	receiveRateShare = 0.125
-	// messagesPerPeriod is the mean number of messages that a node receives in a period: a ping, an ack, indirect pings.
+	// messagesPerPeriod is the mean number of messages that a node receives in a period: a ping, an ack and indirect pings.
 	messagesPerPeriod = 4
-	// firstPingDivisor bounds the delay of a node's first ping to period/firstPingDivisor.
+	// firstPingDivisor divides the period to give the bound on the delay of a node's first ping.
 	firstPingDivisor = 4
 )
 
 // Config configures a Protocol.
 type Config struct {
-	Self        NodeID  // this node
-	Nodes       int     // members of the fleet, including this node; at least 1
-	Seed        uint64  // of the random draws; it is combined with Self
-	ReceiveRate float64 // messages of all kinds that a node can receive, per second; 0 for no known limit
-	SendRate    float64 // bytes that this node may send, per second; 0 for no limit
-	EventKinds  uint8   // valid values of Event.Kind are 1 to EventKinds
+	Self        NodeID  // number of this node
+	Nodes       int     // size of the fleet, including this node; clamped to 1 and MaxNodes
+	Seed        uint64  // seed of the random draws; combined with Self
+	ReceiveRate float64 // messages of all kinds that a node can receive, per second; 0 or less for no known limit
+	SendRate    float64 // bytes that this node may send, per second; 0 or less for no limit
+	EventKinds  uint8   // largest valid value of Event.Kind; the smallest is 1
 }
 
 // Counters count events since New.
@@ -64,35 +64,35 @@
 
 // Protocol is the membership protocol at one node. It is not safe for concurrent use.
 type Protocol struct {
-	cfg      Config
+	cfg      Config // configuration, with Nodes clamped
 	random   *rand.Rand
-	now      time.Duration
+	now      time.Duration // latest time of a call
 	period   time.Duration // time between two pings of this node
 	counters Counters
 
-	members              []member // by NodeID; the entry of this node holds its own incarnation
-	version              uint64   // incremented with each change of a member's state
+	members              []member // records by NodeID; that of this node holds its own incarnation
+	version              uint64   // number that increases with each change of a member's state
 	deadHash             uint32   // hash of the set of dead members; each message carries it
-	awaitingFirstMessage bool     // no valid message was received yet
+	awaitingFirstMessage bool     // whether no valid message has been received yet
 	gossip               gossipQueue
 	budget               byteBudget
-	outbox               []outgoing // messages that Next has not returned yet
-	writeBuffer          []byte     // of the last message; reused by the next one
-	probes               []probe
-	lastSequence         uint64 // of the last ping sent
-	nextPingAt           time.Duration
-	pingOrder            []int // members in the order in which they are pinged; shuffled for each pass
-	pingIndex            int   // into pingOrder: the next member
+	outbox               []outgoing    // messages that Next has not returned yet
+	writeBuffer          []byte        // payload of the last message; reused by the next one
+	probes               []probe       // pings without an ack
+	lastSequence         uint64        // sequence of the last ping; 0 before the first
+	nextPingAt           time.Duration // time of the next pings of a period
+	pingOrder            []int         // members in the order in which they are pinged; shuffled for each pass
+	pingIndex            int           // index into pingOrder of the next member
 }
 
 // Message is a datagram to be sent.
 type Message struct {
-	To      NodeID
-	Payload []byte // valid until the next call of any method
+	To      NodeID // receiver
+	Payload []byte // bytes of the datagram; valid until the next call of any method
 }
 
-// New returns a Protocol that considers every other member alive. now is the time since any origin. The times of later
-// calls have the same origin.
+// New returns a Protocol that considers every other member alive. now is the time since any origin. All later times use the
+// same origin.
 func New(cfg Config, now time.Duration) *Protocol {
 	cfg.Nodes = min(max(cfg.Nodes, 1), MaxNodes)
 	p := &Protocol{
@@ -118,7 +118,7 @@
 	return max(minPeriod, time.Duration(seconds*float64(time.Second)))
 }
 
-// Advance sets the clock to now and returns the clock. A time before the clock is ignored: the clock never goes back.
+// Advance sets the clock to now and returns the clock. A time before the clock is ignored, so the clock never goes back.
 func (p *Protocol) Advance(now time.Duration) time.Duration {
 	p.now = max(p.now, now)
 	return p.now
@@ -136,11 +136,11 @@
 // Counters returns the counts since New.
 func (p *Protocol) Counters() Counters { return p.counters }
 
-// GossipRounds returns the number of rounds in which an update reaches all members if each informed member informs one
-// other member per round. That is the bit length of the fleet's size.
+// GossipRounds returns the number of rounds in which an update reaches all members if each informed member informs one other
+// member per round. That number is the bit length of the fleet's size.
 func (p *Protocol) GossipRounds() float64 { return float64(bits.Len(uint(p.cfg.Nodes))) }
 
-// Next returns the next message to send. It returns false if there is none at the time now.
+// Next returns the next message to send, or false if no message is due at the time now.
 func (p *Protocol) Next(now time.Duration) (Message, bool) {
 	p.Advance(now)
 	p.runProbes()
@@ -154,7 +154,7 @@
 	return Message{}, false
 }
 
-// WakeAt returns the latest time of the next call of Next, provided that no message is received before.
+// WakeAt returns the time by which Next must be called again, unless a message is received before.
 func (p *Protocol) WakeAt() time.Duration {
 	at := p.nextPingAt
 	for i := range p.probes {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,14 +10,14 @@
 
 // fleet is a simulated network without delay.
 type fleet struct {
-	nodes   []*Protocol // nil for a node that is down
-	now     time.Duration
-	reaches func(from, to NodeID) bool // whether a message is delivered
-	got     map[NodeID][]Event         // new events, by the node that received them
+	nodes          []*Protocol // nil for a node that is down
+	now            time.Duration
+	reaches        func(from, to NodeID) bool // whether a message is delivered
+	receivedEvents map[NodeID][]Event         // new events, by the node that received them
 }
 
 func newFleet(nodes int, sendRate float64) *fleet {
-	f := &fleet{reaches: func(_, _ NodeID) bool { return true }, got: map[NodeID][]Event{}}
+	f := &fleet{reaches: func(_, _ NodeID) bool { return true }, receivedEvents: map[NodeID][]Event{}}
 	for i := range nodes {
 		cfg := Config{Self: NodeID(i), Nodes: nodes, Seed: 5, ReceiveRate: 40, SendRate: sendRate, EventKinds: 3}
 		f.nodes = append(f.nodes, New(cfg, 0))
@@ -26,7 +26,7 @@
 }
 
 // play runs all nodes until a time.
-func (f *fleet) play(until time.Duration) {
+func (f *fleet) run(until time.Duration) {
 	for ; f.now < until; f.now += 50 * time.Millisecond {
 		for i, node := range f.nodes {
 			if node == nil {
@@ -43,9 +43,9 @@
 
 func (f *fleet) deliver(from NodeID, m Message) {
 	_ = f.nodes[m.To].Receive(f.now, from, slices.Clone(m.Payload), func(e Event) bool {
-		isNew := !slices.ContainsFunc(f.got[m.To], func(known Event) bool { return known.Kind == e.Kind && known.ID == e.ID })
+		isNew := !slices.ContainsFunc(f.receivedEvents[m.To], func(known Event) bool { return known.Kind == e.Kind && known.ID == e.ID })
 		if isNew {
-			f.got[m.To] = append(f.got[m.To], e)
+			f.receivedEvents[m.To] = append(f.receivedEvents[m.To], e)
 		}
 		return isNew
 	})
@@ -56,17 +56,17 @@
 // A node that stops becomes dead at all others, and alive again after its restart.
 func TestVanishedMemberDiesAndRejoins(t *testing.T) {
 	f := newFleet(9, 0)
-	f.play(10 * time.Second)
+	f.run(10 * time.Second)
 	f.nodes[3] = nil
-	f.play(40 * time.Second)
+	f.run(40 * time.Second)
 	for i, node := range f.nodes {
 		if i != 3 && (node.State(3) != Dead || node.DeadCount() != 1 || node.Counters().Died != 1) {
 			t.Errorf("%d: state %v, %d dead, %+v", i, node.State(3), node.DeadCount(), node.Counters())
 		}
 	}
 	f.nodes[3] = New(Config{Self: 3, Nodes: 9, Seed: 6, ReceiveRate: 40, EventKinds: 3}, f.now)
-	back := f.now
-	f.play(f.now + 20*time.Second)
+	restartedAt := f.now
+	f.run(f.now + 20*time.Second)
 	for i, node := range f.nodes {
 		if i == 3 {
 			continue
@@ -74,7 +74,7 @@
 		if node.State(3) != Alive || node.Counters().Rejoined != 1 {
 			t.Errorf("%d: state %v, %+v", i, node.State(3), node.Counters())
 		}
-		if node.AliveFor(3, f.now-back+time.Second) || !node.AliveFor(3, 0) || !node.AliveFor(4, time.Hour) {
+		if node.AliveFor(3, f.now-restartedAt+time.Second) || !node.AliveFor(3, 0) || !node.AliveFor(4, time.Hour) {
 			t.Errorf("node %d: AliveFor does not count from the restart of node 3", i)
 		}
 	}
@@ -84,7 +84,7 @@
 func TestIndirectPingsBypassBrokenLinks(t *testing.T) {
 	f := newFleet(9, 0)
 	f.reaches = func(from, to NodeID) bool { return (from >= 2 || to != 5) && (from != 5 || to >= 2) }
-	f.play(90 * time.Second)
+	f.run(90 * time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 || node.Counters().Died > 0 {
 			t.Errorf("node %d: %d dead, %d died", i, node.DeadCount(), node.Counters().Died)
@@ -99,7 +99,7 @@
 		f.nodes[i].apply(memberUpdate{id: 4, state: Suspect})
 		f.nodes[i].apply(memberUpdate{id: 4, state: Dead})
 	}
-	f.play(20 * time.Second)
+	f.run(20 * time.Second)
 	for i := range 4 {
 		if f.nodes[i].DeadCount() > 0 || f.nodes[i].members[4].incarnation == 0 {
 			t.Errorf("node %d: %d dead, incarnation %d", i, f.nodes[i].DeadCount(), f.nodes[i].members[4].incarnation)
@@ -114,15 +114,15 @@
 func TestFleetConvergesAfterPartition(t *testing.T) {
 	f := newFleet(8, 0)
 	f.reaches = func(from, to NodeID) bool { return (from < 4) == (to < 4) }
-	f.play(60 * time.Second)
+	f.run(60 * time.Second)
 	if dead := f.nodes[0].DeadCount(); dead != 4 {
 		t.Fatalf("%d dead during the partition, want 4", dead)
 	}
 	f.reaches = func(_, _ NodeID) bool { return true }
-	f.play(100 * time.Second)
+	f.run(100 * time.Second)
 	f.nodes[1].Publish(Event{Kind: 2, ID: 77, OK: true, At: f.now})
-	published := f.now
-	f.play(f.now + 20*time.Second)
+	publishedAt := f.now
+	f.run(f.now + 20*time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 {
 			t.Errorf("node %d: %d dead", i, node.DeadCount())
@@ -130,8 +130,8 @@
 		if i == 1 {
 			continue
 		}
-		if got := f.got[NodeID(i)]; len(got) != 1 || got[0].Kind != 2 || got[0].ID != 77 || !got[0].OK ||
-			got[0].At < published-50*time.Millisecond || got[0].At > published+50*time.Millisecond {
+		if got := f.receivedEvents[NodeID(i)]; len(got) != 1 || got[0].Kind != 2 || got[0].ID != 77 || !got[0].OK ||
+			got[0].At < publishedAt-50*time.Millisecond || got[0].At > publishedAt+50*time.Millisecond {
 			t.Errorf("node %d received the events %+v", i, got)
 		}
 	}
@@ -141,9 +141,9 @@
 func TestSendRateBoundsBytes(t *testing.T) {
 	f := newFleet(2, 600)
 	node := f.nodes[0]
-	request := f.nodes[1].encode(outgoing{to: 0, kind: ping, sequence: 1})
+	pingPayload := f.nodes[1].encode(outgoing{to: 0, kind: ping, sequence: 1})
 	for f.now = 0; f.now < 20*time.Second; f.now += time.Millisecond {
-		if err := node.Receive(f.now, 1, request, ignoreEvents); err != nil {
+		if err := node.Receive(f.now, 1, pingPayload, ignoreEvents); err != nil {
 			t.Fatal(err)
 		}
 		for sent := true; sent; {
@@ -165,27 +165,27 @@
 
 // A malformed message changes nothing but a counter.
 func TestMalformedMessagesChangeNothing(t *testing.T) {
-	node, good := newFleet(20, 0).nodes[0], validMessage()
-	for size := 1; size < len(good); size++ { // truncated at any byte
-		if m, err := decode(good[:size], 20, 3); err == nil && len(m.parts) > 3 || err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("%d of %d bytes: %+v, %v", size, len(good), m, err)
+	node, valid := newFleet(20, 0).nodes[0], validMessage()
+	for size := 1; size < len(valid); size++ { // truncated at any byte
+		if m, err := decode(valid[:size], 20, 3); err == nil && len(m.parts) > 3 || err != nil && !errors.Is(err, ErrMalformed) {
+			t.Errorf("%d of %d bytes: %+v, %v", size, len(valid), m, err)
 		}
 	}
-	for _, bad := range [][]byte{
+	for _, malformed := range [][]byte{
 		nil,
 		{MessageMark},
 		{MessageMark, 9, 1, 0, 0, 0, 0},
 		{MessageMark, 3, 1, 0, 0, 0, 0, 200},
 		make([]byte, 300),
-		append(slices.Clone(good), 77),
+		append(slices.Clone(valid), 77),
 		{MessageMark, 1, 1, 0, 0, 0, 0, byte(bitmapPart), 0, 255, 255, 3},
 	} {
-		if err := node.Receive(0, 1, bad, ignoreEvents); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%v: %v", bad, err)
+		if err := node.Receive(0, 1, malformed, ignoreEvents); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%v: %v", malformed, err)
 		}
 	}
 	for _, from := range []NodeID{0, 20, -1} {
-		if err := node.Receive(0, from, good, ignoreEvents); !errors.Is(err, ErrMalformed) || node.DeadCount() > 0 {
+		if err := node.Receive(0, from, valid, ignoreEvents); !errors.Is(err, ErrMalformed) || node.DeadCount() > 0 {
 			t.Errorf("from %d: %v, %d dead", from, err, node.DeadCount())
 		}
 	}
@@ -196,10 +196,10 @@
 
 // After many messages with random bytes a node still sends and receives.
 func TestNodeSurvivesRandomMessages(t *testing.T) {
-	node, good := newFleet(20, 0).nodes[0], validMessage()
+	node, valid := newFleet(20, 0).nodes[0], validMessage()
 	random, now := rand.New(rand.NewPCG(1, 2)), time.Duration(0)
 	for range 20000 {
-		mutated := slices.Clone(good)
+		mutated := slices.Clone(valid)
 		for range 1 + random.IntN(4) {
 			mutated[1+random.IntN(len(mutated)-1)] = byte(random.IntN(256))
 		}
@@ -212,7 +212,7 @@
 	if node.WakeAt() <= now-time.Millisecond {
 		t.Errorf("WakeAt is %v at %v", node.WakeAt(), now)
 	}
-	if err := node.Receive(now, 1, good, ignoreEvents); err != nil {
+	if err := node.Receive(now, 1, valid, ignoreEvents); err != nil {
 		t.Errorf("a valid message: %v", err)
 	}
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// outgoing is a message in the outbox. Next encodes it, with the members' states of that time.
+// outgoing is a message in the outbox. Next encodes the message, with the members' states of that time.
 type outgoing struct {
-	to         NodeID
+	to         NodeID // receiver
 	kind       messageKind
-	sequence   uint64   // see header
-	target     NodeID   // of a pingRequest
+	sequence   uint64   // see header.sequence
+	target     NodeID   // node to ping in a pingRequest
 	withBitmap bool     // whether the message carries the set of dead members
-	members    []NodeID // of a correct or object message
+	members    []NodeID // members that a correction or dispute carries
 }
 
-// send adds a message to the outbox.
-func (p *Protocol) send(o outgoing) { p.outbox = append(p.outbox, o) }
+// enqueue adds a message to the outbox.
+func (p *Protocol) enqueue(o outgoing) { p.outbox = append(p.outbox, o) }
 
-// encode encodes a message and fills it up with gossip. The result is valid until the next call. If Config.SendRate does
-// not allow the message, encode drops it and returns nil; the protocol tolerates that like any lost datagram.
+// encode encodes a message and fills it up with gossip. The result is valid until the next call. If Config.SendRate does not
+// allow the message, encode drops it and returns nil. The protocol tolerates that like any lost datagram.
 func (p *Protocol) encode(o outgoing) []byte {
 	if !p.budget.allows(p.now) {
 		p.counters.Withheld++
@@ -35,7 +35,7 @@
 	for _, id := range o.members {
 		if len(payload)+maxUpdateSize <= MaxMessageSize {
 			m := &p.members[id]
-			state := min(m.state, Suspect) // an object message sends dead members as suspect, see object
+			state := min(m.state, Suspect) // a dispute calls dead members suspect; see dispute
 			payload = appendMemberUpdate(payload, memberUpdate{id: id, state: state, incarnation: m.incarnation})
 		}
 	}
@@ -49,20 +49,20 @@
 
 // appendDead appends the set of dead members. In a fleet of more than 8*maxBitmapSize nodes it appends a random section.
 func (p *Protocol) appendDead(payload []byte) []byte {
-	first, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
+	firstMember, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
 	if sections := (p.cfg.Nodes + count - 1) / count; sections > 1 {
-		first = p.random.IntN(sections) * count
-		count = min(count, p.cfg.Nodes-first)
+		firstMember = p.random.IntN(sections) * count
+		count = min(count, p.cfg.Nodes-firstMember)
 	}
-	return appendBitmap(payload, NodeID(first), p.deadBitmap(NodeID(first), count))
+	return appendBitmap(payload, NodeID(firstMember), p.deadBitmap(NodeID(firstMember), count))
 }
 
-// Publish gossips an event to the other nodes. It replaces an earlier event of the same subject.
+// Publish gossips an event to the other nodes. An earlier event of the same subject is replaced.
 func (p *Protocol) Publish(e Event) { p.gossip.addEvent(e) }
 
-// Receive processes a message of member from. For each event in the message it calls deliver, with At by this node's clock.
-// If deliver reports that the event is new, the event is gossiped further. An error wraps ErrMalformed. A message with an
-// error changes only the counters.
+// Receive processes a message from the member from. Receive calls deliver for each event in the message, with At by this
+// node's clock. If deliver reports that the event is new, the event is gossiped further. An error wraps ErrMalformed. A
+// message with an error changes only the counters and the clock.
 func (p *Protocol) Receive(now time.Duration, from NodeID, payload []byte, deliver func(Event) (isNew bool)) error {
 	p.Advance(now)
 	m, err := p.decodeFrom(from, payload)
@@ -72,14 +72,14 @@
 	}
 	p.counters.Received++
 	p.awaitingFirstMessage = false
-	disputed := p.receiveParts(from, m, deliver)
+	disputed := p.applyParts(from, m, deliver)
 	if len(disputed) > 0 {
-		p.send(outgoing{to: from, kind: object, members: disputed})
+		p.enqueue(outgoing{to: from, kind: dispute, members: disputed})
 	}
 	if p.members[from].state == Suspect { // notify the sender: only the sender itself can refute the suspicion
-		p.send(outgoing{to: from, kind: ping, sequence: 0})
+		p.enqueue(outgoing{to: from, kind: ping, sequence: 0})
 	}
-	p.receiveKind(from, m.header)
+	p.answer(from, m.header)
 	return nil
 }
 
@@ -90,40 +90,40 @@
 		return message{}, err
 	}
 	if from < 0 || int(from) >= p.cfg.Nodes || from == p.cfg.Self {
-		return message{}, fmt.Errorf("%w: sender %d is not another node of %d", ErrMalformed, from, p.cfg.Nodes)
+		return message{}, fmt.Errorf("%w: sender %d is not another node of a fleet of %d", ErrMalformed, from, p.cfg.Nodes)
 	}
 	return m, nil
 }
 
-// receiveKind answers a message by its kind.
-func (p *Protocol) receiveKind(from NodeID, h header) {
+// answer responds to a message according to its kind.
+func (p *Protocol) answer(from NodeID, h header) {
 	switch h.kind {
 	case ping:
 		if h.sequence > 0 { // with sequence 0 the ping only carries gossip
-			p.send(outgoing{to: from, kind: ack, sequence: h.sequence, withBitmap: h.deadHash != p.deadHash})
+			p.enqueue(outgoing{to: from, kind: ack, sequence: h.sequence, withBitmap: h.deadHash != p.deadHash})
 		}
 	case ack:
-		p.acked(from, h.sequence)
+		p.handleAck(from, h.sequence)
 	case pingRequest:
 		if h.target != p.cfg.Self {
-			p.ping(h.target, pingRequester{node: from, sequence: h.sequence})
+			p.startProbe(h.target, pingRequester{node: from, sequence: h.sequence})
 		}
 	}
 }
 
-// receiveParts processes the parts of a message. If the message is a correct message, it returns the members of the message
-// that stay dead here because their incarnations here are as high.
-func (p *Protocol) receiveParts(from NodeID, m message, deliver func(Event) bool) (disputed []NodeID) {
+// applyParts applies the parts of a message. For a correction, applyParts returns its members that stay dead here because
+// their incarnations here are as high.
+func (p *Protocol) applyParts(from NodeID, m message, deliver func(Event) bool) (disputed []NodeID) {
 	for _, part := range m.parts {
 		switch part.kind {
 		case bitmapPart:
-			if notDead := p.compareDead(part.first, part.bitmap); len(notDead) > 0 {
-				p.send(outgoing{to: from, kind: correct, members: notDead})
+			if notDead := p.compareDead(part.firstMember, part.bitmap); len(notDead) > 0 {
+				p.enqueue(outgoing{to: from, kind: correction, members: notDead})
 			}
 		case memberPart:
 			u := part.member
 			p.apply(u)
-			if m.kind == correct && u.state != Dead && p.members[u.id].state == Dead {
+			if m.kind == correction && u.state != Dead && p.members[u.id].state == Dead {
 				disputed = append(disputed, u.id)
 			}
 		case eventPart:
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,9 +5,9 @@
 // Inputs: the time, and acks. State: the pings without an ack, and the members' states. Rule (sections 3 and 4 of the SWIM
 // paper): one member is pinged per period, in an order that is shuffled for each pass. Without an ack within
 // directTimeoutPeriods, indirectProbes other members ping it too. Without an ack within one period the member becomes
-// suspect. After suspicionPeriodsPerRound periods per gossip round a suspect becomes dead. Beyond the paper, dead members
-// are pinged with deadPingChance. Protects against a single broken link, which indirect pings bypass, and against a
-// permanent partition. Trade-off: a larger fleet detects a failure later.
+// suspect. After suspicionPeriodsPerRound periods per gossip round a suspect becomes dead. Beyond the paper, one dead member
+// is pinged per period with the probability deadPingChance. Purpose: indirect pings bypass a single broken link, and pings
+// to dead members end a partition. Trade-off: a larger fleet detects a failure later.
 
 import (
 	"slices"
@@ -17,33 +17,33 @@
 const (
 	// directTimeoutPeriods is the time from a ping to the indirect pings, in periods.
 	directTimeoutPeriods = 0.4
-	// indirectProbes is the number of members that are asked to ping a silent one.
+	// indirectProbes is the number of members that are asked to ping a member that did not ack.
 	indirectProbes = 3
-	// suspicionPeriodsPerRound is the time from suspicion to death, in periods per gossip round. The suspicion can reach the
-	// member, and its refutation all others, within that time.
+	// suspicionPeriodsPerRound is the time from suspicion to death, in periods per gossip round. Within that time the
+	// suspicion can reach the member, and its refutation all others.
 	suspicionPeriodsPerRound = 3
-	// initialPings is the number of pings per period until the first message is received.
-	initialPings = 3
+	// pingsBeforeFirstMessage is the number of pings per period until the node receives its first message.
+	pingsBeforeFirstMessage = 3
 	// deadPingChance is the probability, per period, that one dead member is pinged.
 	deadPingChance = 0.25
-	// randomAliveDraws is the number of draws of randomAlive.
+	// randomAliveDraws is the largest number of draws of randomAlive.
 	randomAliveDraws = 8
 )
 
 // probe is a ping that was sent and has no ack yet.
 type probe struct {
-	target       NodeID
-	sequence     uint64
-	requester    pingRequester
-	indirectAt   time.Duration // time of the indirect pings
-	endAt        time.Duration // time at which the target becomes suspect, or at which the ping for a requester is dropped
+	target       NodeID        // pinged member
+	sequence     uint64        // sequence of the ping
+	requester    pingRequester // noRequester if this node itself started the ping
+	indirectAt   time.Duration // time at which the indirect pings are due
+	endAt        time.Duration // time at which the target becomes suspect, or a ping for a requester is dropped
 	indirectSent bool          // whether the indirect pings were sent
 }
 
 // pingRequester is the member that asked for a ping with a pingRequest.
 type pingRequester struct {
 	node     NodeID // noNode if this node itself started the ping
-	sequence uint64 // of the pingRequest; the ack to node carries it
+	sequence uint64 // sequence of the pingRequest; repeated in the ack to node
 }
 
 // noRequester is the requester of a ping that this node itself started.
@@ -63,18 +63,19 @@
 		p.nextPingAt = p.now + p.period
 		return
 	}
-	p.checkProbes()
+	p.expireProbes()
 	p.expireSuspicions()
 	if p.now < p.nextPingAt {
 		return
 	}
 	p.nextPingAt = max(p.nextPingAt+p.period, p.now+p.period/2)
 	p.pingNext()
-	p.pingSomeDead()
+	p.pingRandomDead()
 }
 
-// checkProbes handles the timeouts of the pending pings: it sends indirect pings, then suspects the target.
-func (p *Protocol) checkProbes() {
+// expireProbes handles the timeouts of the pending pings. The first timeout causes indirect pings, and the second makes the
+// target suspect.
+func (p *Protocol) expireProbes() {
 	pending := p.probes[:0]
 	for _, probe := range p.probes {
 		switch {
@@ -84,7 +85,7 @@
 			}
 		case !probe.indirectSent && p.now >= probe.indirectAt:
 			probe.indirectSent = true
-			p.requestPings(&probe)
+			p.requestIndirectPings(&probe)
 		case p.now >= probe.endAt:
 			p.suspect(probe.target)
 			continue
@@ -101,11 +102,11 @@
 	}
 }
 
-// requestPings asks up to indirectProbes random members to ping the target of a probe.
-func (p *Protocol) requestPings(probe *probe) {
+// requestIndirectPings asks up to indirectProbes random members to ping the target of a probe.
+func (p *Protocol) requestIndirectPings(probe *probe) {
 	for range indirectProbes {
-		if helper := p.randomAlive(probe.target); helper != noNode {
-			p.send(outgoing{to: helper, kind: pingRequest, sequence: probe.sequence, target: probe.target})
+		if relay := p.randomAlive(probe.target); relay != noNode {
+			p.enqueue(outgoing{to: relay, kind: pingRequest, sequence: probe.sequence, target: probe.target})
 		}
 	}
 }
@@ -114,28 +115,29 @@
 func (p *Protocol) expireSuspicions() {
 	timeout := time.Duration(suspicionPeriodsPerRound * p.GossipRounds() * float64(p.period))
 	for i := range p.members {
-		if m := &p.members[i]; m.state == Suspect && p.now-m.since >= timeout {
+		if m := &p.members[i]; m.state == Suspect && p.now-m.stateSince >= timeout {
 			p.apply(memberUpdate{id: NodeID(i), state: Dead, incarnation: m.incarnation})
 		}
 	}
 }
 
-// pingNext pings the next member in turn, or initialPings members until the first message is received. A node that has just
-// started considers dead members alive, so several pings reach a live one sooner.
+// pingNext pings the next member in turn, or pingsBeforeFirstMessage members until the first message is received. A node
+// that has just started considers dead members alive, so several pings reach a live one sooner.
 func (p *Protocol) pingNext() {
 	pings := 1
 	if p.awaitingFirstMessage {
-		pings = initialPings
+		pings = pingsBeforeFirstMessage
 	}
 	for range pings {
 		if target := p.nextTarget(); target != noNode {
-			p.ping(target, noRequester)
+			p.startProbe(target, noRequester)
 		}
 	}
 }
 
-// pingSomeDead pings a random dead member with deadPingChance. These pings reunite a fleet after a partition.
-func (p *Protocol) pingSomeDead() {
+// pingRandomDead pings a random dead member with the probability deadPingChance. These pings reunite a fleet after a
+// partition.
+func (p *Protocol) pingRandomDead() {
 	if p.random.Float64() >= deadPingChance {
 		return
 	}
@@ -146,7 +148,7 @@
 		}
 	}
 	if len(dead) > 0 {
-		p.ping(dead[p.random.IntN(len(dead))], noRequester)
+		p.startProbe(dead[p.random.IntN(len(dead))], noRequester)
 	}
 }
 
@@ -167,7 +169,7 @@
 	return noNode
 }
 
-// randomAlive returns a random member that is alive, is not this node and is not except. It returns noNode if
+// randomAlive returns a random member that is alive, is not this node and is not except. The result is noNode if
 // randomAliveDraws draws find none.
 func (p *Protocol) randomAlive(except NodeID) NodeID {
 	for range randomAliveDraws {
@@ -179,8 +181,8 @@
 	return noNode
 }
 
-// ping pings a member and adds a pending ping. requester is noRequester if this node itself starts the ping.
-func (p *Protocol) ping(target NodeID, requester pingRequester) {
+// startProbe pings a member and adds a pending ping. requester is noRequester if this node itself starts the ping.
+func (p *Protocol) startProbe(target NodeID, requester pingRequester) {
 	p.lastSequence++
 	p.probes = append(p.probes, probe{
 		target:     target,
@@ -189,12 +191,12 @@
 		indirectAt: p.now + time.Duration(directTimeoutPeriods*float64(p.period)),
 		endAt:      p.now + p.period,
 	})
-	p.send(outgoing{to: target, kind: ping, sequence: p.lastSequence})
+	p.enqueue(outgoing{to: target, kind: ping, sequence: p.lastSequence})
 }
 
-// acked removes the pending ping that an ack answers, and forwards the ack to the requester if there is one. An ack from
-// another member than the target is ignored before the indirect pings are sent.
-func (p *Protocol) acked(from NodeID, sequence uint64) {
+// handleAck removes the pending ping that an ack answers, and forwards the ack to the requester if there is one. Before the
+// indirect pings are sent, only an ack from the target counts.
+func (p *Protocol) handleAck(from NodeID, sequence uint64) {
 	i := slices.IndexFunc(p.probes, func(probe probe) bool { return probe.sequence == sequence })
 	if i < 0 {
 		return
@@ -205,6 +207,6 @@
 	}
 	p.probes = slices.Delete(p.probes, i, i+1)
 	if probe.requester != noRequester {
-		p.send(outgoing{to: probe.requester.node, kind: ack, sequence: probe.requester.sequence})
+		p.enqueue(outgoing{to: probe.requester.node, kind: ack, sequence: probe.requester.sequence})
 	}
 }
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -6,11 +6,11 @@
 )
 
 // sent returns the kinds and the receivers of the messages that a node sends at a time.
-func sent(p *Protocol, now time.Duration) (kinds []messageKind, to []NodeID) {
+func sendDue(p *Protocol, now time.Duration) (kinds []messageKind, receivers []NodeID) {
 	for m, ok := p.Next(now); ok; m, ok = p.Next(now) {
-		kinds, to = append(kinds, messageKind(m.Payload[1])), append(to, m.To)
+		kinds, receivers = append(kinds, messageKind(m.Payload[1])), append(receivers, m.To)
 	}
-	return kinds, to
+	return kinds, receivers
 }
 
 // receive passes a message without parts to a node.
@@ -27,25 +27,25 @@
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
 	p.awaitingFirstMessage = false
 	now := p.nextPingAt
-	kinds, to := sent(p, now)
+	kinds, receivers := sendDue(p, now)
 	if len(kinds) != 1 || kinds[0] != ping || len(p.probes) != 1 {
-		t.Fatalf("kinds %v to %v, %d probes", kinds, to, len(p.probes))
+		t.Fatalf("kinds %v to %v, %d probes", kinds, receivers, len(p.probes))
 	}
-	target, probe := to[0], p.probes[0]
+	target, probe := receivers[0], p.probes[0]
 	if due := now + time.Duration(directTimeoutPeriods*float64(p.period)); probe.dueAt() != due || p.WakeAt() != due {
 		t.Errorf("due at %v, wake at %v, want %v", probe.dueAt(), p.WakeAt(), due)
 	}
 	checkIndirectPings(t, p, probe)
-	sent(p, probe.endAt)
+	sendDue(p, probe.endAt)
 	if p.State(target) != Suspect {
 		t.Fatalf("state %v", p.State(target))
 	}
 	timeout := time.Duration(suspicionPeriodsPerRound * 3 * float64(p.period)) // 4 nodes: three rounds
-	sent(p, probe.endAt+timeout-1)
+	sendDue(p, probe.endAt+timeout-1)
 	if p.State(target) != Suspect {
 		t.Errorf("state %v before the end of the suspicion", p.State(target))
 	}
-	sent(p, probe.endAt+timeout)
+	sendDue(p, probe.endAt+timeout)
 	if p.State(target) != Dead {
 		t.Errorf("state %v", p.State(target))
 	}
@@ -54,13 +54,13 @@
 // checkIndirectPings fails the test unless others are asked to ping a silent member, at the end of the direct timeout.
 func checkIndirectPings(t *testing.T, p *Protocol, probe probe) {
 	t.Helper()
-	if kinds, _ := sent(p, probe.indirectAt-1); len(kinds) > 0 {
+	if kinds, _ := sendDue(p, probe.indirectAt-1); len(kinds) > 0 {
 		t.Errorf("%v sent before the direct timeout", kinds)
 	}
-	kinds, to := sent(p, probe.indirectAt)
+	kinds, receivers := sendDue(p, probe.indirectAt)
 	for i, kind := range kinds {
-		if kind != pingRequest || to[i] == probe.target || to[i] == 0 {
-			t.Errorf("kind %d to %d", kind, to[i])
+		if kind != pingRequest || receivers[i] == probe.target || receivers[i] == 0 {
+			t.Errorf("kind %d to %d", kind, receivers[i])
 		}
 	}
 	if len(kinds) == 0 || p.probes[0].dueAt() != probe.endAt {
@@ -72,9 +72,9 @@
 // requester is forwarded.
 func TestAckEndsProbe(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 4, Seed: 1, ReceiveRate: 400}, 0)
-	p.ping(2, noRequester)
-	p.ping(3, pingRequester{node: 1, sequence: 99})
-	sent(p, 0)
+	p.startProbe(2, noRequester)
+	p.startProbe(3, pingRequester{node: 1, sequence: 99})
+	sendDue(p, 0)
 	receive(t, p, 1, header{kind: ack, sequence: 1})
 	if len(p.probes) != 2 {
 		t.Error("an ack of another member ended the probe before the indirect pings")
@@ -101,13 +101,13 @@
 	p.nextPingAt = time.Hour
 	receive(t, p, 1, header{kind: pingRequest, sequence: 5, target: 2})
 	receive(t, p, 1, header{kind: pingRequest, sequence: 6, target: 0}) // this node itself
-	if kinds, to := sent(p, 0); len(kinds) != 1 || kinds[0] != ping || to[0] != 2 {
-		t.Errorf("%v to %v", kinds, to)
+	if kinds, receivers := sendDue(p, 0); len(kinds) != 1 || kinds[0] != ping || receivers[0] != 2 {
+		t.Errorf("%v to %v", kinds, receivers)
 	}
-	if kinds, _ := sent(p, p.period-1); len(kinds) > 0 || len(p.probes) != 1 {
+	if kinds, _ := sendDue(p, p.period-1); len(kinds) > 0 || len(p.probes) != 1 {
 		t.Errorf("%v, %d probes", kinds, len(p.probes))
 	}
-	if kinds, _ := sent(p, p.period); len(kinds) > 0 || len(p.probes) > 0 || p.State(2) != Alive {
+	if kinds, _ := sendDue(p, p.period); len(kinds) > 0 || len(p.probes) > 0 || p.State(2) != Alive {
 		t.Errorf("%v, %d probes, %v", kinds, len(p.probes), p.State(2))
 	}
 }
@@ -116,13 +116,13 @@
 func TestPingTargetsTakeTurns(t *testing.T) {
 	p := New(Config{Self: 2, Nodes: 6, Seed: 3}, 0)
 	p.apply(memberUpdate{id: 4, state: Dead})
-	count := map[NodeID]int{}
+	pingCounts := map[NodeID]int{}
 	for range 40 {
-		count[p.nextTarget()]++
+		pingCounts[p.nextTarget()]++
 	}
 	for id, want := range map[NodeID]int{0: 10, 1: 10, 2: 0, 3: 10, 4: 0, 5: 10, noNode: 0} {
-		if count[id] != want {
-			t.Errorf("%d was pinged %d times, want %d", id, count[id], want)
+		if pingCounts[id] != want {
+			t.Errorf("%d was pinged %d times, want %d", id, pingCounts[id], want)
 		}
 	}
 	for id := range NodeID(6) {
@@ -139,7 +139,7 @@
 // The only node of a fleet sends nothing.
 func TestSingleNodeSendsNothing(t *testing.T) {
 	p := New(Config{Nodes: 1}, 0)
-	if kinds, _ := sent(p, time.Second); len(kinds) > 0 || p.WakeAt() != time.Second+p.Period() {
+	if kinds, _ := sendDue(p, time.Second); len(kinds) > 0 || p.WakeAt() != time.Second+p.Period() {
 		t.Errorf("%v, wakes at %v", kinds, p.WakeAt())
 	}
 }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -9,7 +9,7 @@
 
 // The forecast is an exponentially weighted mean of the demand in the windows that have ended.
 func TestDemandForecast(t *testing.T) {
-	d := demand{forecast: 10}
+	d := demand{forecastUnits: 10}
 	for _, c := range []struct {
 		inWindow float64
 		windows  WindowNumber
@@ -22,9 +22,9 @@
 		{10.5, 3, 2.25}, // 9, then two windows without demand
 		{0, 1000, 2.25 / (1 << 20)},
 	} {
-		d.inWindow = c.inWindow
+		d.currentUnits = c.inWindow
 		d.endWindows(c.windows)
-		if d.forecast != c.want || d.inWindow != 0 {
+		if d.forecastUnits != c.want || d.currentUnits != 0 {
 			t.Errorf("%v in the window, %d windows: %+v, want %v", c.inWindow, c.windows, d, c.want)
 		}
 	}
@@ -34,27 +34,27 @@
 func TestWindowBeginsWithASlice(t *testing.T) {
 	l := New(Config{Nodes: 4}, 0)
 	a := l.account(Customer{Key: 1, Rate: 10, Burst: 40, Spread: 4})
-	if a.number != 0 || a.allowance != 20 || a.cap != 5 || a.storedCap != 5 || a.demand.forecast != 5 {
+	if a.windowNumber != 0 || a.allowance != 20 || a.cap != 5 || a.storedCap != 5 || a.demand.forecastUnits != 5 {
 		t.Errorf("%+v", a)
 	}
-	a.demand.inWindow = 9
-	a.used, a.sequence, a.stored, a.deniedUntil, a.cap = 4, 3, 2, time.Hour, 1
-	a.others[2] = Commitment{Node: 2, Sequence: 1, Cap: 1}
+	a.demand.currentUnits = 9
+	a.used, a.lastSequence, a.storedSequence, a.borrowPausedUntil, a.cap = 4, 3, 2, time.Hour, 1
+	a.otherCommitments[2] = Commitment{Node: 2, Sequence: 1, Cap: 1}
 	l.advance(1999 * time.Millisecond)
 	l.enterWindow(a)
-	if a.number != 0 || a.used != 4 {
+	if a.windowNumber != 0 || a.used != 4 {
 		t.Errorf("the window was reset before its end: %+v", a)
 	}
 	l.advance(2 * time.Second)
 	l.enterWindow(a)
-	if late := a.exchangeAt - l.now; late < 0 || late > 100*time.Millisecond { // a twentieth of a window
+	if late := a.nextExchangeAt - l.now; late < 0 || late > 100*time.Millisecond { // a twentieth of a window
 		t.Errorf("first exchange %v after the begin of the window", late)
 	}
-	if a.demand.forecast != 7 || a.windowBegin() != 2*time.Second || len(a.others) != 0 {
-		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecast, a.windowBegin(), a.others)
+	if a.demand.forecastUnits != 7 || a.windowBegin() != 2*time.Second || len(a.otherCommitments) != 0 {
+		t.Errorf("forecast %v, begin %v, others %v", a.demand.forecastUnits, a.windowBegin(), a.otherCommitments)
 	}
-	a.others = nil
-	want := window{number: 1, allowance: 20, cap: 5, storedCap: 5}
+	a.otherCommitments = nil
+	want := window{windowNumber: 1, allowance: 20, cap: 5, storedCap: 5}
 	if got := a.window; !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -72,7 +72,7 @@
 	} {
 		a := newAccount(Customer{Spread: 4})
 		a.allowance, a.used = 20, c.used
-		a.demand = demand{forecast: c.forecast, inWindow: c.inWindow}
+		a.demand = demand{forecastUnits: c.forecast, currentUnits: c.inWindow}
 		if got := a.wantedCap(); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%+v: %v", c, got)
 		}
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -9,40 +9,40 @@
 )
 
 // leased returns a ledger with one customer at node 0 of 4: 20 units per window of 2 s, a slice of 5.
-func leased(t *testing.T) (*Ledger, *account) {
+func newTestLedger(t *testing.T) (*Ledger, *account) {
 	t.Helper()
 	l := New(Config{Nodes: 4, Seed: 1, Timeout: 100 * time.Millisecond}, 0)
 	a := l.account(Customer{Key: 1, Rate: 10, Burst: 40, Spread: 4})
-	a.exchangeAt = 0
+	a.nextExchangeAt = 0
 	return l, a
 }
 
 // next returns the next exchange. Without one it fails the test.
-func next(t *testing.T, l *Ledger) Exchange {
+func nextExchange(t *testing.T, l *Ledger) Exchange {
 	t.Helper()
-	x, ok := l.Next(l.now)
+	exchange, ok := l.Next(l.now)
 	if !ok {
 		t.Fatal("no exchange")
 	}
-	return x
+	return exchange
 }
 
 // A lower cap is in force before the store has its entry.
 func TestReleaseIsInForceAtOnce(t *testing.T) {
-	l, a := leased(t)
-	a.demand = demand{forecast: 1}
-	x := next(t, l)
-	if a.cap != 1.75 || x.Put != (Commitment{Node: 0, Sequence: 1, Cap: 1.75}) || l.Counters().Released != 1 {
-		t.Errorf("cap %v, %+v", a.cap, x)
+	l, a := newTestLedger(t)
+	a.demand = demand{forecastUnits: 1}
+	exchange := nextExchange(t, l)
+	if a.cap != 1.75 || exchange.Put != (Commitment{Node: 0, Sequence: 1, Cap: 1.75}) || l.Counters().Released != 1 {
+		t.Errorf("cap %v, %+v", a.cap, exchange)
 	}
-	if x.Keep != 6*time.Second || x.Timeout != 100*time.Millisecond || x.Window != 0 || x.Key != 1 {
-		t.Errorf("%+v", x)
+	if exchange.TTL != 6*time.Second || exchange.Timeout != 100*time.Millisecond || exchange.Window != 0 || exchange.Key != 1 {
+		t.Errorf("%+v", exchange)
 	}
 	if _, ok := l.Next(l.now); ok {
 		t.Error("a second exchange for the customer while the first is pending")
 	}
-	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: []Commitment{x.Put}}, nil)
-	if a.storedCap != 1.75 || a.stored != 1 {
+	l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: []Commitment{exchange.Put}}, nil)
+	if a.storedCap != 1.75 || a.storedSequence != 1 {
 		t.Errorf("%+v", a)
 	}
 	if _, ok := l.Next(time.Second); ok {
@@ -53,11 +53,11 @@
 // A cap is raised by one lease at a time, after the reply, up to the units that the other nodes' commitments leave.
 func TestBorrowRaisesCapUpToFreeUnits(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		others  []Commitment
-		cap     float64
-		denied  bool
-		granted bool
+		name         string
+		others       []Commitment
+		cap          float64
+		borrowPaused bool
+		borrowed     bool
 	}{
 		{"nothing released", nil, 5, true, false},
 		{"enough released", []Commitment{{Node: 1, Sequence: 1, Cap: 1}}, 7, false, true},
@@ -67,15 +67,15 @@
 		{"entries with invalid caps are ignored", []Commitment{{Node: 1, Sequence: 1, Cap: math.NaN()}, {Node: 2, Sequence: 1, Cap: -9}}, 5, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, a := leased(t)
-			a.demand = demand{forecast: 12}
-			x := next(t, l)
-			if x.Put.Cap != 7 || a.cap != 5 {
-				t.Fatalf("it puts %v with a cap of %v, want 7 and 5", x.Put.Cap, a.cap)
+			l, a := newTestLedger(t)
+			a.demand = demand{forecastUnits: 12}
+			exchange := nextExchange(t, l)
+			if exchange.Put.Cap != 7 || a.cap != 5 {
+				t.Fatalf("it puts %v with a cap of %v, want 7 and 5", exchange.Put.Cap, a.cap)
 			}
-			l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: append([]Commitment{x.Put}, c.others...)}, nil)
-			if a.cap != c.cap || (a.deniedUntil > 0) != c.denied || (l.Counters().Borrowed == 1) != c.granted {
-				t.Errorf("cap %v, denied until %v, %+v", a.cap, a.deniedUntil, l.Counters())
+			l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: append([]Commitment{exchange.Put}, c.others...)}, nil)
+			if a.cap != c.cap || (a.borrowPausedUntil > 0) != c.borrowPaused || (l.Counters().Borrowed == 1) != c.borrowed {
+				t.Errorf("cap %v, denied until %v, %+v", a.cap, a.borrowPausedUntil, l.Counters())
 			}
 		})
 	}
@@ -85,33 +85,33 @@
 // the next window.
 func TestLostEntriesStopBorrowing(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		storeSince time.Duration
-		entries    []Commitment
+		name             string
+		storeFirstSeenAt time.Duration
+		entries          []Commitment
 	}{
 		{"own entry is missing", 0, []Commitment{{Node: 1, Sequence: 1}}},
 		{"another store", time.Second, []Commitment{{Node: 0, Sequence: 1, Cap: 7}, {Node: 1, Sequence: 1}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, a := leased(t)
-			a.demand = demand{forecast: 12}
-			x := next(t, l)
-			l.store, l.storeSince = 1, c.storeSince
-			l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: c.entries}, nil)
-			if a.cap != 5 || a.lossWindow != 0 || !math.IsNaN(a.storedCap) || l.Counters().Forgotten != 1 {
+			l, a := newTestLedger(t)
+			a.demand = demand{forecastUnits: 12}
+			exchange := nextExchange(t, l)
+			l.storeID, l.storeFirstSeenAt = 1, c.storeFirstSeenAt
+			l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: c.entries}, nil)
+			if a.cap != 5 || a.lastLossWindow != 0 || !math.IsNaN(a.storedCap) || l.Counters().LossReplies != 1 {
 				t.Errorf("%+v, %+v", a, l.Counters())
 			}
 			l.advance(2 * time.Second)
 			l.enterWindow(a)
-			a.demand.forecast = 12
+			a.demand.forecastUnits = 12
 			if _, ok := l.Next(3 * time.Second); ok {
 				t.Error("an exchange in the next window")
 			}
 			l.advance(4 * time.Second)
 			l.enterWindow(a)
-			a.demand.forecast = 12
-			if x, ok := l.Next(5 * time.Second); !ok || x.Put.Cap != 7 {
-				t.Errorf("%+v in the window after the next", x)
+			a.demand.forecastUnits = 12
+			if exchange, ok := l.Next(5 * time.Second); !ok || exchange.Put.Cap != 7 {
+				t.Errorf("%+v in the window after the next", exchange)
 			}
 		})
 	}
@@ -119,27 +119,27 @@
 
 // A failed exchange, a late reply and a reply for a former window change no cap.
 func TestIgnoredRepliesChangeNoCap(t *testing.T) {
-	l, a := leased(t)
-	a.demand = demand{forecast: 12}
+	l, a := newTestLedger(t)
+	a.demand = demand{forecastUnits: 12}
 	free := []Commitment{{Node: 0, Sequence: 9, Cap: 7}, {Node: 1, Sequence: 1}}
-	x := next(t, l)
-	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: free}, errors.New("cut"))
+	exchange := nextExchange(t, l)
+	l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: free}, errors.New("cut"))
 	if a.cap != 5 || l.Counters().Failed != 1 || !math.IsNaN(a.storedCap) {
 		t.Errorf("%+v, %+v", a, l.Counters())
 	}
-	l.HandleReply(l.now, x.ID, Reply{Store: 1, Entries: free}, nil)
-	if a.cap != 5 || l.Counters().Late != 1 {
+	l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: free}, nil)
+	if a.cap != 5 || l.Counters().LateReplies != 1 {
 		t.Errorf("after its failure: %+v, %+v", a, l.Counters())
 	}
 	l.advance(300 * time.Millisecond)
-	x = next(t, l)
-	l.HandleReply(l.now+100*time.Millisecond, x.ID, Reply{Store: 1, Entries: free}, nil)
+	exchange = nextExchange(t, l)
+	l.HandleReply(l.now+100*time.Millisecond, exchange.ID, Reply{Store: 1, Entries: free}, nil)
 	if a.cap != 5 || l.Counters().Failed != 2 {
 		t.Errorf("at its deadline: %+v, %+v", a, l.Counters())
 	}
 	l.advance(1950 * time.Millisecond)
-	x = next(t, l)
-	l.HandleReply(2*time.Second, x.ID, Reply{Store: 1, Entries: free}, nil)
+	exchange = nextExchange(t, l)
+	l.HandleReply(2*time.Second, exchange.ID, Reply{Store: 1, Entries: free}, nil)
 	if a.cap != 5 || l.Counters().Borrowed != 0 {
 		t.Errorf("in the next window: %+v, %+v", a, l.Counters())
 	}
@@ -150,23 +150,23 @@
 	var b backoff
 	random := rand.New(rand.NewPCG(1, 1))
 	for range failuresBeforeBackoff - 1 {
-		b.failed(0, 100*time.Millisecond, random)
+		b.recordFailure(0, 100*time.Millisecond, random)
 		if !b.allows(0, 5) {
 			t.Error("a pause before failuresBeforeBackoff")
 		}
 	}
 	for i := range 12 {
-		b.failed(0, 100*time.Millisecond, random)
+		b.recordFailure(0, 100*time.Millisecond, random)
 		pause := 100 * time.Millisecond << i
-		if least, most := min(pause/2, 8*time.Second), min(3*pause/2, 8*time.Second); b.until < least || b.until > most {
-			t.Errorf("failure %d: %v", i, b.until)
+		if least, most := min(pause/2, 8*time.Second), min(3*pause/2, 8*time.Second); b.pausedUntil < least || b.pausedUntil > most {
+			t.Errorf("failure %d: %v", i, b.pausedUntil)
 		}
 	}
-	if b.allows(b.until-1, 0) || b.allows(b.until, 1) || !b.allows(b.until, 0) {
+	if b.allows(b.pausedUntil-1, 0) || b.allows(b.pausedUntil, 1) || !b.allows(b.pausedUntil, 0) {
 		t.Error("after the pause exchanges do not run one at a time")
 	}
-	b.succeeded()
-	if !b.allows(b.until, 9) {
+	b.recordSuccess()
+	if !b.allows(b.pausedUntil, 9) {
 		t.Error("a success does not end the backoff")
 	}
 }
@@ -177,7 +177,7 @@
 	count := 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
 		for r.allows(now) {
-			r.take()
+			r.takeToken()
 			count++
 		}
 	}
@@ -185,7 +185,7 @@
 		t.Errorf("%d in 10 s", count)
 	}
 	for count = 0; r.allows(time.Hour); count++ {
-		r.take()
+		r.takeToken()
 	}
 	if count != 10 {
 		t.Errorf("a burst of %d, want 10", count)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,24 +10,24 @@
 // Ledger enforces the quotas at one node. It is not safe for concurrent use.
 type Ledger struct {
 	cfg      Config
-	now      time.Duration
+	now      time.Duration // latest time of a call
 	started  time.Duration // time of New
 	random   *rand.Rand
 	counters Counters
 
-	accounts      map[CustomerKey]*account
-	rotation      []*account // all accounts, in the order in which they exchange
-	rotationIndex int        // into rotation: the next account
-	pending       []pendingExchange
-	lastID        ExchangeID // of the last exchange begun
-	rateLimit     rateLimiter
-	backoff       backoff
-	store         StoreID       // store of the last reply; 0 before the first reply
-	storeSince    time.Duration // time of the first reply of store
+	accounts         map[CustomerKey]*account
+	rotation         []*account // all accounts, in the order in which they exchange
+	rotationIndex    int        // index into rotation of the next account
+	pending          []pendingExchange
+	lastExchangeID   ExchangeID // id of the last exchange begun; 0 before the first
+	rateLimit        rateLimiter
+	backoff          backoff
+	storeID          StoreID       // store of the last successful exchange; 0 before the first
+	storeFirstSeenAt time.Duration // time of the first reply from that store
 }
 
-// New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch. The
-// times of later calls have the same origin.
+// New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch. All
+// later times use the same origin.
 func New(cfg Config, now time.Duration) *Ledger {
 	cfg.Nodes = max(cfg.Nodes, 1)
 	return &Ledger{
@@ -43,10 +43,10 @@
 // Counters returns the counts since New.
 func (l *Ledger) Counters() Counters { return l.counters }
 
-// advance sets the clock. An earlier time is ignored.
+// advance sets the clock to now. An earlier time than the clock is ignored.
 func (l *Ledger) advance(now time.Duration) { l.now = max(l.now, now) }
 
-// account returns the account of a customer, in the current window. It creates a missing account, and resets an account
+// account returns the account of a customer in the current window. account creates a missing account, and resets an account
 // whose quota or node set has changed.
 func (l *Ledger) account(c Customer) *account {
 	a := l.accounts[c.Key]
@@ -67,7 +67,7 @@
 func (l *Ledger) RecordDemand(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	a := l.account(c)
-	a.demand.inWindow += units
+	a.demand.currentUnits += units
 	a.lastRequestAt = l.now
 }
 
@@ -82,7 +82,7 @@
 	return max(0, a.cap-a.used)
 }
 
-// TrySpend uses units of a customer's quota and reports whether as many were available. If not, it uses none.
+// TrySpend uses units of a customer's quota and reports whether that many were available. If not, no units are used.
 func (l *Ledger) TrySpend(now time.Duration, c Customer, units float64) bool {
 	if l.Available(now, c) < units {
 		l.counters.Rejected++
@@ -94,7 +94,7 @@
 	return true
 }
 
-// RecordUse records the use of units. It may exceed the available units.
+// RecordUse records the use of units. The units may exceed the available ones.
 func (l *Ledger) RecordUse(now time.Duration, c Customer, units float64) {
 	l.advance(now)
 	if c.Rate > 0 {
@@ -102,7 +102,7 @@
 	}
 }
 
-// dropIdle removes the accounts of customers without a request for idleWindows.
+// dropIdle removes the accounts of customers without a request for more than idleWindows windows.
 func (l *Ledger) dropIdle() {
 	l.rotation = slices.DeleteFunc(l.rotation, func(a *account) bool {
 		idle := l.now-a.lastRequestAt > idleWindows*a.windowLength
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -15,49 +15,49 @@
 	entries map[string][]Commitment // by customer and window
 }
 
-func (s *fakeStore) put(x Exchange) []Commitment {
-	key := fmt.Sprint(x.Key, x.Window)
-	s.entries[key] = append(s.entries[key], x.Put)
+func (s *fakeStore) put(exchange Exchange) []Commitment {
+	key := fmt.Sprint(exchange.Key, exchange.Window)
+	s.entries[key] = append(s.entries[key], exchange.Put)
 	return slices.Clone(s.entries[key])
 }
 
 func (s *fakeStore) clone() *fakeStore {
-	c := &fakeStore{id: s.id, entries: map[string][]Commitment{}}
+	copied := &fakeStore{id: s.id, entries: map[string][]Commitment{}}
 	for key, entries := range s.entries {
-		c.entries[key] = slices.Clone(entries)
+		copied.entries[key] = slices.Clone(entries)
 	}
-	return c
+	return copied
 }
 
 // fault is the fault of one exchange.
 type fault struct {
-	lost      bool // the exchange gets no reply
-	late      bool // the reply comes up to 500 ms later
-	forgotten bool // the store replies, but drops the entry
+	noReply      bool // the exchange gets no reply
+	lateReply    bool // the reply comes up to 500 ms later
+	entryDropped bool // the store replies, but drops the entry
 }
 
 // fleet is a fleet with one store in virtual time. The demand is uneven: node i has 2^i parts of it.
 type fleet struct {
-	random   *rand.Rand
-	nodes    []*Ledger
-	stores   [2]*fakeStore // of even and odd nodes; the same store unless it is split
-	now      time.Duration
-	later    map[time.Duration][]func()
-	customer Customer
-	spent    map[WindowNumber]float64
-	fault    func(f *fleet) fault // draws the fault of an exchange; nil for none
+	random     *rand.Rand
+	nodes      []*Ledger
+	stores     [2]*fakeStore // of even and odd nodes; the same store unless it is split
+	now        time.Duration
+	scheduled  map[time.Duration][]func()
+	customer   Customer
+	spentUnits map[WindowNumber]float64
+	drawFault  func(f *fleet) fault // draws the fault of an exchange; nil for none
 }
 
-const playStep = 5 * time.Millisecond
+const stepLength = 5 * time.Millisecond
 
 func newFleet(seed uint64, nodes int) *fleet {
 	store := &fakeStore{id: 1, entries: map[string][]Commitment{}}
 	f := &fleet{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		stores:   [2]*fakeStore{store, store},
-		later:    map[time.Duration][]func(){},
-		customer: Customer{Key: 9, Rate: 100, Burst: 400, Spread: nodes},
-		spent:    map[WindowNumber]float64{},
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		stores:     [2]*fakeStore{store, store},
+		scheduled:  map[time.Duration][]func(){},
+		customer:   Customer{Key: 9, Rate: 100, Burst: 400, Spread: nodes},
+		spentUnits: map[WindowNumber]float64{},
 	}
 	for i := range nodes {
 		f.nodes = append(f.nodes, New(Config{Self: NodeID(i), Nodes: nodes, Seed: seed, Timeout: 50 * time.Millisecond}, 0))
@@ -65,94 +65,94 @@
 	return f
 }
 
-func (f *fleet) after(delay time.Duration, do func()) {
-	f.later[f.now+delay] = append(f.later[f.now+delay], do)
+func (f *fleet) after(delay time.Duration, action func()) {
+	f.scheduled[f.now+delay] = append(f.scheduled[f.now+delay], action)
 }
 
-func (f *fleet) play(until time.Duration, load float64) {
-	for ; f.now < until; f.now += playStep {
-		for _, do := range f.later[f.now] {
-			do()
+func (f *fleet) run(until time.Duration, load float64) {
+	for ; f.now < until; f.now += stepLength {
+		for _, action := range f.scheduled[f.now] {
+			action()
 		}
-		delete(f.later, f.now)
+		delete(f.scheduled, f.now)
 		parts := float64(int(1)<<len(f.nodes) - 1)
 		for i, node := range f.nodes {
-			mean := f.customer.Rate * load * playStep.Seconds() * float64(int(1)<<i) / parts
+			mean := f.customer.Rate * load * stepLength.Seconds() * float64(int(1)<<i) / parts
 			if f.random.Float64() < mean {
 				node.RecordDemand(f.now, f.customer, 1)
 				if node.TrySpend(f.now, f.customer, 1) {
-					f.spent[WindowNumber(f.now/f.customer.Window())]++
+					f.spentUnits[WindowNumber(f.now/f.customer.Window())]++
 				}
 			}
-			for x, ok := node.Next(f.now); ok; x, ok = node.Next(f.now) {
-				f.exchange(node, f.stores[i%2], x)
+			for exchange, ok := node.Next(f.now); ok; exchange, ok = node.Next(f.now) {
+				f.exchange(node, f.stores[i%2], exchange)
 			}
 		}
 	}
 }
 
 // exchange carries out an exchange with a fault.
-func (f *fleet) exchange(node *Ledger, store *fakeStore, x Exchange) {
+func (f *fleet) exchange(node *Ledger, store *fakeStore, exchange Exchange) {
 	var drawn fault
-	if f.fault != nil {
-		drawn = f.fault(f)
+	if f.drawFault != nil {
+		drawn = f.drawFault(f)
 	}
-	delay := playStep * time.Duration(1+f.random.IntN(4))
-	if drawn.late {
-		delay += time.Duration(f.random.IntN(100)) * playStep
+	delay := stepLength * time.Duration(1+f.random.IntN(4))
+	if drawn.lateReply {
+		delay += time.Duration(f.random.IntN(100)) * stepLength
 	}
-	if drawn.lost {
+	if drawn.noReply {
 		return
 	}
 	f.after(delay, func() {
-		entries := []Commitment{x.Put}
-		if !drawn.forgotten {
-			entries = store.put(x)
+		entries := []Commitment{exchange.Put}
+		if !drawn.entryDropped {
+			entries = store.put(exchange)
 		}
-		f.after(playStep, func() { node.HandleReply(f.now, x.ID, Reply{Store: store.id, Entries: entries}, nil) })
+		f.after(stepLength, func() { node.HandleReply(f.now, exchange.ID, Reply{Store: store.id, Entries: entries}, nil) })
 		if f.random.IntN(20) == 0 { // the exchange is carried out twice
-			f.after(playStep*time.Duration(1+f.random.IntN(200)), func() {
-				node.HandleReply(f.now, x.ID, Reply{Store: store.id, Entries: store.put(x)}, nil)
+			f.after(stepLength*time.Duration(1+f.random.IntN(200)), func() {
+				node.HandleReply(f.now, exchange.ID, Reply{Store: store.id, Entries: store.put(exchange)}, nil)
 			})
 		}
 	})
 }
 
 // used returns the largest share of a window's allowance that was spent, and the share of the quota that was spent overall.
-func (f *fleet) used() (window, overall float64) {
+func (f *fleet) quotaUse() (largestWindowShare, overallShare float64) {
 	allowance := f.customer.Rate * f.customer.Window().Seconds()
-	for _, spent := range f.spent {
-		window, overall = max(window, spent/allowance), overall+spent
+	for _, spent := range f.spentUnits {
+		largestWindowShare, overallShare = max(largestWindowShare, spent/allowance), overallShare+spent
 	}
-	return window, overall / (f.customer.Rate * f.now.Seconds())
+	return largestWindowShare, overallShare / (f.customer.Rate * f.now.Seconds())
 }
 
 // Without faults no window exceeds its allowance, and uneven demand uses more of the quota than without a store.
 func TestLeasesFollowDemandWithinTheQuota(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 6)
-		f.play(60*time.Second, 1.5)
-		window, with := f.used()
-		if window > 1 || with < 0.75 {
-			t.Errorf("seed %d: %.3f of a window's allowance, %.2f of the quota used", seed, window, with)
+		f.run(60*time.Second, 1.5)
+		largestWindowShare, useWithStore := f.quotaUse()
+		if largestWindowShare > 1 || useWithStore < 0.75 {
+			t.Errorf("seed %d: %.3f of a window's allowance, %.2f of the quota used", seed, largestWindowShare, useWithStore)
 		}
-		alone := newFleet(seed, 6)
-		alone.fault = func(*fleet) fault { return fault{lost: true} }
-		alone.play(60*time.Second, 1.5)
-		window, without := alone.used()
-		t.Logf("seed %d: %.2f of the quota used with a store, %.2f without", seed, with, without)
-		if window > 1 || without > with-0.1 {
-			t.Errorf("seed %d without a store: %.3f of a window, %.2f of the quota, %.2f with one", seed, window, without, with)
+		withoutStore := newFleet(seed, 6)
+		withoutStore.drawFault = func(*fleet) fault { return fault{noReply: true} }
+		withoutStore.run(60*time.Second, 1.5)
+		largestWindowShare, useWithoutStore := withoutStore.quotaUse()
+		t.Logf("seed %d: %.2f of the quota used with a store, %.2f without", seed, useWithStore, useWithoutStore)
+		if largestWindowShare > 1 || useWithoutStore > useWithStore-0.1 {
+			t.Errorf("seed %d without a store: %.3f of a window, %.2f of the quota, %.2f with one", seed, largestWindowShare, useWithoutStore, useWithStore)
 		}
 	}
 }
 
-// inTheMiddle reports whether the faults are active.
-func inTheMiddle(f *fleet) bool { return f.now > 21300*time.Millisecond && f.now < 40*time.Second }
+// faultsActive reports whether the faults are active.
+func faultsActive(f *fleet) bool { return f.now > 21300*time.Millisecond && f.now < 40*time.Second }
 
 // replaceStore replaces the store by an empty one every 4 s.
 func replaceStore(f *fleet) fault {
-	if id := StoreID(1 + f.now/(4*time.Second)); inTheMiddle(f) && f.stores[0].id != id {
+	if id := StoreID(1 + f.now/(4*time.Second)); faultsActive(f) && f.stores[0].id != id {
 		store := &fakeStore{id: id, entries: map[string][]Commitment{}}
 		f.stores = [2]*fakeStore{store, store}
 	}
@@ -161,9 +161,9 @@
 
 // splitStore splits the store in two. Afterwards all nodes use the first half again.
 func splitStore(f *fleet) fault {
-	if split := f.stores[0] != f.stores[1]; inTheMiddle(f) && !split {
+	if split := f.stores[0] != f.stores[1]; faultsActive(f) && !split {
 		f.stores[1] = f.stores[0].clone()
-	} else if !inTheMiddle(f) && split {
+	} else if !faultsActive(f) && split {
 		f.stores[1] = f.stores[0]
 	}
 	return fault{}
@@ -173,26 +173,26 @@
 // no window exceeds its allowance.
 func TestOveruseIsBoundedWithAnyStoreFault(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		window float64 // largest allowed use of a window, as a share of its allowance
-		fault  func(f *fleet) fault
+		name           string
+		maxWindowShare float64 // largest allowed use of a window, as a share of its allowance
+		fault          func(f *fleet) fault
 	}{
-		{"gone", 1, func(f *fleet) fault { return fault{lost: inTheMiddle(f)} }},
-		{"stalls", 1, func(f *fleet) fault { return fault{late: inTheMiddle(f)} }},
-		{"lossy", 1, func(f *fleet) fault { return fault{lost: f.random.IntN(3) == 0, late: f.random.IntN(3) == 0} }},
-		{"forgets", 1.4, func(f *fleet) fault { return fault{forgotten: inTheMiddle(f) && f.random.IntN(3) == 0} }},
+		{"gone", 1, func(f *fleet) fault { return fault{noReply: faultsActive(f)} }},
+		{"stalls", 1, func(f *fleet) fault { return fault{lateReply: faultsActive(f)} }},
+		{"lossy", 1, func(f *fleet) fault { return fault{noReply: f.random.IntN(3) == 0, lateReply: f.random.IntN(3) == 0} }},
+		{"forgets", 1.4, func(f *fleet) fault { return fault{entryDropped: faultsActive(f) && f.random.IntN(3) == 0} }},
 		{"empty", 1, replaceStore},
 		{"split", 2, splitStore},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(6) {
 				f := newFleet(seed, 6)
-				f.fault = c.fault
-				f.play(60*time.Second, 2)
-				window, overall := f.used()
-				t.Logf("seed %d: most %.3f of a window's allowance, %.3f of the quota", seed, window, overall)
-				if window > c.window || overall > 1.1 || overall < 0.3 {
-					t.Errorf("seed %d: %.3f of a window's allowance, %.3f of the quota", seed, window, overall)
+				f.drawFault = c.fault
+				f.run(60*time.Second, 2)
+				largestWindowShare, overallShare := f.quotaUse()
+				t.Logf("seed %d: most %.3f of a window's allowance, %.3f of the quota", seed, largestWindowShare, overallShare)
+				if largestWindowShare > c.maxWindowShare || overallShare > 1.1 || overallShare < 0.3 {
+					t.Errorf("seed %d: %.3f of a window's allowance, %.3f of the quota", seed, largestWindowShare, overallShare)
 				}
 			}
 		})
@@ -217,7 +217,7 @@
 // A store that does not reply gets few exchanges, but is tried again.
 func TestUnreachableStoreGetsFewExchanges(t *testing.T) {
 	l := New(Config{Nodes: 4, Timeout: 100 * time.Millisecond}, 0)
-	calls := 0
+	exchanges := 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 		for key := range CustomerKey(20) {
 			c := Customer{Key: key, Rate: 10, Burst: 40, Spread: 4}
@@ -225,11 +225,11 @@
 			l.TrySpend(now, c, 1)
 		}
 		for _, ok := l.Next(now); ok; _, ok = l.Next(now) {
-			calls++
+			exchanges++
 		}
 	}
-	if c := l.Counters(); calls < 8 || calls > 60 || c.Failed < 7 {
-		t.Errorf("%d exchanges in a minute, %+v", calls, c)
+	if c := l.Counters(); exchanges < 8 || exchanges > 60 || c.Failed < 7 {
+		t.Errorf("%d exchanges in a minute, %+v", exchanges, c)
 	}
 }
 
--- a/internal/quota/transcript_test.go
+++ b/internal/quota/transcript_test.go
@@ -13,29 +13,29 @@
 // transcript runs nodes and a store in virtual time. It records every exchange, every rejection, and the available units of
 // each node.
 type transcript struct {
-	cfg       Config
-	nodes     []*Ledger
-	customers []Customer
-	now       time.Duration
-	random    *rand.Rand
-	later     map[time.Duration][]func()
-	id        StoreID
-	entries   map[string][]Commitment
-	lost      float64 // probability that an exchange gets no reply
-	bad       float64 // probability that an exchange gets an error
-	forgets   float64 // probability that the store drops an entry
-	lines     []string
+	cfg                Config
+	nodes              []*Ledger
+	customers          []Customer
+	now                time.Duration
+	random             *rand.Rand
+	scheduled          map[time.Duration][]func()
+	storeID            StoreID
+	entries            map[string][]Commitment
+	noReplyProbability float64 // probability that an exchange gets no reply
+	errorProbability   float64 // probability that an exchange gets an error
+	dropProbability    float64 // probability that the store drops an entry
+	lines              []string
 }
 
 const transcriptStep = 10 * time.Millisecond
 
 func newTranscript(cfg Config, customers []Customer, now time.Duration) *transcript {
 	p := &transcript{
-		cfg: cfg, customers: customers, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 98)), id: 7,
-		later: map[time.Duration][]func(){}, entries: map[string][]Commitment{},
+		cfg: cfg, customers: customers, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 98)), storeID: 7,
+		scheduled: map[time.Duration][]func(){}, entries: map[string][]Commitment{},
 	}
-	for k := range cfg.Nodes {
-		cfg.Self = NodeID(k)
+	for i := range cfg.Nodes {
+		cfg.Self = NodeID(i)
 		p.nodes = append(p.nodes, New(cfg, now))
 	}
 	return p
@@ -47,32 +47,32 @@
 
 func (p *transcript) after(steps int, f func()) {
 	at := p.now + time.Duration(steps)*transcriptStep
-	p.later[at] = append(p.later[at], f)
+	p.scheduled[at] = append(p.scheduled[at], f)
 }
 
 // put carries out an exchange with the faults of the transcript.
-func (p *transcript) put(n *Ledger, x Exchange) {
-	if p.random.Float64() < p.lost {
+func (p *transcript) put(node *Ledger, exchange Exchange) {
+	if p.random.Float64() < p.noReplyProbability {
 		return
 	}
-	key, store := fmt.Sprint(x.Key, x.Window), p.id
-	if p.random.Float64() >= p.forgets {
-		p.entries[key] = append(p.entries[key], x.Put)
+	key, store := fmt.Sprint(exchange.Key, exchange.Window), p.storeID
+	if p.random.Float64() >= p.dropProbability {
+		p.entries[key] = append(p.entries[key], exchange.Put)
 	}
 	entries := append([]Commitment{{Node: -1, Sequence: 1}, {Node: 1 << 20, Sequence: 1, Cap: 3}}, p.entries[key]...)
 	var err error
-	if p.random.Float64() < p.bad {
+	if p.random.Float64() < p.errorProbability {
 		err = errors.New("bad")
 	}
-	p.after(1+p.random.IntN(6), func() { n.HandleReply(p.now, x.ID, Reply{Store: store, Entries: entries}, err) })
+	p.after(1+p.random.IntN(6), func() { node.HandleReply(p.now, exchange.ID, Reply{Store: store, Entries: entries}, err) })
 }
 
-func (p *transcript) play(until time.Duration, load float64) {
+func (p *transcript) run(until time.Duration, load float64) {
 	for ; p.now < until; p.now += transcriptStep {
-		for _, f := range p.later[p.now] {
+		for _, f := range p.scheduled[p.now] {
 			f()
 		}
-		delete(p.later, p.now)
+		delete(p.scheduled, p.now)
 		for i, node := range p.nodes {
 			for _, c := range p.customers {
 				units := float64(1 + p.random.IntN(3))
@@ -85,18 +85,18 @@
 					}
 				}
 			}
-			for x, ok := node.Next(p.now); ok; x, ok = node.Next(p.now) {
-				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", i, x.ID, x.Key, x.Window, x.Put.Node, x.Put.Sequence, x.Put.Cap,
-					x.Keep, x.Timeout)
-				p.put(node, x)
+			for exchange, ok := node.Next(p.now); ok; exchange, ok = node.Next(p.now) {
+				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", i, exchange.ID, exchange.Key, exchange.Window, exchange.Put.Node, exchange.Put.Sequence, exchange.Put.Cap,
+					exchange.TTL, exchange.Timeout)
+				p.put(node, exchange)
 			}
 			if p.now%(500*time.Millisecond) == 0 {
 				c := node.Counters()
 				available := []float64{}
-				for _, of := range p.customers {
-					available = append(available, node.Available(p.now, of))
+				for _, customer := range p.customers {
+					available = append(available, node.Available(p.now, customer))
 				}
-				p.write("%d: room %v, %v", i, available, []int64{c.Exchanges, c.Failed, c.Late, c.Forgotten, c.Borrowed, c.Released, c.Rejected})
+				p.write("%d: room %v, %v", i, available, []int64{c.Exchanges, c.Failed, c.LateReplies, c.LossReplies, c.Borrowed, c.Released, c.Rejected})
 			}
 		}
 	}
@@ -112,17 +112,17 @@
 
 // transcripts are fleets with the faults of their store, and the expected transcripts.
 var transcripts = []struct {
-	name   string
-	cfg    Config
-	from   time.Duration
-	play   func(p *transcript)
-	lines  int
-	digest string   // SHA-256 of all lines
-	first  []string // the first lines
+	name       string
+	cfg        Config
+	startTime  time.Duration
+	run        func(p *transcript)
+	lines      int
+	digest     string   // SHA-256 of all lines
+	firstLines []string // the first lines
 }{
 	{
 		name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
-		play: func(p *transcript) { p.play(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", first: []string{
+		run: func(p *transcript) { p.run(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", firstLines: []string{
 			"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 			"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 			"0.00 2: room [50 2 +Inf 18 7.5], [0 0 0 0 0 0 0]",
@@ -133,8 +133,8 @@
 	},
 	{
 		name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
-		from: 1_700_000_000_350 * time.Millisecond,
-		play: func(p *transcript) { p.play(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", first: []string{
+		startTime: 1_700_000_000_350 * time.Millisecond,
+		run:       func(p *transcript) { p.run(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", firstLines: []string{
 			"1700000000.35 0 refuses 9",
 			"1700000000.35 0 refuses 1152921504606846976",
 			"1700000000.35 0 refuses 5",
@@ -145,22 +145,22 @@
 	},
 	{
 		name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
-		play: func(p *transcript) {
-			p.play(6*time.Second, 0.9)
-			p.lost, p.bad = 0.2, 0.1
-			p.play(16*time.Second, 0.9)
-			p.lost, p.bad, p.forgets = 0, 0, 0.2
-			p.play(24*time.Second, 1.5)
-			p.id, p.forgets = 8, 0
+		run: func(p *transcript) {
+			p.run(6*time.Second, 0.9)
+			p.noReplyProbability, p.errorProbability = 0.2, 0.1
+			p.run(16*time.Second, 0.9)
+			p.noReplyProbability, p.errorProbability, p.dropProbability = 0, 0, 0.2
+			p.run(24*time.Second, 1.5)
+			p.storeID, p.dropProbability = 8, 0
 			clear(p.entries)
-			p.play(30*time.Second, 0.2)
-			p.lost = 1
-			p.play(50*time.Second, 0.8)
-			p.lost = 0
+			p.run(30*time.Second, 0.2)
+			p.noReplyProbability = 1
+			p.run(50*time.Second, 0.8)
+			p.noReplyProbability = 0
 			p.customers = p.customers[:1]
 			p.customers[0].Rate = 70
-			p.play(100*time.Second, 0.8)
-		}, lines: 10425, digest: "9b784e6889507ea217542f436c0bb0dad422f35e46bf0e92d89690715e1236eb", first: []string{
+			p.run(100*time.Second, 0.8)
+		}, lines: 10425, digest: "9b784e6889507ea217542f436c0bb0dad422f35e46bf0e92d89690715e1236eb", firstLines: []string{
 			"0.00 0: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
 			"0.00 1: room [50 2 +Inf 18 5], [0 0 0 0 0 0 0]",
 			"0.00 2: room [47 2 +Inf 20 5], [0 0 0 0 0 0 0]",
@@ -176,13 +176,13 @@
 func TestFleetTranscripts(t *testing.T) {
 	for _, c := range transcripts {
 		t.Run(c.name, func(t *testing.T) {
-			p := newTranscript(c.cfg, append([]Customer(nil), customers...), c.from)
-			c.play(p)
-			first := p.lines[:6]
+			p := newTranscript(c.cfg, append([]Customer(nil), customers...), c.startTime)
+			c.run(p)
+			firstLines := p.lines[:6]
 			digest := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(p.lines, "\n"))))
-			if len(p.lines) != c.lines || digest != c.digest || strings.Join(first, "\n") != strings.Join(c.first, "\n") {
-				t.Errorf("%d lines, %s\n%s\nwant %d, %s\n%s", len(p.lines), digest, strings.Join(first, "\n"), c.lines, c.digest,
-					strings.Join(c.first, "\n"))
+			if len(p.lines) != c.lines || digest != c.digest || strings.Join(firstLines, "\n") != strings.Join(c.firstLines, "\n") {
+				t.Errorf("%d lines, %s\n%s\nwant %d, %s\n%s", len(p.lines), digest, strings.Join(firstLines, "\n"), c.lines, c.digest,
+					strings.Join(c.firstLines, "\n"))
 			}
 		})
 	}
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -32,8 +32,8 @@
 type appServer struct {
 	addr netip.AddrPort
 
-	mu  sync.Mutex
-	ran map[string]int // guarded by mu: executions by request id
+	mu         sync.Mutex
+	executions map[string]int // guarded by mu: executions by request id
 }
 
 func startAppServer(t *testing.T) *appServer {
@@ -42,12 +42,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), ran: map[string]int{}}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), executions: map[string]int{}}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		app.mu.Lock()
-		app.ran[q.Header.Get(protocol.HeaderRequestID)]++
+		app.executions[request.Header.Get(protocol.HeaderRequestID)]++
 		app.mu.Unlock()
-		if _, err := io.Copy(w, q.Body); err != nil {
+		if _, err := io.Copy(w, request.Body); err != nil {
 			t.Error(err)
 		}
 	})}
@@ -95,17 +95,17 @@
 }
 
 // buyer sends purchases and counts the responses by status.
-type buyer struct {
+type purchaser struct {
 	t *testing.T
 
-	mu        sync.Mutex
-	responses map[int]int // guarded by mu: by status
+	mu                sync.Mutex
+	responsesByStatus map[int]int // guarded by mu: by status
 }
 
 // buy sends one purchase to a node and waits for the response.
-func (b *buyer) buy(id, addr string) {
+func (b *purchaser) purchase(id, addr string) {
 	b.t.Helper()
-	q, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
+	request, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
 	if err != nil {
 		b.t.Error(err)
 		return
@@ -114,10 +114,10 @@
 		protocol.HeaderRequestID: id, protocol.HeaderPlan: "team", protocol.HeaderTimeout: "1000",
 		protocol.HeaderWeight: fmt.Sprintf("units=1,spread=%d,first=0", fleetNodes),
 	} {
-		q.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
 	sentAt := time.Now()
-	response, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		b.t.Errorf("%s: %v", id, err)
 		return
@@ -131,7 +131,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.responses[response.StatusCode]++
+	b.responsesByStatus[response.StatusCode]++
 }
 
 // Six nodes serve purchases over HTTP while the store has its faults. No purchase runs twice, every request gets a response
@@ -153,34 +153,34 @@
 		nodes[i] = startNode(t, i, store.Addr(), app)
 	}
 	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // a window begins
-	began, span := time.Now(), 9*time.Second
-	buyer := &buyer{t: t, responses: map[int]int{}}
-	var purchases sync.WaitGroup
+	startedAt, duration := time.Now(), 9*time.Second
+	buyer := &purchaser{t: t, responsesByStatus: map[int]int{}}
+	var pending sync.WaitGroup
 	sent := 0
-	for ; time.Since(began) < span; sent++ { // twice the quota, half of it at one node
-		time.Sleep(time.Until(began.Add(time.Duration(float64(sent) / (2 * teamRate) * float64(time.Second)))))
+	for ; time.Since(startedAt) < duration; sent++ { // twice the quota, half of it at one node
+		time.Sleep(time.Until(startedAt.Add(time.Duration(float64(sent) / (2 * teamRate) * float64(time.Second)))))
 		id, node := fmt.Sprint("p", sent), 0
 		if sent%2 > 0 {
 			node = 1 + sent/2%(fleetNodes-1)
 		}
-		purchases.Add(1)
+		pending.Add(1)
 		go func() {
-			defer purchases.Done()
-			buyer.buy(id, nodes[node])
+			defer pending.Done()
+			buyer.purchase(id, nodes[node])
 		}()
 	}
-	purchases.Wait()
+	pending.Wait()
 	app.mu.Lock()
 	defer app.mu.Unlock()
-	for id, count := range app.ran {
+	for id, count := range app.executions {
 		if count > 1 {
 			t.Errorf("%s ran %d times", id, count)
 		}
 	}
-	used := float64(len(app.ran)) / (teamRate * span.Seconds())
-	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
-	responded := buyer.responses[http.StatusOK] + buyer.responses[http.StatusServiceUnavailable] + buyer.responses[http.StatusBadGateway]
-	if responded != sent || used > 1.1 || used < 0.5 {
-		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
+	quotaShare := float64(len(app.executions)) / (teamRate * duration.Seconds())
+	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.responsesByStatus, quotaShare)
+	responded := buyer.responsesByStatus[http.StatusOK] + buyer.responsesByStatus[http.StatusServiceUnavailable] + buyer.responsesByStatus[http.StatusBadGateway]
+	if responded != sent || quotaShare > 1.1 || quotaShare < 0.5 {
+		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.responsesByStatus, quotaShare)
 	}
 }
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -1,6 +1,6 @@
 // Package quotastore runs a quota.Ledger against a store that speaks the Redis protocol (RESP2, with go-redis). The Ledger
-// decides when to exchange, and evaluates the replies. This package only carries out the exchanges, each within the timeout
-// that the Ledger gives it and without retries. No request waits for the store.
+// decides when to exchange, and evaluates the replies. This package only carries out the exchanges. Each runs within the
+// timeout that the Ledger gives, without retries. No request waits for the store.
 package quotastore
 
 import (
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxConnections is the number of connections of a node to the store.
+	// maxConnections is the largest number of connections of a node to the store.
 	maxConnections = 4
 	// minPollInterval and maxPollInterval bound the time between two calls of Ledger.Next. The interval doubles while the
 	// Ledger has no exchange.
@@ -26,19 +26,19 @@
 // Quotas enforces the quotas at one node with leases from a store. It is safe for concurrent use. Only Close waits for the
 // store.
 type Quotas struct {
-	client    *redis.Client
+	client    *redis.Client // connections to the store
 	log       *zerolog.Logger
-	startedAt time.Time      // wall clock and monotonic clock at Open
+	startedAt time.Time      // time of Open by the wall clock and the monotonic clock
 	done      chan struct{}  // closed by Close
-	active    sync.WaitGroup // Run and the running exchanges
+	running   sync.WaitGroup // counts Run and the running exchanges
 
-	mu     sync.Mutex // guards ledger and down; never held during a call to the store
-	ledger *quota.Ledger
-	down   bool // whether the last exchange failed
+	mu        sync.Mutex // guards ledger and storeDown; not held during a call to the store
+	ledger    *quota.Ledger
+	storeDown bool // whether the exchange that ended last had failed
 }
 
-// Open returns the Quotas of a node. addr is the store's "host:port". clientName is the name of the node's connections at the
-// store (CLIENT SETNAME). Open does not connect; the store may be unreachable. The caller starts Run and calls Close.
+// Open returns the Quotas of a node. addr is the store's "host:port". clientName is the name of the node's connections at
+// the store (CLIENT SETNAME). Open does not connect, so the store may be unreachable. The caller starts Run and calls Close.
 func Open(addr, clientName string, cfg quota.Config, log *zerolog.Logger) *Quotas {
 	startedAt := time.Now()
 	return &Quotas{
@@ -62,8 +62,8 @@
 	}
 }
 
-// now returns the time since the Unix epoch. It reads the wall clock at Open only, and the monotonic clock since. A wall
-// clock that is stepped back would otherwise keep the node in one window.
+// now returns the time since the Unix epoch. now reads the wall clock at Open only, and the monotonic clock after that.
+// Otherwise a wall clock that is stepped back would keep the node in one window.
 func (q *Quotas) now() time.Duration {
 	return time.Duration(q.startedAt.UnixNano()) + time.Since(q.startedAt)
 }
@@ -83,24 +83,24 @@
 	return q.ledger.Available(q.now(), c)
 }
 
-// TrySpend uses units of a customer's quota and reports whether as many were available. If not, it uses none.
+// TrySpend uses units of a customer's quota and reports whether that many were available. If not, no units are used.
 func (q *Quotas) TrySpend(c quota.Customer, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.TrySpend(q.now(), c, units)
 }
 
-// RecordUse records the use of units. It may exceed the available units.
+// RecordUse records the use of units. The units may exceed the available ones.
 func (q *Quotas) RecordUse(c quota.Customer, units float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.RecordUse(q.now(), c, units)
 }
 
-// Run carries out exchanges until Close. Each exchange has its own goroutine, which ends within the exchange's timeout.
+// Run carries out exchanges until Close. Each exchange has its own goroutine, which ends within the timeout of the exchange.
 func (q *Quotas) Run() {
-	q.active.Add(1)
-	defer q.active.Done()
+	q.running.Add(1)
+	defer q.running.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for interval := minPollInterval; ; {
@@ -109,14 +109,14 @@
 			return
 		case <-timer.C:
 		}
-		begun := false
+		started := false
 		for exchange, ok := q.next(); ok; exchange, ok = q.next() {
-			begun = true
-			q.active.Add(1)
+			started = true
+			q.running.Add(1)
 			go q.exchange(exchange)
 		}
 		interval = min(2*interval, maxPollInterval)
-		if begun {
+		if started {
 			interval = minPollInterval
 		}
 		timer.Reset(interval)
@@ -130,38 +130,38 @@
 	return q.ledger.Next(q.now())
 }
 
-// Close ends Run, waits for Run and the running exchanges, and closes the connections. It must be called once.
+// Close ends Run, waits for Run and the running exchanges, and closes the connections. Call Close exactly once.
 func (q *Quotas) Close() {
 	close(q.done)
-	q.active.Wait()
-	_ = q.client.Close() // an error would have no consequence: no exchange is running
+	q.running.Wait()
+	_ = q.client.Close() // no exchange is running, so an error has no consequence
 }
 
-// exchange carries out an exchange and reports its end to the Ledger. It logs the first failure and the first success after
-// failures.
-func (q *Quotas) exchange(x quota.Exchange) {
-	defer q.active.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), x.Timeout)
+// exchange carries out an exchange and reports its end to the Ledger. exchange logs the first failure, and the first success
+// after failures.
+func (q *Quotas) exchange(exchange quota.Exchange) {
+	defer q.running.Done()
+	ctx, cancel := context.WithTimeout(context.Background(), exchange.Timeout)
 	defer cancel()
-	reply, err := putAndRead(ctx, q.client, x)
+	reply, err := putAndRead(ctx, q.client, exchange)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.HandleReply(q.now(), x.ID, reply, err)
-	if down := err != nil; down != q.down {
-		q.down = down
-		if down {
-			q.log.Warn().Err(err).Msg("the quota store does not answer")
+	q.ledger.HandleReply(q.now(), exchange.ID, reply, err)
+	if storeDown := err != nil; storeDown != q.storeDown {
+		q.storeDown = storeDown
+		if storeDown {
+			q.log.Warn().Err(err).Msg("exchange with the quota store failed")
 		} else {
-			q.log.Info().Msg("the quota store answers again")
+			q.log.Info().Msg("exchange with the quota store succeeded after failures")
 		}
 	}
 }
 
-// MarshalZerologObject adds the counters to a log event.
+// MarshalZerologObject adds the counters and the state of the store to a log event.
 func (q *Quotas) MarshalZerologObject(e *zerolog.Event) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	c := q.ledger.Counters()
-	e.Bool("down", q.down).Int64("exchanges", c.Exchanges).Int64("failed", c.Failed).Int64("late", c.Late).
-		Int64("forgotten", c.Forgotten).Int64("borrowed", c.Borrowed).Int64("released", c.Released).Int64("rejected", c.Rejected)
+	e.Bool("down", q.storeDown).Int64("exchanges", c.Exchanges).Int64("failed", c.Failed).Int64("late", c.LateReplies).
+		Int64("forgotten", c.LossReplies).Int64("borrowed", c.Borrowed).Int64("released", c.Released).Int64("rejected", c.Rejected)
 }
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -34,48 +34,48 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	spenders := startSpenders(t, server.Addr(), quota.Customer{Key: 7, Rate: 400, Burst: 800, Spread: nodes}, 13*time.Second)
-	spenders.running.Wait()
+	fleet := startSpendingFleet(t, server.Addr(), quota.Customer{Key: 7, Rate: 400, Burst: 800, Spread: nodes}, 13*time.Second)
+	fleet.running.Wait()
 	var total quota.Counters
-	for _, q := range spenders.quotas {
+	for _, q := range fleet.quotas {
 		c := q.ledger.Counters()
 		total.Exchanges += c.Exchanges
 		total.Failed += c.Failed
 		total.Borrowed += c.Borrowed
 		q.Close()
 	}
-	rate, slowest := spenders.customer.Rate, time.Duration(spenders.slowest.Load())
-	used := float64(spenders.spent.Load()) / (rate * spenders.end.Sub(spenders.begin).Seconds())
-	t.Logf("%.3f of the quota, %+v, %d in the last second, slowest %v", used, total, spenders.spentLast.Load(), slowest)
-	if used > 1.1 || used < 0.5 {
-		t.Errorf("%.3f of the quota was used", used)
+	rate, longestCall := fleet.customer.Rate, time.Duration(fleet.longestCall.Load())
+	quotaShare := float64(fleet.spentUnits.Load()) / (rate * fleet.end.Sub(fleet.begin).Seconds())
+	t.Logf("%.3f of the quota, %+v, %d in the last second, slowest %v", quotaShare, total, fleet.spentInLastSecond.Load(), longestCall)
+	if quotaShare > 1.1 || quotaShare < 0.5 {
+		t.Errorf("%.3f of the quota was used", quotaShare)
 	}
-	if total.Failed < 10 || total.Borrowed < 20 || float64(spenders.spentLast.Load()) < 0.7*rate {
-		t.Errorf("%+v, %d spent in the last second of %v", total, spenders.spentLast.Load(), rate)
+	if total.Failed < 10 || total.Borrowed < 20 || float64(fleet.spentInLastSecond.Load()) < 0.7*rate {
+		t.Errorf("%+v, %d spent in the last second of %v", total, fleet.spentInLastSecond.Load(), rate)
 	}
-	if slowest > 50*time.Millisecond { // a call to the store times out after 60 ms
-		t.Errorf("TrySpend took %v", slowest)
+	if longestCall > 50*time.Millisecond { // a call to the store times out after 60 ms
+		t.Errorf("TrySpend took %v", longestCall)
 	}
 }
 
 // spenders are nodes at which a customer's demand is twice its quota.
-type spenders struct {
+type spendingFleet struct {
 	customer   quota.Customer
 	quotas     []*Quotas
 	begin, end time.Time
 	running    sync.WaitGroup
 
-	spent     atomic.Int64 // units
-	spentLast atomic.Int64 // units in the last second
-	slowest   atomic.Int64 // longest time of RecordDemand and TrySpend, in ns
+	spentUnits        atomic.Int64 // units
+	spentInLastSecond atomic.Int64 // units in the last second
+	longestCall       atomic.Int64 // longest time of RecordDemand and TrySpend, in ns
 }
 
-// startSpenders starts the nodes of the customer's set. They spend for span, from the next full second on.
-func startSpenders(t *testing.T, store string, customer quota.Customer, span time.Duration) *spenders {
+// startSpendingFleet starts the nodes of the customer's set. They spend for span, from the next full second on.
+func startSpendingFleet(t *testing.T, store string, customer quota.Customer, duration time.Duration) *spendingFleet {
 	t.Helper()
 	log := zerolog.Nop()
 	begin := time.Now().Truncate(time.Second).Add(time.Second) // a window begins
-	s := &spenders{customer: customer, begin: begin, end: begin.Add(span)}
+	s := &spendingFleet{customer: customer, begin: begin, end: begin.Add(duration)}
 	for i := range customer.Spread {
 		q := Open(store, fmt.Sprint("n", i), quota.Config{
 			Self: quota.NodeID(i), Nodes: customer.Spread, Seed: 9, Timeout: 60 * time.Millisecond,
@@ -92,7 +92,7 @@
 }
 
 // spend spends at node i, which has 2^i parts of the demand.
-func (s *spenders) spend(q *Quotas, i int) {
+func (s *spendingFleet) spend(q *Quotas, i int) {
 	random := rand.New(rand.NewSource(int64(i)))
 	share := float64(int(1)<<i) / float64(int(1)<<s.customer.Spread-1)
 	time.Sleep(time.Until(s.begin))
@@ -104,16 +104,16 @@
 	}
 }
 
-func (s *spenders) spendOne(q *Quotas) {
-	before := time.Now()
+func (s *spendingFleet) spendOne(q *Quotas) {
+	calledAt := time.Now()
 	q.RecordDemand(s.customer, 1)
 	if q.TrySpend(s.customer, 1) {
-		s.spent.Add(1)
+		s.spentUnits.Add(1)
 		if time.Now().After(s.end.Add(-time.Second)) {
-			s.spentLast.Add(1)
+			s.spentInLastSecond.Add(1)
 		}
 	}
-	s.slowest.Store(max(s.slowest.Load(), int64(time.Since(before))))
+	s.longestCall.Store(max(s.longestCall.Load(), int64(time.Since(calledAt))))
 }
 
 // The laboratory's store replies to go-redis as Redis does.
@@ -123,28 +123,28 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	db := redis.NewClient(&redis.Options{Addr: server.Addr(), Protocol: 2, MaxRetries: -1})
-	defer func() { _ = db.Close() }()
+	client := redis.NewClient(&redis.Options{Addr: server.Addr(), Protocol: 2, MaxRetries: -1})
+	defer func() { _ = client.Close() }()
 	ctx := context.Background()
-	db.Set(ctx, "a", "5", 0)
-	db.IncrBy(ctx, "a", 7)
-	db.IncrBy(ctx, "b", -3)
-	db.HSet(ctx, "h", "x", 1, "y", 2)
-	set := db.SetNX(ctx, "a", "1", 0).Val()
-	db.Set(ctx, "gone", "1", 0)
-	db.PExpire(ctx, "gone", 5*time.Millisecond)
+	client.Set(ctx, "a", "5", 0)
+	client.IncrBy(ctx, "a", 7)
+	client.IncrBy(ctx, "b", -3)
+	client.HSet(ctx, "h", "x", 1, "y", 2)
+	set := client.SetNX(ctx, "a", "1", 0).Val()
+	client.Set(ctx, "gone", "1", 0)
+	client.PExpire(ctx, "gone", 5*time.Millisecond)
 	time.Sleep(10 * time.Millisecond)
-	got := fmt.Sprintln(db.Get(ctx, "a").Val(), db.Get(ctx, "b").Val(), set, db.HGetAll(ctx, "h").Val(),
-		db.Get(ctx, "gone").Err(), db.Get(ctx, "never").Err(), db.Do(ctx, "GET").Err(), db.Do(ctx, "FLY").Err(),
-		db.Expire(ctx, "never", time.Second).Val(), db.Del(ctx, "a", "never").Val())
+	got := fmt.Sprintln(client.Get(ctx, "a").Val(), client.Get(ctx, "b").Val(), set, client.HGetAll(ctx, "h").Val(),
+		client.Get(ctx, "gone").Err(), client.Get(ctx, "never").Err(), client.Do(ctx, "GET").Err(), client.Do(ctx, "FLY").Err(),
+		client.Expire(ctx, "never", time.Second).Val(), client.Del(ctx, "a", "never").Val())
 	want := "12 -3 false map[x:1 y:2] redis: nil redis: nil ERR wrong number of arguments for 'get' command ERR unknown " +
 		"command 'FLY' false 1\n"
 	if got != want {
 		t.Errorf("\n%s, want\n%s", got, want)
 	}
 	time.Sleep(450 * time.Millisecond)
-	_, err = db.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
-	if err == nil || db.Set(ctx, "b", 1, 0).Err() == nil || db.Get(ctx, "b").Val() != "-3" {
+	_, err = client.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
+	if err == nil || client.Set(ctx, "b", 1, 0).Err() == nil || client.Get(ctx, "b").Val() != "-3" {
 		t.Error("a full store accepted a write")
 	}
 	if _, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "melt"}}); err == nil {
--- a/internal/quotastore/transaction.go
+++ b/internal/quotastore/transaction.go
@@ -3,7 +3,8 @@
 // Transactions with the store.
 //
 // All nodes of a fleet share the keys and fields, also while nodes of different versions run. An exchange is one MULTI/EXEC
-// transaction: it sets the store's id if there is none, adds the entry, sets the lifetime of the entries, and reads them.
+// transaction. The transaction sets the store's id if there is none, adds the entry, sets the entries' time to live, and
+// reads the entries.
 
 import (
 	"context"
@@ -21,26 +22,27 @@
 const (
 	// storeIDKey is the key of the store's id. A node that finds no id sets a random one.
 	storeIDKey = "quota:store"
-	// entriesKeyFormat is the key of the hash with the entries of a customer (hexadecimal) and a window.
+	// entriesKeyFormat is the key of the hash with the entries of a customer (hexadecimal) in a window (decimal).
 	entriesKeyFormat = "quota:%x:%d"
-	// entryFieldFormat is the field of an entry in that hash, by node and sequence. The field's value is the cap in units.
+	// entryFieldFormat is the field of an entry in that hash: the node and the sequence, both decimal. The field's value is
+	// the cap in units.
 	entryFieldFormat = "%d:%d"
 )
 
-// ErrMalformedReply is wrapped by the error for a reply that cannot be parsed.
+// ErrMalformedReply is wrapped by every error for a reply that cannot be parsed.
 var ErrMalformedReply = errors.New("malformed reply of the quota store")
 
-// putAndRead carries out an exchange. It returns an error of the client, or one that wraps ErrMalformedReply.
-func putAndRead(ctx context.Context, client *redis.Client, x quota.Exchange) (quota.Reply, error) {
-	key := fmt.Sprintf(entriesKeyFormat, uint64(x.Key), int64(x.Window))
-	field := fmt.Sprintf(entryFieldFormat, int(x.Put.Node), int(x.Put.Sequence))
+// putAndRead carries out an exchange. An error is one of the client, or wraps ErrMalformedReply.
+func putAndRead(ctx context.Context, client *redis.Client, exchange quota.Exchange) (quota.Reply, error) {
+	key := fmt.Sprintf(entriesKeyFormat, uint64(exchange.Key), int64(exchange.Window))
+	field := fmt.Sprintf(entryFieldFormat, int(exchange.Put.Node), int(exchange.Put.Sequence))
 	var storeID *redis.StringCmd
 	var entries *redis.MapStringStringCmd
 	_, err := client.TxPipelined(ctx, func(p redis.Pipeliner) error {
 		p.SetNX(ctx, storeIDKey, rand.Uint64()|1, 0) // odd, because the id 0 stands for no store
 		storeID = p.Get(ctx, storeIDKey)
-		p.HSet(ctx, key, field, strconv.FormatFloat(x.Put.Cap, 'g', -1, 64))
-		p.PExpire(ctx, key, x.Keep)
+		p.HSet(ctx, key, field, strconv.FormatFloat(exchange.Put.Cap, 'g', -1, 64))
+		p.PExpire(ctx, key, exchange.TTL)
 		entries = p.HGetAll(ctx, key)
 		return nil
 	})
@@ -49,11 +51,11 @@
 	}
 	id, err := storeID.Uint64()
 	if err != nil {
-		return quota.Reply{}, fmt.Errorf("%w: %s: %w", ErrMalformedReply, storeIDKey, err)
+		return quota.Reply{}, fmt.Errorf("%w: store id in key %s: %w", ErrMalformedReply, storeIDKey, err)
 	}
 	commitments, err := parseEntries(entries.Val())
 	if err != nil {
-		return quota.Reply{}, fmt.Errorf("%s: %w", key, err)
+		return quota.Reply{}, fmt.Errorf("exchange of %s: %w", key, err)
 	}
 	return quota.Reply{Store: quota.StoreID(id), Entries: commitments}, nil
 }
@@ -71,7 +73,7 @@
 	return commitments, nil
 }
 
-// parseEntry parses one field of an entries hash and its value. An error is one of strconv.
+// parseEntry parses one field of an entries hash and its value. An error is or joins errors of strconv.
 func parseEntry(field, value string) (quota.Commitment, error) {
 	node, sequence, _ := strings.Cut(field, ":")
 	nodeNumber, nodeErr := strconv.Atoi(node)
--- a/internal/quotastore/wireformat_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -23,93 +23,93 @@
 )
 
 // scripted is a store on loopback with a fixed reply to each transaction.
-type scripted struct {
+type scriptedStore struct {
 	net.Listener
 
 	mu       sync.Mutex
 	received bytes.Buffer // guarded by mu: the bytes of all commands
 }
 
-// startScripted starts a store that replies exec to each EXEC. It rejects HELLO, like the laboratory's store, and accepts all
+// startScriptedStore starts a store that replies exec to each EXEC. It rejects HELLO, like the laboratory's store, and accepts all
 // other commands.
-func startScripted(t *testing.T, exec string) *scripted {
+func startScriptedStore(t *testing.T, execReply string) *scriptedStore {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{Listener: ln}
+	s := &scriptedStore{Listener: ln}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(c, exec)
+			go s.serve(conn, execReply)
 		}
 	}()
 	return s
 }
 
-func (s *scripted) serve(c net.Conn, exec string) {
-	defer func() { _ = c.Close() }()
-	r := bufio.NewReader(c)
-	multi := false
+func (s *scriptedStore) serve(conn net.Conn, execReply string) {
+	defer func() { _ = conn.Close() }()
+	r := bufio.NewReader(conn)
+	inTransaction := false
 	for {
-		text, words, err := readCommand(r)
+		command, arguments, err := readCommand(r)
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.received.WriteString(text)
+		s.received.WriteString(command)
 		s.mu.Unlock()
 		reply := "+OK\r\n"
 		switch {
-		case words[0] == "hello":
+		case arguments[0] == "hello":
 			reply = "-ERR unknown command 'HELLO'\r\n"
-		case words[0] == "multi":
-			multi = true
-		case words[0] == "exec":
-			multi, reply = false, exec
-		case multi:
+		case arguments[0] == "multi":
+			inTransaction = true
+		case arguments[0] == "exec":
+			inTransaction, reply = false, execReply
+		case inTransaction:
 			reply = "+QUEUED\r\n"
 		}
-		if _, err := io.WriteString(c, reply); err != nil {
+		if _, err := io.WriteString(conn, reply); err != nil {
 			return
 		}
 	}
 }
 
 // readCommand reads one command. text is the command as received, words its name and arguments.
-func readCommand(r *bufio.Reader) (text string, words []string, err error) {
-	number := func(mark string) int {
-		line, e := r.ReadString('\n')
-		text += line
-		n, bad := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, mark)))
-		if err == nil && (e != nil || bad != nil) {
+func readCommand(r *bufio.Reader) (command string, arguments []string, err error) {
+	readNumber := func(prefix string) int {
+		line, readErr := r.ReadString('\n')
+		command += line
+		n, parseErr := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, prefix)))
+		if err == nil && (readErr != nil || parseErr != nil) {
 			err = fmt.Errorf("%q: %w", line, io.ErrUnexpectedEOF)
 		}
 		return n
 	}
-	for range number("*") {
-		b := make([]byte, max(0, number("$"))+2)
-		if _, e := io.ReadFull(r, b); e != nil {
-			return text, words, e
+	for range readNumber("*") {
+		argument := make([]byte, max(0, readNumber("$"))+2)
+		if _, readErr := io.ReadFull(r, argument); readErr != nil {
+			return command, arguments, readErr
 		}
-		text += string(b)
-		words = append(words, string(b[:len(b)-2]))
+		command += string(argument)
+		arguments = append(arguments, string(argument[:len(argument)-2]))
 	}
-	if err == nil && len(words) == 0 {
+	if err == nil && len(arguments) == 0 {
 		err = io.ErrUnexpectedEOF
 	}
-	return text, words, err
+	return command, arguments, err
 }
 
 // Nodes of different versions share one store. Therefore the commands, their order, the keys, the entries and their lifetime
 // are compared with the expected bytes. Only the proposed store id is random.
 func TestExchangeWireFormat(t *testing.T) {
-	const exec = "*5\r\n:0\r\n$20\r\n18446744073709551615\r\n:1\r\n:1\r\n" +
+	const execReply = "*5\r\n:0\r\n$20\r\n18446744073709551615\r\n:1\r\n:1\r\n" +
 		"*6\r\n$3\r\n0:1\r\n$4\r\n12.5\r\n$5\r\n17:30\r\n$1\r\n0\r\n$3\r\n2:2\r\n$5\r\n1e-07\r\n"
 	// The commands of a new connection, and the beginning of each transaction.
 	const opening = "*2\r\n$5\r\nhello\r\n$1\r\n2\r\n" +
@@ -118,18 +118,18 @@
 		"*3\r\n$5\r\nsetnx\r\n$11\r\nquota:store\r\nRANDOM " +
 		"*2\r\n$3\r\nget\r\n$11\r\nquota:store\r\n"
 	for _, c := range []struct {
-		name string
-		x    quota.Exchange
-		want string
+		name     string
+		exchange quota.Exchange
+		want     string
 	}{
-		{"a first entry", quota.Exchange{Key: 7, Window: 0, Put: quota.Commitment{Node: 0, Sequence: 1, Cap: 0}, Keep: 1500 * time.Millisecond}, opening +
+		{"a first entry", quota.Exchange{Key: 7, Window: 0, Put: quota.Commitment{Node: 0, Sequence: 1, Cap: 0}, TTL: 1500 * time.Millisecond}, opening +
 			"*4\r\n$4\r\nhset\r\n$9\r\nquota:7:0\r\n$3\r\n0:1\r\n$1\r\n0\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:7:0\r\n$4\r\n1500\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:7:0\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
 		{"a large fleet", quota.Exchange{
 			Key: 0xdeadbeefcafe0123, Window: 1_700_000_000, Put: quota.Commitment{Node: 1234, Sequence: 17, Cap: 12.5},
-			Keep: 6 * time.Second,
+			TTL: 6 * time.Second,
 		}, opening +
 			"*4\r\n$4\r\nhset\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$7\r\n1234:17\r\n$4\r\n12.5\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$33\r\nquota:deadbeefcafe0123:1700000000\r\n$4\r\n6000\r\n" +
@@ -137,23 +137,23 @@
 			"*1\r\n$4\r\nexec\r\n"},
 		{"a large cap, a lifetime with a part of a millisecond", quota.Exchange{
 			Key: math.MaxUint64, Window: -3,
-			Put: quota.Commitment{Node: 5, Sequence: 2, Cap: 1e21}, Keep: 2000000500,
+			Put: quota.Commitment{Node: 5, Sequence: 2, Cap: 1e21}, TTL: 2000000500,
 		}, opening +
 			"*4\r\n$4\r\nhset\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$3\r\n5:2\r\n$5\r\n1e+21\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$25\r\nquota:ffffffffffffffff:-3\r\n$4\r\n2000\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$25\r\nquota:ffffffffffffffff:-3\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
-		{"a small cap", quota.Exchange{Key: 1, Window: 2, Put: quota.Commitment{Node: 5, Sequence: 3, Cap: 1.0 / 3e7}, Keep: 999999}, opening +
+		{"a small cap", quota.Exchange{Key: 1, Window: 2, Put: quota.Commitment{Node: 5, Sequence: 3, Cap: 1.0 / 3e7}, TTL: 999999}, opening +
 			"*4\r\n$4\r\nhset\r\n$9\r\nquota:1:2\r\n$3\r\n5:3\r\n$22\r\n3.3333333333333334e-08\r\n" +
 			"*3\r\n$7\r\npexpire\r\n$9\r\nquota:1:2\r\n$1\r\n1\r\n" +
 			"*2\r\n$7\r\nhgetall\r\n$9\r\nquota:1:2\r\n" +
 			"*1\r\n$4\r\nexec\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			server, log := startScripted(t, exec), zerolog.Nop()
+			server, log := startScriptedStore(t, execReply), zerolog.Nop()
 			q := Open(server.Addr().String(), "edge-3", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			reply, err := putAndRead(t.Context(), q.client, c.x)
+			reply, err := putAndRead(t.Context(), q.client, c.exchange)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -176,8 +176,8 @@
 func TestMalformedReplies(t *testing.T) {
 	const head = "*5\r\n:0\r\n$1\r\n9\r\n:1\r\n:1\r\n"
 	for _, c := range []struct {
-		name, exec string
-		ok         bool
+		name, execReply string
+		ok              bool
 	}{
 		{"no entry", head + "*0\r\n", true},
 		{"one entry", head + "*2\r\n$3\r\n1:1\r\n$3\r\n4e2\r\n", true},
@@ -192,10 +192,10 @@
 		{"no transaction", "*-1\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			server, log := startScripted(t, c.exec), zerolog.Nop()
+			server, log := startScriptedStore(t, c.execReply), zerolog.Nop()
 			q := Open(server.Addr().String(), "n", quota.Config{Nodes: 4, Timeout: 5 * time.Second}, &log)
 			defer q.Close()
-			reply, err := putAndRead(t.Context(), q.client, quota.Exchange{Keep: time.Second})
+			reply, err := putAndRead(t.Context(), q.client, quota.Exchange{TTL: time.Second})
 			if (err == nil) != c.ok || err == nil && reply.Store != 9 || err != nil && (reply.Store != 0 || reply.Entries != nil) {
 				t.Errorf("%v, %d, %v", err, reply.Store, reply.Entries)
 			}
