--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -85,13 +85,13 @@
 type part struct {
 	kind partKind
 
-	member memberUpdate // set in a memberPart
+	member memberUpdate // update in a memberPart
 
-	event Event         // set in an eventPart, except for At
-	age   time.Duration // set in an eventPart: time from the event to the sending of the message
+	event Event         // event in an eventPart, without At
+	age   time.Duration // age in an eventPart: time from the event to the sending of the message
 
-	firstMember NodeID // set in a bitmapPart: member of the first bit
-	bitmap      []byte // set in a bitmapPart: slice of the message's payload
+	firstMember NodeID // member of the first bit in a bitmapPart
+	bitmap      []byte // dead members in a bitmapPart; refers to the message's payload
 }
 
 // appendHeader appends a header to a message.
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// parts returns the decoded parts that a queue appends to a header.
+// sendParts makes a queue fill up one message, and returns the decoded parts of the message.
 func sendParts(t *testing.T, q *gossipQueue, now time.Duration, rounds float64) []part {
 	t.Helper()
 	payload := q.appendTo(appendHeader(nil, header{kind: ping, sequence: 1}), now, rounds)
 	m, err := decode(payload, MaxNodes, 3)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("decoding the queue's message:", err)
 	}
 	return m.parts
 }
 
-// Updates about members come before events, and the least sent ones come first. Each is sent for the rounds of its kind.
+// TestGossipOrderAndLimits guards against gossip that delays updates about members, or never ends. Updates about members
+// come before events, and the least sent ones come first. Each update is sent for the rounds of its kind.
 func TestGossipOrderAndLimits(t *testing.T) {
 	var q gossipQueue
 	q.addEvent(Event{Kind: 2, ID: 8})
@@ -28,7 +29,7 @@
 		}
 		got := sendParts(t, &q, 0, 3)
 		if round == 1 && (len(got) != 3 || got[0].member.id != 5 || got[1].member.id != 3 || got[2].kind != eventPart) {
-			t.Errorf("%+v", got)
+			t.Errorf("message of round 1 has the parts %+v, want member 5, member 3, then the event", got)
 		}
 		for _, p := range got {
 			if p.kind == eventPart {
@@ -39,11 +40,13 @@
 		}
 	}
 	if sentMember != memberUpdateRounds*3 || sentEvent != 3 || len(q.updates) > 0 {
-		t.Errorf("the member was sent %d times, the event %d times, %d are left", sentMember, sentEvent, len(q.updates))
+		t.Errorf("member 3 was sent %d times, the event %d times, and %d updates are left; want %d, 3 and 0",
+			sentMember, sentEvent, len(q.updates), memberUpdateRounds*3)
 	}
 }
 
-// A newer update replaces the older one of the same subject, and its count of sends starts at 0.
+// TestNewerUpdateReplacesOlderOne guards against gossip of outdated updates. A newer update replaces the older one of the
+// same subject, and its count of sends starts at 0.
 func TestNewerUpdateReplacesOlderOne(t *testing.T) {
 	var q gossipQueue
 	q.addEvent(Event{Kind: 1, ID: 8, OK: true})
@@ -54,41 +57,43 @@
 	q.addEvent(Event{Kind: 1, ID: 8, OK: false, At: time.Second})
 	q.addMember(memberUpdate{id: 3, state: Dead})
 	if len(q.updates) != 4 {
-		t.Fatalf("%+v", q.updates)
+		t.Fatalf("queue holds the updates %+v, want 4", q.updates)
 	}
 	got := sendParts(t, &q, 3*time.Second, 9)
 	if len(got) != 4 || got[0].member != (memberUpdate{id: 3, state: Dead}) || got[2].event != (Event{Kind: 1, ID: 8}) ||
 		got[2].age != 2*time.Second {
-		t.Errorf("%+v", got)
+		t.Errorf("message has the parts %+v, want 4, with member 3 dead first and third event 8 of kind 1, not OK, 2s old", got)
 	}
 }
 
-// A message stays within MaxMessageSize, an event older than maxEventAge is not sent, and a full queue drops the update
-// that was sent most often.
+// TestGossipQueueIsBounded guards against unbounded messages and queues. A message stays within MaxMessageSize, and an event
+// older than maxEventAge is not sent. A full queue drops the update that was sent most often.
 func TestGossipQueueIsBounded(t *testing.T) {
 	var q gossipQueue
 	for i := range maxUpdates {
 		q.addMember(memberUpdate{id: NodeID(i), state: Suspect, incarnation: integerLimit - 1})
 	}
 	if payload := q.appendTo(nil, 0, 100); len(payload) > MaxMessageSize || len(payload)+maxUpdateSize <= MaxMessageSize {
-		t.Errorf("%d bytes", len(payload))
+		t.Errorf("full queue made a message of %d bytes, want %d to %d", len(payload), MaxMessageSize-maxUpdateSize+1, MaxMessageSize)
 	}
 	mostSent := q.updates[0].member.id
 	q.addEvent(Event{Kind: 3, ID: 1})
 	if len(q.updates) != maxUpdates || !q.updates[0].isEvent() {
-		t.Errorf("%d updates, the first %+v in place of %d", len(q.updates), q.updates[0], mostSent)
+		t.Errorf("full queue after another event: %d updates, first %+v; want %d, and the event in place of member %d",
+			len(q.updates), q.updates[0], maxUpdates, mostSent)
 	}
 	q = gossipQueue{}
 	q.addEvent(Event{Kind: 3, ID: 1})
 	if got := sendParts(t, &q, maxEventAge+1, 100); len(got) > 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("message has the parts %+v, want none because the event is too old", got)
 	}
 	if got := sendParts(t, &q, maxEventAge, 100); len(got) != 1 || got[0].age != maxEventAge {
-		t.Errorf("%+v", got)
+		t.Errorf("message has the parts %+v, want one event of age %v", got, maxEventAge)
 	}
 }
 
-// The budget holds the bytes of one second. A rate of 0 means no limit.
+// TestByteBudget guards against more bytes than the limit. The budget holds the bytes of one second. A rate of 0 means no
+// limit.
 func TestByteBudget(t *testing.T) {
 	b := byteBudget{rate: 1000, available: 1000}
 	count := 0
@@ -96,20 +101,20 @@
 		b.spend(MaxMessageSize)
 	}
 	if count != 3 {
-		t.Errorf("%d messages allowed at one time, want 3", count)
+		t.Errorf("budget of 1000 bytes allowed %d messages at one time, want 3", count)
 	}
 	if b.allows(20*time.Millisecond) || !b.allows(30*time.Millisecond) {
-		t.Error("the budget does not refill at its rate")
+		t.Error("budget of 1000 bytes per second allowed a message after 20ms, or none after 30ms; want none and one")
 	}
 	b.allows(time.Hour)
 	if b.available != 1000 {
-		t.Errorf("%v available after an hour", b.available)
+		t.Errorf("budget after an hour = %v bytes, want 1000", b.available)
 	}
 	unlimited := byteBudget{}
 	for range 100 {
 		unlimited.spend(MaxMessageSize)
 	}
 	if !unlimited.allows(0) {
-		t.Error("rate 0 limits the bytes")
+		t.Error("budget with rate 0 refused a message, want no limit")
 	}
 }
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// An update overrides the known state by its incarnation, then by its state. An update that changes the state is gossiped.
+// TestUpdatesOverrideByIncarnation guards against outdated updates that change a state. An update overrides the known state
+// by its incarnation, then by its state. An update that changes the state is gossiped.
 func TestUpdatesOverrideByIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -18,17 +19,17 @@
 	}{
 		{name: "suspicion", in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}, gossiped: true, suspected: 1},
 		{name: "death at once", in: memberUpdate{state: Dead}, want: memberUpdate{state: Dead}, gossiped: true, died: 1},
-		{name: "known", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}},
+		{name: "already known", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Suspect}, want: memberUpdate{state: Suspect}},
 		{
 			name: "alive does not refute at the same incarnation", have: memberUpdate{state: Suspect}, in: memberUpdate{state: Alive},
 			want: memberUpdate{state: Suspect},
 		},
 		{
-			name: "alive refutes at a higher one", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			name: "alive refutes at a higher incarnation", have: memberUpdate{state: Suspect, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
 			want: memberUpdate{state: Alive, incarnation: 5}, gossiped: true,
 		},
 		{
-			name: "back from the dead", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
+			name: "alive at a higher incarnation than the death", have: memberUpdate{state: Dead, incarnation: 4}, in: memberUpdate{state: Alive, incarnation: 5},
 			want: memberUpdate{state: Alive, incarnation: 5}, gossiped: true, rejoined: 1,
 		},
 		{
@@ -36,7 +37,7 @@
 			want: memberUpdate{state: Alive, incarnation: 6},
 		},
 		{
-			name: "the same state, higher", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Alive, incarnation: 9},
+			name: "same state at a higher incarnation", have: memberUpdate{state: Alive, incarnation: 6}, in: memberUpdate{state: Alive, incarnation: 9},
 			want: memberUpdate{state: Alive, incarnation: 9},
 		},
 	} {
@@ -48,22 +49,23 @@
 			c.in.id = 2
 			p.apply(c.in)
 			if m.state != c.want.state || m.incarnation != c.want.incarnation || p.State(2) != c.want.state {
-				t.Errorf("%+v, want %+v", *m, c.want)
+				t.Errorf("member after the update = %+v, want %+v", *m, c.want)
 			}
 			if gossiped := len(p.gossip.updates) == 1; gossiped != c.gossiped || (p.Version() != version) != c.gossiped {
-				t.Errorf("gossiped %v, version %d after %d", gossiped, p.Version(), version)
+				t.Errorf("after the update: gossiped %v, version %d after %d; want gossiped and version changed %v", gossiped, p.Version(), version, c.gossiped)
 			}
 			if isDead := c.want.state == Dead; (p.deadHash != hash) != isDead {
-				t.Errorf("hash %x after %x", p.deadHash, hash)
+				t.Errorf("hash of the dead members = %x after %x, want changed %v", p.deadHash, hash, isDead)
 			}
 			if n := p.Counters(); n.Suspected != c.suspected || n.Died != c.died || n.Rejoined != c.rejoined {
-				t.Errorf("%+v", n)
+				t.Errorf("counters = %+v, want Suspected %d, Died %d and Rejoined %d", n, c.suspected, c.died, c.rejoined)
 			}
 		})
 	}
 }
 
-// A node refutes each suspicion of itself once, with a higher incarnation.
+// TestRefuteRaisesTheIncarnation guards against a live node that stays suspect, and against an endless series of
+// refutations. A node refutes each suspicion of itself once, with a higher incarnation.
 func TestRefuteRaisesTheIncarnation(t *testing.T) {
 	p := New(Config{Self: 1, Nodes: 4}, 0)
 	for _, c := range []struct {
@@ -78,31 +80,35 @@
 	} {
 		p.apply(c.in)
 		if p.members[1].incarnation != c.want || p.Counters().Refuted != c.refuted || p.members[1].state != Alive {
-			t.Errorf("%+v: %+v, refuted %d", c.in, p.members[1], p.Counters().Refuted)
+			t.Errorf("after the update %+v: own record %+v, Refuted %d; want alive, incarnation %d and Refuted %d",
+				c.in, p.members[1], p.Counters().Refuted, c.want, c.refuted)
 		}
 	}
 }
 
-// The comparison with a peer's dead members returns those that are not dead here, and refutes this node's own death.
+// TestCompareDeadReturnsMembersNotDeadHere guards against sets of dead members that stay different. compareDead returns the
+// members that are dead at the peer and not here, and refutes this node's own death.
 func TestCompareDeadReturnsMembersNotDeadHere(t *testing.T) {
 	p := New(Config{Self: 1, Nodes: 11}, 0)
 	p.apply(memberUpdate{id: 9, state: Dead})
 	if bitmap := p.deadBitmap(0, 11); len(bitmap) != 2 || bitmap[0] != 0 || bitmap[1] != 1<<1 {
-		t.Errorf("bitmap %x", bitmap)
+		t.Errorf("deadBitmap(0, 11) = %x, want 0002", bitmap)
 	}
 	if bitmap := p.deadBitmap(8, 3); len(bitmap) != 1 || bitmap[0] != 1<<1 {
-		t.Errorf("bitmap from 8 on %x", bitmap)
+		t.Errorf("deadBitmap(8, 3) = %x, want 02", bitmap)
 	}
 	alive := map[NodeID]bool{}
-	for _, id := range p.compareDead(0, []byte{1<<1 | 1<<4, 1<<0 | 1<<1 | 1<<7}) { // 1, 4, 8, 9 and 15, beyond the last
+	for _, id := range p.compareDead(0, []byte{1<<1 | 1<<4, 1<<0 | 1<<1 | 1<<7}) { // 1, 4, 8, 9, and 15, which is beyond the last member
 		alive[id] = true
 	}
 	if len(alive) != 2 || !alive[4] || !alive[8] || p.Counters().Refuted != 1 || p.members[1].incarnation != 1 {
-		t.Errorf("alive %v, %+v, %+v", alive, p.Counters(), p.members[1])
+		t.Errorf("compareDead: members %v not dead here, counters %+v, own record %+v; want members 4 and 8, Refuted 1 and incarnation 1",
+			alive, p.Counters(), p.members[1])
 	}
 }
 
-// AliveFor counts from the last time that the member rejoined, and is true for a member that was never dead.
+// TestAliveForCountsFromRejoin guards against trust in a member that has just rejoined. AliveFor counts from the last time
+// that the member rejoined, and is true for a member that was never dead.
 func TestAliveForCountsFromRejoin(t *testing.T) {
 	p := New(Config{Self: 0, Nodes: 3}, 5*time.Second)
 	p.apply(memberUpdate{id: 2, state: Dead})
@@ -111,7 +117,7 @@
 	p.Advance(8 * time.Second)
 	p.Advance(7 * time.Second) // an earlier time is ignored
 	if !p.AliveFor(1, time.Hour) || !p.AliveFor(2, 2*time.Second) || p.AliveFor(2, 2*time.Second+1) {
-		t.Errorf("never dead: %v; 2 s after rejoining: at least 2 s %v, at least 2 s and 1 ns %v",
+		t.Errorf("AliveFor of a member never dead: %v for 1h; of one that rejoined 2s ago: %v for 2s, %v for 2s and 1ns; want true, true, false",
 			p.AliveFor(1, time.Hour), p.AliveFor(2, 2*time.Second), p.AliveFor(2, 2*time.Second+1))
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -42,7 +42,7 @@
 // Config configures a Protocol.
 type Config struct {
 	Self        NodeID  // number of this node
-	Nodes       int     // size of the fleet, including this node; clamped to 1 and MaxNodes
+	Nodes       int     // size of the fleet, including this node; clamped to the range from 1 to MaxNodes
 	Seed        uint64  // seed of the random draws; combined with Self
 	ReceiveRate float64 // messages of all kinds that a node can receive, per second; 0 or less for no known limit
 	SendRate    float64 // bytes that this node may send, per second; 0 or less for no limit
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,12 +7,12 @@
 
 // outgoing is a message in the outbox. Next encodes the message, with the members' states of that time.
 type outgoing struct {
-	to         NodeID // receiver
-	kind       messageKind
-	sequence   uint64   // see header.sequence
-	target     NodeID   // node to ping in a pingRequest
-	withBitmap bool     // whether the message carries the set of dead members
-	members    []NodeID // members that a correction or dispute carries
+	to         NodeID      // receiver
+	kind       messageKind // kind of the message
+	sequence   uint64      // value of header.sequence
+	target     NodeID      // node to ping in a pingRequest
+	withBitmap bool        // whether the message carries the set of dead members
+	members    []NodeID    // members that a correction or dispute carries
 }
 
 // enqueue adds a message to the outbox.
@@ -47,7 +47,7 @@
 	return payload
 }
 
-// appendDead appends the set of dead members. In a fleet of more than 8*maxBitmapSize nodes it appends a random section.
+// appendDead appends the set of dead members. In a fleet of more than 8*maxBitmapSize nodes only a random section is appended.
 func (p *Protocol) appendDead(payload []byte) []byte {
 	firstMember, count := 0, min(p.cfg.Nodes, 8*maxBitmapSize)
 	if sections := (p.cfg.Nodes + count - 1) / count; sections > 1 {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -42,7 +42,7 @@
 
 // pingRequester is the member that asked for a ping with a pingRequest.
 type pingRequester struct {
-	node     NodeID // noNode if this node itself started the ping
+	node     NodeID // member that sent the pingRequest; noNode if this node itself started the ping
 	sequence uint64 // sequence of the pingRequest; repeated in the ack to node
 }
 
@@ -57,7 +57,7 @@
 	return p.indirectAt
 }
 
-// runProbes handles the timeouts of probes and suspicions, and sends the pings of a period once it is due.
+// runProbes handles the timeouts of probes and suspicions, and sends the pings of a period once they are due.
 func (p *Protocol) runProbes() {
 	if p.cfg.Nodes < 2 {
 		p.nextPingAt = p.now + p.period
@@ -74,7 +74,7 @@
 }
 
 // expireProbes handles the timeouts of the pending pings. The first timeout causes indirect pings, and the second makes the
-// target suspect.
+// target suspect. A ping for a requester causes neither, and is dropped at its end.
 func (p *Protocol) expireProbes() {
 	pending := p.probes[:0]
 	for _, probe := range p.probes {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -24,7 +24,7 @@
 
 	// demandSmoothing is the weight of the last window in the demand forecast.
 	demandSmoothing = 0.5
-	// demandMarginRatio is the margin on top of the demand forecast, as a share of the forecast.
+	// demandMarginRatio is the margin on top of the demand forecast, as a ratio of the forecast.
 	demandMarginRatio = 0.25
 	// releaseMarginShares is the smallest reduction of a cap that is worth an exchange, as a ratio of an equal share.
 	releaseMarginShares = 0.1
@@ -46,10 +46,10 @@
 
 // window is the part of an account that each new window resets.
 type window struct {
-	windowNumber WindowNumber
-	allowance    float64 // units that the whole fleet may use in the window
-	cap          float64 // units that this node may use in the window
-	used         float64 // units that this node has used in the window
+	windowNumber WindowNumber // number of the window; noWindow before the first
+	allowance    float64      // units that the whole fleet may use in the window
+	cap          float64      // units that this node may use in the window
+	used         float64      // units that this node has used in the window
 
 	otherCommitments  map[NodeID]Commitment // last known commitments of other nodes
 	lastSequence      Sequence              // sequence of the last commitment that this node put; 0 before the first
@@ -87,7 +87,7 @@
 	return &account{customer: c, lastLossWindow: noWindow - 1, window: window{windowNumber: noWindow}}
 }
 
-// reset sets the quota of an account. The next call of enterWindow begins a new window.
+// reset sets the quota of an account. The next call of enterWindow enters a window as if it were the first.
 func (a *account) reset(c Customer) {
 	a.customer, a.windowLength, a.windowNumber = c, c.Window(), noWindow
 }
@@ -95,8 +95,8 @@
 // equalShare returns the allowance divided by the number of nodes in the customer's node set, in units.
 func (a *account) equalShare() float64 { return a.allowance / float64(a.customer.Spread) }
 
-// releaseMargin returns the smallest reduction of the cap that is worth an exchange, in units. It multiplies before it
-// divides: all versions of this code must round alike.
+// releaseMargin returns the smallest reduction of the cap that is worth an exchange, in units. The product is
+// computed before the quotient: all versions of this code must round alike.
 func (a *account) releaseMargin() float64 {
 	return releaseMarginShares * a.allowance / float64(a.customer.Spread)
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -9,18 +9,20 @@
 	"time"
 )
 
-// fakeStore is a store in memory.
+// fakeStore is an in-memory store.
 type fakeStore struct {
-	id      StoreID
-	entries map[string][]Commitment // by customer and window
+	id      StoreID                 // id that the replies carry
+	entries map[string][]Commitment // entries by customer and window
 }
 
+// put adds the entry of an exchange, and returns all entries of its customer and window.
 func (s *fakeStore) put(exchange Exchange) []Commitment {
 	key := fmt.Sprint(exchange.Key, exchange.Window)
 	s.entries[key] = append(s.entries[key], exchange.Put)
 	return slices.Clone(s.entries[key])
 }
 
+// clone returns an independent copy of the store.
 func (s *fakeStore) clone() *fakeStore {
 	copied := &fakeStore{id: s.id, entries: map[string][]Commitment{}}
 	for key, entries := range s.entries {
@@ -31,25 +33,27 @@
 
 // fault is the fault of one exchange.
 type fault struct {
-	noReply      bool // the exchange gets no reply
-	lateReply    bool // the reply comes up to 500 ms later
-	entryDropped bool // the store replies, but drops the entry
+	noReply      bool // whether the exchange gets no reply
+	lateReply    bool // whether the reply is delayed by up to 500 ms
+	entryDropped bool // whether the store replies but drops the entry
 }
 
-// fleet is a fleet with one store in virtual time. The demand is uneven: node i has 2^i parts of it.
+// fleet is a fleet with one store in virtual time. The demand is uneven: node i has 2^i parts of the demand.
 type fleet struct {
 	random     *rand.Rand
 	nodes      []*Ledger
-	stores     [2]*fakeStore // of even and odd nodes; the same store unless it is split
-	now        time.Duration
-	scheduled  map[time.Duration][]func()
+	stores     [2]*fakeStore              // stores of the even and the odd nodes; the same store unless it is split
+	now        time.Duration              // virtual time
+	scheduled  map[time.Duration][]func() // actions by the time at which they are due
 	customer   Customer
-	spentUnits map[WindowNumber]float64
-	drawFault  func(f *fleet) fault // draws the fault of an exchange; nil for none
+	spentUnits map[WindowNumber]float64 // units spent by all nodes, by window
+	drawFault  func(f *fleet) fault     // draws the fault of an exchange; nil for none
 }
 
+// stepLength is the time between two steps of a fleet.
 const stepLength = 5 * time.Millisecond
 
+// newFleet returns a fleet whose store has no faults.
 func newFleet(seed uint64, nodes int) *fleet {
 	store := &fakeStore{id: 1, entries: map[string][]Commitment{}}
 	f := &fleet{
@@ -65,10 +69,12 @@
 	return f
 }
 
+// after schedules an action. delay is a multiple of stepLength.
 func (f *fleet) after(delay time.Duration, action func()) {
 	f.scheduled[f.now+delay] = append(f.scheduled[f.now+delay], action)
 }
 
+// run runs the fleet until a time. load is the demand as a ratio of the quota.
 func (f *fleet) run(until time.Duration, load float64) {
 	for ; f.now < until; f.now += stepLength {
 		for _, action := range f.scheduled[f.now] {
@@ -91,7 +97,7 @@
 	}
 }
 
-// exchange carries out an exchange with a fault.
+// exchange carries out an exchange, with the fault that drawFault draws.
 func (f *fleet) exchange(node *Ledger, store *fakeStore, exchange Exchange) {
 	var drawn fault
 	if f.drawFault != nil {
@@ -110,7 +116,7 @@
 			entries = store.put(exchange)
 		}
 		f.after(stepLength, func() { node.HandleReply(f.now, exchange.ID, Reply{Store: store.id, Entries: entries}, nil) })
-		if f.random.IntN(20) == 0 { // the exchange is carried out twice
+		if f.random.IntN(20) == 0 { // the store carries the exchange out twice
 			f.after(stepLength*time.Duration(1+f.random.IntN(200)), func() {
 				node.HandleReply(f.now, exchange.ID, Reply{Store: store.id, Entries: store.put(exchange)}, nil)
 			})
@@ -118,7 +124,8 @@
 	})
 }
 
-// used returns the largest share of a window's allowance that was spent, and the share of the quota that was spent overall.
+// quotaUse returns the largest share of a window's allowance that was spent, and the share of the quota that was spent
+// overall.
 func (f *fleet) quotaUse() (largestWindowShare, overallShare float64) {
 	allowance := f.customer.Rate * f.customer.Window().Seconds()
 	for _, spent := range f.spentUnits {
@@ -127,30 +134,34 @@
 	return largestWindowShare, overallShare / (f.customer.Rate * f.now.Seconds())
 }
 
-// Without faults no window exceeds its allowance, and uneven demand uses more of the quota than without a store.
+// TestLeasesFollowDemandWithinTheQuota guards against overuse, and against leases that do not follow the demand. Without
+// faults no window exceeds its allowance. With uneven demand, nodes with a store use more of the quota than nodes without
+// one.
 func TestLeasesFollowDemandWithinTheQuota(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 6)
 		f.run(60*time.Second, 1.5)
 		largestWindowShare, useWithStore := f.quotaUse()
 		if largestWindowShare > 1 || useWithStore < 0.75 {
-			t.Errorf("seed %d: %.3f of a window's allowance, %.2f of the quota used", seed, largestWindowShare, useWithStore)
+			t.Errorf("seed %d with a store: %.3f of the allowance spent in the largest window, %.2f of the quota overall; want at most 1 and at least 0.75",
+				seed, largestWindowShare, useWithStore)
 		}
 		withoutStore := newFleet(seed, 6)
 		withoutStore.drawFault = func(*fleet) fault { return fault{noReply: true} }
 		withoutStore.run(60*time.Second, 1.5)
 		largestWindowShare, useWithoutStore := withoutStore.quotaUse()
-		t.Logf("seed %d: %.2f of the quota used with a store, %.2f without", seed, useWithStore, useWithoutStore)
+		t.Logf("seed %d: %.2f of the quota spent with a store, %.2f without", seed, useWithStore, useWithoutStore)
 		if largestWindowShare > 1 || useWithoutStore > useWithStore-0.1 {
-			t.Errorf("seed %d without a store: %.3f of a window, %.2f of the quota, %.2f with one", seed, largestWindowShare, useWithoutStore, useWithStore)
+			t.Errorf("seed %d without a store: %.3f of the allowance spent in the largest window, %.2f of the quota overall; want at most 1 and at most %.2f",
+				seed, largestWindowShare, useWithoutStore, useWithStore-0.1)
 		}
 	}
 }
 
-// faultsActive reports whether the faults are active.
+// faultsActive reports whether the faults are active at the time of the fleet.
 func faultsActive(f *fleet) bool { return f.now > 21300*time.Millisecond && f.now < 40*time.Second }
 
-// replaceStore replaces the store by an empty one every 4 s.
+// replaceStore replaces the store by an empty one every 4 s while the faults are active.
 func replaceStore(f *fleet) fault {
 	if id := StoreID(1 + f.now/(4*time.Second)); faultsActive(f) && f.stores[0].id != id {
 		store := &fakeStore{id: id, entries: map[string][]Commitment{}}
@@ -159,7 +170,7 @@
 	return fault{}
 }
 
-// splitStore splits the store in two. Afterwards all nodes use the first half again.
+// splitStore splits the store in two while the faults are active. Afterwards all nodes use the first half again.
 func splitStore(f *fleet) fault {
 	if split := f.stores[0] != f.stores[1]; faultsActive(f) && !split {
 		f.stores[1] = f.stores[0].clone()
@@ -169,18 +180,18 @@
 	return fault{}
 }
 
-// With any fault of the store a customer gets at most a tenth more than its quota. Unless the store drops entries or splits,
-// no window exceeds its allowance.
+// TestOveruseIsBoundedWithAnyStoreFault guards against overuse while the store fails. With any fault of the store a customer
+// gets at most a tenth more than its quota. Unless the store drops entries or splits, no window exceeds its allowance.
 func TestOveruseIsBoundedWithAnyStoreFault(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		maxWindowShare float64 // largest allowed use of a window, as a share of its allowance
+		maxWindowShare float64 // largest allowed use of a window, as a ratio of its allowance
 		fault          func(f *fleet) fault
 	}{
-		{"gone", 1, func(f *fleet) fault { return fault{noReply: faultsActive(f)} }},
-		{"stalls", 1, func(f *fleet) fault { return fault{lateReply: faultsActive(f)} }},
+		{"unreachable", 1, func(f *fleet) fault { return fault{noReply: faultsActive(f)} }},
+		{"late replies", 1, func(f *fleet) fault { return fault{lateReply: faultsActive(f)} }},
 		{"lossy", 1, func(f *fleet) fault { return fault{noReply: f.random.IntN(3) == 0, lateReply: f.random.IntN(3) == 0} }},
-		{"forgets", 1.4, func(f *fleet) fault { return fault{entryDropped: faultsActive(f) && f.random.IntN(3) == 0} }},
+		{"drops entries", 1.4, func(f *fleet) fault { return fault{entryDropped: faultsActive(f) && f.random.IntN(3) == 0} }},
 		{"empty", 1, replaceStore},
 		{"split", 2, splitStore},
 	} {
@@ -190,31 +201,34 @@
 				f.drawFault = c.fault
 				f.run(60*time.Second, 2)
 				largestWindowShare, overallShare := f.quotaUse()
-				t.Logf("seed %d: most %.3f of a window's allowance, %.3f of the quota", seed, largestWindowShare, overallShare)
+				t.Logf("seed %d: %.3f of the allowance spent in the largest window, %.3f of the quota overall", seed, largestWindowShare, overallShare)
 				if largestWindowShare > c.maxWindowShare || overallShare > 1.1 || overallShare < 0.3 {
-					t.Errorf("seed %d: %.3f of a window's allowance, %.3f of the quota", seed, largestWindowShare, overallShare)
+					t.Errorf("seed %d: %.3f of the allowance spent in the largest window, %.3f of the quota overall; want at most %v, and 0.3 to 1.1",
+						seed, largestWindowShare, overallShare, c.maxWindowShare)
 				}
 			}
 		})
 	}
 }
 
-// A restarted node does not know its former use in the window. It spends nothing until the next window.
+// TestRestartRefillsNoQuota guards against a restart that refills a quota. A restarted node does not know its former use in
+// the window, so it spends nothing until the next window.
 func TestRestartRefillsNoQuota(t *testing.T) {
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
 	l := New(Config{Nodes: 2, Timeout: time.Second}, 3*time.Second)
 	if l.TrySpend(3*time.Second, c, 1) || l.TrySpend(3900*time.Millisecond, c, 1) {
-		t.Error("units were spent in the window of the start")
+		t.Error("TrySpend spent units in the window in which the node started, want none")
 	}
 	if _, ok := l.Next(3900 * time.Millisecond); ok {
-		t.Error("an exchange in the window of the start")
+		t.Error("Next returned an exchange in the window in which the node started, want none")
 	}
 	if !l.TrySpend(4*time.Second, c, 1) || l.TrySpend(4*time.Second, c, 10) {
-		t.Error("the slice of the next window is not 10")
+		t.Error("TrySpend in the next window refused 1 unit or spent 1+10, want an equal share of 10")
 	}
 }
 
-// A store that does not reply gets few exchanges, but is tried again.
+// TestUnreachableStoreGetsFewExchanges guards against load on an unreachable store. A store that does not reply gets few
+// exchanges, but the node keeps trying.
 func TestUnreachableStoreGetsFewExchanges(t *testing.T) {
 	l := New(Config{Nodes: 4, Timeout: 100 * time.Millisecond}, 0)
 	exchanges := 0
@@ -229,52 +243,54 @@
 		}
 	}
 	if c := l.Counters(); exchanges < 8 || exchanges > 60 || c.Failed < 7 {
-		t.Errorf("%d exchanges in a minute, %+v", exchanges, c)
+		t.Errorf("unreachable store for a minute: %d exchanges, counters %+v; want 8 to 60 exchanges and Failed at least 7", exchanges, c)
 	}
 }
 
-// Spent and recorded use reduce the available units. A customer without a quota has no limit.
+// TestUseReducesAvailableUnits guards against use that is not deducted. Spent and recorded use reduce the available units. A
+// customer without a quota has no limit.
 func TestUseReducesAvailableUnits(t *testing.T) {
 	l := New(Config{Nodes: 2}, 0)
-	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2} // a slice of 10 in a window of 2 s
+	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2} // an equal share of 10 in a window of 2 s
 	if got := l.Available(0, c); got != 10 {
-		t.Errorf("%v available", got)
+		t.Errorf("Available in the first window = %v, want 10", got)
 	}
 	if !l.TrySpend(0, c, 4) || l.TrySpend(0, c, 6.5) || l.Counters().Rejected != 1 {
-		t.Errorf("%+v", l.Counters())
+		t.Errorf("TrySpend of 4 and then 6.5 of 10 units: counters %+v, want success, failure and Rejected 1", l.Counters())
 	}
 	l.RecordUse(0, c, 7)
 	if got := l.Available(0, c); got != 0 {
-		t.Errorf("%v available after more was used", got)
+		t.Errorf("Available after the use of 11 of 10 units = %v, want 0", got)
 	}
 	if got := l.Available(2*time.Second, c); got != 10 {
-		t.Errorf("%v available in the next window", got)
+		t.Errorf("Available in the next window = %v, want 10", got)
 	}
 	unlimited := Customer{Key: 2}
 	l.RecordUse(0, unlimited, 7)
 	if got := l.Available(0, unlimited); !math.IsInf(got, 1) || !l.TrySpend(0, unlimited, 1e9) {
-		t.Errorf("%v available without a quota", got)
+		t.Errorf("Available without a quota = %v, want +Inf, and TrySpend of 1e9 units to succeed", got)
 	}
 }
 
-// A changed quota resets the account, and an idle account is dropped.
+// TestChangedAndIdleAccounts guards against accounts with an outdated quota, and against a leak of accounts. A changed quota
+// resets the account, and an idle account is dropped.
 func TestChangedAndIdleAccounts(t *testing.T) {
 	l := New(Config{Nodes: 2}, 0)
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
 	l.RecordDemand(0, c, 1)
 	l.RecordUse(0, c, 9)
-	c.Rate = 20 // in windows of half the length now
+	c.Rate = 20 // halves the length of the windows
 	if got := l.Available(0, c); got != 10 {
-		t.Errorf("%v available after the quota was doubled", got)
+		t.Errorf("Available after the quota was doubled = %v, want 10", got)
 	}
-	c.Spread = 9 // more than there are nodes
+	c.Spread = 9 // larger than the fleet
 	if got := l.Available(0, c); got != 10 {
-		t.Errorf("%v available with a node set larger than the fleet", got)
+		t.Errorf("Available with a node set larger than the fleet = %v, want 10", got)
 	}
 	for now := time.Duration(0); now < 2*idleWindows*c.Window()+time.Minute; now += time.Second {
 		l.Next(now)
 	}
 	if len(l.accounts) != 0 || len(l.rotation) != 0 {
-		t.Errorf("%d accounts, %d in the rotation", len(l.accounts), len(l.rotation))
+		t.Errorf("after the customer was idle: %d accounts, %d of them in the rotation; want 0 and 0", len(l.accounts), len(l.rotation))
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -47,7 +47,7 @@
 	Rate      float64     // quota in units per second; 0 or less for no quota
 	Burst     float64     // units that the customer may use at once
 	FirstNode NodeID      // first node of the node set
-	Spread    int         // number of nodes in the node set; clamped to 1 and the fleet's size
+	Spread    int         // number of nodes in the node set; clamped to the range from 1 to the fleet's size
 }
 
 // Config configures a Ledger.
@@ -59,7 +59,7 @@
 	Timeout      time.Duration // timeout of an exchange; see ExchangeTimeout
 }
 
-// Commitment is an entry in the store. By it, Node promises to use at most Cap units in the window.
+// Commitment is an entry in the store: Node commits to use at most Cap units in the window.
 type Commitment struct {
 	Node     NodeID
 	Sequence Sequence
--- a/internal/quota/transcript_test.go
+++ b/internal/quota/transcript_test.go
@@ -13,22 +13,24 @@
 // transcript runs nodes and a store in virtual time. It records every exchange, every rejection, and the available units of
 // each node.
 type transcript struct {
-	cfg                Config
+	cfg                Config // configuration of all nodes, without Self
 	nodes              []*Ledger
 	customers          []Customer
-	now                time.Duration
+	now                time.Duration // virtual time
 	random             *rand.Rand
-	scheduled          map[time.Duration][]func()
-	storeID            StoreID
-	entries            map[string][]Commitment
-	noReplyProbability float64 // probability that an exchange gets no reply
-	errorProbability   float64 // probability that an exchange gets an error
-	dropProbability    float64 // probability that the store drops an entry
+	scheduled          map[time.Duration][]func() // actions by the time at which they are due
+	storeID            StoreID                    // id that the replies carry
+	entries            map[string][]Commitment    // entries in the store, by customer and window
+	noReplyProbability float64                    // probability that an exchange gets no reply
+	errorProbability   float64                    // probability that an exchange gets an error
+	dropProbability    float64                    // probability that the store drops an entry
 	lines              []string
 }
 
+// transcriptStep is the time between two steps of a transcript.
 const transcriptStep = 10 * time.Millisecond
 
+// newTranscript returns a transcript that starts at the time now, with a store that has no faults.
 func newTranscript(cfg Config, customers []Customer, now time.Duration) *transcript {
 	p := &transcript{
 		cfg: cfg, customers: customers, now: now, random: rand.New(rand.NewPCG(cfg.Seed, 98)), storeID: 7,
@@ -41,13 +43,15 @@
 	return p
 }
 
+// write appends a line with the virtual time. The wording is part of the digests.
 func (p *transcript) write(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (p *transcript) after(steps int, f func()) {
+// after schedules an action after a number of steps.
+func (p *transcript) after(steps int, action func()) {
 	at := p.now + time.Duration(steps)*transcriptStep
-	p.scheduled[at] = append(p.scheduled[at], f)
+	p.scheduled[at] = append(p.scheduled[at], action)
 }
 
 // put carries out an exchange with the faults of the transcript.
@@ -67,10 +71,11 @@
 	p.after(1+p.random.IntN(6), func() { node.HandleReply(p.now, exchange.ID, Reply{Store: store, Entries: entries}, err) })
 }
 
+// run runs the nodes until a time. load is the demand at node 0 as a ratio of the quota.
 func (p *transcript) run(until time.Duration, load float64) {
 	for ; p.now < until; p.now += transcriptStep {
-		for _, f := range p.scheduled[p.now] {
-			f()
+		for _, action := range p.scheduled[p.now] {
+			action()
 		}
 		delete(p.scheduled, p.now)
 		for i, node := range p.nodes {
@@ -86,8 +91,8 @@
 				}
 			}
 			for exchange, ok := node.Next(p.now); ok; exchange, ok = node.Next(p.now) {
-				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", i, exchange.ID, exchange.Key, exchange.Window, exchange.Put.Node, exchange.Put.Sequence, exchange.Put.Cap,
-					exchange.TTL, exchange.Timeout)
+				p.write("%d: id %d, %d/%d, entry %d:%d %v, kept %v, within %v", i, exchange.ID, exchange.Key, exchange.Window,
+					exchange.Put.Node, exchange.Put.Sequence, exchange.Put.Cap, exchange.TTL, exchange.Timeout)
 				p.put(node, exchange)
 			}
 			if p.now%(500*time.Millisecond) == 0 {
@@ -102,6 +107,7 @@
 	}
 }
 
+// customers are the customers of each transcript.
 var customers = []Customer{
 	{Key: 9, Rate: 100, Burst: 400, Spread: 4},
 	{Key: 1 << 60, Rate: 8, Burst: 2, FirstNode: 3, Spread: 2},
@@ -110,18 +116,18 @@
 	{Key: 5, Rate: 30, Burst: 60, Spread: 90},
 }
 
-// transcripts are fleets with the faults of their store, and the expected transcripts.
+// transcripts are the runs of a fleet, with the faults of its store, and the expected lines.
 var transcripts = []struct {
 	name       string
 	cfg        Config
 	startTime  time.Duration
 	run        func(p *transcript)
-	lines      int
-	digest     string   // SHA-256 of all lines
-	firstLines []string // the first lines
+	lines      int      // expected number of lines
+	digest     string   // expected SHA-256 of all lines
+	firstLines []string // expected first lines
 }{
 	{
-		name: "all well", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
+		name: "without faults", cfg: Config{Nodes: 4, Seed: 21, Timeout: 60 * time.Millisecond},
 		run: func(p *transcript) { p.run(20*time.Second, 0.6) }, lines: 2705, digest: "07d1f74de121d63ca23ad8ea47a9c65b39c14e280e2a55be4ea33233f843c0d6", firstLines: []string{
 			"0.00 0: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
 			"0.00 1: room [50 2 +Inf 20 7.5], [0 0 0 0 0 0 0]",
@@ -132,7 +138,7 @@
 		},
 	},
 	{
-		name: "from the epoch, few calls", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
+		name: "time since the Unix epoch, limited exchange rate", cfg: Config{Nodes: 4, Seed: 22, ExchangeRate: 9, Timeout: 60 * time.Millisecond},
 		startTime: 1_700_000_000_350 * time.Millisecond,
 		run:       func(p *transcript) { p.run(p.now+20*time.Second, 1.2) }, lines: 3236, digest: "051f6df2363a5f3016a6f7ff5c9d764cba2d2a78be568547db55ac14a706bc8d", firstLines: []string{
 			"1700000000.35 0 refuses 9",
@@ -144,7 +150,7 @@
 		},
 	},
 	{
-		name: "a bad store", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
+		name: "with store faults", cfg: Config{Nodes: 6, Seed: 23, ExchangeRate: 400, Timeout: 40 * time.Millisecond},
 		run: func(p *transcript) {
 			p.run(6*time.Second, 0.9)
 			p.noReplyProbability, p.errorProbability = 0.2, 0.1
@@ -171,8 +177,9 @@
 	},
 }
 
-// Nodes of different versions share one store. Therefore all exchanges, rejections and available units are compared with the
-// expected ones. The transcript's wording is part of its digest.
+// TestFleetTranscripts guards against nodes of different versions that enforce a quota differently with one store. All
+// exchanges, rejections and available units are compared with the expected ones. The transcript's wording is part of its
+// digest.
 func TestFleetTranscripts(t *testing.T) {
 	for _, c := range transcripts {
 		t.Run(c.name, func(t *testing.T) {
@@ -181,14 +188,15 @@
 			firstLines := p.lines[:6]
 			digest := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(p.lines, "\n"))))
 			if len(p.lines) != c.lines || digest != c.digest || strings.Join(firstLines, "\n") != strings.Join(c.firstLines, "\n") {
-				t.Errorf("%d lines, %s\n%s\nwant %d, %s\n%s", len(p.lines), digest, strings.Join(firstLines, "\n"), c.lines, c.digest,
-					strings.Join(c.firstLines, "\n"))
+				t.Errorf("transcript has %d lines, digest %s and begins\n%s\nwant %d lines, digest %s and the beginning\n%s",
+					len(p.lines), digest, strings.Join(firstLines, "\n"), c.lines, c.digest, strings.Join(c.firstLines, "\n"))
 			}
 		})
 	}
 }
 
-// All versions derive the same windows and timeouts from the settings.
+// TestWindowAndTimeoutLengths guards against nodes of different versions with different windows or timeouts. All versions
+// derive the same lengths from the settings.
 func TestWindowAndTimeoutLengths(t *testing.T) {
 	for _, c := range []struct {
 		rate, burst float64
@@ -203,7 +211,7 @@
 		{3, 4, 666666666},
 	} {
 		if got := (Customer{Rate: c.rate, Burst: c.burst}).Window(); got != c.want {
-			t.Errorf("rate %v, burst %v: window %v, want %v", c.rate, c.burst, got, c.want)
+			t.Errorf("Customer{Rate: %v, Burst: %v}.Window() = %v, want %v", c.rate, c.burst, got, c.want)
 		}
 	}
 	for objective, want := range map[time.Duration]time.Duration{
@@ -211,7 +219,7 @@
 		time.Second: 200 * time.Millisecond, 8 * time.Second: 250 * time.Millisecond,
 	} {
 		if got := ExchangeTimeout(objective); got != want {
-			t.Errorf("objective %v: timeout %v, want %v", objective, got, want)
+			t.Errorf("ExchangeTimeout(%v) = %v, want %v", objective, got, want)
 		}
 	}
 }
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -24,23 +24,24 @@
 )
 
 const (
-	fleetNodes = 6
-	teamRate   = 100.0 // units a second of the plan "team"
+	fleetNodes = 6     // number of nodes of the fleet
+	teamRate   = 100.0 // quota of the plan "team", in units per second
 )
 
 // appServer counts how often each request ran.
 type appServer struct {
-	addr netip.AddrPort
+	addr netip.AddrPort // listening address
 
 	mu         sync.Mutex
-	executions map[string]int // guarded by mu: executions by request id
+	executions map[string]int // number of executions by request id; guarded by mu
 }
 
+// startAppServer starts an app server that echoes request bodies.
 func startAppServer(t *testing.T) *appServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("listening for the app server:", err)
 	}
 	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), executions: map[string]int{}}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -48,15 +49,15 @@
 		app.executions[request.Header.Get(protocol.HeaderRequestID)]++
 		app.mu.Unlock()
 		if _, err := io.Copy(w, request.Body); err != nil {
-			t.Error(err)
+			t.Error("echoing a request body at the app server:", err)
 		}
 	})}
 	t.Cleanup(func() { _ = server.Close() })
-	go func() { _ = server.Serve(ln) }() // until Close
+	go func() { _ = server.Serve(ln) }() // ends when the server is closed
 	return app
 }
 
-// endpoints lists the server under many ids, so that no limit of a server applies before the quota.
+// endpoints lists the server under many ids, so that no limit per server applies before the quota.
 func (a *appServer) endpoints() []protocol.Endpoint {
 	var endpoints []protocol.Endpoint
 	for i := range 30 {
@@ -94,20 +95,20 @@
 	return node.Server.Addr().String()
 }
 
-// buyer sends purchases and counts the responses by status.
+// purchaser sends purchases and counts the responses by status.
 type purchaser struct {
 	t *testing.T
 
 	mu                sync.Mutex
-	responsesByStatus map[int]int // guarded by mu: by status
+	responsesByStatus map[int]int // number of responses by HTTP status; guarded by mu
 }
 
-// buy sends one purchase to a node and waits for the response.
-func (b *purchaser) purchase(id, addr string) {
-	b.t.Helper()
-	request, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
+// purchase sends one purchase to a node and waits for the response.
+func (p *purchaser) purchase(id, addr string) {
+	p.t.Helper()
+	request, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
 	if err != nil {
-		b.t.Error(err)
+		p.t.Error("creating a purchase request:", err)
 		return
 	}
 	for name, value := range map[string]string{
@@ -119,23 +120,24 @@
 	sentAt := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		b.t.Errorf("%s: %v", id, err)
+		p.t.Errorf("sending purchase %s: %v", id, err)
 		return
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		b.t.Errorf("%s: %v", id, err)
+		p.t.Errorf("reading the response to purchase %s: %v", id, err)
 	}
 	_ = response.Body.Close()
 	if took := time.Since(sentAt); took > time.Second {
-		b.t.Errorf("%s: response after %v", id, took)
+		p.t.Errorf("purchase %s got its response after %v, want at most 1s", id, took)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.responsesByStatus[response.StatusCode]++
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.responsesByStatus[response.StatusCode]++
 }
 
-// Six nodes serve purchases over HTTP while the store has its faults. No purchase runs twice, every request gets a response
-// in time, and the customer gets at most a tenth more than its quota.
+// TestPurchasesHoldQuotaWhileTheStoreFails guards against a faulty store that affects requests. Six nodes serve purchases
+// over HTTP while the store has its faults. No purchase runs twice, every request gets a response in time, and the customer
+// gets at most a tenth more than its quota.
 func TestPurchasesHoldQuotaWhileTheStoreFails(t *testing.T) {
 	store, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
 		{Kind: "cut", At: 3, For: 0.7},
@@ -145,19 +147,19 @@
 		{Kind: "forget", At: 7.5, For: 0.7, Chance: 0.3},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("starting the store:", err)
 	}
 	defer store.Close()
 	app, nodes := startAppServer(t), make([]string, fleetNodes)
 	for i := range nodes {
 		nodes[i] = startNode(t, i, store.Addr(), app)
 	}
-	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // a window begins
+	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // start of a window
 	startedAt, duration := time.Now(), 9*time.Second
-	buyer := &purchaser{t: t, responsesByStatus: map[int]int{}}
+	client := &purchaser{t: t, responsesByStatus: map[int]int{}}
 	var pending sync.WaitGroup
 	sent := 0
-	for ; time.Since(startedAt) < duration; sent++ { // twice the quota, half of it at one node
+	for ; time.Since(startedAt) < duration; sent++ { // sends twice the quota, half of it to one node
 		time.Sleep(time.Until(startedAt.Add(time.Duration(float64(sent) / (2 * teamRate) * float64(time.Second)))))
 		id, node := fmt.Sprint("p", sent), 0
 		if sent%2 > 0 {
@@ -166,7 +168,7 @@
 		pending.Add(1)
 		go func() {
 			defer pending.Done()
-			buyer.purchase(id, nodes[node])
+			client.purchase(id, nodes[node])
 		}()
 	}
 	pending.Wait()
@@ -174,13 +176,14 @@
 	defer app.mu.Unlock()
 	for id, count := range app.executions {
 		if count > 1 {
-			t.Errorf("%s ran %d times", id, count)
+			t.Errorf("purchase %s ran %d times, want at most once", id, count)
 		}
 	}
 	quotaShare := float64(len(app.executions)) / (teamRate * duration.Seconds())
-	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.responsesByStatus, quotaShare)
-	responded := buyer.responsesByStatus[http.StatusOK] + buyer.responsesByStatus[http.StatusServiceUnavailable] + buyer.responsesByStatus[http.StatusBadGateway]
+	t.Logf("%d purchases sent, responses by status %v, %.3f of the quota used", sent, client.responsesByStatus, quotaShare)
+	responded := client.responsesByStatus[http.StatusOK] + client.responsesByStatus[http.StatusServiceUnavailable] + client.responsesByStatus[http.StatusBadGateway]
 	if responded != sent || quotaShare > 1.1 || quotaShare < 0.5 {
-		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.responsesByStatus, quotaShare)
+		t.Errorf("%d purchases sent: %d responses with status 200, 502 or 503 of %v, %.3f of the quota used; want %d, and 0.5 to 1.1",
+			sent, responded, client.responsesByStatus, quotaShare, sent)
 	}
 }
--- a/internal/quotastore/quotas.go
+++ b/internal/quotastore/quotas.go
@@ -29,7 +29,7 @@
 	client    *redis.Client // connections to the store
 	log       *zerolog.Logger
 	startedAt time.Time      // time of Open by the wall clock and the monotonic clock
-	done      chan struct{}  // closed by Close
+	done      chan struct{}  // channel that Close closes
 	running   sync.WaitGroup // counts Run and the running exchanges
 
 	mu        sync.Mutex // guards ledger and storeDown; not held during a call to the store
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -16,8 +16,9 @@
 	"cherrygap/internal/quota"
 )
 
-// A customer's demand is twice its quota, mostly at one of six nodes. The store has all its faults, one after the other. The
-// customer gets at most a tenth more than its quota, no call waits for the store, and after the faults the quota is used.
+// TestQuotaHoldsWithAnyStoreFault guards against overuse while the store fails. A customer's demand is twice its quota,
+// mostly at one of six nodes. The store has all its faults, one after the other. The customer gets at most a tenth more than
+// its quota, and no call waits for the store. After the faults the quota is used again.
 func TestQuotaHoldsWithAnyStoreFault(t *testing.T) {
 	const nodes = 6
 	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
@@ -31,7 +32,7 @@
 		{Kind: "slow", At: 11, For: 0.5, DelayMs: 20},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("starting the store:", err)
 	}
 	defer server.Close()
 	fleet := startSpendingFleet(t, server.Addr(), quota.Customer{Key: 7, Rate: 400, Burst: 800, Spread: nodes}, 13*time.Second)
@@ -46,35 +47,37 @@
 	}
 	rate, longestCall := fleet.customer.Rate, time.Duration(fleet.longestCall.Load())
 	quotaShare := float64(fleet.spentUnits.Load()) / (rate * fleet.end.Sub(fleet.begin).Seconds())
-	t.Logf("%.3f of the quota, %+v, %d in the last second, slowest %v", quotaShare, total, fleet.spentInLastSecond.Load(), longestCall)
+	t.Logf("%.3f of the quota used, counters %+v, %d units spent in the last second, longest call %v",
+		quotaShare, total, fleet.spentInLastSecond.Load(), longestCall)
 	if quotaShare > 1.1 || quotaShare < 0.5 {
-		t.Errorf("%.3f of the quota was used", quotaShare)
+		t.Errorf("%.3f of the quota was used, want 0.5 to 1.1", quotaShare)
 	}
 	if total.Failed < 10 || total.Borrowed < 20 || float64(fleet.spentInLastSecond.Load()) < 0.7*rate {
-		t.Errorf("%+v, %d spent in the last second of %v", total, fleet.spentInLastSecond.Load(), rate)
+		t.Errorf("counters %+v, %d units spent in the last second; want Failed at least 10, Borrowed at least 20, and at least %v units",
+			total, fleet.spentInLastSecond.Load(), 0.7*rate)
 	}
-	if longestCall > 50*time.Millisecond { // a call to the store times out after 60 ms
-		t.Errorf("TrySpend took %v", longestCall)
+	if longestCall > 50*time.Millisecond { // an exchange with the store times out after 60 ms
+		t.Errorf("RecordDemand and TrySpend took %v, want at most 50ms", longestCall)
 	}
 }
 
-// spenders are nodes at which a customer's demand is twice its quota.
+// spendingFleet is a fleet at which a customer's demand is twice its quota.
 type spendingFleet struct {
 	customer   quota.Customer
 	quotas     []*Quotas
-	begin, end time.Time
-	running    sync.WaitGroup
+	begin, end time.Time      // first and last time of a call
+	running    sync.WaitGroup // counts the nodes that spend
 
-	spentUnits        atomic.Int64 // units
-	spentInLastSecond atomic.Int64 // units in the last second
-	longestCall       atomic.Int64 // longest time of RecordDemand and TrySpend, in ns
+	spentUnits        atomic.Int64 // units spent by all nodes
+	spentInLastSecond atomic.Int64 // units spent by all nodes in the last second
+	longestCall       atomic.Int64 // longest time of a RecordDemand and TrySpend, in nanoseconds
 }
 
-// startSpendingFleet starts the nodes of the customer's set. They spend for span, from the next full second on.
+// startSpendingFleet starts the nodes of the customer's set. They spend for duration, from the next full second on.
 func startSpendingFleet(t *testing.T, store string, customer quota.Customer, duration time.Duration) *spendingFleet {
 	t.Helper()
 	log := zerolog.Nop()
-	begin := time.Now().Truncate(time.Second).Add(time.Second) // a window begins
+	begin := time.Now().Truncate(time.Second).Add(time.Second) // start of a window
 	s := &spendingFleet{customer: customer, begin: begin, end: begin.Add(duration)}
 	for i := range customer.Spread {
 		q := Open(store, fmt.Sprint("n", i), quota.Config{
@@ -91,7 +94,7 @@
 	return s
 }
 
-// spend spends at node i, which has 2^i parts of the demand.
+// spend spends units at node i, which has 2^i parts of the demand.
 func (s *spendingFleet) spend(q *Quotas, i int) {
 	random := rand.New(rand.NewSource(int64(i)))
 	share := float64(int(1)<<i) / float64(int(1)<<s.customer.Spread-1)
@@ -104,6 +107,7 @@
 	}
 }
 
+// spendOne tries to spend one unit at a node, and records the result and the time taken.
 func (s *spendingFleet) spendOne(q *Quotas) {
 	calledAt := time.Now()
 	q.RecordDemand(s.customer, 1)
@@ -116,11 +120,12 @@
 	s.longestCall.Store(max(s.longestCall.Load(), int64(time.Since(calledAt))))
 }
 
-// The laboratory's store replies to go-redis as Redis does.
+// TestLabStoreSpeaksRedisProtocol guards against a lab store that tests the client with replies that Redis would not send.
+// The lab store replies to go-redis as Redis does.
 func TestLabStoreSpeaksRedisProtocol(t *testing.T) {
 	server, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "full", At: 0.4, For: 60}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("starting the store:", err)
 	}
 	defer server.Close()
 	client := redis.NewClient(&redis.Options{Addr: server.Addr(), Protocol: 2, MaxRetries: -1})
@@ -140,14 +145,14 @@
 	want := "12 -3 false map[x:1 y:2] redis: nil redis: nil ERR wrong number of arguments for 'get' command ERR unknown " +
 		"command 'FLY' false 1\n"
 	if got != want {
-		t.Errorf("\n%s, want\n%s", got, want)
+		t.Errorf("replies of the store =\n%s, want\n%s", got, want)
 	}
 	time.Sleep(450 * time.Millisecond)
 	_, err = client.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
 	if err == nil || client.Set(ctx, "b", 1, 0).Err() == nil || client.Get(ctx, "b").Val() != "-3" {
-		t.Error("a full store accepted a write")
+		t.Error("full store: a transaction or SET succeeded, or GET lost the value; want only reads to succeed")
 	}
 	if _, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "melt"}}); err == nil {
-		t.Error("an unknown fault was accepted")
+		t.Error("Start accepted a fault of the unknown kind \"melt\", want an error")
 	}
 }
--- a/internal/quotastore/transaction_test.go
+++ b/internal/quotastore/transaction_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/quota"
 )
 
-// One invalid entry makes the whole reply malformed.
+// TestParseEntries guards against grants from a damaged reply. One invalid entry makes the whole reply malformed.
 func TestParseEntries(t *testing.T) {
 	for _, c := range []struct {
 		field, value string
@@ -28,10 +28,10 @@
 	} {
 		got, err := parseEntries(map[string]string{c.field: c.value})
 		if !errors.Is(err, c.err) || err == nil && (len(got) != 1 || got[0] != c.want) || err != nil && got != nil {
-			t.Errorf("%q, %q: %+v, %v", c.field, c.value, got, err)
+			t.Errorf("parseEntries of field %q with value %q = %+v, %v; want %+v, %v", c.field, c.value, got, err, c.want, c.err)
 		}
 	}
 	if got, err := parseEntries(nil); got != nil || err != nil {
-		t.Errorf("an empty hash: %+v, %v", got, err)
+		t.Errorf("parseEntries(nil) = %+v, %v; want nil, nil", got, err)
 	}
 }
--- a/internal/quotastore/wireformat_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -22,21 +22,21 @@
 	"cherrygap/internal/quota"
 )
 
-// scripted is a store on loopback with a fixed reply to each transaction.
+// scriptedStore is a store on loopback with a fixed reply to each transaction.
 type scriptedStore struct {
 	net.Listener
 
 	mu       sync.Mutex
-	received bytes.Buffer // guarded by mu: the bytes of all commands
+	received bytes.Buffer // bytes of all commands; guarded by mu
 }
 
-// startScriptedStore starts a store that replies exec to each EXEC. It rejects HELLO, like the laboratory's store, and accepts all
-// other commands.
+// startScriptedStore starts a store that replies execReply to each EXEC. The store rejects HELLO, like the lab store, and
+// accepts all other commands.
 func startScriptedStore(t *testing.T, execReply string) *scriptedStore {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("listening for the scripted store:", err)
 	}
 	s := &scriptedStore{Listener: ln}
 	t.Cleanup(func() { _ = ln.Close() })
@@ -52,6 +52,7 @@
 	return s
 }
 
+// serve reads and answers the commands of a connection until reading or writing fails.
 func (s *scriptedStore) serve(conn net.Conn, execReply string) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
@@ -81,7 +82,7 @@
 	}
 }
 
-// readCommand reads one command. text is the command as received, words its name and arguments.
+// readCommand reads one command. command is the command as received, and arguments are its name and arguments.
 func readCommand(r *bufio.Reader) (command string, arguments []string, err error) {
 	readNumber := func(prefix string) int {
 		line, readErr := r.ReadString('\n')
@@ -106,12 +107,12 @@
 	return command, arguments, err
 }
 
-// Nodes of different versions share one store. Therefore the commands, their order, the keys, the entries and their lifetime
-// are compared with the expected bytes. Only the proposed store id is random.
+// TestExchangeWireFormat guards against nodes of different versions that cannot share a store. The commands, their order,
+// the keys, the entries and their time to live are compared with the expected bytes. Only the proposed store id is random.
 func TestExchangeWireFormat(t *testing.T) {
 	const execReply = "*5\r\n:0\r\n$20\r\n18446744073709551615\r\n:1\r\n:1\r\n" +
 		"*6\r\n$3\r\n0:1\r\n$4\r\n12.5\r\n$5\r\n17:30\r\n$1\r\n0\r\n$3\r\n2:2\r\n$5\r\n1e-07\r\n"
-	// The commands of a new connection, and the beginning of each transaction.
+	// opening holds the commands of a new connection, and the beginning of each transaction.
 	const opening = "*2\r\n$5\r\nhello\r\n$1\r\n2\r\n" +
 		"*3\r\n$6\r\nclient\r\n$7\r\nsetname\r\n$6\r\nedge-3\r\n" +
 		"*1\r\n$5\r\nmulti\r\n" +
@@ -155,24 +156,24 @@
 			defer q.Close()
 			reply, err := putAndRead(t.Context(), q.client, c.exchange)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatal("putAndRead:", err)
 			}
 			slices.SortFunc(reply.Entries, func(a, b quota.Commitment) int { return int(a.Node - b.Node) })
 			if want := []quota.Commitment{{Node: 0, Sequence: 1, Cap: 12.5}, {Node: 2, Sequence: 2, Cap: 1e-7}, {Node: 17, Sequence: 30}}; reply.Store != math.MaxUint64 ||
 				!reflect.DeepEqual(reply.Entries, want) {
-				t.Errorf("store %d, %v, want %v", reply.Store, reply.Entries, want)
+				t.Errorf("putAndRead = store %d with entries %v, want store %d with entries %v", reply.Store, reply.Entries, uint64(math.MaxUint64), want)
 			}
 			server.mu.Lock()
 			defer server.mu.Unlock()
 			randomID := regexp.MustCompile(`(quota:store\r\n)\$\d+\r\n\d+[13579]\r\n`)
 			if got := randomID.ReplaceAllString(server.received.String(), "${1}RANDOM "); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("commands sent = %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// A reply is parsed as a whole or is an error.
+// TestMalformedReplies guards against grants from a damaged reply. A reply is either parsed as a whole or is an error.
 func TestMalformedReplies(t *testing.T) {
 	const head = "*5\r\n:0\r\n$1\r\n9\r\n:1\r\n:1\r\n"
 	for _, c := range []struct {
@@ -197,7 +198,8 @@
 			defer q.Close()
 			reply, err := putAndRead(t.Context(), q.client, quota.Exchange{TTL: time.Second})
 			if (err == nil) != c.ok || err == nil && reply.Store != 9 || err != nil && (reply.Store != 0 || reply.Entries != nil) {
-				t.Errorf("%v, %d, %v", err, reply.Store, reply.Entries)
+				t.Errorf("putAndRead = store %d, entries %v, error %v; want success %v, with store 9 on success and an empty reply otherwise",
+					reply.Store, reply.Entries, err, c.ok)
 			}
 		})
 	}
