--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -24,39 +24,40 @@
 )
 
 const (
-	fleetNodes = 6
-	teamRate   = 100.0 // units a second of the plan "team"
+	fleetNodes = 6     // number of nodes of the fleet
+	teamRate   = 100.0 // quota of the plan "team", in units per second
 )
 
 // appServer counts how often each request ran.
 type appServer struct {
-	addr netip.AddrPort
+	addr netip.AddrPort // listening address
 
-	mu  sync.Mutex
-	ran map[string]int // guarded by mu: executions by request id
+	mu         sync.Mutex
+	executions map[string]int // number of executions by request id; guarded by mu
 }
 
+// startAppServer starts an app server that echoes request bodies.
 func startAppServer(t *testing.T) *appServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("listening for the app server:", err)
 	}
-	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), ran: map[string]int{}}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	app := &appServer{addr: netip.MustParseAddrPort(ln.Addr().String()), executions: map[string]int{}}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		app.mu.Lock()
-		app.ran[q.Header.Get(protocol.HeaderRequestID)]++
+		app.executions[request.Header.Get(protocol.HeaderRequestID)]++
 		app.mu.Unlock()
-		if _, err := io.Copy(w, q.Body); err != nil {
-			t.Error(err)
+		if _, err := io.Copy(w, request.Body); err != nil {
+			t.Error("echoing a request body at the app server:", err)
 		}
 	})}
 	t.Cleanup(func() { _ = server.Close() })
-	go func() { _ = server.Serve(ln) }() // until Close
+	go func() { _ = server.Serve(ln) }() // ends when the server is closed
 	return app
 }
 
-// endpoints lists the server under many ids, so that no limit of a server applies before the quota.
+// endpoints lists the server under many ids, so that no limit per server applies before the quota.
 func (a *appServer) endpoints() []protocol.Endpoint {
 	var endpoints []protocol.Endpoint
 	for i := range 30 {
@@ -94,48 +95,49 @@
 	return node.Server.Addr().String()
 }
 
-// buyer sends purchases and counts the responses by status.
-type buyer struct {
+// purchaser sends purchases and counts the responses by status.
+type purchaser struct {
 	t *testing.T
 
-	mu        sync.Mutex
-	responses map[int]int // guarded by mu: by status
+	mu                sync.Mutex
+	responsesByStatus map[int]int // number of responses by HTTP status; guarded by mu
 }
 
-// buy sends one purchase to a node and waits for the response.
-func (b *buyer) buy(id, addr string) {
-	b.t.Helper()
-	q, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
+// purchase sends one purchase to a node and waits for the response.
+func (p *purchaser) purchase(id, addr string) {
+	p.t.Helper()
+	request, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
 	if err != nil {
-		b.t.Error(err)
+		p.t.Error("creating a purchase request:", err)
 		return
 	}
 	for name, value := range map[string]string{
 		protocol.HeaderRequestID: id, protocol.HeaderPlan: "team", protocol.HeaderTimeout: "1000",
 		protocol.HeaderWeight: fmt.Sprintf("units=1,spread=%d,first=0", fleetNodes),
 	} {
-		q.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
 	sentAt := time.Now()
-	response, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		b.t.Errorf("%s: %v", id, err)
+		p.t.Errorf("sending purchase %s: %v", id, err)
 		return
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		b.t.Errorf("%s: %v", id, err)
+		p.t.Errorf("reading the response to purchase %s: %v", id, err)
 	}
 	_ = response.Body.Close()
 	if took := time.Since(sentAt); took > time.Second {
-		b.t.Errorf("%s: response after %v", id, took)
+		p.t.Errorf("purchase %s got its response after %v, want at most 1s", id, took)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.responses[response.StatusCode]++
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.responsesByStatus[response.StatusCode]++
 }
 
-// Six nodes serve purchases over HTTP while the store has its faults. No purchase runs twice, every request gets a response
-// in time, and the customer gets at most a tenth more than its quota.
+// TestPurchasesHoldQuotaWhileTheStoreFails guards against a faulty store that affects requests. Six nodes serve purchases
+// over HTTP while the store has its faults. No purchase runs twice, every request gets a response in time, and the customer
+// gets at most a tenth more than its quota.
 func TestPurchasesHoldQuotaWhileTheStoreFails(t *testing.T) {
 	store, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
 		{Kind: "cut", At: 3, For: 0.7},
@@ -145,42 +147,43 @@
 		{Kind: "forget", At: 7.5, For: 0.7, Chance: 0.3},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("starting the store:", err)
 	}
 	defer store.Close()
 	app, nodes := startAppServer(t), make([]string, fleetNodes)
 	for i := range nodes {
 		nodes[i] = startNode(t, i, store.Addr(), app)
 	}
-	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // a window begins
-	began, span := time.Now(), 9*time.Second
-	buyer := &buyer{t: t, responses: map[int]int{}}
-	var purchases sync.WaitGroup
+	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // start of a window
+	startedAt, duration := time.Now(), 9*time.Second
+	client := &purchaser{t: t, responsesByStatus: map[int]int{}}
+	var pending sync.WaitGroup
 	sent := 0
-	for ; time.Since(began) < span; sent++ { // twice the quota, half of it at one node
-		time.Sleep(time.Until(began.Add(time.Duration(float64(sent) / (2 * teamRate) * float64(time.Second)))))
+	for ; time.Since(startedAt) < duration; sent++ { // sends twice the quota, half of it to one node
+		time.Sleep(time.Until(startedAt.Add(time.Duration(float64(sent) / (2 * teamRate) * float64(time.Second)))))
 		id, node := fmt.Sprint("p", sent), 0
 		if sent%2 > 0 {
 			node = 1 + sent/2%(fleetNodes-1)
 		}
-		purchases.Add(1)
+		pending.Add(1)
 		go func() {
-			defer purchases.Done()
-			buyer.buy(id, nodes[node])
+			defer pending.Done()
+			client.purchase(id, nodes[node])
 		}()
 	}
-	purchases.Wait()
+	pending.Wait()
 	app.mu.Lock()
 	defer app.mu.Unlock()
-	for id, count := range app.ran {
+	for id, count := range app.executions {
 		if count > 1 {
-			t.Errorf("%s ran %d times", id, count)
+			t.Errorf("purchase %s ran %d times, want at most once", id, count)
 		}
 	}
-	used := float64(len(app.ran)) / (teamRate * span.Seconds())
-	t.Logf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
-	responded := buyer.responses[http.StatusOK] + buyer.responses[http.StatusServiceUnavailable] + buyer.responses[http.StatusBadGateway]
-	if responded != sent || used > 1.1 || used < 0.5 {
-		t.Errorf("%d sent, %v, %.3f of the quota", sent, buyer.responses, used)
+	quotaShare := float64(len(app.executions)) / (teamRate * duration.Seconds())
+	t.Logf("%d purchases sent, responses by status %v, %.3f of the quota used", sent, client.responsesByStatus, quotaShare)
+	responded := client.responsesByStatus[http.StatusOK] + client.responsesByStatus[http.StatusServiceUnavailable] + client.responsesByStatus[http.StatusBadGateway]
+	if responded != sent || quotaShare > 1.1 || quotaShare < 0.5 {
+		t.Errorf("%d purchases sent: %d responses with status 200, 502 or 503 of %v, %.3f of the quota used; want %d, and 0.5 to 1.1",
+			sent, responded, client.responsesByStatus, quotaShare, sent)
 	}
 }
