--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -11,30 +11,30 @@
 // ClassID is the number of a request class, by its place in the settings.
 type ClassID = decision.ClassID
 
-// Config configures a Router. SetTimer, PollEndpoints, SendToPeer and LogSummary must be set.
+// Config configures a Router. The functions SetTimer, PollEndpoints, SendToPeer and LogSummary are required.
 //
-// The Router calls SetTimer, PollEndpoints, OnDecision, OnRepeatViolation and Quota under its lock. These must not block,
-// and must not call the Router.
+// The Router calls SetTimer, PollEndpoints, OnDecision, OnRepeatViolation and Quota under its lock. They must not
+// block, and must not call the Router.
 type Config struct {
 	// Seed is the seed of the engine's random numbers.
 	Seed uint64
 
-	// Settings are the node's settings; nil if none are given. They must not change after New.
+	// Settings are the node's settings; nil stands for empty settings. They must not change after New.
 	Settings *settings.Settings
 
-	// Shadow are other settings for a shadow evaluation, with the same classes and plans in the same order; nil for none.
+	// Shadow are the settings of a shadow evaluation; nil for none. They have the same classes and plans in the same order.
 	// They have no effect on requests: see Router.ShadowCounts.
 	Shadow *settings.Settings
 
-	// Clock returns the time and must never go back; nil for the system's clock. Simulations pass a virtual clock.
+	// Clock returns the time, which must never go back; nil for the system's clock. Simulations pass a virtual clock.
 	Clock func() time.Time
 
-	// Quota leases the tenants' quotas, and the engine admits requests by the leases. Nil: the engine admits by token
-	// buckets of its own.
+	// Quota leases the tenants' quotas, and the engine admits requests by the leases. If it is nil, the engine
+	// admits by its own token buckets.
 	Quota Quota
 
 	// OnDecision is called when the next step of a request is decided. The caller that caused the decision must call
-	// TryNext once its own call of the Router has returned. Nil if all callers wait in Next.
+	// TryNext once its own call of the Router has returned. It may be nil if all callers wait in Next.
 	OnDecision func(*Request)
 
 	// OnRepeatViolation is called for each attempt or rejection that the repeat check withholds; nil to ignore them.
@@ -43,19 +43,19 @@
 	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.TimerFired.
 	SetTimer func(after time.Duration)
 
-	// PollEndpoints requests a poll from the discovery client. It does not pass through the outbox: a peer message that
-	// blocks must not delay the endpoint list.
+	// PollEndpoints requests a poll from the discovery client. The request does not pass through the outbox: a peer message
+	// that blocks must not delay the endpoint list.
 	PollEndpoints func()
 
-	// SendToPeer sends a message to the node with the number peer, or to all other nodes if peer is below 0. It is called
-	// without the lock, in the order of the messages and by one goroutine at a time. It may block.
+	// SendToPeer sends a message to the node with the number peer, or to all other nodes if peer is negative. The Router
+	// calls it without the lock, in the order of the messages and from one goroutine at a time. It may block.
 	SendToPeer func(peer int, payload []byte)
 
-	// LogSummary logs an interval summary, a line of text. It is called as SendToPeer is.
+	// LogSummary logs an interval summary, a line of text. The Router calls it under the same conditions as SendToPeer.
 	LogSummary func(summary []byte)
 }
 
-// Quota leases parts of the tenants' fleet-wide quotas to this node. Units are those of the plans.
+// Quota leases parts of the tenants' fleet-wide quotas to this node, in the plans' units.
 type Quota interface {
 	// RecordDemand records the units of a new request, admitted or not.
 	RecordDemand(c quota.Customer, units float64)
--- a/internal/routing/dispatch.go
+++ b/internal/routing/dispatch.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/decision"
 )
 
-// carryOut carries out one decision of the engine. The lock must be held. It panics on an unknown action, since the engine
-// would wait for its effect.
+// carryOut carries out one decision of the engine. It panics on an unknown action: the engine would wait for the effect of
+// that action. The lock must be held.
 func (r *Router) carryOut(d decision.Decision) {
 	switch d.Action {
 	case decision.Forward:
@@ -33,12 +33,12 @@
 	case decision.LogSummary:
 		r.outbox.setSummary(d.Payload)
 	default:
-		panic(fmt.Sprintf("routing: unknown action %d of the engine", d.Action))
+		panic(fmt.Sprintf("routing: unknown engine action %d", d.Action))
 	}
 }
 
-// forward decides on the next attempt of a request, unless the repeat check withholds it. The first attempt uses units of
-// the tenant's lease. The lock must be held.
+// forward makes the next attempt of a request its decision. The decision is withheld if the repeat check forbids the
+// attempt. The first attempt uses units of the tenant's lease. The lock must be held.
 func (r *Router) forward(d decision.Decision) {
 	req := r.requests.find(requestNumber(d.Request))
 	if req == nil {
@@ -65,8 +65,7 @@
 	req.decide(next)
 }
 
-// reject rejects a request. The request fails instead where the repeat check withholds the rejection. The lock must be
-// held.
+// reject rejects a request. The request fails instead if the repeat check forbids the rejection. The lock must be held.
 func (r *Router) reject(req *Request, d decision.Decision) {
 	if violation := req.repeats.checkRejection(); violation != RepeatViolationNone {
 		r.reportRepeatViolation(violation, req)
@@ -76,7 +75,7 @@
 	req.decide(Decision{Action: Reject, RetryAfter: duration(d.Duration), Reason: d.Reason.String()})
 }
 
-// reportRepeatViolation calls OnRepeatViolation, if it is set. The lock must be held.
+// reportRepeatViolation calls Config.OnRepeatViolation, if that is set. The lock must be held.
 func (r *Router) reportRepeatViolation(violation RepeatViolation, req *Request) {
 	if r.cfg.OnRepeatViolation != nil {
 		r.cfg.OnRepeatViolation(violation, req.class, req.attempt)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -14,8 +14,8 @@
 	FromCache     ListOrigin = true  // a complete list kept from earlier, which may be out of date
 )
 
-// UpdateEndpoints applies an endpoint list: a complete list where list.Full is set or the list is from the cache, else an
-// update of single endpoints.
+// UpdateEndpoints applies an endpoint list. The list is complete if list.Full is set or if it is from the cache, else it is
+// an update of single endpoints.
 func (r *Router) UpdateEndpoints(list *protocol.EndpointList, origin ListOrigin) {
 	kind := decision.ListUpdate
 	switch {
@@ -50,7 +50,7 @@
 	r.leave()
 }
 
-// HasServers reports whether any server is listed, in service or not.
+// HasServers reports whether the endpoint list has any server, in service or not.
 func (r *Router) HasServers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +65,7 @@
 	return r.endpoints.servers[s.number] == s && s.state == protocol.InService
 }
 
-// Servers returns the servers in service, in any order.
+// Servers returns the servers in service, in no particular order.
 func (r *Router) Servers() []*Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/endpointtable.go
+++ b/internal/routing/endpointtable.go
@@ -8,14 +8,15 @@
 	"cherrygap/internal/protocol"
 )
 
-// ServerNumber is the number by which nodes name a server to each other. It is the same at all nodes, unless the hashes of
-// two uids collide.
+// ServerNumber identifies a server in messages between nodes. All nodes give a server the same number, unless the hashes
+// of two uids collide.
 type ServerNumber uint32
 
 // Server is an app server at one address. A server whose address changes becomes another Server with the same number.
 type Server struct {
-	Addr   netip.AddrPort // does not change
-	number ServerNumber   // does not change
+	// Immutable.
+	Addr   netip.AddrPort
+	number ServerNumber
 
 	// Guarded by Router.mu.
 	state protocol.EndpointState
@@ -27,14 +28,14 @@
 func (s *Server) Number() ServerNumber { return s.number }
 
 // endpointTable holds the node's endpoint list, and maps uids, zones and models to the engine's numbers. Numbers of zones
-// and models are local to the node and never freed. Router.mu guards it.
+// and models are local to the node and never freed. Router.mu guards the table.
 type endpointTable struct {
 	servers map[ServerNumber]*Server
-	numbers map[string]ServerNumber // by uid
+	numbers map[string]ServerNumber // server numbers by uid
 	uids    map[ServerNumber]string
-	zones   map[string]uint8    // numbers by name
-	models  map[string]uint16   // numbers by name
-	list    []decision.Endpoint // update's result, kept for its capacity
+	zones   map[string]uint8    // zone numbers by name
+	models  map[string]uint16   // model numbers by name
+	list    []decision.Endpoint // result of the last update, whose memory the next one reuses
 }
 
 // newEndpointTable returns an empty table.
@@ -48,8 +49,8 @@
 	}
 }
 
-// number returns the number of a uid: its FNV-1a hash, so that all nodes agree without a message. If hashes collide, the uid
-// that this node receives later has the next free number.
+// number returns the number of a uid: its FNV-1a hash, so that all nodes agree without a message. If two hashes collide,
+// the uid that this node receives later gets the next free number.
 func (t *endpointTable) number(uid string) ServerNumber {
 	if n, ok := t.numbers[uid]; ok {
 		return n
@@ -72,7 +73,8 @@
 	return &Server{number: n, state: protocol.Terminated}
 }
 
-// removeTerminated removes a server that has terminated. An attempt in flight keeps its own pointer to the Server.
+// removeTerminated removes the server with the uid if it has terminated. An attempt in flight keeps its pointer to the
+// Server.
 func (t *endpointTable) removeTerminated(uid string) {
 	if n, ok := t.numbers[uid]; ok && t.servers[n].state == protocol.Terminated {
 		delete(t.servers, n)
@@ -81,7 +83,7 @@
 	}
 }
 
-// numberOf returns the number of a name. A new name has the next number.
+// numberOf returns the number of a name. It gives a new name the next number.
 func numberOf[N uint8 | uint16](numbers map[string]N, name string) N {
 	n, ok := numbers[name]
 	if !ok {
@@ -91,15 +93,16 @@
 	return n
 }
 
-// endpointStates maps discovery's states to the engine's.
+// endpointStates maps the states of the discovery service to the engine's.
 var endpointStates = [...]decision.EndpointState{
 	protocol.InService:   decision.Ready,
 	protocol.Terminating: decision.Draining,
 	protocol.Terminated:  decision.Gone,
 }
 
-// update applies an endpoint list, complete where list.Full is set, and returns it in the engine's form. The result is
-// valid until the next call. An update costs time in proportion to its own endpoints, not to the table.
+// update applies an endpoint list and returns it in the engine's form. The list is complete if list.Full is set, else an
+// update of single endpoints. The result is valid until the next call. An update takes time in proportion to its own
+// endpoints, not to the size of the table.
 func (t *endpointTable) update(list *protocol.EndpointList) []decision.Endpoint {
 	if list.Full {
 		for _, s := range t.servers {
@@ -122,8 +125,8 @@
 	return t.list
 }
 
-// updateServer applies one endpoint and returns it in the engine's form. An endpoint without an address, as of a server
-// that has terminated, keeps the known address.
+// updateServer applies one endpoint and returns it in the engine's form. An endpoint without an address, such as
+// that of a terminated server, keeps the known address.
 func (t *endpointTable) updateServer(e *protocol.Endpoint) decision.Endpoint {
 	n := t.number(e.UID)
 	s := t.servers[n]
--- a/internal/routing/outbox.go
+++ b/internal/routing/outbox.go
@@ -1,18 +1,18 @@
 package routing
 
-// maxQueuedMessages is the number of peer messages that may queue while an earlier one blocks. Further messages are dropped:
-// peers do not rely on the delivery of any message.
+// maxQueuedMessages is the number of peer messages that may queue while the delivery of an earlier one blocks. Further
+// messages are dropped: peers do not rely on the delivery of any message.
 const maxQueuedMessages = 1 << 10
 
-// outbox queues peer messages and the interval summary, which are delivered without the Router's lock: a socket that blocks
-// must not delay requests. Router.mu guards it.
+// outbox queues peer messages and the interval summary. They are delivered without the Router's lock: a socket that blocks
+// must not delay requests. Router.mu guards the outbox.
 type outbox struct {
 	messages   []peerMessage
-	summary    []byte // the latest; nil for none
-	delivering bool   // a goroutine runs deliver's loop; it also delivers messages added meanwhile
+	summary    []byte // latest summary; nil for none
+	delivering bool   // whether a goroutine runs deliver's loop, which also delivers messages added meanwhile
 }
 
-// peerMessage is a message to the node with the number peer, or to all other nodes where peer is below 0.
+// peerMessage is a message to the node with the number peer, or to all other nodes if peer is negative.
 type peerMessage struct {
 	peer    int
 	payload []byte
@@ -23,7 +23,7 @@
 	o.messages = append(o.messages, peerMessage{peer, append([]byte(nil), payload...)})
 }
 
-// setSummary queues a copy of a summary, in place of an earlier one that was not delivered yet.
+// setSummary queues a copy of a summary. It replaces an earlier one that has not been delivered yet.
 func (o *outbox) setSummary(summary []byte) { o.summary = append([]byte(nil), summary...) }
 
 // empty reports whether nothing is queued.
@@ -39,8 +39,8 @@
 	return messages, summary
 }
 
-// deliver delivers the outbox in order, and frees the lock, which the caller must hold. The lock is free during each
-// delivery. If another goroutine delivers already, deliver returns at once.
+// deliver delivers the queued messages in order, then the summary, and releases the lock. The caller must hold the lock,
+// which is free during each delivery. If another goroutine already delivers, deliver returns at once.
 func (r *Router) deliver() {
 	o := &r.outbox
 	if o.delivering {
--- a/internal/routing/repeatcheck.go
+++ b/internal/routing/repeatcheck.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
-// RepeatViolation is the reason why the repeat check withholds an attempt or a rejection. Its text is for the log.
+// RepeatViolation is the reason why the repeat check withholds an attempt or a rejection, as a text for the log.
 type RepeatViolation string
 
 // The violations that the repeat check finds.
@@ -20,14 +20,14 @@
 	RepeatViolationRejection RepeatViolation = "a rejection though an attempt may have run"
 )
 
-// repeatRule is the settings' rule on repeats for a request class.
+// repeatRule is the rule of a request class on repeated attempts, from the settings.
 type repeatRule struct {
 	safety settings.RetrySafety
 	group  settings.IdempotencyGroup // servers that share idempotency keys
-	window time.Duration             // time for which a server knows a key
+	window time.Duration             // time for which a server remembers a key
 }
 
-// newRepeatRules returns the rules of all classes, by number.
+// newRepeatRules returns the rules of all classes, by class number.
 func newRepeatRules(set *settings.Settings) []repeatRule {
 	rules := make([]repeatRule, set.Classes.Len())
 	for i := range rules {
@@ -37,17 +37,17 @@
 	return rules
 }
 
-// repeatCheck checks the engine's decisions on one request against the rule on repeats: at most one attempt is in flight,
-// and an attempt that may have run is repeated only where the class allows it. It shares no state with the engine, so that
-// a bug there does not hide a violation. The Router's lock guards it.
+// repeatCheck checks the engine's decisions on one request against the rule of its class. At most one attempt is in
+// flight, and an attempt that may have run is repeated only if the class allows it. The check shares no state with the
+// engine, so that a bug there does not hide a violation. Router.mu guards the check.
 type repeatCheck struct {
 	rule       repeatRule
 	inFlight   bool
-	current    pastAttempt   // the attempt in flight
+	current    pastAttempt   // attempt in flight, if inFlight is set
 	mayHaveRun []pastAttempt // ended attempts without proof that they never ran
 }
 
-// pastAttempt is the time and the place of an attempt. The time is that of its decision.
+// pastAttempt is the time at which an attempt was decided on, with the zone and the cell of its server.
 type pastAttempt struct {
 	at   time.Time
 	zone string
@@ -59,7 +59,7 @@
 	c.rule, c.inFlight, c.mayHaveRun = rule, false, c.mayHaveRun[:0]
 }
 
-// checkAttempt returns the violation that an attempt at the server would be now.
+// checkAttempt returns the violation that an attempt at the server would be at the time now.
 func (c *repeatCheck) checkAttempt(server *Server, now time.Time) RepeatViolation {
 	if c.inFlight {
 		return RepeatViolationInFlight
@@ -89,7 +89,7 @@
 }
 
 // checkRejection returns the violation that a rejection would be now. A rejection promises the client that a retry is
-// harmless, whichever server that reaches.
+// harmless at every server.
 func (c *repeatCheck) checkRejection() RepeatViolation {
 	ranNowhere := len(c.mayHaveRun) == 0 && !c.inFlight
 	if ranNowhere || c.rule.allowsRepeatAnywhere() {
@@ -104,8 +104,8 @@
 	return r.safety == settings.RetrySafe || r.safety == settings.RetryKeyed && groupOfAll
 }
 
-// finishBy returns the time by which a server must have received the whole request: the end of the key window of the first
-// attempt that may have run. It returns the zero Time if there is no limit.
+// finishBy returns the time by which a server must have received the whole request. That is the end of the key window of
+// the first attempt that may have run. Without a limit, finishBy returns the zero Time.
 func (c *repeatCheck) finishBy() time.Time {
 	if c.rule.safety != settings.RetryKeyed || len(c.mayHaveRun) == 0 {
 		return time.Time{}
@@ -113,12 +113,12 @@
 	return c.mayHaveRun[0].at.Add(c.rule.window)
 }
 
-// begin records that an attempt at the server starts now.
+// begin records that an attempt at the server starts at the time now.
 func (c *repeatCheck) begin(server *Server, now time.Time) {
 	c.inFlight, c.current = true, pastAttempt{now, server.zone, server.cell}
 }
 
-// end records the outcome of the attempt in flight. It has no effect if there is none.
+// end records the outcome of the attempt in flight. Without such an attempt it has no effect.
 func (c *repeatCheck) end(outcome protocol.Outcome) {
 	if c.inFlight && !outcome.NeverRan() {
 		c.mayHaveRun = append(c.mayHaveRun, c.current)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -23,22 +23,22 @@
 type Decision struct {
 	Action Action
 
-	// Forward.
+	// Fields of Forward.
 	Attempt  int           // number of the attempt in its request, from 0
-	Server   *Server       // where to send it
-	Timeout  time.Duration // of the attempt
-	FinishBy time.Time     // the server must have the whole request by then; zero: no limit
+	Server   *Server       // server that receives the attempt
+	Timeout  time.Duration // timeout of the attempt
+	FinishBy time.Time     // time by which the server must have received the whole request; the zero Time for no limit
 
-	RetryAfter time.Duration // Reject: advice to the client; 0 for none
-	Reason     string        // Reject, Fail: for the log
+	RetryAfter time.Duration // Reject: time after which the client may retry; 0 for no advice
+	Reason     string        // Reject and Fail: reason for the log
 
-	withheld bool // Forward: the repeat check forbids it
+	withheld bool // Forward: whether the repeat check forbids the attempt
 }
 
 // Canceller runs the attempts of a request, one at a time.
 type Canceller interface {
-	// Cancel cancels the attempt with that number, unless it has ended. The attempt's result is reported all the same. It is
-	// called under the Router's lock, and must neither block nor call the Router.
+	// Cancel cancels the attempt with that number, unless it has ended. The attempt's result must be reported all the same.
+	// The Router calls Cancel under its lock. Cancel must neither block nor call the Router.
 	Cancel(attempt int)
 }
 
@@ -46,7 +46,7 @@
 type AttemptResult struct {
 	Outcome  protocol.Outcome
 	Duration time.Duration
-	Units    float64 // the request's actual units from the server's response; 0 if it gives none
+	Units    float64 // actual units of the request, from the server's response; 0 if the response gives none
 }
 
 // Request is a handle for the requests of one client connection, of which one is open at a time. Start opens a request. A
@@ -60,14 +60,14 @@
 	slot      requestSlot
 
 	// Guarded by Router.mu.
-	number     requestNumber    // of the request that is open, or that was open last
+	number     requestNumber    // number of the open request, or of the last one if none is open
 	attempt    int              // number of the last attempt; -1 before the first
-	decision   Decision         // the latest, until it is taken
-	server     *Server          // of the decision taken last
-	clientGone bool             // the client has disconnected
-	class      decision.ClassID // of the request
+	decision   Decision         // latest decision; zero once it is taken
+	server     *Server          // server of the decision taken last
+	clientGone bool             // whether the client has disconnected
+	class      decision.ClassID // class of the request
 	repeats    repeatCheck
-	tenant     quota.Customer // zero if the quota is not leased
+	tenant     quota.Customer // tenant whose quota is leased; zero if the plan has no leased quota
 	units      float64        // units of the tenant's lease that the first attempt uses
 }
 
@@ -78,7 +78,7 @@
 	req.number = req.number.next()
 	req.attempt, req.clientGone, req.decision = -1, false, Decision{}
 	select {
-	case <-req.decided: // of the request before
+	case <-req.decided: // Drop the token of the previous request.
 	default:
 	}
 	plan := r.settings.plans[in.Plan]
@@ -123,7 +123,7 @@
 		if onDecision := req.router.cfg.OnDecision; onDecision != nil {
 			onDecision(req)
 		}
-	default: // the token of the replaced decision stands for this one
+	default: // The token of the replaced decision now stands for this one.
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // TryNext takes the next decision without waiting, and reports whether there was one. Callers with a single event loop use
-// it in place of Next.
+// TryNext in place of Next.
 func (req *Request) TryNext() (Decision, bool) {
 	select {
 	case <-req.decided:
@@ -148,14 +148,15 @@
 	}
 }
 
-// take takes the decision. It returns false for a withheld one, after which the engine decides again.
+// take returns the latest decision and clears it. It returns false for a withheld decision, after which the engine decides
+// again.
 func (req *Request) take() (Decision, bool) {
 	r := req.router
 	r.mu.Lock()
 	d, gone := req.decision, req.clientGone
 	req.decision, req.server = Decision{}, d.Server
 	r.mu.Unlock()
-	if d.Action == Forward && (gone || d.withheld) { // the engine waits for a result of each attempt
+	if d.Action == Forward && (gone || d.withheld) { // The engine waits for the result of each attempt.
 		req.Report(AttemptResult{Outcome: protocol.NotSent})
 	}
 	if gone {
@@ -200,7 +201,7 @@
 	r := req.router
 	r.enter()
 	req.clientGone = true
-	req.decide(req.decision) // wakes a goroutine that waits in Next
+	req.decide(req.decision) // Wake a goroutine that waits in Next.
 	r.engine.ClientGone(decision.RequestID(req.number))
 	r.leave()
 }
--- a/internal/routing/requestsettings.go
+++ b/internal/routing/requestsettings.go
@@ -7,17 +7,17 @@
 	"cherrygap/internal/settings"
 )
 
-// requestSettings are the settings of requests that the Router itself needs. They do not change after New.
+// requestSettings are the settings of requests that the Router itself uses. They do not change after New.
 type requestSettings struct {
-	classes  map[string]decision.ClassID // by name
-	plans    map[string]decision.PlanID  // by name
-	repeats  []repeatRule                // by class
-	quotas   []quota.Customer            // by plan: only Rate and Burst are set
-	nodes    int                         // size of the fleet, at least 1
-	maxUnits float64                     // of a request; 0 or less: no bound
+	classes  map[string]decision.ClassID // class numbers by name
+	plans    map[string]decision.PlanID  // plan numbers by name
+	repeats  []repeatRule                // rules on repeated attempts, by class number
+	quotas   []quota.Customer            // quotas by plan number, with only Rate and Burst set
+	nodes    int                         // number of nodes in the fleet, at least 1
+	maxUnits float64                     // largest number of units of a request; 0 or less for no limit
 }
 
-// newRequestSettings returns the settings of requests.
+// newRequestSettings extracts the requestSettings from the node's settings.
 func newRequestSettings(set *settings.Settings) requestSettings {
 	s := requestSettings{
 		classes:  numbersByName[decision.ClassID](set.ClassNames()),
@@ -33,7 +33,7 @@
 	return s
 }
 
-// numbersByName maps the names of a list's entries to their numbers. A name that is given twice has the later number.
+// numbersByName maps the names of a list's entries to their numbers. A name that occurs twice gets the later number.
 func numbersByName[N ~int](names []string) map[string]N {
 	numbers := map[string]N{}
 	for i, name := range names {
@@ -49,8 +49,9 @@
 	return class && plan
 }
 
-// WithinLimits reports whether the request's units and set of nodes are within the settings. Without a setting, units have no
-// limit. It protects a customer's token bucket and set of nodes from requests with wrong figures in the customer's name.
+// WithinLimits reports whether the request's units and set of nodes are within the limits of the settings. Without a
+// setting, units have no limit. The check protects a customer's token bucket and set of nodes: requests in the customer's
+// name may carry wrong numbers.
 func (r *Router) WithinLimits(req *protocol.Request) bool {
 	s := &r.settings
 	return (s.maxUnits <= 0 || req.Units <= s.maxUnits) && req.Spread <= s.nodes && req.FirstNode < s.nodes
--- a/internal/routing/requesttable.go
+++ b/internal/routing/requesttable.go
@@ -1,13 +1,13 @@
 package routing
 
-// requestSlots is the number of slots of a requestTable, and so the greatest number of Requests at once.
+// requestSlots is the number of slots of a requestTable, and thus the largest number of Requests at once.
 const requestSlots = 1 << 16
 
-// requestSlot is the place of a Request in the Router's table.
+// requestSlot is the index of a Request in the Router's requestTable.
 type requestSlot uint32
 
-// requestNumber is the number of a request towards the engine. Its low part is the slot; its high part counts the slot's
-// requests, and wraps around. A late decision on a closed request therefore does not reach the next request of its slot.
+// requestNumber identifies a request to the engine. Its low part is the slot. Its high part counts the slot's requests, and
+// wraps around. A late decision on a closed request therefore does not reach the next request of its slot.
 type requestNumber uint32
 
 // slot returns the slot of the request.
@@ -16,14 +16,14 @@
 // next returns the number of the next request of the same slot.
 func (n requestNumber) next() requestNumber { return n + requestSlots }
 
-// requestTable holds the Requests by slot. A free slot keeps its last Request, from whose number the next one counts on.
-// Router.mu guards it.
+// requestTable holds the Requests by slot. A free slot keeps its last Request, so that the next one continues from its
+// number. Router.mu guards the table.
 type requestTable struct {
 	bySlot []*Request
 	free   []requestSlot
 }
 
-// add gives a Request a slot and its first number.
+// add gives a Request a slot and a first number.
 func (t *requestTable) add(req *Request) {
 	if k := len(t.free); k > 0 {
 		req.slot, t.free = t.free[k-1], t.free[:k-1]
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// NewRequest returns a Request for one client connection, whose attempts c runs. Release must be called after its last use.
+// NewRequest returns a Request for one client connection, whose attempts c runs. Release must be called after the last use
+// of the Request.
 func (r *Router) NewRequest(c Canceller) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 	return req
 }
 
-// Release frees the Request's slot. No request may be open, and the Request must not be used again.
+// Release frees the slot of the Request. It must be called while no request is open. The Request must not be used again.
 func (req *Request) Release() {
 	r := req.router
 	r.mu.Lock()
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -19,27 +19,27 @@
 // timeUnit is the engine's unit of time.
 const timeUnit = time.Second / time.Duration(decision.Second)
 
-// engineTime returns a duration in the engine's unit, rounded towards 0.
+// engineTime converts a duration to the engine's unit, rounded towards 0.
 func engineTime(d time.Duration) decision.Time { return decision.Time(d / timeUnit) }
 
-// engineUnixTime returns a wall-clock time in the engine's unit, since 1970 (UTC).
+// engineUnixTime converts a wall-clock time to the time since 1970 (UTC) in the engine's unit.
 func engineUnixTime(at time.Time) decision.Time {
 	return decision.Time(at.UnixNano() / int64(timeUnit))
 }
 
-// duration returns a duration of the engine.
+// duration converts a duration in the engine's unit.
 func duration(t decision.Time) time.Duration { return time.Duration(t) * timeUnit }
 
-// Router drives one decision engine. New makes one. All methods are safe for concurrent use.
+// Router drives one decision engine. New returns a Router. All methods are safe for concurrent use.
 type Router struct {
-	cfg      Config          // does not change
-	settings requestSettings // does not change
-
-	startTime       time.Time     // Config.Clock in New; does not change
-	startEngineTime decision.Time // startTime by engineUnixTime; does not change
-
-	// mu guards the fields below, and the fields of each Request and Server that say so. Its holder must not block: each
-	// request of the node needs it.
+	// Immutable.
+	cfg             Config
+	settings        requestSettings
+	startTime       time.Time     // time of Config.Clock in New
+	startEngineTime decision.Time // startTime in the engine's unit, since 1970 (UTC)
+
+	// mu guards the fields below, and those fields of Request and Server that are marked as guarded. Its holder must not
+	// block, because each request of the node needs the lock.
 	mu        sync.Mutex
 	engine    *decision.Engine
 	requests  requestTable
@@ -70,18 +70,18 @@
 	return r
 }
 
-// now returns the engine's time: the wall clock at the start, monotonic from then on.
+// now returns the engine's time: the wall-clock time of New, plus the time that has passed on Config.Clock since then.
 func (r *Router) now() decision.Time {
 	return r.startEngineTime + engineTime(r.cfg.Clock().Sub(r.startTime))
 }
 
-// enter takes the lock and sets the engine's time. Each call must be followed by one of leave.
+// enter takes the lock and sets the engine's time. Each call must be followed by a call of leave.
 func (r *Router) enter() {
 	r.mu.Lock()
 	r.engine.SetTime(r.now())
 }
 
-// leave carries out the engine's decisions, frees the lock and delivers the outbox.
+// leave carries out the engine's decisions, delivers the outbox and releases the lock.
 func (r *Router) leave() {
 	for d, ok := r.engine.Next(); ok; d, ok = r.engine.Next() {
 		r.carryOut(d)
@@ -89,23 +89,23 @@
 	r.deliver()
 }
 
-// TimerFired lets the engine carry out its due tasks. The timer of Config.SetTimer must call it.
+// TimerFired runs the engine's tasks that are due. The timer of Config.SetTimer must call it.
 func (r *Router) TimerFired() {
 	r.enter()
 	r.engine.TimerFired()
 	r.leave()
 }
 
-// ReceivePeerMessage passes the message of a peer to the engine, and reports whether it was well formed. Its parameter from
-// is the peer's node number.
+// ReceivePeerMessage passes a message from the peer with the node number from to the engine. It reports whether the message
+// was well formed.
 func (r *Router) ReceivePeerMessage(from int, payload []byte) bool {
 	r.enter()
 	defer r.leave()
 	return r.engine.ReceivePeerMessage(decision.NodeID(from), payload)
 }
 
-// ShadowCounts returns the number of decisions that were compared with those under Config.Shadow. It also returns the number
-// of those that differ, by kind of difference. Without a shadow it returns 0 and nil.
+// ShadowCounts returns how many decisions were compared with those under Config.Shadow, and how many of them differ, by kind
+// of difference. Without a shadow evaluation it returns 0 and nil.
 func (r *Router) ShadowCounts() (compared int64, differing map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
