--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// TestOnlyTheLastAttemptIsCancelled guards against the cancellation of an earlier attempt: at most the last one is in flight.
+// TestOnlyTheLastAttemptIsCancelled guards against the cancellation of an attempt other than the last: only that one may be
+// in flight.
 func TestOnlyTheLastAttemptIsCancelled(t *testing.T) {
 	r, req, canceller := startRouter(t, settings.RetrySafe, 1)
 	req.attempt = 2
@@ -120,13 +121,14 @@
 	}
 }
 
+// TestUnknownActionPanics guards against an action of the engine that has no effect, although the engine waits for it.
 func TestUnknownActionPanics(t *testing.T) {
 	for _, action := range []decision.Action{0, decision.HealthCheck, 255} {
 		r, _, _ := startRouter(t, settings.RetrySafe, 1)
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("carryOut with action %d did not panic", action)
+					t.Errorf("carryOut with action %d did not panic, want a panic", action)
 				}
 			}()
 			carryOut(r, decision.Decision{Action: action})
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -32,7 +32,7 @@
 	r.UpdateEndpoints(moved, FromDiscovery)
 	req.Start(&seatRequest, 2*time.Second)
 	if next := req.Next(); r.InService(d.Server) || next.Server.Addr != moved.Endpoints[0].Addr {
-		t.Errorf("after the move: InService(old address) = %t, next server at %v; want false, %v",
+		t.Errorf("after the move: InService of the server at the old address = %t, next server at %v; want false, %v",
 			r.InService(d.Server), next.Server.Addr, moved.Endpoints[0].Addr)
 	}
 }
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestDurationsAreTruncatedToTicks checks that durations are truncated to the engine's unit, not rounded. A timeout of 99 µs
-// becomes 0, so that the request is rejected at once.
-func TestDurationsAreTruncatedToTicks(t *testing.T) {
+// TestDurationsAreTruncatedToTimeUnits checks that durations are truncated to the engine's unit, not rounded. A timeout of
+// 99 µs becomes 0, so that the request is rejected at once.
+func TestDurationsAreTruncatedToTimeUnits(t *testing.T) {
 	for _, c := range []struct {
 		timeout time.Duration
 		want    Action
--- a/internal/routing/repeatcheck_test.go
+++ b/internal/routing/repeatcheck_test.go
@@ -21,7 +21,7 @@
 	name    string
 	rule    repeatRule
 	outcome protocol.Outcome
-	to      *Server       // server of the second attempt
+	server  *Server       // server of the second attempt
 	after   time.Duration // time between the decisions on the two attempts
 	want    RepeatViolation
 }{
@@ -72,7 +72,7 @@
 			t.Errorf("%s: violation with an attempt in flight = %q, want %q", c.name, violation, RepeatViolationInFlight)
 		}
 		check.end(c.outcome)
-		if violation := check.checkAttempt(c.to, start.Add(c.after)); violation != c.want {
+		if violation := check.checkAttempt(c.server, start.Add(c.after)); violation != c.want {
 			t.Errorf("%s: violation of the second attempt = %q, want %q", c.name, violation, c.want)
 		}
 	}
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -91,6 +91,7 @@
 	}
 }
 
+// TestTryNextDoesNotWait checks that TryNext returns a decision as soon as the engine has made it, and else returns false.
 func TestTryNextDoesNotWait(t *testing.T) {
 	_, req, _ := startRouter(t, settings.RetrySafe, 2)
 	if d, ok := req.TryNext(); ok {
--- a/internal/routing/requestsettings_test.go
+++ b/internal/routing/requestsettings_test.go
@@ -9,6 +9,7 @@
 	"cherrygap/internal/settings"
 )
 
+// TestKnowsClassAndPlan checks that a request needs both a class and a plan of the settings.
 func TestKnowsClassAndPlan(t *testing.T) {
 	for _, c := range []struct {
 		class, plan string
@@ -21,6 +22,7 @@
 	}
 }
 
+// TestWithinLimits checks the limits of a request's units and set of nodes, also with missing and unreadable settings.
 func TestWithinLimits(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/internal/routing/requesttable_test.go
+++ b/internal/routing/requesttable_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestRequestTable checks that a number finds the Request of its slot, but not after the Request has got its next number.
 func TestRequestTable(t *testing.T) {
 	var table requestTable
 	first, second := &Request{}, &Request{}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -70,7 +70,7 @@
 	return r
 }
 
-// now returns the engine's time: the wall-clock time of New, plus the time that has passed on Config.Clock since then.
+// now returns the engine's time: the wall-clock time of New, plus the monotonic time since then.
 func (r *Router) now() decision.Time {
 	return r.startEngineTime + engineTime(r.cfg.Clock().Sub(r.startTime))
 }
--- a/internal/routing/scale_bench_test.go
+++ b/internal/routing/scale_bench_test.go
@@ -109,14 +109,14 @@
 		b.Run("servers="+strconv.Itoa(n), func(b *testing.B) {
 			sim := newScaleSimulation(fleetSize{Servers: n, Nodes: 830, Spread: 3, Tenants: 100, Rate: 85, FailedShare: 0.01}, benchmarkSeed)
 			sim.addNode(benchmarkSeed, &protocol.EndpointList{Full: true, Endpoints: sim.endpoints})
-			k := 0
+			change := 0
 			for b.Loop() {
-				t := sim.endpoints[k/2*31%n]
-				if k%2 == 0 {
-					t.State = protocol.Terminating
+				endpoint := sim.endpoints[change/2*31%n]
+				if change%2 == 0 {
+					endpoint.State = protocol.Terminating
 				}
-				k++
-				sim.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{t}}, routing.FromDiscovery)
+				change++
+				sim.nodes[0].router.UpdateEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{endpoint}}, routing.FromDiscovery)
 			}
 		})
 	}
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -60,8 +60,8 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// prepareScaleSimulation returns a simulation whose nodes know all tenants and have adapted their limits, with the figures of the
-// preparation. The nodes run for the virtual time warm.
+// prepareScaleSimulation returns a simulation whose nodes know all tenants and have adapted their limits. It also returns
+// the figures of the preparation, for which the nodes run for the virtual time warm.
 func prepareScaleSimulation(s fleetSize, seed uint64, warm time.Duration) (sim *scaleSimulation, f figures) {
 	sim, f = newScaleSimulation(s, seed), figures{}
 	raw := sim.discoveryList()
--- a/internal/routing/scale_harness_test.go
+++ b/internal/routing/scale_harness_test.go
@@ -64,7 +64,7 @@
 func checkCounts(t *testing.T, m *timings) {
 	t.Helper()
 	if out := m.admitted + m.rejected; out < m.requests-20 || out > m.requests+20 || m.failed == 0 || m.failed > m.completed/10 {
-		t.Errorf("of %d requests %d admitted, %d rejected, want all but 20; %d attempts completed, %d failed, want 1 to a tenth",
+		t.Errorf("of %d requests %d admitted, %d rejected, want all but up to 20; %d attempts completed, %d failed, want 1 to a tenth",
 			m.requests, m.admitted, m.rejected, m.completed, m.failed)
 	}
 }
--- a/internal/routing/scale_node_test.go
+++ b/internal/routing/scale_node_test.go
@@ -60,9 +60,9 @@
 	n.pending = n.pending[:0]
 	n.charge(caller, decisions, cpu, wall)
 	n.recordTime(operation, len(decisions), cpu)
-	for _, s := range decisions {
-		if req := n.open[s.request]; req != nil {
-			n.carryOut(req, s.decision)
+	for _, decided := range decisions {
+		if req := n.open[decided.request]; req != nil {
+			n.carryOut(req, decided.decision)
 		}
 	}
 	return cpu
@@ -74,8 +74,8 @@
 	if caller != nil {
 		caller.addedLatency += n.busyUntil - n.simulation.now
 	}
-	for _, s := range decisions {
-		req := n.open[s.request]
+	for _, decided := range decisions {
+		req := n.open[decided.request]
 		if req == nil || req.admitted {
 			continue
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-// record adds the time of a call to the timings, during the measured part of the run.
+// recordTime adds the time of a call to the timings, during the measured part of the run.
 func (n *scaleNode) recordTime(operation string, decisionCount int, cpu time.Duration) {
 	m := n.simulation.timings
 	if m == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// take starts a request at the node.
+// startRequest starts a request at the node.
 func (n *scaleNode) startRequest(in *protocol.Request, timeout time.Duration) {
 	req := &scaleRequest{node: n, units: in.Units}
 	if k := len(n.released); k > 0 {
--- a/internal/routing/scale_simulation_test.go
+++ b/internal/routing/scale_simulation_test.go
@@ -48,7 +48,7 @@
 
 var kindNames = [kindCount]string{"use", "grant", "suspicions", "ask"}
 
-// classes are the simulated request classes. Times are in tenths of a millisecond.
+// simulatedClasses are the simulated request classes. Times are in tenths of a millisecond.
 var simulatedClasses = []struct {
 	name, repeats       string // repeats is the retry safety
 	objective, deadline int
@@ -109,9 +109,9 @@
 	return "team"
 }
 
-// scaleSimulation is a simulation in virtual time that measures the CPU time of the engine at one node of a large fleet. A few
-// nodes run the real engine through the exported API of package routing, with the settings and the endpoint list of the whole
-// fleet. The other nodes are not simulated. See docs/lab.md, "Slopes".
+// scaleSimulation is a simulation in virtual time that measures the CPU time of the engine at one node of a large fleet.
+// A few nodes run the real engine through the exported API of package routing, with the settings and the endpoint list of
+// the whole fleet. The other nodes are not simulated. See docs/lab.md, "Slopes".
 type scaleSimulation struct {
 	fleetSize
 	random      *rand.Rand
@@ -184,7 +184,7 @@
 // clock returns the virtual time as a wall-clock time.
 func (sim *scaleSimulation) clock() time.Time { return sim.epoch.Add(sim.now) }
 
-// newEndpoint returns an endpoint for the i-th app server, whose process started the time ago before now.
+// newEndpoint returns an endpoint for the i-th app server, whose process has run for the time age.
 func (sim *scaleSimulation) newEndpoint(i int, age time.Duration) protocol.Endpoint {
 	sim.serverCount++
 	number := sim.serverCount
@@ -282,8 +282,8 @@
 	}, time.Duration(simulatedClasses[i].deadline) * 100 * time.Microsecond
 }
 
-// sendRequestOfEachTenant starts a request of each tenant at each node, with too short a timeout for an attempt. The nodes then know
-// all tenants and have forwarded nothing.
+// sendRequestOfEachTenant starts a request of each tenant at each node, with too short a timeout for an attempt. The nodes
+// then know all tenants and have forwarded nothing.
 func (sim *scaleSimulation) sendRequestOfEachTenant() {
 	for _, n := range sim.nodes {
 		for tenant := range sim.Tenants {
@@ -328,7 +328,7 @@
 	sim.schedule(scaleEvent{at: sim.now, kind: eventChange})
 }
 
-// simulationEvent processes the next event and returns its kind.
+// runEvent processes the next event and returns its kind.
 func (sim *scaleSimulation) runEvent() scaleEventKind {
 	e := heap.Pop(&sim.queue).(scaleEvent)
 	sim.now = e.at
--- a/internal/routing/slopes_fit_test.go
+++ b/internal/routing/slopes_fit_test.go
@@ -34,8 +34,9 @@
 	return figureRange{v[0], stat.Quantile(0.5, stat.Empirical, v, nil), v[len(v)-1]}
 }
 
-// fit is the result of a regression over all runs. It has the least-squares fit A + B*x and the share R2 of the variance that
-// the fit explains. Exponent is the slope of log y over log x. Bs and Exps are the ranges of B and Exponent over single runs.
+// fit is the result of a regression over all runs. It has the least-squares fit A + B*x and the share R2 of the variance
+// that the fit explains. Exponent is the slope of log y over log x. BRange and ExponentRange are the ranges of B and
+// Exponent over single runs.
 type fit struct {
 	A             float64     `json:"a"`
 	B             float64     `json:"b"`
@@ -100,7 +101,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// TestFit checks the fits of a line, of a power function and of zeros.
+// TestFit checks the fits of a line, a power function and zeros against their known parameters.
 func TestFit(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 	x := []float64{200, 500, 1000, 13000}
--- a/internal/routing/slowstart_addedevents_test.go
+++ b/internal/routing/slowstart_addedevents_test.go
@@ -9,8 +9,8 @@
 // addedEventSeeds is the number of seeds per size of the fleet in the tests that add an event at the nodes.
 const addedEventSeeds = 28
 
-// runWithAddedEvent runs the simulations of TestAllNodesTogetherDoNotOverloadWarmingServers for some seeds, after add has added an event.
-// It fails if a warming server got more attempts than its bound.
+// runWithAddedEvent runs the simulations of TestAllNodesTogetherDoNotOverloadWarmingServers for some seeds, each changed by
+// addEvent. It fails if a warming server got more attempts than its bound.
 func runWithAddedEvent(t *testing.T, addEvent func(sim *slowStartSimulation)) {
 	t.Helper()
 	for _, nodes := range []int{1, 4, 20} {
@@ -21,16 +21,16 @@
 				addEvent(sim)
 				sim.run()
 				if worst, _ := sim.worst(); worst.ratio() > 1 {
-					t.Errorf("scenario %s, added scenario %q: %d attempts in a window with N = %.1f, want at most %.1f", sim.scenario, sim.addedScenario,
-						worst.attempts, worst.capacity, worst.bound())
+					t.Errorf("scenario %s, added scenario %q: %d attempts in a window with N = %.1f, want at most %.1f",
+						sim.scenario, sim.addedScenario, worst.attempts, worst.capacity, worst.bound())
 				}
 			})
 		}
 	}
 }
 
-// TestNodesWithWrongClocksDoNotOverloadWarmingServers guards against an overloaded warming server at nodes whose wall clocks are
-// wrong. The list's start times of servers then do not agree with the nodes' clocks.
+// TestNodesWithWrongClocksDoNotOverloadWarmingServers guards against an overloaded warming server at nodes whose wall clocks
+// were stepped before their start. The list's start times of servers then do not agree with the nodes' clocks.
 func TestNodesWithWrongClocksDoNotOverloadWarmingServers(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		t.Run(offset.String(), func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestRollingRestartsDoNotOverloadWarmingServers guards against an overloaded warming server while the nodes restart one after
-// another.
+// TestRollingRestartsDoNotOverloadWarmingServers guards against an overloaded warming server while the nodes restart one
+// after another.
 func TestRollingRestartsDoNotOverloadWarmingServers(t *testing.T) {
 	runWithAddedEvent(t, func(sim *slowStartSimulation) { sim.rollingRestarts = true })
 }
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -14,12 +14,13 @@
 	"cherrygap/internal/settings"
 )
 
-// slowStartSimulation is a simulation of a fleet in virtual time. Its nodes each run the engine; its servers count the attempts
-// that reach them. Runs with the same seed are equal, except for the order in which a stopping server resets its connections.
+// slowStartSimulation is a simulation of a fleet in virtual time. Its nodes each run the engine; its servers count the
+// attempts that reach them. Runs with the same seed are equal, except for the order in which a stopping server resets its
+// connections.
 type slowStartSimulation struct {
 	random        *rand.Rand
 	scenario      string // entry of slowStartScenarios
-	addedScenario string // scenario in addition to scenario; empty for none
+	addedScenario string // additional scenario; empty for none
 	settings      settings.Values
 	clock         time.Duration // virtual time
 	events        simulationEvents
@@ -33,11 +34,11 @@
 	slowFactor    float64 // factor of the service time at a warming server, in addition to its capacity share
 	revision      uint64  // revision of the endpoint list
 
-	overloadMultiple float64       // multiple of a warming server's capacity that may reach the server within span
+	overloadMultiple float64       // multiple of a warming server's capacity that may reach the server within overloadSpan
 	overloadSpan     time.Duration // length of the window in which a server's attempts are counted
 	startShare       float64       // share of its capacity that a server has at its start
 	slowStartSpan    time.Duration // time from a server's start to its full capacity
-	latencyObjective time.Duration // latency objective
+	latencyObjective time.Duration // latency objective of the request class
 
 	clockOffset     time.Duration // time by which the nodes' clocks are ahead of virtual time
 	rollingRestarts bool          // whether the nodes restart one after another while servers warm up
@@ -88,7 +89,7 @@
 	knownStarts   map[*simulatedServer]time.Duration // start times in the list that the node got last
 }
 
-// after schedules an event at the delay d from now.
+// after schedules an event after a delay; a negative delay is 0.
 func (sim *slowStartSimulation) after(delay time.Duration, action func()) {
 	sim.lastSeq++
 	heap.Push(&sim.events, simulationEvent{sim.clock + max(delay, 0), sim.lastSeq, action})
@@ -109,7 +110,7 @@
 	return time.Duration(sim.uniform(lo, hi) * float64(time.Second))
 }
 
-// newSlowStartSimulation returns the simulation with the seed, for a fleet with the number of nodes.
+// newSlowStartSimulation returns the simulation of a fleet with the given number of nodes. The seed determines all else.
 func newSlowStartSimulation(nodes int, seed uint64) *slowStartSimulation {
 	sim := &slowStartSimulation{
 		random:     rand.New(rand.NewPCG(seed, uint64(nodes))),
@@ -162,16 +163,16 @@
 	mean := sim.latencyObjective.Seconds() * math.Exp(sim.uniform(math.Log(0.03), math.Log(0.3)))
 	mean = max(mean, float64(count*slots)/160) // The request rate, and with it the duration of the test, is limited.
 	for i := range count {
-		sv := &simulatedServer{
+		server := &simulatedServer{
 			uid: "s" + strconv.Itoa(i), relativeSize: 1, slots: slots, started: -1, listed: true,
 			addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, 0, byte(i)}), 9000),
 		}
 		if sim.hasScenario("weight") {
-			sv.relativeSize = math.Exp(sim.uniform(math.Log(0.3), math.Log(3)))
+			server.relativeSize = math.Exp(sim.uniform(math.Log(0.3), math.Log(3)))
 		}
-		sv.serviceTime = time.Duration(mean / sv.relativeSize * float64(time.Second))
-		capacity += float64(slots) / sv.serviceTime.Seconds()
-		sim.servers = append(sim.servers, sv)
+		server.serviceTime = time.Duration(mean / server.relativeSize * float64(time.Second))
+		capacity += float64(slots) / server.serviceTime.Seconds()
+		sim.servers = append(sim.servers, server)
 	}
 	sim.requestRate = capacity * sim.uniform(0.6, 1.2)
 	sim.spreadTraffic(nodes)
@@ -246,16 +247,16 @@
 // sendList sends the complete endpoint list to a node.
 func (sim *slowStartSimulation) sendList(n *simulatedNode) {
 	list := &protocol.EndpointList{Revision: sim.revision, Full: true}
-	for _, sv := range sim.servers {
-		if !sv.listed {
+	for _, server := range sim.servers {
+		if !server.listed {
 			continue
 		}
-		e := protocol.Endpoint{UID: sv.uid, Addr: sv.addr, Zone: "z", Model: "m", Weight: sv.relativeSize}
-		if sv.started >= 0 {
-			e.BootMs = simulationEpoch.Add(sv.started).UnixMilli()
+		e := protocol.Endpoint{UID: server.uid, Addr: server.addr, Zone: "z", Model: "m", Weight: server.relativeSize}
+		if server.started >= 0 {
+			e.BootMs = simulationEpoch.Add(server.started).UnixMilli()
 		}
 		list.Endpoints = append(list.Endpoints, e)
-		n.knownStarts[sv] = sv.started
+		n.knownStarts[server] = server.started
 	}
 	if !n.stopped {
 		n.router.UpdateEndpoints(list, FromDiscovery)
--- a/internal/routing/slowstart_requests_test.go
+++ b/internal/routing/slowstart_requests_test.go
@@ -109,23 +109,23 @@
 	if d.Timeout > 0 {
 		sim.after(d.Timeout, func() { sim.report(attempt, protocol.TimedOut) })
 	}
-	i := slices.IndexFunc(sim.servers, func(sv *simulatedServer) bool { return sv.addr == d.Server.Addr })
-	sv := sim.servers[i]
-	if sv.down {
+	i := slices.IndexFunc(sim.servers, func(server *simulatedServer) bool { return server.addr == d.Server.Addr })
+	server := sim.servers[i]
+	if server.down {
 		sim.reportAfter(attempt, protocol.ConnectFailed, time.Millisecond)
 		return
 	}
-	if req.node.knownStarts[sv] == sv.started { // Attempts from nodes that cannot know of the server's start do not count.
-		sv.attemptTimes = append(sv.attemptTimes, sim.clock)
+	if req.node.knownStarts[server] == server.started { // Attempts from nodes that cannot know of the server's start do not count.
+		server.attemptTimes = append(server.attemptTimes, sim.clock)
 	}
 	switch {
-	case sv.overloaded || len(sv.queue) > 2*sv.slots:
+	case server.overloaded || len(server.queue) > 2*server.slots:
 		sim.reportAfter(attempt, protocol.Overloaded, time.Millisecond)
-	case sv.hangs:
-	case sv.busy >= sv.slots:
-		sv.queue = append(sv.queue, attempt)
+	case server.hangs:
+	case server.busy >= server.slots:
+		server.queue = append(server.queue, attempt)
 	default:
-		sim.work(sv, attempt)
+		sim.work(server, attempt)
 	}
 }
 
--- a/internal/routing/slowstart_scenarios_test.go
+++ b/internal/routing/slowstart_scenarios_test.go
@@ -20,7 +20,7 @@
 	"slow",   // warming servers take three times as long as their capacity implies, and clients retry
 }
 
-// scenario schedules the events of a run's scenarios.
+// scenarioSchedule schedules the events of a run's scenarios.
 type scenarioSchedule struct {
 	*slowStartSimulation
 	started   []*simulatedServer // servers that start at startAt
@@ -41,7 +41,7 @@
 		schedule func()
 	}{
 		{"nodes", s.restartNodes},
-		{"burst", s.lullAndBurst},
+		{"burst", s.pauseAndBurst},
 		{"faults", s.failOthers},
 		{"shift", s.shiftTraffic},
 		{"flap", s.flap},
@@ -64,15 +64,15 @@
 	case "fleet", "nodes":
 		s.started = s.servers
 	case "zone":
-		s.loseZone()
+		s.zoneOutage()
 	case "again":
 		next := s.uniformSeconds(2, 1.2*s.slowStartSpan.Seconds())
 		s.after(s.startAt+next, s.startServers)
 		s.endAt += next
 	case "late":
 		s.listDelay = 4
-		for _, sv := range s.started {
-			sv.listed, sv.down = false, true
+		for _, server := range s.started {
+			server.listed, server.down = false, true
 		}
 	case "weight":
 		s.started = s.servers[:len(s.servers)/3]
@@ -81,20 +81,20 @@
 
 // startServers starts the servers of the scenario and sends the list to all nodes.
 func (s *scenarioSchedule) startServers() {
-	for _, sv := range s.started {
-		s.start(sv)
+	for _, server := range s.started {
+		s.start(server)
 	}
 	s.sendListToAll(s.listDelay)
 }
 
-// loseZone stops some servers before they start at startAt. Discovery drops them from the list, or keeps them.
-func (s *scenarioSchedule) loseZone() {
+// zoneOutage stops some servers before they start at startAt. Discovery drops them from the list, or keeps them.
+func (s *scenarioSchedule) zoneOutage() {
 	s.started = s.servers[:len(s.servers)*(1+s.random.IntN(4))/6+1]
 	dropped := s.random.IntN(2) == 0
 	s.after(s.startAt-s.uniformSeconds(1, 8), func() {
-		for _, sv := range s.started {
-			s.stop(sv)
-			sv.listed = !dropped
+		for _, server := range s.started {
+			s.stop(server)
+			server.listed = !dropped
 		}
 		s.sendListToAll(s.listDelay)
 	})
@@ -110,8 +110,8 @@
 	})
 }
 
-// lullAndBurst stops the traffic before the servers start, and adds a burst while they warm up.
-func (s *scenarioSchedule) lullAndBurst() {
+// pauseAndBurst stops the traffic before the servers start, and adds a burst while they warm up.
+func (s *scenarioSchedule) pauseAndBurst() {
 	s.after(s.startAt-s.uniformSeconds(1, 6), func() { s.rateFactor = 0 })
 	burst := s.startAt + s.uniformSeconds(0, s.slowStartSpan.Seconds()/2)
 	s.after(burst, func() {
@@ -126,13 +126,13 @@
 // failOthers makes the other servers reject or hang for 6 s.
 func (s *scenarioSchedule) failOthers() {
 	s.after(s.startAt, func() {
-		for i, sv := range s.servers[min(len(s.started), len(s.servers)/2):] {
-			sv.overloaded, sv.hangs = i%2 == 0, i%2 == 1
+		for i, server := range s.servers[min(len(s.started), len(s.servers)/2):] {
+			server.overloaded, server.hangs = i%2 == 0, i%2 == 1
 		}
 	})
 	s.after(s.startAt+6*time.Second, func() {
-		for _, sv := range s.servers {
-			sv.overloaded, sv.hangs = false, false
+		for _, server := range s.servers {
+			server.overloaded, server.hangs = false, false
 		}
 	})
 }
--- a/internal/routing/slowstart_servers_test.go
+++ b/internal/routing/slowstart_servers_test.go
@@ -33,13 +33,13 @@
 }
 
 // stop ends a server's process. Its attempts in flight end with a reset connection.
-func (sim *slowStartSimulation) stop(sv *simulatedServer) {
-	sv.endedProcesses = append(sv.endedProcesses, serverProcess{sv.started, sv.attemptTimes})
-	sv.attemptTimes, sv.down, sv.queue, sv.busy = nil, true, nil, 0
-	sv.incarnation++
+func (sim *slowStartSimulation) stop(server *simulatedServer) {
+	server.endedProcesses = append(server.endedProcesses, serverProcess{server.started, server.attemptTimes})
+	server.attemptTimes, server.down, server.queue, server.busy = nil, true, nil, 0
+	server.incarnation++
 	for _, n := range sim.nodes {
 		for _, req := range n.requests {
-			if attempt := req.attempt; attempt != nil && req.request.server != nil && req.request.server.Addr == sv.addr {
+			if attempt := req.attempt; attempt != nil && req.request.server != nil && req.request.server.Addr == server.addr {
 				sim.reportAfter(attempt, protocol.ConnectionReset, 0)
 			}
 		}
@@ -47,38 +47,38 @@
 }
 
 // start starts a new process of a server, and ends the present one if the server is up.
-func (sim *slowStartSimulation) start(sv *simulatedServer) {
-	if !sv.down {
-		sim.stop(sv)
+func (sim *slowStartSimulation) start(server *simulatedServer) {
+	if !server.down {
+		sim.stop(server)
 	}
-	sv.down, sv.listed, sv.started = false, true, sim.clock
+	server.down, server.listed, server.started = false, true, sim.clock
 }
 
 // capacityShare returns the share of its capacity that a server has at the given time.
-func (sim *slowStartSimulation) capacityShare(sv *simulatedServer, at time.Duration) float64 {
-	if sv.started < 0 || at >= sv.started+sim.slowStartSpan {
+func (sim *slowStartSimulation) capacityShare(server *simulatedServer, at time.Duration) float64 {
+	if server.started < 0 || at >= server.started+sim.slowStartSpan {
 		return 1
 	}
-	return sim.startShare + (1-sim.startShare)*max(0, float64(at-sv.started)/float64(sim.slowStartSpan))
+	return sim.startShare + (1-sim.startShare)*max(0, float64(at-server.started)/float64(sim.slowStartSpan))
 }
 
 // work runs an attempt on a server, and then the attempts in the server's queue.
-func (sim *slowStartSimulation) work(sv *simulatedServer, attempt *simulatedAttempt) {
-	sv.busy++
-	incarnation, span := sv.incarnation, float64(sv.serviceTime)*(0.3+0.7*sim.random.ExpFloat64())
-	if share := sim.capacityShare(sv, sim.clock); share < 1 {
+func (sim *slowStartSimulation) work(server *simulatedServer, attempt *simulatedAttempt) {
+	server.busy++
+	incarnation, span := server.incarnation, float64(server.serviceTime)*(0.3+0.7*sim.random.ExpFloat64())
+	if share := sim.capacityShare(server, sim.clock); share < 1 {
 		span *= sim.slowFactor / share
 	}
 	sim.after(time.Duration(span), func() {
-		if incarnation != sv.incarnation {
+		if incarnation != server.incarnation {
 			return
 		}
-		sv.busy--
+		server.busy--
 		sim.report(attempt, protocol.Completed)
-		for len(sv.queue) > 0 && sv.busy < sv.slots {
-			next := sv.queue[0]
-			if sv.queue = sv.queue[1:]; !next.ended {
-				sim.work(sv, next)
+		for len(server.queue) > 0 && server.busy < server.slots {
+			next := server.queue[0]
+			if server.queue = server.queue[1:]; !next.ended {
+				sim.work(server, next)
 			}
 		}
 	})
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -13,6 +13,7 @@
 	"testing"
 )
 
+// slowStartSeeds is the number of seeds for each size of the fleet; 0 for the default.
 var slowStartSeeds = flag.Int("cold.seeds", 0,
 	"seeds for each size of the fleet in the slow-start test; 0: 52, or the number of scenarios under -race")
 
@@ -30,33 +31,33 @@
 
 // worst returns the window with the highest ratio, of those that end while the process is warming up. It also returns the
 // used share of N: attempts at warming servers over the attempts that N allows.
-func (p *slowStartSimulation) worst() (worst windowLoad, used float64) {
+func (sim *slowStartSimulation) worst() (worst windowLoad, used float64) {
 	worstRatio, total, attempts := 0.0, 0.0, 0
-	for _, sv := range p.servers {
-		perSecond := float64(sv.slots) / sv.serviceTime.Seconds()
-		for _, process := range append(sv.endedProcesses, serverProcess{sv.started, sv.attemptTimes}) {
-			if process.started < p.startAt {
+	for _, server := range sim.servers {
+		perSecond := float64(server.slots) / server.serviceTime.Seconds()
+		for _, process := range append(server.endedProcesses, serverProcess{server.started, server.attemptTimes}) {
+			if process.started < sim.startAt {
 				continue
 			}
-			warmAt := process.started + p.slowStartSpan
+			warmAt := process.started + sim.slowStartSpan
 			for i, from := range process.attemptTimes {
 				if from >= warmAt {
 					break
 				}
 				attempts++
-				window := windowLoad{capacity: p.overloadMultiple * perSecond * p.overloadSpan.Seconds() *
-					p.capacityShare(&simulatedServer{started: process.started}, from+p.overloadSpan/2)} // The share rises linearly.
+				window := windowLoad{capacity: sim.overloadMultiple * perSecond * sim.overloadSpan.Seconds() *
+					sim.capacityShare(&simulatedServer{started: process.started}, from+sim.overloadSpan/2)} // The share rises linearly.
 				for _, at := range process.attemptTimes[i:] {
-					if at >= from+p.overloadSpan {
+					if at >= from+sim.overloadSpan {
 						break
 					}
 					window.attempts++
 				}
-				if r := window.ratio(); r > worstRatio && from+p.overloadSpan <= warmAt {
+				if r := window.ratio(); r > worstRatio && from+sim.overloadSpan <= warmAt {
 					worstRatio, worst = r, window
 				}
 			}
-			total += p.overloadMultiple * perSecond * (1 + p.startShare) / 2 * p.slowStartSpan.Seconds()
+			total += sim.overloadMultiple * perSecond * (1 + sim.startShare) / 2 * sim.slowStartSpan.Seconds()
 		}
 	}
 	return worst, float64(attempts) / max(total, 1)
@@ -83,11 +84,11 @@
 	}
 }
 
-// TestAllNodesTogetherDoNotOverloadWarmingServers guards against nodes that together overload a warming server, in any scenario and
-// at any size of the fleet. Within any window, the server may get at most N + 2√N + 2 attempts. N is two to four times the
-// attempts that the server can complete in the window, and many runs have periods without traffic or outages. The used share
-// of N and the served share of the requests may therefore be low. Their lower limits detect servers that get hardly any
-// attempts.
+// TestAllNodesTogetherDoNotOverloadWarmingServers guards against nodes that together overload a warming server, in any
+// scenario and at any size of the fleet. Within any window, the server may get at most N + 2√N + 2 attempts. N is two to
+// four times the attempts that the server can complete in the window, and many runs have outages or periods without traffic.
+// The used share of N and the served share of the requests may therefore be low. Their lower limits detect servers that get
+// hardly any attempts.
 func TestAllNodesTogetherDoNotOverloadWarmingServers(t *testing.T) {
 	var mu sync.Mutex // guards tallies
 	tallies := map[string]*slowStartTally{}
@@ -106,19 +107,19 @@
 			for seed := range seeds {
 				t.Run(fmt.Sprintf("%d/%d", nodes, seed), func(t *testing.T) {
 					t.Parallel()
-					p := newSlowStartSimulation(nodes, uint64(seed))
-					p.run()
-					worst, used := p.worst()
+					sim := newSlowStartSimulation(nodes, uint64(seed))
+					sim.run()
+					worst, used := sim.worst()
 					ratio := worst.ratio()
 					run := fmt.Sprintf("scenario %s, added scenario %q, %d nodes, seed %d: %d attempts in a window with N = %.1f, want at most %.1f",
-						p.scenario, p.addedScenario, nodes, seed, worst.attempts, worst.capacity, worst.bound())
+						sim.scenario, sim.addedScenario, nodes, seed, worst.attempts, worst.capacity, worst.bound())
 					if ratio > 1 {
 						t.Error(run)
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					served := float64(p.completed) / float64(max(1, p.arrived))
-					tally(p.scenario).add(ratio, used, served, run)
+					served := float64(sim.completed) / float64(max(1, sim.arrived))
+					tally(sim.scenario).add(ratio, used, served, run)
 					tally(strconv.Itoa(nodes)+" nodes").add(ratio, used, served, run)
 				})
 			}
