--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -29,12 +29,12 @@
 	// Clock returns the time, which must never go back; nil for the system's clock. Simulations pass a virtual clock.
 	Clock func() time.Time
 
-	// Quota leases the tenants' quotas, and the engine admits requests by the leases. If it is nil, the engine
+	// Quota leases the tenants' quotas, and the engine admits requests by the leases. If Quota is nil, the engine
 	// admits by its own token buckets.
 	Quota Quota
 
 	// OnDecision is called when the next step of a request is decided. The caller that caused the decision must call
-	// TryNext once its own call of the Router has returned. It may be nil if all callers wait in Next.
+	// TryNext once its own call of the Router has returned. OnDecision may be nil if all callers wait in Next.
 	OnDecision func(*Request)
 
 	// OnRepeatViolation is called for each attempt or rejection that the repeat check withholds; nil to ignore them.
