--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -25,18 +25,18 @@
 	maxTrials                = 2                    // largest trial budget of a class
 	suspicionTimeConstant    = 10 * controlInterval // time constant of the decaying counts of peers' suspicions
 	minExcessSuspicions      = 1.0                  // suspicions above the mean that eject a server
-	suspicionDeviations      = 2.0                  // added to minExcessSuspicions, in square roots of the mean
+	suspicionDeviations      = 2.0                  // excess required beyond minExcessSuspicions, in square roots of the mean
 	minInformativeSuspicions = 0.1                  // decayed suspicions below which a state carries no information
 	suspicionRateRatio       = 0.5                  // share of the peer message rate that suspicions may use
 )
 
 // outlierState describes how a server serves one class. The zero value is a server without attempts.
 type outlierState struct {
-	inFlight        int
-	lost            int // attempts in flight whose response is presumed lost, as of the last attempt check
-	failures        int // consecutive failures
-	ejectedUntil    Time
-	ejectedFor      Time         // length of the last ejection by this node; 0 without one
+	inFlight        int          // attempts in flight
+	lost            int          // attempts in flight whose response is presumed lost, as of the last attempt check
+	failures        int          // consecutive failures
+	ejectedUntil    Time         // end of the last ejection since a success; 0 without one
+	ejectedFor      Time         // length of the last ejection by this node since a success; 0 without one
 	suspicions      decayingMean // peers' suspicions
 	fromPeer        bool         // a peer's suspicion caused the ejection
 	trialInFlight   bool         // a trial attempt is in flight
@@ -47,7 +47,7 @@
 
 // classOutliers holds the detector's state of one class, for all servers together.
 type classOutliers struct {
-	suspicions decayingMean // peers' suspicions
+	suspicions decayingMean // peers' suspicions of all servers
 	trials     float64      // trial budget, in attempts
 }
 
@@ -58,7 +58,7 @@
 	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeSuspicions
 }
 
-// attemptStarted records an attempt. It is a trial if the server has failed since its last success.
+// attemptStarted records an attempt. An attempt at a server that has failed since its last success is a trial.
 func (d *outlierDetector) attemptStarted(state *outlierState, class ClassID, now Time) {
 	c := &d.classes[class]
 	c.trials = min(c.trials+trialsPerAttempt, maxTrials)
@@ -82,7 +82,7 @@
 	switch outcome {
 	case Succeeded:
 		state.reset(now)
-	case Failed: // rare at healthy servers, so that one is enough
+	case Failed: // healthy servers rarely fail, so that one failure is enough
 		state.lastResponseAt = now
 		state.failures++
 		d.eject(state, now)
@@ -106,7 +106,8 @@
 	}
 }
 
-// eject takes a server out of a class's rotation, for twice as long as the last time.
+// eject takes a server out of a class's rotation, for twice as long as the last time. An ejection lasts at least one and
+// at most maxEjectionObjectives of the shortest latency objective.
 func (d *outlierDetector) eject(state *outlierState, now Time) {
 	shortest := d.config.shortestObjective
 	state.ejectedFor = min(max(2*state.ejectedFor, shortest), maxEjectionObjectives*shortest)
@@ -147,7 +148,7 @@
 // ejectSilent ejects a server if its attempts in flight together have waited silenceLatencies without a response.
 //
 // Protects against: processes that hang without an error, cut links.
-// Trade-off: a server with requests far longer than usual is ejected while others take its place.
+// Trade-off: a server whose requests take far longer than usual is ejected, and others take its place.
 func (d *outlierDetector) ejectSilent(state *outlierState, now Time) {
 	silent := state.waitedLatencies > silenceLatencies
 	if !silent || now < state.ejectedUntil {
@@ -183,7 +184,7 @@
 }
 
 // suspectedByPeers reports whether peers suspect a server clearly more often than the mean of the ready servers.
-// Overload of a whole fleet raises the mean as well and suspects no single server.
+// Overload of a whole fleet raises the mean as well, so that no single server is suspected.
 func (d *outlierDetector) suspectedByPeers(state *outlierState, class ClassID, ready int, now Time) bool {
 	if state.suspicions.count == 0 {
 		return false
@@ -196,7 +197,7 @@
 }
 
 // reportable reports whether peers should receive a suspicion of the server. This node must have found the failure
-// itself. In a small fleet, the ejection must not have ended.
+// itself. Without quota owners, the ejection must not have ended.
 func (d *outlierDetector) reportable(state *outlierState, now Time) bool {
 	return state.failures > 0 && !state.fromPeer && (d.config.usesOwners || now < state.ejectedUntil)
 }
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -7,8 +7,8 @@
 	"cherrygap/internal/settings"
 )
 
-// A server may fail one class and serve the others. Responses to the others don't end its ejection for the failed
-// class.
+// A server may fail one class and serve the others. A failure ejects the server for the failed class only, here and at
+// peers that receive the suspicion.
 func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
 	n := plain(2, Settings{
 		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
@@ -20,7 +20,8 @@
 	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
 	at := n.endpoints.slots.find(bad)
 	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
-		t.Fatal("the wrong class is ejected")
+		t.Fatalf("server %d is ejected for class 0: %v, for class 1: %v after a failed attempt of class 1, want false and true",
+			bad, n.outliers.ejected(&s[0], 0, n.now), n.outliers.ejected(&s[1], 1, n.now))
 	}
 	n.SetTime(Second + controlInterval/2)
 	sent := pull(n, SendPeerMessage)
@@ -29,18 +30,19 @@
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 	})
 	other.SetTime(Second + controlInterval/2)
-	other.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // truncated: no effect
+	other.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // a truncated message has no effect
 	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
-		t.Fatal("malformed message counted")
+		t.Fatalf("server %d is ejected for class 1 after a truncated peer message, want no effect", bad)
 	}
 	other.ReceivePeerMessage(0, sent[0].Payload)
 	if s := other.endpoints.servers[at].byClass; sent[0].Peer != AllPeers || !other.outliers.ejected(&s[1], 1, other.now) || other.outliers.ejected(&s[0], 0, other.now) {
-		t.Fatal("the peer did not apply the suspicion")
+		t.Fatalf("suspicion to peer %d ejected server %d for class 0: %v, for class 1: %v, want peer %d, false and true",
+			sent[0].Peer, bad, other.outliers.ejected(&s[0], 0, other.now), other.outliers.ejected(&s[1], 1, other.now), AllPeers)
 	}
 }
 
-// Suspicions of peers add up. A server with clearly more of them than the mean is ejected, and its trials come from the
-// budget. If all servers fail alike, none is ejected.
+// Suspicions of peers add up. A server with clearly more suspicions than the mean is ejected, and its trials come from
+// the trial budget. If peers suspect all servers alike, none is ejected.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
 	set := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
 	n, alike := plain(20, set), plain(20, set)
@@ -53,15 +55,17 @@
 	n.SetTime(3 * Second)
 	n.outliers.classes[0].trials = 0
 	if !n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now) || n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now) {
-		t.Fatal("the suspicions of peers did not eject the failing server")
+		t.Fatalf("after 8 suspicions of server 3, server 3 is ejected: %v, server 4: %v, want true and false",
+			n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now),
+			n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now))
 	}
 	for i := range alike.endpoints.servers {
 		if alike.outliers.ejected(&alike.endpoints.servers[i].byClass[0], 0, alike.now) {
-			t.Fatal("suspected where all miss alike")
+			t.Fatalf("server in slot %d is ejected after 8 suspicions of every server, want none ejected", i)
 		}
 	}
 	trials := 0
-	for id := range RequestID(100) { // a twentieth of the class's attempts may try it
+	for id := range RequestID(100) { // trials may be a twentieth of the class's attempts
 		n.SetTime(3*Second + Time(id)*500)
 		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
 		for _, d := range pull(n, Forward) {
@@ -73,11 +77,12 @@
 		}
 	}
 	if trials > 7 {
-		t.Fatalf("%d trials in 100 attempts", trials)
+		t.Fatalf("server 3 got %d trials in 100 requests, want at most 7", trials)
 	}
 }
 
-// An impatient client's timeout is neither a failure of the server nor a latency sample.
+// A client may set a timeout far below the latency objective. Such a timeout is neither a failure of the server nor a
+// latency sample.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
 	n := plain(2, nil)
 	for id := range RequestID(4) {
@@ -87,12 +92,12 @@
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
 	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.samples != 0 {
-		t.Fatalf("%d failures, %d latency samples", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
+		t.Fatalf("timeouts before the objective counted as %d failures and %d latency samples, want 0 and 0", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
 	}
 }
 
-// One malformed or broken response does not eject a server and is no latency sample. Two in a row eject it for the
-// class.
+// One malformed or broken response does not eject a server and is no latency sample. Two in a row eject the server for
+// the class.
 func TestOneBadResponseEjectsNoServer(t *testing.T) {
 	n := plain(1, Settings{
 		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
@@ -103,15 +108,16 @@
 		d := pull(n, Forward)[0]
 		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
 		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.samples > 2 {
-			t.Fatalf("after end %d the server is ejected: %v", id, got)
+			t.Fatalf("after result %d, outcome %d: ejected for class 0: %v, for class 1: %v, %d latency samples; want %v, false, at most 2",
+				id, o, got, n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now), n.interval.samples, id == 5)
 		}
 		if o != Succeeded && pull(n, Reject) == nil {
-			t.Fatal("no answer at once")
+			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d", id, o)
 		}
 	}
 }
 
-// A server that rejects every request, as before its draining is listed, responds fast and would attract requests. Each
+// A server that drains rejects every request before the list says so. Its fast responses would attract requests. Each
 // rejection counts as a latency sample of one objective, and two in a row eject the server.
 func TestServerThatRejectsIsEjected(t *testing.T) {
 	n := plain(4, nil)
@@ -133,39 +139,42 @@
 		}
 	}
 	if sent > 40 || sent == 0 {
-		t.Errorf("%d of 400 requests went to a server that rejects them", sent)
+		t.Errorf("server 2, which rejects every request, got %d of 400 requests, want 1 to 40", sent)
 	}
 }
 
+// testDetector returns a detector of two classes with one trial each, by testConfig.
 func testDetector() *outlierDetector {
 	return &outlierDetector{config: testConfig(), classes: []classOutliers{{trials: 1}, {trials: 1}}}
 }
 
-// Each further ejection lasts twice as long, up to eight objectives. A success resets this.
+// Each further ejection lasts twice as long, up to eight objectives. A success resets the length.
 func TestEjectionTimes(t *testing.T) {
 	d, states, now := testDetector(), make([]outlierState, 2), 10*Second
 	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
 		states[0].inFlight = 1
 		d.attemptEnded(states, 0, Failed, now)
 		if states[0].ejectedUntil != now+want || !d.ejected(&states[0], 0, now+want-1) || d.ejected(&states[1], 1, now) {
-			t.Fatalf("ejection %d until %d", k, states[0].ejectedUntil-now)
+			t.Fatalf("ejection %d of class 0 lasts %d, want %d; ejected one unit before its end: %v, want true; class 1 ejected: %v, want false",
+				k, states[0].ejectedUntil-now, want, d.ejected(&states[0], 0, now+want-1), d.ejected(&states[1], 1, now))
 		}
 	}
 	d.classes[0].trials = 0
 	if !d.ejected(&states[0], 0, now+48000) {
-		t.Error("a trial without budget")
+		t.Error("after its ejection, a server is not ejected with an empty trial budget, want it ejected")
 	}
 	d.classes[0].trials = 1
 	if d.ejected(&states[0], 0, now+48000) {
-		t.Error("no trial with budget")
+		t.Error("after its ejection, a server is ejected with a trial budget of 1, want a trial allowed")
 	}
 	states[0].inFlight = 1
 	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialsPerAttempt+1e-9 || !d.ejected(&states[0], 0, now+48000) {
-		t.Errorf("%v trials left with one in flight", d.classes[0].trials)
+		t.Errorf("with a trial in flight, the trial budget is %v and the server is ejected: %v, want at most %v and true",
+			d.classes[0].trials, d.ejected(&states[0], 0, now+48000), trialsPerAttempt)
 	}
 	d.attemptEnded(states, 0, Succeeded, now+49000)
 	if states[0] != (outlierState{lastResponseAt: now + 49000}) {
-		t.Errorf("after an answer: %+v", states[0])
+		t.Errorf("state after a success = %+v, want only lastResponseAt %d", states[0], now+49000)
 	}
 }
 
@@ -174,7 +183,7 @@
 	for _, c := range []struct {
 		outcome       Outcome
 		before        outlierState
-		class, others bool // ejected
+		class, others bool // the server is ejected for the class, and for the other one
 	}{
 		{Succeeded, outlierState{failures: 1}, false, false},
 		{Failed, outlierState{}, true, false},
@@ -192,7 +201,8 @@
 		states[0].inFlight = 1
 		d.attemptEnded(states, 0, c.outcome, Second)
 		if d.ejected(&states[0], 0, Second) != c.class || d.ejected(&states[1], 1, Second) != c.others || states[0].inFlight != 0 {
-			t.Errorf("outcome %d after %+v: %+v", c.outcome, c.before, states)
+			t.Errorf("outcome %d after %+v: states %+v, ejected for the class: %v, for the other one: %v, want %v, %v and nothing in flight",
+				c.outcome, c.before, states, d.ejected(&states[0], 0, Second), d.ejected(&states[1], 1, Second), c.class, c.others)
 		}
 	}
 }
@@ -200,33 +210,33 @@
 // Silence is the sum of the waits of all attempts in flight since the last response.
 func TestSilence(t *testing.T) {
 	d, s, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
-	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the answer
-	d.checkSilence(s, now-2000, 2000, now) // one
+	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the last response
+	d.checkSilence(s, now-2000, 2000, now) // 1 usual latency
 	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waitedLatencies != 6 || s.lost != 0 {
-		t.Errorf("after 6 latencies: %+v", s)
+		t.Errorf("after 6 usual latencies of silence: %+v, ejected: %v, want waitedLatencies 6, lost 0, not ejected", s, d.ejected(s, 0, now))
 	}
-	d.checkSilence(s, Second, 500, now) // 20
+	d.checkSilence(s, Second, 500, now) // 20 usual latencies
 	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.waitCountedFrom != now || s.lost != 1 {
-		t.Errorf("after 26 latencies: %+v", s)
+		t.Errorf("after 26 usual latencies of silence: %+v, ejected: %v, want waitCountedFrom %d, lost 1, ejected", s, d.ejected(s, 0, now), now)
 	}
 }
 
-// A peer's suspicion ejects a server for the time that it names, unless the server has just responded here or is
-// already ejected.
+// A peer's suspicion ejects a server for the time that it names, within the limits of an ejection. It has no effect if
+// the server has just responded here or is already ejected here.
 func TestPeersSuspicions(t *testing.T) {
 	const now = 20 * Second
 	for _, c := range []struct {
 		name   string
 		before outlierState
-		sent   Time
-		until  Time
-		peer   bool
+		sent   Time // ejection that the suspicion names
+		until  Time // expected end of the ejection
+		peer   bool // expected fromPeer
 	}{
 		{"ejected there", outlierState{}, 9000, now + 9000, true},
 		{"for less than an objective", outlierState{}, 1, now + 6000, true},
 		{"for very long", outlierState{}, 99 * Second, now + 48000, true},
-		{"just answered here", outlierState{lastResponseAt: now - 5999}, 9000, 0, false},
-		{"answered long ago", outlierState{lastResponseAt: now - 6000}, 9000, now + 9000, true},
+		{"just responded here", outlierState{lastResponseAt: now - 5999}, 9000, 0, false},
+		{"responded long ago", outlierState{lastResponseAt: now - 6000}, 9000, now + 9000, true},
 		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
 		{"one suspicion without an ejection", outlierState{}, 0, 0, false},
 		{"many suspicions", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
@@ -235,7 +245,7 @@
 			d, s := testDetector(), c.before
 			d.classes[0].suspicions = decayingMean{count: 40, at: now}
 			if d.receiveSuspicion(&s, suspicion{ejectedFor: c.sent}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
-				t.Errorf("until %d, by a peer %v", s.ejectedUntil-now, s.fromPeer)
+				t.Errorf("server ejected until %d, fromPeer %v, want until %d, fromPeer %v", s.ejectedUntil, s.fromPeer, c.until, c.peer)
 			}
 		})
 	}
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -13,7 +13,7 @@
 //     that keeps this node to the even share of the quota.
 type quotaOwner struct {
 	config       *config
-	peerMessages decayingMean // received by this node
+	peerMessages decayingMean // peer messages that this node received
 }
 
 const (
@@ -35,15 +35,15 @@
 	optimisticMinRatePerNode = 0.25 // least demand for optimistic admission, in units a second per node
 	optimisticReserveRatio   = 0.7  // bucket level below which optimistic admission ends, in bursts
 
-	optimisticStartReserveRatio = (1 + optimisticReserveRatio) / 2 // bucket level at which it begins, in bursts
+	optimisticStartReserveRatio = (1 + optimisticReserveRatio) / 2 // bucket level for a start, in bursts
 )
 
 // optimisticChange is the effect of an update on optimistic admission.
 type optimisticChange uint8
 
 const (
-	optimisticUnchanged optimisticChange = iota // or newly allowed: peers learn that with their next response
-	optimisticRevoked                           // peers must be notified at once
+	optimisticUnchanged optimisticChange = iota // no change, or a start that peers learn with their next response
+	optimisticRevoked                           // optimistic admission ends: peers must be notified at once
 )
 
 // ownersNeeded reports whether the nodes are too many for all to report to all others. The peer rate is the number of
@@ -70,7 +70,7 @@
 // isOwner reports whether this node is the customer's owner.
 func (o *quotaOwner) isOwner(c *customer) bool { return o.of(c) == o.config.self }
 
-// waits reports whether a request waits for its owner's response.
+// waits reports whether a request waits for the response of its customer's owner.
 func (o *quotaOwner) waits(r *request, now Time) bool {
 	return r.queriedOwnerAt > 0 && r.ownerResponse == responsePending && now < r.queriedOwnerAt+o.config.ownerTimeout
 }
@@ -136,8 +136,8 @@
 	return optimisticUnchanged
 }
 
-// queryRatio returns the share of a customer's requests that other nodes should query, for a demand above 0 in units a
-// second.
+// queryRatio returns the share of a customer's requests for which other nodes should query the owner. The demand is in
+// units a second and above 0.
 func (o *quotaOwner) queryRatio(c *customer, demand float64, now Time) float64 {
 	plan := &o.config.plans[c.plan]
 	otherMessages := demandRate(&o.peerMessages, now) - c.peerDemand.count/seconds(demandTimeConstant)
@@ -164,8 +164,8 @@
 	return nearlyFull && demand > optimisticMinRatePerNode*float64(c.spread)
 }
 
-// drawQuery reports whether this node queries the owner for a request. The probability is the query ratio, and rises to
-// 1 as that ages.
+// drawQuery reports whether this node queries the owner for a request. The probability is the query ratio. It
+// rises to 1 while the ratio ages to queryRatioLifetime.
 func (o *quotaOwner) drawQuery(c *customer, now Time, rng *random) bool {
 	age := float64(now-c.queryRatioAt) / float64(queryRatioLifetime)
 	skip := rng.unit() >= max(c.queryRatio, age)
@@ -173,7 +173,8 @@
 }
 
 // drawWithoutOwner reports whether a request is admitted though its owner did not respond. The probability is the even
-// share of the quota over the demand here before the request.
+// share of the quota over the demand here before the request. With an in-flight limit, the customer must have no attempt
+// in flight here.
 func (o *quotaOwner) drawWithoutOwner(c *customer, units float64, now Time, rng *random) bool {
 	plan := &o.config.plans[c.plan]
 	demandBefore := demandRate(&c.demand, now) - units/seconds(demandTimeConstant)
@@ -184,8 +185,8 @@
 	return plan.rate <= 0 || rng.unit() < probability
 }
 
-// ownerAdmits reports whether a request is admitted now by its customer's owner. A request that it does not admit may
-// be waiting for the response, see quotaOwner.waits.
+// ownerAdmits reports whether a request is admitted now under its customer's quota owner. A request that is not admitted
+// may be waiting for the owner's response, see quotaOwner.waits.
 func (e *Engine) ownerAdmits(c *customer, r *request) bool {
 	if e.owner.isOwner(c) {
 		return e.admitAsOwner(c, r)
@@ -215,7 +216,7 @@
 	return r.ownerResponse == responseGranted
 }
 
-// queryOwner sends a customer's owner the query whether a request is admitted. If the time left before the deadline does
+// queryOwner sends a query for a request to its customer's owner. If the time left before the deadline does
 // not allow a wait, the query counts as timed out at once.
 func (e *Engine) queryOwner(c *customer, r *request) {
 	timeout := e.config.ownerTimeout
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// pause detects scheduling pauses: times in which the host asked for a timer but did not call the engine.
+// pause detects scheduling pauses: spans in which the host asked for a timer but did not call the engine.
 //
 //   - Inputs: the times of the host's calls.
 //   - State: the length and the end of the last pause, and the requests that arrived during it.
-//   - Rule: after a pause, the requests that arrived meanwhile are decided last one first, since those still have time
-//     left. Their arrival times are set as if they had arrived evenly over the pause.
+//   - Rule: after a pause, the requests that arrived meanwhile are decided in reverse order: the last ones still have
+//     time left. Their arrival times are set as if they had arrived evenly over the pause.
 //   - Protects against: time spent on requests whose clients have left, directly after the pause.
 //   - Trade-off: if the host was only late to call, requests count as older than they are.
 type pause struct {
-	length  Time
-	endedAt Time
-	arrived int // requests that arrived during the pause and are not yet reordered
+	length  Time // length of the last pause; 0 before the first one
+	endedAt Time // time at which the last pause ended
+	arrived int  // requests that arrived during the pause and are not yet reordered
 }
 
 // minPauseDivisor gives the shortest pause, as a divisor of the shortest latency objective.
 const minPauseDivisor = 4
 
-// observe records a pause if the time between two calls of the host is long enough.
+// observe records a pause if the time between two calls of the host exceeds the latency objective over minPauseDivisor.
 func (p *pause) observe(last, now, objective Time) {
 	if gap := now - last; gap > objective/minPauseDivisor {
 		p.length, p.endedAt = gap, now
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// After a pause, the last requests still have time left and are forwarded first. Those past their objective are
-// rejected at once, and the tokens cover the pause.
+// After a pause, only the last requests have time left before their objective. They are forwarded first, and requests
+// past their objective are rejected at once. The admission rate's tokens cover the pause.
 func TestLastRequestsOfAPauseComeFirst(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 40, 500, 9*Second
 	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
 	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
 	pull(n, Forward)
-	n.SetTime(Second + Second) // 1 s without a turn; the objective is 0.6 s
+	n.SetTime(Second + Second) // a pause of 1 s, with an objective of 0.6 s
 	for id := range RequestID(20) {
 		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
@@ -28,11 +28,12 @@
 	}
 	if len(first) < 9 || first[0] != 19 || slices.Contains(first, 0) || !slices.Contains(rejected, 0) ||
 		len(first)+len(rejected) != 20 {
-		t.Fatalf("sent %v, rejected %v", first, rejected)
+		t.Fatalf("after a pause, 20 requests were forwarded in the order %v and rejected in the order %v; "+
+			"want at least 9 forwarded, 19 first, and 0 rejected", first, rejected)
 	}
 }
 
-// A request past its objective after a pause is rejected even if limit and quota would admit it.
+// A request past its objective after a pause is rejected even if the admission limit and the quota allow it.
 func TestRequestsLateAfterAPauseAreRejected(t *testing.T) {
 	n := plain(10, nil)
 	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 4000, 500, 9*Second
@@ -47,22 +48,24 @@
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		if d.Action == Reject {
 			if rejected++; d.Request > 12 {
-				t.Errorf("request %d of 20, which is in time yet, was rejected", d.Request)
+				t.Errorf("request %d of 20 was rejected, want only requests up to 12, which are past the objective, rejected", d.Request)
 			}
 		}
 	}
 	if rejected < 8 {
-		t.Fatalf("%d of 20 rejected, of which half waited past the objective", rejected)
+		t.Fatalf("%d of 20 requests were rejected, want at least 8: half of them waited past the objective", rejected)
 	}
 }
 
+// A gap up to a quarter of the objective is no pause. After a pause, its requests are in reverse order, with arrival times
+// evenly over the pause. Requests from before the pause stay as they are.
 func TestPauseOrder(t *testing.T) {
 	p := pause{}
 	if p.observe(Second, Second+1500, 6000); p.endedAt != 0 {
-		t.Error("a quarter of an objective is a pause")
+		t.Errorf("a gap of 1500 with an objective of 6000 was recorded as a pause that ended at %d, want no pause", p.endedAt)
 	}
 	if p.observe(Second, Second+4000, 6000); p.length != 4000 || p.endedAt != Second+4000 {
-		t.Errorf("%+v", p)
+		t.Errorf("after a gap of 4000 with an objective of 6000, pause = %+v, want length 4000, endedAt %d", p, Second+4000)
 	}
 	now := p.endedAt
 	table := requestTable{all: []request{{arrived: 7}, {arrived: now}, {arrived: now}}, pending: []requestSlot{0, 1, 2}}
@@ -70,6 +73,7 @@
 	p.reorder(&table, now)
 	if !slices.Equal(table.pending, []requestSlot{0, 2, 1}) || table.all[1].arrived != now-3000 || table.all[2].arrived != now-1000 ||
 		table.all[0].arrived != 7 || p.arrived != 0 {
-		t.Errorf("%v, %+v", table.pending, table.all)
+		t.Errorf("after reorder, pending = %v, want [0 2 1]; arrival times %d, %d, %d, want 7, %d, %d; %d requests to reorder, want 0",
+			table.pending, table.all[0].arrived, table.all[1].arrived, table.all[2].arrived, now-3000, now-1000, p.arrived)
 	}
 }
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -1,7 +1,7 @@
 package decision
 
 // ReceivePeerMessage applies a peer's message and reports whether it is valid. A message that is malformed anywhere has
-// no effect. A report on a customer has none unless both nodes are in the customer's set.
+// no effect. A report on a customer has no effect unless both nodes are in the customer's set.
 func (e *Engine) ReceivePeerMessage(from NodeID, payload []byte) (valid bool) {
 	m, ok := decodeMessage(payload, len(e.config.plans), e.config.nodes)
 	if !ok || from < 0 || int(from) >= e.config.nodes || from == e.config.self {
@@ -88,8 +88,8 @@
 }
 
 // receiveSuspicions applies a peer's suspicions. Unknown servers and classes are ignored.
-func (e *Engine) receiveSuspicions(list []suspicion) {
-	for _, reported := range list {
+func (e *Engine) receiveSuspicions(suspicions []suspicion) {
+	for _, reported := range suspicions {
 		i := e.endpoints.slots.find(reported.server)
 		if i < 0 || int(reported.class) >= len(e.classes) {
 			continue
@@ -99,8 +99,8 @@
 	}
 }
 
-// suspicionMessage returns a message with this node's reportable suspicions, as many as fit. Without any, it consists
-// of the kind only. The message is valid until scratch is next used.
+// suspicionMessage returns a message with this node's reportable suspicions, as many as fit. Without any suspicion,
+// the message consists of the kind only. The message is valid until scratch is next used.
 func (e *Engine) suspicionMessage() []byte {
 	e.scratch = append(e.scratch[:0], kindSuspicion)
 	for _, i := range e.endpoints.tracked {
@@ -131,15 +131,15 @@
 // is 0 and the response pending in a message that responds to no query.
 func (e *Engine) sendGrant(c *customer, to NodeID, id RequestID, response ownerResponse) {
 	report := c.report()
-	report.demand = c.queryRatio // see customerReport.queryRatio
+	report.demand = c.queryRatio // the format holds the query ratio here, see customerReport.queryRatio
 	report.request = id
 	report.response = response
 	report.optimistic = c.optimistic
 	e.outbox.add(to, appendReport([]byte{kindGrant}, report))
 }
 
-// releaseReservation releases a request's reservation at its customer's owner. It is called when the request has no
-// attempt in flight any more.
+// releaseReservation releases a request's reservation at its customer's owner. The caller calls it when the request
+// has no attempt in flight any more.
 func (e *Engine) releaseReservation(r *request) {
 	c := &e.customers.all[r.customer]
 	limited := e.config.plans[c.plan].maxInFlight != 0 && e.owner.owned(c)
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// tenantQuota keeps a customer to its plan at this node.
+// tenantQuota limits each customer to its plan at this node.
 //
 //   - Inputs: the customer's demand here and as peers report it, and its attempts in flight.
 //   - State: a token bucket of the whole quota, and a bucket of this node's share of the hard ceiling.
@@ -13,7 +13,7 @@
 //   - Trade-off: the limit is inexact for some seconds after a customer's requests move to other nodes.
 type tenantQuota struct {
 	config            *config
-	lastPeerMessageAt Time // of any peer
+	lastPeerMessageAt Time // time of the last message from any peer
 }
 
 const (
@@ -22,7 +22,7 @@
 	evenSharePriorQuotas   = 3.0                 // demand assumed at even shares beside the measured one, in quota rates
 	minPeerReports         = 0.1                 // decayed number of reports below which no peer reports the customer
 	minReportRounds        = 2                   // report intervals after which all peers have reported a new customer
-	unreportedShareDivisor = 2                   // largest unreported demand, as a divisor of the even share
+	unreportedShareDivisor = 2                   // divisor of the even share that gives the largest unreported demand
 )
 
 // quotaResult is a quota's answer for one request.
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-// The local share is the demand here over all reported demand, with a prior of the even share. Without reports it is
-// the even share.
+// The demand share is the demand here over all reported demand, with a prior of the even share. While peers' reports are
+// missing, it is the even share.
 func TestDemandShare(t *testing.T) {
 	const now = 100 * Second
 	for _, c := range []struct {
 		name          string
 		spread        int
 		firstSeen     Time
-		heardAt       Time
-		peers         bool
-		own, reported float64
-		reports       float64
+		heardAt       Time    // time of the last peer message
+		peers         bool    // peer messages are enabled
+		own, reported float64 // decayed demand here and at peers, in units
+		reports       float64 // decayed number of reports
 		want          float64
 	}{
 		{"all requests come here", 1, 0, now, true, 40, 80, 9, 1},
 		{"no peers", 4, 0, now, false, 40, 80, 9, 0.25},
 		{"peers are silent", 4, 0, now - peerSilenceTimeout - 1, true, 40, 80, 9, 0.25},
-		{"just seen", 4, now - 2*reportInterval + 1, now, true, 40, 80, 9, 0.25},
-		{"nobody reports it", 4, 0, now, true, 40, 0, 0, 1},
-		{"hardly a report left", 4, 0, now, true, 40, 80, 0.099, 1},
-		{"a decayed report", 4, 0, now, true, 40, 80, 0.101, (20 + 30*0.25) / (60 + 30)},
-		{"reported", 4, 0, now, true, 40, 80, 9, (20 + 30*0.25) / (60 + 30)},
+		{"customer seen only just now", 4, now - 2*reportInterval + 1, now, true, 40, 80, 9, 0.25},
+		{"no peer reports the customer", 4, 0, now, true, 40, 0, 0, 1},
+		{"report decayed below the minimum", 4, 0, now, true, 40, 80, 0.099, 1},
+		{"report decayed to just above the minimum", 4, 0, now, true, 40, 80, 0.101, (20 + 30*0.25) / (60 + 30)},
+		{"demand reported by peers", 4, 0, now, true, 40, 80, 9, (20 + 30*0.25) / (60 + 30)},
 		{"no demand", 4, 0, now, true, 0, 0, 9, 0.25},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,13 +35,13 @@
 				peerDemand: decayingMean{sum: c.reported, count: c.reports, at: now},
 			}
 			if got := q.demandShare(customer, now); !near(got, c.want) {
-				t.Errorf("%v, not %v", got, c.want)
+				t.Errorf("demandShare() = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A request is charged its units over the local share. The missing level of the bucket gives the Retry-After.
+// A request is charged its units over the demand share. The missing level of the bucket gives the Retry-After.
 func TestTenantQuota(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -72,24 +72,24 @@
 			customer := &customer{spread: 4, inFlight: c.inFlight, leased: c.leased, bucket: tokenBucket{c.level, at}}
 			r := &request{units: c.units}
 			if got := q.admit(customer, r, 700, 100*Second); got.admitted != c.ok || got.retryAfter != c.after {
-				t.Errorf("%v after %d", got.admitted, got.retryAfter)
+				t.Errorf("admit() = admitted %v, retryAfter %d, want %v, %d", got.admitted, got.retryAfter, c.ok, c.after)
 			}
 			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.demandShare != part {
-				t.Errorf("share %v", r.demandShare)
+				t.Errorf("demandShare of the request = %v, want %v", r.demandShare, part)
 			}
 		})
 	}
 	c := &customer{bucket: tokenBucket{level: 6}}
 	if c.charge(1, 0.25); c.bucket.level != 2 {
-		t.Errorf("%v left", c.bucket.level)
+		t.Errorf("charge(1, 0.25) of level 6 left level %v, want 2", c.bucket.level)
 	}
 	c.bucket.level = -4
-	if c.charge(1, 0.5); c.bucket.level != -2 { // a debt is not added to
-		t.Errorf("%v left", c.bucket.level)
+	if c.charge(1, 0.5); c.bucket.level != -2 { // the earlier debt is forgiven
+		t.Errorf("charge(1, 0.5) of level -4 left level %v, want -2", c.bucket.level)
 	}
 }
 
-// A ceiling starts empty and fills at the even share, less the owner's part.
+// A node's part of a hard ceiling starts empty. It fills at the even share of the rate, without the owner's part.
 func TestCeiling(t *testing.T) {
 	for _, c := range []struct {
 		owned bool
@@ -101,7 +101,8 @@
 		q, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
 		if q.ceilingAllows(customer, 6, ratio, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
-			t.Errorf("owned %v: %v after %d", c.owned, customer.ceiling.level, c.after)
+			t.Errorf("owned %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
+				c.owned, customer.ceiling.level, c.after, c.want, c.want >= 6)
 		}
 	}
 }
--- a/internal/decision/reports.go
+++ b/internal/decision/reports.go
@@ -20,7 +20,7 @@
 	maxEntryBytes   = 56                  // largest encoding of one report or suspicion
 )
 
-// add adds to the unsent report on a customer.
+// add adds demand and use, in units, to the unsent report on a customer.
 func (u *usageReports) add(c *customer, i customerSlot, demand, use float64) {
 	c.reportDemand += demand
 	c.reportUse += use
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -5,13 +5,14 @@
 //   - Inputs: first attempts, retries, the request's class, the outcomes of its attempts.
 //   - State: the budget, in attempts.
 //   - Rule: each first attempt earns retryBudgetRatio, each retry costs 1. A request that may have run is retried only
-//     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that ends.
+//     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that
+//     attempt has ended.
 //   - Protects against: a storm of retries when many attempts fail.
 //   - Trade-off: under light load, a few failed servers can use up the budget. Therefore it may grow to
 //     maxRetryBudgetPerServer attempts for each usable server.
 type retryBudget struct {
 	config *config
-	left   float64
+	left   float64 // retries that the budget allows now
 }
 
 const (
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -12,7 +12,7 @@
 //   - Trade-off: a server that received long requests has less weight for a while.
 type selection struct {
 	config *config
-	paces  decayingMean // sum of the usable tracked servers' paces; summed again at each attempt check
+	paces  decayingMean // sum of the usable tracked servers' paces; each attempt check sums them again
 }
 
 const (
@@ -26,9 +26,9 @@
 
 const (
 	passSubset  selectionPass = iota // servers of the subset that are not ejected, capped or tried
-	passTracked                      // such servers among all tracked ones
-	passTried                        // any server that is not ejected
-	passEjected                      // any server
+	passTracked                      // tracked servers that are not ejected, capped or tried
+	passTried                        // servers that are not ejected
+	passEjected                      // all servers
 	selectionPasses
 )
 
@@ -41,8 +41,8 @@
 	rolePreferred                     // a warming server is selected before all regular ones
 )
 
-// serverAdded sets the credit of a new server among a number of listed ones. It is random: nodes that start together
-// must not begin with the same servers.
+// serverAdded sets the rotation credit of a new server, where listed is the number of listed servers. The credit is
+// random: nodes that start together must not begin with the same servers.
 func (l *selection) serverAdded(s *server, listed int, rng *random) {
 	s.rotationCredit = (rng.unit() - 0.5) * s.Weight * float64(min(listed, minTrackedServers))
 }
@@ -118,7 +118,7 @@
 func (e *Engine) pick(r *request) serverSlot {
 	c, widened := e.weighAll(r, e.endpoints.subset), false
 	for pass := range selectionPasses {
-		if pass == passTracked && !e.config.usesOwners { // the subset is every tracked server
+		if pass == passTracked && !e.config.usesOwners { // the subset holds every tracked server
 			continue
 		}
 		if pass > passSubset && !widened {
--- a/internal/decision/slotindex.go
+++ b/internal/decision/slotindex.go
@@ -12,7 +12,7 @@
 	return slotIndex[ID, Slot]{slots: map[ID]Slot{}}
 }
 
-// find returns the slot of an id, or -1.
+// find returns the slot of an id, or -1 if the id has none.
 func (x *slotIndex[ID, Slot]) find(id ID) Slot {
 	if i, ok := x.slots[id]; ok {
 		return i
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -32,12 +32,12 @@
 
 // slowStartState holds the attempts that count against a server's budget.
 type slowStartState struct {
-	sent float64 // attempts, as of at
-	at   Time
+	sent float64 // attempts that counted against the budget at the time of the last update
+	at   Time    // time of the last update
 }
 
-// observeClock records that the servers' clock had reached a time when this node's clock shows now. The start time of a
-// server that starts while this node runs is such a time.
+// observeClock records that the servers' clock has reached a time, where now is the time by this node's clock. The start
+// time of a server that starts while this node runs is such a time.
 func (l *slowStart) observeClock(at, now Time) {
 	ahead := now - at
 	if !l.clockSeen || ahead < l.maxClockLead {
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -38,11 +38,11 @@
 
 // subsetChoice is the part of a shuffle that a node uses.
 type subsetChoice struct {
-	group   int // of the nodes that share the shuffle, from 0
+	group   int // index of the group of nodes that share the shuffle, from 0
 	zones   zoneLayout
 	start   float64 // position in the shuffle, in [0, 1)
-	size    int     // servers from start on that form the subset
-	tracked int     // servers from start on that are tracked
+	size    int     // number of servers from start on that form the subset
+	tracked int     // number of servers from start on that are tracked
 }
 
 // attemptSent counts an attempt for the size of the subset.
--- a/internal/decision/throughput.go
+++ b/internal/decision/throughput.go
@@ -8,7 +8,7 @@
 	baseLatency float64   // T, in units of Time; 0 while unknown
 	times       []float64 // recent mean durations, in units of Time, at most baseLatencyIntervals
 	rates       []float64 // completed attempts a second of recent intervals, at most bestRateIntervals
-	timeSum     float64   // sum of the durations since the last entry of times
+	timeSum     float64   // sum of the durations since the last entry of times, in units of Time
 	timeCount   int       // number of durations in timeSum
 }
 
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -6,10 +6,10 @@
 	checkAt     Time // next attempt check
 	intervalAt  Time // end of the control interval
 	reportAt    Time // next usage report to peers
-	suspicionAt Time // next suspicions to peers
+	suspicionAt Time // next message with suspicions to peers
 	pollAt      Time // next poll of discovery; 0: discovery pushes its lists
 	polling     bool // a poll is in flight
-	hostAt      Time // time for which the host's timer is set
+	hostAt      Time // time for which the host's timer is set; 0 before it is first set
 }
 
 const (
@@ -83,20 +83,20 @@
 	return due
 }
 
-// pollFailed sets the time of the next poll, within the settings' time in units of Time. It has no effect unless a poll
-// is in flight.
-func (t *timers) pollFailed(now Time, within float64, rng *random) {
+// pollFailed sets the time of the next poll. The settings' limit, pollWithin, is in units of Time. The call has no effect
+// unless a poll is in flight.
+func (t *timers) pollFailed(now Time, pollWithin float64, rng *random) {
 	if t.polling {
 		t.polling = false
-		t.pollAt = now + pollDelay(within, rng)
+		t.pollAt = now + pollDelay(pollWithin, rng)
 	}
 }
 
 // pollDelay returns a random delay before discovery is polled again. Without randomness, nodes that start together
 // would poll in step. The delay does not grow with the number of failures: the node must receive a list soon after
 // discovery is reachable again.
-func pollDelay(within float64, rng *random) Time {
-	longest := min(maxPollDelayIntervals*float64(controlInterval), max(float64(controlInterval), within))
+func pollDelay(pollWithin float64, rng *random) Time {
+	longest := min(maxPollDelayIntervals*float64(controlInterval), max(float64(controlInterval), pollWithin))
 	return Time(longest * (minPollDelayRatio + (1-minPollDelayRatio)*rng.unit()))
 }
 
