--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -57,7 +57,7 @@
 	return Time(ownerTimeoutObjectives * float64(shortestObjective))
 }
 
-// of returns the node of a customer's set that owns its quota.
+// of returns the node of a customer's set that owns its quota. The owner is the same at every node.
 func (o *quotaOwner) of(c *customer) NodeID {
 	return (c.firstNode + NodeID(uint64(c.id)%uint64(c.spread))) % NodeID(o.config.nodes)
 }
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -9,17 +9,18 @@
 	"cherrygap/internal/settings"
 )
 
-// fleet is a fleet of 60 nodes. The customer's set holds 40 of them, from number 10. Messages arrive at once.
+// fleet simulates a fleet of 60 nodes. The customer's set holds 40 of them, from number 10. Messages arrive at once.
 type fleet struct {
 	nodes          []*Engine
-	sets           []Settings
-	sent, inFlight int
+	sets           []Settings                                  // settings by node
+	sent, inFlight int                                         // attempts of all nodes
 	mostInFlight   int                                         // largest value of inFlight
-	lost           func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: none is
+	lost           func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: no message is lost
 	t              *testing.T
 	ends           map[Time][]func() // ends of attempts, by time
 }
 
+// newFleet returns a fleet with the settings added to a quota of 2 units a second, with a burst of 6.
 func newFleet(t *testing.T, more Settings) *fleet {
 	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Engine, 60)}
 	set := Settings{
@@ -60,7 +61,7 @@
 					})
 				case SendPeerMessage:
 					if d.Peer < 10 || d.Peer >= 50 {
-						f.t.Fatalf("sent to %d, outside the set", d.Peer)
+						f.t.Fatalf("a message was sent to node %d, want only nodes 10 to 49 of the customer's set", d.Peer)
 					}
 					if f.lost == nil || !f.lost(k, d.Peer, d.Payload) {
 						f.nodes[d.Peer].ReceivePeerMessage(NodeID(k), slices.Clone(d.Payload))
@@ -89,13 +90,13 @@
 	}
 }
 
-// A customer is over its quota and rare at each of many nodes. Its owner keeps it to the quota, and grants of other
-// nodes have no effect.
+// A customer exceeds its quota, but each of many nodes sees few of its requests. The customer's owner keeps it to the
+// quota, and grants of other nodes have no effect.
 func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
 	f.ask(30, Second, 11*Second)
-	if f.sent < 20 || f.sent > 30 { // 26 are within the quota, 300 were sent by the client
-		t.Fatalf("%d sent", f.sent)
+	if f.sent < 20 || f.sent > 30 { // the quota allows 26; the client sent 300
+		t.Fatalf("nodes sent %d of 300 requests in 10 s, want 20 to 30 with a quota of 26", f.sent)
 	}
 	n := f.nodes[11]
 	before := n.customers.all[0].queryRatio
@@ -106,7 +107,8 @@
 	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
 	pull(n, Forward)
 	if n.customers.all[0].queryRatio != before || before >= 1 {
-		t.Fatalf("grant %.2f became %.2f by another node's grant", before, n.customers.all[0].queryRatio)
+		t.Fatalf("query ratio was %.2f and is %.2f after grants of nodes that are not the owner, want below 1 and no change",
+			before, n.customers.all[0].queryRatio)
 	}
 }
 
@@ -119,35 +121,36 @@
 	})
 	f.ask(200, Second, 4*Second)
 	if f.mostInFlight > 2 || f.sent < 60 {
-		t.Fatalf("%d out at once, %d sent", f.mostInFlight, f.sent)
+		t.Fatalf("%d attempts were in flight at a time, want at most 2; %d were sent, want at least 60", f.mostInFlight, f.sent)
 	}
 	home := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
 	c := &home.customers.all[home.customers.slots.find(5)]
 	c.reservations = []reservation{{11, 7, 9 * Second}}
 	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 1 {
-		t.Fatal("another node's end freed a reservation")
+		t.Fatalf("%d reservations are left after the end of another node's request, want 1", len(c.reservations))
 	}
 	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 0 {
-		t.Fatal("an end freed no reservation")
+		t.Fatalf("%d reservations are left after the end of the reserved request, want 0", len(c.reservations))
 	}
 }
 
-// While an owner is silent, a rare customer's requests are admitted after a short wait. A customer with far more demand
-// gets about its even share.
+// While an owner does not respond, requests of a customer with little demand are admitted after the owner timeout. A
+// customer with far more demand gets about the even share of its quota at each node.
 func TestSilentOwnerLeavesTheEvenShare(t *testing.T) {
-	for rate, most := range map[int]int{2: 40, 400: 130} { // 20 s
+	for rate, most := range map[int]int{2: 40, 400: 130} { // requests a second, largest number sent in 20 s
 		f := newFleet(t, nil)
 		f.lost = func(int, NodeID, []byte) bool { return true }
 		f.ask(rate, Second, 21*Second)
 		if f.sent < 20 || f.sent > most {
-			t.Errorf("%d of %d sent", f.sent, rate*20)
+			t.Errorf("without owner responses, nodes sent %d of %d requests, want 20 to %d", f.sent, rate*20, most)
 		}
 	}
 }
 
-// The owner and the other nodes of a set together keep a hard ceiling from the first second on, and after restarts.
+// The owner and the other nodes of a set together keep a hard ceiling from the first second on, also while messages are
+// lost and after all nodes restart.
 func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -163,24 +166,24 @@
 			settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 		})
 		fresh.lost, fresh.sent = f.lost, sent
-		f = fresh // all restart
+		f = fresh // all nodes restart
 		for _, n := range f.nodes {
 			n.now, n.timers.intervalAt, n.timers.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
 		}
 	}
 	if f.sent > 8*20 || f.sent < 60 {
-		t.Fatalf("%d units in 8 s of 20 a second, all stores empty at the start", f.sent)
+		t.Fatalf("nodes sent %d units in 8 s with a ceiling of 20 a second and empty buckets at the start, want 60 to 160", f.sent)
 	}
-	n := f.nodes[11] // all stores full hold the ceiling's and no more
+	n := f.nodes[11] // the full buckets of all nodes together hold the ceiling's burst
 	c := &n.customers.all[n.customers.findOrAdd(customerRef{id: 5, spread: 40, firstNode: 10}, n.now)]
 	n.SetTime(99 * Second)
 	n.quota.ceilingAllows(c, 1, n.owner.localCeilingRatio(c), n.now)
 	if all := 40*c.ceiling.level + ownerCeilingRatio*80; all > 80.01 || all < 79.99 {
-		t.Fatalf("the stores hold %.2f of 80", all)
+		t.Fatalf("the full ceiling buckets of all nodes hold %.2f units, want 80", all)
 	}
 }
 
-// ownerOfAll is the owner mechanism of a node in a fleet too large for all to hear each other.
+// ownerOfAll returns the quota owner state of node 12 in a fleet of 60 nodes, which uses owners, with one plan.
 func ownerOfAll(plan quotaPlan) *quotaOwner {
 	cfg := parseSettings(Settings{
 		settings.Nodes: "60", settings.Node: "12", settings.Peers: settings.On, settings.PeerRate: "40",
@@ -190,40 +193,41 @@
 	return &quotaOwner{config: cfg}
 }
 
-// Each customer has one owner, which is in its set and the same at every node.
+// Each customer has one owner, which is in the customer's set. A set's nodes share the ownership of its customers.
 func TestOwnerIsOfTheSet(t *testing.T) {
 	o, owners := ownerOfAll(quotaPlan{}), map[NodeID]int{}
 	for id := range CustomerID(1000) {
 		c := &customer{id: id, spread: 7, firstNode: 57}
 		owner := o.of(c)
 		if !o.config.inSet(owner, 57, 7) {
-			t.Fatalf("customer %d: node %d", id, owner)
+			t.Fatalf("owner of customer %d is node %d, want one of the 7 nodes from 57 on", id, owner)
 		}
 		owners[owner]++
 	}
 	if len(owners) != 7 {
-		t.Errorf("owners %v", owners)
+		t.Errorf("customers by owner = %v, want 7 owners", owners)
 	}
 	for _, c := range []struct {
 		customer customer
 		owned    bool
 	}{{customer{spread: 7}, true}, {customer{spread: 1}, false}, {customer{spread: 7, leased: true}, false}} {
 		if got := o.owned(&c.customer); got != c.owned {
-			t.Errorf("%+v: owned %v", c.customer, got)
+			t.Errorf("owned(%+v) = %v, want %v", c.customer, got, c.owned)
 		}
 	}
 }
 
+// An owner grants a query only if bucket, in-flight limit and ceiling all have room, and then charges each of them.
 func TestGrant(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
 		name     string
 		plan     quotaPlan
-		level    float64
-		reserved []Time // until when
-		ok       bool
-		left     float64
-		held     int
+		level    float64 // of the bucket before the query
+		reserved []Time  // expiry of each reservation before the query
+		ok       bool    // the query is granted
+		left     float64 // expected level of the bucket
+		held     int     // expected number of reservations
 	}{
 		{"room", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
 		{"no room", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
@@ -239,34 +243,35 @@
 			}
 			ok := o.grant(at, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
 			if ok != c.ok || !near(at.bucket.level, c.left) || len(at.reservations) != c.held || at.peerDemand.sum != 2 {
-				t.Errorf("granted %v, %v left, reserved %v", ok, at.bucket.level, at.reservations)
+				t.Errorf("grant() = %v with level %v, reservations %+v, demand %v; want %v with level %v, %d reservations, demand 2",
+					ok, at.bucket.level, at.reservations, at.peerDemand.sum, c.ok, c.left, c.held)
 			}
 			if c.held > 0 && ok && at.reservations[c.held-1] != (reservation{13, 9, now + 2100}) {
-				t.Errorf("reserved %v", at.reservations)
+				t.Errorf("last reservation = %+v, want node 13, request 9, until %d", at.reservations[c.held-1], now+2100)
 			}
 		})
 	}
 }
 
-// A frequent customer with a nearly full bucket is admitted optimistically. When the bucket empties, the set is
-// notified and queries a share of the requests.
+// A customer with frequent requests and a nearly full bucket is admitted optimistically. When the bucket empties, the
+// owner notifies the set, whose nodes then query for a share of the requests.
 func TestOptimisticAdmission(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
 		name        string
-		level       float64
-		was         bool
-		demand      float64 // a second
-		free, ended bool
-		part        float64
+		level       float64 // of the bucket
+		was         bool    // optimistic before the update
+		demand      float64 // units a second
+		free, ended bool    // expected: optimistic after the update, revoked by the update
+		part        float64 // expected query ratio
 	}{
 		{"full and frequent", 100, false, 5, true, false, 1},
-		{"rare", 100, false, 1, false, false, 1},
+		{"too little demand", 100, false, 1, false, false, 1},
 		{"not full enough to begin", 84, false, 5, false, false, 1},
-		{"full enough to go on", 71, true, 5, true, false, 1},
-		{"not full enough to go on", 69, true, 5, false, true, 1},
-		{"far too much", 0, false, 500, false, false, 1.5 * 10 / 500},
-		{"hopelessly too much", 0, false, 5000, false, false, 0.01},
+		{"full enough to continue", 71, true, 5, true, false, 1},
+		{"not full enough to continue", 69, true, 5, false, true, 1},
+		{"demand far above the quota", 0, false, 500, false, false, 1.5 * 10 / 500},
+		{"least query ratio", 0, false, 5000, false, false, 0.01},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := ownerOfAll(quotaPlan{rate: 10, burst: 100})
@@ -276,20 +281,20 @@
 				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
 			if ended := o.update(at, now) == optimisticRevoked; ended != c.ended || at.optimistic != c.free || !near(at.queryRatio, c.part) {
-				t.Errorf("optimistic %v, revoked %v, ratio %v", at.optimistic, ended, at.queryRatio)
+				t.Errorf("optimistic %v, revoked %v, query ratio %v, want %v, %v, %v", at.optimistic, ended, at.queryRatio, c.free, c.ended, c.part)
 			}
 		})
 	}
 }
 
-// While the owner is silent, requests are admitted at the even share of the rate. With a limit on attempts in flight,
-// one may be in flight at a time.
+// While the owner does not respond, requests are admitted at the even share of the rate. With a limit on attempts in
+// flight, one attempt may be in flight at a time.
 func TestAdmissionWithoutOwner(t *testing.T) {
 	for _, c := range []struct {
 		plan     quotaPlan
-		before   float64 // units a second
-		inFlight int
-		want     float64 // of the requests
+		before   float64 // demand before the request, in units a second
+		inFlight int     // attempts in flight here
+		want     float64 // share of the requests that is admitted
 	}{{quotaPlan{rate: 14}, 8, 0, 0.25}, {quotaPlan{rate: 14}, 0, 0, 1}, {quotaPlan{}, 8, 0, 1}, {quotaPlan{maxInFlight: 1}, 8, 1, 0}} {
 		o, rng, passed := ownerOfAll(c.plan), newRandom(5), 0
 		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandTimeConstant) + 1}}
@@ -299,7 +304,7 @@
 			}
 		}
 		if got := float64(passed) / 4000; got < c.want-0.03 || got > c.want+0.03 {
-			t.Errorf("%+v: %v passed, not %v", c.plan, got, c.want)
+			t.Errorf("plan %+v, demand %v, %d in flight: share %v of the requests is admitted, want %v", c.plan, c.before, c.inFlight, got, c.want)
 		}
 	}
 }
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
-// Reports that do not fit into one message are sent in further ones soon after.
+// Reports that do not fit into one message are sent in further messages soon after.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
 	n := plain(4, Settings{
 		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
@@ -25,30 +25,30 @@
 		}
 	}
 	if len(peer.customers.all) != 100 {
-		t.Fatalf("%d customers of 100 were named", len(peer.customers.all))
+		t.Fatalf("reports named %d customers within 1 s, want 100", len(peer.customers.all))
 	}
 	peer.ReceivePeerMessage(0, []byte{kindUse, 0x80})
 	peer.ReceivePeerMessage(9, []byte{kindUse})
 	peer.ReceivePeerMessage(0, []byte("other"))
 }
 
-// Without owners one message is sent even if empty, customers below half of their even share are left out, and excess
-// reports wait. With owners, each report is sent to its owner.
+// Without owners, one message is sent even if it is empty. It leaves out customers below half of their even share, and
+// excess reports wait. With owners, each report is sent to its customer's owner.
 func TestReports(t *testing.T) {
 	busy := decayingMean{sum: 99 * seconds(demandTimeConstant), at: Second}
 	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
 	for _, c := range []struct {
 		name   string
 		owners bool
-		rate   float64
-		many   int
-		to     []NodeID
-		left   int
+		rate   float64  // peer message rate, in messages a second
+		many   int      // customers with a report
+		to     []NodeID // expected receivers of the messages
+		left   int      // expected number of reports that wait
 	}{
-		{"nothing new", false, 100, 0, []NodeID{AllPeers}, 0},
-		{"busy and idle ones", false, 100, 3, []NodeID{AllPeers}, 0},
-		{"owners", true, 100, 3, []NodeID{2, 3}, 0}, // node 1 owns the first itself
-		{"little room", false, 0, 60, []NodeID{AllPeers, AllPeers}, 45},
+		{"no pending report", false, 100, 0, []NodeID{AllPeers}, 0},
+		{"customers with and without demand", false, 100, 3, []NodeID{AllPeers}, 0},
+		{"owners", true, 100, 3, []NodeID{2, 3}, 0}, // this node, number 1, owns the first customer
+		{"no peer message rate", false, 0, 60, []NodeID{AllPeers, AllPeers}, 45},
 		{"half the peer rate", false, 35, 60, []NodeID{AllPeers, AllPeers, AllPeers}, 33},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,13 +67,14 @@
 			for _, m := range out.messages {
 				to = append(to, m.to)
 				if decoded, ok := decodeMessage(m.payload, 1, 4); !ok || decoded.kind != kindUse || len(m.payload) > maxMessageBytes {
-					t.Errorf("message %x", m.payload)
+					t.Errorf("message %x is decoded as kind %#x, valid %v, length %d; want kind %#x, valid, at most %d bytes",
+						m.payload, decoded.kind, ok, len(m.payload), kindUse, maxMessageBytes)
 				} else if len(decoded.reports) > 0 && (decoded.reports[0].demand != 5 || decoded.reports[0].use != 2) {
-					t.Errorf("reported %+v", decoded.reports[0])
+					t.Errorf("first report = %+v, want demand 5 and use 2", decoded.reports[0])
 				}
 			}
 			if !slices.Equal(to, c.to) || len(u.pending) != c.left {
-				t.Errorf("to %v, %d wait", to, len(u.pending))
+				t.Errorf("messages went to %v and %d reports wait, want %v and %d", to, len(u.pending), c.to, c.left)
 			}
 		})
 	}
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// A request that hangs at a silent server is cancelled. It is sent to another server only after that attempt has ended.
+// An attempt that hangs at a silent server is cancelled. Its request goes to another server only after that attempt has
+// ended.
 func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
 	n := plain(4, nil)
 	n.retries.left = 5
@@ -13,19 +14,20 @@
 	first := pull(n, Forward)
 	n.SetTime(Second + 4000)
 	if d := pull(n, CancelAttempt); len(d) != 1 || d[0].Request != 1 {
-		t.Fatalf("not called back: %v", d)
+		t.Fatalf("decisions to cancel an attempt 0.4 s after it was sent = %+v, want one for request 1", d)
 	}
 	n.SetTime(Second + 4010)
 	n.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
 	again := pull(n, Forward)
 	if len(again) != 1 || again[0].Server == first[0].Server {
-		t.Fatalf("sent again to %v after %v", again, first)
+		t.Fatalf("after the cancelled attempt ended, forwarded %+v, want one attempt at a server other than %d", again, first[0].Server)
 	}
 	if !n.outliers.ejected(&n.endpoints.servers[first[0].Server].byClass[0], 0, n.now) {
-		t.Fatal("the silent server is not ejected")
+		t.Fatalf("server %d is not ejected after its attempt hung, want it ejected", first[0].Server)
 	}
 }
 
+// A retry must not run a request twice that must run once. Maximum attempts and the retry budget limit retries as well.
 func TestRetryRules(t *testing.T) {
 	const now = 100 * Second
 	ran, notRun := attempt{sent: now - 3000, mayHaveRun: true}, attempt{sent: now - 3000}
@@ -34,57 +36,58 @@
 		name     string
 		class    classConfig
 		attempts []attempt
-		left     float64
-		allowed  bool
-		harmless bool
+		left     float64 // retry budget
+		allowed  bool    // another attempt is allowed
+		harmless bool    // the client may safely repeat the request
 	}{
-		{"first", classConfig{retrySafety: retryNever}, nil, 1, true, true},
+		{"first attempt", classConfig{retrySafety: retryNever}, nil, 1, true, true},
 		{"safe", classConfig{retrySafety: retrySafe}, []attempt{ran}, 1, true, true},
 		{"unsafe that may have run", classConfig{retrySafety: retryNever}, []attempt{ran}, 1, false, false},
 		{"unsafe that never ran", classConfig{retrySafety: retryNever}, []attempt{notRun}, 1, true, true},
 		{"keyed within its window", keyed, []attempt{ran}, 1, true, false},
-		{"keyed past its window", classConfig{retrySafety: retryKeyed, keyWindow: 3500}, []attempt{ran}, 1, false, false},
-		{"keyed everywhere", classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, []attempt{ran}, 1, false, true},
+		{"keyed beyond its window", classConfig{retrySafety: retryKeyed, keyWindow: 3500}, []attempt{ran}, 1, false, false},
+		{"keyed at all servers", classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, []attempt{ran}, 1, false, true},
 		{"no budget", classConfig{}, []attempt{ran}, 0.9, false, true},
-		{"too many", classConfig{}, []attempt{ran, ran, ran}, 9, false, true},
+		{"maximum attempts reached", classConfig{}, []attempt{ran, ran, ran}, 9, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := testConfig() // a connection may take 500, three attempts a request
+			cfg := testConfig() // connect timeout 500, at most three attempts a request
 			cfg.classes[0] = c.class
 			b, r := retryBudget{config: cfg, left: c.left}, &request{attempts: c.attempts}
 			if got := b.allows(r, now); got != c.allowed {
-				t.Errorf("allowed %v", got)
+				t.Errorf("allows() = %v, want %v", got, c.allowed)
 			}
 			if got := cfg.classes[0].harmlessToRepeat(r); got != c.harmless {
-				t.Errorf("harmless %v", got)
+				t.Errorf("harmlessToRepeat() = %v, want %v", got, c.harmless)
 			}
 		})
 	}
 }
 
-// Five first attempts earn one retry, up to two for each server.
+// Five first attempts earn one retry. The budget is at most two retries for each usable server.
 func TestRetryBudget(t *testing.T) {
 	b := retryBudget{}
 	for range 5 {
 		b.earn(3)
 	}
 	if !near(b.left, 1) {
-		t.Errorf("%v earned", b.left)
+		t.Errorf("after 5 first attempts, the retry budget is %v, want 1", b.left)
 	}
 	for range 100 {
 		b.earn(3)
 	}
 	if b.spend(); !near(b.left, 5) {
-		t.Errorf("%v left of 6", b.left)
+		t.Errorf("after one retry from the full budget of 3 servers, the retry budget is %v, want 5", b.left)
 	}
 }
 
+// A keyed request that may have run goes only to servers that know its idempotency key.
 func TestKeyGroups(t *testing.T) {
 	servers := []server{{Endpoint: Endpoint{Zone: 1, Cell: 1}}, {Endpoint: Endpoint{Zone: 1, Cell: 2}}, {Endpoint: Endpoint{Zone: 2, Cell: 2}}}
 	for _, c := range []struct {
 		class classConfig
-		ran   bool
-		bound [3]bool
+		ran   bool    // the attempt at server 0 may have run
+		bound [3]bool // by server: the request must not go there
 	}{
 		{classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, true, [3]bool{}},
 		{classConfig{retrySafety: retryKeyed, keyGroup: groupZone}, true, [3]bool{false, false, true}},
@@ -95,7 +98,7 @@
 		r := &request{attempts: []attempt{{server: 0, mayHaveRun: c.ran}}}
 		for k := range servers {
 			if got := c.class.keyExcludes(r, &servers[k], servers); got != c.bound[k] {
-				t.Errorf("%+v: server %d bound %v", c.class, k, got)
+				t.Errorf("class %+v, may have run %v: keyExcludes(server %d) = %v, want %v", c.class, c.ran, k, got, c.bound[k])
 			}
 		}
 	}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -7,26 +7,26 @@
 )
 
 // With a small subset, the server with the fewest attempts in flight for its weight is selected. The rotation alone
-// would queue at a larger server while a smaller one is idle.
+// would send requests to a larger server that is busy while a smaller one is idle.
 func TestSubsetServerWithTheLeastInFlightComesFirst(t *testing.T) {
 	n := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
 	n.endpoints.servers[1].Weight, n.endpoints.servers[1].inFlight, n.endpoints.servers[1].rotationCredit = 4, 1, 100
 	n.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
 	if got := n.pick(&n.requests.all[0]); got != 0 {
-		t.Fatalf("server %d was taken, with one out and the other idle", got)
+		t.Fatalf("pick() = server %d, want 0, which is idle while server 1 has an attempt in flight", got)
 	}
 }
 
-// A server's weight is its size over its pace, with a prior of the mean pace.
+// A server's weight is its size over its relative pace. The pace has a prior of the mean pace.
 func TestWeights(t *testing.T) {
 	l := selection{config: testConfig()}
 	for _, c := range []struct {
-		size, sum, count, mean float64
+		size, sum, count, mean float64 // listed size, sum and count of the pace, mean pace
 		want                   float64
 	}{{1, 0, 0, 1, 1}, {0, 0, 0, 1, 1}, {4, 0, 0, 2, 4}, {1, 18, 6, 1, 0.5}, {2, 6, 6, 2, 2 / 0.75}} {
 		s := &server{Endpoint: Endpoint{Weight: c.size}, pace: decayingMean{sum: c.sum, count: c.count, at: Second}}
 		if got := l.weigh(s, c.mean, Second); !near(got, c.want) {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("size %v, pace %v/%v, mean pace %v: weigh() = %v, want %v", c.size, c.sum, c.count, c.mean, got, c.want)
 		}
 	}
 }
@@ -54,12 +54,14 @@
 		l, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
 		l.attemptEnded(s, c.outcome, c.latencies, Second)
 		if s.pace.count != c.count || s.pace.sum != c.sum || l.paces != s.pace {
-			t.Errorf("outcome %d after %v: %+v, of all %+v", c.outcome, c.latencies, s.pace, l.paces)
+			t.Errorf("outcome %d after %v usual latencies: pace %+v, sum of paces %+v, want both with sum %v and count %v",
+				c.outcome, c.latencies, s.pace, l.paces, c.sum, c.count)
 		}
 	}
 }
 
-// Each server gets requests in proportion to its weight. A server at its cap is left out while others are not.
+// Each server gets requests in proportion to its weight. A server at its cap is left out while other servers are below
+// theirs.
 func TestRotationByWeight(t *testing.T) {
 	n := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
 	for i := range n.endpoints.servers {
@@ -70,12 +72,12 @@
 		got[n.pick(r)]++
 	}
 	if got != [3]int{100, 200, 300} {
-		t.Errorf("%v", got)
+		t.Errorf("600 selections by server = %v, want [100 200 300]", got)
 	}
-	n.endpoints.servers[2].inFlight = 2 // fair is 1.5
+	n.endpoints.servers[2].inFlight = 2 // the cap is 1.5
 	for range 10 {
 		if n.pick(r) == 2 {
-			t.Fatal("selected above its share")
+			t.Fatal("pick() = server 2, which has 2 attempts in flight above its cap of 1.5, want another server")
 		}
 	}
 }
@@ -86,18 +88,18 @@
 	r := &request{attempts: []attempt{{server: 0}}}
 	n.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
 	if got := n.pick(r); got != 2 {
-		t.Errorf("server %d before the one that is not ejected", got)
+		t.Errorf("pick() = server %d, want 2, the only one that is neither tried nor ejected", got)
 	}
 	n.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
 	if got := n.pick(r); got != 0 {
-		t.Errorf("server %d before the one that was tried", got)
+		t.Errorf("pick() = server %d, want 0, which was tried, while the others are ejected", got)
 	}
 	n.endpoints.servers[0].byClass[0].ejectedUntil = 99 * Second
 	if got := n.pick(r); got < 0 {
-		t.Error("none of the ejected ones was taken")
+		t.Errorf("pick() = %d while all servers are ejected, want any server", got)
 	}
 	n.UpdateEndpoints(FullList, nil)
 	if got := n.pick(r); got != -1 {
-		t.Errorf("server %d of none", got)
+		t.Errorf("pick() = %d with an empty endpoint list, want -1", got)
 	}
 }
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/settings"
 )
 
-// newWarmingEngine is an engine by a clock that is ahead of the servers', which knows one warm server by a list of
-// discovery's.
+// newWarmingEngine returns an engine with one warm server, server 1, and the time by this node's clock. That clock is
+// ahead of the servers' clock by the given time.
 func newWarmingEngine(ahead Time) (e *Engine, now Time) {
 	now = 10_000*Second + ahead
 	e = New(1, Settings{
@@ -21,34 +21,36 @@
 	return e, now
 }
 
+// weightOf returns a server's slow-start weight now.
 func (e *Engine) weightOf(id ServerID) float64 {
 	return e.slowStart.weight(&e.endpoints.servers[e.endpoints.slots.find(id)], e.now)
 }
 
-// A server that starts while this node receives lists is cold, and warm a span later, whatever this node's clock shows.
+// A server that starts while this node receives lists is cold, and warm a span later. An error of this node's clock must
+// not change that.
 func TestWarmingByAClockThatIsWrong(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second, 5 * Second, -5 * Second} {
 		e, now := newWarmingEngine(ahead)
 		e.SetTime(now + Second)
 		e.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: e.now - ahead - Second/10}})
 		if weight := e.weightOf(2); weight < 0.25 || weight > 0.26 {
-			t.Errorf("clock ahead by %d: weight %v right after the start", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 2 right after its start = %v, want 0.25 to 0.26", ahead, weight)
 		}
 		if weight := e.weightOf(1); weight != 1 {
-			t.Errorf("clock ahead by %d: weight %v of one that runs for long", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 1, which started long ago, = %v, want 1", ahead, weight)
 		}
 		e.SetTime(now + Second + 90000)
 		if weight := e.weightOf(2); weight < 0.6 || weight > 0.65 {
-			t.Errorf("clock ahead by %d: weight %v after half the span", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 2 after half the span = %v, want 0.6 to 0.65", ahead, weight)
 		}
 		e.SetTime(now + Second + 180000)
 		if weight := e.weightOf(2); weight != 1 {
-			t.Errorf("clock ahead by %d: weight %v after the span", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 2 after the span = %v, want 1", ahead, weight)
 		}
 	}
 }
 
-// A node that starts with a wrong clock determines by discovery's clock which of the running servers are cold.
+// A node that starts with a wrong clock uses the observed servers' clock to determine which servers are cold.
 func TestWarmingByDiscoverysClock(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second} {
 		e, now := newWarmingEngine(ahead)
@@ -58,26 +60,26 @@
 			{Server: 2, State: Ready, Weight: 1, Started: now - ahead - 2*Second},
 		})
 		if weight := e.weightOf(2); weight < 0.25 || weight > 0.34 {
-			t.Errorf("clock ahead by %d: weight %v two seconds after the start", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 2, which started 2 s ago, = %v, want 0.25 to 0.34", ahead, weight)
 		}
 		if weight := e.weightOf(1); ahead >= 0 && weight != 1 {
-			t.Errorf("clock ahead by %d: weight %v of one that runs for long", ahead, weight)
+			t.Errorf("clock ahead by %d: weight of server 1, which started 400 s ago, = %v, want 1", ahead, weight)
 		}
 	}
 }
 
-// Lists that are late within the settings' limits don't count as a clock difference, nor does a server that is listed
-// again.
+// A list's delay of up to an overload span must not count as a clock difference. Server 3 is listed 9 s after its start and is half warm.
+// Entries without a start time, or of a draining server, must not change its weight.
 func TestLateListsAreNoWrongClock(t *testing.T) {
 	e, now := newWarmingEngine(0)
 	e.SetTime(now + 60*Second)
 	e.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: e.now - 2*Second}})
 	e.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 3, State: Ready, Weight: 1, Started: e.now - 9*Second}})
 	if weight, want := e.weightOf(3), 0.25+0.75/2; !near(weight, want) {
-		t.Errorf("weight %v, not %v", weight, want)
+		t.Errorf("weight of server 3, which started 9 s ago, = %v, want %v", weight, want)
 	}
 	e.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 4, State: Ready, Weight: 1}, {Server: 5, State: Draining, Started: e.now}})
 	if weight, want := e.weightOf(3), 0.25+0.75/2; !near(weight, want) {
-		t.Errorf("weight %v, not %v, after entries that tell nothing", weight, want)
+		t.Errorf("weight of server 3 after entries without a usable start time = %v, want %v", weight, want)
 	}
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// Hundreds of nodes that start together must not send their first requests to the same servers, nor each send an
-// attempt to a cold server at once.
+// Hundreds of nodes that start together must not send their first requests to the same servers. Nor may each of them send
+// an attempt to a cold server at once.
 func TestNodesSpreadFirstAttempts(t *testing.T) {
 	const nodes, span = 300, 20000
 	first := map[ServerID]bool{}
@@ -43,14 +43,14 @@
 			}
 		}
 	}
-	// 30 requests a second a node over 21 servers, all of which a warm one completes
+	// Each node sends 30 requests a second to 21 servers. A warm server completes its share of them.
 	if most := 4 * 0.25 * (30.0 * nodes / 21) * 2; len(first) < 10 || float64(cold) > most || cold == 0 {
-		t.Fatalf("first sends to %d servers; %d to the cold one, %.0f allowed", len(first), cold, most)
+		t.Fatalf("first attempts went to %d servers, want at least 10; the cold server got %d attempts, want 1 to %.0f", len(first), cold, most)
 	}
 }
 
-// Many nodes that each rarely use a cold server must together use most of its budget, and no more. Otherwise servers
-// that replace half of the fleet would be idle while the others are overloaded.
+// Many nodes that each rarely use a cold server must together use most of its budget, and no more. Otherwise servers that
+// replace half of the servers would be idle while the others are overloaded.
 func TestColdServersOfALargeFleetAreUsed(t *testing.T) {
 	const warm, cold, nodes = 10, 10, 60
 	r, sent, allowed := rand.New(rand.NewSource(3)), 0, 0.0
@@ -66,7 +66,7 @@
 			list = append(list, Endpoint{Server: i, State: Ready, Weight: 1})
 		}
 		n.UpdateEndpoints(FullList, list)
-		for k := range RequestID(28 * 5) { // five requests a second, 20 s before the change and 8 s after
+		for k := range RequestID(28 * 5) { // five requests a second, for 20 s before the new servers and 8 s after
 			now := Second + Time(k)*Second/5
 			n.SetTime(now)
 			if now >= 21*Second && n.endpoints.ready == warm {
@@ -89,12 +89,12 @@
 		}
 	}
 	if got := float64(sent) / allowed; got < 0.6 || got > 1.2 {
-		t.Fatalf("%d attempts to cold servers, %.0f allowed", sent, allowed)
+		t.Fatalf("cold servers got %d attempts, %.2f of their budget of %.0f, want 0.6 to 1.2", sent, float64(sent)/allowed, allowed)
 	}
 }
 
-// Idle nodes must not all have one attempt left for a cold server, neither at its second start nor after a pause while
-// it is cold. The bound is N + 2√N + 2, with N by the least assumed rate.
+// Idle nodes must not all send one attempt to a cold server at once. This holds at its first start, at its second start,
+// and after an idle time while it is cold. The bound is N + 2√N + 2, where N follows from the least assumed rate.
 func TestIdleNodesHoldNoCreditForColdServers(t *testing.T) {
 	const nodes = 30
 	sent := map[Time]int{}
@@ -111,7 +111,7 @@
 			{61 * Second, 61*Second - 1},
 			{71 * Second, 61*Second - 1},
 		} {
-			n.SetTime(step.at - 500) // a turn before, or the gap would pass for a pause
+			n.SetTime(step.at - 500) // a call shortly before: the engine would take the gap for a scheduling pause
 			pull(n, Forward)
 			n.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
@@ -130,7 +130,8 @@
 	}
 	for at, share := range map[Time]float64{Second: 0.25, 61 * Second: 0.25, 71 * Second: 0.25 + 0.75*10/18} {
 		if most := 4 * share * 2 / 0.6; float64(sent[at]) > most+2*math.Sqrt(most)+2 {
-			t.Errorf("%d attempts at once at %d, where N is %.1f", sent[at], at, most)
+			t.Errorf("%d nodes sent the cold server %d attempts at time %d, want at most %.1f",
+				nodes, sent[at], at, most+2*math.Sqrt(most)+2)
 		}
 	}
 }
@@ -143,52 +144,54 @@
 	}{{0, 100, 50, 1}, {10, 0, 10, 1}, {10, 100, 10, 0.25}, {10, 100, 60, 0.625}, {10, 100, 110, 1}, {10, 100, 5, 0.25}} {
 		l := slowStart{config: &config{slowStartSpan: c.span, slowStartShare: 0.25}}
 		if got := l.weight(&server{Endpoint: Endpoint{Started: c.started}}, c.now); !near(got, c.want) {
-			t.Errorf("started at %d, span %d: %v at %d", c.started, c.span, got, c.now)
+			t.Errorf("server started at %d, span %d: weight at %d = %v, want %v", c.started, c.span, c.now, got, c.want)
 		}
 	}
 }
 
 // The budget of a span is 0.4 of three times the completions of a warm server in 2 s, times the weight and the subset
-// ratio. The count drains at that rate, for one span at most.
+// ratio. The count of attempts falls at that rate, for one span at most.
 func TestSlowStartBudget(t *testing.T) {
 	l, now := slowStart{config: testConfig(), warmRate: 10}, 100*Second
 	s := &server{Endpoint: Endpoint{Started: now - 5*Second, Weight: 2}, inSubset: true}
 	if got, want := l.budget(s, now, 3), 0.4*0.625*3*3*10*2; !near(got, want) {
-		t.Errorf("budget %v, not %v", got, want)
+		t.Errorf("budget with subset ratio 3 = %v, want %v", got, want)
 	}
 	l.attemptCompleted(&server{Endpoint: Endpoint{Weight: 4}}, now)
 	if got, want := l.budget(s, now, 1), 0.4*0.625*3*0.5*10*2; !near(got, want) {
-		t.Errorf("budget %v of a server half the usual size, not %v", got, want)
+		t.Errorf("budget of a server of half the mean size = %v, want %v", got, want)
 	}
 	l.completedSizes = decayingMean{}
 	s.slowStart = slowStartState{sent: 14.5, at: now}
 	if l.hasCapacity(s, now, 1) {
-		t.Error("room with the budget of 15 taken")
+		t.Error("hasCapacity() = true with 14.5 attempts counted against a budget of 15, want false")
 	}
 	if l.leak(s, now+Second, 1); s.slowStart.sent >= 8 || s.slowStart.sent <= 5 || !l.hasCapacity(s, now+Second, 1) {
-		t.Errorf("%v left after half a span", s.slowStart.sent)
+		t.Errorf("half a span after 14.5 attempts, the count is %v and hasCapacity() = %v, want 5 to 8 and true",
+			s.slowStart.sent, l.hasCapacity(s, now+Second, 1))
 	}
 	s.slowStart = slowStartState{sent: 100, at: now - 9*Second}
-	if l.leak(s, now, 1); s.slowStart.sent != 100 { // counted for the process before
-		t.Errorf("%v left by a new process", s.slowStart.sent)
+	if l.leak(s, now, 1); s.slowStart.sent != 100 { // the attempts were counted for the previous process
+		t.Errorf("leak() of a count from before the process started changed 100 to %v, want no change", s.slowStart.sent)
 	}
 	s.slowStart = slowStartState{at: now}
 	if s.inFlight = 1; !l.hasCapacity(s, now, 1) {
-		t.Error("no room with one in flight at a server half warm")
+		t.Error("hasCapacity() = false with 1 attempt in flight at a half-warm server, want true")
 	}
 	if s.inFlight = 2; l.hasCapacity(s, now, 1) {
-		t.Error("room with two in flight at a server half warm")
+		t.Error("hasCapacity() = true with 2 attempts in flight at a half-warm server, want false")
 	}
 	s.inSubset, s.inFlight = false, 0
 	if l.hasCapacity(s, now+4*Second, 1) {
-		t.Error("room out of the subset")
+		t.Error("hasCapacity() = true for a warming server outside the subset, want false")
 	}
 	if !l.hasCapacity(s, now+5*Second, 1) {
-		t.Error("no room at a warm server")
+		t.Error("hasCapacity() = false for a warm server outside the subset, want true")
 	}
 }
 
-// A warm server's rate is that of the best intervals, by the servers that were warm then. It decays slowly.
+// A warm server's rate is the best mean rate of recent intervals, each divided by the servers that were warm then. It
+// decays slowly.
 func TestWarmRate(t *testing.T) {
 	l, rates := slowStart{}, []float64{}
 	for range 4 {
@@ -196,17 +199,17 @@
 		l.closeInterval(8, rates)
 	}
 	if !near(l.warmRate, 10) {
-		t.Errorf("%v a second, of 80 by 8", l.warmRate)
+		t.Errorf("warm rate = %v a second after 80 a second at 8 warm servers, want 10", l.warmRate)
 	}
 	rates = append(rates, 20)
-	if l.closeInterval(2, rates); !near(l.warmRate, (3*16+4)/4) { // by those left: 40 and 10, at most 1.6 times 10 and 2.5
-		t.Errorf("%v a second after most restarted", l.warmRate)
+	if l.closeInterval(2, rates); !near(l.warmRate, (3*16+4)/4) { // over 2 servers: 40 and 10 a second, at most 1.6 times 10 and 2.5
+		t.Errorf("warm rate = %v a second after 6 of 8 servers restarted, want %v", l.warmRate, (3*16+4)/4)
 	}
 	for range 8 {
 		rates = append(rates, 0)
 	}
 	before := l.warmRate
 	if l.closeInterval(2, rates); !near(l.warmRate, 0.97*before) {
-		t.Errorf("%v a second when idle, %v before", l.warmRate, before)
+		t.Errorf("warm rate = %v a second after an idle interval, want %v, which is 0.97 of %v", l.warmRate, 0.97*before, before)
 	}
 }
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/settings"
 )
 
-// fleetOf is the 77th node's engine over many servers in zones, which each call of choose may take for another node's.
+// fleetOf returns the engine of node 77 with servers in zones. Tests change its config.self to choose as another node.
 func fleetOf(nodes, servers, zones int) *Engine {
 	n := New(7, Settings{
 		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
@@ -26,7 +26,8 @@
 	return n
 }
 
-// spreadOf is how many nodes use a server, over the mean: the most, and the 99th percentile.
+// spreadOf returns the largest load of a server, the 99th percentile, and the least load, each over the mean load. Each
+// node spreads its traffic, in requests a second, evenly over its subset.
 func spreadOf(n *Engine, traffic func(node int) float64) (most, p99, least float64) {
 	load := make([]float64, len(n.endpoints.servers))
 	all := 0.0
@@ -44,12 +45,12 @@
 	return load[len(load)-1] / mean, load[len(load)*99/100] / mean, load[0] / mean
 }
 
-// At any size of the fleet, several nodes use each server, and none is used far more than its share. The 99th
+// At any size of the fleet, several nodes use each server, and no server gets far more load than its share. The 99th
 // percentile is as even as at 300 nodes and 200 servers.
 func TestLargeFleetsUseAllServersAlike(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, zones int
-		rate                  float64 // requests a second at a node on average
+		rate                  float64 // mean requests a second at a node
 	}{{300, 200, 3, 5}, {830, 13000, 12, 85}, {300, 13000, 12, 85}, {830, 2000, 12, 85}, {830, 830, 1, 85}, {200, 5000, 5, 85}} {
 		n, seeds := fleetOf(c.nodes, c.servers, c.zones), 5
 		most, p99, least := 0.0, 0.0, 1.0
@@ -59,26 +60,28 @@
 			})
 			most, p99, least = most+a/float64(seeds), p99+b/float64(seeds), min(least, l)
 		}
-		t.Logf("%d nodes, %d servers: max/mean %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, most, p99, least)
-		if least < 0.2 || most > 2.4 || p99 > 1.9 { // 1.99 and 1.89 at 300 nodes and 200 servers before there was an order
-			t.Errorf("%d nodes, %d servers: max/mean %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, most, p99, least)
+		t.Logf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, most, p99, least)
+		// Without an order of the servers, largest and p99 are 1.99 and 1.89 at 300 nodes and 200 servers.
+		if least < 0.2 || most > 2.4 || p99 > 1.9 {
+			t.Errorf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f, want at most 2.4, at most 1.9, at least 0.2",
+				c.nodes, c.servers, most, p99, least)
 		}
 	}
 }
 
-// A zone, a region of six of twelve zones, or every rack of a few may fail at once. Each node still has servers of all
-// other zones.
+// A zone, a region of six of twelve zones, or a third of the cells may fail at once. Each node must still have two fifths
+// of its servers, in six zones or more and not mostly in one.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
 	n := fleetOf(830, 13000, 12)
 	for name, lost := range map[string]func(s *server) bool{
-		"a zone":   func(s *server) bool { return s.Zone == 3 },
-		"a region": func(s *server) bool { return s.Zone%2 == 0 },
-		"racks":    func(s *server) bool { return s.Cell%3 == 1 },
+		"a zone":               func(s *server) bool { return s.Zone == 3 },
+		"a region":             func(s *server) bool { return s.Zone%2 == 0 },
+		"a third of the cells": func(s *server) bool { return s.Cell%3 == 1 },
 	} {
 		for me := range n.config.nodes {
 			n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
 			n.chooseSubset()
-			for what, set := range map[string][]serverSlot{"own": n.endpoints.subset, "view": n.endpoints.tracked} {
+			for what, set := range map[string][]serverSlot{"subset": n.endpoints.subset, "tracked": n.endpoints.tracked} {
 				left, zones := 0, map[uint8]int{}
 				for _, i := range set {
 					if s := &n.endpoints.servers[i]; !lost(s) {
@@ -87,11 +90,12 @@
 					}
 				}
 				if left < len(set)*2/5 || len(zones) < 6 {
-					t.Fatalf("%s lost: node %d has %d of %d servers left in its %s, in %d zones", name, me, left, len(set), what, len(zones))
+					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least two fifths in 6 zones",
+						name, me, left, len(set), what, len(zones))
 				}
 				for zone, k := range zones {
 					if k > len(set)/4 {
-						t.Fatalf("%s lost: %d of node %d's %d servers are in zone %d", name, k, me, len(set), zone)
+						t.Fatalf("%s failed: zone %d has %d of the %d %s servers of node %d, want at most a quarter", name, zone, k, len(set), what, me)
 					}
 				}
 			}
@@ -99,8 +103,8 @@
 	}
 }
 
-// The first list determines the subset. A node that chose for another number of servers would drop its connections a
-// second later.
+// The first list determines the subset. A node that chose a subset for another number of servers would replace it at the
+// next interval and drop its connections.
 func TestFirstListDeterminesTheSubset(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
 		n := fleetOf(300, servers, 3)
@@ -108,15 +112,18 @@
 		n.SetTime(n.now + controlInterval)
 		pull(n, Forward)
 		if moved := diff(n.endpoints.subset, first); moved > 0 || len(first) == 0 {
-			t.Errorf("%d of %d servers: %d of the %d first ones replaced after an interval", len(first), servers, moved, len(n.endpoints.subset))
+			t.Errorf("%d servers: first subset has %d servers, of which the one after an interval replaces %d; want a first subset and none replaced",
+				servers, len(first), moved)
 		}
 		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
 		if n.endpoints.ready != servers+1 || n.endpoints.order.count != n.endpoints.ready {
-			t.Errorf("%d servers and one more: %d ready, %d in the order", servers, n.endpoints.ready, n.endpoints.order.count)
+			t.Errorf("%d servers and one more: %d are ready and %d in the order, want %d each",
+				servers, n.endpoints.ready, n.endpoints.order.count, servers+1)
 		}
 	}
 }
 
+// diff returns the number of slots in a that are not in b.
 func diff(a, b []serverSlot) (n int) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
@@ -126,8 +133,8 @@
 	return n
 }
 
-// In a large fleet, each node uses a subset sized by its traffic, and all servers are used about equally. A server that
-// leaves changes at most one server of a node's subset.
+// In a large fleet, each node uses a subset sized by its traffic, and all servers get about the same load. A server that
+// leaves must change few servers of the nodes' subsets.
 func TestLargeFleetUsesSubsets(t *testing.T) {
 	const servers, nodes = 60, 80
 	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
@@ -149,7 +156,7 @@
 			sent += k
 		}
 		if len(met) < minSubsetServers || len(met) > 20 {
-			t.Fatalf("node %d met %d servers", me, len(met))
+			t.Fatalf("node %d sent attempts to %d servers, want %d to 20", me, len(met), minSubsetServers)
 		}
 		before := map[ServerID]bool{}
 		for _, s := range n.endpoints.servers {
@@ -165,15 +172,17 @@
 	}
 	for s, k := range load {
 		if mean := sent / servers; k > mean*8/5 || k < mean/2 {
-			t.Errorf("server %d got %d of %d", s, k, sent)
+			t.Errorf("server %d got %d attempts of %d, want %d to %d", s, k, sent, mean/2, mean*8/5)
 		}
 	}
 	if len(load) != servers || kept > nodes/2 {
-		t.Errorf("%d servers used, %d new ones after one left each node's list", len(load), kept)
+		t.Errorf("%d servers got attempts, want %d; %d servers joined subsets after one left each node's list, want at most %d",
+			len(load), servers, kept, nodes/2)
 	}
 }
 
-// fiveASecond sends five requests a second for a number of seconds. Each takes 0.1 s. It returns the attempts by server.
+// fiveASecond adds five requests a second for a number of seconds. Each attempt takes 0.1 s. The function returns the
+// number of attempts by server.
 func fiveASecond(n *Engine, seconds int) map[ServerID]int {
 	met, last := map[ServerID]int{}, Second
 	for k := range RequestID(seconds * 5) {
@@ -189,19 +198,20 @@
 	return met
 }
 
+// The number of ready servers and the traffic determine the sizes; the node's number determines group and start.
 func TestSubsetChoice(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		nodes, self int
 		ready       int
 		owners      bool
-		sent        float64
+		sent        float64 // decayed number of attempts
 		want        subsetChoice
 	}{
-		{"one node uses all", 1, 0, 9, false, 0, subsetChoice{0, zonesMerged, 0, 9, 256}},
+		{"one node uses all servers", 1, 0, 9, false, 0, subsetChoice{0, zonesMerged, 0, 9, 256}},
 		{"few nodes use all tracked servers", 4, 3, 1000, false, 0, subsetChoice{0, zonesAlternating, 0.75, 1000, 2000}},
-		{"a first list", 80, 9, 40, true, 0, subsetChoice{0, zonesMerged, 9.0 / 16, 4, 256}},
-		{"by traffic", 80, 9, 40, true, 400, subsetChoice{0, zonesMerged, 9.0 / 16, 40, 256}},
+		{"first list", 80, 9, 40, true, 0, subsetChoice{0, zonesMerged, 9.0 / 16, 4, 256}},
+		{"subset sized by traffic", 80, 9, 40, true, 400, subsetChoice{0, zonesMerged, 9.0 / 16, 40, 256}},
 		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, zonesAlternating, 9.0 / 80, 400, 800}},
 		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, zonesMerged, 0.25, 16, 256}},
 	} {
@@ -210,10 +220,10 @@
 			cfg.nodes, cfg.self, cfg.usesOwners = c.nodes, NodeID(c.self), c.owners
 			chooser := subsetChooser{config: cfg, attemptsSent: decayingMean{count: c.sent, at: 10 * Second}}
 			if got := chooser.choose(10*Second, c.ready); got != c.want {
-				t.Errorf("%+v, not %+v", got, c.want)
+				t.Errorf("choose() = %+v, want %+v", got, c.want)
 			}
 			if want := float64(c.ready) / float64(c.want.size); !near(chooser.ratio, want) {
-				t.Errorf("ratio %v, not %v", chooser.ratio, want)
+				t.Errorf("subset ratio = %v, want %v", chooser.ratio, want)
 			}
 		})
 	}
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -9,7 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// Nodes whose polls fail together must not poll again together, nor more often than the span allows.
+// Nodes whose polls fail together must not poll again together. Each waits at least 1 s, and at most the settings' limit
+// and 1 s more.
 func TestFailedPollsSpread(t *testing.T) {
 	span := 10 * Second
 	var first []Time
@@ -28,7 +29,7 @@
 				n.SetTime(now)
 			}
 			if wait := now - asked; k > 0 && (wait < Second || wait > span+Second) {
-				t.Fatalf("asked again after %d", wait)
+				t.Fatalf("poll %d came %d after a failed one, want %d to %d", k, wait, Second, span+Second)
 			}
 			if k == 1 {
 				first = append(first, now)
@@ -39,14 +40,14 @@
 	slices.Sort(first)
 	for i := range len(first) - 20 {
 		if first[i+20]-first[i] < Second/4 {
-			t.Fatalf("20 of 80 nodes ask again within %d", first[i+20]-first[i])
+			t.Fatalf("21 of 80 nodes poll again within %d, want at least %d", first[i+20]-first[i], Second/4)
 		}
 	}
 }
 
-// A change must be known 6 s after discovery can be reached, however many polls have failed. The next poll is within 3
-// s, since a failing poll may take 2 s and the next response 1 s. It is not earlier than 1 s, and 200 nodes do not poll
-// in step.
+// A node must know a change 6 s after discovery is reachable again, however many polls have failed. A failing poll may
+// take 2 s and the next response 1 s, so that the next poll must come within 3 s. It must not come before 1 s, and 200
+// nodes must not poll in step.
 func TestDiscoveryIsPolledAgainWithinThreeSeconds(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
@@ -64,7 +65,7 @@
 				n.SetTime(now)
 			}
 			if wait := now - asked; k > 0 && (wait < Second || wait > 3*Second+tick) {
-				t.Fatalf("seed %d: asked again %d after the %d. failure", seed, wait, k)
+				t.Fatalf("seed %d: the poll after failure %d came after %d, want %d to %d", seed, k, wait, Second, 3*Second+tick)
 			}
 			for range 1 + seed%2 { // a failure reported twice counts once
 				n.UpdateEndpoints(PollFailed, nil)
@@ -88,14 +89,15 @@
 			again = append(again, now)
 		}
 		slices.Sort(again)
-		for i := range nodes - 50 { // an even spread has 25 in a quarter of a second, with a chance swing of 5
+		for i := range nodes - 50 { // an even spread has 25 polls in a quarter of a second, with a standard deviation of 5
 			if again[i+50]-again[i] < Second/4 {
-				t.Fatalf("seed %d: 50 of 200 nodes ask again within %d", seed, again[i+50]-again[i])
+				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d, want at least %d", seed, again[i+50]-again[i], Second/4)
 			}
 		}
 	}
 }
 
+// pollsDiscovery calls Next until it returns false, and reports whether a decision was to poll discovery.
 func pollsDiscovery(n *Engine) (asked bool) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		asked = asked || d.Action == PollEndpoints
@@ -103,7 +105,7 @@
 	return asked
 }
 
-// Reports are sent three times a second. To owners they are sent whenever time has passed.
+// Reports to all peers are due three times a second. Reports to owners are due whenever time has passed.
 func TestReportTimes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -124,42 +126,44 @@
 				}
 			}
 			if !slices.Equal(due, c.due) {
-				t.Errorf("due at %v", due)
+				t.Errorf("reports are due at %v, want %v", due, c.due)
 			}
 		})
 	}
 }
 
-// Attempt checks take place 30 times in the shortest objective, but not more often than the tick.
+// Attempt checks take place 30 times in the shortest objective, but not more often than the tick or the time unit.
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
 		timers := newTimers(Second, &config{})
 		if !timers.startCheckIfDue(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
-			t.Errorf("tick %d, objective %d: next check after %d", c.tick, c.objective, timers.checkAt-Second)
+			t.Errorf("tick %d, objective %d: next check after %d, want a check now and the next after %d",
+				c.tick, c.objective, timers.checkAt-Second, c.want)
 		}
 		if after, ok := timers.nextHostTimer(Second); !ok || after != c.want {
-			t.Errorf("the host's timer is set to %d", after)
+			t.Errorf("tick %d, objective %d: nextHostTimer() = %d, %v, want %d, true", c.tick, c.objective, after, ok, c.want)
 		}
 		if _, ok := timers.nextHostTimer(Second); ok {
-			t.Error("the host's timer is set twice")
+			t.Errorf("tick %d, objective %d: the second call of nextHostTimer() sets the timer again, want no timer", c.tick, c.objective)
 		}
 	}
 }
 
-// A poll is in flight until it fails. Without the setting there is none.
+// A poll is in flight until it fails, and a failure counts once. Without the setting, discovery is not polled.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
 	never, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
 	if never.startPollIfDue(99 * Second) {
-		t.Error("polled where lists are pushed")
+		t.Error("startPollIfDue() = true where discovery pushes its lists, want false")
 	}
 	if !timers.startPollIfDue(Second) || timers.startPollIfDue(99*Second) {
-		t.Error("not one poll at the start")
+		t.Error("startPollIfDue() of a new node did not return true at the start and false while that poll was in flight")
 	}
 	timers.pollFailed(2*Second, 99999, &rng)
 	next := timers.pollAt
 	timers.pollFailed(3*Second, 99999, &rng)
 	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPollIfDue(next-1) || !timers.startPollIfDue(next) {
-		t.Errorf("the next poll after %d", next-2*Second)
+		t.Errorf("next poll set %d after the first failure and %d after a repeated one, want the same time, %d to %d, and one poll then",
+			next-2*Second, timers.pollAt-2*Second, Second, 3*Second)
 	}
 }
