--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -10,54 +10,54 @@
 // A server may fail one class and serve the others. A failure ejects the server for the failed class only, here and at
 // peers that receive the suspicion.
 func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
-	n := plain(2, Settings{
+	engine := plain(2, Settings{
 		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.ClassKey(1, settings.ClassRetrySafety):      settings.RetryUnsafe,
 	})
-	n.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
-	bad := pull(n, Forward)[0].Server
-	n.AttemptEnded(AttemptResult{Request: 1, Server: bad, Outcome: Failed, Duration: 100})
-	at := n.endpoints.slots.find(bad)
-	if s := n.endpoints.servers[at].byClass; !n.outliers.ejected(&s[1], 1, n.now) || n.outliers.ejected(&s[0], 0, n.now) {
+	engine.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
+	failed := pull(engine, Forward)[0].Server
+	engine.AttemptEnded(AttemptResult{Request: 1, Server: failed, Outcome: Failed, Duration: 100})
+	slot := engine.endpoints.slots.find(failed)
+	if s := engine.endpoints.servers[slot].byClass; !engine.outliers.ejected(&s[1], 1, engine.now) || engine.outliers.ejected(&s[0], 0, engine.now) {
 		t.Fatalf("server %d is ejected for class 0: %v, for class 1: %v after a failed attempt of class 1, want false and true",
-			bad, n.outliers.ejected(&s[0], 0, n.now), n.outliers.ejected(&s[1], 1, n.now))
+			failed, engine.outliers.ejected(&s[0], 0, engine.now), engine.outliers.ejected(&s[1], 1, engine.now))
 	}
-	n.SetTime(Second + controlInterval/2)
-	sent := pull(n, SendPeerMessage)
-	other := plain(2, Settings{
+	engine.SetTime(Second + controlInterval/2)
+	sent := pull(engine, SendPeerMessage)
+	peer := plain(2, Settings{
 		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 	})
-	other.SetTime(Second + controlInterval/2)
-	other.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // a truncated message has no effect
-	if other.outliers.ejected(&other.endpoints.servers[at].byClass[1], 1, other.now) {
-		t.Fatalf("server %d is ejected for class 1 after a truncated peer message, want no effect", bad)
+	peer.SetTime(Second + controlInterval/2)
+	peer.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // a truncated message has no effect
+	if peer.outliers.ejected(&peer.endpoints.servers[slot].byClass[1], 1, peer.now) {
+		t.Fatalf("server %d is ejected for class 1 after a truncated peer message, want no effect", failed)
 	}
-	other.ReceivePeerMessage(0, sent[0].Payload)
-	if s := other.endpoints.servers[at].byClass; sent[0].Peer != AllPeers || !other.outliers.ejected(&s[1], 1, other.now) || other.outliers.ejected(&s[0], 0, other.now) {
+	peer.ReceivePeerMessage(0, sent[0].Payload)
+	if s := peer.endpoints.servers[slot].byClass; sent[0].Peer != AllPeers || !peer.outliers.ejected(&s[1], 1, peer.now) || peer.outliers.ejected(&s[0], 0, peer.now) {
 		t.Fatalf("suspicion to peer %d ejected server %d for class 0: %v, for class 1: %v, want peer %d, false and true",
-			sent[0].Peer, bad, other.outliers.ejected(&s[0], 0, other.now), other.outliers.ejected(&s[1], 1, other.now), AllPeers)
+			sent[0].Peer, failed, peer.outliers.ejected(&s[0], 0, peer.now), peer.outliers.ejected(&s[1], 1, peer.now), AllPeers)
 	}
 }
 
 // Suspicions of peers add up. A server with clearly more suspicions than the mean is ejected, and its trials come from
 // the trial budget. If peers suspect all servers alike, none is ejected.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
-	set := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
-	n, alike := plain(20, set), plain(20, set)
+	values := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
+	engine, alike := plain(20, values), plain(20, values)
 	for k := range 8 {
-		n.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
+		engine.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
 		for s := range ServerID(20) {
 			alike.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{s, 0, 0}))
 		}
 	}
-	n.SetTime(3 * Second)
-	n.outliers.classes[0].trials = 0
-	if !n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now) || n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now) {
+	engine.SetTime(3 * Second)
+	engine.outliers.classes[0].trials = 0
+	if !engine.outliers.ejected(&engine.endpoints.servers[3].byClass[0], 0, engine.now) || engine.outliers.ejected(&engine.endpoints.servers[4].byClass[0], 0, engine.now) {
 		t.Fatalf("after 8 suspicions of server 3, server 3 is ejected: %v, server 4: %v, want true and false",
-			n.outliers.ejected(&n.endpoints.servers[3].byClass[0], 0, n.now),
-			n.outliers.ejected(&n.endpoints.servers[4].byClass[0], 0, n.now))
+			engine.outliers.ejected(&engine.endpoints.servers[3].byClass[0], 0, engine.now),
+			engine.outliers.ejected(&engine.endpoints.servers[4].byClass[0], 0, engine.now))
 	}
 	for i := range alike.endpoints.servers {
 		if alike.outliers.ejected(&alike.endpoints.servers[i].byClass[0], 0, alike.now) {
@@ -66,14 +66,14 @@
 	}
 	trials := 0
 	for id := range RequestID(100) { // trials may be a twentieth of the class's attempts
-		n.SetTime(3*Second + Time(id)*500)
-		n.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Forward) {
-			o := Succeeded
+		engine.SetTime(3*Second + Time(id)*500)
+		engine.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
+		for _, d := range pull(engine, Forward) {
+			outcome := Succeeded
 			if d.Server == 3 {
-				trials, o = trials+1, TimedOut
+				trials, outcome = trials+1, TimedOut
 			}
-			n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 5000, Final: true})
+			engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: outcome, Duration: 5000, Final: true})
 		}
 	}
 	if trials > 7 {
@@ -84,35 +84,36 @@
 // A client may set a timeout far below the latency objective. Such a timeout is neither a failure of the server nor a
 // latency sample.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
-	n := plain(2, nil)
+	engine := plain(2, nil)
 	for id := range RequestID(4) {
-		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
+		engine.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
 	}
-	for _, d := range pull(n, Forward) {
-		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
+	for _, d := range pull(engine, Forward) {
+		engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
-	if n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures+n.interval.samples != 0 {
-		t.Fatalf("timeouts before the objective counted as %d failures and %d latency samples, want 0 and 0", n.endpoints.servers[0].byClass[0].failures+n.endpoints.servers[1].byClass[0].failures, n.interval.samples)
+	if engine.endpoints.servers[0].byClass[0].failures+engine.endpoints.servers[1].byClass[0].failures+engine.interval.samples != 0 {
+		t.Fatalf("timeouts before the objective counted as %d failures and %d latency samples, want 0 and 0",
+			engine.endpoints.servers[0].byClass[0].failures+engine.endpoints.servers[1].byClass[0].failures, engine.interval.samples)
 	}
 }
 
 // One malformed or broken response does not eject a server and is no latency sample. Two in a row eject the server for
 // the class.
 func TestOneBadResponseEjectsNoServer(t *testing.T) {
-	n := plain(1, Settings{
+	engine := plain(1, Settings{
 		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.MaxAttempts: "1",
 	})
-	for id, o := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
-		n.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
-		d := pull(n, Forward)[0]
-		n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: o, Duration: 500, Final: o == Succeeded})
-		if got := n.outliers.ejected(&n.endpoints.servers[0].byClass[0], 0, n.now); got != (id == 5) || n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now) || n.interval.samples > 2 {
+	for id, outcome := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
+		engine.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
+		decision := pull(engine, Forward)[0]
+		engine.AttemptEnded(AttemptResult{Request: decision.Request, Server: decision.Server, Outcome: outcome, Duration: 500, Final: outcome == Succeeded})
+		if got := engine.outliers.ejected(&engine.endpoints.servers[0].byClass[0], 0, engine.now); got != (id == 5) || engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now) || engine.interval.samples > 2 {
 			t.Fatalf("after result %d, outcome %d: ejected for class 0: %v, for class 1: %v, %d latency samples; want %v, false, at most 2",
-				id, o, got, n.outliers.ejected(&n.endpoints.servers[0].byClass[1], 1, n.now), n.interval.samples, id == 5)
+				id, outcome, got, engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now), engine.interval.samples, id == 5)
 		}
-		if o != Succeeded && pull(n, Reject) == nil {
-			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d", id, o)
+		if outcome != Succeeded && pull(engine, Reject) == nil {
+			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d", id, outcome)
 		}
 	}
 }
@@ -120,20 +121,20 @@
 // A server that drains rejects every request before the list says so. Its fast responses would attract requests. Each
 // rejection counts as a latency sample of one objective, and two in a row eject the server.
 func TestServerThatRejectsIsEjected(t *testing.T) {
-	n := plain(4, nil)
+	engine := plain(4, nil)
 	now, sent := Second, 0
 	for id := range RequestID(400) {
 		now += Second / 40
-		n.SetTime(now)
-		n.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
-		for d := pull(n, Forward); len(d) > 0; d = pull(n, Forward) {
-			if d[0].Server == 2 {
+		engine.SetTime(now)
+		engine.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
+		for decisions := pull(engine, Forward); len(decisions) > 0; decisions = pull(engine, Forward) {
+			if decisions[0].Server == 2 {
 				sent++
-				n.AttemptEnded(AttemptResult{Request: id, Attempt: len(n.requests.all[n.requests.slots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
+				engine.AttemptEnded(AttemptResult{Request: id, Attempt: len(engine.requests.all[engine.requests.slots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
 				continue
 			}
-			n.AttemptEnded(AttemptResult{
-				Request: id, Attempt: len(n.requests.all[n.requests.slots.find(id)].attempts) - 1, Server: d[0].Server, Outcome: Succeeded, Duration: 800,
+			engine.AttemptEnded(AttemptResult{
+				Request: id, Attempt: len(engine.requests.all[engine.requests.slots.find(id)].attempts) - 1, Server: decisions[0].Server, Outcome: Succeeded, Duration: 800,
 				Final: true,
 			})
 		}
@@ -150,29 +151,29 @@
 
 // Each further ejection lasts twice as long, up to eight objectives. A success resets the length.
 func TestEjectionTimes(t *testing.T) {
-	d, states, now := testDetector(), make([]outlierState, 2), 10*Second
+	detector, states, now := testDetector(), make([]outlierState, 2), 10*Second
 	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
 		states[0].inFlight = 1
-		d.attemptEnded(states, 0, Failed, now)
-		if states[0].ejectedUntil != now+want || !d.ejected(&states[0], 0, now+want-1) || d.ejected(&states[1], 1, now) {
+		detector.attemptEnded(states, 0, Failed, now)
+		if states[0].ejectedUntil != now+want || !detector.ejected(&states[0], 0, now+want-1) || detector.ejected(&states[1], 1, now) {
 			t.Fatalf("ejection %d of class 0 lasts %d, want %d; ejected one unit before its end: %v, want true; class 1 ejected: %v, want false",
-				k, states[0].ejectedUntil-now, want, d.ejected(&states[0], 0, now+want-1), d.ejected(&states[1], 1, now))
+				k, states[0].ejectedUntil-now, want, detector.ejected(&states[0], 0, now+want-1), detector.ejected(&states[1], 1, now))
 		}
 	}
-	d.classes[0].trials = 0
-	if !d.ejected(&states[0], 0, now+48000) {
+	detector.classes[0].trials = 0
+	if !detector.ejected(&states[0], 0, now+48000) {
 		t.Error("after its ejection, a server is not ejected with an empty trial budget, want it ejected")
 	}
-	d.classes[0].trials = 1
-	if d.ejected(&states[0], 0, now+48000) {
+	detector.classes[0].trials = 1
+	if detector.ejected(&states[0], 0, now+48000) {
 		t.Error("after its ejection, a server is ejected with a trial budget of 1, want a trial allowed")
 	}
 	states[0].inFlight = 1
-	if d.attemptStarted(&states[0], 0, now+48000); d.classes[0].trials > trialsPerAttempt+1e-9 || !d.ejected(&states[0], 0, now+48000) {
+	if detector.attemptStarted(&states[0], 0, now+48000); detector.classes[0].trials > trialsPerAttempt+1e-9 || !detector.ejected(&states[0], 0, now+48000) {
 		t.Errorf("with a trial in flight, the trial budget is %v and the server is ejected: %v, want at most %v and true",
-			d.classes[0].trials, d.ejected(&states[0], 0, now+48000), trialsPerAttempt)
+			detector.classes[0].trials, detector.ejected(&states[0], 0, now+48000), trialsPerAttempt)
 	}
-	d.attemptEnded(states, 0, Succeeded, now+49000)
+	detector.attemptEnded(states, 0, Succeeded, now+49000)
 	if states[0] != (outlierState{lastResponseAt: now + 49000}) {
 		t.Errorf("state after a success = %+v, want only lastResponseAt %d", states[0], now+49000)
 	}
@@ -181,9 +182,9 @@
 // TestOutcomesThatEject checks the effect of each outcome on the server's ejection.
 func TestOutcomesThatEject(t *testing.T) {
 	for _, c := range []struct {
-		outcome       Outcome
-		before        outlierState
-		class, others bool // the server is ejected for the class, and for the other one
+		outcome              Outcome
+		before               outlierState
+		wantClass, wantOther bool // the server is ejected for the class, and for the other one
 	}{
 		{Succeeded, outlierState{failures: 1}, false, false},
 		{Failed, outlierState{}, true, false},
@@ -197,27 +198,29 @@
 		{Cancelled, outlierState{failures: 1}, false, false},
 		{NotSent, outlierState{failures: 1}, false, false},
 	} {
-		d, states := testDetector(), []outlierState{c.before, {}}
+		detector, states := testDetector(), []outlierState{c.before, {}}
 		states[0].inFlight = 1
-		d.attemptEnded(states, 0, c.outcome, Second)
-		if d.ejected(&states[0], 0, Second) != c.class || d.ejected(&states[1], 1, Second) != c.others || states[0].inFlight != 0 {
+		detector.attemptEnded(states, 0, c.outcome, Second)
+		if detector.ejected(&states[0], 0, Second) != c.wantClass || detector.ejected(&states[1], 1, Second) != c.wantOther || states[0].inFlight != 0 {
 			t.Errorf("outcome %d after %+v: states %+v, ejected for the class: %v, for the other one: %v, want %v, %v and nothing in flight",
-				c.outcome, c.before, states, d.ejected(&states[0], 0, Second), d.ejected(&states[1], 1, Second), c.class, c.others)
+				c.outcome, c.before, states, detector.ejected(&states[0], 0, Second), detector.ejected(&states[1], 1, Second), c.wantClass, c.wantOther)
 		}
 	}
 }
 
 // Silence is the sum of the waits of all attempts in flight since the last response.
 func TestSilence(t *testing.T) {
-	d, s, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
-	d.checkSilence(s, Second, 2000, now)   // 5 usual latencies since the last response
-	d.checkSilence(s, now-2000, 2000, now) // 1 usual latency
-	if d.ejectSilent(s, now); d.ejected(s, 0, now) || s.waitedLatencies != 6 || s.lost != 0 {
-		t.Errorf("after 6 usual latencies of silence: %+v, ejected: %v, want waitedLatencies 6, lost 0, not ejected", s, d.ejected(s, 0, now))
-	}
-	d.checkSilence(s, Second, 500, now) // 20 usual latencies
-	if d.ejectSilent(s, now); !d.ejected(s, 0, now) || s.waitCountedFrom != now || s.lost != 1 {
-		t.Errorf("after 26 usual latencies of silence: %+v, ejected: %v, want waitCountedFrom %d, lost 1, ejected", s, d.ejected(s, 0, now), now)
+	detector, state, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
+	detector.checkSilence(state, Second, 2000, now)   // 5 usual latencies since the last response
+	detector.checkSilence(state, now-2000, 2000, now) // 1 usual latency
+	if detector.ejectSilent(state, now); detector.ejected(state, 0, now) || state.waitedLatencies != 6 || state.lost != 0 {
+		t.Errorf("after 6 usual latencies of silence: %+v, ejected: %v, want waitedLatencies 6, lost 0, not ejected",
+			state, detector.ejected(state, 0, now))
+	}
+	detector.checkSilence(state, Second, 500, now) // 20 usual latencies
+	if detector.ejectSilent(state, now); !detector.ejected(state, 0, now) || state.waitCountedFrom != now || state.lost != 1 {
+		t.Errorf("after 26 usual latencies of silence: %+v, ejected: %v, want waitCountedFrom %d, lost 1, ejected",
+			state, detector.ejected(state, 0, now), now)
 	}
 }
 
@@ -226,11 +229,11 @@
 func TestPeersSuspicions(t *testing.T) {
 	const now = 20 * Second
 	for _, c := range []struct {
-		name   string
-		before outlierState
-		sent   Time // ejection that the suspicion names
-		until  Time // expected end of the ejection
-		peer   bool // expected fromPeer
+		name         string
+		before       outlierState
+		reported     Time // ejection that the suspicion names
+		wantUntil    Time // expected end of the ejection
+		wantFromPeer bool // expected fromPeer
 	}{
 		{"ejected there", outlierState{}, 9000, now + 9000, true},
 		{"for less than an objective", outlierState{}, 1, now + 6000, true},
@@ -242,10 +245,10 @@
 		{"many suspicions", outlierState{suspicions: decayingMean{count: 40, at: now}}, 0, now + 6000, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, s := testDetector(), c.before
-			d.classes[0].suspicions = decayingMean{count: 40, at: now}
-			if d.receiveSuspicion(&s, suspicion{ejectedFor: c.sent}, 10, now); s.ejectedUntil != c.until || s.fromPeer != c.peer {
-				t.Errorf("server ejected until %d, fromPeer %v, want until %d, fromPeer %v", s.ejectedUntil, s.fromPeer, c.until, c.peer)
+			detector, state := testDetector(), c.before
+			detector.classes[0].suspicions = decayingMean{count: 40, at: now}
+			if detector.receiveSuspicion(&state, suspicion{ejectedFor: c.reported}, 10, now); state.ejectedUntil != c.wantUntil || state.fromPeer != c.wantFromPeer {
+				t.Errorf("server ejected until %d, fromPeer %v, want until %d, fromPeer %v", state.ejectedUntil, state.fromPeer, c.wantUntil, c.wantFromPeer)
 			}
 		})
 	}
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -13,59 +13,59 @@
 type fleet struct {
 	nodes          []*Engine
 	sets           []Settings                                  // settings by node
-	sent, inFlight int                                         // attempts of all nodes
+	sent, inFlight int                                         // attempts of all nodes: sent so far, and in flight now
 	mostInFlight   int                                         // largest value of inFlight
-	lost           func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: no message is lost
+	messageLost    func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: no message is lost
 	t              *testing.T
 	ends           map[Time][]func() // ends of attempts, by time
 }
 
 // newFleet returns a fleet with the settings added to a quota of 2 units a second, with a burst of 6.
-func newFleet(t *testing.T, more Settings) *fleet {
+func newFleet(t *testing.T, extra Settings) *fleet {
 	f := &fleet{t: t, ends: map[Time][]func(){}, nodes: make([]*Engine, 60)}
-	set := Settings{
+	values := Settings{
 		settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40",
 		settings.PlanKey(0, settings.PlanRate): "2", settings.PlanKey(0, settings.PlanBurst): "6",
 	}
-	for k, v := range more {
-		set[k] = v
+	for k, v := range extra {
+		values[k] = v
 	}
 	for k := range f.nodes {
-		set[settings.Node] = strconv.Itoa(k)
-		f.nodes[k] = plain(4, set)
-		f.sets = append(f.sets, plainSettings(set))
+		values[settings.Node] = strconv.Itoa(k)
+		f.nodes[k] = plain(4, values)
+		f.sets = append(f.sets, plainSettings(values))
 		f.nodes[k].random = random{uint32(k) | 1, 77}
 	}
 	return f
 }
 
 // settle carries out the decisions of all nodes at an instant. Each attempt takes the given time.
-func (f *fleet) settle(now, took Time) {
+func (f *fleet) settle(now, duration Time) {
 	for _, end := range f.ends[now] {
 		end()
 	}
-	for again := true; again; {
-		again = false
-		for k, n := range f.nodes {
-			n.SetTime(now)
-			for d, ok := n.Next(); ok; d, ok = n.Next() {
+	for more := true; more; {
+		more = false
+		for k, engine := range f.nodes {
+			engine.SetTime(now)
+			for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 				switch d.Action {
 				case Forward:
 					f.sent++
 					f.inFlight++
 					f.mostInFlight = max(f.mostInFlight, f.inFlight)
-					f.ends[now+took] = append(f.ends[now+took], func() {
+					f.ends[now+duration] = append(f.ends[now+duration], func() {
 						f.inFlight--
-						n.SetTime(now + took)
-						n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: took, Final: true})
+						engine.SetTime(now + duration)
+						engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: duration, Final: true})
 					})
 				case SendPeerMessage:
 					if d.Peer < 10 || d.Peer >= 50 {
 						f.t.Fatalf("a message was sent to node %d, want only nodes 10 to 49 of the customer's set", d.Peer)
 					}
-					if f.lost == nil || !f.lost(k, d.Peer, d.Payload) {
+					if f.messageLost == nil || !f.messageLost(k, d.Peer, d.Payload) {
 						f.nodes[d.Peer].ReceivePeerMessage(NodeID(k), slices.Clone(d.Payload))
-						again = true
+						more = true
 					}
 				}
 			}
@@ -82,9 +82,9 @@
 	for now := from; now < until; now += 50 {
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
 			id++
-			n := f.nodes[10+int(id)*7%40]
-			n.SetTime(now)
-			n.AddRequest(Request{ID: id, Customer: fleetCustomer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
+			engine := f.nodes[10+int(id)*7%40]
+			engine.SetTime(now)
+			engine.AddRequest(Request{ID: id, Customer: fleetCustomer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
 		}
 		f.settle(now, 500)
 	}
@@ -98,17 +98,17 @@
 	if f.sent < 20 || f.sent > 30 { // the quota allows 26; the client sent 300
 		t.Fatalf("nodes sent %d of 300 requests in 10 s, want 20 to 30 with a quota of 26", f.sent)
 	}
-	n := f.nodes[11]
-	before := n.customers.all[0].queryRatio
-	n.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
-	n.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
-	n.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 400, firstNode: 10}))
-	n.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
-	n.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
-	pull(n, Forward)
-	if n.customers.all[0].queryRatio != before || before >= 1 {
+	engine := f.nodes[11]
+	before := engine.customers.all[0].queryRatio
+	engine.ReceivePeerMessage(9, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
+	engine.ReceivePeerMessage(12, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 40, firstNode: 10}))
+	engine.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 400, firstNode: 10}))
+	engine.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
+	engine.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
+	pull(engine, Forward)
+	if engine.customers.all[0].queryRatio != before || before >= 1 {
 		t.Fatalf("query ratio was %.2f and is %.2f after grants of nodes that are not the owner, want below 1 and no change",
-			before, n.customers.all[0].queryRatio)
+			before, engine.customers.all[0].queryRatio)
 	}
 }
 
@@ -123,14 +123,14 @@
 	if f.mostInFlight > 2 || f.sent < 60 {
 		t.Fatalf("%d attempts were in flight at a time, want at most 2; %d were sent, want at least 60", f.mostInFlight, f.sent)
 	}
-	home := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
-	c := &home.customers.all[home.customers.slots.find(5)]
+	ownerEngine := f.nodes[f.nodes[10].owner.of(&f.nodes[10].customers.all[0])]
+	c := &ownerEngine.customers.all[ownerEngine.customers.slots.find(5)]
 	c.reservations = []reservation{{11, 7, 9 * Second}}
-	home.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	ownerEngine.ReceivePeerMessage(12, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 1 {
 		t.Fatalf("%d reservations are left after the end of another node's request, want 1", len(c.reservations))
 	}
-	home.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
+	ownerEngine.ReceivePeerMessage(11, appendReport([]byte{kindUse}, customerReport{customer: 5, spread: 40, firstNode: 10, request: 7, ended: 1}))
 	if len(c.reservations) != 0 {
 		t.Fatalf("%d reservations are left after the end of the reserved request, want 0", len(c.reservations))
 	}
@@ -139,12 +139,12 @@
 // While an owner does not respond, requests of a customer with little demand are admitted after the owner timeout. A
 // customer with far more demand gets about the even share of its quota at each node.
 func TestSilentOwnerLeavesTheEvenShare(t *testing.T) {
-	for rate, most := range map[int]int{2: 40, 400: 130} { // requests a second, largest number sent in 20 s
+	for rate, maxSent := range map[int]int{2: 40, 400: 130} { // requests a second, largest number sent in 20 s
 		f := newFleet(t, nil)
-		f.lost = func(int, NodeID, []byte) bool { return true }
+		f.messageLost = func(int, NodeID, []byte) bool { return true }
 		f.ask(rate, Second, 21*Second)
-		if f.sent < 20 || f.sent > most {
-			t.Errorf("without owner responses, nodes sent %d of %d requests, want 20 to %d", f.sent, rate*20, most)
+		if f.sent < 20 || f.sent > maxSent {
+			t.Errorf("without owner responses, nodes sent %d of %d requests, want 20 to %d", f.sent, rate*20, maxSent)
 		}
 	}
 }
@@ -156,8 +156,8 @@
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
 		settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 	})
-	r := rand.New(rand.NewSource(3))
-	f.lost = func(int, NodeID, []byte) bool { return r.Intn(4) == 0 }
+	rng := rand.New(rand.NewSource(3))
+	f.messageLost = func(int, NodeID, []byte) bool { return rng.Intn(4) == 0 }
 	for k := range Time(4) {
 		f.ask(200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
@@ -165,26 +165,26 @@
 			settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
 			settings.PlanKey(0, settings.PlanCeilingRate): "20", settings.PlanKey(0, settings.PlanCeilingBurst): "80",
 		})
-		fresh.lost, fresh.sent = f.lost, sent
+		fresh.messageLost, fresh.sent = f.messageLost, sent
 		f = fresh // all nodes restart
-		for _, n := range f.nodes {
-			n.now, n.timers.intervalAt, n.timers.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
+		for _, engine := range f.nodes {
+			engine.now, engine.timers.intervalAt, engine.timers.checkAt = (3+2*k)*Second, (4+2*k)*Second, (3+2*k)*Second
 		}
 	}
 	if f.sent > 8*20 || f.sent < 60 {
 		t.Fatalf("nodes sent %d units in 8 s with a ceiling of 20 a second and empty buckets at the start, want 60 to 160", f.sent)
 	}
-	n := f.nodes[11] // the full buckets of all nodes together hold the ceiling's burst
-	c := &n.customers.all[n.customers.findOrAdd(customerRef{id: 5, spread: 40, firstNode: 10}, n.now)]
-	n.SetTime(99 * Second)
-	n.quota.ceilingAllows(c, 1, n.owner.localCeilingRatio(c), n.now)
-	if all := 40*c.ceiling.level + ownerCeilingRatio*80; all > 80.01 || all < 79.99 {
-		t.Fatalf("the full ceiling buckets of all nodes hold %.2f units, want 80", all)
+	engine := f.nodes[11] // the full buckets of all nodes together hold the ceiling's burst
+	c := &engine.customers.all[engine.customers.findOrAdd(customerRef{id: 5, spread: 40, firstNode: 10}, engine.now)]
+	engine.SetTime(99 * Second)
+	engine.quota.ceilingAllows(c, 1, engine.owner.localCeilingRatio(c), engine.now)
+	if total := 40*c.ceiling.level + ownerCeilingRatio*80; total > 80.01 || total < 79.99 {
+		t.Fatalf("the full ceiling buckets of all nodes hold %.2f units, want 80", total)
 	}
 }
 
-// ownerOfAll returns the quota owner state of node 12 in a fleet of 60 nodes, which uses owners, with one plan.
-func ownerOfAll(plan quotaPlan) *quotaOwner {
+// newTestOwner returns the quota owner state of node 12 in a fleet of 60 nodes, which uses owners, with one plan.
+func newTestOwner(plan quotaPlan) *quotaOwner {
 	cfg := parseSettings(Settings{
 		settings.Nodes: "60", settings.Node: "12", settings.Peers: settings.On, settings.PeerRate: "40",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
@@ -195,14 +195,14 @@
 
 // Each customer has one owner, which is in the customer's set. A set's nodes share the ownership of its customers.
 func TestOwnerIsOfTheSet(t *testing.T) {
-	o, owners := ownerOfAll(quotaPlan{}), map[NodeID]int{}
+	owner, owners := newTestOwner(quotaPlan{}), map[NodeID]int{}
 	for id := range CustomerID(1000) {
 		c := &customer{id: id, spread: 7, firstNode: 57}
-		owner := o.of(c)
-		if !o.config.inSet(owner, 57, 7) {
-			t.Fatalf("owner of customer %d is node %d, want one of the 7 nodes from 57 on", id, owner)
+		node := owner.of(c)
+		if !owner.config.inSet(node, 57, 7) {
+			t.Fatalf("owner of customer %d is node %d, want one of the 7 nodes from 57 on", id, node)
 		}
-		owners[owner]++
+		owners[node]++
 	}
 	if len(owners) != 7 {
 		t.Errorf("customers by owner = %v, want 7 owners", owners)
@@ -211,7 +211,7 @@
 		customer customer
 		owned    bool
 	}{{customer{spread: 7}, true}, {customer{spread: 1}, false}, {customer{spread: 7, leased: true}, false}} {
-		if got := o.owned(&c.customer); got != c.owned {
+		if got := owner.owned(&c.customer); got != c.owned {
 			t.Errorf("owned(%+v) = %v, want %v", c.customer, got, c.owned)
 		}
 	}
@@ -221,13 +221,13 @@
 func TestGrant(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
-		name     string
-		plan     quotaPlan
-		level    float64 // of the bucket before the query
-		reserved []Time  // expiry of each reservation before the query
-		ok       bool    // the query is granted
-		left     float64 // expected level of the bucket
-		held     int     // expected number of reservations
+		name             string
+		plan             quotaPlan
+		level            float64 // of the bucket before the query
+		expiries         []Time  // expiry of each reservation before the query
+		wantGranted      bool    // the query is granted
+		wantLevel        float64 // expected level of the bucket
+		wantReservations int     // expected number of reservations
 	}{
 		{"room", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
 		{"no room", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
@@ -237,17 +237,17 @@
 		{"over the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 3.9}, 0, nil, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, at := ownerOfAll(c.plan), &customer{spread: 7, bucket: tokenBucket{c.level, now}}
-			for _, until := range c.reserved {
-				at.reservations = append(at.reservations, reservation{until: until})
+			owner, cust := newTestOwner(c.plan), &customer{spread: 7, bucket: tokenBucket{c.level, now}}
+			for _, until := range c.expiries {
+				cust.reservations = append(cust.reservations, reservation{until: until})
 			}
-			ok := o.grant(at, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
-			if ok != c.ok || !near(at.bucket.level, c.left) || len(at.reservations) != c.held || at.peerDemand.sum != 2 {
+			ok := owner.grant(cust, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
+			if ok != c.wantGranted || !near(cust.bucket.level, c.wantLevel) || len(cust.reservations) != c.wantReservations || cust.peerDemand.sum != 2 {
 				t.Errorf("grant() = %v with level %v, reservations %+v, demand %v; want %v with level %v, %d reservations, demand 2",
-					ok, at.bucket.level, at.reservations, at.peerDemand.sum, c.ok, c.left, c.held)
+					ok, cust.bucket.level, cust.reservations, cust.peerDemand.sum, c.wantGranted, c.wantLevel, c.wantReservations)
 			}
-			if c.held > 0 && ok && at.reservations[c.held-1] != (reservation{13, 9, now + 2100}) {
-				t.Errorf("last reservation = %+v, want node 13, request 9, until %d", at.reservations[c.held-1], now+2100)
+			if c.wantReservations > 0 && ok && cust.reservations[c.wantReservations-1] != (reservation{13, 9, now + 2100}) {
+				t.Errorf("last reservation = %+v, want node 13, request 9, until %d", cust.reservations[c.wantReservations-1], now+2100)
 			}
 		})
 	}
@@ -258,12 +258,12 @@
 func TestOptimisticAdmission(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
-		name        string
-		level       float64 // of the bucket
-		was         bool    // optimistic before the update
-		demand      float64 // units a second
-		free, ended bool    // expected: optimistic after the update, revoked by the update
-		part        float64 // expected query ratio
+		name                        string
+		level                       float64 // of the bucket
+		optimisticBefore            bool    // optimistic before the update
+		demand                      float64 // units a second
+		wantOptimistic, wantRevoked bool    // expected: optimistic after the update, revoked by the update
+		wantRatio                   float64 // expected query ratio
 	}{
 		{"full and frequent", 100, false, 5, true, false, 1},
 		{"too little demand", 100, false, 1, false, false, 1},
@@ -274,14 +274,15 @@
 		{"least query ratio", 0, false, 5000, false, false, 0.01},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o := ownerOfAll(quotaPlan{rate: 10, burst: 100})
-			o.config.peerRate = 1e6
-			at := &customer{
-				spread: 7, optimistic: c.was, meanUnits: 1, bucket: tokenBucket{c.level, now},
+			owner := newTestOwner(quotaPlan{rate: 10, burst: 100})
+			owner.config.peerRate = 1e6
+			cust := &customer{
+				spread: 7, optimistic: c.optimisticBefore, meanUnits: 1, bucket: tokenBucket{c.level, now},
 				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
-			if ended := o.update(at, now) == optimisticRevoked; ended != c.ended || at.optimistic != c.free || !near(at.queryRatio, c.part) {
-				t.Errorf("optimistic %v, revoked %v, query ratio %v, want %v, %v, %v", at.optimistic, ended, at.queryRatio, c.free, c.ended, c.part)
+			if revoked := owner.update(cust, now) == optimisticRevoked; revoked != c.wantRevoked || cust.optimistic != c.wantOptimistic || !near(cust.queryRatio, c.wantRatio) {
+				t.Errorf("optimistic %v, revoked %v, query ratio %v, want %v, %v, %v",
+					cust.optimistic, revoked, cust.queryRatio, c.wantOptimistic, c.wantRevoked, c.wantRatio)
 			}
 		})
 	}
@@ -291,20 +292,20 @@
 // flight, one attempt may be in flight at a time.
 func TestAdmissionWithoutOwner(t *testing.T) {
 	for _, c := range []struct {
-		plan     quotaPlan
-		before   float64 // demand before the request, in units a second
-		inFlight int     // attempts in flight here
-		want     float64 // share of the requests that is admitted
+		plan         quotaPlan
+		demandBefore float64 // demand before the request, in units a second
+		inFlight     int     // attempts in flight here
+		want         float64 // share of the requests that is admitted
 	}{{quotaPlan{rate: 14}, 8, 0, 0.25}, {quotaPlan{rate: 14}, 0, 0, 1}, {quotaPlan{}, 8, 0, 1}, {quotaPlan{maxInFlight: 1}, 8, 1, 0}} {
-		o, rng, passed := ownerOfAll(c.plan), newRandom(5), 0
-		at := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.before*seconds(demandTimeConstant) + 1}}
+		owner, rng, admitted := newTestOwner(c.plan), newRandom(5), 0
+		cust := &customer{spread: 7, inFlight: c.inFlight, demand: decayingMean{sum: c.demandBefore*seconds(demandTimeConstant) + 1}}
 		for range 4000 {
-			if o.drawWithoutOwner(at, 1, 0, &rng) {
-				passed++
+			if owner.drawWithoutOwner(cust, 1, 0, &rng) {
+				admitted++
 			}
 		}
-		if got := float64(passed) / 4000; got < c.want-0.03 || got > c.want+0.03 {
-			t.Errorf("plan %+v, demand %v, %d in flight: share %v of the requests is admitted, want %v", c.plan, c.before, c.inFlight, got, c.want)
+		if got := float64(admitted) / 4000; got < c.want-0.03 || got > c.want+0.03 {
+			t.Errorf("plan %+v, demand %v, %d in flight: share %v of the requests is admitted, want %v", c.plan, c.demandBefore, c.inFlight, got, c.want)
 		}
 	}
 }
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -8,17 +8,17 @@
 // After a pause, only the last requests have time left before their objective. They are forwarded first, and requests
 // past their objective are rejected at once. The admission rate's tokens cover the pause.
 func TestLastRequestsOfAPauseComeFirst(t *testing.T) {
-	n := plain(10, nil)
-	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 40, 500, 9*Second
-	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{40}
-	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
-	pull(n, Forward)
-	n.SetTime(Second + Second) // a pause of 1 s, with an objective of 0.6 s
+	engine := plain(10, nil)
+	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 40, 500, 9*Second
+	engine.admission.throughput.meanDurations, engine.admission.throughput.rates = []float64{500}, []float64{40}
+	engine.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
+	pull(engine, Forward)
+	engine.SetTime(Second + Second) // a pause of 1 s, with an objective of 0.6 s
 	for id := range RequestID(20) {
-		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
+		engine.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	var first, rejected []RequestID
-	for d, ok := n.Next(); ok; d, ok = n.Next() {
+	for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 		switch d.Action {
 		case Forward:
 			first = append(first, d.Request)
@@ -35,17 +35,17 @@
 
 // A request past its objective after a pause is rejected even if the admission limit and the quota allow it.
 func TestRequestsLateAfterAPauseAreRejected(t *testing.T) {
-	n := plain(10, nil)
-	n.admission.rate, n.admission.throughput.baseLatency, n.timers.intervalAt = 4000, 500, 9*Second
-	n.admission.throughput.times, n.admission.throughput.rates = []float64{500}, []float64{4000}
-	n.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
-	pull(n, Forward)
-	n.SetTime(2 * Second)
+	engine := plain(10, nil)
+	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 4000, 500, 9*Second
+	engine.admission.throughput.meanDurations, engine.admission.throughput.rates = []float64{500}, []float64{4000}
+	engine.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
+	pull(engine, Forward)
+	engine.SetTime(2 * Second)
 	for id := range RequestID(20) {
-		n.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
+		engine.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
 	rejected := 0
-	for d, ok := n.Next(); ok; d, ok = n.Next() {
+	for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 		if d.Action == Reject {
 			if rejected++; d.Request > 12 {
 				t.Errorf("request %d of 20 was rejected, want only requests up to 12, which are past the objective, rejected", d.Request)
@@ -60,20 +60,20 @@
 // A gap up to a quarter of the objective is no pause. After a pause, its requests are in reverse order, with arrival times
 // evenly over the pause. Requests from before the pause stay as they are.
 func TestPauseOrder(t *testing.T) {
-	p := pause{}
-	if p.observe(Second, Second+1500, 6000); p.endedAt != 0 {
-		t.Errorf("a gap of 1500 with an objective of 6000 was recorded as a pause that ended at %d, want no pause", p.endedAt)
+	detected := pause{}
+	if detected.observe(Second, Second+1500, 6000); detected.endedAt != 0 {
+		t.Errorf("a gap of 1500 with an objective of 6000 was recorded as a pause that ended at %d, want no pause", detected.endedAt)
 	}
-	if p.observe(Second, Second+4000, 6000); p.length != 4000 || p.endedAt != Second+4000 {
-		t.Errorf("after a gap of 4000 with an objective of 6000, pause = %+v, want length 4000, endedAt %d", p, Second+4000)
+	if detected.observe(Second, Second+4000, 6000); detected.length != 4000 || detected.endedAt != Second+4000 {
+		t.Errorf("after a gap of 4000 with an objective of 6000, pause = %+v, want length 4000, endedAt %d", detected, Second+4000)
 	}
-	now := p.endedAt
+	now := detected.endedAt
 	table := requestTable{all: []request{{arrived: 7}, {arrived: now}, {arrived: now}}, pending: []requestSlot{0, 1, 2}}
-	p.arrived = 2
-	p.reorder(&table, now)
+	detected.arrived = 2
+	detected.reorder(&table, now)
 	if !slices.Equal(table.pending, []requestSlot{0, 2, 1}) || table.all[1].arrived != now-3000 || table.all[2].arrived != now-1000 ||
-		table.all[0].arrived != 7 || p.arrived != 0 {
+		table.all[0].arrived != 7 || detected.arrived != 0 {
 		t.Errorf("after reorder, pending = %v, want [0 2 1]; arrival times %d, %d, %d, want 7, %d, %d; %d requests to reorder, want 0",
-			table.pending, table.all[0].arrived, table.all[1].arrived, table.all[2].arrived, now-3000, now-1000, p.arrived)
+			table.pending, table.all[0].arrived, table.all[1].arrived, table.all[2].arrived, now-3000, now-1000, detected.arrived)
 	}
 }
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -7,14 +7,14 @@
 func TestDemandShare(t *testing.T) {
 	const now = 100 * Second
 	for _, c := range []struct {
-		name          string
-		spread        int
-		firstSeen     Time
-		heardAt       Time    // time of the last peer message
-		peers         bool    // peer messages are enabled
-		own, reported float64 // decayed demand here and at peers, in units
-		reports       float64 // decayed number of reports
-		want          float64
+		name                    string
+		spread                  int
+		firstSeen               Time
+		lastMessageAt           Time    // time of the last peer message
+		peersEnabled            bool    // peer messages are enabled
+		localDemand, peerDemand float64 // decayed demand here and at peers, in units
+		reportCount             float64 // decayed number of reports
+		want                    float64
 	}{
 		{"all requests come here", 1, 0, now, true, 40, 80, 9, 1},
 		{"no peers", 4, 0, now, false, 40, 80, 9, 0.25},
@@ -28,13 +28,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.peersEnabled = c.peers
-			q := tenantQuota{config: cfg, lastPeerMessageAt: c.heardAt}
+			cfg.peersEnabled = c.peersEnabled
+			quota := tenantQuota{config: cfg, lastPeerMessageAt: c.lastMessageAt}
 			customer := &customer{
-				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.own, count: 9, at: now},
-				peerDemand: decayingMean{sum: c.reported, count: c.reports, at: now},
+				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.localDemand, count: 9, at: now},
+				peerDemand: decayingMean{sum: c.peerDemand, count: c.reportCount, at: now},
 			}
-			if got := q.demandShare(customer, now); !near(got, c.want) {
+			if got := quota.demandShare(customer, now); !near(got, c.want) {
 				t.Errorf("demandShare() = %v, want %v", got, c.want)
 			}
 		})
@@ -44,14 +44,14 @@
 // A request is charged its units over the demand share. The missing level of the bucket gives the Retry-After.
 func TestTenantQuota(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		plan     quotaPlan
-		level    float64
-		leased   bool
-		inFlight int
-		units    float64
-		ok       bool
-		after    Time
+		name           string
+		plan           quotaPlan
+		level          float64
+		leased         bool
+		inFlight       int
+		units          float64
+		wantAdmitted   bool
+		wantRetryAfter Time
 	}{
 		{"room", quotaPlan{rate: 10, burst: 20}, 3, false, 0, 3, true, 0},
 		{"no room", quotaPlan{rate: 10, burst: 20}, 1, false, 0, 3, false, 2000},
@@ -64,18 +64,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.peersEnabled, cfg.plans = false, []quotaPlan{c.plan}
-			q := tenantQuota{config: cfg}
-			at := 100 * Second
+			quota := tenantQuota{config: cfg}
+			refilledAt := 100 * Second
 			if c.leased {
-				at -= 50 * Second
+				refilledAt -= 50 * Second
 			}
-			customer := &customer{spread: 4, inFlight: c.inFlight, leased: c.leased, bucket: tokenBucket{c.level, at}}
+			customer := &customer{spread: 4, inFlight: c.inFlight, leased: c.leased, bucket: tokenBucket{c.level, refilledAt}}
 			r := &request{units: c.units}
-			if got := q.admit(customer, r, 700, 100*Second); got.admitted != c.ok || got.retryAfter != c.after {
-				t.Errorf("admit() = admitted %v, retryAfter %d, want %v, %d", got.admitted, got.retryAfter, c.ok, c.after)
+			if got := quota.admit(customer, r, 700, 100*Second); got.admitted != c.wantAdmitted || got.retryAfter != c.wantRetryAfter {
+				t.Errorf("admit() = admitted %v, retryAfter %d, want %v, %d", got.admitted, got.retryAfter, c.wantAdmitted, c.wantRetryAfter)
 			}
-			if part := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.demandShare != part {
-				t.Errorf("demandShare of the request = %v, want %v", r.demandShare, part)
+			if wantShare := map[bool]float64{false: 0.25, true: 1}[c.leased]; r.demandShare != wantShare {
+				t.Errorf("demandShare of the request = %v, want %v", r.demandShare, wantShare)
 			}
 		})
 	}
@@ -92,17 +92,17 @@
 // A node's part of a hard ceiling starts empty. It fills at the even share of the rate, without the owner's part.
 func TestCeiling(t *testing.T) {
 	for _, c := range []struct {
-		owned bool
-		after Time
-		want  float64
+		usesOwners bool
+		elapsed    Time
+		want       float64
 	}{{false, Second / 2, 5}, {false, 9 * Second, 15}, {true, Second / 2, 2.5}, {true, 9 * Second, 7.5}} {
 		cfg := testConfig()
-		cfg.plans, cfg.usesOwners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.owned
-		q, customer := tenantQuota{config: cfg}, &customer{spread: 4}
+		cfg.plans, cfg.usesOwners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.usesOwners
+		quota, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
-		if q.ceilingAllows(customer, 6, ratio, c.after) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
+		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
 			t.Errorf("owned %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
-				c.owned, customer.ceiling.level, c.after, c.want, c.want >= 6)
+				c.usesOwners, customer.ceiling.level, c.elapsed, c.want, c.want >= 6)
 		}
 	}
 }
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -9,18 +9,18 @@
 
 // Reports that do not fit into one message are sent in further messages soon after.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
-	n := plain(4, Settings{
+	engine := plain(4, Settings{
 		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
 	})
 	for id := range RequestID(100) {
-		n.AddRequest(Request{ID: id, Customer: 1<<32 + CustomerID(id), Timeout: Second, Units: 3, Spread: 3})
+		engine.AddRequest(Request{ID: id, Customer: 1<<32 + CustomerID(id), Timeout: Second, Units: 3, Spread: 3})
 	}
-	pull(n, Forward)
+	pull(engine, Forward)
 	peer := plain(4, Settings{settings.Peers: settings.On, settings.PeerRate: "100", settings.Node: "1"})
 	for now := Second; now < 2*Second; now += 100 {
-		n.SetTime(now)
+		engine.SetTime(now)
 		peer.SetTime(now)
-		for _, d := range pull(n, SendPeerMessage) {
+		for _, d := range pull(engine, SendPeerMessage) {
 			peer.ReceivePeerMessage(0, d.Payload)
 		}
 	}
@@ -38,12 +38,12 @@
 	busy := decayingMean{sum: 99 * seconds(demandTimeConstant), at: Second}
 	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
 	for _, c := range []struct {
-		name   string
-		owners bool
-		rate   float64  // peer message rate, in messages a second
-		many   int      // customers with a report
-		to     []NodeID // expected receivers of the messages
-		left   int      // expected number of reports that wait
+		name          string
+		usesOwners    bool
+		peerRate      float64  // peer message rate, in messages a second
+		pending       int      // customers with a report
+		wantReceivers []NodeID // expected receivers of the messages
+		wantWaiting   int      // expected number of reports that wait
 	}{
 		{"no pending report", false, 100, 0, []NodeID{AllPeers}, 0},
 		{"customers with and without demand", false, 100, 3, []NodeID{AllPeers}, 0},
@@ -53,19 +53,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.usesOwners, cfg.peerRate = c.owners, c.rate
-			u, out, all := usageReports{config: cfg}, outbox{}, slices.Clone(customers)
-			for len(all) < c.many {
-				all = append(all, customer{id: CustomerID(1<<40 + len(all)), spread: 4, demand: busy})
+			cfg.usesOwners, cfg.peerRate = c.usesOwners, c.peerRate
+			reports, out, allCustomers := usageReports{config: cfg}, outbox{}, slices.Clone(customers)
+			for len(allCustomers) < c.pending {
+				allCustomers = append(allCustomers, customer{id: CustomerID(1<<40 + len(allCustomers)), spread: 4, demand: busy})
 			}
-			for i := range c.many {
-				u.add(&all[i], customerSlot(i), 2, 1)
-				u.add(&all[i], customerSlot(i), 3, 1)
+			for i := range c.pending {
+				reports.add(&allCustomers[i], customerSlot(i), 2, 1)
+				reports.add(&allCustomers[i], customerSlot(i), 3, 1)
 			}
-			u.write(&out, all, &quotaOwner{config: cfg}, &tenantQuota{config: cfg}, Second)
-			to := []NodeID{}
+			reports.write(&out, allCustomers, &quotaOwner{config: cfg}, &tenantQuota{config: cfg}, Second)
+			receivers := []NodeID{}
 			for _, m := range out.messages {
-				to = append(to, m.to)
+				receivers = append(receivers, m.to)
 				if decoded, ok := decodeMessage(m.payload, 1, 4); !ok || decoded.kind != kindUse || len(m.payload) > maxMessageBytes {
 					t.Errorf("message %x is decoded as kind %#x, valid %v, length %d; want kind %#x, valid, at most %d bytes",
 						m.payload, decoded.kind, ok, len(m.payload), kindUse, maxMessageBytes)
@@ -73,8 +73,8 @@
 					t.Errorf("first report = %+v, want demand 5 and use 2", decoded.reports[0])
 				}
 			}
-			if !slices.Equal(to, c.to) || len(u.pending) != c.left {
-				t.Errorf("messages went to %v and %d reports wait, want %v and %d", to, len(u.pending), c.to, c.left)
+			if !slices.Equal(receivers, c.wantReceivers) || len(reports.pending) != c.wantWaiting {
+				t.Errorf("messages went to %v and %d reports wait, want %v and %d", receivers, len(reports.pending), c.wantReceivers, c.wantWaiting)
 			}
 		})
 	}
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -7,22 +7,22 @@
 // An attempt that hangs at a silent server is cancelled. Its request goes to another server only after that attempt has
 // ended.
 func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
-	n := plain(4, nil)
-	n.retries.left = 5
-	n.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
-	n.AddRequest(Request{ID: 1, Timeout: 2 * Second, Units: 1, Spread: 1})
-	first := pull(n, Forward)
-	n.SetTime(Second + 4000)
-	if d := pull(n, CancelAttempt); len(d) != 1 || d[0].Request != 1 {
-		t.Fatalf("decisions to cancel an attempt 0.4 s after it was sent = %+v, want one for request 1", d)
+	engine := plain(4, nil)
+	engine.retries.left = 5
+	engine.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
+	engine.AddRequest(Request{ID: 1, Timeout: 2 * Second, Units: 1, Spread: 1})
+	first := pull(engine, Forward)
+	engine.SetTime(Second + 4000)
+	if cancels := pull(engine, CancelAttempt); len(cancels) != 1 || cancels[0].Request != 1 {
+		t.Fatalf("decisions to cancel an attempt 0.4 s after it was sent = %+v, want one for request 1", cancels)
 	}
-	n.SetTime(Second + 4010)
-	n.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
-	again := pull(n, Forward)
-	if len(again) != 1 || again[0].Server == first[0].Server {
-		t.Fatalf("after the cancelled attempt ended, forwarded %+v, want one attempt at a server other than %d", again, first[0].Server)
+	engine.SetTime(Second + 4010)
+	engine.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
+	retried := pull(engine, Forward)
+	if len(retried) != 1 || retried[0].Server == first[0].Server {
+		t.Fatalf("after the cancelled attempt ended, forwarded %+v, want one attempt at a server other than %d", retried, first[0].Server)
 	}
-	if !n.outliers.ejected(&n.endpoints.servers[first[0].Server].byClass[0], 0, n.now) {
+	if !engine.outliers.ejected(&engine.endpoints.servers[first[0].Server].byClass[0], 0, engine.now) {
 		t.Fatalf("server %d is not ejected after its attempt hung, want it ejected", first[0].Server)
 	}
 }
@@ -30,35 +30,35 @@
 // A retry must not run a request twice that must run once. Maximum attempts and the retry budget limit retries as well.
 func TestRetryRules(t *testing.T) {
 	const now = 100 * Second
-	ran, notRun := attempt{sent: now - 3000, mayHaveRun: true}, attempt{sent: now - 3000}
+	mayHaveRun, notRun := attempt{sent: now - 3000, mayHaveRun: true}, attempt{sent: now - 3000}
 	keyed := classConfig{retrySafety: retryKeyed, keyWindow: 4000, keyGroup: groupZone}
 	for _, c := range []struct {
-		name     string
-		class    classConfig
-		attempts []attempt
-		left     float64 // retry budget
-		allowed  bool    // another attempt is allowed
-		harmless bool    // the client may safely repeat the request
+		name         string
+		class        classConfig
+		attempts     []attempt
+		budget       float64 // retry budget
+		wantAllowed  bool    // another attempt is allowed
+		wantHarmless bool    // the client may safely repeat the request
 	}{
 		{"first attempt", classConfig{retrySafety: retryNever}, nil, 1, true, true},
-		{"safe", classConfig{retrySafety: retrySafe}, []attempt{ran}, 1, true, true},
-		{"unsafe that may have run", classConfig{retrySafety: retryNever}, []attempt{ran}, 1, false, false},
+		{"safe", classConfig{retrySafety: retrySafe}, []attempt{mayHaveRun}, 1, true, true},
+		{"unsafe that may have run", classConfig{retrySafety: retryNever}, []attempt{mayHaveRun}, 1, false, false},
 		{"unsafe that never ran", classConfig{retrySafety: retryNever}, []attempt{notRun}, 1, true, true},
-		{"keyed within its window", keyed, []attempt{ran}, 1, true, false},
-		{"keyed beyond its window", classConfig{retrySafety: retryKeyed, keyWindow: 3500}, []attempt{ran}, 1, false, false},
-		{"keyed at all servers", classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, []attempt{ran}, 1, false, true},
-		{"no budget", classConfig{}, []attempt{ran}, 0.9, false, true},
-		{"maximum attempts reached", classConfig{}, []attempt{ran, ran, ran}, 9, false, true},
+		{"keyed within its window", keyed, []attempt{mayHaveRun}, 1, true, false},
+		{"keyed beyond its window", classConfig{retrySafety: retryKeyed, keyWindow: 3500}, []attempt{mayHaveRun}, 1, false, false},
+		{"keyed at all servers", classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, []attempt{mayHaveRun}, 1, false, true},
+		{"no budget", classConfig{}, []attempt{mayHaveRun}, 0.9, false, true},
+		{"maximum attempts reached", classConfig{}, []attempt{mayHaveRun, mayHaveRun, mayHaveRun}, 9, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig() // connect timeout 500, at most three attempts a request
 			cfg.classes[0] = c.class
-			b, r := retryBudget{config: cfg, left: c.left}, &request{attempts: c.attempts}
-			if got := b.allows(r, now); got != c.allowed {
-				t.Errorf("allows() = %v, want %v", got, c.allowed)
+			budget, r := retryBudget{config: cfg, left: c.budget}, &request{attempts: c.attempts}
+			if got := budget.allows(r, now); got != c.wantAllowed {
+				t.Errorf("allows() = %v, want %v", got, c.wantAllowed)
 			}
-			if got := cfg.classes[0].harmlessToRepeat(r); got != c.harmless {
-				t.Errorf("harmlessToRepeat() = %v, want %v", got, c.harmless)
+			if got := cfg.classes[0].harmlessToRepeat(r); got != c.wantHarmless {
+				t.Errorf("harmlessToRepeat() = %v, want %v", got, c.wantHarmless)
 			}
 		})
 	}
@@ -66,18 +66,18 @@
 
 // Five first attempts earn one retry. The budget is at most two retries for each usable server.
 func TestRetryBudget(t *testing.T) {
-	b := retryBudget{}
+	budget := retryBudget{}
 	for range 5 {
-		b.earn(3)
+		budget.earn(3)
 	}
-	if !near(b.left, 1) {
-		t.Errorf("after 5 first attempts, the retry budget is %v, want 1", b.left)
+	if !near(budget.left, 1) {
+		t.Errorf("after 5 first attempts, the retry budget is %v, want 1", budget.left)
 	}
 	for range 100 {
-		b.earn(3)
+		budget.earn(3)
 	}
-	if b.spend(); !near(b.left, 5) {
-		t.Errorf("after one retry from the full budget of 3 servers, the retry budget is %v, want 5", b.left)
+	if budget.spend(); !near(budget.left, 5) {
+		t.Errorf("after one retry from the full budget of 3 servers, the retry budget is %v, want 5", budget.left)
 	}
 }
 
@@ -85,9 +85,9 @@
 func TestKeyGroups(t *testing.T) {
 	servers := []server{{Endpoint: Endpoint{Zone: 1, Cell: 1}}, {Endpoint: Endpoint{Zone: 1, Cell: 2}}, {Endpoint: Endpoint{Zone: 2, Cell: 2}}}
 	for _, c := range []struct {
-		class classConfig
-		ran   bool    // the attempt at server 0 may have run
-		bound [3]bool // by server: the request must not go there
+		class        classConfig
+		mayHaveRun   bool    // the attempt at server 0 may have run
+		wantExcluded [3]bool // by server: the request must not go there
 	}{
 		{classConfig{retrySafety: retryKeyed, keyGroup: groupAll}, true, [3]bool{}},
 		{classConfig{retrySafety: retryKeyed, keyGroup: groupZone}, true, [3]bool{false, false, true}},
@@ -95,10 +95,10 @@
 		{classConfig{retrySafety: retryKeyed, keyGroup: groupCell}, false, [3]bool{}},
 		{classConfig{retrySafety: retrySafe, keyGroup: groupCell}, true, [3]bool{}},
 	} {
-		r := &request{attempts: []attempt{{server: 0, mayHaveRun: c.ran}}}
+		r := &request{attempts: []attempt{{server: 0, mayHaveRun: c.mayHaveRun}}}
 		for k := range servers {
-			if got := c.class.keyExcludes(r, &servers[k], servers); got != c.bound[k] {
-				t.Errorf("class %+v, may have run %v: keyExcludes(server %d) = %v, want %v", c.class, c.ran, k, got, c.bound[k])
+			if got := c.class.keyExcludes(r, &servers[k], servers); got != c.wantExcluded[k] {
+				t.Errorf("class %+v, may have run %v: keyExcludes(server %d) = %v, want %v", c.class, c.mayHaveRun, k, got, c.wantExcluded[k])
 			}
 		}
 	}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -9,23 +9,23 @@
 // With a small subset, the server with the fewest attempts in flight for its weight is selected. The rotation alone
 // would send requests to a larger server that is busy while a smaller one is idle.
 func TestSubsetServerWithTheLeastInFlightComesFirst(t *testing.T) {
-	n := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
-	n.endpoints.servers[1].Weight, n.endpoints.servers[1].inFlight, n.endpoints.servers[1].rotationCredit = 4, 1, 100
-	n.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
-	if got := n.pick(&n.requests.all[0]); got != 0 {
+	engine := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
+	engine.endpoints.servers[1].Weight, engine.endpoints.servers[1].inFlight, engine.endpoints.servers[1].rotationCredit = 4, 1, 100
+	engine.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
+	if got := engine.pick(&engine.requests.all[0]); got != 0 {
 		t.Fatalf("pick() = server %d, want 0, which is idle while server 1 has an attempt in flight", got)
 	}
 }
 
 // A server's weight is its size over its relative pace. The pace has a prior of the mean pace.
 func TestWeights(t *testing.T) {
-	l := selection{config: testConfig()}
+	rotation := selection{config: testConfig()}
 	for _, c := range []struct {
 		size, sum, count, mean float64 // listed size, sum and count of the pace, mean pace
 		want                   float64
 	}{{1, 0, 0, 1, 1}, {0, 0, 0, 1, 1}, {4, 0, 0, 2, 4}, {1, 18, 6, 1, 0.5}, {2, 6, 6, 2, 2 / 0.75}} {
 		s := &server{Endpoint: Endpoint{Weight: c.size}, pace: decayingMean{sum: c.sum, count: c.count, at: Second}}
-		if got := l.weigh(s, c.mean, Second); !near(got, c.want) {
+		if got := rotation.weigh(s, c.mean, Second); !near(got, c.want) {
 			t.Errorf("size %v, pace %v/%v, mean pace %v: weigh() = %v, want %v", c.size, c.sum, c.count, c.mean, got, c.want)
 		}
 	}
@@ -51,11 +51,11 @@
 		{MalformedResponse, 5, 0, 0},
 		{NotSent, 5, 0, 0},
 	} {
-		l, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
-		l.attemptEnded(s, c.outcome, c.latencies, Second)
-		if s.pace.count != c.count || s.pace.sum != c.sum || l.paces != s.pace {
+		rotation, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
+		rotation.attemptEnded(s, c.outcome, c.latencies, Second)
+		if s.pace.count != c.count || s.pace.sum != c.sum || rotation.paces != s.pace {
 			t.Errorf("outcome %d after %v usual latencies: pace %+v, sum of paces %+v, want both with sum %v and count %v",
-				c.outcome, c.latencies, s.pace, l.paces, c.sum, c.count)
+				c.outcome, c.latencies, s.pace, rotation.paces, c.sum, c.count)
 		}
 	}
 }
@@ -63,20 +63,20 @@
 // Each server gets requests in proportion to its weight. A server at its cap is left out while other servers are below
 // theirs.
 func TestRotationByWeight(t *testing.T) {
-	n := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
-	for i := range n.endpoints.servers {
-		n.endpoints.servers[i].Weight = float64(1 + i)
+	engine := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
+	for i := range engine.endpoints.servers {
+		engine.endpoints.servers[i].Weight = float64(1 + i)
 	}
 	r, got := &request{}, [3]int{}
 	for range 600 {
-		got[n.pick(r)]++
+		got[engine.pick(r)]++
 	}
 	if got != [3]int{100, 200, 300} {
 		t.Errorf("600 selections by server = %v, want [100 200 300]", got)
 	}
-	n.endpoints.servers[2].inFlight = 2 // the cap is 1.5
+	engine.endpoints.servers[2].inFlight = 2 // the cap is 1.5
 	for range 10 {
-		if n.pick(r) == 2 {
+		if engine.pick(r) == 2 {
 			t.Fatal("pick() = server 2, which has 2 attempts in flight above its cap of 1.5, want another server")
 		}
 	}
@@ -84,22 +84,22 @@
 
 // Each pass accepts more servers: tried ones after all others, ejected ones last.
 func TestPasses(t *testing.T) {
-	n := plain(3, nil)
+	engine := plain(3, nil)
 	r := &request{attempts: []attempt{{server: 0}}}
-	n.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
-	if got := n.pick(r); got != 2 {
+	engine.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
+	if got := engine.pick(r); got != 2 {
 		t.Errorf("pick() = server %d, want 2, the only one that is neither tried nor ejected", got)
 	}
-	n.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
-	if got := n.pick(r); got != 0 {
+	engine.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
+	if got := engine.pick(r); got != 0 {
 		t.Errorf("pick() = server %d, want 0, which was tried, while the others are ejected", got)
 	}
-	n.endpoints.servers[0].byClass[0].ejectedUntil = 99 * Second
-	if got := n.pick(r); got < 0 {
+	engine.endpoints.servers[0].byClass[0].ejectedUntil = 99 * Second
+	if got := engine.pick(r); got < 0 {
 		t.Errorf("pick() = %d while all servers are ejected, want any server", got)
 	}
-	n.UpdateEndpoints(FullList, nil)
-	if got := n.pick(r); got != -1 {
+	engine.UpdateEndpoints(FullList, nil)
+	if got := engine.pick(r); got != -1 {
 		t.Errorf("pick() = %d with an empty endpoint list, want -1", got)
 	}
 }
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// A list's delay of up to an overload span must not count as a clock difference. Server 3 is listed 9 s after its start and is half warm.
-// Entries without a start time, or of a draining server, must not change its weight.
+// A list's delay of up to an overload span must not count as a clock difference. Server 3 is listed 9 s after its start
+// and is half warm. Entries without a start time, or of a draining server, must not change its weight.
 func TestLateListsAreNoWrongClock(t *testing.T) {
 	e, now := newWarmingEngine(0)
 	e.SetTime(now + 60*Second)
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -11,7 +11,7 @@
 
 // fleetOf returns the engine of node 77 with servers in zones. Tests change its config.self to choose as another node.
 func fleetOf(nodes, servers, zones int) *Engine {
-	n := New(7, Settings{
+	engine := New(7, Settings{
 		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
 		settings.Tick: "10", settings.ClassCount: "2", settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
@@ -22,26 +22,26 @@
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i) * 7919, Zone: uint8(i % zones), Cell: uint16(i / 40), State: Ready, Weight: 1})
 	}
-	n.UpdateEndpoints(FullList, list)
-	return n
+	engine.UpdateEndpoints(FullList, list)
+	return engine
 }
 
-// spreadOf returns the largest load of a server, the 99th percentile, and the least load, each over the mean load. Each
-// node spreads its traffic, in requests a second, evenly over its subset.
-func spreadOf(n *Engine, traffic func(node int) float64) (most, p99, least float64) {
-	load := make([]float64, len(n.endpoints.servers))
-	all := 0.0
-	for me := range n.config.nodes {
-		n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
-		n.subsets.attemptsSent.count = traffic(me) * seconds(controlInterval)
-		n.chooseSubset()
-		for _, i := range n.endpoints.subset {
-			load[i] += traffic(me) / float64(len(n.endpoints.subset))
+// relativeLoads returns the largest load of a server, the 99th percentile, and the least load, each over the mean load.
+// Each node spreads its traffic, in requests a second, evenly over its subset.
+func relativeLoads(engine *Engine, traffic func(node int) float64) (largest, p99, least float64) {
+	load := make([]float64, len(engine.endpoints.servers))
+	total := 0.0
+	for node := range engine.config.nodes {
+		engine.config.self, engine.subsets.attemptsSent = NodeID(node), decayingMean{at: engine.now}
+		engine.subsets.attemptsSent.count = traffic(node) * seconds(controlInterval)
+		engine.chooseSubset()
+		for _, i := range engine.endpoints.subset {
+			load[i] += traffic(node) / float64(len(engine.endpoints.subset))
 		}
-		all += traffic(me)
+		total += traffic(node)
 	}
 	slices.Sort(load)
-	mean := all / float64(len(load))
+	mean := total / float64(len(load))
 	return load[len(load)-1] / mean, load[len(load)*99/100] / mean, load[0] / mean
 }
 
@@ -52,19 +52,19 @@
 		nodes, servers, zones int
 		rate                  float64 // mean requests a second at a node
 	}{{300, 200, 3, 5}, {830, 13000, 12, 85}, {300, 13000, 12, 85}, {830, 2000, 12, 85}, {830, 830, 1, 85}, {200, 5000, 5, 85}} {
-		n, seeds := fleetOf(c.nodes, c.servers, c.zones), 5
-		most, p99, least := 0.0, 0.0, 1.0
+		engine, seeds := fleetOf(c.nodes, c.servers, c.zones), 5
+		largest, p99, least := 0.0, 0.0, 1.0
 		for seed := range uint32(seeds) {
-			a, b, l := spreadOf(n, func(me int) float64 {
-				return c.rate * []float64{0.3, 0.3, 0.5, 0.7, 1, 1, 1.5, 3}[mix(uint32(me), seed)%8]
+			runLargest, runP99, runLeast := relativeLoads(engine, func(node int) float64 {
+				return c.rate * []float64{0.3, 0.3, 0.5, 0.7, 1, 1, 1.5, 3}[mix(uint32(node), seed)%8]
 			})
-			most, p99, least = most+a/float64(seeds), p99+b/float64(seeds), min(least, l)
+			largest, p99, least = largest+runLargest/float64(seeds), p99+runP99/float64(seeds), min(least, runLeast)
 		}
-		t.Logf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, most, p99, least)
+		t.Logf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, largest, p99, least)
 		// Without an order of the servers, largest and p99 are 1.99 and 1.89 at 300 nodes and 200 servers.
-		if least < 0.2 || most > 2.4 || p99 > 1.9 {
+		if least < 0.2 || largest > 2.4 || p99 > 1.9 {
 			t.Errorf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f, want at most 2.4, at most 1.9, at least 0.2",
-				c.nodes, c.servers, most, p99, least)
+				c.nodes, c.servers, largest, p99, least)
 		}
 	}
 }
@@ -72,30 +72,30 @@
 // A zone, a region of six of twelve zones, or a third of the cells may fail at once. Each node must still have two fifths
 // of its servers, in six zones or more and not mostly in one.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
-	n := fleetOf(830, 13000, 12)
-	for name, lost := range map[string]func(s *server) bool{
+	engine := fleetOf(830, 13000, 12)
+	for failure, fails := range map[string]func(s *server) bool{
 		"a zone":               func(s *server) bool { return s.Zone == 3 },
 		"a region":             func(s *server) bool { return s.Zone%2 == 0 },
 		"a third of the cells": func(s *server) bool { return s.Cell%3 == 1 },
 	} {
-		for me := range n.config.nodes {
-			n.config.self, n.subsets.attemptsSent = NodeID(me), decayingMean{at: n.now}
-			n.chooseSubset()
-			for what, set := range map[string][]serverSlot{"subset": n.endpoints.subset, "tracked": n.endpoints.tracked} {
+		for node := range engine.config.nodes {
+			engine.config.self, engine.subsets.attemptsSent = NodeID(node), decayingMean{at: engine.now}
+			engine.chooseSubset()
+			for setName, slots := range map[string][]serverSlot{"subset": engine.endpoints.subset, "tracked": engine.endpoints.tracked} {
 				left, zones := 0, map[uint8]int{}
-				for _, i := range set {
-					if s := &n.endpoints.servers[i]; !lost(s) {
+				for _, i := range slots {
+					if s := &engine.endpoints.servers[i]; !fails(s) {
 						left++
 						zones[s.Zone]++
 					}
 				}
-				if left < len(set)*2/5 || len(zones) < 6 {
+				if left < len(slots)*2/5 || len(zones) < 6 {
 					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least two fifths in 6 zones",
-						name, me, left, len(set), what, len(zones))
+						failure, node, left, len(slots), setName, len(zones))
 				}
 				for zone, k := range zones {
-					if k > len(set)/4 {
-						t.Fatalf("%s failed: zone %d has %d of the %d %s servers of node %d, want at most a quarter", name, zone, k, len(set), what, me)
+					if k > len(slots)/4 {
+						t.Fatalf("%s failed: zone %d has %d of the %d %s servers of node %d, want at most a quarter", failure, zone, k, len(slots), setName, node)
 					}
 				}
 			}
@@ -107,18 +107,18 @@
 // next interval and drop its connections.
 func TestFirstListDeterminesTheSubset(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
-		n := fleetOf(300, servers, 3)
-		first := slices.Clone(n.endpoints.subset)
-		n.SetTime(n.now + controlInterval)
-		pull(n, Forward)
-		if moved := diff(n.endpoints.subset, first); moved > 0 || len(first) == 0 {
+		engine := fleetOf(300, servers, 3)
+		first := slices.Clone(engine.endpoints.subset)
+		engine.SetTime(engine.now + controlInterval)
+		pull(engine, Forward)
+		if moved := diff(engine.endpoints.subset, first); moved > 0 || len(first) == 0 {
 			t.Errorf("%d servers: first subset has %d servers, of which the one after an interval replaces %d; want a first subset and none replaced",
 				servers, len(first), moved)
 		}
-		n.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
-		if n.endpoints.ready != servers+1 || n.endpoints.order.count != n.endpoints.ready {
+		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
+		if engine.endpoints.ready != servers+1 || engine.endpoints.order.count != engine.endpoints.ready {
 			t.Errorf("%d servers and one more: %d are ready and %d in the order, want %d each",
-				servers, n.endpoints.ready, n.endpoints.order.count, servers+1)
+				servers, engine.endpoints.ready, engine.endpoints.order.count, servers+1)
 		}
 	}
 }
@@ -137,10 +137,10 @@
 // leaves must change few servers of the nodes' subsets.
 func TestLargeFleetUsesSubsets(t *testing.T) {
 	const servers, nodes = 60, 80
-	r, load, kept, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
-	for me := range nodes {
-		n := New(r.Uint64(), Settings{
-			settings.Nodes: strconv.Itoa(nodes), settings.Node: strconv.Itoa(me), settings.Tick: "10",
+	rng, load, joined, sent := rand.New(rand.NewSource(5)), map[ServerID]int{}, 0, 0
+	for node := range nodes {
+		engine := New(rng.Uint64(), Settings{
+			settings.Nodes: strconv.Itoa(nodes), settings.Node: strconv.Itoa(node), settings.Tick: "10",
 			settings.ClassCount: "1", settings.ClassKey(0, settings.ClassLatencyObjective): "15000",
 			settings.PlanCount: "1", settings.IdleTimeout: "150000",
 			settings.ClassKey(0, settings.ClassRetrySafety): settings.RetrySafe,
@@ -149,24 +149,24 @@
 		for i := range ServerID(servers) {
 			list = append(list, Endpoint{Server: i * 7919, State: Ready, Weight: 1})
 		}
-		n.UpdateEndpoints(FullList, list)
-		met := fiveASecond(n, 20)
-		for s, k := range met {
+		engine.UpdateEndpoints(FullList, list)
+		attempts := sendFivePerSecond(engine, 20)
+		for s, k := range attempts {
 			load[s] += k
 			sent += k
 		}
-		if len(met) < minSubsetServers || len(met) > 20 {
-			t.Fatalf("node %d sent attempts to %d servers, want %d to 20", me, len(met), minSubsetServers)
+		if len(attempts) < minSubsetServers || len(attempts) > 20 {
+			t.Fatalf("node %d sent attempts to %d servers, want %d to 20", node, len(attempts), minSubsetServers)
 		}
 		before := map[ServerID]bool{}
-		for _, s := range n.endpoints.servers {
+		for _, s := range engine.endpoints.servers {
 			before[s.Server] = s.inSubset
 		}
-		list[r.Intn(servers)].State = Draining
-		n.UpdateEndpoints(FullList, list)
-		for _, s := range n.endpoints.servers {
+		list[rng.Intn(servers)].State = Draining
+		engine.UpdateEndpoints(FullList, list)
+		for _, s := range engine.endpoints.servers {
 			if s.inSubset && !before[s.Server] {
-				kept++
+				joined++
 			}
 		}
 	}
@@ -175,27 +175,27 @@
 			t.Errorf("server %d got %d attempts of %d, want %d to %d", s, k, sent, mean/2, mean*8/5)
 		}
 	}
-	if len(load) != servers || kept > nodes/2 {
+	if len(load) != servers || joined > nodes/2 {
 		t.Errorf("%d servers got attempts, want %d; %d servers joined subsets after one left each node's list, want at most %d",
-			len(load), servers, kept, nodes/2)
+			len(load), servers, joined, nodes/2)
 	}
 }
 
-// fiveASecond adds five requests a second for a number of seconds. Each attempt takes 0.1 s. The function returns the
-// number of attempts by server.
-func fiveASecond(n *Engine, seconds int) map[ServerID]int {
-	met, last := map[ServerID]int{}, Second
+// sendFivePerSecond adds five requests a second for a number of seconds. Each attempt takes 0.1 s. The function returns
+// the number of attempts by server.
+func sendFivePerSecond(engine *Engine, seconds int) map[ServerID]int {
+	attempts, now := map[ServerID]int{}, Second
 	for k := range RequestID(seconds * 5) {
-		last += Second / 5
-		n.SetTime(last)
-		n.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(n, Forward) {
-			met[d.Server]++
-			n.SetTime(last + Second/10)
-			n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
+		now += Second / 5
+		engine.SetTime(now)
+		engine.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
+		for _, d := range pull(engine, Forward) {
+			attempts[d.Server]++
+			engine.SetTime(now + Second/10)
+			engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
 		}
 	}
-	return met
+	return attempts
 }
 
 // The number of ready servers and the traffic determine the sizes; the node's number determines group and start.
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -12,35 +12,35 @@
 // Nodes whose polls fail together must not poll again together. Each waits at least 1 s, and at most the settings' limit
 // and 1 s more.
 func TestFailedPollsSpread(t *testing.T) {
-	span := 10 * Second
-	var first []Time
-	r := rand.New(rand.NewSource(1))
-	set := Settings{
+	pollWithin := 10 * Second
+	var secondPolls []Time
+	rng := rand.New(rand.NewSource(1))
+	values := Settings{
 		settings.Nodes: "80", settings.Tick: "10", settings.ClassCount: "1",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "6000", settings.EndpointList: settings.EndpointListPoll,
-		settings.PlanCount: "1", settings.PollWithin: strconv.Itoa(int(span)),
+		settings.PlanCount: "1", settings.PollWithin: strconv.Itoa(int(pollWithin)),
 	}
 	for range 80 {
-		n := New(r.Uint64(), set.parse(), Second)
+		engine := New(rng.Uint64(), values.parse(), Second)
 		for k, now := 0, Second; k < 6; k++ {
-			asked := now
-			for !pollsDiscovery(n) {
+			startedAt := now
+			for !pollsDiscovery(engine) {
 				now += Second / 50
-				n.SetTime(now)
+				engine.SetTime(now)
 			}
-			if wait := now - asked; k > 0 && (wait < Second || wait > span+Second) {
-				t.Fatalf("poll %d came %d after a failed one, want %d to %d", k, wait, Second, span+Second)
+			if wait := now - startedAt; k > 0 && (wait < Second || wait > pollWithin+Second) {
+				t.Fatalf("poll %d came %d after a failed one, want %d to %d", k, wait, Second, pollWithin+Second)
 			}
 			if k == 1 {
-				first = append(first, now)
+				secondPolls = append(secondPolls, now)
 			}
-			n.UpdateEndpoints(PollFailed, nil)
+			engine.UpdateEndpoints(PollFailed, nil)
 		}
 	}
-	slices.Sort(first)
-	for i := range len(first) - 20 {
-		if first[i+20]-first[i] < Second/4 {
-			t.Fatalf("21 of 80 nodes poll again within %d, want at least %d", first[i+20]-first[i], Second/4)
+	slices.Sort(secondPolls)
+	for i := range len(secondPolls) - 20 {
+		if secondPolls[i+20]-secondPolls[i] < Second/4 {
+			t.Fatalf("21 of 80 nodes poll again within %d, want at least %d", secondPolls[i+20]-secondPolls[i], Second/4)
 		}
 	}
 }
@@ -51,58 +51,58 @@
 func TestDiscoveryIsPolledAgainWithinThreeSeconds(t *testing.T) {
 	const tick, nodes = Second / 50, 200
 	for seed := range 1000 {
-		set := Settings{
+		values := Settings{
 			settings.Nodes: "200", settings.Tick: "10", settings.ClassCount: "1",
 			settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
 			settings.EndpointList:                                settings.EndpointListPoll, settings.PlanCount: "1",
 			settings.PollWithin: []string{"100000", "600000", "30000"}[seed%3],
 		}
-		n, now := New(uint64(seed)*7919, set.parse(), Second), Second
+		engine, now := New(uint64(seed)*7919, values.parse(), Second), Second
 		for k := range 15 {
-			asked := now
-			for !pollsDiscovery(n) {
+			startedAt := now
+			for !pollsDiscovery(engine) {
 				now += tick
-				n.SetTime(now)
+				engine.SetTime(now)
 			}
-			if wait := now - asked; k > 0 && (wait < Second || wait > 3*Second+tick) {
+			if wait := now - startedAt; k > 0 && (wait < Second || wait > 3*Second+tick) {
 				t.Fatalf("seed %d: the poll after failure %d came after %d, want %d to %d", seed, k, wait, Second, 3*Second+tick)
 			}
 			for range 1 + seed%2 { // a failure reported twice counts once
-				n.UpdateEndpoints(PollFailed, nil)
+				engine.UpdateEndpoints(PollFailed, nil)
 			}
 		}
 	}
 	for seed := range 20 {
-		var again []Time
+		var nextPolls []Time
 		for i := range nodes {
-			n := New(uint64(seed*nodes+i)*7919+1, Settings{
+			engine := New(uint64(seed*nodes+i)*7919+1, Settings{
 				settings.Nodes: "200", settings.ClassCount: "1",
 				settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
 				settings.EndpointList:                                settings.EndpointListPoll,
 				settings.PlanCount:                                   "1", settings.PollWithin: "100000",
 			}.parse(), Second)
 			now := Second
-			pollsDiscovery(n)
-			for n.UpdateEndpoints(PollFailed, nil); !pollsDiscovery(n); now += tick {
-				n.SetTime(now)
+			pollsDiscovery(engine)
+			for engine.UpdateEndpoints(PollFailed, nil); !pollsDiscovery(engine); now += tick {
+				engine.SetTime(now)
 			}
-			again = append(again, now)
+			nextPolls = append(nextPolls, now)
 		}
-		slices.Sort(again)
+		slices.Sort(nextPolls)
 		for i := range nodes - 50 { // an even spread has 25 polls in a quarter of a second, with a standard deviation of 5
-			if again[i+50]-again[i] < Second/4 {
-				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d, want at least %d", seed, again[i+50]-again[i], Second/4)
+			if nextPolls[i+50]-nextPolls[i] < Second/4 {
+				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d, want at least %d", seed, nextPolls[i+50]-nextPolls[i], Second/4)
 			}
 		}
 	}
 }
 
 // pollsDiscovery calls Next until it returns false, and reports whether a decision was to poll discovery.
-func pollsDiscovery(n *Engine) (asked bool) {
-	for d, ok := n.Next(); ok; d, ok = n.Next() {
-		asked = asked || d.Action == PollEndpoints
+func pollsDiscovery(engine *Engine) (polls bool) {
+	for d, ok := engine.Next(); ok; d, ok = engine.Next() {
+		polls = polls || d.Action == PollEndpoints
 	}
-	return asked
+	return polls
 }
 
 // Reports to all peers are due three times a second. Reports to owners are due whenever time has passed.
@@ -152,8 +152,8 @@
 // A poll is in flight until it fails, and a failure counts once. Without the setting, discovery is not polled.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
-	never, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
-	if never.startPollIfDue(99 * Second) {
+	pushed, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
+	if pushed.startPollIfDue(99 * Second) {
 		t.Error("startPollIfDue() = true where discovery pushes its lists, want false")
 	}
 	if !timers.startPollIfDue(Second) || timers.startPollIfDue(99*Second) {
