--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -51,8 +51,8 @@
 	trials     float64      // trial budget, in attempts
 }
 
-// informative reports whether a state must be kept: it has attempts in flight, failures, an ejection or recent suspicions.
-// It decays a copy of the state, since a decay of the state itself would change later values by rounding.
+// informative reports whether a state must be kept, as it has attempts in flight, failures, an ejection or recent
+// suspicions. It decays a copy of the state, since a decay of the state itself would change later values by rounding.
 func (s outlierState) informative(now Time) bool {
 	s.suspicions.decayTo(now, suspicionTimeConstant)
 	return s.inFlight > 0 || s.failures > 0 || now < s.ejectedUntil || s.suspicions.count > minInformativeSuspicions
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -235,9 +235,9 @@
 		wantUntil    Time // expected end of the ejection
 		wantFromPeer bool // expected fromPeer
 	}{
-		{"ejected there", outlierState{}, 9000, now + 9000, true},
-		{"for less than an objective", outlierState{}, 1, now + 6000, true},
-		{"for very long", outlierState{}, 99 * Second, now + 48000, true},
+		{"ejected at the peer", outlierState{}, 9000, now + 9000, true},
+		{"ejected at the peer for less than an objective", outlierState{}, 1, now + 6000, true},
+		{"ejected at the peer for longer than the maximum", outlierState{}, 99 * Second, now + 48000, true},
 		{"just responded here", outlierState{lastResponseAt: now - 5999}, 9000, 0, false},
 		{"responded long ago", outlierState{lastResponseAt: now - 6000}, 9000, now + 9000, true},
 		{"ejected here", outlierState{failures: 1, ejectedUntil: now + 5}, 9000, now + 5, false},
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -12,10 +12,10 @@
 // fleet simulates a fleet of 60 nodes. The customer's set holds 40 of them, from number 10. Messages arrive at once.
 type fleet struct {
 	nodes          []*Engine
-	sets           []Settings                                  // settings by node
-	sent, inFlight int                                         // attempts of all nodes: sent so far, and in flight now
-	mostInFlight   int                                         // largest value of inFlight
-	messageLost    func(from int, to NodeID, text []byte) bool // reports whether a message is lost; nil: no message is lost
+	sets           []Settings                                     // settings by node
+	sent, inFlight int                                            // attempts of all nodes: sent so far, and in flight now
+	mostInFlight   int                                            // largest value of inFlight
+	messageLost    func(from int, to NodeID, payload []byte) bool // reports whether a message is lost; nil: no message is lost
 	t              *testing.T
 	ends           map[Time][]func() // ends of attempts, by time
 }
@@ -39,8 +39,8 @@
 	return f
 }
 
-// settle carries out the decisions of all nodes at an instant. Each attempt takes the given time.
-func (f *fleet) settle(now, duration Time) {
+// runDecisions carries out the decisions of all nodes at an instant. Each attempt takes the given time.
+func (f *fleet) runDecisions(now, duration Time) {
 	for _, end := range f.ends[now] {
 		end()
 	}
@@ -76,7 +76,7 @@
 // fleetCustomer is the customer that sends requests.
 const fleetCustomer CustomerID = 5
 
-// ask sends the customer's requests to its nodes in turn, at a rate in requests a second, with one unit each.
+// ask sends requests of the customer to its nodes in turn, at a rate in requests a second. Each request has one unit.
 func (f *fleet) ask(rate int, from, until Time) {
 	id := RequestID(fleetCustomer) * 100000
 	for now := from; now < until; now += 50 {
@@ -86,7 +86,7 @@
 			engine.SetTime(now)
 			engine.AddRequest(Request{ID: id, Customer: fleetCustomer, Timeout: Second, Units: 1, Spread: 40, FirstNode: 10})
 		}
-		f.settle(now, 500)
+		f.runDecisions(now, 500)
 	}
 }
 
@@ -223,16 +223,16 @@
 	for _, c := range []struct {
 		name             string
 		plan             quotaPlan
-		level            float64 // of the bucket before the query
+		level            float64 // bucket level before the query
 		expiries         []Time  // expiry of each reservation before the query
 		wantGranted      bool    // the query is granted
 		wantLevel        float64 // expected level of the bucket
 		wantReservations int     // expected number of reservations
 	}{
-		{"room", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
-		{"no room", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
+		{"room in the bucket", quotaPlan{rate: 10, burst: 20}, 5, nil, true, 3, 0},
+		{"no room in the bucket", quotaPlan{rate: 10, burst: 20}, 1.9, nil, false, 1.9, 0},
 		{"room in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now, now + 1}, true, -2, 2},
-		{"none in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now + 1, now + 1}, false, 0, 2},
+		{"no room in flight", quotaPlan{maxInFlight: 2}, 0, []Time{now + 1, now + 1}, false, 0, 2},
 		{"under the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 4}, 0, nil, true, -2, 0},
 		{"over the ceiling", quotaPlan{ceilingRate: 4, ceilingBurst: 3.9}, 0, nil, false, 0, 0},
 	} {
@@ -259,10 +259,10 @@
 	const now = 50 * Second
 	for _, c := range []struct {
 		name                        string
-		level                       float64 // of the bucket
-		optimisticBefore            bool    // optimistic before the update
+		level                       float64 // bucket level
+		optimisticBefore            bool    // optimistic admission before the update
 		demand                      float64 // units a second
-		wantOptimistic, wantRevoked bool    // expected: optimistic after the update, revoked by the update
+		wantOptimistic, wantRevoked bool    // expected: optimistic admission after the update, revocation by the update
 		wantRatio                   float64 // expected query ratio
 	}{
 		{"full and frequent", 100, false, 5, true, false, 1},
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -48,7 +48,7 @@
 	for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 		if d.Action == Reject {
 			if rejected++; d.Request > 12 {
-				t.Errorf("request %d of 20 was rejected, want only requests up to 12, which are past the objective, rejected", d.Request)
+				t.Errorf("request %d of 20 was rejected, want only requests up to 12 rejected", d.Request)
 			}
 		}
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// A gap up to a quarter of the objective is no pause. After a pause, its requests are in reverse order, with arrival times
-// evenly over the pause. Requests from before the pause stay as they are.
+// A gap of at most a quarter of the objective is no pause. After a pause, its requests are in reverse order, with arrival
+// times evenly over the pause. Requests from before the pause stay as they are.
 func TestPauseOrder(t *testing.T) {
 	detected := pause{}
 	if detected.observe(Second, Second+1500, 6000); detected.endedAt != 0 {
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -53,10 +53,10 @@
 		wantAdmitted   bool
 		wantRetryAfter Time
 	}{
-		{"room", quotaPlan{rate: 10, burst: 20}, 3, false, 0, 3, true, 0},
-		{"no room", quotaPlan{rate: 10, burst: 20}, 1, false, 0, 3, false, 2000},
-		{"larger than the bucket", quotaPlan{rate: 10, burst: 20}, 20, false, 0, 99, true, 0},
-		{"no rate", quotaPlan{}, -5, false, 0, 3, true, 0},
+		{"room in the bucket", quotaPlan{rate: 10, burst: 20}, 3, false, 0, 3, true, 0},
+		{"no room in the bucket", quotaPlan{rate: 10, burst: 20}, 1, false, 0, 3, false, 2000},
+		{"request larger than the burst", quotaPlan{rate: 10, burst: 20}, 20, false, 0, 99, true, 0},
+		{"plan without a rate", quotaPlan{}, -5, false, 0, 3, true, 0},
 		{"at the limit in flight", quotaPlan{maxInFlight: 8}, 0, false, 2, 1, false, 700},
 		{"under the limit in flight", quotaPlan{maxInFlight: 8}, 0, false, 1, 1, true, 0},
 		{"a leased bucket does not refill", quotaPlan{rate: 10, burst: 20}, 2, true, 0, 3, false, 1000},
@@ -101,7 +101,7 @@
 		quota, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
 		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
-			t.Errorf("owned %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
+			t.Errorf("usesOwners %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
 				c.usesOwners, customer.ceiling.level, c.elapsed, c.want, c.want >= 6)
 		}
 	}
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -47,7 +47,7 @@
 	}{
 		{"no pending report", false, 100, 0, []NodeID{AllPeers}, 0},
 		{"customers with and without demand", false, 100, 3, []NodeID{AllPeers}, 0},
-		{"owners", true, 100, 3, []NodeID{2, 3}, 0}, // this node, number 1, owns the first customer
+		{"reports to owners", true, 100, 3, []NodeID{2, 3}, 0}, // this node, number 1, owns the first customer
 		{"no peer message rate", false, 0, 60, []NodeID{AllPeers, AllPeers}, 45},
 		{"half the peer rate", false, 35, 60, []NodeID{AllPeers, AllPeers, AllPeers}, 33},
 	} {
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -51,7 +51,7 @@
 }
 
 // repeatable reports whether a request of the class may run again at startBy, if the attempt may have run. A keyed
-// request may while servers remember the idempotency key.
+// request may run again while servers remember the idempotency key.
 func (c *classConfig) repeatable(a *attempt, startBy Time) bool {
 	switch c.retrySafety {
 	case retryNever:
@@ -69,7 +69,7 @@
 }
 
 // cancelLateAttempts cancels a request's attempts that are late at ejected servers, unless its latency objective has
-// passed or it may have no other attempt. The request is retried once the cancelled attempt has ended.
+// passed or the request may have no other attempt. The request is retried once the cancelled attempt has ended.
 func (e *Engine) cancelLateAttempts(r *request) {
 	delay := e.retries.cancelDelay(r.class, e.usualLatency(r.class))
 	objective := e.config.classes[r.class].latencyObjective
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -91,7 +91,7 @@
 // subsetRatio uses the server.
 func (l *slowStart) budget(s *server, now Time, subsetRatio float64) float64 {
 	c := l.config
-	// Keeps a fleet without any warm server warming up.
+	// With a least rate, a fleet without any warm server warms up as well.
 	leastRate := 1 / (float64(c.nodes) * seconds(c.shortestObjective))
 	warmRate := l.relativeSize(s) * max(l.warmRate, leastRate)
 	share := slowStartBudgetRatio * l.weight(s, now) * subsetRatio
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -112,7 +112,7 @@
 			{61 * Second, 61*Second - 1},
 			{71 * Second, 61*Second - 1},
 		} {
-			engine.SetTime(step.at - 500) // a call shortly before: the engine would take the gap for a scheduling pause
+			engine.SetTime(step.at - 500) // the engine takes a longer gap between calls for a scheduling pause
 			pull(engine, Forward)
 			engine.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -70,7 +70,7 @@
 }
 
 // A zone, a region of six of twelve zones, or a third of the cells may fail at once. Each node must still have two fifths
-// of its servers, in six zones or more and not mostly in one.
+// of its servers, in six zones or more. No zone may have more than a quarter of the node's servers.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
 	engine := fleetOf(830, 13000, 12)
 	for failure, fails := range map[string]func(s *server) bool{
@@ -90,7 +90,7 @@
 					}
 				}
 				if left < len(slots)*2/5 || len(zones) < 6 {
-					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least two fifths in 6 zones",
+					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least two fifths in at least 6 zones",
 						failure, node, left, len(slots), setName, len(zones))
 				}
 				for zone, k := range zones {
@@ -198,13 +198,14 @@
 	return attempts
 }
 
-// The number of ready servers and the traffic determine the sizes; the node's number determines group and start.
+// The number of ready servers and the traffic determine the sizes of a choice. The node's number determines its group and
+// start.
 func TestSubsetChoice(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		nodes, self int
 		ready       int
-		owners      bool
+		usesOwners  bool    // customers have quota owners
 		sent        float64 // decayed number of attempts
 		want        subsetChoice
 	}{
@@ -213,11 +214,11 @@
 		{"first list", 80, 9, 40, true, 0, subsetChoice{0, zonesMerged, 9.0 / 16, 4, 256}},
 		{"subset sized by traffic", 80, 9, 40, true, 400, subsetChoice{0, zonesMerged, 9.0 / 16, 40, 256}},
 		{"many servers", 80, 9, 4000, true, 0, subsetChoice{0, zonesAlternating, 9.0 / 80, 400, 800}},
-		{"the last group", 20, 17, 40, true, 0, subsetChoice{1, zonesMerged, 0.25, 16, 256}},
+		{"last group", 20, 17, 40, true, 0, subsetChoice{1, zonesMerged, 0.25, 16, 256}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.nodes, cfg.self, cfg.usesOwners = c.nodes, NodeID(c.self), c.owners
+			cfg.nodes, cfg.self, cfg.usesOwners = c.nodes, NodeID(c.self), c.usesOwners
 			chooser := subsetChooser{config: cfg, attemptsSent: decayingMean{count: c.sent, at: 10 * Second}}
 			if got := chooser.choose(10*Second, c.ready); got != c.want {
 				t.Errorf("choose() = %+v, want %+v", got, c.want)
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -75,8 +75,8 @@
 // sendsToPeers reports whether this node has peers that receive messages.
 func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peersEnabled }
 
-// startPollIfDue reports whether discovery is to be polled now. The poll is then in flight until it fails: after a success,
-// the host continues to receive updates from discovery.
+// startPollIfDue reports whether discovery is to be polled now. The poll is then in flight until it fails. After a
+// success, the host continues to receive updates from discovery.
 func (t *timers) startPollIfDue(now Time) bool {
 	due := t.pollAt > 0 && now >= t.pollAt && !t.polling
 	t.polling = t.polling || due
