--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -51,7 +51,7 @@
 	trials     float64      // trial budget, in attempts
 }
 
-// informative reports whether a state must be kept, as it has attempts in flight, failures, an ejection or recent
+// informative reports whether a state must be kept: a state with attempts in flight, failures, an ejection or recent
 // suspicions. It decays a copy of the state, since a decay of the state itself would change later values by rounding.
 func (s outlierState) informative(now Time) bool {
 	s.suspicions.decayTo(now, suspicionTimeConstant)
@@ -106,8 +106,8 @@
 	}
 }
 
-// eject takes a server out of a class's rotation, for twice as long as the last time. An ejection lasts at least one and
-// at most maxEjectionObjectives of the shortest latency objective.
+// eject takes a server out of a class's rotation, for twice as long as the last time. An ejection lasts 1 to
+// maxEjectionObjectives times the shortest latency objective.
 func (d *outlierDetector) eject(state *outlierState, now Time) {
 	shortest := d.config.shortestObjective
 	state.ejectedFor = min(max(2*state.ejectedFor, shortest), maxEjectionObjectives*shortest)
@@ -189,10 +189,10 @@
 	if state.suspicions.count == 0 {
 		return false
 	}
-	all := &d.classes[class].suspicions
+	classSuspicions := &d.classes[class].suspicions
 	state.suspicions.decayTo(now, suspicionTimeConstant)
-	all.decayTo(now, suspicionTimeConstant)
-	mean := all.count / float64(max(1, ready))
+	classSuspicions.decayTo(now, suspicionTimeConstant)
+	mean := classSuspicions.count / float64(max(1, ready))
 	return state.suspicions.count >= minExcessSuspicions+mean+suspicionDeviations*math.Sqrt(mean)
 }
 
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -11,9 +11,9 @@
 	e.quota.lastPeerMessageAt = e.now
 	e.owner.peerMessages.add(1, e.now, demandTimeConstant)
 	for _, report := range m.reports {
-		here := e.config.inSet(e.config.self, report.firstNode, report.spread)
-		there := e.config.inSet(from, report.firstNode, report.spread)
-		if here && there {
+		selfInSet := e.config.inSet(e.config.self, report.firstNode, report.spread)
+		senderInSet := e.config.inSet(from, report.firstNode, report.spread)
+		if selfInSet && senderInSet {
 			e.receiveReport(m.kind, from, report)
 		}
 	}
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -67,20 +67,20 @@
 		return 1
 	}
 	evenShare := 1 / float64(c.spread)
-	local := demandRate(&c.demand, now)
+	localDemand := demandRate(&c.demand, now)
 	if !q.peersReport(c, now) {
 		return evenShare
 	}
-	total := local + demandRate(&c.peerDemand, now)
+	totalDemand := localDemand + demandRate(&c.peerDemand, now)
 	if c.peerDemand.count < minPeerReports {
 		return 1
 	}
 	// Peers' reports are late: the prior keeps the share near the even share.
 	prior := evenSharePriorQuotas * q.config.plans[c.plan].rate
-	if total+prior <= 0 {
+	if totalDemand+prior <= 0 {
 		return evenShare
 	}
-	return min(1, (local+prior*evenShare)/(total+prior))
+	return min(1, (localDemand+prior*evenShare)/(totalDemand+prior))
 }
 
 // peersReport reports whether peers send messages and have had time to report the customer.
