--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -5,13 +5,14 @@
 //   - Inputs: first attempts, retries, the request's class, the outcomes of its attempts.
 //   - State: the budget, in attempts.
 //   - Rule: each first attempt earns retryBudgetRatio, each retry costs 1. A request that may have run is retried only
-//     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that ends.
+//     as its class allows. A late attempt at an ejected server is cancelled, and the request is retried once that
+//     attempt has ended.
 //   - Protects against: a storm of retries when many attempts fail.
 //   - Trade-off: under light load, a few failed servers can use up the budget. Therefore it may grow to
 //     maxRetryBudgetPerServer attempts for each usable server.
 type retryBudget struct {
 	config *config
-	left   float64
+	left   float64 // retries that the budget allows now
 }
 
 const (
@@ -50,7 +51,7 @@
 }
 
 // repeatable reports whether a request of the class may run again at startBy, if the attempt may have run. A keyed
-// request may while servers remember the idempotency key.
+// request may run again while servers remember the idempotency key.
 func (c *classConfig) repeatable(a *attempt, startBy Time) bool {
 	switch c.retrySafety {
 	case retryNever:
@@ -68,7 +69,7 @@
 }
 
 // cancelLateAttempts cancels a request's attempts that are late at ejected servers, unless its latency objective has
-// passed or it may have no other attempt. The request is retried once the cancelled attempt has ended.
+// passed or the request may have no other attempt. The request is retried once the cancelled attempt has ended.
 func (e *Engine) cancelLateAttempts(r *request) {
 	delay := e.retries.cancelDelay(r.class, e.usualLatency(r.class))
 	objective := e.config.classes[r.class].latencyObjective
