--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// TimeUnit is the unit of time of the settings, as of the decision engine.
+// TimeUnit is the unit of time in the settings. The decision engine uses the same unit.
 const TimeUnit = 100 * time.Microsecond
 
 // unitsPerMs is the number of time units in a millisecond.
 const unitsPerMs = float64(time.Millisecond / TimeUnit)
 
-// Duration is the text of a time setting: a number of time units, parsed once. The zero Duration is a setting that is not
-// given, and reads as 0. Its methods interpret the text as those of Number do.
+// Duration is a time setting: a number of time units, parsed once. The zero Duration is a setting that is not given, and
+// reads as 0. Its methods interpret a text as the methods of Number do.
 type Duration struct{ units Number }
 
-// ParseDuration parses the text of a setting that is a time: a number of time units.
+// ParseDuration parses the text of a time setting, which is a number of time units.
 func ParseDuration(text string) Duration { return Duration{ParseNumber(text)} }
 
-// Milliseconds returns a setting with a time of ms milliseconds.
+// Milliseconds returns a time setting of ms milliseconds.
 func Milliseconds(ms float64) Duration { return Duration{FloatNumber(ms * unitsPerMs)} }
 
-// Units returns a setting with a time of n time units.
+// Units returns a time setting of n time units.
 func Units(n int) Duration { return ParseDuration(strconv.Itoa(n)) }
 
-// DurationOf returns a setting with the time d, rounded towards 0 to whole time units.
+// DurationOf returns a time setting of d, rounded towards 0 to whole time units.
 func DurationOf(d time.Duration) Duration { return Units(int(d / TimeUnit)) }
 
 // String returns the text that was parsed.
--- a/internal/settings/forms.go
+++ b/internal/settings/forms.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// FromText reads the simulator's text, which has one name=value on each line. It ignores unknown names, and lines without
-// "=". The last of several lines with the same name applies.
+// FromText parses the simulator's text, which has one name=value on each line. It ignores unknown names, and lines without
+// "=". If several lines have the same name, the last one applies.
 func FromText(text []byte) *Settings { return Parse(valuesFromText(text)) }
 
-// FromJSON reads the nested form of the platform's configuration. The error is that of encoding/json.
+// FromJSON parses the nested form of the platform's configuration. It returns the error of encoding/json if raw does not
+// begin with a JSON object or null.
 func FromJSON(raw []byte) (*Settings, error) {
 	values, err := valuesFromJSON(raw)
 	if err != nil {
@@ -21,86 +22,86 @@
 	return Parse(values), nil
 }
 
-// valuesFromText reads the simulator's text into this package's keys.
+// valuesFromText parses the simulator's text and translates it into this package's keys.
 func valuesFromText(text []byte) Values {
-	set := Values{}
+	values := Values{}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if name, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
-			add(set, name, value)
+			addSetting(values, name, value)
 		}
 	}
-	return set
+	return values
 }
 
-// valuesFromJSON reads the platform's configuration into this package's keys.
+// valuesFromJSON parses the platform's configuration and translates it into this package's keys.
 func valuesFromJSON(raw []byte) (Values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps the text of numbers
+	decoder.UseNumber() // A json.Number keeps the text of the number.
 	var tree map[string]any
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, err
 	}
-	set := Values{}
-	flatten(set, "", tree)
-	return set, nil
+	values := Values{}
+	flatten(values, "", tree)
+	return values, nil
 }
 
-// flatten adds a nested value under its name in the text form: the names of the levels joined by dots.
-func flatten(set Values, name string, value any) {
+// flatten adds a nested value under its name in the text form: the keys of the enclosing objects, joined by dots.
+func flatten(values Values, name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for key, inner := range v {
 			if name != "" {
 				key = name + "." + key
 			}
-			flatten(set, key, inner)
+			flatten(values, key, inner)
 		}
 	case []any:
-		flattenList(set, name, v)
+		flattenList(values, name, v)
 	case nil:
 	default:
-		add(set, name, fmt.Sprint(v))
+		addSetting(values, name, fmt.Sprint(v))
 	}
 }
 
-// flattenList adds a list. Each entry of a list of objects is added under the entry's number, and the list's length under
-// ".count". A list without objects becomes one text, joined by commas.
-func flattenList(set Values, name string, list []any) {
-	values := make([]string, len(list))
+// flattenList adds a list. In a list that has an object, each object is added under its number, and the list's length under
+// ".count". A list without objects becomes one text, its elements joined by commas.
+func flattenList(values Values, name string, list []any) {
+	texts := make([]string, len(list))
 	hasObject := false
 	for i, inner := range list {
 		if _, object := inner.(map[string]any); object {
-			flatten(set, name+"."+strconv.Itoa(i), inner)
+			flatten(values, name+"."+strconv.Itoa(i), inner)
 			hasObject = true
 		} else {
-			values[i] = fmt.Sprint(inner)
+			texts[i] = fmt.Sprint(inner)
 		}
 	}
 	if hasObject {
-		add(set, name+".count", strconv.Itoa(len(list)))
+		addSetting(values, name+".count", strconv.Itoa(len(list)))
 	} else {
-		add(set, name, strings.Join(values, ","))
+		addSetting(values, name, strings.Join(texts, ","))
 	}
 }
 
-// add translates one setting of the platform. Unknown names are ignored.
-func add(set Values, name, value string) {
-	parts := strings.SplitN(name, ".", 3) // of a list: its name, the entry's number, the entry's setting
-	list, ok := lists[parts[0]]
+// addSetting translates one setting of the platform and adds it to values. Unknown names are ignored.
+func addSetting(values Values, name, value string) {
+	parts := strings.SplitN(name, ".", 3) // The parts in a list are the list's name, an entry's number and the entry's setting.
+	prefix, ok := listPrefixes[parts[0]]
 	if !ok || len(parts) == 1 {
-		if known, ok := translations[name]; ok {
-			set[known.key] = known.form.parse(value)
+		if setting, ok := translations[name]; ok {
+			values[setting.key] = setting.form.parse(value)
 		}
 		return
 	}
 	if name == parts[0]+countField {
-		set[list+countField] = value
+		values[prefix+countField] = value
 		return
 	}
 	if len(parts) < 3 {
 		return
 	}
-	if known, ok := translations[parts[0]+"."+parts[2]]; ok {
-		set[entryKey(list, parts[1], known.key)] = known.form.parse(value)
+	if setting, ok := translations[parts[0]+"."+parts[2]]; ok {
+		values[entryKey(prefix, parts[1], setting.key)] = setting.form.parse(value)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// The keys of Values. Each key stands for the field of Settings with the same name. Times are in time units. A switch is on
-// if its text is On.
+// These are the keys of Values outside of lists. The setting of each key is the field of Settings with the name of the
+// constant. Times are in time units. A boolean is true if its text is On.
 const (
 	Node  = "node"
 	Nodes = "nodes"
@@ -12,7 +12,7 @@
 	EndpointList = "endpoint_list"
 	PollWithin   = "poll_within"
 
-	LoadReportFields  = "load_report.fields" // names separated by commas
+	LoadReportFields  = "load_report.fields" // field names, separated by commas
 	LoadReportChannel = "load_report.channel"
 
 	MaxAttempts    = "max_attempts"
@@ -38,26 +38,26 @@
 	MaxUnits       = "max_units"
 )
 
-// On is the text of a switch that is on. Any other text is off.
+// On is the text of a boolean setting that is true. Any other text means false.
 const On = "true"
 
-// The choices of an EndpointListMode.
+// Values of EndpointListMode.
 const (
 	EndpointListPoll = "poll" // the node polls for endpoint lists
 	EndpointListPush = "push" // the discovery service pushes them
 )
 
-// The names in Settings.LoadReportFields.
+// Field names in Settings.LoadReportFields.
 const (
-	LoadInFlight    = "in_flight"
-	LoadQueued      = "queued"
-	LoadUtilization = "utilization" // of the processor, from 0 to 1
-	LoadLatency     = "latency"     // ms
-	LoadRate        = "rate"        // requests served a second
-	LoadErrorRate   = "error_rate"  // errors a second
+	LoadInFlight    = "in_flight"   // number of requests in flight
+	LoadQueued      = "queued"      // number of queued requests
+	LoadUtilization = "utilization" // CPU utilization, from 0 to 1
+	LoadLatency     = "latency"     // latency in milliseconds
+	LoadRate        = "rate"        // requests served per second
+	LoadErrorRate   = "error_rate"  // errors per second
 )
 
-// Prefixes of the keys of lists, and the keys of their declared lengths.
+// Prefixes of the keys in lists, and the keys of the lists' declared lengths.
 const (
 	classList  = "class"
 	planList   = "plan"
@@ -67,10 +67,10 @@
 	PlanCount  = planList + countField
 )
 
-// ClassField is the last part of a key, which names a field of Class. ClassKey returns the whole key.
+// ClassField is the last part of the key of a class's setting. It names a field of Class. ClassKey returns the whole key.
 type ClassField string
 
-// The fields of Class.
+// Values of ClassField. The constant ClassName names the field Class.Name, and so on.
 const (
 	ClassName              ClassField = "name"
 	ClassRetrySafety       ClassField = "retry_safety"
@@ -84,24 +84,24 @@
 	ClassObjectiveStretch  ClassField = "objective_stretch"
 )
 
-// The choices of a RetrySafety.
+// Values of RetrySafety.
 const (
-	RetrySafe   = "safe"   // idempotent: may be repeated
-	RetryKeyed  = "keyed"  // servers drop repeats with the same idempotency key
-	RetryUnsafe = "unsafe" // must not run twice
+	RetrySafe   = "safe"   // requests are idempotent and may run more than once
+	RetryKeyed  = "keyed"  // servers drop a repeated request with the same idempotency key
+	RetryUnsafe = "unsafe" // requests must not run more than once
 )
 
-// The choices of an IdempotencyGroup.
+// Values of IdempotencyGroup.
 const (
 	GroupAll  = "all"  // all servers
-	GroupZone = "zone" // the servers of a zone
-	GroupCell = "cell" // the servers of a cell
+	GroupZone = "zone" // the servers of one zone
+	GroupCell = "cell" // the servers of one cell
 )
 
-// PlanField is the last part of a key, which names a field of Plan. PlanKey returns the whole key.
+// PlanField is the last part of the key of a plan's setting. It names a field of Plan. PlanKey returns the whole key.
 type PlanField string
 
-// The fields of Plan.
+// Values of PlanField. The constant PlanName names the field Plan.Name, and so on.
 const (
 	PlanName           PlanField = "name"
 	PlanRate           PlanField = "rate"
@@ -125,5 +125,5 @@
 	return entryKey(planList, strconv.Itoa(i), string(field))
 }
 
-// entryKey returns the key of a field of an entry of a list.
-func entryKey(list, entry, field string) string { return list + "." + entry + "." + field }
+// entryKey returns the key of a field of an entry in the list with a key prefix.
+func entryKey(prefix, entry, field string) string { return prefix + "." + entry + "." + field }
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// formerKeys pairs each key with its name in earlier releases, whose journals and notes have that. Keys of class 0 and plan
-// 0 stand for those of any number.
+// formerKeys pairs each key with its name in earlier releases. The journals and notes of those releases use that name. The
+// keys of class 0 and plan 0 represent those of all classes and plans.
 var formerKeys = []struct{ former, key string }{
 	{"node", Node},
 	{"nodes", Nodes},
@@ -63,8 +63,8 @@
 	{"plan.0.ceiling.slack", PlanKey(0, PlanCeilingSlack)},
 }
 
-// formerWords pairs each word of a choice with its name in earlier releases.
-var formerWords = []struct{ former, word string }{
+// formerEnumValues pairs each enumerated value with its name in earlier releases.
+var formerEnumValues = []struct{ former, value string }{
 	{"replayable", RetrySafe},
 	{"referenced", RetryKeyed},
 	{"single-use", RetryUnsafe},
@@ -78,35 +78,36 @@
 	{"errors", LoadErrorRate},
 }
 
-// inFormerNames gives values, sorted, by former keys and words.
-func inFormerNames(t *testing.T, set Values) string {
+// formatInFormerNames returns the settings as sorted entries that use the former keys and enumerated values.
+func formatInFormerNames(t *testing.T, set Values) string {
 	t.Helper()
 	entries := make([]string, 0, len(set))
 	for key, value := range set {
-		first := strings.Replace(key, ".1.", ".0.", 1)
-		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == first })
+		keyOfFirst := strings.Replace(key, ".1.", ".0.", 1)
+		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == keyOfFirst })
 		if i < 0 {
-			t.Fatalf("%s is not in the table", key)
+			t.Fatalf("key %q is not in formerKeys, want every key in it", key)
 		}
 		former := formerKeys[i].former
-		if first != key {
+		if keyOfFirst != key {
 			former = strings.Replace(former, ".0.", ".1.", 1)
 		}
-		words := strings.Split(value, ",")
-		for i, word := range words {
-			for _, w := range formerWords {
-				if w.word == word {
-					words[i] = w.former
+		parts := strings.Split(value, ",")
+		for i, part := range parts {
+			for _, enum := range formerEnumValues {
+				if enum.value == part {
+					parts[i] = enum.former
 				}
 			}
 		}
-		entries = append(entries, former+"="+strings.Join(words, ",")+";")
+		entries = append(entries, former+"="+strings.Join(parts, ",")+";")
 	}
 	slices.Sort(entries)
 	return strings.Join(entries, "")
 }
 
-// Every setting has the value that it had under its former key.
+// Every setting has the value that it had under its former key. A renamed key that is mapped to the wrong name of the
+// platform would give a setting the value of another one.
 func TestValuesUnderFormerKeys(t *testing.T) {
 	fromJSON, err := valuesFromJSON([]byte(fullJSON))
 	if err != nil {
@@ -123,36 +124,38 @@
 			want := strings.SplitAfter(strings.TrimSuffix(c.want, ";"), ";")
 			want[len(want)-1] += ";"
 			slices.Sort(want)
-			if got := inFormerNames(t, c.set); got != strings.Join(want, "") {
-				t.Errorf("got  %s\nwant %s", got, strings.Join(want, ""))
+			if got := formatInFormerNames(t, c.set); got != strings.Join(want, "") {
+				t.Errorf("settings from %s under their former keys:\ngot  %s\nwant %s", name, got, strings.Join(want, ""))
 			}
 		})
 	}
 }
 
-// Each key has one former key, and the table has all keys.
+// Each key has one former key, and formerKeys has all keys. A key that is missing there would not be compared by
+// TestValuesUnderFormerKeys.
 func TestFormerKeysAreOneToOne(t *testing.T) {
 	set := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
 	byFormer, byKey := map[string]bool{}, map[string]bool{}
 	for _, k := range formerKeys {
 		if _, ok := set[k.key]; !ok || byFormer[k.former] || byKey[k.key] {
-			t.Errorf("%s is %s: read %v", k.former, k.key, ok)
+			t.Errorf("former key %q, key %q: key is read = %v, want true, and each former key and key only once", k.former, k.key, ok)
 		}
 		byFormer[k.former], byKey[k.key] = true, true
 	}
 	for key := range maps.Keys(set) {
 		if !byKey[strings.Replace(key, ".1.", ".0.", 1)] {
-			t.Errorf("%s is not in the table", key)
+			t.Errorf("key %q is not in formerKeys, want every key in it", key)
 		}
 	}
 }
 
-// Neither keys nor former keys are names of the platform, except for the tick's, which is both.
+// FromText ignores this package's keys and the former keys, because neither are names of the platform. Otherwise a setting
+// could be given under two names. The exception is Tick, whose key is also its name of the platform.
 func TestOwnKeysAreNotTaken(t *testing.T) {
 	for _, k := range formerKeys {
 		for _, key := range []string{k.former, k.key} {
 			if set := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
-				t.Errorf("%s gave %v", key, set)
+				t.Errorf("valuesFromText(\"%s=7\") = %v, want no setting", key, set)
 			}
 		}
 	}
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Values are the texts of settings by this package's keys: Node, MaxAttempts, ClassKey and so on.
+// Values maps this package's keys (Node, MaxAttempts, the results of ClassKey, and so on) to the texts of the settings.
 type Values map[string]string
 
-// Parse reads all settings. It accepts all texts, see Number and Duration.
+// Parse returns the settings whose texts are in v. It accepts all texts: see Number and Duration.
 func Parse(v Values) *Settings {
 	return &Settings{
 		Node:              v.number(Node),
@@ -16,7 +16,7 @@
 		Tick:              v.duration(Tick),
 		EndpointList:      EndpointListMode(v[EndpointList]),
 		PollWithin:        v.duration(PollWithin),
-		LoadReportFields:  v.words(LoadReportFields),
+		LoadReportFields:  v.stringList(LoadReportFields),
 		LoadReportChannel: v[LoadReportChannel],
 		MaxAttempts:       v.number(MaxAttempts),
 		Hedging:           v.enabled(Hedging),
@@ -42,26 +42,26 @@
 	}
 }
 
-// parseList reads the entries that are given. The declared length has no effect on them.
-func parseList[E any](v Values, list, countKey string, parse func(v Values, i int) E) List[E] {
+// parseList parses a list with all entries that v contains, whatever the declared length is.
+func parseList[E any](v Values, prefix, countKey string, parse func(v Values, i int) E) List[E] {
 	l := List[E]{Count: v.number(countKey), entries: map[int]E{}}
 	for key := range v {
-		parts := strings.SplitN(key, ".", 3) // list, number, field
-		if len(parts) < 3 || parts[0] != list {
+		parts := strings.SplitN(key, ".", 3) // The parts are the list's prefix, the entry's number and the field.
+		if len(parts) < 3 || parts[0] != prefix {
 			continue
 		}
 		i, err := strconv.Atoi(parts[1])
 		if err != nil || strconv.Itoa(i) != parts[1] {
-			continue // not the decimal form of a number, such as "01"
+			continue // The part is not a number in its shortest decimal form: "x" or "01".
 		}
-		if _, done := l.entries[i]; !done {
+		if _, parsed := l.entries[i]; !parsed {
 			l.entries[i] = parse(v, i)
 		}
 	}
 	return l
 }
 
-// parseClass reads the request class with the number i.
+// parseClass parses the request class with the number i.
 func parseClass(v Values, i int) Class {
 	key := func(field ClassField) string { return ClassKey(i, field) }
 	name, named := v[key(ClassName)]
@@ -80,7 +80,7 @@
 	}
 }
 
-// parsePlan reads the plan with the number i.
+// parsePlan parses the plan with the number i.
 func parsePlan(v Values, i int) Plan {
 	number := func(field PlanField) Number { return v.number(PlanKey(i, field)) }
 	return Plan{
@@ -97,17 +97,17 @@
 	}
 }
 
-// number reads a numeric setting.
+// number parses a numeric setting.
 func (v Values) number(key string) Number { return ParseNumber(v[key]) }
 
-// duration reads a time setting.
+// duration parses a time setting.
 func (v Values) duration(key string) Duration { return ParseDuration(v[key]) }
 
-// enabled reports whether a setting is exactly On.
+// enabled reports whether a boolean setting is true: its text is exactly On.
 func (v Values) enabled(key string) bool { return v[key] == On }
 
-// words reads a list of words separated by commas. It returns nil for an empty text.
-func (v Values) words(key string) []string {
+// stringList returns the parts of a text that are separated by commas. It returns nil for an empty text.
+func (v Values) stringList(key string) []string {
 	if v[key] == "" {
 		return nil
 	}
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -8,36 +8,36 @@
 
 // translation describes how a setting of the platform becomes one of Values.
 type translation struct {
-	key  string // for an entry of a list: the field's part of the key
-	form form   // of the text
+	key  string // key in Values; for an entry of a list, only the field's part of the key
+	form form   // form of the text
 }
 
-// form is a translation of a setting's text between the platform's form and the form of Values.
+// form translates a setting's text between the platform's form and the form of Values.
 type form struct {
-	parse  func(text string) string // from the platform's form
-	format func(text string) string // to the platform's form; the inverse of parse for every text that parse understands
+	parse  func(text string) string // translates from the platform's form
+	format func(text string) string // translates to the platform's form; the inverse of parse for every valid text
 }
 
-// lists maps the platform's names of lists to this package's. An entry has the same number in both.
-var lists = map[string]string{
+// listPrefixes maps the platform's names of lists to this package's key prefixes. An entry has the same number in both.
+var listPrefixes = map[string]string{
 	"services":         classList,
 	"tiers_of_service": planList,
 }
 
-// translations maps the platform's names to the settings that are read. The names of a list's entries stand without the
-// entry's number: "services.name" for "services.0.name".
+// translations maps the platform's names of the known settings to their translations. The names of settings in a list omit
+// the entry's number: "services.name" for "services.0.name".
 var translations = map[string]translation{
 	"slot_no":          {Node, verbatim},
 	"replicas_of_me":   {Nodes, verbatim},
 	"tick":             {Tick, timeUnits},
-	"registry_mode":    {EndpointList, word},
-	"feedback.columns": {LoadReportFields, columns},
+	"registry_mode":    {EndpointList, enumValue},
+	"feedback.columns": {LoadReportFields, loadFields},
 	"feedback.how":     {LoadReportChannel, verbatim},
 
 	// Request classes.
 	"services":             {classList, verbatim},
 	"services.name":        {string(ClassName), verbatim},
-	"services.semantics":   {string(ClassRetrySafety), word},
+	"services.semantics":   {string(ClassRetrySafety), enumValue},
 	"services.slo":         {string(ClassLatencyObjective), timeUnits},
 	"services.deadline":    {string(ClassDeadline), timeUnits},
 	"services.group":       {string(ClassIdempotencyGroup), verbatim},
@@ -86,14 +86,14 @@
 	"specifics.peer_in_per_s": {PeerRate, verbatim},
 }
 
-// words translates the platform's words for a RetrySafety and an EndpointListMode.
-var words = map[string]string{
+// enumValues maps the platform's values of enumerated settings to those of RetrySafety and EndpointListMode.
+var enumValues = map[string]string{
 	"idempotent": RetrySafe, "deduplicated": RetryKeyed, "at_most_once": RetryUnsafe,
 	"subscribe": EndpointListPoll, "automatic": EndpointListPush,
 }
 
-// loadColumns translates the platform's names of the fields of load reports.
-var loadColumns = map[string]string{
+// loadFieldNames maps the platform's names of the fields of load reports to those in Settings.LoadReportFields.
+var loadFieldNames = map[string]string{
 	"rif": LoadInFlight, "q": LoadQueued, "busy": LoadUtilization, "lat_ms": LoadLatency, "rate": LoadRate,
 	"fail_rate": LoadErrorRate,
 }
@@ -103,20 +103,20 @@
 
 // Forms of the settings' texts.
 var (
-	verbatim  = form{parse: identity, format: identity}
-	word      = form{parse: parseWord, format: formatWord}
-	timeUnits = form{parse: parseMicros, format: formatMicros}
-	columns   = form{parse: parseColumns, format: formatColumns}
+	verbatim   = form{parse: identity, format: identity}
+	enumValue  = form{parse: parseEnum, format: formatEnum}
+	timeUnits  = form{parse: parseMicros, format: formatMicros}
+	loadFields = form{parse: parseLoadFields, format: formatLoadFields}
 )
 
 // identity returns the text unchanged.
 func identity(value string) string { return value }
 
-// parseWord returns the translation in words, or an empty text for an unknown word.
-func parseWord(value string) string { return words[value] }
+// parseEnum translates a platform's value by enumValues. It returns an empty text for an unknown value.
+func parseEnum(value string) string { return enumValues[value] }
 
 // parseMicros converts a number of microseconds to whole time units, rounded towards 0. It returns a text that is not a
-// number as it is.
+// number unchanged.
 func parseMicros(value string) string {
 	micros, err := strconv.ParseFloat(value, 64)
 	if err != nil {
@@ -125,12 +125,12 @@
 	return strconv.FormatInt(int64(micros)/microsPerTimeUnit, 10)
 }
 
-// parseColumns translates a list of names in loadColumns, separated by commas. An unknown name becomes empty, so that the
-// others keep their places.
-func parseColumns(value string) string {
+// parseLoadFields translates a list of names by loadFieldNames. Commas separate the names. An unknown name becomes empty, so
+// that the other names keep their positions.
+func parseLoadFields(value string) string {
 	names := strings.Split(value, ",")
 	for i, name := range names {
-		names[i] = loadColumns[name]
+		names[i] = loadFieldNames[name]
 	}
 	return strings.Join(names, ",")
 }
--- a/internal/settings/platformwriter.go
+++ b/internal/settings/platformwriter.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// PlatformJSON returns settings in the nested form of the platform's configuration. The stand-ins of the laboratory use it to
-// configure real nodes.
+// PlatformJSON returns settings in the nested form of the platform's configuration. The packages of internal/lab use
+// it to configure real nodes.
 //
-// It leaves out fields without a text, switches that are off, and entries of lists from the declared length on. FromJSON
-// reads all other settings back, except for times that are not a whole number of time units: PlatformJSON writes their text
-// as it is, and FromJSON takes it for microseconds.
+// It omits fields without a text, booleans that are false, and list entries whose number is not below the declared length.
+// FromJSON parses all other settings back, except for times that are not a whole number of time units. PlatformJSON writes
+// the text of such a time unchanged, and FromJSON interprets it as microseconds.
 func PlatformJSON(s *Settings) json.RawMessage {
 	root := object{}
 	for key, text := range settingTexts(s) {
@@ -21,14 +21,14 @@
 	root[planListName] = listObjects(planListName, s.Plans, planTexts)
 	raw, err := json.Marshal(root)
 	if err != nil {
-		panic(err) // impossible: the tree has only objects, lists, strings, switches and valid numbers
+		panic(err) // This is impossible: the tree has only objects, lists, strings, booleans and valid numbers.
 	}
 	return raw
 }
 
-// platformName is a platform's name of a setting, and the form of its text.
+// platformName is the platform's name of a setting, and the form of its text.
 type platformName struct {
-	path []string // the names of the levels
+	path []string // keys of the nested objects, the outermost first
 	form form
 }
 
@@ -40,34 +40,35 @@
 
 // listName returns the platform's name of a list with a key prefix.
 func listName(prefix string) string {
-	for name, list := range lists {
-		if list == prefix {
+	for name, listPrefix := range listPrefixes {
+		if listPrefix == prefix {
 			return name
 		}
 	}
-	panic("list " + prefix + " has no name of the platform")
+	panic("list " + prefix + " has no platform name")
 }
 
-// platformNames are the platform's names of the settings outside of lists, by this package's keys.
+// platformNames maps this package's keys outside of lists to the platform's names.
 var platformNames = invertTranslations("")
 
-// invertTranslations returns the platform's names of the settings in a list, or of those outside of lists if list is empty.
+// invertTranslations returns the platform's names of the settings in the list with the platform's name list, by field. If
+// list is empty, it returns those of the settings outside of lists, by key.
 func invertTranslations(list string) map[string]platformName {
 	inverted := map[string]platformName{}
-	for name, known := range translations {
+	for name, setting := range translations {
 		first, rest, nested := strings.Cut(name, ".")
-		_, inList := lists[first]
+		_, inList := listPrefixes[first]
 		switch {
 		case list == "" && !inList:
-			inverted[known.key] = platformName{path: strings.Split(name, "."), form: known.form}
+			inverted[setting.key] = platformName{path: strings.Split(name, "."), form: setting.form}
 		case inList && nested && first == list:
-			inverted[known.key] = platformName{path: []string{rest}, form: known.form}
+			inverted[setting.key] = platformName{path: []string{rest}, form: setting.form}
 		}
 	}
 	return inverted
 }
 
-// listObjects returns a list in the platform's form. texts returns the texts of an entry by this package's fields.
+// listObjects returns a list in the platform's form. texts returns the texts of an entry by ClassField or PlanField.
 func listObjects[E any](name string, list List[E], texts func(E) Values) []object {
 	names := invertTranslations(name)
 	objects := make([]object, list.NamedLen())
@@ -80,27 +81,27 @@
 	return objects
 }
 
-// object is an object of the platform's configuration.
+// object is a JSON object in the platform's configuration.
 type object map[string]any
 
-// set sets a setting in the object, or in the objects within it on the setting's path. It ignores an empty text.
+// set sets a setting at its path within the object, and creates missing inner objects. It ignores an empty text.
 func (o object) set(name platformName, text string) {
 	if text == "" {
 		return
 	}
 	last := len(name.path) - 1
-	for _, level := range name.path[:last] {
-		inner, ok := o[level].(object)
+	for _, key := range name.path[:last] {
+		inner, ok := o[key].(object)
 		if !ok {
 			inner = object{}
-			o[level] = inner
+			o[key] = inner
 		}
 		o = inner
 	}
 	o[name.path[last]] = jsonValue(name.form.format(text))
 }
 
-// jsonValue returns a text as a number or a switch if it is one, otherwise as a string.
+// jsonValue returns the JSON value of a text: true for On, a number for a valid JSON number, otherwise a string.
 func jsonValue(text string) any {
 	if text == On {
 		return true
@@ -111,17 +112,17 @@
 	return text
 }
 
-// formatWord returns the platform's word for one of words. It returns an unknown word as it is.
-func formatWord(text string) string {
-	for platform, standard := range words {
-		if standard == text {
-			return platform
+// formatEnum translates an enumerated setting to the platform's value. It returns an unknown value unchanged.
+func formatEnum(text string) string {
+	for platformValue, value := range enumValues {
+		if value == text {
+			return platformValue
 		}
 	}
 	return text
 }
 
-// formatMicros converts a whole number of time units to microseconds. It returns any other text as it is.
+// formatMicros converts a whole number of time units to microseconds. It returns any other text unchanged.
 func formatMicros(text string) string {
 	units, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -130,21 +131,21 @@
 	return strconv.FormatInt(units*microsPerTimeUnit, 10)
 }
 
-// formatColumns translates a list of the fields of load reports to the platform's names. An unknown name becomes empty.
-func formatColumns(text string) string {
+// formatLoadFields translates a list of the fields of load reports to the platform's names. An unknown name becomes empty.
+func formatLoadFields(text string) string {
 	fields := strings.Split(text, ",")
 	for i, field := range fields {
 		fields[i] = ""
-		for platform, standard := range loadColumns {
-			if standard == field {
-				fields[i] = platform
+		for platformField, name := range loadFieldNames {
+			if name == field {
+				fields[i] = platformField
 			}
 		}
 	}
 	return strings.Join(fields, ",")
 }
 
-// settingTexts returns the texts of all settings outside of lists, by their keys: the inverse of Parse.
+// settingTexts returns the texts of all settings outside of lists, by key. It is the inverse of Parse for them.
 func settingTexts(s *Settings) Values {
 	return Values{
 		Node:              s.Node.String(),
@@ -155,12 +156,12 @@
 		LoadReportFields:  strings.Join(s.LoadReportFields, ","),
 		LoadReportChannel: s.LoadReportChannel,
 		MaxAttempts:       s.MaxAttempts.String(),
-		Hedging:           switchText(s.Hedging),
-		CancelAttempts:    switchText(s.CancelAttempts),
-		HealthChecks:      switchText(s.HealthChecks),
-		Peers:             switchText(s.Peers),
+		Hedging:           boolText(s.Hedging),
+		CancelAttempts:    boolText(s.CancelAttempts),
+		HealthChecks:      boolText(s.HealthChecks),
+		Peers:             boolText(s.Peers),
 		PeerRate:          s.PeerRate.String(),
-		RetryAfter:        switchText(s.RetryAfter),
+		RetryAfter:        boolText(s.RetryAfter),
 		MaxRetryAfter:     s.MaxRetryAfter.String(),
 		MaxRequests:       s.MaxRequests.String(),
 		IdleTimeout:       s.IdleTimeout.String(),
@@ -171,12 +172,12 @@
 		OverloadSpan:      s.OverloadSpan.String(),
 		DrainGrace:        s.DrainGrace.String(),
 		ResponseSlack:     s.ResponseSlack.String(),
-		EstimatedUnits:    switchText(s.EstimatedUnits),
+		EstimatedUnits:    boolText(s.EstimatedUnits),
 		MaxUnits:          s.MaxUnits.String(),
 	}
 }
 
-// classTexts returns the texts of a class by its fields.
+// classTexts returns the texts of a class, by ClassField.
 func classTexts(c Class) Values {
 	return Values{
 		string(ClassName):              c.Name,
@@ -187,12 +188,12 @@
 		string(ClassIdempotencyWindow): c.IdempotencyWindow.String(),
 		string(ClassPriorityWeight):    c.PriorityWeight.String(),
 		string(ClassLateShare):         c.LateShare.String(),
-		string(ClassStreaming):         switchText(c.Streaming),
+		string(ClassStreaming):         boolText(c.Streaming),
 		string(ClassObjectiveStretch):  c.ObjectiveStretch.String(),
 	}
 }
 
-// planTexts returns the texts of a plan by its fields.
+// planTexts returns the texts of a plan, by PlanField.
 func planTexts(p Plan) Values {
 	return Values{
 		string(PlanName):           p.Name,
@@ -208,8 +209,8 @@
 	}
 }
 
-// switchText returns the text of a switch: On, or none if it is off.
-func switchText(on bool) string {
+// boolText returns the text of a boolean setting: On, or an empty text if it is false.
+func boolText(on bool) string {
 	if on {
 		return On
 	}
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -32,29 +32,31 @@
 	}
 }
 
-// Settings that are written and read back are the same, in every field.
+// Settings that PlatformJSON writes and FromJSON reads back are unchanged in every field. A field that the writer omits would
+// be 0 or off in a node that internal/lab configures.
 func TestPlatformJSONRoundTrip(t *testing.T) {
 	for name, set := range map[string]*Settings{"full": fullSettings(), "empty": Parse(Values{ClassCount: "0", PlanCount: "0"})} {
 		got, err := FromJSON(PlatformJSON(set))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s settings: FromJSON of PlatformJSON's result failed: %v, want no error", name, err)
 		}
-		if name == "empty" { // a list without objects has no declared length
+		if name == "empty" { // The JSON form of a list without objects has no declared length.
 			got.Classes.Count, got.Plans.Count = IntNumber(0), IntNumber(0)
 		}
 		if !reflect.DeepEqual(got, set) {
-			t.Errorf("%s: %+v, want %+v", name, got, set)
+			t.Errorf("%s settings after PlatformJSON and FromJSON:\ngot  %+v\nwant %+v", name, got, set)
 		}
 	}
 	full := reflect.ValueOf(*fullSettings())
 	for i := range full.NumField() {
 		if full.Field(i).IsZero() {
-			t.Errorf("field %s is not tested", full.Type().Field(i).Name)
+			t.Errorf("fullSettings leaves the field %s unset, want every field set", full.Type().Field(i).Name)
 		}
 	}
 }
 
-// The writer has the platform's names and units.
+// PlatformJSON writes the platform's names, and times in microseconds. A round trip alone would not detect a wrong name that
+// the reader has as well.
 func TestPlatformJSONFormat(t *testing.T) {
 	set := &Settings{
 		Node: IntNumber(3), Tick: Units(20), EndpointList: EndpointListPush, RetryAfter: true, SlowStartShare: FloatNumber(0.25),
@@ -65,14 +67,14 @@
 		`"services":[{"name":"find","semantics":"deduplicated","slo":400000}],"slot_no":3,"tick":2000,` +
 		`"tiers_of_service":[{"cap_slack":0,"name":"team","units_per_s":1000000}]}`
 	if got := string(PlatformJSON(set)); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("PlatformJSON wrote\n%s, want\n%s", got, want)
 	}
 }
 
-// Every name of the platform that is read is written too.
+// Every name of the platform that FromJSON reads is written by PlatformJSON too, and numbers survive both directions.
 func TestEveryTranslationIsInvertible(t *testing.T) {
 	written := map[string]bool{}
-	for list := range lists {
+	for list := range listPrefixes {
 		for _, name := range invertTranslations(list) {
 			written[list+"."+name.path[0]] = true
 		}
@@ -85,13 +87,13 @@
 		}
 		written[key] = true
 	}
-	for name, known := range translations {
+	for name, setting := range translations {
 		if !written[name] {
-			t.Errorf("%s is not written", name)
+			t.Errorf("PlatformJSON does not write the name %q, want every name in translations written", name)
 		}
 		for _, text := range []string{"7", "0"} {
-			if back := known.form.parse(known.form.format(text)); known.key != EndpointList && back != text && back != "" {
-				t.Errorf("%s: %q is read back as %q", name, text, back)
+			if back := setting.form.parse(setting.form.format(text)); setting.key != EndpointList && back != text && back != "" {
+				t.Errorf("%s: text %q is read back as %q, want %q or an empty text", name, text, back, text)
 			}
 		}
 	}
@@ -101,7 +103,7 @@
 func TestDurationOf(t *testing.T) {
 	for d, want := range map[time.Duration]string{250 * time.Millisecond: "2500", 199 * time.Microsecond: "1", -time.Second: "-10000"} {
 		if got := DurationOf(d).String(); got != want {
-			t.Errorf("%v: %s time units, want %s", d, got, want)
+			t.Errorf("DurationOf(%v) = %s time units, want %s", d, got, want)
 		}
 	}
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The readings of one setting by those who read it from a map of texts, before this package had types for them. They are
-// the reference for what odd texts mean.
+// The reference functions interpret one setting in a map of texts, as the users of the settings did before this package had
+// types for them. They define the meaning of malformed and unusual texts.
 
 func referenceEngineNumber(set map[string]string, key string) float64 {
 	v, err := strconv.ParseFloat(set[key], 64)
@@ -35,7 +35,7 @@
 	return time.Duration(ticks) * 100 * time.Microsecond
 }
 
-func referenceWords(set map[string]string, key string) []string {
+func referenceStringList(set map[string]string, key string) []string {
 	if set[key] == "" {
 		return nil
 	}
@@ -51,7 +51,8 @@
 	return list
 }
 
-// referenceNamedClasses are the names of the leading classes that have one, as the gRPC front end reads them.
+// referenceNamedClasses returns the names of the classes before the first one without a name. The gRPC front end reads the
+// names in this way.
 func referenceNamedClasses(set map[string]string) (names []string) {
 	for i := 0; ; i++ {
 		name, ok := set[ClassKey(i, ClassName)]
@@ -62,7 +63,8 @@
 	}
 }
 
-// FuzzReadings compares each reading of a number, a time, a switch and a list of words with the reference.
+// FuzzReadings compares all methods that read a number, a time, a boolean or a list of words with the reference functions. A
+// difference would change the decisions of a node that has an unusual text in its settings.
 func FuzzReadings(f *testing.F) {
 	for _, text := range []string{
 		"", "0", "7", "-7", "+7", "2.7", "-2.7", ".5", "5.", "1.0", "1e3", "1E-3", "0x10", "0x1p4", "1_000", "1,5", " 4", "4 ", "4s",
@@ -96,20 +98,20 @@
 			},
 			{"Whole time", fmt.Sprint(s.Tick.Whole()), fmt.Sprint(referenceNodeDuration(set, Tick))},
 			{"switch", fmt.Sprint(s.Peers), fmt.Sprint(set[Peers] == On)},
-			{"words", fmt.Sprintf("%q", s.LoadReportFields), fmt.Sprintf("%q", referenceWords(set, LoadReportFields))},
+			{"words", fmt.Sprintf("%q", s.LoadReportFields), fmt.Sprintf("%q", referenceStringList(set, LoadReportFields))},
 			{"polls", fmt.Sprint(s.PollsEndpoints()), fmt.Sprint(set[EndpointList] == EndpointListPoll)},
 		} {
 			if c.got != c.want {
-				t.Errorf("%s of %q, given %v: %s, want %s", c.name, text, given, c.got, c.want)
+				t.Errorf("%s of the text %q (given: %v) = %s, want %s", c.name, text, given, c.got, c.want)
 			}
 		}
 	})
 }
 
-// bits gives a number exactly, and NaN as equal to NaN.
+// bits returns the bit pattern of a number in hexadecimal, so that NaN is equal to NaN.
 func bits(f float64) string { return fmt.Sprintf("%x", math.Float64bits(f)) }
 
-// FuzzLists compares the lists of classes and plans with the reference, whatever their declared lengths and entries are.
+// FuzzLists compares the lists of classes and plans with the reference functions, for any declared length and any entries.
 func FuzzLists(f *testing.F) {
 	for _, text := range []string{
 		"class.count=2\nclass.0.name=a\nclass.1.name=b\nclass.2.name=c", "class.count=x\nclass.0.name=a", "class.count=2.0\nclass.1.name=b",
@@ -126,8 +128,8 @@
 				set[key] = value
 			}
 		}
-		const longest = 1000 // a longer list is no other case, but takes long
-		if n, m := referenceNodeInt(set, ClassCount), referenceNodeInt(set, PlanCount); max(n, m) > longest {
+		const maxLength = 1000 // A longer list tests nothing else, but takes long.
+		if n, m := referenceNodeInt(set, ClassCount), referenceNodeInt(set, PlanCount); max(n, m) > maxLength {
 			return
 		}
 		s := Parse(Values(set))
@@ -141,7 +143,7 @@
 		want := fmt.Sprintf("%q %q %q %d %d", classNames, planNames, referenceNamedClasses(set),
 			max(1, int(referenceEngineNumber(set, ClassCount))), max(1, int(referenceEngineNumber(set, PlanCount))))
 		if got != want {
-			t.Errorf("%q:\ngot  %s\nwant %s", text, got, want)
+			t.Errorf("names and lengths of the lists in %q:\ngot  %s\nwant %s", text, got, want)
 		}
 		for i := range 10 {
 			c, p := s.Classes.At(i), s.Plans.At(i)
@@ -152,7 +154,7 @@
 				set[PlanKey(i, PlanRate)], set[PlanKey(i, PlanBurst)], set[PlanKey(i, PlanMaxInFlight)],
 				set[PlanKey(i, PlanCeilingRate)], set[PlanKey(i, PlanCeilingBurst)])
 			if got != want {
-				t.Errorf("%q, entry %d:\ngot  %s\nwant %s", text, i, got, want)
+				t.Errorf("fields of class %d and plan %d in %q:\ngot  %s\nwant %s", i, i, text, got, want)
 			}
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,90 +1,90 @@
 package settings
 
-// Settings are the settings of one node. Parse, FromText and FromJSON return them. A field whose setting is not given has
-// its zero value. A running node does not modify its Settings, and several goroutines may read them.
+// Settings holds the settings of one node. Parse, FromText and FromJSON return it. A field whose setting is not given has
+// its zero value. A running node does not modify its Settings, so several goroutines may read them.
 type Settings struct {
-	Node  Number   // this node's number, from 0
-	Nodes Number   // size of the fleet
-	Tick  Duration // greatest delay of a timer or of the end of an attempt
+	Node  Number   // number of this node, from 0
+	Nodes Number   // number of nodes in the fleet
+	Tick  Duration // longest delay of a timer, or of the notification that an attempt has ended
 
 	EndpointList EndpointListMode
-	PollWithin   Duration // EndpointListPoll: longest time to the next poll
-
-	LoadReportFields  []string // LoadInFlight and so on, in the order of app servers' load reports; "" for an unknown one
-	LoadReportChannel string   // how load reports arrive, in the platform's words
-
-	MaxAttempts    Number   // of a request
-	Hedging        bool     // two attempts of a request may be in flight at once
-	CancelAttempts bool     // attempts may be cancelled
-	HealthChecks   bool     // app servers may be checked
-	Peers          bool     // nodes may send each other messages
-	PeerRate       Number   // messages a second that a node receives
-	RetryAfter     bool     // a rejection carries Retry-After
+	PollWithin   Duration // longest time to the next poll; only for EndpointListPoll
+
+	LoadReportFields  []string // LoadInFlight and so on, in the order of app servers' load reports; "" for an unknown field
+	LoadReportChannel string   // channel of load reports, as the platform names it
+
+	MaxAttempts    Number   // maximum number of attempts per request
+	Hedging        bool     // whether two attempts of a request may be in flight at once
+	CancelAttempts bool     // whether the node may cancel attempts
+	HealthChecks   bool     // whether nodes may check the health of app servers
+	Peers          bool     // whether nodes may send each other messages
+	PeerRate       Number   // maximum number of messages that a node receives from peers, per second
+	RetryAfter     bool     // whether a rejection may carry Retry-After
 	MaxRetryAfter  Duration // longest Retry-After
-	MaxRequests    Number   // in flight at a node
-	IdleTimeout    Duration // of a connection to an app server
-	ConnectTimeout Duration // of a connection to an app server
+	MaxRequests    Number   // maximum number of requests in flight at a node
+	IdleTimeout    Duration // time after which an idle connection to an app server may be closed
+	ConnectTimeout Duration // timeout for opening a connection to an app server
 
-	SlowStartSpan    Duration // time after its start at which an app server is warm
+	SlowStartSpan    Duration // time from an app server's start until the app server is warm
 	SlowStartShare   Number   // share of its capacity that an app server has at its start
-	OverloadMultiple Number   // load, relative to its present capacity, that crashes a warming app server after OverloadSpan
-	OverloadSpan     Duration // time that a warming app server stands OverloadMultiple
-	DrainGrace       Duration // time for attempts to a draining or removed app server to stop
-	ResponseSlack    Duration // time after a request's deadline in which a final response counts
+	OverloadMultiple Number   // load that crashes a warming app server after OverloadSpan, relative to its capacity then
+	OverloadSpan     Duration // longest time for which a warming app server sustains OverloadMultiple
+	DrainGrace       Duration // time in which attempts to a draining or removed app server have to end
+	ResponseSlack    Duration // time after a request's deadline within which a final response still counts
 
-	EstimatedUnits bool   // a request's units are an estimate, which its response corrects
-	MaxUnits       Number // of a request; 0 or less: no bound
+	EstimatedUnits bool   // whether a request's units are an estimate that its response corrects
+	MaxUnits       Number // maximum units of a request; 0 or less means no limit
 
 	Classes List[Class] // request classes
 	Plans   List[Plan]  // tenants' plans
 }
 
-// EndpointListMode is how the node receives endpoint lists: EndpointListPoll or EndpointListPush. Any other text is treated
-// as EndpointListPush.
+// EndpointListMode is the way in which the node receives endpoint lists: EndpointListPoll or EndpointListPush. Any other text
+// is treated as EndpointListPush.
 type EndpointListMode string
 
-// RetrySafety is whether a request may run more than once: RetrySafe, RetryKeyed or RetryUnsafe. Any other text must be
+// RetrySafety states whether a request may run more than once: RetrySafe, RetryKeyed or RetryUnsafe. Any other text must be
 // treated as RetryUnsafe.
 type RetrySafety string
 
-// IdempotencyGroup is the set of servers that share idempotency keys: GroupAll, GroupZone or GroupCell. With any other text
-// the set is unknown.
+// IdempotencyGroup is the set of servers that share idempotency keys: GroupAll, GroupZone or GroupCell. Any other text means
+// that the set is unknown.
 type IdempotencyGroup string
 
-// Class is the settings of one request class.
+// Class holds the settings of one request class.
 type Class struct {
-	Named bool // a name is given, perhaps an empty one
-	Name  string
+	Named bool   // whether the settings contain a name, which may be empty
+	Name  string // name of the class; "" if it is not given
 
 	RetrySafety       RetrySafety
-	LatencyObjective  Duration // a response within it earns the whole priority weight
-	Deadline          Duration // longest wait of a client, over all its retries
+	LatencyObjective  Duration // latency up to which a response earns the whole priority weight
+	Deadline          Duration // longest time that a client waits, over all its retries
 	IdempotencyGroup  IdempotencyGroup
-	IdempotencyWindow Duration // time for which a server knows an idempotency key
+	IdempotencyWindow Duration // time for which a server remembers an idempotency key
 	PriorityWeight    Number   // value of a response
-	LateShare         Number   // share of the weight that a response after the objective earns
-	Streaming         bool     // the response is streamed
-	ObjectiveStretch  Number   // lengthens the objective by this multiple of the request's own work
+	LateShare         Number   // share of the priority weight that a response after the latency objective earns
+	Streaming         bool     // whether responses are streamed
+	ObjectiveStretch  Number   // multiple of a request's own work by which its latency objective is extended
 }
 
-// Plan is the settings of one tenant plan. Units are those that quotas count.
+// Plan holds the settings of one tenant plan. Units are those that quotas count.
 type Plan struct {
-	Name           string
-	Rate           Number // of the quota's token bucket, units a second; 0 or less: no limit
-	Burst          Number // of the quota's token bucket, units
-	MaxInFlight    Number // attempts of a customer in flight; 0: no limit
-	PriorityFactor Number // multiplies the class's priority weight
-	OverQuotaShare Number // share of its weight that a request over the quota earns
-	OverQuotaCost  Number // share of its weight that a request over the quota costs
-	CeilingRate    Number // of the hard ceiling's token bucket, units a second; no ceiling if this and CeilingBurst are 0
-	CeilingBurst   Number // of the hard ceiling's token bucket, units
-	CeilingSlack   Number // units by which the ceiling's token bucket may be below 0
+	Name           string // name of the plan; "" if it is not given
+	Rate           Number // refill rate of the quota's token bucket, in units per second; 0 or less means no limit
+	Burst          Number // capacity of the quota's token bucket, in units
+	MaxInFlight    Number // maximum number of a customer's attempts in flight; 0 means no limit
+	PriorityFactor Number // factor by which the priority weight of the class is multiplied
+	OverQuotaShare Number // share of its priority weight that a request over the quota earns
+	OverQuotaCost  Number // share of its priority weight that a request over the quota costs
+	CeilingRate    Number // refill rate of the hard ceiling's token bucket, in units per second
+	CeilingBurst   Number // capacity of that bucket, in units; 0 or less in this and CeilingRate means no ceiling
+	CeilingSlack   Number // units by which that bucket may be below 0
 }
 
 // PollsEndpoints reports whether the node polls for endpoint lists.
 func (s *Settings) PollsEndpoints() bool { return s.EndpointList == EndpointListPoll }
 
-// ClassNames lists the names of the request classes by number, "" for one that is not given.
+// ClassNames returns the names of the request classes, indexed by class number. A name that is not given is "".
 func (s *Settings) ClassNames() []string {
 	var names []string
 	for i := range s.Classes.NamedLen() {
@@ -93,7 +93,7 @@
 	return names
 }
 
-// PlanNames lists the names of the plans by number, "" for one that is not given.
+// PlanNames returns the names of the plans, indexed by plan number. A name that is not given is "".
 func (s *Settings) PlanNames() []string {
 	var names []string
 	for i := range s.Plans.NamedLen() {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,9 +5,11 @@
 	"testing"
 )
 
+// testSettings has settings of each kind in the text form, and an unknown name.
 const testSettings = "services.count=1\nservices.0.slo=600000\nservices.0.semantics=idempotent\n" +
 	"tiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\ntick=4000\nsome.new.key=7\n"
 
+// FromText translates the platform's names, values and units to those of this package, and ignores unknown names.
 func TestFromText(t *testing.T) {
 	set := valuesFromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
 	for name, want := range map[string]string{
@@ -17,12 +19,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if set[name] != want {
-				t.Errorf("got %q, want %q", set[name], want)
+				t.Errorf("setting %q = %q, want %q", name, set[name], want)
 			}
 		})
 	}
 }
 
+// Both forms of the platform's configuration give the same settings. Otherwise a node would behave differently in the
+// simulator and in production.
 func TestBothFormsReadAlike(t *testing.T) {
 	nested := `{"services":[{"slo":600000,"semantics":"idempotent"}],"tick":4000,"some":{"new":{"key":7}},
 		"tiers_of_service":[{"units_per_s":5}],"feedback":{"columns":["rif","busy"]},"limits":{"peers":true}}`
@@ -32,9 +36,9 @@
 	}
 	want := valuesFromText([]byte(testSettings + "feedback.columns=rif,busy\nlimits.peers=true\n"))
 	if !maps.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("settings from JSON = %v, want those from text: %v", got, want)
 	}
 	if _, err := valuesFromJSON([]byte(`[1]`)); err == nil {
-		t.Error("a list passed for settings")
+		t.Error("valuesFromJSON(\"[1]\") returned no error, want an error for a list")
 	}
 }
