--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,11 +1,12 @@
-// Package healthcheck distributes the health checks of app servers among the edge nodes of a fleet. It decides which node runs a check, and when.
+// Package healthcheck distributes the health checks of app servers among the edge nodes of a fleet. It decides which node
+// runs a check, and when.
 //
 // The owner of a check is the first member in the check's rendezvous order that internal/membership considers alive. While
 // members fail and rejoin, the next member is a backup owner. The result of each run is gossiped. Thus every node learns the
 // result, and a new owner knows the time of the last run.
 //
 // The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It reports events with
-// ReceivePeerMessage, SetChecks and CheckEnded, which send nothing. Then it calls Next until there is no further step. The
+// ReceivePeerMessage, SetChecks and CheckEnded, which return no steps. Then it calls Next until there is no further step. The
 // same calls with the same seed yield the same steps. A Scheduler is not safe for concurrent use.
 //
 // docs/design-healthcheck.md lists the alternatives. docs/healthcheck.md is the operators' page.
@@ -32,9 +33,9 @@
 const (
 	// CheckServer is the health check of an app server.
 	CheckServer Kind = iota + 1
-	// CheckList is not in use. Its number is reserved.
+	// CheckList is not in use. Its value is reserved.
 	CheckList
-	// CheckCounter is not in use. Its number is reserved.
+	// CheckCounter is not in use. Its value is reserved.
 	CheckCounter
 
 	lastKind = CheckCounter
@@ -51,12 +52,12 @@
 
 // Config configures a Scheduler.
 type Config struct {
-	Self        NodeID        // this node
-	Nodes       int           // nodes of the fleet, including this one; at least 1
-	Seed        uint64        // of the random draws
+	Self        NodeID        // number of this node
+	Nodes       int           // number of nodes in the fleet, including this one; at least 1
+	Seed        uint64        // seed of the random draws
 	ReceiveRate float64       // messages of all kinds that a node can receive, per second; 0 for no known limit
 	SendRate    float64       // bytes that this node may send, per second; 0 for no limit
-	Interval    time.Duration // wanted time between two runs of one check, see Scheduler.Interval
+	Interval    time.Duration // requested time between two runs of a check; Scheduler.Interval may be longer
 }
 
 // StepKind is the kind of a Step.
@@ -71,11 +72,11 @@
 	Ended
 )
 
-// Step is a decision for the host to carry out. Only the fields that its Kind mentions are set.
+// Step is an action for the host to carry out. Only the fields that the description of its Kind mentions are set.
 type Step struct {
 	Kind    StepKind
 	To      NodeID
-	Payload []byte // valid until the next call of any method
+	Payload []byte // message to send; valid until the next call of any method of the Scheduler
 	Check   Check
 	Timeout time.Duration
 	OK      bool
--- a/internal/healthcheck/ownership.go
+++ b/internal/healthcheck/ownership.go
@@ -2,10 +2,12 @@
 
 // Ownership of the checks.
 //
-// Inputs: the states of the members, and the time. State: the rendezvous ranking of all nodes for each check (Thaler and
-// Ravishankar: "Using Name-Based Mappings to Increase Hit Rates", 1998). Rule: see Scheduler.ownershipOf. Protects against
-// checks that no node runs while members fail or rejoin. Trade-off: two nodes may run a check during that time. When a node
-// leaves, only its own checks move.
+//   - Inputs: the states of the members, and the time.
+//   - State: the rendezvous ranking of all nodes for each check (Thaler and Ravishankar: "Using Name-Based Mappings to
+//     Increase Hit Rates", 1998).
+//   - Rule: see Scheduler.ownershipOf. When a node leaves, only its own checks move to other nodes.
+//   - Protects against: checks that no node runs while members fail or rejoin.
+//   - Trade-off: two nodes may run the same check during that time.
 
 import (
 	"cmp"
@@ -19,9 +21,9 @@
 )
 
 const (
-	// handoverPeriodsPerRound and handoverExtraPeriods give the time for which a member that rejoined shares its checks with
-	// a second owner: ping periods per gossip round, and ping periods beside them. Most members have received the update
-	// about the rejoined member by then.
+	// handoverPeriodsPerRound and handoverExtraPeriods define the handover time, for which a member that rejoined shares its
+	// checks with a backup owner. They are ping periods per gossip round, and additional ping periods. After that time, most
+	// members have received the update about the rejoined member.
 	handoverPeriodsPerRound = 3
 	handoverExtraPeriods    = 2
 )
@@ -30,11 +32,11 @@
 type Ownership uint8
 
 const (
-	// NotOwner does not run the check.
+	// NotOwner means that the node does not run the check.
 	NotOwner Ownership = iota
-	// BackupOwner runs the check if no other node has run it for somewhat longer than an interval.
+	// BackupOwner means that the node runs the check if no other node has run it for 1 + backupDelayIntervals intervals.
 	BackupOwner
-	// PrimaryOwner runs the check once per interval.
+	// PrimaryOwner means that the node runs the check once per interval.
 	PrimaryOwner
 )
 
@@ -47,7 +49,7 @@
 	return xxhash.Sum64(key[:])
 }
 
-// ranking is the rendezvous order of a fleet's nodes for a check. Its elements are NodeIDs in two bytes each, because every
+// ranking is the rendezvous order of a fleet's nodes for a check. Each element is a NodeID in two bytes, because every
 // check holds a ranking of the whole fleet.
 type ranking []uint16
 
@@ -64,8 +66,8 @@
 // ownershipOf returns this node's role for a check with a given ranking. Dead members never own a check.
 //
 // The first member that did not rejoin recently is an owner, even if it is suspect. The first member that is not suspect is
-// an owner, even if it rejoined recently; it is the primary owner. Mostly both are the same member. They differ while a
-// member is suspect, and for the handover time after a member has rejoined.
+// an owner, even if it rejoined recently; it is the primary owner. Usually both are the same member. They differ while
+// a member is suspect, and for the handover time after a member has rejoined.
 func (s *Scheduler) ownershipOf(order ranking) Ownership {
 	const none NodeID = -1
 	self := s.members.Self()
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -2,10 +2,12 @@
 
 // Schedule of the checks.
 //
-// Inputs: the set of checks, the results of runs at any node, and the time. State: the time of the last known run of each
-// check. Rule: the primary owner runs a check one interval after its last run. A backup owner waits backupDelayIntervals
-// longer. The first runs of new checks are spread over firstRunIntervals. Protects against a burst of checks when many
-// servers are new, and against duplicate runs. Trade-off: after a failure of the owner one run may be late.
+//   - Inputs: the set of checks, the results of runs at any node, and the time.
+//   - State: the time of the last known run of each check.
+//   - Rule: the primary owner runs a check one interval after its last run. A backup owner waits backupDelayIntervals
+//     longer. The first runs of new checks are spread over firstRunIntervals.
+//   - Protects against: a burst of checks when many servers are new, and duplicate runs.
+//   - Trade-off: after a failure of the owner, one run may be late.
 
 import (
 	"time"
@@ -14,16 +16,17 @@
 )
 
 const (
-	// minIntervalPeriodsPerRound bounds the interval from below, in ping periods per gossip round. All nodes know of a
-	// member's death within that time, so that its checks miss one run at most.
+	// minIntervalPeriodsPerRound is the shortest interval, in ping periods per gossip round. All nodes learn of a member's
+	// death within that time, so that the member's checks miss one run at most.
 	minIntervalPeriodsPerRound = 3
 	// firstRunIntervals is the maximum time from SetChecks to the first run of a new check, in intervals.
 	firstRunIntervals = 0.25
-	// firstRunSlots is the number of points in that time at which first runs begin.
+	// firstRunSlots is the number of different times within firstRunIntervals at which first runs begin.
 	firstRunSlots = 1024
 	// backupDelayIntervals is the delay of the backup owner's run after the primary owner's, in intervals.
 	backupDelayIntervals = 0.25
-	// sameRunDivisor sets when two reports are about the same run: if their times differ by period/sameRunDivisor at most.
+	// sameRunDivisor defines which reports are about the same run: those whose run times differ by at most the ping period
+	// divided by sameRunDivisor.
 	sameRunDivisor = 8
 )
 
@@ -31,9 +34,9 @@
 type checkState struct {
 	check     Check
 	ranking   ranking
-	lastRunAt time.Duration // last known run at any node
+	lastRunAt time.Duration // time of the last known run at any node
 	running   bool          // whether this node is running the check
-	ownership Ownership     // as of the last updateOwnership
+	ownership Ownership     // this node's role, as of the last updateOwnership
 	listed    bool          // whether the current SetChecks contains the check
 }
 
@@ -42,20 +45,20 @@
 	members  *membership.Protocol
 	now      time.Duration
 	interval time.Duration // time between two runs of a check
-	handover time.Duration // time for which a member that rejoined shares its checks with a second owner
-	counters Counters      // without the embedded membership.Counters
+	handover time.Duration // time for which a member that rejoined shares its checks with a backup owner
+	counters Counters      // counts since New; the embedded membership.Counters is unused
 
 	checks []checkState
-	index  map[Check]int // into checks
+	index  map[Check]int // index of each check in checks
 	ended  []Step        // Ended steps that Next has not returned yet
 
 	checksChanged    bool          // whether SetChecks was called since the last updateOwnership
 	ownershipVersion uint64        // members.Version at the last updateOwnership
-	ownershipDueAt   time.Duration // latest time of the next updateOwnership
+	ownershipDueAt   time.Duration // time from which the next updateOwnership recomputes the roles in any case
 }
 
-// New returns a Scheduler without checks that considers every other node alive. now is the time since any origin. The times
-// of later calls have the same origin.
+// New returns a Scheduler without checks that considers every other node alive. now is the time since any fixed origin. The
+// times of later calls must have the same origin.
 func New(cfg Config, now time.Duration) *Scheduler {
 	members := membership.New(membership.Config{
 		Self:        cfg.Self,
@@ -89,11 +92,11 @@
 	return counters
 }
 
-// advance sets the clock. An earlier time is ignored.
+// advance sets the current time. It ignores a time before the current one.
 func (s *Scheduler) advance(now time.Duration) { s.now = s.members.Advance(now) }
 
-// SetChecks replaces the set of checks. Checks that stay keep their state. A new check first runs within firstRunIntervals,
-// at a time that depends on its hash.
+// SetChecks replaces the set of checks. Checks that are in both sets keep their state. A new check first runs within
+// firstRunIntervals, at a time that depends on its hash.
 func (s *Scheduler) SetChecks(now time.Duration, checks []Check) {
 	s.advance(now)
 	for i := range s.checks {
@@ -120,7 +123,7 @@
 	s.checks, s.checksChanged = listed, true
 }
 
-// newCheckState returns the state of a new check. Its lastRunAt is such that the first run is due within firstRunIntervals,
+// newCheckState returns the state of a new check. It sets lastRunAt so that the first run is due within firstRunIntervals,
 // at the same offset at all nodes.
 func (s *Scheduler) newCheckState(c Check) checkState {
 	const noNode NodeID = -1
@@ -141,14 +144,14 @@
 	s.members.Publish(membership.Event{Kind: uint8(c.Kind), ID: uint64(c.ID), OK: ok, At: now})
 }
 
-// ReceivePeerMessage processes a peer message of node from. An error wraps ErrMalformed. A message with an error changes
-// only the counters.
+// ReceivePeerMessage processes a peer message from the node from. An error wraps ErrMalformed. A message with an error
+// changes only the counters.
 func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, payload []byte) error {
 	s.advance(now)
 	return s.members.Receive(now, from, payload, s.receiveEvent)
 }
 
-// receiveEvent processes the result of a run at another node. It reports whether the run is a new one.
+// receiveEvent processes the result of a run at another node. It reports whether the run was unknown to this node.
 func (s *Scheduler) receiveEvent(e membership.Event) (isNew bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
@@ -160,7 +163,7 @@
 	return true
 }
 
-// dueAt returns the time of this node's next run of a check that it owns.
+// dueAt returns the time at which this node is due to run a check that it owns.
 func (s *Scheduler) dueAt(c *checkState) time.Duration {
 	at := c.lastRunAt + s.interval
 	if c.ownership != PrimaryOwner {
@@ -192,7 +195,7 @@
 // awaitsRun reports whether this node owns the check and is not running it.
 func (c *checkState) awaitsRun() bool { return c.ownership != NotOwner && !c.running }
 
-// run starts a run of a check.
+// run records that this node starts a run of a check, and returns the Run step.
 func (s *Scheduler) run(c *checkState) Step {
 	c.running = true
 	s.counters.Checks++
@@ -202,7 +205,7 @@
 	return Step{Kind: Run, Check: c.check, Timeout: s.members.Period()}
 }
 
-// Wake returns the time from now until the latest next call of Next, provided that the host reports nothing before. It is
+// Wake returns the time from now within which the host must call Next again, provided that it reports no event before. It is
 // at least a millisecond.
 func (s *Scheduler) Wake(now time.Duration) time.Duration {
 	s.advance(now)
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -79,10 +79,10 @@
 }
 
 // formatInFormerNames returns the settings as sorted entries that use the former keys and enumerated values.
-func formatInFormerNames(t *testing.T, set Values) string {
+func formatInFormerNames(t *testing.T, values Values) string {
 	t.Helper()
-	entries := make([]string, 0, len(set))
-	for key, value := range set {
+	entries := make([]string, 0, len(values))
+	for key, value := range values {
 		keyOfFirst := strings.Replace(key, ".1.", ".0.", 1)
 		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == keyOfFirst })
 		if i < 0 {
@@ -114,8 +114,8 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		set  Values
-		want string
+		values Values
+		want   string
 	}{
 		"text": {valuesFromText([]byte(fullText)), "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=referenced;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=ask;settled=true;tick=40;tickets.most=512;withdraw=true;"},
 		"JSON": {fromJSON, "advice=true;advice.most=20000;answer.slack=500;ask.within=700;band.0.contract=6000;band.0.gain=1.5;band.0.group=zone;band.0.late=0.25;band.0.name=seats;band.0.outer=12000;band.0.repeats=replayable;band.0.stream=3;band.0.stretch=1.1;band.0.window=30000;band.1.name=buy;band.1.repeats=single-use;band.count=2;cold.from=0.25;cold.span=100000;connect=10000;copies=true;drain.grace=50000;executions=4;fall.multiple=3;fall.span=20000;idle=300000;largest=6;load.fields=open,waiting,used,latency,rate,errors;load.how=header;node=2;nodes=5;peers=true;peers.take=60;plan.0.ceiling.depth=80;plan.0.ceiling.rate=25;plan.0.ceiling.slack=1.05;plan.0.depth=40;plan.0.name=team;plan.0.open=7;plan.0.over.cost=0.75;plan.0.over.gain=0.5;plan.0.price=2;plan.0.rate=12.5;plan.count=1;probes=false;roster=push;settled=true;tick=40;tickets.most=512;withdraw=true;"},
@@ -124,7 +124,7 @@
 			want := strings.SplitAfter(strings.TrimSuffix(c.want, ";"), ";")
 			want[len(want)-1] += ";"
 			slices.Sort(want)
-			if got := formatInFormerNames(t, c.set); got != strings.Join(want, "") {
+			if got := formatInFormerNames(t, c.values); got != strings.Join(want, "") {
 				t.Errorf("settings from %s under their former keys:\ngot  %s\nwant %s", name, got, strings.Join(want, ""))
 			}
 		})
@@ -134,15 +134,15 @@
 // Each key has one former key, and formerKeys has all keys. A key that is missing there would not be compared by
 // TestValuesUnderFormerKeys.
 func TestFormerKeysAreOneToOne(t *testing.T) {
-	set := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
+	values := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
 	byFormer, byKey := map[string]bool{}, map[string]bool{}
 	for _, k := range formerKeys {
-		if _, ok := set[k.key]; !ok || byFormer[k.former] || byKey[k.key] {
+		if _, ok := values[k.key]; !ok || byFormer[k.former] || byKey[k.key] {
 			t.Errorf("former key %q, key %q: key is read = %v, want true, and each former key and key only once", k.former, k.key, ok)
 		}
 		byFormer[k.former], byKey[k.key] = true, true
 	}
-	for key := range maps.Keys(set) {
+	for key := range maps.Keys(values) {
 		if !byKey[strings.Replace(key, ".1.", ".0.", 1)] {
 			t.Errorf("key %q is not in formerKeys, want every key in it", key)
 		}
@@ -154,8 +154,8 @@
 func TestOwnKeysAreNotTaken(t *testing.T) {
 	for _, k := range formerKeys {
 		for _, key := range []string{k.former, k.key} {
-			if set := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(set) > 0 && key != Tick {
-				t.Errorf("valuesFromText(\"%s=7\") = %v, want no setting", key, set)
+			if values := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(values) > 0 && key != Tick {
+				t.Errorf("valuesFromText(\"%s=7\") = %v, want no setting", key, values)
 			}
 		}
 	}
--- a/internal/settings/platform_test.go
+++ b/internal/settings/platform_test.go
@@ -11,13 +11,13 @@
 // translated differently, would change the decisions of a node without an error.
 
 // checkValues fails the test case unless its settings, sorted by key and written as "key=value;", are equal to want.
-func checkValues(t *testing.T, name string, set Values, want string) {
+func checkValues(t *testing.T, name string, values Values, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
 		got := ""
-		for _, key := range slices.Sorted(maps.Keys(set)) {
-			got += fmt.Sprintf("%s=%s;", key, set[key])
+		for _, key := range slices.Sorted(maps.Keys(values)) {
+			got += fmt.Sprintf("%s=%s;", key, values[key])
 		}
 		if got != want {
 			t.Errorf("settings from case %q:\ngot  %q\nwant %q", name, got, want)
@@ -139,11 +139,11 @@
 		{"unknown names", `{"some":{"new":{"key":7}},"services":[{"new":1}]}`, "class.count=1;"},
 		{"text after the object", `{"slot_no":1} trailing`, "node=1;"},
 	} {
-		set, err := valuesFromJSON([]byte(c.text))
+		values, err := valuesFromJSON([]byte(c.text))
 		if err != nil {
 			t.Errorf("valuesFromJSON of case %q failed: %v, want no error", c.name, err)
 		}
-		checkValues(t, c.name, set, c.want)
+		checkValues(t, c.name, values, c.want)
 	}
 	for text, want := range map[string]string{
 		`[1]`:     "json: cannot unmarshal array into Go value of type map[string]interface {}",
@@ -151,8 +151,8 @@
 		`{"a":`:   "unexpected EOF",
 		`"words"`: "json: cannot unmarshal string into Go value of type map[string]interface {}",
 	} {
-		if set, err := valuesFromJSON([]byte(text)); set != nil || err == nil || err.Error() != want {
-			t.Errorf("valuesFromJSON(%q) = %v, %v, want no settings and the error %q", text, set, err, want)
+		if values, err := valuesFromJSON([]byte(text)); values != nil || err == nil || err.Error() != want {
+			t.Errorf("valuesFromJSON(%q) = %v, %v, want no settings and the error %q", text, values, err, want)
 		}
 	}
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -12,50 +12,50 @@
 // The reference functions interpret one setting in a map of texts, as the users of the settings did before this package had
 // types for them. They define the meaning of malformed and unusual texts.
 
-func referenceEngineNumber(set map[string]string, key string) float64 {
-	v, err := strconv.ParseFloat(set[key], 64)
+func referenceEngineNumber(texts map[string]string, key string) float64 {
+	v, err := strconv.ParseFloat(texts[key], 64)
 	if err != nil {
 		return 0
 	}
 	return v
 }
 
-func referenceNodeInt(set map[string]string, key string) int {
-	value, _ := strconv.Atoi(set[key])
+func referenceNodeInt(texts map[string]string, key string) int {
+	value, _ := strconv.Atoi(texts[key])
 	return value
 }
 
-func referenceNodeFloat(set map[string]string, key string) float64 {
-	value, _ := strconv.ParseFloat(set[key], 64)
+func referenceNodeFloat(texts map[string]string, key string) float64 {
+	value, _ := strconv.ParseFloat(texts[key], 64)
 	return value
 }
 
-func referenceNodeDuration(set map[string]string, key string) time.Duration {
-	ticks, _ := strconv.ParseInt(set[key], 10, 64)
+func referenceNodeDuration(texts map[string]string, key string) time.Duration {
+	ticks, _ := strconv.ParseInt(texts[key], 10, 64)
 	return time.Duration(ticks) * 100 * time.Microsecond
 }
 
-func referenceStringList(set map[string]string, key string) []string {
-	if set[key] == "" {
+func referenceStringList(texts map[string]string, key string) []string {
+	if texts[key] == "" {
 		return nil
 	}
-	return strings.Split(set[key], ",")
+	return strings.Split(texts[key], ",")
 }
 
-func referenceNames(set map[string]string, countKey string, nameKey func(i int) string) []string {
-	count, _ := strconv.Atoi(set[countKey])
+func referenceNames(texts map[string]string, countKey string, nameKey func(i int) string) []string {
+	count, _ := strconv.Atoi(texts[countKey])
 	var list []string
 	for i := range count {
-		list = append(list, set[nameKey(i)])
+		list = append(list, texts[nameKey(i)])
 	}
 	return list
 }
 
 // referenceNamedClasses returns the names of the classes before the first one without a name. The gRPC front end reads the
 // names in this way.
-func referenceNamedClasses(set map[string]string) (names []string) {
+func referenceNamedClasses(texts map[string]string) (names []string) {
 	for i := 0; ; i++ {
-		name, ok := set[ClassKey(i, ClassName)]
+		name, ok := texts[ClassKey(i, ClassName)]
 		if !ok {
 			return names
 		}
@@ -75,31 +75,31 @@
 		f.Add(text, false)
 	}
 	f.Fuzz(func(t *testing.T, text string, given bool) {
-		set := map[string]string{}
+		texts := map[string]string{}
 		if given {
 			for _, key := range []string{Node, Tick, Peers, LoadReportFields, EndpointList} {
-				set[key] = text
+				texts[key] = text
 			}
 		}
-		s := Parse(Values(set))
+		s := Parse(Values(texts))
 		whole, ok := s.Node.Whole()
-		_, err := strconv.Atoi(set[Node])
+		_, err := strconv.Atoi(texts[Node])
 		for _, c := range []struct{ name, got, want string }{
-			{"Float", bits(s.Node.Float()), bits(referenceEngineNumber(set, Node))},
-			{"FloatOrInf", bits(s.Node.FloatOrInf()), bits(referenceNodeFloat(set, Node))},
-			{"Truncated", fmt.Sprint(s.Node.Truncated()), fmt.Sprint(int(referenceEngineNumber(set, Node)))},
-			{"Whole", fmt.Sprint(whole, ok), fmt.Sprint(referenceNodeInt(set, Node), err == nil)},
-			{"String", s.Node.String(), set[Node]},
-			{"FractionalUnits", bits(s.Tick.FractionalUnits()), bits(referenceEngineNumber(set, Tick))},
-			{"TruncatedUnits", fmt.Sprint(s.Tick.TruncatedUnits()), fmt.Sprint(int64(referenceEngineNumber(set, Tick)))},
+			{"Float", bits(s.Node.Float()), bits(referenceEngineNumber(texts, Node))},
+			{"FloatOrInf", bits(s.Node.FloatOrInf()), bits(referenceNodeFloat(texts, Node))},
+			{"Truncated", fmt.Sprint(s.Node.Truncated()), fmt.Sprint(int(referenceEngineNumber(texts, Node)))},
+			{"Whole", fmt.Sprint(whole, ok), fmt.Sprint(referenceNodeInt(texts, Node), err == nil)},
+			{"String", s.Node.String(), texts[Node]},
+			{"FractionalUnits", bits(s.Tick.FractionalUnits()), bits(referenceEngineNumber(texts, Tick))},
+			{"TruncatedUnits", fmt.Sprint(s.Tick.TruncatedUnits()), fmt.Sprint(int64(referenceEngineNumber(texts, Tick)))},
 			{
-				"Truncated time", fmt.Sprint(s.Tick.Truncated()),
-				fmt.Sprint(time.Duration(int64(referenceEngineNumber(set, Tick))) * 100 * time.Microsecond),
+				"Duration.Truncated", fmt.Sprint(s.Tick.Truncated()),
+				fmt.Sprint(time.Duration(int64(referenceEngineNumber(texts, Tick))) * 100 * time.Microsecond),
 			},
-			{"Whole time", fmt.Sprint(s.Tick.Whole()), fmt.Sprint(referenceNodeDuration(set, Tick))},
-			{"switch", fmt.Sprint(s.Peers), fmt.Sprint(set[Peers] == On)},
-			{"words", fmt.Sprintf("%q", s.LoadReportFields), fmt.Sprintf("%q", referenceStringList(set, LoadReportFields))},
-			{"polls", fmt.Sprint(s.PollsEndpoints()), fmt.Sprint(set[EndpointList] == EndpointListPoll)},
+			{"Duration.Whole", fmt.Sprint(s.Tick.Whole()), fmt.Sprint(referenceNodeDuration(texts, Tick))},
+			{"Peers", fmt.Sprint(s.Peers), fmt.Sprint(texts[Peers] == On)},
+			{"LoadReportFields", fmt.Sprintf("%q", s.LoadReportFields), fmt.Sprintf("%q", referenceStringList(texts, LoadReportFields))},
+			{"PollsEndpoints", fmt.Sprint(s.PollsEndpoints()), fmt.Sprint(texts[EndpointList] == EndpointListPoll)},
 		} {
 			if c.got != c.want {
 				t.Errorf("%s of the text %q (given: %v) = %s, want %s", c.name, text, given, c.got, c.want)
@@ -122,26 +122,26 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		set := map[string]string{}
+		texts := map[string]string{}
 		for line := range strings.SplitSeq(text, "\n") {
 			if key, value, ok := strings.Cut(line, "="); ok {
-				set[key] = value
+				texts[key] = value
 			}
 		}
 		const maxLength = 1000 // A longer list tests nothing else, but takes long.
-		if n, m := referenceNodeInt(set, ClassCount), referenceNodeInt(set, PlanCount); max(n, m) > maxLength {
+		if n, m := referenceNodeInt(texts, ClassCount), referenceNodeInt(texts, PlanCount); max(n, m) > maxLength {
 			return
 		}
-		s := Parse(Values(set))
+		s := Parse(Values(texts))
 		var named []string
 		for i := 0; s.Classes.At(i).Named; i++ {
 			named = append(named, s.Classes.At(i).Name)
 		}
-		classNames := referenceNames(set, ClassCount, func(i int) string { return ClassKey(i, ClassName) })
-		planNames := referenceNames(set, PlanCount, func(i int) string { return PlanKey(i, PlanName) })
+		classNames := referenceNames(texts, ClassCount, func(i int) string { return ClassKey(i, ClassName) })
+		planNames := referenceNames(texts, PlanCount, func(i int) string { return PlanKey(i, PlanName) })
 		got := fmt.Sprintf("%q %q %q %d %d", s.ClassNames(), s.PlanNames(), named, s.Classes.Len(), s.Plans.Len())
-		want := fmt.Sprintf("%q %q %q %d %d", classNames, planNames, referenceNamedClasses(set),
-			max(1, int(referenceEngineNumber(set, ClassCount))), max(1, int(referenceEngineNumber(set, PlanCount))))
+		want := fmt.Sprintf("%q %q %q %d %d", classNames, planNames, referenceNamedClasses(texts),
+			max(1, int(referenceEngineNumber(texts, ClassCount))), max(1, int(referenceEngineNumber(texts, PlanCount))))
 		if got != want {
 			t.Errorf("names and lengths of the lists in %q:\ngot  %s\nwant %s", text, got, want)
 		}
@@ -149,10 +149,10 @@
 			c, p := s.Classes.At(i), s.Plans.At(i)
 			got := fmt.Sprintln(c.RetrySafety, c.IdempotencyGroup, c.LatencyObjective, c.IdempotencyWindow, c.Deadline, p.Rate, p.Burst,
 				p.MaxInFlight, p.CeilingRate, p.CeilingBurst)
-			want := fmt.Sprintln(RetrySafety(set[ClassKey(i, ClassRetrySafety)]), IdempotencyGroup(set[ClassKey(i, ClassIdempotencyGroup)]),
-				set[ClassKey(i, ClassLatencyObjective)], set[ClassKey(i, ClassIdempotencyWindow)], set[ClassKey(i, ClassDeadline)],
-				set[PlanKey(i, PlanRate)], set[PlanKey(i, PlanBurst)], set[PlanKey(i, PlanMaxInFlight)],
-				set[PlanKey(i, PlanCeilingRate)], set[PlanKey(i, PlanCeilingBurst)])
+			want := fmt.Sprintln(RetrySafety(texts[ClassKey(i, ClassRetrySafety)]), IdempotencyGroup(texts[ClassKey(i, ClassIdempotencyGroup)]),
+				texts[ClassKey(i, ClassLatencyObjective)], texts[ClassKey(i, ClassIdempotencyWindow)], texts[ClassKey(i, ClassDeadline)],
+				texts[PlanKey(i, PlanRate)], texts[PlanKey(i, PlanBurst)], texts[PlanKey(i, PlanMaxInFlight)],
+				texts[PlanKey(i, PlanCeilingRate)], texts[PlanKey(i, PlanCeilingBurst)])
 			if got != want {
 				t.Errorf("fields of class %d and plan %d in %q:\ngot  %s\nwant %s", i, i, text, got, want)
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,7 +22,7 @@
 	RetryAfter     bool     // whether a rejection may carry Retry-After
 	MaxRetryAfter  Duration // longest Retry-After
 	MaxRequests    Number   // maximum number of requests in flight at a node
-	IdleTimeout    Duration // time after which an idle connection to an app server may be closed
+	IdleTimeout    Duration // idle timeout of connections to app servers
 	ConnectTimeout Duration // timeout for opening a connection to an app server
 
 	SlowStartSpan    Duration // time from an app server's start until the app server is warm
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,15 +11,15 @@
 
 // FromText translates the platform's names, values and units to those of this package, and ignores unknown names.
 func TestFromText(t *testing.T) {
-	set := valuesFromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
+	values := valuesFromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
 	for name, want := range map[string]string{
 		ClassKey(0, ClassLatencyObjective): "6000", ClassKey(0, ClassRetrySafety): RetrySafe, ClassCount: "1",
 		PlanKey(0, PlanRate): "5", Tick: "40", EndpointList: EndpointListPoll,
 		LoadReportFields: LoadInFlight + "," + LoadUtilization,
 	} {
 		t.Run(name, func(t *testing.T) {
-			if set[name] != want {
-				t.Errorf("setting %q = %q, want %q", name, set[name], want)
+			if values[name] != want {
+				t.Errorf("setting %q = %q, want %q", name, values[name], want)
 			}
 		})
 	}
