--- a/internal/authz/authz.go
+++ b/internal/authz/authz.go
@@ -1,11 +1,13 @@
-// Package authz decides how requests are checked by an external authorizer. The authorizer may be slow, unreachable or
-// overloaded.
+// Package authz decides which requests an external authorizer checks, and what happens to a request without an answer. The
+// authorizer may be slow, unreachable or overloaded.
 //
-// Inputs: requests with the time that they have left, and the outcomes of the checks. State: the number of checks in flight,
-// and a circuit breaker. Rule: a request is checked unless its time is too short, too many checks are in flight, or the
-// breaker is open. Without an answer within the timeout, the request's class decides: it fails open (the request is allowed)
-// or closed (the request is rejected). Protects the requests' latency against a slow authorizer, and the authorizer against
-// overload. Trade-off: requests of a class that fails open may pass unchecked.
+//   - Inputs: requests with the time until their deadline, and the outcomes of the checks.
+//   - State: the number of checks in flight, and a circuit breaker.
+//   - Rule: a request is checked unless no time is left, too many checks are in flight, or the breaker is open. Without an
+//     answer within the timeout, the request's class decides. It fails open (the request is allowed) or closed (the request
+//     is rejected).
+//   - Protects against: added latency from a slow authorizer, and an overload of the authorizer.
+//   - Trade-off: requests of a class that fails open may pass unchecked.
 //
 // The package holds no I/O and no clock. The host passes the current time to each call, as the time since any fixed origin.
 package authz
@@ -13,23 +15,23 @@
 import "time"
 
 const (
-	// timeoutObjectives is the timeout of a check, in latency objectives of the request's class.
+	// timeoutObjectives is the timeout of a check, as a multiple of the latency objective of the request's class.
 	timeoutObjectives = 0.25
-	// maxTimeoutRatio is the largest timeout of a check, as a share of the time until the request's deadline.
+	// maxTimeoutRatio is the longest timeout of a check, as a share of the time until the request's deadline.
 	maxTimeoutRatio = 0.5
 )
 
 // Class is the policy for the requests of a class.
 type Class struct {
 	LatencyObjective time.Duration
-	FailOpen         bool // without an answer, whether a request is allowed; otherwise it is rejected
+	FailOpen         bool // whether a request without an answer is allowed; otherwise it is rejected
 }
 
 // Config configures a Policy.
 type Config struct {
-	Classes       []Class       // by class number
-	MaxInFlight   int           // limit of checks in flight; with 0 no request is checked
-	MaxRetryAfter time.Duration // largest result of Policy.RetryAfter; 0 for no Retry-After
+	Classes       []Class       // policies of the request classes, by class number
+	MaxInFlight   int           // maximum number of checks in flight; with 0 no request is checked
+	MaxRetryAfter time.Duration // longest result of Policy.RetryAfter; 0 for no Retry-After
 }
 
 // Verdict is the decision on a request.
@@ -40,9 +42,9 @@
 	CheckNeeded Verdict = iota
 	// Allow admits the request.
 	Allow
-	// Deny refuses the request, because the authorizer denied it.
+	// Deny refuses the request because the authorizer denied it.
 	Deny
-	// Reject refuses the request, because there was no answer. The client may retry: the request was not executed.
+	// Reject refuses the request because there was no answer. The client may retry it, because the request was not executed.
 	Reject
 )
 
@@ -71,7 +73,7 @@
 	ClientGone    int64 // checks with the outcome ClientGone
 	FailedOpen    int64 // requests allowed without an answer
 	FailedClosed  int64 // requests rejected without an answer
-	OverLimit     int64 // requests not checked because of Config.MaxInFlight
+	OverLimit     int64 // requests that were not checked because of Config.MaxInFlight
 	BreakerOpened int64 // times that the circuit breaker opened
 }
 
@@ -92,13 +94,13 @@
 // InFlight returns the number of checks in flight.
 func (p *Policy) InFlight() int { return p.inFlight }
 
-// RetryAfter returns the Retry-After of a rejected request of a class: the time until the breaker allows a check, at least
-// the timeout of a check, and at most Config.MaxRetryAfter.
+// RetryAfter returns the Retry-After of a rejected request of a class. It is the time until the breaker allows a check, but
+// at least the timeout of a check and at most Config.MaxRetryAfter.
 func (p *Policy) RetryAfter(now time.Duration, class int) time.Duration {
 	return min(max(p.breaker.openUntil-now, p.config.Classes[class].timeout()), p.config.MaxRetryAfter)
 }
 
-// timeout returns the timeout of a check for a request that has enough time left.
+// timeout returns the full timeout of a check in this class. Begin shortens it for a request with little time left.
 func (c Class) timeout() time.Duration {
 	return time.Duration(timeoutObjectives * float64(c.LatencyObjective))
 }
@@ -106,20 +108,20 @@
 // Decision is the result of Begin.
 type Decision struct {
 	Verdict Verdict
-	Timeout time.Duration // of the check; set only for CheckNeeded
+	Timeout time.Duration // timeout of the check; set only for CheckNeeded
 }
 
-// Begin decides on a request of a class. left is the time until the request's deadline. After CheckNeeded the caller must
-// call End once, with the outcome of the check.
-func (p *Policy) Begin(now time.Duration, class int, left time.Duration) Decision {
+// Begin decides on a request of a class. timeLeft is the time until the request's deadline. After CheckNeeded the caller
+// must call End once, with the outcome of the check.
+func (p *Policy) Begin(now time.Duration, class int, timeLeft time.Duration) Decision {
 	c := p.config.Classes[class]
-	timeout := min(c.timeout(), time.Duration(maxTimeoutRatio*float64(left)))
+	timeout := min(c.timeout(), time.Duration(maxTimeoutRatio*float64(timeLeft)))
 	if timeout <= 0 || !p.breaker.allows(now) {
-		return Decision{Verdict: p.withoutAnswer(c)}
+		return Decision{Verdict: p.unansweredVerdict(c)}
 	}
 	if p.inFlight >= p.config.MaxInFlight {
 		p.counters.OverLimit++
-		return Decision{Verdict: p.withoutAnswer(c)}
+		return Decision{Verdict: p.unansweredVerdict(c)}
 	}
 	p.breaker.begin()
 	p.inFlight++
@@ -127,8 +129,8 @@
 	return Decision{Verdict: CheckNeeded, Timeout: timeout}
 }
 
-// withoutAnswer returns and counts the verdict on a request of a class without an answer.
-func (p *Policy) withoutAnswer(c Class) Verdict {
+// unansweredVerdict returns the verdict on a request without an answer, and counts it.
+func (p *Policy) unansweredVerdict(c Class) Verdict {
 	if c.FailOpen {
 		p.counters.FailedOpen++
 		return Allow
@@ -137,9 +139,9 @@
 	return Reject
 }
 
-// End ends a check that Begin asked for, and returns the final verdict. timeout is the Decision's Timeout. An answer that
-// arrives after End must be discarded. A check that timed out counts against the authorizer only if its timeout was the full
-// one of its class.
+// End ends a check that Begin asked for, and returns the final verdict. timeout is the Decision's Timeout. The caller must
+// discard an answer that arrives after End. A check that timed out counts against the authorizer only if its timeout was the
+// full one of its class.
 func (p *Policy) End(now time.Duration, class int, outcome Outcome, timeout time.Duration) Verdict {
 	c := p.config.Classes[class]
 	p.inFlight--
@@ -162,5 +164,5 @@
 	if !shortened && p.breaker.failed(now, c.LatencyObjective) {
 		p.counters.BreakerOpened++
 	}
-	return p.withoutAnswer(c)
+	return p.unansweredVerdict(c)
 }
--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -7,24 +7,26 @@
 
 // Circuit breaker.
 //
-// Inputs: the results of the checks, and the time. State: the number of consecutive failures. Rule: after maxFailures
-// consecutive failures the breaker opens, and no check begins. Then the breaker is half open: one trial check at a time may
-// begin. A failed trial opens the breaker again, for twice the time. An answer closes it.
+//   - Inputs: the results of the checks, and the time.
+//   - State: the number of consecutive failures, the end of the open time, and whether a trial check is in flight.
+//   - Rule: after maxFailures consecutive failures the breaker opens, and no check begins. After the open time the breaker
+//     is half open: one trial check at a time may begin. A failed trial opens the breaker again, for twice the time. An
+//     answer closes it.
 
 const (
 	// maxFailures is the number of consecutive failures at which the breaker opens.
 	maxFailures = 5
-	// firstOpenTimeouts is the time for which the breaker opens first, in timeouts of the class whose check failed.
+	// firstOpenTimeouts is the first open time, as a multiple of the check timeout of the class whose check failed.
 	firstOpenTimeouts = 2.0
-	// maxOpenDoublings bounds the doublings of that time.
+	// maxOpenDoublings is the maximum number of times that the open time is doubled.
 	maxOpenDoublings = 10
-	// maxOpenTime is the longest time for which the breaker opens.
+	// maxOpenTime is the longest open time.
 	maxOpenTime = 5 * time.Second
 )
 
 // breaker is the circuit breaker of the authorizer. The zero value is closed.
 type breaker struct {
-	consecutiveFailures int           // without those of checks that ended while the breaker was open
+	consecutiveFailures int           // number of failures since the last answer, except for those while the breaker was open
 	openUntil           time.Duration // end of the open time; the breaker is half open from then on
 	trialInFlight       bool          // whether a check that began in the half-open state is in flight
 }
@@ -37,7 +39,7 @@
 	return !b.tripped() || now >= b.openUntil && !b.trialInFlight
 }
 
-// begin records that a check begins. The caller has called allows.
+// begin records that a check begins. The caller must have seen allows return true.
 func (b *breaker) begin() { b.trialInFlight = b.tripped() }
 
 // ended records that a check ended with any outcome.
@@ -46,8 +48,8 @@
 // succeeded records an answer of the authorizer.
 func (b *breaker) succeeded() { b.consecutiveFailures = 0 }
 
-// failed records a failed check of a class, and reports whether the breaker opens. Failures while the breaker is open, of
-// checks that began before, do not count.
+// failed records a failed check of a class with the given latency objective, and reports whether the breaker opens. While
+// the breaker is open, failures of checks that began earlier do not count.
 func (b *breaker) failed(now, latencyObjective time.Duration) (opened bool) {
 	if b.tripped() && now < b.openUntil {
 		return false
--- a/internal/authz/breaker_test.go
+++ b/internal/authz/breaker_test.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// The breaker is closed for four consecutive failures and open after the fifth.
+// The breaker stays closed for four consecutive failures and opens at the fifth. The test has the numbers written out, so
+// that a change of maxFailures is noticed.
 func TestBreakerOpensAtFifthFailure(t *testing.T) {
 	var b breaker
 	for range 4 {
 		b.failed(0, time.Second)
 	}
 	if !b.allows(0) {
-		t.Error("open after four failures")
+		t.Error("breaker is open after four failures, want closed")
 	}
 	if b.failed(0, time.Second); b.allows(0) {
-		t.Error("closed after five failures")
+		t.Error("breaker is closed after five failures, want open")
 	}
 }
 
 // The breaker opens after maxFailures consecutive failures, doubles its open time with each failed trial, and closes with an
-// answer.
+// answer. A shorter open time would overload an authorizer that recovers. A breaker that stays open would leave requests
+// unchecked.
 func TestBreakerOpensAndCloses(t *testing.T) {
-	const objective = 800 * time.Millisecond // a check times out after a quarter of it
+	const objective = 800 * time.Millisecond // A check times out after a quarter of the objective.
 	var b breaker
 	for failure := 1; failure < maxFailures; failure++ {
 		if b.failed(0, objective) || !b.allows(0) {
-			t.Fatalf("open after %d failures", failure)
+			t.Fatalf("breaker is open after %d failures, want closed up to %d", failure, maxFailures-1)
 		}
 	}
 	if !b.failed(0, objective) || b.allows(0) {
-		t.Fatal("still closed after the last failure")
+		t.Fatalf("breaker is closed after %d failures, want open", maxFailures)
 	}
-	for range 3 { // of checks that were in flight when the breaker opened
+	for range 3 { // These are failures of checks that were in flight when the breaker opened.
 		if b.failed(0, objective) || b.consecutiveFailures != maxFailures {
-			t.Fatalf("%d consecutive failures, want %d", b.consecutiveFailures, maxFailures)
+			t.Fatalf("failure while the breaker is open: %d consecutive failures, want %d and no new opening",
+				b.consecutiveFailures, maxFailures)
 		}
 	}
 	now := time.Duration(0)
-	for trial, open := range []time.Duration{400, 800, 1600, 3200, 5000, 5000} { // ms
-		open *= time.Millisecond
-		if b.allows(now+open-1) || !b.allows(now+open) {
-			t.Fatalf("trial %d is allowed after %v, want %v", trial, b.openUntil-now, open)
+	for trial, openTime := range []time.Duration{400, 800, 1600, 3200, 5000, 5000} { // The times are in milliseconds.
+		openTime *= time.Millisecond
+		if b.allows(now+openTime-1) || !b.allows(now+openTime) {
+			t.Fatalf("trial %d is allowed after %v, want %v", trial, b.openUntil-now, openTime)
 		}
-		now += open
+		now += openTime
 		b.begin()
 		if b.allows(now) {
-			t.Fatal("a second trial while the first is in flight")
+			t.Fatalf("second check is allowed while trial %d is in flight, want one trial at a time", trial)
 		}
 		b.ended()
 		if !b.failed(now, objective) {
-			t.Fatalf("failed trial %d does not open the breaker", trial)
+			t.Fatalf("failed trial %d did not open the breaker, want open", trial)
 		}
 	}
 	b.succeeded()
 	if !b.allows(now) {
-		t.Error("the breaker is open after an answer")
+		t.Error("breaker is open after an answer, want closed")
 	}
 }
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -6,8 +6,8 @@
 // result, and a new owner knows the time of the last run.
 //
 // The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It reports events with
-// ReceivePeerMessage, SetChecks and CheckEnded, which return no steps. Then it calls Next until there is no further step. The
-// same calls with the same seed yield the same steps. A Scheduler is not safe for concurrent use.
+// ReceivePeerMessage, SetChecks and CheckEnded, which return no steps. Then it calls Next until there is no further step.
+// The same calls with the same seed yield the same steps. A Scheduler is not safe for concurrent use.
 //
 // docs/design-healthcheck.md lists the alternatives. docs/healthcheck.md is the operators' page.
 package healthcheck
--- a/internal/healthcheck/ownership_test.go
+++ b/internal/healthcheck/ownership_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A ranking contains each node once. Rankings spread the first places evenly over the nodes.
+// A ranking contains each node once, and each node is the first one for an even share of the checks. With an uneven hash,
+// some nodes would own most checks.
 func TestRankingIsEven(t *testing.T) {
 	const nodes, checkCount = 20, 4000
 	first := make([]int, nodes)
@@ -17,40 +18,41 @@
 		slices.Sort(order)
 		for i, node := range order {
 			if int(node) != i {
-				t.Fatalf("check %d: %v", id, order)
+				t.Fatalf("sorted ranking of check %d = %v, want each node from 0 to %d once", id, order, nodes-1)
 			}
 		}
 	}
 	for node, count := range first {
-		if count < 140 || count > 260 { // 200 on average
-			t.Errorf("node %d is first for %d of %d checks", node, count, checkCount)
+		if count < 140 || count > 260 { // The mean is 200.
+			t.Errorf("node %d is first in the ranking of %d of %d checks, want 140 to 260", node, count, checkCount)
 		}
 	}
 	if a, b := (Check{CheckServer, 7}).rank(nodes), (Check{CheckList, 7}).rank(nodes); slices.Equal(a, b) {
-		t.Error("checks of different kinds have the same ranking")
+		t.Errorf("ranking of CheckServer 7 = ranking of CheckList 7 = %v, want different rankings", a)
 	}
 }
 
-// Without one node, the others keep their order.
+// If a node leaves, the ranking of the others does not change. Otherwise checks of other nodes would change their owner.
 func TestRankingKeepsOrderWithoutANode(t *testing.T) {
 	for id := range CheckID(200) {
 		small, large := Check{CheckServer, id}.rank(9), Check{CheckServer, id}.rank(10)
 		large = slices.DeleteFunc(large, func(node uint16) bool { return node == 9 })
 		if !slices.Equal(small, large) {
-			t.Errorf("check %d: %v and %v", id, small, large)
+			t.Errorf("check %d: ranking of 9 nodes = %v, ranking of 10 nodes without node 9 = %v, want the same", id, small, large)
 		}
 	}
 }
 
-// The ownership of node 0 depends on the states of the members that precede it in the ranking.
+// The ownership of node 0 depends on the states of the members that precede it in the ranking. With a wrong role, no node
+// would run a check while a member fails or rejoins, or two nodes would run it for longer than the handover time.
 func TestOwnership(t *testing.T) {
-	const suspected, died, rejoined = "011100", "011200", "011001" // updates about node 4
+	const suspected, died, rejoined = "011100", "011200", "011001" // encoded updates about node 4
 	for _, c := range []struct {
-		name  string
-		order ranking
-		parts []string      // of messages of node 1, one each
-		after time.Duration // from the last one
-		want  Ownership
+		name    string
+		order   ranking
+		updates []string      // updates that node 1 sends, each in its own message
+		elapsed time.Duration // time since the last message
+		want    Ownership
 	}{
 		{"first", ranking{0, 4, 1}, nil, 0, PrimaryOwner},
 		{"second", ranking{4, 0, 1}, nil, 0, NotOwner},
@@ -62,18 +64,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := New(Config{Self: 0, Nodes: 5, ReceiveRate: 40, Interval: time.Second}, 0)
-			for _, part := range c.parts {
-				text, err := hex.DecodeString("d0020000000000" + part)
+			for _, update := range c.updates {
+				payload, err := hex.DecodeString("d0020000000000" + update)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("decode update: %v", err)
 				}
-				if err := s.ReceivePeerMessage(0, 1, text); err != nil {
-					t.Fatal(err)
+				if err := s.ReceivePeerMessage(0, 1, payload); err != nil {
+					t.Fatalf("ReceivePeerMessage(%x) failed: %v, want no error", payload, err)
 				}
 			}
-			s.advance(c.after)
+			s.advance(c.elapsed)
 			if got := s.ownershipOf(c.order); got != c.want {
-				t.Errorf("ownership %d, want %d", got, c.want)
+				t.Errorf("ownershipOf(%v) = %d, want %d", c.order, got, c.want)
 			}
 		})
 	}
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -11,11 +11,11 @@
 	"cherrygap/internal/membership"
 )
 
-// fleet is a simulated network without delay.
+// fleet is a simulated fleet. Its network delivers each message at once.
 type fleet struct {
-	nodes []*Scheduler // nil for one that is down
+	nodes []*Scheduler // schedulers by node number; nil for a node that is down
 	now   time.Duration
-	ran   map[Check][]run // all runs of each check
+	runs  map[Check][]run // all runs of each check, in the order of time
 }
 
 // run is one run of a check.
@@ -24,23 +24,26 @@
 	at time.Duration
 }
 
+// checks are the checks of the simulated fleets.
 var checks = []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
 
 func newFleet(nodes int) *fleet {
-	f := &fleet{ran: map[Check][]run{}, nodes: make([]*Scheduler, nodes)}
+	f := &fleet{runs: map[Check][]run{}, nodes: make([]*Scheduler, nodes)}
 	for i := range nodes {
-		f.start(NodeID(i), 5)
+		f.startNode(NodeID(i), 5)
 	}
 	return f
 }
 
-func (f *fleet) start(id NodeID, seed uint64) {
+// startNode starts a node, or replaces it as after a restart.
+func (f *fleet) startNode(id NodeID, seed uint64) {
 	cfg := Config{Self: id, Nodes: len(f.nodes), Seed: seed, ReceiveRate: 40, Interval: 5 * time.Second}
 	f.nodes[id] = New(cfg, f.now)
 	f.nodes[id].SetChecks(f.now, checks)
 }
 
-func (f *fleet) play(t *testing.T, until time.Duration) {
+// runUntil runs the simulation until a time, in steps of 50 ms.
+func (f *fleet) runUntil(t *testing.T, until time.Duration) {
 	t.Helper()
 	for ; f.now < until; f.now += 50 * time.Millisecond {
 		for i, node := range f.nodes {
@@ -54,81 +57,87 @@
 	}
 }
 
+// carryOut carries out a step of a node. A run ends at once, with the result OK.
 func (f *fleet) carryOut(t *testing.T, id NodeID, step Step) {
 	t.Helper()
 	switch step.Kind {
 	case Send:
 		if to := f.nodes[step.To]; to != nil {
 			if err := to.ReceivePeerMessage(f.now, id, slices.Clone(step.Payload)); err != nil {
-				t.Fatal(err)
+				t.Fatalf("node %d received %x from node %d: %v, want no error", step.To, step.Payload, id, err)
 			}
 		}
 	case Run:
-		f.ran[step.Check] = append(f.ran[step.Check], run{id, f.now})
+		f.runs[step.Check] = append(f.runs[step.Check], run{id, f.now})
 		f.nodes[id].CheckEnded(f.now, step.Check, true)
 	case Ended:
-		if runs := f.ran[step.Check]; len(runs) == 0 || runs[len(runs)-1].by == id || !step.OK {
-			t.Errorf("%d was given %+v after %v", id, step, runs)
+		if runs := f.runs[step.Check]; len(runs) == 0 || runs[len(runs)-1].by == id || !step.OK {
+			t.Errorf("node %d was notified of %+v after the runs %v, want the last run, by another node, with the result OK",
+				id, step, runs)
 		}
 	}
 }
 
-// last returns the last run of a check.
-func (f *fleet) last(c Check) run { return f.ran[c][len(f.ran[c])-1] }
+// lastRun returns the last run of a check.
+func (f *fleet) lastRun(c Check) run { return f.runs[c][len(f.runs[c])-1] }
 
-// checkOneOwnerEach fails the test unless every check was run three to six times, always by the same node.
+// checkOneOwnerEach fails the test unless each check was run three to six times, always by the same node.
 func (f *fleet) checkOneOwnerEach(t *testing.T) {
 	t.Helper()
-	if len(f.ran) != len(checks) {
-		t.Errorf("%d of %d checks were run", len(f.ran), len(checks))
+	if len(f.runs) != len(checks) {
+		t.Errorf("%d of %d checks were run, want all", len(f.runs), len(checks))
 	}
-	for check, runs := range f.ran {
+	for check, runs := range f.runs {
 		if len(runs) < 3 || len(runs) > 6 {
-			t.Errorf("%v was run %v", check, runs)
+			t.Errorf("runs of check %v = %v, want 3 to 6", check, runs)
 		}
 		for _, r := range runs {
 			if r.by != runs[0].by {
-				t.Errorf("%v was run %v", check, runs)
+				t.Errorf("runs of check %v = %v, want all by the same node", check, runs)
 			}
 		}
 	}
 }
 
-// Without faults each check has one owner. Another node replaces a dead owner, and stays backup owner for the handover time
-// after the former owner's restart.
+// Without faults each check has one owner. Another node takes over the checks of a dead owner, and is their backup owner for
+// the handover time after the former owner's restart. Otherwise a check would not run during an owner's failure.
 func TestAnotherNodeReplacesDeadOwner(t *testing.T) {
 	f := newFleet(9)
-	f.play(t, 40*time.Second)
+	f.runUntil(t, 40*time.Second)
 	f.checkOneOwnerEach(t)
 	check := checks[0]
-	former := f.ran[check][0].by
+	former := f.runs[check][0].by
 	f.nodes[former] = nil
-	f.play(t, 80*time.Second)
-	next := f.last(check).by
-	if next == former || f.now-f.last(check).at > 2*f.nodes[next].Interval() {
-		t.Fatalf("%v was run %v", check, f.ran[check])
+	f.runUntil(t, 80*time.Second)
+	next := f.lastRun(check).by
+	if next == former || f.now-f.lastRun(check).at > 2*f.nodes[next].Interval() {
+		t.Fatalf("after the death of node %d, runs of check %v = %v, want a run by another node in the last two intervals",
+			former, check, f.runs[check])
 	}
-	f.start(former, 6)
-	f.play(t, f.now+3*time.Second)
+	f.startNode(former, 6)
+	f.runUntil(t, f.now+3*time.Second)
 	if got := f.nodes[next].Ownership(f.now, check); got != BackupOwner {
-		t.Errorf("node %d during the handover: ownership %d, want %d", next, got, BackupOwner)
+		t.Errorf("during the handover, Ownership of node %d = %d, want %d", next, got, BackupOwner)
 	}
 	if got := f.nodes[former].Ownership(f.now, check); got != PrimaryOwner {
-		t.Errorf("restarted node %d: ownership %d, want %d", former, got, PrimaryOwner)
+		t.Errorf("during the handover, Ownership of restarted node %d = %d, want %d", former, got, PrimaryOwner)
 	}
-	f.play(t, f.now+60*time.Second)
-	if got := f.nodes[next].Ownership(f.now, check); got != NotOwner || f.last(check).by != former {
-		t.Errorf("node %d after the handover: ownership %d, %v was run %v", next, got, check, f.ran[check])
+	f.runUntil(t, f.now+60*time.Second)
+	if got := f.nodes[next].Ownership(f.now, check); got != NotOwner || f.lastRun(check).by != former {
+		t.Errorf("after the handover, Ownership of node %d = %d, runs of check %v = %v; want ownership %d and the last run by node %d",
+			next, got, check, f.runs[check], NotOwner, former)
 	}
 	if got := f.nodes[former].Ownership(f.now, Check{CheckServer, 12345}); got != NotOwner {
-		t.Errorf("an unknown check has ownership %d", got)
+		t.Errorf("Ownership of an unknown check = %d, want %d", got, NotOwner)
 	}
 }
 
-// After many messages with random bytes a node still runs checks, and it reports malformed ones as ErrMalformed.
+// A node that has received many messages with random bytes still runs checks, and reports each malformed message as
+// ErrMalformed. Otherwise a corrupt or hostile datagram could stop a node.
 func TestNodeSurvivesRandomMessages(t *testing.T) {
-	const ack = "d00203fa2da101" + "0300031000" + "00" + "011e05" + "0203010a" // a bitmap, an update and the end of a run
-	good, err := hex.DecodeString(ack)
+	// The parts are a bitmap, an update and the end of a run.
+	const ack = "d00203fa2da101" + "0300031000" + "00" + "011e05" + "0203010a"
+	valid, err := hex.DecodeString(ack)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,144 +146,151 @@
 	node.SetChecks(0, checks)
 	now := time.Duration(0)
 	for range 20000 {
-		mutated := slices.Clone(good)
+		mutated := slices.Clone(valid)
 		for range 1 + random.IntN(4) {
 			mutated[1+random.IntN(len(mutated)-1)] = byte(random.IntN(256))
 		}
 		if err := node.ReceivePeerMessage(now, NodeID(1+random.IntN(19)), mutated); err != nil && !errors.Is(err, ErrMalformed) {
-			t.Fatal(err)
+			t.Fatalf("ReceivePeerMessage(%x) = %v, want no error or ErrMalformed", mutated, err)
 		}
-		for pulled := true; pulled; {
-			_, pulled = node.Next(now)
+		for hasStep := true; hasStep; {
+			_, hasStep = node.Next(now)
 		}
 		now += time.Millisecond
 	}
-	if err := node.ReceivePeerMessage(now, 1, good); err != nil || node.Wake(now) <= 0 {
-		t.Errorf("a valid message: %v, wake after %v", err, node.Wake(now))
+	if err := node.ReceivePeerMessage(now, 1, valid); err != nil || node.Wake(now) <= 0 {
+		t.Errorf("ReceivePeerMessage of a valid message = %v, Wake = %v; want no error and more than 0", err, node.Wake(now))
 	}
 	if c := node.Counters(); c.Malformed < 1000 || c.Received < 1000 || c.Checks == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("Counters() = %+v, want at least 1000 in Malformed and Received, and Checks above 0", c)
 	}
 }
 
-// single returns the only node of a fleet. It owns all checks.
-func single(interval time.Duration) *Scheduler { return New(Config{Nodes: 1, Interval: interval}, 0) }
+// newSingleNode returns the scheduler of a fleet's only node, which owns all checks.
+func newSingleNode(interval time.Duration) *Scheduler {
+	return New(Config{Nodes: 1, Interval: interval}, 0)
+}
 
-// First runs of new checks are spread over a quarter of an interval. After that each check is run once per interval.
+// The first runs of new checks are spread over a quarter of an interval. After that each check is run once per interval.
+// Without the spread, many new servers would cause a burst of checks in each interval.
 func TestFirstRunsAreSpreadOverAQuarterOfTheInterval(t *testing.T) {
-	s := single(4 * time.Second)
-	many := make([]Check, 200)
-	for i := range many {
-		many[i] = Check{CheckServer, CheckID(i)}
+	s := newSingleNode(4 * time.Second)
+	manyChecks := make([]Check, 200)
+	for i := range manyChecks {
+		manyChecks[i] = Check{CheckServer, CheckID(i)}
 	}
-	s.SetChecks(0, many)
-	first, places := map[Check]time.Duration{}, map[time.Duration]int{}
+	s.SetChecks(0, manyChecks)
+	firstRunAt, firstRunsPerTenth := map[Check]time.Duration{}, map[time.Duration]int{}
 	for now := time.Duration(0); now < 9*time.Second; now += time.Millisecond {
 		for step, ok := s.Next(now); ok; step, ok = s.Next(now) {
-			at, again := first[step.Check]
-			if !again {
-				first[step.Check] = now
-				places[now/(100*time.Millisecond)]++
+			at, repeated := firstRunAt[step.Check]
+			if !repeated {
+				firstRunAt[step.Check] = now
+				firstRunsPerTenth[now/(100*time.Millisecond)]++
 			} else if gap := now - at; gap%(4*time.Second) > 2*time.Millisecond {
-				t.Errorf("%v was run %v after its first run", step.Check, gap)
+				t.Errorf("check %v was run %v after its first run, want a multiple of 4s, up to 2ms late", step.Check, gap)
 			}
 			s.CheckEnded(now, step.Check, true)
 		}
 	}
-	for _, check := range many {
-		if at, ok := first[check]; !ok || at > time.Second {
-			t.Errorf("%v was run first at %v", check, at)
+	for _, check := range manyChecks {
+		if at, ok := firstRunAt[check]; !ok || at > time.Second {
+			t.Errorf("first run of check %v: at %v (found: %v), want within 1s", check, at, ok)
 		}
 	}
-	for place := range time.Duration(10) {
-		if places[place] < 8 || places[place] > 40 {
-			t.Errorf("%d of 200 first runs in the tenth %d of a second", places[place], place)
+	for tenth := range time.Duration(10) {
+		if firstRunsPerTenth[tenth] < 8 || firstRunsPerTenth[tenth] > 40 {
+			t.Errorf("tenth %d of the first second has %d of 200 first runs, want 8 to 40", tenth, firstRunsPerTenth[tenth])
 		}
 	}
 }
 
-// A check that is running is not run again. A check that is no longer listed is forgotten.
+// SetChecks keeps the state of checks that stay, and discards the others. A running check is not started again. Otherwise a
+// change of the set would cause duplicate runs, or runs for servers that no longer exist.
 func TestSetChecksReplacesTheSet(t *testing.T) {
-	s := single(time.Second)
+	s := newSingleNode(time.Second)
 	s.SetChecks(0, []Check{{CheckServer, 1}, {CheckServer, 2}})
-	pull := func(now time.Duration) (got []CheckID) {
+	startedRuns := func(now time.Duration) (got []CheckID) {
 		for step, ok := s.Next(now); ok; step, ok = s.Next(now) {
 			got = append(got, step.Check.ID)
 		}
 		slices.Sort(got)
 		return got
 	}
-	if got := pull(time.Second); !slices.Equal(got, []CheckID{1, 2}) || s.OwnedCount(time.Second) != 2 {
-		t.Errorf("%v", got)
+	if got := startedRuns(time.Second); !slices.Equal(got, []CheckID{1, 2}) || s.OwnedCount(time.Second) != 2 {
+		t.Errorf("runs of the first set: %v, owned checks: %d; want [1 2] and 2", got, s.OwnedCount(time.Second))
 	}
 	s.CheckEnded(time.Second, Check{CheckServer, 2}, false)
 	s.SetChecks(time.Second, []Check{{CheckServer, 2}, {CheckServer, 3}})
-	s.CheckEnded(time.Second, Check{CheckServer, 1}, true) // the run ends after the check was removed
-	if got := pull(2 * time.Second); !slices.Equal(got, []CheckID{2, 3}) || s.OwnedCount(2*time.Second) != 2 {
-		t.Errorf("%v", got)
+	s.CheckEnded(time.Second, Check{CheckServer, 1}, true) // The run ends after the check was removed.
+	if got := startedRuns(2 * time.Second); !slices.Equal(got, []CheckID{2, 3}) || s.OwnedCount(2*time.Second) != 2 {
+		t.Errorf("runs of the second set: %v, owned checks: %d; want [2 3] and 2", got, s.OwnedCount(2*time.Second))
 	}
-	if got := pull(9 * time.Second); len(got) > 0 { // both are running
-		t.Errorf("%v", got)
+	if got := startedRuns(9 * time.Second); len(got) > 0 { // Both checks are running.
+		t.Errorf("runs started while both checks are running: %v, want none", got)
 	}
 	if wake := s.Wake(9 * time.Second); wake > time.Second {
-		t.Errorf("wake after %v", wake)
+		t.Errorf("Wake while both checks are running = %v, want at most 1s", wake)
 	}
 }
 
-// A run at another node is reported once, and delays this node's next run.
+// A run at another node is reported once, and delays this node's next run. Otherwise two owners would run a check at twice
+// the rate.
 func TestRunAtAnotherNodeDelaysTheNext(t *testing.T) {
 	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0)
 	check := Check{CheckServer, 5}
 	s.SetChecks(0, []Check{check})
-	end, _ := hex.DecodeString("d00200db052768" + "0202" + "05" + "0a") // a failed run, 10 ms ago
+	end, _ := hex.DecodeString("d00200db052768" + "0202" + "05" + "0a") // The message reports a run that failed 10 ms ago.
 	for range 2 {
 		if err := s.ReceivePeerMessage(9*time.Second, 1, end); err != nil {
-			t.Fatal(err)
+			t.Fatalf("ReceivePeerMessage(%x) failed: %v, want no error", end, err)
 		}
 	}
 	if step, ok := s.Next(9 * time.Second); !ok || step.Kind != Ended || step.Check != check || step.OK {
-		t.Errorf("%+v, %v", step, ok)
+		t.Errorf("first step = %+v, %v; want Ended for check %v with a failed result", step, ok, check)
 	}
 	if step, _ := s.Next(9 * time.Second); step.Kind == Ended || step.Kind == Run {
-		t.Errorf("%+v after it", step)
+		t.Errorf("second step = %+v, want neither Ended nor Run", step)
 	}
 	state := &s.checks[0]
 	state.ownership = PrimaryOwner
 	if at := s.dueAt(state); at != 19*time.Second-10*time.Millisecond {
-		t.Errorf("due at %v", at)
+		t.Errorf("dueAt for the primary owner = %v, want 18.99s", at)
 	}
 	state.ownership = BackupOwner
 	if at := s.dueAt(state); at != 21500*time.Millisecond-10*time.Millisecond {
-		t.Errorf("due at %v for the backup owner", at)
+		t.Errorf("dueAt for the backup owner = %v, want 21.49s", at)
 	}
 }
 
-// Two reports within an eighth of a ping period are about the same run.
+// Two reports whose run times differ by at most an eighth of a ping period are about the same run. Otherwise
+// a run whose result arrives by way of several nodes would count as several runs.
 func TestReportsOfOneRunAreMerged(t *testing.T) {
-	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0) // a ping period of 100 ms
+	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0) // The ping period is 100 ms.
 	s.SetChecks(0, []Check{{CheckServer, 5}})
 	for _, report := range []struct {
 		at    time.Duration
 		ageMs byte
 		isNew bool
 	}{
-		{9 * time.Second, 10, true},                       // a run at 8.990 s
-		{9010 * time.Millisecond, 8, false},               // 12 ms later
-		{9010 * time.Millisecond, 7, true},                // 13 ms later
-		{9010 * time.Millisecond, 30, false},              // earlier than the last known run
-		{9010*time.Millisecond + s.Period()/8, 7, false},  // 12.5 ms after the last one
-		{9010*time.Millisecond + 10*s.Period(), 10, true}, // another run
+		{9 * time.Second, 10, true},                       // The run was at 8.990 s.
+		{9010 * time.Millisecond, 8, false},               // The run was 12 ms later.
+		{9010 * time.Millisecond, 7, true},                // The run was 13 ms later.
+		{9010 * time.Millisecond, 30, false},              // The run was before the last known one.
+		{9010*time.Millisecond + s.Period()/8, 7, false},  // The run was 12.5 ms after the last known one.
+		{9010*time.Millisecond + 10*s.Period(), 10, true}, // This is another run.
 	} {
 		age := time.Duration(report.ageMs) * time.Millisecond
 		e := membership.Event{Kind: uint8(CheckServer), ID: 5, At: report.at - age}
 		s.advance(report.at)
 		if isNew := s.receiveEvent(e); isNew != report.isNew {
-			t.Errorf("%v, %d ms ago: new %v", report.at, report.ageMs, isNew)
+			t.Errorf("receiveEvent of a run %d ms before %v = %v, want %v", report.ageMs, report.at, isNew, report.isNew)
 		}
 	}
 }
 
-// The interval is at least minIntervalPeriodsPerRound ping periods per gossip round.
+// The interval is at least minIntervalPeriodsPerRound ping periods per gossip round. With a shorter interval in a large
+// fleet, the checks of a dead member would miss several runs.
 func TestIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
@@ -289,7 +305,7 @@
 		{300, 0, 5 * time.Second},
 	} {
 		if got := New(Config{Nodes: c.nodes, ReceiveRate: c.rate, Interval: 5 * time.Second}, 0).Interval(); got != c.want {
-			t.Errorf("%d nodes, %v messages a second: %v, want %v", c.nodes, c.rate, got, c.want)
+			t.Errorf("Interval() of %d nodes that receive %v messages per second = %v, want %v", c.nodes, c.rate, got, c.want)
 		}
 	}
 }
--- a/internal/peersocket/doc.go
+++ b/internal/peersocket/doc.go
@@ -1,2 +1,2 @@
-// Package peersocket sends and receives the datagrams between nodes.
+// Package peersocket sends and receives peer messages, which are UDP datagrams between the nodes of a fleet.
 package peersocket
--- a/internal/peersocket/socket.go
+++ b/internal/peersocket/socket.go
@@ -17,17 +17,18 @@
 	counters *Counters
 }
 
-// Open opens the socket at an address of this node. table has the peers' addresses.
+// Open opens the socket at an address of this node. table has the addresses of the peers. Open returns an error if the
+// address is not available.
 func Open(addr netip.AddrPort, table *protocol.PeerTable, counters *Counters) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, err // names the address
+		return nil, err // The error names the address.
 	}
 	return &Socket{conn: conn, table: table, counters: counters}, nil
 }
 
-// Send sends a message to one peer, or to all if peer is negative. A message that can't be sent is counted and dropped, as
-// the network may drop any datagram.
+// Send sends a message to one peer, or to all peers if peer is negative. It counts and drops a message that it can't send.
+// The protocols tolerate that, because the network may drop any datagram as well.
 func (s *Socket) Send(peer int, payload []byte) {
 	to, ok := s.table.AddrOf(peer)
 	if ok && len(payload) <= protocol.MaxDatagram {
@@ -40,10 +41,10 @@
 }
 
 // Receive passes each message of a peer to handle, on the caller's goroutine, until Close. handle reports whether the
-// message was well-formed; payload is valid until it returns. Malformed messages and those of other senders are counted and
-// dropped. After an error of the socket Receive waits for netio.ErrorPause.
+// message was well-formed. payload is valid until handle returns. Receive counts and drops malformed messages, and datagrams
+// from other senders. After a read error it waits for netio.ErrorPause.
 func (s *Socket) Receive(handle func(from int, payload []byte) bool) {
-	buf := make([]byte, protocol.MaxDatagram+1) // the extra byte reveals a datagram that is too long
+	buf := make([]byte, protocol.MaxDatagram+1) // The extra byte reveals a datagram that is too long.
 	for {
 		n, addr, err := s.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -12,16 +12,18 @@
 	"cherrygap/internal/protocol"
 )
 
-func TestDatagramsOfStrangersAreDropped(t *testing.T) {
+// Receive drops datagrams from unknown senders and those that are too long. Send drops messages without a valid address and
+// those that are too long. Otherwise any host could send messages to a node, or a truncated message could be processed.
+func TestDatagramsOfUnknownSendersAreDropped(t *testing.T) {
 	counters := &Counters{}
 	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the socket of peer 0: %v", err)
 	}
 	peer := netip.MustParseAddrPort(sender.LocalAddr().String())
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable([]netip.AddrPort{peer}, peer), counters)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the node's socket: %v", err)
 	}
 	defer nettest.Close(socket.conn)
 	received := make(chan string, 9)
@@ -30,20 +32,20 @@
 		return true
 	})
 	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(socket.conn.LocalAddr().String()))
-	stranger, err := net.DialUDP("udp", nil, to)
+	unknownSender, err := net.DialUDP("udp", nil, to)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the socket of an unknown sender: %v", err)
 	}
-	nettest.WriteString(stranger, "no")
-	for _, text := range [][]byte{make([]byte, protocol.MaxDatagram+1), []byte("yes")} {
-		if _, err := sender.WriteToUDP(text, to); err != nil {
-			t.Fatal(err)
+	nettest.WriteString(unknownSender, "no")
+	for _, payload := range [][]byte{make([]byte, protocol.MaxDatagram+1), []byte("yes")} {
+		if _, err := sender.WriteToUDP(payload, to); err != nil {
+			t.Fatalf("send %d bytes from peer 0: %v", len(payload), err)
 		}
 	}
 	if got := <-received; got != "0yes" {
-		t.Errorf("received %q", got)
+		t.Errorf("first message handled = %q, want \"0yes\": payload \"yes\" from peer 0", got)
 	}
-	nettest.Eventually(t, "two dropped and one received", func() bool {
+	nettest.Eventually(t, "counters with Dropped = 2 and Received = 1", func() bool {
 		return counters.Dropped.Load() == 2 && counters.Received.Load() == 1
 	})
 	socket.Send(0, []byte("back"))
@@ -51,18 +53,18 @@
 	socket.Send(5, []byte("nobody"))
 	socket.Send(0, make([]byte, protocol.MaxDatagram+1))
 	if counters.Sent.Load() != 2 || counters.Unsent.Load() != 2 {
-		t.Errorf("sent %d, unsent %d", counters.Sent.Load(), counters.Unsent.Load())
+		t.Errorf("counters: Sent %d, Unsent %d; want 2 and 2", counters.Sent.Load(), counters.Unsent.Load())
 	}
 }
 
-// A socket with lasting errors does not take a whole core.
+// Receive waits after each read error. Otherwise a socket with a lasting error would keep a CPU core busy.
 func TestErrorsOfThePeerSocketArePaced(t *testing.T) {
 	counters := &Counters{}
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(nil, netip.AddrPort{}), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	netio.SetReadDeadline(socket.conn, netio.PastDeadline) // every read fails from now on
+	netio.SetReadDeadline(socket.conn, netio.PastDeadline) // Every read fails from now on.
 	done := make(chan struct{})
 	go func() {
 		socket.Receive(func(int, []byte) bool { return true })
@@ -72,6 +74,6 @@
 	nettest.Close(socket.conn)
 	<-done
 	if dropped := counters.Dropped.Load(); dropped < 1 || dropped > 21 {
-		t.Errorf("%d errors in 20 pauses", dropped)
+		t.Errorf("read errors in 20 pauses: %d, want 1 to 21", dropped)
 	}
 }
--- a/internal/peersocket/wireformat_test.go
+++ b/internal/peersocket/wireformat_test.go
@@ -12,14 +12,15 @@
 	"cherrygap/internal/protocol"
 )
 
-// A peer message is one datagram with exactly the message's bytes, at most 256.
+// A peer message is one datagram with exactly the message's bytes, at most 256. Send also drops a message to an unknown
+// peer. Nodes of another version could not read a message in another format.
 func TestDatagramWireFormat(t *testing.T) {
 	var peers []*net.UDPConn
 	var addrs []netip.AddrPort
 	for range 3 {
 		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the socket of a peer: %v", err)
 		}
 		t.Cleanup(func() { nettest.Close(conn) })
 		peers, addrs = append(peers, conn), append(addrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
@@ -27,37 +28,38 @@
 	counters := &Counters{}
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(addrs[:2], addrs[2]), counters)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the node's socket: %v", err)
 	}
 	t.Cleanup(func() { nettest.Close(socket.conn) })
-	long := bytes.Repeat([]byte{0xff, 0, 7}, 86)[:256]
+	longest := bytes.Repeat([]byte{0xff, 0, 7}, 86)[:256]
 	for _, message := range []struct {
-		to   int
-		text []byte
-		at   int // the peer that receives it; -1: none
+		to       int
+		payload  []byte
+		receiver int // number of the peer that receives the message; -1 for none
 	}{
-		{to: 0, text: []byte{1, 0, 255}, at: 0},
-		{to: 1, text: []byte("text\r\n"), at: 1},
-		{to: -1, text: []byte("all"), at: 2},
-		{to: 0, text: append(long, 1), at: -1},
-		{to: 2, text: []byte("nobody"), at: -1},
-		{to: 1, text: long, at: 1},
+		{to: 0, payload: []byte{1, 0, 255}, receiver: 0},
+		{to: 1, payload: []byte("text\r\n"), receiver: 1},
+		{to: -1, payload: []byte("all"), receiver: 2},
+		{to: 0, payload: append(longest, 1), receiver: -1},
+		{to: 2, payload: []byte("nobody"), receiver: -1},
+		{to: 1, payload: longest, receiver: 1},
 	} {
-		socket.Send(message.to, message.text)
-		if message.at < 0 {
+		socket.Send(message.to, message.payload)
+		if message.receiver < 0 {
 			continue
 		}
 		buf := make([]byte, 1<<10)
-		netio.SetReadDeadline(peers[message.at], time.Now().Add(5*time.Second))
-		n, from, err := peers[message.at].ReadFromUDPAddrPort(buf)
-		if err != nil || !bytes.Equal(buf[:n], message.text) || from.String() != socket.conn.LocalAddr().String() {
-			t.Errorf("%q to %d came as %q from %v, %v", message.text, message.to, buf[:n], from, err)
+		netio.SetReadDeadline(peers[message.receiver], time.Now().Add(5*time.Second))
+		n, from, err := peers[message.receiver].ReadFromUDPAddrPort(buf)
+		if err != nil || !bytes.Equal(buf[:n], message.payload) || from.String() != socket.conn.LocalAddr().String() {
+			t.Errorf("after Send(%d, %q), peer %d received %q from %v, error %v; want the same bytes from %v",
+				message.to, message.payload, message.receiver, buf[:n], from, err, socket.conn.LocalAddr())
 		}
 	}
-	for peer, conn := range peers { // no peer gets another datagram
+	for peer, conn := range peers { // No peer receives another datagram.
 		netio.SetReadDeadline(conn, time.Now().Add(20*time.Millisecond))
 		if n, _, err := conn.ReadFromUDPAddrPort(make([]byte, 1<<10)); err == nil {
-			t.Errorf("%d bytes more to peer %d", n, peer)
+			t.Errorf("peer %d received another datagram of %d bytes, want none", peer, n)
 		}
 	}
 }
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -151,7 +151,7 @@
 
 // FromText ignores this package's keys and the former keys, because neither are names of the platform. Otherwise a setting
 // could be given under two names. The exception is Tick, whose key is also its name of the platform.
-func TestOwnKeysAreNotTaken(t *testing.T) {
+func TestOwnKeysAreIgnored(t *testing.T) {
 	for _, k := range formerKeys {
 		for _, key := range []string{k.former, k.key} {
 			if values := valuesFromText([]byte(fmt.Sprintf("%s=7\n", key))); len(values) > 0 && key != Tick {
--- a/internal/settings/platformwriter.go
+++ b/internal/settings/platformwriter.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// PlatformJSON returns settings in the nested form of the platform's configuration. The packages of internal/lab use
-// it to configure real nodes.
+// PlatformJSON returns settings in the nested form of the platform's configuration. The packages of internal/lab use it
+// to configure real nodes.
 //
 // It omits fields without a text, booleans that are false, and list entries whose number is not below the declared length.
 // FromJSON parses all other settings back, except for times that are not a whole number of time units. PlatformJSON writes
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -35,16 +35,16 @@
 // Settings that PlatformJSON writes and FromJSON reads back are unchanged in every field. A field that the writer omits would
 // be 0 or off in a node that internal/lab configures.
 func TestPlatformJSONRoundTrip(t *testing.T) {
-	for name, set := range map[string]*Settings{"full": fullSettings(), "empty": Parse(Values{ClassCount: "0", PlanCount: "0"})} {
-		got, err := FromJSON(PlatformJSON(set))
+	for name, settings := range map[string]*Settings{"full": fullSettings(), "empty": Parse(Values{ClassCount: "0", PlanCount: "0"})} {
+		got, err := FromJSON(PlatformJSON(settings))
 		if err != nil {
 			t.Fatalf("%s settings: FromJSON of PlatformJSON's result failed: %v, want no error", name, err)
 		}
 		if name == "empty" { // The JSON form of a list without objects has no declared length.
 			got.Classes.Count, got.Plans.Count = IntNumber(0), IntNumber(0)
 		}
-		if !reflect.DeepEqual(got, set) {
-			t.Errorf("%s settings after PlatformJSON and FromJSON:\ngot  %+v\nwant %+v", name, got, set)
+		if !reflect.DeepEqual(got, settings) {
+			t.Errorf("%s settings after PlatformJSON and FromJSON:\ngot  %+v\nwant %+v", name, got, settings)
 		}
 	}
 	full := reflect.ValueOf(*fullSettings())
@@ -58,7 +58,7 @@
 // PlatformJSON writes the platform's names, and times in microseconds. A round trip alone would not detect a wrong name that
 // the reader has as well.
 func TestPlatformJSONFormat(t *testing.T) {
-	set := &Settings{
+	settings := &Settings{
 		Node: IntNumber(3), Tick: Units(20), EndpointList: EndpointListPush, RetryAfter: true, SlowStartShare: FloatNumber(0.25),
 		Classes: NewList(Class{Named: true, Name: "find", RetrySafety: RetryKeyed, LatencyObjective: Milliseconds(400)}),
 		Plans:   NewList(Plan{Name: "team", Rate: FloatNumber(1e6), CeilingSlack: IntNumber(0)}),
@@ -66,12 +66,13 @@
 	const want = `{"limits":{"retry_after":true},"registry_mode":"automatic","safety":{"cold_from":0.25},` +
 		`"services":[{"name":"find","semantics":"deduplicated","slo":400000}],"slot_no":3,"tick":2000,` +
 		`"tiers_of_service":[{"cap_slack":0,"name":"team","units_per_s":1000000}]}`
-	if got := string(PlatformJSON(set)); got != want {
+	if got := string(PlatformJSON(settings)); got != want {
 		t.Errorf("PlatformJSON wrote\n%s, want\n%s", got, want)
 	}
 }
 
-// Every name of the platform that FromJSON reads is written by PlatformJSON too, and numbers survive both directions.
+// Every name of the platform that FromJSON reads is written by PlatformJSON too, and numbers survive both directions. A name
+// that is added only to the reader would be missing from the settings of nodes in internal/lab.
 func TestEveryTranslationIsInvertible(t *testing.T) {
 	written := map[string]bool{}
 	for list := range listPrefixes {
