--- a/internal/counters/node.go
+++ b/internal/counters/node.go
@@ -42,21 +42,21 @@
 }
 
 func (n *Node) fields() []field {
-	front, up, lists, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
+	frontEnd, upstreamCounters, discoveryCounters, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
 	fields := []field{
-		{"connections", &front.Connections},
-		{"requests", &front.Requests},
-		{"requests_malformed", &front.MalformedRequests},
-		{"completed", &front.Completed},
-		{"rejected", &front.Rejected},
-		{"failed", &front.Failed},
-		{"clients_gone", &front.ClientsGone},
-		{"denied", &front.Denied},
-		{"responses_unwritten", &front.ResponsesUnwritten},
-		{"attempts", &up.Attempts},
-		{"dials", &up.Dials},
-		{"endpoint_lists", &lists.EndpointLists},
-		{"endpoint_lists_malformed", &lists.MalformedLists},
+		{"connections", &frontEnd.Connections},
+		{"requests", &frontEnd.Requests},
+		{"requests_malformed", &frontEnd.MalformedRequests},
+		{"completed", &frontEnd.Completed},
+		{"rejected", &frontEnd.Rejected},
+		{"failed", &frontEnd.Failed},
+		{"clients_gone", &frontEnd.ClientsGone},
+		{"denied", &frontEnd.Denied},
+		{"responses_unwritten", &frontEnd.ResponsesUnwritten},
+		{"attempts", &upstreamCounters.Attempts},
+		{"dials", &upstreamCounters.Dials},
+		{"endpoint_lists", &discoveryCounters.EndpointLists},
+		{"endpoint_lists_malformed", &discoveryCounters.MalformedLists},
 		{"peer_messages_sent", &peers.Sent},
 		{"peer_messages_unsent", &peers.Unsent},
 		{"peer_messages_received", &peers.Received},
@@ -64,14 +64,14 @@
 		{"log_lines_dropped", &n.LogLinesDropped},
 	}
 	for outcome := range protocol.OutcomeCount {
-		fields = append(fields, field{outcomePrefix + outcome.String(), &up.AttemptOutcomes[outcome]})
+		fields = append(fields, field{outcomePrefix + outcome.String(), &upstreamCounters.AttemptOutcomes[outcome]})
 	}
 	return append(
 		fields,
-		field{"dials_short_of_resources", &up.ResourceExhaustions},
-		field{invariant.CounterField(invariant.Sending), &up.SendViolations},
+		field{"dials_short_of_resources", &upstreamCounters.ResourceExhaustions},
+		field{invariant.CounterField(invariant.Sending), &upstreamCounters.SendViolations},
 		field{invariant.CounterField(invariant.Repeating), &n.RepeatViolations},
-		field{invariant.CounterField(invariant.Closing), &front.CloseViolations},
-		field{invariant.CounterField(invariant.Starting), &front.StartViolations},
+		field{invariant.CounterField(invariant.Closing), &frontEnd.CloseViolations},
+		field{invariant.CounterField(invariant.Starting), &frontEnd.StartViolations},
 	)
 }
--- a/internal/counters/node_test.go
+++ b/internal/counters/node_test.go
@@ -49,17 +49,17 @@
 // Each counter is logged under its own name, in a fixed order.
 func TestCountersLogFormat(t *testing.T) {
 	counters := &Node{}
-	front, up, disco, peers := &counters.FrontEnd, &counters.Upstream, &counters.Discovery, &counters.Peers
+	frontEnd, upstreamCounters, discoveryCounters, peers := &counters.FrontEnd, &counters.Upstream, &counters.Discovery, &counters.Peers
 	all := []*atomic.Int64{
-		&front.Connections, &front.Requests, &front.MalformedRequests, &front.Completed, &front.Rejected,
-		&front.Failed, &front.ClientsGone, &front.Denied, &front.ResponsesUnwritten, &up.Attempts,
-		&up.Dials, &disco.EndpointLists, &disco.MalformedLists, &peers.Sent,
+		&frontEnd.Connections, &frontEnd.Requests, &frontEnd.MalformedRequests, &frontEnd.Completed, &frontEnd.Rejected,
+		&frontEnd.Failed, &frontEnd.ClientsGone, &frontEnd.Denied, &frontEnd.ResponsesUnwritten, &upstreamCounters.Attempts,
+		&upstreamCounters.Dials, &discoveryCounters.EndpointLists, &discoveryCounters.MalformedLists, &peers.Sent,
 		&peers.Unsent, &peers.Received, &peers.Dropped, &counters.LogLinesDropped,
 	}
-	for outcome := range up.AttemptOutcomes {
-		all = append(all, &up.AttemptOutcomes[outcome])
+	for outcome := range upstreamCounters.AttemptOutcomes {
+		all = append(all, &upstreamCounters.AttemptOutcomes[outcome])
 	}
-	all = append(all, &up.ResourceExhaustions, &up.SendViolations, &counters.RepeatViolations, &front.CloseViolations, &front.StartViolations)
+	all = append(all, &upstreamCounters.ResourceExhaustions, &upstreamCounters.SendViolations, &counters.RepeatViolations, &frontEnd.CloseViolations, &frontEnd.StartViolations)
 	if len(all) != len(counterNames) {
 		t.Fatalf("%d counters, %d names", len(all), len(counterNames))
 	}
--- a/internal/netio/arrivaltimes.go
+++ b/internal/netio/arrivaltimes.go
@@ -35,11 +35,11 @@
 
 // At returns when the byte at a position was read, or the zero time if it was not, and drops the entries before it.
 func (a *ArrivalTimes) At(position int) time.Time {
-	past := 0
-	for past < len(a.entries) && a.entries[past].upTo <= position {
-		past++
+	dropped := 0
+	for dropped < len(a.entries) && a.entries[dropped].upTo <= position {
+		dropped++
 	}
-	a.entries = append(a.entries[:0], a.entries[past:]...)
+	a.entries = append(a.entries[:0], a.entries[dropped:]...)
 	if len(a.entries) == 0 {
 		return time.Time{}
 	}
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -31,8 +31,8 @@
 	maxReserved = 2 * MinReserved
 )
 
-// minPerSide is the lower bound of Limits.PerSide.
-const minPerSide = 4
+// minConnsPerSide is the lower bound of Limits.MaxConnsPerSide.
+const minConnsPerSide = 4
 
 const (
 	bufferMemoryDivisor = 8       // all buffers together take at most the memory divided by it
@@ -44,19 +44,19 @@
 // within MinReserved and maxReserved.
 func (l Limits) reserved() int { return min(max(MinReserved, l.Sockets/4), maxReserved) }
 
-// PerSide returns the maximum number of client connections, which is also that of connections to app servers.
-func (l Limits) PerSide() int { return max(minPerSide, (l.Sockets-l.reserved())/2) }
+// MaxConnsPerSide returns the maximum number of client connections, which is also that of connections to app servers.
+func (l Limits) MaxConnsPerSide() int { return max(minConnsPerSide, (l.Sockets-l.reserved())/2) }
 
 // GRPCConnections returns the maximum number of gRPC client connections. They carry many requests each, so a quarter of the
 // client connections is enough.
-func (l Limits) GRPCConnections() int { return max(1, l.PerSide()/4) }
+func (l Limits) GRPCConnections() int { return max(1, l.MaxConnsPerSide()/4) }
 
 // HTTPConnections returns the maximum number of HTTP client connections.
 func (l Limits) HTTPConnections() int {
 	if l.GRPC {
-		return l.PerSide() - l.GRPCConnections()
+		return l.MaxConnsPerSide() - l.GRPCConnections()
 	}
-	return l.PerSide()
+	return l.MaxConnsPerSide()
 }
 
 // BufferSize returns the size of one direction's buffer in bytes, from MinBuffer to maxBuffer.
--- a/internal/netio/ringbuffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -15,14 +15,14 @@
 )
 
 // pieces is a connection that reads in pieces of random sizes.
-type pieces struct {
+type fragmentedConn struct {
 	net.Conn
 	random *rand.Rand
 	in     []byte
 	out    bytes.Buffer
 }
 
-func (c *pieces) Read(p []byte) (int, error) {
+func (c *fragmentedConn) Read(p []byte) (int, error) {
 	if len(c.in) == 0 {
 		return 0, io.EOF
 	}
@@ -31,9 +31,9 @@
 	return n, nil
 }
 
-func (c *pieces) Write(p []byte) (int, error) { return c.out.Write(p) }
+func (c *fragmentedConn) Write(p []byte) (int, error) { return c.out.Write(p) }
 
-func (c *pieces) SetReadDeadline(time.Time) error { return nil }
+func (c *fragmentedConn) SetReadDeadline(time.Time) error { return nil }
 
 // Bytes leave a ring buffer as they entered it, with the bytes that parsers read ahead put back.
 func TestRingBufferKeepsBytes(t *testing.T) {
@@ -41,7 +41,7 @@
 		random := rand.New(rand.NewSource(seed))
 		sent := make([]byte, 40000)
 		random.Read(sent)
-		conn := &pieces{random: random, in: sent}
+		conn := &fragmentedConn{random: random, in: sent}
 		in, out := NewMessageBuffer(conn, conn, nil), NewRingBuffer(conn, MinBuffer)
 		in.Allocate(MinBuffer)
 		for in.Wait() == nil {
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -206,7 +206,7 @@
 		s.transferred, s.err = 0, net.ErrClosed
 		return true
 	}
-	n, errno := call(syscall.SYS_READ, fd, s.buf, 0)
+	n, errno := nonblockingSyscall(syscall.SYS_READ, fd, s.buf, 0)
 	if s.Hook != nil {
 		s.Hook.EndRead(readResult(n, errno))
 	}
@@ -232,7 +232,7 @@
 }
 
 func (s *Socket) tryWrite(fd uintptr) bool {
-	n, errno := call(syscall.SYS_SENDTO, fd, s.buf, syscall.MSG_NOSIGNAL)
+	n, errno := nonblockingSyscall(syscall.SYS_SENDTO, fd, s.buf, syscall.MSG_NOSIGNAL)
 	if errno == syscall.EAGAIN {
 		return false
 	}
@@ -244,7 +244,7 @@
 
 // tryPeek sets input. It always returns true, because a peek has a result at once.
 func (s *Socket) tryPeek(fd uintptr) bool {
-	n, errno := call(syscall.SYS_RECVFROM, fd, s.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	n, errno := nonblockingSyscall(syscall.SYS_RECVFROM, fd, s.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case errno == syscall.EAGAIN:
 		s.input = inputNone
@@ -259,7 +259,7 @@
 }
 
 // call makes one system call on a non-blocking descriptor, and repeats it if a signal interrupts it. p is not empty.
-func call(trap, fd uintptr, p []byte, flags uintptr) (int, syscall.Errno) {
+func nonblockingSyscall(trap, fd uintptr, p []byte, flags uintptr) (int, syscall.Errno) {
 	for {
 		n, _, errno := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)), flags, 0, 0)
 		if errno != syscall.EINTR {
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -11,7 +11,7 @@
 func TestPeerHasClosed(t *testing.T) {
 	listener := nettest.Listen(t)
 	accepted := make(chan net.Conn, 1)
-	for _, end := range []struct {
+	for _, test := range []struct {
 		name   string
 		close  func(net.Conn)
 		closed bool
@@ -34,17 +34,17 @@
 		conn := <-accepted
 		t.Cleanup(func() { nettest.Close(conn) })
 		nettest.WriteString(client, "bytes that nobody reads")
-		end.close(client)
-		s := NewSocket(conn.(*net.TCPConn))
-		nettest.Eventually(t, end.name+" seen", func() bool {
+		test.close(client)
+		socket := NewSocket(conn.(*net.TCPConn))
+		nettest.Eventually(t, test.name+" seen", func() bool {
 			closed := false
-			if err := s.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
+			if err := socket.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
 				t.Fatal(err)
 			}
-			return closed == end.closed
+			return closed == test.closed
 		})
-		if got := s.HungUp(); got != end.closed {
-			t.Errorf("%s: hung up %v", end.name, got)
+		if got := socket.HungUp(); got != test.closed {
+			t.Errorf("%s: hung up %v", test.name, got)
 		}
 	}
 }
--- a/internal/netio/timer.go
+++ b/internal/netio/timer.go
@@ -46,7 +46,7 @@
 }
 
 func (t *Timer) tryRead(fd uintptr) bool {
-	_, errno := call(syscall.SYS_READ, fd, t.expirations[:], 0)
+	_, errno := nonblockingSyscall(syscall.SYS_READ, fd, t.expirations[:], 0)
 	return errno != syscall.EAGAIN
 }
 
--- a/internal/nettest/fullserver.go
+++ b/internal/nettest/fullserver.go
@@ -11,7 +11,7 @@
 
 // FullServer starts an app server whose listen queue is full, so that connects to it time out. empty returns its
 // listener, which then accepts connections.
-func FullServer(t *testing.T) (addr netip.AddrPort, empty func() net.Listener) {
+func FullServer(t *testing.T) (addr netip.AddrPort, startAccepting func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -18,11 +18,11 @@
 const eventuallyTimeout = 5 * time.Second
 
 // Eventually waits until ok, or fails the test after eventuallyTimeout.
-func Eventually(t *testing.T, what string, ok func() bool) {
+func Eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not seen in time: " + what)
+			t.Fatal("not seen in time: " + condition)
 		}
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,12 +25,12 @@
 // Reset, Run and CheckClient belong to one goroutine. Cancel, which the Router calls under its lock, and ClientGone may be
 // called by any goroutine; both wake Run.
 type AttemptRunner struct {
-	pool       *Pool
-	router     *routing.Router
-	peerClosed func() bool // reports whether the client has disconnected by now
-	body       []byte      // buffer of the last response's body, reused for the next
-	requestID  string      // of the open request
-	check      sendCheck   // of the current attempt
+	pool         *Pool
+	router       *routing.Router
+	clientClosed func() bool // reports whether the client has disconnected by now
+	body         []byte      // buffer of the last response's body, reused for the next
+	requestID    string      // of the open request
+	sendCheck    sendCheck   // of the current attempt
 
 	mu              sync.Mutex         // guards all below
 	current         int                // number of the current attempt, or noAttempt
@@ -42,10 +42,10 @@
 	clientCheckedAt time.Time          // when the client was last known to be connected
 }
 
-// NewAttemptRunner makes the runner of one client connection. peerClosed reports whether the client has disconnected by
+// NewAttemptRunner makes the runner of one client connection. clientClosed reports whether the client has disconnected by
 // now; it must not block.
-func NewAttemptRunner(pool *Pool, router *routing.Router, peerClosed func() bool) *AttemptRunner {
-	return &AttemptRunner{pool: pool, router: router, peerClosed: peerClosed}
+func NewAttemptRunner(pool *Pool, router *routing.Router, clientClosed func() bool) *AttemptRunner {
+	return &AttemptRunner{pool: pool, router: router, clientClosed: clientClosed}
 }
 
 // Reset prepares for the attempts of a request that was received at a time.
@@ -55,7 +55,7 @@
 	r.mu.Unlock()
 	r.body = netio.TrimBuffer(r.body)
 	r.requestID = request.ID
-	r.check = sendCheck{clientDeadline: receivedAt.Add(request.Timeout)}
+	r.sendCheck = sendCheck{clientDeadline: receivedAt.Add(request.Timeout)}
 }
 
 // ClientState is the result of CheckClient.
@@ -79,7 +79,7 @@
 		return ClientConnected
 	}
 	now := time.Now()
-	if r.peerClosed() {
+	if r.clientClosed() {
 		r.ClientGone()
 		return ClientDisconnected
 	}
@@ -149,7 +149,7 @@
 func (i interruption) any() bool { return i.cancelled || i.disconnected }
 
 // end detaches the current attempt from its connection or dial, so that neither Cancel nor ClientGone affects them any more.
-func (r *AttemptRunner) end() interruption {
+func (r *AttemptRunner) detach() interruption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conn, r.cancelDial = nil, nil
@@ -164,8 +164,8 @@
 // Run runs the attempt that the Router decided on. The response's body is valid until the next Run.
 func (r *AttemptRunner) Run(decision routing.Decision, request *protocol.Request) (protocol.ServerResponse, routing.AttemptResult) {
 	startedAt := time.Now()
-	r.check.finishBy = decision.FinishBy
-	response := r.attempt(decision, request, netio.Earlier(startedAt.Add(decision.Timeout), r.check.clientDeadline))
+	r.sendCheck.finishBy = decision.FinishBy
+	response := r.sendAndReceive(decision, request, netio.Earlier(startedAt.Add(decision.Timeout), r.sendCheck.clientDeadline))
 	r.pool.counters.AttemptOutcomes[response.Outcome].Add(1)
 	took := time.Since(startedAt)
 	r.logEnd(decision, response.Outcome, took)
@@ -179,11 +179,11 @@
 		return
 	}
 	event.Str("request", r.requestID).Int("attempt", decision.Attempt).Stringer("server", decision.Server.Addr).
-		Stringer("outcome", outcome).Dur("attempt_timeout_ms", r.check.attemptTimeout).Dur("timeout_ms", decision.Timeout).
+		Stringer("outcome", outcome).Dur("attempt_timeout_ms", r.sendCheck.attemptTimeout).Dur("timeout_ms", decision.Timeout).
 		Dur("took_ms", took).Msg("attempt ended")
 }
 
-func (r *AttemptRunner) attempt(decision routing.Decision, request *protocol.Request, deadline time.Time) protocol.ServerResponse {
+func (r *AttemptRunner) sendAndReceive(decision routing.Decision, request *protocol.Request, deadline time.Time) protocol.ServerResponse {
 	sent := r.send(decision, request, deadline)
 	if sent.conn == nil {
 		return protocol.ServerResponse{Outcome: sent.outcome}
@@ -207,7 +207,7 @@
 	if response.Body != nil {
 		r.body = response.Body
 	}
-	cancelled := r.end().cancelled
+	cancelled := r.detach().cancelled
 	reason := conn.closeReason(response, err)
 	switch {
 	case reason == reusable:
@@ -221,7 +221,7 @@
 		response = protocol.ServerResponse{Outcome: failedOutcomes[reason]}
 		stale := reason == netio.ReasonServerReset && conn.requests > 1 && conn.in.Filled() == filledBefore
 		if stale && time.Since(sentAt) < staleResetTimeout {
-			r.pool.distrust(sentAt.Sub(conn.idleSince))
+			r.pool.reduceIdleLimit(sentAt.Sub(conn.idleSince))
 		}
 	}
 	r.pool.close(conn, reason)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -20,43 +20,43 @@
 
 // A request whose response was cut off may have run: an unsafe one is neither retried nor rejected.
 func TestResponsesCutOff(t *testing.T) {
-	half := func(conn net.Conn, _ *http.Request) bool {
+	halfResponse := func(conn net.Conn, _ *http.Request) bool {
 		nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
 		return false
 	}
-	for repeats, want := range map[string]struct{ status, sent int }{
+	for retries, want := range map[string]struct{ status, sent int }{
 		settings.RetryUnsafe: {502, 1}, settings.RetrySafe: {503, 2},
 	} {
-		node := frontendtest.Start(t, repeats, frontendtest.Limits, 3, half)
+		node := frontendtest.Start(t, retries, frontendtest.Limits, 3, halfResponse)
 		status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
-		if sent := int(node.Counters.Upstream.Attempts.Load()); status != want.status || sent > 3 || repeats == settings.RetryUnsafe && sent != 1 {
-			t.Errorf("%s: status %d after %d attempts", repeats, status, sent)
+		if attempts := int(node.Counters.Upstream.Attempts.Load()); status != want.status || attempts > 3 || retries == settings.RetryUnsafe && attempts != 1 {
+			t.Errorf("%s: status %d after %d attempts", retries, status, attempts)
 		}
 		if !node.Log.ClosedFor(netio.ReasonServerReset) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
-			t.Errorf("%s: no reset connection logged", repeats)
+			t.Errorf("%s: no reset connection logged", retries)
 		}
 	}
 }
 
 // A request with a malformed response has run. Bytes behind a good response are never the next request's response.
 func TestMalformedResponsesAreNotPassedOn(t *testing.T) {
-	long := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
-	for _, text := range []string{
+	longResponse := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
+	for _, response := range []string{
 		"noise\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
-		long,
-		long + strings.Repeat("x", 1<<20),
+		longResponse,
+		longResponse + strings.Repeat("x", 1<<20),
 		"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 1<<20),
 		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15),
 	} {
 		node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
-			nettest.WriteString(conn, text)
+			nettest.WriteString(conn, response)
 			nettest.WaitForClose(conn) // it stays open
 			return false
 		})
 		status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 		if malformed := node.Counters.Upstream.AttemptOutcomes[protocol.MalformedResponse].Load(); status != 502 || malformed != 1 {
-			t.Errorf("%.40q: status %d, %d malformed", text, status, malformed)
+			t.Errorf("%.40q: status %d, %d malformed", response, status, malformed)
 		}
 	}
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
@@ -107,17 +107,17 @@
 // goroutine closes so late that the request was written completely, the request may have run. Such a play is checked
 // for that, and repeated.
 func TestNewConnectionsThatBreak(t *testing.T) {
-	const plays = 10 // one in 500 has a late close
-	for range plays {
-		if playNewConnectionsThatBreak(t) {
+	const maxRuns = 10 // one in 500 has a late close
+	for range maxRuns {
+		if breakNewConnections(t) {
 			return
 		}
 	}
-	t.Errorf("the server closed late in each of %d plays", plays)
+	t.Errorf("the server closed late in each of %d plays", maxRuns)
 }
 
-// playNewConnectionsThatBreak reports whether the server closed in time.
-func playNewConnectionsThatBreak(t *testing.T) bool {
+// breakNewConnections reports whether the server closed in time.
+func breakNewConnections(t *testing.T) bool {
 	t.Helper()
 	listener := nettest.Listen(t)
 	var accepted atomic.Int64
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -15,12 +15,12 @@
 // and which servers are checked when; HealthChecker sends, checks and reports. Checks use the connections of the Pool, so a
 // server in use is checked over an open connection. It is safe for concurrent use.
 type HealthChecker struct {
-	router  *routing.Router
-	pool    *Pool
-	send    func(to int, payload []byte)
-	started time.Time     // origin of the scheduler's clock
-	changed chan struct{} // has an element if the scheduler may have a new step for Run
-	done    chan struct{} // closed by Close
+	router    *routing.Router
+	pool      *Pool
+	send      func(to int, payload []byte)
+	startedAt time.Time     // origin of the scheduler's clock
+	wake      chan struct{} // has an element if the scheduler may have a new step for Run
+	done      chan struct{} // closed by Close
 
 	mu        sync.Mutex // guards both below
 	scheduler *healthcheck.Scheduler
@@ -34,8 +34,8 @@
 		router:    router,
 		pool:      pool,
 		send:      send,
-		started:   time.Now(),
-		changed:   make(chan struct{}, 1),
+		startedAt: time.Now(),
+		wake:      make(chan struct{}, 1),
 		done:      make(chan struct{}),
 		scheduler: healthcheck.New(cfg, 0),
 		servers:   map[healthcheck.CheckID]*routing.Server{},
@@ -44,24 +44,24 @@
 	return h
 }
 
-func (h *HealthChecker) now() time.Duration { return time.Since(h.started) }
+func (h *HealthChecker) now() time.Duration { return time.Since(h.startedAt) }
 
 // notifyRun makes Run poll the scheduler.
 func (h *HealthChecker) notifyRun() {
 	select {
-	case h.changed <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
 // EndpointsChanged replaces the checked servers by those that the router has in service.
 func (h *HealthChecker) EndpointsChanged() {
-	list := h.router.Servers()
+	servers := h.router.Servers()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clear(h.servers)
-	checks := make([]healthcheck.Check, len(list))
-	for i, server := range list {
+	checks := make([]healthcheck.Check, len(servers))
+	for i, server := range servers {
 		checks[i] = healthcheck.Check{Kind: healthcheck.CheckServer, ID: healthcheck.CheckID(server.Number())}
 		h.servers[checks[i].ID] = server
 	}
@@ -89,9 +89,9 @@
 		case <-h.done:
 			return
 		case <-timer.C:
-		case <-h.changed:
+		case <-h.wake:
 		}
-		for step, ok := h.next(); ok; step, ok = h.next() {
+		for step, ok := h.nextStep(); ok; step, ok = h.nextStep() {
 			h.execute(step)
 		}
 		h.mu.Lock()
@@ -102,7 +102,7 @@
 }
 
 // next returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
-func (h *HealthChecker) next() (step healthcheck.Step, ok bool) {
+func (h *HealthChecker) nextStep() (step healthcheck.Step, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	step, ok = h.scheduler.Next(h.now())
@@ -115,14 +115,14 @@
 	case healthcheck.Send:
 		h.send(int(step.To), step.Payload)
 	case healthcheck.Run:
-		go h.check(step)
+		go h.runCheck(step)
 	case healthcheck.Ended:
 		h.router.HealthChecked(routing.ServerNumber(step.Check.ID), step.OK)
 	}
 }
 
 // check runs one health check and reports its result to router and scheduler.
-func (h *HealthChecker) check(step healthcheck.Step) {
+func (h *HealthChecker) runCheck(step healthcheck.Step) {
 	h.mu.Lock()
 	server := h.servers[step.Check.ID]
 	h.mu.Unlock()
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -26,34 +26,34 @@
 type checkedServers struct {
 	list *protocol.EndpointList
 
-	mu     sync.Mutex // guards all below
-	last   []time.Time
-	worst  []time.Duration // longest time between two checks
-	checks []int
+	mu          sync.Mutex // guards all below
+	lastCheckAt []time.Time
+	longestGap  []time.Duration // longest time between two checks
+	checkCount  []int
 }
 
 // startCheckedServers starts count servers, of which the first one is draining.
 func startCheckedServers(t *testing.T, count int) *checkedServers {
 	t.Helper()
 	s := &checkedServers{
-		list:   &protocol.EndpointList{Full: true},
-		last:   make([]time.Time, count),
-		worst:  make([]time.Duration, count),
-		checks: make([]int, count),
+		list:        &protocol.EndpointList{Full: true},
+		lastCheckAt: make([]time.Time, count),
+		longestGap:  make([]time.Duration, count),
+		checkCount:  make([]int, count),
 	}
 	for i := range count {
 		ln, err := net.Listen("tcp", nettest.AnyPort())
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
-			if q.URL.Path != protocol.HealthPath || q.Header.Get(protocol.HeaderRequestID) != "" {
-				t.Errorf("%s with id %q", q.URL, q.Header.Get(protocol.HeaderRequestID))
+		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+			if request.URL.Path != protocol.HealthPath || request.Header.Get(protocol.HeaderRequestID) != "" {
+				t.Errorf("%s with id %q", request.URL, request.Header.Get(protocol.HeaderRequestID))
 			}
-			s.checked(i)
+			s.recordCheck(i)
 		})}
 		t.Cleanup(func() { _ = server.Close() })
-		s.last[i] = time.Now()
+		s.lastCheckAt[i] = time.Now()
 		go func() { _ = server.Serve(ln) }() // until Close
 		s.list.Endpoints = append(s.list.Endpoints, protocol.Endpoint{
 			UID:    fmt.Sprint(i),
@@ -65,18 +65,18 @@
 	return s
 }
 
-func (s *checkedServers) checked(i int) {
+func (s *checkedServers) recordCheck(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteGap(i)
-	s.checks[i]++
+	s.recordGap(i)
+	s.checkCount[i]++
 }
 
-// noteGap records the time since a server's last check. The caller holds mu.
-func (s *checkedServers) noteGap(i int) {
+// recordGap records the time since a server's last check. The caller holds mu.
+func (s *checkedServers) recordGap(i int) {
 	now := time.Now()
-	s.worst[i] = max(s.worst[i], now.Sub(s.last[i]))
-	s.last[i] = now
+	s.longestGap[i] = max(s.longestGap[i], now.Sub(s.lastCheckAt[i]))
+	s.lastCheckAt[i] = now
 }
 
 // checkingNodes are nodes on loopback that share health checks.
@@ -94,12 +94,12 @@
 	t.Helper()
 	n := &checkingNodes{t: t, list: list, random: rand.New(rand.NewSource(4)), stop: make([]func(), count)}
 	for range count {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.addrs = append(n.addrs, netip.MustParseAddrPort(c.LocalAddr().String()))
-		if err := c.Close(); err != nil {
+		n.addrs = append(n.addrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
+		if err := conn.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -114,13 +114,13 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	set := map[string]string{
+	values := map[string]string{
 		settings.Nodes: fmt.Sprint(len(n.addrs)), settings.Tick: "20",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
 	}
 	router := routing.New(routing.Config{
 		Seed:          3,
-		Settings:      settings.Parse(set),
+		Settings:      settings.Parse(values),
 		SetTimer:      func(time.Duration) {},
 		SendToPeer:    func(int, []byte) {},
 		PollEndpoints: func() {},
@@ -155,9 +155,9 @@
 }
 
 // disturb stops and starts random nodes for a time span.
-func (n *checkingNodes) disturb(span time.Duration) {
+func (n *checkingNodes) restartAtRandom(span time.Duration) {
 	n.t.Helper()
-	for began := time.Now(); time.Since(began) < span; {
+	for startedAt := time.Now(); time.Since(startedAt) < span; {
 		time.Sleep(time.Duration(200+n.random.Intn(400)) * time.Millisecond)
 		if i := n.random.Intn(len(n.stop)); n.stop[i] != nil {
 			n.stop[i]()
@@ -172,27 +172,27 @@
 
 // Twelve nodes on loopback, killed and started again at random: no app server goes unchecked for more than two
 // intervals, few are checked twice, and a draining one is not checked at all.
-func TestSharedChecksSurviveTheirOwners(t *testing.T) {
+func TestHealthChecksContinueWhenOwnersFail(t *testing.T) {
 	const nodeCount, serverCount = 12, 8
 	servers := startCheckedServers(t, serverCount)
 	nodes := newCheckingNodes(t, nodeCount, servers.list)
 	for i := range nodeCount {
 		nodes.start(i)
 	}
-	began := time.Now()
-	nodes.disturb(8 * time.Second)
+	startedAt := time.Now()
+	nodes.restartAtRandom(8 * time.Second)
 	nodes.stopAll()
-	span, interval := time.Since(began), nodes.interval
+	span, interval := time.Since(startedAt), nodes.interval
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
 	for i := 1; i < serverCount; i++ {
-		servers.noteGap(i)
-		worst, checks := servers.worst[i], servers.checks[i]
+		servers.recordGap(i)
+		worst, checks := servers.longestGap[i], servers.checkCount[i]
 		if worst > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
 			t.Errorf("server %d: unchecked for %v, checked %d times in %v; the interval is %v", i, worst, checks, span, interval)
 		}
 	}
-	if servers.checks[0] > 0 {
-		t.Errorf("a draining server was checked %d times", servers.checks[0])
+	if servers.checkCount[0] > 0 {
+		t.Errorf("a draining server was checked %d times", servers.checkCount[0])
 	}
 }
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -18,8 +18,8 @@
 	"cherrygap/internal/upstream"
 )
 
-// answerAll starts a server that answers each read with text, or never if text is empty.
-func answerAll(t *testing.T, text string) netip.AddrPort {
+// startFixedResponder starts a server that answers each read with text, or never if text is empty.
+func startFixedResponder(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
@@ -53,8 +53,8 @@
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		name, answer string
-		ok, kept     bool
+		name, answer  string
+		healthy, kept bool
 	}{
 		{"healthy", healthy, true, true},
 		{"healthy, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true, false},
@@ -69,12 +69,12 @@
 				Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
-			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
+			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: startFixedResponder(t, c.answer)}
 			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, routing.FromCache)
 			pool := upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{})
 			checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
 			server := router.Servers()[0]
-			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.ok {
+			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.healthy {
 				t.Errorf("healthy %v", ok)
 			}
 			pool.Mutex().Lock()
--- a/internal/upstream/healthwireformat_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -18,7 +18,7 @@
 
 // The bytes of a health check at the app server.
 func TestHealthCheckWireFormat(t *testing.T) {
-	addr, probes := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	addr, healthChecks := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
 		Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
@@ -33,7 +33,7 @@
 	go checker.Run()
 	defer checker.Close()
 	select {
-	case got := <-probes:
+	case got := <-healthChecks:
 		if want := "GET /healthz HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"; got != want {
 			t.Errorf("got\n%q, not\n%q", got, want)
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,8 +25,8 @@
 // gets within this time.
 const SettleTime = 30 * time.Millisecond
 
-// distrustDuration is how long Pool.distrust lasts.
-const distrustDuration = 10 * time.Second
+// reducedIdleLimitDuration is how long Pool.distrust lasts.
+const reducedIdleLimitDuration = 10 * time.Second
 
 // Bounds of serverConn.resetWait, the wait for the reset of a stale connection before a request's last byte.
 const (
@@ -62,8 +62,8 @@
 
 	inService func(*routing.Server) bool // from the last endpoint list; nil before the first
 
-	distrustUntil  time.Time     // end of the current distrust
-	maxTrustedIdle time.Duration // during distrust, connections idle for longer are not used
+	reducedIdleLimitUntil time.Time     // end of the current distrust
+	reducedIdleLimit      time.Duration // during distrust, connections idle for longer are not used
 }
 
 // NewPool makes an empty pool.
@@ -108,22 +108,22 @@
 // tooOldLocked reports whether a connection that was idle for a time may not be used.
 func (p *Pool) tooOldLocked(idle time.Duration) bool {
 	expired := p.limits.ServerIdleTimeout > 0 && idle >= p.idleLimit()
-	return expired || idle >= p.maxTrustedIdle && time.Now().Before(p.distrustUntil)
+	return expired || idle >= p.reducedIdleLimit && time.Now().Before(p.reducedIdleLimitUntil)
 }
 
-// distrust notes that a connection broke at its first use after an idle time. For distrustDuration no connection is used
+// distrust notes that a connection broke at its first use after an idle time. For reducedIdleLimitDuration no connection is used
 // that was idle for half as long. Protects against servers and middleboxes that drop idle connections long before the
 // configured timeout: a request on such a connection can fail after its last byte. Trade-off: where connections break at any
 // age, the servers have to accept more new ones.
-func (p *Pool) distrust(idle time.Duration) {
+func (p *Pool) reduceIdleLimit(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Before(p.distrustUntil) {
-		p.maxTrustedIdle = min(p.maxTrustedIdle, idle/2)
+	if now := time.Now(); now.Before(p.reducedIdleLimitUntil) {
+		p.reducedIdleLimit = min(p.reducedIdleLimit, idle/2)
 	} else {
-		p.maxTrustedIdle = idle / 2
+		p.reducedIdleLimit = idle / 2
 	}
-	p.distrustUntil = time.Now().Add(distrustDuration)
+	p.reducedIdleLimitUntil = time.Now().Add(reducedIdleLimitDuration)
 }
 
 // dial makes a new connection, and evicts an idle one if the pool is full. ctx must have a deadline. The error wraps
@@ -144,7 +144,7 @@
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.total >= p.limits.PerSide() && !p.evictLocked() {
+	if p.total >= p.limits.MaxConnsPerSide() && !p.evictLocked() {
 		return false
 	}
 	p.total++
@@ -270,7 +270,7 @@
 	defer p.mu.Unlock()
 	nextExpiry := time.Duration(-1) // negative: no connection is idle
 	for server, stack := range p.idle {
-		kept := p.closeExpiredOf(stack)
+		kept := p.closeExpiredInStack(stack)
 		for _, conn := range kept {
 			left := p.idleLimit() - time.Since(conn.idleSince)
 			if nextExpiry < 0 || left < nextExpiry {
@@ -288,8 +288,8 @@
 	}
 }
 
-// closeExpiredOf closes expired and unusable connections of a stack in place, and returns the others.
-func (p *Pool) closeExpiredOf(stack []*serverConn) []*serverConn {
+// closeExpiredInStack closes expired and unusable connections of a stack in place, and returns the others.
+func (p *Pool) closeExpiredInStack(stack []*serverConn) []*serverConn {
 	kept := stack[:0]
 	for _, conn := range stack {
 		switch {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -34,7 +34,7 @@
 }
 
 // A connection that was taken and carried no message keeps its idle time, as it does at its server.
-func TestUnusedConnectionStaysIdleSince(t *testing.T) {
+func TestUnusedConnectionKeepsIdleTime(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
 	node.Pool.Mutex().Lock()
@@ -157,18 +157,18 @@
 
 // If an idle connection breaks at its next use, others that were idle as long are not used. Otherwise each would cost
 // an unsafe request.
-func TestStaleConnectionsAreNotTrusted(t *testing.T) {
+func TestStaleConnectionReducesIdleLimit(t *testing.T) {
 	var mu sync.Mutex // guards first
-	first := map[string]bool{}
+	served := map[string]bool{}
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		from := conn.RemoteAddr().String()
-		if first[from] {
+		remoteAddr := conn.RemoteAddr().String()
+		if served[remoteAddr] {
 			nettest.DiscardAll(request.Body)
 			return false
 		}
-		first[from] = true
+		served[remoteAddr] = true
 		return frontendtest.Echo(conn, request)
 	})
 	failed := 0
@@ -218,12 +218,12 @@
 func TestPoolNeverHoldsMoreThanItsLimit(t *testing.T) {
 	limits := frontendtest.LimitsForEight()
 	node := frontendtest.Start(t, settings.RetrySafe, limits, 12, frontendtest.Echo)
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 4 {
 		conn := node.Dial(t)
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			for range 60 {
 				nettest.WriteString(conn, frontendtest.RequestText(3000, "x"))
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -233,21 +233,21 @@
 				}
 				nettest.DiscardAll(response.Body)
 				node.Pool.Mutex().Lock()
-				if node.Pool.Total() > limits.PerSide() {
+				if node.Pool.Total() > limits.MaxConnsPerSide() {
 					t.Errorf("%d connections", node.Pool.Total())
 				}
 				node.Pool.Mutex().Unlock()
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 }
 
 // Resource exhaustion of the node is not reported as a failed connect, which would eject the server, at peers too.
-func TestFullPoolBlamesNoServer(t *testing.T) {
+func TestFullPoolIsNoConnectFailure(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 2, frontendtest.Echo)
 	node.Pool.Mutex().Lock()
-	node.Pool.SetTotal(frontendtest.Limits.PerSide())
+	node.Pool.SetTotal(frontendtest.Limits.MaxConnsPerSide())
 	node.Pool.Mutex().Unlock()
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 	outcomes := &node.Counters.Upstream.AttemptOutcomes
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -33,17 +33,17 @@
 		if conn.requests == 0 {
 			newConns++
 		}
-		r.check.timeoutSetAt = time.Now()
-		r.check.attemptTimeout = deadline.Sub(r.check.timeoutSetAt)
-		conn.out.Commit(protocol.AppendAttempt(conn.out.AvailableBuffer(), request, r.check.attemptTimeout))
+		r.sendCheck.timeoutSetAt = time.Now()
+		r.sendCheck.attemptTimeout = deadline.Sub(r.sendCheck.timeoutSetAt)
+		conn.out.Commit(protocol.AppendAttempt(conn.out.AvailableBuffer(), request, r.sendCheck.attemptTimeout))
 		conn.out.Append(request.Body)
-		fault := r.writeRequest(conn, deadline)
-		if fault == writeComplete {
+		result := r.writeRequest(conn, deadline)
+		if result == writeComplete {
 			r.checkSent(decision)
 			return connected
 		}
-		if next := r.abandon(conn, fault, newConns); !next.reconnect {
-			return sendResult{outcome: next.outcome}
+		if abandoned := r.abandon(conn, result, newConns); !abandoned.reconnect {
+			return sendResult{outcome: abandoned.outcome}
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	netio.SetDeadline(conn.conn, deadline)
 	// During a dial the server may have begun to drain, the attempt been cancelled or the client disconnected.
-	r.check.serverCheckedAt = time.Now()
+	r.sendCheck.serverCheckedAt = time.Now()
 	if !r.router.InService(decision.Server) || !r.begin(decision.Attempt, conn, nil) {
 		r.pool.put(conn)
 		return sendResult{outcome: protocol.NotSent}
@@ -78,7 +78,7 @@
 		return sendResult{outcome: protocol.NotSent}
 	}
 	conn, err := r.pool.dial(ctx, decision.Server)
-	interrupted := r.end().any()
+	interrupted := r.detach().any()
 	switch {
 	case err == nil:
 		return sendResult{conn: conn}
@@ -88,14 +88,14 @@
 	return sendResult{outcome: protocol.ConnectFailed}
 }
 
-// writeFault is why a request was not written completely. Its server has not executed it.
-type writeFault int
+// writeResult is why a request was not written completely. Its server has not executed it.
+type writeResult int
 
 const (
-	writeComplete writeFault = iota
-	writeBroken              // the connection ended, or the attempt was cancelled
-	writeEarly               // bytes of an earlier response came first
-	writeDelayed             // sendCheck.mayFinish forbade the last byte
+	writeComplete   writeResult = iota
+	writeFailed                 // the connection ended, or the attempt was cancelled
+	writeStaleInput             // bytes of an earlier response came first
+	writeDelayed                // sendCheck.mayWriteLastByte forbade the last byte
 )
 
 // writeRequest writes a request and holds back its last byte until the connection has proven usable. A connection that the
@@ -104,24 +104,24 @@
 //
 // On a connection that was used before, bytes that arrive before the last byte belong to an earlier response and would be
 // read as this one's. On a new connection they are left to receive.
-func (r *AttemptRunner) writeRequest(conn *serverConn, deadline time.Time) writeFault {
+func (r *AttemptRunner) writeRequest(conn *serverConn, deadline time.Time) writeResult {
 	// The client is checked immediately before each write.
 	if r.CheckClient() == ClientDisconnected || conn.out.FlushExcept(1) != nil {
-		return writeBroken
+		return writeFailed
 	}
-	r.check.firstByteAt = time.Now()
-	netio.SetReadDeadline(conn.conn, r.check.firstByteAt.Add(conn.resetWait))
+	r.sendCheck.firstByteAt = time.Now()
+	netio.SetReadDeadline(conn.conn, r.sendCheck.firstByteAt.Add(conn.resetWait))
 	readiness := conn.reader.WaitReadable()
 	interrupted := r.restoreDeadline(conn, deadline)
 	switch {
 	case readiness == netio.Readable && conn.requests > 0:
-		return writeEarly
+		return writeStaleInput
 	case readiness == netio.Ended || interrupted || r.CheckClient() == ClientDisconnected:
-		return writeBroken
-	case !r.check.mayFinish(time.Now()):
+		return writeFailed
+	case !r.sendCheck.mayWriteLastByte(time.Now()):
 		return writeDelayed
 	case conn.out.Flush() != nil:
-		return writeBroken
+		return writeFailed
 	}
 	r.noteWritten(conn, deadline)
 	return writeComplete
@@ -154,41 +154,41 @@
 func (r *AttemptRunner) checkSent(decision routing.Decision) {
 	now := time.Now()
 	client := r.lastClientCheck()
-	fault := r.check.faultAt(now, client)
+	fault := r.sendCheck.faultAt(now, client)
 	if fault == sendFaultNone {
 		return
 	}
 	invariant.Violated(&r.pool.counters.SendViolations, r.pool.log, invariant.Sending).Str("fault", string(fault)).
 		Str("request", r.requestID).Int("attempt", decision.Attempt).Stringer("server", decision.Server.Addr).
-		Dur("attempt_timeout_ms", r.check.attemptTimeout).Dur("left_ms", r.check.clientDeadline.Sub(now)).
-		Dur("client_checked_ms", now.Sub(client.checkedAt)).Dur("server_checked_ms", now.Sub(r.check.serverCheckedAt)).
+		Dur("attempt_timeout_ms", r.sendCheck.attemptTimeout).Dur("left_ms", r.sendCheck.clientDeadline.Sub(now)).
+		Dur("client_checked_ms", now.Sub(client.checkedAt)).Dur("server_checked_ms", now.Sub(r.sendCheck.serverCheckedAt)).
 		Msg(invariant.ViolatedMessage)
 }
 
-// afterAbandon is the next step of an attempt whose connection was closed before the last byte.
-type afterAbandon struct {
+// abandonResult is the next step of an attempt whose connection was closed before the last byte.
+type abandonResult struct {
 	reconnect bool             // use another connection
 	outcome   protocol.Outcome // of the attempt; used only if it ends here
 }
 
 // abandon closes a connection to which a request was not written completely. newConns is how many new connections the
 // attempt has used.
-func (r *AttemptRunner) abandon(conn *serverConn, fault writeFault, newConns int) afterAbandon {
-	switch interrupted := r.end().any(); {
+func (r *AttemptRunner) abandon(conn *serverConn, result writeResult, newConns int) abandonResult {
+	switch interrupted := r.detach().any(); {
 	case interrupted:
 		r.pool.close(conn, netio.ReasonAttemptCancelled)
-		return afterAbandon{outcome: protocol.NotSent}
-	case fault == writeDelayed: // by this process, or by a server that does not read
+		return abandonResult{outcome: protocol.NotSent}
+	case result == writeDelayed: // by this process, or by a server that does not read
 		r.pool.close(conn, netio.ReasonWriteDelayed)
-		return afterAbandon{outcome: protocol.NotSent}
+		return abandonResult{outcome: protocol.NotSent}
 	case conn.requests > 0: // it was stale, which says nothing about the server
-		if fault != writeEarly {
-			r.pool.distrust(time.Since(conn.idleSince))
+		if result != writeStaleInput {
+			r.pool.reduceIdleLimit(time.Since(conn.idleSince))
 		}
 		r.pool.close(conn, netio.ReasonServerStale)
-		return afterAbandon{reconnect: true}
+		return abandonResult{reconnect: true}
 	}
 	// One new connection may break by chance; a second one points to the server.
 	r.pool.close(conn, netio.ReasonServerReset)
-	return afterAbandon{reconnect: newConns < maxNewConns, outcome: protocol.ConnectFailed}
+	return abandonResult{reconnect: newConns < maxNewConns, outcome: protocol.ConnectFailed}
 }
--- a/internal/upstream/sendcheck.go
+++ b/internal/upstream/sendcheck.go
@@ -27,9 +27,9 @@
 	firstByteAt     time.Time     // when the first bytes were written
 }
 
-// mayFinish reports whether the last byte may be written: the attempt timeout is still right, the client's deadline has not
+// mayWriteLastByte reports whether the last byte may be written: the attempt timeout is still right, the client's deadline has not
 // passed, and a keyed retry is within its window.
-func (c *sendCheck) mayFinish(now time.Time) bool {
+func (c *sendCheck) mayWriteLastByte(now time.Time) bool {
 	inWindow := c.finishBy.IsZero() || now.Before(c.finishBy)
 	return now.Sub(c.timeoutSetAt) <= maxWriteDelay && now.Before(c.clientDeadline) && inWindow
 }
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -44,7 +44,7 @@
 		if fault := check.faultAt(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
 			t.Errorf("%s: %q, not %q", c.name, fault, c.want)
 		}
-		if may := check.mayFinish(now); may == c.mayNotFinish {
+		if may := check.mayWriteLastByte(now); may == c.mayNotFinish {
 			t.Errorf("%s: may finish %v", c.name, may)
 		}
 	}
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -21,26 +21,26 @@
 // when the server reads again. A request that is not written completely is abandoned at once, even where the settings
 // forbid cancellation, because it has not started.
 func TestDisconnectWhileTheServerReadsNothing(t *testing.T) {
-	t.Run("written", func(t *testing.T) { disconnectUnread(t, "true", 12<<10, true) })
-	t.Run("half written", func(t *testing.T) { disconnectUnread(t, "false", protocol.MaxBody, false) })
+	t.Run("written", func(t *testing.T) { testDisconnectUnread(t, "true", 12<<10, true) })
+	t.Run("half written", func(t *testing.T) { testDisconnectUnread(t, "false", protocol.MaxBody, false) })
 }
 
 // unreadRequests is the number of requests that the server leaves unread.
 const unreadRequests = 4
 
-func disconnectUnread(t *testing.T, cancelling string, size int, written bool) {
+func testDisconnectUnread(t *testing.T, cancelAttempts string, size int, written bool) {
 	t.Helper()
 	listener := listenSmall(t)
-	read, whole := make(chan struct{}), make(chan bool, unreadRequests)
+	startReading, receivedWhole := make(chan struct{}), make(chan bool, unreadRequests)
 	go nettest.ServeConns(listener, func(conn net.Conn) {
-		<-read
+		<-startReading
 		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err == nil {
 			_, err = io.Copy(io.Discard, request.Body)
 		}
-		whole <- err == nil
+		receivedWhole <- err == nil
 	})
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: cancelling}, Retries: settings.RetrySafe, Limits: frontendtest.Limits})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: cancelAttempts}, Retries: settings.RetrySafe, Limits: frontendtest.Limits})
 	node.ListOnly(frontendtest.Endpoint("s", listener))
 	if !written {
 		openSmallConns(t, node)
@@ -66,12 +66,12 @@
 	if took := time.Since(startedAt); took > time.Second {
 		t.Errorf("given up after %v", took)
 	}
-	close(read)
+	close(startReading)
 	arrived := 0
 	for range unreadRequests {
 		select {
-		case all := <-whole:
-			if all {
+		case whole := <-receivedWhole:
+			if whole {
 				arrived++
 			}
 		case <-time.After(5 * time.Second):
