--- a/internal/counters/node.go
+++ b/internal/counters/node.go
@@ -14,21 +14,21 @@
 	"cherrygap/internal/upstream"
 )
 
-// Node holds the counters of one node's parts since the node's start. They are safe for concurrent use. docs/oncall.md
-// describes each.
+// Node holds the counters of one node's parts since the node's start. It is safe for concurrent use. docs/oncall.md describes
+// each counter.
 type Node struct {
 	FrontEnd         frontend.Counters
 	Upstream         upstream.Counters
 	Discovery        discovery.Counters
 	Peers            peersocket.Counters
 	LogLinesDropped  atomic.Int64
-	RepeatViolations atomic.Int64 // of invariant.Repeating
+	RepeatViolations atomic.Int64 // violations of invariant.Repeating
 }
 
-// outcomePrefix is the beginning of the log fields of upstream.Counters.AttemptOutcomes. The outcome's name follows.
+// outcomePrefix is the prefix of the log fields of upstream.Counters.AttemptOutcomes. The outcome's name follows.
 const outcomePrefix = "attempts_"
 
-// field is one counter and its log field.
+// field is a counter with the name of its log field.
 type field struct {
 	name    string
 	counter *atomic.Int64
@@ -41,6 +41,7 @@
 	}
 }
 
+// fields returns all counters in the order of the log line.
 func (n *Node) fields() []field {
 	frontEnd, upstreamCounters, discoveryCounters, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
 	fields := []field{
--- a/internal/netio/arrivaltimes.go
+++ b/internal/netio/arrivaltimes.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// maxArrivalTimes bounds the entries of one connection. When it is reached, later bytes get the time of the last entry.
+// maxArrivalTimes is the maximum number of entries for one connection. Once it is reached, later bytes get the time of the
+// last entry.
 const maxArrivalTimes = 32
 
 // ArrivalTimes records when the bytes in a RingBuffer were read, so that each pipelined request has its own arrival time.
-// The zero value is empty. It belongs to the goroutine that reads the buffer.
+// The zero value is empty. Only the goroutine that reads the buffer may use it.
 type ArrivalTimes struct{ entries []arrivalTime }
 
-// arrivalTime is when the bytes up to a position were read. Positions count the bytes since the buffer was made, as
-// RingBuffer.Filled does.
+// arrivalTime is the time at which the bytes up to a position were read. Positions count the bytes since the buffer was
+// created, as RingBuffer.Filled does.
 type arrivalTime struct {
 	upTo int
 	at   time.Time
 }
 
-// Add records that the bytes up to a position were read at a time.
+// Add records that the bytes up to position upTo were read at the given time. upTo itself is excluded.
 func (a *ArrivalTimes) Add(upTo int, at time.Time) {
 	last := len(a.entries) - 1
 	if last+1 == maxArrivalTimes {
@@ -26,14 +27,15 @@
 	a.entries = append(a.entries, arrivalTime{upTo, at})
 }
 
-// Backdate moves all recorded times back by a duration.
+// Backdate moves all recorded times back by the given duration.
 func (a *ArrivalTimes) Backdate(by time.Duration) {
 	for i := range a.entries {
 		a.entries[i].at = a.entries[i].at.Add(-by)
 	}
 }
 
-// At returns when the byte at a position was read, or the zero time if it was not, and drops the entries before it.
+// At returns the time at which the byte at a position was read, or the zero time if no entry covers the byte. It drops the
+// entries before the position.
 func (a *ArrivalTimes) At(position int) time.Time {
 	dropped := 0
 	for dropped < len(a.entries) && a.entries[dropped].upTo <= position {
--- a/internal/netio/ringbuffer.go
+++ b/internal/netio/ringbuffer.go
@@ -9,29 +9,29 @@
 	"cherrygap/internal/protocol"
 )
 
-// MessageTimeout bounds the reading of one message. For the first message of a connection it runs from the accept. A client
-// that sends no complete request is closed well within the 3 s that the platform allows.
+// MessageTimeout is the maximum time for reading one message. For the first message of a connection it starts at the accept.
+// The node disconnects a client that sends no complete request well within the 3 s that the platform allows.
 const MessageTimeout = 2 * time.Second
 
-// Sizes of one direction's buffer of a connection, in bytes.
+// Buffer sizes in bytes.
 const (
-	ParserBuffer = 2 << 10 // a parser reads at most this far past the end of a message
-	MinBuffer    = 2 * ParserBuffer
-	maxBuffer    = 64 << 10
+	ParserBuffer = 2 << 10          // maximum number of bytes that a parser reads past the end of a message
+	MinBuffer    = 2 * ParserBuffer // minimum size of the buffer for one direction of a connection
+	maxBuffer    = 64 << 10         // maximum size of the buffer for one direction of a connection
 )
 
-// parserPool holds the readers of parsers. Each is lent for one message, because a node has many idle connections and a
-// reader's buffer is large.
+// parserPool holds the buffered readers from which messages are parsed. A connection has one only while it reads a message,
+// because a node has many idle connections and a reader's buffer is large.
 var parserPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, ParserBuffer) }}
 
-// BorrowParser lends a reader of source. The caller returns it with ReturnParser.
+// BorrowParser returns a buffered reader of source from the pool. The caller returns it with ReturnParser.
 func BorrowParser(source io.Reader) *bufio.Reader {
 	parser := parserPool.Get().(*bufio.Reader)
 	parser.Reset(source)
 	return parser
 }
 
-// ReturnParser takes back a reader that BorrowParser lent.
+// ReturnParser returns a reader of BorrowParser to the pool.
 func ReturnParser(parser *bufio.Reader) {
 	parser.Reset(nil)
 	parserPool.Put(parser)
@@ -39,36 +39,36 @@
 
 // RingBuffer is the buffer of one direction of a connection. One goroutine uses it at a time.
 type RingBuffer struct {
-	Stream io.ReadWriter // is read into the buffer, or written from it
+	Stream io.ReadWriter // source of a read buffer, or destination of a write buffer
 
-	conn          readDeadliner // gets the read deadline of each message; nil: the caller sets deadlines
-	arrivals      *ArrivalTimes // of the buffered bytes; may be nil
-	buf           []byte        // nil until Allocate
-	taken, filled int           // bytes taken out and put in since the buffer was made
-	allowed       int           // bytes that the current message may still take
-	err           error         // the first error of Stream; later calls return it too
-	deadlineSet   bool          // the read deadline of the current message is set
+	conn          readDeadliner // receives the read deadline of each message; nil if the caller sets deadlines
+	arrivals      *ArrivalTimes // arrival times of the buffered bytes; nil if they are not recorded
+	buf           []byte        // memory of the buffer; nil until Allocate
+	taken, filled int           // positions of the next byte to take out and to put in
+	allowed       int           // number of bytes that Read may still return
+	err           error         // first error of Stream, which later calls also return
+	deadlineSet   bool          // true if the read deadline of the current message is set
 }
 
-// NewRingBuffer returns a buffer of size bytes. The caller sets the deadlines of stream.
+// NewRingBuffer returns a buffer of the given size in bytes. The caller sets the deadlines of stream.
 func NewRingBuffer(stream io.ReadWriter, size int) RingBuffer {
 	return RingBuffer{Stream: stream, buf: make([]byte, size)}
 }
 
-// NewMessageBuffer returns a buffer that sets a read deadline of conn for each message, and records the arrival times of
-// bytes if arrivals is not nil. It has no memory until Allocate.
+// NewMessageBuffer returns a buffer that sets a read deadline on conn for each message. It records the arrival times of bytes
+// if arrivals is not nil. The buffer has no memory until Allocate.
 func NewMessageBuffer(conn readDeadliner, stream io.ReadWriter, arrivals *ArrivalTimes) RingBuffer {
 	return RingBuffer{Stream: stream, conn: conn, arrivals: arrivals}
 }
 
-// Allocate gives a buffer without memory size bytes.
+// Allocate allocates size bytes for a buffer that has no memory yet.
 func (b *RingBuffer) Allocate(size int) {
 	if b.buf == nil {
 		b.buf = make([]byte, size)
 	}
 }
 
-// SetMessageDeadline sets the read deadline of the current message. Read then does not set one for it.
+// SetMessageDeadline sets the read deadline of the current message, for which Read then sets none.
 func (b *RingBuffer) SetMessageDeadline(at time.Time) {
 	b.deadlineSet = true
 	SetReadDeadline(b.conn, at)
@@ -77,10 +77,10 @@
 // Err returns the first error of the stream.
 func (b *RingBuffer) Err() error { return b.err }
 
-// Taken returns how many bytes were taken out since the buffer was made.
+// Taken returns the number of bytes taken out since the buffer was created, without those that EndMessage put back.
 func (b *RingBuffer) Taken() int { return b.taken }
 
-// Filled returns how many bytes were put in since the buffer was made.
+// Filled returns the number of bytes put in since the buffer was created.
 func (b *RingBuffer) Filled() int { return b.filled }
 
 // Empty reports whether the buffer holds no bytes.
@@ -100,17 +100,17 @@
 	return b.err
 }
 
-// readSpace returns the number of bytes that a read may put in. It spares the last ParserBuffer bytes that were taken out,
-// because EndMessage may put them back.
+// readSpace returns the number of bytes that a read may put in. A read must not overwrite the last ParserBuffer bytes that
+// were taken out, because EndMessage may put them back.
 func (b *RingBuffer) readSpace() int { return len(b.buf) - ParserBuffer - b.Buffered() }
 
-// contiguous returns the part of buf that begins at a position, of at most size bytes. It is shorter at the end of buf.
+// contiguous returns the part of buf that begins at a position. It has size bytes, or fewer at the end of buf.
 func (b *RingBuffer) contiguous(position, size int) []byte {
 	at := position % len(b.buf)
 	return b.buf[at:min(len(b.buf), at+size)]
 }
 
-// fill reads once. The buffer must not be Full.
+// fill reads from Stream once. The buffer must not be Full.
 func (b *RingBuffer) fill() {
 	n, err := b.Stream.Read(b.contiguous(b.filled, b.readSpace()))
 	b.filled += n
@@ -121,8 +121,9 @@
 	}
 }
 
-// Read returns buffered bytes, or waits for some. In a buffer of NewMessageBuffer the first wait within a message sets its
-// deadline, MessageTimeout from then. After the bytes that Allow granted the error is protocol.ErrHeadTooLarge.
+// Read returns buffered bytes, and waits if there are none. In a buffer of NewMessageBuffer, the first wait within a message
+// sets the message's deadline to MessageTimeout later. Once Read has returned as many bytes as Allow set, it returns
+// protocol.ErrHeadTooLarge.
 func (b *RingBuffer) Read(p []byte) (int, error) {
 	if b.allowed <= 0 {
 		return 0, protocol.ErrHeadTooLarge
@@ -141,7 +142,7 @@
 	return n, nil
 }
 
-// ReadMore reads once into a buffer that is not Full and returns the stream's error. A passed deadline is no error.
+// ReadMore reads once into a buffer that is not Full. It returns the stream's error, or nil if only a deadline passed.
 func (b *RingBuffer) ReadMore() error {
 	if b.err == nil {
 		b.fill()
@@ -155,10 +156,10 @@
 // Full reports whether the buffer has no space for a read.
 func (b *RingBuffer) Full() bool { return b.readSpace() <= 0 }
 
-// Discard drops the buffered bytes.
+// Discard removes the buffered bytes.
 func (b *RingBuffer) Discard() { b.taken = b.filled }
 
-// Allow sets how many bytes Read returns from now on.
+// Allow sets the number of bytes that Read may return from now on.
 func (b *RingBuffer) Allow(bytes int) { b.allowed = bytes }
 
 // EndMessage puts back the bytes that the parser read past the end of a message, and clears the message's deadline.
@@ -170,7 +171,7 @@
 	}
 }
 
-// AvailableBuffer returns an empty slice over the free space, to append to. The caller passes the result to Commit.
+// AvailableBuffer returns an empty slice over the free space. The caller appends to the slice and passes it to Commit.
 func (b *RingBuffer) AvailableBuffer() []byte {
 	if b.Empty() {
 		b.taken, b.filled = 0, 0
@@ -179,8 +180,8 @@
 	return free[:0:len(free)]
 }
 
-// Commit adds p, which is the slice of AvailableBuffer after appends. If the appends have moved it to a larger array,
-// Commit copies the bytes.
+// Commit adds p, the slice of AvailableBuffer with the appended bytes. If the appends have moved p to a larger array, Commit
+// copies the bytes.
 func (b *RingBuffer) Commit(p []byte) {
 	if len(p) > 0 && &p[0] == &b.buf[b.filled%len(b.buf)] {
 		b.filled += len(p)
@@ -189,7 +190,8 @@
 	b.Append(p)
 }
 
-// Append adds bytes and writes to the stream whenever the buffer is full. The next Flush returns an error of the stream.
+// Append adds bytes, and writes to the stream whenever the buffer is full. If the stream fails, the next Flush returns the
+// error.
 func (b *RingBuffer) Append(p []byte) {
 	for n := 0; n < len(p); {
 		if b.Buffered() == len(b.buf) && b.Flush() != nil || b.err != nil {
@@ -201,7 +203,7 @@
 	}
 }
 
-// Flush writes all buffered bytes to the stream. After an error every call returns it.
+// Flush writes all buffered bytes to the stream. After an error, every call returns that error.
 func (b *RingBuffer) Flush() error { return b.FlushExcept(0) }
 
 // FlushExcept writes all buffered bytes except the last heldBack bytes.
@@ -214,7 +216,7 @@
 	return b.err
 }
 
-// TrimBuffer returns b, or nil if its capacity is over MinBuffer, so that one large body does not hold memory for long.
+// TrimBuffer returns b, or nil if the capacity of b exceeds MinBuffer, so that one large body does not hold memory for long.
 func TrimBuffer(b []byte) []byte {
 	if cap(b) > MinBuffer {
 		return nil
--- a/internal/netio/socket.go
+++ b/internal/netio/socket.go
@@ -11,32 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is one direction of a TCP connection. Its system calls bypass the Go scheduler, because they never block: package
-// net waits until the socket is ready. Each call that the scheduler is notified of wakes its monitor thread, which on one
-// core takes a large share of the CPU time.
+// Socket is one direction of a TCP connection. Its system calls bypass the Go scheduler. They never block, because package net
+// waits until the socket is ready. The scheduler's monitor thread wakes up at each system call of which the scheduler is
+// notified. On one core these wakeups take a large share of the CPU time.
 //
-// One goroutine uses a Socket at a time. Arguments and results of system calls are fields, and the callbacks are made once,
-// so that no call allocates.
+// One goroutine uses a Socket at a time. Arguments and results of system calls are fields, and NewSocket creates the
+// callbacks, so that no call allocates.
 type Socket struct {
-	Hook ReadHook // nil: reads are always allowed
+	Hook ReadHook // called around each read; nil if reads are always allowed
 
 	raw syscall.RawConn
 
-	buf         []byte // to read into or to write
-	transferred int    // bytes of the last read or write
-	err         error  // of the last read or write
+	buf         []byte // destination of the current read, or bytes of the current write
+	transferred int    // number of bytes that the last system call read or wrote
+	err         error  // error of the last read or write
 
-	input      inputState // as of the last peek or hang-up check
+	input      inputState // result of the last peek or hang-up check
 	peekBuffer [1]byte
 	readFD     func(fd uintptr) bool
 	writeFD    func(fd uintptr) bool
-	peekFD     func(fd uintptr) bool // for RawConn.Read
-	controlFD  func(fd uintptr)      // the same for RawConn.Control
+	peekFD     func(fd uintptr) bool // tryPeek as a callback of RawConn.Read
+	controlFD  func(fd uintptr)      // tryPeek as a callback of RawConn.Control
 	hangUpFD   func(fd uintptr)
 }
 
-// ReadHook is called before and after each read of a Socket, and may forbid the read. After each BeginRead that returns true
-// the Socket makes one system call, which does not block, and calls EndRead.
+// ReadHook is called before and after each read of a Socket. BeginRead may forbid the read. After a BeginRead that returns
+// true, the Socket makes one non-blocking system call and then calls EndRead.
 type ReadHook interface {
 	BeginRead() bool
 	EndRead(result ReadResult)
@@ -45,27 +45,27 @@
 // ReadResult is the result of one system call that reads.
 type ReadResult int
 
-// The results.
+// The possible read results.
 const (
-	ReadEnded      ReadResult = iota // end of stream or error
-	ReadBytes                        // at least one byte
-	ReadWouldBlock                   // no byte yet
+	ReadEnded      ReadResult = iota // The stream ended or failed.
+	ReadBytes                        // The call read at least one byte.
+	ReadWouldBlock                   // No byte has arrived yet.
 )
 
 // inputState is the state of a connection's input.
 type inputState int
 
 const (
-	inputNone    inputState = iota // open, nothing to read
-	inputPending                   // bytes to read
-	inputEnded                     // closed or reset by the other side
-	inputUnknown                   // the peek failed by resource exhaustion
+	inputNone    inputState = iota // The connection is open and has nothing to read.
+	inputPending                   // There are bytes to read.
+	inputEnded                     // The other side has closed or reset the connection.
+	inputUnknown                   // The peek failed by resource exhaustion.
 )
 
 // NewSocket returns one direction of conn.
 func NewSocket(conn *net.TCPConn) *Socket {
 	s := &Socket{}
-	s.raw, _ = conn.SyscallConn() // fails for a nil connection only
+	s.raw, _ = conn.SyscallConn() // This fails only for a nil connection.
 	s.readFD, s.writeFD, s.peekFD, s.hangUpFD = s.tryRead, s.tryWrite, s.tryPeek, s.checkHangUp
 	s.controlFD = func(fd uintptr) { s.tryPeek(fd) }
 	return s
@@ -102,14 +102,14 @@
 // Readiness is the result of WaitReadable.
 type Readiness int
 
-// The results.
+// The possible readiness values.
 const (
-	ReadinessUnknown Readiness = iota // the read deadline passed, or the state of the connection is unknown
-	Readable                          // bytes to read
-	Ended                             // closed or reset
+	ReadinessUnknown Readiness = iota // The read deadline passed, or the connection's state is unknown.
+	Readable                          // There are bytes to read.
+	Ended                             // The other side has closed or reset the connection.
 )
 
-// WaitReadable waits for input, the connection's end or the read deadline. It reads nothing.
+// WaitReadable waits for input, the connection's end or the read deadline. It consumes no input.
 func (s *Socket) WaitReadable() Readiness {
 	err := s.raw.Read(func(fd uintptr) bool {
 		s.tryPeek(fd)
@@ -134,8 +134,9 @@
 	return s.raw.Read(s.peekFD) == nil && s.input == inputNone
 }
 
-// HasPendingInput reports whether a connection that another goroutine reads has bytes, or its end, pending in the kernel. It
-// returns true if the peek fails by resource exhaustion, and false for a connection that this process has closed.
+// HasPendingInput reports whether bytes or the end of a connection are pending in the kernel. Another goroutine may read the
+// connection at the same time. HasPendingInput returns true if the peek fails by resource exhaustion, and false for a
+// connection that this process has closed.
 func HasPendingInput(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -145,26 +146,26 @@
 	return raw.Control(func(fd uintptr) { s.tryPeek(fd) }) == nil && s.input != inputNone
 }
 
-// HungUp reports whether the other side has closed or reset the connection, even behind pending bytes. It returns true for a
-// connection that this process has closed. It may be called while another goroutine reads through a Socket of its own.
+// HungUp reports whether the other side has closed or reset the connection, even if unread bytes precede the close. It returns
+// true for a connection that this process has closed. Another goroutine may read through a separate Socket at the same time.
 func (s *Socket) HungUp() bool {
 	if s.raw.Control(s.controlFD) != nil {
 		return true
 	}
 	if s.input == inputPending || s.input == inputUnknown {
-		_ = s.raw.Control(s.hangUpFD) // fails for a connection closed since: the next call reports that
+		_ = s.raw.Control(s.hangUpFD) // This fails only if the connection was closed meanwhile, which the next call reports.
 	}
 	return s.input == inputEnded
 }
 
-// pollEnded are the events of ppoll(2) on a connection that the other side has closed or reset.
+// pollEnded holds the events that ppoll(2) reports for a connection that the other side has closed or reset.
 const pollEnded = unix.POLLRDHUP | unix.POLLERR | unix.POLLHUP
 
-// maxInterrupts bounds the calls of ppoll(2) that signals may interrupt before checkHangUp uses TCP_INFO instead.
+// maxInterrupts is the number of ppoll(2) calls interrupted by signals after which checkHangUp uses TCP_INFO instead.
 const maxInterrupts = 3
 
-// checkHangUp sets input to inputEnded if ppoll(2) reports a hang-up, or TCP_INFO does where signals keep interrupting
-// ppoll. If both fail the connection counts as open.
+// checkHangUp sets input to inputEnded if ppoll(2) reports a hang-up. If signals keep interrupting ppoll, TCP_INFO decides. If
+// both fail, the connection counts as open.
 func (s *Socket) checkHangUp(fd uintptr) {
 	descriptor := struct {
 		fd           int32
@@ -178,7 +179,7 @@
 			}
 			return
 		}
-		var timeout syscall.Timespec // the call may change it
+		var timeout syscall.Timespec // The system call may change the timeout, so each call gets a new one.
 		n, _, errno = syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&descriptor)), 1,
 			uintptr(unsafe.Pointer(&timeout)), 0, 0, 0)
 	}
@@ -188,9 +189,9 @@
 }
 
 // HasUnacknowledged reports whether the kernel holds written bytes that the other side has not acknowledged. It returns
-// false if that is unknown. Unlike the other methods it may be called by any goroutine.
+// false if that is unknown. Unlike the other methods, any goroutine may call it.
 func (s *Socket) HasUnacknowledged() bool {
-	var queued int32 // result of SIOCOUTQ, see tcp(7)
+	var queued int32 // number of unacknowledged bytes, the result of SIOCOUTQ; see tcp(7)
 	err := s.raw.Control(func(fd uintptr) {
 		if _, _, errno := syscall.RawSyscall(syscall.SYS_IOCTL, fd, unix.SIOCOUTQ, uintptr(unsafe.Pointer(&queued))); errno != 0 {
 			queued = 0
@@ -221,6 +222,7 @@
 	return true
 }
 
+// readResult classifies the result of a read system call.
 func readResult(n int, errno syscall.Errno) ReadResult {
 	switch {
 	case errno == syscall.EAGAIN:
@@ -242,7 +244,7 @@
 	return true
 }
 
-// tryPeek sets input. It always returns true, because a peek has a result at once.
+// tryPeek sets input. It always returns true, because a peek gives a result immediately.
 func (s *Socket) tryPeek(fd uintptr) bool {
 	n, errno := nonblockingSyscall(syscall.SYS_RECVFROM, fd, s.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
@@ -258,7 +260,8 @@
 	return true
 }
 
-// call makes one system call on a non-blocking descriptor, and repeats it if a signal interrupts it. p is not empty.
+// nonblockingSyscall makes one system call on a non-blocking descriptor, and repeats it if a signal interrupts it. p must not
+// be empty.
 func nonblockingSyscall(trap, fd uintptr, p []byte, flags uintptr) (int, syscall.Errno) {
 	for {
 		n, _, errno := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&p[0])), uintptr(len(p)), flags, 0, 0)
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// ErrorPause is the wait before a failed accept, datagram read or dial is repeated. Without it a lasting error would take a
-// whole core.
+// ErrorPause is the wait before a failed accept, datagram read or dial is repeated. Without the wait, a persistent error would
+// use a whole core.
 const ErrorPause = 10 * time.Millisecond
 
-// PastDeadline is a deadline that ends the read or write which waits on a connection.
+// PastDeadline is a deadline in the past. It ends a read or write that waits on a connection.
 var PastDeadline = time.Unix(1, 0)
 
-// The setters below drop their error. A deadline can't be set only on a closed connection, and the next read or write
-// reports that.
+// The functions below ignore the error of a setter. Setting a deadline fails only on a closed connection, which the next read
+// or write reports.
 
 // SetDeadline sets the deadline of reads and writes.
 func SetDeadline(conn net.Conn, at time.Time) { _ = conn.SetDeadline(at) }
@@ -30,15 +30,16 @@
 // SetAcceptDeadline sets the deadline of Accept.
 func SetAcceptDeadline(ln *net.TCPListener, at time.Time) { _ = ln.SetDeadline(at) }
 
-// CloseConn closes a connection or listener. It drops the error: the descriptor is released in any case, and the caller has
-// checked its writes before.
+// CloseConn closes a connection or listener. It ignores the error, because the descriptor is released in any case and the
+// caller has already checked its writes.
 func CloseConn(conn io.Closer) { _ = conn.Close() }
 
 // readDeadliner is the part of a connection that a RingBuffer uses.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// TimedOut reports whether err means that a deadline set by this process passed. ETIMEDOUT of a system call does not count,
-// though its Timeout method returns true: the connection broke, or accept(2) passed on the error of a queued connection.
+// TimedOut reports whether err means that a deadline set by this process passed. ETIMEDOUT from a system call does not count,
+// although its Timeout method returns true. There the connection broke, or accept(2) returned the error of a queued
+// connection.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // Earlier returns the earlier of two times. The zero time is earlier than all others.
--- a/internal/nettest/doc.go
+++ b/internal/nettest/doc.go
@@ -1,2 +1,2 @@
-// Package nettest has helpers for tests that play clients, app servers and discovery over loopback sockets.
+// Package nettest provides helpers for tests that act as clients, app servers and discovery over loopback sockets.
 package nettest
--- a/internal/nettest/fullserver.go
+++ b/internal/nettest/fullserver.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// FullServer starts an app server whose listen queue is full, so that connects to it time out. empty returns its
-// listener, which then accepts connections.
+// FullServer starts an app server whose listen queue is full, so that connects to it time out. startAccepting returns a
+// listener on the server's socket, with which the caller can accept connections.
 func FullServer(t *testing.T) (addr netip.AddrPort, startAccepting func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -25,7 +25,7 @@
 	}
 	bound, _ := syscall.Getsockname(fd)
 	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*syscall.SockaddrInet4).Port))
-	for range 4 { // until one times out
+	for range 4 { // The queue is full once a connect times out.
 		conn, err := net.DialTimeout("tcp", addr.String(), 50*time.Millisecond)
 		if err != nil {
 			break
@@ -35,7 +35,7 @@
 	closed := false
 	t.Cleanup(func() {
 		if !closed {
-			_ = syscall.Close(fd) // the test is over
+			_ = syscall.Close(fd) // The test has ended, so an error does not matter.
 		}
 	})
 	return addr, func() net.Listener {
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -14,20 +14,21 @@
 	"time"
 )
 
-// eventuallyTimeout bounds Eventually.
+// eventuallyTimeout is the maximum wait of Eventually.
 const eventuallyTimeout = 5 * time.Second
 
-// Eventually waits until ok, or fails the test after eventuallyTimeout.
+// Eventually waits until ok returns true, and fails the test after eventuallyTimeout. condition names the awaited condition in
+// the failure message, as a noun phrase.
 func Eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not seen in time: " + condition)
+			t.Fatalf("timed out after %v waiting for %s", eventuallyTimeout, condition)
 		}
 	}
 }
 
-// Addresses of AnyPort: 127.200.0.1 to 127.231.255.1, which nothing else in this repository uses.
+// Range of the addresses of AnyPort: 127.200.0.1 to 127.231.255.1. Nothing else in this repository uses these addresses.
 const (
 	firstProcessNetwork = 200
 	processNetworks     = 32
@@ -35,15 +36,15 @@
 )
 
 // AnyPort returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
-// time have different addresses. With a common address, one process could open a port that another has just closed. It
-// would then receive connections of the other's clients, such as a discovery client whose server is closed.
+// time have different addresses. With a common address, one process could open a port that another has just closed. The first
+// process would then receive connections of the other's clients, such as a discovery client whose server is closed.
 func AnyPort() string {
 	id := os.Getpid()
 	network := firstProcessNetwork + id/processesPerNetwork%processNetworks
 	return fmt.Sprintf("127.%d.%d.1:0", network, id%processesPerNetwork)
 }
 
-// Listen opens a listener on an address of this process that is closed with the test.
+// Listen opens a listener on an address of this process. The listener is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", AnyPort())
@@ -61,21 +62,21 @@
 		if err != nil {
 			return
 		}
-		go func() { // ends with serve
+		go func() { // This goroutine ends when serve returns.
 			defer Close(conn)
 			serve(conn)
 		}()
 	}
 }
 
-// http2PrefaceMethod is the method that an HTTP/1 server reads in the first bytes of an HTTP/2 connection. A node never
-// sends it. It comes from a gRPC client of another test that dials a port which this app server has been given since.
+// http2PrefaceMethod is the method that an HTTP/1 server reads in the first bytes of an HTTP/2 connection. A node never sends
+// such a method. It comes from a gRPC client of another test, which dials a port that now belongs to this app server.
 const http2PrefaceMethod = "PRI"
 
 // Handler answers one request and reports whether the connection stays open.
 type Handler func(net.Conn, *http.Request) bool
 
-// ServeRequests reads one request after another and passes it to serve, until serve returns false.
+// ServeRequests reads requests and passes each to serve, until serve returns false or no further request can be read.
 func ServeRequests(conn net.Conn, serve Handler) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -87,8 +88,8 @@
 	}
 }
 
-// RecordCalls starts an HTTP server that sends the bytes of each request to calls and answers with the next of answers.
-// Requests after the last answer stay unanswered.
+// RecordCalls starts an HTTP server that sends the bytes of each request to calls. It answers each request with the next
+// element of answers. Requests after the last answer stay unanswered.
 func RecordCalls(t *testing.T, answers ...string) (addr string, calls chan string) {
 	t.Helper()
 	listener := Listen(t)
@@ -105,7 +106,7 @@
 			raw.Reset()
 			next := int(answered.Add(1)) - 1
 			if next >= len(answers) {
-				continue // held
+				continue // The request stays unanswered.
 			}
 			_, err := io.WriteString(conn, answers[next])
 			if err != nil || strings.Contains(answers[next], "Connection: close") {
@@ -116,29 +117,29 @@
 	return listener.Addr().String(), calls
 }
 
-// The helpers below drop errors that show in a later read, or in the result that the test checks. Most tests end
-// connections at random moments on purpose.
+// The helpers below ignore errors, which show in a later read or in the result that the test checks. Most tests end connections
+// at random moments on purpose.
 
 // Close closes a connection or listener.
 func Close(closer io.Closer) { _ = closer.Close() }
 
-// WriteString writes text.
+// WriteString writes text and ignores an error.
 func WriteString(to io.Writer, text string) { _, _ = io.WriteString(to, text) }
 
-// Respondf writes formatted text.
+// Respondf writes formatted text and ignores an error.
 func Respondf(to io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(to, format, args...) }
 
-// DiscardAll reads to the end.
+// DiscardAll reads and discards everything up to the end of the stream.
 func DiscardAll(from io.Reader) { _, _ = io.Copy(io.Discard, from) }
 
-// WaitForClose waits until the other side closes, or sends a byte.
+// WaitForClose waits until the other side closes the connection or sends a byte.
 func WaitForClose(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) }
 
-// ResetOnClose makes the close of a TCP connection a reset.
+// ResetOnClose makes a later Close reset the TCP connection.
 func ResetOnClose(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
 
 // CloseWrite closes the sending side of a TCP connection.
 func CloseWrite(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() }
 
-// ServeHTTP serves until the listener is closed.
+// ServeHTTP serves HTTP requests until the listener is closed.
 func ServeHTTP(listener net.Listener, handler http.Handler) { _ = http.Serve(listener, handler) }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,45 +10,45 @@
 	"cherrygap/internal/routing"
 )
 
-// maxClientCheckAge is the maximum age of the last liveness check of a client when an attempt writes bytes for that client.
+// maxClientCheckAge is the maximum age of a client's last liveness check when an attempt writes bytes for that client.
 const maxClientCheckAge = maxStartAfterDisconnect / 10
 
-// staleResetTimeout is the time after the last byte of a request within which a reset counts as that of a connection that
-// was stale before the request.
+// staleResetTimeout is the time after a request's last byte within which a reset means that the connection was stale before
+// the request.
 const staleResetTimeout = 10 * time.Millisecond
 
-// noAttempt is the number of no attempt.
+// noAttempt is the attempt number that stands for the absence of an attempt.
 const noAttempt = -1
 
 // AttemptRunner runs the attempts of the requests of one client connection, one at a time.
 //
-// Reset, Run and CheckClient belong to one goroutine. Cancel, which the Router calls under its lock, and ClientGone may be
-// called by any goroutine; both wake Run.
+// One goroutine calls Reset, Run and CheckClient. Any goroutine may call Cancel and ClientGone; both wake Run. The Router
+// calls Cancel under its lock.
 type AttemptRunner struct {
 	pool         *Pool
 	router       *routing.Router
-	clientClosed func() bool // reports whether the client has disconnected by now
-	body         []byte      // buffer of the last response's body, reused for the next
-	requestID    string      // of the open request
-	sendCheck    sendCheck   // of the current attempt
+	clientClosed func() bool // reports whether the client has disconnected
+	body         []byte      // buffer of the last response's body, reused for the next response
+	requestID    string      // ID of the current request
+	sendCheck    sendCheck   // state of the invariant check for the current attempt
 
-	mu              sync.Mutex         // guards all below
+	mu              sync.Mutex         // guards all fields below
 	current         int                // number of the current attempt, or noAttempt
 	cancelled       int                // number of the last cancelled attempt, or noAttempt
-	disconnected    bool               // the client disconnected: no attempt may start
-	conn            *serverConn        // that the attempt writes to or reads from; nil while it dials
-	cancelDial      context.CancelFunc // cancels the attempt's dial; nil without one
-	written         bool               // the last byte of the attempt's request was written
-	clientCheckedAt time.Time          // when the client was last known to be connected
+	disconnected    bool               // true once the client disconnected; no attempt may start then
+	conn            *serverConn        // connection of the current attempt; nil while it dials
+	cancelDial      context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
+	written         bool               // true once the last byte of the current attempt's request was written
+	clientCheckedAt time.Time          // last time at which the client was known to be connected
 }
 
-// NewAttemptRunner makes the runner of one client connection. clientClosed reports whether the client has disconnected by
-// now; it must not block.
+// NewAttemptRunner returns the runner for one client connection. clientClosed reports whether the client has disconnected;
+// it must not block.
 func NewAttemptRunner(pool *Pool, router *routing.Router, clientClosed func() bool) *AttemptRunner {
 	return &AttemptRunner{pool: pool, router: router, clientClosed: clientClosed}
 }
 
-// Reset prepares for the attempts of a request that was received at a time.
+// Reset prepares the runner for the attempts of a request that arrived at receivedAt.
 func (r *AttemptRunner) Reset(request *protocol.Request, receivedAt time.Time) {
 	r.mu.Lock()
 	r.current, r.cancelled, r.disconnected, r.clientCheckedAt = noAttempt, noAttempt, false, receivedAt
@@ -61,14 +61,14 @@
 // ClientState is the result of CheckClient.
 type ClientState int
 
-// The states.
+// The possible client states.
 const (
 	ClientConnected ClientState = iota
 	ClientDisconnected
 )
 
-// CheckClient returns whether the client is still connected. It checks the connection itself if the last check is older than
-// maxClientCheckAge: after a pause of the process a response or timer may wake the attempt before the connection's reader
+// CheckClient returns whether the client is still connected. It probes the connection if the last check is older than
+// maxClientCheckAge. After a pause of the process, a response or timer may wake the attempt before the connection's reader
 // has seen the close.
 func (r *AttemptRunner) CheckClient() ClientState {
 	client := r.lastClientCheck()
@@ -89,13 +89,15 @@
 	return ClientConnected
 }
 
+// lastClientCheck returns the result of the last liveness check, without a new one.
 func (r *AttemptRunner) lastClientCheck() clientLiveness {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return clientLiveness{checkedAt: r.clientCheckedAt, disconnected: r.disconnected}
 }
 
-// Cancel cancels an attempt by its number. It does not block: it ends the attempt's wait, and Run closes the connection.
+// Cancel cancels the attempt with the given number. It only ends the attempt's wait and does not block; Run closes the
+// connection.
 func (r *AttemptRunner) Cancel(attempt int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,8 +113,9 @@
 	}
 }
 
-// ClientGone reports to the runner that the client disconnected. No further attempt starts. An attempt that dials or writes
-// ends, because the server has not executed it. A completely written attempt goes on, unless the Router cancels it.
+// ClientGone tells the runner that the client disconnected. No further attempt starts. An attempt that is dialling or writing
+// ends, because the server has not executed it. An attempt that was written completely continues unless the Router cancels
+// it.
 func (r *AttemptRunner) ClientGone() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,8 +128,8 @@
 	}
 }
 
-// begin makes an attempt the current one, on a connection or with a dial. It returns false if the attempt was cancelled or
-// its client disconnected.
+// begin makes an attempt the current one. Exactly one of conn and cancelDial is set. It returns false if the attempt was
+// cancelled or the client disconnected.
 func (r *AttemptRunner) begin(attempt int, conn *serverConn, cancelDial context.CancelFunc) bool {
 	if r.CheckClient() == ClientDisconnected {
 		return false
@@ -140,15 +143,16 @@
 	return true
 }
 
-// interruption says why an attempt may have ended early.
+// interruption tells why an attempt may have ended early.
 type interruption struct {
-	cancelled    bool // by the Router
-	disconnected bool // the client disconnected
+	cancelled    bool // true if the Router cancelled the attempt
+	disconnected bool // true if the client disconnected
 }
 
 func (i interruption) any() bool { return i.cancelled || i.disconnected }
 
-// end detaches the current attempt from its connection or dial, so that neither Cancel nor ClientGone affects them any more.
+// detach separates the current attempt from its connection or dial, so that Cancel and ClientGone no longer affect them. It
+// returns the interruptions up to now.
 func (r *AttemptRunner) detach() interruption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,12 +160,12 @@
 	return r.interruptionLocked()
 }
 
-// interruptionLocked returns the interruption of the current attempt. There must be one.
+// interruptionLocked returns the interruption of the current attempt, which must exist. The caller holds mu.
 func (r *AttemptRunner) interruptionLocked() interruption {
 	return interruption{cancelled: r.cancelled == r.current, disconnected: r.disconnected}
 }
 
-// Run runs the attempt that the Router decided on. The response's body is valid until the next Run.
+// Run executes the attempt that the Router decided on. The response's body is valid until the next call of Run.
 func (r *AttemptRunner) Run(decision routing.Decision, request *protocol.Request) (protocol.ServerResponse, routing.AttemptResult) {
 	startedAt := time.Now()
 	r.sendCheck.finishBy = decision.FinishBy
@@ -172,7 +176,7 @@
 	return response, routing.AttemptResult{Outcome: response.Outcome, Duration: took, Units: response.Units}
 }
 
-// logEnd logs the end of an attempt, at level debug.
+// logEnd logs the end of an attempt at debug level.
 func (r *AttemptRunner) logEnd(decision routing.Decision, outcome protocol.Outcome, took time.Duration) {
 	event := r.pool.log.Debug()
 	if !event.Enabled() {
@@ -183,6 +187,7 @@
 		Dur("took_ms", took).Msg("attempt ended")
 }
 
+// sendAndReceive sends the request and reads the response. It counts the attempt if the request was written completely.
 func (r *AttemptRunner) sendAndReceive(decision routing.Decision, request *protocol.Request, deadline time.Time) protocol.ServerResponse {
 	sent := r.send(decision, request, deadline)
 	if sent.conn == nil {
@@ -193,14 +198,15 @@
 	return r.receive(sent.conn)
 }
 
-// failedOutcomes are the outcomes of attempts whose response could not be read, by the reason of the connection's close.
+// failedOutcomes maps the close reason of a connection whose response could not be read to the attempt's outcome.
 var failedOutcomes = map[netio.CloseReason]protocol.Outcome{
 	netio.ReasonServerMalformed: protocol.MalformedResponse,
 	netio.ReasonServerTimeout:   protocol.TimedOut,
 	netio.ReasonServerReset:     protocol.ConnectionReset,
 }
 
-// receive reads the response to a request that was written completely, and puts the connection back or closes it.
+// receive reads the response to a request that was written completely. It then returns the connection to the pool or closes
+// it.
 func (r *AttemptRunner) receive(conn *serverConn) protocol.ServerResponse {
 	sentAt, filledBefore := time.Now(), conn.in.Filled()
 	response, err := conn.readResponse(r.body)
@@ -213,7 +219,7 @@
 	case reason == reusable:
 		r.pool.put(conn)
 		return response
-	case err == nil: // complete, but the connection's last
+	case err == nil: // The response is complete, but the connection can't be reused.
 	case cancelled:
 		reason = netio.ReasonAttemptCancelled
 		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,31 +9,32 @@
 	"cherrygap/internal/routing"
 )
 
-// maxResponse bounds an app server's response in bytes, with room for the framing of chunks.
+// maxResponse is the maximum size of an app server's response in bytes, including chunked framing.
 const maxResponse = protocol.MaxHead + 4*protocol.MaxBody
 
-// serverConn is one connection to an app server. It belongs to the Pool while idle, otherwise to one attempt or health
-// check.
+// serverConn is one connection to an app server. The Pool owns it while it is idle; otherwise one attempt or health check
+// does.
 type serverConn struct {
 	conn          *net.TCPConn
-	reader        *netio.Socket // in reads from it
+	reader        *netio.Socket // the source of in
 	server        *routing.Server
 	in, out       netio.RingBuffer
 	openedAt      time.Time
-	resetWait     time.Duration // how long to wait for the reset of a stale connection before the last byte
-	idleSince     time.Time     // when it last carried a message, which is when the server's idle timeout started
-	requests      int           // requests written completely
-	requestsAtPut int           // requests when it was last put back
+	resetWait     time.Duration // time to wait for the reset of a stale connection before a request's last byte
+	idleSince     time.Time     // end of the last message, when the server's idle timeout started
+	requests      int           // number of requests written completely
+	requestsAtPut int           // value of requests at the last Pool.put
 }
 
-// usable reports whether an idle connection is open and has nothing to read. A request on a connection that the server has
-// closed could fail after its last byte. The server might then have executed it, and an unsafe request could not be retried.
+// usable reports whether an idle connection is open and has nothing to read. On a connection that the server has closed, a
+// request could fail after its last byte. The server might then have executed the request, so an unsafe one could not be
+// retried.
 func (c *serverConn) usable() bool {
 	netio.SetDeadline(c.conn, time.Time{})
 	return c.in.Empty() && c.reader.IsIdle()
 }
 
-// readResponse reads a response until the connection's deadline, and appends its body to body[:0].
+// readResponse reads one response, within the connection's deadline. It appends the response's body to body[:0].
 func (c *serverConn) readResponse(body []byte) (protocol.ServerResponse, error) {
 	parser := netio.BorrowParser(&c.in)
 	defer netio.ReturnParser(parser)
@@ -43,10 +44,10 @@
 	return response, err
 }
 
-// reusable is the closeReason of a connection that can be put back.
+// reusable is the result of closeReason for a connection that can return to the pool.
 const reusable netio.CloseReason = ""
 
-// closeReason returns why the connection must be closed after readResponse, or reusable.
+// closeReason returns the reason to close the connection after readResponse, or reusable.
 func (c *serverConn) closeReason(response protocol.ServerResponse, err error) netio.CloseReason {
 	switch {
 	case err == nil && !response.Close && c.in.Empty():
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream is the node's side towards app servers: the pool of connections, the attempts that the router decides
-// on, and health checks. It takes no decision about requests itself.
+// Package upstream implements the node's side towards app servers. It holds the connection pool, runs the attempts that the
+// router decides on, and performs health checks. It makes no routing decisions itself.
 package upstream
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -9,9 +9,9 @@
 	"cherrygap/internal/routing"
 )
 
-// Internals of the package for its external tests.
+// This file exports internals of the package to its external tests.
 
-// Constants of attempts and of the pool.
+// Limits of attempts and of the pool.
 const (
 	MaxNewConns  = maxNewConns
 	MaxResetWait = maxResetWait
@@ -20,51 +20,51 @@
 // Conn is one connection to an app server.
 type Conn = serverConn
 
-// Mutex is the lock of Idle, Total and SetTotal.
+// Mutex returns the lock that callers of Idle, Total and SetTotal must hold.
 func (p *Pool) Mutex() *sync.Mutex { return &p.mu }
 
-// Idle are the idle connections by server. The caller holds Mutex.
+// Idle returns the idle connections by server. The caller holds Mutex.
 func (p *Pool) Idle() map[*routing.Server][]*Conn { return p.idle }
 
-// Total is how many connections there are. The caller holds Mutex.
+// Total returns the number of connections that are idle, in use or being dialled. The caller holds Mutex.
 func (p *Pool) Total() int { return p.total }
 
-// SetTotal sets the number of connections that the pool believes in. The caller holds Mutex.
+// SetTotal overrides the pool's number of connections. The caller holds Mutex.
 func (p *Pool) SetTotal(total int) { p.total = total }
 
-// IdleLimit is how long a connection may be idle.
+// IdleLimit returns the maximum idle time of a connection.
 func (p *Pool) IdleLimit() time.Duration { return p.idleLimit() }
 
-// Get takes an idle connection.
+// Get takes an idle connection to the server, or returns nil if none is usable.
 func (p *Pool) Get(server *routing.Server) *Conn { return p.get(server) }
 
-// Put takes a connection back.
+// Put returns a connection to the pool.
 func (p *Pool) Put(conn *Conn) { p.put(conn) }
 
-// Dial makes a new connection.
+// Dial opens a new connection to the server.
 func (p *Pool) Dial(ctx context.Context, server *routing.Server) (*Conn, error) {
 	return p.dial(ctx, server)
 }
 
-// Usable reports whether an idle connection can be used.
+// Usable reports whether an idle connection is open and has nothing to read.
 func (c *Conn) Usable() bool { return c.usable() }
 
-// Socket is the connection's socket.
+// Socket returns the underlying TCP connection.
 func (c *Conn) Socket() *net.TCPConn { return c.conn }
 
-// IdleSince is when the connection last carried something.
+// IdleSince returns the end of the connection's last message.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// SetIdleSince sets IdleSince.
+// SetIdleSince overrides the end of the connection's last message.
 func (c *Conn) SetIdleSince(at time.Time) { c.idleSince = at }
 
-// AddRequest notes that the connection carried a request.
+// AddRequest counts one request on the connection.
 func (c *Conn) AddRequest() { c.requests++ }
 
-// RequestHealth makes one health check.
+// RequestHealth sends one health check and reports whether the server answered as healthy before the deadline.
 func (h *HealthChecker) RequestHealth(server *routing.Server, deadline time.Time) bool {
 	return h.requestHealth(server, deadline)
 }
 
-// Interval is the time between two checks of a server.
+// Interval returns the time between two checks of a server.
 func (h *HealthChecker) Interval() time.Duration { return h.scheduler.Interval() }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -11,24 +11,25 @@
 	"cherrygap/internal/routing"
 )
 
-// HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages are sent
-// and which servers are checked when; HealthChecker sends, checks and reports. Checks use the connections of the Pool, so a
-// server in use is checked over an open connection. It is safe for concurrent use.
+// HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages to send, and
+// which servers to check at what time. HealthChecker sends the messages, runs the checks and reports their results. Checks
+// use the connections of the Pool, so a server in use is checked over an open connection. A HealthChecker is safe for
+// concurrent use.
 type HealthChecker struct {
 	router    *routing.Router
 	pool      *Pool
 	send      func(to int, payload []byte)
 	startedAt time.Time     // origin of the scheduler's clock
-	wake      chan struct{} // has an element if the scheduler may have a new step for Run
+	wake      chan struct{} // holds an element if the scheduler may have a new step for Run
 	done      chan struct{} // closed by Close
 
-	mu        sync.Mutex // guards both below
+	mu        sync.Mutex // guards the fields below
 	scheduler *healthcheck.Scheduler
-	servers   map[healthcheck.CheckID]*routing.Server // in service
+	servers   map[healthcheck.CheckID]*routing.Server // servers in service
 }
 
-// NewHealthChecker makes the health checks of one node for the servers that the router has in service now. send sends a
-// message to one peer; Run calls it, without a lock. The caller starts Run.
+// NewHealthChecker returns the health checker of one node, for the servers that the router has in service. Run calls send,
+// without a lock, to send a message to one peer. The caller starts Run.
 func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, payload []byte)) *HealthChecker {
 	h := &HealthChecker{
 		router:    router,
@@ -46,7 +47,7 @@
 
 func (h *HealthChecker) now() time.Duration { return time.Since(h.startedAt) }
 
-// notifyRun makes Run poll the scheduler.
+// notifyRun makes Run poll the scheduler. It does not block.
 func (h *HealthChecker) notifyRun() {
 	select {
 	case h.wake <- struct{}{}:
@@ -54,7 +55,7 @@
 	}
 }
 
-// EndpointsChanged replaces the checked servers by those that the router has in service.
+// EndpointsChanged replaces the checked servers with those that the router has in service.
 func (h *HealthChecker) EndpointsChanged() {
 	servers := h.router.Servers()
 	h.mu.Lock()
@@ -69,8 +70,8 @@
 	h.notifyRun()
 }
 
-// ReceivePeerMessage applies a peer's message, which begins with healthcheck.MessageMark. It reports whether the message was
-// well-formed.
+// ReceivePeerMessage processes a peer's message, which begins with healthcheck.MessageMark. It reports whether the message
+// was well-formed.
 func (h *HealthChecker) ReceivePeerMessage(from int, payload []byte) bool {
 	h.mu.Lock()
 	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), payload)
@@ -79,8 +80,8 @@
 	return err == nil
 }
 
-// Run executes the scheduler's steps until Close. Each check runs on a goroutine that ends within the check's timeout, also
-// after Close.
+// Run executes the scheduler's steps until Close. Each check runs on a separate goroutine that ends within the check's timeout,
+// even after Close.
 func (h *HealthChecker) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -101,7 +102,7 @@
 	}
 }
 
-// next returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
+// nextStep returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
 func (h *HealthChecker) nextStep() (step healthcheck.Step, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,6 +111,7 @@
 	return step, ok
 }
 
+// execute sends a message, starts a check or reports a peer's check result, depending on the step's kind.
 func (h *HealthChecker) execute(step healthcheck.Step) {
 	switch step.Kind {
 	case healthcheck.Send:
@@ -121,7 +123,8 @@
 	}
 }
 
-// check runs one health check and reports its result to router and scheduler.
+// runCheck runs one health check and reports its result to the router and the scheduler. A check of a server that went out of
+// service fails.
 func (h *HealthChecker) runCheck(step healthcheck.Step) {
 	h.mu.Lock()
 	server := h.servers[step.Check.ID]
@@ -136,10 +139,11 @@
 	h.notifyRun()
 }
 
-// Close ends Run. It must be called once.
+// Close ends Run. It must be called exactly once.
 func (h *HealthChecker) Close() { close(h.done) }
 
-// MarshalZerologObject writes the numbers of owned checks, servers and dead nodes, and the counters since the node's start.
+// MarshalZerologObject writes the numbers of owned checks, servers and dead nodes, and the scheduler's counters since the
+// node's start.
 func (h *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/healthrequest.go
+++ b/internal/upstream/healthrequest.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/routing"
 )
 
-// requestHealth sends a health check over an idle or new connection and reports whether the server answered before the
-// deadline that it is healthy. It sends nothing to a server that is out of service.
+// requestHealth sends a health check over an idle or new connection. It reports whether the server answered as healthy before
+// the deadline. It sends nothing to a server that is out of service.
 func (h *HealthChecker) requestHealth(server *routing.Server, deadline time.Time) bool {
 	conn := h.pool.get(server)
 	if conn == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,70 +16,72 @@
 	"cherrygap/internal/routing"
 )
 
-// maxIdleRatio is the share of the app servers' idle timeout after which the node closes an idle connection. A server that
-// closes the connection during a request may have executed the request.
+// maxIdleRatio is the fraction of the app servers' idle timeout after which the node closes an idle connection. If a server
+// closes the connection first, during a request, it may have executed the request.
 const maxIdleRatio = 0.8
 
-// SettleTime is how long a connection stays unused after a response. A duplicate response that arrives meanwhile is detected
-// and can't be read as the next request's response. Trade-off: a server needs one more connection for each attempt that it
-// gets within this time.
+// SettleTime is the minimum time between a response and the connection's next use. A duplicate response that arrives in
+// between is detected, so it can't be read as the next request's response. Trade-off: a server needs one more connection for
+// each attempt that it gets within this time.
 const SettleTime = 30 * time.Millisecond
 
-// reducedIdleLimitDuration is how long Pool.distrust lasts.
+// reducedIdleLimitDuration is the time for which the limit set by Pool.reduceIdleLimit applies.
 const reducedIdleLimitDuration = 10 * time.Second
 
 // Bounds of serverConn.resetWait, the wait for the reset of a stale connection before a request's last byte.
 const (
-	resetWaitRoundTrips = 3                      // in durations of the connection's dial, which took one round trip as a reset does
-	minResetWait        = 300 * time.Microsecond // for servers whose scheduler runs them late
+	// resetWaitRoundTrips is the wait in multiples of the dial time. The dial took one round trip, and so does a reset.
+	resetWaitRoundTrips = 3
+	minResetWait        = 300 * time.Microsecond // allows for servers that are scheduled late
 	maxResetWait        = 3 * time.Millisecond
 )
 
-// expiryPassDivisor bounds the time between two calls of closeExpired to at least the idle limit divided by it.
+// expiryPassDivisor is the divisor of the idle limit that gives the minimum time between two calls of closeExpired.
 const expiryPassDivisor = 8
 
-// errResourceExhaustion is a dial that failed by resource exhaustion of this machine, which says nothing about the server.
+// errResourceExhaustion is the error of a dial that failed because this machine ran out of a resource. It says nothing about
+// the server.
 var errResourceExhaustion = errors.New("resource exhaustion on this machine")
 
-// errNoDescriptors is the errResourceExhaustion of a pool whose connections are all in use.
-var errNoDescriptors = fmt.Errorf("%w: no descriptor left", errResourceExhaustion)
+// errNoDescriptors is the error of a dial while all connections of the pool are in use.
+var errNoDescriptors = fmt.Errorf("%w: no file descriptor left in the connection pool", errResourceExhaustion)
 
-// Pool keeps the connections to app servers, with a stack of idle ones for each server. They are keyed by server, not by
-// address: a new server may have the address of a removed one, whose connections may still be open. It is safe for
-// concurrent use.
+// Pool manages the connections to app servers, with a stack of idle connections for each server. The stacks are keyed by
+// server, not by address. A new server may have the address of a removed server whose connections are still open. A Pool is
+// safe for concurrent use.
 type Pool struct {
 	limits   netio.Limits
 	log      *zerolog.Logger
 	counters *Counters
 
-	lastConnected atomic.Pointer[time.Time] // when the last dial to any server succeeded
+	lastConnected atomic.Pointer[time.Time] // time of the last successful dial to any server; nil before the first
 
-	mu       sync.Mutex                        // guards all below
-	idle     map[*routing.Server][]*serverConn // the most recently used one is last
-	total    int                               // connections that are idle, in use or being dialled
+	mu       sync.Mutex                        // guards all fields below
+	idle     map[*routing.Server][]*serverConn // idle connections by server, the most recently used last
+	total    int                               // number of connections that are idle, in use or being dialled
 	timer    *time.Timer                       // calls closeExpired
-	timerSet bool                              // put or closeExpired has set the timer
+	timerSet bool                              // true if put or closeExpired has set the timer
 
-	inService func(*routing.Server) bool // from the last endpoint list; nil before the first
+	inService func(*routing.Server) bool // argument of the last KeepOnly; nil before the first
 
-	reducedIdleLimitUntil time.Time     // end of the current distrust
-	reducedIdleLimit      time.Duration // during distrust, connections idle for longer are not used
+	reducedIdleLimitUntil time.Time     // end of the time for which reducedIdleLimit applies
+	reducedIdleLimit      time.Duration // maximum idle time of a usable connection
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(limits netio.Limits, log *zerolog.Logger, counters *Counters) *Pool {
 	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*serverConn{}}
-	p.timer = time.AfterFunc(time.Hour, p.closeExpired) // put sets it earlier
+	p.timer = time.AfterFunc(time.Hour, p.closeExpired) // The first put resets it to the idle limit.
 	return p
 }
 
-// idleLimit returns how long a connection may be idle.
+// idleLimit returns the maximum idle time of a connection, 0 if the servers have no idle timeout.
 func (p *Pool) idleLimit() time.Duration {
 	return time.Duration(float64(p.limits.ServerIdleTimeout) * maxIdleRatio)
 }
 
-// get takes the most recently used idle connection to a server, or returns nil. It skips connections within SettleTime,
-// and closes expired and unusable ones.
+// get takes the most recently used idle connection to a server, or returns nil if there is none. It skips connections that
+// were used within SettleTime, and closes expired and unusable ones.
 func (p *Pool) get(server *routing.Server) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,16 +107,16 @@
 	return nil
 }
 
-// tooOldLocked reports whether a connection that was idle for a time may not be used.
+// tooOldLocked reports whether a connection was idle for too long to be used. The caller holds mu.
 func (p *Pool) tooOldLocked(idle time.Duration) bool {
 	expired := p.limits.ServerIdleTimeout > 0 && idle >= p.idleLimit()
 	return expired || idle >= p.reducedIdleLimit && time.Now().Before(p.reducedIdleLimitUntil)
 }
 
-// distrust notes that a connection broke at its first use after an idle time. For reducedIdleLimitDuration no connection is used
-// that was idle for half as long. Protects against servers and middleboxes that drop idle connections long before the
-// configured timeout: a request on such a connection can fail after its last byte. Trade-off: where connections break at any
-// age, the servers have to accept more new ones.
+// reduceIdleLimit records that a connection broke at its first use after an idle time. For reducedIdleLimitDuration the pool
+// uses no connection that was idle for half that time or longer. This protects against servers and middleboxes that drop idle
+// connections long before the configured timeout. A request on such a connection can fail after its last byte. Trade-off:
+// where connections break at any age, the servers have to accept more new ones.
 func (p *Pool) reduceIdleLimit(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,8 +128,8 @@
 	p.reducedIdleLimitUntil = time.Now().Add(reducedIdleLimitDuration)
 }
 
-// dial makes a new connection, and evicts an idle one if the pool is full. ctx must have a deadline. The error wraps
-// errResourceExhaustion if this machine lacked a descriptor, port, memory or route.
+// dial opens a new connection, and evicts an idle one if the pool is full. ctx must have a deadline. The error wraps
+// errResourceExhaustion if this machine lacked a file descriptor, port, memory or route.
 func (p *Pool) dial(ctx context.Context, server *routing.Server) (*serverConn, error) {
 	if !p.reserve() {
 		return nil, errNoDescriptors
@@ -140,7 +142,8 @@
 	return p.newConn(server, conn, roundTrip), nil
 }
 
-// reserve counts a connection that is about to be dialled, and reports whether the pool has a descriptor for it.
+// reserve counts a connection that is about to be dialled. It returns false if the pool has no file descriptor for the
+// connection.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,16 +154,16 @@
 	return true
 }
 
-// release undoes reserve.
+// release reverses reserve after a failed dial.
 func (p *Pool) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.total--
 }
 
-// connect dials a server. On resource exhaustion it retries for half of ctx's time, because exhaustion is often brief and
-// an attempt at another server would fail too. The error then wraps errResourceExhaustion, except for a server that is
-// unroutable while other servers could be reached.
+// connect dials a server. On resource exhaustion it retries for half of the time until ctx's deadline, because exhaustion is
+// often brief and an attempt at another server would fail too. The error then wraps errResourceExhaustion, except for a
+// server that is unroutable while other servers could be reached.
 func (p *Pool) connect(ctx context.Context, server *routing.Server) (conn *net.TCPConn, roundTrip time.Duration, err error) {
 	startedAt := time.Now()
 	deadline, _ := ctx.Deadline()
@@ -193,13 +196,13 @@
 	}
 }
 
-// connectedAfter reports whether a dial to any server succeeded after a time.
+// connectedAfter reports whether a dial to any server succeeded after the given time.
 func (p *Pool) connectedAfter(at time.Time) bool {
 	last := p.lastConnected.Load()
 	return last != nil && last.After(at)
 }
 
-// newConn makes a serverConn of an open connection whose dial took roundTrip.
+// newConn returns a serverConn for an open connection whose dial took roundTrip.
 func (p *Pool) newConn(server *routing.Server, conn *net.TCPConn, roundTrip time.Duration) *serverConn {
 	size, reader, now := p.limits.BufferSize(), netio.NewSocket(conn), time.Now()
 	return &serverConn{
@@ -210,8 +213,9 @@
 	}
 }
 
-// put takes a connection back. If it carried no message since get, its idle time goes on, as it does at the server. If its
-// server went out of service meanwhile it is closed, because KeepOnly would not find it any more.
+// put returns a connection to the pool. If the connection carried no request since get, its idle time continues, as it does
+// at the server. If its server went out of service meanwhile, put closes the connection, because KeepOnly may already
+// have run.
 func (p *Pool) put(conn *serverConn) {
 	if conn.requests > conn.requestsAtPut {
 		conn.idleSince, conn.requestsAtPut = time.Now(), conn.requests
@@ -230,24 +234,25 @@
 }
 
 // close closes a connection in use. After a cancellation or timeout it resets the connection if the server's machine has not
-// acknowledged the whole request. Otherwise the kernel would deliver the rest, and the request might run for no client.
+// acknowledged the whole request. Otherwise the kernel would deliver the rest, and the request might run without a client.
 func (p *Pool) close(conn *serverConn, reason netio.CloseReason) {
 	abandoned := reason == netio.ReasonAttemptCancelled || reason == netio.ReasonServerTimeout
 	if abandoned && conn.reader.HasUnacknowledged() {
-		_ = conn.conn.SetLinger(0) // fails for a closed connection only
+		_ = conn.conn.SetLinger(0) // This fails only for a closed connection.
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(conn, reason)
 }
 
+// closeLocked closes a connection, uncounts it and logs the reason. The caller holds mu.
 func (p *Pool) closeLocked(conn *serverConn, reason netio.CloseReason) {
 	p.total--
 	netio.CloseConn(conn.conn)
 	netio.LogClose(p.log, netio.SideServer, conn.server.Addr.String(), reason, conn.openedAt, conn.requests)
 }
 
-// evictLocked closes the connection that has been idle longest, and reports whether there was one.
+// evictLocked closes the connection with the longest idle time, and reports whether there was one. The caller holds mu.
 func (p *Pool) evictLocked() bool {
 	var oldest *serverConn
 	for _, stack := range p.idle {
@@ -263,8 +268,8 @@
 	return true
 }
 
-// closeExpired closes expired connections and those that their server closed. The timer calls it on a goroutine of its own;
-// it sets the timer again while any connection is idle.
+// closeExpired closes expired connections and those that their server closed. The timer calls it on a separate goroutine. It
+// sets the timer again while any connection is idle.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -288,7 +293,8 @@
 	}
 }
 
-// closeExpiredInStack closes expired and unusable connections of a stack in place, and returns the others.
+// closeExpiredInStack closes the expired and unusable connections of a stack. It returns the others, in the same array. The
+// caller holds mu.
 func (p *Pool) closeExpiredInStack(stack []*serverConn) []*serverConn {
 	kept := stack[:0]
 	for _, conn := range stack {
@@ -305,8 +311,8 @@
 	return kept
 }
 
-// KeepOnly closes the idle connections to servers that are not in service. Connections in use are checked by inService as
-// they are put back.
+// KeepOnly closes the idle connections to servers for which inService returns false. The pool checks connections in use by
+// inService when they are put back.
 func (p *Pool) KeepOnly(inService func(*routing.Server) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -321,7 +327,7 @@
 	}
 }
 
-// Close closes the idle connections. A connection in use is closed when it is put back.
+// Close closes the idle connections. Connections in use are closed when they are put back.
 func (p *Pool) Close() {
 	p.KeepOnly(func(*routing.Server) bool { return false })
 	p.timer.Stop()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -11,17 +11,17 @@
 	"cherrygap/internal/routing"
 )
 
-// maxNewConns bounds the new connections of one attempt. A connection that breaks before the last byte leaves the attempt
-// unexecuted, so that another may be used.
+// maxNewConns is the maximum number of new connections for one attempt. If a connection breaks before the last byte, the
+// server has not executed the attempt, so the attempt may use another connection.
 const maxNewConns = 2
 
 // sendResult is the result of connecting to a server or of sending a request.
 type sendResult struct {
-	conn    *serverConn      // nil if the attempt ended
-	outcome protocol.Outcome // of an attempt that ended
+	conn    *serverConn      // connection in use; nil if the attempt ended
+	outcome protocol.Outcome // outcome of an ended attempt; valid only if conn is nil
 }
 
-// send writes the request to the decision's server. If a connection breaks before the last byte it uses another one.
+// send writes the request to the decision's server. If a connection breaks before the last byte, send uses another one.
 func (r *AttemptRunner) send(decision routing.Decision, request *protocol.Request, deadline time.Time) sendResult {
 	connectBy := netio.Earlier(deadline, time.Now().Add(r.pool.limits.ConnectTimeout))
 	for newConns := 0; ; {
@@ -48,8 +48,8 @@
 	}
 }
 
-// connect returns a connection to the decision's server, idle or new. All dials of an attempt end by connectBy: a retry of
-// a keyed request has to finish within a window, and the decision reserves the time of one dial for that.
+// connect returns an idle or new connection to the decision's server. All dials of an attempt end by connectBy. A retry of a
+// keyed request has to finish within a window, for which the decision reserves the time of one dial.
 func (r *AttemptRunner) connect(decision routing.Decision, deadline, connectBy time.Time) sendResult {
 	conn := r.pool.get(decision.Server)
 	if conn == nil {
@@ -60,7 +60,8 @@
 		conn = dialled.conn
 	}
 	netio.SetDeadline(conn.conn, deadline)
-	// During a dial the server may have begun to drain, the attempt been cancelled or the client disconnected.
+	// During a dial the server may have begun to drain, the Router may have cancelled the attempt, or the client may have
+	// disconnected.
 	r.sendCheck.serverCheckedAt = time.Now()
 	if !r.router.InService(decision.Server) || !r.begin(decision.Attempt, conn, nil) {
 		r.pool.put(conn)
@@ -69,8 +70,8 @@
 	return sendResult{conn: conn}
 }
 
-// dial makes a new connection to the decision's server. Resource exhaustion of this machine gives NotSent: reported as
-// ConnectFailed it would eject the server.
+// dial opens a new connection to the decision's server. If this machine ran out of a resource, the outcome is NotSent:
+// ConnectFailed would eject the server.
 func (r *AttemptRunner) dial(decision routing.Decision, connectBy time.Time) sendResult {
 	ctx, cancel := context.WithDeadline(context.Background(), connectBy)
 	defer cancel()
@@ -88,24 +89,25 @@
 	return sendResult{outcome: protocol.ConnectFailed}
 }
 
-// writeResult is why a request was not written completely. Its server has not executed it.
+// writeResult is the result of writeRequest. Unless it is writeComplete, the last byte was not written and the server has not
+// executed the request.
 type writeResult int
 
 const (
 	writeComplete   writeResult = iota
-	writeFailed                 // the connection ended, or the attempt was cancelled
-	writeStaleInput             // bytes of an earlier response came first
-	writeDelayed                // sendCheck.mayWriteLastByte forbade the last byte
+	writeFailed                 // The connection ended, the client disconnected, or the attempt was cancelled.
+	writeStaleInput             // Bytes of an earlier response arrived before the last byte.
+	writeDelayed                // sendCheck.mayWriteLastByte returned false.
 )
 
-// writeRequest writes a request and holds back its last byte until the connection has proven usable. A connection that the
-// server has closed breaks before the last byte, which proves that the server did not execute the request. Without the
-// wait it would break later, and an unsafe request could not be retried.
+// writeRequest writes a request, but waits for a possible reset before the last byte. A connection that the server has closed
+// breaks before the last byte, which proves that the server did not execute the request. Without the wait it would break
+// later, and an unsafe request could not be retried.
 //
-// On a connection that was used before, bytes that arrive before the last byte belong to an earlier response and would be
-// read as this one's. On a new connection they are left to receive.
+// On a connection that was used before, bytes that arrive before the last byte belong to an earlier response. They would
+// otherwise be read as the response to this request. On a new connection, receive reads such bytes as the response.
 func (r *AttemptRunner) writeRequest(conn *serverConn, deadline time.Time) writeResult {
-	// The client is checked immediately before each write.
+	// Check the client immediately before each write.
 	if r.CheckClient() == ClientDisconnected || conn.out.FlushExcept(1) != nil {
 		return writeFailed
 	}
@@ -127,8 +129,8 @@
 	return writeComplete
 }
 
-// restoreDeadline sets a connection's deadline after a wait, and reports whether the attempt was interrupted meanwhile: then
-// the deadline stays past.
+// restoreDeadline sets a connection's deadline after a wait. If the attempt was interrupted meanwhile, it returns true and
+// leaves the past deadline in place.
 func (r *AttemptRunner) restoreDeadline(conn *serverConn, deadline time.Time) (interrupted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,8 +141,8 @@
 	return false
 }
 
-// noteWritten notes that the request was written completely. If the client disconnected during the write, ClientGone has set
-// a past deadline. The attempt has started and goes on, so noteWritten restores the deadline.
+// noteWritten records that the request was written completely. If the client disconnected during the write, ClientGone has
+// set a past deadline. The attempt has started and continues, so noteWritten restores the deadline.
 func (r *AttemptRunner) noteWritten(conn *serverConn, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +152,7 @@
 	}
 }
 
-// checkSent counts and logs a violation of invariant.Sending by the attempt that was just written.
+// checkSent checks the attempt that was just written. It counts and logs a violation of invariant.Sending.
 func (r *AttemptRunner) checkSent(decision routing.Decision) {
 	now := time.Now()
 	client := r.lastClientCheck()
@@ -167,28 +169,28 @@
 
 // abandonResult is the next step of an attempt whose connection was closed before the last byte.
 type abandonResult struct {
-	reconnect bool             // use another connection
-	outcome   protocol.Outcome // of the attempt; used only if it ends here
+	reconnect bool             // true if the attempt uses another connection
+	outcome   protocol.Outcome // outcome of the attempt; valid only if reconnect is false
 }
 
-// abandon closes a connection to which a request was not written completely. newConns is how many new connections the
-// attempt has used.
+// abandon closes a connection to which a request was not written completely. newConns is the number of new connections that
+// the attempt has used.
 func (r *AttemptRunner) abandon(conn *serverConn, result writeResult, newConns int) abandonResult {
 	switch interrupted := r.detach().any(); {
 	case interrupted:
 		r.pool.close(conn, netio.ReasonAttemptCancelled)
 		return abandonResult{outcome: protocol.NotSent}
-	case result == writeDelayed: // by this process, or by a server that does not read
+	case result == writeDelayed: // This process was paused, or the server does not read.
 		r.pool.close(conn, netio.ReasonWriteDelayed)
 		return abandonResult{outcome: protocol.NotSent}
-	case conn.requests > 0: // it was stale, which says nothing about the server
+	case conn.requests > 0: // The connection was stale, which says nothing about the server.
 		if result != writeStaleInput {
 			r.pool.reduceIdleLimit(time.Since(conn.idleSince))
 		}
 		r.pool.close(conn, netio.ReasonServerStale)
 		return abandonResult{reconnect: true}
 	}
-	// One new connection may break by chance; a second one points to the server.
+	// One new connection may break by chance; a second broken one indicates a failed server.
 	r.pool.close(conn, netio.ReasonServerReset)
 	return abandonResult{reconnect: newConns < maxNewConns, outcome: protocol.ConnectFailed}
 }
--- a/internal/upstream/sendcheck.go
+++ b/internal/upstream/sendcheck.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Bounds of the platform on how an attempt is sent.
+// Limits that the platform sets for sending an attempt.
 const (
-	// attemptTimeoutSlack is how much the attempt timeout sent to a server may exceed the time left to the client.
+	// attemptTimeoutSlack is the maximum by which the attempt timeout sent to a server may exceed the client's remaining time.
 	attemptTimeoutSlack = 150 * time.Millisecond
-	// maxStartAfterDisconnect is how long after its client disconnected an attempt may still start.
+	// maxStartAfterDisconnect is the maximum time after the client's disconnect at which an attempt may still start.
 	maxStartAfterDisconnect = 100 * time.Millisecond
 	// minDrainGrace is the shortest grace period in which a draining server may get new requests.
 	minDrainGrace = 250 * time.Millisecond
 )
 
-// maxWriteDelay bounds the time between the attempt timeout's computation and the last byte. Past it the timeout that the
-// server was sent is too long.
+// maxWriteDelay is the maximum time between the computation of the attempt timeout and the last byte. After that the timeout
+// in the request's head is too long.
 const maxWriteDelay = 100 * time.Millisecond
 
-// sendCheck is the check of invariant.Sending for one attempt: it compares when client and server were last checked with
-// when the request was written. It belongs to the attempt's goroutine.
+// sendCheck checks invariant.Sending for one attempt. It compares the times of the last client and server checks with the
+// time at which the request was written. Only the attempt's goroutine uses it.
 type sendCheck struct {
-	clientDeadline  time.Time     // when the client's timeout ends
-	finishBy        time.Time     // end of a keyed retry's window; zero: no bound
-	serverCheckedAt time.Time     // when the server was last known to be in service
-	timeoutSetAt    time.Time     // when attemptTimeout was computed
-	attemptTimeout  time.Duration // as written into the request's head
-	firstByteAt     time.Time     // when the first bytes were written
+	clientDeadline  time.Time     // end of the client's timeout
+	finishBy        time.Time     // end of a keyed retry's window; zero means no limit
+	serverCheckedAt time.Time     // last time at which the server was known to be in service
+	timeoutSetAt    time.Time     // time at which attemptTimeout was computed
+	attemptTimeout  time.Duration // attempt timeout in the request's head
+	firstByteAt     time.Time     // time at which the first bytes were written
 }
 
-// mayWriteLastByte reports whether the last byte may be written: the attempt timeout is still right, the client's deadline has not
-// passed, and a keyed retry is within its window.
+// mayWriteLastByte reports whether the last byte may be written at the given time. The attempt timeout must not be outdated,
+// the client's deadline must not have passed, and a keyed retry must be within its window.
 func (c *sendCheck) mayWriteLastByte(now time.Time) bool {
 	inWindow := c.finishBy.IsZero() || now.Before(c.finishBy)
 	return now.Sub(c.timeoutSetAt) <= maxWriteDelay && now.Before(c.clientDeadline) && inWindow
 }
 
-// sendFault is the way in which an attempt violated invariant.Sending, as it is logged.
+// sendFault is the way in which an attempt violated invariant.Sending. Its text is logged.
 type sendFault string
 
 const (
@@ -48,11 +48,11 @@
 
 // clientLiveness is the result of the last liveness check of a client.
 type clientLiveness struct {
-	checkedAt    time.Time // when the client was last known to be connected
-	disconnected bool      // by now
+	checkedAt    time.Time // last time at which the client was known to be connected
+	disconnected bool      // true if the client is known to have disconnected
 }
 
-// faultAt returns the fault of an attempt whose last byte was written at a time, or sendFaultNone.
+// faultAt returns the fault of an attempt whose last byte was written at writtenAt, or sendFaultNone.
 func (c *sendCheck) faultAt(writtenAt time.Time, client clientLiveness) sendFault {
 	switch {
 	case writtenAt.After(c.clientDeadline):
