--- a/internal/counters/node_test.go
+++ b/internal/counters/node_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// counterNames are the counters' log fields, in order.
+// counterNames lists the counters' log fields in the order of the log line.
 var counterNames = []string{
 	"connections",
 	"requests",
@@ -46,7 +46,7 @@
 	"violations_starting",
 }
 
-// Each counter is logged under its own name, in a fixed order.
+// TestCountersLogFormat guards against a counter that is missing from the log, has the name of another, or changes its place.
 func TestCountersLogFormat(t *testing.T) {
 	counters := &Node{}
 	frontEnd, upstreamCounters, discoveryCounters, peers := &counters.FrontEnd, &counters.Upstream, &counters.Discovery, &counters.Peers
@@ -61,7 +61,7 @@
 	}
 	all = append(all, &upstreamCounters.ResourceExhaustions, &upstreamCounters.SendViolations, &counters.RepeatViolations, &frontEnd.CloseViolations, &frontEnd.StartViolations)
 	if len(all) != len(counterNames) {
-		t.Fatalf("%d counters, %d names", len(all), len(counterNames))
+		t.Fatalf("the test has %d counters and %d counter names, want equal numbers", len(all), len(counterNames))
 	}
 	var want strings.Builder
 	for i, counter := range all {
@@ -72,6 +72,6 @@
 	log := zerolog.New(&out)
 	log.Info().Object("counters", counters).Msg("counters")
 	if got, want := out.String(), `{"level":"info","counters":{`+want.String()[1:]+`},"message":"counters"}`+"\n"; got != want {
-		t.Errorf("got\n%s, not\n%s", got, want)
+		t.Errorf("counters log line:\n got %s\nwant %s", got, want)
 	}
 }
--- a/internal/netio/closereason_test.go
+++ b/internal/netio/closereason_test.go
@@ -10,7 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// The log line of a closed connection, and the codes of its reasons.
+// TestCloseLogFormat guards against changes in the log line of a closed connection, and in the codes of its reasons, for which
+// operators search.
 func TestCloseLogFormat(t *testing.T) {
 	var out bytes.Buffer
 	log := zerolog.New(&out)
@@ -21,13 +22,13 @@
 	}
 	age, ok := line["age_ms"].(float64)
 	if delete(line, "age_ms"); !ok || age < 3.6e6 || age > 3.7e6 {
-		t.Errorf("age_ms %v", age)
+		t.Errorf("field age_ms = %v, want a number from 3.6e6 to 3.7e6 for a connection opened an hour ago", age)
 	}
 	if want := map[string]any{
 		"level": "info", "side": "server", "peer": "10.0.0.1:80", "reason": "server-timeout", "requests": 3.0,
 		"message": "connection closed",
 	}; !reflect.DeepEqual(line, want) {
-		t.Errorf("got %v, not %v", line, want)
+		t.Errorf("log line without age_ms = %v, want %v", line, want)
 	}
 	codes := []struct {
 		reason CloseReason
@@ -58,10 +59,10 @@
 	seen := map[string]bool{}
 	for _, code := range codes {
 		if string(code.reason) != code.code {
-			t.Errorf("%q is logged as %q", code.code, code.reason)
+			t.Errorf("close reason is logged as %q, want %q", code.reason, code.code)
 		}
 		if seen[code.code] {
-			t.Errorf("two reasons are logged as %q", code.code)
+			t.Errorf("two close reasons are logged as %q, want a different code for each", code.code)
 		}
 		seen[code.code] = true
 	}
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// At any limit the reserved descriptors, the client connections and the connections to app servers fit the descriptors.
+// TestLimitsAccountForAllDescriptors guards against running out of file descriptors. For any descriptor limit, the reserved
+// descriptors, the client connections and the connections to app servers together must not exceed the limit.
 func TestLimitsAccountForAllDescriptors(t *testing.T) {
 	for sockets := MinReserved + 2*minConnsPerSide; sockets < 5000; sockets++ {
 		for _, grpc := range []bool{false, true} {
@@ -14,11 +15,14 @@
 			reserved, servers := limits.reserved(), limits.MaxConnsPerSide()
 			if reserved < MinReserved || reserved > maxReserved || clients != servers || limits.HTTPConnections() < 1 ||
 				servers < minConnsPerSide || reserved+clients+servers > sockets {
-				t.Fatalf("%d: %d reserved, %d to clients, %d to app servers", sockets, reserved, clients, servers)
+				t.Fatalf("limit of %d descriptors, gRPC %t: %d reserved (want from %d to %d), %d for clients of which %d HTTP (want at least 1), "+
+					"%d for app servers (want at least %d, and as many as for clients); want a sum of at most %d", sockets, grpc,
+					reserved, MinReserved, maxReserved, clients, limits.HTTPConnections(), servers, minConnsPerSide, sockets)
 			}
 		}
 	}
 	if limits := (Limits{Sockets: 1024}); limits.MaxConnsPerSide() != 480 || limits.HTTPConnections() != 480 || limits.reserved() != 64 {
-		t.Errorf("of 1,024: %d reserved, %d each", limits.reserved(), limits.MaxConnsPerSide())
+		t.Errorf("limit of 1024 descriptors: %d reserved, %d for app servers, %d for HTTP clients; want 64, 480 and 480",
+			limits.reserved(), limits.MaxConnsPerSide(), limits.HTTPConnections())
 	}
 }
--- a/internal/netio/ringbuffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -35,7 +35,8 @@
 
 func (c *fragmentedConn) SetReadDeadline(time.Time) error { return nil }
 
-// Bytes leave a ring buffer as they entered it, with the bytes that parsers read ahead put back.
+// TestRingBufferKeepsBytes guards against lost, repeated or reordered bytes in a ring buffer. Parsers read past the end of
+// messages of random lengths, and EndMessage puts those bytes back.
 func TestRingBufferKeepsBytes(t *testing.T) {
 	if err := quick.Check(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -61,6 +62,6 @@
 		}
 		return out.Flush() == nil && bytes.Equal(conn.out.Bytes(), sent)
 	}, &quick.Config{MaxCount: 300}); err != nil {
-		t.Error(err)
+		t.Errorf("bytes written from the ring buffer differ from the bytes read into it, or Flush failed: %v", err)
 	}
 }
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -7,7 +7,8 @@
 	"cherrygap/internal/nettest"
 )
 
-// TCP_INFO and ppoll(2) both report a close behind unread bytes, and a reset.
+// TestPeerHasClosed guards against missing the close or reset of a connection behind unread bytes. Both ways of detecting it
+// must work, TCP_INFO and ppoll(2).
 func TestPeerHasClosed(t *testing.T) {
 	listener := nettest.Listen(t)
 	accepted := make(chan net.Conn, 1)
@@ -36,7 +37,7 @@
 		nettest.WriteString(client, "bytes that nobody reads")
 		test.close(client)
 		socket := NewSocket(conn.(*net.TCPConn))
-		nettest.Eventually(t, test.name+" seen", func() bool {
+		nettest.Eventually(t, test.name+" connection to be detected by TCP_INFO", func() bool {
 			closed := false
 			if err := socket.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
 				t.Fatal(err)
@@ -44,7 +45,7 @@
 			return closed == test.closed
 		})
 		if got := socket.HungUp(); got != test.closed {
-			t.Errorf("%s: hung up %v", test.name, got)
+			t.Errorf("HungUp of a connection that is %s = %t, want %t", test.name, got, test.closed)
 		}
 	}
 }
--- a/internal/netio/timer_test.go
+++ b/internal/netio/timer_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestTimerExpiresOnceInTime guards against a timer that expires early, late or repeatedly, or at the time of an earlier Set.
 func TestTimerExpiresOnceInTime(t *testing.T) {
 	timer, err := NewTimer()
 	if err != nil {
@@ -17,16 +18,16 @@
 	}()
 	for _, after := range []time.Duration{0, time.Millisecond, 30 * time.Millisecond} {
 		startedAt := time.Now()
-		timer.Set(time.Hour) // the last call counts
+		timer.Set(time.Hour) // The next call must replace this time.
 		timer.Set(after)
 		if took := (<-expirations).Sub(startedAt); took < after || took > after+time.Second {
-			t.Errorf("set to %v, expired after %v", after, took)
+			t.Errorf("timer set to %v expired after %v, want from %v to %v", after, took, after, after+time.Second)
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
 	timer.Close()
 	<-done
 	if len(expirations) != 0 {
-		t.Error("expired again")
+		t.Errorf("timer expired %d more times after its only expiry, want 0", len(expirations))
 	}
 }
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -17,8 +17,8 @@
 // eventuallyTimeout is the maximum wait of Eventually.
 const eventuallyTimeout = 5 * time.Second
 
-// Eventually waits until ok returns true, and fails the test after eventuallyTimeout. condition names the awaited condition in
-// the failure message, as a noun phrase.
+// Eventually waits until ok returns true, and fails the test after eventuallyTimeout. The failure message says that the test
+// was waiting for condition.
 func Eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -18,7 +18,8 @@
 	"cherrygap/internal/upstream"
 )
 
-// A request whose response was cut off may have run: an unsafe one is neither retried nor rejected.
+// TestResponsesCutOff guards against retrying or rejecting an unsafe request that may have run. The app servers close the
+// connection in the middle of the response's body.
 func TestResponsesCutOff(t *testing.T) {
 	halfResponse := func(conn net.Conn, _ *http.Request) bool {
 		nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
@@ -30,15 +31,18 @@
 		node := frontendtest.Start(t, retries, frontendtest.Limits, 3, halfResponse)
 		status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 		if attempts := int(node.Counters.Upstream.Attempts.Load()); status != want.status || attempts > 3 || retries == settings.RetryUnsafe && attempts != 1 {
-			t.Errorf("%s: status %d after %d attempts", retries, status, attempts)
+			t.Errorf("retry safety %s: status %d after %d attempts, want status %d after at most 3 attempts, or exactly 1 if unsafe",
+				retries, status, attempts, want.status)
 		}
 		if !node.Log.ClosedFor(netio.ReasonServerReset) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
-			t.Errorf("%s: no reset connection logged", retries)
+			t.Errorf("retry safety %s: no connection logged as closed with reason %q, or no attempt counted as %v; want both",
+				retries, netio.ReasonServerReset, protocol.ConnectionReset)
 		}
 	}
 }
 
-// A request with a malformed response has run. Bytes behind a good response are never the next request's response.
+// TestMalformedResponsesAreNotPassedOn guards against passing on a malformed or oversized response, or retrying its request,
+// which has run. It also guards against reading bytes behind a complete response as the response to the next request.
 func TestMalformedResponsesAreNotPassedOn(t *testing.T) {
 	longResponse := "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
 	for _, response := range []string{
@@ -51,12 +55,12 @@
 	} {
 		node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
 			nettest.WriteString(conn, response)
-			nettest.WaitForClose(conn) // it stays open
+			nettest.WaitForClose(conn) // The server keeps the connection open.
 			return false
 		})
 		status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 		if malformed := node.Counters.Upstream.AttemptOutcomes[protocol.MalformedResponse].Load(); status != 502 || malformed != 1 {
-			t.Errorf("%.40q: status %d, %d malformed", response, status, malformed)
+			t.Errorf("server response %.40q: client got status %d, %d attempts counted as malformed; want 502 and 1", response, status, malformed)
 		}
 	}
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
@@ -65,12 +69,14 @@
 	})
 	for range 20 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "mine")); status == 200 && body != "mine" {
-			t.Fatalf("body %q", body)
+			t.Fatalf("response body = %q, want %q", body, "mine")
 		}
 	}
 }
 
-// If a connection breaks before a request's last byte, the attempt continues on a new connection.
+// TestConnectionThatBreaksBeforeTheLastByte guards against failing a request whose connection breaks before the last byte. The
+// app server closes its first connection at the first bytes of the second request. The attempt must continue on a new
+// connection.
 func TestConnectionThatBreaksBeforeTheLastByte(t *testing.T) {
 	var conns atomic.Int64
 	listener := nettest.Listen(t)
@@ -78,7 +84,7 @@
 		reader := bufio.NewReader(conn)
 		for served := 0; ; served++ {
 			if _, err := reader.Peek(1); err != nil || conns.Load() == 1 && served == 1 {
-				return // reset at the second request's first bytes
+				return // The connection breaks at the second request's first bytes.
 			}
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -94,29 +100,32 @@
 	node.ListOnly(frontendtest.Endpoint("s", listener))
 	for range 2 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "body")); status != 200 || body != "body" {
-			t.Errorf("status %d, %q", status, body)
+			t.Errorf("response status %d, body %q; want 200, %q", status, body, "body")
 		}
 		time.Sleep(2 * upstream.SettleTime)
 	}
 	if conns.Load() != 2 || !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
-		t.Errorf("%d connections", conns.Load())
+		t.Errorf("%d connections served a request, %d attempts counted as %v; want 2 and 0, and a close logged with reason %q",
+			conns.Load(), node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load(), protocol.ConnectFailed, netio.ReasonServerStale)
 	}
 }
 
-// An attempt at a server that accepts and closes uses two connections and ends as a failed connect. If the server's
-// goroutine closes so late that the request was written completely, the request may have run. Such a play is checked
-// for that, and repeated.
+// TestNewConnectionsThatBreak guards against an attempt that dials without end, or counts as executed, if the server closes
+// each connection after the accept. The attempt must use two connections and end as a failed connect. If the server closes
+// only after the request was written completely, the request may have run. The test then checks for that outcome and runs
+// again.
 func TestNewConnectionsThatBreak(t *testing.T) {
-	const maxRuns = 10 // one in 500 has a late close
+	const maxRuns = 10 // The server closes late in one of 500 runs.
 	for range maxRuns {
 		if breakNewConnections(t) {
 			return
 		}
 	}
-	t.Errorf("the server closed late in each of %d plays", maxRuns)
+	t.Errorf("the server closed late in each of %d runs, want at least one run with a close before the request's last byte", maxRuns)
 }
 
-// breakNewConnections reports whether the server closed in time.
+// breakNewConnections runs one request against a server that closes each connection after the accept. It reports whether the
+// server closed before the request was written completely.
 func breakNewConnections(t *testing.T) bool {
 	t.Helper()
 	listener := nettest.Listen(t)
@@ -127,16 +136,19 @@
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 	if reset := node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load(); reset > 0 {
 		if status != 502 || reset != 1 {
-			t.Errorf("status %d, %d attempts that may have run", status, reset)
+			t.Errorf("server closed late: status %d, %d attempts counted as %v; want 502 and 1", status, reset, protocol.ConnectionReset)
 		}
 		return false
 	}
 	if failed := node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load(); status != 503 || failed == 0 || accepted.Load() != upstream.MaxNewConns*failed {
-		t.Errorf("status %d, %d connections in %d attempts", status, accepted.Load(), failed)
+		t.Errorf("status %d, %d connections accepted, %d attempts counted as %v; want 503 and %d connections for each of at least 1 attempt",
+			status, accepted.Load(), failed, protocol.ConnectFailed, upstream.MaxNewConns)
 	}
 	return true
 }
 
+// TestSilentServerTimesOut guards against a request that waits longer than its timeout for a server that never answers. The
+// attempt timeout that the server gets must be shorter than the client's timeout.
 func TestSilentServerTimesOut(t *testing.T) {
 	deadlines := make(chan string, 1)
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
@@ -146,9 +158,9 @@
 	})
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(700, ""))
 	if ms, err := strconv.Atoi(<-deadlines); status != 502 || err != nil || ms < 300 || ms >= 700 {
-		t.Errorf("status %d, the server was given %d ms, %v", status, ms, err)
+		t.Errorf("status %d, want 502; attempt timeout sent to the server %d ms (parse error: %v), want from 300 to 699 ms", status, ms, err)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerTimeout) {
-		t.Error("no line for the server that timed out")
+		t.Errorf("no connection logged as closed with reason %q, want one to the silent server", netio.ReasonServerTimeout)
 	}
 }
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -26,13 +26,13 @@
 type checkedServers struct {
 	list *protocol.EndpointList
 
-	mu          sync.Mutex // guards all below
-	lastCheckAt []time.Time
-	longestGap  []time.Duration // longest time between two checks
-	checkCount  []int
+	mu          sync.Mutex      // guards all fields below
+	lastCheckAt []time.Time     // time of each server's last check, at first the server's start
+	longestGap  []time.Duration // longest time without a check, by server
+	checkCount  []int           // number of checks, by server
 }
 
-// startCheckedServers starts count servers, of which the first one is draining.
+// startCheckedServers starts count servers. The endpoint list has the first one as terminating.
 func startCheckedServers(t *testing.T, count int) *checkedServers {
 	t.Helper()
 	s := &checkedServers{
@@ -48,13 +48,14 @@
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 			if request.URL.Path != protocol.HealthPath || request.Header.Get(protocol.HeaderRequestID) != "" {
-				t.Errorf("%s with id %q", request.URL, request.Header.Get(protocol.HeaderRequestID))
+				t.Errorf("app server %d got a request for %s with request ID %q, want only %s without an ID",
+					i, request.URL, request.Header.Get(protocol.HeaderRequestID), protocol.HealthPath)
 			}
 			s.recordCheck(i)
 		})}
 		t.Cleanup(func() { _ = server.Close() })
 		s.lastCheckAt[i] = time.Now()
-		go func() { _ = server.Serve(ln) }() // until Close
+		go func() { _ = server.Serve(ln) }() // Close ends the goroutine.
 		s.list.Endpoints = append(s.list.Endpoints, protocol.Endpoint{
 			UID:    fmt.Sprint(i),
 			Weight: 1,
@@ -65,6 +66,7 @@
 	return s
 }
 
+// recordCheck records a check of server i.
 func (s *checkedServers) recordCheck(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +74,7 @@
 	s.checkCount[i]++
 }
 
-// recordGap records the time since a server's last check. The caller holds mu.
+// recordGap records the time since the last check of server i. The caller holds mu.
 func (s *checkedServers) recordGap(i int) {
 	now := time.Now()
 	s.longestGap[i] = max(s.longestGap[i], now.Sub(s.lastCheckAt[i]))
@@ -87,9 +89,10 @@
 	list     *protocol.EndpointList
 	random   *rand.Rand
 	interval time.Duration
-	stop     []func() // nil for a node that is down
+	stop     []func() // stop function of each node; nil while the node is down
 }
 
+// newCheckingNodes reserves the UDP addresses of count nodes. It starts no node.
 func newCheckingNodes(t *testing.T, count int, list *protocol.EndpointList) *checkingNodes {
 	t.Helper()
 	n := &checkingNodes{t: t, list: list, random: rand.New(rand.NewSource(4)), stop: make([]func(), count)}
@@ -107,6 +110,7 @@
 	return n
 }
 
+// start starts node i.
 func (n *checkingNodes) start(i int) {
 	n.t.Helper()
 	log := zerolog.Nop()
@@ -154,7 +158,7 @@
 	}
 }
 
-// disturb stops and starts random nodes for a time span.
+// restartAtRandom stops and starts random nodes for the given time.
 func (n *checkingNodes) restartAtRandom(span time.Duration) {
 	n.t.Helper()
 	for startedAt := time.Now(); time.Since(startedAt) < span; {
@@ -170,8 +174,9 @@
 	}
 }
 
-// Twelve nodes on loopback, killed and started again at random: no app server goes unchecked for more than two
-// intervals, few are checked twice, and a draining one is not checked at all.
+// TestHealthChecksContinueWhenOwnersFail guards against servers that nobody checks after the owner of their checks fails. Twelve
+// nodes on loopback stop and start at random. No app server may stay unchecked for much longer than two intervals, few checks
+// may be duplicates, and a draining server may get none.
 func TestHealthChecksContinueWhenOwnersFail(t *testing.T) {
 	const nodeCount, serverCount = 12, 8
 	servers := startCheckedServers(t, serverCount)
@@ -189,10 +194,11 @@
 		servers.recordGap(i)
 		worst, checks := servers.longestGap[i], servers.checkCount[i]
 		if worst > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
-			t.Errorf("server %d: unchecked for %v, checked %d times in %v; the interval is %v", i, worst, checks, span, interval)
+			t.Errorf("app server %d: longest time without a check %v, want at most %v; %d checks in %v, want from %d to %d",
+				i, worst, 2*interval+interval/4, checks, span, int(span/interval/2), int(3*span/interval))
 		}
 	}
 	if servers.checkCount[0] > 0 {
-		t.Errorf("a draining server was checked %d times", servers.checkCount[0])
+		t.Errorf("the draining app server got %d checks, want 0", servers.checkCount[0])
 	}
 }
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -30,7 +30,7 @@
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
-				return // closed
+				return // The test has closed the listener.
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
@@ -49,7 +49,8 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// The response to a health check decides whether the server is healthy and whether its connection is reused.
+// TestHealthRequest guards against a wrong health status, and against reusing a connection that the response does not leave
+// clean. The cases are the kinds of responses to a health check.
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
@@ -75,12 +76,12 @@
 			checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
 			server := router.Servers()[0]
 			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.healthy {
-				t.Errorf("healthy %v", ok)
+				t.Errorf("RequestHealth for server response %q = %t, want %t", c.answer, ok, c.healthy)
 			}
 			pool.Mutex().Lock()
 			defer pool.Mutex().Unlock()
 			if kept := len(pool.Idle()[server]) == 1; kept != c.kept {
-				t.Errorf("connection kept %v", kept)
+				t.Errorf("connection returned to the pool after server response %q: %t, want %t", c.answer, kept, c.kept)
 			}
 		})
 	}
--- a/internal/upstream/healthwireformat_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -16,7 +16,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// The bytes of a health check at the app server.
+// TestHealthCheckWireFormat guards against a change in the bytes of a health check that the app server receives.
 func TestHealthCheckWireFormat(t *testing.T) {
 	addr, healthChecks := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
@@ -35,9 +35,9 @@
 	select {
 	case got := <-healthChecks:
 		if want := "GET /healthz HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"; got != want {
-			t.Errorf("got\n%q, not\n%q", got, want)
+			t.Errorf("health check request:\n got %q\nwant %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no health check")
+		t.Fatal("the app server received no health check within 10s, want one")
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,22 +18,23 @@
 	"cherrygap/internal/upstream"
 )
 
-// idleConn makes a request and returns the pool's one idle connection.
+// idleConn sends a request and returns the pool's only idle connection with its server.
 func idleConn(t *testing.T, node *frontendtest.Node) (*routing.Server, *upstream.Conn) {
 	t.Helper()
 	if status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("request that opens a connection: status %d, want 200", status)
 	}
 	node.Pool.Mutex().Lock()
 	defer node.Pool.Mutex().Unlock()
 	for server, stack := range node.Pool.Idle() {
 		return server, stack[0]
 	}
-	t.Fatal("no idle connection")
+	t.Fatal("the pool has no idle connection after a request, want one")
 	return nil, nil
 }
 
-// A connection that was taken and carried no message keeps its idle time, as it does at its server.
+// TestUnusedConnectionKeepsIdleTime guards against using a connection beyond the server's idle timeout. A connection that
+// was taken from the pool but carried no message keeps its idle time, as it does at the server.
 func TestUnusedConnectionKeepsIdleTime(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -42,25 +43,26 @@
 	since := conn.IdleSince()
 	node.Pool.Mutex().Unlock()
 	if node.Pool.Get(server) != conn {
-		t.Fatal("another connection")
+		t.Fatal("Get did not return the pool's idle connection, want it")
 	}
 	if node.Pool.Put(conn); conn.IdleSince() != since {
-		t.Errorf("idle since %v, not %v", conn.IdleSince(), since)
+		t.Errorf("unused connection after Put: idle since %v, want %v", conn.IdleSince(), since)
 	}
 	node.Pool.Get(server)
 	conn.AddRequest()
 	if node.Pool.Put(conn); time.Since(conn.IdleSince()) > time.Second {
-		t.Errorf("used, idle since %v", conn.IdleSince())
+		t.Errorf("used connection after Put: idle since %v, want within the last second", conn.IdleSince())
 	}
 }
 
-// A connection that is put back after its server went out of service is closed.
+// TestConnectionOfAnUnlistedServerIsClosedOnPut guards against connections that stay open for a server out of service. The
+// server goes out of service while its connection is in use.
 func TestConnectionOfAnUnlistedServerIsClosedOnPut(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
-	nettest.Eventually(t, "its settling", func() bool { return time.Since(conn.IdleSince()) > upstream.SettleTime })
+	nettest.Eventually(t, "the end of the connection's settle time", func() bool { return time.Since(conn.IdleSince()) > upstream.SettleTime })
 	if node.Pool.Get(server) != conn {
-		t.Fatal("another connection")
+		t.Fatal("Get did not return the pool's idle connection, want it")
 	}
 	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true}, routing.FromDiscovery)
 	node.Pool.KeepOnly(node.Router.InService)
@@ -68,12 +70,13 @@
 	node.Pool.Mutex().Lock()
 	defer node.Pool.Mutex().Unlock()
 	if len(node.Pool.Idle()) != 0 || node.Pool.Total() != 0 || !node.Log.ClosedFor(netio.ReasonServerUnlisted) {
-		t.Errorf("%d stacks, %d connections", len(node.Pool.Idle()), node.Pool.Total())
+		t.Errorf("pool has %d servers with idle connections and %d connections in all, want 0 and 0, and a close logged with reason %q",
+			len(node.Pool.Idle()), node.Pool.Total(), netio.ReasonServerUnlisted)
 	}
 }
 
-// A duplicate response that arrives between the first bytes and the last byte of the next request is not read as its
-// response. The request uses another connection.
+// TestSecondResponseBeforeTheLastByteIsNoResponse guards against reading a duplicate response as that of the next request. The
+// duplicate arrives between the first bytes and the last byte of the next request, which must use another connection.
 func TestSecondResponseBeforeTheLastByteIsNoResponse(t *testing.T) {
 	listener := nettest.Listen(t)
 	go nettest.ServeConns(listener, func(conn net.Conn) {
@@ -95,17 +98,19 @@
 	node.ListOnly(frontendtest.Endpoint("s", listener))
 	for range 4 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "mine")); status != 200 || body != "mine" {
-			t.Errorf("status %d, %q", status, body)
+			t.Errorf("response status %d, body %q; want 200, %q", status, body, "mine")
 		}
 		time.Sleep(2 * upstream.SettleTime)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.Attempts.Load() != 4 {
-		t.Errorf("%d attempts", node.Counters.Upstream.Attempts.Load())
+		t.Errorf("%d attempts for 4 requests, want 4, and a close logged with reason %q",
+			node.Counters.Upstream.Attempts.Load(), netio.ReasonServerStale)
 	}
 }
 
-// The wait for a reset before the last byte depends on the connection's round trip, so it is short on a fast network.
-// Only the faster half of the requests counts, because a busy machine delays some.
+// TestTheWaitForAResetIsAFewRoundTrips guards against adding a fixed delay to each request on a fast network. The wait for a
+// reset before the last byte depends on the connection's round trip. Only the faster half of the requests counts, because a
+// busy machine delays some.
 func TestTheWaitForAResetIsAFewRoundTrips(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 2, frontendtest.Echo)
 	conn := node.Dial(t)
@@ -113,18 +118,18 @@
 	for range 60 {
 		startedAt := time.Now()
 		if status, body, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(2000, "x")); status != 200 || body != "x" {
-			t.Fatal(status, body)
+			t.Fatalf("response status %d, body %q; want 200, %q", status, body, "x")
 		}
 		took = append(took, time.Since(startedAt))
 	}
 	slices.Sort(took)
 	if half := took[len(took)/2]; half > 2*time.Millisecond {
-		t.Errorf("half of the requests took over %v", half)
+		t.Errorf("median duration of %d requests = %v, want at most %v", len(took), half, 2*time.Millisecond)
 	}
 }
 
-// A connection that its server closed while idle is not used: a request written to it would count as one that may have
-// run.
+// TestConnectionClosedWhileIdleIsNotUsed guards against using a connection that its server closed while it was idle. A request
+// written to it would count as one that may have run.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		frontendtest.Echo(conn, request)
@@ -133,9 +138,9 @@
 	conn := node.Dial(t)
 	for range 5 {
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("response status %d, want 200", status)
 		}
-		nettest.Eventually(t, "the server's close", func() bool {
+		nettest.Eventually(t, "the server's close of the idle connection", func() bool {
 			node.Pool.Mutex().Lock()
 			defer node.Pool.Mutex().Unlock()
 			closed := 0
@@ -151,12 +156,13 @@
 		time.Sleep(upstream.SettleTime)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerClosed) {
-		t.Error("no line for the closed connection")
+		t.Errorf("no connection logged as closed with reason %q, want each that the server closed", netio.ReasonServerClosed)
 	}
 }
 
-// If an idle connection breaks at its next use, others that were idle as long are not used. Otherwise each would cost
-// an unsafe request.
+// TestStaleConnectionReducesIdleLimit guards against losing several unsafe requests to stale connections. The app servers
+// close each connection at its second request. After the first such failure, connections that were idle as long must not be
+// used.
 func TestStaleConnectionReducesIdleLimit(t *testing.T) {
 	var mu sync.Mutex // guards first
 	served := map[string]bool{}
@@ -179,11 +185,12 @@
 		time.Sleep(4 * upstream.SettleTime)
 	}
 	if failed != 1 {
-		t.Errorf("%d of 12 requests failed", failed)
+		t.Errorf("%d of 12 requests failed, want exactly 1", failed)
 	}
 }
 
-// A connection is not used within SettleTime of a response, so a duplicate response can't be read as the next one.
+// TestConnectionSettlesAfterAResponse guards against reading a duplicate response as the next one. A connection must not be
+// used within SettleTime of a response.
 func TestConnectionSettlesAfterAResponse(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -191,30 +198,34 @@
 	conn.SetIdleSince(time.Now().Add(time.Hour))
 	node.Pool.Mutex().Unlock()
 	if node.Pool.Get(server) != nil {
-		t.Error("taken at once")
+		t.Error("Get returned a connection within SettleTime of its last response, want nil")
 	}
 	conn.SetIdleSince(time.Now().Add(-upstream.SettleTime))
 	if node.Pool.Get(server) != conn {
-		t.Error("not taken once it has settled")
+		t.Error("Get did not return the connection after SettleTime, want the connection")
 	}
 }
 
+// TestIdleConnectionsAreClosedBeforeTheServerDoes guards against a request on a connection that the server is closing. The
+// node must close idle connections before the server's idle timeout ends.
 func TestIdleConnectionsAreClosedBeforeTheServerDoes(t *testing.T) {
 	limits := frontendtest.Limits
 	limits.ServerIdleTimeout = 100 * time.Millisecond
 	node := frontendtest.Start(t, settings.RetryUnsafe, limits, 1, frontendtest.Echo)
 	frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 	if node.Pool.IdleLimit() >= limits.ServerIdleTimeout {
-		t.Errorf("closed after %v", node.Pool.IdleLimit())
+		t.Errorf("idle limit of the pool = %v, want less than the server's idle timeout %v", node.Pool.IdleLimit(), limits.ServerIdleTimeout)
 	}
-	nettest.Eventually(t, "its close", func() bool { return node.Log.ClosedFor(netio.ReasonIdle) })
+	nettest.Eventually(t, "the node's close of the idle connection", func() bool { return node.Log.ClosedFor(netio.ReasonIdle) })
 	node.Pool.Mutex().Lock()
 	defer node.Pool.Mutex().Unlock()
 	if node.Pool.Total() != 0 || len(node.Pool.Idle()) != 0 {
-		t.Errorf("%d connections left", node.Pool.Total())
+		t.Errorf("pool has %d connections in all and %d servers with idle ones, want 0 and 0", node.Pool.Total(), len(node.Pool.Idle()))
 	}
 }
 
+// TestPoolNeverHoldsMoreThanItsLimit guards against more connections to app servers than the file descriptor limit allows.
+// Four clients send requests to more app servers than the pool may have connections.
 func TestPoolNeverHoldsMoreThanItsLimit(t *testing.T) {
 	limits := frontendtest.LimitsForEight()
 	node := frontendtest.Start(t, settings.RetrySafe, limits, 12, frontendtest.Echo)
@@ -228,13 +239,13 @@
 				nettest.WriteString(conn, frontendtest.RequestText(3000, "x"))
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil || response.StatusCode == 502 {
-					t.Errorf("%v, %v", response, err)
+					t.Errorf("response = %v, error %v; want a response with a status other than 502", response, err)
 					return
 				}
 				nettest.DiscardAll(response.Body)
 				node.Pool.Mutex().Lock()
 				if node.Pool.Total() > limits.MaxConnsPerSide() {
-					t.Errorf("%d connections", node.Pool.Total())
+					t.Errorf("pool has %d connections, want at most %d", node.Pool.Total(), limits.MaxConnsPerSide())
 				}
 				node.Pool.Mutex().Unlock()
 			}
@@ -243,7 +254,8 @@
 	clients.Wait()
 }
 
-// Resource exhaustion of the node is not reported as a failed connect, which would eject the server, at peers too.
+// TestFullPoolIsNoConnectFailure guards against ejecting a healthy server because the node itself ran out of resources. A
+// reported connect failure would eject the server, at the node's peers too.
 func TestFullPoolIsNoConnectFailure(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 2, frontendtest.Echo)
 	node.Pool.Mutex().Lock()
@@ -252,12 +264,13 @@
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 	outcomes := &node.Counters.Upstream.AttemptOutcomes
 	if unsent := outcomes[protocol.NotSent].Load(); status != 503 || unsent == 0 || outcomes[protocol.ConnectFailed].Load() != 0 {
-		t.Errorf("status %d, %d unsent", status, unsent)
+		t.Errorf("full pool: status %d, %d attempts counted as %v, %d as %v; want 503, at least 1, and 0",
+			status, unsent, protocol.NotSent, outcomes[protocol.ConnectFailed].Load(), protocol.ConnectFailed)
 	}
 	node.Pool.Mutex().Lock()
 	node.Pool.SetTotal(0)
 	node.Pool.Mutex().Unlock()
 	if status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); status != 200 {
-		t.Errorf("then %d", status)
+		t.Errorf("pool with room again: status %d, want 200", status)
 	}
 }
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The fault of an attempt that was written, and the faults that hold back its last byte.
+// TestSendCheck guards against an invariant check that misses a fault or reports a correct attempt. It also guards against
+// writing the last byte of an attempt that is too late. Each case changes one time of a correct attempt.
 func TestSendCheck(t *testing.T) {
 	now := time.Now()
 	good := sendCheck{
@@ -34,18 +35,18 @@
 		{name: "past the deadline", change: func(check *sendCheck) { check.clientDeadline = now.Add(-1) }, want: sendFaultDeadline, mayNotFinish: true},
 		{name: "past the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(-1) }, want: sendFaultWindow, mayNotFinish: true},
 		{name: "in the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(1) }},
-		{name: "server", change: func(check *sendCheck) { check.serverCheckedAt = now.Add(-minDrainGrace - 1) }, want: sendFaultServer},
-		{name: "client", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect + 1, disconnected: true, want: sendFaultDisconnected},
+		{name: "server checked too long ago", change: func(check *sendCheck) { check.serverCheckedAt = now.Add(-minDrainGrace - 1) }, want: sendFaultServer},
+		{name: "client disconnected too long ago", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect + 1, disconnected: true, want: sendFaultDisconnected},
 		{name: "client that disconnected just now", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect, disconnected: true},
 		{name: "client that stays", change: func(*sendCheck) {}, clientCheckedAgo: time.Minute},
 	} {
 		check := good
 		c.change(&check)
 		if fault := check.faultAt(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
-			t.Errorf("%s: %q, not %q", c.name, fault, c.want)
+			t.Errorf("%s: faultAt = %q, want %q", c.name, fault, c.want)
 		}
 		if may := check.mayWriteLastByte(now); may == c.mayNotFinish {
-			t.Errorf("%s: may finish %v", c.name, may)
+			t.Errorf("%s: mayWriteLastByte = %t, want %t", c.name, may, !c.mayNotFinish)
 		}
 	}
 }
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -17,9 +17,10 @@
 	"cherrygap/internal/upstream"
 )
 
-// A client disconnects while its app server's machine has not acknowledged the whole request. The rest is not delivered
-// when the server reads again. A request that is not written completely is abandoned at once, even where the settings
-// forbid cancellation, because it has not started.
+// TestDisconnectWhileTheServerReadsNothing guards against executing a request after its client has disconnected. The client
+// disconnects while the app server's machine has not acknowledged the whole request. The rest must not be delivered when the
+// server reads again. A request that was not written completely must be abandoned at once, even if the settings forbid
+// cancellation, because it has not started.
 func TestDisconnectWhileTheServerReadsNothing(t *testing.T) {
 	t.Run("written", func(t *testing.T) { testDisconnectUnread(t, "true", 12<<10, true) })
 	t.Run("half written", func(t *testing.T) { testDisconnectUnread(t, "false", protocol.MaxBody, false) })
@@ -28,6 +29,8 @@
 // unreadRequests is the number of requests that the server leaves unread.
 const unreadRequests = 4
 
+// testDisconnectUnread sends requests with bodies of size bytes to a server that reads nothing, and then disconnects the
+// clients. written tells whether the node can write such requests completely. cancelAttempts is the value of that setting.
 func testDisconnectUnread(t *testing.T, cancelAttempts string, size int, written bool) {
 	t.Helper()
 	listener := listenSmall(t)
@@ -49,22 +52,22 @@
 	for sent := range unreadRequests {
 		conn := node.Dial(t)
 		nettest.WriteString(conn, frontendtest.RequestText(4000, strings.Repeat("x", size)))
-		nettest.Eventually(t, "an attempt", func() bool {
+		nettest.Eventually(t, "an attempt of the request", func() bool {
 			return connsInUse(node) == sent+1 && (node.Counters.Upstream.Attempts.Load() == int64(sent+1)) == written
 		})
 		conns = append(conns, conn)
 	}
-	time.Sleep(10 * upstream.MaxResetWait) // partly written requests fill the buffers
+	time.Sleep(10 * upstream.MaxResetWait) // Partly written requests fill the buffers in this time.
 	if sent := node.Counters.Upstream.Attempts.Load(); (sent == unreadRequests) != written {
-		t.Fatalf("%d written whole", sent)
+		t.Fatalf("%d of %d requests were written completely; want all of them: %t", sent, unreadRequests, written)
 	}
 	startedAt := time.Now()
 	for _, conn := range conns {
 		nettest.Close(conn)
 	}
-	nettest.Eventually(t, "the ends", func() bool { return node.Counters.ClientsGone.Load() == unreadRequests })
+	nettest.Eventually(t, "the end of all requests", func() bool { return node.Counters.ClientsGone.Load() == unreadRequests })
 	if took := time.Since(startedAt); took > time.Second {
-		t.Errorf("given up after %v", took)
+		t.Errorf("the node abandoned the requests %v after the clients disconnected, want within %v", took, time.Second)
 	}
 	close(startReading)
 	arrived := 0
@@ -75,11 +78,11 @@
 				arrived++
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("an attempt never ends")
+			t.Fatal("the app server was still reading a request after 5s, want the connection closed")
 		}
 	}
 	if arrived > 0 {
-		t.Errorf("%d of %d came whole after their clients had disconnected", arrived, unreadRequests)
+		t.Errorf("%d of %d requests arrived completely after their clients had disconnected, want 0", arrived, unreadRequests)
 	}
 }
 
@@ -124,7 +127,7 @@
 	time.Sleep(2 * upstream.SettleTime)
 }
 
-// connsInUse returns how many of the pool's connections are in use.
+// connsInUse returns the number of the pool's connections that are in use.
 func connsInUse(n *frontendtest.Node) int {
 	n.Pool.Mutex().Lock()
 	defer n.Pool.Mutex().Unlock()
