--- a/internal/nettest/fullserver.go
+++ b/internal/nettest/fullserver.go
@@ -15,13 +15,13 @@
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("socket: %v", err)
 	}
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("bind to a free port of 127.0.0.1: %v", err)
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen: %v", err)
 	}
 	bound, _ := syscall.Getsockname(fd)
 	addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*syscall.SockaddrInet4).Port))
@@ -41,13 +41,13 @@
 	return addr, func() net.Listener {
 		closed = true
 		if err := syscall.SetNonblock(fd, true); err != nil {
-			t.Fatal(err)
+			t.Fatalf("set the listening socket non-blocking: %v", err)
 		}
 		file := os.NewFile(uintptr(fd), "full")
 		defer Close(file)
 		listener, err := net.FileListener(file)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("make a listener of the listening socket: %v", err)
 		}
 		t.Cleanup(func() { Close(listener) })
 		return listener
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -92,7 +92,7 @@
 	stop     []func() // stop function of each node; nil while the node is down
 }
 
-// newCheckingNodes reserves the UDP addresses of count nodes. It starts no node.
+// newCheckingNodes picks free UDP addresses for count nodes. It starts no node.
 func newCheckingNodes(t *testing.T, count int, list *protocol.EndpointList) *checkingNodes {
 	t.Helper()
 	n := &checkingNodes{t: t, list: list, random: rand.New(rand.NewSource(4)), stop: make([]func(), count)}
@@ -192,10 +192,10 @@
 	defer servers.mu.Unlock()
 	for i := 1; i < serverCount; i++ {
 		servers.recordGap(i)
-		worst, checks := servers.longestGap[i], servers.checkCount[i]
-		if worst > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
+		longestGap, checks := servers.longestGap[i], servers.checkCount[i]
+		if longestGap > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
 			t.Errorf("app server %d: longest time without a check %v, want at most %v; %d checks in %v, want from %d to %d",
-				i, worst, 2*interval+interval/4, checks, span, int(span/interval/2), int(3*span/interval))
+				i, longestGap, 2*interval+interval/4, checks, span, int(span/interval/2), int(3*span/interval))
 		}
 	}
 	if servers.checkCount[0] > 0 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -245,7 +245,7 @@
 	p.closeLocked(conn, reason)
 }
 
-// closeLocked closes a connection, uncounts it and logs the reason. The caller holds mu.
+// closeLocked closes a connection, subtracts it from total and logs the reason. The caller holds mu.
 func (p *Pool) closeLocked(conn *serverConn, reason netio.CloseReason) {
 	p.total--
 	netio.CloseConn(conn.conn)
@@ -273,7 +273,7 @@
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	nextExpiry := time.Duration(-1) // negative: no connection is idle
+	nextExpiry := time.Duration(-1) // time until the next expiry; negative if no connection is idle
 	for server, stack := range p.idle {
 		kept := p.closeExpiredInStack(stack)
 		for _, conn := range kept {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -60,7 +60,7 @@
 func TestConnectionOfAnUnlistedServerIsClosedOnPut(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
-	nettest.Eventually(t, "the end of the connection's settle time", func() bool { return time.Since(conn.IdleSince()) > upstream.SettleTime })
+	nettest.Eventually(t, "the end of the wait before the connection's reuse", func() bool { return time.Since(conn.IdleSince()) > upstream.SettleTime })
 	if node.Pool.Get(server) != conn {
 		t.Fatal("Get did not return the pool's idle connection, want it")
 	}
@@ -123,8 +123,8 @@
 		took = append(took, time.Since(startedAt))
 	}
 	slices.Sort(took)
-	if half := took[len(took)/2]; half > 2*time.Millisecond {
-		t.Errorf("median duration of %d requests = %v, want at most %v", len(took), half, 2*time.Millisecond)
+	if median := took[len(took)/2]; median > 2*time.Millisecond {
+		t.Errorf("median duration of %d requests = %v, want at most %v", len(took), median, 2*time.Millisecond)
 	}
 }
 
@@ -189,20 +189,20 @@
 	}
 }
 
-// TestConnectionSettlesAfterAResponse guards against reading a duplicate response as the next one. A connection must not be
+// TestConnectionIsNotReusedAtOnce guards against reading a duplicate response as the next one. A connection must not be
 // used within SettleTime of a response.
-func TestConnectionSettlesAfterAResponse(t *testing.T) {
+func TestConnectionIsNotReusedAtOnce(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
 	node.Pool.Mutex().Lock()
 	conn.SetIdleSince(time.Now().Add(time.Hour))
 	node.Pool.Mutex().Unlock()
 	if node.Pool.Get(server) != nil {
-		t.Error("Get returned a connection within SettleTime of its last response, want nil")
+		t.Error("Get returned a connection immediately after its last response, want nil")
 	}
 	conn.SetIdleSince(time.Now().Add(-upstream.SettleTime))
 	if node.Pool.Get(server) != conn {
-		t.Error("Get did not return the connection after SettleTime, want the connection")
+		t.Error("Get did not return the connection after the wait before its reuse, want the connection")
 	}
 }
 
