--- a/internal/counters/node.go
+++ b/internal/counters/node.go
@@ -14,21 +14,21 @@
 	"cherrygap/internal/upstream"
 )
 
-// Node holds the counters of one node's parts since the node's start. They are safe for concurrent use. docs/oncall.md
-// describes each.
+// Node holds the counters of one node's parts since the node's start. It is safe for concurrent use. docs/oncall.md describes
+// each counter.
 type Node struct {
 	FrontEnd         frontend.Counters
 	Upstream         upstream.Counters
 	Discovery        discovery.Counters
 	Peers            peersocket.Counters
 	LogLinesDropped  atomic.Int64
-	RepeatViolations atomic.Int64 // of invariant.Repeating
+	RepeatViolations atomic.Int64 // violations of invariant.Repeating
 }
 
-// outcomePrefix is the beginning of the log fields of upstream.Counters.AttemptOutcomes. The outcome's name follows.
+// outcomePrefix is the prefix of the log fields of upstream.Counters.AttemptOutcomes. The outcome's name follows.
 const outcomePrefix = "attempts_"
 
-// field is one counter and its log field.
+// field is a counter with the name of its log field.
 type field struct {
 	name    string
 	counter *atomic.Int64
@@ -41,22 +41,23 @@
 	}
 }
 
+// fields returns all counters in the order of the log line.
 func (n *Node) fields() []field {
-	front, up, lists, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
+	frontEnd, upstreamCounters, discoveryCounters, peers := &n.FrontEnd, &n.Upstream, &n.Discovery, &n.Peers
 	fields := []field{
-		{"connections", &front.Connections},
-		{"requests", &front.Requests},
-		{"requests_malformed", &front.MalformedRequests},
-		{"completed", &front.Completed},
-		{"rejected", &front.Rejected},
-		{"failed", &front.Failed},
-		{"clients_gone", &front.ClientsGone},
-		{"denied", &front.Denied},
-		{"responses_unwritten", &front.ResponsesUnwritten},
-		{"attempts", &up.Attempts},
-		{"dials", &up.Dials},
-		{"endpoint_lists", &lists.EndpointLists},
-		{"endpoint_lists_malformed", &lists.MalformedLists},
+		{"connections", &frontEnd.Connections},
+		{"requests", &frontEnd.Requests},
+		{"requests_malformed", &frontEnd.MalformedRequests},
+		{"completed", &frontEnd.Completed},
+		{"rejected", &frontEnd.Rejected},
+		{"failed", &frontEnd.Failed},
+		{"clients_gone", &frontEnd.ClientsGone},
+		{"denied", &frontEnd.Denied},
+		{"responses_unwritten", &frontEnd.ResponsesUnwritten},
+		{"attempts", &upstreamCounters.Attempts},
+		{"dials", &upstreamCounters.Dials},
+		{"endpoint_lists", &discoveryCounters.EndpointLists},
+		{"endpoint_lists_malformed", &discoveryCounters.MalformedLists},
 		{"peer_messages_sent", &peers.Sent},
 		{"peer_messages_unsent", &peers.Unsent},
 		{"peer_messages_received", &peers.Received},
@@ -64,14 +65,14 @@
 		{"log_lines_dropped", &n.LogLinesDropped},
 	}
 	for outcome := range protocol.OutcomeCount {
-		fields = append(fields, field{outcomePrefix + outcome.String(), &up.AttemptOutcomes[outcome]})
+		fields = append(fields, field{outcomePrefix + outcome.String(), &upstreamCounters.AttemptOutcomes[outcome]})
 	}
 	return append(
 		fields,
-		field{"dials_short_of_resources", &up.ResourceExhaustions},
-		field{invariant.CounterField(invariant.Sending), &up.SendViolations},
+		field{"dials_short_of_resources", &upstreamCounters.ResourceExhaustions},
+		field{invariant.CounterField(invariant.Sending), &upstreamCounters.SendViolations},
 		field{invariant.CounterField(invariant.Repeating), &n.RepeatViolations},
-		field{invariant.CounterField(invariant.Closing), &front.CloseViolations},
-		field{invariant.CounterField(invariant.Starting), &front.StartViolations},
+		field{invariant.CounterField(invariant.Closing), &frontEnd.CloseViolations},
+		field{invariant.CounterField(invariant.Starting), &frontEnd.StartViolations},
 	)
 }
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -2,23 +2,27 @@
 
 import "testing"
 
-// At any limit the reserved descriptors, the client connections and the connections to app servers fit the descriptors.
+// TestLimitsAccountForAllDescriptors guards against running out of file descriptors. For any descriptor limit, the reserved
+// descriptors, the client connections and the connections to app servers together must not exceed the limit.
 func TestLimitsAccountForAllDescriptors(t *testing.T) {
-	for sockets := MinReserved + 2*minPerSide; sockets < 5000; sockets++ {
-		for _, both := range []bool{false, true} {
-			limits := Limits{Sockets: sockets, GRPC: both}
+	for sockets := MinReserved + 2*minConnsPerSide; sockets < 5000; sockets++ {
+		for _, grpc := range []bool{false, true} {
+			limits := Limits{Sockets: sockets, GRPC: grpc}
 			clients := limits.HTTPConnections()
-			if both {
+			if grpc {
 				clients += limits.GRPCConnections()
 			}
-			reserved, servers := limits.reserved(), limits.PerSide()
+			reserved, servers := limits.reserved(), limits.MaxConnsPerSide()
 			if reserved < MinReserved || reserved > maxReserved || clients != servers || limits.HTTPConnections() < 1 ||
-				servers < minPerSide || reserved+clients+servers > sockets {
-				t.Fatalf("%d: %d reserved, %d to clients, %d to app servers", sockets, reserved, clients, servers)
+				servers < minConnsPerSide || reserved+clients+servers > sockets {
+				t.Fatalf("limit of %d descriptors, gRPC %t: %d reserved (want from %d to %d), %d for clients of which %d HTTP (want at least 1), "+
+					"%d for app servers (want at least %d, and as many as for clients); want a sum of at most %d", sockets, grpc,
+					reserved, MinReserved, maxReserved, clients, limits.HTTPConnections(), servers, minConnsPerSide, sockets)
 			}
 		}
 	}
-	if limits := (Limits{Sockets: 1024}); limits.PerSide() != 480 || limits.HTTPConnections() != 480 || limits.reserved() != 64 {
-		t.Errorf("of 1,024: %d reserved, %d each", limits.reserved(), limits.PerSide())
+	if limits := (Limits{Sockets: 1024}); limits.MaxConnsPerSide() != 480 || limits.HTTPConnections() != 480 || limits.reserved() != 64 {
+		t.Errorf("limit of 1024 descriptors: %d reserved, %d for app servers, %d for HTTP clients; want 64, 480 and 480",
+			limits.reserved(), limits.MaxConnsPerSide(), limits.HTTPConnections())
 	}
 }
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -7,11 +7,12 @@
 	"cherrygap/internal/nettest"
 )
 
-// TCP_INFO and ppoll(2) both report a close behind unread bytes, and a reset.
+// TestPeerHasClosed guards against missing the close or reset of a connection behind unread bytes. Both ways of detecting it
+// must work, TCP_INFO and ppoll(2).
 func TestPeerHasClosed(t *testing.T) {
 	listener := nettest.Listen(t)
 	accepted := make(chan net.Conn, 1)
-	for _, end := range []struct {
+	for _, test := range []struct {
 		name   string
 		close  func(net.Conn)
 		closed bool
@@ -34,17 +35,17 @@
 		conn := <-accepted
 		t.Cleanup(func() { nettest.Close(conn) })
 		nettest.WriteString(client, "bytes that nobody reads")
-		end.close(client)
-		s := NewSocket(conn.(*net.TCPConn))
-		nettest.Eventually(t, end.name+" seen", func() bool {
+		test.close(client)
+		socket := NewSocket(conn.(*net.TCPConn))
+		nettest.Eventually(t, test.name+" connection to be detected by TCP_INFO", func() bool {
 			closed := false
-			if err := s.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
+			if err := socket.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
 				t.Fatal(err)
 			}
-			return closed == end.closed
+			return closed == test.closed
 		})
-		if got := s.HungUp(); got != end.closed {
-			t.Errorf("%s: hung up %v", end.name, got)
+		if got := socket.HungUp(); got != test.closed {
+			t.Errorf("HungUp of a connection that is %s = %t, want %t", test.name, got, test.closed)
 		}
 	}
 }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -11,31 +11,32 @@
 	"cherrygap/internal/routing"
 )
 
-// HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages are sent
-// and which servers are checked when; HealthChecker sends, checks and reports. Checks use the connections of the Pool, so a
-// server in use is checked over an open connection. It is safe for concurrent use.
+// HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages to send, and
+// which servers to check at what time. HealthChecker sends the messages, runs the checks and reports their results. Checks
+// use the connections of the Pool, so a server in use is checked over an open connection. A HealthChecker is safe for
+// concurrent use.
 type HealthChecker struct {
-	router  *routing.Router
-	pool    *Pool
-	send    func(to int, payload []byte)
-	started time.Time     // origin of the scheduler's clock
-	changed chan struct{} // has an element if the scheduler may have a new step for Run
-	done    chan struct{} // closed by Close
-
-	mu        sync.Mutex // guards both below
+	router    *routing.Router
+	pool      *Pool
+	send      func(to int, payload []byte)
+	startedAt time.Time     // origin of the scheduler's clock
+	wake      chan struct{} // holds an element if the scheduler may have a new step for Run
+	done      chan struct{} // closed by Close
+
+	mu        sync.Mutex // guards the fields below
 	scheduler *healthcheck.Scheduler
-	servers   map[healthcheck.CheckID]*routing.Server // in service
+	servers   map[healthcheck.CheckID]*routing.Server // servers in service
 }
 
-// NewHealthChecker makes the health checks of one node for the servers that the router has in service now. send sends a
-// message to one peer; Run calls it, without a lock. The caller starts Run.
+// NewHealthChecker returns the health checker of one node, for the servers that the router has in service. Run calls send,
+// without a lock, to send a message to one peer. The caller starts Run.
 func NewHealthChecker(cfg healthcheck.Config, router *routing.Router, pool *Pool, send func(to int, payload []byte)) *HealthChecker {
 	h := &HealthChecker{
 		router:    router,
 		pool:      pool,
 		send:      send,
-		started:   time.Now(),
-		changed:   make(chan struct{}, 1),
+		startedAt: time.Now(),
+		wake:      make(chan struct{}, 1),
 		done:      make(chan struct{}),
 		scheduler: healthcheck.New(cfg, 0),
 		servers:   map[healthcheck.CheckID]*routing.Server{},
@@ -44,24 +45,24 @@
 	return h
 }
 
-func (h *HealthChecker) now() time.Duration { return time.Since(h.started) }
+func (h *HealthChecker) now() time.Duration { return time.Since(h.startedAt) }
 
-// notifyRun makes Run poll the scheduler.
+// notifyRun makes Run poll the scheduler. It does not block.
 func (h *HealthChecker) notifyRun() {
 	select {
-	case h.changed <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// EndpointsChanged replaces the checked servers by those that the router has in service.
+// EndpointsChanged replaces the checked servers with those that the router has in service.
 func (h *HealthChecker) EndpointsChanged() {
-	list := h.router.Servers()
+	servers := h.router.Servers()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clear(h.servers)
-	checks := make([]healthcheck.Check, len(list))
-	for i, server := range list {
+	checks := make([]healthcheck.Check, len(servers))
+	for i, server := range servers {
 		checks[i] = healthcheck.Check{Kind: healthcheck.CheckServer, ID: healthcheck.CheckID(server.Number())}
 		h.servers[checks[i].ID] = server
 	}
@@ -69,8 +70,8 @@
 	h.notifyRun()
 }
 
-// ReceivePeerMessage applies a peer's message, which begins with healthcheck.MessageMark. It reports whether the message was
-// well-formed.
+// ReceivePeerMessage processes a peer's message, which begins with healthcheck.MessageMark. It reports whether the message
+// was well-formed.
 func (h *HealthChecker) ReceivePeerMessage(from int, payload []byte) bool {
 	h.mu.Lock()
 	err := h.scheduler.ReceivePeerMessage(h.now(), healthcheck.NodeID(from), payload)
@@ -79,8 +80,8 @@
 	return err == nil
 }
 
-// Run executes the scheduler's steps until Close. Each check runs on a goroutine that ends within the check's timeout, also
-// after Close.
+// Run executes the scheduler's steps until Close. Each check runs on a separate goroutine that ends within the check's timeout,
+// even after Close.
 func (h *HealthChecker) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -89,9 +90,9 @@
 		case <-h.done:
 			return
 		case <-timer.C:
-		case <-h.changed:
+		case <-h.wake:
 		}
-		for step, ok := h.next(); ok; step, ok = h.next() {
+		for step, ok := h.nextStep(); ok; step, ok = h.nextStep() {
 			h.execute(step)
 		}
 		h.mu.Lock()
@@ -101,8 +102,8 @@
 	}
 }
 
-// next returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
-func (h *HealthChecker) next() (step healthcheck.Step, ok bool) {
+// nextStep returns the scheduler's next step, with a copy of its payload. ok is false if there is none.
+func (h *HealthChecker) nextStep() (step healthcheck.Step, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	step, ok = h.scheduler.Next(h.now())
@@ -110,19 +111,21 @@
 	return step, ok
 }
 
+// execute sends a message, starts a check or reports a peer's check result, depending on the step's kind.
 func (h *HealthChecker) execute(step healthcheck.Step) {
 	switch step.Kind {
 	case healthcheck.Send:
 		h.send(int(step.To), step.Payload)
 	case healthcheck.Run:
-		go h.check(step)
+		go h.runCheck(step)
 	case healthcheck.Ended:
 		h.router.HealthChecked(routing.ServerNumber(step.Check.ID), step.OK)
 	}
 }
 
-// check runs one health check and reports its result to router and scheduler.
-func (h *HealthChecker) check(step healthcheck.Step) {
+// runCheck runs one health check and reports its result to the router and the scheduler. A check of a server that went out of
+// service fails.
+func (h *HealthChecker) runCheck(step healthcheck.Step) {
 	h.mu.Lock()
 	server := h.servers[step.Check.ID]
 	h.mu.Unlock()
@@ -136,10 +139,11 @@
 	h.notifyRun()
 }
 
-// Close ends Run. It must be called once.
+// Close ends Run. It must be called exactly once.
 func (h *HealthChecker) Close() { close(h.done) }
 
-// MarshalZerologObject writes the numbers of owned checks, servers and dead nodes, and the counters since the node's start.
+// MarshalZerologObject writes the numbers of owned checks, servers and dead nodes, and the scheduler's counters since the
+// node's start.
 func (h *HealthChecker) MarshalZerologObject(e *zerolog.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -26,35 +26,36 @@
 type checkedServers struct {
 	list *protocol.EndpointList
 
-	mu     sync.Mutex // guards all below
-	last   []time.Time
-	worst  []time.Duration // longest time between two checks
-	checks []int
+	mu          sync.Mutex      // guards all fields below
+	lastCheckAt []time.Time     // time of each server's last check, at first the server's start
+	longestGap  []time.Duration // longest time without a check, by server
+	checkCount  []int           // number of checks, by server
 }
 
-// startCheckedServers starts count servers, of which the first one is draining.
+// startCheckedServers starts count servers. The endpoint list has the first one as terminating.
 func startCheckedServers(t *testing.T, count int) *checkedServers {
 	t.Helper()
 	s := &checkedServers{
-		list:   &protocol.EndpointList{Full: true},
-		last:   make([]time.Time, count),
-		worst:  make([]time.Duration, count),
-		checks: make([]int, count),
+		list:        &protocol.EndpointList{Full: true},
+		lastCheckAt: make([]time.Time, count),
+		longestGap:  make([]time.Duration, count),
+		checkCount:  make([]int, count),
 	}
 	for i := range count {
 		ln, err := net.Listen("tcp", nettest.AnyPort())
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) {
-			if q.URL.Path != protocol.HealthPath || q.Header.Get(protocol.HeaderRequestID) != "" {
-				t.Errorf("%s with id %q", q.URL, q.Header.Get(protocol.HeaderRequestID))
+		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+			if request.URL.Path != protocol.HealthPath || request.Header.Get(protocol.HeaderRequestID) != "" {
+				t.Errorf("app server %d got a request for %s with request ID %q, want only %s without an ID",
+					i, request.URL, request.Header.Get(protocol.HeaderRequestID), protocol.HealthPath)
 			}
-			s.checked(i)
+			s.recordCheck(i)
 		})}
 		t.Cleanup(func() { _ = server.Close() })
-		s.last[i] = time.Now()
-		go func() { _ = server.Serve(ln) }() // until Close
+		s.lastCheckAt[i] = time.Now()
+		go func() { _ = server.Serve(ln) }() // Close ends the goroutine.
 		s.list.Endpoints = append(s.list.Endpoints, protocol.Endpoint{
 			UID:    fmt.Sprint(i),
 			Weight: 1,
@@ -65,18 +66,19 @@
 	return s
 }
 
-func (s *checkedServers) checked(i int) {
+// recordCheck records a check of server i.
+func (s *checkedServers) recordCheck(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteGap(i)
-	s.checks[i]++
+	s.recordGap(i)
+	s.checkCount[i]++
 }
 
-// noteGap records the time since a server's last check. The caller holds mu.
-func (s *checkedServers) noteGap(i int) {
+// recordGap records the time since the last check of server i. The caller holds mu.
+func (s *checkedServers) recordGap(i int) {
 	now := time.Now()
-	s.worst[i] = max(s.worst[i], now.Sub(s.last[i]))
-	s.last[i] = now
+	s.longestGap[i] = max(s.longestGap[i], now.Sub(s.lastCheckAt[i]))
+	s.lastCheckAt[i] = now
 }
 
 // checkingNodes are nodes on loopback that share health checks.
@@ -87,19 +89,20 @@
 	list     *protocol.EndpointList
 	random   *rand.Rand
 	interval time.Duration
-	stop     []func() // nil for a node that is down
+	stop     []func() // stop function of each node; nil while the node is down
 }
 
+// newCheckingNodes picks free UDP addresses for count nodes. It starts no node.
 func newCheckingNodes(t *testing.T, count int, list *protocol.EndpointList) *checkingNodes {
 	t.Helper()
 	n := &checkingNodes{t: t, list: list, random: rand.New(rand.NewSource(4)), stop: make([]func(), count)}
 	for range count {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.addrs = append(n.addrs, netip.MustParseAddrPort(c.LocalAddr().String()))
-		if err := c.Close(); err != nil {
+		n.addrs = append(n.addrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
+		if err := conn.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -107,6 +110,7 @@
 	return n
 }
 
+// start starts node i.
 func (n *checkingNodes) start(i int) {
 	n.t.Helper()
 	log := zerolog.Nop()
@@ -114,13 +118,13 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	set := map[string]string{
+	values := map[string]string{
 		settings.Nodes: fmt.Sprint(len(n.addrs)), settings.Tick: "20",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
 	}
 	router := routing.New(routing.Config{
 		Seed:          3,
-		Settings:      settings.Parse(set),
+		Settings:      settings.Parse(values),
 		SetTimer:      func(time.Duration) {},
 		SendToPeer:    func(int, []byte) {},
 		PollEndpoints: func() {},
@@ -154,10 +158,10 @@
 	}
 }
 
-// disturb stops and starts random nodes for a time span.
-func (n *checkingNodes) disturb(span time.Duration) {
+// restartAtRandom stops and starts random nodes for the given time.
+func (n *checkingNodes) restartAtRandom(span time.Duration) {
 	n.t.Helper()
-	for began := time.Now(); time.Since(began) < span; {
+	for startedAt := time.Now(); time.Since(startedAt) < span; {
 		time.Sleep(time.Duration(200+n.random.Intn(400)) * time.Millisecond)
 		if i := n.random.Intn(len(n.stop)); n.stop[i] != nil {
 			n.stop[i]()
@@ -170,29 +174,31 @@
 	}
 }
 
-// Twelve nodes on loopback, killed and started again at random: no app server goes unchecked for more than two
-// intervals, few are checked twice, and a draining one is not checked at all.
-func TestSharedChecksSurviveTheirOwners(t *testing.T) {
+// TestHealthChecksContinueWhenOwnersFail guards against servers that nobody checks after the owner of their checks fails. Twelve
+// nodes on loopback stop and start at random. No app server may stay unchecked for much longer than two intervals, few checks
+// may be duplicates, and a draining server may get none.
+func TestHealthChecksContinueWhenOwnersFail(t *testing.T) {
 	const nodeCount, serverCount = 12, 8
 	servers := startCheckedServers(t, serverCount)
 	nodes := newCheckingNodes(t, nodeCount, servers.list)
 	for i := range nodeCount {
 		nodes.start(i)
 	}
-	began := time.Now()
-	nodes.disturb(8 * time.Second)
+	startedAt := time.Now()
+	nodes.restartAtRandom(8 * time.Second)
 	nodes.stopAll()
-	span, interval := time.Since(began), nodes.interval
+	span, interval := time.Since(startedAt), nodes.interval
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
 	for i := 1; i < serverCount; i++ {
-		servers.noteGap(i)
-		worst, checks := servers.worst[i], servers.checks[i]
-		if worst > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
-			t.Errorf("server %d: unchecked for %v, checked %d times in %v; the interval is %v", i, worst, checks, span, interval)
+		servers.recordGap(i)
+		longestGap, checks := servers.longestGap[i], servers.checkCount[i]
+		if longestGap > 2*interval+interval/4 || checks < int(span/interval/2) || checks > int(3*span/interval) {
+			t.Errorf("app server %d: longest time without a check %v, want at most %v; %d checks in %v, want from %d to %d",
+				i, longestGap, 2*interval+interval/4, checks, span, int(span/interval/2), int(3*span/interval))
 		}
 	}
-	if servers.checks[0] > 0 {
-		t.Errorf("a draining server was checked %d times", servers.checks[0])
+	if servers.checkCount[0] > 0 {
+		t.Errorf("the draining app server got %d checks, want 0", servers.checkCount[0])
 	}
 }
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -18,8 +18,8 @@
 	"cherrygap/internal/upstream"
 )
 
-// answerAll starts a server that answers each read with text, or never if text is empty.
-func answerAll(t *testing.T, text string) netip.AddrPort {
+// startFixedResponder starts a server that answers each read with text, or never if text is empty.
+func startFixedResponder(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
@@ -30,7 +30,7 @@
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
-				return // closed
+				return // The test has closed the listener.
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
@@ -49,12 +49,13 @@
 	return netip.MustParseAddrPort(ln.Addr().String())
 }
 
-// The response to a health check decides whether the server is healthy and whether its connection is reused.
+// TestHealthRequest guards against a wrong health status, and against reusing a connection that the response does not leave
+// clean. The cases are the kinds of responses to a health check.
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		name, answer string
-		ok, kept     bool
+		name, answer  string
+		healthy, kept bool
 	}{
 		{"healthy", healthy, true, true},
 		{"healthy, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true, false},
@@ -69,18 +70,18 @@
 				Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
-			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: answerAll(t, c.answer)}
+			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: startFixedResponder(t, c.answer)}
 			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, routing.FromCache)
 			pool := upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{})
 			checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
 			server := router.Servers()[0]
-			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.ok {
-				t.Errorf("healthy %v", ok)
+			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.healthy {
+				t.Errorf("RequestHealth for server response %q = %t, want %t", c.answer, ok, c.healthy)
 			}
 			pool.Mutex().Lock()
 			defer pool.Mutex().Unlock()
 			if kept := len(pool.Idle()[server]) == 1; kept != c.kept {
-				t.Errorf("connection kept %v", kept)
+				t.Errorf("connection returned to the pool after server response %q: %t, want %t", c.answer, kept, c.kept)
 			}
 		})
 	}
--- a/internal/upstream/healthwireformat_test.go
+++ b/internal/upstream/healthwireformat_test.go
@@ -16,9 +16,9 @@
 	"cherrygap/internal/upstream"
 )
 
-// The bytes of a health check at the app server.
+// TestHealthCheckWireFormat guards against a change in the bytes of a health check that the app server receives.
 func TestHealthCheckWireFormat(t *testing.T) {
-	addr, probes := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	addr, healthChecks := nettest.RecordCalls(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	log := zerolog.Nop()
 	router := routing.New(routing.Config{
 		Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
@@ -33,11 +33,11 @@
 	go checker.Run()
 	defer checker.Close()
 	select {
-	case got := <-probes:
+	case got := <-healthChecks:
 		if want := "GET /healthz HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"; got != want {
-			t.Errorf("got\n%q, not\n%q", got, want)
+			t.Errorf("health check request:\n got %q\nwant %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no health check")
+		t.Fatal("the app server received no health check within 10s, want one")
 	}
 }
