--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -10,8 +10,8 @@
 // timerToken is the token of an engine's timer. An engine has one timer at a time.
 const timerToken = 0
 
-// writeDecision adds the action for a decision to the reply. It panics if the protocol has no action for the decision. The
-// caller runs it within recoverFault.
+// writeDecision adds the action for a decision to the reply. It panics if the protocol has no action for the decision, so
+// the caller must call it within recoverFault.
 func (a *adapter) writeDecision(instance instanceID, d decision.Decision) {
 	begin := func(code simproto.ActionCode) *simproto.Reply { return a.reply.Begin(code, uint16(instance)) }
 	switch d.Action {
@@ -29,7 +29,7 @@
 		begin(simproto.ActionCheckHealth).Uint32(uint32(d.Server))
 	case decision.SendPeerMessage:
 		begin(simproto.ActionSendPeerMessage).Uint32(wirePeer(d.Peer)).Bytes(d.Payload)
-	case decision.PollEndpoints: // the watch is the simulator's form of a poll that waits for changes
+	case decision.PollEndpoints: // The simulator's watch replaces a poll that waits for changes.
 		begin(simproto.ActionWatchEndpoints).Uint8(simproto.WatchStart)
 	case decision.LogSummary:
 		begin(simproto.ActionLog).Bytes(d.Payload)
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -12,21 +12,21 @@
 	"cherrygap/internal/simproto"
 )
 
-// instanceID is the simulator's number of an instance, a simulated node.
+// instanceID is the simulator's number of an instance, that is of a simulated node.
 type instanceID uint16
 
 // adapter runs the engines of the simulated nodes. It is not safe for concurrent use.
 type adapter struct {
-	engines map[instanceID]*decision.Engine
-	active  []instanceID   // instances with an event in the current batch, in the order of their first event
-	now     decision.Time  // time of the current batch
-	reply   simproto.Reply // to the current batch
+	engines         map[instanceID]*decision.Engine
+	activeInstances []instanceID   // instances with an event in the current batch, in the order of their first event
+	now             decision.Time  // simulated time of the current batch
+	reply           simproto.Reply // reply to the current batch
 
-	loadReport []float64           // buffer of the current event
-	endpoints  []decision.Endpoint // buffer of the current event
+	loadReport []float64           // load report of the current event; the next event reuses the memory
+	endpoints  []decision.Endpoint // endpoints of the current event; the next event reuses the memory
 }
 
-// run replies to batches until the end of the input. For input that does not follow the protocol the error is a
+// run replies to batches until the end of the input. If the input does not follow the protocol, the error is a
 // *simproto.FormatError.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{engines: map[instanceID]*decision.Engine{}}
@@ -43,10 +43,10 @@
 			return err
 		}
 		if _, err := writer.Write(a.reply.Finish()); err != nil {
-			return fmt.Errorf("write of a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := writer.Flush(); err != nil {
-			return fmt.Errorf("write of a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
@@ -54,8 +54,8 @@
 // handleBatch passes all events of a batch to the engines. Then it builds the reply from the decisions of each instance
 // that had an event.
 func (a *adapter) handleBatch(batch simproto.Batch) error {
-	a.now = decision.Time(batch.ClockMicros / microsPerTime)
-	a.active = a.active[:0]
+	a.now = decision.Time(batch.ClockMicros / microsPerTimeUnit)
+	a.activeInstances = a.activeInstances[:0]
 	a.reply.Reset()
 	for batch.Records.More() {
 		record, err := batch.Records.Next()
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	for _, instance := range a.active {
+	for _, instance := range a.activeInstances {
 		a.collectDecisions(instance)
 	}
 	return nil
@@ -94,7 +94,7 @@
 	if engine == nil {
 		return &simproto.FormatError{
 			Offset: record.Offset,
-			Err:    fmt.Errorf("event %d for instance %d, which has not begun", record.Code, instance),
+			Err:    fmt.Errorf("event with code %d for instance %d, which has not started", record.Code, instance),
 		}
 	}
 	a.markActive(instance)
@@ -126,20 +126,20 @@
 	if a.engines[instance] == nil {
 		return &simproto.FormatError{
 			Offset: record.Offset,
-			Err:    fmt.Errorf("kill of instance %d, which has not begun", instance),
+			Err:    fmt.Errorf("kill event for instance %d, which has not started", instance),
 		}
 	}
 	delete(a.engines, instance)
-	if i := slices.Index(a.active, instance); i >= 0 {
-		a.active = slices.Delete(a.active, i, i+1)
+	if i := slices.Index(a.activeInstances, instance); i >= 0 {
+		a.activeInstances = slices.Delete(a.activeInstances, i, i+1)
 	}
 	return nil
 }
 
 // markActive records that an instance has an event in the current batch.
 func (a *adapter) markActive(instance instanceID) {
-	if !slices.Contains(a.active, instance) {
-		a.active = append(a.active, instance)
+	if !slices.Contains(a.activeInstances, instance) {
+		a.activeInstances = append(a.activeInstances, instance)
 	}
 }
 
@@ -160,8 +160,8 @@
 	})
 }
 
-// recoverFault calls f. If f panics, it adds an ActionFault of the instance to the reply, at which the simulator ends the
-// run.
+// recoverFault calls f. If f panics, it adds an ActionFault of the instance to the reply. The simulator ends the run at
+// that action.
 func (a *adapter) recoverFault(instance instanceID, f func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -10,15 +10,15 @@
 // unknownListKindError is the error for a kind of endpoint list that the protocol does not define.
 type unknownListKindError simproto.ListKind
 
-// Error names the kind.
+// Error returns a text with the number of the kind.
 func (e unknownListKindError) Error() string {
-	return fmt.Sprintf("unknown kind of endpoint list %d", uint8(e))
+	return fmt.Sprintf("unknown endpoint list kind %d", uint8(e))
 }
 
 // unknownEndpointStateError is the error for a state of an endpoint that the protocol does not define.
 type unknownEndpointStateError simproto.EndpointState
 
-// Error names the state.
+// Error returns a text with the number of the state.
 func (e unknownEndpointStateError) Error() string {
 	return fmt.Sprintf("unknown endpoint state %d", uint8(e))
 }
@@ -26,14 +26,14 @@
 // unknownOutcomeError is the error for an outcome that the protocol does not define.
 type unknownOutcomeError simproto.OutcomeCode
 
-// Error names the outcome.
-func (e unknownOutcomeError) Error() string { return fmt.Sprintf("unknown outcome %d", uint16(e)) }
+// Error returns a text with the number of the outcome.
+func (e unknownOutcomeError) Error() string { return fmt.Sprintf("unknown outcome code %d", uint16(e)) }
 
-// engineCall calls the method of an engine for an event.
+// engineCall passes an event to an engine.
 type engineCall func(*decision.Engine)
 
-// readEvent reads the fields of an event and returns the engine call for it. An undefined code in the fields is an
-// error. For truncated fields only fields.Err is set, and the caller must not make the call.
+// readEvent reads the fields of an event and returns the engine call for it. It returns an error for an
+// undefined code. For truncated fields only fields.Err is set, and the caller must not make the call.
 func (a *adapter) readEvent(code simproto.EventCode, fields *simproto.Cursor) (engineCall, error) {
 	switch code {
 	case simproto.EventRequest:
@@ -56,10 +56,10 @@
 	case simproto.EventHealthChecked:
 		return a.readHealthChecked(fields)
 	case simproto.EventTimerFired:
-		fields.Uint32() // token: an engine has one timer
+		fields.Uint32() // token; not needed, because an engine has one timer
 		return func(e *decision.Engine) { e.TimerFired() }, nil
 	}
-	return nil, fmt.Errorf("unknown event %d", code)
+	return nil, fmt.Errorf("unknown event code %d", code)
 }
 
 // readRequest reads an EventRequest.
@@ -74,13 +74,13 @@
 		Spread:    int(fields.Float32()),
 		FirstNode: decision.NodeID(fields.Float32()),
 	}
-	fields.Uint8() // attributes: the engine does not use whether the client retries
+	fields.Uint8() // attributes; the engine ignores whether the request is a client's retry
 	return func(e *decision.Engine) { e.AddRequest(r) }
 }
 
 // readEndpointList reads an EventEndpointList.
 func (a *adapter) readEndpointList(fields *simproto.Cursor) (engineCall, error) {
-	fields.Uint32() // revision: the simulator delivers all lists, in order
+	fields.Uint32() // revision; not needed, because the simulator delivers all lists in order
 	code := simproto.ListKind(fields.Uint8())
 	kind, known := listKinds[code]
 	if fields.Err() == nil && !known {
@@ -109,7 +109,7 @@
 	state, known := endpointStates[code]
 	endpoint.State = state
 	endpoint.Weight = fields.Float32()
-	endpoint.Started = decision.Time(fields.Uint64() / microsPerTime)
+	endpoint.Started = decision.Time(fields.Uint64() / microsPerTimeUnit)
 	if fields.Err() == nil && !known {
 		return endpoint, unknownEndpointStateError(code)
 	}
@@ -121,7 +121,7 @@
 	fields.Uint64()  // name of the count
 	fields.Uint16()  // outcome
 	fields.Float32() // sum
-	fields.Uint32()  // time since the call
+	fields.Uint32()  // time since the action, in microseconds
 	return func(*decision.Engine) {}
 }
 
@@ -130,7 +130,7 @@
 	request := decision.RequestID(fields.Uint32())
 	fields.Uint8()  // attempt
 	fields.Uint32() // server
-	fields.Uint32() // time since the send
+	fields.Uint32() // time since the attempt or health check was sent, in microseconds
 	return func(e *decision.Engine) { e.ResponseStarted(request) }
 }
 
@@ -144,7 +144,7 @@
 	outcome := simproto.OutcomeCode(fields.Uint16())
 	r.Duration = engineTime(fields.Uint32())
 	r.Final = fields.Uint8() != 0
-	fields.Uint16() // metered use of the customer: the engine does not use it
+	fields.Uint16() // metered use of the customer; the engine ignores it
 	r.Units = float64(fields.Uint16())
 	a.loadReport = fields.Float32s(a.loadReport)
 	r.Load = a.loadReport
@@ -158,7 +158,7 @@
 // readHealthChecked reads an EventHealthChecked.
 func (a *adapter) readHealthChecked(fields *simproto.Cursor) (engineCall, error) {
 	server, code := decision.ServerID(fields.Uint32()), simproto.OutcomeCode(fields.Uint16())
-	fields.Uint32() // time since the send
+	fields.Uint32() // time since the attempt or health check was sent, in microseconds
 	a.loadReport = fields.Float32s(a.loadReport)
 	outcome, known := outcomes[code]
 	if !known && fields.Err() == nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -73,17 +73,17 @@
 		in   []byte
 		want string
 	}{
-		"header cut off":    {frame(1)[:5], "byte 0: frame header cut off after 5 bytes"},
-		"frame cut off":     {frame(1, begin())[:40], "byte 40: frame at byte 0 states"},
-		"huge length":       {[]byte{255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1}, "states 4294967295 bytes, input ends early"},
-		"record overruns":   {frame(1, long), "byte 12: record 1 states 255 bytes"},
-		"record header cut": {frame(1, []byte{1, 2}), "byte 12: record header cut off"},
-		"unknown event":     {frame(1, begin(), record(99, uint16(3))), "unknown event 99"},
-		"fields too short":  {frame(1, begin(), record(4, uint16(3), uint8(1))), "4 bytes wanted, 1 left in the record"},
-		"list too short":    {frame(1, begin(), record(2, uint16(3), uint32(1), uint8(1), uint32(1<<31))), "bytes wanted, 0 left"},
-		"never begun":       {frame(1, request(8, 1)), "instance 8, which has not begun"},
-		"kill, never begun": {frame(1, record(8, uint16(8))), "instance 8, which has not begun"},
-		"unknown outcome":   {frame(1, begin(), record(7, uint16(3), uint32(1), uint8(0), uint32(7), uint16(9), uint32(1), uint8(0), uint16(0), uint16(0), uint8(0))), "unknown outcome 9"},
+		"header cut off":    {frame(1)[:5], "byte 0: batch header is truncated after 5 bytes"},
+		"frame cut off":     {frame(1, begin())[:40], "byte 40: batch at byte 0 states"},
+		"huge length":       {[]byte{255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1}, "states 4294967295 bytes of records, but the input ends early"},
+		"record overruns":   {frame(1, long), "byte 12: record with code 1 states 255 bytes"},
+		"record header cut": {frame(1, []byte{1, 2}), "byte 12: record header is truncated"},
+		"unknown event":     {frame(1, begin(), record(99, uint16(3))), "unknown event code 99"},
+		"fields too short":  {frame(1, begin(), record(4, uint16(3), uint8(1))), "field needs 4 bytes, but the record has 1 left"},
+		"list too short":    {frame(1, begin(), record(2, uint16(3), uint32(1), uint8(1), uint32(1<<31))), "bytes, but the record has 0 left"},
+		"never begun":       {frame(1, request(8, 1)), "instance 8, which has not started"},
+		"kill, never begun": {frame(1, record(8, uint16(8))), "instance 8, which has not started"},
+		"unknown outcome":   {frame(1, begin(), record(7, uint16(3), uint32(1), uint8(0), uint32(7), uint16(9), uint32(1), uint8(0), uint16(0), uint16(0), uint8(0))), "unknown outcome code 9"},
 	} {
 		err := run(bytes.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,8 +13,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// callTarget is the address and first call of a new connection. A goroutine of a connRace uses it while Client.Run may
-// already change the Client's fields, so it is a copy of them.
+// callTarget is the address and first call of a new connection. It has copies of the Client's fields, because Client.Run may
+// change them while a goroutine of a connRace uses the callTarget.
 type callTarget struct {
 	addr     string
 	first    protocol.DiscoveryCall
@@ -25,40 +25,41 @@
 
 // callResult is the result of one call.
 type callResult struct {
-	conn    *connection
-	list    protocol.EndpointList
-	last    bool // discovery closes the connection after this response
-	err     error
-	patient bool // the call had callTimeout, not raceTimeout
+	conn             *connection
+	list             protocol.EndpointList
+	connectionCloses bool // true if discovery closes the connection after this response
+	err              error
+	hasLongTimeout   bool // true if the timeout of the call was callTimeout, false if it was raceTimeout
 
-	// detach, of a first call, keeps the connection open beyond the call's context. It returns false if the context has
-	// ended and the connection is closed.
+	// detach keeps the connection open after the end of the call's context. It returns false if the context has ended and
+	// the connection is closed. It is set only for the first call of a connection.
 	detach func() bool
 }
 
-// firstCall opens a connection and makes its first call, within a timeout and until ctx ends. If received is not nil, the
-// response's bytes are added to it, and a response that makes progress may take up to callTimeout (progressConn).
+// firstCall opens a connection and makes its first call. Both together may take the timeout, and end with ctx. If received is
+// not nil, firstCall adds the number of response bytes to it, and a response that makes progress may take up to callTimeout
+// (progressConn).
 func (t callTarget) firstCall(ctx context.Context, timeout time.Duration, received *atomic.Int64) callResult {
 	deadline := time.Now().Add(timeout)
-	dialled, err := t.dial(ctx, deadline)
+	netConn, err := t.dial(ctx, deadline)
 	if err != nil {
 		return callResult{err: err}
 	}
 	c := &connection{
-		conn: dialled, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
-		in:  netio.NewRingBuffer(dialled, t.limits.BufferSize()),
-		out: netio.NewRingBuffer(dialled, netio.MinBuffer),
+		conn: netConn, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
+		input:  netio.NewRingBuffer(netConn, t.limits.BufferSize()),
+		output: netio.NewRingBuffer(netConn, netio.MinBuffer),
 	}
 	if received != nil {
 		startedAt := deadline.Add(-timeout)
-		c.in.Stream = &progressConn{
-			Conn: dialled, received: received, deadline: deadline, lastDeadline: startedAt.Add(callTimeout),
+		c.input.Stream = &progressConn{
+			Conn: netConn, received: received, deadline: deadline, lastDeadline: startedAt.Add(callTimeout),
 		}
 	}
-	c.parser = bufio.NewReaderSize(&c.in, netio.ParserBuffer)
-	detach := context.AfterFunc(ctx, func() { netio.CloseConn(dialled) })
+	c.parser = bufio.NewReaderSize(&c.input, netio.ParserBuffer)
+	detach := context.AfterFunc(ctx, func() { netio.CloseConn(netConn) })
 	result := c.call(t.first, time.Until(deadline))
-	c.in.Stream = dialled // later calls have a fixed timeout
+	c.input.Stream = netConn // Later calls have a fixed timeout.
 	result.detach = detach
 	if result.err != nil {
 		detach()
@@ -67,15 +68,15 @@
 	return result
 }
 
-// dial connects to discovery. On resource exhaustion of this machine it retries until the deadline, because in poll mode the
-// next call is seconds away.
+// dial connects to discovery. If this machine has no resources or no route, it retries until the deadline, because in poll
+// mode the next call is seconds away.
 func (t callTarget) dial(ctx context.Context, deadline time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: max(t.limits.ConnectTimeout, minConnectTimeout), Deadline: deadline, KeepAlive: -1}
 	for {
-		dialled, err := dialer.DialContext(ctx, "tcp", t.addr)
+		netConn, err := dialer.DialContext(ctx, "tcp", t.addr)
 		transient := netio.IsResourceExhaustion(err) || netio.IsUnroutable(err)
 		if !transient || time.Now().Add(netio.ErrorPause).After(deadline) {
-			return dialled, err
+			return netConn, err
 		}
 		select {
 		case <-ctx.Done():
@@ -89,9 +90,9 @@
 // deadline by raceInterval, up to lastDeadline.
 type progressConn struct {
 	net.Conn
-	received               *atomic.Int64 // bytes of all racers
-	deadline, lastDeadline time.Time
-	progress               int // bytes since the last extension
+	received               *atomic.Int64 // response bytes of all racers
+	deadline, lastDeadline time.Time     // current read deadline and its maximum
+	progress               int           // bytes received that have not extended the deadline yet
 }
 
 func (c *progressConn) Read(p []byte) (int, error) {
@@ -107,31 +108,31 @@
 
 // connection is one connection to discovery. It belongs to one goroutine.
 type connection struct {
-	conn     net.Conn
-	addr     string
-	log      *zerolog.Logger
-	counters *Counters
-	in, out  netio.RingBuffer
-	parser   *bufio.Reader // reads in
-	openedAt time.Time
-	calls    int
+	conn          net.Conn
+	addr          string
+	log           *zerolog.Logger
+	counters      *Counters
+	input, output netio.RingBuffer
+	parser        *bufio.Reader // reads from input
+	openedAt      time.Time
+	calls         int // number of calls on the connection
 }
 
-// call makes one call and waits for the response, at most for a timeout.
+// call makes one call and waits for the response until the timeout.
 func (c *connection) call(call protocol.DiscoveryCall, timeout time.Duration) callResult {
 	result := callResult{conn: c}
-	c.out.Commit(protocol.AppendDiscoveryCall(c.out.AvailableBuffer(), c.addr, call))
+	c.output.Commit(protocol.AppendDiscoveryCall(c.output.AvailableBuffer(), c.addr, call))
 	netio.SetDeadline(c.conn, time.Now().Add(timeout))
-	if result.err = c.out.Flush(); result.err != nil {
+	if result.err = c.output.Flush(); result.err != nil {
 		return result
 	}
-	c.in.Allow(protocol.MaxListBytes)
+	c.input.Allow(protocol.MaxListBytes)
 	c.calls++
-	result.list, result.last, result.err = protocol.ReadEndpointList(c.parser)
+	result.list, result.connectionCloses, result.err = protocol.ReadEndpointList(c.parser)
 	switch {
-	case result.err == nil: // even if the connection ended with the list
-	case c.in.Err() != nil:
-		result.err = c.in.Err()
+	case result.err == nil: // A list is valid even if the connection ended after it.
+	case c.input.Err() != nil:
+		result.err = c.input.Err()
 	default:
 		c.counters.MalformedLists.Add(1)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,57 +14,60 @@
 
 // Times of calls to discovery.
 const (
-	// callHold is how long discovery holds a call without a change. A longer hold would delay the detection of a lost call.
+	// callHold is the time for which discovery holds a call without a change. A longer hold would delay the detection of a lost call.
 	callHold = time.Second
-	// responseGrace is how long after callHold the response may arrive: discovery may answer a call, or shed it, 2 s after
-	// it arrived.
+	// responseGrace is the time after callHold within which the response may arrive. Discovery may answer or shed a call
+	// 2 s after it arrived.
 	responseGrace = 1300 * time.Millisecond
-	// callTimeout bounds a call. In poll mode a lost call, the decision engine's poll interval and the next call together
+	// callTimeout is the maximum duration of a call. In poll mode a lost call, the decision engine's poll interval and the next call together
 	// take less than 6 s.
 	callTimeout = callHold + responseGrace
 
-	minConnectTimeout  = time.Second
-	failureLogInterval = time.Second           // between two log lines of failed calls during one race
-	reconnectInterval  = 50 * time.Millisecond // between the starts of two connections, at least
+	// minConnectTimeout is the minimum of the connect timeout, for any value of the limits.
+	minConnectTimeout = time.Second
+	// failureLogInterval is the minimum time between two log lines for failed calls of one race.
+	failureLogInterval = time.Second
+	// reconnectInterval is the minimum time between the starts of two series of calls in watch mode.
+	reconnectInterval = 50 * time.Millisecond
 )
 
-// errConnectionClosed is the end of a connection that discovery closed after a response, with Connection: close.
+// errConnectionClosed is the error for a connection that discovery closed after a response with Connection: close.
 var errConnectionClosed = errors.New("discovery closed the connection")
 
 // Client follows discovery over one connection at a time. While discovery does not answer, the last endpoint list stays in
 // use.
 //
-// In watch mode the node must apply a change as soon as discovery's agent has it: a server that drains may get no new
-// request after a grace period of 250 to 500 ms. Calls that were made while discovery was down may never be answered. So
-// until a call is answered the Client races connections (connRace): it opens another one each raceInterval.
+// In watch mode the node must apply a change as soon as discovery's agent has it, because a draining server must get no new
+// request after a grace period of 250 to 500 ms. Discovery may never answer calls that were made while it was down. So the
+// Client races connections until a call is answered (connRace): it opens another one every raceInterval.
 //
 // In poll mode, with PollRequests, the Client makes one call at a time when the decision engine requests it. This mode is
-// for a discovery that serves the whole fleet without local agents: races of all nodes would overload it.
+// for a discovery that serves the whole fleet without local agents. Races of all nodes would overload it.
 //
-// The exported fields are set before Run, which then owns Addr, Revision and NeedsFullList and calls OnList and OnFailure.
-// SwitchTo and Stop may be called by any goroutine.
+// The caller sets the exported fields before Run. Run then owns Addr, Revision and NeedsFullList, and calls OnList and
+// OnFailure. SwitchTo and Stop are safe for concurrent use.
 type Client struct {
-	Addr          string
-	Revision      uint64 // of the known endpoint list
-	NeedsFullList bool   // the next call asks for the full list, because no list is known or its revision is of no use
+	Addr          string // host:port of discovery
+	Revision      uint64 // revision of the known endpoint list
+	NeedsFullList bool   // true if the next call asks for the full list, because Revision is unknown or discovery rejected it
 	Limits        netio.Limits
 	Log           *zerolog.Logger
 	Counters      *Counters
 
 	OnList       func(*protocol.EndpointList) // called for each full list and each change; may keep the list
 	OnFailure    func()                       // called after a failed call; may be nil
-	PollRequests <-chan struct{}              // nil: watch mode; otherwise each series of calls waits for an element
+	PollRequests <-chan struct{}              // poll requests of the decision engine; nil in watch mode
 
-	closedInOrder bool // discovery closed the last connection after a response
+	closedAfterResponse bool // true if discovery closed the last connection after a response
 
-	mu      sync.Mutex         // guards all below
-	newAddr string             // address to switch to, or ""
-	cancel  context.CancelFunc // cancels the current series of calls; nil before the first
-	stopped bool
+	mu      sync.Mutex         // guards the fields below
+	newAddr string             // address to switch to; empty if there is none
+	cancel  context.CancelFunc // cancels the current series of calls; nil before the first series
+	stopped bool               // true after Stop
 }
 
-// SwitchTo makes the client follow discovery at another address. It first asks for the full list, because revisions of one
-// address may mean nothing at another.
+// SwitchTo makes the client follow discovery at another address. The client first asks for the full list there, because a
+// revision of one address may be unknown at another.
 func (d *Client) SwitchTo(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +77,7 @@
 	}
 }
 
-// Stop ends Run.
+// Stop makes Run return.
 func (d *Client) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,12 +90,12 @@
 // seriesStart is the state of the client at the start of a series of calls. A series starts with a connection and ends
 // with a failure, SwitchTo or Stop.
 type seriesStart struct {
-	switched bool // the series is the first at its address
-	stopped  bool // Stop was called: no calls may be made
+	switched bool // true if the series is the first after SwitchTo
+	stopped  bool // true after Stop, when the client must make no more calls
 }
 
-// begin starts a series of calls, which SwitchTo and Stop end by cancel.
-func (d *Client) begin(cancel context.CancelFunc) seriesStart {
+// begin starts a series of calls. SwitchTo and Stop end the series by calling cancel.
+func (d *Client) beginSeries(cancel context.CancelFunc) seriesStart {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cancel = cancel
@@ -105,10 +108,10 @@
 
 // Run follows discovery on the caller's goroutine until Stop.
 func (d *Client) Run() {
-	immediately := false // the next series does not wait for a poll request
+	immediately := false // true if the next series does not wait for a poll request
 	for {
 		ctx, cancel := context.WithCancel(context.Background())
-		start := d.begin(cancel)
+		start := d.beginSeries(cancel)
 		if start.stopped {
 			cancel()
 			return
@@ -121,7 +124,7 @@
 	}
 }
 
-// awaitPollRequest waits for the engine's request for a call in poll mode, or for the end of ctx.
+// awaitPollRequest waits in poll mode until the decision engine requests a call or ctx ends. In watch mode it returns at once.
 func (d *Client) awaitPollRequest(ctx context.Context) {
 	if d.PollRequests == nil {
 		return
@@ -132,12 +135,12 @@
 	}
 }
 
-// runSeries makes one series of calls. It reports whether the next one should start immediately, for the full list. In
-// watch mode it otherwise returns reconnectInterval after its start or later; in poll mode the engine sets the pace.
+// runSeries makes one series of calls. It reports whether the next series must start immediately with a call for the full
+// list. Otherwise it takes at least reconnectInterval in watch mode. In poll mode the decision engine determines the rate.
 func (d *Client) runSeries(ctx context.Context) (immediately bool) {
 	startedAt := time.Now()
 	err := d.follow(ctx)
-	if d.forgetRevision(err) {
+	if d.dropRejectedRevision(err) {
 		return true
 	}
 	if ctx.Err() != nil {
@@ -153,7 +156,7 @@
 	return false
 }
 
-// reportFailure logs a failed call and calls OnFailure.
+// reportFailure calls OnFailure and logs a failed call.
 func (d *Client) reportFailure(err error) {
 	if d.OnFailure != nil {
 		d.OnFailure()
@@ -161,28 +164,28 @@
 	d.Log.Warn().Err(err).Msg("discovery call failed")
 }
 
-// follow makes calls on one connection, each immediately after the last response, until one fails or ctx ends. It always
-// returns an error.
+// follow makes calls on one connection until a call fails or ctx ends. Each call immediately follows the previous response.
+// The error is never nil.
 func (d *Client) follow(ctx context.Context) error {
 	result := d.connect(ctx)
-	d.closedInOrder = false
+	d.closedAfterResponse = false
 	if result.err != nil {
 		return result.err
 	}
 	conn := result.conn
-	stopWatching := context.AfterFunc(ctx, func() { netio.CloseConn(conn.conn) }) // ends a call that waits
+	stopWatching := context.AfterFunc(ctx, func() { netio.CloseConn(conn.conn) }) // ends a held call
 	defer stopWatching()
 	defer conn.close()
 	for {
 		fullNext := d.applyList(&result.list)
-		if result.last {
-			d.closedInOrder = true
+		if result.connectionCloses {
+			d.closedAfterResponse = true
 			return errConnectionClosed
 		}
 		call := protocol.DiscoveryCall{Full: fullNext, Revision: d.Revision, Hold: callHold}
 		result = conn.call(call, callTimeout)
 		if result.err != nil {
-			d.forgetRevision(result.err)
+			d.dropRejectedRevision(result.err)
 			return result.err
 		}
 	}
@@ -192,35 +195,34 @@
 func (d *Client) connect(ctx context.Context) callResult {
 	switch {
 	case d.PollRequests != nil:
-		// A short hold shows at once whether discovery's revision is lower than ours.
+		// With a short hold the response shows at once whether discovery's revision is lower than the known one.
 		return d.target(raceHold).firstCall(ctx, callTimeout, nil)
-	case d.closedInOrder:
-		// Discovery may close after each response; the hold keeps the client from calling without a pause.
+	case d.closedAfterResponse:
+		// Discovery may close the connection after each response. The hold prevents calls without a pause.
 		return d.target(callHold).firstCall(ctx, callTimeout, nil)
 	}
 	return d.race(ctx)
 }
 
-// applyList applies a response, and reports whether the next call must ask for the full list. That is so after a revision
-// that is lower than the known one: discovery was restarted or replaced, and has no changes since a revision of its
-// predecessor.
+// applyList applies a response and reports whether the next call must ask for the full list. It must if the revision is
+// lower than the known one. Then discovery was restarted or replaced, and has no changes since its predecessor's revision.
 func (d *Client) applyList(list *protocol.EndpointList) (fullNext bool) {
 	d.Counters.EndpointLists.Add(1)
-	wentBack := !d.NeedsFullList && !list.Full && list.Revision < d.Revision
-	d.Revision, d.NeedsFullList = list.Revision, wentBack
+	revisionDecreased := !d.NeedsFullList && !list.Full && list.Revision < d.Revision
+	d.Revision, d.NeedsFullList = list.Revision, revisionDecreased
 	if list.Full || len(list.Endpoints) > 0 {
-		applied := *list // the next call overwrites list
+		applied := *list // copy for OnList, because the next call overwrites list
 		d.OnList(&applied)
 	}
-	return wentBack
+	return revisionDecreased
 }
 
-// forgetRevision drops the known revision if discovery refused the call, and reports whether it did. Discovery may refuse
-// every call that asks for changes since a revision that it never had.
-func (d *Client) forgetRevision(err error) bool {
-	forgotten := !d.NeedsFullList && errors.Is(err, protocol.ErrCallRejected)
-	d.NeedsFullList = d.NeedsFullList || forgotten
-	return forgotten
+// dropRejectedRevision drops the known revision if discovery rejected the call, and reports whether it dropped one. Discovery may
+// reject every call that asks for changes since a revision that it never had.
+func (d *Client) dropRejectedRevision(err error) bool {
+	dropped := !d.NeedsFullList && errors.Is(err, protocol.ErrCallRejected)
+	d.NeedsFullList = d.NeedsFullList || dropped
+	return dropped
 }
 
 // target returns the address and first call of a new connection.
--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -10,36 +10,36 @@
 
 // Parameters of a race of connections.
 const (
-	// raceHold is the hold of the first call on a racing connection: a working discovery answers it at once.
+	// raceHold is the hold of the first call on a racing connection, so that a working discovery answers it at once.
 	raceHold = time.Millisecond
 	// raceInterval is the time between the starts of two connections. It is well below the shortest drain grace period.
 	raceInterval = 80 * time.Millisecond
-	// maxRacers bounds the connections of a race that are open at once.
+	// maxRacers is the maximum number of open connections of a race.
 	maxRacers = netio.MaxDiscoveryConns
-	// raceTimeout bounds the first call of a connection. One call at a time is patient: it has callTimeout, in case
+	// raceTimeout is the timeout of the first call of a connection. One call at a time has callTimeout instead, in case
 	// discovery is slow.
 	raceTimeout = 3 * raceInterval
-	// raceProgress is how many bytes of responses must arrive in raceInterval for calls to get more time.
+	// raceProgress is the number of response bytes that must arrive in raceInterval for calls to get more time.
 	raceProgress = 64 << 10
 )
 
-// connRace opens connections one after another until the first call on one of them is answered. Each connection, a racer,
-// has a goroutine, which uses only results and received. The other fields belong to the goroutine of Client.Run.
+// connRace opens connections one after another until discovery answers the first call on one of them. Each connection is a
+// racer with its own goroutine, which uses only results and received. The goroutine of Client.Run owns the other fields.
 type connRace struct {
 	client   *Client
 	results  chan callResult
-	received atomic.Int64 // bytes of responses on all connections
+	received atomic.Int64 // number of response bytes on all connections
 
-	racers          int   // first calls in flight
-	hasPatient      bool  // one of them is patient
-	receivedAtStart int64 // value of received at the last call of start
-	lastFailure     time.Time
+	racers              int       // number of racers with a call in flight
+	hasLongTimeout      bool      // true if the call of one racer has callTimeout
+	receivedAtLastStart int64     // value of received at the last call of start
+	lastFailure         time.Time // time of the last reported failure, or the start of the race
 }
 
-// race returns the first successful first call of several connections, or the error of ctx.
+// race starts a race of connections and returns the first successful result, or the error of ctx.
 func (d *Client) race(ctx context.Context) callResult {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the other racers
+	defer cancel() // Ends the other racers.
 	r := &connRace{client: d, results: make(chan callResult), lastFailure: time.Now()}
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -49,9 +49,9 @@
 			return callResult{err: ctx.Err()}
 		case <-next.C:
 			next.Reset(raceInterval)
-			r.start(ctx)
+			r.startRacer(ctx)
 		case result := <-r.results:
-			if r.finish(result) {
+			if r.finishRacer(result) {
 				return result
 			}
 		}
@@ -59,23 +59,23 @@
 }
 
 // start starts one more racer, on a goroutine that ends with its call or with ctx. It starts none while a response makes
-// progress: several long lists parsed side by side on one core would all time out.
-func (r *connRace) start(ctx context.Context) {
+// progress, because several long lists that are parsed concurrently on one core would all time out.
+func (r *connRace) startRacer(ctx context.Context) {
 	received := r.received.Load()
-	progress := received-r.receivedAtStart >= raceProgress
-	r.receivedAtStart = received
+	progress := received-r.receivedAtLastStart >= raceProgress
+	r.receivedAtLastStart = received
 	if r.racers >= maxRacers || progress {
 		return
 	}
 	r.racers++
-	timeout, patient := raceTimeout, !r.hasPatient
-	if patient {
-		timeout, r.hasPatient = callTimeout, true
+	timeout, longTimeout := raceTimeout, !r.hasLongTimeout
+	if longTimeout {
+		timeout, r.hasLongTimeout = callTimeout, true
 	}
 	target := r.client.target(raceHold)
 	go func() {
 		result := target.firstCall(ctx, timeout, &r.received)
-		result.patient = patient
+		result.hasLongTimeout = longTimeout
 		select {
 		case r.results <- result:
 		case <-ctx.Done():
@@ -86,16 +86,17 @@
 	}()
 }
 
-// finish takes the result of one racer and reports whether it won the race. It logs failures once per failureLogInterval.
-func (r *connRace) finish(result callResult) (won bool) {
+// finish handles the result of one racer and reports whether the racer won the race. It reports at most one failure per
+// failureLogInterval.
+func (r *connRace) finishRacer(result callResult) (won bool) {
 	r.racers--
 	if result.err == nil && result.detach() {
 		return true
 	}
-	if result.patient {
-		r.hasPatient = false
+	if result.hasLongTimeout {
+		r.hasLongTimeout = false
 	}
-	r.client.forgetRevision(result.err)
+	r.client.dropRejectedRevision(result.err)
 	if result.err != nil && time.Since(r.lastFailure) >= failureLogInterval {
 		r.client.reportFailure(result.err)
 		r.lastFailure = time.Now()
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -11,14 +11,14 @@
 // ServerResponse is an app server's response to an attempt.
 type ServerResponse struct {
 	Outcome     Outcome
-	ContentType string  // empty if the response has none
-	Body        []byte  // at most MaxBody bytes
-	Units       float64 // actual cost of the request; 0 if the response does not state it
-	Close       bool    // whether the server closes the connection after the response
+	ContentType string  // Content-Type header; empty if the response has none
+	Body        []byte  // body of at most MaxBody bytes
+	Units       float64 // actual cost of the request in units; 0 if the response does not state it
+	Close       bool    // true if the server closes the connection after the response
 }
 
-// AppendAttempt appends the head of an attempt to b. The caller sends the request's body after it. The header has the
-// timeout in milliseconds, rounded down.
+// AppendAttempt appends the head of an attempt to b. The caller sends the request's body after it. HeaderTimeout is
+// the timeout in milliseconds, rounded down.
 func AppendAttempt(b []byte, r *Request, timeout time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -56,7 +56,8 @@
 var ErrMalformedResponse = errors.New("malformed response")
 
 // ReadServerResponse reads an app server's response. It appends the body to body[:0]. The only error is
-// ErrMalformedResponse, also after an error of br's reader. In that case only the Body is valid: the part that was read.
+// ErrMalformedResponse, which also replaces an error of br's reader. After an error only Body is valid: it has the part
+// that was read.
 func ReadServerResponse(br *bufio.Reader, body []byte) (ServerResponse, error) {
 	parsed, err := http.ReadResponse(br, nil)
 	for err == nil && isInterim(parsed.StatusCode) {
@@ -73,7 +74,7 @@
 	return r, nil
 }
 
-// isInterim reports whether a final response follows a response with the status (RFC 9110, section 15.2).
+// isInterim reports whether a response with the status is interim, so that another response follows (RFC 9110, section 15.2).
 func isInterim(status int) bool {
 	return status < http.StatusOK && status != http.StatusSwitchingProtocols
 }
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -11,7 +11,7 @@
 // errBodyTooLarge is the error for a body over MaxBody. gRPC clients receive its text.
 var errBodyTooLarge = errors.New("body too large")
 
-// readBody reads a body, and appends it to buf[:0]. After MaxBody+1 bytes it stops and returns errBodyTooLarge.
+// readBody reads a body and appends it to buf[:0]. After MaxBody+1 bytes it stops and returns errBodyTooLarge.
 func readBody(r io.Reader, buf []byte) ([]byte, error) {
 	buf = buf[:0]
 	for {
--- a/internal/protocol/clientresponse.go
+++ b/internal/protocol/clientresponse.go
@@ -8,14 +8,14 @@
 
 // ClientResponse is the response to a client.
 type ClientResponse struct {
-	Status      int           // HTTP status
-	ContentType string        // empty for none
-	RetryAfter  time.Duration // 0 for none
+	Status      int           // HTTP status code
+	ContentType string        // Content-Type header; empty if there is none
+	RetryAfter  time.Duration // Retry-After header; 0 or less if there is none
 	Body        []byte
-	Close       bool // whether the node closes the connection after the response
+	Close       bool // true if the node closes the connection after the response
 }
 
-// HTTP statuses of the responses to requests. The gRPC front end maps its status codes from them.
+// HTTP statuses of the responses to requests. The gRPC front end maps them to gRPC status codes.
 const (
 	// StatusCompleted is the status of a request that was executed.
 	StatusCompleted = http.StatusOK
--- a/internal/protocol/contentlength.go
+++ b/internal/protocol/contentlength.go
@@ -7,25 +7,25 @@
 // chunked, and merges equal ones. Several lengths allow request smuggling (RFC 9112, section 11.2). The zero value is ready
 // for the first byte of a message.
 type ContentLengthScanner struct {
-	count    int
-	matched  int  // number of bytes of the current line that match contentLengthPrefix
-	decided  bool // whether the current line is known to be a Content-Length line or another one
-	started  bool // whether the current line has a byte
-	complete bool // whether the head has ended
+	count          int  // number of Content-Length lines so far
+	matchedBytes   int  // number of leading bytes of the current line that match contentLengthPrefix
+	lineClassified bool // true if the name of the current line is known to match or not to match
+	lineNotEmpty   bool // true if the current line has a byte besides CR and LF
+	headEnded      bool // true if the empty line after the head was scanned
 }
 
 // Scan scans the next bytes of the message. Bytes after the head are ignored.
 func (s *ContentLengthScanner) Scan(p []byte) {
 	for _, c := range p {
 		switch {
-		case s.complete:
+		case s.headEnded:
 			return
 		case c == '\n':
-			s.complete = !s.started
-			s.matched, s.decided, s.started = 0, false, false
+			s.headEnded = !s.lineNotEmpty
+			s.matchedBytes, s.lineClassified, s.lineNotEmpty = 0, false, false
 		case c == '\r':
 		default:
-			s.started = true
+			s.lineNotEmpty = true
 			s.match(c)
 		}
 	}
@@ -36,13 +36,13 @@
 	if 'A' <= c && c <= 'Z' {
 		c += 'a' - 'A'
 	}
-	if s.decided || c != contentLengthPrefix[s.matched] {
-		s.decided = true
+	if s.lineClassified || c != contentLengthPrefix[s.matchedBytes] {
+		s.lineClassified = true
 		return
 	}
-	if s.matched++; s.matched == len(contentLengthPrefix) {
+	if s.matchedBytes++; s.matchedBytes == len(contentLengthPrefix) {
 		s.count++
-		s.decided = true
+		s.lineClassified = true
 	}
 }
 
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -36,27 +36,27 @@
 
 // Endpoint is an app server in discovery's list. The JSON names are the platform's.
 type Endpoint struct {
-	UID    string         `json:"uid"`      // the same at all nodes; not empty
-	Addr   netip.AddrPort `json:"endpoint"` // may differ between nodes; may be invalid if the state is Terminated
+	UID    string         `json:"uid"`      // server id, the same at all nodes; never empty
+	Addr   netip.AddrPort `json:"endpoint"` // server address; may differ between nodes; may be invalid if State is Terminated
 	Zone   string         `json:"az"`
 	Model  string         `json:"model"`
-	Cell   int            `json:"pod_group"` // 0 to 65535
+	Cell   int            `json:"pod_group"` // cell number, 0 to 65535
 	State  EndpointState  `json:"state"`
-	Weight float64        `json:"capacity_hint"` // 0 to below 1e9; 0 if discovery does not know it
-	BootMs int64          `json:"boot_ms"`       // Unix time of the server's last start, in milliseconds; 0 for long ago
+	Weight float64        `json:"capacity_hint"` // relative capacity, 0 to below 1e9; 0 if discovery does not know it
+	BootMs int64          `json:"boot_ms"`       // Unix time of the server's last start, in milliseconds; 0 if that was long ago
 }
 
 // maxWeight is an exclusive upper bound of Endpoint.Weight.
 const maxWeight = 1e9
 
-// EndpointList is a message of discovery.
+// EndpointList is a message of discovery: the full list or the changes since a revision.
 type EndpointList struct {
-	Revision  uint64     `json:"rev"`
-	Full      bool       `json:"all"`     // whether Endpoints has all app servers, or those that changed since a revision
-	Endpoints []Endpoint `json:"targets"` // in any order
+	Revision  uint64     `json:"rev"`     // revision after the message is applied
+	Full      bool       `json:"all"`     // true if Endpoints has all app servers, false if it has those that changed
+	Endpoints []Endpoint `json:"targets"` // app servers in any order
 
 	// ServedAt is the time at which discovery sent the message, by discovery's clock and in whole seconds. It is the Date
-	// header of the response, or zero without one.
+	// header of the response, or the zero time if that is missing or invalid.
 	ServedAt time.Time `json:"-"`
 }
 
@@ -106,13 +106,13 @@
 // DiscoveryCall is a call to discovery. It asks for the full list, which discovery sends at once, or for the changes since a
 // revision.
 type DiscoveryCall struct {
-	Full     bool
-	Revision uint64        // ignored if Full
-	Hold     time.Duration // how long discovery may hold the call until there is a change; ignored if Full
+	Full     bool          // true if the call asks for the full list
+	Revision uint64        // revision after which the call asks for changes; ignored if Full
+	Hold     time.Duration // maximum time for which discovery holds the call until there is a change; ignored if Full
 }
 
-// AppendDiscoveryCall appends a call to discovery to b. host is discovery's address. The call has Hold in milliseconds,
-// rounded down.
+// AppendDiscoveryCall appends a call to discovery to b. host is discovery's address. QueryHoldMs is Hold in
+// milliseconds, rounded down.
 func AppendDiscoveryCall(b []byte, host string, call DiscoveryCall) []byte {
 	b = append(b, "GET "+EndpointsPath...)
 	if !call.Full {
--- a/internal/protocol/names.go
+++ b/internal/protocol/names.go
@@ -1,8 +1,8 @@
 package protocol
 
-// Names on the wire, as the platform's pages give them. HTTP header names are in canonical form.
+// Names on the wire, as the platform's documentation defines them. HTTP header names are in canonical form.
 //
-// Other packages, stand-ins of the laboratory included, use these constants and no literals.
+// Other packages, including internal/lab, use these constants instead of literals.
 
 // Headers of requests.
 const (
@@ -12,9 +12,9 @@
 	HeaderPlan = "X-Tariff"
 	// HeaderTimeout is the time that the sender waits for the response, in whole milliseconds.
 	HeaderTimeout = "X-Budget-Ms"
-	// HeaderWeight holds the request's units and the customer's node set, see FormatWeight.
+	// HeaderWeight holds the request's units and the customer's node set. FormatWeight returns its value.
 	HeaderWeight = "X-Weight"
-	// HeaderClientRetry is ClientRetryValue in a request that is a client's retry, where clients mark retries.
+	// HeaderClientRetry is ClientRetryValue in a request that a client marks as its retry.
 	HeaderClientRetry = "X-Again"
 
 	headerContentType    = "Content-Type"
@@ -58,9 +58,9 @@
 	QueryHoldMs = "hold_ms"
 )
 
-// Fields of HeaderWeight: name=value, separated by commas.
+// Names of the fields of HeaderWeight. The fields have the form name=value and are separated by commas.
 const (
-	// WeightUnits is the request's units.
+	// WeightUnits is the expected cost of the request, in units.
 	WeightUnits = "units"
 	// WeightSpread is the number of nodes in the customer's node set.
 	WeightSpread = "spread"
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -7,7 +7,7 @@
 const (
 	// Completed is a response with status 200.
 	Completed Outcome = iota
-	// Errored is any other complete response, except that of Overloaded.
+	// Errored is any complete response that is neither Completed nor Overloaded.
 	Errored
 	// Overloaded is a response that proves that the app server rejected the attempt without executing it.
 	Overloaded
@@ -44,5 +44,5 @@
 // NeverRan reports whether the outcome proves that the app server did not execute the attempt.
 func (o Outcome) NeverRan() bool { return o == Overloaded || o == ConnectFailed || o == NotSent }
 
-// String returns the name of the outcome. The log's counters have it after "attempts_".
+// String returns the name of the outcome. The log's counters use it with the prefix "attempts_".
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/internal/protocol/peertable.go
+++ b/internal/protocol/peertable.go
@@ -8,13 +8,14 @@
 // PeerTable maps the numbers of a fleet's nodes to their datagram addresses and back. It is immutable and safe for concurrent
 // use.
 type PeerTable struct {
-	addrs   []netip.AddrPort // by node number
-	all     netip.AddrPort   // address that reaches every node; may be invalid
-	numbers map[netip.AddrPort]int
+	addrs   []netip.AddrPort       // addresses indexed by node number
+	all     netip.AddrPort         // address that reaches every node; invalid if there is none
+	numbers map[netip.AddrPort]int // node numbers by address
 }
 
 // NewPeerTable returns the table of the nodes with the given addresses, in the order of their numbers. all is the address
-// that reaches every node, or the zero AddrPort if there is none. The table keeps addrs.
+// that reaches every node, or the zero AddrPort if there is none. The table keeps addrs, so the
+// caller must not modify it.
 func NewPeerTable(addrs []netip.AddrPort, all netip.AddrPort) *PeerTable {
 	t := &PeerTable{addrs: addrs, all: all, numbers: make(map[netip.AddrPort]int, len(addrs))}
 	for i, addr := range addrs {
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -16,7 +16,7 @@
 const (
 	// maxIDBytes is the maximum size of a request id, in bytes.
 	maxIDBytes = 128
-	// maxTimeout is the maximum of Request.Timeout. Longer timeouts are shortened.
+	// maxTimeout is the maximum of Request.Timeout. Longer timeouts are reduced to it.
 	maxTimeout = time.Hour
 	// maxUnits is an exclusive upper bound of Request.Units.
 	maxUnits = 1e9
@@ -24,27 +24,27 @@
 	customerBits = 33
 	// customerDigits is the number of hexadecimal digits of a customer's number in a path.
 	customerDigits = 16
-	// chunkedBodyFactor bounds the encoded size of a chunked body to chunkedBodyFactor*MaxBody.
+	// chunkedBodyFactor limits the encoded size of a chunked body to chunkedBodyFactor*MaxBody bytes.
 	chunkedBodyFactor = 4
 )
 
 // Request is a client's request.
 type Request struct {
 	Method         string
-	URI            string // as sent, path and query
+	URI            string // path and query as the client sent them
 	Host           string
-	ContentType    string        // forwarded unchanged; empty if the request has none
-	IdempotencyKey string        // forwarded unchanged; empty if the request has none
-	ID             string        // the same for all attempts of the request
+	ContentType    string        // Content-Type header, forwarded unchanged; empty if the request has none
+	IdempotencyKey string        // Idempotency-Key header, forwarded unchanged; empty if the request has none
+	ID             string        // request id, the same for all attempts of the request
 	Class          string        // name of the request class; may be unknown
 	Plan           string        // name of the customer's plan; may be unknown or empty
-	Customer       uint64        // below 2^33
-	Timeout        time.Duration // request budget: time that the client waits, at most 1 hour
-	Units          float64       // expected cost, 0 to below 1e9
+	Customer       uint64        // customer number, below 2^33
+	Timeout        time.Duration // time that the client waits for the response, at most 1 hour
+	Units          float64       // expected cost in units, 0 to below 1e9
 	Spread         int           // number of nodes in the customer's node set, at least 1
 	FirstNode      int           // first node of the customer's node set, at least 0
-	Body           []byte        // at most MaxBody bytes
-	Close          bool          // whether the client closes the connection after the response
+	Body           []byte        // body of at most MaxBody bytes
+	Close          bool          // true if the client closes the connection after the response
 }
 
 // Source is the connection that a request is read from.
@@ -58,13 +58,13 @@
 }
 
 // ReadRequest reads a request from br, whose reader reads from src. It appends the body to body[:0]. An error is a
-// *RequestError, also after an error of br's reader, or an error of src.Continue. After an error only r.Body is valid, so
-// that the caller can reuse its buffer.
+// *RequestError, also after an error of br's reader, or it is the error of src.Continue. After an error only r.Body is
+// valid, so that the caller can reuse its buffer.
 func ReadRequest(br *bufio.Reader, src Source, r *Request, body []byte) error {
 	src.Allow(MaxHead)
 	parsed, err := http.ReadRequest(br)
 	if err != nil {
-		return malformed(err)
+		return malformedRequestError(err)
 	}
 	*r = Request{Method: parsed.Method, URI: parsed.RequestURI, Host: parsed.Host, Close: parsed.Close, Body: body[:0]}
 	if err := r.readBody(parsed, src, body); err != nil {
@@ -81,25 +81,25 @@
 		return err
 	}
 	if !validID(r.ID) {
-		return badRequest("malformed " + HeaderRequestID)
+		return badRequestError("malformed " + HeaderRequestID)
 	}
 	if !r.readTimeout(unparsed.timeout) {
-		return badRequest("malformed " + HeaderTimeout)
+		return badRequestError("malformed " + HeaderTimeout)
 	}
 	if !r.readWeight(unparsed.weight) {
-		return badRequest("malformed " + HeaderWeight)
+		return badRequestError("malformed " + HeaderWeight)
 	}
 	return nil
 }
 
-// readBody reads the body of a request. It rejects a head that states the body's length more than once, see
-// ContentLengthScanner.
+// readBody reads the body of a request. It rejects a head that states the body's length more than once, because
+// that allows request smuggling (ContentLengthScanner).
 func (r *Request) readBody(parsed *http.Request, src Source, body []byte) error {
 	if n := src.ContentLengthLines(); n > 1 || n > 0 && len(parsed.TransferEncoding) > 0 {
-		return badRequest("more than one length")
+		return badRequestError("body length stated more than once")
 	}
 	if parsed.ContentLength > MaxBody {
-		return tooLarge(nil)
+		return bodyTooLargeError(nil)
 	}
 	if parsed.ContentLength == 0 {
 		return nil
@@ -115,25 +115,25 @@
 		return nil
 	}
 	if errors.Is(err, errBodyTooLarge) {
-		return tooLarge(err)
+		return bodyTooLargeError(err)
 	}
-	return malformed(err)
+	return malformedRequestError(err)
 }
 
-// unparsedHeaders are the values of the headers that must be parsed.
+// unparsedHeaders are the values of the headers that the caller of readHeaders must parse.
 type unparsedHeaders struct {
-	timeout string // HeaderTimeout
-	weight  string // HeaderWeight
+	timeout string // value of HeaderTimeout
+	weight  string // value of HeaderWeight
 }
 
-// readHeaders sets the fields that are headers as they stand, and returns the headers that the caller must parse.
+// readHeaders sets the fields that are unchanged header values, and returns the values that the caller must parse.
 func (r *Request) readHeaders(header http.Header) (unparsedHeaders, error) {
 	h := singleHeaders{header: header}
 	r.ContentType, r.IdempotencyKey = h.get(headerContentType), h.get(headerIdempotencyKey)
 	r.ID, r.Plan = h.get(HeaderRequestID), h.get(HeaderPlan)
 	unparsed := unparsedHeaders{timeout: h.get(HeaderTimeout), weight: h.get(HeaderWeight)}
 	if h.err == nil && !printable(r.Host) {
-		h.err = invalidHeader("Host")
+		h.err = invalidHeaderError("Host")
 	}
 	return unparsed, h.err
 }
@@ -141,7 +141,7 @@
 // singleHeaders reads headers that may occur at most once.
 type singleHeaders struct {
 	header http.Header
-	err    error // of the last invalid header
+	err    error // error for the last invalid header; nil if there is none
 }
 
 // get returns the value of a header, or "" if it is missing. name is in canonical form. If the header is repeated or not
@@ -152,13 +152,13 @@
 		return ""
 	}
 	if len(values) > 1 || !printable(values[0]) {
-		h.err = invalidHeader(name)
+		h.err = invalidHeaderError(name)
 	}
 	return values[0]
 }
 
-// invalidHeader returns a RequestError for a header that is repeated or not printable.
-func invalidHeader(name string) error { return badRequest("repeated or unprintable " + name) }
+// invalidHeaderError returns a RequestError for a header that is repeated or not printable.
+func invalidHeaderError(name string) error { return badRequestError("repeated or unprintable " + name) }
 
 // readPath reads the class from the first segment of the path and the customer from the last one.
 func (r *Request) readPath(u *url.URL) error {
@@ -176,14 +176,15 @@
 	return nil
 }
 
-// readTimeout parses HeaderTimeout and reports whether it is valid: a decimal integer above 0.
+// readTimeout parses HeaderTimeout and reports whether it is valid, that is a decimal integer from 1 to 2^32-1.
 func (r *Request) readTimeout(text string) bool {
 	ms, err := strconv.ParseUint(text, 10, 32)
 	r.Timeout = min(time.Duration(ms)*time.Millisecond, maxTimeout)
 	return err == nil && ms > 0
 }
 
-// readWeight parses HeaderWeight and reports whether it is valid. The fields may have any order. Unknown fields are ignored.
+// readWeight parses HeaderWeight and reports whether it is valid. It accepts any order of the fields and ignores unknown
+// fields.
 func (r *Request) readWeight(text string) bool {
 	var err error
 	hasUnits, hasSpread, hasFirst := false, false, false
@@ -206,8 +207,8 @@
 	return err == nil && hasUnits && hasSpread && hasFirst && r.validWeight()
 }
 
-// Validate checks a request that another protocol carried as strictly as ReadRequest does, except for class, plan and
-// timeout. gRPC clients receive the text of the error.
+// Validate checks a request of another protocol than HTTP/1.1 as strictly as ReadRequest does, except for its class, plan
+// and timeout. gRPC clients receive the text of the error.
 func (r *Request) Validate() error {
 	switch {
 	case !validID(r.ID) || !printable(r.ID):
@@ -227,12 +228,12 @@
 // IsNodeHealthCheck reports whether the request is a health check of the node itself.
 func (r *Request) IsNodeHealthCheck() bool { return r.URI == HealthPath }
 
-// validWeight reports whether units and node set are within their ranges. NaN is not.
+// validWeight reports whether the units and the node set are within their ranges. NaN units are invalid.
 func (r *Request) validWeight() bool {
 	return r.Units >= 0 && r.Units < maxUnits && r.Spread > 0 && r.FirstNode >= 0
 }
 
-// validID reports whether a request id is within its size and has no blanks.
+// validID reports whether a request id has 1 to maxIDBytes bytes and no spaces or tabs.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !strings.ContainsAny(id, " \t")
 }
--- a/internal/protocol/requesterror.go
+++ b/internal/protocol/requesterror.go
@@ -7,32 +7,32 @@
 
 // RequestError is the error for an invalid request. The node responds with Status and closes the connection.
 type RequestError struct {
-	Status int    // HTTP status
-	Reason string // for the log; the client receives only the status
-	Err    error  // cause; may be nil
+	Status int    // HTTP status code
+	Reason string // reason for the log; the client receives only the status
+	Err    error  // cause; nil if there is none
 }
 
-// Error returns the reason.
+// Error returns Reason.
 func (e *RequestError) Error() string { return e.Reason }
 
-// Unwrap returns the cause, or nil.
+// Unwrap returns Err.
 func (e *RequestError) Unwrap() error { return e.Err }
 
 // ErrHeadTooLarge is the error for a head over MaxHead. A Source's reader returns it at the limit that Allow sets.
 var ErrHeadTooLarge = &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "head too large"}
 
-// badRequest returns a RequestError with status 400.
-func badRequest(reason string) error {
+// badRequestError returns a RequestError with status 400.
+func badRequestError(reason string) error {
 	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// tooLarge returns a RequestError for a body over MaxBody.
-func tooLarge(cause error) error {
+// bodyTooLargeError returns a RequestError for a body over MaxBody.
+func bodyTooLargeError(cause error) error {
 	return &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: errBodyTooLarge.Error(), Err: cause}
 }
 
-// malformed returns a RequestError for an error of the parser. If the error already is one, it returns the error itself.
-func malformed(err error) error {
+// malformed returns a RequestError for an error of the parser. If err is already one, malformed returns it.
+func malformedRequestError(err error) error {
 	var requestErr *RequestError
 	if errors.As(err, &requestErr) {
 		return err
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -1,6 +1,6 @@
 package simproto
 
-// Codes of the protocol. Each comment gives the name on the protocol page in quotes where it differs.
+// Codes of the protocol. A name in quotes is the name in the simulator's protocol documentation.
 
 // EventCode is the code of an event record.
 type EventCode uint8
@@ -10,9 +10,9 @@
 	EventRequest EventCode = 1
 	// EventEndpointList ("fleet") is discovery's endpoint list, or a watch event with the changed endpoints.
 	EventEndpointList EventCode = 2
-	// EventPeerMessage ("peer") is a message of another instance.
+	// EventPeerMessage ("peer") is a message from another instance.
 	EventPeerMessage EventCode = 3
-	// EventClientGone ("lapsed") is a client that disconnected, or whose deadline has passed.
+	// EventClientGone ("lapsed") reports that a client disconnected or that its deadline has passed.
 	EventClientGone EventCode = 4
 	// EventCountAdded ("tallied") is the result of an ActionAddToCount.
 	EventCountAdded EventCode = 5
@@ -34,7 +34,7 @@
 type ActionCode uint8
 
 const (
-	// ActionReject ("refuse") is the final response to a request: rejected.
+	// ActionReject ("refuse") responds to a request with a rejection. It is the final response.
 	ActionReject ActionCode = 1
 	// ActionCancelAttempt ("recall") cancels an attempt.
 	ActionCancelAttempt ActionCode = 2
@@ -50,9 +50,9 @@
 	ActionCloseIdle ActionCode = 7
 	// ActionFault ("fault") reports a bug in the decision code.
 	ActionFault ActionCode = 8
-	// ActionFail ("surrender") is the final response to a request: failed.
+	// ActionFail ("surrender") responds to a request with a failure. It is the final response.
 	ActionFail ActionCode = 9
-	// ActionForward ("pass_on") forwards a request: it starts an attempt.
+	// ActionForward ("pass_on") forwards a request to an app server, which starts an attempt.
 	ActionForward ActionCode = 10
 	// ActionAddToCount ("post_amount") adds to a shared count.
 	ActionAddToCount ActionCode = 11
@@ -104,5 +104,5 @@
 // AllPeers is the receiver of an ActionSendPeerMessage to all other instances.
 const AllPeers uint32 = 1<<32 - 1
 
-// WatchStart is the argument of an ActionWatchEndpoints that starts the watch.
+// WatchStart is the field of an ActionWatchEndpoints that starts the watch.
 const WatchStart uint8 = 1
--- a/internal/simproto/cursor.go
+++ b/internal/simproto/cursor.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// Cursor reads the fields of a record in order. It keeps the first error, and after an error all reads return zero. Thus a
+// Cursor reads the fields of a record in order. It keeps the first error. After an error all reads return zero values, so a
 // caller can read all fields and then check Err once. A Cursor is not safe for concurrent use.
 type Cursor struct {
-	data     []byte
-	position int   // into data
-	base     int64 // offset of data in the whole input
-	err      error // nil or a *FormatError
+	data     []byte // bytes of the record
+	position int    // index of the next byte in data
+	base     int64  // offset of data in the whole input
+	err      error  // first error, a *FormatError, or nil
 }
 
 // Err returns the first error, a *FormatError, or nil.
@@ -26,7 +26,7 @@
 // take returns the next n bytes, or nil after an error.
 func (c *Cursor) take(n int) []byte {
 	if left := len(c.data) - c.position; c.err == nil && n > left {
-		c.err = formatErrorf(c.Offset(), "%d bytes wanted, %d left in the record", n, left)
+		c.err = formatErrorf(c.Offset(), "field needs %d bytes, but the record has %d left", n, left)
 	}
 	if c.err != nil {
 		return nil
@@ -73,7 +73,7 @@
 // Bytes reads n bytes. They are valid until the next call of Reader.Next.
 func (c *Cursor) Bytes(n uint32) []byte { return c.take(int(n)) }
 
-// Float32s reads a count of one byte, and as many floating-point numbers. It appends them to buffer[:0].
+// Float32s reads a count of one byte and then that many floating-point numbers. It appends them to buffer[:0].
 func (c *Cursor) Float32s(buffer []float64) []float64 {
 	buffer = buffer[:0]
 	for n := c.Uint8(); n > 0 && c.err == nil; n-- {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// readBufferBytes is the size of the reader's buffer.
+	// readBufferBytes is the size of the read buffer, in bytes.
 	readBufferBytes = 1 << 16
-	// maxGrowthBytes is the largest part of a batch for which the reader allocates memory before it has read the part.
+	// maxGrowthBytes is the number of bytes of a batch that the reader allocates memory for before it reads them.
 	maxGrowthBytes = 1 << 20
 )
 
 // Reader reads batches from a stream. It is not safe for concurrent use.
 type Reader struct {
 	in     *bufio.Reader
-	offset int64  // number of bytes read, for the offsets of errors
-	body   []byte // of the current batch; reused by the next one
+	offset int64  // number of bytes read so far; errors contain offsets in the whole input
+	body   []byte // records of the current batch; the next batch reuses the memory
 }
 
-// Batch is the events of one point in time.
+// Batch contains the events of one point in time.
 type Batch struct {
 	ClockMicros uint64   // simulated time, in microseconds
 	Records     *Records // valid until the next call of Reader.Next
@@ -39,13 +39,13 @@
 		return Batch{}, io.EOF
 	}
 	if err != nil {
-		return Batch{}, formatErrorf(r.offset, "frame header cut off after %d bytes", got)
+		return Batch{}, formatErrorf(r.offset, "batch header is truncated after %d bytes", got)
 	}
 	start := r.offset
 	r.offset += batchHeaderSize
 	size := int(binary.LittleEndian.Uint32(header[:]))
 	if got, err := r.readBody(size); err != nil {
-		return Batch{}, formatErrorf(r.offset+int64(got), "frame at byte %d states %d bytes, input ends early", start, size)
+		return Batch{}, formatErrorf(r.offset+int64(got), "batch at byte %d states %d bytes of records, but the input ends early", start, size)
 	}
 	records := &Records{cursor: Cursor{data: r.body, base: r.offset}}
 	r.offset += int64(size)
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -3,13 +3,13 @@
 // Record is an event record of a batch.
 type Record struct {
 	Code   EventCode
-	Offset int64   // of the record's first byte in the whole input
-	Fields *Cursor // reads the record's fields
+	Offset int64   // offset of the record's first byte in the whole input
+	Fields *Cursor // cursor over the record's fields
 }
 
 // Records reads the records of a batch in order. It is not safe for concurrent use.
 type Records struct {
-	cursor Cursor // over the bytes of the batch
+	cursor Cursor // cursor over the records of the batch
 }
 
 // More reports whether there is another record and there was no error.
@@ -25,10 +25,10 @@
 	code := EventCode(c.Uint8())
 	size := int(c.Uint32())
 	if c.err != nil {
-		return Record{}, formatErrorf(start, "record header cut off")
+		return Record{}, formatErrorf(start, "record header is truncated")
 	}
 	if left := len(c.data) - c.position; size > left {
-		return Record{}, formatErrorf(start, "record %d states %d bytes, the frame has %d left", code, size, left)
+		return Record{}, formatErrorf(start, "record with code %d states %d bytes, but the batch has %d left", code, size, left)
 	}
 	fields := &Cursor{data: c.data[c.position : c.position+size], base: c.Offset()}
 	c.position += size
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// Reply builds the reply to a batch. The calls are Reset, then for each action Begin, the methods for its fields and End,
+// Reply builds the reply to a batch. The caller calls Reset, then Begin, the methods for the fields and End for each action,
 // then Finish. The zero value is ready for Reset. A Reply is not safe for concurrent use.
 type Reply struct {
-	data        []byte // reused by the next reply
-	records     uint32 // number of actions
+	data        []byte // bytes of the reply; the next reply reuses the memory
+	records     uint32 // number of actions so far
 	recordStart int    // index of the current action in data
 }
 
-// Reset starts a new reply without actions.
+// Reset discards the actions and starts a new reply.
 func (r *Reply) Reset() {
 	r.data = append(r.data[:0], make([]byte, replyHeaderSize)...)
 	r.records = 0
 }
 
-// Begin begins an action of an instance.
+// Begin starts an action of an instance.
 func (r *Reply) Begin(code ActionCode, instance uint16) *Reply {
 	r.recordStart = len(r.data)
 	r.data = append(r.data, byte(code), 0, 0, 0, 0)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// Bytes writes a length of two bytes and the bytes. It truncates more than math.MaxUint16 bytes.
+// Bytes writes the length of content as two bytes, and then content. It truncates content to math.MaxUint16 bytes.
 func (r *Reply) Bytes(content []byte) *Reply {
 	content = content[:min(len(content), math.MaxUint16)]
 	r.Uint16(uint16(len(content)))
@@ -49,7 +49,7 @@
 	return r
 }
 
-// End ends the action that Begin began.
+// End completes the action that Begin started.
 func (r *Reply) End() {
 	size := len(r.data) - r.recordStart - recordHeaderSize
 	binary.LittleEndian.PutUint32(r.data[r.recordStart+1:], uint32(size))
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
-// Package simproto is the codec of the simulator's binary protocol. A Reader splits a stream into batches. Records reads the
+// Package simproto encodes and decodes the simulator's binary protocol. A Reader splits a stream into batches. Records reads the
 // event records of a batch, and a Cursor the fields of a record. A Reply builds the actions in reply to a batch. All integers
-// are little-endian, all times are in microseconds.
+// are little-endian. All times are in microseconds.
 //
 // The identifiers of this package are the standard terms for the protocol's names; codes.go maps them.
 package simproto
@@ -11,15 +11,15 @@
 
 // Sizes of the headers, in bytes.
 const (
-	batchHeaderSize  = 12 // length of the records (uint32), clock (uint64)
-	replyHeaderSize  = 8  // length of the records (uint32), number of records (uint32)
-	recordHeaderSize = 5  // code (uint8), length of the fields (uint32)
+	batchHeaderSize  = 12 // size of the records (uint32), clock (uint64)
+	replyHeaderSize  = 8  // size of the records (uint32), number of records (uint32)
+	recordHeaderSize = 5  // code (uint8), size of the fields (uint32)
 )
 
 // FormatError is the error for input that does not follow the protocol.
 type FormatError struct {
-	Offset int64 // offset in the whole input, of the invalid byte or of its record
-	Err    error // the fault at Offset
+	Offset int64 // offset of the invalid byte, or of its record, in the whole input
+	Err    error // description of the fault at Offset
 }
 
 // Error returns the offset and the text of Err.
@@ -28,7 +28,7 @@
 // Unwrap returns Err.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// formatErrorf returns a *FormatError.
+// formatErrorf returns a *FormatError with the offset and a formatted description.
 func formatErrorf(offset int64, format string, args ...any) error {
 	return &FormatError{Offset: offset, Err: fmt.Errorf(format, args...)}
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -69,11 +69,11 @@
 		offset int64
 		want   string
 	}{
-		"header cut off":        {"0000000001", 0, "byte 0: frame header cut off after 5 bytes"},
-		"body cut off":          {"04000000 0000000000000000 0102", 14, "byte 14: frame at byte 0 states 4 bytes, input ends early"},
-		"record header cut off": {"02000000 0000000000000000 0102", 12, "byte 12: record header cut off"},
-		"record overruns":       {"06000000 0000000000000000 01 02000000 03", 12, "byte 12: record 1 states 2 bytes, the frame has 1 left"},
-		"fields overrun":        {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: 2 bytes wanted, 1 left in the record"},
+		"header cut off":        {"0000000001", 0, "byte 0: batch header is truncated after 5 bytes"},
+		"body cut off":          {"04000000 0000000000000000 0102", 14, "byte 14: batch at byte 0 states 4 bytes of records, but the input ends early"},
+		"record header cut off": {"02000000 0000000000000000 0102", 12, "byte 12: record header is truncated"},
+		"record overruns":       {"06000000 0000000000000000 01 02000000 03", 12, "byte 12: record with code 1 states 2 bytes, but the batch has 1 left"},
+		"fields overrun":        {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: field needs 2 bytes, but the record has 1 left"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			batch, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
@@ -107,7 +107,7 @@
 	if got := c.Float32s(nil); len(got) != 1 || got[0] != 0 {
 		t.Errorf("truncated floats: %v", got)
 	}
-	const want = "byte 19: 4 bytes wanted, 0 left in the record"
+	const want = "byte 19: field needs 4 bytes, but the record has 0 left"
 	if c.Uint8() != 0 || c.Uint64() != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
 		t.Errorf("%v, want %s", c.Err(), want)
 	}
