--- a/cmd/simadapter/wireformat_test.go
+++ b/cmd/simadapter/wireformat_test.go
@@ -16,11 +16,14 @@
 	"cherrygap/internal/simproto"
 )
 
-// Codes of the protocol page. The tests do not use simproto's constants, so that a changed constant fails.
+// Codes of the simulator's protocol documentation. The tests do not use simproto's constants, so that a changed constant
+// fails them.
 const (
+	// Codes of events.
 	codeRequest, codeEndpointList, codePeerMessage, codeClientGone, codeCountAdded, codeResponseStarted = 1, 2, 3, 4, 5, 6
 	codeAttemptEnded, codeInstanceKilled, codeHealthChecked, codeTimerFired, codeInstanceStarted        = 7, 8, 9, 10, 11
 
+	// Codes of actions.
 	codeReject, codeCancelAttempt, codeSendPeerMessage, codeLog, codeWatchEndpoints = 1, 2, 3, 4, 6
 	codeFault, codeFail, codeForward, codeCheckHealth, codeSetTimer                 = 8, 9, 10, 12, 13
 )
@@ -30,20 +33,21 @@
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding the test's hexadecimal digits: %v", err)
 	}
 	return raw
 }
 
-// Batches with every event code get replies with the expected bytes.
+// A wrong size or order of fields would break the simulator's protocol. Batches with every event code get replies with the
+// expected bytes.
 func TestEventWireFormat(t *testing.T) {
 	const setup = "services.count=1\nservices.0.slo=600000\nservices.0.semantics=idempotent\n" +
 		"services.0.stream=true\ntiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\n" +
 		"tiers_of_service.0.depth=10\nreplicas_of_me=1\ntick=4000\nlimits.attempts_cap=2\nregistry_mode=subscribe\n"
-	begin := hex.EncodeToString(record(codeInstanceStarted, uint16(3), uint64(9), uint32(len(setup)), setup))
+	startRecord := hex.EncodeToString(record(codeInstanceStarted, uint16(3), uint64(9), uint32(len(setup)), setup))
 	batches := []string{
-		"", // empty
-		begin +
+		"", // empty batch
+		startRecord +
 			// two servers in service, one draining
 			"02 4d000000 0300 01000000 01 03000000" +
 			"4d000000 00 0000 0000 01 0000803f 0000000000000000" +
@@ -62,18 +66,18 @@
 			"09 11000000 0300 4d000000 0000 66080000 01 0000803f" + // health checked
 			"02 0b000000 0300 02000000 02 00000000" + // call to discovery failed
 			"0a 06000000 0300 00000000",
-		"02 21000000 0300 02000000 03 01000000 4e000000 01 0100 0200 03 00000040 0000000000000000" + // one endpoint terminated
+		"02 21000000 0300 02000000 03 01000000 4e000000 01 0100 0200 03 00000040 0000000000000000" + // changed list: one endpoint terminated
 			"02 0b000000 0300 03000000 00 00000000" + // a full list without endpoints
 			"01 24000000 0300 f7010000 00 00000000 0400000000000000 a0bb0d00 0000803f 0000803f 00000000 00",
 		"08 02000000 0300",
 	}
 	var in bytes.Buffer
 	for i, b := range batches {
-		in.Write(frame(1000000000+uint64(i)*4000, fromHex(t, b)))
+		in.Write(batch(1000000000+uint64(i)*4000, fromHex(t, b)))
 	}
 	var out bytes.Buffer
 	if err := run(&in, &out); err != nil {
-		t.Fatal(err)
+		t.Fatalf("run: %v", err)
 	}
 	want := []string{
 		"00000000 00000000",
@@ -101,11 +105,12 @@
 		want[i] = strings.Join(strings.Fields(w), "")
 	}
 	if len(out) != 0 || !slices.Equal(got, want) {
-		t.Errorf("%d bytes too many, replies:\n%s", len(out), strings.Join(got, "\n"))
+		t.Errorf("replies:\n%s\nand %d bytes of an incomplete reply, want:\n%s", strings.Join(got, "\n"), len(out), strings.Join(want, "\n"))
 	}
 }
 
-// Each decision of the engine has the expected bytes.
+// A wrong size or order of fields would break the simulator's protocol. Each decision of the engine has the expected bytes.
+// The names of the subtests are those of the protocol documentation.
 func TestActionWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -115,7 +120,7 @@
 		{"pass_on", decision.Decision{Action: decision.Forward, Request: 0x5d3a91c4, Duration: 800, Server: 0x03124a07}, "0a 0e000000 0300 c4913a5d 80380100 074a1203"},
 		{"pass_on, no time left", decision.Decision{Action: decision.Forward, Request: 1, Duration: -1, Server: 2}, "0a 0e000000 0300 01000000 9cffffff 02000000"},
 		{"refuse", decision.Decision{Action: decision.Reject, Request: 0x0e6f2b19, Duration: 2500}, "01 0a000000 0300 192b6f0e 90d00300"},
-		{"refuse, no advice", decision.Decision{Action: decision.Reject, Request: 0x0e6f2b19}, "01 0a000000 0300 192b6f0e 00000000"},
+		{"refuse, no retry time", decision.Decision{Action: decision.Reject, Request: 0x0e6f2b19}, "01 0a000000 0300 192b6f0e 00000000"},
 		{"surrender", decision.Decision{Action: decision.Fail, Request: 0x0e6f2b19, Duration: 7}, "09 06000000 0300 192b6f0e"},
 		{"recall", decision.Decision{Action: decision.CancelAttempt, Request: 0x5d3a91c4, Attempt: 3}, "02 07000000 0300 c4913a5d 03"},
 		{"wake_at", decision.Decision{Action: decision.SetTimer, Duration: 5000}, "0d 0a000000 0300 20a10700 00000000"},
@@ -132,24 +137,25 @@
 			want := fromHex(t, c.want)
 			want = append(binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, uint32(len(want))), 1), want...)
 			if got := a.reply.Finish(); !bytes.Equal(got, want) {
-				t.Errorf("got %x, want %x", got, want)
+				t.Errorf("reply with the action for %+v = %x, want %x", c.decision, got, want)
 			}
 		})
 	}
 }
 
-// A panic of an engine becomes an action with its text, and does not end the adapter.
+// Without recovery a bug of the engine would end the adapter, and the simulator would not see its text. A panic becomes an
+// ActionFault with its text.
 func TestPanicBecomesFaultAction(t *testing.T) {
 	var a adapter
 	a.reply.Reset()
 	a.recoverFault(3, func() { panic("index out of range") })
 	want := fromHex(t, "1b000000 01000000 08 16000000 0300 1200 696e646578206f7574206f662072616e6765")
 	if got := a.reply.Finish(); !bytes.Equal(got, want) {
-		t.Errorf("got %x, want %x", got, want)
+		t.Errorf("reply after a panic = %x, want %x", got, want)
 	}
 }
 
-// All codes of the protocol page keep their numbers, also those that this adapter does not send.
+// The simulator knows the codes by number. All codes keep their numbers, also those that this adapter does not send.
 func TestCodeNumbers(t *testing.T) {
 	for want, got := range map[int]simproto.EventCode{
 		codeRequest: simproto.EventRequest, codeEndpointList: simproto.EventEndpointList, codePeerMessage: simproto.EventPeerMessage,
@@ -158,7 +164,7 @@
 		codeTimerFired: simproto.EventTimerFired, codeInstanceStarted: simproto.EventInstanceStarted,
 	} {
 		if int(got) != want {
-			t.Errorf("event %d, want %d", got, want)
+			t.Errorf("simproto has event code %d, want %d", got, want)
 		}
 	}
 	for want, got := range map[int]simproto.ActionCode{
@@ -169,38 +175,39 @@
 		codeSetTimer: simproto.ActionSetTimer,
 	} {
 		if int(got) != want {
-			t.Errorf("action %d, want %d", got, want)
+			t.Errorf("simproto has action code %d, want %d", got, want)
 		}
 	}
 }
 
-// Outcomes, states and kinds of list keep their numbers, and no others are defined.
+// The simulator knows outcomes, endpoint states and list kinds by number. They keep their numbers, and no others are defined.
 func TestOutcomeAndStateNumbers(t *testing.T) {
 	for code, want := range map[simproto.OutcomeCode]decision.Outcome{
 		0: decision.Succeeded, 255: decision.Failed, 254: decision.Overloaded, 253: decision.TimedOut,
 		252: decision.ConnectFailed, 251: decision.ConnectionReset, 250: decision.Cancelled, 249: decision.NotSent,
 	} {
 		if got, ok := outcomes[code]; !ok || got != want {
-			t.Errorf("outcome %d: %d, %v", code, got, ok)
+			t.Errorf("outcomes[%d] = %d, %v, want %d, true", code, got, ok, want)
 		}
 	}
 	for code, want := range map[simproto.EndpointState]decision.EndpointState{0: decision.Draining, 1: decision.Ready, 3: decision.Gone} {
 		if got, ok := endpointStates[code]; !ok || got != want {
-			t.Errorf("state %d: %d, %v", code, got, ok)
+			t.Errorf("endpointStates[%d] = %d, %v, want %d, true", code, got, ok, want)
 		}
 	}
 	for code, want := range map[simproto.ListKind]decision.EndpointListKind{0: decision.FullList, 1: decision.CachedList, 2: decision.PollFailed, 3: decision.ListUpdate} {
 		if got, ok := listKinds[code]; !ok || got != want {
-			t.Errorf("kind of list %d: %d, %v", code, got, ok)
+			t.Errorf("listKinds[%d] = %d, %v, want %d, true", code, got, ok, want)
 		}
 	}
 	if len(outcomes) != 8 || len(endpointStates) != 3 || len(listKinds) != 4 {
-		t.Errorf("%d outcomes, %d states, %d kinds of list", len(outcomes), len(endpointStates), len(listKinds))
+		t.Errorf("%d outcomes, %d endpoint states, %d list kinds, want 8, 3, 4", len(outcomes), len(endpointStates), len(listKinds))
 	}
 }
 
-// Three instances over six simulated seconds, with every event code, reply with the expected bytes. The texts of log lines
-// have their own digest, because a log line may change its wording.
+// A change of the adapter or of the engine could silently change a simulation. Three instances reply to six simulated seconds
+// of traffic, with every event code, with the expected bytes. The texts of log lines ("notes") have their own digest, because
+// their wording may change.
 func TestSimulationTranscript(t *testing.T) {
 	sim := newSimulator()
 	fromTest, toAdapter := io.Pipe()
@@ -212,37 +219,37 @@
 		done <- err
 	}()
 	for k := range 1500 {
-		if _, err := toAdapter.Write(frame(sim.now+4000, sim.step(k))); err != nil {
-			t.Fatal(err)
+		if _, err := toAdapter.Write(batch(sim.now+4000, sim.step(k))); err != nil {
+			t.Fatalf("step %d: writing the batch: %v", k, err)
 		}
 		head := make([]byte, 8)
 		if _, err := io.ReadFull(fromAdapter, head); err != nil {
-			t.Fatal(err)
+			t.Fatalf("step %d: reading the reply's header: %v", k, err)
 		}
 		reply := slices.Concat(head, make([]byte, binary.LittleEndian.Uint32(head)))
 		if _, err := io.ReadFull(fromAdapter, reply[8:]); err != nil {
-			t.Fatal(err)
+			t.Fatalf("step %d: reading the reply's actions: %v", k, err)
 		}
-		sim.act(t, reply)
+		sim.applyReply(t, reply)
 	}
 	if err := toAdapter.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing the adapter's input: %v", err)
 	}
 	if err := <-done; err != nil {
-		t.Fatal(err)
+		t.Fatalf("run: %v", err)
 	}
 	for code := byte(1); code <= 11; code++ {
-		if sim.events[code] == 0 {
-			t.Errorf("no event with code %d", code)
+		if sim.eventCounts[code] == 0 {
+			t.Errorf("the simulation sent no event with code %d, want at least one", code)
 		}
 	}
-	got := fmt.Sprintf("events %v\nactions %v\nbytes %d %x\nnotes %d %x\n", sim.events, sim.actions, len(sim.rest),
-		sha256.Sum256(sim.rest), len(sim.notes), sha256.Sum256(sim.notes))
+	got := fmt.Sprintf("events %v\nactions %v\nbytes %d %x\nnotes %d %x\n", sim.eventCounts, sim.actionCounts, len(sim.otherBytes),
+		sha256.Sum256(sim.otherBytes), len(sim.logText), sha256.Sum256(sim.logText))
 	const want = "events map[1:7982 2:14 3:130 4:20 5:3 6:726 7:2327 8:1 9:6 10:1500 11:4]\n" +
 		"actions map[1:5815 2:28 3:65 4:15 6:2 9:57 10:2355 13:2113]\n" +
 		"bytes 177446 9848cf58a93e67c576cddc5d41423dfcfcac6771b709e281ffa0dd8f0b9ac724\n" +
 		"notes 2231 33b1c25f43e99a4feb7c12c8ea955ba55ed1baedc1c34e2c88437bdd0f693dcd\n"
 	if got != want {
-		t.Errorf("got\n%swant\n%s", got, want)
+		t.Errorf("digests of the simulation:\ngot\n%swant\n%s", got, want)
 	}
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -11,16 +11,18 @@
 	"testing"
 )
 
+// fromHex decodes hexadecimal digits. It ignores blanks.
 func fromHex(t *testing.T, s string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding the test's hexadecimal digits: %v", err)
 	}
 	return raw
 }
 
-// The Reader parses an empty batch and the example batch of the protocol page.
+// A wrong size or order of fields would break the simulator's protocol. The Reader parses an empty batch and the example
+// batch of the protocol documentation. The names in the messages are those of the documentation.
 func TestBatchWireFormat(t *testing.T) {
 	reader := NewReader(bytes.NewReader(fromHex(t, `00000000 5a5c800000000000
 		3f000000 5b5c800000000000
@@ -51,29 +53,31 @@
 	checkRead(t, "lapsed", err, "4: 5 0xe6f2b19, more: false, false", got)
 
 	if _, err = reader.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("Next at the end of the input: error %v, want io.EOF", err)
 	}
 }
 
-func checkRead(t *testing.T, what string, err error, want, got string) {
+// checkRead fails the test unless err is nil and got equals want. item names the input that was read.
+func checkRead(t *testing.T, item string, err error, want, got string) {
 	t.Helper()
 	if err != nil || got != want {
-		t.Fatalf("%s: got %s, want %s (%v)", what, got, want, err)
+		t.Fatalf("%s: read %s (error %v), want %s", item, got, err, want)
 	}
 }
 
-// Truncated input is a FormatError with its offset.
+// The offset locates the fault in the simulator's output. Truncated input must give a FormatError with the offset, and no
+// panic.
 func TestTruncatedInputIsFormatError(t *testing.T) {
 	for name, c := range map[string]struct {
 		in     string
 		offset int64
 		want   string
 	}{
-		"header cut off":        {"0000000001", 0, "byte 0: batch header is truncated after 5 bytes"},
-		"body cut off":          {"04000000 0000000000000000 0102", 14, "byte 14: batch at byte 0 states 4 bytes of records, but the input ends early"},
-		"record header cut off": {"02000000 0000000000000000 0102", 12, "byte 12: record header is truncated"},
-		"record overruns":       {"06000000 0000000000000000 01 02000000 03", 12, "byte 12: record with code 1 states 2 bytes, but the batch has 1 left"},
-		"fields overrun":        {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: field needs 2 bytes, but the record has 1 left"},
+		"truncated batch header":          {"0000000001", 0, "byte 0: batch header is truncated after 5 bytes"},
+		"truncated batch":                 {"04000000 0000000000000000 0102", 14, "byte 14: batch at byte 0 states 4 bytes of records, but the input ends early"},
+		"truncated record header":         {"02000000 0000000000000000 0102", 12, "byte 12: record header is truncated"},
+		"record longer than its batch":    {"06000000 0000000000000000 01 02000000 03", 12, "byte 12: record with code 1 states 2 bytes, but the batch has 1 left"},
+		"fields longer than their record": {"06000000 0000000000000000 01 01000000 03", 17, "byte 17: field needs 2 bytes, but the record has 1 left"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			batch, err := NewReader(bytes.NewReader(fromHex(t, c.in))).Next()
@@ -84,39 +88,41 @@
 					err = record.Fields.Err()
 				}
 			}
-			var format *FormatError
-			if !errors.As(err, &format) || format.Offset != c.offset || err.Error() != c.want {
-				t.Errorf("got %v, want %s", err, c.want)
+			var formatErr *FormatError
+			if !errors.As(err, &formatErr) || formatErr.Offset != c.offset || err.Error() != c.want {
+				t.Errorf("reading %s: error %v, want a FormatError at offset %d: %s", c.in, err, c.offset, c.want)
 			}
 		})
 	}
 }
 
-// A Cursor reads lists of numbers and bytes, and only zeros after the first error.
+// A caller checks only the first error, after it has read all fields. A Cursor reads lists of numbers and bytes, and only
+// zero values after the first error.
 func TestCursorReadsListsAndKeepsFirstError(t *testing.T) {
 	c := &Cursor{data: fromHex(t, "03 0000803f 000000bf 00000040 00 0200 6869 05")}
 	if got := c.Float32s(make([]float64, 9)); !slices.Equal(got, []float64{1, -0.5, 2}) {
-		t.Errorf("floats %v", got)
+		t.Errorf("Float32s of three numbers = %v, want [1 -0.5 2]", got)
 	}
 	if got := c.Float32s(nil); len(got) != 0 {
-		t.Errorf("no floats: %v", got)
+		t.Errorf("Float32s of no numbers = %v, want none", got)
 	}
 	if got := c.Bytes(uint32(c.Uint16())); string(got) != "hi" {
-		t.Errorf("bytes %q", got)
+		t.Errorf("Bytes = %q, want \"hi\"", got)
 	}
 	if got := c.Float32s(nil); len(got) != 1 || got[0] != 0 {
-		t.Errorf("truncated floats: %v", got)
+		t.Errorf("Float32s of truncated numbers = %v, want [0]", got)
 	}
 	const want = "byte 19: field needs 4 bytes, but the record has 0 left"
 	if c.Uint8() != 0 || c.Uint64() != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
-		t.Errorf("%v, want %s", c.Err(), want)
+		t.Errorf("after truncated numbers: error %v, more: %v, want zero values, no more and error %s", c.Err(), c.More(), want)
 	}
 }
 
-// A Reply has the bytes of the example on the protocol page.
+// A wrong size or order of fields would break the simulator's protocol. A Reply has the bytes of the example in the protocol
+// documentation.
 func TestReplyWireFormat(t *testing.T) {
 	var r Reply
-	for range 2 { // Reset empties the reply
+	for range 2 { // Reset discards the actions of the first round.
 		r.Reset()
 		r.Begin(ActionForward, 3).Uint32(0x5d3a91c4).Uint32(80000).Uint32(0x03124a07)
 		r.End()
@@ -132,17 +138,17 @@
 			04 15000000 0300 1100 74776f2073657276657273206b6e6f776e
 			02 07000000 0300 c4913a5d 00`)
 		if got := r.Finish(); !bytes.Equal(got, want) {
-			t.Errorf("got  %x\nwant %x", got, want)
+			t.Errorf("Finish after four actions:\ngot  %x\nwant %x", got, want)
 		}
 	}
 	r.Reset()
 	if got := r.Finish(); !bytes.Equal(got, make([]byte, 8)) {
-		t.Errorf("empty: %x", got)
+		t.Errorf("Finish without actions = %x, want 8 zero bytes", got)
 	}
 	r.Reset()
 	r.Begin(ActionFault, 1).Bytes(bytes.Repeat([]byte{'x'}, 70000)) // truncated to 65535 bytes
 	r.End()
 	if got := r.Finish(); len(got) != 8+5+2+2+65535 || !bytes.Equal(got[:17], fromHex(t, "08000100 01000000 08 03000100 0100 ffff")) {
-		t.Errorf("%d bytes, %x", len(got), got[:17])
+		t.Errorf("Finish after an action with 70000 bytes: %d bytes that start with %x, want 65552 bytes with length ffff", len(got), got[:17])
 	}
 }
