--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -14,20 +14,21 @@
 	"cherrygap/internal/protocol"
 )
 
-// agent is discovery's agent, up or down. It answers with a list of its revision.
+// agent is a fake of discovery's local agent, which is up or down. It answers calls with an empty list of its revision.
 type agent struct {
-	mute  int           // number of first connections that are never answered
-	late  time.Duration // delay of each response
-	calls atomic.Int64
+	unansweredConns int           // number of first connections whose calls are never answered
+	responseDelay   time.Duration // delay of each response
+	calls           atomic.Int64
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	up       bool
 	revision int
 	conns    map[net.Conn]struct{}
 }
 
-func newAgent(mute int, late time.Duration) *agent {
-	return &agent{mute: mute, late: late, up: true, revision: 1, conns: map[net.Conn]struct{}{}}
+// newAgent returns an agent that is up and has revision 1.
+func newAgent(unansweredConns int, responseDelay time.Duration) *agent {
+	return &agent{unansweredConns: unansweredConns, responseDelay: responseDelay, up: true, revision: 1, conns: map[net.Conn]struct{}{}}
 }
 
 // serve answers calls on a listener until the listener is closed.
@@ -40,12 +41,12 @@
 		a.mu.Lock()
 		a.conns[conn] = struct{}{}
 		a.mu.Unlock()
-		go a.answer(conn, accepted < a.mute)
+		go a.serveConn(conn, accepted < a.unansweredConns)
 	}
 }
 
-// answer answers the calls of one connection. A call that arrives while the agent is down is never answered.
-func (a *agent) answer(conn net.Conn, mute bool) {
+// serveConn answers the calls of one connection. It never answers a call that arrives while the agent is down.
+func (a *agent) serveConn(conn net.Conn, unanswered bool) {
 	defer nettest.Close(conn)
 	reader := bufio.NewReader(conn)
 	for {
@@ -58,15 +59,15 @@
 			a.mu.Lock()
 			up, revision := a.up, a.revision
 			a.mu.Unlock()
-			if !up || mute {
-				nettest.WaitForClose(conn) // the client times out
+			if !up || unanswered {
+				nettest.WaitForClose(conn) // until the client times out
 				return
 			}
 			if hold := request.FormValue(protocol.QueryHoldMs); from == "" || from != fmt.Sprint(revision) || hold == "1" {
 				break
 			}
 		}
-		time.Sleep(a.late)
+		time.Sleep(a.responseDelay)
 		a.mu.Lock()
 		text := fmt.Sprintf(`{"rev":%d,"all":true,"targets":[]}`, a.revision)
 		a.mu.Unlock()
@@ -74,7 +75,8 @@
 	}
 }
 
-func (a *agent) set(up bool, revision int) {
+// setState sets whether the agent is up, and its revision.
+func (a *agent) setState(up bool, revision int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.up, a.revision = up, revision
@@ -91,88 +93,89 @@
 	clear(a.conns)
 }
 
-// agentTerm bounds the time until the client has a change. It is below the shortest drain grace period.
-const agentTerm = 200 * time.Millisecond
+// maxChangeDelay is the maximum time until the client has a change. It is below the shortest drain grace period, 250 ms.
+const maxChangeDelay = 200 * time.Millisecond
 
-// The client receives the list soon after an agent accepts connections again.
+// While the agent's listen queue is full, connects wait for retransmissions of the kernel, whose pauses grow. The client must
+// receive the list soon after the agent accepts connections again.
 func TestDiscoveryClientReceivesListOnceAgentIsUp(t *testing.T) {
-	addr, empty := nettest.FullServer(t)
+	addr, emptyQueue := nettest.FullServer(t)
 	listed := make(chan time.Time, 99)
 	startDiscoveryClient(t, &Client{
 		Addr: addr.String(), NeedsFullList: true,
 		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
 	})
 	time.Sleep(300 * time.Millisecond)
-	listener := empty()
-	for range 2 { // the connections that filled the queue
+	listener := emptyQueue()
+	for range 2 { // Accept the connections that filled the queue.
 		if conn, err := listener.Accept(); err == nil {
 			nettest.Close(conn)
 		}
 	}
 	up := time.Now()
 	go newAgent(0, 0).serve(listener)
-	if took := (<-listed).Sub(up); took > agentTerm {
-		t.Errorf("known after %v", took)
+	if took := (<-listed).Sub(up); took > maxChangeDelay {
+		t.Errorf("the client received the list %v after the agent was up, want at most %v", took, maxChangeDelay)
 	}
 }
 
-// In watch mode the agent's change counts as known whether or not a call is open. The client receives it in time,
-// whatever happened to its earlier calls.
+// In watch mode the platform assumes that the node has a change as soon as the agent has it, whether or not a call is open.
+// The client must receive the change in time, even if its earlier calls were lost, refused, reset or slow.
 func TestDiscoveryClientReceivesChangesInTime(t *testing.T) {
 	for name, test := range map[string]struct {
-		mute  int
-		late  time.Duration
-		fault func(*agent, net.Listener) net.Listener // starts and ends the fault; returns the current listener
+		unansweredConns int
+		responseDelay   time.Duration
+		fault           func(*agent, net.Listener) net.Listener // starts and ends the fault, and returns the current listener
 	}{
-		"calls made while it is down are never answered": {fault: func(a *agent, listener net.Listener) net.Listener {
-			a.set(false, 1)
+		"calls while the agent is down are never answered": {fault: func(a *agent, listener net.Listener) net.Listener {
+			a.setState(false, 1)
 			a.reset()
 			time.Sleep(1500 * time.Millisecond)
 			return listener
 		}},
-		"refused": {fault: func(a *agent, listener net.Listener) net.Listener {
+		"connects are refused": {fault: func(a *agent, listener net.Listener) net.Listener {
 			nettest.Close(listener)
 			a.reset()
 			time.Sleep(2500 * time.Millisecond)
 			again, _ := net.Listen("tcp", listener.Addr().String())
 			return again
 		}},
-		"reset":                         {fault: func(a *agent, listener net.Listener) net.Listener { a.reset(); return listener }},
-		"its first call is lost":        {mute: 1},
-		"its first four calls are lost": {mute: 4},
-		"slow, but not down":            {late: 500 * time.Millisecond},
+		"connection is reset":       {fault: func(a *agent, listener net.Listener) net.Listener { a.reset(); return listener }},
+		"first call is lost":        {unansweredConns: 1},
+		"first four calls are lost": {unansweredConns: 4},
+		"responses are slow":        {responseDelay: 500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			listener, agent := nettest.Listen(t), newAgent(test.mute, test.late)
+			listener, agent := nettest.Listen(t), newAgent(test.unansweredConns, test.responseDelay)
 			go agent.serve(listener)
 			revisions := make(chan uint64, 99)
 			startDiscoveryClient(t, &Client{
 				Addr: listener.Addr().String(), NeedsFullList: true,
 				OnList: func(list *protocol.EndpointList) { revisions <- list.Revision }, OnFailure: func() {},
 			})
-			awaitRevision(t, revisions, 1, agentTerm+test.late+time.Duration(test.mute)*raceInterval)
+			awaitRevision(t, revisions, 1, maxChangeDelay+test.responseDelay+time.Duration(test.unansweredConns)*raceInterval)
 			if test.fault != nil {
 				again := test.fault(agent, listener)
 				if again == nil {
-					t.Fatal("no listener")
+					t.Fatal("net.Listen on the agent's address failed after the fault, want a listener")
 				}
 				if again != listener {
 					defer nettest.Close(again)
 					go agent.serve(again)
 				}
 			}
-			agent.set(true, 2)
-			awaitRevision(t, revisions, 2, agentTerm+2*test.late)
+			agent.setState(true, 2)
+			awaitRevision(t, revisions, 2, maxChangeDelay+2*test.responseDelay)
 			if calls := agent.calls.Load(); calls > 60 {
-				t.Errorf("%d calls", calls)
+				t.Errorf("the client made %d calls, want at most 60", calls)
 			}
 		})
 	}
 }
 
-// awaitRevision waits until the client has a revision, and fails the test if that takes too long.
-func awaitRevision(t *testing.T, revisions <-chan uint64, want uint64, within time.Duration) {
+// awaitRevision waits until the client has a revision or a later one. It fails the test if that takes longer than limit.
+func awaitRevision(t *testing.T, revisions <-chan uint64, want uint64, limit time.Duration) {
 	t.Helper()
 	since := time.Now()
 	for end := time.After(5 * time.Second); ; {
@@ -181,12 +184,12 @@
 			if got < want {
 				continue
 			}
-			if took := time.Since(since); took > within {
-				t.Errorf("revision %d known after %v", want, took)
+			if took := time.Since(since); took > limit {
+				t.Errorf("the client received revision %d after %v, want at most %v", want, took, limit)
 			}
 			return
 		case <-end:
-			t.Fatalf("revision %d never known", want)
+			t.Fatalf("the client did not receive revision %d within 5 s, want at most %v", want, limit)
 		}
 	}
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// startDiscoveryClient runs a client until the test ends, with defaults for unset fields.
+// startDiscoveryClient runs a client until the test ends. It sets Limits and Log, and defaults for Counters and OnList.
 func startDiscoveryClient(t *testing.T, client *Client) {
 	t.Helper()
 	log := zerolog.Nop()
@@ -33,21 +33,21 @@
 	t.Cleanup(client.Stop)
 }
 
-// awaitCall waits for one call.
+// awaitCall waits for one call. It fails the test if the call is not want or does not arrive within 3 s.
 func awaitCall(t *testing.T, calls <-chan string, want string) {
 	t.Helper()
 	select {
 	case got := <-calls:
 		if got != want {
-			t.Errorf("call %s, want %s", got, want)
+			t.Errorf("the client sent the call %s, want %s", got, want)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("no call for " + want)
+		t.Fatalf("the client sent no call within 3 s, want %s", want)
 	}
 }
 
-// After a lower revision the client asks for the full list. Otherwise it would wait for a distant revision while
-// servers drain.
+// A restarted discovery may count revisions from a low number. After a lower revision the client must ask for the full list.
+// Otherwise it would wait for its known, higher revision while servers drain.
 func TestDiscoveryClientAsksForAllWhereRevisionsGoBack(t *testing.T) {
 	listener, calls := nettest.Listen(t), make(chan string, 99)
 	go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A list that takes a second to arrive is read once, not on a dozen connections side by side, which on one core would
-// all time out. After one that stops half-way another connection delivers the list in time.
+// A race of connections must not read a long list on a dozen connections at once, because on one core all would time out.
+// A list that takes a second to arrive is read once. If a response stops half-way, another connection delivers the list.
 func TestDiscoveryClientReadsALongListOnce(t *testing.T) {
 	for name, stops := range map[string]bool{"slow": false, "stops half-way": true} {
 		t.Run(name, func(t *testing.T) {
@@ -90,17 +90,18 @@
 			select {
 			case <-listed:
 			case <-time.After(5 * time.Second):
-				t.Fatal("never known")
+				t.Fatal("the client received no list within 5 s, want one")
 			}
 			took, opened := time.Since(startedAt), conns.Load()
-			if t.Logf("known after %v, %d connections", took, opened); took > 1900*time.Millisecond || opened > 4 {
-				t.Errorf("known after %v, %d connections", took, opened)
+			if t.Logf("the client received the list after %v and %d connections", took, opened); took > 1900*time.Millisecond || opened > 4 {
+				t.Errorf("the client received the list after %v and %d connections, want at most 1.9 s and 4", took, opened)
 			}
 		})
 	}
 }
 
-// sendLongList sends a list of 2 MiB in fifty pieces, slowly or at once, and may stop half-way.
+// sendLongList sends a list of 2 MiB in fifty pieces. If slow is set it pauses after each piece. If stops is set it stops after
+// half of the list.
 func sendLongList(conn net.Conn, stops, slow bool) {
 	text := `{"rev":1,"all":true,"targets":[` + strings.Repeat(" ", 2<<20) + `]}`
 	nettest.Respondf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
@@ -117,10 +118,11 @@
 	}
 }
 
-// The next call follows the last response at once. A malformed list is counted and dropped.
-func TestDiscoveryClientGoesOn(t *testing.T) {
+// The client must stay up to date after a malformed list: it counts and drops the list, and calls again. After each response
+// the next call follows at once.
+func TestDiscoveryClientContinuesAfterMalformedList(t *testing.T) {
 	listener, calls := nettest.Listen(t), make(chan string, 9)
-	go answerInTurn(listener, calls, `{"rev":5,"all":true,"targets":[]}`, `{"rev":6,"targets":[]}`, `{"rev":"x"}`,
+	go serveResponsesInOrder(listener, calls, `{"rev":5,"all":true,"targets":[]}`, `{"rev":6,"targets":[]}`, `{"rev":"x"}`,
 		`{"rev":7,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"terminating"}]}`)
 	counters, lists := &Counters{}, make(chan *protocol.EndpointList, 9)
 	startedAt := time.Now()
@@ -133,40 +135,43 @@
 		"/v1/servers?from=6&hold_ms=1", // the first call on a connection has a short hold
 	} {
 		if got := <-calls; got != want {
-			t.Errorf("call %q, want %q", got, want)
+			t.Errorf("the client sent the call %q, want %q", got, want)
 		}
 	}
 	if list := <-lists; !list.Full || list.Revision != 5 {
-		t.Errorf("first %+v", list)
+		t.Errorf("first list %+v, want the full list with revision 5", list)
 	}
 	list := <-lists
 	if malformed, took := counters.MalformedLists.Load(), time.Since(startedAt); list.Revision != 7 || len(list.Endpoints) != 1 ||
 		malformed != 1 || took > 2*time.Second {
-		t.Errorf("then %+v, %d malformed, after %v", list, malformed, took)
+		t.Errorf("second list %+v, %d malformed lists, after %v, want revision 7 with one endpoint, 1 malformed list, at most 2 s",
+			list, malformed, took)
 	}
 }
 
-// answerInTurn serves one connection after another until all answers are sent.
-func answerInTurn(listener net.Listener, calls chan<- string, answers ...string) {
+// serveResponsesInOrder serves one connection after another and answers each call with the next response. When there is none
+// left it closes the connections.
+func serveResponsesInOrder(listener net.Listener, calls chan<- string, responses ...string) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		nettest.ServeRequests(conn, func(conn net.Conn, request *http.Request) bool {
-			if len(answers) == 0 {
+			if len(responses) == 0 {
 				return false
 			}
 			calls <- request.RequestURI
-			nettest.WriteString(conn, listResponse(answers[0]))
-			answers = answers[1:]
+			nettest.WriteString(conn, listResponse(responses[0]))
+			responses = responses[1:]
 			return true
 		})
 		nettest.Close(conn)
 	}
 }
 
-// After a call that is never answered the client soon makes another one.
+// Without a timeout of calls, a lost call would keep the client on an old list. After a call that is never answered the client
+// must make another one.
 func TestDiscoveryClientAsksAgainWhereACallIsLost(t *testing.T) {
 	listener, calls := nettest.Listen(t), atomic.Int64{}
 	go nettest.ServeHTTP(listener, http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -176,14 +181,15 @@
 		nettest.WriteString(w, `{"rev":5,"targets":[]}`)
 	}))
 	startedAt := time.Now()
-	startDiscoveryClient(t, &Client{Addr: listener.Addr().String()}) // without OnFailure
+	startDiscoveryClient(t, &Client{Addr: listener.Addr().String()}) // OnFailure is nil.
 	nettest.Eventually(t, "another call", func() bool { return calls.Load() > 2 })
 	if took := time.Since(startedAt); took > 4*time.Second {
-		t.Errorf("deaf for %v", took)
+		t.Errorf("the client made another call after %v, want at most 4 s", took)
 	}
 }
 
-// SwitchTo abandons a held call, and the client asks the new address for the full list.
+// A client that stayed with the old address or its revision would miss changes at the new one. SwitchTo ends a held call, and
+// the client asks the new address for the full list.
 func TestDiscoveryClientSwitches(t *testing.T) {
 	calls := make(chan string, 9)
 	var addrs []string
@@ -207,7 +213,7 @@
 			awaitCall(t, calls, addr+uri)
 		}
 		if failed.Load() {
-			t.Error("a call failed")
+			t.Errorf("a call failed while the client followed %s, want no failure", addr)
 		}
 		client.SwitchTo(addrs[(slices.Index(addrs, addr)+1)%2])
 	}
--- a/internal/discovery/fakediscovery_test.go
+++ b/internal/discovery/fakediscovery_test.go
@@ -14,29 +14,30 @@
 	"cherrygap/internal/protocol"
 )
 
-// fault is how discovery mishandles a call. A call that arrived during a fault keeps it after the fault has ended.
-type fault func(conn net.Conn, answer string)
+// fault mishandles a call to discovery, whose correct response is given. A call that arrives during a fault keeps the fault
+// after it has ended.
+type fault func(conn net.Conn, response string)
 
-// faults are the faults of single calls by name.
-var faults = map[string]fault{
+// callFaults are the faults of single calls by name.
+var callFaults = map[string]fault{
 	"never answered": func(conn net.Conn, _ string) { nettest.DiscardAll(conn) },
 	"closed":         func(net.Conn, string) {},
 	"reset":          func(conn net.Conn, _ string) { nettest.ResetOnClose(conn) },
 	"503 at once": func(conn net.Conn, _ string) {
-		nettest.WriteString(conn, unavailable)
+		nettest.WriteString(conn, unavailableResponse)
 		nettest.DiscardAll(conn)
 	},
 	"503 after 2 s": func(conn net.Conn, _ string) {
 		time.Sleep(2 * time.Second)
-		nettest.WriteString(conn, unavailable)
+		nettest.WriteString(conn, unavailableResponse)
 	},
-	"reset half-way": func(conn net.Conn, answer string) {
-		nettest.WriteString(conn, answer[:len(answer)/2])
+	"reset after half of the response": func(conn net.Conn, response string) {
+		nettest.WriteString(conn, response[:len(response)/2])
 		time.Sleep(10 * time.Millisecond)
 		nettest.ResetOnClose(conn)
 	},
-	"silent half-way": func(conn net.Conn, answer string) {
-		nettest.WriteString(conn, answer[:len(answer)/2])
+	"silent after half of the response": func(conn net.Conn, response string) {
+		nettest.WriteString(conn, response[:len(response)/2])
 		nettest.DiscardAll(conn)
 	},
 	"malformed": func(conn net.Conn, _ string) {
@@ -47,50 +48,51 @@
 		nettest.WriteString(conn, "+PONG\r\n")
 		nettest.DiscardAll(conn)
 	},
-	"a trickle": func(conn net.Conn, answer string) {
-		for i := range answer {
-			if _, err := io.WriteString(conn, answer[i:i+1]); err != nil {
+	"a byte every 50 ms": func(conn net.Conn, response string) {
+		for i := range response {
+			if _, err := io.WriteString(conn, response[i:i+1]); err != nil {
 				return
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	},
-	"answered and closed": func(conn net.Conn, answer string) {
-		nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n"+answer[len("HTTP/1.1 200 OK\r\n"):])
+	"answered and closed": func(conn net.Conn, response string) {
+		nettest.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n"+response[len("HTTP/1.1 200 OK\r\n"):])
 	},
 }
 
-const unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+// unavailableResponse is the response of an overloaded discovery.
+const unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-// listResponse is a response with a list.
+// listResponse returns a response with the JSON text of a list.
 func listResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// fakeDiscovery lists two app servers. The first one drains after a change.
+// fakeDiscovery is a discovery that lists two app servers. After a change the first one drains.
 type fakeDiscovery struct {
-	listener net.Listener
-	addr     string
-	rand     *rand.Rand
-	strict   bool // refuses calls with an unknown revision
+	listener                net.Listener
+	addr                    string
+	rand                    *rand.Rand
+	rejectsUnknownRevisions bool // true if it rejects calls for changes since an unknown revision
 
-	mu          sync.Mutex // guards all below
-	fault       fault      // nil: none
-	revision    uint64
-	drains      bool
-	changed     chan struct{} // closed at each change of the fields above
-	faultyCalls chan struct{} // has an element after a call during a fault
-	conns       map[net.Conn]struct{}
-	open        int // calls in flight
-	mostOpen    int
-	faulty      int // calls during a fault
+	mu                sync.Mutex // guards the fields below
+	fault             fault      // fault of new calls; nil if there is none
+	revision          uint64
+	firstDrains       bool
+	changed           chan struct{} // closed and replaced at each change of the fields above
+	faultyCallArrived chan struct{} // gets an element for each call that arrives during a fault
+	conns             map[net.Conn]struct{}
+	openCallCount     int // number of calls in flight
+	maxOpenCallCount  int
+	faultyCallCount   int // number of calls that arrived during a fault
 }
 
-// set changes the list or the fault.
-func (d *fakeDiscovery) set(fault fault, revision uint64, drains bool) {
+// setState sets the fault, the revision and whether the first app server drains.
+func (d *fakeDiscovery) setState(fault fault, revision uint64, drains bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fault, d.revision, d.drains = fault, revision, drains
+	d.fault, d.revision, d.firstDrains = fault, revision, drains
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -110,9 +112,10 @@
 func (d *fakeDiscovery) openCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.open
+	return d.openCallCount
 }
 
+// serve answers calls on a listener until the listener is closed.
 func (d *fakeDiscovery) serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -132,10 +135,10 @@
 	}
 }
 
-// list returns the response body for a caller that knows a revision.
+// list returns the response body: the full list, or the changes since a revision.
 func (d *fakeDiscovery) list(full bool, from uint64) string {
 	state := "in_service"
-	if d.drains {
+	if d.firstDrains {
 		state = "terminating"
 	}
 	first := fmt.Sprintf(`{"uid":"a","endpoint":"127.0.0.1:1","state":%q,"capacity_hint":1}`, state)
@@ -153,31 +156,31 @@
 func (d *fakeDiscovery) answer(conn net.Conn, request *http.Request) bool {
 	full := request.FormValue(protocol.QueryRevision) == ""
 	from, _ := strconv.ParseUint(request.FormValue(protocol.QueryRevision), 10, 64)
-	held, _ := strconv.Atoi(request.FormValue(protocol.QueryHoldMs))
-	over := time.NewTimer(time.Duration(held) * time.Millisecond)
-	defer over.Stop()
+	holdMs, _ := strconv.Atoi(request.FormValue(protocol.QueryHoldMs))
+	holdTimer := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
+	defer holdTimer.Stop()
 	d.mu.Lock()
-	d.open++
-	d.mostOpen = max(d.mostOpen, d.open)
-	for ended := false; ; {
+	d.openCallCount++
+	d.maxOpenCallCount = max(d.maxOpenCallCount, d.openCallCount)
+	for holdEnded := false; ; {
 		fault, text := d.fault, listResponse(d.list(full, from))
 		switch {
 		case fault != nil:
-			d.faulty++
+			d.faultyCallCount++
 			d.mu.Unlock()
-			d.notifyFaulty()
+			d.notifyFaultyCall()
 			fault(conn, text)
 			d.mu.Lock()
-			d.open--
+			d.openCallCount--
 			d.mu.Unlock()
 			return false
-		case d.strict && !full && from > d.revision:
-			d.open--
+		case d.rejectsUnknownRevisions && !full && from > d.revision:
+			d.openCallCount--
 			d.mu.Unlock()
 			nettest.WriteString(conn, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n")
 			return true
-		case full || from < d.revision || ended:
-			d.open--
+		case full || from < d.revision || holdEnded:
+			d.openCallCount--
 			d.mu.Unlock()
 			nettest.WriteString(conn, text)
 			return true
@@ -186,16 +189,17 @@
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over.C:
-			ended = true
+		case <-holdTimer.C:
+			holdEnded = true
 		}
 		d.mu.Lock()
 	}
 }
 
-func (d *fakeDiscovery) notifyFaulty() {
+// notifyFaultyCall records a call that arrived during a fault, unless the channel is full.
+func (d *fakeDiscovery) notifyFaultyCall() {
 	select {
-	case d.faultyCalls <- struct{}{}:
+	case d.faultyCallArrived <- struct{}{}:
 	default:
 	}
 }
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -26,58 +26,64 @@
 )
 
 const (
-	recoveryTerm   = 6 * time.Second        // after it the platform counts a change as known to the node
-	recoveryMargin = 500 * time.Millisecond // by which the node must be earlier, as a busy machine is late
+	// maxRecoveryTime is the time after which the platform assumes that the node has applied a change.
+	maxRecoveryTime = 6 * time.Second
+	// recoveryMargin is the time by which the node must be earlier, because a busy machine delays it.
+	recoveryMargin = 500 * time.Millisecond
 )
 
-// Faults of the connection or of discovery as a whole, not of single calls.
+// Faults of the connection or of discovery as a whole. callFaults are the faults of single calls.
 const (
-	faultRefused      = "refused"       // the listener is closed
-	faultNoConnection = "no connection" // the listener's queue is full
-	faultNewCount     = "new revisions"
-	faultNewStrict    = "new revisions, strict"
-	faultMoved        = "moved"
-	faultMovedWaiting = "moved while it waits"
+	faultRefused              = "refused"                      // The listener is closed.
+	faultNoConnection         = "no connection"                // The listener's queue is full.
+	faultLowerRevisions       = "new lower revisions"          // Discovery restarts with lower revisions.
+	faultLowerRevisionsStrict = "new lower revisions, strict"  // Discovery also rejects calls with an unknown revision.
+	faultMoved                = "moved"                        // The node is told another address of discovery.
+	faultMovedWaiting         = "moved while the client waits" // The same while discovery rejects calls, so that the client pauses.
 )
 
-// recovery is one node and its discovery, with a fault between them.
-type recovery struct {
-	mode    string // poll or push
-	fault   string
-	follows bool          // a call was held when the fault began; otherwise the fault began with the node
-	failed  int           // failed calls before the fault
-	after   int           // calls during the fault after which it ends, if it takes calls
-	lasts   time.Duration // how long the fault lasts after that
-	seed    uint64
+// recoveryCase is a node and its discovery, with a fault between them.
+type recoveryCase struct {
+	mode           string        // settings.EndpointListPoll or settings.EndpointListPush
+	fault          string        // name of the fault
+	callHeld       bool          // true if discovery holds a call when the fault begins, false if the fault begins before the node starts
+	failedPolls    int           // number of failed polls before the fault
+	minFaultyCalls int           // number of calls during the fault before it may end; ignored if takesNoCalls
+	extraTime      time.Duration // duration of the fault after these calls
+	seed           uint64
 }
 
-func (r recovery) String() string {
-	return fmt.Sprintf("%s, %s, follows %v, %d failed, ends after %d calls and %v, seed %d", r.mode, r.fault, r.follows,
-		r.failed, r.after, r.lasts, r.seed)
+func (r recoveryCase) String() string {
+	return fmt.Sprintf("mode %s, fault %q, call held %v, %d failed polls, ends after %d calls and %v, seed %d", r.mode, r.fault, r.callHeld,
+		r.failedPolls, r.minFaultyCalls, r.extraTime, r.seed)
 }
 
-// timed reports whether the fault takes no calls, and so ends after a time.
-func (r recovery) timed() bool { return r.fault == faultRefused || r.fault == faultNoConnection }
+// takesNoCalls reports whether no call arrives during the fault, so that it ends after a time.
+func (r recoveryCase) takesNoCalls() bool {
+	return r.fault == faultRefused || r.fault == faultNoConnection
+}
 
-// newCount reports whether discovery restarts with a lower revision.
-func (r recovery) newCount() bool { return r.fault == faultNewCount || r.fault == faultNewStrict }
+// revisionsDecrease reports whether discovery restarts with lower revisions.
+func (r recoveryCase) revisionsDecrease() bool {
+	return r.fault == faultLowerRevisions || r.fault == faultLowerRevisionsStrict
+}
 
-// recoveryRun is the state of one run.
+// recoveryRun is the state of a run of one case.
 type recoveryRun struct {
-	recovery
-	discovery *fakeDiscovery
-	host      string
-	empty     func() net.Listener // empties the full queue of faultNoConnection
-	router    *routing.Router
-	timer     *netio.Timer
-	client    *Client
-	known     chan time.Time // when the node applied the change
+	recoveryCase
+	discovery  *fakeDiscovery
+	listenHost string
+	emptyQueue func() net.Listener // empties the listen queue of faultNoConnection; nil for other faults
+	router     *routing.Router
+	timer      *netio.Timer
+	client     *Client
+	applied    chan time.Time // times at which the node applied the change
 }
 
-// run starts and ends the fault and returns how long the node took to apply the change that discovery had from then on.
-// In ask mode it also checks that calls do not overlap and are not too frequent.
-func (r recovery) run(t *testing.T) (time.Duration, error) {
-	run := &recoveryRun{recovery: r, known: make(chan time.Time, 99)}
+// run starts and ends the fault, and returns the time from the end of the fault until the node applied a change. Discovery has
+// the change when the fault ends. In poll mode run also checks that calls do not overlap and are not too frequent.
+func (r recoveryCase) run(t *testing.T) (time.Duration, error) {
+	run := &recoveryRun{recoveryCase: r, applied: make(chan time.Time, 99)}
 	if err := run.startDiscovery(t); err != nil {
 		return 0, err
 	}
@@ -87,13 +93,13 @@
 		return 0, err
 	}
 	defer run.timer.Close()
-	run.makeNode()
+	run.createNode()
 	startedAt, err := run.beginFault()
 	defer run.client.Stop()
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(r.lasts)
+	time.Sleep(r.extraTime)
 	// From here on discovery has the change and is reachable.
 	if strings.HasPrefix(r.fault, faultMoved) {
 		return run.move()
@@ -101,33 +107,34 @@
 	return run.endFault(startedAt)
 }
 
+// startDiscovery starts discovery, without a fault except faultNoConnection.
 func (r *recoveryRun) startDiscovery(t *testing.T) (err error) {
 	d := &fakeDiscovery{
-		revision: 1, changed: make(chan struct{}), faultyCalls: make(chan struct{}, 99), conns: map[net.Conn]struct{}{},
-		rand: rand.New(rand.NewPCG(r.seed, 2)), strict: r.fault == faultNewStrict,
+		revision: 1, changed: make(chan struct{}), faultyCallArrived: make(chan struct{}, 99), conns: map[net.Conn]struct{}{},
+		rand: rand.New(rand.NewPCG(r.seed, 2)), rejectsUnknownRevisions: r.fault == faultLowerRevisionsStrict,
 	}
 	r.discovery = d
-	// An address of its own, which no other test takes while it is closed.
-	r.host = fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
+	// A random loopback address, so that no other test listens there while the listener is closed.
+	r.listenHost = fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
 	if r.fault == faultNoConnection {
 		var addr netip.AddrPort
-		addr, r.empty = nettest.FullServer(t)
+		addr, r.emptyQueue = nettest.FullServer(t)
 		d.addr = addr.String()
 	} else {
-		if d.listener, err = net.Listen("tcp", r.host+":0"); err != nil {
+		if d.listener, err = net.Listen("tcp", r.listenHost+":0"); err != nil {
 			return err
 		}
 		d.addr = d.listener.Addr().String()
 		go d.serve(d.listener)
 	}
-	if r.newCount() {
+	if r.revisionsDecrease() {
 		d.revision = 40
 	}
 	return nil
 }
 
-// makeNode makes a node that knows discovery's first list.
-func (r *recoveryRun) makeNode() {
+// createNode creates a node that knows discovery's first list.
+func (r *recoveryRun) createNode() {
 	polls := make(chan struct{}, 1)
 	r.router = routing.New(routing.Config{
 		Seed: r.seed, SetTimer: r.timer.Set, SendToPeer: func(int, []byte) {}, LogSummary: func([]byte) {},
@@ -145,10 +152,10 @@
 			settings.MaxAttempts: "3", settings.EndpointList: r.mode, settings.PollWithin: "100000",
 		}),
 	})
-	for range r.failed {
+	for range r.failedPolls {
 		r.router.PollFailed()
 	}
-	if r.failed > 0 { // drop the first poll request
+	if r.failedPolls > 0 { // Drop the first poll request.
 		select {
 		case <-polls:
 		default:
@@ -171,7 +178,7 @@
 		OnList: func(list *protocol.EndpointList) {
 			r.router.UpdateEndpoints(list, routing.FromDiscovery)
 			if !r.router.InService(drains) && r.router.InService(stays) {
-				r.known <- time.Now()
+				r.applied <- time.Now()
 			}
 		},
 	}
@@ -180,65 +187,66 @@
 	}
 }
 
-// callFault returns the fault of single calls.
+// callFault returns the fault of single calls that belongs to the fault.
 func (r *recoveryRun) callFault() fault {
 	if r.fault == faultMovedWaiting {
-		return faults["503 at once"]
+		return callFaults["503 at once"]
 	}
-	if fault := faults[r.fault]; fault != nil {
+	if fault := callFaults[r.fault]; fault != nil {
 		return fault
 	}
-	return faults["never answered"]
+	return callFaults["never answered"]
 }
 
+// setFault starts the fault.
 func (r *recoveryRun) setFault() {
 	if r.fault == faultRefused {
 		nettest.Close(r.discovery.listener)
 		r.discovery.reset()
 	}
-	r.discovery.set(r.callFault(), r.discovery.revision, false)
+	r.discovery.setState(r.callFault(), r.discovery.revision, false)
 }
 
-// beginFault starts the node and the fault, and waits for the calls that the fault is to take.
+// beginFault starts the node and the fault, and waits until minFaultyCalls have arrived.
 func (r *recoveryRun) beginFault() (startedAt time.Time, err error) {
-	holdsFirst, follows := r.follows && r.empty == nil, make(chan struct{})
+	holdsFirst, begun := r.callHeld && r.emptyQueue == nil, make(chan struct{})
 	if holdsFirst {
 		go func() {
-			for r.discovery.openCalls() == 0 { // until discovery holds a call
+			for r.discovery.openCalls() == 0 { // Wait until discovery holds a call.
 				time.Sleep(time.Millisecond)
 			}
-			close(follows)
+			close(begun)
 		}()
 	} else {
 		r.setFault()
-		close(follows)
+		close(begun)
 	}
 	go r.timer.Run(r.router.TimerFired)
 	go r.client.Run()
 	r.router.TimerFired()
-	<-follows
+	<-begun
 	if holdsFirst {
 		time.Sleep(time.Duration(r.discovery.rand.IntN(1000)) * time.Millisecond)
 		r.setFault()
 	}
 	startedAt = time.Now()
-	if r.timed() {
+	if r.takesNoCalls() {
 		return startedAt, nil
 	}
-	for range r.after {
+	for range r.minFaultyCalls {
 		select {
-		case <-r.discovery.faultyCalls:
+		case <-r.discovery.faultyCallArrived:
 		case <-time.After(30 * time.Second):
-			return startedAt, errors.New("no call for 30 s")
+			return startedAt, errors.New("the client made no call during the fault for 30 s")
 		}
 	}
 	return startedAt, nil
 }
 
-// move moves discovery to another address; the fault at the old one stays.
+// move starts discovery at another address and makes the client switch to it. The fault at the old address stays.
 func (r *recoveryRun) move() (time.Duration, error) {
-	next := &fakeDiscovery{revision: 2, drains: true, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	listener, err := net.Listen("tcp", r.host+":0")
+	next := &fakeDiscovery{revision: 2, firstDrains: true, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	listener, err := net.Listen("tcp", r.listenHost+":0")
 	if err != nil {
 		return 0, err
 	}
@@ -251,14 +259,14 @@
 	return r.await(endedAt)
 }
 
-// endFault ends the fault with a change of the list.
+// endFault ends the fault and changes the list.
 func (r *recoveryRun) endFault(startedAt time.Time) (time.Duration, error) {
 	d := r.discovery
 	d.mu.Lock()
-	mostOpen, faulty := d.mostOpen, d.faulty
+	maxOpenCalls, faultyCalls := d.maxOpenCallCount, d.faultyCallCount
 	d.mu.Unlock()
 	lasted := time.Since(startedAt)
-	d.set(nil, 2, true)
+	d.setState(nil, 2, true)
 	switch {
 	case r.fault == faultRefused:
 		var err error
@@ -266,14 +274,15 @@
 			return 0, err
 		}
 		go d.serve(d.listener)
-	case r.empty != nil:
-		d.listener = r.empty()
+	case r.emptyQueue != nil:
+		d.listener = r.emptyQueue()
 		go d.serve(d.listener)
 	}
 	defer nettest.Close(d.listener)
 	endedAt := time.Now()
-	if r.mode == settings.EndpointListPoll && (mostOpen > 1 || faulty > 2+int(lasted/time.Second)) {
-		return 0, fmt.Errorf("%d calls at once, %d in %v", mostOpen, faulty, lasted)
+	if r.mode == settings.EndpointListPoll && (maxOpenCalls > 1 || faultyCalls > 2+int(lasted/time.Second)) {
+		return 0, fmt.Errorf("%d calls at once and %d calls during a fault of %v, want at most 1 at once and %d", maxOpenCalls, faultyCalls, lasted,
+			2+int(lasted/time.Second))
 	}
 	return r.await(endedAt)
 }
@@ -281,25 +290,25 @@
 // await waits until the node applies the change.
 func (r *recoveryRun) await(since time.Time) (time.Duration, error) {
 	select {
-	case at := <-r.known:
+	case at := <-r.applied:
 		return at.Sub(since), nil
-	case <-time.After(5 * recoveryTerm):
-		return 0, fmt.Errorf("not known in %v", 5*recoveryTerm)
+	case <-time.After(5 * maxRecoveryTime):
+		return 0, fmt.Errorf("the node did not apply the change within %v", 5*maxRecoveryTime)
 	}
 }
 
-// recoveries returns the runs for a number of seeds. Faults end just after a doomed call arrived, and at other phases.
-func recoveries(seeds uint64) (all []recovery) {
-	names := []string{faultRefused, faultNoConnection, faultNewCount, faultNewStrict, faultMoved, faultMovedWaiting}
-	names = slices.AppendSeq(names, maps.Keys(faults))
+// recoveryCases returns the cases for a number of seeds. Faults end just after a call arrived that fails, and at other phases.
+func recoveryCases(seeds uint64) (all []recoveryCase) {
+	names := []string{faultRefused, faultNoConnection, faultLowerRevisions, faultLowerRevisionsStrict, faultMoved, faultMovedWaiting}
+	names = slices.AppendSeq(names, maps.Keys(callFaults))
 	slices.Sort(names)
 	for _, name := range names {
-		for _, follows := range []bool{false, true} {
-			if follows && name == faultNoConnection {
+		for _, callHeld := range []bool{false, true} {
+			if callHeld && name == faultNoConnection {
 				continue
 			}
 			for seed := range seeds {
-				all = append(all, (recovery{fault: name, follows: follows}).variants(seed)...)
+				all = append(all, (recoveryCase{fault: name, callHeld: callHeld}).variants(seed)...)
 			}
 		}
 	}
@@ -309,15 +318,15 @@
 	return all
 }
 
-// variants returns the modes and phases of one fault.
-func (r recovery) variants(seed uint64) (all []recovery) {
-	add := func(mode string, after int, lasts time.Duration) {
-		all = append(all, recovery{mode: mode, fault: r.fault, follows: r.follows, after: after, lasts: lasts})
+// variants returns cases of one fault in both modes, with different times of its end.
+func (r recoveryCase) variants(seed uint64) (all []recoveryCase) {
+	add := func(mode string, minFaultyCalls int, extraTime time.Duration) {
+		all = append(all, recoveryCase{mode: mode, fault: r.fault, callHeld: r.callHeld, minFaultyCalls: minFaultyCalls, extraTime: extraTime})
 	}
-	if r.timed() {
-		for _, lasts := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 2100 * time.Millisecond, 3300 * time.Millisecond} {
-			add(settings.EndpointListPoll, 0, lasts)
-			add(settings.EndpointListPush, 0, lasts)
+	if r.takesNoCalls() {
+		for _, extraTime := range []time.Duration{50 * time.Millisecond, 900 * time.Millisecond, 2100 * time.Millisecond, 3300 * time.Millisecond} {
+			add(settings.EndpointListPoll, 0, extraTime)
+			add(settings.EndpointListPush, 0, extraTime)
 		}
 	} else {
 		add(settings.EndpointListPoll, 1, 0)
@@ -325,45 +334,46 @@
 		add(settings.EndpointListPoll, 2, 0)
 		add(settings.EndpointListPush, 1, 0)
 		add(settings.EndpointListPush, 12, 10*time.Millisecond)
-		if seed > 0 { // beyond CI's time
+		if seed > 0 { // This case takes too long for CI, which uses one seed.
 			add(settings.EndpointListPoll, 4, 0)
 		}
 	}
-	if !r.follows {
+	if !r.callHeld {
 		add(settings.EndpointListPoll, 1, time.Duration(seed%4)*400*time.Millisecond)
-		all[len(all)-1].failed = 8
+		all[len(all)-1].failedPolls = 8
 	}
 	return all
 }
 
-// Whatever happened to earlier calls, the node applies a change within the term, less a margin, from when discovery has
-// it and is reachable. In ask mode calls do not overlap, and a discovery that rejects calls gets at most one a second.
+// A node that applies a change late sends requests to servers that drain. Lost, slow or failed earlier calls must not delay a
+// change beyond maxRecoveryTime less recoveryMargin from the time when discovery has it and is reachable. In poll mode calls
+// do not overlap, and a discovery that rejects calls gets at most one per second.
 // RECOVERY_SEEDS in the environment sets the number of seeds, 1 by default.
-func TestAChangeIsKnownWithinTheTerm(t *testing.T) {
+func TestChangeIsAppliedInTimeAfterFault(t *testing.T) {
 	seeds := uint64(1)
 	if text := os.Getenv("RECOVERY_SEEDS"); text != "" {
 		var err error
 		if seeds, err = strconv.ParseUint(text, 10, 64); err != nil {
-			t.Fatal(err)
+			t.Fatalf("RECOVERY_SEEDS: %v", err)
 		}
 	}
-	all := recoveries(seeds)
+	all := recoveryCases(seeds)
 	var runs sync.WaitGroup
-	var mu sync.Mutex // guards both below
+	var mu sync.Mutex // guards worst and late
 	worst, late := map[string]time.Duration{}, map[string]int{}
-	for _, recovery := range all {
+	for _, test := range all {
 		runs.Add(1)
 		go func() {
 			defer runs.Done()
-			took, err := recovery.run(t)
+			took, err := test.run(t)
 			mu.Lock()
 			defer mu.Unlock()
-			if worst[recovery.mode] = max(worst[recovery.mode], took); err != nil || took > recoveryTerm-recoveryMargin {
-				late[recovery.mode]++
-				t.Errorf("%v: known after %v, %v", recovery, took, err)
+			if worst[test.mode] = max(worst[test.mode], took); err != nil || took > maxRecoveryTime-recoveryMargin {
+				late[test.mode]++
+				t.Errorf("%v: the node applied the change after %v (error %v), want at most %v", test, took, err, maxRecoveryTime-recoveryMargin)
 			}
 		}()
 	}
 	runs.Wait()
-	t.Logf("%d runs, late %v, worst %v", len(all), late, worst)
+	t.Logf("%d cases; late or failed by mode: %v; longest time by mode: %v", len(all), late, worst)
 }
