--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -14,49 +14,51 @@
 	"cherrygap/internal/protocol"
 )
 
-// lingerTimeout is how long the node waits for a client to read its last response before it closes the connection.
+// lingerTimeout is the longest time for which the node discards a client's input before it closes the connection, so that
+// the client can read its last response. It also bounds the write of the response to an invalid request.
 const lingerTimeout = 250 * time.Millisecond
 
 // clientConn is one HTTP connection of a client. Two goroutines work on it:
-//   - serve, which the Server starts, reads the connection throughout, so that it notices a client that disconnects while
-//     its request is in flight. It ends with the connection.
-//   - handleRequests, which the first request starts, takes requests to their responses. It ends when serve closes pending.
+//   - serve, which the Server starts, reads the connection throughout, and so detects a client that disconnects while its
+//     request is in flight. It ends with the connection.
+//   - handleRequests, which the first request starts, processes requests and writes their responses. It ends when serve
+//     closes pending.
 //
-// pending passes a request to handleRequests and handled passes it back. The fields below say to which goroutine they belong;
-// atomic fields and channels belong to both. Any goroutine may call close, evictable, mayStillSend, mustStayOpen and the
-// methods of check.
+// The channel pending passes a request to handleRequests, and the channel handled passes it back. The comments on the
+// fields say which goroutine uses them; both use the atomic fields and the channels. Any goroutine may call close,
+// evictable, expectsFirstRequest, closeWouldLoseData and the methods of check.
 type clientConn struct {
 	server     *Server
 	conn       *net.TCPConn
 	acceptedAt time.Time
 	check      closeCheck
-	evicted    bool // closed to free a slot; guarded by Server.mu
-
-	// Fields of serve.
-	reader      *netio.Socket // in reads from it
-	in          netio.RingBuffer
-	lengthLines protocol.ContentLengthScanner // of the head being read
-	body        []byte                        // buffer of the request's body, reused for the next
-	arrivals    netio.ArrivalTimes            // of the bytes in the ring buffer
-	queuedSince time.Time                     // when the connection began to wait for a slot; zero if it did not, or its first request is read
-	handedOver  bool                          // handleRequests has the request
-
-	// Fields that pass with the request.
-	writer     *netio.Socket // out writes to it
-	out        netio.RingBuffer
-	handler    *RequestHandler // nil before the first request; serve may call its ClientGone at any time
-	request    protocol.Request
-	receivedAt time.Time // when the request's first byte arrived
-	requests   int       // requests handed over
-
-	pending chan struct{} // has an element if a request is to be handled; closed by serve
-	handled chan struct{} // has an element if the request was handled; closed by handleRequests
-
-	responseDue  atomic.Bool  // a request has no response yet
-	hasRequested atomic.Bool  // a complete request was read
-	readingAhead atomic.Bool  // serve reads pipelined bytes while a request is in flight
-	overflowed   atomic.Bool  // the pipelined bytes did not fit the buffer: the response is the connection's last
-	idleSince    atomic.Int64 // nanoseconds since acceptedAt
+	evicted    bool // set if the server closed the connection to free its slot; guarded by Server.mu
+
+	// Only serve uses these fields.
+	reader      *netio.Socket // source of readBuffer
+	readBuffer  netio.RingBuffer
+	lengthLines protocol.ContentLengthScanner // scans the head that is being read
+	body        []byte                        // body buffer that requests reuse
+	arrivals    netio.ArrivalTimes            // arrival times of the bytes in readBuffer
+	queuedSince time.Time                     // start of the wait for a slot; zero without a wait and after the first request
+	handedOver  bool                          // set while handleRequests owns the request
+
+	// The goroutine that owns the request uses these fields.
+	writer       *netio.Socket // destination of writeBuffer
+	writeBuffer  netio.RingBuffer
+	handler      *RequestHandler // nil before the first request; serve may call its ClientGone at any time
+	request      protocol.Request
+	receivedAt   time.Time // arrival time of the request's first byte
+	requestCount int       // number of requests handed over
+
+	pending chan struct{} // signals a request to handle; closed by serve
+	handled chan struct{} // signals that the request was handled; closed by handleRequests
+
+	responseDue  atomic.Bool  // set while a request has no response yet
+	hasRequested atomic.Bool  // set once a complete request was read; cleared by linger
+	readingAhead atomic.Bool  // set while serve reads pipelined bytes during a request
+	overflowed   atomic.Bool  // set if pipelined bytes overflowed the buffer; the next response is then the last
+	idleSince    atomic.Int64 // start of the idle period, in nanoseconds after acceptedAt
 
 	closeOnce sync.Once // guards reason
 	reason    netio.CloseReason
@@ -65,27 +67,27 @@
 func newClientConn(server *Server, conn *net.TCPConn) *clientConn {
 	c := &clientConn{server: server, conn: conn, acceptedAt: time.Now(), reader: netio.NewSocket(conn), writer: netio.NewSocket(conn)}
 	c.reader.Hook = &c.check
-	c.in, c.out = netio.NewMessageBuffer(conn, c.reader, &c.arrivals), netio.NewMessageBuffer(conn, c.writer, nil)
-	_ = conn.SetKeepAlive(false) // fails for a closed connection only
-	c.in.SetMessageDeadline(c.acceptedAt.Add(netio.MessageTimeout))
+	c.readBuffer, c.writeBuffer = netio.NewMessageBuffer(conn, c.reader, &c.arrivals), netio.NewMessageBuffer(conn, c.writer, nil)
+	_ = conn.SetKeepAlive(false) // fails only for a closed connection
+	c.readBuffer.SetMessageDeadline(c.acceptedAt.Add(netio.MessageTimeout))
 	return c
 }
 
-// startHandler makes the parts of a connection that requests need. Connections without a request have none of them, and no
-// buffers before their first byte, so a crowd of silent connections takes little memory.
+// startHandler creates the parts of a connection that requests need. Connections without a request have none of these
+// parts, and no buffers before their first byte. Many silent connections therefore take little memory.
 func (c *clientConn) startHandler() {
 	c.pending, c.handled = make(chan struct{}, 1), make(chan struct{}, 1)
-	c.handler = c.server.NewRequestHandler(c.peerClosed)
+	c.handler = c.server.NewRequestHandler(c.hasClientClosed)
 	go c.handleRequests()
 }
 
-// close closes the connection. The first call sets the reason. Any goroutine may call it.
+// close closes the connection. Only the first call has an effect, so its reason is logged. Any goroutine may call close.
 func (c *clientConn) close(reason netio.CloseReason) {
 	c.closeOnce.Do(func() {
 		c.reason = reason
-		if reason.IsNodesChoice() && !c.check.is(phaseClosed) {
+		if reason.IsNodesChoice() && !c.check.inPhase(phaseClosed) {
 			invariant.Violated(&c.server.counters.CloseViolations, c.server.log, invariant.Closing).Str("reason", string(reason)).
-				Stringer("peer", c.conn.RemoteAddr()).Int("requests", c.requests).Msg(invariant.ViolatedMessage)
+				Stringer("peer", c.conn.RemoteAddr()).Int("requests", c.requestCount).Msg(invariant.ViolatedMessage)
 		}
 		netio.CloseConn(c.conn)
 	})
@@ -95,19 +97,19 @@
 func (c *clientConn) serve() {
 	c.markIdle()
 	c.reader.WaitReadable()
-	c.in.Allocate(c.server.limits.BufferSize())
+	c.readBuffer.Allocate(c.server.limits.BufferSize())
 	for c.serveNext() {
 	}
 	if c.handler != nil {
 		close(c.pending)
-		<-c.handled // closed at the end of handleRequests
+		<-c.handled // closed when handleRequests returns
 		c.handler.Release()
 	}
 	c.server.remove(c)
-	netio.LogClose(c.server.log, netio.SideClient, c.conn.RemoteAddr().String(), c.reason, c.acceptedAt, c.requests)
+	netio.LogClose(c.server.log, netio.SideClient, c.conn.RemoteAddr().String(), c.reason, c.acceptedAt, c.requestCount)
 }
 
-// markIdle notes that the connection is idle from now on, and may be evicted.
+// markIdle records that the connection is idle from now on. At the connection limit it also calls evict.
 func (c *clientConn) markIdle() {
 	c.idleSince.Store(int64(time.Since(c.acceptedAt)))
 	if c.server.atLimit.Load() {
@@ -120,41 +122,41 @@
 	return c.acceptedAt.Add(time.Duration(c.idleSince.Load()))
 }
 
-// mustStayOpen reports whether a close would lose bytes: pending input, or a response that is not acknowledged yet.
-func (c *clientConn) mustStayOpen() bool {
+// closeWouldLoseData reports whether a close would lose pending input or a response that is not acknowledged yet.
+func (c *clientConn) closeWouldLoseData() bool {
 	return netio.HasPendingInput(c.conn) || c.writer.HasUnacknowledged()
 }
 
-// serveNext waits for the next request, reads it and hands it over. It waits also while a request is in flight, and so
-// notices a client that disconnects. It returns false once the connection is closed.
+// serveNext waits for the next request, reads it and hands it over. It also waits while a request is in flight, and so
+// detects a client that disconnects. It returns false once the connection is closed.
 func (c *clientConn) serveNext() bool {
-	end, readAt := inputEnd{err: c.in.Wait()}, time.Now()
+	input, readAt := inputState{err: c.readBuffer.Wait()}, time.Now()
 	if c.handedOver {
-		end = c.awaitResponse(end.err)
-		if c.overflowed.Load() && (end.err == nil || netio.TimedOut(end.err)) {
+		input = c.awaitResponse(input.err)
+		if c.overflowed.Load() && (input.err == nil || netio.TimedOut(input.err)) {
 			return c.linger()
 		}
 	}
-	if end.err != nil {
+	if input.err != nil {
 		reason := netio.ReasonClientClosed
-		if end.clientGone {
+		if input.clientDisconnected {
 			reason = netio.ReasonClientDisconnected
 		}
-		c.close(closeReasonFor(end.err, reason))
+		c.close(closeReasonFor(input.err, reason))
 		return false
 	}
 	c.receivedAt = c.arrivalTime(readAt)
-	return c.takeRequest(c.readRequest())
+	return c.dispatchRequest(c.readRequest())
 }
 
-// arrivalTime returns when the next request's first byte arrived. It is before any wait of the connection in the kernel or
-// for a slot, and before any wait of the request behind others. readAt is when the node noticed the byte.
+// arrivalTime returns the time at which the next request's first byte arrived. That time precedes waits of the connection
+// in the kernel or for a slot, and waits of the request behind others. readAt is the time at which the node saw the byte.
 func (c *clientConn) arrivalTime(readAt time.Time) time.Time {
 	if !c.hasRequested.Load() {
 		c.arrivals.Backdate(c.reader.ReceiveAge())
 	}
 	arrivedAt := readAt
-	if recorded := c.arrivals.At(c.in.Taken()); !recorded.IsZero() {
+	if recorded := c.arrivals.At(c.readBuffer.Taken()); !recorded.IsZero() {
 		arrivedAt = recorded
 	}
 	if !c.queuedSince.IsZero() {
@@ -163,9 +165,9 @@
 	return arrivedAt
 }
 
-// takeRequest answers a request or hands it over. readErr is why it could not be read; it is then rejected. It returns
-// false once the connection is closed.
-func (c *clientConn) takeRequest(readErr error) bool {
+// dispatchRequest answers a request or hands it over. It rejects the request if readErr, the error of reading it, is not nil.
+// It returns false once the connection is closed.
+func (c *clientConn) dispatchRequest(readErr error) bool {
 	if cap(c.request.Body) > 0 { // reading the body may have allocated a larger buffer
 		c.body = netio.TrimBuffer(c.request.Body)
 	}
@@ -174,30 +176,30 @@
 		err = c.checkRequest()
 	}
 	if err != nil {
-		return c.rejectMalformed(err)
+		return c.rejectRequest(err)
 	}
 	c.hasRequested.Store(true)
-	c.check.requestRead(c.in.Buffered())
+	c.check.requestRead(c.readBuffer.Buffered())
 	if c.request.IsNodeHealthCheck() {
 		return c.answerHealthCheck()
 	}
 	return c.handOver()
 }
 
-// inputEnd is the state of a connection's input after a read.
-type inputEnd struct {
-	err        error // the read error; nil: the input has not ended
-	clientGone bool  // the input ended before the request in flight had its response
+// inputState is the state of a connection's input after a read.
+type inputState struct {
+	err                error // read error; nil while the input has not ended
+	clientDisconnected bool  // set if the input ended before the request in flight had its response
 }
 
-// awaitResponse waits until the request in flight is handled. It reads ahead meanwhile, unless the connection has ended with
-// err.
-func (c *clientConn) awaitResponse(err error) inputEnd {
+// awaitResponse waits until the request in flight is handled. It reads ahead meanwhile, unless err, the result of the last
+// read, is not nil.
+func (c *clientConn) awaitResponse(err error) inputState {
 	if err == nil {
 		err = c.readAhead()
 	}
-	end := inputEnd{err: err, clientGone: err != nil && c.responseDue.Load()}
-	if end.clientGone {
+	input := inputState{err: err, clientDisconnected: err != nil && c.responseDue.Load()}
+	if input.clientDisconnected {
 		c.handler.ClientGone()
 	}
 	<-c.handled
@@ -205,20 +207,21 @@
 	if c.readingAhead.CompareAndSwap(true, false) {
 		netio.SetReadDeadline(c.conn, time.Time{}) // undoes the wake-up by handleRequests
 	}
-	return end
+	return input
 }
 
-// readRequest reads the request that has begun to arrive.
+// readRequest reads a request whose first byte has arrived.
 func (c *clientConn) readRequest() error {
 	parser := netio.BorrowParser(c)
 	defer netio.ReturnParser(parser)
 	c.lengthLines = protocol.ContentLengthScanner{}
 	err := protocol.ReadRequest(parser, c, &c.request, c.body)
-	c.in.EndMessage(parser)
+	c.readBuffer.EndMessage(parser)
 	return err
 }
 
-// checkRequest claims the id of a well-formed request. It returns a *protocol.RequestError if the request is rejected.
+// checkRequest checks a well-formed request against the settings and claims its id. For an invalid request it returns a
+// *protocol.RequestError.
 func (c *clientConn) checkRequest() error {
 	switch router := c.server.router; {
 	case c.request.IsNodeHealthCheck():
@@ -226,104 +229,105 @@
 	case !router.KnowsClassAndPlan(&c.request):
 		return &protocol.RequestError{Status: http.StatusNotFound, Reason: "unknown class or plan"}
 	case !router.WithinLimits(&c.request):
-		return &protocol.RequestError{Status: http.StatusBadRequest, Reason: "figures outside the settings"}
+		return &protocol.RequestError{Status: http.StatusBadRequest, Reason: "units or node set outside the limits of the settings"}
 	case !c.server.requestIDs.claim(c.request.ID):
-		return &protocol.RequestError{Status: http.StatusConflict, Reason: "id of another request"}
+		return &protocol.RequestError{Status: http.StatusConflict, Reason: "request id is in flight or was answered recently"}
 	}
 	return nil
 }
 
-// handOver passes the request to handleRequests. If the client disconnected before the request was read it closes the
+// handOver passes the request to handleRequests and returns true. If the client has already disconnected, it closes the
 // connection instead and returns false.
 func (c *clientConn) handOver() bool {
-	if c.disconnected() {
+	if c.inputEnded() {
 		c.server.counters.Requests.Add(1)
 		c.server.counters.ClientsGone.Add(1)
 		c.server.requestIDs.release(c.request.ID)
-		c.close(closeReasonFor(c.in.Err(), netio.ReasonClientDisconnected))
+		c.close(closeReasonFor(c.readBuffer.Err(), netio.ReasonClientDisconnected))
 		return false
 	}
 	if c.handler == nil {
 		c.startHandler()
 	}
 	c.handler.Begin()
-	c.requests++
+	c.requestCount++
 	c.handedOver = true
 	c.responseDue.Store(true)
 	c.pending <- struct{}{}
 	return true
 }
 
-// disconnected reads the pending input and reports whether the client has closed its connection behind it.
-func (c *clientConn) disconnected() bool {
-	for c.in.Err() == nil && c.reader.HasInput() {
-		c.makeSpace()
-		_ = c.in.ReadMore() // stays in c.in.Err()
+// inputEnded reads the pending input and reports whether the input has ended.
+func (c *clientConn) inputEnded() bool {
+	for c.readBuffer.Err() == nil && c.reader.HasInput() {
+		c.discardIfFull()
+		_ = c.readBuffer.ReadMore() // readBuffer.Err keeps the error
 	}
-	return c.in.Err() != nil
+	return c.readBuffer.Err() != nil
 }
 
-// peerClosed reports whether the client has closed its connection, without reading. handleRequests may call it while serve
-// reads.
-func (c *clientConn) peerClosed() bool { return c.writer.HungUp() }
+// hasClientClosed reports whether the client has closed its connection. It does not read, so handleRequests may call it while
+// serve reads.
+func (c *clientConn) hasClientClosed() bool { return c.writer.HungUp() }
 
-// readAhead reads pipelined bytes until the request in flight has its response, or the connection ends. Otherwise a close
-// behind pipelined bytes would go unnoticed and the node would send requests for a client that has disconnected.
+// readAhead reads pipelined bytes until the request in flight has its response or the connection ends. Otherwise the node
+// would not detect a close behind pipelined bytes, and would forward requests of a client that has disconnected.
 func (c *clientConn) readAhead() error {
-	c.readingAhead.Store(true) // handleRequests wakes the read below
+	c.readingAhead.Store(true) // lets handleRequests interrupt the read below
 	for c.responseDue.Load() {
-		c.makeSpace()
-		if err := c.in.ReadMore(); err != nil {
+		c.discardIfFull()
+		if err := c.readBuffer.ReadMore(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// makeSpace makes space in a full buffer. It drops the pipelined requests, so the response in flight is the last one.
-func (c *clientConn) makeSpace() {
-	if c.in.Full() {
+// discardIfFull discards the pipelined requests if the buffer is full. The next response is then the connection's last.
+func (c *clientConn) discardIfFull() {
+	if c.readBuffer.Full() {
 		c.overflowed.Store(true)
-		c.in.Discard()
+		c.readBuffer.Discard()
 	}
 }
 
-// linger discards input until the client closes or lingerTimeout has passed, and closes the connection. A close with unread
-// input would reset the connection, and the client might lose its last response. It returns false.
+// linger discards input until the client closes or lingerTimeout has passed, and then closes the connection. A close with
+// unread input would reset the connection, and the client might lose its last response. It always returns false, as
+// serveNext does for a closed connection.
 func (c *clientConn) linger() bool {
 	netio.SetReadDeadline(c.conn, time.Now().Add(lingerTimeout))
-	_ = c.conn.CloseWrite()     // fails for a closed connection, as the copy below does
-	c.hasRequested.Store(false) // the connection may be evicted first
+	_ = c.conn.CloseWrite()     // fails only for a closed connection, for which the copy below fails too
+	c.hasRequested.Store(false) // makes the connection one of the first to be evicted
 	c.check.linger()
 	_, _ = io.Copy(io.Discard, c.conn)
 	c.close(netio.ReasonClientMalformed)
 	return false
 }
 
-// clientConn is the protocol.Source that its requests are read from.
+// The methods below implement protocol.Source. ReadRequest reads the connection's requests through them.
 
-// Read reads from the ring buffer.
+// Read reads from the ring buffer and counts the Content-Length lines.
 func (c *clientConn) Read(p []byte) (int, error) {
-	n, err := c.in.Read(p)
+	n, err := c.readBuffer.Read(p)
 	c.lengthLines.Scan(p[:n])
 	return n, err
 }
 
-// Allow sets how many bytes may be read from now on.
-func (c *clientConn) Allow(bytes int) { c.in.Allow(bytes) }
+// Allow sets the number of bytes that may be read from now on.
+func (c *clientConn) Allow(bytes int) { c.readBuffer.Allow(bytes) }
 
-// ContentLengthLines returns the number of Content-Length lines in the head.
+// ContentLengthLines returns the number of Content-Length lines in the head that was read last.
 func (c *clientConn) ContentLengthLines() int { return c.lengthLines.Count() }
 
-// Continue answers "Expect: 100-continue".
+// Continue answers "Expect: 100-continue" with an interim response.
 func (c *clientConn) Continue() error {
 	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout))
-	c.out.Allocate(c.server.limits.BufferSize())
-	c.out.Append([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	return c.out.Flush()
+	c.writeBuffer.Allocate(c.server.limits.BufferSize())
+	c.writeBuffer.Append([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	return c.writeBuffer.Flush()
 }
 
-// closeReasonFor returns the reason of a connection whose read failed with err; atEOF is the reason for io.EOF.
+// closeReasonFor returns the close reason of a connection whose read failed with err. atEOF is the reason for io.EOF.
 func closeReasonFor(err error, atEOF netio.CloseReason) netio.CloseReason {
 	switch {
 	case errors.Is(err, io.EOF):
--- a/internal/frontend/clientresponse.go
+++ b/internal/frontend/clientresponse.go
@@ -9,22 +9,23 @@
 	"cherrygap/internal/protocol"
 )
 
-// responseWriteTimeout is how long after the client's deadline the write of a response may take.
+// responseWriteTimeout is the time after the client's deadline at which the write of a response fails.
 const responseWriteTimeout = time.Second
 
-// responseSlack is how long after the client's deadline the platform still accepts a response.
+// responseSlack is the time after the client's deadline for which the platform still accepts a response.
 const responseSlack = 500 * time.Millisecond
 
-// acknowledgementPoll is the time between two checks whether a client's machine has acknowledged a response.
-const acknowledgementPoll = 2 * time.Millisecond
+// acknowledgementPollInterval is the time between two checks whether a client's machine has acknowledged a response.
+const acknowledgementPollInterval = 2 * time.Millisecond
 
-// rejectMalformed closes the connection after a request that can't be handled. If err is a *protocol.RequestError and the
-// connection is open it answers with that error's status first. It returns false.
-func (c *clientConn) rejectMalformed(err error) bool {
+// rejectRequest closes the connection after an invalid request. If err is a *protocol.RequestError and the input has not
+// ended, rejectRequest responds with that error's status first. It always returns false, as serveNext does for a closed
+// connection.
+func (c *clientConn) rejectRequest(err error) bool {
 	var malformed *protocol.RequestError
 	c.server.counters.MalformedRequests.Add(1)
-	if c.in.Err() != nil || !errors.As(err, &malformed) {
-		c.close(closeReasonFor(c.in.Err(), netio.ReasonClientReset))
+	if c.readBuffer.Err() != nil || !errors.As(err, &malformed) {
+		c.close(closeReasonFor(c.readBuffer.Err(), netio.ReasonClientReset))
 		return false
 	}
 	netio.SetWriteDeadline(c.conn, time.Now().Add(lingerTimeout))
@@ -39,7 +40,7 @@
 	if draining || !c.server.router.HasServers() {
 		response.Status = http.StatusServiceUnavailable
 	}
-	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout)) // that of the last response may have passed
+	netio.SetWriteDeadline(c.conn, time.Now().Add(netio.MessageTimeout)) // the last response's deadline may have passed
 	if !c.writeResponse(&response) {
 		c.close(netio.ReasonClientReset)
 		return false
@@ -52,21 +53,21 @@
 	return !response.Close
 }
 
-// writeResponse reports whether a response was written completely.
+// writeResponse writes a response and reports whether the write was complete.
 func (c *clientConn) writeResponse(response *protocol.ClientResponse) bool {
-	c.out.Allocate(c.server.limits.BufferSize())
-	c.out.Commit(protocol.AppendResponseHead(c.out.AvailableBuffer(), response))
-	c.out.Append(response.Body)
-	return c.out.Flush() == nil
+	c.writeBuffer.Allocate(c.server.limits.BufferSize())
+	c.writeBuffer.Commit(protocol.AppendResponseHead(c.writeBuffer.AvailableBuffer(), response))
+	c.writeBuffer.Append(response.Body)
+	return c.writeBuffer.Flush() == nil
 }
 
-// handleRequests takes each request from pending to its response, until serve closes pending.
+// handleRequests handles each request that pending signals, until serve closes pending.
 func (c *clientConn) handleRequests() {
 	defer close(c.handled)
 	for range c.pending {
 		c.handleRequest()
 		if !c.responseDue.Load() && (c.readingAhead.Load() || c.overflowed.Load()) {
-			netio.SetReadDeadline(c.conn, netio.PastDeadline) // wakes serve from readAhead
+			netio.SetReadDeadline(c.conn, netio.PastDeadline) // ends serve's readAhead
 		}
 		if !c.overflowed.Load() {
 			c.check.answered()
@@ -76,7 +77,7 @@
 	}
 }
 
-// handleRequest takes the request in flight to its response. If the client disconnected it writes none.
+// handleRequest handles the request in flight and writes the response, unless the client has disconnected.
 func (c *clientConn) handleRequest() {
 	defer c.server.requestIDs.release(c.request.ID)
 	response, ok := c.handler.Handle(&c.request, c.receivedAt)
@@ -85,7 +86,7 @@
 	}
 	c.responseDue.Store(false)
 	if late := time.Since(c.receivedAt) - c.request.Timeout; late > responseSlack {
-		c.handler.violated(&c.request, faultLateResponse)
+		c.handler.reportViolation(&c.request, faultLateResponse)
 	}
 	response.Close = c.request.Close || c.overflowed.Load() || c.server.wantsClose() && c.check.tryCloseWithResponse()
 	netio.SetWriteDeadline(c.conn, c.receivedAt.Add(c.request.Timeout+responseWriteTimeout))
@@ -93,7 +94,7 @@
 	case !c.writeResponse(&response):
 		c.server.counters.ResponsesUnwritten.Add(1)
 		c.close(netio.ReasonResponseUnwritten)
-	case c.overflowed.Load(): // serve closes it
+	case c.overflowed.Load(): // serve closes the connection
 	case response.Close && c.request.Close:
 		c.closeAfterAcknowledgement(netio.ReasonClientRequestedClose)
 	case response.Close && c.server.draining.Load():
@@ -103,13 +104,13 @@
 	}
 }
 
-// closeAfterAcknowledgement closes the connection when the client's machine has acknowledged all written bytes, or after
-// netio.MessageTimeout, so that a client that reads nothing keeps no slot. If the connection were closed earlier, further
-// input of the client would reset it and the rest of the response would be lost.
+// closeAfterAcknowledgement closes the connection once the client's machine has acknowledged all written bytes. After an
+// earlier close, further input of the client would reset the connection, and the rest of the response would be lost. The
+// wait ends after netio.MessageTimeout, so that a client that reads nothing does not hold its slot.
 func (c *clientConn) closeAfterAcknowledgement(reason netio.CloseReason) {
 	deadline := time.Now().Add(netio.MessageTimeout)
 	for c.writer.HasUnacknowledged() && time.Now().Before(deadline) {
-		time.Sleep(acknowledgementPoll)
+		time.Sleep(acknowledgementPollInterval)
 	}
 	c.close(reason)
 }
--- a/internal/frontend/closecheck.go
+++ b/internal/frontend/closecheck.go
@@ -6,27 +6,27 @@
 	"cherrygap/internal/netio"
 )
 
-// closeCheck is the check of invariant.Closing for one client connection: it decides whether the node may close the
-// connection on its own initiative. It tracks the bytes that were read and not answered. Once it has allowed a close, it
-// allows no more reads, so no request is read and lost. clientConn.close counts a violation if a close was not allowed.
+// closeCheck checks invariant.Closing for one client connection. It decides whether the node may close the connection on
+// its own initiative, and for that tracks the bytes that were read and not answered. Once it has allowed a close, it allows
+// no more reads, so no request is read and lost. clientConn.close counts a violation if a close was not allowed.
 //
-// It is the netio.ReadHook of the connection and safe for concurrent use.
+// closeCheck is the netio.ReadHook of the connection. It is safe for concurrent use.
 type closeCheck struct {
-	mu        sync.Mutex // guards both below; held from BeginRead to EndRead, over a read that does not block
+	mu        sync.Mutex // guards the fields below; held from BeginRead to EndRead, during a read that does not block
 	phase     connPhase
-	pipelined bool // bytes were read behind the request in flight
+	pipelined bool // set if bytes were read behind the request in flight
 }
 
-// connPhase is the progress of a connection with the bytes that were read from it.
+// connPhase is the state of a connection with respect to the bytes that were read from it.
 type connPhase uint8
 
 const (
-	phaseIdle      connPhase = iota // all bytes read are answered
+	phaseIdle      connPhase = iota // all bytes that were read belong to answered requests
 	phaseReading                    // bytes were read and not parsed yet
-	phasePartial                    // part of a request was read, the rest has not arrived
+	phasePartial                    // part of a request was read and the rest has not arrived
 	phaseInFlight                   // a request is in flight
-	phaseLingering                  // the last response was written, further bytes are discarded
-	phaseClosed                     // the node closes the connection
+	phaseLingering                  // the last response was written and further bytes are discarded
+	phaseClosed                     // the node is closing the connection, so no more bytes are read
 )
 
 // partialPolicy says whether a partly read request keeps its connection open.
@@ -37,7 +37,7 @@
 	dropPartial partialPolicy = true
 )
 
-// BeginRead reports whether the connection may be read. If so the caller must call EndRead.
+// BeginRead reports whether the connection may be read. If so, the caller must call EndRead.
 func (c *closeCheck) BeginRead() bool {
 	c.mu.Lock()
 	if c.phase == phaseClosed {
@@ -47,7 +47,7 @@
 	return true
 }
 
-// EndRead notes the result of a read.
+// EndRead records the result of a read.
 func (c *closeCheck) EndRead(result netio.ReadResult) {
 	defer c.mu.Unlock()
 	switch {
@@ -60,7 +60,7 @@
 	}
 }
 
-// requestRead notes that a request was read completely, and how many bytes are buffered behind it.
+// requestRead records that a request was read completely. bytesBehind is the number of bytes buffered behind it.
 func (c *closeCheck) requestRead(bytesBehind int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// answered notes that the request in flight has its response.
+// answered records that the request in flight has its response.
 func (c *closeCheck) answered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 	c.pipelined = false
 }
 
-// linger notes that bytes read from now on are discarded.
+// linger records that bytes read from now on are discarded.
 func (c *closeCheck) linger() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// tryCloseWithResponse reports whether the response to the request in flight may close the connection, because nothing was
-// read behind the request. If so no more is read.
+// tryCloseWithResponse reports whether the response to the request in flight may close the connection. It may if nothing
+// was read behind the request; the check then allows no more reads.
 func (c *closeCheck) tryCloseWithResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	return c.closableLocked(partial)
 }
 
-// tryClose reports whether the connection may be closed now. If so no more is read.
+// tryClose reports whether the connection may be closed now. If so, the check allows no more reads.
 func (c *closeCheck) tryClose(partial partialPolicy) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +131,8 @@
 	return false
 }
 
-// is reports whether the connection is in a phase.
-func (c *closeCheck) is(phase connPhase) bool {
+// inPhase reports whether the connection is in the given phase.
+func (c *closeCheck) inPhase(phase connPhase) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == phase
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -73,7 +73,7 @@
 		for c := range node.Server.ClientConns() {
 			client = c
 		}
-		return client.Check().Is(frontend.PhaseIdle)
+		return client.Check().InPhase(frontend.PhaseIdle)
 	})
 	// serve has read bytes and not parsed them.
 	if !client.Check().BeginRead() {
@@ -81,7 +81,7 @@
 	}
 	client.Check().EndRead(netio.ReadBytes)
 	node.Server.Evict()
-	if client.Check().Is(frontend.PhaseClosed) {
+	if client.Check().InPhase(frontend.PhaseClosed) {
 		t.Error("evicted over bytes that were read")
 	}
 	// serve has handed the request over and read another behind it; the first one is answered.
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -11,18 +11,18 @@
 	"cherrygap/internal/netio"
 )
 
-// limitedListener bounds the open connections of another protocol's front end. Further connections wait in the kernel's
-// queue. Protects the descriptors for discovery and app servers against crowds of clients.
+// limitedListener bounds the number of open connections of another protocol's front end. Further connections wait in the
+// kernel's queue. The bound keeps file descriptors free for discovery and app servers, however many clients connect.
 type limitedListener struct {
 	net.Listener
 	log       *zerolog.Logger
-	slots     chan struct{} // has an element for each open connection
-	closed    chan struct{}
-	closeOnce sync.Once // guards the close of closed
+	slots     chan struct{} // semaphore that holds one element for each open connection
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once     // closes closed once
 }
 
-// LimitListener wraps the listener of a gRPC front end. At most Limits.GRPCConnections of its connections are open at once;
-// the server's own limit, Limits.HTTPConnections, leaves room for them.
+// LimitListener wraps the listener of a gRPC front end. At most Limits.GRPCConnections of the listener's connections are
+// open at once. The server's own limit, Limits.HTTPConnections, leaves room for them.
 func (s *Server) LimitListener(listener net.Listener) net.Listener {
 	return &limitedListener{
 		Listener: listener,
@@ -32,8 +32,8 @@
 	}
 }
 
-// Accept waits for a slot and then for a connection. It retries after each error, because a server ends at an error of its
-// listener. After Close it returns net.ErrClosed.
+// Accept waits for a slot and then for a connection. It retries after each error, because a gRPC server stops when its
+// listener returns an error. After Close it returns net.ErrClosed.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
@@ -65,6 +65,7 @@
 	release func()
 }
 
+// Close closes the connection and releases its slot.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
 	c.release()
--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -3,14 +3,14 @@
 import "sync/atomic"
 
 // Counters count client connections and requests since the node's start. They are safe for concurrent use.
-// docs/oncall.md describes each.
+// docs/oncall.md describes each counter.
 type Counters struct {
 	Connections, Requests, MalformedRequests atomic.Int64
 
-	// Results of requests. A finished request is counted in exactly one of them.
+	// Results of requests. Each finished request is counted in exactly one of these counters.
 	Completed, Rejected, Failed, ClientsGone, Denied atomic.Int64
 
 	ResponsesUnwritten atomic.Int64 // responses that could not be written completely
 
-	CloseViolations, StartViolations atomic.Int64 // of invariant.Closing and invariant.Starting
+	CloseViolations, StartViolations atomic.Int64 // violations of invariant.Closing and invariant.Starting
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -9,19 +9,19 @@
 // closeIdleInterval is the time between two passes of Drain over the open connections.
 const closeIdleInterval = firstRequestGrace / 10
 
-// Drain shuts the server down gracefully. From now on each response closes its connection. The listener stays open for
-// acceptFor, and until its queue is accepted. After that Drain closes idle connections. It returns when all connections are
-// closed.
+// Drain shuts the server down gracefully. From its call on, each response closes its connection. The listener stays open
+// for acceptFor, and then until the connections in its queue are accepted. After that Drain closes idle connections. It
+// returns when all connections are closed.
 func (s *Server) Drain(acceptFor time.Duration) {
 	s.draining.Store(true)
 	netio.SetAcceptDeadline(s.listener, time.Now().Add(acceptFor))
 	select {
 	case <-s.acceptDone:
-	case <-time.After(acceptFor + 2*firstRequestGrace): // acceptLoop still waits, for a slot
+	case <-time.After(acceptFor + 2*firstRequestGrace): // acceptLoop still waits for a slot
 		netio.CloseConn(s.listener)
 	}
 	closed := make(chan struct{})
-	go func() { // ends with the last connection, which the loop below waits for
+	go func() { // ends with the last connection, for which the loop below waits
 		s.conns.Wait()
 		close(closed)
 	}()
@@ -40,13 +40,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for client := range s.clients {
-		if !client.mayStillSend() && !client.mustStayOpen() && client.check.tryClose(keepPartial) {
+		if !client.expectsFirstRequest() && !client.closeWouldLoseData() && client.check.tryClose(keepPartial) {
 			client.close(netio.ReasonNodeDraining)
 		}
 	}
 }
 
-// mayStillSend reports whether a connection is new and its first request may be in transit.
-func (c *clientConn) mayStillSend() bool {
+// expectsFirstRequest reports whether a connection is new and its first request may be in transit.
+func (c *clientConn) expectsFirstRequest() bool {
 	return !c.hasRequested.Load() && time.Since(c.acceptedAt) < firstRequestGrace
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -79,7 +79,7 @@
 			node.Server.Mutex().Lock()
 			defer node.Server.Mutex().Unlock()
 			for client := range node.Server.ClientConns() {
-				return client.Check().Is(frontend.PhaseIdle)
+				return client.Check().InPhase(frontend.PhaseIdle)
 			}
 			return false
 		})
@@ -127,7 +127,7 @@
 		defer node.Server.Mutex().Unlock()
 		halves := 0
 		for client := range node.Server.ClientConns() {
-			if client.Check().Is(frontend.PhasePartial) {
+			if client.Check().InPhase(frontend.PhasePartial) {
 				halves++
 			}
 		}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -6,17 +6,17 @@
 	"cherrygap/internal/netio"
 )
 
-// evict closes one idle connection, the first by evictedBefore, and skips connections with bytes in transit. It closes none
-// while the slot of an earlier evicted connection is not released yet.
+// evict closes the first evictable connection in the order of evictedBefore, and skips connections whose close would lose
+// data. It closes none until the last evicted connection has released its slot.
 func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.evicting {
 		return
 	}
-	var skipped map[*clientConn]bool // allocated with the first entry
+	var skipped map[*clientConn]bool // nil until a connection is skipped
 	for first := s.firstToEvict(nil); first != nil; first = s.firstToEvict(skipped) {
-		if !first.mustStayOpen() && first.check.tryClose(first.evictionPolicy()) {
+		if !first.closeWouldLoseData() && first.check.tryClose(first.evictionPolicy()) {
 			s.evicting, first.evicted = true, true
 			first.close(netio.ReasonEvicted)
 			return
@@ -28,7 +28,8 @@
 	}
 }
 
-// firstToEvict returns the evictable connection that comes first by evictedBefore, except skipped ones, or nil.
+// firstToEvict returns the first evictable connection in the order of evictedBefore that is not in skipped. It returns nil
+// if there is none.
 func (s *Server) firstToEvict(skipped map[*clientConn]bool) *clientConn {
 	var first *clientConn
 	for client := range s.clients {
@@ -43,9 +44,9 @@
 type evictionRank int
 
 const (
-	rankNeverRequested evictionRank = iota // older than firstRequestGrace and without a complete request
-	rankRequested                          // with a complete request
-	rankNew                                // younger than firstRequestGrace and without a complete request
+	rankNeverRequested evictionRank = iota // connection without a complete request, at least firstRequestGrace old
+	rankRequested                          // connection that has sent a complete request
+	rankNew                                // connection without a complete request, younger than firstRequestGrace
 )
 
 func (c *clientConn) evictionRank() evictionRank {
@@ -66,7 +67,8 @@
 	return c.idleSinceTime().Before(other.idleSinceTime())
 }
 
-// evictionPolicy returns the partialPolicy of an eviction: a partly read first request does not keep its connection open.
+// evictionPolicy returns the partialPolicy for an eviction. A partly read request keeps its connection open, unless it is
+// the connection's first.
 func (c *clientConn) evictionPolicy() partialPolicy {
 	if c.hasRequested.Load() {
 		return keepPartial
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// Internals of the package for its external tests.
+// This file gives the package's external tests access to internals.
 
-// FirstRequestGrace is firstRequestGrace.
+// FirstRequestGrace is the age below which a connection without a request counts as new.
 const FirstRequestGrace = firstRequestGrace
 
 // The phases of a connection that tests wait for.
@@ -19,19 +19,19 @@
 )
 
 type (
-	// ClientConn is one client connection.
+	// ClientConn is a client connection.
 	ClientConn = clientConn
-	// CloseCheck is a client connection's closeCheck.
+	// CloseCheck decides whether the node may close a client connection.
 	CloseCheck = closeCheck
 )
 
-// Mutex is the lock of ClientConns.
+// Mutex returns the mutex that guards ClientConns.
 func (s *Server) Mutex() *sync.Mutex { return &s.mu }
 
-// ClientConns are the open connections. The caller holds Mutex.
+// ClientConns returns the open connections. The caller must hold Mutex.
 func (s *Server) ClientConns() map[*ClientConn]struct{} { return s.clients }
 
-// OpenClients is how many client connections are open.
+// OpenClients returns the number of open client connections.
 func (s *Server) OpenClients() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,39 +45,40 @@
 	s.evicting = true
 }
 
-// Evict closes one idle connection, the first by evictedBefore.
+// Evict closes the first evictable connection in the order of evictedBefore.
 func (s *Server) Evict() { s.evict() }
 
-// CloseIdle closes the idle connections.
+// CloseIdle closes idle connections as Drain does.
 func (s *Server) CloseIdle() { s.closeIdle() }
 
-// Draining is set while the server drains.
+// Draining returns the flag that Drain sets at its start.
 func (s *Server) Draining() *atomic.Bool { return &s.draining }
 
-// ClosingIdle is set while idle connections are closed.
+// ClosingIdle returns the flag that Drain sets before it closes idle connections.
 func (s *Server) ClosingIdle() *atomic.Bool { return &s.closingIdle }
 
-// AtLimit is set while a new connection waits for a slot.
+// AtLimit returns the flag that is set while a new connection waits for a slot.
 func (s *Server) AtLimit() *atomic.Bool { return &s.atLimit }
 
-// Check is the connection's close check.
+// Check returns the connection's CloseCheck.
 func (c *ClientConn) Check() *CloseCheck { return &c.check }
 
-// Conn is the connection's socket.
+// Conn returns the underlying TCP connection.
 func (c *ClientConn) Conn() *net.TCPConn { return c.conn }
 
-// Is reports whether the connection is in a phase.
-func (g *CloseCheck) Is(phase connPhase) bool { return g.is(phase) }
+// InPhase reports whether the connection is in the given phase.
+func (c *CloseCheck) InPhase(phase connPhase) bool { return c.inPhase(phase) }
 
-// RequestRead notes that a request was read completely, and how many bytes are buffered behind it.
-func (g *CloseCheck) RequestRead(bytesBehind int) { g.requestRead(bytesBehind) }
+// RequestRead records that a request was read completely. bytesBehind is the number of bytes buffered behind it.
+func (c *CloseCheck) RequestRead(bytesBehind int) { c.requestRead(bytesBehind) }
 
-// Answered notes that the request in flight has its response.
-func (g *CloseCheck) Answered() { g.answered() }
+// Answered records that the request in flight has its response.
+func (c *CloseCheck) Answered() { c.answered() }
 
-// TryCloseWithResponse reports whether the response to the request in flight may close the connection. If so no more is
-// read.
-func (g *CloseCheck) TryCloseWithResponse() bool { return g.tryCloseWithResponse() }
+// TryCloseWithResponse reports whether the response to the request in flight may close the connection. If so, the check
+// allows no more reads.
+func (c *CloseCheck) TryCloseWithResponse() bool { return c.tryCloseWithResponse() }
 
-// TryClose reports whether the connection may be closed now, with no request partly read. If so no more is read.
-func (g *CloseCheck) TryClose() bool { return g.tryClose(keepPartial) }
+// TryClose reports whether the connection may be closed now, with no request partly read. If so, the check allows no more
+// reads.
+func (c *CloseCheck) TryClose() bool { return c.tryClose(keepPartial) }
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -16,34 +16,34 @@
 // Authorization is an authorizer's answer to one request.
 type Authorization struct {
 	Verdict    authz.Verdict // Allow, Deny or Reject
-	RetryAfter time.Duration // of a rejected request; 0: none
+	RetryAfter time.Duration // client's wait before a retry of a rejected request; 0 means no advice
 }
 
 // Authorizer checks requests. It is safe for concurrent use.
 type Authorizer interface {
-	// Check returns the final answer. left is the time to the client's deadline. ctx ends if the client disconnects; the
-	// answer is then not used.
+	// Check returns the final answer. left is the time to the client's deadline. ctx is cancelled if the client
+	// disconnects; the answer is then not used.
 	Check(ctx context.Context, request *protocol.Request, left time.Duration) Authorization
 }
 
-// RequestHandler takes the requests of one caller, one at a time, through the authorizer and attempts to their responses. A
-// caller is an HTTP connection or a call of another protocol. ClientGone may be called by any goroutine; the other methods
-// belong to the caller's.
+// RequestHandler handles the requests of one caller, one at a time. It checks each request with the authorizer, executes the
+// attempts and returns the response. A caller is an HTTP connection or a call of another protocol. Any goroutine may call
+// ClientGone; only the caller's goroutine may call the other methods.
 type RequestHandler struct {
 	server   *Server
 	attempts *upstream.AttemptRunner
 	request  *routing.Request
-	open     atomic.Bool // a request is in flight
+	inFlight atomic.Bool // set while a request is in flight
 
-	mu           sync.Mutex         // guards both below
-	disconnected bool               // the client disconnected
-	cancelCheck  context.CancelFunc // cancels the authorizer's check; nil without one
+	mu           sync.Mutex         // guards the fields below
+	disconnected bool               // set by ClientGone, cleared by Begin
+	cancelCheck  context.CancelFunc // cancels the authorizer's check; nil while no check runs
 }
 
-// NewRequestHandler makes a handler for one caller, which calls Release in the end. peerClosed reports whether the caller's
-// client has disconnected by now; it must not block.
-func (s *Server) NewRequestHandler(peerClosed func() bool) *RequestHandler {
-	h := &RequestHandler{server: s, attempts: upstream.NewAttemptRunner(s.pool, s.router, peerClosed)}
+// NewRequestHandler returns a handler for one caller, which must call Release in the end. hasClientClosed reports whether
+// caller's client has disconnected; it must not block.
+func (s *Server) NewRequestHandler(hasClientClosed func() bool) *RequestHandler {
+	h := &RequestHandler{server: s, attempts: upstream.NewAttemptRunner(s.pool, s.router, hasClientClosed)}
 	h.request = s.router.NewRequest(h.attempts)
 	return h
 }
@@ -51,15 +51,16 @@
 // Release releases the handler's resources in the Router. No request may be in flight.
 func (h *RequestHandler) Release() { h.request.Release() }
 
-// Begin prepares for the next request. It comes before Handle and before any ClientGone for that request.
+// Begin prepares the handler for the next request. The caller calls Begin before Handle and before any ClientGone for that
+// request.
 func (h *RequestHandler) Begin() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.disconnected = false
 }
 
-// ClientGone reports to the handler that the client of the request in flight disconnected. It cancels the authorizer's check
-// and withdraws the request from the Router.
+// ClientGone tells the handler that the client of the request in flight has disconnected. It cancels the authorizer's check,
+// tells the AttemptRunner and withdraws the request from the Router.
 func (h *RequestHandler) ClientGone() {
 	h.setDisconnected()
 	h.attempts.ClientGone()
@@ -82,34 +83,34 @@
 	return h.disconnected
 }
 
-// Handle takes a request that was received at a time to its response. ok is false if the client disconnected: then there is
-// no response.
+// Handle handles a request and returns the response. receivedAt is the time at which the request arrived. ok is false if
+// the client disconnected, in which case there is no response.
 func (h *RequestHandler) Handle(request *protocol.Request, receivedAt time.Time) (response protocol.ClientResponse, ok bool) {
 	counters := h.server.counters
 	counters.Requests.Add(1)
-	if !h.open.CompareAndSwap(false, true) {
-		h.violated(request, faultConcurrent)
+	if !h.inFlight.CompareAndSwap(false, true) {
+		h.reportViolation(request, faultConcurrent)
 	}
-	defer h.open.Store(false)
-	if check := h.authorize(request, receivedAt); !check.passed {
+	defer h.inFlight.Store(false)
+	if authorization := h.authorize(request, receivedAt); !authorization.passed {
 		if h.isDisconnected() {
 			counters.ClientsGone.Add(1)
 			return protocol.ClientResponse{}, false
 		}
-		return check.response, true
+		return authorization.response, true
 	}
 	h.attempts.Reset(request, receivedAt)
 	h.request.Start(request, request.Timeout-time.Since(receivedAt))
-	if h.isDisconnected() { // ClientGone came before the Router knew of the request
+	if h.isDisconnected() { // ClientGone may have been called before the Router knew of the request
 		h.attempts.ClientGone()
 		h.request.ClientGone()
 	}
-	response, end := h.attemptUntilEnd(request)
+	response, end := h.executeDecisions(request)
 	h.logEnd(request, end, receivedAt)
 	return response, end.outcome != endClientGone
 }
 
-// endOutcome is the result of a request, as it is logged.
+// endOutcome is the logged result of a request.
 type endOutcome string
 
 const (
@@ -119,15 +120,15 @@
 	endClientGone endOutcome = "client-gone"
 )
 
-// requestEnd is the end of a request.
+// requestEnd describes the end of a request for the log.
 type requestEnd struct {
 	outcome  endOutcome
-	reason   string // of the last decision; empty for a forwarded request
+	reason   string // reason of the last decision; empty for Forward
 	attempts int    // number of Forward decisions
 }
 
-// attemptUntilEnd executes the Router's decisions until the request ends.
-func (h *RequestHandler) attemptUntilEnd(request *protocol.Request) (protocol.ClientResponse, requestEnd) {
+// executeDecisions executes the Router's decisions until the request ends.
+func (h *RequestHandler) executeDecisions(request *protocol.Request) (protocol.ClientResponse, requestEnd) {
 	counters := h.server.counters
 	var end requestEnd
 	for {
@@ -138,7 +139,7 @@
 			end.attempts++
 			response, result := h.attempts.Run(decision, request)
 			if result.Outcome == protocol.NotSent && h.attempts.CheckClient() == upstream.ClientDisconnected {
-				// The attempt may notice the disconnect before the front end does.
+				// The attempt may detect the disconnect before the front end does.
 				h.ClientGone()
 			}
 			h.request.Report(result)
@@ -158,7 +159,7 @@
 		default: // routing.Abandon
 			counters.ClientsGone.Add(1)
 			if !h.isDisconnected() {
-				h.violated(request, faultNoResponse)
+				h.reportViolation(request, faultNoResponse)
 			}
 			end.outcome = endClientGone
 			return protocol.ClientResponse{}, end
@@ -176,7 +177,7 @@
 		Int("attempts", end.attempts).Dur("timeout_ms", request.Timeout).Dur("took_ms", time.Since(receivedAt)).Msg("request ended")
 }
 
-// requestFault is the way in which a request violated invariant.Starting, as it is logged.
+// requestFault is the logged way in which a request violated invariant.Starting.
 type requestFault string
 
 const (
@@ -186,21 +187,21 @@
 )
 
 // violated counts and logs a violation of invariant.Starting.
-func (h *RequestHandler) violated(request *protocol.Request, fault requestFault) {
+func (h *RequestHandler) reportViolation(request *protocol.Request, fault requestFault) {
 	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", string(fault)).
 		Str("request", request.ID).Msg(invariant.ViolatedMessage)
 }
 
-// authorizationCheck is the result of authorize.
-type authorizationCheck struct {
-	passed   bool                    // the request may be forwarded
-	response protocol.ClientResponse // otherwise, unless the client disconnected
+// authorizationResult is the result of authorize.
+type authorizationResult struct {
+	passed   bool                    // set if the request may be forwarded
+	response protocol.ClientResponse // response to a request that did not pass, unless the client disconnected
 }
 
-// authorize checks a request with the authorizer, if there is one.
-func (h *RequestHandler) authorize(request *protocol.Request, receivedAt time.Time) authorizationCheck {
+// authorize checks a request with the authorizer. Without an authorizer each request passes.
+func (h *RequestHandler) authorize(request *protocol.Request, receivedAt time.Time) authorizationResult {
 	if h.server.authorizer == nil {
-		return authorizationCheck{passed: true}
+		return authorizationResult{passed: true}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -209,18 +210,19 @@
 	h.setCancelCheck(nil)
 	switch authorization.Verdict {
 	case authz.Allow:
-		return authorizationCheck{passed: !h.isDisconnected()}
+		return authorizationResult{passed: !h.isDisconnected()}
 	case authz.Deny:
 		h.server.counters.Denied.Add(1)
-		return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusDenied}}
+		return authorizationResult{response: protocol.ClientResponse{Status: protocol.StatusDenied}}
 	}
 	if !h.isDisconnected() {
 		h.server.counters.Rejected.Add(1)
 	}
-	return authorizationCheck{response: protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: authorization.RetryAfter}}
+	return authorizationResult{response: protocol.ClientResponse{Status: protocol.StatusRejected, RetryAfter: authorization.RetryAfter}}
 }
 
-// setCancelCheck sets the function that ClientGone calls, and calls it at once if the client has disconnected. nil: none.
+// setCancelCheck sets the function with which ClientGone cancels the authorizer's check; nil removes it. If the client has
+// already disconnected, setCancelCheck calls the function at once.
 func (h *RequestHandler) setCancelCheck(cancel context.CancelFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -230,7 +232,7 @@
 	}
 }
 
-// Front ends of other protocols check requests by the methods below, as clientConn.checkRequest does.
+// Front ends of other protocols check requests with the methods below, as clientConn.checkRequest does.
 
 // KnowsClassAndPlan reports whether a request's class and plan are in the settings.
 func (s *Server) KnowsClassAndPlan(request *protocol.Request) bool {
@@ -240,8 +242,8 @@
 // WithinLimits reports whether a request's units and node set are within the limits of the settings.
 func (s *Server) WithinLimits(request *protocol.Request) bool { return s.router.WithinLimits(request) }
 
-// ClaimRequestID marks a request's id as in flight, and reports whether it was unknown. The caller releases it with
-// ReleaseRequestID.
+// ClaimRequestID marks a request's id as in flight and returns true. It returns false if the id is in flight or was answered
+// recently. The caller releases a claimed id with ReleaseRequestID.
 func (s *Server) ClaimRequestID(id string) bool { return s.requestIDs.claim(id) }
 
 // ReleaseRequestID marks a request's id as answered.
--- a/internal/frontend/requestids_test.go
+++ b/internal/frontend/requestids_test.go
@@ -13,7 +13,7 @@
 			t.Fatalf("id %d", i)
 		}
 		ids.release(id)
-		if remembered := len(ids.recent) + len(ids.previous) + len(ids.open); ids.claim(id) || remembered > 2*maxRecentIDs {
+		if remembered := len(ids.recent) + len(ids.previous) + len(ids.inFlight); ids.claim(id) || remembered > 2*maxRecentIDs {
 			t.Fatalf("id %d, %d remembered", i, remembered)
 		}
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -16,11 +16,11 @@
 
 const (
 	// firstRequestGrace is the age below which a connection without a request counts as new: its first request may be in
-	// transit. Drain keeps new connections open, and they are evicted last.
+	// transit. Drain keeps new connections open, and evictions close them last.
 	firstRequestGrace = 100 * time.Millisecond
-	// finalAcceptTimeout is the timeout of one Accept while the listener drains.
+	// finalAcceptTimeout is the timeout of one Accept call while the listener drains.
 	finalAcceptTimeout = 2 * time.Millisecond
-	// maxEmptyAccepts is the number of consecutive timeouts of Accept at which a draining listener is closed.
+	// maxEmptyAccepts is the number of consecutive Accept timeouts after which acceptLoop closes a draining listener.
 	maxEmptyAccepts = 2
 )
 
@@ -35,16 +35,16 @@
 	listener   *net.TCPListener
 	requestIDs *requestIDs
 
-	slots       chan struct{}  // has an element for each open connection that has a slot
-	acceptDone  chan struct{}  // closed at the end of acceptLoop
+	slots       chan struct{}  // semaphore that holds one element for each open connection
+	acceptDone  chan struct{}  // closed when acceptLoop returns
 	conns       sync.WaitGroup // counts acceptLoop and each connection
-	draining    atomic.Bool    // each response closes its connection
-	closingIdle atomic.Bool    // Drain closes idle connections
-	atLimit     atomic.Bool    // acceptLoop waits for a slot
+	draining    atomic.Bool    // set by Drain; each response then closes its connection
+	closingIdle atomic.Bool    // set once Drain begins to close idle connections
+	atLimit     atomic.Bool    // set while acceptLoop waits for a slot
 
-	mu       sync.Mutex // guards all below, and clientConn.evicted
+	mu       sync.Mutex // guards the fields below and clientConn.evicted
 	clients  map[*clientConn]struct{}
-	evicting bool // a connection is being evicted
+	evicting bool // set until the evicted connection releases its slot
 }
 
 // Config is the configuration of a Server. All fields are required except Authorizer.
@@ -53,16 +53,16 @@
 	Router     *routing.Router
 	Pool       *upstream.Pool
 	Limits     netio.Limits
-	Authorizer Authorizer // checks the requests; nil: none are checked
+	Authorizer Authorizer // checks each request; nil admits all requests
 	Log        *zerolog.Logger
 	Counters   *Counters
 }
 
-// Listen starts a server. Drain ends it.
+// Listen starts a server. Drain shuts it down.
 func Listen(cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", cfg.Addr)
 	if err != nil {
-		return nil, err // names the address
+		return nil, err // the error names the address
 	}
 	s := &Server{
 		router:     cfg.Router,
@@ -85,16 +85,16 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// acceptLoop accepts connections until the listener is closed. It runs on a goroutine of its own.
+// acceptLoop accepts connections until the listener is closed. It runs on its own goroutine.
 //
-// Drain sets a deadline of the listener. After that deadline the listener drains for at most firstRequestGrace: acceptLoop
-// accepts the connections in its queue, which a close would reset, and then closes it.
+// Drain sets a deadline on the listener. After that deadline the listener drains for at most firstRequestGrace: acceptLoop
+// accepts the connections in the listener's queue, which a close would reset, and then closes the listener.
 func (s *Server) acceptLoop() {
 	defer s.conns.Done()
 	defer close(s.acceptDone)
-	var drainUntil time.Time // zero until the listener drains
+	var drainUntil time.Time // end of the listener's drain; zero until the drain begins
 	for emptyAccepts := 0; ; {
-		if !drainUntil.IsZero() { // Accept ignores the queue after its deadline, so each call gets a new one
+		if !drainUntil.IsZero() { // after its deadline Accept ignores the queue, so each call gets a new deadline
 			netio.SetAcceptDeadline(s.listener, netio.Earlier(drainUntil, time.Now().Add(finalAcceptTimeout)))
 		}
 		conn, err := s.listener.AcceptTCP()
@@ -111,7 +111,7 @@
 			continue
 		}
 		emptyAccepts = 0
-		if err != nil { // transient: the listener stays usable
+		if err != nil { // the error is transient, so the listener stays usable
 			s.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(netio.ErrorPause)
 			continue
@@ -120,14 +120,14 @@
 	}
 }
 
-// add starts to serve an accepted connection. At the limit it first evicts the longest idle connection and waits for a slot;
-// further connections wait in the kernel's queue.
+// add starts to serve an accepted connection. At the limit it first evicts an idle connection and waits for a slot.
+// Meanwhile further connections wait in the kernel's queue.
 func (s *Server) add(conn *net.TCPConn) {
 	acceptedAt, waited := time.Now(), false
 	select {
 	case s.slots <- struct{}{}:
 	default:
-		s.atLimit.Store(true) // connections that become idle now evict too
+		s.atLimit.Store(true) // from now on markIdle also calls evict
 		s.evict()
 		s.slots <- struct{}{}
 		s.atLimit.Store(false)
@@ -145,7 +145,7 @@
 	go client.serve()
 }
 
-// remove forgets a closed connection and releases its slot.
+// remove removes a closed connection and releases its slot.
 func (s *Server) remove(client *clientConn) {
 	s.mu.Lock()
 	delete(s.clients, client)
@@ -155,8 +155,8 @@
 	s.conns.Done()
 }
 
-// nearLimit reports whether over half of the slots are in use. Each response then closes its connection, so that clients
-// that send one request and stay connected do not use up the slots.
+// nearLimit reports whether more than half of the slots are in use. Each response then closes its connection. Otherwise
+// clients that send one request and stay connected would use up the slots.
 func (s *Server) nearLimit() bool { return 2*len(s.slots) > cap(s.slots) }
 
 // wantsClose reports whether each response should close its connection.
