--- a/internal/frontend/arrivals_test.go
+++ b/internal/frontend/arrivals_test.go
@@ -17,18 +17,18 @@
 	"cherrygap/internal/protocol"
 )
 
-// arrival is when the first and last byte of an attempt arrived at an app server, by the kernel's timestamps, so that
-// delays of the test's goroutines do not count. last is zero for an incomplete attempt.
+// arrival holds the times at which the first and last byte of an attempt arrived at an app server. They are the kernel's
+// timestamps, so that delays of the test's goroutines do not count. last is zero for an incomplete attempt.
 type arrival struct{ first, last time.Time }
 
-// arrivalRecorder records the arrivals of attempts at app servers by request id.
+// arrivalRecorder records the arrivals of attempts at app servers.
 type arrivalRecorder struct {
-	mu           sync.Mutex // guards both below
-	arrivals     map[string][]arrival
-	unattributed int // attempts without a readable request id
+	mu           sync.Mutex           // guards the fields below
+	arrivals     map[string][]arrival // keyed by request id
+	unattributed int                  // number of attempts without a readable request id
 }
 
-// timestampedReader reads a connection with the kernel's timestamps of its bytes.
+// timestampedReader reads a connection and records the kernel's timestamps of the first and the last bytes read.
 type timestampedReader struct {
 	raw         syscall.RawConn
 	first, last time.Time
@@ -52,8 +52,8 @@
 	if messages, err := syscall.ParseSocketControlMessage(control[:controlSize]); err == nil {
 		for _, message := range messages {
 			if message.Header.Type == syscall.SO_TIMESTAMPNS {
-				stamp := *(*syscall.Timespec)(unsafe.Pointer(&message.Data[0]))
-				r.last = time.Unix(stamp.Unix())
+				timestamp := *(*syscall.Timespec)(unsafe.Pointer(&message.Data[0]))
+				r.last = time.Unix(timestamp.Unix())
 			}
 		}
 	}
@@ -63,28 +63,29 @@
 	return n, nil
 }
 
-// listen runs an app server. answer answers each complete attempt and reports whether the connection stays open.
+// listen runs an app server on listener. answer responds to each complete attempt and reports whether the connection stays
+// open.
 func (r *arrivalRecorder) listen(listener net.Listener, answer func(net.Conn) bool) {
 	nettest.ServeConns(listener, func(conn net.Conn) {
 		raw, _ := conn.(*net.TCPConn).SyscallConn()
-		_ = raw.Control(func(fd uintptr) { // without timestamps the time of the read counts, which is later
+		_ = raw.Control(func(fd uintptr) { // without timestamps, Read uses its own time, which is later
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1)
 		})
-		stamped := &timestampedReader{raw: raw}
-		for reader := bufio.NewReader(stamped); ; stamped.first = (time.Time{}) {
+		timestamped := &timestampedReader{raw: raw}
+		for reader := bufio.NewReader(timestamped); ; timestamped.first = (time.Time{}) {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
-				if !stamped.first.IsZero() {
+				if !timestamped.first.IsZero() {
 					r.mu.Lock()
 					r.unattributed++
 					r.mu.Unlock()
 				}
 				return
 			}
-			attempt := arrival{first: stamped.first}
+			attempt := arrival{first: timestamped.first}
 			_, err = io.Copy(io.Discard, request.Body)
 			if err == nil {
-				attempt.last = stamped.last
+				attempt.last = timestamped.last
 			}
 			id := request.Header.Get(protocol.HeaderRequestID)
 			r.mu.Lock()
@@ -97,8 +98,8 @@
 	})
 }
 
-// app starts an app server and returns its endpoint.
-func (r *arrivalRecorder) app(t *testing.T, answer func(net.Conn) bool) protocol.Endpoint {
+// startServer starts an app server and returns its endpoint.
+func (r *arrivalRecorder) startServer(t *testing.T, answer func(net.Conn) bool) protocol.Endpoint {
 	t.Helper()
 	listener := nettest.Listen(t)
 	go r.listen(listener, answer)
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -17,26 +17,30 @@
 	"cherrygap/internal/upstream"
 )
 
+// Requests of any body size on one client connection are answered with the same body, and their attempts reuse one
+// connection to the app server.
 func TestRequestsAreAnsweredOnOneConnection(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	conn := node.Dial(t)
 	for _, size := range []int{0, 1, 5000, 20000, protocol.MaxBody} {
 		body := strings.Repeat("x", size)
 		if status, got, closes := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, body)); status != 200 || got != body || closes {
-			t.Fatalf("%d bytes: status %d, %d bytes, closes %v", size, status, len(got), closes)
+			t.Fatalf("request with %d body bytes: status %d, %d body bytes, closes %v; want status 200, the same body, closes false",
+				size, status, len(got), closes)
 		}
 		time.Sleep(upstream.SettleTime)
 	}
 	if dials := node.Counters.Upstream.Dials.Load(); dials != 1 {
-		t.Errorf("%d connections to the server", dials)
+		t.Errorf("%d connections dialed to the app server, want 1", dials)
 	}
 	if status, _, _ := frontendtest.RoundTrip(t, conn, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
-		t.Errorf("health %d", status)
+		t.Errorf("health check of the node: status %d, want 200", status)
 	}
 	nettest.Close(conn)
-	nettest.Eventually(t, "a plain close", func() bool { return node.Log.ClosedFor(netio.ReasonClientClosed) })
+	nettest.Eventually(t, "close with reason client-closed", func() bool { return node.Log.ClosedFor(netio.ReasonClientClosed) })
 }
 
+// An invalid request must not reach an app server. The client gets the status of the error, and then a close.
 func TestMalformedInputGetsAStatusAndAClose(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	for text, want := range map[string]int{
@@ -52,44 +56,45 @@
 	} {
 		conn := node.Dial(t)
 		if status, _, closes := frontendtest.RoundTrip(t, conn, text); status != want || !closes {
-			t.Errorf("%.30q: status %d, closes %v, want %d", text, status, closes, want)
+			t.Errorf("request %.30q: status %d, closes %v; want status %d, closes true", text, status, closes, want)
 		}
 		if _, err := io.ReadAll(conn); err != nil {
-			t.Errorf("%.30q: %v instead of a close", text, err)
+			t.Errorf("request %.30q: read after the response: %v, want a close", text, err)
 		}
 	}
 	if node.Counters.Upstream.Attempts.Load() != 0 {
-		t.Error("malformed input was forwarded")
+		t.Errorf("%d attempts for malformed input, want 0", node.Counters.Upstream.Attempts.Load())
 	}
 }
 
-// Clients get a response or a close within 3 s of connecting, even if a message never ends. One that has sent a request
-// may stay connected.
+// A client must get a response or a close within 3 s of connecting, even if its message never ends. A client that has sent
+// a request may stay connected.
 func TestClientsThatNeverRequestAreClosedInTime(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
-	stays := node.Dial(t)
-	frontendtest.RoundTrip(t, stays, frontendtest.RequestText(100, "x"))
+	kept := node.Dial(t)
+	frontendtest.RoundTrip(t, kept, frontendtest.RequestText(100, "x"))
 	startedAt := time.Now()
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for _, text := range []string{"", "POST /seats", frontendtest.RequestText(100, "xx")[:150], frontendtest.RequestText(100, "xx"+strings.Repeat("x", 9000))[:8000]} {
 		conn := node.Dial(t)
 		nettest.WriteString(conn, text)
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			if _, err := io.ReadAll(conn); netio.TimedOut(err) || time.Since(startedAt) > 2800*time.Millisecond {
-				t.Errorf("%.20q: %v after %v", text, err, time.Since(startedAt))
+				t.Errorf("connection that sent %.20q: read ended with error %v after %v, want a close within 2.8s", text, err, time.Since(startedAt))
 			}
 		}()
 	}
-	all.Wait()
-	// The write deadline of the last response has passed; the next response has its own.
-	if status, _, _ := frontendtest.RoundTrip(t, stays, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
-		t.Errorf("status %d", status)
+	clients.Wait()
+	// The write deadline of the last response has passed. It must not apply to the next response.
+	if status, _, _ := frontendtest.RoundTrip(t, kept, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
+		t.Errorf("health check on the connection that stayed open: status %d, want 200", status)
 	}
 }
 
-// A request with the id of another one, in flight or answered lately, is rejected.
+// App servers would count the attempts of two requests with one id as those of one request. A request is therefore rejected
+// if its id is in flight or was answered recently.
 func TestIDOfAnotherRequestIsRefused(t *testing.T) {
 	received, answer := make(chan struct{}, 9), make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
@@ -102,12 +107,12 @@
 	<-received
 	for range 2 {
 		if status, _, closes := frontendtest.RoundTrip(t, node.Dial(t), text); status != 409 || !closes {
-			t.Errorf("status %d, closes %v", status, closes)
+			t.Errorf("request with a used id: status %d, closes %v; want status 409, closes true", status, closes)
 		}
 		if answer != nil {
 			close(answer)
 			if status, body, _ := frontendtest.RoundTrip(t, conn, ""); status != 200 || body != "mine" {
-				t.Errorf("status %d, body %q", status, body)
+				t.Errorf("first request with the id: status %d, body %q; want status 200, body %q", status, body, "mine")
 			}
 			answer = nil
 		}
--- a/internal/frontend/clientresponse.go
+++ b/internal/frontend/clientresponse.go
@@ -9,13 +9,13 @@
 	"cherrygap/internal/protocol"
 )
 
-// responseWriteTimeout is the time after the client's deadline at which the write of a response fails.
+// responseWriteTimeout is the time after the client's deadline for which the write of a response may continue.
 const responseWriteTimeout = time.Second
 
 // responseSlack is the time after the client's deadline for which the platform still accepts a response.
 const responseSlack = 500 * time.Millisecond
 
-// acknowledgementPollInterval is the time between two checks whether a client's machine has acknowledged a response.
+// acknowledgementPollInterval is the time between two checks of whether the client's machine has acknowledged a response.
 const acknowledgementPollInterval = 2 * time.Millisecond
 
 // rejectRequest closes the connection after an invalid request. If err is a *protocol.RequestError and the input has not
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -19,8 +19,8 @@
 	"cherrygap/internal/settings"
 )
 
-// dialWithReceiveBuffer connects as a client with a receive buffer of size bytes.
-func dialWithReceiveBuffer(t *testing.T, n *frontendtest.Node, size int) net.Conn {
+// dialWithReceiveBuffer connects as a client and sets the connection's receive buffer to size bytes.
+func dialWithReceiveBuffer(t *testing.T, node *frontendtest.Node, size int) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		controlErr := raw.Control(func(fd uintptr) {
@@ -31,43 +31,45 @@
 		}
 		return err
 	}}
-	conn, err := dialer.DialContext(context.Background(), "tcp", n.Server.Addr().String())
+	conn, err := dialer.DialContext(context.Background(), "tcp", node.Server.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dial the node: %v", err)
 	}
 	netio.SetDeadline(conn, time.Now().Add(5*time.Second))
 	t.Cleanup(func() { nettest.Close(conn) })
 	return conn
 }
 
-// A slow client receives the complete last response, even if its next request arrives during the close.
-func TestResponseWithACloseComesWhole(t *testing.T) {
+// If the node closed the connection right after it wrote the last response, the client's next request would reset the
+// connection. A slow client would then lose the rest of the response.
+func TestClosingResponseIsComplete(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	node.Server.Draining().Store(true)
 	conn := dialWithReceiveBuffer(t, node, 4096)
 	body := strings.Repeat("x", protocol.MaxBody)
 	nettest.WriteString(conn, frontendtest.RequestText(3000, body))
-	nettest.Eventually(t, "the response", func() bool { return node.Counters.Completed.Load() == 1 })
-	time.Sleep(20 * time.Millisecond) // the node may close now
+	nettest.Eventually(t, "completed request", func() bool { return node.Counters.Completed.Load() == 1 })
+	time.Sleep(20 * time.Millisecond) // time for the node to close the connection
 	nettest.WriteString(conn, frontendtest.RequestText(3000, "x"))
-	time.Sleep(20 * time.Millisecond) // a reset would have arrived
+	time.Sleep(20 * time.Millisecond) // time for a reset to arrive
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read response head: %v", err)
 	}
 	got, err := io.ReadAll(response.Body)
 	if err != nil || len(got) != len(body) {
-		t.Errorf("%d of %d bytes, %v", len(got), len(body), err)
+		t.Errorf("response body: %d bytes, error %v; want %d bytes, no error", len(got), err, len(body))
 	}
 }
 
-// A connection whose request was read is not evicted, whatever its goroutines have done so far.
-func TestNoEvictionOverARequestThatWasRead(t *testing.T) {
+// A close of a connection whose request was read and not answered would lose the request. The closeCheck must not allow it
+// in any state of the connection's goroutines.
+func TestNoEvictionAfterARequestWasRead(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	conn := node.Dial(t)
 	frontendtest.RoundTrip(t, conn, frontendtest.RequestText(1000, "x"))
 	var client *frontend.ClientConn
-	nettest.Eventually(t, "an idle connection", func() bool {
+	nettest.Eventually(t, "idle connection", func() bool {
 		node.Server.Mutex().Lock()
 		defer node.Server.Mutex().Unlock()
 		for c := range node.Server.ClientConns() {
@@ -77,39 +79,40 @@
 	})
 	// serve has read bytes and not parsed them.
 	if !client.Check().BeginRead() {
-		t.Fatal("an idle connection can't be read")
+		t.Fatal("BeginRead on an idle connection = false, want true")
 	}
 	client.Check().EndRead(netio.ReadBytes)
 	node.Server.Evict()
 	if client.Check().InPhase(frontend.PhaseClosed) {
-		t.Error("evicted over bytes that were read")
+		t.Error("Evict closed a connection with bytes that were read, want it open")
 	}
-	// serve has handed the request over and read another behind it; the first one is answered.
+	// serve has handed the request over and has read another request behind it.
 	client.Check().RequestRead(0)
 	if !client.Check().BeginRead() {
-		t.Fatal("nothing can be read behind an open request")
+		t.Fatal("BeginRead with a request in flight = false, want true")
 	}
 	client.Check().EndRead(netio.ReadBytes)
 	if client.Check().TryCloseWithResponse() {
-		t.Error("closed over a request that was read ahead")
+		t.Error("TryCloseWithResponse after a pipelined request was read = true, want false")
 	}
 	client.Check().Answered()
 	if client.Check().TryClose() {
-		t.Error("closed over a request that was read ahead, once the one before was answered")
+		t.Error("TryClose with an unanswered pipelined request = true, want false")
 	}
 }
 
-// A client that does not read its response holds its slot for at most netio.MessageTimeout.
-func TestAResponseThatIsNotTakenHoldsNoSlot(t *testing.T) {
+// A client that does not read its response must not keep its slot. The node waits for the acknowledgement of the last
+// response for netio.MessageTimeout at most.
+func TestUnreadResponseDoesNotKeepItsSlot(t *testing.T) {
 	t.Parallel()
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	node.Server.Draining().Store(true)
 	conn := dialWithReceiveBuffer(t, node, 4096)
 	nettest.WriteString(conn, frontendtest.RequestText(60_000, strings.Repeat("x", protocol.MaxBody)))
-	nettest.Eventually(t, "the response", func() bool { return node.Counters.Completed.Load() == 1 })
-	begun := time.Now()
-	nettest.Eventually(t, "a close", func() bool { return node.Server.OpenClients() == 0 })
-	if took := time.Since(begun); took < netio.MessageTimeout/2 || took > netio.MessageTimeout+time.Second {
-		t.Errorf("closed after %v", took)
+	nettest.Eventually(t, "completed request", func() bool { return node.Counters.Completed.Load() == 1 })
+	startedAt := time.Now()
+	nettest.Eventually(t, "closed client connection", func() bool { return node.Server.OpenClients() == 0 })
+	if took := time.Since(startedAt); took < netio.MessageTimeout/2 || took > netio.MessageTimeout+time.Second {
+		t.Errorf("the connection was closed after %v, want %v to %v", took, netio.MessageTimeout/2, netio.MessageTimeout+time.Second)
 	}
 }
--- a/internal/frontend/connlimit_test.go
+++ b/internal/frontend/connlimit_test.go
@@ -14,7 +14,7 @@
 	"cherrygap/internal/nettest"
 )
 
-// failingListener fails Accept with each of errors, then returns conn, and then is closed.
+// failingListener is a listener whose Accept returns each of errors, then conn, and then net.ErrClosed.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -36,9 +36,9 @@
 
 func (l *failingListener) Close() error { return nil }
 
-// Accept retries after transient errors of accept(2). gRPC's server would end at most of them, because they do not call
-// themselves temporary.
-func TestLimitedListenerOutlastsAcceptErrors(t *testing.T) {
+// A transient error of accept(2) must not stop the gRPC front end. gRPC's server returns at most of these errors, because
+// they do not report themselves as temporary. Accept therefore retries after each.
+func TestLimitedListenerRetriesAcceptErrors(t *testing.T) {
 	client, accepted := net.Pipe()
 	t.Cleanup(func() { nettest.Close(client) })
 	failing := &failingListener{conn: accepted}
@@ -50,16 +50,16 @@
 	}
 	log := zerolog.Nop()
 	listener := (&Server{limits: netio.Limits{Sockets: 1024}, log: &log}).LimitListener(failing)
-	begun := time.Now()
+	startedAt := time.Now()
 	conn, err := listener.Accept()
 	if err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("Accept after transient errors = %v, want a connection", err)
 	}
-	if took := time.Since(begun); took < netio.ErrorPause {
-		t.Errorf("no pause between errors: all within %v", took)
+	if took := time.Since(startedAt); took < netio.ErrorPause {
+		t.Errorf("Accept with transient errors took %v, want at least %v, the pause after an error", took, netio.ErrorPause)
 	}
 	nettest.Close(conn)
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v of a listener that is closed", err)
+		t.Errorf("Accept on a closed listener = %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -19,23 +19,23 @@
 	"cherrygap/internal/settings"
 )
 
-// Clients disconnect at random moments, by a close, a reset or a half-close, with or without pipelined bytes. Attempts
-// are being dialled, in flight, rejected, failed or reset, or wait for a quota owner or a free connection; one run has
-// one core. No byte of an attempt arrives at an app server more than 0.1 s after the disconnect.
+// No byte of an attempt may arrive at an app server more than 0.1 s after the client's disconnect. Clients disconnect at
+// random times, by a close, a reset or a half-close, with or without pipelined bytes. At that time an attempt may be dialing,
+// in flight, rejected, failed or reset, or its request waits for a quota owner or a free connection. One run has one core.
 func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
-	few := frontendtest.Limits
-	few.Sockets = netio.MinReserved + 16
-	for _, test := range []randomDisconnects{
-		{name: "many", seed: 30, most: 200, pool: frontendtest.Limits},
+	fewSockets := frontendtest.Limits
+	fewSockets.Sockets = netio.MinReserved + 16
+	for _, test := range []disconnectConfig{
+		{name: "many", seed: 30, targetDisconnects: 200, pool: frontendtest.Limits},
 		{
-			name: "quota owner", seed: 31, most: 60, pool: frontendtest.Limits,
+			name: "quota owner", seed: 31, targetDisconnects: 60, pool: frontendtest.Limits,
 			settings: settings.Values{
 				settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 			},
 		},
-		{name: "few connections", seed: 32, most: 60, pool: few},
-		{name: "no cancelling", seed: 33, most: 60, pool: frontendtest.Limits, settings: settings.Values{settings.CancelAttempts: "false"}},
-		{name: "one core", seed: 34, most: 100, pool: frontendtest.Limits, oneCore: true},
+		{name: "few connections", seed: 32, targetDisconnects: 60, pool: fewSockets},
+		{name: "no cancelling", seed: 33, targetDisconnects: 60, pool: frontendtest.Limits, settings: settings.Values{settings.CancelAttempts: "false"}},
+		{name: "one core", seed: 34, targetDisconnects: 100, pool: frontendtest.Limits, oneCore: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.oneCore {
@@ -47,180 +47,184 @@
 }
 
 const (
-	startTerm = 100 * time.Millisecond // bound of the platform on starts after a disconnect
-	unsureBy  = 5 * time.Millisecond   // longer closes have no exact time
+	maxArrivalDelay = 100 * time.Millisecond // platform's limit on the start of an attempt after a disconnect
+	maxCloseTime    = 5 * time.Millisecond   // duration of a close above which the time of the disconnect is inexact
 )
 
-// randomDisconnects is one run with clients that disconnect from one node.
-type randomDisconnects struct {
-	name     string
-	seed     int64
-	most     int // disconnects with a request in flight that end the run
-	settings settings.Values
-	pool     netio.Limits // limits of the connection pool
-	oneCore  bool
+// disconnectConfig is the configuration of one run in which clients disconnect from one node.
+type disconnectConfig struct {
+	name              string
+	seed              int64
+	targetDisconnects int // number of disconnects with a request in flight that ends the run
+	settings          settings.Values
+	pool              netio.Limits // limits of the connection pool
+	oneCore           bool
 }
 
-// disconnects is the state and result of a run.
-type disconnects struct {
-	*randomDisconnects
+// disconnectRun holds the state and the results of one run.
+type disconnectRun struct {
+	*disconnectConfig
 	node     *frontendtest.Node
 	arrivals *arrivalRecorder
 	clients  sync.WaitGroup
 
-	mu      sync.Mutex // guards all below
-	rand    *rand.Rand
-	at      map[string]time.Time // by request id
-	unclear int                  // disconnects without an exact time
+	mu             sync.Mutex // guards the fields below
+	rand           *rand.Rand
+	disconnectedAt map[string]time.Time // time of the disconnect, keyed by request id
+	inexactTimes   int                  // number of disconnects whose time is inexact
 }
 
-func (d *disconnects) chance(n int) int {
+// randomInt returns a random number from 0 to n-1.
+func (d *disconnectRun) randomInt(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rand.Intn(n)
 }
 
-func (d *disconnects) enough() bool {
+// hasEnough reports whether enough clients have disconnected.
+func (d *disconnectRun) hasEnough() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.at) >= d.most
+	return len(d.disconnectedAt) >= d.targetDisconnects
 }
 
-func (r *randomDisconnects) run(t *testing.T) {
-	d := &disconnects{
-		randomDisconnects: r, node: frontendtest.StartWith(t, frontendtest.Config{Settings: r.settings, Retries: settings.RetrySafe, Limits: frontendtest.Limits, PoolLimits: &r.pool}),
+func (c *disconnectConfig) run(t *testing.T) {
+	d := &disconnectRun{
+		disconnectConfig: c, node: frontendtest.StartWith(t, frontendtest.Config{Settings: c.settings, Retries: settings.RetrySafe, Limits: frontendtest.Limits, PoolLimits: &c.pool}),
 		arrivals: &arrivalRecorder{arrivals: map[string][]arrival{}},
-		rand:     rand.New(rand.NewSource(r.seed)), at: map[string]time.Time{},
+		rand:     rand.New(rand.NewSource(c.seed)), disconnectedAt: map[string]time.Time{},
 	}
 	list := &protocol.EndpointList{}
 	for range 20 {
-		list.Endpoints = append(list.Endpoints, d.arrivals.app(t, d.answer))
+		list.Endpoints = append(list.Endpoints, d.arrivals.startServer(t, d.answer))
 	}
-	addr, empty := nettest.FullServer(t)
+	addr, emptyQueue := nettest.FullServer(t)
 	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
 	d.node.Router.UpdateEndpoints(list, routing.FromDiscovery)
-	within := 400 // ms; longer with a quota owner
-	if r.settings[settings.Peers] == settings.On {
-		within = 1600
+	maxWaitMs := 400 // upper bound of the time to a disconnect, in ms; longer with a quota owner
+	if c.settings[settings.Peers] == settings.On {
+		maxWaitMs = 1600
 	}
 	for range 3000 {
-		client := leavingClient{after: time.Duration(d.chance(within)) * time.Millisecond}
-		pause := time.Duration(d.chance(10)) * time.Millisecond
-		client.how = d.chance(6)
-		client.more = strings.Repeat("more ", d.chance(2)*(1+d.chance(4000)))
-		if d.enough() {
+		client := disconnectingClient{disconnectAfter: time.Duration(d.randomInt(maxWaitMs)) * time.Millisecond}
+		pause := time.Duration(d.randomInt(10)) * time.Millisecond
+		client.closeMode = d.randomInt(6)
+		client.pipelined = strings.Repeat("more ", d.randomInt(2)*(1+d.randomInt(4000)))
+		if d.hasEnough() {
 			break
 		}
-		client.text = strings.Replace(frontendtest.RequestText(4000, "x"), "spread=1", fmt.Sprint("spread=", min(2, 1+len(r.settings)/4)), 1)
-		client.id = fmt.Sprint(frontendtest.LastID.Load())
+		client.text = strings.Replace(frontendtest.RequestText(4000, "x"), "spread=1", fmt.Sprint("spread=", min(2, 1+len(c.settings)/4)), 1)
+		client.id = fmt.Sprint(frontendtest.LastRequestID.Load())
 		d.clients.Add(1)
-		go d.play(t, client)
+		go d.runClient(t, client)
 		time.Sleep(pause)
 	}
-	go d.arrivals.listen(empty(), func(net.Conn) bool { return false }) // accepts the dials that are still open
+	go d.arrivals.listen(emptyQueue(), func(net.Conn) bool { return false }) // accepts the connections that are still being dialed
 	d.clients.Wait()
-	nettest.Eventually(t, "all ended", func() bool { return d.node.Server.OpenClients() == 0 })
-	time.Sleep(2 * startTerm) // for late attempts
+	nettest.Eventually(t, "close of all client connections", func() bool { return d.node.Server.OpenClients() == 0 })
+	time.Sleep(2 * maxArrivalDelay) // time for late attempts to arrive
 	d.check(t)
 }
 
-// answer answers an attempt at random and reports whether the connection stays open.
-func (d *disconnects) answer(conn net.Conn) bool {
-	does := d.chance(10)
-	time.Sleep(time.Duration(50+d.chance(600)) * time.Millisecond)
-	text := "HTTP/1.1 503 Busy\r\n" + protocol.HeaderRejected + ": " + protocol.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
+// answer sends a random response to an attempt and reports whether the connection stays open.
+func (d *disconnectRun) answer(conn net.Conn) bool {
+	action := d.randomInt(10)
+	time.Sleep(time.Duration(50+d.randomInt(600)) * time.Millisecond)
+	response := "HTTP/1.1 503 Busy\r\n" + protocol.HeaderRejected + ": " + protocol.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
 	switch {
-	case does < 4:
-		text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	case does < 5:
-		text = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-	case does < 6:
+	case action < 4:
+		response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	case action < 5:
+		response = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+	case action < 6:
 		nettest.ResetOnClose(conn)
 		return false
 	}
-	_, err := io.WriteString(conn, text)
+	_, err := io.WriteString(conn, response)
 	return err == nil
 }
 
-// leavingClient is a client that disconnects after a time if it has no response by then.
-type leavingClient struct {
-	id, text, more string // the request, and the bytes behind it
-	after          time.Duration
-	how            int
+// disconnectingClient is a client that disconnects at a given time unless it has a response by then.
+type disconnectingClient struct {
+	id, text, pipelined string        // request id, text of the request, and pipelined bytes behind it
+	disconnectAfter     time.Duration // time from the request to the disconnect
+	closeMode           int           // way to disconnect: 0 and 1 reset, 2 half-closes, 3 and above close
 }
 
-func (d *disconnects) play(t *testing.T, client leavingClient) {
+// runClient runs one client.
+func (d *disconnectRun) runClient(t *testing.T, client disconnectingClient) {
 	defer d.clients.Done()
 	conn, err := net.Dial("tcp", d.node.Server.Addr().String())
 	if err != nil {
-		t.Error(err)
+		t.Errorf("dial the node: %v", err)
 		return
 	}
 	defer nettest.Close(conn)
 	nettest.WriteString(conn, client.text)
-	nettest.WriteString(conn, client.more)
-	netio.SetReadDeadline(conn, time.Now().Add(client.after))
+	nettest.WriteString(conn, client.pipelined)
+	netio.SetReadDeadline(conn, time.Now().Add(client.disconnectAfter))
 	_, err = conn.Read(make([]byte, 1))
-	if !netio.TimedOut(err) { // answered
+	if !netio.TimedOut(err) { // the client has a response
 		return
 	}
 	before := time.Now()
 	switch {
-	case client.how < 2:
+	case client.closeMode < 2:
 		nettest.ResetOnClose(conn)
 		nettest.Close(conn)
-	case client.how < 3:
+	case client.closeMode < 3:
 		nettest.CloseWrite(conn)
 	default:
 		nettest.Close(conn)
 	}
 	gone := time.Now()
-	d.note(client.id, before, gone)
-	if client.how == 2 {
+	d.recordDisconnect(client.id, before, gone)
+	if client.closeMode == 2 {
 		nettest.DiscardAll(conn)
 	}
 }
 
-// note records when a client disconnected.
-func (d *disconnects) note(id string, before, gone time.Time) {
+// recordDisconnect records the time of a client's disconnect, which began at before and was complete at gone.
+func (d *disconnectRun) recordDisconnect(id string, before, gone time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at[id] = before.Round(0); gone.Sub(before) > unsureBy { // the exact time is unknown
-		d.at[id] = gone.Round(0)
-		d.unclear++
+	if d.disconnectedAt[id] = before.Round(0); gone.Sub(before) > maxCloseTime { // the disconnect may have happened as late as gone
+		d.disconnectedAt[id] = gone.Round(0)
+		d.inexactTimes++
 	}
 }
 
-// check compares the arrivals of attempts with the disconnects.
-func (d *disconnects) check(t *testing.T) {
+// check compares the arrivals of attempts with the times of the disconnects.
+func (d *disconnectRun) check(t *testing.T) {
 	t.Helper()
 	d.arrivals.mu.Lock()
 	defer d.arrivals.mu.Unlock()
-	late, unsent, again, after, worst := 0, 0, 0, 0, time.Duration(0)
-	for id, at := range d.at {
+	late, withoutAttempt, retries, arrivedAfter, longest := 0, 0, 0, 0, time.Duration(0)
+	for id, disconnectedAt := range d.disconnectedAt {
 		arrivals := d.arrivals.arrivals[id]
 		if len(arrivals) == 0 {
-			unsent++
+			withoutAttempt++
 		}
-		again += max(0, len(arrivals)-1)
+		retries += max(0, len(arrivals)-1)
 		for _, arrival := range arrivals {
-			past := arrival.first.Sub(at)
+			delay := arrival.first.Sub(disconnectedAt)
 			if !arrival.last.IsZero() {
-				past = arrival.last.Sub(at)
+				delay = arrival.last.Sub(disconnectedAt)
 			}
-			if worst = max(worst, past); past > 0 {
-				after++
+			if longest = max(longest, delay); delay > 0 {
+				arrivedAfter++
 			}
-			if past > startTerm {
+			if delay > maxArrivalDelay {
 				late++
-				t.Errorf("%s: an attempt %v after", id, past)
+				t.Errorf("request %s: an attempt arrived %v after the disconnect, want at most %v", id, delay, maxArrivalDelay)
 			}
 		}
 	}
-	if late > 0 || len(d.at) < d.most || unsent == 0 || d.most >= 200 && again == 0 {
-		t.Errorf("%d left, %d unsent, %d again", len(d.at), unsent, again)
+	if late > 0 || len(d.disconnectedAt) < d.targetDisconnects || withoutAttempt == 0 || d.targetDisconnects >= 200 && retries == 0 {
+		t.Errorf("disconnects: %d, want at least %d; late attempts: %d, want 0; requests without an attempt: %d, want at least 1; "+
+			"retries: %d, want at least 1 from 200 disconnects on", len(d.disconnectedAt), d.targetDisconnects, late, withoutAttempt, retries)
 	}
-	t.Logf("%d left while their request waited (%d at a moment known to more than %v only), %d of them never sent, %d sent again; %d attempts "+
-		"came after, worst %v, %d later than %v; %d of no request known", len(d.at), d.unclear, unsureBy, unsent, again, after, worst, late, startTerm,
-		d.arrivals.unattributed)
+	t.Logf("%d disconnects with a request in flight (%d with a time uncertain by more than %v), %d requests without an attempt, %d retries; "+
+		"%d attempts arrived after the disconnect, the last %v after it, %d more than %v after it; %d attempts without a request id",
+		len(d.disconnectedAt), d.inexactTimes, maxCloseTime, withoutAttempt, retries, arrivedAfter, longest, late, maxArrivalDelay, d.arrivals.unattributed)
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -21,30 +21,31 @@
 	"cherrygap/internal/settings"
 )
 
-// startDrain begins a drain and returns a channel that is closed at its end.
-func startDrain(n *frontendtest.Node, accept time.Duration) chan struct{} {
+// startDrain starts Drain and returns a channel that is closed when Drain returns.
+func startDrain(node *frontendtest.Node, acceptFor time.Duration) chan struct{} {
 	drained := make(chan struct{})
 	go func() {
-		n.Server.Drain(accept)
+		node.Server.Drain(acceptFor)
 		close(drained)
 	}()
 	return drained
 }
 
-// waitDrained waits until a drain has ended.
+// waitDrained fails the test unless drained is closed within the given time.
 func waitDrained(t *testing.T, drained chan struct{}, within time.Duration) {
 	t.Helper()
 	select {
 	case <-drained:
 	case <-time.After(within):
-		t.Fatal("the drain does not end")
+		t.Fatalf("Drain has not returned after %v", within)
 	}
 }
 
-// Connections in the listener's queue are accepted before it closes. A close would reset them and lose their requests.
+// A close of the listener resets the connections in its queue and loses their requests. Drain must therefore accept these
+// connections first.
 func TestDrainAcceptsWhatIsQueued(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
-	node.Server.Mutex().Lock() // blocks acceptLoop with the first connection
+	node.Server.Mutex().Lock() // blocks acceptLoop at the first connection
 	var conns []net.Conn
 	for range 20 {
 		conn := node.Dial(t)
@@ -52,30 +53,31 @@
 		conns = append(conns, conn)
 	}
 	drained := startDrain(node, 10*time.Millisecond)
-	nettest.Eventually(t, "the drain", node.Server.Draining().Load)
-	time.Sleep(20 * time.Millisecond) // past the time to accept
+	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	time.Sleep(20 * time.Millisecond) // until after the listener's deadline
 	node.Server.Mutex().Unlock()
 	for i, conn := range conns {
 		if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 200 && status != 503 || !closes {
-			t.Errorf("connection %d: status %d, closes %v", i, status, closes)
+			t.Errorf("request on connection %d: status %d, closes %v; want status 200 or 503, closes true", i, status, closes)
 		}
 	}
 	waitDrained(t, drained, 3*time.Second)
 	if requests := node.Counters.Requests.Load(); requests != 20 {
-		t.Errorf("%d requests", requests)
+		t.Errorf("the node counted %d requests, want 20", requests)
 	}
 }
 
-// A request that is pending when its idle connection is to be closed is read and answered with a close.
-func TestDrainReadsWhatIsThereBeforeItCloses(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no reader runs between the write and the check
+// A request may arrive just before Drain closes its idle connection. The close would lose the request, so Drain must keep
+// a connection with pending input.
+func TestDrainReadsPendingInputBeforeClosing(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // prevents a read between the write and CloseIdle
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	lost := 0
 	for range 20 {
 		idle := node.Dial(t)
 		frontendtest.RoundTrip(t, idle, frontendtest.RequestText(3000, "x"))
 		text := frontendtest.RequestText(3000, "x")
-		nettest.Eventually(t, "an idle connection", func() bool {
+		nettest.Eventually(t, "idle connection", func() bool {
 			node.Server.Mutex().Lock()
 			defer node.Server.Mutex().Unlock()
 			for client := range node.Server.ClientConns() {
@@ -90,14 +92,14 @@
 			lost++
 		}
 		nettest.Close(idle)
-		nettest.Eventually(t, "its end", func() bool { return node.Server.OpenClients() == 0 })
+		nettest.Eventually(t, "closed client connection", func() bool { return node.Server.OpenClients() == 0 })
 	}
 	if lost > 0 {
-		t.Errorf("%d of 20 requests were lost", lost)
+		t.Errorf("%d of 20 requests had no response with status 200, want 0", lost)
 	}
 }
 
-// readStatus reads the status of a response.
+// readStatus reads the status line of a response and returns the status.
 func readStatus(conn net.Conn) (int, error) {
 	buf := make([]byte, 12)
 	if _, err := io.ReadFull(conn, buf); err != nil {
@@ -106,9 +108,9 @@
 	return int(buf[9]-'0')*100 + int(buf[10]-'0')*10 + int(buf[11]-'0'), nil
 }
 
-// A connection that waits for a slot when the drain begins, one with half a request and a new one are each answered
-// with a close. A silent connection does not delay the end.
-func TestDrainWaitsForRequestsOnTheWay(t *testing.T) {
+// Requests in transit must not be lost when a drain begins: neither on a connection that waits for a slot, nor on one with a
+// partly read request, nor in flight at an app server. Each response closes its connection.
+func TestDrainWaitsForRequestsInTransit(t *testing.T) {
 	answer := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.LimitsForEight(), 8, func(conn net.Conn, request *http.Request) bool {
 		<-answer
@@ -120,57 +122,58 @@
 		nettest.WriteString(conn, frontendtest.RequestText(5000, "x"))
 		conns = append(conns, conn)
 	}
-	half, text := node.Dial(t), frontendtest.RequestText(5000, "x")
-	nettest.WriteString(half, text[:60])
-	nettest.Eventually(t, "half a request", func() bool {
+	partial, text := node.Dial(t), frontendtest.RequestText(5000, "x")
+	nettest.WriteString(partial, text[:60])
+	nettest.Eventually(t, "partly read request", func() bool {
 		node.Server.Mutex().Lock()
 		defer node.Server.Mutex().Unlock()
-		halves := 0
+		partlyRead := 0
 		for client := range node.Server.ClientConns() {
 			if client.Check().InPhase(frontend.PhasePartial) {
-				halves++
+				partlyRead++
 			}
 		}
-		return halves == 1 && len(node.Server.ClientConns()) == 8 && node.Counters.Requests.Load() == 7
+		return partlyRead == 1 && len(node.Server.ClientConns()) == 8 && node.Counters.Requests.Load() == 7
 	})
-	node.Server.BlockEvictions() // no slot becomes free
-	waits := node.Dial(t)
-	nettest.WriteString(waits, frontendtest.RequestText(5000, "x"))
-	nettest.Eventually(t, "one that waits for a slot", node.Server.AtLimit().Load)
+	node.Server.BlockEvictions() // so that no slot becomes free
+	queued := node.Dial(t)
+	nettest.WriteString(queued, frontendtest.RequestText(5000, "x"))
+	nettest.Eventually(t, "connection that waits for a slot", node.Server.AtLimit().Load)
 	drained := startDrain(node, 0)
-	nettest.Eventually(t, "the close of what is idle", node.Server.ClosingIdle().Load)
+	nettest.Eventually(t, "drain that closes idle connections", node.Server.ClosingIdle().Load)
 	time.Sleep(2 * frontend.FirstRequestGrace)
-	nettest.WriteString(half, text[60:])
+	nettest.WriteString(partial, text[60:])
 	close(answer)
-	for i, conn := range append(conns, half, waits) {
+	for i, conn := range append(conns, partial, queued) {
 		if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 200 && status != 503 || !closes {
-			t.Errorf("connection %d: status %d, closes %v", i, status, closes)
+			t.Errorf("request on connection %d: status %d, closes %v; want status 200 or 503, closes true", i, status, closes)
 		}
 	}
 	waitDrained(t, drained, 3*time.Second)
 }
 
-// A connection that is accepted as the listener closes has time to send a request. A silent one does not delay the end.
+// A connection that is accepted just before the listener closes must have time to send its request. A connection without a
+// request must not delay the end of the drain.
 func TestDrainGivesNewConnectionsTimeToSend(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
-	silent, sends := node.Dial(t), node.Dial(t)
-	nettest.Eventually(t, "both", func() bool { return node.Counters.Connections.Load() == 2 })
+	silent, requesting := node.Dial(t), node.Dial(t)
+	nettest.Eventually(t, "two accepted connections", func() bool { return node.Counters.Connections.Load() == 2 })
 	startedAt := time.Now()
 	drained := startDrain(node, 0)
-	nettest.Eventually(t, "the close of what is idle", node.Server.ClosingIdle().Load)
-	if status, _, closes := frontendtest.RoundTrip(t, sends, frontendtest.RequestText(3000, "x")); status != 200 || !closes {
-		t.Errorf("status %d, closes %v", status, closes)
+	nettest.Eventually(t, "drain that closes idle connections", node.Server.ClosingIdle().Load)
+	if status, _, closes := frontendtest.RoundTrip(t, requesting, frontendtest.RequestText(3000, "x")); status != 200 || !closes {
+		t.Errorf("request on a new connection: status %d, closes %v; want status 200, closes true", status, closes)
 	}
 	if n, err := silent.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("Read on the connection without a request = %d, %v, want 0, EOF", n, err)
 	}
 	waitDrained(t, drained, time.Second)
 	if took := time.Since(startedAt); took > 5*frontend.FirstRequestGrace {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Drain returned after %v, want at most %v", took, 5*frontend.FirstRequestGrace)
 	}
 }
 
-// A request at an app server that hangs ends by its deadline, and the drain with it.
+// An app server that does not respond must not delay a drain beyond the request's deadline.
 func TestDrainEndsWhereAppServersHang(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
 		nettest.WaitForClose(conn)
@@ -178,34 +181,34 @@
 	})
 	conn := node.Dial(t)
 	nettest.WriteString(conn, frontendtest.RequestText(700, ""))
-	nettest.Eventually(t, "the attempt", func() bool { return node.Counters.Upstream.Attempts.Load() == 1 })
+	nettest.Eventually(t, "attempt at the app server", func() bool { return node.Counters.Upstream.Attempts.Load() == 1 })
 	startedAt, drained := time.Now(), startDrain(node, 0)
 	if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 502 || !closes {
-		t.Errorf("status %d, closes %v", status, closes)
+		t.Errorf("request without an answer: status %d, closes %v; want status 502, closes true", status, closes)
 	}
 	waitDrained(t, drained, time.Second)
 	if took := time.Since(startedAt); took > 700*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Drain returned after %v, want at most 700ms", took)
 	}
 }
 
-// drainLoad is the load of clients that send throughout a drain.
+// drainLoad is the state of clients that send requests throughout a drain.
 type drainLoad struct {
-	t                       *testing.T
-	addr                    string
-	lost, crossed, answered atomic.Int64
-	noneAfter               atomic.Int64 // Unix nanoseconds: no new connection is opened from then on; 0: not set
+	t                                *testing.T
+	addr                             string
+	lost, inTransitAtClose, answered atomic.Int64 // numbers of requests; inTransitAtClose counts those in transit during a close
+	noDialsAfter                     atomic.Int64 // time in Unix nanoseconds after which clients open no connection; 0 means no limit
 }
 
-// Clients send throughout a drain, on new connections for a while and on kept ones to the end. Each accepted connection
-// that sent a request gets its response. A kept connection may be closed while a request is in transit; the client then
-// repeats it elsewhere.
+// A drain under load must not lose requests. Clients send throughout the drain: on new connections for a while, and on kept
+// connections to the end. The first request on each accepted connection gets its response. A kept connection may be closed
+// while a request is in transit, because the client can then send it to another node.
 func TestDrainUnderLoadLosesNothing(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 4, func(conn net.Conn, request *http.Request) bool {
 		time.Sleep(2 * time.Millisecond)
 		return frontendtest.Echo(conn, request)
 	})
-	const accept = 400 * time.Millisecond
+	const acceptFor = 400 * time.Millisecond
 	load := &drainLoad{t: t, addr: node.Server.Addr().String()}
 	var clients sync.WaitGroup
 	for seed := range int64(40) {
@@ -215,25 +218,25 @@
 			load.run(rand.New(rand.NewSource(seed)))
 		}()
 	}
-	nettest.Eventually(t, "a load", func() bool { return load.answered.Load() > 200 })
-	load.noneAfter.Store(time.Now().Add(accept / 2).UnixNano())
-	waitDrained(t, startDrain(node, accept), 5*time.Second)
+	nettest.Eventually(t, "200 answered requests", func() bool { return load.answered.Load() > 200 })
+	load.noDialsAfter.Store(time.Now().Add(acceptFor / 2).UnixNano())
+	waitDrained(t, startDrain(node, acceptFor), 5*time.Second)
 	clients.Wait()
-	lost, crossed, answered := load.lost.Load(), load.crossed.Load(), load.answered.Load()
-	if lost > 0 || crossed > answered/100 {
-		t.Errorf("%d lost, %d crossed a close, %d answered", lost, crossed, answered)
+	lost, inTransit, answered := load.lost.Load(), load.inTransitAtClose.Load(), load.answered.Load()
+	if lost > 0 || inTransit > answered/100 {
+		t.Errorf("%d requests lost, want 0; %d in transit during a close, want at most 1%% of %d answered", lost, inTransit, answered)
 	}
-	t.Logf("%d lost, %d crossed a close, %d answered", lost, crossed, answered)
+	t.Logf("requests: %d lost, %d in transit during a close, %d answered", lost, inTransit, answered)
 }
 
-// run plays one client.
+// run runs one client until it can open no connection.
 func (l *drainLoad) run(random *rand.Rand) {
 	var conn net.Conn
 	var reader *bufio.Reader
 	for fresh := true; ; {
 		if conn == nil {
-			if end := l.noneAfter.Load(); end > 0 && time.Now().UnixNano() > end {
-				return // no new connections from now on
+			if deadline := l.noDialsAfter.Load(); deadline > 0 && time.Now().UnixNano() > deadline {
+				return // the time for new connections is over
 			}
 			var err error
 			if conn, err = net.Dial("tcp", l.addr); err != nil {
@@ -251,9 +254,9 @@
 			fresh = false
 		case netio.TimedOut(err) || fresh:
 			l.lost.Add(1)
-			l.t.Logf("%v, fresh %v", err, fresh)
+			l.t.Logf("lost request: %v; first on its connection: %v", err, fresh)
 		default:
-			l.crossed.Add(1)
+			l.inTransitAtClose.Add(1)
 		}
 		if err != nil || response.Close {
 			nettest.Close(conn)
@@ -263,6 +266,8 @@
 	}
 }
 
+// Drain must not return before the requests in flight are answered. Meanwhile health checks fail, idle connections are closed
+// and the listener closes.
 func TestDrainAnswersAllOpenRequests(t *testing.T) {
 	received, answer := make(chan struct{}), make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
@@ -270,18 +275,18 @@
 		<-answer
 		return frontendtest.Echo(conn, request)
 	})
-	idle, busy, checking := node.Dial(t), node.Dial(t), node.Dial(t)
+	idle, busy, healthChecker := node.Dial(t), node.Dial(t), node.Dial(t)
 	nettest.WriteString(busy, frontendtest.RequestText(5000, "late"))
 	<-received
 	drained := startDrain(node, 300*time.Millisecond)
-	nettest.Eventually(t, "the drain", node.Server.Draining().Load)
-	if status, _, closes := frontendtest.RoundTrip(t, checking, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 || !closes {
-		t.Errorf("health %d, closes %v", status, closes)
+	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	if status, _, closes := frontendtest.RoundTrip(t, healthChecker, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 || !closes {
+		t.Errorf("health check during the drain: status %d, closes %v; want status 503, closes true", status, closes)
 	}
 	if _, err := io.ReadAll(idle); err != nil {
-		t.Error(err)
+		t.Errorf("read from the idle connection: %v, want a close", err)
 	}
-	nettest.Eventually(t, "a closed listener", func() bool {
+	nettest.Eventually(t, "closed listener", func() bool {
 		conn, err := net.Dial("tcp", node.Server.Addr().String())
 		if err == nil {
 			nettest.Close(conn)
@@ -290,12 +295,12 @@
 	})
 	select {
 	case <-drained:
-		t.Fatal("ended with a request open")
+		t.Fatal("Drain returned with a request in flight")
 	default:
 	}
 	close(answer)
 	if status, body, closes := frontendtest.RoundTrip(t, busy, ""); status != 200 || body != "late" || !closes {
-		t.Errorf("status %d, body %q, closes %v", status, body, closes)
+		t.Errorf("request in flight: status %d, body %q, closes %v; want status 200, body %q, closes true", status, body, closes, "late")
 	}
 	<-drained
 }
--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -19,20 +19,21 @@
 	"cherrygap/internal/settings"
 )
 
-// budgetSlack is how much an attempt timeout may exceed the time left to the client.
+// budgetSlack is the tolerance of the test: by this much a response may be late, and an attempt timeout may exceed the time
+// left to the client.
 const budgetSlack = 150 * time.Millisecond
 
-// The timeout of each pipelined request starts when it was sent, however long the requests before it take. No attempt
-// timeout exceeds the time left, and late requests are answered at once.
-func TestPipelinedRequestsKeepTheirOwnTime(t *testing.T) {
+// The timeout of a pipelined request must start when its bytes arrive, not when the node begins to handle it. Otherwise the
+// attempt timeout exceeds the time left to the client, and the response comes after the client's deadline.
+func TestPipelinedRequestsKeepTheirTimeouts(t *testing.T) {
 	const requests, timeout, work = 4, time.Second, 400 * time.Millisecond
-	var mu sync.Mutex // guards both below
+	var mu sync.Mutex // guards the variables below
 	var sentAt time.Time
-	var overstated []time.Duration
+	var excesses []time.Duration
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		sentMs, _ := strconv.Atoi(request.Header.Get(protocol.HeaderTimeout))
+		timeoutMs, _ := strconv.Atoi(request.Header.Get(protocol.HeaderTimeout))
 		mu.Lock()
-		overstated = append(overstated, time.Duration(sentMs)*time.Millisecond-(timeout-time.Since(sentAt)))
+		excesses = append(excesses, time.Duration(timeoutMs)*time.Millisecond-(timeout-time.Since(sentAt)))
 		mu.Unlock()
 		time.Sleep(work)
 		return frontendtest.Echo(conn, request)
@@ -46,23 +47,23 @@
 	for i := range requests {
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("request %d: %v", i, err)
+			t.Fatalf("read the response to request %d: %v", i, err)
 		}
 		nettest.DiscardAll(response.Body)
 		if late := time.Since(sentAt) - timeout; late > budgetSlack {
-			t.Errorf("request %d answered %v late", i, late)
+			t.Errorf("response to request %d came %v after its deadline, want at most %v", i, late, budgetSlack)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	for i, more := range overstated {
-		if more > budgetSlack {
-			t.Errorf("attempt %d had a timeout %v over the time left", i, more)
+	for i, excess := range excesses {
+		if excess > budgetSlack {
+			t.Errorf("timeout of attempt %d exceeds the time left by %v, want at most %v", i, excess, budgetSlack)
 		}
 	}
 }
 
-// pipelined returns several requests in one text.
+// pipelined returns the text of several requests. timeout is in milliseconds.
 func pipelined(requests, timeout int) string {
 	var text strings.Builder
 	for range requests {
@@ -71,42 +72,42 @@
 	return text.String()
 }
 
-// Pipelined requests that were read are answered, even if the node starts to drain meanwhile.
+// A drain that begins after pipelined requests were read must not lose them: only the last response closes the connection.
 func TestDrainAnswersWhatWasReadAhead(t *testing.T) {
 	const requests = 3
-	began := make(chan struct{}, requests)
-	goOn := make(chan struct{})
+	started := make(chan struct{}, requests)
+	proceed := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		began <- struct{}{}
-		<-goOn
+		started <- struct{}{}
+		<-proceed
 		return frontendtest.Echo(conn, request)
 	})
 	conn := node.Dial(t)
 	nettest.WriteString(conn, pipelined(requests, 3000))
-	<-began
+	<-started
 	var client *frontend.ClientConn
 	node.Server.Mutex().Lock()
 	for c := range node.Server.ClientConns() {
 		client = c
 	}
 	node.Server.Mutex().Unlock()
-	nettest.Eventually(t, "a second request read", func() bool { return !netio.HasPendingInput(client.Conn()) })
+	nettest.Eventually(t, "read of the pipelined requests", func() bool { return !netio.HasPendingInput(client.Conn()) })
 	drained := startDrain(node, 10*time.Millisecond)
-	nettest.Eventually(t, "the drain", node.Server.Draining().Load)
-	close(goOn)
+	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	close(proceed)
 	reader := bufio.NewReader(conn)
 	for i := range requests {
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("request %d, which was read, was not answered: %v", i, err)
+			t.Fatalf("read the response to request %d, which the node has read: %v", i, err)
 		}
 		nettest.DiscardAll(response.Body)
 		if last := i == requests-1; response.Close != last {
-			t.Errorf("response %d: closes %v", i, response.Close)
+			t.Errorf("response %d closes the connection: %v, want %v", i, response.Close, last)
 		}
 	}
 	if _, err := io.ReadAll(reader); err != nil {
-		t.Errorf("%v instead of a close", err)
+		t.Errorf("read after the last response: %v, want a close", err)
 	}
 	waitDrained(t, drained, 3*time.Second)
 }
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -40,7 +40,7 @@
 	cancelCheck  context.CancelFunc // cancels the authorizer's check; nil while no check runs
 }
 
-// NewRequestHandler returns a handler for one caller, which must call Release in the end. hasClientClosed reports whether
+// NewRequestHandler returns a handler for one caller, which must call Release in the end. hasClientClosed reports whether the
 // caller's client has disconnected; it must not block.
 func (s *Server) NewRequestHandler(hasClientClosed func() bool) *RequestHandler {
 	h := &RequestHandler{server: s, attempts: upstream.NewAttemptRunner(s.pool, s.router, hasClientClosed)}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -29,7 +29,7 @@
 	router     *routing.Router
 	pool       *upstream.Pool
 	limits     netio.Limits
-	authorizer Authorizer // may be nil
+	authorizer Authorizer // nil admits all requests
 	log        *zerolog.Logger
 	counters   *Counters
 	listener   *net.TCPListener
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -13,65 +13,68 @@
 	"cherrygap/internal/settings"
 )
 
-// At the limit, clients that send nothing or half a request are evicted for one that sends a request.
-func TestSilentClientsAreEvicted(t *testing.T) {
+// Clients that stay connected after their response must not use up the slots. At the limit, new connections evict them.
+func TestIdleClientsAreEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
 	for range 30 {
 		conn := node.Dial(t)
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("request on a new connection: status %d, want 200", status)
 		}
 	}
 	if open := node.Server.OpenClients(); open > 8 {
-		t.Errorf("%d clients", open)
+		t.Errorf("%d client connections are open, want at most 8", open)
 	}
 }
 
-// At the limit, connections without a complete request are evicted first, without delay.
-func TestCrowdsThatNeverRequestAreEvicted(t *testing.T) {
+// Many connections without a complete request must not delay other clients. At the limit, they are evicted first, and no new
+// connection waits for their timeout.
+func TestConnectionsWithoutARequestAreEvictedFirst(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
-	stays := node.Dial(t)
-	if status, _, _ := frontendtest.RoundTrip(t, stays, frontendtest.RequestText(3000, "x")); status != 200 {
-		t.Fatalf("status %d", status)
+	kept := node.Dial(t)
+	if status, _, _ := frontendtest.RoundTrip(t, kept, frontendtest.RequestText(3000, "x")); status != 200 {
+		t.Fatalf("first request of the kept connection: status %d, want 200", status)
 	}
 	startedAt := time.Now()
 	for i := range 30 {
 		time.Sleep(frontend.FirstRequestGrace / 5)
 		nettest.WriteString(node.Dial(t), "POST /seats HTTP/1.1\r\nHost"[:i%2*24])
 	}
-	for _, conn := range []net.Conn{node.Dial(t), stays} {
+	for _, conn := range []net.Conn{node.Dial(t), kept} {
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 || time.Since(startedAt) > netio.MessageTimeout*3/4 {
-			t.Fatalf("status %d after %v", status, time.Since(startedAt))
+			t.Fatalf("request at the limit: status %d after %v, want 200 within %v", status, time.Since(startedAt), netio.MessageTimeout*3/4)
 		}
 	}
 	if node.Log.ClosedFor(netio.ReasonClientTimeout) || !node.Log.ClosedFor(netio.ReasonEvicted) {
-		t.Error("the crowd was waited for")
+		t.Errorf("close reasons: %s seen %v, want false; %s seen %v, want true", netio.ReasonClientTimeout,
+			node.Log.ClosedFor(netio.ReasonClientTimeout), netio.ReasonEvicted, node.Log.ClosedFor(netio.ReasonEvicted))
 	}
 }
 
-// Over half of the slots, each response closes its connection, before any has to be evicted.
+// When more than half of the slots are in use, each response closes its connection. Otherwise clients that stay connected
+// would use up the slots, and new connections would have to wait for evictions.
 func TestResponsesCloseNearTheLimit(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
-	for k := range 6 {
-		if _, _, closes := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); closes != (k > 3) {
-			t.Errorf("response %d closes: %v", k, closes)
+	for i := range 6 {
+		if _, _, closes := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); closes != (i > 3) {
+			t.Errorf("response %d closes its connection: %v, want %v", i, closes, i > 3)
 		}
 	}
 }
 
-// New connections, whose request is in transit, are not evicted.
+// An eviction must not close a new connection whose first request is in transit, because the request would be lost.
 func TestNewClientsAreNotEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 40 {
 		conn := node.Dial(t)
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			time.Sleep(frontend.FirstRequestGrace / 10)
-			frontendtest.RoundTrip(t, conn, frontendtest.RequestText(5000, "x")) // and stays connected
+			frontendtest.RoundTrip(t, conn, frontendtest.RequestText(5000, "x")) // the client stays connected
 		}()
 		time.Sleep(frontend.FirstRequestGrace / 30)
 	}
-	all.Wait()
+	clients.Wait()
 }
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -26,16 +26,16 @@
 	"cherrygap/internal/settings"
 )
 
-// The tests of this file hold the bytes that clients and app servers get. Nodes of different versions run side by side in
-// one fleet.
+// The tests of this file compare the exact bytes that clients and app servers receive. The bytes must not change, because
+// nodes of different versions run side by side in one fleet.
 
 // attemptRecorder is an app server that records the bytes of each attempt.
 type attemptRecorder struct {
 	mu       sync.Mutex // guards attempts
-	attempts []string
+	attempts []string   // raw bytes of each attempt
 }
 
-// serve answers the attempts on one connection. answer returns the response to a request id.
+// serve answers the attempts on one connection. answer returns the response to the request with the given id.
 func (r *attemptRecorder) serve(conn net.Conn, answer func(id string) string) {
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
@@ -48,7 +48,7 @@
 			return
 		}
 		r.mu.Lock()
-		r.attempts = append(r.attempts, raw.String()) // no bytes follow an attempt before its response
+		r.attempts = append(r.attempts, raw.String()) // the node sends nothing behind an attempt before its response
 		r.mu.Unlock()
 		raw.Reset()
 		if _, err := io.WriteString(conn, answer(request.Header.Get(protocol.HeaderRequestID))); err != nil {
@@ -57,10 +57,11 @@
 	}
 }
 
-func always(answer string) func(string) string { return func(string) string { return answer } }
+// fixedResponse returns an answer function that returns the same response to each request.
+func fixedResponse(answer string) func(string) string { return func(string) string { return answer } }
 
-// add starts app servers with one recorder, and makes them the node's endpoint list.
-func (r *attemptRecorder) add(t *testing.T, node *frontendtest.Node, servers int, answer func(id string) string) {
+// startServers starts app servers that share the recorder, and sends the node an endpoint list of them.
+func (r *attemptRecorder) startServers(t *testing.T, node *frontendtest.Node, servers int, answer func(id string) string) {
 	t.Helper()
 	list := &protocol.EndpointList{Full: true}
 	for i := range servers {
@@ -76,41 +77,43 @@
 	retryHeader    = regexp.MustCompile(`\r\nRetry-After: ([0-9]+\.[0-9]{3})\r\n`)
 )
 
-// masked replaces a header's number, which depends on the clock and must be above 0 and at most most.
-func masked(t *testing.T, text string, header *regexp.Regexp, most float64) string {
+// masked replaces the number in a header by #, because the number depends on the clock. The number must be above 0 and at
+// most maximum.
+func masked(t *testing.T, text string, header *regexp.Regexp, maximum float64) string {
 	t.Helper()
 	return header.ReplaceAllStringFunc(text, func(line string) string {
 		number := header.FindStringSubmatch(line)[1]
-		if v, err := strconv.ParseFloat(number, 64); err != nil || !(v > 0 && v <= most) {
-			t.Errorf("%q is not above 0 and up to %v", line, most)
+		if value, err := strconv.ParseFloat(number, 64); err != nil || !(value > 0 && value <= maximum) {
+			t.Errorf("number in header line %q: want above 0 and at most %v", line, maximum)
 		}
 		return strings.Replace(line, number, "#", 1)
 	})
 }
 
-// exchange sends text on a new connection and returns the bytes of the response, up to the node's close if it closes.
+// exchange sends text on a new connection and returns the bytes of the response. If the response closes the connection, it
+// also returns the bytes up to the close.
 func exchange(t *testing.T, node *frontendtest.Node, text string) string {
 	t.Helper()
 	conn := node.Dial(t)
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write request: %v", err)
 	}
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
 	for {
-		answer, err := http.ReadResponse(reader, nil)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("%v after %q", err, raw.String())
+			t.Fatalf("read response after the bytes %q: %v", raw.String(), err)
 		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
-			t.Fatal(err)
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
+			t.Fatalf("read response body: %v", err)
 		}
-		if answer.StatusCode == http.StatusContinue {
+		if response.StatusCode == http.StatusContinue {
 			continue
 		}
-		if answer.Close {
+		if response.Close {
 			if _, err := io.Copy(io.Discard, reader); err != nil {
-				t.Errorf("%v instead of a close", err)
+				t.Errorf("read after the response: %v, want a close", err)
 			}
 		}
 		nettest.Close(conn)
@@ -123,9 +126,9 @@
 
 const completedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\n\r\n{\"a\":1}"
 
-// requestCases are the bytes that a client sends, that an app server gets, and that the client gets.
+// requestCases lists the bytes that a client sends, that an app server receives, and that the client receives.
 var requestCases = map[string]struct{ sent, attempt, answer string }{
-	"body, key, type and what is not passed on": {
+	"body, key, content type and headers that are not forwarded": {
 		sent: "POST /seats/x/0000000000000005?q=%20a HTTP/1.1\r\nhost: shop.example\r\nx-call-id: golden-1\r\nX-Tariff: team\r\n" +
 			"X-Budget-Ms: 3000\r\nX-Weight: units=1.25,spread=1,first=0\r\nContent-Type: text/plain; charset=utf-8\r\n" +
 			"IDEMPOTENCY-KEY: k-1\r\nAccept: */*\r\nCookie: a=b\r\nContent-Length: 5\r\n\r\nhello",
@@ -153,14 +156,14 @@
 			"Content-Length: 0\r\n\r\n",
 		answer: completedResponse,
 	},
-	"the client's last": {
+	"Connection: close by the client": {
 		sent: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-5\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n",
 		attempt: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-5\r\nX-Budget-Ms: #\r\n\r\n",
 		answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" +
 			"{\"a\":1}",
 	},
-	"body by leave": {
+	"Expect: 100-continue": {
 		sent: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-6\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		attempt: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-6\r\nX-Budget-Ms: #\r\n" +
@@ -169,21 +172,22 @@
 	},
 }
 
+// Guards the bytes of an attempt and of the response to a completed request.
 func TestCompletedRequestWireFormat(t *testing.T) {
 	for name, test := range requestCases {
 		t.Run(name, func(t *testing.T) {
 			node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
-			recorder.add(t, node, 1, always(serverResponse))
+			recorder.startServers(t, node, 1, fixedResponse(serverResponse))
 			if got := exchange(t, node, test.sent); got != test.answer {
-				t.Errorf("the client got\n%q, not\n%q", got, test.answer)
+				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
 			}
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
 			if len(recorder.attempts) != 1 {
-				t.Fatalf("%d attempts: %q", len(recorder.attempts), recorder.attempts)
+				t.Fatalf("%d attempts %q, want 1", len(recorder.attempts), recorder.attempts)
 			}
 			if got := masked(t, recorder.attempts[0], deadlineHeader, 3000); got != test.attempt {
-				t.Errorf("the app server got\n%q, not\n%q", got, test.attempt)
+				t.Errorf("attempt at the app server\n%q, want\n%q", got, test.attempt)
 			}
 		})
 	}
@@ -192,12 +196,13 @@
 const plainRequest = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 1\r\n\r\nx"
 
-// Each attempt of a rejected or failed request has the same bytes, except for its timeout.
+// Guards the responses to rejected and failed requests. Each attempt of such a request has the same bytes, except for its
+// timeout.
 func TestRejectedAndFailedWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	for name, test := range map[string]struct {
 		retries, app, answer string
-		attempts             int // a fresh node retries nothing
+		attempts             int // expected attempts; a new node has no retry budget
 	}{
 		"rejected by every server": {
 			retries: settings.RetryUnsafe, app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
@@ -217,102 +222,102 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			advice := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
-			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: advice, Retries: test.retries, Limits: frontendtest.Limits}), &attemptRecorder{}
+			retryAfterSettings := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
+			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: retryAfterSettings, Retries: test.retries, Limits: frontendtest.Limits}), &attemptRecorder{}
 			if test.app != "" {
-				recorder.add(t, node, 3, always(test.app))
+				recorder.startServers(t, node, 3, fixedResponse(test.app))
 			}
 			if got := masked(t, exchange(t, node, plainRequest), retryHeader, 1); got != test.answer {
-				t.Errorf("the client got\n%q, not\n%q", got, test.answer)
+				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
 			}
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
 			if len(recorder.attempts) != test.attempts {
-				t.Errorf("%d attempts, not %d", len(recorder.attempts), test.attempts)
+				t.Errorf("%d attempts, want %d", len(recorder.attempts), test.attempts)
 			}
 			for _, raw := range recorder.attempts {
 				if got := masked(t, raw, deadlineHeader, 3000); got != attempt {
-					t.Errorf("the app server got\n%q, not\n%q", got, attempt)
+					t.Errorf("attempt at the app server\n%q, want\n%q", got, attempt)
 				}
 			}
 		})
 	}
 }
 
-// A retry has the bytes of the first attempt, except for its timeout.
+// Guards the bytes of a retry, which are those of the first attempt except for its timeout.
 func TestRetryWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	node, recorder := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
-	recorder.add(t, node, 3, func(id string) string {
+	recorder.startServers(t, node, 3, func(id string) string {
 		if id == "golden-7" {
 			return "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 		}
 		return serverResponse
 	})
 	conn := node.Dial(t)
-	for range 40 { // fill the retry budget
+	for range 40 { // these requests fill the retry budget
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("request before the retries: status %d, want 200", status)
 		}
 	}
 	if got, want := exchange(t, node, plainRequest), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"; got != want {
-		t.Errorf("the client got\n%q, not\n%q", got, want)
+		t.Errorf("response to the client\n%q, want\n%q", got, want)
 	}
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	retries := recorder.attempts[40:]
 	if len(retries) < 2 {
-		t.Errorf("%d attempts", len(retries))
+		t.Errorf("%d attempts of the rejected request, want at least 2", len(retries))
 	}
 	for _, raw := range retries {
 		if got := masked(t, raw, deadlineHeader, 3000); got != attempt {
-			t.Errorf("the app server got\n%q, not\n%q", got, attempt)
+			t.Errorf("attempt at the app server\n%q, want\n%q", got, attempt)
 		}
 	}
 }
 
-// Malformed requests are rejected and not forwarded.
+// Guards the responses to invalid requests, which are rejected and not forwarded.
 func TestMalformedRequestWireFormat(t *testing.T) {
-	change := func(old, now string) string { return strings.Replace(plainRequest, old, now, 1) }
+	replaced := func(old, replacement string) string { return strings.Replace(plainRequest, old, replacement, 1) }
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
-	recorder.add(t, node, 1, always(serverResponse))
+	recorder.startServers(t, node, 1, fixedResponse(serverResponse))
 	for name, test := range map[string]struct{ sent, answer string }{
 		"not HTTP": {"hello\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"no id":    {change("X-Call-Id: golden-7\r\n", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"figures outside the settings": {
-			change("spread=1", "spread=9"),
+		"no id":    {replaced("X-Call-Id: golden-7\r\n", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"spread outside the settings": {
+			replaced("spread=1", "spread=9"),
 			"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		},
-		"unknown class": {change("seats", "stalls"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
-		"unknown plan":  {change("team", "none"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"unknown class": {replaced("seats", "stalls"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
+		"unknown plan":  {replaced("team", "none"), "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"huge body": {
-			change("Length: 1", "Length: 65537"),
+			replaced("Length: 1", "Length: 65537"),
 			"HTTP/1.1 413 Request Entity Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		},
 		"huge head": {
-			change("Host: a", "Host: a\r\nA: "+strings.Repeat("a", protocol.MaxHead)),
+			replaced("Host: a", "Host: a\r\nA: "+strings.Repeat("a", protocol.MaxHead)),
 			"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := exchange(t, node, test.sent); got != test.answer {
-				t.Errorf("got\n%q, not\n%q", got, test.answer)
+				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
 			}
 		})
 	}
 	exchange(t, node, plainRequest)
 	const conflict = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	if got := exchange(t, node, plainRequest); got != conflict {
-		t.Errorf("an id lately answered: got\n%q, not\n%q", got, conflict)
+		t.Errorf("response to a request with a recently answered id:\n%q, want\n%q", got, conflict)
 	}
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	if len(recorder.attempts) != 1 {
-		t.Errorf("%d attempts for one request", len(recorder.attempts))
+		t.Errorf("%d attempts, want 1 for the only valid request", len(recorder.attempts))
 	}
 }
 
-// fixedVerdict is an authorizer with one answer to all requests.
+// fixedVerdict is an authorizer that gives the same answer to each request.
 type fixedVerdict struct {
 	verdict    authz.Verdict
 	retryAfter time.Duration
@@ -322,7 +327,7 @@
 	return frontend.Authorization{Verdict: v.verdict, RetryAfter: v.retryAfter}
 }
 
-// The authorizer's rejections.
+// Guards the responses to requests that the authorizer denies or rejects.
 func TestDeniedWireFormat(t *testing.T) {
 	for _, test := range []struct {
 		check  fixedVerdict
@@ -337,40 +342,40 @@
 		t.Run(fmt.Sprint(test.check.verdict), func(t *testing.T) {
 			node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 			log := zerolog.New(node.Log)
-			front, err := frontend.Listen(frontend.Config{
+			server, err := frontend.Listen(frontend.Config{
 				Addr: "127.0.0.1:0", Router: node.Router, Pool: node.Pool, Limits: frontendtest.Limits,
 				Authorizer: test.check, Log: &log, Counters: &node.Counters.Counters,
 			})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("start the front end: %v", err)
 			}
-			node.Server = front
+			node.Server = server
 			if got := exchange(t, node, plainRequest); got != test.answer {
-				t.Errorf("got\n%q, not\n%q", got, test.answer)
+				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
 			}
 		})
 	}
 }
 
-// The node's own health as a load balancer asks for it, and answers while the node drains.
+// Guards the responses to a load balancer's health checks of the node, and the responses while the node drains.
 func TestHealthAndDrainingWireFormat(t *testing.T) {
-	const health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
+	const healthRequest = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 	steps := []struct {
 		name, sent, answer string
 		before             func()
 	}{
-		{name: "no server known", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
+		{name: "no server", sent: healthRequest, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
 		{
-			name: "ready", sent: health, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-			before: func() { recorder.add(t, node, 1, always(serverResponse)) },
+			name: "ready", sent: healthRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+			before: func() { recorder.startServers(t, node, 1, fixedResponse(serverResponse)) },
 		},
 		{
-			name: "ready, asked to close", sent: strings.Replace(health, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
+			name: "ready, Connection: close", sent: strings.Replace(healthRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
 			answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		},
 		{
-			name: "draining", sent: health, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+			name: "draining", sent: healthRequest, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 			before: func() { node.Server.Draining().Store(true) },
 		},
 		{name: "a request while draining", sent: plainRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
@@ -381,7 +386,7 @@
 			step.before()
 		}
 		if got := exchange(t, node, step.sent); got != step.answer {
-			t.Errorf("%s: got\n%q, not\n%q", step.name, got, step.answer)
+			t.Errorf("%s: response\n%q, want\n%q", step.name, got, step.answer)
 		}
 	}
 }
