--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -73,9 +73,9 @@
 }
 
 // Start starts a node and its app servers, each of which answers requests with serve.
-func Start(t *testing.T, retries string, limits netio.Limits, servers int, serve nettest.Handler) *Node {
+func Start(t *testing.T, retrySafety string, limits netio.Limits, servers int, serve nettest.Handler) *Node {
 	t.Helper()
-	return StartWith(t, Config{Retries: retries, Limits: limits, Servers: servers, Serve: serve})
+	return StartWith(t, Config{Retries: retrySafety, Limits: limits, Servers: servers, Serve: serve})
 }
 
 // StartWith starts a node and its app servers.
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -201,31 +201,31 @@
 func TestRejectedAndFailedWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	for name, test := range map[string]struct {
-		retries, app, answer string
-		attempts             int // expected attempts; a new node has no retry budget
+		retrySafety, serverResponse, answer string
+		attempts                            int // expected attempts; a new node has no retry budget
 	}{
 		"rejected by every server": {
-			retries: settings.RetryUnsafe, app: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+			retrySafety: settings.RetryUnsafe, serverResponse: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"unsafe, answered with an error": {
-			retries: settings.RetryUnsafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			retrySafety: settings.RetryUnsafe, serverResponse: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
 		},
 		"safe, answered with errors": {
-			retries: settings.RetrySafe, app: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
+			retrySafety: settings.RetrySafe, serverResponse: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
 			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"no server": {
-			retries: settings.RetryUnsafe,
-			answer:  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
+			retrySafety: settings.RetryUnsafe,
+			answer:      "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			retryAfterSettings := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
-			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: retryAfterSettings, Retries: test.retries, Limits: frontendtest.Limits}), &attemptRecorder{}
-			if test.app != "" {
-				recorder.startServers(t, node, 3, fixedResponse(test.app))
+			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: retryAfterSettings, Retries: test.retrySafety, Limits: frontendtest.Limits}), &attemptRecorder{}
+			if test.serverResponse != "" {
+				recorder.startServers(t, node, 3, fixedResponse(test.serverResponse))
 			}
 			if got := masked(t, exchange(t, node, plainRequest), retryHeader, 1); got != test.answer {
 				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
