--- a/internal/operatorfile/deprecated_test.go
+++ b/internal/operatorfile/deprecated_test.go
@@ -101,15 +101,16 @@
 budget_ms = 502
 `
 
-// Standard and deprecated names have the same meaning. Each deprecated name has one notice.
+// Guards against a deprecated key whose value is lost or reaches the wrong field, and against a missing or repeated notice.
+// standardFile and deprecatedFile give the same values, so that both must parse to the same configuration.
 func TestDeprecatedNamesMeanTheStandardOnes(t *testing.T) {
 	standard, errs := Parse(standardFile)
 	if len(errs) > 0 || len(standard.Deprecations) > 0 {
-		t.Fatal(errs, standard.Deprecations)
+		t.Fatalf("Parse(standardFile): errors %v, deprecations %v, want none", errs, standard.Deprecations)
 	}
 	deprecated, errs := Parse(deprecatedFile)
 	if len(errs) > 0 {
-		t.Fatal(errs)
+		t.Fatalf("Parse(deprecatedFile): errors %v, want none", errs)
 	}
 	for name, describe := range map[string]func(*File) string{
 		"file":            func(f *File) string { return describeFile(*f) },
@@ -118,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, want := describe(&standard), describe(&deprecated); got != want {
-				t.Errorf("%q, want %q", got, want)
+				t.Errorf("standardFile parses to %q, want %q as from deprecatedFile", got, want)
 			}
 		})
 	}
@@ -127,10 +128,11 @@
 		notices.WriteString(d.String() + "\n")
 	}
 	if notices.String() != deprecatedFileNotices {
-		t.Errorf("got\n%s\nwant\n%s", notices.String(), deprecatedFileNotices)
+		t.Errorf("notices of deprecatedFile:\n%s\nwant\n%s", notices.String(), deprecatedFileNotices)
 	}
 }
 
+// deprecatedFileNotices are the notices of deprecatedFile, one a line.
 const deprecatedFileNotices = `line 4: settings.executions: deprecated; write settings.max_attempts
 line 5: settings.withdraw: deprecated; write settings.cancel_attempts
 line 7: settings.peers_take: deprecated; write settings.peer_messages_per_s
@@ -168,6 +170,7 @@
 line 91: lab.load.band.1.repeats: deprecated; write lab.load.class.1.retry_safety = "unsafe"
 `
 
+// deprecationCases are files with the errors and notices that Parse must return for them.
 var deprecationCases = []struct{ name, text, errors, notices string }{
 	{
 		"deprecated words under the standard key", "[[settings.class]]\nname = \"a\"\nretry_safety = \"referenced\"\n", "",
@@ -181,9 +184,9 @@
 		"deprecated words of the lab", "[[lab.load.class]]\nname = \"a\"\nretry_safety = \"replayable\"\nshare = 1\nbudget_ms = 1\n", "",
 		"line 3: lab.load.class.0.retry_safety: deprecated; write lab.load.class.0.retry_safety = \"safe\"",
 	},
-	{"an empty table", "[duties]\n", "", "line 1: duties: deprecated; write health_checks"},
+	{"empty table", "[duties]\n", "", "line 1: duties: deprecated; write health_checks"},
 	{"dotted keys", "watch.on = true\n", "", "watch: deprecated; write shadow\nwatch.on: deprecated; write shadow.enabled"},
-	{"another case", "[Duties]\nON = true\n", "", "duties: deprecated; write health_checks\nduties.on: deprecated; write health_checks.enabled"},
+	{"another letter case", "[Duties]\nON = true\n", "", "duties: deprecated; write health_checks\nduties.on: deprecated; write health_checks.enabled"},
 	{
 		"deprecated settings in the standard table", "[shadow.settings]\nexecutions = 2\n", "",
 		"line 2: shadow.settings.executions: deprecated; write shadow.settings.max_attempts",
@@ -232,17 +235,17 @@
 		"line 3: lab.load.class.0.retry_safety: \"keyed\" is neither safe nor unsafe", "",
 	},
 	{
-		"no word of the lab", "[[lab.load.class]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
+		"missing word of the lab", "[[lab.load.class]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
 		"line 1: lab.load.class.0.retry_safety: \"\" is neither safe nor unsafe", "",
 	},
 	{
-		"no deprecated word of the lab", "[[lab.load.band]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
+		"missing deprecated word of the lab", "[[lab.load.band]]\nname = \"a\"\nshare = 1\nbudget_ms = 1\n",
 		"line 1: lab.load.band.0.repeats: \"\" is neither replayable nor single-use", "",
 	},
 	{"no class of the lab", "[lab.load]\nclass = []\n", "line 2: lab.load.class: no class is given", ""},
 	{
 		"no name of a class", "[[settings.class]]\ngroup = \"all\"\n",
-		"line 1: settings.class.0.name: is empty; it is the platform's name of the class", "",
+		"line 1: settings.class.0.name: is empty; it must be the platform's name of the class", "",
 	},
 	{
 		"standard keys out of range", "[settings]\nmax_attempts = 0\nslow_start_from = 2.0\n[shadow.settings]\noverload_ms = 0\n[health_checks]\ninterval_ms = 1\n",
@@ -252,6 +255,8 @@
 	{"deprecated key below a standard table of the same part", "[health_checks]\ncheck_ms = 4000\n", "line 2: health_checks.check_ms: no such key", ""},
 }
 
+// Guards against a file that gives a key under both names and silently means one of them, and against notices and errors that
+// name a key otherwise than the file spells it.
 func TestDeprecationsAndTheirErrors(t *testing.T) {
 	for _, c := range deprecationCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -261,10 +266,10 @@
 				notices[i] = d.String()
 			}
 			if got := describeErrors(errs); got != c.errors {
-				t.Errorf("errors %q, want %q", got, c.errors)
+				t.Errorf("Parse(%q): errors %q, want %q", c.text, got, c.errors)
 			}
 			if got := strings.Join(notices, "\n"); got != c.notices {
-				t.Errorf("notices %q, want %q", got, c.notices)
+				t.Errorf("Parse(%q): notices %q, want %q", c.text, got, c.notices)
 			}
 		})
 	}
--- a/internal/operatorfile/errors.go
+++ b/internal/operatorfile/errors.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// KeyError is an error in a file, at one of its keys.
+// KeyError is an error at one key of an operator file.
 type KeyError struct {
-	Key    string // as the file spells it; "(syntax)" or "(file)" for an error without a key
-	Line   int    // from 1; 0 where unknown
-	Reason string
+	Key    string // key as the file spells it; "(syntax)" or "(file)" for an error without a key
+	Line   int    // line number, from 1; 0 if unknown
+	Reason string // problem, with the value where there is one
 }
 
-// Error returns the line, where it is known, the key and the reason.
-func (e KeyError) Error() string { return e.at() + ": " + e.Reason }
+// Error returns the line (if known), the key and the reason.
+func (e KeyError) Error() string { return e.location() + ": " + e.Reason }
 
-// at returns the place of the error.
-func (e KeyError) at() string {
+// location returns the line (if known) and the key.
+func (e KeyError) location() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Key)
 	}
@@ -25,11 +25,11 @@
 
 // FileError holds all errors of one file, in the order of their lines. errors.As finds each KeyError.
 type FileError struct {
-	Path   string
+	Path   string // path as passed to Load
 	Errors []KeyError
 }
 
-// Error returns a line for each error, with the file's path.
+// Error returns one line of text for each KeyError, which starts with the file's path.
 func (e *FileError) Error() string {
 	lines := make([]string, len(e.Errors))
 	for i, err := range e.Errors {
--- a/internal/operatorfile/format_test.go
+++ b/internal/operatorfile/format_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// The tests of this file hold the format of the operator file: its keys, their defaults and the forms of TOML that it may
-// have. Files of operators must keep their meaning.
+// The tests of this file guard the format of the operator file against change: its keys, their defaults and the accepted forms
+// of TOML. The files that operators have must keep their meaning.
 
+// Guards against a default that changes, and against an example file that differs from the defaults.
 func TestDefaultsOfEveryKey(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
-		{"of the program", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3}"},
-		{"of its settings", describeSettings(&SettingsOverride{}), ""},
+		{"file", describeFile(Default()), "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3}"},
+		{"settings", describeSettings(&SettingsOverride{}), ""},
 	} {
 		checkText(t, c.name, c.got, c.want)
 	}
 	f, errs := Parse("")
 	if len(errs) > 0 || describeFile(f) != describeFile(Default()) {
-		t.Errorf("an empty file gives %v, %v", describeFile(f), errs)
+		t.Errorf("Parse of an empty file = %v, %v, want the defaults without errors", describeFile(f), errs)
 	}
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	if f, errs := Parse(string(raw)); len(errs) > 0 || describeFile(f) != describeFile(Default()) ||
 		describeSettings(&f.Settings) != "" || describeSettings(&f.Shadow.Settings) != "" {
-		t.Errorf("the shipped file gives %v, %v", describeFile(f), errs)
+		t.Errorf("Parse(deploy/operator.toml) = %v, %v, want the defaults without errors", describeFile(f), errs)
 	}
 }
 
@@ -125,34 +126,37 @@
 budget_ms = 502
 `
 
+// Guards against a key whose value is ignored or reaches the wrong field.
 func TestMeaningOfEveryKey(t *testing.T) {
 	f, errs := Parse(deprecatedFile)
 	if len(errs) > 0 {
-		t.Fatal(errs)
+		t.Fatalf("Parse(deprecatedFile): errors %v, want none", errs)
 	}
 	for _, c := range []struct{ name, got, want string }{
 		{"file", describeFile(f), "log debug; watch true; duties true 4000 2048; quota \"10.2.0.6:6379\" 100; authz \"10.2.0.7:9191\" 32 [\"seats\" \"buy\"]; grpc \"10.0.0.4:9500\" 128; seed 9223372036854775807; emulator \"[::1]:9000\" 5 9 33 65 21 0.5 3 11 5 31 2001 false false \"faults.toml\"; load \"127.0.0.2:8081\" 201 11 51 1.3 5 1 2 0.6 257 \"pro\" 2 {\"a\" safe 0.7 501 2} {\"b\" unsafe 0.3 502 0}"},
 		{"settings", describeSettings(&f.Settings), "cancel_attempts=true;class.1.idempotency_group=cell;class.1.idempotency_window=30000;class.1.latency_objective=8000;class.1.retry_safety=keyed;idle_timeout=300000;max_attempts=3;max_retry_after=20000;overload_multiple=3;overload_span=20000;peer_messages_per_s=60.5;peers=false;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25.5;plan.0.max_in_flight=2;plan.0.rate=12.5;retry_after=true;slow_start_share=0.25;slow_start_span=15005;"},
-		{"watched settings", describeSettings(&f.Shadow.Settings), "class.0.retry_safety=unsafe;max_attempts=2;plan.0.max_in_flight=0;"},
+		{"shadow settings", describeSettings(&f.Shadow.Settings), "class.0.retry_safety=unsafe;max_attempts=2;plan.0.max_in_flight=0;"},
 	} {
 		checkText(t, c.name, c.got, c.want)
 	}
 }
 
+// Guards against a form of TOML that Parse reads as other values: inline tables, other letter cases, integers for floats, and
+// empty tables and lists.
 func TestFormsOfTOML(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"dotted keys", "duties.on = true\nquota = {store = \"1.2.3.4:5\", calls = 7}\nlab.load.band = [{name = \"x\", repeats = \"replayable\", share = 1, budget_ms = 5}]\n", "log info; watch false; duties true 5000 4096; quota \"1.2.3.4:5\" 7; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"x\" safe 1 5 0} |  | "},
-		{"names in other letters", "[DUTIES]\nON = true\nCheck_Ms = 4000\n[Lab.Load]\nRATE = 5\n", "log info; watch false; duties true 4000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 5 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
-		{"a band replaces all", "[[lab.load.band]]\nname = \"only\"\nrepeats = \"replayable\"\nshare = 1.0\nbudget_ms = 100\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"only\" safe 1 100 0} |  | "},
+		{"keys in another letter case", "[DUTIES]\nON = true\nCheck_Ms = 4000\n[Lab.Load]\nRATE = 5\n", "log info; watch false; duties true 4000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 5 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
+		{"one class replaces all defaults", "[[lab.load.band]]\nname = \"only\"\nrepeats = \"replayable\"\nshare = 1.0\nbudget_ms = 100\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"only\" safe 1 100 0} |  | "},
 		{"integers for floats", "[quota]\ncalls = 5\n[lab.load]\nrate = 7\n", "log info; watch false; duties false 5000 4096; quota \"\" 5; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 7 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
 		{"empty tables", "[settings]\n[watch]\n[watch.settings]\n[duties]\n[quota]\n[authz]\n[grpc]\n[lab]\n[lab.emulator]\n[lab.load]\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
 		{"empty list", "[authz]\npass_open = []\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
-		{"watched, not on", "[watch.settings]\nexecutions = 2\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | max_attempts=2;"},
+		{"shadow settings, not enabled", "[watch.settings]\nexecutions = 2\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 1; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | max_attempts=2;"},
 		{"seed below 0", "[lab]\nseed = -1\n", "log info; watch false; duties false 5000 4096; quota \"\" 200; authz \"\" 64 []; grpc \"\" 256; seed 18446744073709551615; emulator \"127.0.0.1:0\" 4 8 32 64 20 0.4 2 10 4 30 2000 true true \"\"; load \"127.0.0.1:8080\" 200 10 50 1.2 0 0 1 0.5 256 \"team\" 1 {\"seat-lookup\" safe 0.8 500 1} {\"seat-purchase\" unsafe 0.2 1500 3} |  | "},
 	} {
 		f, errs := Parse(c.text)
 		if len(errs) > 0 {
-			t.Errorf("%s: %v", c.name, errs)
+			t.Errorf("%s: Parse(%q): errors %v, want none", c.name, c.text, errs)
 		}
 		checkText(t, c.name, describeFile(f)+" | "+describeSettings(&f.Settings)+" | "+describeSettings(&f.Shadow.Settings), c.want)
 	}
--- a/internal/operatorfile/helpers_test.go
+++ b/internal/operatorfile/helpers_test.go
@@ -11,18 +11,18 @@
 	"cherrygap/internal/settings"
 )
 
-// checkText fails a case whose text is not the one written out.
+// checkText runs a subtest, which fails if got and want differ.
 func checkText(t *testing.T, name, got, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
 		if got != want {
-			t.Errorf("got  %q\nwant %q", got, want)
+			t.Errorf("%s: got  %q\nwant %q", name, got, want)
 		}
 	})
 }
 
-// describeFile renders every value of a file but those of its settings, which describeSettings renders.
+// describeFile returns the text of every value of a file, except its settings. describeSettings covers these.
 func describeFile(f File) string {
 	e, l := f.Lab.Emulator, f.Lab.Load
 	s := fmt.Sprintf("log %s; watch %v; duties %v %v %v; quota %q %v; authz %q %d %q; grpc %q %d; seed %d; ", f.Log.Level, f.Shadow.Enabled, f.HealthChecks.Enabled,
@@ -32,45 +32,46 @@
 		e.ServiceMs, e.Spread, e.HandshakeMs, e.WarmupS, e.WarmupFactor, e.IdleS, e.DrainMs, e.LoadReports, e.HealthChecks, e.Schedule)
 	s += fmt.Sprintf("load %q %v %v %d %v %v %v %v %v %d %q %d", l.Target, l.Rate, l.DurationS, l.Customers, l.Skew, l.BurstS, l.BurstLenS,
 		l.BurstX, l.RetryProbability, l.Connections, l.Plan, l.Spread)
-	for _, b := range l.Classes {
-		s += fmt.Sprintf(" {%q %s %v %d %v}", b.Name, b.RetrySafety, b.Share, b.BudgetMs, b.Units)
+	for _, c := range l.Classes {
+		s += fmt.Sprintf(" {%q %s %v %d %v}", c.Name, c.RetrySafety, c.Share, c.BudgetMs, c.Units)
 	}
 	return s
 }
 
-// describeSettings renders the settings that s changes, for a node with two classes and a plan.
+// describeSettings returns the text of the settings that s overrides, for a platform with two classes and one plan. It applies
+// s once with every switch off and once with every switch on. A switch that s does not override differs between the two.
 func describeSettings(s *SettingsOverride) string {
-	off := settings.Values{
+	switchesOff := settings.Values{
 		settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "seats", settings.ClassKey(1, settings.ClassName): "buy",
 		settings.PlanCount: "1", settings.PlanKey(0, settings.PlanName): "team",
 	}
-	on := maps.Clone(off)
+	switchesOn := maps.Clone(switchesOff)
 	for _, key := range []string{
 		settings.Hedging, settings.CancelAttempts, settings.HealthChecks, settings.Peers, settings.RetryAfter,
 		settings.EstimatedUnits, settings.ClassKey(0, settings.ClassStreaming), settings.ClassKey(1, settings.ClassStreaming),
 	} {
-		on[key] = settings.On
+		switchesOn[key] = settings.On
 	}
-	fromOff, err := s.Apply(settings.Parse(off))
+	fromOff, err := s.Apply(settings.Parse(switchesOff))
 	if err != nil {
 		return "error " + err.Error()
 	}
-	fromOn, err := s.Apply(settings.Parse(on))
+	fromOn, err := s.Apply(settings.Parse(switchesOn))
 	if err != nil {
 		return "error " + err.Error()
 	}
-	got, texts, whenOn := "", settingTexts(fromOff), settingTexts(fromOn)
+	got, texts, textsFromOn := "", settingTexts(fromOff), settingTexts(fromOn)
 	for _, key := range slices.Sorted(maps.Keys(texts)) {
 		isName := strings.HasSuffix(key, ".count") || strings.HasSuffix(key, ".name")
-		written := texts[key] != "" && texts[key] == whenOn[key] // a switch that s does not change differs
-		if written && !isName {
+		isOverridden := texts[key] != "" && texts[key] == textsFromOn[key]
+		if isOverridden && !isName {
 			got += fmt.Sprintf("%s=%s;", key, texts[key])
 		}
 	}
 	return got
 }
 
-// settingTexts returns the text of every field of settings, with two classes and two plans, by its key.
+// settingTexts returns the text of every setting by its key, for two classes and two plans.
 func settingTexts(s *settings.Settings) map[string]string {
 	texts := map[string]string{
 		settings.Node: s.Node.String(), settings.Nodes: s.Nodes.String(), settings.Tick: s.Tick.String(),
@@ -116,11 +117,11 @@
 	return texts
 }
 
-// describeErrors renders errors as the program prints them, a line each.
+// describeErrors returns the errors as the program prints them, one a line.
 func describeErrors(errs []KeyError) string {
 	parts := make([]string, len(errs))
-	for i, f := range errs {
-		parts[i] = f.Error()
+	for i, err := range errs {
+		parts[i] = err.Error()
 	}
 	return strings.Join(parts, "\n")
 }
--- a/internal/operatorfile/load.go
+++ b/internal/operatorfile/load.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Load reads the file at path. Keys that it does not give have their defaults. The error is a *FileError if the content has
-// errors. With any error the returned File is Default.
+// Load reads the file at path. Keys that the file does not give have their defaults. The error is a *FileError if the content
+// is invalid. With any error, the returned File is Default().
 func Load(path string) (File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -25,12 +25,12 @@
 	return f, nil
 }
 
-// Parse reads a file's text. Keys that it does not give have their defaults. Errors come in the order of their lines; with
-// any error the returned File is Default.
+// Parse reads a file's text. Keys that the text does not give have their defaults. Errors are in the order of their lines. With
+// any error, the returned File is Default().
 func Parse(text string) (File, []KeyError) {
 	f := Default()
 	defaultClasses := f.Lab.Load.Classes
-	f.Lab.Load.Classes = nil // the file's classes replace all of the defaults
+	f.Lab.Load.Classes = nil // classes in the file replace all default classes
 	meta, err := toml.Decode(text, &f)
 	if err != nil {
 		return Default(), []KeyError{decodeError(err)}
@@ -39,17 +39,17 @@
 	for _, key := range meta.Undecoded() {
 		errs = append(errs, KeyError{Key: key.String(), Reason: "no such key"})
 	}
-	errs = append(errs, f.adoptDeprecated(meta)...)
+	errs = append(errs, f.migrateDeprecated(meta)...)
 	if !meta.IsDefined("lab", "load", "class") && !meta.IsDefined("lab", "load", "band") {
 		f.Lab.Load.Classes = defaultClasses
 	}
 	errs = append(errs, f.Validate()...)
-	lines := locate(text)
+	lines := locateKeys(text)
 	for i := range errs {
-		errs[i].Line = lines.of(errs[i].Key)
+		errs[i].Line = lines.lineOf(errs[i].Key)
 	}
 	for i := range f.Deprecations {
-		f.Deprecations[i].Line = lines.of(f.Deprecations[i].Key)
+		f.Deprecations[i].Line = lines.lineOf(f.Deprecations[i].Key)
 	}
 	sort.SliceStable(f.Deprecations, func(i, j int) bool { return f.Deprecations[i].Line < f.Deprecations[j].Line })
 	sort.SliceStable(errs, func(i, j int) bool { return errs[i].Line < errs[j].Line })
@@ -59,7 +59,7 @@
 	return f, nil
 }
 
-// decodeError returns the error of the TOML decoder as a KeyError.
+// decodeError converts an error of the TOML decoder to a KeyError.
 func decodeError(err error) KeyError {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
@@ -68,7 +68,7 @@
 	return KeyError{Key: "(file)", Reason: err.Error()}
 }
 
-// keyLines maps dotted keys to their lines. The entries of an array of tables have their numbers in the key.
+// keyLines maps dotted keys to their line numbers. The key of an entry of an array of tables contains its number, from 0.
 type keyLines map[string]int
 
 var (
@@ -77,8 +77,8 @@
 	assignment  = regexp.MustCompile(`^\s*([A-Za-z0-9_\-]+)\s*=`)
 )
 
-// locate finds the lines of keys, tables and entries of arrays. It does not see keys within inline tables.
-func locate(text string) keyLines {
+// locateKeys returns the lines of keys, tables and entries of arrays of tables. It does not find keys within inline tables.
+func locateKeys(text string) keyLines {
 	lines := keyLines{}
 	prefix := ""
 	entries := map[string]int{}
@@ -102,19 +102,19 @@
 	return lines
 }
 
-// of returns the line of a key, or of the innermost table around it that has a line. It returns 0 if there is none.
-func (l keyLines) of(key string) int {
+// lineOf returns the line of a key, or else of the innermost table around it that has a line, or else 0.
+func (l keyLines) lineOf(key string) int {
 	for key != "" {
 		if number, ok := l[key]; ok {
 			return number
 		}
-		key = parent(key)
+		key = parentKey(key)
 	}
 	return 0
 }
 
-// parent returns the table of a dotted key, or an empty string if the key has none.
-func parent(key string) string {
+// parentKey returns the key of the table around a dotted key, or an empty string for a top-level key.
+func parentKey(key string) string {
 	dot := strings.LastIndexByte(key, '.')
 	if dot < 0 {
 		return ""
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -10,7 +10,8 @@
 	"cherrygap/internal/settings"
 )
 
-var platform = settings.Values{
+// platformSettings are the settings of a platform with two classes and one plan.
+var platformSettings = settings.Values{
 	settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "next-leg",
 	settings.ClassKey(1, settings.ClassName):        "stop-update",
 	settings.ClassKey(1, settings.ClassRetrySafety): settings.RetryUnsafe, settings.PlanCount: "1",
@@ -18,19 +19,20 @@
 	settings.MaxAttempts: "4", settings.Peers: settings.On,
 }
 
-// Nothing given leaves the platform's settings as they are; what is given is written in the engine's units.
+// Guards against an override that changes a setting that the file does not give, writes the wrong unit, or writes into the
+// platform's own settings. The engine's unit of time is 0.1 ms, so that 1500.5 ms becomes 15005.
 func TestApply(t *testing.T) {
-	d, base := Default(), settings.Parse(platform)
-	if set, err := d.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(platform)) || d.Shadow.Enabled {
-		t.Fatalf("the defaults change %v to %v, %v", platform, set, err)
+	defaults, base := Default(), settings.Parse(platformSettings)
+	if set, err := defaults.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(platformSettings)) || defaults.Shadow.Enabled {
+		t.Fatalf("Apply of the default file = %v, %v, want %v and the shadow evaluation disabled", set, err, platformSettings)
 	}
 	f, errs := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
 		"repeats = \"referenced\"\ngroup = \"cell\"\nwindow_ms = 3000\n[[settings.plan]]\nname = \"pro\"\nopen = 2\n" +
 		"ceiling_rate = 25.5\n[watch]\non = true\n[watch.settings]\nadvice = true\n")
 	if len(errs) > 0 {
-		t.Fatal(errs)
+		t.Fatalf("Parse of the overrides: errors %v, want none", errs)
 	}
-	want := maps.Clone(platform)
+	want := maps.Clone(platformSettings)
 	maps.Copy(want, settings.Values{
 		settings.MaxAttempts: "3", settings.Peers: "false", settings.SlowStartSpan: "15005",
 		settings.ClassKey(1, settings.ClassRetrySafety):       settings.RetryKeyed,
@@ -40,15 +42,16 @@
 		settings.PlanKey(0, settings.PlanCeilingRate):         "25.5",
 	})
 	if set, err := f.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(want)) || !f.Shadow.Enabled {
-		t.Errorf("%v, want %v: %v", set, want, err)
+		t.Errorf("Apply of the overrides = %v, %v, want %v and the shadow evaluation enabled", set, err, want)
 	}
-	if !reflect.DeepEqual(base, settings.Parse(platform)) {
-		t.Error("the platform's own settings were written to")
+	if !reflect.DeepEqual(base, settings.Parse(platformSettings)) {
+		t.Errorf("Apply changed the platform's settings to %v, want %v", base, platformSettings)
 	}
 }
 
-// A bad value is named with its key and what would do; an unknown class or plan with those there are.
-func TestErrorsNameWhatWouldDo(t *testing.T) {
+// Guards against errors from which an operator can't tell how to correct the file. The error of an invalid value names the key
+// and the valid values. The error of an unknown class or plan names the known ones.
+func TestErrorsNameValidValues(t *testing.T) {
 	for text, want := range map[string]string{
 		"[settings]\nexecutions = 0\n":                                            "line 2: settings.executions: 0 is out of range 1 to 100",
 		"[watch.settings]\ncold_from = 1.5\n":                                     "line 2: watch.settings.cold_from: 1.5 is out of range",
@@ -65,7 +68,7 @@
 		t.Run(text, func(t *testing.T) {
 			_, errs := Parse(text)
 			if got := describeErrors(errs); !strings.Contains(got, want) {
-				t.Errorf("%q lacks %q", got, want)
+				t.Errorf("Parse(%q): errors %q, want them to contain %q", text, got, want)
 			}
 		})
 	}
@@ -73,7 +76,7 @@
 	word := "all"
 	s.Classes[0].Group = &word
 	var unknown *UnknownNameError
-	if set, err := s.Apply(settings.Parse(platform)); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
-		t.Errorf("%v, %v", set, err)
+	if set, err := s.Apply(settings.Parse(platformSettings)); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
+		t.Errorf("Apply with the unknown class \"dock\" = %v, %v, want nil and an UnknownNameError that lists next-leg, stop-update", set, err)
 	}
 }
--- a/internal/operatorfile/validate.go
+++ b/internal/operatorfile/validate.go
@@ -10,22 +10,22 @@
 	"cherrygap/internal/settings"
 )
 
-// Largest values that several keys accept.
+// Limits that several keys share.
 const (
-	hourMs              = 3.6e6   // an hour, ms
-	hourS               = 3600    // an hour, s
-	dayS                = 86_400  // a day, s
-	maxLabMs            = 600_000 // of times in the laboratory, ms
-	maxCount            = 1 << 16 // of requests, connections and places in a queue
-	maxAttemptsInFlight = 1e6     // of a customer
-	maxUnits            = 1e9     // of quotas, in units or units a second
+	hourMs              = 3.6e6   // one hour, in ms
+	hourS               = 3600    // one hour, in s
+	dayS                = 86_400  // one day, in s
+	maxLabMs            = 600_000 // limit of times in the lab, in ms
+	maxCount            = 1 << 16 // limit of requests, connections and queue lengths
+	maxAttemptsInFlight = 1e6     // limit of a customer's attempts in flight
+	maxUnits            = 1e9     // limit of quotas, in units or units per second
 )
 
-// Validate returns an error for each value out of its range, with the key as the file spells it, and without a line. Parse
-// calls it. A caller that changes a value must call it again.
+// Validate returns an error for each invalid value. The errors have the key as the file spells it, and no line. Parse calls
+// Validate. A caller that changes a value must call Validate again.
 func (f *File) Validate() []KeyError {
 	v := validator{fileKeys: f.fileKeys}
-	v.oneOf("log.level", f.Log.Level, "debug", "info", "warn", "error")
+	v.oneOfWords("log.level", f.Log.Level, "debug", "info", "warn", "error")
 	v.settings("settings", &f.Settings)
 	v.settings("shadow.settings", &f.Shadow.Settings)
 	v.within("health_checks.interval_ms", f.HealthChecks.IntervalMs, 200, hourMs)
@@ -41,35 +41,35 @@
 	return v.errors
 }
 
-// validator collects errors.
+// validator collects the errors of invalid values.
 type validator struct {
-	fileKeys keyNames
+	fileKeys deprecatedNames // deprecated names that the file uses
 	errors   []KeyError
 }
 
-// add adds an error at a key.
+// add adds an error at a key, given by its standard name.
 func (v *validator) add(key, format string, args ...any) {
-	v.errors = append(v.errors, KeyError{Key: v.fileKeys.of(key), Reason: fmt.Sprintf(format, args...)})
+	v.errors = append(v.errors, KeyError{Key: v.fileKeys.spelling(key), Reason: fmt.Sprintf(format, args...)})
 }
 
-// within checks that a value is in its range.
+// within checks that a value is between lowest and highest, both included.
 func (v *validator) within(key string, value, lowest, highest float64) {
-	if !(value >= lowest && value <= highest) { // true for a NaN too
+	if !(value >= lowest && value <= highest) { // a NaN is out of range too
 		v.add(key, "%v is out of range %v to %v", value, lowest, highest)
 	}
 }
 
-// oneOf checks that a value is one of the words.
-func (v *validator) oneOf(key, value string, words ...string) {
+// oneOfWords checks that a value is one of the words.
+func (v *validator) oneOfWords(key, value string, words ...string) {
 	if !slices.Contains(words, value) {
 		v.add(key, "%q is none of %s", value, strings.Join(v.fileWords(key, words), ", "))
 	}
 }
 
-// fileWords returns the standard words as an error at the key must spell them. If the file gives the deprecated key of retry
-// safety, it returns the deprecated words.
+// fileWords returns the standard words as an error at the key must spell them. These are the deprecated words if the file
+// gives the deprecated key of retry safety.
 func (v *validator) fileWords(key string, words []string) []string {
-	if lastPart(v.fileKeys.of(key)) != deprecatedRetrySafetyKey {
+	if lastKeyPart(v.fileKeys.spelling(key)) != deprecatedRetrySafetyKey {
 		return words
 	}
 	out := slices.Clone(words)
@@ -83,31 +83,31 @@
 	return out
 }
 
-// addressOrNone checks that a value is empty, or an IP address and a port.
+// addressOrNone checks that a value is empty, or an IP address with a port.
 func (v *validator) addressOrNone(key, address string) {
 	if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
-		v.add(key, "%q is no address and port: %v", address, err)
+		v.add(key, "%q is not an IP address and port: %v", address, err)
 	}
 }
 
-// loopback checks that a value is a loopback address and a port: the lab sends traffic nowhere else.
+// loopback checks that a value is a loopback address with a port, because the lab must not send traffic elsewhere.
 func (v *validator) loopback(key, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		v.add(key, "%q is no address and port: %v", address, err)
+		v.add(key, "%q is not an IP address and port: %v", address, err)
 	} else if !parsed.Addr().IsLoopback() {
 		v.add(key, "%s is not a loopback address", parsed.Addr())
 	}
 }
 
-// settings checks the values that the file gives. It does not know the platform's names of classes and plans.
+// settings checks the settings that the file gives. It does not check class and plan names against the platform's settings.
 func (v *validator) settings(prefix string, s *SettingsOverride) {
-	anyIndex := func(string) int { return 0 } // only apply uses the index, and it is not called
-	for _, o := range s.overrides(anyIndex, anyIndex) {
-		if o.words != nil {
-			v.oneOf(prefix+"."+o.key, o.word, o.words...)
+	anyIndex := func(string) int { return 0 } // the index matters only to apply, which is not called here
+	for _, override := range s.overrides(anyIndex, anyIndex) {
+		if override.words != nil {
+			v.oneOfWords(prefix+"."+override.key, override.word, override.words...)
 		} else {
-			v.within(prefix+"."+o.key, o.number, o.lowest, o.highest)
+			v.within(prefix+"."+override.key, override.number, override.lowest, override.highest)
 		}
 	}
 	classes := make([]string, len(s.Classes))
@@ -122,19 +122,19 @@
 	v.names(prefix+".plan", plans)
 }
 
-// names checks that each entry of a list has a name, and no two the same.
+// names checks that each entry of a list has a name, and that no name occurs twice.
 func (v *validator) names(list string, names []string) {
 	for i, name := range names {
 		key := list + "." + strconv.Itoa(i) + ".name"
 		if name == "" {
-			v.add(key, "is empty; it is the platform's name of the %s", lastPart(v.fileKeys.of(list)))
+			v.add(key, "is empty; it must be the platform's name of the %s", lastKeyPart(v.fileKeys.spelling(list)))
 		} else if slices.Contains(names[:i], name) {
 			v.add(key, "%q is given twice", name)
 		}
 	}
 }
 
-// emulator checks the emulated app servers.
+// emulator checks the configuration of the emulated app servers.
 func (v *validator) emulator(e *Emulator) {
 	const prefix = "lab.emulator."
 	v.loopback(prefix+"listen", e.Listen)
@@ -151,7 +151,7 @@
 	v.within(prefix+"drain_ms", e.DrainMs, 0, maxLabMs)
 }
 
-// traffic checks the traffic of the load generator.
+// traffic checks the configuration of the load generator's traffic.
 func (v *validator) traffic(t *Traffic) {
 	const prefix = "lab.load."
 	v.loopback(prefix+"target", t.Target)
@@ -171,17 +171,17 @@
 	v.trafficClasses(prefix+"class", t.Classes)
 }
 
-// trafficClasses checks the classes of the traffic.
+// trafficClasses checks the classes of the load generator's traffic.
 func (v *validator) trafficClasses(list string, classes []TrafficClass) {
 	if len(classes) == 0 {
-		v.add(list, "no %s is given", lastPart(v.fileKeys.of(list)))
+		v.add(list, "no %s is given", lastKeyPart(v.fileKeys.spelling(list)))
 		return
 	}
 	total := 0.0
 	for i, c := range classes {
 		prefix := fmt.Sprintf("%s.%d.", list, i)
 		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#") {
-			v.add(prefix+"name", "%q is no path part", c.Name)
+			v.add(prefix+"name", "%q is not a path segment", c.Name)
 		}
 		if c.RetrySafety != settings.RetrySafe && c.RetrySafety != settings.RetryUnsafe {
 			key := prefix + "retry_safety"
@@ -194,10 +194,10 @@
 		v.within(prefix+"units", c.Units, 0, maxUnits)
 		total += c.Share
 	}
-	if !(total > 0) { // true for a NaN too
-		v.add(list, "shares add up to %v", total)
+	if !(total > 0) { // a NaN is invalid too
+		v.add(list, "shares add up to %v, which is not above 0", total)
 	}
 }
 
-// lastPart returns the last part of a dotted key.
-func lastPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
+// lastKeyPart returns the last part of a dotted key.
+func lastKeyPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
