--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -22,90 +22,93 @@
 
 // Parameters of the connection to the authorizer, which gRPC reopens by itself, and of the latency histogram.
 const (
-	firstReconnect   = 50 * time.Millisecond
-	reconnectGrowth  = 1.6
-	reconnectJitter  = 0.3
-	maxReconnect     = time.Second
-	connectTimeout   = time.Second
-	maxLatency       = time.Minute // longer latencies are recorded as this
-	latencyPrecision = 2           // significant digits
+	firstReconnectDelay = 50 * time.Millisecond
+	reconnectMultiplier = 1.6
+	reconnectJitter     = 0.3
+	maxReconnectDelay   = time.Second
+	connectTimeout      = time.Second
+	maxRecordedLatency  = time.Minute // latencies above are recorded as this value
+	latencyDigits       = 2           // significant digits of a recorded latency
 )
 
-// Authorizer asks an external authorizer about requests, as an authz.Policy decides. It is a frontend.Authorizer.
+// Authorizer is the client of an external authorizer, and implements frontend.Authorizer. Its authz.Policy decides which
+// requests are checked, and with what timeout. Its methods are safe for concurrent use.
 type Authorizer struct {
 	conn      *grpc.ClientConn
 	client    auth.AuthorizationClient
-	classes   map[string]int // class numbers by name
-	startedAt time.Time      // origin of the policy's clock
+	classes   map[string]int // index of each class in authz.Config.Classes, by name
+	startedAt time.Time      // origin of the times that the policy gets
 
-	mu        sync.Mutex // guards both below
+	mu        sync.Mutex // guards the fields below
 	policy    *authz.Policy
-	latencies *hdrhistogram.Histogram // of finished checks, in microseconds
+	latencies *hdrhistogram.Histogram // latencies of finished checks, in microseconds
 }
 
-// DialAuthorizer returns a client of the authorizer at addr, "host:port". It does not wait for the connection. classes has
-// the numbers of cfg's classes by name. The caller calls Close in the end.
+// DialAuthorizer returns a client of the authorizer at addr, "host:port". It does not wait for the connection. classes maps
+// class names to indexes in cfg.Classes. The caller must call Close.
 func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay: firstReconnect, Multiplier: reconnectGrowth, Jitter: reconnectJitter, MaxDelay: maxReconnect,
+				BaseDelay: firstReconnectDelay, Multiplier: reconnectMultiplier, Jitter: reconnectJitter, MaxDelay: maxReconnectDelay,
 			},
 			MinConnectTimeout: connectTimeout,
 		}), grpc.WithDisableServiceConfig())
 	if err != nil {
-		return nil, fmt.Errorf("authorizer %s: %w", addr, err)
+		return nil, fmt.Errorf("create client of authorizer %s: %w", addr, err)
 	}
 	return &Authorizer{
 		conn: conn, client: auth.NewAuthorizationClient(conn), classes: classes, startedAt: time.Now(),
-		policy: authz.New(cfg), latencies: hdrhistogram.New(1, maxLatency.Microseconds(), latencyPrecision),
+		policy: authz.New(cfg), latencies: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), latencyDigits),
 	}, nil
 }
 
-// Close closes the connection to the authorizer, which ends the checks in flight.
-func (a *Authorizer) Close() { _ = a.conn.Close() } // fails only if it was closed before
+// Close closes the connection to the authorizer. The checks in flight fail.
+func (a *Authorizer) Close() { _ = a.conn.Close() } // Close fails only if the connection is already closed
 
+// now returns the time since startedAt.
 func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
 
-// Check asks the authorizer about a request of a known class whose client waits for left. If ctx ends first, the client
-// disconnected.
-func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, left time.Duration) frontend.Authorization {
+// Check returns the verdict on a request, and asks the authorizer if the policy wants a check. The request's class must be
+// known. timeLeft is the time until the request's deadline. The caller cancels ctx if the client disconnects.
+func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, timeLeft time.Duration) frontend.Authorization {
 	class := a.classes[request.Class]
-	begun := a.begin(class, left)
-	if begun.decision.Verdict != authz.CheckNeeded {
-		return frontend.Authorization{Verdict: begun.decision.Verdict, RetryAfter: begun.retryAfter}
+	start := a.beginCheck(class, timeLeft)
+	if start.decision.Verdict != authz.CheckNeeded {
+		return frontend.Authorization{Verdict: start.decision.Verdict, RetryAfter: start.retryAfter}
 	}
 	startedAt := time.Now()
-	timeout := begun.decision.Timeout
-	outcome := a.call(ctx, request, timeout)
-	return a.end(class, outcome, timeout, time.Since(startedAt))
+	timeout := start.decision.Timeout
+	outcome := a.callAuthorizer(ctx, request, timeout)
+	return a.endCheck(class, outcome, timeout, time.Since(startedAt))
 }
 
-// begunCheck is the result of begin.
-type begunCheck struct {
+// checkStart is the result of beginCheck.
+type checkStart struct {
 	decision   authz.Decision
-	retryAfter time.Duration // of a request that the decision rejects
+	retryAfter time.Duration // Retry-After, for a request that the decision rejects
 }
 
-// begin returns the policy's decision before a check.
-func (a *Authorizer) begin(class int, left time.Duration) begunCheck {
+// beginCheck returns the policy's decision on a new request. After CheckNeeded, the caller must call endCheck once.
+func (a *Authorizer) beginCheck(class int, timeLeft time.Duration) checkStart {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	decision := a.policy.Begin(a.now(), class, left)
-	return begunCheck{decision: decision, retryAfter: a.policy.RetryAfter(a.now(), class)}
+	decision := a.policy.Begin(a.now(), class, timeLeft)
+	return checkStart{decision: decision, retryAfter: a.policy.RetryAfter(a.now(), class)}
 }
 
-// end records a check and returns the policy's decision after it.
-func (a *Authorizer) end(class int, outcome authz.Outcome, timeout, took time.Duration) frontend.Authorization {
+// endCheck reports the outcome and latency of a check to the policy and returns the final verdict.
+func (a *Authorizer) endCheck(class int, outcome authz.Outcome, timeout, latency time.Duration) frontend.Authorization {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = a.latencies.RecordValue(min(took, maxLatency).Microseconds()) // fails only out of the histogram's range
+	_ = a.latencies.RecordValue(min(latency, maxRecordedLatency).Microseconds()) // RecordValue fails only above the histogram's range
 	verdict := a.policy.End(a.now(), class, outcome, timeout)
 	return frontend.Authorization{Verdict: verdict, RetryAfter: a.policy.RetryAfter(a.now(), class)}
 }
 
-// call makes one call and waits for the response until the timeout or the end of ctx.
-func (a *Authorizer) call(ctx context.Context, request *protocol.Request, timeout time.Duration) authz.Outcome {
+// callAuthorizer makes one call and waits for the response until the timeout or the end of ctx. Any status other than OK,
+// PermissionDenied and Unauthenticated counts as a failed check.
+func (a *Authorizer) callAuthorizer(ctx context.Context, request *protocol.Request, timeout time.Duration) authz.Outcome {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := a.client.Check(callCtx, checkRequest(request))
@@ -126,16 +129,16 @@
 	return authz.Failed
 }
 
-// Names in a check, as authorizers know them.
+// Names in the messages to the authorizer, which authorizers depend on.
 const (
-	headerPlan        = "x-tariff" // Envoy's headers are lower-case
+	headerPlan        = "x-tariff" // Envoy writes header names in lower case
 	extensionClass    = "band"
 	extensionPlan     = "plan"
 	extensionCustomer = "customer"
 	extensionUnits    = "units"
 )
 
-// checkRequest returns the message to the authorizer.
+// checkRequest returns the message that asks the authorizer about a request.
 func checkRequest(request *protocol.Request) *auth.CheckRequest {
 	customer := fmt.Sprintf("%016x", request.Customer)
 	return &auth.CheckRequest{Attributes: &auth.AttributeContext{
@@ -151,14 +154,14 @@
 	}}
 }
 
-// LatencyQuantile returns a quantile, from 0 to 1, of the latencies of finished checks. It is 0 before the first check.
+// LatencyQuantile returns a quantile, from 0 to 1, of the latencies of finished checks. It returns 0 before the first check.
 func (a *Authorizer) LatencyQuantile(quantile float64) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return time.Duration(a.latencies.ValueAtQuantile(100*quantile)) * time.Microsecond
 }
 
-// MarshalZerologObject writes the counters and latencies since the node's start.
+// MarshalZerologObject writes the counters and the latency quantiles since DialAuthorizer.
 func (a *Authorizer) MarshalZerologObject(e *zerolog.Event) {
 	p50, p99 := a.LatencyQuantile(0.5), a.LatencyQuantile(0.99)
 	a.mu.Lock()
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -22,16 +22,17 @@
 	"cherrygap/internal/settings"
 )
 
-// node is a node on loopback, before an app server that records its attempts.
+// node is a node on loopback with one app server, which counts its attempts.
 type node struct {
-	client GateClient
-	http   string // address of the HTTP server
-	grpc   string // address of the gRPC server
+	client   GateClient
+	httpAddr string // address of the HTTP front end
+	grpcAddr string // address of the gRPC front end
 
-	mu  sync.Mutex     // guards ran
-	ran map[string]int // attempts that the app server got, by the request's id
+	mu       sync.Mutex     // guards attempts
+	attempts map[string]int // number of attempts that the app server got, by request id
 }
 
+// testSettings returns the settings of startNode: the safe class "look", the unsafe class "buy" and the plan "team".
 func testSettings() *settings.Settings {
 	return settings.Parse(settings.Values{
 		settings.ClassCount: "2", settings.ClassKey(0, settings.ClassName): "look",
@@ -46,70 +47,71 @@
 	})
 }
 
-// startNode starts a node before an app server. authorizer may be nil.
+// startNode starts a node and an app server, whose handler is serve. With a nil authorizer, requests are not checked.
 func startNode(t *testing.T, authorizer frontend.Authorizer, serve http.HandlerFunc) *node {
 	t.Helper()
-	n := &node{ran: map[string]int{}}
-	app := n.startAppServer(t, serve)
+	n := &node{attempts: map[string]int{}}
+	appAddr := n.startAppServer(t, serve)
 	set := testSettings()
 	assembled := frontendtest.Assemble(t, frontendtest.Assembly{
 		Routing:    routing.Config{Seed: 3, Settings: set},
-		Endpoints:  []protocol.Endpoint{{UID: "s", Weight: 1, Addr: app}},
+		Endpoints:  []protocol.Endpoint{{UID: "s", Weight: 1, Addr: appAddr}},
 		Limits:     frontendtest.Limits,
 		Authorizer: authorizer,
 	})
-	n.http = assembled.Server.Addr().String()
+	n.httpAddr = assembled.Server.Addr().String()
 	methods, err := HTTPMethods(set)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("HTTPMethods of the test settings: %v", err)
 	}
 	server, err := Listen("127.0.0.1:0", assembled.Server, methods, 256)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the gRPC front end: %v", err)
 	}
 	t.Cleanup(server.server.Stop)
 	conn, err := grpc.NewClient("passthrough:///"+server.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create the gRPC client: %v", err)
 	}
 	closeAtEnd(t, conn)
-	n.client, n.grpc = NewGateClient(conn), server.Addr()
+	n.client, n.grpcAddr = NewGateClient(conn), server.Addr()
 	return n
 }
 
-// startAppServer starts an app server and returns its address.
+// startAppServer starts an app server, whose handler is serve, and returns its address.
 func (n *node) startAppServer(t *testing.T, serve http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen for the app server: %v", err)
 	}
 	closeAtEnd(t, listener)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.mu.Lock()
-		n.ran[r.Header.Get(protocol.HeaderRequestID)]++
+		n.attempts[r.Header.Get(protocol.HeaderRequestID)]++
 		n.mu.Unlock()
 		serve(w, r)
 	})
-	go func() { _ = http.Serve(listener, handler) }() // until the listener closes
+	go func() { _ = http.Serve(listener, handler) }() // Serve returns once the listener is closed
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
+// closeAtEnd closes c at the end of the test.
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
-	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = c.Close() }) // Close fails if the test has closed c already
 }
 
-// runs returns how many attempts of a request the app server got.
-func (n *node) runs(id string) int {
+// attemptCount returns the number of attempts of a request that the app server got.
+func (n *node) attemptCount(id string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ran[id]
+	return n.attempts[id]
 }
 
-// pass sends a request with a timeout.
-func (n *node) pass(ctx context.Context, id, class string, customer uint64, wait time.Duration) (*Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// pass sends a request over gRPC with a timeout.
+func (n *node) pass(ctx context.Context, id, class string, customer uint64, timeout time.Duration) (*Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	call := &Ticket{Id: id, Band: class, Customer: customer, Plan: "team", Units: 1, Spread: 1}
 	if class == "buy" {
@@ -118,7 +120,7 @@
 	return n.client.Pass(ctx, call)
 }
 
-// dialTestAuthorizer makes an authorizer for the classes of startNode.
+// dialTestAuthorizer returns a client of the authorizer at addr, for the classes of testSettings. "look" fails open, "buy" closed.
 func dialTestAuthorizer(t *testing.T, addr string) *Authorizer {
 	t.Helper()
 	a, err := DialAuthorizer(addr, authz.Config{
@@ -129,7 +131,7 @@
 		},
 	}, map[string]int{"look": 0, "buy": 1})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("DialAuthorizer(%q): %v", addr, err)
 	}
 	t.Cleanup(a.Close)
 	return a
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -19,21 +19,21 @@
 	"cherrygap/internal/protocol"
 )
 
-// maxLoadFactor bounds how many more requests a client sends until the authorizer has restarted.
-const maxLoadFactor = 20
+// maxRequestFactor limits how many times its number of requests a client sends while the authorizer has not restarted.
+const maxRequestFactor = 20
 
-// loadRun is a run of load over both protocols against a node with a faulty authorizer.
+// loadRun is a load test over HTTP and gRPC, of a node with a faulty authorizer.
 type loadRun struct {
 	node       *node
 	authorizer *labauthz.Server
-	sent       atomic.Int64 // requests
+	sent       atomic.Int64 // number of requests sent
 
-	mu        sync.Mutex     // guards the rest
-	answers   map[string]int // by class and HTTP status
-	latencies []time.Duration
+	mu        sync.Mutex      // guards the fields below
+	answers   map[string]int  // number of responses, by class and HTTP status: "buy200"
+	latencies []time.Duration // latency of each request with a response
 }
 
-// overGRPC sends a request and returns the HTTP status for its result.
+// overGRPC sends a request over gRPC and returns the HTTP status that matches its result, or "" for an unexpected result.
 func (l *loadRun) overGRPC(t *testing.T, id, class string, customer uint64) string {
 	switch _, err := l.node.pass(t.Context(), id, class, customer, time.Second); status.Code(err) {
 	case codes.OK:
@@ -45,21 +45,21 @@
 	case codes.Unknown:
 		return "502"
 	default:
-		t.Errorf("%s: %v", id, err)
+		t.Errorf("request %s over gRPC: error %v, want OK, PermissionDenied, Unavailable or Unknown", id, err)
 		return ""
 	}
 }
 
-// overHTTP sends a request and returns the status of its response, or false without one.
+// overHTTP sends a request over HTTP and returns the status of its response. ok is false without a response.
 func (l *loadRun) overHTTP(t *testing.T, id, class string, customer uint64) (string, bool) {
 	method, body := http.MethodGet, ""
 	if class == "buy" {
 		method, body = http.MethodPost, "two seats"
 	}
-	url := fmt.Sprintf("http://%s/%s/%016x", l.node.http, class, customer)
+	url := fmt.Sprintf("http://%s/%s/%016x", l.node.httpAddr, class, customer)
 	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
-		t.Errorf("%s: %v", id, err)
+		t.Errorf("create HTTP request %s: %v", id, err)
 		return "", false
 	}
 	for name, value := range map[string]string{
@@ -69,59 +69,62 @@
 	}
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
-		t.Errorf("%s: %v", id, err)
+		t.Errorf("request %s over HTTP: error %v, want a response", id, err)
 		return "", false
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // to reuse the connection
+	_, _ = io.Copy(io.Discard, response.Body) // the client reuses a connection only after reading the whole body
 	_ = response.Body.Close()
 	return fmt.Sprint(response.StatusCode), true
 }
 
-// check checks the executions of a request against its status.
-func (l *loadRun) check(t *testing.T, id, class, code string) {
+// checkAttempts fails the test if the app server's attempts of a request contradict its status or the authorizer's answer.
+func (l *loadRun) checkAttempts(t *testing.T, id, class, httpStatus string) {
 	allowed, answered := l.authorizer.LastAnswer(id)
-	runs := l.node.runs(id)
+	attempts := l.node.attemptCount(id)
 	checked := answered && allowed
 	denied := answered && !allowed
-	wrongPurchase := class == "buy" && (runs > 1 || runs > 0 && !checked)
-	wrongDenial := code == "403" && (!denied || runs > 0)
-	if wrongPurchase || wrongDenial || code == "200" && runs == 0 {
-		t.Errorf("%s: %s, ran %d times, answered %v allowed %v", id, code, runs, answered, allowed)
+	wrongPurchase := class == "buy" && (attempts > 1 || attempts > 0 && !checked)
+	wrongDenial := httpStatus == "403" && (!denied || attempts > 0)
+	if wrongPurchase || wrongDenial || httpStatus == "200" && attempts == 0 {
+		t.Errorf("request %s of class %s: status %s, %d attempts, checked %v, allowed %v; want at most one attempt of a purchase, "+
+			"only after its check; no attempt and a check for 403; an attempt for 200", id, class, httpStatus, attempts, answered, allowed)
 	}
 }
 
-// restarted reports whether the authorizer has started again.
+// restarted reports whether the authorizer has restarted at least once.
 func (l *loadRun) restarted() bool {
 	return l.authorizer.Counts().Starts >= 2
 }
 
-// client sends a number of requests in turn over one protocol, and more until the authorizer has restarted.
-func (l *loadRun) client(t *testing.T, number, requests int) {
-	random := rand.New(rand.NewSource(int64(number)))
-	for i := 0; i < requests || i < maxLoadFactor*requests && !l.restarted(); i++ {
+// client sends requests one after the other, over gRPC if its number is even, otherwise over HTTP. It sends more than the given
+// number of requests if the authorizer has not restarted by then.
+func (l *loadRun) client(t *testing.T, clientNumber, requests int) {
+	random := rand.New(rand.NewSource(int64(clientNumber)))
+	for i := 0; i < requests || i < maxRequestFactor*requests && !l.restarted(); i++ {
 		l.sent.Add(1)
-		id, class := fmt.Sprintf("t%d-%d", number, i), []string{"look", "buy"}[random.Intn(2)]
+		id, class := fmt.Sprintf("t%d-%d", clientNumber, i), []string{"look", "buy"}[random.Intn(2)]
 		customer := uint64(1 + random.Intn(50))
-		began := time.Now()
-		var code string
-		if number%2 == 0 {
-			code = l.overGRPC(t, id, class, customer)
+		startedAt := time.Now()
+		var httpStatus string
+		if clientNumber%2 == 0 {
+			httpStatus = l.overGRPC(t, id, class, customer)
 		} else {
 			var ok bool
-			if code, ok = l.overHTTP(t, id, class, customer); !ok {
+			if httpStatus, ok = l.overHTTP(t, id, class, customer); !ok {
 				continue
 			}
 		}
-		l.check(t, id, class, code)
+		l.checkAttempts(t, id, class, httpStatus)
 		l.mu.Lock()
-		l.answers[class+code]++
-		l.latencies = append(l.latencies, time.Since(began))
+		l.answers[class+httpStatus]++
+		l.latencies = append(l.latencies, time.Since(startedAt))
 		l.mu.Unlock()
 	}
 }
 
-// Under load over both protocols, with an authorizer that lags past the deadline, drops calls, answers nonsense, denies
-// and restarts twice: no purchase runs without its check or twice, no denied request runs, each is answered in time.
+// Guards against wrong attempts under load over both protocols. No purchase may run twice or without its check, no denied
+// request may run, and each request must have its response in time. The authorizer answers after the deadline, drops calls,
+// sends malformed answers, denies requests and restarts.
 func TestLoadWithAnAuthorizerThatMisbehaves(t *testing.T) {
 	const clients, requests = 8, 400
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{
@@ -130,7 +133,7 @@
 		Uptime: 1500 * time.Millisecond, Downtime: 400 * time.Millisecond,
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the authorizer: %v", err)
 	}
 	defer server.Close()
 	a := dialTestAuthorizer(t, server.Addr())
@@ -139,26 +142,29 @@
 		time.Sleep(2 * time.Millisecond)
 		_, _ = io.Copy(w, r.Body)
 	})
-	var all sync.WaitGroup
-	for number := range clients {
-		all.Add(1)
+	var running sync.WaitGroup
+	for clientNumber := range clients {
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			l.client(t, number, requests)
+			defer running.Done()
+			l.client(t, clientNumber, requests)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	slices.Sort(l.latencies)
 	slowest := l.latencies[len(l.latencies)-1]
 	counts := server.Counts()
-	c := a.policy.Counters()
-	t.Logf("%v, %d answers, %d starts, %+v, checks p50 %v p99 %v, slowest request %v", l.answers, counts.Answers, counts.Starts, c,
+	counters := a.policy.Counters()
+	t.Logf("responses %v; authorizer: %d answers, %d starts; checks: %+v, p50 %v, p99 %v; slowest request %v",
+		l.answers, counts.Answers, counts.Starts, counters,
 		a.LatencyQuantile(0.5), a.LatencyQuantile(0.99), slowest)
 	if sent := int(l.sent.Load()); sent < clients*requests || len(l.latencies) != sent || slowest > time.Second {
-		t.Errorf("%d answered, the slowest after %v", len(l.latencies), slowest)
+		t.Errorf("%d of %d requests have responses, the slowest after %v; want all of at least %d, within 1s",
+			len(l.latencies), sent, slowest, clients*requests)
 	}
-	if counts.Starts < 2 || c.Unanswered == 0 || c.Denied == 0 || c.FailedOpen == 0 || c.FailedClosed == 0 ||
+	if counts.Starts < 2 || counters.Unanswered == 0 || counters.Denied == 0 || counters.FailedOpen == 0 || counters.FailedClosed == 0 ||
 		l.answers["buy503"] == 0 || l.answers["look200"] < 500 {
-		t.Errorf("the run shows too little: %v, %+v", l.answers, c)
+		t.Errorf("%d starts of the authorizer, responses %v, checks %+v; want 2 or more starts, 500 or more look200, a buy503, and "+
+			"checks unanswered, denied, failed open and failed closed", counts.Starts, l.answers, counters)
 	}
 }
--- a/internal/grpcfrontend/methods.go
+++ b/internal/grpcfrontend/methods.go
@@ -9,11 +9,11 @@
 	"cherrygap/internal/settings"
 )
 
-// ErrNoPathPart is the error of a class whose name can't be part of a path.
-var ErrNoPathPart = errors.New("is no path part")
+// ErrInvalidPathSegment is the error for a class whose name cannot be a segment of a URL path.
+var ErrInvalidPathSegment = errors.New("name is not a path segment")
 
-// HTTPMethods returns the HTTP method of each class by its name: GET where a request is safe to repeat, POST else. It reads
-// the classes up to the first one without a name. The error is ErrNoPathPart with the class's name.
+// HTTPMethods returns the HTTP method of each class by its name: GET if a request is safe to retry, otherwise POST. It reads
+// the classes up to the first one without a name. The error wraps ErrInvalidPathSegment and names the class.
 func HTTPMethods(set *settings.Settings) (map[string]string, error) {
 	methods := map[string]string{}
 	for i := 0; ; i++ {
@@ -26,7 +26,7 @@
 			methods[class.Name] = http.MethodGet
 		}
 		if strings.ContainsAny(class.Name, "/ ?#%") {
-			return nil, fmt.Errorf("band %s %w", class.Name, ErrNoPathPart)
+			return nil, fmt.Errorf("class %q: %w", class.Name, ErrInvalidPathSegment)
 		}
 	}
 }
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -1,6 +1,6 @@
-// Package grpcfrontend has the node's gRPC parts: a front end that passes requests to the same frontend.RequestHandler as
-// the HTTP front end, and the client of an external authorizer, by Envoy's envoy.service.auth.v3.Authorization.
-// The decisions are those of internal/authz and the decision engine.
+// Package grpcfrontend holds the node's gRPC front end and the client of an external authorizer. The front end passes requests
+// to a frontend.RequestHandler, as the HTTP front end does. The client calls Envoy's envoy.service.auth.v3.Authorization.
+// The decisions on requests are made in internal/authz and in the decision engine.
 package grpcfrontend
 
 import (
@@ -21,19 +21,19 @@
 	"cherrygap/internal/protocol"
 )
 
-// Timeouts of connections. They free the descriptors of silent clients; gRPC clients reconnect by themselves.
+// Timeouts of connections. They free the descriptors of silent clients. gRPC clients reconnect by themselves.
 const (
-	handshakeTimeout = 2 * time.Second  // until the HTTP/2 handshake is done
-	idleTimeout      = 10 * time.Second // without a call in flight
+	handshakeTimeout = 2 * time.Second  // timeout of the HTTP/2 handshake
+	idleTimeout      = 10 * time.Second // time without a call in flight after which a connection is closed
 )
 
 const (
-	defaultTimeout = 10 * time.Second     // of a call without a deadline
-	maxMessage     = 2 * protocol.MaxBody // bytes: a body and the fields beside it
-	requestHost    = "gate"               // Host header for app servers
+	defaultCallTimeout = 10 * time.Second     // timeout of a call without a deadline
+	maxMessageBytes    = 2 * protocol.MaxBody // size limit of a message in bytes: a body and the other fields
+	requestHost        = "gate"               // Host header of the requests to app servers
 )
 
-// Statuses of calls. Their messages are on the wire.
+// Statuses of failed calls. Their messages are on the wire and must not change.
 var (
 	errIDInUse           = status.Error(codes.AlreadyExists, "id of another ticket")
 	errDenied            = status.Error(codes.PermissionDenied, "not allowed")
@@ -42,67 +42,68 @@
 	errBodyInSafeRequest = status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
 	errOutsideLimits     = status.Error(codes.InvalidArgument, "figures outside the settings")
 
-	rejected = status.New(codes.Unavailable, "bounced: trying again is harmless")
+	rejectedStatus = status.New(codes.Unavailable, "bounced: trying again is harmless")
 )
 
 // Server serves the Gate service.
 type Server struct {
 	UnimplementedGateServer
 
-	requests *frontend.Server
-	methods  map[string]string // HTTP method by class
-	server   *grpc.Server
-	listener net.Listener
+	httpFrontEnd *frontend.Server
+	methods      map[string]string // HTTP method by class name
+	server       *grpc.Server
+	listener     net.Listener
 }
 
 // Listen starts the gRPC front end on an address. Its requests go through RequestHandlers of the HTTP front end, whose
-// LimitListener bounds its connections. methods is the HTTP method of each class. maxCalls bounds the calls in flight on one
-// connection.
+// LimitListener limits its connections. methods maps each class name to its HTTP method. maxCalls limits the calls in flight
+// on one connection.
 //
-// It starts a goroutine that accepts connections until Drain. gRPC starts one for each connection, which ends with it.
-func Listen(addr string, requests *frontend.Server, methods map[string]string, maxCalls uint32) (*Server, error) {
+// Listen starts a goroutine that accepts connections until Drain. gRPC starts a goroutine for each connection, which ends with
+// the connection.
+func Listen(addr string, httpFrontEnd *frontend.Server, methods map[string]string, maxCalls uint32) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		requests: requests,
-		methods:  methods,
-		listener: requests.LimitListener(listener),
-		server: grpc.NewServer(grpc.MaxConcurrentStreams(maxCalls), grpc.MaxRecvMsgSize(maxMessage),
+		httpFrontEnd: httpFrontEnd,
+		methods:      methods,
+		listener:     httpFrontEnd.LimitListener(listener),
+		server: grpc.NewServer(grpc.MaxConcurrentStreams(maxCalls), grpc.MaxRecvMsgSize(maxMessageBytes),
 			grpc.ConnectionTimeout(handshakeTimeout),
 			grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout})),
 	}
 	RegisterGateServer(s.server, s)
-	go func() { _ = s.server.Serve(s.listener) }() // returns after Drain has closed the listener
+	go func() { _ = s.server.Serve(s.listener) }() // Serve returns after Drain has closed the listener
 	return s, nil
 }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Drain rejects new calls and returns when all calls in flight are answered.
+// Drain stops accepting connections and calls. It returns once all calls in flight have their responses.
 func (s *Server) Drain() { s.server.GracefulStop() }
 
-// Pass handles one request. The error is a gRPC status.
+// Pass handles the request of one call and returns its response. The error is a gRPC status.
 func (s *Server) Pass(ctx context.Context, call *Ticket) (*Answer, error) {
 	receivedAt := time.Now()
-	request, err := s.read(call)
+	request, err := s.requestFor(call)
 	if err != nil {
 		return nil, err
 	}
-	request.Timeout = defaultTimeout
+	request.Timeout = defaultCallTimeout
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = time.Until(deadline)
 	}
 	if err := ctx.Err(); err != nil { // the client disconnected before the call began
 		return nil, status.FromContextError(err).Err()
 	}
-	if !s.requests.ClaimRequestID(request.ID) {
+	if !s.httpFrontEnd.ClaimRequestID(request.ID) {
 		return nil, errIDInUse
 	}
-	defer s.requests.ReleaseRequestID(request.ID)
-	handler := s.requests.NewRequestHandler(func() bool { return ctx.Err() != nil })
+	defer s.httpFrontEnd.ReleaseRequestID(request.ID)
+	handler := s.httpFrontEnd.NewRequestHandler(func() bool { return ctx.Err() != nil })
 	defer handler.Release()
 	handler.Begin()
 	stop := context.AfterFunc(ctx, handler.ClientGone)
@@ -114,7 +115,7 @@
 	return answerFor(response)
 }
 
-// answerFor converts the response for an HTTP client into the answer or status of a call.
+// answerFor converts a client response, as the HTTP front end sends it, to the answer or status of a call.
 func answerFor(r protocol.ClientResponse) (*Answer, error) {
 	switch r.Status {
 	case protocol.StatusCompleted:
@@ -127,19 +128,19 @@
 	return nil, errFailed
 }
 
-// rejection returns the status of a rejected request. Its details have retryAfter, unless that is 0.
+// rejection returns the status of a rejected request. Its details contain retryAfter, unless retryAfter is 0.
 func rejection(retryAfter time.Duration) error {
 	if retryAfter > 0 {
-		withDetails, err := rejected.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
+		withDetails, err := rejectedStatus.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
 		if err == nil {
 			return withDetails.Err()
 		}
 	}
-	return rejected.Err()
+	return rejectedStatus.Err()
 }
 
-// read converts a call into a request and checks it, as the HTTP front end does.
-func (s *Server) read(call *Ticket) (*protocol.Request, error) {
+// requestFor converts a call to a request and validates it as the HTTP front end does. The error is a gRPC status.
+func (s *Server) requestFor(call *Ticket) (*protocol.Request, error) {
 	method, known := s.methods[call.Band]
 	request := &protocol.Request{
 		Method: method, URI: fmt.Sprintf("/%s/%016x", call.Band, call.Customer), Host: requestHost,
@@ -148,13 +149,13 @@
 		Units: call.Units, Spread: int(call.Spread), FirstNode: int(call.First), Body: call.Body,
 	}
 	switch err := request.Validate(); {
-	case !known || !s.requests.KnowsClassAndPlan(request):
+	case !known || !s.httpFrontEnd.KnowsClassAndPlan(request):
 		return nil, errUnknown
 	case err != nil:
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case method == http.MethodGet && len(call.Body) > 0:
 		return nil, errBodyInSafeRequest
-	case !s.requests.WithinLimits(request):
+	case !s.httpFrontEnd.WithinLimits(request):
 		return nil, errOutsideLimits
 	}
 	return request, nil
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -20,7 +20,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// echo answers with the request's body, and rejects customer 255.
+// echo responds with the request's method, path and body. It rejects requests of customer 255.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/look/00000000000000ff") {
 		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
@@ -28,31 +28,33 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	body, _ := io.ReadAll(r.Body) // the test checks the response
+	body, _ := io.ReadAll(r.Body) // the test checks the body in the response
 	_, _ = fmt.Fprint(w, r.Method, r.URL.Path, string(body))
 }
 
-// Requests over gRPC are those of the HTTP server: same app server, same body, same rejections, one id for both.
-func TestRequestsGoTheSameWay(t *testing.T) {
+// Guards against requests over gRPC that are handled otherwise than over HTTP. The method, path and body at the app server must
+// be the same, and so must the response. A rejection must carry its Retry-After.
+func TestGRPCRequestsAreHandledLikeHTTPRequests(t *testing.T) {
 	n := startNode(t, nil, echo)
 	if a, err := n.pass(t.Context(), "1", "buy", 5, time.Second); err != nil || string(a.Body) != "POST/buy/0000000000000005two seats" ||
 		a.Type != "text/plain" {
-		t.Fatalf("%v, %v", a, err)
+		t.Fatalf("Pass of a purchase = %v, %v, want the app server's echo \"POST/buy/0000000000000005two seats\" as text/plain", a, err)
 	}
 	if a, err := n.pass(t.Context(), "2", "look", 5, time.Second); err != nil || string(a.Body) != "GET/look/0000000000000005" {
-		t.Fatalf("%v, %v", a, err)
+		t.Fatalf("Pass of a lookup = %v, %v, want the app server's echo \"GET/look/0000000000000005\"", a, err)
 	}
 	_, err := n.pass(t.Context(), "3", "look", 255, time.Second)
 	s := status.Convert(err)
 	if s.Code() != codes.Unavailable || len(s.Details()) != 1 || s.Details()[0].(*errdetails.RetryInfo).RetryDelay.AsDuration() <= 0 {
-		t.Errorf("rejected: %v, %v", s, s.Details())
+		t.Errorf("Pass of a rejected request: status %v, details %v, want Unavailable with a RetryInfo above 0", s, s.Details())
 	}
 }
 
+// Guards against an invalid request that is forwarded, or has the wrong status.
 func TestBadRequests(t *testing.T) {
 	n := startNode(t, nil, echo)
 	if _, err := n.pass(t.Context(), "1", "buy", 5, time.Second); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Pass of a valid request: %v", err)
 	}
 	for name, bad := range map[string]struct {
 		call *Ticket
@@ -71,72 +73,75 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := n.client.Pass(t.Context(), bad.call); status.Code(err) != bad.want {
-				t.Errorf("%v: %v, want %v", bad.call, err, bad.want)
+				t.Errorf("Pass(%v): error %v, want status %v", bad.call, err, bad.want)
 			}
 		})
 	}
-	if n.runs("9") > 0 {
-		t.Error("a bad request was forwarded")
+	if n.attemptCount("9") > 0 {
+		t.Errorf("invalid requests with id 9 reached the app server in %d attempts, want 0", n.attemptCount("9"))
 	}
 }
 
-// A client that cancels before or during its check gets no response, and its request does not run.
-func TestClientGoneDuringItsCheck(t *testing.T) {
+// Guards against attempts for a client that disconnected before or during its check. The clients' deadlines end before the
+// authorizer answers, so that an answer comes for a request without a client.
+func TestClientDisconnectsDuringItsCheck(t *testing.T) {
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{SlowProbability: 1, SlowDelay: 60 * time.Millisecond})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the authorizer: %v", err)
 	}
 	defer server.Close()
 	n := startNode(t, dialTestAuthorizer(t, server.Addr()), func(http.ResponseWriter, *http.Request) {})
 	for k := range 20 {
 		_, err := n.pass(t.Context(), fmt.Sprint("gone", k), "buy", 5, time.Duration(1+k)*time.Millisecond)
 		if code := status.Code(err); code != codes.DeadlineExceeded && code != codes.Unavailable {
-			t.Errorf("%v", err)
+			t.Errorf("Pass with a timeout of %d ms, below the authorizer's delay: error %v, want DeadlineExceeded or Unavailable", 1+k, err)
 		}
 	}
-	time.Sleep(150 * time.Millisecond) // the authorizer has allowed them all by now
+	time.Sleep(150 * time.Millisecond) // by now the authorizer has allowed all requests
 	for k := range 20 {
-		if n.runs(fmt.Sprint("gone", k)) > 0 {
-			t.Errorf("request %d ran for nobody", k)
+		if n.attemptCount(fmt.Sprint("gone", k)) > 0 {
+			t.Errorf("request gone%d, whose client disconnected, reached the app server in %d attempts, want 0",
+				k, n.attemptCount(fmt.Sprint("gone", k)))
 		}
 	}
-	if _, err := n.pass(t.Context(), "stays", "buy", 5, 2*time.Second); err != nil || n.runs("stays") != 1 {
-		t.Errorf("%v, ran %d times", err, n.runs("stays"))
+	if _, err := n.pass(t.Context(), "stays", "buy", 5, 2*time.Second); err != nil || n.attemptCount("stays") != 1 {
+		t.Errorf("Pass of a client that waits for its check: error %v and %d attempts, want no error and 1", err, n.attemptCount("stays"))
 	}
 }
 
-// cancelTimes records when attempts arrived at an app server and when their clients cancelled.
+// cancelTimes records the times at which attempts arrived at an app server, and at which their clients cancelled.
 type cancelTimes struct {
-	mu        sync.Mutex // guards all
+	mu        sync.Mutex // guards the fields below
 	random    *rand.Rand
-	attempts  map[string][]time.Time
-	cancelled map[string]time.Time
+	attempts  map[string][]time.Time // arrival times of attempts, by request id
+	cancelled map[string]time.Time   // time of the cancellation, by request id
 }
 
-func (c *cancelTimes) chance(n int) int {
+// randomInt returns a random number from 0 to n-1.
+func (c *cancelTimes) randomInt(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.Intn(n)
 }
 
-// serve rejects or fails each attempt after a while.
+// serve rejects or fails each attempt, after 20 to 169 ms.
 func (c *cancelTimes) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(protocol.HeaderRequestID)
 	c.mu.Lock()
 	c.attempts[id] = append(c.attempts[id], time.Now())
 	c.mu.Unlock()
-	time.Sleep(time.Duration(20+c.chance(150)) * time.Millisecond)
-	if c.chance(2) == 0 {
+	time.Sleep(time.Duration(20+c.randomInt(150)) * time.Millisecond)
+	if c.randomInt(2) == 0 {
 		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// call sends a request and cancels it after a while, unless it is answered before.
-func (c *cancelTimes) call(t *testing.T, n *node, id string, customer uint64, after time.Duration) {
+// call sends a request and cancels it after cancelAfter, unless the response comes first.
+func (c *cancelTimes) call(t *testing.T, n *node, id string, customer uint64, cancelAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	defer time.AfterFunc(after, func() {
+	defer time.AfterFunc(cancelAfter, func() {
 		c.mu.Lock()
 		c.cancelled[id] = time.Now()
 		c.mu.Unlock()
@@ -144,89 +149,92 @@
 	}).Stop()
 	_, err := n.client.Pass(ctx, &Ticket{Id: id, Band: "look", Customer: customer, Plan: "team", Units: 1, Spread: 1})
 	if status.Code(err) == codes.DeadlineExceeded {
-		t.Errorf("%s: %v", id, err)
+		t.Errorf("request %s: error %v, want a response or the cancellation before the deadline", id, err)
 	}
 }
 
-// Calls are cancelled at random moments, some before they begin, some during an attempt that is then rejected or fails. No
-// attempt arrives at an app server more than 0.1 s later.
-func TestNothingIsForwardedForCancelledCalls(t *testing.T) {
-	const most, calls = 100 * time.Millisecond, 200
+// Guards against attempts that begin after the client cancelled its call. Calls are cancelled at random times, some before they
+// begin, some during an attempt that is then rejected or fails. No attempt may arrive at the app server more than 0.1 s later.
+func TestCancelledCallsAreNotForwarded(t *testing.T) {
+	const maxDelay, calls = 100 * time.Millisecond, 200
 	c := &cancelTimes{random: rand.New(rand.NewSource(35)), attempts: map[string][]time.Time{}, cancelled: map[string]time.Time{}}
 	n := startNode(t, nil, c.serve)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for k := range calls {
-		after := time.Duration(c.chance(300)) * time.Millisecond
-		all.Add(1)
+		cancelAfter := time.Duration(c.randomInt(300)) * time.Millisecond
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			c.call(t, n, fmt.Sprint("cancel", k), uint64(k), after)
+			defer running.Done()
+			c.call(t, n, fmt.Sprint("cancel", k), uint64(k), cancelAfter)
 		}()
-		time.Sleep(time.Duration(c.chance(6)) * time.Millisecond)
+		time.Sleep(time.Duration(c.randomInt(6)) * time.Millisecond)
 	}
-	all.Wait()
-	time.Sleep(3 * most)
+	running.Wait()
+	time.Sleep(3 * maxDelay)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	late, again, worst := 0, 0, time.Duration(0)
-	for id, at := range c.cancelled {
-		again += max(0, len(c.attempts[id])-1)
-		for _, when := range c.attempts[id] {
-			worst = max(worst, when.Sub(at))
-			if when.Sub(at) > most {
-				late++
+	lateAttempts, furtherAttempts, longestDelay := 0, 0, time.Duration(0)
+	for id, cancelledAt := range c.cancelled {
+		furtherAttempts += max(0, len(c.attempts[id])-1)
+		for _, arrivedAt := range c.attempts[id] {
+			longestDelay = max(longestDelay, arrivedAt.Sub(cancelledAt))
+			if arrivedAt.Sub(cancelledAt) > maxDelay {
+				lateAttempts++
 			}
 		}
 	}
-	if late > 0 || len(c.cancelled) < calls/4 || again == 0 {
-		t.Errorf("%d cancelled, %d further attempts", len(c.cancelled), again)
+	if lateAttempts > 0 || len(c.cancelled) < calls/4 || furtherAttempts == 0 {
+		t.Errorf("%d attempts arrived more than %v after the cancellation; %d calls cancelled, with %d further attempts; want no "+
+			"late attempt, at least %d cancelled calls, and further attempts", lateAttempts, maxDelay, len(c.cancelled), furtherAttempts, calls/4)
 	}
-	t.Logf("%d cancelled, %d further attempts before; worst %v after, %d later than %v", len(c.cancelled), again, worst, late, most)
+	t.Logf("%d calls cancelled, with %d further attempts; latest attempt %v after the cancellation, %d later than %v",
+		len(c.cancelled), furtherAttempts, longestDelay, lateAttempts, maxDelay)
 }
 
-// Connections over gRPC's limit wait until others close. A drain ends while some wait.
+// Guards against gRPC connections that use up the file descriptors. Connections above the limit must wait until others close.
+// At the end, some connections still wait, and the server must stop nevertheless.
 func TestConnectionsAreBounded(t *testing.T) {
 	n := startNode(t, nil, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 	var conns []net.Conn
 	accepted := make(chan struct{}, 999)
-	for range 200 { // of 1,024 descriptors gRPC gets 120
-		conn, err := net.Dial("tcp", n.grpc)
+	for range 200 { // the limit is 120 gRPC connections with 1,024 descriptors
+		conn, err := net.Dial("tcp", n.grpcAddr)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("dial the gRPC front end: %v", err)
 		}
 		closeAtEnd(t, conn)
 		conns = append(conns, conn)
-		go func() { // until the connection closes
-			if _, err := conn.Read(make([]byte, 1)); err == nil { // the server's SETTINGS frame, sent after the accept
+		go func() { // ends at the latest when the connection closes
+			if _, err := conn.Read(make([]byte, 1)); err == nil { // the server sends a SETTINGS frame after the accept
 				accepted <- struct{}{}
 			}
 		}()
 		if _, err := io.WriteString(conn, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00"); err != nil {
-			t.Fatal(err)
+			t.Fatalf("send the HTTP/2 preface: %v", err)
 		}
 	}
-	if k := awaitAccepted(accepted, 200); k != 120 {
-		t.Errorf("%d accepted", k)
+	if count := awaitAccepted(accepted, 200); count != 120 {
+		t.Errorf("%d of 200 connections accepted, want 120", count)
 	}
 	for _, conn := range conns[:50] {
 		if err := conn.Close(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("close a connection: %v", err)
 		}
 	}
-	if k := awaitAccepted(accepted, 50); k != 50 {
-		t.Errorf("%d accepted as 50 closed", k)
+	if count := awaitAccepted(accepted, 50); count != 50 {
+		t.Errorf("%d waiting connections accepted after 50 closed, want 50", count)
 	}
 }
 
-// awaitAccepted counts accepted connections, up to a number, until none was accepted for half a second.
-func awaitAccepted(accepted <-chan struct{}, most int) (k int) {
-	for k < most {
+// awaitAccepted returns the number of accepted connections. It returns at the limit, or after half a second without an accept.
+func awaitAccepted(accepted <-chan struct{}, limit int) (count int) {
+	for count < limit {
 		select {
 		case <-accepted:
-			k++
+			count++
 		case <-time.After(500 * time.Millisecond):
-			return k
+			return count
 		}
 	}
-	return k
+	return count
 }
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -28,19 +28,20 @@
 	"cherrygap/internal/settings"
 )
 
-// The tests of this file hold the bytes and names on the wire, which clients and authorizers depend on.
+// The tests of this file guard the bytes and names on the wire against change. Clients and authorizers depend on them.
 
-// wantText fails a subtest whose text differs from the expected one.
-func wantText(t *testing.T, name, got, want string) {
+// checkText runs a subtest, which fails if got and want differ.
+func checkText(t *testing.T, name, got, want string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
 		if got != want {
-			t.Errorf("got  %q\nwant %q", got, want)
+			t.Errorf("%s: got  %q\nwant %q", name, got, want)
 		}
 	})
 }
 
+// Guards against messages whose encoding changes, or that do not decode to the same fields.
 func TestMessageWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -54,17 +55,17 @@
 	} {
 		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(c.message)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: marshal: %v", c.name, err)
 		}
-		wantText(t, c.name, string(raw), c.want)
-		back := c.message.ProtoReflect().New().Interface()
-		if err := proto.Unmarshal(raw, back); err != nil || !proto.Equal(back, c.message) {
-			t.Errorf("%s is read as %v, %v", c.name, back, err)
+		checkText(t, c.name, string(raw), c.want)
+		decoded := c.message.ProtoReflect().New().Interface()
+		if err := proto.Unmarshal(raw, decoded); err != nil || !proto.Equal(decoded, c.message) {
+			t.Errorf("%s: Unmarshal(%q) = %v, %v, want %v", c.name, raw, decoded, err, c.message)
 		}
 	}
 }
 
-// The names and numbers of the service in generated code of clients.
+// Guards against a changed name, type or field number of the service, which would break the generated code of clients.
 func TestServiceDescriptor(t *testing.T) {
 	file := (&Ticket{}).ProtoReflect().Descriptor().ParentFile()
 	got := string(file.Package())
@@ -90,42 +91,44 @@
 		{"registered", fmt.Sprint(Gate_ServiceDesc.ServiceName, Gate_ServiceDesc.Methods[0].MethodName, len(Gate_ServiceDesc.Methods), len(Gate_ServiceDesc.Streams)), "cherrygap.gate.v1.GatePass1 0"},
 		{"full method", Gate_Pass_FullMethodName, "/cherrygap.gate.v1.Gate/Pass"},
 	} {
-		wantText(t, c.name, c.got, c.want)
+		checkText(t, c.name, c.got, c.want)
 	}
 }
 
-// authorizerRecorder is an authorizer that records its calls.
+// authorizerRecorder is an authorizer that records its last call and answers with a chosen status.
 type authorizerRecorder struct {
 	auth.UnimplementedAuthorizationServer
-	mu     sync.Mutex // guards all below
-	method string
-	keys   []string
-	raw    []byte
-	code   codes.Code
+	mu           sync.Mutex // guards the fields below
+	method       string     // full name of the called method
+	metadataKeys []string   // sorted keys of the metadata
+	rawRequest   []byte     // encoded CheckRequest
+	code         codes.Code // status to answer with
 }
 
-func (r *authorizerRecorder) Check(ctx context.Context, q *auth.CheckRequest) (*auth.CheckResponse, error) {
+// Check records the call and returns a response with the chosen status.
+func (r *authorizerRecorder) Check(ctx context.Context, request *auth.CheckRequest) (*auth.CheckResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	md, _ := metadata.FromIncomingContext(ctx)
-	r.keys = slices.Sorted(maps.Keys(md))
+	incoming, _ := metadata.FromIncomingContext(ctx)
+	r.metadataKeys = slices.Sorted(maps.Keys(incoming))
 	r.method, _ = grpc.Method(ctx)
 	var err error
-	r.raw, err = proto.MarshalOptions{Deterministic: true}.Marshal(q)
+	r.rawRequest, err = proto.MarshalOptions{Deterministic: true}.Marshal(request)
 	return &auth.CheckResponse{Status: &rpc.Status{Code: int32(r.code)}}, err
 }
 
+// Guards against a message to the authorizer whose encoding, method or metadata changes, and against a wrong verdict for a status.
 func TestCheckRequestWireFormat(t *testing.T) {
-	ln, err := net.Listen("tcp", nettest.AnyPort())
+	listener, err := net.Listen("tcp", nettest.AnyPort())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen for the authorizer: %v", err)
 	}
 	server, recorder := grpc.NewServer(), &authorizerRecorder{}
 	auth.RegisterAuthorizationServer(server, recorder)
-	go func() { _ = server.Serve(ln) }()
+	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
-	a := dialTestAuthorizer(t, ln.Addr().String())
-	q := &protocol.Request{
+	a := dialTestAuthorizer(t, listener.Addr().String())
+	request := &protocol.Request{
 		Method: "POST", URI: "/buy/x/00000000b4d65521?a=1", Host: "api", ID: "9b1f", Class: "buy", Plan: "team", Customer: 0xb4d65521,
 		Units: 2.5, Spread: 3, FirstNode: 1, Body: []byte("two seats"), IdempotencyKey: "k-1", ContentType: "text/plain",
 	}
@@ -142,8 +145,8 @@
 		recorder.mu.Lock()
 		recorder.code = c.code
 		recorder.mu.Unlock()
-		if v := a.Check(context.Background(), q, 8*time.Second).Verdict; v != c.want {
-			t.Errorf("%v gave %v, want %v", c.code, v, c.want)
+		if verdict := a.Check(context.Background(), request, 8*time.Second).Verdict; verdict != c.want {
+			t.Errorf("Check with the authorizer's status %v: verdict %v, want %v", c.code, verdict, c.want)
 		}
 	}
 	recorder.mu.Lock()
@@ -156,43 +159,46 @@
 		}},
 		ContextExtensions: map[string]string{"band": "buy", "plan": "team", "customer": "00000000b4d65521", "units": "2.5"},
 	}}
-	if raw, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || string(raw) != string(recorder.raw) {
-		t.Errorf("%q differs from %q, %v", recorder.raw, raw, err)
+	if raw, err := (proto.MarshalOptions{Deterministic: true}).Marshal(want); err != nil || string(raw) != string(recorder.rawRequest) {
+		t.Errorf("the authorizer got the message %q, want %q (marshal error %v)", recorder.rawRequest, raw, err)
 	}
 	for _, c := range []struct{ name, got, want string }{
-		{"request", string(recorder.raw), "\n\xad\x01\n\x14\n\x00\"\x1000000000b4d65521\"N\x12L\n\x049b1f\x12\x04POST\x1a\x10\n\bx-tariff\x12\x04team\"\x1b/buy/x/00000000b4d65521?a=1*\x03apiH\tR\bHTTP/1.1R\v\n\x04band\x12\x03buyR\x1c\n\bcustomer\x12\x1000000000b4d65521R\f\n\x04plan\x12\x04teamR\f\n\x05units\x12\x032.5"},
+		{"request", string(recorder.rawRequest), "\n\xad\x01\n\x14\n\x00\"\x1000000000b4d65521\"N\x12L\n\x049b1f\x12\x04POST\x1a\x10\n\bx-tariff\x12\x04team\"\x1b/buy/x/00000000b4d65521?a=1*\x03apiH\tR\bHTTP/1.1R\v\n\x04band\x12\x03buyR\x1c\n\bcustomer\x12\x1000000000b4d65521R\f\n\x04plan\x12\x04teamR\f\n\x05units\x12\x032.5"},
 		{"method", recorder.method, "/envoy.service.auth.v3.Authorization/Check"},
-		{"metadata", strings.Join(recorder.keys, " "), ":authority content-type user-agent"},
+		{"metadata", strings.Join(recorder.metadataKeys, " "), ":authority content-type user-agent"},
 	} {
-		wantText(t, c.name, c.got, c.want)
+		checkText(t, c.name, c.got, c.want)
 	}
 }
 
-// checkStub is an authorizer with one verdict for each class.
-type checkStub map[string]authz.Verdict
+// stubAuthorizer maps each class to the verdict on its requests.
+type stubAuthorizer map[string]authz.Verdict
 
-func (s checkStub) Check(_ context.Context, q *protocol.Request, _ time.Duration) frontend.Authorization {
-	return frontend.Authorization{Verdict: s[q.Class]}
+// Check returns the verdict of the request's class.
+func (s stubAuthorizer) Check(_ context.Context, request *protocol.Request, _ time.Duration) frontend.Authorization {
+	return frontend.Authorization{Verdict: s[request.Class]}
 }
 
-// appRecorder is an app server that records its attempts. It masks the attempt timeout.
+// appRecorder is an app server that records its attempts. It replaces the attempt timeout, which varies, with its presence.
 type appRecorder struct {
-	mu   sync.Mutex // guards seen
-	seen map[string]string
+	mu       sync.Mutex        // guards attempts
+	attempts map[string]string // text of the last attempt, by request id
 }
 
-func (a *appRecorder) serve(w http.ResponseWriter, q *http.Request) {
+// serve records an attempt. It closes the connection for customers whose number ends with fe, and rejects those whose number
+// ends with ff.
+func (a *appRecorder) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	q.Header.Set(protocol.HeaderTimeout, fmt.Sprint(q.Header.Get(protocol.HeaderTimeout) != ""))
-	a.seen[q.Header.Get(protocol.HeaderRequestID)] = fmt.Sprintf("%s %s %s %s %v", q.Method, q.RequestURI, q.Proto, q.Host, q.Header)
+	r.Header.Set(protocol.HeaderTimeout, fmt.Sprint(r.Header.Get(protocol.HeaderTimeout) != ""))
+	a.attempts[r.Header.Get(protocol.HeaderRequestID)] = fmt.Sprintf("%s %s %s %s %v", r.Method, r.RequestURI, r.Proto, r.Host, r.Header)
 	a.mu.Unlock()
 	switch {
-	case strings.HasSuffix(q.URL.Path, "fe"): // closes instead of a response
+	case strings.HasSuffix(r.URL.Path, "fe"):
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			_ = conn.Close()
 		}
-	case strings.HasSuffix(q.URL.Path, "ff"):
+	case strings.HasSuffix(r.URL.Path, "ff"):
 		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
@@ -201,11 +207,11 @@
 	}
 }
 
-// describeCall returns the answer to a call, or its status with the types of its details.
-func describeCall(ctx context.Context, n *node, q *Ticket) string {
+// describeCall returns the text of the answer to a call, or of its status with the types of the details.
+func describeCall(ctx context.Context, n *node, call *Ticket) string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	a, err := n.client.Pass(ctx, q)
+	a, err := n.client.Pass(ctx, call)
 	if err == nil {
 		return fmt.Sprintf("%q %q", a.Body, a.Type)
 	}
@@ -217,10 +223,11 @@
 	return got
 }
 
+// Guards against a changed answer or status of a call, and against changed headers at the app server.
 func TestAnswersAndStatuses(t *testing.T) {
-	app := &appRecorder{seen: map[string]string{}}
-	n := startNode(t, checkStub{"look": authz.Allow, "buy": authz.Allow}, app.serve)
-	denied := startNode(t, checkStub{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
+	app := &appRecorder{attempts: map[string]string{}}
+	n := startNode(t, stubAuthorizer{"look": authz.Allow, "buy": authz.Allow}, app.serve)
+	denied := startNode(t, stubAuthorizer{"look": authz.Deny, "buy": authz.Reject}, func(http.ResponseWriter, *http.Request) {})
 	for _, c := range []struct {
 		name    string
 		node    *node
@@ -232,12 +239,12 @@
 		{"rejected", n, &Ticket{Id: "3", Band: "look", Plan: "team", Customer: 255, Units: 1, Spread: 1}, "Unavailable \"bounced: trying again is harmless\" type.googleapis.com/google.rpc.RetryInfo"},
 		{"failed", n, &Ticket{Id: "4", Band: "buy", Plan: "team", Customer: 254, Units: 1, Spread: 1}, "Unknown \"broken off: it may have run\""},
 		{"denied", denied, &Ticket{Id: "5", Band: "look", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "PermissionDenied \"not allowed\""},
-		{"not checked", denied, &Ticket{Id: "6", Band: "buy", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "Unavailable \"bounced: trying again is harmless\""},
+		{"rejected by the authorizer", denied, &Ticket{Id: "6", Band: "buy", Plan: "team", Customer: 5, Units: 1, Spread: 1}, "Unavailable \"bounced: trying again is harmless\""},
 		{"same id", n, &Ticket{Id: "1", Band: "look", Plan: "team", Units: 1, Spread: 1}, "AlreadyExists \"id of another ticket\""},
 		{"unknown class", n, &Ticket{Id: "9", Band: "fly", Plan: "team", Units: 1, Spread: 1}, "NotFound \"unknown band or plan\""},
 		{"unknown plan", n, &Ticket{Id: "9", Band: "look", Plan: "gold", Units: 1, Spread: 1}, "NotFound \"unknown band or plan\""},
 		{"no id", n, &Ticket{Band: "look", Plan: "team", Units: 1, Spread: 1}, "InvalidArgument \"malformed id\""},
-		{"odd key", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Key: "a\nb"}, "InvalidArgument \"odd type or key\""},
+		{"invalid key", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Key: "a\nb"}, "InvalidArgument \"odd type or key\""},
 		{"units too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 7, Spread: 1}, "InvalidArgument \"figures outside the settings\""},
 		{"spread too high", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1, Spread: 2}, "InvalidArgument \"figures outside the settings\""},
 		{"no spread", n, &Ticket{Id: "9", Band: "look", Plan: "team", Units: 1}, "InvalidArgument \"malformed units or set\""},
@@ -246,29 +253,30 @@
 		{"body too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, protocol.MaxBody+1)}, "InvalidArgument \"body too large\""},
 		{"message too large", n, &Ticket{Id: "9", Band: "buy", Plan: "team", Units: 1, Spread: 1, Body: make([]byte, 2*protocol.MaxBody)}, "ResourceExhausted \"grpc: received message larger than max (131101 vs. 131072)\""},
 	} {
-		wantText(t, c.name, describeCall(t.Context(), c.node, c.request), c.want)
+		checkText(t, c.name, describeCall(t.Context(), c.node, c.request), c.want)
 	}
 	app.mu.Lock()
 	defer app.mu.Unlock()
 	for _, c := range []struct{ name, got, want string }{
-		{"buy as sent", app.seen["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
-		{"look as sent", app.seen["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
+		{"buy at the app server", app.attempts["1"], "POST /buy/0000000000000005 HTTP/1.1 gate map[Content-Length:[3] Content-Type:[a/b] Idempotency-Key:[k] X-Budget-Ms:[true] X-Call-Id:[1]]"},
+		{"look at the app server", app.attempts["2"], "GET /look/0000000000000005 HTTP/1.1 gate map[X-Budget-Ms:[true] X-Call-Id:[2]]"},
 	} {
-		wantText(t, c.name, c.got, c.want)
+		checkText(t, c.name, c.got, c.want)
 	}
 }
 
+// Guards against a class with the wrong HTTP method, and against a class name that breaks the path.
 func TestHTTPMethodsOfClasses(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		set  settings.Values
 		want string
 	}{
-		{"none", nil, "map[] <nil>"},
-		{"three", settings.Values{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
-		{"no path part", settings.Values{"class.0.name": "a/b"}, "map[] band a/b is no path part"},
+		{"no classes", nil, "map[] <nil>"},
+		{"three classes", settings.Values{"class.0.name": "look", "class.0.retry_safety": "safe", "class.1.name": "buy", "class.1.retry_safety": "keyed", "class.2.name": "x"}, "map[buy:POST look:GET x:POST] <nil>"},
+		{"invalid path segment", settings.Values{"class.0.name": "a/b"}, "map[] class \"a/b\": name is not a path segment"},
 	} {
 		got, err := HTTPMethods(settings.Parse(c.set))
-		wantText(t, c.name, fmt.Sprint(got, err), c.want)
+		checkText(t, c.name, fmt.Sprint(got, err), c.want)
 	}
 }
--- a/internal/operatorfile/deprecated_test.go
+++ b/internal/operatorfile/deprecated_test.go
@@ -255,8 +255,8 @@
 	{"deprecated key below a standard table of the same part", "[health_checks]\ncheck_ms = 4000\n", "line 2: health_checks.check_ms: no such key", ""},
 }
 
-// Guards against a file that gives a key under both names and silently means one of them, and against notices and errors that
-// name a key otherwise than the file spells it.
+// Guards against a file that gives a key under both names and silently means one of them. Also guards against notices and
+// errors that name a key otherwise than the file spells it.
 func TestDeprecationsAndTheirErrors(t *testing.T) {
 	for _, c := range deprecationCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -20,7 +20,7 @@
 	IdleMs           *float64        `toml:"idle_ms"`             // idle time after which a connection to an app server is closed, ms
 	SlowStartFrom    *float64        `toml:"slow_start_from"`     // share of its capacity that an app server has right after its start
 	SlowStartMs      *float64        `toml:"slow_start_ms"`       // time from the start of an app server until its full capacity, ms
-	OverloadMultiple *float64        `toml:"overload_multiple"`   // load that crashes an app server in slow start, as a multiple of its present capacity
+	OverloadMultiple *float64        `toml:"overload_multiple"`   // load that crashes an app server in slow start, relative to its capacity then
 	OverloadMs       *float64        `toml:"overload_ms"`         // time for which an app server in slow start withstands that load, ms
 	Classes          []ClassOverride `toml:"class"`
 	Plans            []PlanOverride  `toml:"plan"`
@@ -32,8 +32,8 @@
 type ClassOverride struct {
 	Name               string   `toml:"name"`
 	RetrySafety        *string  `toml:"retry_safety"`         // settings.RetrySafe, RetryKeyed or RetryUnsafe
-	Group              *string  `toml:"group"`                // servers that share idempotency keys: all, zone or cell; only for a keyed class
-	WindowMs           *float64 `toml:"window_ms"`            // time for which a server remembers an idempotency key, ms; only for a keyed class
+	Group              *string  `toml:"group"`                // servers that share idempotency keys: all, zone or cell; keyed classes only
+	WindowMs           *float64 `toml:"window_ms"`            // time for which a server remembers an idempotency key, ms; keyed classes only
 	LatencyObjectiveMs *float64 `toml:"latency_objective_ms"` // latency up to which a response earns the whole priority weight, ms
 
 	deprecatedClassOverride
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -77,6 +77,7 @@
 	s.Classes[0].Group = &word
 	var unknown *UnknownNameError
 	if set, err := s.Apply(settings.Parse(platformSettings)); set != nil || !errors.As(err, &unknown) || !strings.Contains(err.Error(), "next-leg, stop-update") {
-		t.Errorf("Apply with the unknown class \"dock\" = %v, %v, want nil and an UnknownNameError that lists next-leg, stop-update", set, err)
+		t.Errorf("Apply with the unknown class \"dock\" = %v, %v, want nil and an UnknownNameError that lists %q",
+			set, err, "next-leg, stop-update")
 	}
 }
