--- a/internal/node/authorizer.go
+++ b/internal/node/authorizer.go
@@ -6,8 +6,8 @@
 	"cherrygap/internal/frontend"
 )
 
-// authorizer asks an external service whether requests are allowed. It counts the answers for the log. Close ends its
-// connection. Only programs with the build tag grpc have one.
+// authorizer asks an external service whether requests are allowed, and logs the counts of its answers. Close closes the
+// connection to the service. Only programs with the build tag grpc have an implementation.
 type authorizer interface {
 	frontend.Authorizer
 	zerolog.LogObjectMarshaler
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,16 +15,16 @@
 	"cherrygap/internal/settings"
 )
 
-// Environment variables that a node reads. An empty value counts as none.
+// Environment variables that a node reads. An empty value counts as an unset variable.
 const (
 	EnvConfig    = "GW_CONFIG"    // path of the platform's configuration
-	EnvOperator  = "GW_OPERATOR"  // path of the operator file, as --operator
-	envName      = "GW_NAME"      // overrides "name" in the configuration
-	envListen    = "GW_LISTEN"    // overrides "listen"
-	envDiscovery = "GW_DISCOVERY" // overrides "discovery", until a reload names another address
+	EnvOperator  = "GW_OPERATOR"  // path of the operator file; means the same as the flag --operator
+	envName      = "GW_NAME"      // overrides the key "name" of the configuration
+	envListen    = "GW_LISTEN"    // overrides the key "listen"
+	envDiscovery = "GW_DISCOVERY" // overrides the key "discovery" until a reload reads another address
 )
 
-// Keys of the platform's configuration that an error may name.
+// Keys of the platform's configuration that keyError may name.
 const (
 	keyListen    = "listen"
 	keyDiscovery = "discovery"
@@ -34,47 +34,48 @@
 	keySettings  = "settings"
 )
 
-// keyShadowSettings is the part of the operator file with the shadow evaluation's settings.
+// keyShadowSettings is the key of the operator file under which the shadow evaluation's settings stand.
 const keyShadowSettings = "shadow.settings"
 
-// config is the platform's configuration as its JSON file has it, with the environment's values over it. Errors of
-// encoding/json contain this type's name, and such error lines keep their text.
+// config is the platform's configuration as it stands in the JSON file. Values of environment variables replace those of the
+// file. The type keeps its name, because operators see it in errors of encoding/json.
 type config struct {
-	Name      string           `json:"name"`
-	Listen    string           `json:"listen"`
-	Discovery string           `json:"discovery"`
-	Seed      string           `json:"seed"` // 64 bits, hexadecimal
-	Peer      netip.AddrPort   `json:"peer_listen"`
-	Peers     []netip.AddrPort `json:"peers"` // by node number
-	PeersAll  netip.AddrPort   `json:"peers_all"`
-	Limits    struct {
+	Name          string           `json:"name"`
+	Listen        string           `json:"listen"`
+	Discovery     string           `json:"discovery"`
+	Seed          string           `json:"seed"` // hexadecimal number of at most 64 bits
+	PeerListen    netip.AddrPort   `json:"peer_listen"`
+	Peers         []netip.AddrPort `json:"peers"`     // addresses by node number
+	PeerBroadcast netip.AddrPort   `json:"peers_all"` // address that reaches every node; zero if there is none
+	Limits        struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`    // endpoint list, in the format of the discovery service
-	Settings json.RawMessage `json:"settings"` // nested, by the platform's names
+	RawKnownList json.RawMessage `json:"known"`    // endpoint list in the format of the discovery service
+	RawSettings  json.RawMessage `json:"settings"` // nested objects with the platform's key names
 }
 
-// documentType is the type's name in the error on a configuration that is no JSON object. Operators see this text, so it does
-// not follow the name of config.
-const documentType = "main.config"
+// configTypeName is the name of the type config in the text of notObjectError. Operators see this text, so it stays the same
+// if the type's package or name changes.
+const configTypeName = "main.config"
 
-// Config is the configuration of one node: the platform's file and the operator file. LoadConfigAtStart or
-// LoadPlatformFile makes one, and ApplyOperator adds the operator file. A node only reads it.
+// Config is the configuration of one node: the platform's file and the operator file. LoadConfigAtStart and
+// LoadPlatformFile return one, and ApplyOperator adds the operator file. A node frees the endpoint list in its Config, and
+// changes nothing else.
 type Config struct {
 	config
 
-	fileDiscovery  string                // Discovery in the file, without the environment's value
-	randomSeed     uint64                // Seed
-	known          protocol.EndpointList // Known; empty where that is malformed
-	knownErr       error                 // the error of a malformed Known; nil if it is valid or missing
-	settings       *settings.Settings    // Settings, with the operator file's over them
-	shadowSettings *settings.Settings    // for the shadow evaluation; nil for none
-	operator       operatorfile.File     // the zero value before ApplyOperator
+	fileDiscovery  string                // discovery address in the file, even if GW_DISCOVERY overrides it
+	randomSeed     uint64                // parsed value of Seed
+	knownList      protocol.EndpointList // parsed RawKnownList; empty if that is malformed or missing
+	knownListErr   error                 // error of a malformed RawKnownList; nil if that is valid or missing
+	settings       *settings.Settings    // platform's settings, overridden by those of the operator file
+	shadowSettings *settings.Settings    // settings of the shadow evaluation; nil if it is disabled
+	operator       operatorfile.File     // operator file; the zero value until ApplyOperator sets it
 }
 
-// keyError is the error of an invalid value, in the platform's configuration or the operator file's settings.
+// keyError is an invalid value of a key in the platform's configuration or in the operator file's settings.
 type keyError struct {
 	key string
 	err error
@@ -84,34 +85,34 @@
 
 func (e *keyError) Unwrap() error { return e.err }
 
-// documentTypeError is the error of a configuration that is JSON but no object.
-type documentTypeError struct{ kind string } // the JSON value's kind, such as "array"
+// notObjectError is the error of a configuration that is valid JSON but not an object.
+type notObjectError struct{ kind string } // kind of the JSON value, such as "array"
 
-func (e *documentTypeError) Error() string {
-	return "json: cannot unmarshal " + e.kind + " into Go value of type " + documentType
+func (e *notObjectError) Error() string {
+	return "json: cannot unmarshal " + e.kind + " into Go value of type " + configTypeName
 }
 
-// errNotPositive is the error of a platform limit that is missing, zero or negative.
-var errNotPositive = errors.New("cores, memory_mb and sockets must be above 0")
+// errLimitNotPositive is the error of a platform limit that is missing, zero or negative.
+var errLimitNotPositive = errors.New("cores, memory_mb and sockets must be above 0")
 
-// errNoConfigPath is the error of a start without a configuration.
+// errNoConfigPath is the error of loading the configuration while GW_CONFIG is unset or empty.
 var errNoConfigPath = errors.New(EnvConfig + " is not set")
 
-// truncatedJSON is the text of encoding/json's error on a document without its end.
-const truncatedJSON = "unexpected end of JSON input"
+// truncatedJSONText is the text of encoding/json's error for a truncated document.
+const truncatedJSONText = "unexpected end of JSON input"
 
-// loadConfig reads the configuration that GW_CONFIG names, for a start or a reload. A malformed endpoint list is no error
-// but the result's knownErr. The discovery service sends the list anyway, so a node can start without one.
+// loadConfig reads the configuration file that GW_CONFIG names, for a start or a reload. If only the endpoint list is
+// malformed, loadConfig sets knownListErr and returns no error: discovery sends the list anyway, so a node can start without one.
 func loadConfig() (*Config, error) {
 	c, err := readConfig()
 	if c != nil && isKnownListError(err) {
-		c.knownErr, err = err, nil
+		c.knownListErr, err = err, nil
 	}
 	return c, err
 }
 
-// readConfig reads the configuration that GW_CONFIG names, with the environment's values over it. Where only the endpoint
-// list is malformed it returns the rest of the configuration with the error.
+// readConfig reads the configuration file that GW_CONFIG names, and applies the environment variables. If only the endpoint
+// list is malformed, it returns the rest of the configuration together with the error.
 func readConfig() (*Config, error) {
 	path := os.Getenv(EnvConfig)
 	if path == "" {
@@ -128,8 +129,8 @@
 	return c, nil
 }
 
-// LoadPlatformFile reads and checks a platform configuration. It ignores environment variables, and a malformed endpoint
-// list is an error.
+// LoadPlatformFile reads and checks a platform configuration. It ignores environment variables. A malformed endpoint list is
+// an error.
 func LoadPlatformFile(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -142,22 +143,22 @@
 	return c, nil
 }
 
-// mayBeReadLater reports whether an error of loadConfig may pass: the file could not be read, or its end is still to be
-// written.
-func mayBeReadLater(err error) bool {
+// mayBeTemporary reports whether a later loadConfig may succeed after err: the file could not be read, or it is truncated,
+// perhaps because it is still being written.
+func mayBeTemporary(err error) bool {
 	var fileError *fs.PathError
 	var syntaxError *json.SyntaxError
-	return errors.As(err, &fileError) || errors.As(err, &syntaxError) && syntaxError.Error() == truncatedJSON
+	return errors.As(err, &fileError) || errors.As(err, &syntaxError) && syntaxError.Error() == truncatedJSONText
 }
 
-// isKnownListError reports whether only the endpoint list of a configuration is malformed.
+// isKnownListError reports whether err says that only the endpoint list of a configuration is malformed.
 func isKnownListError(err error) bool {
-	var fault *keyError
-	return errors.As(err, &fault) && fault.key == keyKnown
+	var keyErr *keyError
+	return errors.As(err, &keyErr) && keyErr.key == keyKnown
 }
 
-// parseConfig parses and checks a configuration, with the environment's values over it. With a keyError on keyKnown it
-// returns the rest of the configuration too; with any other error nil.
+// parseConfig parses and checks a configuration, and applies the environment variables that env returns. With a keyError for
+// keyKnown it also returns the rest of the configuration; with any other error the Config is nil.
 func parseConfig(raw []byte, env func(name string) string) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(raw, &c.config); err != nil {
@@ -169,27 +170,27 @@
 		return nil, err
 	}
 	var err error
-	if c.settings, err = settings.FromJSON(c.Settings); err != nil {
+	if c.settings, err = settings.FromJSON(c.RawSettings); err != nil {
 		return nil, &keyError{keySettings, err}
 	}
-	if len(c.Known) > 0 && string(c.Known) != "null" {
-		if c.known, err = protocol.ParseEndpointList(c.Known); err != nil {
+	if len(c.RawKnownList) > 0 && string(c.RawKnownList) != "null" {
+		if c.knownList, err = protocol.ParseEndpointList(c.RawKnownList); err != nil {
 			return c, &keyError{keyKnown, err}
 		}
 	}
 	return c, nil
 }
 
-// describeTypeError returns a documentTypeError where the document is no JSON object, and any other error as it is.
+// describeTypeError returns a notObjectError if err says that the document is not a JSON object, and err itself otherwise.
 func describeTypeError(err error) error {
-	var fault *json.UnmarshalTypeError
-	if errors.As(err, &fault) && fault.Type == reflect.TypeFor[config]() {
-		return &documentTypeError{fault.Value}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Type == reflect.TypeFor[config]() {
+		return &notObjectError{typeErr.Value}
 	}
 	return err
 }
 
-// applyEnvironment replaces values of the file by those of the environment.
+// applyEnvironment replaces values of the file by those of environment variables that are not empty.
 func (c *config) applyEnvironment(env func(name string) string) {
 	for name, field := range map[string]*string{envName: &c.Name, envListen: &c.Listen, envDiscovery: &c.Discovery} {
 		if value := env(name); value != "" {
@@ -198,7 +199,7 @@
 	}
 }
 
-// validate checks the values that the JSON types leave open, and parses the seed.
+// validate checks the values whose type alone does not make them valid, and parses the seed.
 func (c *Config) validate() error {
 	if err := checkAddress(keyListen, c.Listen); err != nil {
 		return err
@@ -211,12 +212,12 @@
 		return &keyError{keySeed, err}
 	}
 	if c.Limits.Cores <= 0 || c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
-		return &keyError{keyLimits, errNotPositive}
+		return &keyError{keyLimits, errLimitNotPositive}
 	}
 	return nil
 }
 
-// checkAddress checks that the value of a key is an IP address and a port.
+// checkAddress returns a keyError for key unless address is an IP address with a port.
 func checkAddress(key, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return &keyError{key, err}
@@ -224,15 +225,17 @@
 	return nil
 }
 
-// EngineSettings returns the node's settings, which must not be changed.
+// EngineSettings returns the settings of the node's decision engine. The caller must not change them.
 func (c *Config) EngineSettings() *settings.Settings { return c.settings }
 
-// releaseKnownList frees the endpoint list once the decision engine has its own copy. In a large fleet it takes some MB.
+// releaseKnownList frees the endpoint list, which takes several MB in a large fleet. The node calls it once the decision
+// engine has its own copy.
 func (c *Config) releaseKnownList() {
-	c.Known, c.known.Endpoints = nil, nil
+	c.RawKnownList, c.knownList.Endpoints = nil, nil
 }
 
-// ApplyOperator adds the operator file. Its settings take precedence over the platform's.
+// ApplyOperator adds the operator file, whose settings take precedence over the platform's. It returns an error if a setting
+// names a class or a plan that the platform's settings lack.
 func (c *Config) ApplyOperator(file operatorfile.File) error {
 	c.operator = file
 	var err error
@@ -247,10 +250,10 @@
 	return nil
 }
 
-// reload reads the configuration again. It calls switchTo if the file names another discovery address than before, even where
-// GW_DISCOVERY gave the address at the start. It returns the new configuration, with the settings and the operator file of c.
-// After an error it returns c, and nothing has changed.
-func (c *Config) reload(switchTo func(address string)) (*Config, error) {
+// reload reads the configuration again. If the file names another discovery address than before, reload calls
+// switchDiscovery, even if the address at the start came from GW_DISCOVERY. It returns the new configuration with the
+// settings and the operator file of c. After an error it returns c, and nothing has changed.
+func (c *Config) reload(switchDiscovery func(address string)) (*Config, error) {
 	next, err := loadConfig()
 	if err != nil {
 		return c, err
@@ -259,7 +262,7 @@
 		if err := checkAddress(keyDiscovery, next.fileDiscovery); err != nil {
 			return c, err
 		}
-		switchTo(next.fileDiscovery)
+		switchDiscovery(next.fileDiscovery)
 	}
 	next.settings, next.shadowSettings, next.operator = c.settings, c.shadowSettings, c.operator
 	return next, nil
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -22,10 +22,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := c.socketLimits()
-	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.known.Revision != 41 || c.settings.Node.String() != "2" ||
-		l.ServerIdleTimeout != 15*time.Second || l.ConnectTimeout != 250*time.Millisecond || l.Sockets != 1024 {
-		t.Errorf("read as %+v, limits %+v", c, l)
+	limits := c.socketLimits()
+	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.knownList.Revision != 41 || c.settings.Node.String() != "2" ||
+		limits.ServerIdleTimeout != 15*time.Second || limits.ConnectTimeout != 250*time.Millisecond || limits.Sockets != 1024 {
+		t.Errorf("read as %+v, limits %+v", c, limits)
 	}
 }
 
@@ -34,7 +34,7 @@
 func TestMalformedKnownListDoesNotPreventStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
-	old := mustParse(t, nodetest.GoodConfig)
+	current := mustParse(t, nodetest.GoodConfig)
 	for _, known := range []string{
 		`7`, `{"rev":"x"}`, `{"rev":1,"targets":[{"uid":"s","state":"later"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","state":"in_service","pod_group":70000}]}`,
@@ -42,12 +42,12 @@
 		t.Run(known, func(t *testing.T) {
 			text := strings.Replace(nodetest.GoodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
 			nodetest.WriteFile(t, file, text)
-			if c, err := loadConfig(); err != nil || c.knownErr == nil || len(c.known.Endpoints) > 0 || c.settings.Node.String() != "2" {
+			if c, err := loadConfig(); err != nil || c.knownListErr == nil || len(c.knownList.Endpoints) > 0 || c.settings.Node.String() != "2" {
 				t.Errorf("%v", err)
 			}
-			wantReload(t, old, "")
+			wantReload(t, current, "")
 			nodetest.WriteFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
-			wantReload(t, old, "127.0.0.8:8500")
+			wantReload(t, current, "127.0.0.8:8500")
 			nodetest.WriteFile(t, file, text)
 			if _, err := LoadPlatformFile(file); err == nil {
 				t.Errorf("passes the check")
@@ -56,7 +56,7 @@
 			if _, err := loadConfig(); err == nil {
 				t.Errorf("started without a seed")
 			}
-			if next, err := old.reload(func(string) { t.Error("moved") }); err == nil || next != old {
+			if next, err := current.reload(func(string) { t.Error("moved") }); err == nil || next != current {
 				t.Errorf("taken on SIGHUP without a seed")
 			}
 		})
@@ -64,12 +64,12 @@
 }
 
 // wantReload reloads a configuration whose known list can't be read, and checks where that moves discovery to.
-func wantReload(t *testing.T, old *Config, want string) {
+func wantReload(t *testing.T, current *Config, want string) {
 	t.Helper()
-	moved := ""
-	next, err := old.reload(func(address string) { moved += address })
-	if err != nil || moved != want || next.knownErr == nil || next.settings.Node.String() != "2" {
-		t.Errorf("on SIGHUP: moved to %q, want %q, %v", moved, want, err)
+	switchedTo := ""
+	next, err := current.reload(func(address string) { switchedTo += address })
+	if err != nil || switchedTo != want || next.knownListErr == nil || next.settings.Node.String() != "2" {
+		t.Errorf("on SIGHUP: moved to %q, want %q, %v", switchedTo, want, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 func TestReloadAppliesOnlyValidFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
-	c, err := parseConfig([]byte(nodetest.GoodConfig), os.Getenv)
+	current, err := parseConfig([]byte(nodetest.GoodConfig), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,16 +89,16 @@
 		nodetest.GoodConfig: "",
 	} {
 		nodetest.WriteFile(t, file, text)
-		moved := ""
-		next, err := c.reload(func(addr string) { moved = addr })
-		if moved != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != c {
-			t.Errorf("moved to %q, want %q: %v", moved, want, err)
+		switchedTo := ""
+		next, err := current.reload(func(addr string) { switchedTo = addr })
+		if switchedTo != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != current {
+			t.Errorf("moved to %q, want %q: %v", switchedTo, want, err)
 		}
 	}
 }
 
-func TestMalformedConfigurationIsOneError(t *testing.T) {
-	for _, c := range [][2]string{
+func TestMalformedConfigurationErrorIsOneLine(t *testing.T) {
+	for _, test := range [][2]string{
 		{nodetest.GoodConfig, ""},
 		{`"127.0.0.4:9000"`, `"here"`},
 		{"8c1f30d27a5be964", "seed"},
@@ -107,9 +107,9 @@
 		{`"127.0.0.5:7946"`, `"peer"`},
 		{`"settings":{`, `"settings":[{`},
 	} {
-		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, c[0], c[1], 1)), noEnv)
+		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, test[0], test[1], 1)), noEnv)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.30q for %.30q: %v", c[1], c[0], err)
+			t.Errorf("%.30q for %.30q: %v", test[1], test[0], err)
 		}
 	}
 }
@@ -118,10 +118,10 @@
 // contains the name.
 func TestOperatorSettings(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
-	for _, c := range []struct {
-		operator        string
-		repeats, shadow settings.RetrySafety
-		fault           string
+	for _, test := range []struct {
+		operator                    string
+		wantRetrySafety, wantShadow settings.RetrySafety
+		wantErr                     string
 	}{
 		{"", settings.RetryUnsafe, "", ""},
 		{"[[settings.band]]\nname = \"seats\"\nrepeats = \"replayable\"\n", settings.RetrySafe, "", ""},
@@ -130,14 +130,14 @@
 		{"[[settings.band]]\nname = \"other\"\nrepeats = \"replayable\"\n", "", "", "settings: band \"other\": the platform's settings name seats"},
 	} {
 		conf := mustParse(t, text)
-		op, faults := operatorfile.Parse(c.operator)
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		file, keyErrors := operatorfile.Parse(test.operator)
+		if len(keyErrors) > 0 {
+			t.Fatal(keyErrors)
 		}
-		err := conf.ApplyOperator(op)
-		if c.fault != "" {
-			if err == nil || err.Error() != c.fault {
-				t.Errorf("%q: %v", c.operator, err)
+		err := conf.ApplyOperator(file)
+		if test.wantErr != "" {
+			if err == nil || err.Error() != test.wantErr {
+				t.Errorf("%q: %v", test.operator, err)
 			}
 			continue
 		}
@@ -145,8 +145,8 @@
 		if conf.shadowSettings != nil {
 			shadow = conf.shadowSettings.Classes.At(0).RetrySafety
 		}
-		if got := conf.settings.Classes.At(0).RetrySafety; err != nil || got != c.repeats || shadow != c.shadow {
-			t.Errorf("%q: %v, %v, shadow %v", c.operator, err, got, shadow)
+		if got := conf.settings.Classes.At(0).RetrySafety; err != nil || got != test.wantRetrySafety || shadow != test.wantShadow {
+			t.Errorf("%q: %v, %v, shadow %v", test.operator, err, got, shadow)
 		}
 	}
 }
@@ -155,9 +155,9 @@
 func TestHealthChecksNeedThePlatformsPermission(t *testing.T) {
 	text := strings.NewReplacer(`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
 		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
-	for k, c := range []struct {
-		old, new string
-		on, want bool
+	for i, test := range []struct {
+		old, new      string
+		enabled, want bool
 	}{
 		{"", "", true, true},
 		{"", "", false, false},
@@ -165,40 +165,40 @@
 		{`"peers":true`, `"peers":false`, true, false},
 		{`"slot_no":2`, `"slot_no":3`, true, false},
 	} {
-		conf := mustParse(t, strings.Replace(text, c.old, c.new, 1))
-		op := operatorfile.Default()
-		op.HealthChecks.Enabled = c.on
-		if err := conf.ApplyOperator(op); err != nil {
+		conf := mustParse(t, strings.Replace(text, test.old, test.new, 1))
+		file := operatorfile.Default()
+		file.HealthChecks.Enabled = test.enabled
+		if err := conf.ApplyOperator(file); err != nil {
 			t.Fatal(err)
 		}
-		if conf.sharesHealthChecks() != c.want {
-			t.Errorf("%d: shares %v", k, !c.want)
+		if conf.sharesHealthChecks() != test.want {
+			t.Errorf("%d: shares %v", i, !test.want)
 		}
-		if d := conf.healthCheckConfig(); k == 0 && (d.Self != 2 || d.Nodes != 3 || d.SendRate != 4096 || d.Interval != 5*time.Second) {
-			t.Errorf("configured as %+v", d)
+		if healthChecks := conf.healthCheckConfig(); i == 0 && (healthChecks.Self != 2 || healthChecks.Nodes != 3 || healthChecks.SendRate != 4096 || healthChecks.Interval != 5*time.Second) {
+			t.Errorf("configured as %+v", healthChecks)
 		}
 	}
 }
 
 // An error on a key has a type with the key and the cause.
 func TestConfigurationErrorTypes(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		old, new, key string
 		cause         error
 	}{
 		{`"127.0.0.4:9000"`, `"here"`, "listen", nil},
 		{"8c1f30d27a5be964", "seed", "seed", strconv.ErrSyntax},
 		{"8c1f30d27a5be964", "18c1f30d27a5be964", "seed", strconv.ErrRange},
-		{`"sockets":1024`, `"sockets":0`, "limits", errNotPositive},
+		{`"sockets":1024`, `"sockets":0`, "limits", errLimitNotPositive},
 		{`"rev":41`, `"rev":"x"`, keyKnown, protocol.ErrMalformedList},
 	} {
-		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, c.old, c.new, 1)), noEnv)
-		var fault *keyError
-		if !errors.As(err, &fault) || fault.key != c.key || c.cause != nil && !errors.Is(err, c.cause) {
-			t.Errorf("%s: %#v", c.key, err)
+		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, test.old, test.new, 1)), noEnv)
+		var keyErr *keyError
+		if !errors.As(err, &keyErr) || keyErr.key != test.key || test.cause != nil && !errors.Is(err, test.cause) {
+			t.Errorf("%s: %#v", test.key, err)
 		}
-		if isKnownListError(err) != (c.key == keyKnown) {
-			t.Errorf("%s: taken for an error of the known list, or not", c.key)
+		if isKnownListError(err) != (test.key == keyKnown) {
+			t.Errorf("%s: taken for an error of the known list, or not", test.key)
 		}
 	}
 	t.Setenv(EnvConfig, "")
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -15,11 +15,11 @@
 )
 
 // values returns all values that the node reads from a configuration, as texts by name.
-func values(c *Config) map[string]string {
-	l, d, q := c.socketLimits(), c.healthCheckConfig(), c.quotaConfig()
-	var own syscall.Rlimit
-	sockets := fmt.Sprint(l.Sockets)
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own); err == nil && c.Limits.Sockets > 1024 && uint64(l.Sockets) == own.Cur {
+func valuesOf(c *Config) map[string]string {
+	limits, healthChecks, quota := c.socketLimits(), c.healthCheckConfig(), c.quotaConfig()
+	var descriptors syscall.Rlimit
+	sockets := fmt.Sprint(limits.Sockets)
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && c.Limits.Sockets > 1024 && uint64(limits.Sockets) == descriptors.Cur {
 		sockets = "the process's"
 	}
 	names, objectives := []string{}, []time.Duration{}
@@ -27,19 +27,19 @@
 		names, objectives = append(names, class.name), append(objectives, class.latencyObjective)
 	}
 	authorization, err := c.authorization()
-	checks := authorization.limits
+	authzLimits := authorization.limits
 	return map[string]string{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery + " " + c.fileDiscovery, "seed": fmt.Sprintf("%x", c.randomSeed),
-		"peer": fmt.Sprint(c.Peer), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeersAll),
+		"peer": fmt.Sprint(c.PeerListen), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeerBroadcast),
 		"given":   fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
-		"known":   fmt.Sprint(c.known.Revision, c.known.Full, len(c.known.Endpoints)),
-		"sockets": sockets, "memory": fmt.Sprint(l.MemoryMB), "idle": fmt.Sprint(l.ServerIdleTimeout), "connect": fmt.Sprint(l.ConnectTimeout),
-		"grpc": fmt.Sprint(l.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
-		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", d.Self, d.Nodes, d.Seed, d.ReceiveRate, d.SendRate, d.Interval),
+		"known":   fmt.Sprint(c.knownList.Revision, c.knownList.Full, len(c.knownList.Endpoints)),
+		"sockets": sockets, "memory": fmt.Sprint(limits.MemoryMB), "idle": fmt.Sprint(limits.ServerIdleTimeout), "connect": fmt.Sprint(limits.ConnectTimeout),
+		"grpc": fmt.Sprint(limits.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
+		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", healthChecks.Self, healthChecks.Nodes, healthChecks.Seed, healthChecks.ReceiveRate, healthChecks.SendRate, healthChecks.Interval),
 		"names":     fmt.Sprintf("%q", names),
 		"contracts": fmt.Sprint(objectives),
-		"quota":     fmt.Sprintf("%d/%d %x %v %v", q.Self, q.Nodes, q.Seed, q.ExchangeRate, q.Timeout),
-		"checks":    fmt.Sprint(checks.MaxInFlight, " ", checks.MaxRetryAfter, " ", checks.Classes, " ", authorization.classNumbers, " ", err),
+		"quota":     fmt.Sprintf("%d/%d %x %v %v", quota.Self, quota.Nodes, quota.Seed, quota.ExchangeRate, quota.Timeout),
+		"checks":    fmt.Sprint(authzLimits.MaxInFlight, " ", authzLimits.MaxRetryAfter, " ", authzLimits.Classes, " ", authorization.classNumbers, " ", err),
 		"operator": fmt.Sprintf("%v %q %q %q %q %d", ParseLogLevel(c.operator.Log.Level), c.operator.Quota.Store, c.operator.Authz.Service,
 			c.operator.Authz.FailOpen, c.operator.GRPC.Listen, c.operator.GRPC.MaxCalls),
 	}
@@ -74,7 +74,7 @@
 // value.
 func compareValues(t *testing.T, c *Config, changes string) {
 	t.Helper()
-	got := values(c)
+	got := valuesOf(c)
 	want := maps.Clone(goodValues)
 	for line := range strings.Lines(changes) {
 		name, value, _ := strings.Cut(line, ":")
@@ -95,8 +95,8 @@
 	threePeers  = `"peers":["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`
 )
 
-// configValues replace a part of the good configuration, and give the values that the node reads then.
-var configValues = []struct{ name, old, new, changes string }{
+// configCases replace a part of the good configuration, and give the values that the node reads then.
+var configCases = []struct{ name, old, new, changes string }{
 	{"good", "", "", ""},
 	{"least", nodetest.GoodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
 			"limits":{"cores":0.01,"memory_mb":1,"sockets":1},"settings":{}}`, `all: invalid AddrPort
@@ -193,19 +193,19 @@
 
 // Each configuration, those with odd values too, keeps its meaning.
 func TestConfigurationValues(t *testing.T) {
-	for _, c := range configValues {
-		t.Run(c.name, func(t *testing.T) {
-			conf := mustParse(t, strings.Replace(nodetest.GoodConfig, c.old, c.new, 1))
+	for _, test := range configCases {
+		t.Run(test.name, func(t *testing.T) {
+			conf := mustParse(t, strings.Replace(nodetest.GoodConfig, test.old, test.new, 1))
 			if err := conf.ApplyOperator(operatorfile.Default()); err != nil {
 				t.Fatal(err)
 			}
-			compareValues(t, conf, c.changes)
+			compareValues(t, conf, test.changes)
 		})
 	}
 }
 
-// operatorValues are operator files, and the values that the node reads with each.
-var operatorValues = []struct{ name, operator, changes string }{
+// operatorCases are operator files, and the values that the node reads with each.
+var operatorCases = []struct{ name, operator, changes string }{
 	{"none", "", `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
 contracts: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
@@ -262,17 +262,17 @@
 	text := strings.NewReplacer(`{"slot_no":2`, `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}],"slot_no":2`,
 		`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
 		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
-	for _, c := range operatorValues {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range operatorCases {
+		t.Run(test.name, func(t *testing.T) {
 			conf := mustParse(t, text)
-			op, faults := operatorfile.Parse(c.operator)
-			if len(faults) > 0 {
-				t.Fatal(faults)
+			file, keyErrors := operatorfile.Parse(test.operator)
+			if len(keyErrors) > 0 {
+				t.Fatal(keyErrors)
 			}
-			if err := conf.ApplyOperator(op); err != nil {
+			if err := conf.ApplyOperator(file); err != nil {
 				t.Fatal(err)
 			}
-			compareValues(t, conf, c.changes)
+			compareValues(t, conf, test.changes)
 		})
 	}
 }
@@ -280,7 +280,7 @@
 // GW_NAME, GW_LISTEN and GW_DISCOVERY take precedence over the file where they are not empty, and no other variable does.
 // The file's own discovery address is kept for a reload.
 func TestEnvironmentPrecedence(t *testing.T) {
-	for _, c := range []struct{ name, env, want string }{
+	for _, test := range []struct{ name, env, want string }{
 		{"none", "", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 		{"GW_NAME", "GW_NAME=other", "other 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 		{"GW_LISTEN", "GW_LISTEN=127.0.0.7:80", "n3 127.0.0.7:80 127.0.0.9:8500 127.0.0.9:8500"},
@@ -289,23 +289,23 @@
 		{"empty ones", "GW_NAME= GW_LISTEN= GW_DISCOVERY=", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 		{"others", "GW_SEED=7 GW_PEER_LISTEN=127.0.0.7:82 NAME=x", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "config.json")
 			nodetest.WriteFile(t, file, nodetest.GoodConfig)
 			for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"} {
 				t.Setenv(name, "")
 			}
 			t.Setenv("GW_CONFIG", file)
-			for _, set := range strings.Fields(c.env) {
-				name, value, _ := strings.Cut(set, "=")
+			for _, assignment := range strings.Fields(test.env) {
+				name, value, _ := strings.Cut(assignment, "=")
 				t.Setenv(name, value)
 			}
 			conf, err := loadConfig()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := fmt.Sprint(conf.Name, " ", conf.Listen, " ", conf.Discovery, " ", conf.fileDiscovery); got != c.want {
-				t.Errorf("got %s, want %s", got, c.want)
+			if got := fmt.Sprint(conf.Name, " ", conf.Listen, " ", conf.Discovery, " ", conf.fileDiscovery); got != test.want {
+				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,7 +9,7 @@
 	"cherrygap/internal/routing"
 )
 
-// LogCounters logs the counters of the node and of its optional parts in one line, under a message.
+// LogCounters logs the counters of the node and of its optional parts in one line with the given message.
 func (n *Node) LogCounters(message string) {
 	line := n.log.Info().Object("counters", n.counters)
 	if n.config.shadowSettings != nil {
@@ -27,10 +27,11 @@
 	line.Msg(message)
 }
 
-// shadowCounters logs the counts of the shadow evaluation: the decisions compared, and the differing ones by kind.
+// shadowCounters logs the counts of the shadow evaluation: the compared decisions, and the differing ones by kind of
+// difference.
 type shadowCounters struct{ router *routing.Router }
 
-// MarshalZerologObject writes the counts, the kinds in alphabetical order.
+// MarshalZerologObject writes the counts of the differing decisions in alphabetical order of their kinds.
 func (c shadowCounters) MarshalZerologObject(event *zerolog.Event) {
 	compared, differing := c.router.ShadowCounts()
 	event.Int64("decisions", compared)
--- a/internal/node/grpc.go
+++ b/internal/node/grpc.go
@@ -7,8 +7,8 @@
 	"cherrygap/internal/grpcfrontend"
 )
 
-// dialAuthorizer makes the client of the external authorizer, without waiting for a connection. A name in authz.fail_open that is
-// no request class of the platform is an operatorfile.UnknownNameError.
+// dialAuthorizer returns a client of the external authorizer without waiting for a connection. The error is an
+// *operatorfile.UnknownNameError if authz.fail_open names a request class that the platform's settings lack.
 func dialAuthorizer(c *Config) (authorizer, error) {
 	cfg, err := c.authorization()
 	if err != nil {
@@ -17,7 +17,8 @@
 	return grpcfrontend.DialAuthorizer(c.operator.Authz.Service, cfg.limits, cfg.classNumbers)
 }
 
-// listenGRPC starts the gRPC front end beside the HTTP one. drain stops it, and returns once its last request has ended.
+// listenGRPC starts the gRPC front end, which passes its requests to the HTTP front end. drain rejects new requests and
+// returns once the last one has ended.
 func listenGRPC(c *Config, frontEnd *frontend.Server) (drain func(), err error) {
 	methods, err := grpcfrontend.HTTPMethods(c.settings)
 	if err != nil {
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -13,21 +13,21 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
-var errForeignGRPCAddress error = syscall.EADDRNOTAVAIL
+// errGRPCStart is the error of a start whose gRPC address is not one of this machine.
+var errGRPCStart error = syscall.EADDRNOTAVAIL
 
 // Request classes that fail open are the platform's, by name.
 func TestAuthorizationUsesThePlatformsClasses(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}]`, 1)
-	for _, open := range []string{"look", "fly"} {
+	for _, failOpen := range []string{"look", "fly"} {
 		c := mustParse(t, text)
-		op := operatorfile.Default()
-		op.Authz.FailOpen = []string{open}
-		if err := c.ApplyOperator(op); err != nil {
+		file := operatorfile.Default()
+		file.Authz.FailOpen = []string{failOpen}
+		if err := c.ApplyOperator(file); err != nil {
 			t.Fatal(err)
 		}
 		cfg, err := c.authorization()
-		if open == "fly" {
+		if failOpen == "fly" {
 			if err == nil || !strings.Contains(err.Error(), "look, buy") {
 				t.Error(err)
 			}
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -54,8 +54,8 @@
 // echo is an app server's handler that answers a request with its body.
 func echo(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }
 
-// answerLists is a discovery service's handler that knows no change.
-func answerLists(w http.ResponseWriter, q *http.Request) {
+// answerNoChange is a discovery service's handler that knows no change.
+func answerNoChange(w http.ResponseWriter, q *http.Request) {
 	select {
 	case <-q.Context().Done():
 	case <-time.After(50 * time.Millisecond):
@@ -76,9 +76,9 @@
 // mustApply reads an operator file into a configuration.
 func mustApply(t *testing.T, c *Config, operator string) *Config {
 	t.Helper()
-	file, faults := operatorfile.Parse(operator)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	file, keyErrors := operatorfile.Parse(operator)
+	if len(keyErrors) > 0 {
+		t.Fatal(keyErrors)
 	}
 	if err := c.ApplyOperator(file); err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 func TestNodeStopsWithoutLeak(t *testing.T) {
 	for _, test := range []struct{ name, operator string }{{"platform only", ""}, {"all parts", allParts}} {
 		t.Run(test.name, func(t *testing.T) {
-			server, discovery := nodetest.ServeHTTP(t, echo), nodetest.ServeHTTP(t, answerLists)
+			server, discovery := nodetest.ServeHTTP(t, echo), nodetest.ServeHTTP(t, answerNoChange)
 			before := resourcesNow(t)
 			for range 4 {
 				peer := nodetest.ListenPacket(t)
@@ -123,7 +123,7 @@
 		<-answer
 		echo(w, q)
 	})
-	discovery := nodetest.ServeHTTP(t, answerLists)
+	discovery := nodetest.ServeHTTP(t, answerNoChange)
 	before := resourcesNow(t)
 	listenOn := nodetest.FreeAddress(t)
 	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
@@ -164,7 +164,7 @@
 		case calls <- struct{}{}:
 		default:
 		}
-		answerLists(w, q)
+		answerNoChange(w, q)
 	})
 	before := resourcesNow(t)
 	listenOn := nodetest.FreeAddress(t)
@@ -198,8 +198,8 @@
 
 // Reload follows discovery to the address in the new file, and changes nothing where the file is malformed.
 func TestReloadByCall(t *testing.T) {
-	asked := make(chan string, 99)
-	server, first, second := nodetest.ServeHTTP(t, echo), serveDiscovery(t, asked), serveDiscovery(t, asked)
+	requestedHosts := make(chan string, 99)
+	server, first, second := nodetest.ServeHTTP(t, echo), serveDiscovery(t, requestedHosts), serveDiscovery(t, requestedHosts)
 	before := resourcesNow(t)
 	listenOn := nodetest.FreeAddress(t)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -211,32 +211,32 @@
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
-	wantAsked(t, asked, first.Addr().String())
+	wantDiscoveryCall(t, requestedHosts, first.Addr().String())
 	text := textFor(second)
 	nodetest.WriteFile(t, file, text[:len(text)/2])
-	inForce := n.config
-	if err := n.Reload(); !mayBeReadLater(err) || n.config != inForce {
+	current := n.config
+	if err := n.Reload(); !mayBeTemporary(err) || n.config != current {
 		t.Errorf("half a file: %v", err)
 	}
 	nodetest.WriteFile(t, file, text)
 	if err := n.Reload(); err != nil || n.config.fileDiscovery != second.Addr().String() {
 		t.Errorf("%v, follows %s", err, n.config.fileDiscovery)
 	}
-	wantAsked(t, asked, second.Addr().String())
+	wantDiscoveryCall(t, requestedHosts, second.Addr().String())
 	n.Close()
 	wantNoLeak(t, before)
 }
 
 // A start that fails at its last part leaves nothing open once the node is closed.
 func TestFailedStartLeaksNothing(t *testing.T) {
-	discovery := nodetest.ServeHTTP(t, answerLists)
+	discovery := nodetest.ServeHTTP(t, answerNoChange)
 	for _, test := range []struct {
 		name, old, new, operator string
 		want                     error
 	}{
 		{"peer socket", `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, "", syscall.EADDRNOTAVAIL},
 		{"front end", "127.0.0.4:9000", "192.0.2.1:9000", "", syscall.EADDRNOTAVAIL},
-		{"gRPC front end", "127.0.0.4:9000", nodetest.FreeAddress(t), "[grpc]\nlisten = \"192.0.2.1:9001\"\n", errForeignGRPCAddress},
+		{"gRPC front end", "127.0.0.4:9000", nodetest.FreeAddress(t), "[grpc]\nlisten = \"192.0.2.1:9001\"\n", errGRPCStart},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			before := resourcesNow(t)
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	logBufferLines  = 1000                   // lines that wait for the log's reader; further ones are dropped
-	logFlushTimeout = 200 * time.Millisecond // for the lines in the buffer when the log closes
+	logBufferLines  = 1000                   // capacity of the buffer between the node and the log's reader
+	logFlushTimeout = 200 * time.Millisecond // bounds the time in which a closing log writes the buffered lines
 )
 
 // openLog opens the node's log on standard error. The lines are buffered, because a slow reader must not delay requests.
-// Lines beyond logBufferLines are dropped, and dropped is called with their number.
+// Lines beyond logBufferLines are dropped, and onDropped is called with their number.
 //
-// closeLog writes the buffer's lines, for logFlushTimeout at most, as a slow reader must not delay the end either. Lines that
-// are logged later are lost.
-func openLog(level zerolog.Level, node string, dropped func(lines int)) (log zerolog.Logger, closeLog func()) {
-	// The wrapper hides Close, by which the buffer would close standard error.
-	buffer := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logBufferLines, 0, dropped)
+// closeLog writes the buffered lines, for logFlushTimeout at most, because a slow reader must not delay the node's end
+// either. Lines that are logged later are lost.
+func openLog(level zerolog.Level, node string, onDropped func(lines int)) (log zerolog.Logger, closeLog func()) {
+	// The struct hides the method Close of os.Stderr. The buffer's Close would otherwise close standard error.
+	buffer := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logBufferLines, 0, onDropped)
 	log = zerolog.New(buffer).Level(level).With().Timestamp().Str("node", node).Logger()
 	return log, func() {
 		written := make(chan struct{})
-		go func() { // ends once all lines are written; without a reader it stays until the process ends
-			_ = buffer.Close() // the log was the place to report an error
+		go func() { // Ends once all lines are written. If nothing reads the log, it lasts as long as the process.
+			_ = buffer.Close() // only the log itself could report the error
 			close(written)
 		}()
 		select {
@@ -36,7 +36,7 @@
 	}
 }
 
-// ParseLogLevel returns the level of a name. An empty or unknown name is the level info.
+// ParseLogLevel returns the log level with the given name. For an empty or unknown name it returns zerolog.InfoLevel.
 func ParseLogLevel(name string) zerolog.Level {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,8 @@
-// Package node is the life cycle of one edge node: it reads the configuration, opens the parts in their order, reloads,
-// drains and closes them.
+// Package node implements the life cycle of one edge node. It reads the configuration, opens the node's parts in a fixed
+// order, reloads the configuration, drains the node and closes the parts.
 //
-// New, Start, Run and Close have no effect on the process beyond the node's own sockets, goroutines and log. The functions
-// LimitRuntime and CatchSignals change the process, and a program calls them once.
+// New, Start, Run and Close affect nothing of the process but the node's own sockets, goroutines and log. LimitRuntime and
+// CatchSignals change the whole process, so a program calls them once.
 package node
 
 import (
@@ -21,16 +21,17 @@
 	"cherrygap/internal/upstream"
 )
 
-// drainAcceptTime is how long a node still accepts connections after SIGTERM. The platform routes new clients to the node for
-// up to 0.4 s after it has sent the signal.
+// drainAcceptTime is the time after SIGTERM during which a node still accepts connections. The platform routes new clients to
+// the node for up to 0.4 s after it has sent the signal.
 const drainAcceptTime = 500 * time.Millisecond
 
-// Node is one running edge node. It owns the node's parts from Start to Close.
+// Node is one edge node. It owns the node's parts from Start to Close.
 //
-// One goroutine at a time may call the methods. Only Drain may run beside LogCounters and Reload, as in Run. The fields that
-// the parts' goroutines and Drain read are written before those start. The parts are safe for concurrent use.
+// Only one goroutine at a time may call the methods. As an exception, Drain may run at the same time as LogCounters and
+// Reload. The fields that Drain and the parts' goroutines read are written before these start. The parts are safe for
+// concurrent use.
 type Node struct {
-	config   *Config // replaced by Reload
+	config   *Config // current configuration; replaced by Reload
 	limits   netio.Limits
 	counters *counters.Node
 	log      zerolog.Logger
@@ -41,23 +42,24 @@
 	discovery *discovery.Client
 	frontEnd  *frontend.Server
 
-	// Parts that only some configurations have; nil without.
+	// Optional parts; nil if the configuration does not enable them.
 	peers        *peersocket.Socket
 	quotas       *quotastore.Quotas
 	healthChecks *upstream.HealthChecker
 	authorizer   authorizer
-	drainGRPC    func() // stops the gRPC front end, and returns once its last request has ended
+	drainGRPC    func() // stops the gRPC front end and returns once its last request has ended
 
 	reloadRetry reloadRetry
 
-	hasEndpoints bool           // the configuration held a valid endpoint list that is not empty
-	pollRequests chan struct{}  // holds one element while the decision engine waits for an endpoint list
-	drainOnce    sync.Once      // drain runs once
-	closers      []func()       // steps that closeParts calls, the last first
-	background   sync.WaitGroup // the goroutines of startBackground
+	hasKnownEndpoints bool           // whether the configuration has a valid endpoint list that is not empty
+	pollRequests      chan struct{}  // holds one element while a poll is requested but not yet started
+	drainOnce         sync.Once      // makes drain run at most once
+	closers           []func()       // functions that closeParts calls in reverse order
+	background        sync.WaitGroup // counts the goroutines of startBackground
 }
 
-// New makes a node with its log and counters. Start opens the other parts, and Close has to be called in any case.
+// New returns a node with its log and counters. Start opens the other parts. The caller must call Close, even after an error
+// of Start.
 func New(c *Config) *Node {
 	n := &Node{config: c, counters: &counters.Node{}, pollRequests: make(chan struct{}, 1)}
 	var closeLog func()
@@ -67,10 +69,10 @@
 	return n
 }
 
-// Start opens the parts and begins to serve. The timer and the node's own sockets come first, then the known endpoint list.
-// The front ends come last, once all parts that decide on requests are there. After an error only Close may be called.
+// Start opens the parts and begins to serve. It opens the timer and the peer socket first, and loads the known endpoint list
+// next. The front ends come last, once all parts that decide on requests are open. After an error only Close may be called.
 func (n *Node) Start() error {
-	n.warnOfDeprecations()
+	n.logDeprecatedKeys()
 	for _, open := range []func() error{
 		n.openTimer,
 		n.openPeerSocket,
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// startBackground starts the parts' goroutines. Close ends them.
+// startBackground starts the parts' goroutines, which end during Close.
 func (n *Node) startBackground() {
 	n.runInBackground(func() { n.timer.Run(n.router.TimerFired) })
 	n.runInBackground(n.discovery.Run)
@@ -115,14 +117,14 @@
 	}()
 }
 
-// Drain stops both front ends at the same time. It still accepts connections for drainAcceptTime, and returns once every
-// accepted request has its response. A further call, and Close, wait for the first one and do not drain again.
+// Drain stops both front ends at the same time. The HTTP front end still accepts connections for drainAcceptTime. Drain
+// returns once every accepted request has its response. Further calls, and Close, wait for the first one and do not drain again.
 func (n *Node) Drain() { n.drainOnce.Do(func() { n.drain(drainAcceptTime) }) }
 
-// drain is Drain with a time in which connections are still accepted.
-func (n *Node) drain(accept time.Duration) {
+// drain stops both front ends as Drain does. The HTTP front end accepts connections for the time acceptFor.
+func (n *Node) drain(acceptFor time.Duration) {
 	if n.drainGRPC == nil {
-		n.frontEnd.Drain(accept)
+		n.frontEnd.Drain(acceptFor)
 		return
 	}
 	ended := make(chan struct{})
@@ -130,13 +132,13 @@
 		n.drainGRPC()
 		close(ended)
 	}()
-	n.frontEnd.Drain(accept)
+	n.frontEnd.Drain(acceptFor)
 	<-ended
 }
 
-// Close closes all that New and Start opened, and returns once the parts' goroutines have ended. A health check in flight
-// ends within its own timeout. Without a Drain before, Close stops accepting connections at once and waits for the requests in
-// flight.
+// Close closes everything that New and Start opened, and returns once the parts' goroutines have ended. A health check in
+// flight ends within its own timeout. Without an earlier Drain, Close stops accepting connections at once and waits for the
+// requests in flight.
 func (n *Node) Close() {
 	if n.frontEnd != nil {
 		n.drainOnce.Do(func() { n.drain(0) })
@@ -145,10 +147,10 @@
 	n.stopForwarding()
 }
 
-// onClose adds a step that closes the part that was just opened.
+// onClose registers a function that closes the part that was just opened.
 func (n *Node) onClose(step func()) { n.closers = append(n.closers, step) }
 
-// closeParts calls the steps of onClose, each once, in the reverse order.
+// closeParts calls each function that onClose registered once, in reverse order.
 func (n *Node) closeParts() {
 	for len(n.closers) > 0 {
 		last := len(n.closers) - 1
@@ -158,8 +160,8 @@
 	}
 }
 
-// stopForwarding ends discovery, the peer socket and the pool, which serve until the last request has ended. Close calls it
-// after the log is closed. So "stopped" stays the log's last line, and lines that these parts log at their end are lost.
+// stopForwarding closes the discovery client, the peer socket and the pool, which must work until the last request has ended.
+// Close calls it after it has closed the log. So "stopped" is the last log line, and lines that these parts still log are lost.
 func (n *Node) stopForwarding() {
 	if n.discovery != nil {
 		n.discovery.Stop()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,9 +22,9 @@
 // A node serves by its known list while discovery is down. SIGHUP moves it to another discovery address, or changes nothing
 // where the file is malformed. SIGTERM ends it once every accepted request has its response.
 func TestNodeServesAndDrains(t *testing.T) {
-	started, answer := make(chan struct{}), make(chan struct{})
+	arrived, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
-		close(started)
+		close(arrived)
 		<-answer
 		_, _ = io.Copy(w, q.Body)
 	})
@@ -34,23 +34,23 @@
 	ended := startNode(c)
 	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
 	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
-	<-started
-	asked := make(chan string, 1)
+	<-arrived
+	requestURIs := make(chan string, 1)
 	discovery := nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
-		asked <- q.RequestURI
+		requestURIs <- q.RequestURI
 		<-answer
 	})
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
 	t.Setenv(envDiscovery, c.Discovery)
-	moved := strings.Replace(text, c.Discovery, discovery.Addr().String(), 1)
-	for _, now := range []string{moved[:len(moved)-9], moved} {
-		nodetest.WriteFile(t, file, now)
+	newText := strings.Replace(text, c.Discovery, discovery.Addr().String(), 1)
+	for _, content := range []string{newText[:len(newText)-9], newText} {
+		nodetest.WriteFile(t, file, content)
 		nodetest.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(20 * time.Millisecond)
 	}
 	select {
-	case uri := <-asked:
+	case uri := <-requestURIs:
 		if uri != protocol.EndpointsPath {
 			t.Errorf("the new discovery was asked %s", uri)
 		}
@@ -161,13 +161,13 @@
 
 // Close closes the parts in the reverse order, each once, also where it is called twice.
 func TestPartsAreClosedInReverse(t *testing.T) {
-	var s Node
+	var n Node
 	var closed []int
 	for i := range 3 {
-		s.onClose(func() { closed = append(closed, i) })
+		n.onClose(func() { closed = append(closed, i) })
 	}
-	s.Close()
-	s.Close()
+	n.Close()
+	n.Close()
 	if !slices.Equal(closed, []int{2, 1, 0}) {
 		t.Errorf("closed %v", closed)
 	}
@@ -175,13 +175,13 @@
 
 // After a start that failed Close closes the opened parts: here the log and the timer, as the peer socket's address is foreign.
 func TestFailedStartIsClosed(t *testing.T) {
-	s := New(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
-	err := s.Start()
-	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(s.closers) != 2 || s.router != nil {
-		t.Errorf("%v, %d to close", err, len(s.closers))
-	}
-	s.Close()
-	if len(s.closers) != 0 {
-		t.Errorf("%d left to close", len(s.closers))
+	n := New(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
+	err := n.Start()
+	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(n.closers) != 2 || n.router != nil {
+		t.Errorf("%v, %d to close", err, len(n.closers))
+	}
+	n.Close()
+	if len(n.closers) != 0 {
+		t.Errorf("%d left to close", len(n.closers))
 	}
 }
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -95,11 +95,11 @@
 }
 
 // Eventually waits until ok returns true, and fails the test after a limit. what names the awaited state.
-func Eventually(t *testing.T, limit time.Duration, what string, ok func() bool) {
+func Eventually(t *testing.T, limit time.Duration, state string, reached func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(limit); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not seen in time: " + what)
+			t.Fatal("not seen in time: " + state)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	if err != nil {
 		return false
 	}
-	toItself := conn.LocalAddr().String() == conn.RemoteAddr().String()
-	return conn.Close() == nil && !toItself
+	selfConnected := conn.LocalAddr().String() == conn.RemoteAddr().String()
+	return conn.Close() == nil && !selfConnected
 }
 
 // SignalSelf sends a signal to the test's own process.
--- a/internal/node/nogrpc.go
+++ b/internal/node/nogrpc.go
@@ -8,11 +8,12 @@
 	"cherrygap/internal/frontend"
 )
 
-// errNoGRPC rejects an operator file that needs gRPC. By default the program is built without it, which halves its size.
+// errNoGRPC is the error of an operator file that needs gRPC. The default build leaves gRPC out, which halves the program's
+// size.
 var errNoGRPC = errors.New("authz.service, grpc.listen: this program was built without the tag grpc (docs/grpc.md)")
 
-// dialAuthorizer fails, as this program has no gRPC.
+// dialAuthorizer returns errNoGRPC, because this program is built without gRPC.
 func dialAuthorizer(*Config) (authorizer, error) { return nil, errNoGRPC }
 
-// listenGRPC fails, as this program has no gRPC.
+// listenGRPC returns errNoGRPC, because this program is built without gRPC.
 func listenGRPC(*Config, *frontend.Server) (drain func(), err error) { return nil, errNoGRPC }
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -10,18 +10,18 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
-var errForeignGRPCAddress = errNoGRPC
+// errGRPCStart is the error of a start whose gRPC address is not one of this machine.
+var errGRPCStart = errNoGRPC
 
 // A program without gRPC must not start without the authorization that the operator file wants.
 func TestStartFailsWithoutGRPC(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
-		op, faults := operatorfile.Parse(text)
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		file, keyErrors := operatorfile.Parse(text)
+		if len(keyErrors) > 0 {
+			t.Fatal(keyErrors)
 		}
 		c := mustParse(t, nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort))
-		if err := c.ApplyOperator(op); err != nil {
+		if err := c.ApplyOperator(file); err != nil {
 			t.Fatal(err)
 		}
 		if err := Serve(c, CatchSignals()); !errors.Is(err, errNoGRPC) {
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -13,8 +13,8 @@
 	"cherrygap/internal/upstream"
 )
 
-// warnOfDeprecations logs each deprecated key of the operator file with its replacement.
-func (n *Node) warnOfDeprecations() {
+// logDeprecatedKeys logs a warning for each deprecated key of the operator file, with the key that replaces it.
+func (n *Node) logDeprecatedKeys() {
 	for _, key := range n.config.operator.Deprecations {
 		n.log.Warn().Str("key", key.Key).Int("line", key.Line).Str("write", key.Standard).Msg("deprecated key in the operator file")
 	}
@@ -33,31 +33,31 @@
 	return nil
 }
 
-// openPeerSocket opens the UDP socket for messages between nodes, where the platform gives an address for it.
+// openPeerSocket opens the UDP socket for messages between nodes, if the platform's configuration has an address for it.
 func (n *Node) openPeerSocket() error {
-	if !n.config.Peer.IsValid() {
+	if !n.config.PeerListen.IsValid() {
 		return nil
 	}
 	return retryOpen(&n.log, func() (err error) {
-		table := protocol.NewPeerTable(n.config.Peers, n.config.PeersAll)
-		n.peers, err = peersocket.Open(n.config.Peer, table, &n.counters.Peers)
+		table := protocol.NewPeerTable(n.config.Peers, n.config.PeerBroadcast)
+		n.peers, err = peersocket.Open(n.config.PeerListen, table, &n.counters.Peers)
 		return err
 	})
 }
 
-// openQuotaStore begins to lease quotas from the shared store, where the operator file names one. It does not wait for the
-// store.
+// openQuotaStore starts the client that leases quotas from the shared store, if the operator file names a store. It does not
+// wait for a connection.
 func (n *Node) openQuotaStore() error {
 	if n.config.operator.Quota.Store == "" {
 		return nil
 	}
 	n.quotas = quotastore.Open(n.config.operator.Quota.Store, n.config.Name, n.config.quotaConfig(), &n.log)
-	go n.quotas.Run() // ends on its Close
+	go n.quotas.Run() // ends on Close of the quotas
 	n.onClose(n.quotas.Close)
 	return nil
 }
 
-// buildRouter makes the decision engine behind its facade, and the pool of connections to app servers.
+// buildRouter builds the router, which contains the decision engine, and the pool of connections to app servers.
 func (n *Node) buildRouter() error {
 	cfg := routing.Config{
 		Seed:              n.config.randomSeed,
@@ -69,7 +69,7 @@
 		OnRepeatViolation: n.countRepeatViolation,
 		LogSummary:        func(line []byte) { n.log.Info().Msg(string(line)) },
 	}
-	if n.quotas != nil { // an interface that holds a nil pointer is not nil
+	if n.quotas != nil { // an interface value that holds a nil pointer is not nil
 		cfg.Quota = n.quotas
 	}
 	n.router = routing.New(cfg)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// sendToPeer sends a message to the peer with that node number, or to all peers if peer is below 0. Without a peer socket it
+// sendToPeer sends a message to the node with the number peer, or to all peers if peer is negative. Without a peer socket it
 // counts the message as unsent.
 func (n *Node) sendToPeer(peer int, payload []byte) {
 	if n.peers == nil {
@@ -87,8 +87,8 @@
 	n.peers.Send(peer, payload)
 }
 
-// receivePeerMessage passes a message to the health checks or the router, and reports whether its format was valid. The
-// payload is never empty and is not kept.
+// receivePeerMessage passes a message to the health checks or to the router, and reports whether the message is well-formed.
+// The payload must not be empty. No part keeps it.
 func (n *Node) receivePeerMessage(peer int, payload []byte) bool {
 	if n.healthChecks != nil && payload[0] == healthcheck.MessageMark {
 		return n.healthChecks.ReceivePeerMessage(peer, payload)
@@ -96,14 +96,15 @@
 	return n.router.ReceivePeerMessage(peer, payload)
 }
 
-// countRepeatViolation counts and logs an attempt or a rejection that the router withheld, because it violated
-// invariant.Repeating. The router calls it under its lock, so it must not block: the log is buffered.
+// countRepeatViolation counts and logs an attempt or a rejection that the router withheld because it would violate
+// invariant.Repeating. The router calls it under its lock, so it must not block; writing to the buffered log never does.
 func (n *Node) countRepeatViolation(violation routing.RepeatViolation, class routing.ClassID, attempt int) {
 	invariant.Violated(&n.counters.RepeatViolations, &n.log, invariant.Repeating).Str("fault", string(violation)).Int("class", int(class)).
 		Int("attempt", attempt).Msg("attempt held back")
 }
 
-// requestPoll makes the discovery client poll for the endpoint list. The router calls it under its lock, so it never blocks.
+// requestPoll requests that the discovery client poll for the endpoint list. The router calls it under its lock, so it must not
+// block; if a request is already pending it does nothing.
 func (n *Node) requestPoll() {
 	select {
 	case n.pollRequests <- struct{}{}:
@@ -111,25 +112,25 @@
 	}
 }
 
-// loadKnownEndpoints gives the decision engine the configuration's endpoint list, if there is one.
+// loadKnownEndpoints passes the configuration's endpoint list to the decision engine, if the list is valid and not empty.
 func (n *Node) loadKnownEndpoints() error {
-	if n.hasEndpoints = len(n.config.known.Endpoints) > 0; n.hasEndpoints {
-		n.router.UpdateEndpoints(&n.config.known, routing.FromCache)
+	if n.hasKnownEndpoints = len(n.config.knownList.Endpoints) > 0; n.hasKnownEndpoints {
+		n.router.UpdateEndpoints(&n.config.knownList, routing.FromCache)
 	} else {
-		n.warnOfKnownList()
+		n.logKnownListError()
 	}
 	n.config.releaseKnownList()
 	return nil
 }
 
-// warnOfKnownList logs the error of a configuration whose endpoint list is malformed.
-func (n *Node) warnOfKnownList() {
-	if err := n.config.knownErr; err != nil {
+// logKnownListError logs a warning if the configuration's endpoint list is malformed.
+func (n *Node) logKnownListError() {
+	if err := n.config.knownListErr; err != nil {
 		n.log.Warn().Err(err).Msg("known endpoint list rejected")
 	}
 }
 
-// buildHealthChecks makes the checker for this node's part of the fleet's health checks, where the configuration enables them.
+// buildHealthChecks builds the checker for this node's share of the fleet's health checks, if sharesHealthChecks is true.
 func (n *Node) buildHealthChecks() error {
 	if n.config.sharesHealthChecks() {
 		n.healthChecks = upstream.NewHealthChecker(n.config.healthCheckConfig(), n.router, n.pool, n.sendToPeer)
@@ -137,13 +138,13 @@
 	return nil
 }
 
-// buildDiscovery makes the client of the discovery service. It asks for the changes since the known endpoint list, or for
-// the full list where none is known.
+// buildDiscovery builds the client of the discovery service. The client asks for the changes since the known endpoint list, or
+// for the full list if none is known.
 func (n *Node) buildDiscovery() error {
 	n.discovery = &discovery.Client{
 		Addr:          n.config.Discovery,
-		Revision:      n.config.known.Revision,
-		NeedsFullList: !n.hasEndpoints,
+		Revision:      n.config.knownList.Revision,
+		NeedsFullList: !n.hasKnownEndpoints,
 		Limits:        n.limits,
 		Log:           &n.log,
 		Counters:      &n.counters.Discovery,
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// updateEndpoints applies an endpoint list, or a change of it, from the discovery service. It runs on the
-// discovery client's goroutine.
+// updateEndpoints applies an endpoint list, or a change of the list, from the discovery service. It runs on the discovery
+// client's goroutine.
 func (n *Node) updateEndpoints(list *protocol.EndpointList) {
 	n.logEndpoints(list)
 	n.router.UpdateEndpoints(list, routing.FromDiscovery)
@@ -167,7 +168,7 @@
 	}
 }
 
-// logEndpoints logs a list, and each endpoint of a change, at the level debug.
+// logEndpoints logs the revision and length of a list at level debug. If the list is a change, it also logs each endpoint.
 func (n *Node) logEndpoints(list *protocol.EndpointList) {
 	event := n.log.Debug()
 	if !event.Enabled() {
@@ -183,7 +184,7 @@
 	}
 }
 
-// dialAuthorizer makes the client of the external authorizer, where the operator file names one. It does not wait for a
+// dialAuthorizer builds the client of the external authorizer, if the operator file names a service. It does not wait for a
 // connection.
 func (n *Node) dialAuthorizer() error {
 	if n.config.operator.Authz.Service == "" {
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// listenHTTP begins to serve clients over HTTP.
+// listenHTTP starts to serve clients over HTTP.
 func (n *Node) listenHTTP() error {
 	return retryOpen(&n.log, func() (err error) {
 		n.frontEnd, err = frontend.Listen(frontend.Config{
@@ -209,7 +210,7 @@
 	})
 }
 
-// listenGRPC begins to serve clients over gRPC, where the operator file gives an address for it.
+// listenGRPC starts to serve clients over gRPC, if the operator file has an address for it.
 func (n *Node) listenGRPC() error {
 	if n.config.operator.GRPC.Listen == "" {
 		return nil
--- a/internal/node/partsconfig.go
+++ b/internal/node/partsconfig.go
@@ -12,11 +12,11 @@
 	"cherrygap/internal/quota"
 )
 
-// defaultConnectTimeout is the connect timeout where the settings give none above 0.
+// defaultConnectTimeout is the connect timeout if the settings have none above 0.
 const defaultConnectTimeout = time.Second
 
-// socketLimits returns the limits of the node's sockets and buffers. The limit on descriptors is the platform's or that of
-// the process, the lower one.
+// socketLimits returns the limits of the node's sockets and buffers. The limit on descriptors is the lower of the platform's
+// limit and the process's.
 func (c *Config) socketLimits() netio.Limits {
 	limits := netio.Limits{
 		Sockets:           c.Limits.Sockets,
@@ -25,9 +25,9 @@
 		ConnectTimeout:    c.settings.ConnectTimeout.Whole(),
 		GRPC:              c.operator.GRPC.Listen != "",
 	}
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(limits.Sockets) {
-		limits.Sockets = int(files.Cur)
+	var descriptors syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && descriptors.Cur < uint64(limits.Sockets) {
+		limits.Sockets = int(descriptors.Cur)
 	}
 	if limits.ConnectTimeout <= 0 {
 		limits.ConnectTimeout = defaultConnectTimeout
@@ -35,19 +35,19 @@
 	return limits
 }
 
-// pollsDiscovery reports whether the node polls the discovery service when the decision engine asks for it. Else the
+// pollsDiscovery reports whether the node polls the discovery service whenever the decision engine requests it. Otherwise the
 // service pushes endpoint lists.
 func (c *Config) pollsDiscovery() bool { return c.settings.PollsEndpoints() }
 
-// sharesHealthChecks reports whether this node takes part in the fleet's shared health checks. The operators have to enable
-// them, the platform has to allow health checks and peer messages, and the node has to be one of several peers.
+// sharesHealthChecks reports whether this node takes part in the fleet's shared health checks. The operator file must enable
+// them, the platform must allow health checks and peer messages, and the node must be one of at least two peers.
 func (c *Config) sharesHealthChecks() bool {
-	wanted := c.operator.HealthChecks.Enabled && c.settings.HealthChecks && c.settings.Peers
+	enabled := c.operator.HealthChecks.Enabled && c.settings.HealthChecks && c.settings.Peers
 	self, ok := c.settings.Node.Whole()
-	return wanted && c.Peer.IsValid() && len(c.Peers) > 1 && ok && self >= 0 && self < len(c.Peers)
+	return enabled && c.PeerListen.IsValid() && len(c.Peers) > 1 && ok && self >= 0 && self < len(c.Peers)
 }
 
-// healthCheckConfig returns the configuration of the shared health checks. It is valid only if sharesHealthChecks.
+// healthCheckConfig returns the configuration of the shared health checks. It is valid only if sharesHealthChecks is true.
 func (c *Config) healthCheckConfig() healthcheck.Config {
 	return healthcheck.Config{
 		Self:        healthcheck.NodeID(int(c.settings.Node.FloatOrInf())),
@@ -59,13 +59,13 @@
 	}
 }
 
-// requestClass holds the values of a request class that the node's parts outside the decision engine use.
+// requestClass holds those values of a request class that are used outside the decision engine.
 type requestClass struct {
 	name             string
 	latencyObjective time.Duration
 }
 
-// requestClasses returns the request classes by class number.
+// requestClasses returns the request classes in the order of their class numbers.
 func (c *Config) requestClasses() []requestClass {
 	names := c.settings.ClassNames()
 	classes := make([]requestClass, len(names))
@@ -75,52 +75,53 @@
 	return classes
 }
 
-// quotaConfig returns the configuration of the quota leases. The shortest latency objective bounds an exchange with the
-// store.
+// quotaConfig returns the configuration of the quota leases. The timeout of an exchange with the store follows from the
+// shortest latency objective of the request classes.
 func (c *Config) quotaConfig() quota.Config {
-	shortest := time.Duration(0)
+	shortestObjective := time.Duration(0)
 	for i, class := range c.requestClasses() {
-		if i == 0 || class.latencyObjective < shortest {
-			shortest = class.latencyObjective
+		if i == 0 || class.latencyObjective < shortestObjective {
+			shortestObjective = class.latencyObjective
 		}
 	}
-	self, _ := c.settings.Node.Whole() // 0 if the settings have no whole number
+	self, _ := c.settings.Node.Whole() // 0 if the setting is not an integer
 	nodes, _ := c.settings.Nodes.Whole()
 	return quota.Config{
 		Self:         quota.NodeID(self),
 		Nodes:        nodes,
 		Seed:         c.randomSeed,
 		ExchangeRate: c.operator.Quota.MaxCallsPerS,
-		Timeout:      quota.ExchangeTimeout(shortest),
+		Timeout:      quota.ExchangeTimeout(shortestObjective),
 	}
 }
 
 // authorizationConfig is the configuration of the external authorizer's client.
 type authorizationConfig struct {
 	limits       authz.Config
-	classNumbers map[string]int // of the request classes, by name
+	classNumbers map[string]int // class numbers by class name
 }
 
-// authorization returns the configuration of the external authorizer's client. A name in authz.fail_open that is no request
-// class of the platform is an operatorfile.UnknownNameError; the limits are complete even then.
+// authorization returns the configuration of the external authorizer's client. The error is an
+// *operatorfile.UnknownNameError if authz.fail_open names a request class that the platform's settings lack. Even then the
+// limits are complete.
 func (c *Config) authorization() (authorizationConfig, error) {
 	failOpen := c.operator.Authz.FailOpen
 	limits := authz.Config{MaxInFlight: c.operator.Authz.MaxInFlight}
-	numbers := map[string]int{}
-	var names []string
+	numbersByName := map[string]int{}
+	var classNames []string
 	if c.settings.RetryAfter {
 		limits.MaxRetryAfter = c.settings.MaxRetryAfter.Whole()
 	}
 	for i, class := range c.requestClasses() {
-		numbers[class.name] = i
-		names = append(names, class.name)
+		numbersByName[class.name] = i
+		classNames = append(classNames, class.name)
 		limits.Classes = append(limits.Classes,
 			authz.Class{LatencyObjective: class.latencyObjective, FailOpen: slices.Contains(failOpen, class.name)})
 	}
 	for _, name := range failOpen {
-		if _, ok := numbers[name]; !ok {
-			return authorizationConfig{limits: limits}, &operatorfile.UnknownNameError{List: "authz.fail_open", Name: name, Known: names}
+		if _, ok := numbersByName[name]; !ok {
+			return authorizationConfig{limits: limits}, &operatorfile.UnknownNameError{List: "authz.fail_open", Name: name, Known: classNames}
 		}
 	}
-	return authorizationConfig{limits: limits, classNumbers: numbers}, nil
+	return authorizationConfig{limits: limits, classNumbers: numbersByName}, nil
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// ReloadRetryInterval is the time between two attempts of a reload.
+// ReloadRetryInterval is the delay before a failed reload is retried.
 const ReloadRetryInterval = 100 * time.Millisecond
 
-// reloadRetryTimeout is the time after SIGHUP within which retries of a reload are scheduled.
+// reloadRetryTimeout is the time after SIGHUP during which a failed reload may be scheduled again.
 const reloadRetryTimeout = 20 * time.Second
 
-// Serve runs a node from New to Close. It returns once the drain that SIGTERM begins is over, or with the error of Start.
-func Serve(c *Config, caught Signals) error {
+// Serve runs a node from New to Close. It returns nil once the drain after SIGTERM or SIGINT has ended, or the error of Start.
+func Serve(c *Config, signals Signals) error {
 	n := New(c)
 	defer n.Close()
 	if err := n.Start(); err != nil {
 		return err
 	}
-	n.Run(caught)
+	n.Run(signals)
 	return nil
 }
 
-// Run carries out the signals' requests. It returns once the drain that SIGTERM begins is over.
-func (n *Node) Run(caught Signals) {
+// Run handles the signals. It returns once the drain after SIGTERM or SIGINT has ended.
+func (n *Node) Run(signals Signals) {
 	drained := make(chan struct{})
 	for {
 		select {
-		case <-caught.counters:
+		case <-signals.counters:
 			n.LogCounters("counters")
-		case <-caught.reload: // also during a drain, as open requests may still be forwarded
-			n.reloadRetry = reloadRetry{until: time.Now().Add(reloadRetryTimeout)}
-			if err := n.reloadAndRetry(); err != nil {
+		case <-signals.reload: // handled during a drain too, because open requests may still be forwarded
+			n.reloadRetry = reloadRetry{deadline: time.Now().Add(reloadRetryTimeout)}
+			if err := n.reloadWithRetry(); err != nil {
 				n.log.Error().Err(err).Msg("configuration reload failed")
 			}
 		case <-n.reloadRetry.due:
-			_ = n.reloadAndRetry() // the log has the first attempt's error
-		case <-caught.terminate:
-			caught.terminate = nil // a second signal starts no second drain
-			go func() {            // ends with the last request
+			_ = n.reloadWithRetry() // the error of the first attempt is in the log
+		case <-signals.terminate:
+			signals.terminate = nil // a second signal must not start a second drain
+			go func() {             // ends with the last request
 				n.Drain()
 				close(drained)
 			}()
@@ -46,32 +46,32 @@
 	}
 }
 
-// reloadRetry is the scheduled retry of a reload that failed. The zero value schedules none.
+// reloadRetry is the scheduled retry of a failed reload. The zero value means that none is scheduled.
 type reloadRetry struct {
-	due   <-chan time.Time // the next attempt; nil for none
-	until time.Time        // the last moment at which a retry may be scheduled
+	due      <-chan time.Time // channel that receives at the time of the next attempt; nil if none is scheduled
+	deadline time.Time        // time after which no retry may be scheduled
 }
 
-// reloadAndRetry reloads the configuration. After an error that may be temporary it schedules another attempt, because SIGHUP
-// is not sent again.
-func (n *Node) reloadAndRetry() error {
+// reloadWithRetry reloads the configuration. After an error that may be temporary it schedules another attempt, because the
+// platform does not send SIGHUP again.
+func (n *Node) reloadWithRetry() error {
 	n.reloadRetry.due = nil
 	err := n.Reload()
-	if mayBeReadLater(err) && time.Now().Before(n.reloadRetry.until) {
+	if mayBeTemporary(err) && time.Now().Before(n.reloadRetry.deadline) {
 		n.reloadRetry.due = time.After(ReloadRetryInterval)
 	}
 	return err
 }
 
-// Reload reads the platform's configuration again, and switches to the discovery address in it. All other values stay as
-// they were at the start. After an error nothing has changed.
+// Reload reads the platform's configuration again and switches to the file's discovery address. The running parts keep all
+// other values of the start. After an error nothing has changed.
 func (n *Node) Reload() error {
 	next, err := n.config.reload(n.discovery.SwitchTo)
 	if err != nil {
 		return err
 	}
 	n.config = next
-	n.warnOfKnownList()
+	n.logKnownListError()
 	n.config.releaseKnownList()
 	n.log.Info().Str("discovery", next.fileDiscovery).Msg("configuration reloaded")
 	return nil
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	heapShare = 0.6 // of the memory limit; stacks, the kernel's buffers and the program need the rest
-	gcPercent = 400 // the live heap is small, and a larger one saves collections
+	runtimeMemoryShare = 0.6 // the runtime's share of the memory limit; kernel buffers and the program's code need the rest
+	gcPercent          = 400 // the live heap is small, so a high value costs little memory and makes collections rarer
 )
 
-// LimitRuntime keeps the Go runtime within the cores and the memory that the platform gives the node. It holds for the whole
-// process.
+// LimitRuntime limits the Go runtime to the cores and the memory that the platform gives the node. The limits apply to the
+// whole process.
 func LimitRuntime(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
-	debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(runtimeMemoryShare * float64(c.Limits.MemoryMB<<20)))
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -17,20 +17,20 @@
 )
 
 // serveDiscovery is a discovery service that holds every call, and reports which host was asked.
-func serveDiscovery(t *testing.T, asked chan<- string) net.Listener {
+func serveDiscovery(t *testing.T, requestedHosts chan<- string) net.Listener {
 	t.Helper()
 	return nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
-		asked <- q.Host
+		requestedHosts <- q.Host
 		<-q.Context().Done()
 	})
 }
 
-// wantAsked waits until a host was asked.
-func wantAsked(t *testing.T, asked <-chan string, host string) {
+// wantDiscoveryCall waits until a host was asked.
+func wantDiscoveryCall(t *testing.T, requestedHosts <-chan string, host string) {
 	t.Helper()
 	for deadline := time.After(3 * time.Second); ; {
 		select {
-		case got := <-asked:
+		case got := <-requestedHosts:
 			if got == host {
 				return
 			}
@@ -43,48 +43,48 @@
 // Signals before the start, many at once, and during a drain neither end the process nor displace a signal of another kind. A
 // SIGHUP during a drain moves discovery, as open requests may still be forwarded.
 func TestSignalsAtAnyMoment(t *testing.T) {
-	file, asked := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
-	first, second := serveDiscovery(t, asked), serveDiscovery(t, asked)
-	got, answer := make(chan struct{}), make(chan struct{})
+	file, requestedHosts := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
+	first, second := serveDiscovery(t, requestedHosts), serveDiscovery(t, requestedHosts)
+	arrived, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
-		close(got)
+		close(arrived)
 		<-answer
 		_, _ = io.Copy(w, q.Body)
 	})
 	listenOn := nodetest.FreeAddress(t)
 	text := nodetest.NodeConfig(t, server.Addr(), listenOn, nodetest.FreeAddress(t))
 	c := mustParse(t, text)
-	nameDiscovery := func(ln net.Listener) {
+	writeConfig := func(ln net.Listener) {
 		nodetest.WriteFile(t, file, strings.Replace(text, c.fileDiscovery, ln.Addr().String(), 1))
 	}
 	t.Setenv(EnvConfig, file)
-	nameDiscovery(first)
-	caught := CatchSignals() // as main does, before it reads anything
+	writeConfig(first)
+	signals := CatchSignals() // as main does, before it reads anything
 	for range 20 {
 		nodetest.SignalSelf(t, syscall.SIGUSR1)
 		nodetest.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(time.Millisecond)
 	}
-	if len(caught.reload) != 1 || len(caught.counters) != 1 || len(caught.terminate) != 0 {
-		t.Errorf("%d, %d, %d wait", len(caught.reload), len(caught.counters), len(caught.terminate))
+	if len(signals.reload) != 1 || len(signals.counters) != 1 || len(signals.terminate) != 0 {
+		t.Errorf("%d, %d, %d wait", len(signals.reload), len(signals.counters), len(signals.terminate))
 	}
 	ended := startNode(c)
-	wantAsked(t, asked, first.Addr().String())
+	wantDiscoveryCall(t, requestedHosts, first.Addr().String())
 	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
-	<-got
+	<-arrived
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	time.Sleep(10 * time.Millisecond)
-	nameDiscovery(second)
+	writeConfig(second)
 	for range 9 {
 		nodetest.SignalSelf(t, syscall.SIGUSR1)
 		nodetest.SignalSelf(t, syscall.SIGTERM)
 		nodetest.SignalSelf(t, syscall.SIGHUP)
 	}
-	wantAsked(t, asked, second.Addr().String())
+	wantDiscoveryCall(t, requestedHosts, second.Addr().String())
 	close(answer)
 	wantLastResponse(t, conn)
 	wantEnd(t, ended)
-	caught.discard()
+	signals.discard()
 }
 
 // discard removes pending signals, so that no other test receives them.
