--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,7 +21,7 @@
 	EnvOperator  = "GW_OPERATOR"  // path of the operator file; means the same as the flag --operator
 	envName      = "GW_NAME"      // overrides the key "name" of the configuration
 	envListen    = "GW_LISTEN"    // overrides the key "listen"
-	envDiscovery = "GW_DISCOVERY" // overrides the key "discovery" until a reload reads another address
+	envDiscovery = "GW_DISCOVERY" // overrides the key "discovery" until a reload finds another address in the file
 )
 
 // Keys of the platform's configuration that keyError may name.
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -15,6 +15,7 @@
 	"cherrygap/internal/settings"
 )
 
+// A key of the platform's configuration must not be lost or read in another unit, and GW_LISTEN must override the file.
 func TestConfigurationIsRead(t *testing.T) {
 	c, err := parseConfig([]byte(nodetest.GoodConfig), func(name string) string {
 		return map[string]string{"GW_LISTEN": "127.0.0.7:80"}[name]
@@ -25,12 +26,13 @@
 	limits := c.socketLimits()
 	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.knownList.Revision != 41 || c.settings.Node.String() != "2" ||
 		limits.ServerIdleTimeout != 15*time.Second || limits.ConnectTimeout != 250*time.Millisecond || limits.Sockets != 1024 {
-		t.Errorf("read as %+v, limits %+v", c, limits)
+		t.Errorf("parseConfig(GoodConfig) with GW_LISTEN=127.0.0.7:80 = %+v with limits %+v, want that address, "+
+			"the file's seed, revision 41, slot_no 2, idle timeout 15s, connect timeout 250ms and 1024 sockets", c, limits)
 	}
 }
 
-// A malformed endpoint list prevents neither a start nor a reload's change of discovery. Any other malformed value does, and
-// the check of a file rejects both.
+// A malformed endpoint list in the platform's file must not prevent a start or a reload's switch of discovery, because discovery
+// sends the list anyway. Any other malformed value must prevent both. LoadPlatformFile must reject either.
 func TestMalformedKnownListDoesNotPreventStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
@@ -43,37 +45,39 @@
 			text := strings.Replace(nodetest.GoodConfig, `{"rev":41,"all":true,"targets":[]}`, known, 1)
 			nodetest.WriteFile(t, file, text)
 			if c, err := loadConfig(); err != nil || c.knownListErr == nil || len(c.knownList.Endpoints) > 0 || c.settings.Node.String() != "2" {
-				t.Errorf("%v", err)
+				t.Errorf("loadConfig() = %+v, %v, want no error, but knownListErr set, no endpoints and slot_no 2", c, err)
 			}
 			wantReload(t, current, "")
 			nodetest.WriteFile(t, file, strings.Replace(text, "9:8500", "8:8500", 1))
 			wantReload(t, current, "127.0.0.8:8500")
 			nodetest.WriteFile(t, file, text)
 			if _, err := LoadPlatformFile(file); err == nil {
-				t.Errorf("passes the check")
+				t.Errorf("LoadPlatformFile() with known %s returned no error, want one", known)
 			}
 			nodetest.WriteFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
 			if _, err := loadConfig(); err == nil {
-				t.Errorf("started without a seed")
+				t.Errorf("loadConfig() with an invalid seed returned no error, want one")
 			}
-			if next, err := current.reload(func(string) { t.Error("moved") }); err == nil || next != current {
-				t.Errorf("taken on SIGHUP without a seed")
+			if next, err := current.reload(func(string) { t.Error("reload with invalid seed switched discovery, want no switch") }); err == nil || next != current {
+				t.Errorf("reload with an invalid seed: error %v, configuration replaced: %v; want an error and no replacement", err, next != current)
 			}
 		})
 	}
 }
 
-// wantReload reloads a configuration whose known list can't be read, and checks where that moves discovery to.
+// wantReload reloads a configuration whose known list is malformed. It checks that the reload succeeds and switches discovery to
+// the address want, or does not switch if want is empty.
 func wantReload(t *testing.T, current *Config, want string) {
 	t.Helper()
 	switchedTo := ""
 	next, err := current.reload(func(address string) { switchedTo += address })
 	if err != nil || switchedTo != want || next.knownListErr == nil || next.settings.Node.String() != "2" {
-		t.Errorf("on SIGHUP: moved to %q, want %q, %v", switchedTo, want, err)
+		t.Errorf("reload = %+v, %v and switched discovery to %q, want knownListErr set, slot_no 2, no error and %q", next, err, switchedTo, want)
 	}
 }
 
-// A reload changes nothing unless the complete file is valid, and moves discovery only to another address.
+// A reload of a file with an invalid value must change nothing. A reload of a valid file must switch discovery only if the
+// address has changed.
 func TestReloadAppliesOnlyValidFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
@@ -92,11 +96,13 @@
 		switchedTo := ""
 		next, err := current.reload(func(addr string) { switchedTo = addr })
 		if switchedTo != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != current {
-			t.Errorf("moved to %q, want %q: %v", switchedTo, want, err)
+			t.Errorf("reload of %s switched discovery to %q, want %q; error %v, want an error: %v; configuration replaced: %v",
+				text, switchedTo, want, err, want == "" && text != nodetest.GoodConfig, next != current)
 		}
 	}
 }
 
+// An operator reads the error of a malformed configuration as one line, so it must not contain a line break.
 func TestMalformedConfigurationErrorIsOneLine(t *testing.T) {
 	for _, test := range [][2]string{
 		{nodetest.GoodConfig, ""},
@@ -109,13 +115,13 @@
 	} {
 		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, test[0], test[1], 1)), noEnv)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.30q for %.30q: %v", test[1], test[0], err)
+			t.Errorf("parseConfig() with %.30q replaced by %.30q: error %v, want an error of one line", test[0], test[1], err)
 		}
 	}
 }
 
-// The operator file's settings take precedence over the platform's. A class that the platform does not name is an error that
-// contains the name.
+// The operator file's settings must take precedence over the platform's, also in the shadow settings. The error for a class
+// that the platform does not name must contain the name.
 func TestOperatorSettings(t *testing.T) {
 	text := strings.Replace(nodetest.GoodConfig, `"slot_no":2`, `"slot_no":2,"services":[{"name":"seats","semantics":"at_most_once"}]`, 1)
 	for _, test := range []struct {
@@ -137,7 +143,7 @@
 		err := conf.ApplyOperator(file)
 		if test.wantErr != "" {
 			if err == nil || err.Error() != test.wantErr {
-				t.Errorf("%q: %v", test.operator, err)
+				t.Errorf("ApplyOperator(%q) = %v, want %s", test.operator, err, test.wantErr)
 			}
 			continue
 		}
@@ -146,12 +152,14 @@
 			shadow = conf.shadowSettings.Classes.At(0).RetrySafety
 		}
 		if got := conf.settings.Classes.At(0).RetrySafety; err != nil || got != test.wantRetrySafety || shadow != test.wantShadow {
-			t.Errorf("%q: %v, %v, shadow %v", test.operator, err, got, shadow)
+			t.Errorf("ApplyOperator(%q) = %v with retry safety %q, shadow %q, want no error, %q, shadow %q",
+				test.operator, err, got, shadow, test.wantRetrySafety, test.wantShadow)
 		}
 	}
 }
 
-// A node shares health checks only where the operators enable them and the platform allows health checks and peer messages.
+// A node must not share health checks that the operator file does not enable, or that the platform does not allow. It must not
+// share them either without peer messages, or with a node number outside the list of peers.
 func TestHealthChecksNeedThePlatformsPermission(t *testing.T) {
 	text := strings.NewReplacer(`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
 		`["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`).Replace(nodetest.GoodConfig)
@@ -172,15 +180,15 @@
 			t.Fatal(err)
 		}
 		if conf.sharesHealthChecks() != test.want {
-			t.Errorf("%d: shares %v", i, !test.want)
+			t.Errorf("sharesHealthChecks() with %q replaced by %q, enabled %v = %v, want %v", test.old, test.new, test.enabled, !test.want, test.want)
 		}
 		if healthChecks := conf.healthCheckConfig(); i == 0 && (healthChecks.Self != 2 || healthChecks.Nodes != 3 || healthChecks.SendRate != 4096 || healthChecks.Interval != 5*time.Second) {
-			t.Errorf("configured as %+v", healthChecks)
+			t.Errorf("healthCheckConfig() = %+v, want Self 2, Nodes 3, SendRate 4096 and Interval 5s", healthChecks)
 		}
 	}
 }
 
-// An error on a key has a type with the key and the cause.
+// Callers examine the error of an invalid value by its type, so the error must keep the key and the cause.
 func TestConfigurationErrorTypes(t *testing.T) {
 	for _, test := range []struct {
 		old, new, key string
@@ -195,14 +203,15 @@
 		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, test.old, test.new, 1)), noEnv)
 		var keyErr *keyError
 		if !errors.As(err, &keyErr) || keyErr.key != test.key || test.cause != nil && !errors.Is(err, test.cause) {
-			t.Errorf("%s: %#v", test.key, err)
+			t.Errorf("parseConfig() with %s replaced by %s: error %v (%T), want a keyError for key %q with cause %v",
+				test.old, test.new, err, err, test.key, test.cause)
 		}
 		if isKnownListError(err) != (test.key == keyKnown) {
-			t.Errorf("%s: taken for an error of the known list, or not", test.key)
+			t.Errorf("isKnownListError(%v) = %v, want %v", err, isKnownListError(err), test.key == keyKnown)
 		}
 	}
 	t.Setenv(EnvConfig, "")
 	if _, err := loadConfig(); !errors.Is(err, errNoConfigPath) {
-		t.Error(err)
+		t.Errorf("loadConfig() with an empty %s: error %v, want %v", EnvConfig, err, errNoConfigPath)
 	}
 }
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -14,12 +14,14 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// values returns all values that the node reads from a configuration, as texts by name.
+// valuesOf returns all values that the node reads from a configuration, as texts by label. The label duties has the
+// configuration of the health checks, and all has the address that reaches every peer.
 func valuesOf(c *Config) map[string]string {
 	limits, healthChecks, quota := c.socketLimits(), c.healthCheckConfig(), c.quotaConfig()
 	var descriptors syscall.Rlimit
 	sockets := fmt.Sprint(limits.Sockets)
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && c.Limits.Sockets > 1024 && uint64(limits.Sockets) == descriptors.Cur {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && c.Limits.Sockets > 1024 &&
+		uint64(limits.Sockets) == descriptors.Cur {
 		sockets = "the process's"
 	}
 	names, objectives := []string{}, []time.Duration{}
@@ -31,47 +33,50 @@
 	return map[string]string{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery + " " + c.fileDiscovery, "seed": fmt.Sprintf("%x", c.randomSeed),
 		"peer": fmt.Sprint(c.PeerListen), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeerBroadcast),
-		"given":   fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
+		"limits":  fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
 		"known":   fmt.Sprint(c.knownList.Revision, c.knownList.Full, len(c.knownList.Endpoints)),
-		"sockets": sockets, "memory": fmt.Sprint(limits.MemoryMB), "idle": fmt.Sprint(limits.ServerIdleTimeout), "connect": fmt.Sprint(limits.ConnectTimeout),
+		"sockets": sockets, "memory": fmt.Sprint(limits.MemoryMB),
+		"idle": fmt.Sprint(limits.ServerIdleTimeout), "connect": fmt.Sprint(limits.ConnectTimeout),
 		"grpc": fmt.Sprint(limits.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
-		"duties":    fmt.Sprintf("%d/%d %x %v %v %v", healthChecks.Self, healthChecks.Nodes, healthChecks.Seed, healthChecks.ReceiveRate, healthChecks.SendRate, healthChecks.Interval),
-		"names":     fmt.Sprintf("%q", names),
-		"contracts": fmt.Sprint(objectives),
-		"quota":     fmt.Sprintf("%d/%d %x %v %v", quota.Self, quota.Nodes, quota.Seed, quota.ExchangeRate, quota.Timeout),
-		"checks":    fmt.Sprint(authzLimits.MaxInFlight, " ", authzLimits.MaxRetryAfter, " ", authzLimits.Classes, " ", authorization.classNumbers, " ", err),
+		"duties": fmt.Sprintf("%d/%d %x %v %v %v", healthChecks.Self, healthChecks.Nodes, healthChecks.Seed,
+			healthChecks.ReceiveRate, healthChecks.SendRate, healthChecks.Interval),
+		"names":      fmt.Sprintf("%q", names),
+		"objectives": fmt.Sprint(objectives),
+		"quota":      fmt.Sprintf("%d/%d %x %v %v", quota.Self, quota.Nodes, quota.Seed, quota.ExchangeRate, quota.Timeout),
+		"authorization": fmt.Sprint(authzLimits.MaxInFlight, " ", authzLimits.MaxRetryAfter, " ", authzLimits.Classes, " ",
+			authorization.classNumbers, " ", err),
 		"operator": fmt.Sprintf("%v %q %q %q %q %d", ParseLogLevel(c.operator.Log.Level), c.operator.Quota.Store, c.operator.Authz.Service,
 			c.operator.Authz.FailOpen, c.operator.GRPC.Listen, c.operator.GRPC.MaxCalls),
 	}
 }
 
-// goodValues are the values of the good configuration without an operator file.
+// goodValues are the values of GoodConfig without an operator file.
 var goodValues = map[string]string{
-	"all":       "127.0.0.6:7946",
-	"checks":    "64 0s [] map[] <nil>",
-	"connect":   "250ms",
-	"contracts": "[]",
-	"discovery": "127.0.0.9:8500 127.0.0.9:8500",
-	"duties":    "2/1 8c1f30d27a5be964 0 4096 5s",
-	"given":     "1 192 1024",
-	"grpc":      "false",
-	"idle":      "15s",
-	"known":     "41 true 0",
-	"listen":    "127.0.0.4:9000",
-	"memory":    "192",
-	"name":      "n3",
-	"names":     "[]",
-	"operator":  `info "" "" [] "" 256`,
-	"peer":      "127.0.0.4:7946",
-	"peers":     "[127.0.0.5:7946]",
-	"quota":     "2/0 8c1f30d27a5be964 200 20ms",
-	"seed":      "8c1f30d27a5be964",
-	"shares":    "false",
-	"sockets":   "1024",
+	"all":           "127.0.0.6:7946",
+	"authorization": "64 0s [] map[] <nil>",
+	"connect":       "250ms",
+	"objectives":    "[]",
+	"discovery":     "127.0.0.9:8500 127.0.0.9:8500",
+	"duties":        "2/1 8c1f30d27a5be964 0 4096 5s",
+	"limits":        "1 192 1024",
+	"grpc":          "false",
+	"idle":          "15s",
+	"known":         "41 true 0",
+	"listen":        "127.0.0.4:9000",
+	"memory":        "192",
+	"name":          "n3",
+	"names":         "[]",
+	"operator":      `info "" "" [] "" 256`,
+	"peer":          "127.0.0.4:7946",
+	"peers":         "[127.0.0.5:7946]",
+	"quota":         "2/0 8c1f30d27a5be964 200 20ms",
+	"seed":          "8c1f30d27a5be964",
+	"shares":        "false",
+	"sockets":       "1024",
 }
 
-// compareValues compares a configuration's values with goodValues, but for the changes: lines of a name, a colon and a
-// value.
+// compareValues compares a configuration's values with goodValues, after it has replaced values there by those in changes. Each
+// line of changes is a label, a colon and a value.
 func compareValues(t *testing.T, c *Config, changes string) {
 	t.Helper()
 	got := valuesOf(c)
@@ -82,11 +87,11 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(got)) {
 		if got[name] != want[name] {
-			t.Errorf("%s: %s\nwant %s", name, got[name], want[name])
+			t.Errorf("value of %s = %s, want %s", name, got[name], want[name])
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d values, want %d", len(got), len(want))
+		t.Errorf("the configuration has %d values, want %d", len(got), len(want))
 	}
 }
 
@@ -95,14 +100,14 @@
 	threePeers  = `"peers":["127.0.0.5:7946","127.0.0.5:7947","127.0.0.4:7946"]`
 )
 
-// configCases replace a part of the good configuration, and give the values that the node reads then.
+// configCases are changes of GoodConfig, and the values that differ from goodValues as a result. The text old is replaced by new.
 var configCases = []struct{ name, old, new, changes string }{
 	{"good", "", "", ""},
-	{"least", nodetest.GoodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
+	{"required keys only", nodetest.GoodConfig, `{"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"0",
 			"limits":{"cores":0.01,"memory_mb":1,"sockets":1},"settings":{}}`, `all: invalid AddrPort
 connect: 1s
 duties: 0/0 0 0 4096 5s
-given: 0.01 1 1
+limits: 0.01 1 1
 idle: 0s
 known: 0 false 0
 memory: 1
@@ -112,9 +117,9 @@
 quota: 0/0 0 200 20ms
 seed: 0
 sockets: 1`},
-	{"keys not known", `"name"`, `"zone":"a","limit":7,"name"`, ""},
-	{"keys in other case", `"listen"`, `"LISTEN"`, ""},
-	{"a key twice", `"name":"n3"`, `"name":"n3","name":"n4"`, "name: n4"},
+	{"unknown keys", `"name"`, `"zone":"a","limit":7,"name"`, ""},
+	{"key in upper case", `"listen"`, `"LISTEN"`, ""},
+	{"duplicate key", `"name":"n3"`, `"name":"n3","name":"n4"`, "name: n4"},
 	{"null values", nodetest.GoodConfig, `{"name":null,"listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
 			"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":null,"peers":null,"peers_all":null,"known":null,
 			"settings":{"slot_no":null,"limits":null,"services":null}}`, `all: invalid AddrPort
@@ -126,15 +131,15 @@
 peer: invalid AddrPort
 peers: []
 quota: 0/0 8c1f30d27a5be964 200 20ms`},
-	{"seed in capitals", "8c1f30d27a5be964", "8C1F", `duties: 2/1 8c1f 0 4096 5s
+	{"seed in upper case", "8c1f30d27a5be964", "8C1F", `duties: 2/1 8c1f 0 4096 5s
 quota: 2/0 8c1f 200 20ms
 seed: 8c1f`},
 	{"IPv6", "127.0.0.4:9000", "[::1]:9000", "listen: [::1]:9000"},
 	{"port 0", "127.0.0.4:9000", "0.0.0.0:0", "listen: 0.0.0.0:0"},
 	{"no peers", `"peers":["127.0.0.5:7946"],`, "", `duties: 2/0 8c1f30d27a5be964 0 4096 5s
 peers: []`},
-	{"peer addresses empty", `"127.0.0.4:7946"`, `""`, "peer: invalid AddrPort"},
-	{"more sockets than there are", `"sockets":1024`, `"sockets":1099511627776`, `given: 1 192 1099511627776
+	{"peer_listen empty", `"127.0.0.4:7946"`, `""`, "peer: invalid AddrPort"},
+	{"more sockets than the process's limit", `"sockets":1024`, `"sockets":1099511627776`, `limits: 1 192 1099511627776
 sockets: the process's`},
 	{"known null", `{"rev":41,"all":true,"targets":[]}`, "null", "known: 0 false 0"},
 	{"known empty", `{"rev":41,"all":true,"targets":[]}`, "{}", "known: 0 false 0"},
@@ -155,43 +160,44 @@
 	{"connect_timeout zero", `"connect_timeout":250000`, `"connect_timeout":0`, "connect: 1s"},
 	{"connect_timeout negative", `"connect_timeout":250000`, `"connect_timeout":-250000`, "connect: 1s"},
 	{"connect_timeout a fraction", `"connect_timeout":250000`, `"connect_timeout":250199.9`, "connect: 250.1ms"},
-	{"connect_timeout under a tenth", `"connect_timeout":250000`, `"connect_timeout":99`, "connect: 1s"},
-	{"connect_timeout a number's text", `"connect_timeout":250000`, `"connect_timeout":"250000"`, ""},
+	{"connect_timeout below 0.1 ms", `"connect_timeout":250000`, `"connect_timeout":99`, "connect: 1s"},
+	{"connect_timeout a number as a text", `"connect_timeout":250000`, `"connect_timeout":"250000"`, ""},
 	{"connect_timeout a text", `"connect_timeout":250000`, `"connect_timeout":"soon"`, "connect: 1s"},
 	{"connect_timeout true", `"connect_timeout":250000`, `"connect_timeout":true`, "connect: 1s"},
 	{"connect_timeout null", `"connect_timeout":250000`, `"connect_timeout":null`, "connect: 1s"},
 	{"conn_idle missing", `"conn_idle":15000000,`, "", "idle: 0s"},
 	{"conn_idle with an exponent", `"conn_idle":15000000`, `"conn_idle":1.5e7`, ""},
 	{"conn_idle a text", `"conn_idle":15000000`, `"conn_idle":"15 s"`, "idle: 0s"},
-	{"shares", `"peers":["127.0.0.5:7946"]`, threePeers, `duties: 2/3 8c1f30d27a5be964 0 4096 5s
+	{"three peers", `"peers":["127.0.0.5:7946"]`, threePeers, `duties: 2/3 8c1f30d27a5be964 0 4096 5s
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]`},
-	{"shares, probes allowed", `"slot_no":2,"limits":{`, `"slot_no":0,"limits":{"probes":true,`, `duties: 0/1 8c1f30d27a5be964 0 4096 5s
+	{"probes allowed with one peer", `"slot_no":2,"limits":{`, `"slot_no":0,"limits":{"probes":true,`, `duties: 0/1 8c1f30d27a5be964 0 4096 5s
 quota: 0/0 8c1f30d27a5be964 200 20ms`},
 	{"peer_in_per_s", `"slot_no":2`, `"slot_no":2,"specifics":{"peer_in_per_s":40.5}`, "duties: 2/1 8c1f30d27a5be964 40.5 4096 5s"},
 	{"peer_in_per_s a text", `"slot_no":2`, `"slot_no":2,"specifics":{"peer_in_per_s":"forty"}`, ""},
-	{"services", `{"slot_no":2`, twoServices + `,"slot_no":2`, `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
-contracts: [400ms 800ms]
+	{"services", `{"slot_no":2`, twoServices + `,"slot_no":2`, `authorization: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
+objectives: [400ms 800ms]
 names: ["look" "buy"]
 quota: 2/0 8c1f30d27a5be964 200 80ms`},
-	{"services without slo", `{"slot_no":2`, `{"services":[{"name":"look"}],"slot_no":2`, `checks: 64 0s [{0s false}] map[look:0] <nil>
-contracts: [0s]
+	{"services without slo", `{"slot_no":2`, `{"services":[{"name":"look"}],"slot_no":2`, `authorization: 64 0s [{0s false}] map[look:0] <nil>
+objectives: [0s]
 names: ["look"]`},
-	{"services with odd slo", `{"slot_no":2`, `{"services":[{"name":"look","slo":"x"},{"slo":-5},{"name":3,"slo":30000000}],"slot_no":2`, `checks: 64 0s [{0s false} {0s false} {30s false}] map[:1 3:2 look:0] <nil>
-contracts: [0s 0s 30s]
+	{"services with invalid slo", `{"slot_no":2`, `{"services":[{"name":"look","slo":"x"},{"slo":-5},{"name":3,"slo":30000000}],"slot_no":2`, `authorization: 64 0s [{0s false} {0s false} {30s false}] map[:1 3:2 look:0] <nil>
+objectives: [0s 0s 30s]
 names: ["look" "" "3"]`},
 	{"services empty", `{"slot_no":2`, `{"services":[],"slot_no":2`, ""},
 	{"services of texts", `{"slot_no":2`, `{"services":["look","buy"],"slot_no":2`, ""},
 	{"services an object", `{"slot_no":2`, `{"services":{"name":"look"},"slot_no":2`, ""},
-	{"services counted", `{"slot_no":2`, `{"services":{"count":2,"0":{"name":"look","slo":400000}},"slot_no":2`, `checks: 64 0s [{400ms false} {0s false}] map[:1 look:0] <nil>
-contracts: [400ms 0s]
+	{"services as an object with a count", `{"slot_no":2`, `{"services":{"count":2,"0":{"name":"look","slo":400000}},"slot_no":2`, `authorization: 64 0s [{400ms false} {0s false}] map[:1 look:0] <nil>
+objectives: [400ms 0s]
 names: ["look" ""]`},
-	{"retry_after", `"conn_idle"`, `"retry_after":true,"max_retry_after":2000000,"conn_idle"`, "checks: 64 2s [] map[] <nil>"},
+	{"retry_after", `"conn_idle"`, `"retry_after":true,"max_retry_after":2000000,"conn_idle"`, "authorization: 64 2s [] map[] <nil>"},
 	{"retry_after false", `"conn_idle"`, `"retry_after":false,"max_retry_after":2000000,"conn_idle"`, ""},
 	{"retry_after a number", `"conn_idle"`, `"retry_after":1,"max_retry_after":2000000,"conn_idle"`, ""},
 	{"max_retry_after a text", `"conn_idle"`, `"retry_after":"true","max_retry_after":"2 s","conn_idle"`, ""},
 }
 
-// Each configuration, those with odd values too, keeps its meaning.
+// A change of the configuration's types or defaults must not change how a node reads a file, even one with values of an
+// unexpected type.
 func TestConfigurationValues(t *testing.T) {
 	for _, test := range configCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -204,10 +210,10 @@
 	}
 }
 
-// operatorCases are operator files, and the values that the node reads with each.
+// operatorCases are operator files, and the values that differ from goodValues with each.
 var operatorCases = []struct{ name, operator, changes string }{
-	{"none", "", `checks: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
-contracts: [400ms 800ms]
+	{"none", "", `authorization: 64 0s [{400ms false} {800ms false}] map[buy:1 look:0] <nil>
+objectives: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
 names: ["look" "buy"]
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]
@@ -233,8 +239,8 @@
 [grpc]
 listen = "127.0.0.1:9002"
 calls = 3
-`, `checks: 9 1.5s [{400ms false} {800ms true}] map[buy:1 look:0] <nil>
-contracts: [400ms 800ms]
+`, `authorization: 9 1.5s [{400ms false} {800ms true}] map[buy:1 look:0] <nil>
+objectives: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 7.5 1024 250.5ms
 grpc: true
 idle: 20.5ms
@@ -243,21 +249,21 @@
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]
 quota: 2/0 8c1f30d27a5be964 17 80ms
 shares: true`},
-	{"a band that passes open is not named", "[authz]\npass_open = [\"fly\"]\n", `checks: 64 0s [{400ms false} {800ms false}] map[] authz.fail_open "fly": the platform's settings name look, buy
-contracts: [400ms 800ms]
+	{"fail_open names an unknown class", "[authz]\npass_open = [\"fly\"]\n", `authorization: 64 0s [{400ms false} {800ms false}] map[] authz.fail_open "fly": the platform's settings name look, buy
+objectives: [400ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
 names: ["look" "buy"]
 operator: info "" "" ["fly"] "" 256
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]
 quota: 2/0 8c1f30d27a5be964 200 80ms`},
-	{"a contract time", "[[settings.band]]\nname = \"look\"\ncontract_ms = 10.0\n", `checks: 64 0s [{10ms false} {800ms false}] map[buy:1 look:0] <nil>
-contracts: [10ms 800ms]
+	{"latency objective of a class", "[[settings.band]]\nname = \"look\"\ncontract_ms = 10.0\n", `authorization: 64 0s [{10ms false} {800ms false}] map[buy:1 look:0] <nil>
+objectives: [10ms 800ms]
 duties: 2/3 8c1f30d27a5be964 0 4096 5s
 names: ["look" "buy"]
 peers: [127.0.0.5:7946 127.0.0.5:7947 127.0.0.4:7946]`},
 }
 
-// The operator file's values keep their meaning.
+// A change of the operator file's keys or defaults must not change how a node reads a file, with deprecated keys too.
 func TestOperatorValues(t *testing.T) {
 	text := strings.NewReplacer(`{"slot_no":2`, `{"services":[{"name":"look","slo":400000},{"name":"buy","slo":800000}],"slot_no":2`,
 		`"peers":true`, `"peers":true,"probes":true`, `["127.0.0.5:7946"]`,
@@ -277,8 +283,8 @@
 	}
 }
 
-// GW_NAME, GW_LISTEN and GW_DISCOVERY take precedence over the file where they are not empty, and no other variable does.
-// The file's own discovery address is kept for a reload.
+// GW_NAME, GW_LISTEN and GW_DISCOVERY must take precedence over the file unless they are empty, and no other variable may. A
+// reload needs the file's own discovery address, so GW_DISCOVERY must not replace that.
 func TestEnvironmentPrecedence(t *testing.T) {
 	for _, test := range []struct{ name, env, want string }{
 		{"none", "", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
@@ -286,8 +292,8 @@
 		{"GW_LISTEN", "GW_LISTEN=127.0.0.7:80", "n3 127.0.0.7:80 127.0.0.9:8500 127.0.0.9:8500"},
 		{"GW_DISCOVERY", "GW_DISCOVERY=127.0.0.7:81", "n3 127.0.0.4:9000 127.0.0.7:81 127.0.0.9:8500"},
 		{"all", "GW_NAME=o GW_LISTEN=127.0.0.7:80 GW_DISCOVERY=127.0.0.7:81", "o 127.0.0.7:80 127.0.0.7:81 127.0.0.9:8500"},
-		{"empty ones", "GW_NAME= GW_LISTEN= GW_DISCOVERY=", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
-		{"others", "GW_SEED=7 GW_PEER_LISTEN=127.0.0.7:82 NAME=x", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
+		{"empty variables", "GW_NAME= GW_LISTEN= GW_DISCOVERY=", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
+		{"unrelated variables", "GW_SEED=7 GW_PEER_LISTEN=127.0.0.7:82 NAME=x", "n3 127.0.0.4:9000 127.0.0.9:8500 127.0.0.9:8500"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "config.json")
@@ -305,7 +311,7 @@
 				t.Fatal(err)
 			}
 			if got := fmt.Sprint(conf.Name, " ", conf.Listen, " ", conf.Discovery, " ", conf.fileDiscovery); got != test.want {
-				t.Errorf("got %s, want %s", got, test.want)
+				t.Errorf("loadConfig() with %q read the name and addresses %s, want %s", test.env, got, test.want)
 			}
 		})
 	}
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -20,26 +20,26 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// leakTimeout is the time within which the goroutines and descriptors of a closed node have to be gone.
+// leakTimeout is the time within which the goroutines and descriptors of a closed node must be released.
 const leakTimeout = 10 * time.Second
 
 // wantNoLeak waits until the process has no more goroutines and descriptors than before.
 func wantNoLeak(t *testing.T, before processResources) {
 	t.Helper()
-	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // a collection would close sockets that are leaked
+	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // a garbage collection would close leaked sockets
 	for deadline := time.Now().Add(leakTimeout); ; time.Sleep(time.Millisecond) {
 		now := resourcesNow(t)
 		if now.goroutines <= before.goroutines && now.descriptors <= before.descriptors {
 			return
 		}
 		if time.Now().After(deadline) {
-			_ = pprof.Lookup("goroutine").WriteTo(os.Stderr, 1) // for whoever looks for the leak
-			t.Fatalf("leaked: %+v before, %+v now", before, now)
+			_ = pprof.Lookup("goroutine").WriteTo(os.Stderr, 1) // the stacks show which goroutines are leaked
+			t.Fatalf("process has %+v after Close, want at most %+v as before New", now, before)
 		}
 	}
 }
 
-// processResources are counts that a node which is not closed would raise.
+// processResources counts the resources of the process that a node must release when it is closed.
 type processResources struct{ goroutines, descriptors int }
 
 func resourcesNow(t *testing.T) processResources {
@@ -51,10 +51,10 @@
 	return processResources{goroutines: runtime.NumGoroutine(), descriptors: len(files)}
 }
 
-// echo is an app server's handler that answers a request with its body.
+// echo is an app server's handler that responds with the request's body.
 func echo(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }
 
-// answerNoChange is a discovery service's handler that knows no change.
+// answerNoChange is a discovery service's handler that responds after 50 ms with a list without changes.
 func answerNoChange(w http.ResponseWriter, q *http.Request) {
 	select {
 	case <-q.Context().Done():
@@ -63,17 +63,18 @@
 	}
 }
 
-// allParts is an operator file with every part that needs no gRPC.
+// allParts is an operator file that enables every optional part that needs no gRPC.
 const allParts = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 
-// fleetText turns a configuration into that of the third of three nodes, in a fleet that shares health checks.
+// fleetText returns a configuration for node 2 of three nodes, which are allowed to share health checks. peer is the address of
+// the node's peer socket.
 func fleetText(text, peer string) string {
 	return strings.NewReplacer(`"peer_listen":"127.0.0.1:0"`, `"peer_listen":"`+peer+`"`,
 		`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`,
 		`"replicas_of_me":1`, `"slot_no":2,"replicas_of_me":3`, `"peers":true`, `"peers":true,"probes":true`).Replace(text)
 }
 
-// mustApply reads an operator file into a configuration.
+// mustApply applies the text of an operator file to a configuration, and fails the test on an error.
 func mustApply(t *testing.T, c *Config, operator string) *Config {
 	t.Helper()
 	file, keyErrors := operatorfile.Parse(operator)
@@ -86,6 +87,8 @@
 	return c
 }
 
+// A part that Close forgets would keep its goroutines and descriptors. The test starts, drains and closes a node several times,
+// once with the platform's parts only and once with all optional parts.
 func TestNodeStopsWithoutLeak(t *testing.T) {
 	for _, test := range []struct{ name, operator string }{{"platform only", ""}, {"all parts", allParts}} {
 		t.Run(test.name, func(t *testing.T) {
@@ -98,7 +101,7 @@
 				text := fleetText(nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String()), peer.LocalAddr().String())
 				c := mustApply(t, mustParse(t, text), test.operator)
 				if c.sharesHealthChecks() != (test.operator != "") {
-					t.Fatal("another set of parts than the test wants")
+					t.Fatalf("sharesHealthChecks() with operator file %q = %v, want %v", test.operator, c.sharesHealthChecks(), test.operator != "")
 				}
 				n := New(c)
 				if err := n.Start(); err != nil {
@@ -115,7 +118,7 @@
 	}
 }
 
-// A node that was not drained still answers the requests that it has accepted.
+// Close without an earlier Drain must not drop a request: it must wait until the accepted request has its response.
 func TestCloseAnswersOpenRequests(t *testing.T) {
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -140,7 +143,7 @@
 	nodetest.Eventually(t, leakTimeout, "a closed listener", func() bool { return !nodetest.Accepts(listenOn) })
 	select {
 	case <-closed:
-		t.Error("closed over an open request")
+		t.Error("Close returned while a request was open, want it to wait for the response")
 	default:
 	}
 	close(answer)
@@ -150,7 +153,8 @@
 	wantNoLeak(t, before)
 }
 
-// Discovery is followed until the last request has ended, and no longer.
+// A draining node still forwards open requests, so it must follow discovery until the last one has ended. After that Close must
+// end the discovery client.
 func TestDiscoveryIsFollowedUntilTheLastRequestHasEnded(t *testing.T) {
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -185,7 +189,7 @@
 		select {
 		case <-calls:
 		case <-time.After(leakTimeout):
-			t.Fatalf("%d calls of discovery during the drain", k)
+			t.Fatalf("discovery received %d calls during the drain and no further one within %v, want 3", k, leakTimeout)
 		}
 	}
 	close(answer)
@@ -196,7 +200,8 @@
 	wantNoLeak(t, before)
 }
 
-// Reload follows discovery to the address in the new file, and changes nothing where the file is malformed.
+// Reload must switch to the discovery address in the new file. A truncated file, as while it is being written, must change
+// nothing and give an error that may be temporary.
 func TestReloadByCall(t *testing.T) {
 	requestedHosts := make(chan string, 99)
 	server, first, second := nodetest.ServeHTTP(t, echo), serveDiscovery(t, requestedHosts), serveDiscovery(t, requestedHosts)
@@ -216,18 +221,19 @@
 	nodetest.WriteFile(t, file, text[:len(text)/2])
 	current := n.config
 	if err := n.Reload(); !mayBeTemporary(err) || n.config != current {
-		t.Errorf("half a file: %v", err)
+		t.Errorf("Reload() of a truncated file = %v, configuration replaced: %v; want a temporary error and no replacement", err, n.config != current)
 	}
 	nodetest.WriteFile(t, file, text)
 	if err := n.Reload(); err != nil || n.config.fileDiscovery != second.Addr().String() {
-		t.Errorf("%v, follows %s", err, n.config.fileDiscovery)
+		t.Errorf("Reload() = %v with discovery address %s, want nil and %s", err, n.config.fileDiscovery, second.Addr())
 	}
 	wantDiscoveryCall(t, requestedHosts, second.Addr().String())
 	n.Close()
 	wantNoLeak(t, before)
 }
 
-// A start that fails at its last part leaves nothing open once the node is closed.
+// A start that fails at some part must not leak the parts opened before. Close must release them. The start fails because an
+// address does not belong to this machine.
 func TestFailedStartLeaksNothing(t *testing.T) {
 	discovery := nodetest.ServeHTTP(t, answerNoChange)
 	for _, test := range []struct {
@@ -244,7 +250,7 @@
 			text = strings.NewReplacer("127.0.0.4:7946", "127.0.0.1:0", "127.0.0.9:8500", discovery.Addr().String()).Replace(text)
 			n := New(mustApply(t, mustParse(t, text), test.operator))
 			if err := n.Start(); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("Start() = %v, want %v", err, test.want)
 			}
 			n.Close()
 			wantNoLeak(t, before)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,8 +28,8 @@
 // Node is one edge node. It owns the node's parts from Start to Close.
 //
 // Only one goroutine at a time may call the methods. As an exception, Drain may run at the same time as LogCounters and
-// Reload. The fields that Drain and the parts' goroutines read are written before these start. The parts are safe for
-// concurrent use.
+// Reload, as it does in Run. The fields that Drain and the parts' goroutines read are written before these start. The parts
+// are safe for concurrent use.
 type Node struct {
 	config   *Config // current configuration; replaced by Reload
 	limits   netio.Limits
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,8 +19,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// A node serves by its known list while discovery is down. SIGHUP moves it to another discovery address, or changes nothing
-// where the file is malformed. SIGTERM ends it once every accepted request has its response.
+// A node must serve with the known list of its configuration while discovery is down. SIGHUP must switch it to another discovery
+// address, but change nothing while the file is truncated. SIGTERM must not end it before every accepted request has its response.
 func TestNodeServesAndDrains(t *testing.T) {
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -52,26 +52,27 @@
 	select {
 	case uri := <-requestURIs:
 		if uri != protocol.EndpointsPath {
-			t.Errorf("the new discovery was asked %s", uri)
+			t.Errorf("the new discovery service received a request of %s, want %s", uri, protocol.EndpointsPath)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("the new discovery was never asked")
+		t.Error("the new discovery service received no request within 3 s of SIGHUP, want one")
 	}
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	time.Sleep(drainAcceptTime + 100*time.Millisecond)
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request open: %v", err)
+		t.Fatalf("Serve() = %v while a request was open, want it to wait for the response", err)
 	default:
 	}
 	close(answer)
 	wantLastResponse(t, conn)
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Serve() = %v after SIGTERM, want nil", err)
 	}
 }
 
-// wantLastResponse reads a complete response that has the request's body and closes its connection.
+// wantLastResponse reads a response from conn. It checks that the response is complete, has the request's body and closes the
+// connection.
 func wantLastResponse(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -80,24 +81,27 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if response.StatusCode != http.StatusOK || string(body) != nodetest.RequestBody || !response.Close || err != nil {
-		t.Errorf("status %d, %q, closes %v, %v", response.StatusCode, body, response.Close, err)
+		t.Errorf("response has status %d, body %q, closes the connection: %v, read error %v; want %d, %q, true, nil",
+			response.StatusCode, body, response.Close, err, http.StatusOK, nodetest.RequestBody)
 	}
 }
 
-// wantEnd waits for a node that drains, for 3 s longer than it still accepts clients.
+// wantEnd waits until a draining node has ended, for at most 3 s more than drainAcceptTime. It checks that Serve returns no
+// error.
 func wantEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("Serve() = %v after SIGTERM, want nil", err)
 		}
 	case <-time.After(drainAcceptTime + 3*time.Second):
-		t.Error("the node does not end")
+		t.Errorf("Serve did not return within %v of SIGTERM, want it to return", drainAcceptTime+3*time.Second)
 	}
 }
 
-// A node whose log is never read serves, and ends on SIGTERM.
+// A log reader that stops reading must not block the node. The test fills the pipe of the log before the node starts. The node
+// must still serve, and end on SIGTERM.
 func TestBlockedLogDoesNotDelayShutdown(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -116,7 +120,7 @@
 	wantEnd(t, ended)
 }
 
-// fillPipe writes until a pipe takes no more.
+// fillPipe writes to a pipe until it is full, so that the next write blocks.
 func fillPipe(t *testing.T, w *os.File) {
 	t.Helper()
 	if err := w.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -131,8 +135,8 @@
 	}
 }
 
-// A node waits at its start for addresses that the previous process still holds. Any other error on an address ends the start
-// at once.
+// After a restart the previous process may still use the node's addresses, so a start must wait until they are free. Any other
+// error of an address must end the start at once.
 func TestStartWaitsForItsAddresses(t *testing.T) {
 	tcp, udp := nettest.Listen(t), nodetest.ListenPacket(t)
 	c := mustParse(t, nodetest.ConfigAt(tcp.Addr().String(), nodetest.FreeAddress(t), udp.LocalAddr().String()))
@@ -142,7 +146,7 @@
 	time.Sleep(2 * startRetryInterval)
 	select {
 	case err := <-ended:
-		t.Fatal(err)
+		t.Fatalf("Serve() = %v while its TCP address was in use, want it to wait", err)
 	default:
 	}
 	nodetest.CloseNow(t, tcp)
@@ -152,14 +156,15 @@
 	})
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Serve() = %v after SIGTERM, want nil", err)
 	}
 	if err := retryOpen(nil, func() error { return syscall.EACCES }); !errors.Is(err, syscall.EACCES) {
-		t.Error(err)
+		t.Errorf("retryOpen() = %v, want %v", err, syscall.EACCES)
 	}
 }
 
-// Close closes the parts in the reverse order, each once, also where it is called twice.
+// A part may use the parts opened before it until it is closed itself, so Close must close them in reverse order. A second Close
+// must not close them again.
 func TestPartsAreClosedInReverse(t *testing.T) {
 	var n Node
 	var closed []int
@@ -169,19 +174,21 @@
 	n.Close()
 	n.Close()
 	if !slices.Equal(closed, []int{2, 1, 0}) {
-		t.Errorf("closed %v", closed)
+		t.Errorf("Close, called twice, closed the parts %v, want [2 1 0]", closed)
 	}
 }
 
-// After a start that failed Close closes the opened parts: here the log and the timer, as the peer socket's address is foreign.
+// Close after a failed start must close the parts that are open. Here these are the log and the timer, because the address of
+// the peer socket does not belong to this machine.
 func TestFailedStartIsClosed(t *testing.T) {
 	n := New(mustParse(t, strings.Replace(nodetest.GoodConfig, `"127.0.0.4:7946"`, `"192.0.2.1:7946"`, 1)))
 	err := n.Start()
 	if !errors.Is(err, syscall.EADDRNOTAVAIL) || len(n.closers) != 2 || n.router != nil {
-		t.Errorf("%v, %d to close", err, len(n.closers))
+		t.Errorf("Start() = %v, %d parts to close, router built: %v; want %v, 2 parts, no router",
+			err, len(n.closers), n.router != nil, syscall.EADDRNOTAVAIL)
 	}
 	n.Close()
 	if len(n.closers) != 0 {
-		t.Errorf("%d left to close", len(n.closers))
+		t.Errorf("after Close %d parts are left to close, want 0", len(n.closers))
 	}
 }
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -1,4 +1,5 @@
-// Package nodetest helps tests that run nodes: configurations, requests, listeners and processes that end with the test.
+// Package nodetest helps tests that run nodes. It has configurations, requests, listeners and processes, which it closes at the
+// end of the test.
 package nodetest
 
 import (
@@ -17,24 +18,24 @@
 	"cherrygap/internal/protocol"
 )
 
-// GoodConfig is a platform configuration that gives every key a value other than its default.
+// GoodConfig is a valid platform configuration in which every top-level key has a value other than its zero value.
 const GoodConfig = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.5:7946"],
 	"peers_all":"127.0.0.6:7946","known":{"rev":41,"all":true,"targets":[]},
 	"settings":{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}}`
 
-// ConfigAt returns GoodConfig with other addresses of the node's HTTP listener, discovery and the peer socket.
+// ConfigAt returns GoodConfig with the given addresses of the HTTP listener, the discovery service and the peer socket.
 func ConfigAt(listen, discovery, peer string) string {
 	return strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", discovery, "127.0.0.4:7946", peer).Replace(GoodConfig)
 }
 
-// AnyPort is a loopback address whose port the kernel chooses.
+// AnyPort is a loopback address with port 0, for which the kernel chooses a port.
 const AnyPort = "127.0.0.1:0"
 
-// GoodSettings are the settings in GoodConfig.
+// GoodSettings is the value of the key settings in GoodConfig.
 const GoodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
 
-// WriteFile writes a text file that only its owner reads.
+// WriteFile writes text to a file that only its owner may read and write.
 func WriteFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -42,13 +43,13 @@
 	}
 }
 
-// CloseAtEnd closes a file, listener or connection with the test. It may be closed already.
+// CloseAtEnd closes a file, listener or connection at the end of the test. The test may close it earlier.
 func CloseAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// ListenPacket opens a UDP socket on a free port of the loopback address, until the test's end.
+// ListenPacket opens a UDP socket on a free port of the loopback address. It is closed at the end of the test.
 func ListenPacket(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -59,7 +60,7 @@
 	return conn
 }
 
-// FreeAddress returns a loopback address that was free a moment ago.
+// FreeAddress returns a loopback address whose TCP port was free a moment ago. Another process may take the port.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	ln := nettest.Listen(t)
@@ -67,7 +68,7 @@
 	return ln.Addr().String()
 }
 
-// CloseNow closes a file, listener or connection now, which must succeed.
+// CloseNow closes a file, listener or connection, and fails the test on an error.
 func CloseNow(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// ServeHTTP answers with a handler on a listener of its own, until the test's end.
+// ServeHTTP serves HTTP requests with a handler on a new listener, which is closed at the end of the test.
 func ServeHTTP(t *testing.T, handler http.HandlerFunc) net.Listener {
 	t.Helper()
 	ln := nettest.Listen(t)
@@ -83,7 +84,7 @@
 	return ln
 }
 
-// Dial opens a connection, until the test's end.
+// Dial opens a TCP connection, which is closed at the end of the test.
 func Dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -94,18 +95,18 @@
 	return conn
 }
 
-// Eventually waits until ok returns true, and fails the test after a limit. what names the awaited state.
+// Eventually waits until reached returns true, and fails the test after limit. state describes what the test waits for.
 func Eventually(t *testing.T, limit time.Duration, state string, reached func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not seen in time: " + state)
+			t.Fatalf("waited %v for %s, want it to be seen earlier", limit, state)
 		}
 	}
 }
 
-// Accepts reports whether a listener accepts connections at an address now. A connection to itself, which the kernel makes
-// where the dialing socket is given the very port that it dials, is none.
+// Accepts reports whether a listener accepts connections at an address now. A connection of a socket to itself does not count;
+// the kernel makes one if it gives the dialing socket the port that it dials.
 func Accepts(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -131,11 +132,11 @@
 	}
 }
 
-// KillAtEnd kills a process at the test's end, should it still run, and waits until it has ended.
+// KillAtEnd kills a process at the end of the test, if it still runs, and waits until it has ended.
 func KillAtEnd(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Process.Kill() // the process may have ended
 		_ = cmd.Wait()
 	})
 }
@@ -151,7 +152,7 @@
 // RequestBody is the body of RequestText.
 const RequestBody = "body"
 
-// RequestText is a request of NodeConfig's class and plan, with a body and a request budget.
+// RequestText returns an HTTP request of the class and plan in NodeConfig, with RequestBody and a time budget of timeout.
 func RequestText(id string, timeout time.Duration) string {
 	lines := protocol.AppendRequestLines(nil, &protocol.Request{
 		Method: http.MethodPost, URI: protocol.RequestPath("seats", 5), Host: "a", ID: id, Plan: "team", Timeout: timeout, Units: 1, Spread: 1,
@@ -159,7 +160,7 @@
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", lines, len(RequestBody), RequestBody)
 }
 
-// SendRequest opens a connection, writes a RequestText on it, and returns the connection.
+// SendRequest opens a connection, writes RequestText to it, and returns the connection. It is closed at the end of the test.
 func SendRequest(t *testing.T, address, id string, timeout time.Duration) net.Conn {
 	t.Helper()
 	conn := Dial(t, address)
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -10,10 +10,11 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// errGRPCStart is the error of a start whose gRPC address is not one of this machine.
+// errGRPCStart is the error of a start whose gRPC listen address does not belong to this machine.
 var errGRPCStart = errNoGRPC
 
-// A program without gRPC must not start without the authorization that the operator file wants.
+// A program built without gRPC must not start with an operator file that enables the external authorizer or the gRPC front
+// end. Without the authorizer it would forward requests that nothing has checked.
 func TestStartFailsWithoutGRPC(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
 		file, keyErrors := operatorfile.Parse(text)
@@ -25,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if err := Serve(c, CatchSignals()); !errors.Is(err, errNoGRPC) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("Serve() with operator file %q = %v, want %v", text, err, errNoGRPC)
 		}
 	}
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -16,7 +16,8 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// serveDiscovery is a discovery service that holds every call, and reports which host was asked.
+// serveDiscovery starts a discovery service that leaves every call open, and sends the Host header of each call to
+// requestedHosts.
 func serveDiscovery(t *testing.T, requestedHosts chan<- string) net.Listener {
 	t.Helper()
 	return nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
@@ -25,7 +26,7 @@
 	})
 }
 
-// wantDiscoveryCall waits until a host was asked.
+// wantDiscoveryCall waits until requestedHosts delivers host, and fails the test after 3 s.
 func wantDiscoveryCall(t *testing.T, requestedHosts <-chan string, host string) {
 	t.Helper()
 	for deadline := time.After(3 * time.Second); ; {
@@ -35,13 +36,13 @@
 				return
 			}
 		case <-deadline:
-			t.Fatal("discovery was not followed there")
+			t.Fatalf("discovery at %s received no call within 3 s, want one", host)
 		}
 	}
 }
 
-// Signals before the start, many at once, and during a drain neither end the process nor displace a signal of another kind. A
-// SIGHUP during a drain moves discovery, as open requests may still be forwarded.
+// Signals may come before the start, many at once, or during a drain. They must not end the process, and must not displace
+// signals of another kind. A SIGHUP during a drain must switch discovery, because open requests may still be forwarded.
 func TestSignalsAtAnyMoment(t *testing.T) {
 	file, requestedHosts := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
 	first, second := serveDiscovery(t, requestedHosts), serveDiscovery(t, requestedHosts)
@@ -59,14 +60,15 @@
 	}
 	t.Setenv(EnvConfig, file)
 	writeConfig(first)
-	signals := CatchSignals() // as main does, before it reads anything
+	signals := CatchSignals() // as main does before it reads any file
 	for range 20 {
 		nodetest.SignalSelf(t, syscall.SIGUSR1)
 		nodetest.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(time.Millisecond)
 	}
 	if len(signals.reload) != 1 || len(signals.counters) != 1 || len(signals.terminate) != 0 {
-		t.Errorf("%d, %d, %d wait", len(signals.reload), len(signals.counters), len(signals.terminate))
+		t.Errorf("pending signals: %d SIGHUP, %d SIGUSR1, %d SIGTERM, want 1, 1, 0",
+			len(signals.reload), len(signals.counters), len(signals.terminate))
 	}
 	ended := startNode(c)
 	wantDiscoveryCall(t, requestedHosts, first.Addr().String())
@@ -87,7 +89,7 @@
 	signals.discard()
 }
 
-// discard removes pending signals, so that no other test receives them.
+// discard removes the pending signals, so that no other test receives them.
 func (s Signals) discard() {
 	for len(s.terminate)+len(s.reload)+len(s.counters) > 0 {
 		select {
@@ -98,9 +100,10 @@
 	}
 }
 
-// A log reader that closes its end, as in a restart, does not end the node. The test runs itself as the writing process.
+// A log reader that closes its end of the pipe, as in a restart, must not end the node by SIGPIPE. The test runs its own binary
+// as the process that writes.
 func TestClosedLogPipeDoesNotEndNode(t *testing.T) {
-	if os.Getenv("LOG_READER_WENT") != "" {
+	if os.Getenv("LOG_READER_CLOSED") != "" {
 		CatchSignals()
 		for range 3 {
 			fmt.Fprintln(os.Stderr, "a line that nobody reads")
@@ -115,8 +118,8 @@
 	nodetest.CloseNow(t, r)
 	nodetest.CloseAtEnd(t, w)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestClosedLogPipeDoesNotEndNode$")
-	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_WENT=1"), w
+	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_CLOSED=1"), w
 	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "goes on") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("process with a closed log pipe wrote %q and ended with %v, want %q and nil", out, err, "goes on")
 	}
 }
