--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -10,22 +10,23 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// errForeignGRPCAddress is the error of a start whose gRPC address is not one of this machine.
-var errForeignGRPCAddress = errNoGRPC
+// errGRPCStart is the error of a start whose gRPC listen address does not belong to this machine.
+var errGRPCStart = errNoGRPC
 
-// A program without gRPC must not start without the authorization that the operator file wants.
+// A program built without gRPC must not start with an operator file that enables the external authorizer or the gRPC front
+// end. Without the authorizer it would forward requests that nothing has checked.
 func TestStartFailsWithoutGRPC(t *testing.T) {
 	for _, text := range []string{"[authz]\nservice = \"127.0.0.1:9\"", "[grpc]\nlisten = \"127.0.0.1:0\""} {
-		op, faults := operatorfile.Parse(text)
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		file, keyErrors := operatorfile.Parse(text)
+		if len(keyErrors) > 0 {
+			t.Fatal(keyErrors)
 		}
 		c := mustParse(t, nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort))
-		if err := c.ApplyOperator(op); err != nil {
+		if err := c.ApplyOperator(file); err != nil {
 			t.Fatal(err)
 		}
 		if err := Serve(c, CatchSignals()); !errors.Is(err, errNoGRPC) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("Serve() with operator file %q = %v, want %v", text, err, errNoGRPC)
 		}
 	}
 }
