--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	directHeader = "X-Direct"           // marks a request that servers do not count
-	directDelay  = 2 * time.Millisecond // between a node's response and the direct request
-	answerGrace  = time.Second          // for which a client waits after the request's timeout
+	directHeader  = "X-Direct"           // marks a request that servers do not count
+	directDelay   = 2 * time.Millisecond // between a node's response and the direct request
+	responseGrace = time.Second          // for which a client waits after the request's timeout
 )
 
 // clientSimulator simulates the open-loop clients of the real nodes. A client sends at times drawn in advance, whatever
@@ -34,20 +34,20 @@
 	nodeConns   *connPool
 	serverConns *connPool
 
-	section    atomic.Pointer[sectionCounts] // in progress
-	sending    atomic.Bool                   // while false, no request is sent
-	inFlight   sync.WaitGroup                // counts requests
-	lastID     atomic.Uint64                 // of a request
-	lastServer atomic.Int64                  // number of the server of the last response
+	section       atomic.Pointer[sectionCounts] // in progress
+	sending       atomic.Bool                   // while false, no request is sent
+	inFlight      sync.WaitGroup                // counts requests
+	lastRequestID atomic.Uint64                 // of a request
+	lastServer    atomic.Int64                  // number of the server of the last response
 
-	mu  sync.Mutex     // guards lag
-	lag *hdr.Histogram // delay of requests behind their due time, µs
+	mu      sync.Mutex     // guards lag
+	sendLag *hdr.Histogram // delay of requests behind their due time, µs
 }
 
 // newClientSimulator returns the clients of nodes. They send nothing before generate is called and sending is true.
 func newClientSimulator(cfg *Config, nodes []*realNode, servers []string) *clientSimulator {
 	return &clientSimulator{
-		cfg: cfg, nodes: nodes, servers: servers, lag: histogram.New(),
+		cfg: cfg, nodes: nodes, servers: servers, sendLag: histogram.New(),
 		populations: assignTenants(*cfg, func(node int) bool { return node < cfg.Real }),
 		nodeConns:   newConnPool(cfg.Real * cfg.Sockets / 2),
 		serverConns: newConnPool(maxDirectConns),
@@ -60,19 +60,19 @@
 	c.serverConns.dropAll()
 }
 
-// recordLag records the delay of a request that is sent now.
-func (c *clientSimulator) recordLag(due time.Time) {
+// recordSendLag records the delay of a request that is sent now.
+func (c *clientSimulator) recordSendLag(due time.Time) {
 	late := time.Since(due)
 	c.mu.Lock()
-	histogram.Record(c.lag, late)
+	histogram.Record(c.sendLag, late)
 	c.mu.Unlock()
 }
 
-// lagP99 returns the 99th percentile of the requests' delay behind their due time, ms.
-func (c *clientSimulator) lagP99() float64 {
+// sendLagP99 returns the 99th percentile of the requests' delay behind their due time, ms.
+func (c *clientSimulator) sendLagP99() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return histogram.QuantileMs(c.lag, 99)
+	return histogram.QuantileMs(c.sendLag, 99)
 }
 
 // generate sends the requests of one node's clients until ctx ends. While the node accepts no clients, they send to
@@ -123,7 +123,7 @@
 		Method:    r.class.method,
 		URI:       protocol.RequestPath(r.class.name, r.tenant.key),
 		Host:      host,
-		ID:        fmt.Sprintf("%016x", c.lastID.Add(1)),
+		ID:        fmt.Sprintf("%016x", c.lastRequestID.Add(1)),
 		Plan:      plans[r.tenant.plan].name,
 		Timeout:   r.class.timeout,
 		Units:     1,
@@ -136,25 +136,25 @@
 // send sends a request to a node and counts the response. It repeats a completed request of alsoDirect at the server.
 func (c *clientSimulator) send(ctx context.Context, node int, r clientRequest) {
 	defer c.inFlight.Done()
-	c.recordLag(r.due)
+	c.recordSendLag(r.due)
 	section, addr := c.section.Load(), c.nodes[node].clientAddr
 	section.sent.Add(1)
 	conn := c.nodeConns.take(addr)
 	if conn == nil {
 		var err error
-		if conn, err = dialClient(context.Background(), addr); err != nil {
+		if conn, err = dialClientConn(context.Background(), addr); err != nil {
 			section.connectFailed.Add(1)
 			return
 		}
 	}
-	answer, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+answerGrace))
+	answer, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+responseGrace))
 	took := time.Since(r.due)
 	c.nodeConns.put(addr, conn)
 	if err != nil {
 		section.unanswered.Add(1)
 		return
 	}
-	section.recordAnswer(answer.status, took, r.class.timeout)
+	section.recordResponse(answer.status, took, r.class.timeout)
 	if answer.status != http.StatusOK {
 		return
 	}
@@ -174,13 +174,13 @@
 	section.recordDirect(took)
 }
 
-var errUnexpectedAnswer = errors.New("the response is not an app server's")
+var errUnexpectedResponse = errors.New("the response is not an app server's")
 
 // serverNumber returns the number of the server that wrote a response's body.
 func serverNumber(body string) (int, error) {
 	fields := strings.Fields(body)
 	if len(fields) != 3 {
-		return 0, errUnexpectedAnswer
+		return 0, errUnexpectedResponse
 	}
 	return strconv.Atoi(fields[2])
 }
@@ -191,7 +191,7 @@
 	conn := c.serverConns.take(addr)
 	if conn == nil {
 		var err error
-		if conn, err = dialClient(ctx, addr); err != nil {
+		if conn, err = dialClientConn(ctx, addr); err != nil {
 			return 0, err
 		}
 		// The server's goroutine of a connection starts after the handshake. A health check keeps that out of the measurement.
@@ -209,7 +209,7 @@
 		return 0, err
 	}
 	if answer.status != http.StatusOK {
-		return 0, errUnexpectedAnswer
+		return 0, errUnexpectedResponse
 	}
 	return took, nil
 }
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -15,7 +15,7 @@
 func (r *Result) recordQuiet(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.CoreShare, r.MaxCoreShare = shares.meanReal, shares.maxReal
-	r.LabCores, r.ServerCores, r.SimulatedCores = shares.lab, shares.servers, shares.nodes
+	r.LabCores, r.ServerCores, r.SimulatedCores = shares.lab, shares.servers, shares.simulatedNodes
 	sent := float64(run.clients.section.Load().sent.Load())
 	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
 }
@@ -32,7 +32,7 @@
 // collect gets the workers' counts and sets the rest of the result.
 func (r *Result) collect(run *run) error {
 	var nodes nodesReply
-	if err := run.commandNodes(nodesCommand{Verb: nodesResult}, &nodes); err != nil {
+	if err := run.commandNodes(nodesCommand{Verb: nodesFinalReport}, &nodes); err != nil {
 		return err
 	}
 	var servers serversReply
@@ -45,15 +45,15 @@
 	r.Duplicates, r.SafeRepeats = servers.Duplicates+report.Duplicates, servers.SafeRepeats
 	r.SendsToDrained = servers.LateSends + report.LateSends
 	r.ServerConns, r.MaxOpenServerConns = servers.Connections, servers.MaxOpenConns
-	r.SimulatedRequests = NodeRequests{report.nodesSection, report.Unanswered}
-	r.LagP99, r.SimulatedLagP99, r.TimerLagP99 = run.clients.lagP99(), report.LagP99, report.TimerLagP99
+	r.SimulatedRequests = NodeRequests{report.nodesSectionCounts, report.Unanswered}
+	r.LagP99, r.SimulatedLagP99, r.TimerLagP99 = run.clients.sendLagP99(), report.LagP99, report.TimerLagP99
 	r.Behind = r.LagP99 > behindLagMs
 	r.SimulatedBehind = max(r.SimulatedLagP99, r.TimerLagP99) > behindLagMs || report.Skipped > 0
 	r.collectProcesses(run)
 	r.collectPeerTraffic(report, run.cfg.Simulated)
 	r.collectDiscoveryTraffic(run, report.DurationS)
 	r.collectChangeDelays(run, report.Lists)
-	r.collectServerLoad(run, servers.Begun, report.AttemptsBegun)
+	r.collectServerLoad(run, servers.ExecutionsBegun, report.AttemptsBegun)
 	return nil
 }
 
@@ -73,7 +73,7 @@
 		r.Rejected += s.rejected.Load()
 		r.Failed += s.failed.Load()
 		r.OtherStatus += s.otherStatus.Load()
-		r.LateAnswers += s.lateAnswers.Load()
+		r.LateResponses += s.lateResponses.Load()
 		r.ConnectFailed += s.connectFailed.Load()
 		r.Unanswered += s.unanswered.Load()
 		r.DirectFailed += s.directFailed.Load()
@@ -97,9 +97,9 @@
 func (r *Result) collectProcesses(run *run) {
 	for _, n := range run.nodes {
 		memory := n.recordMemory()
-		r.RSSMiB = max(r.RSSMiB, float64(memory.now)/kibPerMiB)
-		r.PeakRSSMiB = max(r.PeakRSSMiB, float64(memory.peak)/kibPerMiB)
-		r.Exited += n.endings().exited
+		r.RSSMiB = max(r.RSSMiB, float64(memory.rss)/kibPerMiB)
+		r.PeakRSSMiB = max(r.PeakRSSMiB, float64(memory.peakRSS)/kibPerMiB)
+		r.Exited += n.exitCounts().exited
 	}
 	r.Restarts, r.SimulatedRestarts = run.realRestarts, run.simulatedRestarts
 	r.SimulatedMiB, r.ServersMiB = peakRSSMiB(run.nodesWorker.pid()), peakRSSMiB(run.serversWorker.pid())
@@ -133,7 +133,7 @@
 
 // collectChangeDelays sets the medians and maxima, over the changes, of the delay until 99% of the nodes, all nodes and all
 // real nodes had applied a change.
-func (r *Result) collectChangeDelays(run *run, lists []listApplied) {
+func (r *Result) collectChangeDelays(run *run, lists []listApplyTimes) {
 	var to99, toAll, toReal []float64
 	for _, change := range run.changes {
 		r.Changes++
@@ -168,31 +168,31 @@
 // realDelays returns the delays of the real nodes.
 func (r *run) realDelays(change measuredChange) applyDelays {
 	delays := applyDelays{complete: true}
-	for i, expected := range change.expected {
+	for i, expected := range change.mustApply {
 		if !expected {
 			continue
 		}
-		at := r.agent.AppliedAt(i, change.revision, change.at)
+		at := r.agent.AppliedAt(i, change.revision, change.publishedAt)
 		if at.IsZero() {
 			delays.complete = false
 			continue
 		}
-		delays.seconds = append(delays.seconds, at.Sub(change.at).Seconds())
+		delays.seconds = append(delays.seconds, at.Sub(change.publishedAt).Seconds())
 	}
 	return delays
 }
 
 // simulatedDelays returns the delays of the simulated nodes, except for those that were away. They are incomplete if no
 // list with the change arrived.
-func simulatedDelays(change measuredChange, lists []listApplied) applyDelays {
-	i := slices.IndexFunc(lists, func(l listApplied) bool { return l.Revision >= change.revision })
+func simulatedDelays(change measuredChange, lists []listApplyTimes) applyDelays {
+	i := slices.IndexFunc(lists, func(l listApplyTimes) bool { return l.Revision >= change.revision })
 	if i < 0 {
 		return applyDelays{}
 	}
 	delays := applyDelays{complete: true}
 	for _, at := range lists[i].At {
 		if at > 0 {
-			delays.seconds = append(delays.seconds, max(0, float64(at-change.at.UnixMicro())/1e6))
+			delays.seconds = append(delays.seconds, max(0, float64(at-change.publishedAt.UnixMicro())/1e6))
 		}
 	}
 	return delays
@@ -214,8 +214,8 @@
 	}
 	slices.Sort(loads)
 	r.LoadMean = sum / float64(len(loads))
-	r.LoadMax = loads[len(loads)-1] / r.LoadMean
-	r.LoadP99 = loads[min(len(loads)*99/100, len(loads)-1)] / r.LoadMean
+	r.LoadMaxOverMean = loads[len(loads)-1] / r.LoadMean
+	r.LoadP99OverMean = loads[min(len(loads)*99/100, len(loads)-1)] / r.LoadMean
 }
 
 // medianAndMax returns the median and the maximum of v, which it sorts; 0 if v is empty.
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -78,8 +78,8 @@
 )
 
 const (
-	drainGrace = 500 * time.Millisecond // after a drain's publication, in which nodes may still send to the server
-	countSlack = 50 * time.Millisecond  // allowed on top of a limit before a violation is counted
+	drainGrace         = 500 * time.Millisecond // after a drain's publication, in which nodes may still send to the server
+	violationTolerance = 50 * time.Millisecond  // allowed on top of a limit before a violation is counted
 )
 
 // FlagError is the error of a flag whose value is out of range.
@@ -126,9 +126,9 @@
 		{FlagError{"nodes", c.Nodes, "real and simulated nodes at least, 32768 at most"}, c.Nodes >= c.liveNodes() && c.Nodes <= 1<<15},
 		{FlagError{"servers", c.Servers, "1 to 131072"}, c.Servers >= 1 && c.Servers <= 1<<17},
 		{FlagError{"tenants", c.Tenants, "1 to 1048576"}, c.Tenants >= 1 && c.Tenants <= 1<<20},
-		{FlagError{"rate", c.Rate, "above 0 to 10000 requests/s"}, c.Rate != 0 && within(c.Rate, 0, 1e4)},
-		{FlagError{"simulated-rate", c.SimulatedRate, "0 to 10000 requests/s"}, within(c.SimulatedRate, 0, 1e4)},
-		{FlagError{"direct", c.DirectShare, "0 to 1"}, within(c.DirectShare, 0, 1)},
+		{FlagError{"rate", c.Rate, "above 0 to 10000 requests/s"}, c.Rate != 0 && inRange(c.Rate, 0, 1e4)},
+		{FlagError{"simulated-rate", c.SimulatedRate, "0 to 10000 requests/s"}, inRange(c.SimulatedRate, 0, 1e4)},
+		{FlagError{"direct", c.DirectShare, "0 to 1"}, inRange(c.DirectShare, 0, 1)},
 		{FlagError{"for", c.Duration, "1s to the hard stop"}, c.Duration >= time.Second && c.TimeLimit >= c.Duration},
 		{FlagError{"sockets", c.Sockets, "64 at least"}, c.Sockets >= 64},
 		{FlagError{"memory-mb", c.MemoryMB, "16 at least"}, c.MemoryMB >= 16},
@@ -153,7 +153,7 @@
 }
 
 // within reports whether v is in the range [least, most]. It is false for a NaN.
-func within(v, least, most float64) bool { return v >= least && v <= most }
+func inRange(v, least, most float64) bool { return v >= least && v <= most }
 
 // spareServers returns the number of servers that are not listed at first.
 func (c *Config) spareServers() int { return max(2, c.Servers/serversPerSpare) }
--- a/internal/lab/scale/connpool.go
+++ b/internal/lab/scale/connpool.go
@@ -19,8 +19,8 @@
 	reusable bool // the connection can carry another request
 }
 
-// dialClient opens a connection, which the caller closes or puts into a pool.
-func dialClient(ctx context.Context, addr string) (*clientConn, error) {
+// dialClientConn opens a connection, which the caller closes or puts into a pool.
+func dialClientConn(ctx context.Context, addr string) (*clientConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -32,28 +32,28 @@
 // close closes the connection.
 func (c *clientConn) close() { _ = c.conn.Close() }
 
-// clientAnswer is the response to a request.
-type clientAnswer struct {
+// clientResponse is the response to a request.
+type clientResponse struct {
 	status int // HTTP
 	body   string
 }
 
 // roundTrip sends a request and reads the response. It updates reusable.
-func (c *clientConn) roundTrip(text string, deadline time.Time) (clientAnswer, error) {
+func (c *clientConn) roundTrip(text string, deadline time.Time) (clientResponse, error) {
 	c.reusable = false
 	if err := c.conn.SetDeadline(deadline); err != nil {
-		return clientAnswer{}, err
+		return clientResponse{}, err
 	}
 	if _, err := io.WriteString(c.conn, text); err != nil {
-		return clientAnswer{}, err
+		return clientResponse{}, err
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return clientAnswer{}, err
+		return clientResponse{}, err
 	}
 	body, err := io.ReadAll(response.Body)
 	c.reusable = err == nil && !response.Close
-	return clientAnswer{status: response.StatusCode, body: string(body)}, err
+	return clientResponse{status: response.StatusCode, body: string(body)}, err
 }
 
 // connPool keeps idle client connections, by address. Its methods may be called from several goroutines.
--- a/internal/lab/scale/connpool_test.go
+++ b/internal/lab/scale/connpool_test.go
@@ -17,7 +17,7 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	addr = listener.Addr().String()
 	for range count {
-		conn, err := dialClient(context.Background(), addr)
+		conn, err := dialClientConn(context.Background(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scale/cpuusage.go
+++ b/internal/lab/scale/cpuusage.go
@@ -7,11 +7,11 @@
 
 // cpuUsage is the CPU time that the run's processes have used until a moment; 0 for an ended process.
 type cpuUsage struct {
-	at      time.Time
-	real    []time.Duration // by real node
-	lab     time.Duration   // this process
-	servers time.Duration   // the worker of the app servers
-	nodes   time.Duration   // the worker of the simulated nodes
+	at             time.Time
+	realNodes      []time.Duration // by real node
+	lab            time.Duration   // this process
+	servers        time.Duration   // the worker of the app servers
+	simulatedNodes time.Duration   // the worker of the simulated nodes
 }
 
 // measureCPU returns the CPU time used until now.
@@ -19,18 +19,18 @@
 	u := cpuUsage{at: time.Now()}
 	for _, n := range r.nodes {
 		used, _ := cpuTime(n.pid())
-		u.real = append(u.real, used)
+		u.realNodes = append(u.realNodes, used)
 	}
 	u.lab, _ = cpuTime(os.Getpid())
 	u.servers, _ = cpuTime(r.serversWorker.pid())
-	u.nodes, _ = cpuTime(r.nodesWorker.pid())
+	u.simulatedNodes, _ = cpuTime(r.nodesWorker.pid())
 	return u
 }
 
 // cpuShares is the CPU use of the run's processes over a span of time, in cores.
 type cpuShares struct {
-	meanReal, maxReal   float64 // over the real nodes
-	lab, servers, nodes float64
+	meanReal, maxReal            float64 // over the real nodes
+	lab, servers, simulatedNodes float64
 }
 
 // cpuSharesSince returns the CPU use since an earlier measurement.
@@ -38,13 +38,13 @@
 	var shares cpuShares
 	now := r.measureCPU()
 	span := now.at.Sub(earlier.at).Seconds()
-	for i := range now.real {
-		share := (now.real[i] - earlier.real[i]).Seconds() / span
-		shares.meanReal += share / float64(len(now.real))
+	for i := range now.realNodes {
+		share := (now.realNodes[i] - earlier.realNodes[i]).Seconds() / span
+		shares.meanReal += share / float64(len(now.realNodes))
 		shares.maxReal = max(shares.maxReal, share)
 	}
 	shares.lab = (now.lab - earlier.lab).Seconds() / span
 	shares.servers = (now.servers - earlier.servers).Seconds() / span
-	shares.nodes = (now.nodes - earlier.nodes).Seconds() / span
+	shares.simulatedNodes = (now.simulatedNodes - earlier.simulatedNodes).Seconds() / span
 	return shares
 }
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	minChangeInterval = 300 * time.Millisecond
-	minChanges        = 4
-	maxChanges        = 40
-	changedWeight     = 1.25
-	clientsLinger     = 200 * time.Millisecond // after a node's SIGTERM, in which clients still send to the node
-	watchOutage       = 100 * time.Millisecond
-	restartBatches    = 10 // of simulated nodes
-	maxRestartAway    = time.Second
+	minChangeInterval  = 300 * time.Millisecond
+	minChanges         = 4
+	maxChanges         = 40
+	changedWeight      = 1.25
+	loadBalancerDelay  = 200 * time.Millisecond // after a node's SIGTERM, in which clients still send to the node
+	watchOutage        = 100 * time.Millisecond
+	restartBatches     = 10 // of simulated nodes
+	maxRestartDowntime = time.Second
 )
 
 // measuredChange is a revision of the endpoint list whose delay to all nodes is measured.
 type measuredChange struct {
-	revision uint64
-	at       time.Time // of publication
-	expected []bool    // by real node: the node accepted clients, and so has to apply the change
+	revision    uint64
+	publishedAt time.Time // of publication
+	mustApply   []bool    // by real node: the node accepted clients, and so has to apply the change
 }
 
 // listChange is a change of a server's entry in the endpoint list.
 type listChange struct {
-	state  protocol.EndpointState
-	boot   time.Time // zero: unchanged
-	weight float64   // 0: unchanged
+	state    protocol.EndpointState
+	bootTime time.Time // zero: unchanged
+	weight   float64   // 0: unchanged
 }
 
 // publish changes servers in discovery, notifies the app servers of a drain, and records the change for the result.
@@ -46,8 +46,8 @@
 	}
 	revision, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = change.state
-		if !change.boot.IsZero() {
-			e.BootMs = change.boot.UnixMilli()
+		if !change.bootTime.IsZero() {
+			e.BootMs = change.bootTime.UnixMilli()
 		}
 		if change.weight > 0 {
 			e.Weight = change.weight
@@ -73,8 +73,8 @@
 	return 0, false
 }
 
-// drainLastServer drains the server of the last response to a client, so that a real node is affected.
-func (r *run) drainLastServer() error {
+// drainLastUsedServer drains the server of the last response to a client, so that a real node is affected.
+func (r *run) drainLastUsedServer() error {
 	server, ok := r.unchangedServer(int(r.clients.lastServer.Load()))
 	if !ok {
 		return nil
@@ -83,13 +83,13 @@
 	return r.publish(listChange{state: protocol.Terminating}, server)
 }
 
-// playChanges makes changes at even intervals over a section.
-func (r *run) playChanges(ctx context.Context, length time.Duration) error {
+// runChanges makes changes at even intervals over a section.
+func (r *run) runChanges(ctx context.Context, length time.Duration) error {
 	steps := min(max(minChanges, int(length/minChangeInterval)), maxChanges, r.cfg.Servers)
 	interval := max(length/time.Duration(steps), minChangeInterval/2)
 	for step := range steps {
 		startedAt := time.Now()
-		if err := r.changeOne(step); err != nil {
+		if err := r.makeChange(step); err != nil {
 			return err
 		}
 		if err := pause(ctx, interval-time.Since(startedAt)); err != nil {
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// changeOne makes one change. By step, in turn: a server drains, a server's weight changes, a server is added, a draining
+// makeChange makes one change. By step, in turn: a server drains, a server's weight changes, a server is added, a draining
 // server is removed.
-func (r *run) changeOne(step int) error {
+func (r *run) makeChange(step int) error {
 	servers := r.cfg.Servers
 	switch step % 4 {
 	case 0:
-		return r.drainLastServer()
+		return r.drainLastUsedServer()
 	case 1:
 		const stride = 7 // consecutive changes of a weight are a seventh of the servers apart
 		if server, ok := r.unchangedServer(servers / stride * (step/4 + 1) % servers); ok {
@@ -115,7 +115,7 @@
 		if r.nextSpare < servers+r.cfg.spareServers() {
 			server := r.nextSpare
 			r.nextSpare++
-			return r.publish(listChange{state: protocol.InService, boot: time.Now()}, server)
+			return r.publish(listChange{state: protocol.InService, bootTime: time.Now()}, server)
 		}
 	case 3:
 		if len(r.draining) > 0 {
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// playRollingRestart restarts the real nodes one after another, and concurrently the simulated nodes in batches.
-func (r *run) playRollingRestart(ctx context.Context, length time.Duration) error {
+// runRollingRestart restarts the real nodes one after another, and concurrently the simulated nodes in batches.
+func (r *run) runRollingRestart(ctx context.Context, length time.Duration) error {
 	type outcome struct {
 		restarted int
 		err       error
@@ -140,7 +140,7 @@
 	}()
 	for _, n := range r.nodes {
 		r.realRestarts++
-		n.drain(clientsLinger)
+		n.drain(loadBalancerDelay)
 		r.clients.nodeConns.drop(n.clientAddr)
 		if err := n.start(ctx, &r.cfg, r.agent.Snapshot(0), r.realRestarts); err != nil {
 			return err
@@ -155,7 +155,7 @@
 // the section's length, so that a slow machine does not delay the run.
 func (r *run) restartSimulated(length time.Duration) (restarted int, err error) {
 	startedAt := time.Now()
-	away := min(length/restartBatches/2, maxRestartAway)
+	away := min(length/restartBatches/2, maxRestartDowntime)
 	for batch := range min(restartBatches, r.cfg.Simulated) {
 		if time.Since(startedAt) > 2*length {
 			break
@@ -172,9 +172,9 @@
 	return restarted, nil
 }
 
-// playZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and revives them cold
+// runZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and revives them cold
 // after half of it.
-func (r *run) playZoneLoss(ctx context.Context, length time.Duration) error {
+func (r *run) runZoneLoss(ctx context.Context, length time.Duration) error {
 	const zones = regions * zonesPerRegion
 	var lost []int
 	for i := range r.cfg.Servers {
@@ -182,7 +182,7 @@
 			lost = append(lost, i)
 		}
 	}
-	if err := r.setAlive(serversKill, nodesDead, lost); err != nil {
+	if err := r.commandServerState(serversKill, nodesKillServers, lost); err != nil {
 		return err
 	}
 	if err := pause(ctx, length/4); err != nil {
@@ -194,27 +194,27 @@
 	if err := pause(ctx, length/4); err != nil {
 		return err
 	}
-	if err := r.setAlive(serversRevive, nodesAlive, lost); err != nil {
+	if err := r.commandServerState(serversRestart, nodesRestartServers, lost); err != nil {
 		return err
 	}
-	return r.publish(listChange{state: protocol.InService, boot: time.Now()}, lost...)
+	return r.publish(listChange{state: protocol.InService, bootTime: time.Now()}, lost...)
 }
 
-// setAlive kills or revives servers, for real nodes and for simulated ones.
-func (r *run) setAlive(servers serversVerb, nodes nodesVerb, numbers []int) error {
+// commandServerState kills or revives servers, for real nodes and for simulated ones.
+func (r *run) commandServerState(servers serversVerb, nodes nodesVerb, numbers []int) error {
 	if err := r.commandServers(serversCommand{Verb: servers, Servers: numbers}, nil); err != nil {
 		return err
 	}
 	return r.commandNodes(nodesCommand{Verb: nodes, Servers: numbers}, nil)
 }
 
-// playWatchLoss closes all watches at once, after which each node gets the full list. It drains a server as soon as the
+// runWatchLoss closes all watches at once, after which each node gets the full list. It drains a server as soon as the
 // agent answers again.
-func (r *run) playWatchLoss(ctx context.Context, _ time.Duration) error {
+func (r *run) runWatchLoss(ctx context.Context, _ time.Duration) error {
 	r.agent.DisconnectAll()
 	if err := pause(ctx, watchOutage); err != nil {
 		return err
 	}
 	r.agent.Reconnect()
-	return r.drainLastServer()
+	return r.drainLastUsedServer()
 }
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -11,8 +11,8 @@
 	"cherrygap/internal/routing"
 )
 
-// notReadyRetry is the delay of an engine's timer that fires before all nodes have their first list.
-const notReadyRetry = 50 * time.Millisecond
+// notReadyRetryDelay is the delay of an engine's timer that fires before all nodes have their first list.
+const notReadyRetryDelay = 50 * time.Millisecond
 
 // incarnation is the state of a simulated node between two of its starts.
 type incarnation struct {
@@ -50,7 +50,7 @@
 	select {
 	case <-n.fleet.ready:
 	default:
-		inc.timer.Reset(notReadyRetry)
+		inc.timer.Reset(notReadyRetryDelay)
 		return
 	}
 	due := time.Unix(0, inc.timerDue.Load())
--- a/internal/lab/scale/jsonformat_test.go
+++ b/internal/lab/scale/jsonformat_test.go
@@ -9,21 +9,21 @@
 )
 
 // fill sets every exported field of v to a different value, so that a missing or moved key shows.
-func fill(v reflect.Value, next *int) {
+func fillDistinct(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), next)
+			fillDistinct(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			fillDistinct(v.Index(i), next)
 		}
 	case reflect.Map:
 		e := reflect.New(v.Type().Elem()).Elem()
-		fill(e, next)
+		fillDistinct(e, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(reflect.ValueOf("use"), e)
 	case reflect.String:
@@ -47,7 +47,7 @@
 	}
 	var r Result
 	next := 0
-	fill(reflect.ValueOf(&r).Elem(), &next)
+	fillDistinct(reflect.ValueOf(&r).Elem(), &next)
 	raw, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 // Every field of the lines between the lab and its workers survives encoding and decoding.
 func TestWorkerProtocolRoundTrip(t *testing.T) {
 	for name, v := range map[string]any{"nodes command": &nodesCommand{}, "nodes reply": &nodesReply{
-		Section: &nodesSection{},
+		Section: &nodesSectionCounts{},
 		Report:  &nodesReport{},
 	}, "servers command": &serversCommand{}, "servers reply": &serversReply{}} {
 		next := 0
@@ -73,14 +73,14 @@
 			f := reflect.ValueOf(v).Elem().Field(i)
 			if f.Kind() == reflect.Pointer {
 				if r, ok := f.Interface().(*nodesReport); ok {
-					r.Lists, r.Peers, r.AttemptsBegun = []listApplied{{7, []int64{8, 0}}}, []peerTraffic{{1, 2, 3, 4, 5}}, []int64{9}
+					r.Lists, r.Peers, r.AttemptsBegun = []listApplyTimes{{7, []int64{8, 0}}}, []peerTraffic{{1, 2, 3, 4, 5}}, []int64{9}
 					r.Sent, r.P99, r.Unanswered, r.TimerLagP99 = 10, 11, 12, 13
 				} else {
-					fill(f.Elem(), &next)
+					fillDistinct(f.Elem(), &next)
 				}
 				continue
 			}
-			fill(f, &next)
+			fillDistinct(f, &next)
 		}
 		raw, err := json.Marshal(v)
 		if err != nil {
--- a/internal/lab/scale/node.go
+++ b/internal/lab/scale/node.go
@@ -14,7 +14,7 @@
 	number  int            // among all nodes
 	conn    *net.UDPConn   // of peer messages
 	addr    netip.AddrPort // of conn
-	away    atomic.Bool    // between two incarnations
+	down    atomic.Bool    // between two incarnations
 	current atomic.Pointer[incarnation]
 }
 
@@ -39,7 +39,7 @@
 
 // receive passes a peer message to the engine, unless the node is away.
 func (n *simulatedNode) receive(from int, payload []byte) {
-	if !n.away.Load() {
+	if !n.down.Load() {
 		n.fleet.countMessage(payload, incoming)
 		n.current.Load().router.ReceivePeerMessage(from, payload)
 	}
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -37,11 +37,11 @@
 	// engineSlots limits the concurrent calls into engines, so that a core is left for lists and commands.
 	engineSlots chan struct{}
 
-	ready   chan struct{} // closed once all nodes have their first list
-	sending atomic.Bool   // while false, no request is sent
-	randoms sync.Pool     // of *rand.Rand
+	ready         chan struct{} // closed once all nodes have their first list
+	sending       atomic.Bool   // while false, no request is sent
+	randomSources sync.Pool     // of *rand.Rand
 
-	dead          []atomic.Bool  // by server
+	serverKilled  []atomic.Bool  // by server
 	attemptsBegun []atomic.Int64 // by server
 
 	peerNetwork
@@ -81,7 +81,7 @@
 // open opens the sockets and returns their addresses.
 func (f *nodeFleet) open() (addresses nodesReply, err error) {
 	var seeds atomic.Uint64
-	f.randoms.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, nodeRandomStream|seeds.Add(1))) }
+	f.randomSources.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, nodeRandomStream|seeds.Add(1))) }
 	for i, s := range f.cfg.Servers {
 		addr, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -91,7 +91,7 @@
 	}
 	servers := len(f.cfg.Servers)
 	f.endpoints, f.listed = make([]protocol.Endpoint, servers), make([]bool, servers)
-	f.dead, f.attemptsBegun = make([]atomic.Bool, servers), make([]atomic.Int64, servers)
+	f.serverKilled, f.attemptsBegun = make([]atomic.Bool, servers), make([]atomic.Int64, servers)
 	f.populations = assignTenants(f.cfg.Config, func(node int) bool { return node >= f.cfg.Real })
 	for i := range f.cfg.Simulated {
 		conn, addr, err := listenUDP(simulatedNodeBlock, i)
@@ -130,25 +130,25 @@
 		if err := f.start(command); err != nil {
 			reply.Error = err.Error()
 		}
-	case nodesReady:
+	case nodesAwaitReady:
 		select {
 		case <-f.ready:
 			reply.Ready = true
 		case <-time.After(firstListTimeout):
 			reply.Error = fmt.Sprintf("the simulated nodes have no endpoint list after %v", firstListTimeout)
 		}
-	case nodesSend:
+	case nodesStartSending:
 		f.sending.Store(true)
-	case nodesDead, nodesAlive:
+	case nodesKillServers, nodesRestartServers:
 		for _, i := range command.Servers {
-			f.dead[i].Store(command.Verb == nodesDead)
+			f.serverKilled[i].Store(command.Verb == nodesKillServers)
 		}
 	case nodesRestart:
 		f.restart(command.Nodes, time.Duration(command.Ms)*time.Millisecond)
-	case nodesCut:
-		section := f.cutSection()
+	case nodesEndSection:
+		section := f.endSection()
 		reply.Section = &section
-	case nodesResult:
+	case nodesFinalReport:
 		reply.Report = f.report()
 	default:
 		reply.Error = fmt.Sprintf("unknown command %q", command.Verb)
@@ -168,7 +168,7 @@
 		n.current.Load().router.TimerFired()
 	}
 	for i := range f.proxies {
-		go f.forwardForReal(i)
+		go f.forwardToRealNode(i)
 	}
 	go f.relayBroadcasts()
 	go f.deliverBroadcasts(f.nodes)
@@ -219,8 +219,8 @@
 }
 
 // random calls use with a random source that no other goroutine uses meanwhile.
-func (f *nodeFleet) random(use func(*rand.Rand)) {
-	rng := f.randoms.Get().(*rand.Rand)
-	defer f.randoms.Put(rng)
+func (f *nodeFleet) withRandomSource(use func(*rand.Rand)) {
+	rng := f.randomSources.Get().(*rand.Rand)
+	defer f.randomSources.Put(rng)
 	use(rng)
 }
--- a/internal/lab/scale/nodelists.go
+++ b/internal/lab/scale/nodelists.go
@@ -14,7 +14,7 @@
 	endpoints []protocol.Endpoint      // latest state, by server
 	listed    []bool                   // by server
 	history   []*protocol.EndpointList // in the order of arrival
-	applied   []listApplied            // one for each of history
+	applied   []listApplyTimes         // one for each of history
 }
 
 // record applies a list to the latest state. The caller holds listMu.
@@ -30,8 +30,8 @@
 	h.history = append(h.history, list)
 }
 
-// knownList returns the latest state as a full list. The caller holds listMu.
-func (h *endpointHistory) knownList() *protocol.EndpointList {
+// currentList returns the latest state as a full list. The caller holds listMu.
+func (h *endpointHistory) currentList() *protocol.EndpointList {
 	list := &protocol.EndpointList{Full: true}
 	for i, endpoint := range h.endpoints {
 		if h.listed[i] && endpoint.State != protocol.Terminated {
@@ -49,9 +49,9 @@
 		i, ok := f.serverNumbers[e.Addr]
 		return i, ok
 	})
-	applied := listApplied{Revision: list.Revision, At: make([]int64, len(f.nodes))}
+	applied := listApplyTimes{Revision: list.Revision, At: make([]int64, len(f.nodes))}
 	forEachNode(f.nodes, func(n *simulatedNode) {
-		if !n.away.Load() {
+		if !n.down.Load() {
 			n.current.Load().applyList(list, f.serverNumbers, routing.FromDiscovery)
 			applied.At[n.number-f.cfg.Real] = time.Now().UnixMicro()
 		}
@@ -65,12 +65,12 @@
 	for _, i := range numbers {
 		if i >= 0 && i < len(f.nodes) {
 			nodes = append(nodes, f.nodes[i])
-			f.nodes[i].away.Store(true)
+			f.nodes[i].down.Store(true)
 		}
 	}
 	time.Sleep(away)
 	f.listMu.Lock()
-	known, taken := f.knownList(), len(f.history)
+	known, taken := f.currentList(), len(f.history)
 	f.listMu.Unlock()
 	started := make([]*incarnation, len(f.nodes))
 	forEachNode(nodes, func(n *simulatedNode) {
@@ -86,7 +86,7 @@
 			inc.applyList(list, f.serverNumbers, routing.FromDiscovery)
 		}
 		n.current.Swap(inc).ended.Store(true)
-		n.away.Store(false)
+		n.down.Store(false)
 		inc.router.TimerFired()
 	})
 }
--- a/internal/lab/scale/nodelists_test.go
+++ b/internal/lab/scale/nodelists_test.go
@@ -52,13 +52,13 @@
 	if router.InService(server) || len(n.current.Load().drained) != 1 {
 		t.Error("a draining server is in service")
 	}
-	n.away.Store(true)
+	n.down.Store(true)
 	f.applyList(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.InService)}})
 	if router.InService(server) {
 		t.Error("the node applied a list while it was away")
 	}
 	f.restart([]int{0}, 0)
-	if inc := n.current.Load(); n.away.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
+	if inc := n.current.Load(); n.down.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
 		t.Error("the node came back without the latest list")
 	}
 	if len(f.applied) != 3 || f.applied[0].At[0] == 0 || f.applied[2].At[0] != 0 {
--- a/internal/lab/scale/nodepeers.go
+++ b/internal/lab/scale/nodepeers.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	broadcastQueue   = 256  // messages
-	relayBufferBytes = 2048 // above the size of any datagram that a node sends
+	broadcastQueueSize = 256  // messages
+	relayBufferBytes   = 2048 // above the size of any datagram that a node sends
 )
 
 // messageKind is a kind of peer message.
 type messageKind struct {
-	mark byte   // first byte of the message
-	name string // in the result
+	firstByte byte   // first byte of the message
+	name      string // in the result
 }
 
 // messageKinds lists the kinds that are counted separately. The last one stands for all other kinds.
@@ -33,7 +33,7 @@
 
 // kindName returns the name of the kind with a mark.
 func kindName(mark byte) string {
-	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.mark == mark })
+	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.firstByte == mark })
 	if i < 0 {
 		i = len(messageKinds) - 1
 	}
@@ -62,7 +62,7 @@
 
 // newPeerNetwork returns a network without nodes and sockets.
 func newPeerNetwork() peerNetwork {
-	return peerNetwork{realNumbers: map[netip.AddrPort]int{}, broadcasts: make(chan broadcastMessage, broadcastQueue)}
+	return peerNetwork{realNumbers: map[netip.AddrPort]int{}, broadcasts: make(chan broadcastMessage, broadcastQueueSize)}
 }
 
 // setPeers sets the table of all nodes: real ones first, then simulated ones.
@@ -85,7 +85,7 @@
 
 // countMessage counts a peer message, which is not empty, by its kind.
 func (p *peerNetwork) countMessage(payload []byte, direction messageDirection) {
-	kind := slices.IndexFunc(messageKinds[:len(messageKinds)-1], func(k messageKind) bool { return k.mark == payload[0] })
+	kind := slices.IndexFunc(messageKinds[:len(messageKinds)-1], func(k messageKind) bool { return k.firstByte == payload[0] })
 	if kind < 0 {
 		kind = len(messageKinds) - 1
 	}
@@ -100,11 +100,11 @@
 }
 
 // counts returns the messages counted so far, by kind.
-func (p *peerNetwork) counts() (out []peerTraffic) {
+func (p *peerNetwork) messageCounts() (out []peerTraffic) {
 	for i, kind := range messageKinds {
 		t := &p.traffic[i]
 		out = append(out, peerTraffic{
-			Kind: kind.mark, In: t.in.Load(), InBytes: t.inBytes.Load(), Out: t.out.Load(), OutBytes: t.outBytes.Load(),
+			Kind: kind.firstByte, In: t.in.Load(), InBytes: t.inBytes.Load(), Out: t.out.Load(), OutBytes: t.outBytes.Load(),
 		})
 	}
 	return out
@@ -131,10 +131,10 @@
 	}
 }
 
-// forwardForReal forwards the datagrams that other real nodes send to the i-th real node's proxy. A node identifies a peer
+// forwardToRealNode forwards the datagrams that other real nodes send to the i-th real node's proxy. A node identifies a peer
 // by the datagram's source address, so the sender's proxy sends the datagram on. It ends when the proxy's socket is
 // closed.
-func (p *peerNetwork) forwardForReal(i int) {
+func (p *peerNetwork) forwardToRealNode(i int) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		size, addr, err := p.proxies[i].ReadFromUDPAddrPort(buffer)
--- a/internal/lab/scale/nodepeers_test.go
+++ b/internal/lab/scale/nodepeers_test.go
@@ -12,7 +12,7 @@
 	p.countMessage([]byte{0xCB}, outgoing)
 	p.countMessage([]byte{0x41, 1}, outgoing)
 	got := map[string]peerTraffic{}
-	for _, kind := range p.counts() {
+	for _, kind := range p.messageCounts() {
 		got[kindName(kind.Kind)] = kind
 	}
 	want := map[string]peerTraffic{
@@ -36,7 +36,7 @@
 func TestBroadcastQueueDoesNotBlock(t *testing.T) {
 	p := newPeerNetwork()
 	payload := []byte{0xC8, 1}
-	for range broadcastQueue + 3 {
+	for range broadcastQueueSize + 3 {
 		p.queueBroadcast(5, payload)
 	}
 	payload[1] = 2
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -26,14 +26,14 @@
 		}
 		n := f.nodes[rng.IntN(len(f.nodes))]
 		tenant, class := f.populations[n.number].draw(rng), drawClass(rng)
-		if f.sending.Load() && !n.away.Load() && f.recordSent(due) {
-			go f.playRequest(n, tenant, class, due)
+		if f.sending.Load() && !n.down.Load() && f.recordSent(due) {
+			go f.simulateRequest(n, tenant, class, due)
 		}
 	}
 }
 
-// playRequest executes the decisions of a node's engine on a request until its response, and counts the response.
-func (f *nodeFleet) playRequest(n *simulatedNode, tenant tenant, class *requestClass, due time.Time) {
+// simulateRequest executes the decisions of a node's engine on a request until its response, and counts the response.
+func (f *nodeFleet) simulateRequest(n *simulatedNode, tenant tenant, class *requestClass, due time.Time) {
 	inc, handle := n.current.Load(), newAttemptHandle()
 	inc.inFlight.Add(1)
 	defer inc.inFlight.Add(-1)
@@ -49,7 +49,7 @@
 		switch decision := request.Next(); decision.Action {
 		case routing.Forward:
 			startedAt := time.Now()
-			attempt := f.playAttempt(inc, handle, decision)
+			attempt := f.simulateAttempt(inc, handle, decision)
 			if attempt.begun {
 				begun++
 			}
@@ -65,49 +65,49 @@
 		}
 	}
 	request.Release()
-	f.recordAnswer(status, time.Since(due), class, begun)
+	f.recordResponse(status, time.Since(due), class, begun)
 }
 
-// attemptEnd is the end of an attempt at a simulated server.
-type attemptEnd struct {
+// attemptResult is the end of an attempt at a simulated server.
+type attemptResult struct {
 	outcome protocol.Outcome
 	begun   bool // the server began to execute the request
 }
 
-// playAttempt simulates an attempt at a server. The server needs a random time, and fails the attempt if it is dead by
+// simulateAttempt simulates an attempt at a server. The server needs a random time, and fails the attempt if it is dead by
 // then.
-func (f *nodeFleet) playAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) attemptEnd {
+func (f *nodeFleet) simulateAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) attemptResult {
 	cancelled, ok := handle.begin(d.Attempt)
 	if !ok || !inc.router.InService(d.Server) {
-		return attemptEnd{outcome: protocol.NotSent}
+		return attemptResult{outcome: protocol.NotSent}
 	}
 	server, ok := f.serverNumbers[d.Server.Addr]
 	if !ok {
-		return attemptEnd{outcome: protocol.ConnectFailed}
+		return attemptResult{outcome: protocol.ConnectFailed}
 	}
-	if inc.drainedFor(server) > drainGrace+countSlack {
+	if inc.drainedFor(server) > drainGrace+violationTolerance {
 		f.lateSends.Add(1)
 	}
-	if f.dead[server].Load() {
-		return attemptEnd{outcome: protocol.ConnectFailed}
+	if f.serverKilled[server].Load() {
+		return attemptResult{outcome: protocol.ConnectFailed}
 	}
 	f.attemptsBegun[server].Add(1)
 	var duration time.Duration
-	f.random(func(rng *rand.Rand) { duration = drawServiceTime(rng) })
+	f.withRandomSource(func(rng *rand.Rand) { duration = drawServiceTime(rng) })
 	timer := time.NewTimer(min(duration, d.Timeout))
 	defer timer.Stop()
 	select {
 	case <-cancelled:
-		return attemptEnd{outcome: protocol.Cancelled, begun: true}
+		return attemptResult{outcome: protocol.Cancelled, begun: true}
 	case <-timer.C:
 	}
 	switch {
-	case f.dead[server].Load():
-		return attemptEnd{outcome: protocol.ConnectionReset, begun: true}
+	case f.serverKilled[server].Load():
+		return attemptResult{outcome: protocol.ConnectionReset, begun: true}
 	case duration > d.Timeout:
-		return attemptEnd{outcome: protocol.TimedOut, begun: true}
+		return attemptResult{outcome: protocol.TimedOut, begun: true}
 	}
-	return attemptEnd{outcome: protocol.Completed, begun: true}
+	return attemptResult{outcome: protocol.Completed, begun: true}
 }
 
 // noAttempt is the number of an attempt that does not exist.
--- a/internal/lab/scale/nodesreport.go
+++ b/internal/lab/scale/nodesreport.go
@@ -11,7 +11,7 @@
 	"cherrygap/internal/lab/histogram"
 )
 
-const answerCheckInterval = 10 * time.Millisecond
+const inFlightCheckInterval = 10 * time.Millisecond
 
 // requestCounts counts the simulated nodes' requests.
 type requestCounts struct {
@@ -19,19 +19,19 @@
 	duplicates atomic.Int64 // unsafe requests that were executed more than once
 	lateSends  atomic.Int64 // attempts begun after the server's drain and its grace
 
-	countMu      sync.Mutex     // guards the fields below
-	section      nodesSection   // since the last section
-	total        nodesSection   // before the last section's end
-	latency      *hdr.Histogram // since the last section, µs
-	totalLatency *hdr.Histogram // µs
-	lag          *hdr.Histogram // delay of requests behind their due time, µs
-	timerLag     *hdr.Histogram // delay of engines' timers behind their due time, µs
+	countMu      sync.Mutex         // guards the fields below
+	section      nodesSectionCounts // since the last section
+	total        nodesSectionCounts // before the last section's end
+	latency      *hdr.Histogram     // since the last section, µs
+	totalLatency *hdr.Histogram     // µs
+	sendLag      *hdr.Histogram     // delay of requests behind their due time, µs
+	timerLag     *hdr.Histogram     // delay of engines' timers behind their due time, µs
 }
 
 // newRequestCounts returns counts of 0.
 func newRequestCounts() requestCounts {
 	return requestCounts{
-		latency: histogram.New(), totalLatency: histogram.New(), lag: histogram.New(), timerLag: histogram.New(),
+		latency: histogram.New(), totalLatency: histogram.New(), sendLag: histogram.New(), timerLag: histogram.New(),
 	}
 }
 
@@ -45,21 +45,21 @@
 		return false
 	}
 	c.section.Sent++
-	histogram.Record(c.lag, time.Since(due))
+	histogram.Record(c.sendLag, time.Since(due))
 	c.inFlight.Add(1)
 	return true
 }
 
-// recordAnswer counts a response by its HTTP status. begun is the number of the request's attempts that a server executed.
-func (c *requestCounts) recordAnswer(status int, took time.Duration, class *requestClass, begun int) {
+// recordResponse counts a response by its HTTP status. begun is the number of the request's attempts that a server executed.
+func (c *requestCounts) recordResponse(status int, took time.Duration, class *requestClass, begun int) {
 	c.inFlight.Add(-1)
 	if begun > 1 && !class.idempotent {
 		c.duplicates.Add(1)
 	}
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
-	if took > class.timeout+countSlack {
-		c.section.LateAnswers++
+	if took > class.timeout+violationTolerance {
+		c.section.LateResponses++
 	}
 	switch status {
 	case http.StatusOK:
@@ -81,14 +81,14 @@
 	c.countMu.Unlock()
 }
 
-// cutSection returns the counts since the last section, and begins a new one.
-func (c *requestCounts) cutSection() nodesSection {
+// endSection returns the counts since the last section, and begins a new one.
+func (c *requestCounts) endSection() nodesSectionCounts {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
 	section := c.section
 	section.P50, section.P99 = histogram.QuantileMs(c.latency, 50), histogram.QuantileMs(c.latency, 99)
 	c.total.add(section)
-	c.section = nodesSection{}
+	c.section = nodesSectionCounts{}
 	c.latency.Reset()
 	return section
 }
@@ -96,22 +96,22 @@
 // report stops new requests, waits for the last responses as long as a client does, and returns all counts.
 func (f *nodeFleet) report() *nodesReport {
 	f.sending.Store(false)
-	for end := time.Now().Add(lastAnswerTimeout()); f.inFlight.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(answerCheckInterval)
+	for end := time.Now().Add(lastResponseTimeout()); f.inFlight.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(inFlightCheckInterval)
 	}
-	f.cutSection()
+	f.endSection()
 	r := &nodesReport{
 		Unanswered: f.inFlight.Load(), Duplicates: f.duplicates.Load(), LateSends: f.lateSends.Load(),
 		BroadcastsLost: f.broadcastsLost.Load(), DurationS: time.Since(f.startedAt).Seconds(),
-		AttemptsBegun: make([]int64, len(f.attemptsBegun)), Peers: f.counts(),
+		AttemptsBegun: make([]int64, len(f.attemptsBegun)), Peers: f.messageCounts(),
 	}
 	for i := range f.attemptsBegun {
 		r.AttemptsBegun[i] = f.attemptsBegun[i].Load()
 	}
 	f.countMu.Lock()
-	r.nodesSection = f.total
+	r.nodesSectionCounts = f.total
 	r.P50, r.P99 = histogram.QuantileMs(f.totalLatency, 50), histogram.QuantileMs(f.totalLatency, 99)
-	r.LagP99, r.TimerLagP99 = histogram.QuantileMs(f.lag, 99), histogram.QuantileMs(f.timerLag, 99)
+	r.LagP99, r.TimerLagP99 = histogram.QuantileMs(f.sendLag, 99), histogram.QuantileMs(f.timerLag, 99)
 	f.countMu.Unlock()
 	f.listMu.Lock()
 	r.Lists = f.applied
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -27,13 +27,13 @@
 	{"order", http.MethodPost, settings.RetryUnsafe, 0.3, 2 * time.Second, 4 * time.Second, false},
 }
 
-// lastAnswerTimeout returns the time after the last request within which every response must arrive.
-func lastAnswerTimeout() time.Duration {
+// lastResponseTimeout returns the time after the last request within which every response must arrive.
+func lastResponseTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
 		longest = max(longest, class.timeout)
 	}
-	return longest + answerGrace
+	return longest + responseGrace
 }
 
 // quotaPlan is a quota. A request costs one unit.
@@ -47,11 +47,11 @@
 var plans = []quotaPlan{{"small", 20, 60}, {"middle", 200, 600}, {"large", 4000, 8000}}
 
 const (
-	zipfSkew              = 0.8 // exponent of the tenants' demand by rank
-	zipfOffset            = 10  // added to each rank, which flattens the demand of the first ones
-	minSpread             = 3   // smallest number of nodes that a tenant sends to
-	requestsPerSpreadNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread
-	quotaHeadroom         = 3.0 // smallest ratio of a tenant's quota to its mean demand, so that bursts are not rejected
+	zipfExponent      = 0.8 // exponent of the tenants' demand by rank
+	zipfOffset        = 10  // added to each rank, which flattens the demand of the first ones
+	minSpread         = 3   // smallest number of nodes that a tenant sends to
+	tenantRatePerNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread
+	quotaHeadroom     = 3.0 // smallest ratio of a tenant's quota to its mean demand, so that bursts are not rejected
 )
 
 // tenant is a customer. It sends to consecutive nodes.
@@ -91,13 +91,13 @@
 	populations := make([]population, live)
 	weights, sum := make([]float64, cfg.Tenants), 0.0
 	for i := range weights {
-		weights[i] = math.Pow(float64(i+zipfOffset), -zipfSkew)
+		weights[i] = math.Pow(float64(i+zipfOffset), -zipfExponent)
 		sum += weights[i]
 	}
 	for i, weight := range weights {
 		demand := weight / sum * cfg.Rate * float64(live) // requests/s, if all nodes have the mean rate of real ones
 		t := tenant{key: uint64(i) + 1, plan: planFor(demand)}
-		t.spread = min(max(minSpread, int(math.Ceil(demand/requestsPerSpreadNode))), live)
+		t.spread = min(max(minSpread, int(math.Ceil(demand/tenantRatePerNode))), live)
 		t.firstNode = rng.IntN(live)
 		if live < cfg.Nodes { // the nodes after the last live one do not run
 			t.firstNode = min(t.firstNode, live-t.spread)
--- a/internal/lab/scale/procfs.go
+++ b/internal/lab/scale/procfs.go
@@ -19,7 +19,7 @@
 
 // memoryUse is the resident memory of a process, KiB.
 type memoryUse struct {
-	now, peak int64
+	rss, peakRSS int64
 }
 
 // readMemory returns the memory of a process; 0 if the process has ended.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return memoryUse{}
 	}
-	return memoryUse{now: statusField(raw, "VmRSS:"), peak: statusField(raw, "VmHWM:")}
+	return memoryUse{rss: statusField(raw, "VmRSS:"), peakRSS: statusField(raw, "VmHWM:")}
 }
 
 // statusField returns a number of a /proc status file; 0 if it is missing.
@@ -43,7 +43,7 @@
 }
 
 // peakRSSMiB returns the largest resident memory that a process has had, MiB.
-func peakRSSMiB(pid int) float64 { return float64(readMemory(pid).peak) / kibPerMiB }
+func peakRSSMiB(pid int) float64 { return float64(readMemory(pid).peakRSS) / kibPerMiB }
 
 // cpuTime returns the CPU time that a process has used.
 func cpuTime(pid int) (time.Duration, error) {
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -27,13 +27,13 @@
 	process   *nodeprocess.Process
 	accepting bool      // clients send to the node
 	memory    memoryUse // maximum over all processes of the node
-	ends      nodeEndings
+	exits     exitCounts
 }
 
-// nodeEndings counts the processes of a node that ended otherwise than in time after SIGTERM.
-type nodeEndings struct {
+// exitCounts counts the processes of a node that ended otherwise than in time after SIGTERM.
+type exitCounts struct {
 	exited int // before drain sent a signal
-	killed int // by SIGKILL, childKillAfter later than SIGTERM
+	killed int // by SIGKILL, sigkillDelay later than SIGTERM
 }
 
 // name returns the node's name in its configuration and of its files.
@@ -76,25 +76,25 @@
 	return nil
 }
 
-// drain stops the node by SIGTERM. Clients send to the node for clientsLinger more, as a load balancer notices late.
+// drain stops the node by SIGTERM. Clients send to the node for loadBalancerDelay more, as a load balancer notices late.
 func (n *realNode) drain(clientsLinger time.Duration) {
 	n.recordMemory()
 	n.mu.Lock()
 	p := n.process
 	if p != nil && p.HasExited() {
-		n.ends.exited++
+		n.exits.exited++
 	}
 	n.mu.Unlock()
 	if p == nil {
 		return
 	}
 	ended := make(chan nodeprocess.Ending, 1)
-	go func() { ended <- p.Stop(syscall.SIGTERM, childKillAfter) }() // ends with the process
+	go func() { ended <- p.Stop(syscall.SIGTERM, sigkillDelay) }() // ends with the process
 	time.Sleep(clientsLinger)
 	n.setAccepting(false)
 	if <-ended == nodeprocess.Killed {
 		n.mu.Lock()
-		n.ends.killed++
+		n.exits.killed++
 		n.mu.Unlock()
 	}
 }
@@ -128,15 +128,15 @@
 	use := readMemory(n.pid())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.memory = memoryUse{now: max(n.memory.now, use.now), peak: max(n.memory.peak, use.peak)}
+	n.memory = memoryUse{rss: max(n.memory.rss, use.rss), peakRSS: max(n.memory.peakRSS, use.peakRSS)}
 	return n.memory
 }
 
 // endings returns the counts of processes so far. The last process counts as exited if it has ended.
-func (n *realNode) endings() nodeEndings {
+func (n *realNode) exitCounts() exitCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ends := n.ends
+	ends := n.exits
 	if n.process != nil && n.process.HasExited() {
 		ends.exited++
 	}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -19,7 +19,7 @@
 	Rejected       int64 `json:"refused"`
 	Failed         int64 `json:"failed"`
 	OtherStatus    int64 `json:"other_status"`
-	LateAnswers    int64 `json:"late_answers"`
+	LateResponses  int64 `json:"late_answers"`
 	ConnectFailed  int64 `json:"unreached"`
 	Unanswered     int64 `json:"unanswered"`
 	Duplicates     int64 `json:"duplicates"`
@@ -61,8 +61,8 @@
 	MaxAppliedReal    float64 `json:"in_force_real_most_s"`
 
 	LoadMean           float64 `json:"load_mean"`
-	LoadMax            float64 `json:"load_max_over_mean"`
-	LoadP99            float64 `json:"load_p99_over_mean"`
+	LoadMaxOverMean    float64 `json:"load_max_over_mean"`
+	LoadP99OverMean    float64 `json:"load_p99_over_mean"`
 	ServerConns        int64   `json:"server_connections"`
 	MaxOpenServerConns int64   `json:"server_connections_most_open"`
 
@@ -88,7 +88,7 @@
 
 // NodeRequests counts the requests of the simulated nodes.
 type NodeRequests struct {
-	nodesSection
+	nodesSectionCounts
 	Unanswered int64 `json:"unanswered"`
 }
 
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -46,7 +46,7 @@
 // section is one part of the run.
 type section struct {
 	*sectionCounts
-	simulated nodesSection
+	simulated nodesSectionCounts
 }
 
 // Run runs a simulation and returns its figures. It stops all child processes before it returns, also if it fails or ctx
@@ -68,7 +68,7 @@
 	defer cancel()
 	r := &run{cfg: cfg, changedServers: map[int]bool{}}
 	defer r.close()
-	result, err := r.play(ctx)
+	result, err := r.simulate(ctx)
 	r.close()
 	if err != nil && ctx.Err() != nil {
 		return nil, fmt.Errorf("stopped by %w", context.Cause(ctx))
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	for _, n := range r.nodes {
-		result.Killed += n.endings().killed
+		result.Killed += n.exitCounts().killed
 	}
 	return result, nil
 }
@@ -122,7 +122,7 @@
 }
 
 // play starts all parts and plays the sections in order: warm-up, quiet, each fault, idle.
-func (r *run) play(ctx context.Context) (*Result, error) {
+func (r *run) simulate(ctx context.Context) (*Result, error) {
 	startedAt := time.Now()
 	if err := r.setUp(ctx); err != nil {
 		return nil, err
@@ -135,27 +135,27 @@
 	}
 	warmUp, idle := max(r.cfg.Duration/12, minWarmUp), r.cfg.Duration/6
 	length := (r.cfg.Duration - warmUp - idle) / time.Duration(1+len(r.cfg.Faults))
-	if err := r.playWarmUp(ctx, warmUp); err != nil {
+	if err := r.runWarmUp(ctx, warmUp); err != nil {
 		return nil, err
 	}
-	if err := r.playQuiet(ctx, length, result); err != nil {
+	if err := r.runQuiet(ctx, length, result); err != nil {
 		return nil, err
 	}
-	if err := r.playFaults(ctx, length); err != nil {
+	if err := r.runFaults(ctx, length); err != nil {
 		return nil, err
 	}
-	if err := r.playIdle(ctx, idle, result); err != nil {
+	if err := r.runIdle(ctx, idle, result); err != nil {
 		return nil, err
 	}
 	r.cfg.Log.Info().Msg("collecting the counts")
 	return result, result.collect(r)
 }
 
-// playWarmUp plays the first section, at whose start the clients begin to send.
-func (r *run) playWarmUp(ctx context.Context, length time.Duration) error {
+// runWarmUp plays the first section, at whose start the clients begin to send.
+func (r *run) runWarmUp(ctx context.Context, length time.Duration) error {
 	r.beginSection(sectionWarmUp)
 	r.clients.sending.Store(true)
-	if err := r.commandNodes(nodesCommand{Verb: nodesSend}, nil); err != nil {
+	if err := r.commandNodes(nodesCommand{Verb: nodesStartSending}, nil); err != nil {
 		return err
 	}
 	if err := pause(ctx, length); err != nil {
@@ -164,8 +164,8 @@
 	return r.endSection()
 }
 
-// playQuiet plays a section without faults, over which the CPU use is measured.
-func (r *run) playQuiet(ctx context.Context, length time.Duration, result *Result) error {
+// runQuiet plays a section without faults, over which the CPU use is measured.
+func (r *run) runQuiet(ctx context.Context, length time.Duration, result *Result) error {
 	r.beginSection(sectionQuiet)
 	use := r.measureCPU()
 	if err := pause(ctx, length); err != nil {
@@ -175,11 +175,11 @@
 	return r.endSection()
 }
 
-// playFaults plays the configured faults, one section for each.
-func (r *run) playFaults(ctx context.Context, length time.Duration) error {
+// runFaults plays the configured faults, one section for each.
+func (r *run) runFaults(ctx context.Context, length time.Duration) error {
 	players := map[string]func(context.Context, time.Duration) error{
-		FaultChanges: r.playChanges, FaultRollingRestart: r.playRollingRestart,
-		FaultZoneLoss: r.playZoneLoss, FaultWatchLoss: r.playWatchLoss,
+		FaultChanges: r.runChanges, FaultRollingRestart: r.runRollingRestart,
+		FaultZoneLoss: r.runZoneLoss, FaultWatchLoss: r.runWatchLoss,
 	}
 	for _, name := range Faults {
 		if !slices.Contains(r.cfg.Faults, name) {
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// playIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
-func (r *run) playIdle(ctx context.Context, length time.Duration, result *Result) error {
+// runIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
+func (r *run) runIdle(ctx context.Context, length time.Duration, result *Result) error {
 	r.clients.sending.Store(false)
 	answered := make(chan struct{})
 	go func() { r.clients.inFlight.Wait(); close(answered) }() // ends with the last request
@@ -209,7 +209,7 @@
 	case <-answered:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(lastAnswerTimeout()):
+	case <-time.After(lastResponseTimeout()):
 		result.Unanswered++ // at least one request has no response after its client's timeout
 	}
 	r.cfg.Log.Info().Str("section", sectionIdle).Msg("section begins")
@@ -232,7 +232,7 @@
 // endSection ends the last section and records the simulated nodes' counts and the real nodes' memory.
 func (r *run) endSection() error {
 	var reply nodesReply
-	if err := r.commandNodes(nodesCommand{Verb: nodesCut}, &reply); err != nil {
+	if err := r.commandNodes(nodesCommand{Verb: nodesEndSection}, &reply); err != nil {
 		return err
 	}
 	last := &r.sections[len(r.sections)-1]
--- a/internal/lab/scale/sectioncounts.go
+++ b/internal/lab/scale/sectioncounts.go
@@ -19,7 +19,7 @@
 
 	sent, completed, rejected, failed atomic.Int64
 	otherStatus                       atomic.Int64 // or a body that is not an app server's
-	lateAnswers                       atomic.Int64
+	lateResponses                     atomic.Int64
 	unanswered                        atomic.Int64
 	connectFailed                     atomic.Int64
 	directFailed                      atomic.Int64
@@ -34,10 +34,10 @@
 	return &sectionCounts{name: name, startedAt: time.Now(), viaNode: histogram.New(), direct: histogram.New()}
 }
 
-// recordAnswer counts a node's response by its HTTP status.
-func (s *sectionCounts) recordAnswer(status int, took, timeout time.Duration) {
-	if took > timeout+countSlack {
-		s.lateAnswers.Add(1)
+// recordResponse counts a node's response by its HTTP status.
+func (s *sectionCounts) recordResponse(status int, took, timeout time.Duration) {
+	if took > timeout+violationTolerance {
+		s.lateResponses.Add(1)
 	}
 	switch status {
 	case http.StatusOK:
--- a/internal/lab/scale/servers.go
+++ b/internal/lab/scale/servers.go
@@ -21,8 +21,8 @@
 // serverFleet holds the simulated app servers of the worker process, each with its own loopback address. A server waits a
 // random service time before each response. It has no queue and is never overloaded.
 type serverFleet struct {
-	servers []*simulatedServer
-	randoms sync.Pool // of *rand.Rand
+	servers       []*simulatedServer
+	randomSources sync.Pool // of *rand.Rand
 
 	executions   appserver.Executions // at all servers
 	connections  atomic.Int64         // accepted
@@ -38,7 +38,7 @@
 func RunServers(count int, seed uint64, in io.Reader, out io.Writer) error {
 	f := &serverFleet{}
 	var seeds atomic.Uint64
-	f.randoms.New = func() any { return rand.New(rand.NewPCG(seed, seeds.Add(1))) }
+	f.randomSources.New = func() any { return rand.New(rand.NewPCG(seed, seeds.Add(1))) }
 	first := serversReply{Addrs: make([]string, count)}
 	for i := range count {
 		s := newSimulatedServer(f, i)
@@ -65,7 +65,7 @@
 			s.drainedAt.Store(0)
 		case serversKill:
 			s.kill()
-		case serversRevive:
+		case serversRestart:
 			if err := s.listen(); err != nil {
 				reply.Error = err.Error()
 			}
@@ -80,23 +80,23 @@
 // report returns all counts.
 func (f *serverFleet) report() serversReply {
 	reply := serversReply{
-		Begun: make([]int64, len(f.servers)), LateSends: f.lateSends.Load(), Duplicates: f.duplicates.Load(),
+		ExecutionsBegun: make([]int64, len(f.servers)), LateSends: f.lateSends.Load(), Duplicates: f.duplicates.Load(),
 		SafeRepeats: f.safeRepeats.Load(), Connections: f.connections.Load(), MaxOpenConns: f.maxOpenConns.Load(),
 	}
 	for i, s := range f.servers {
-		reply.Begun[i] = s.begun.Load()
+		reply.ExecutionsBegun[i] = s.executionsBegun.Load()
 	}
 	return reply
 }
 
 // simulatedServer is an app server, over its restarts.
 type simulatedServer struct {
-	fleet     *serverFleet
-	number    int
-	server    *appserver.Server
-	begun     atomic.Int64 // executions
-	drainedAt atomic.Int64 // when its drain was published, Unix µs; 0: in service
-	dead      atomic.Bool
+	fleet           *serverFleet
+	number          int
+	server          *appserver.Server
+	executionsBegun atomic.Int64 // executions
+	drainedAt       atomic.Int64 // when its drain was published, Unix µs; 0: in service
+	killed          atomic.Bool
 }
 
 // newSimulatedServer returns a server that does not listen yet.
@@ -108,7 +108,7 @@
 
 // listen opens the server's address, which is the same after each kill.
 func (s *simulatedServer) listen() error {
-	s.dead.Store(false)
+	s.killed.Store(false)
 	if err := s.server.Listen(nil); err != nil {
 		return fmt.Errorf("server %d: %w", s.number, err)
 	}
@@ -117,7 +117,7 @@
 
 // kill refuses new connections and resets the open ones.
 func (s *simulatedServer) kill() {
-	s.dead.Store(true)
+	s.killed.Store(true)
 	s.server.Kill()
 }
 
@@ -129,37 +129,37 @@
 	}
 	defer s.fleet.openConns.Add(-1)
 	reader := bufio.NewReaderSize(conn, connReadBufferBytes)
-	for s.answerRequest(conn, reader) {
+	for s.serveRequest(conn, reader) {
 	}
 }
 
-// answerRequest answers a request and reports whether the connection can carry another one. A request without an ID is a
+// serveRequest answers a request and reports whether the connection can carry another one. A request without an ID is a
 // health check, which needs no service time.
-func (s *simulatedServer) answerRequest(conn net.Conn, reader *bufio.Reader) (reusable bool) {
+func (s *simulatedServer) serveRequest(conn net.Conn, reader *bufio.Reader) (reusable bool) {
 	request, err := appserver.ReadRequest(reader)
 	if err != nil {
 		return false
 	}
 	if request.ID != "" && request.Header.Get(directHeader) == "" {
-		s.recordBegun(request)
+		s.recordExecution(request)
 	}
 	if request.ID != "" {
-		rng := s.fleet.randoms.Get().(*rand.Rand)
+		rng := s.fleet.randomSources.Get().(*rand.Rand)
 		duration := drawServiceTime(rng)
-		s.fleet.randoms.Put(rng)
+		s.fleet.randomSources.Put(rng)
 		time.Sleep(duration)
 	}
-	if s.dead.Load() {
+	if s.killed.Load() {
 		return false
 	}
 	body := "done " + request.ID + " " + strconv.Itoa(s.number) + "\n"
 	return appserver.WriteResponse(conn, http.StatusOK, body) == nil
 }
 
-// recordBegun counts that the execution of a request begins.
-func (s *simulatedServer) recordBegun(request appserver.Request) {
-	s.begun.Add(1)
-	if at := s.drainedAt.Load(); at > 0 && time.Now().UnixMicro()-at > (drainGrace+countSlack).Microseconds() {
+// recordExecution counts that the execution of a request begins.
+func (s *simulatedServer) recordExecution(request appserver.Request) {
+	s.executionsBegun.Add(1)
+	if at := s.drainedAt.Load(); at > 0 && time.Now().UnixMicro()-at > (drainGrace+violationTolerance).Microseconds() {
 		s.fleet.lateSends.Add(1)
 	}
 	switch executions := s.fleet.executions.Begin(request.ID); {
--- a/internal/lab/scale/serversprotocol.go
+++ b/internal/lab/scale/serversprotocol.go
@@ -8,7 +8,7 @@
 	serversDrain   serversVerb = "drain"   // Servers drain since At
 	serversUndrain serversVerb = "undrain" // Servers are in service
 	serversKill    serversVerb = "kill"    // Servers reset their connections and refuse new ones
-	serversRevive  serversVerb = "revive"  // Servers listen again
+	serversRestart serversVerb = "revive"  // Servers listen again
 	serversReport  serversVerb = "report"  // return all counts
 )
 
@@ -21,14 +21,14 @@
 
 // serversReply is a line on the simulated app servers' standard output: the addresses first, then one reply to each command.
 type serversReply struct {
-	Addrs        []string `json:"addrs,omitempty"` // by server
-	Error        string   `json:"error,omitempty"` // empty if the command succeeded
-	Begun        []int64  `json:"load,omitempty"`  // executions begun, by server
-	LateSends    int64    `json:"late"`            // executions later after the drain than drainGrace and countSlack
-	Duplicates   int64    `json:"doubled"`         // unsafe requests that were executed a second time
-	SafeRepeats  int64    `json:"repeated"`        // safe requests that were executed a second time
-	Connections  int64    `json:"conns"`           // accepted
-	MaxOpenConns int64    `json:"most_open"`       // open at the same time
+	Addrs           []string `json:"addrs,omitempty"` // by server
+	Error           string   `json:"error,omitempty"` // empty if the command succeeded
+	ExecutionsBegun []int64  `json:"load,omitempty"`  // executions begun, by server
+	LateSends       int64    `json:"late"`            // executions later after the drain than drainGrace and violationTolerance
+	Duplicates      int64    `json:"doubled"`         // unsafe requests that were executed a second time
+	SafeRepeats     int64    `json:"repeated"`        // safe requests that were executed a second time
+	Connections     int64    `json:"conns"`           // accepted
+	MaxOpenConns    int64    `json:"most_open"`       // open at the same time
 }
 
 // failure returns the error that the worker states, or "".
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -50,7 +50,7 @@
 	if err := r.startRealNodes(ctx); err != nil {
 		return err
 	}
-	return r.commandNodes(nodesCommand{Verb: nodesReady}, nil)
+	return r.commandNodes(nodesCommand{Verb: nodesAwaitReady}, nil)
 }
 
 // startWorkers starts the workers of the app servers and of the simulated nodes. It returns the addresses of both.
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	childKillAfter = 4 * time.Second // from SIGTERM to SIGKILL
-	workerExitTime = time.Second     // from the end of a worker's input to SIGTERM
+	sigkillDelay      = 4 * time.Second // from SIGTERM to SIGKILL
+	workerExitTimeout = time.Second     // from the end of a worker's input to SIGTERM
 )
 
 // worker is a child process that reads commands from its standard input and writes one reply to each to its standard
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	context.AfterFunc(ctx, func() { w.process.Stop(syscall.SIGTERM, childKillAfter) })
+	context.AfterFunc(ctx, func() { w.process.Stop(syscall.SIGTERM, sigkillDelay) })
 	return w, nil
 }
 
@@ -84,8 +84,8 @@
 	_ = w.stdin.Close() // fails if the worker has ended
 	select {
 	case <-w.process.Exited():
-	case <-time.After(workerExitTime):
-		w.process.Stop(syscall.SIGTERM, childKillAfter)
+	case <-time.After(workerExitTimeout):
+		w.process.Stop(syscall.SIGTERM, sigkillDelay)
 	}
 }
 
