--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	directHeader  = "X-Direct"           // marks a request that servers do not count
-	directDelay   = 2 * time.Millisecond // between a node's response and the direct request
-	responseGrace = time.Second          // for which a client waits after the request's timeout
+	directHeader  = "X-Direct"           // servers do not count a request with this header
+	directDelay   = 2 * time.Millisecond // delay from a node's response to the direct request
+	responseGrace = time.Second          // additional time that a client waits after the request's timeout
 )
 
-// clientSimulator simulates the open-loop clients of the real nodes. A client sends at times drawn in advance, whatever
-// the earlier responses.
+// clientSimulator simulates the open-loop clients of the real nodes. A client sends at times drawn in advance, whether or
+// not earlier responses have arrived.
 type clientSimulator struct {
 	cfg         *Config
 	nodes       []*realNode
-	populations []population // by node
-	servers     []string     // addresses, by number
+	populations []population // tenants of each node, by node number
+	servers     []string     // addresses by server number
 	nodeConns   *connPool
 	serverConns *connPool
 
-	section       atomic.Pointer[sectionCounts] // in progress
-	sending       atomic.Bool                   // while false, no request is sent
-	inFlight      sync.WaitGroup                // counts requests
-	lastRequestID atomic.Uint64                 // of a request
-	lastServer    atomic.Int64                  // number of the server of the last response
+	section       atomic.Pointer[sectionCounts] // counts of the section in progress
+	sending       atomic.Bool                   // while false, the clients send no request
+	inFlight      sync.WaitGroup                // requests in flight
+	lastRequestID atomic.Uint64                 // ID of the request created last
+	lastServer    atomic.Int64                  // number of the server that completed the last request
 
-	mu      sync.Mutex     // guards lag
+	mu      sync.Mutex     // guards sendLag
 	sendLag *hdr.Histogram // delay of requests behind their due time, µs
 }
 
-// newClientSimulator returns the clients of nodes. They send nothing before generate is called and sending is true.
+// newClientSimulator returns the clients of the real nodes; servers holds the app servers' addresses by number. The clients
+// send nothing until generate is called and sending is true.
 func newClientSimulator(cfg *Config, nodes []*realNode, servers []string) *clientSimulator {
 	return &clientSimulator{
 		cfg: cfg, nodes: nodes, servers: servers, sendLag: histogram.New(),
@@ -60,7 +61,7 @@
 	c.serverConns.dropAll()
 }
 
-// recordSendLag records the delay of a request that is sent now.
+// recordSendLag records the delay of a request that was due at a time and is sent now.
 func (c *clientSimulator) recordSendLag(due time.Time) {
 	late := time.Since(due)
 	c.mu.Lock()
@@ -68,7 +69,7 @@
 	c.mu.Unlock()
 }
 
-// sendLagP99 returns the 99th percentile of the requests' delay behind their due time, ms.
+// sendLagP99 returns the 99th percentile of the requests' delay behind their due time, in ms.
 func (c *clientSimulator) sendLagP99() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 }
 
 // generate sends the requests of one node's clients until ctx ends. While the node accepts no clients, they send to
-// another node. Each request has a goroutine, which inFlight counts and which ends with the response.
+// another node. Each request runs in a goroutine, which inFlight counts and which ends after the last response or timeout.
 func (c *clientSimulator) generate(ctx context.Context, node int) {
 	rng := rand.New(rand.NewPCG(c.cfg.Seed, clientStream|uint64(node)))
 	due := time.Now()
@@ -85,17 +86,18 @@
 		if wait := time.Until(due); wait > 0 && pause(ctx, wait) != nil || ctx.Err() != nil {
 			return
 		}
-		to := c.acceptingNode(node)
-		r := clientRequest{tenant: c.populations[to].draw(rng), class: drawClass(rng), due: due}
+		target := c.acceptingNode(node)
+		r := clientRequest{tenant: c.populations[target].draw(rng), class: drawClass(rng), due: due}
 		r.alsoDirect = rng.Float64() < c.cfg.DirectShare
-		if c.sending.Load() && c.nodes[to].acceptsClients() {
+		if c.sending.Load() && c.nodes[target].acceptsClients() {
 			c.inFlight.Add(1)
-			go c.send(ctx, to, r)
+			go c.send(ctx, target, r)
 		}
 	}
 }
 
-// acceptingNode returns the first node from a number on that accepts clients, or the number itself if none does.
+// acceptingNode returns the number of a node that accepts clients: node itself, or else the next one in cyclic order. It
+// returns node if no node accepts clients.
 func (c *clientSimulator) acceptingNode(node int) int {
 	for range c.nodes {
 		if c.nodes[node].acceptsClients() {
@@ -110,11 +112,11 @@
 type clientRequest struct {
 	tenant     tenant
 	class      *requestClass
-	due        time.Time
-	alsoDirect bool // the request is repeated, directly to the server that completed it
+	due        time.Time // planned time of sending
+	alsoDirect bool      // whether to repeat the completed request directly at its server
 }
 
-// requestText returns the text of a request with a new ID.
+// requestText returns the text of an HTTP request with a new ID. Each line of extraHeaders ends with CRLF.
 func (c *clientSimulator) requestText(r clientRequest, host, extraHeaders string) string {
 	if !r.class.idempotent {
 		extraHeaders += "Content-Length: 0\r\n"
@@ -133,7 +135,8 @@
 	return string(lines) + extraHeaders + "\r\n"
 }
 
-// send sends a request to a node and counts the response. It repeats a completed request of alsoDirect at the server.
+// send sends a request to a node and counts the response. If the request has alsoDirect set and was completed, send repeats
+// the request directly at the server.
 func (c *clientSimulator) send(ctx context.Context, node int, r clientRequest) {
 	defer c.inFlight.Done()
 	c.recordSendLag(r.due)
@@ -147,18 +150,18 @@
 			return
 		}
 	}
-	answer, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+responseGrace))
+	response, err := conn.roundTrip(c.requestText(r, "edge", ""), r.due.Add(r.class.timeout+responseGrace))
 	took := time.Since(r.due)
 	c.nodeConns.put(addr, conn)
 	if err != nil {
 		section.unanswered.Add(1)
 		return
 	}
-	section.recordResponse(answer.status, took, r.class.timeout)
-	if answer.status != http.StatusOK {
+	section.recordResponse(response.status, took, r.class.timeout)
+	if response.status != http.StatusOK {
 		return
 	}
-	server, err := serverNumber(answer.body)
+	server, err := serverNumber(response.body)
 	if err != nil || server < 0 || server >= len(c.servers) {
 		section.otherStatus.Add(1)
 		return
@@ -174,9 +177,9 @@
 	section.recordDirect(took)
 }
 
-var errUnexpectedResponse = errors.New("the response is not an app server's")
+var errUnexpectedResponse = errors.New("the response has not the form of an app server's response")
 
-// serverNumber returns the number of the server that wrote a response's body.
+// serverNumber returns the number of the server that wrote a response's body. The number is the last of three fields.
 func serverNumber(body string) (int, error) {
 	fields := strings.Fields(body)
 	if len(fields) != 3 {
@@ -185,8 +188,8 @@
 	return strconv.Atoi(fields[2])
 }
 
-// sendDirect sends a request to a server over an established connection. It returns the time from the request's due time
-// to the response.
+// sendDirect sends a request to a server over an established connection, directDelay from now. It returns the time from
+// this due time to the response.
 func (c *clientSimulator) sendDirect(ctx context.Context, r clientRequest, addr string) (time.Duration, error) {
 	conn := c.serverConns.take(addr)
 	if conn == nil {
@@ -194,7 +197,8 @@
 		if conn, err = dialClientConn(ctx, addr); err != nil {
 			return 0, err
 		}
-		// The server's goroutine of a connection starts after the handshake. A health check keeps that out of the measurement.
+		// The server starts a goroutine for the connection after the handshake. A health check excludes this start from the
+		// measured time.
 		if _, err := conn.roundTrip("GET /healthz HTTP/1.1\r\nHost: app\r\n\r\n", time.Now().Add(r.class.timeout)); err != nil {
 			conn.close()
 			return 0, err
@@ -202,13 +206,13 @@
 	}
 	due := time.Now().Add(directDelay)
 	time.Sleep(time.Until(due))
-	answer, err := conn.roundTrip(c.requestText(r, "app", directHeader+": 1\r\n"), due.Add(r.class.timeout))
+	response, err := conn.roundTrip(c.requestText(r, "app", directHeader+": 1\r\n"), due.Add(r.class.timeout))
 	took := time.Since(due)
 	c.serverConns.put(addr, conn)
 	if err != nil {
 		return 0, err
 	}
-	if answer.status != http.StatusOK {
+	if response.status != http.StatusOK {
 		return 0, errUnexpectedResponse
 	}
 	return took, nil
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -8,10 +8,11 @@
 	"cherrygap/internal/lab/histogram"
 )
 
-// behindLagMs is the 99th percentile of the lag above which a generator of requests is behind, as in `lab load`.
+// behindLagMs is the largest 99th percentile of the lag, in ms, at which a request generator counts as on time. `lab load`
+// has the same limit.
 const behindLagMs = 10.0
 
-// recordQuiet sets the CPU shares of the section without faults, which began at the measurement since.
+// recordQuiet sets the CPU shares of the section without faults. since is the CPU use at the section's start.
 func (r *Result) recordQuiet(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.CoreShare, r.MaxCoreShare = shares.meanReal, shares.maxReal
@@ -20,7 +21,7 @@
 	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
 }
 
-// recordIdle sets the CPU shares of the section without requests, which began at the measurement since.
+// recordIdle sets the CPU shares of the section without requests. since is the CPU use at the section's start.
 func (r *Result) recordIdle(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.ControlShare, r.MaxControlShare = shares.meanReal, shares.maxReal
@@ -29,7 +30,7 @@
 	}
 }
 
-// collect gets the workers' counts and sets the rest of the result.
+// collect gets the workers' counts and sets the fields that recordQuiet and recordIdle do not set.
 func (r *Result) collect(run *run) error {
 	var nodes nodesReply
 	if err := run.commandNodes(nodesCommand{Verb: nodesFinalReport}, &nodes); err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// collectConfig sets the sizes of the run.
+// collectConfig copies the sizes, the seed, the duration and the faults of the run.
 func (r *Result) collectConfig(cfg *Config) {
 	r.Nodes, r.Real, r.Simulated = cfg.Nodes, cfg.Real, cfg.Simulated
 	r.Servers, r.Tenants, r.Seed = cfg.Servers, cfg.Tenants, cfg.Seed
@@ -93,7 +94,7 @@
 	r.AddedP50, r.AddedP99 = r.ViaNodeP50-r.DirectP50, r.ViaNodeP99-r.DirectP99
 }
 
-// collectProcesses sets the memory and the restarts of all processes.
+// collectProcesses sets the memory of all child processes, the restarts, and the number of real nodes that exited early.
 func (r *Result) collectProcesses(run *run) {
 	for _, n := range run.nodes {
 		memory := n.recordMemory()
@@ -105,7 +106,7 @@
 	r.SimulatedMiB, r.ServersMiB = peakRSSMiB(run.nodesWorker.pid()), peakRSSMiB(run.serversWorker.pid())
 }
 
-// collectPeerTraffic sets the rates of messages per simulated node.
+// collectPeerTraffic sets the messages and bytes per second and simulated node, by kind of message.
 func (r *Result) collectPeerTraffic(report *nodesReport, nodes int) {
 	r.Peers, r.BroadcastsLost = map[string]PeerBytes{}, report.BroadcastsLost
 	perNode := 1 / (report.DurationS * float64(max(1, nodes)))
@@ -119,7 +120,8 @@
 	}
 }
 
-// collectDiscoveryTraffic sets the rates of the agent's responses per real node.
+// collectDiscoveryTraffic sets the bytes per second and the number of full lists that the agent sent to each real node, as
+// means over the real nodes.
 func (r *Result) collectDiscoveryTraffic(run *run, seconds float64) {
 	nodes := float64(len(run.nodes))
 	perNode := 1 / (seconds * nodes)
@@ -131,8 +133,8 @@
 	}
 }
 
-// collectChangeDelays sets the medians and maxima, over the changes, of the delay until 99% of the nodes, all nodes and all
-// real nodes had applied a change.
+// collectChangeDelays sets the medians and maxima of the changes' delays. A change has three delays: until 99% of the nodes,
+// all nodes, and all real nodes had applied the change.
 func (r *Result) collectChangeDelays(run *run, lists []listApplyTimes) {
 	var to99, toAll, toReal []float64
 	for _, change := range run.changes {
@@ -161,11 +163,11 @@
 
 // applyDelays holds the delays from a change's publication until nodes had applied the change.
 type applyDelays struct {
-	seconds  []float64 // one for each node that applied the change
-	complete bool      // every node that had to apply the change did so
+	seconds  []float64 // delays of the nodes that applied the change
+	complete bool      // whether every node that had to apply the change did so
 }
 
-// realDelays returns the delays of the real nodes.
+// realDelays returns the delays of the real nodes that had to apply a change.
 func (r *run) realDelays(change measuredChange) applyDelays {
 	delays := applyDelays{complete: true}
 	for i, expected := range change.mustApply {
@@ -182,8 +184,8 @@
 	return delays
 }
 
-// simulatedDelays returns the delays of the simulated nodes, except for those that were away. They are incomplete if no
-// list with the change arrived.
+// simulatedDelays returns the delays of the simulated nodes, except for those that were down. The delays are incomplete if
+// no list with the change arrived.
 func simulatedDelays(change measuredChange, lists []listApplyTimes) applyDelays {
 	i := slices.IndexFunc(lists, func(l listApplyTimes) bool { return l.Revision >= change.revision })
 	if i < 0 {
@@ -198,7 +200,7 @@
 	return delays
 }
 
-// collectServerLoad sets the spread of attempts over the servers that no change affected.
+// collectServerLoad sets how evenly the attempts are distributed over the servers that no change affected.
 func (r *Result) collectServerLoad(run *run, fromReal, fromSimulated []int64) {
 	var loads []float64
 	sum := 0.0
@@ -218,8 +220,8 @@
 	r.LoadP99OverMean = loads[min(len(loads)*99/100, len(loads)-1)] / r.LoadMean
 }
 
-// medianAndMax returns the median and the maximum of v, which it sorts; 0 if v is empty.
-func medianAndMax(v []float64) (median, most float64) {
+// medianAndMax sorts v and returns its median and its maximum. It returns 0 for both if v is empty.
+func medianAndMax(v []float64) (median, maximum float64) {
 	if len(v) == 0 {
 		return 0, 0
 	}
--- a/internal/lab/scale/connpool.go
+++ b/internal/lab/scale/connpool.go
@@ -12,14 +12,14 @@
 
 const dialTimeout = time.Second
 
-// clientConn is a connection of a client. It is used by one goroutine at a time.
+// clientConn is a connection of a client to a node or a server. Only one goroutine may use it at a time.
 type clientConn struct {
 	conn     net.Conn
 	reader   *bufio.Reader
-	reusable bool // the connection can carry another request
+	reusable bool // whether the connection can carry another request
 }
 
-// dialClientConn opens a connection, which the caller closes or puts into a pool.
+// dialClientConn opens a connection to addr. The caller closes the connection or puts it into a pool.
 func dialClientConn(ctx context.Context, addr string) (*clientConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -32,13 +32,14 @@
 // close closes the connection.
 func (c *clientConn) close() { _ = c.conn.Close() }
 
-// clientResponse is the response to a request.
+// clientResponse is the HTTP response to a client's request.
 type clientResponse struct {
-	status int // HTTP
+	status int // HTTP status code
 	body   string
 }
 
-// roundTrip sends a request and reads the response. It updates reusable.
+// roundTrip sends the text of a request and reads the response, both before the deadline. It sets reusable to false if it
+// fails or the response closes the connection.
 func (c *clientConn) roundTrip(text string, deadline time.Time) (clientResponse, error) {
 	c.reusable = false
 	if err := c.conn.SetDeadline(deadline); err != nil {
@@ -56,16 +57,16 @@
 	return clientResponse{status: response.StatusCode, body: string(body)}, err
 }
 
-// connPool keeps idle client connections, by address. Its methods may be called from several goroutines.
+// connPool holds idle client connections. Its methods may be called from several goroutines.
 type connPool struct {
-	maxIdle int // connections, of all addresses
+	maxIdle int // maximum of idleCount
 
-	mu        sync.Mutex // guards the fields below
-	idle      map[string][]*clientConn
-	idleCount int // of all addresses
+	mu        sync.Mutex               // guards the fields below
+	idle      map[string][]*clientConn // idle connections by address, the most recently used one last
+	idleCount int                      // number of idle connections to all addresses
 }
 
-// newConnPool returns an empty pool that keeps at most maxIdle connections.
+// newConnPool returns an empty pool that holds at most maxIdle connections.
 func newConnPool(maxIdle int) *connPool {
 	return &connPool{maxIdle: maxIdle, idle: map[string][]*clientConn{}}
 }
@@ -83,7 +84,7 @@
 	return last
 }
 
-// put returns a connection to the pool. It closes the connection if it is not reusable or the pool is full.
+// put adds an idle connection to addr to the pool. It closes the connection if it is not reusable or the pool is full.
 func (p *connPool) put(addr string, conn *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/scale/cpuusage.go
+++ b/internal/lab/scale/cpuusage.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// cpuUsage is the CPU time that the run's processes have used until a moment; 0 for an ended process.
+// cpuUsage is the CPU time that the run's processes had used at a time. The CPU time of an ended process is 0.
 type cpuUsage struct {
 	at             time.Time
-	realNodes      []time.Duration // by real node
-	lab            time.Duration   // this process
-	servers        time.Duration   // the worker of the app servers
-	simulatedNodes time.Duration   // the worker of the simulated nodes
+	realNodes      []time.Duration // processes of the real nodes, by node number
+	lab            time.Duration   // the lab's own process
+	servers        time.Duration   // worker of the app servers
+	simulatedNodes time.Duration   // worker of the simulated nodes
 }
 
-// measureCPU returns the CPU time used until now.
+// measureCPU returns the CPU time that the run's processes have used until now.
 func (r *run) measureCPU() cpuUsage {
 	u := cpuUsage{at: time.Now()}
 	for _, n := range r.nodes {
@@ -27,9 +27,9 @@
 	return u
 }
 
-// cpuShares is the CPU use of the run's processes over a span of time, in cores.
+// cpuShares is the CPU use of the run's processes over a span of time, in cores: 1 is one core in full use.
 type cpuShares struct {
-	meanReal, maxReal            float64 // over the real nodes
+	meanReal, maxReal            float64 // mean and maximum over the real nodes
 	lab, servers, simulatedNodes float64
 }
 
--- a/internal/lab/scale/descriptors.go
+++ b/internal/lab/scale/descriptors.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	baseDescriptors = 64  // of any process, for files and the runtime
-	connsPerWatch   = 8   // of a watch at the agent, whose client tries several connections
-	maxDirectConns  = 512 // idle ones from the clients to the servers
+	baseDescriptors = 64  // descriptors of any process, for files and the runtime
+	connsPerWatch   = 8   // connections of one watch at the agent, as its client may open several
+	maxDirectConns  = 512 // idle connections from the clients to the servers
 )
 
-// descriptorNeed is the number of descriptors that a kind of process needs.
+// descriptorNeed is the number of descriptors that one process of a kind needs.
 type descriptorNeed struct {
-	process     string
+	process     string // kind of process, as it begins an error message
 	descriptors int
-	flag        string // lowers the need
+	flag        string // flag whose value the user can lower to reduce the number
 }
 
-// descriptorNeeds returns the needs of each kind of process.
+// descriptorNeeds returns the need of each kind of process.
 func (c *Config) descriptorNeeds() []descriptorNeed {
 	clientConns := c.Real * c.Sockets / 2
 	return []descriptorNeed{
@@ -34,7 +34,7 @@
 func (c *Config) CheckDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("descriptor limit: %w", err)
+		return fmt.Errorf("cannot read the descriptor limit: %w", err)
 	}
 	for _, need := range c.descriptorNeeds() {
 		if uint64(need.descriptors) > limit.Cur {
@@ -47,9 +47,9 @@
 // DescriptorError is the error of a run that needs more descriptors than a process may have.
 type DescriptorError struct {
 	Process string // kind of process
-	Need    int    // descriptors
-	Limit   uint64 // descriptors
-	Flag    string // lowers the need
+	Need    int    // number of descriptors that the process needs
+	Limit   uint64 // number of descriptors that the process may open
+	Flag    string // flag whose value the user can lower to reduce Need
 }
 
 // Error names the process, its need, the limit and the flag.
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -12,28 +12,29 @@
 	minChangeInterval  = 300 * time.Millisecond
 	minChanges         = 4
 	maxChanges         = 40
-	changedWeight      = 1.25
-	loadBalancerDelay  = 200 * time.Millisecond // after a node's SIGTERM, in which clients still send to the node
+	changedWeight      = 1.25                   // weight of a server after a change of weight; it was 1 before
+	loadBalancerDelay  = 200 * time.Millisecond // time after a node's SIGTERM in which clients still send to the node
 	watchOutage        = 100 * time.Millisecond
-	restartBatches     = 10 // of simulated nodes
+	restartBatches     = 10 // number of batches in which the simulated nodes restart
 	maxRestartDowntime = time.Second
 )
 
 // measuredChange is a revision of the endpoint list whose delay to all nodes is measured.
 type measuredChange struct {
 	revision    uint64
-	publishedAt time.Time // of publication
-	mustApply   []bool    // by real node: the node accepted clients, and so has to apply the change
+	publishedAt time.Time // time of publication
+	mustApply   []bool    // by real node: whether the node accepted clients at publication, and so has to apply the change
 }
 
-// listChange is a change of a server's entry in the endpoint list.
+// listChange is a change of servers' entries in the endpoint list.
 type listChange struct {
 	state    protocol.EndpointState
-	bootTime time.Time // zero: unchanged
-	weight   float64   // 0: unchanged
+	bootTime time.Time // start time of the servers; zero: unchanged
+	weight   float64   // weight of the servers; 0: unchanged
 }
 
-// publish changes servers in discovery, notifies the app servers of a drain, and records the change for the result.
+// publish publishes a change of servers in discovery and records it for the result. It tells the app servers that a drain
+// begins or that they are in service again.
 func (r *run) publish(change listChange, servers ...int) error {
 	expected := make([]bool, len(r.nodes))
 	for i, n := range r.nodes {
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// unchangedServer returns the first server from a number on that no change has affected, or false if there is none.
+// unchangedServer returns the first server, in cyclic order from the number from on, that no change has affected. It returns
+// false if there is none.
 func (r *run) unchangedServer(from int) (server int, ok bool) {
 	for k := range r.cfg.Servers {
 		if i := (from + k) % r.cfg.Servers; !r.changedServers[i] {
@@ -73,7 +75,8 @@
 	return 0, false
 }
 
-// drainLastUsedServer drains the server of the last response to a client, so that a real node is affected.
+// drainLastUsedServer drains the server that completed the last request of a client, so that the drain affects a real node.
+// If a change has affected this server already, drainLastUsedServer drains the next server without a change.
 func (r *run) drainLastUsedServer() error {
 	server, ok := r.unchangedServer(int(r.clients.lastServer.Load()))
 	if !ok {
@@ -83,7 +86,7 @@
 	return r.publish(listChange{state: protocol.Terminating}, server)
 }
 
-// runChanges makes changes at even intervals over a section.
+// runChanges publishes changes at regular intervals over a section.
 func (r *run) runChanges(ctx context.Context, length time.Duration) error {
 	steps := min(max(minChanges, int(length/minChangeInterval)), maxChanges, r.cfg.Servers)
 	interval := max(length/time.Duration(steps), minChangeInterval/2)
@@ -99,15 +102,15 @@
 	return nil
 }
 
-// makeChange makes one change. By step, in turn: a server drains, a server's weight changes, a server is added, a draining
-// server is removed.
+// makeChange publishes one change. The kind of change alternates with step: drain a server, change a server's weight, add a
+// server, remove a draining server.
 func (r *run) makeChange(step int) error {
 	servers := r.cfg.Servers
 	switch step % 4 {
 	case 0:
 		return r.drainLastUsedServer()
 	case 1:
-		const stride = 7 // consecutive changes of a weight are a seventh of the servers apart
+		const stride = 7 // consecutive changes of a weight are a seventh of the server numbers apart
 		if server, ok := r.unchangedServer(servers / stride * (step/4 + 1) % servers); ok {
 			return r.publish(listChange{state: protocol.InService, weight: changedWeight}, server)
 		}
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// runRollingRestart restarts the real nodes one after another, and concurrently the simulated nodes in batches.
+// runRollingRestart restarts the real nodes one after another and, concurrently, the simulated nodes in batches.
 func (r *run) runRollingRestart(ctx context.Context, length time.Duration) error {
 	type outcome struct {
 		restarted int
@@ -151,16 +154,16 @@
 	return done.err
 }
 
-// restartSimulated restarts the simulated nodes in batches and returns the number of restarted nodes. It stops after twice
-// the section's length, so that a slow machine does not delay the run.
+// restartSimulated restarts the simulated nodes in batches and returns the number of restarted nodes. It starts no batch
+// after twice the section's length, so that a slow machine does not delay the run.
 func (r *run) restartSimulated(length time.Duration) (restarted int, err error) {
 	startedAt := time.Now()
-	away := min(length/restartBatches/2, maxRestartDowntime)
+	downtime := min(length/restartBatches/2, maxRestartDowntime)
 	for batch := range min(restartBatches, r.cfg.Simulated) {
 		if time.Since(startedAt) > 2*length {
 			break
 		}
-		command := nodesCommand{Verb: nodesRestart, Ms: int(away / time.Millisecond)}
+		command := nodesCommand{Verb: nodesRestart, Ms: int(downtime / time.Millisecond)}
 		for i := batch; i < r.cfg.Simulated; i += restartBatches {
 			command.Nodes = append(command.Nodes, i)
 		}
@@ -172,8 +175,8 @@
 	return restarted, nil
 }
 
-// runZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and revives them cold
-// after half of it.
+// runZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and after half of the
+// section restarts and lists them as new.
 func (r *run) runZoneLoss(ctx context.Context, length time.Duration) error {
 	const zones = regions * zonesPerRegion
 	var lost []int
@@ -200,16 +203,16 @@
 	return r.publish(listChange{state: protocol.InService, bootTime: time.Now()}, lost...)
 }
 
-// commandServerState kills or revives servers, for real nodes and for simulated ones.
-func (r *run) commandServerState(servers serversVerb, nodes nodesVerb, numbers []int) error {
-	if err := r.commandServers(serversCommand{Verb: servers, Servers: numbers}, nil); err != nil {
+// commandServerState kills or restarts servers, both in the worker of the app servers and for the simulated nodes.
+func (r *run) commandServerState(forServers serversVerb, forNodes nodesVerb, servers []int) error {
+	if err := r.commandServers(serversCommand{Verb: forServers, Servers: servers}, nil); err != nil {
 		return err
 	}
-	return r.commandNodes(nodesCommand{Verb: nodes, Servers: numbers}, nil)
+	return r.commandNodes(nodesCommand{Verb: forNodes, Servers: servers}, nil)
 }
 
-// runWatchLoss closes all watches at once, after which each node gets the full list. It drains a server as soon as the
-// agent answers again.
+// runWatchLoss closes all watches at once. When the agent accepts watches again after watchOutage, each node gets the full
+// list, and runWatchLoss drains a server.
 func (r *run) runWatchLoss(ctx context.Context, _ time.Duration) error {
 	r.agent.DisconnectAll()
 	if err := pause(ctx, watchOutage); err != nil {
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -11,25 +11,26 @@
 	"cherrygap/internal/routing"
 )
 
-// notReadyRetryDelay is the delay of an engine's timer that fires before all nodes have their first list.
+// notReadyRetryDelay is the delay until an engine's timer fires again if it fired before all nodes had their first list.
 const notReadyRetryDelay = 50 * time.Millisecond
 
 // incarnation is the state of a simulated node between two of its starts.
 type incarnation struct {
 	router   *routing.Router
 	timer    *time.Timer
-	timerDue atomic.Int64 // when the timer should fire, Unix ns
-	ended    atomic.Bool  // a later incarnation has replaced this one
-	inFlight atomic.Int64 // requests
+	timerDue atomic.Int64 // time at which the timer should fire, Unix ns
+	ended    atomic.Bool  // whether a later incarnation has replaced this one
+	inFlight atomic.Int64 // number of requests in flight
 
 	mu      sync.Mutex        // guards drained
-	drained map[int]time.Time // servers that are out of service, and when the node was notified
+	drained map[int]time.Time // time at which the node learned that a server is out of service, by server number
 }
 
-// newIncarnation returns an incarnation with the node's engine in its initial state.
+// newIncarnation returns an incarnation with the engine in its initial state. The engine's seed depends on seed and on the
+// node's number.
 func (n *simulatedNode) newIncarnation(seed uint64) *incarnation {
 	inc := &incarnation{drained: map[int]time.Time{}}
-	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) }) // SetTimer replaces the hour
+	inc.timer = time.AfterFunc(time.Hour, func() { n.timerFired(inc) }) // SetTimer sets the actual delay
 	inc.router = routing.New(routing.Config{
 		Seed:     rand.New(rand.NewPCG(seed, uint64(n.number))).Uint64(),
 		Settings: nodeSettings(n.fleet.cfg.Config, n.number),
@@ -44,8 +45,8 @@
 	return inc
 }
 
-// timerFired calls the engine's periodic task, or retries later while some node has no endpoint list. The periodic tasks
-// of nodes that have their list would otherwise delay the setup by minutes.
+// timerFired calls the engine's periodic task, or retries later while some node has no endpoint list. Otherwise the periodic
+// tasks of nodes that have a list would delay the setup by minutes. An ended incarnation without requests has no tasks.
 func (n *simulatedNode) timerFired(inc *incarnation) {
 	select {
 	case <-n.fleet.ready:
@@ -62,8 +63,8 @@
 	})
 }
 
-// applyList passes a list to the engine and records the servers out of service. A list of origin routing.FromCache is the
-// list of an earlier incarnation.
+// applyList passes a list to the engine and records the servers out of service. If origin is routing.FromCache, an earlier
+// incarnation received the list.
 func (inc *incarnation) applyList(list *protocol.EndpointList, serverNumbers map[netip.AddrPort]int, origin routing.ListOrigin) {
 	inc.router.UpdateEndpoints(list, origin)
 	now := time.Now()
@@ -74,15 +75,15 @@
 		if !ok {
 			continue
 		}
-		if _, noted := inc.drained[i]; endpoint.State == protocol.InService {
+		if _, known := inc.drained[i]; endpoint.State == protocol.InService {
 			delete(inc.drained, i)
-		} else if !noted {
+		} else if !known {
 			inc.drained[i] = now
 		}
 	}
 }
 
-// drainedFor returns the time since the node was notified that a server is out of service; 0 if the server is in service.
+// drainedFor returns the time since the node learned that a server is out of service. It returns 0 for a server in service.
 func (inc *incarnation) drainedFor(server int) time.Duration {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
--- a/internal/lab/scale/node.go
+++ b/internal/lab/scale/node.go
@@ -8,18 +8,18 @@
 	"cherrygap/internal/protocol"
 )
 
-// simulatedNode is an edge node without client sockets, over its restarts.
+// simulatedNode is an edge node without client sockets. It stays the same over restarts of the node.
 type simulatedNode struct {
 	fleet   *nodeFleet
-	number  int            // among all nodes
-	conn    *net.UDPConn   // of peer messages
-	addr    netip.AddrPort // of conn
-	down    atomic.Bool    // between two incarnations
-	current atomic.Pointer[incarnation]
+	number  int                         // node number among all nodes, real ones first
+	conn    *net.UDPConn                // socket for peer messages
+	addr    netip.AddrPort              // local address of conn
+	down    atomic.Bool                 // whether the node is stopped, between two incarnations
+	current atomic.Pointer[incarnation] // last started incarnation
 }
 
-// send sends a peer message of an incarnation: as a datagram to one node, or to all nodes if peer is below 0. A broadcast
-// reaches the simulated nodes over the fleet's queue. Send errors are ignored, as datagrams may be lost.
+// send sends a peer message of an incarnation as a datagram to one node, or to all nodes if peer is below 0. A broadcast
+// reaches the simulated nodes over the fleet's queue. It ignores send errors, as a node has to tolerate lost datagrams.
 func (n *simulatedNode) send(from *incarnation, peer int, payload []byte) {
 	if len(payload) > protocol.MaxDatagram || from.ended.Load() {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// receive passes a peer message to the engine, unless the node is away.
+// receive passes a peer message to the engine. A node that is down drops the message.
 func (n *simulatedNode) receive(from int, payload []byte) {
 	if !n.down.Load() {
 		n.fleet.countMessage(payload, incoming)
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	firstListTimeout = 60 * time.Second
-	gcPercent        = 30 // GOGC: the large heap of the engines lives as long as the process
+	firstListTimeout = 60 * time.Second // longest wait until all simulated nodes have their first endpoint list
+	gcPercent        = 30               // GOGC; low, as the large heap of the engines lives as long as the process
 )
 
-// nodeFleet holds the simulated nodes of the worker process. Its goroutines (datagram readers, relay, discovery client,
-// requests) end with the process, which ends with its standard input.
+// nodeFleet holds the simulated nodes of the worker process. Its goroutines read datagrams, relay broadcasts, watch
+// discovery and send requests. They end with the process, which ends when its standard input is closed.
 type nodeFleet struct {
 	cfg           nodesConfig
 	nodes         []*simulatedNode
-	populations   []population // by node
+	populations   []population // tenants of each node, by node number
 	serverNumbers map[netip.AddrPort]int
 	startedAt     time.Time
 
@@ -38,19 +38,19 @@
 	engineSlots chan struct{}
 
 	ready         chan struct{} // closed once all nodes have their first list
-	sending       atomic.Bool   // while false, no request is sent
-	randomSources sync.Pool     // of *rand.Rand
+	sending       atomic.Bool   // while false, the nodes send no request
+	randomSources sync.Pool     // pool of *rand.Rand
 
-	serverKilled  []atomic.Bool  // by server
-	attemptsBegun []atomic.Int64 // by server
+	serverKilled  []atomic.Bool  // whether the lab has killed a server, by server number
+	attemptsBegun []atomic.Int64 // attempts that a server began to execute, by server number
 
 	peerNetwork
 	endpointHistory
 	requestCounts
 }
 
-// RunNodes runs the simulated nodes until in ends. It reads a nodesConfig and then commands from in, and writes the
-// replies to out, each as one JSON line.
+// RunNodes runs the simulated nodes until in ends. It reads a nodesConfig and then commands from in. To out it first writes
+// the nodes' addresses, and then one reply to each command. Each message is one line of JSON.
 func RunNodes(in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(in)
 	f := newNodeFleet()
@@ -78,7 +78,7 @@
 	}
 }
 
-// open opens the sockets and returns their addresses.
+// open initializes the fleet from its configuration, opens the sockets and returns their addresses.
 func (f *nodeFleet) open() (addresses nodesReply, err error) {
 	var seeds atomic.Uint64
 	f.randomSources.New = func() any { return rand.New(rand.NewPCG(f.cfg.Seed, nodeRandomStream|seeds.Add(1))) }
@@ -113,7 +113,7 @@
 	return addresses, err
 }
 
-// listenUDP opens a socket at the i-th address of a block, and returns its address with the port.
+// listenUDP opens a socket at the i-th address of a block. It returns the socket and its address with the port.
 func listenUDP(block, i int) (*net.UDPConn, string, error) {
 	addr := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(loopbackAddress(block, i)))
 	conn, err := net.ListenUDP("udp", addr)
@@ -123,7 +123,7 @@
 	return conn, conn.LocalAddr().String(), nil
 }
 
-// execute executes a command of the lab.
+// execute executes a command of the lab and returns the reply.
 func (f *nodeFleet) execute(command nodesCommand) (reply nodesReply) {
 	switch command.Verb {
 	case nodesStart:
@@ -135,7 +135,7 @@
 		case <-f.ready:
 			reply.Ready = true
 		case <-time.After(firstListTimeout):
-			reply.Error = fmt.Sprintf("the simulated nodes have no endpoint list after %v", firstListTimeout)
+			reply.Error = fmt.Sprintf("the simulated nodes have received no endpoint list within %v", firstListTimeout)
 		}
 	case nodesStartSending:
 		f.sending.Store(true)
@@ -151,12 +151,12 @@
 	case nodesFinalReport:
 		reply.Report = f.report()
 	default:
-		reply.Error = fmt.Sprintf("unknown command %q", command.Verb)
+		reply.Error = fmt.Sprintf("unknown command %q to the simulated nodes", command.Verb)
 	}
 	return reply
 }
 
-// start starts the nodes. From now on they receive messages and endpoint lists.
+// start starts the nodes, which then receive peer messages and endpoint lists.
 func (f *nodeFleet) start(command nodesCommand) error {
 	if err := f.setPeers(command.Real, f.nodes); err != nil {
 		return err
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// discoveryClient returns a client that watches the agent and passes each list to all nodes.
+// discoveryClient returns a client that watches discovery's agent at an address and passes each list to all nodes.
 func (f *nodeFleet) discoveryClient(agent string) *discovery.Client {
 	none := zerolog.Nop()
 	var first sync.Once
@@ -210,15 +210,15 @@
 	wg.Wait()
 }
 
-// withEngineSlot waits for a free slot and executes a call into an engine. The waits of an overloaded machine show as lag
-// in the run's result.
+// withEngineSlot waits for a free slot and then calls an engine. On an overloaded machine these waits appear as lag in the
+// run's result.
 func (f *nodeFleet) withEngineSlot(call func()) {
 	f.engineSlots <- struct{}{}
 	call()
 	<-f.engineSlots
 }
 
-// random calls use with a random source that no other goroutine uses meanwhile.
+// withRandomSource calls use with a random source that no other goroutine uses during the call.
 func (f *nodeFleet) withRandomSource(use func(*rand.Rand)) {
 	rng := f.randomSources.Get().(*rand.Rand)
 	defer f.randomSources.Put(rng)
--- a/internal/lab/scale/nodelists.go
+++ b/internal/lab/scale/nodelists.go
@@ -8,22 +8,23 @@
 	"cherrygap/internal/routing"
 )
 
-// endpointHistory holds the endpoint lists received so far, for nodes that restart, and when each node applied them.
+// endpointHistory holds the endpoint lists received so far, which restarted nodes need, and when each node applied them.
 type endpointHistory struct {
 	listMu    sync.Mutex               // guards the fields below; held while a list is applied
-	endpoints []protocol.Endpoint      // latest state, by server
-	listed    []bool                   // by server
-	history   []*protocol.EndpointList // in the order of arrival
-	applied   []listApplyTimes         // one for each of history
+	endpoints []protocol.Endpoint      // latest state of each server, by server number
+	listed    []bool                   // whether the latest state lists a server, by server number
+	history   []*protocol.EndpointList // lists in the order of arrival
+	applied   []listApplyTimes         // one element for each list of history
 }
 
-// record applies a list to the latest state. The caller holds listMu.
-func (h *endpointHistory) record(list *protocol.EndpointList, serverNumbers func(protocol.Endpoint) (int, bool)) {
+// record appends a list to the history and applies it to the latest state. The function serverNumber returns an endpoint's
+// server number, or false for an unknown endpoint. The caller holds listMu.
+func (h *endpointHistory) record(list *protocol.EndpointList, serverNumber func(protocol.Endpoint) (int, bool)) {
 	if list.Full {
 		clear(h.listed)
 	}
 	for _, endpoint := range list.Endpoints {
-		if i, ok := serverNumbers(endpoint); ok {
+		if i, ok := serverNumber(endpoint); ok {
 			h.endpoints[i], h.listed[i] = endpoint, true
 		}
 	}
@@ -41,7 +42,7 @@
 	return list
 }
 
-// applyList passes a list to all nodes that are not away and records when each had applied it.
+// applyList passes a list to all nodes that are not down and records when each node had applied it.
 func (f *nodeFleet) applyList(list *protocol.EndpointList) {
 	f.listMu.Lock()
 	defer f.listMu.Unlock()
@@ -59,8 +60,9 @@
 	f.applied = append(f.applied, applied)
 }
 
-// restart replaces the incarnations of nodes, which are away for a time. The new incarnations start with the cached list.
-func (f *nodeFleet) restart(numbers []int, away time.Duration) {
+// restart replaces the incarnations of nodes, which are down for the downtime. The new incarnations start with the latest
+// list, like a node that has cached it.
+func (f *nodeFleet) restart(numbers []int, downtime time.Duration) {
 	var nodes []*simulatedNode
 	for _, i := range numbers {
 		if i >= 0 && i < len(f.nodes) {
@@ -68,21 +70,22 @@
 			f.nodes[i].down.Store(true)
 		}
 	}
-	time.Sleep(away)
+	time.Sleep(downtime)
 	f.listMu.Lock()
-	known, taken := f.currentList(), len(f.history)
+	cached, cachedLists := f.currentList(), len(f.history)
 	f.listMu.Unlock()
 	started := make([]*incarnation, len(f.nodes))
 	forEachNode(nodes, func(n *simulatedNode) {
-		inc := n.newIncarnation(f.cfg.Seed + uint64(taken))
-		inc.applyList(known, f.serverNumbers, routing.FromCache)
+		inc := n.newIncarnation(f.cfg.Seed + uint64(cachedLists))
+		inc.applyList(cached, f.serverNumbers, routing.FromCache)
 		started[n.number-f.cfg.Real] = inc
 	})
-	f.listMu.Lock() // then the lists that arrived meanwhile, as the node's own watch would deliver them
+	// The new incarnations then get the lists that have arrived meanwhile, as a node's own watch would deliver them.
+	f.listMu.Lock()
 	defer f.listMu.Unlock()
 	forEachNode(nodes, func(n *simulatedNode) {
 		inc := started[n.number-f.cfg.Real]
-		for _, list := range f.history[taken:] {
+		for _, list := range f.history[cachedLists:] {
 			inc.applyList(list, f.serverNumbers, routing.FromDiscovery)
 		}
 		n.current.Swap(inc).ended.Store(true)
--- a/internal/lab/scale/nodepeers.go
+++ b/internal/lab/scale/nodepeers.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	broadcastQueueSize = 256  // messages
-	relayBufferBytes   = 2048 // above the size of any datagram that a node sends
+	broadcastQueueSize = 256  // largest number of queued messages
+	relayBufferBytes   = 2048 // more than the size of any datagram that a node sends
 )
 
 // messageKind is a kind of peer message.
 type messageKind struct {
 	firstByte byte   // first byte of the message
-	name      string // in the result
+	name      string // key of the kind in the result
 }
 
-// messageKinds lists the kinds that are counted separately. The last one stands for all other kinds.
+// messageKinds lists the kinds of messages that peerNetwork counts separately. The last element stands for all other kinds.
 var messageKinds = [...]messageKind{{0xC8, "use"}, {0xC9, "grant"}, {0xCA, "doubts"}, {0xCB, "ask"}, {0, "other"}}
 
 // messageDirection is the direction of a peer message at a simulated node.
@@ -31,9 +31,9 @@
 	outgoing
 )
 
-// kindName returns the name of the kind with a mark.
-func kindName(mark byte) string {
-	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.firstByte == mark })
+// kindName returns the name of the kind whose messages begin with firstByte.
+func kindName(firstByte byte) string {
+	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.firstByte == firstByte })
 	if i < 0 {
 		i = len(messageKinds) - 1
 	}
@@ -41,17 +41,19 @@
 }
 
 // peerNetwork carries peer messages between simulated and real nodes, and counts the messages of simulated nodes. Real
-// nodes reach each other by their proxies' addresses.
+// nodes send to each other through proxies.
 type peerNetwork struct {
 	peerTable     *protocol.PeerTable
-	realAddrs     []netip.AddrPort // by real node
-	realNumbers   map[netip.AddrPort]int
-	proxies       []*net.UDPConn // by real node
-	broadcastConn *net.UDPConn   // receives the real nodes' broadcasts
-
-	broadcasts     chan broadcastMessage // to simulated nodes
-	broadcastsLost atomic.Int64          // found the queue full
-	traffic        [len(messageKinds)]struct{ in, inBytes, out, outBytes atomic.Int64 }
+	realAddrs     []netip.AddrPort       // peer addresses of the real nodes, by node number
+	realNumbers   map[netip.AddrPort]int // numbers of the real nodes, by peer address
+	proxies       []*net.UDPConn         // sockets of the real nodes' proxies, by node number
+	broadcastConn *net.UDPConn           // socket that receives the real nodes' broadcasts
+
+	broadcasts     chan broadcastMessage // queue of the messages to all simulated nodes
+	broadcastsLost atomic.Int64          // number of messages that found the queue full
+
+	// traffic counts messages and bytes in both directions, by index of messageKinds.
+	traffic [len(messageKinds)]struct{ in, inBytes, out, outBytes atomic.Int64 }
 }
 
 // broadcastMessage is a peer message to all nodes.
@@ -65,7 +67,8 @@
 	return peerNetwork{realNumbers: map[netip.AddrPort]int{}, broadcasts: make(chan broadcastMessage, broadcastQueueSize)}
 }
 
-// setPeers sets the table of all nodes: real ones first, then simulated ones.
+// setPeers sets the table of all nodes, which holds the real nodes first and then the simulated ones. realNodes holds the
+// real nodes' peer addresses.
 func (p *peerNetwork) setPeers(realNodes []string, simulated []*simulatedNode) error {
 	for i, s := range realNodes {
 		addr, err := netip.ParseAddrPort(s)
@@ -83,7 +86,7 @@
 	return nil
 }
 
-// countMessage counts a peer message, which is not empty, by its kind.
+// countMessage counts a peer message by its kind. The payload must not be empty.
 func (p *peerNetwork) countMessage(payload []byte, direction messageDirection) {
 	kind := slices.IndexFunc(messageKinds[:len(messageKinds)-1], func(k messageKind) bool { return k.firstByte == payload[0] })
 	if kind < 0 {
@@ -99,7 +102,7 @@
 	}
 }
 
-// counts returns the messages counted so far, by kind.
+// messageCounts returns the counts of messages so far, in the order of messageKinds.
 func (p *peerNetwork) messageCounts() (out []peerTraffic) {
 	for i, kind := range messageKinds {
 		t := &p.traffic[i]
@@ -110,8 +113,8 @@
 	return out
 }
 
-// queueBroadcast queues a message to all simulated nodes. It does not block: if the queue is full, the message is counted
-// as lost.
+// queueBroadcast queues a copy of a message for all simulated nodes but the sender. It does not block: if the queue is full,
+// it counts the message as lost.
 func (p *peerNetwork) queueBroadcast(from int, payload []byte) {
 	select {
 	case p.broadcasts <- broadcastMessage{from, slices.Clone(payload)}:
@@ -120,7 +123,7 @@
 	}
 }
 
-// deliverBroadcasts delivers the queued messages to each simulated node but the sender. It ends with the process.
+// deliverBroadcasts delivers each queued message to all simulated nodes but the sender. It ends with the process.
 func (p *peerNetwork) deliverBroadcasts(nodes []*simulatedNode) {
 	for message := range p.broadcasts {
 		for _, n := range nodes {
@@ -132,8 +135,8 @@
 }
 
 // forwardToRealNode forwards the datagrams that other real nodes send to the i-th real node's proxy. A node identifies a peer
-// by the datagram's source address, so the sender's proxy sends the datagram on. It ends when the proxy's socket is
-// closed.
+// by the datagram's source address, so the sender's proxy sends the datagram on. The loop ends when the socket of the i-th
+// proxy is closed.
 func (p *peerNetwork) forwardToRealNode(i int) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -147,8 +150,8 @@
 	}
 }
 
-// relayBroadcasts forwards the real nodes' broadcasts: to the other real nodes from the sender's proxy, and to the
-// simulated nodes over the queue. It ends when the broadcast socket is closed.
+// relayBroadcasts forwards the real nodes' broadcasts to the other real nodes from the sender's proxy, and to the simulated
+// nodes through the queue. It ends when the broadcast socket is closed.
 func (p *peerNetwork) relayBroadcasts() {
 	buffer := make([]byte, relayBufferBytes)
 	for {
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -10,10 +10,10 @@
 	"cherrygap/internal/routing"
 )
 
-const maxInFlight = 1024 // requests at all simulated nodes
+const maxInFlight = 1024 // largest number of requests in flight at all simulated nodes
 
-// generate starts requests at random simulated nodes, at times drawn in advance. It ends with the process. Each request has
-// a goroutine, which ends with the response.
+// generate starts requests at random simulated nodes, at times drawn in advance. It ends with the process. Each request runs
+// in a goroutine, which ends with the response.
 func (f *nodeFleet) generate() {
 	rate := f.cfg.SimulatedRate * float64(len(f.nodes))
 	if rate <= 0 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// simulateRequest executes the decisions of a node's engine on a request until its response, and counts the response.
+// simulateRequest executes the decisions of a node's engine for a request until the response, and counts the response.
 func (f *nodeFleet) simulateRequest(n *simulatedNode, tenant tenant, class *requestClass, due time.Time) {
 	inc, handle := n.current.Load(), newAttemptHandle()
 	inc.inFlight.Add(1)
@@ -68,14 +68,14 @@
 	f.recordResponse(status, time.Since(due), class, begun)
 }
 
-// attemptResult is the end of an attempt at a simulated server.
+// attemptResult is the result of an attempt at a simulated server.
 type attemptResult struct {
 	outcome protocol.Outcome
-	begun   bool // the server began to execute the request
+	begun   bool // whether the server began to execute the request
 }
 
-// simulateAttempt simulates an attempt at a server. The server needs a random time, and fails the attempt if it is dead by
-// then.
+// simulateAttempt simulates an attempt at a server. The server needs a random service time. The attempt fails if the server
+// is killed by then.
 func (f *nodeFleet) simulateAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) attemptResult {
 	cancelled, ok := handle.begin(d.Attempt)
 	if !ok || !inc.router.InService(d.Server) {
@@ -110,16 +110,16 @@
 	return attemptResult{outcome: protocol.Completed, begun: true}
 }
 
-// noAttempt is the number of an attempt that does not exist.
+// noAttempt is an attempt number that no attempt has.
 const noAttempt = -1
 
 // attemptHandle lets the router cancel the attempts of a simulated node's request. Its methods may be called from several
 // goroutines.
 type attemptHandle struct {
 	mu            sync.Mutex    // guards the fields below
-	number        int           // of the attempt in flight; noAttempt before the first one
-	cancelled     chan struct{} // closed by Cancel; nil after that
-	lastCancelled int           // number of an attempt, which may not have begun yet; noAttempt before the first Cancel
+	number        int           // number of the latest attempt; noAttempt before the first one
+	cancelled     chan struct{} // channel that Cancel closes and then sets to nil
+	lastCancelled int           // last number passed to Cancel, whose attempt may not have begun yet; noAttempt before
 }
 
 // newAttemptHandle returns the handle of a request without attempts.
@@ -127,7 +127,7 @@
 	return &attemptHandle{number: noAttempt, lastCancelled: noAttempt}
 }
 
-// Cancel cancels the attempt with a number, or keeps it from beginning. It implements routing's handle of a request.
+// Cancel cancels the attempt with a number. If the attempt has not begun yet, it will not begin. The router calls Cancel.
 func (h *attemptHandle) Cancel(attempt int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// begin begins the attempt with a number and returns the channel that Cancel closes. The result is false if the attempt is
+// begin begins the attempt with a number and returns the channel that Cancel closes. It returns false if the attempt is
 // cancelled already.
 func (h *attemptHandle) begin(attempt int) (cancelled <-chan struct{}, ok bool) {
 	h.mu.Lock()
--- a/internal/lab/scale/nodesreport.go
+++ b/internal/lab/scale/nodesreport.go
@@ -11,32 +11,32 @@
 	"cherrygap/internal/lab/histogram"
 )
 
-const inFlightCheckInterval = 10 * time.Millisecond
+const inFlightCheckInterval = 10 * time.Millisecond // interval at which report checks for requests in flight
 
 // requestCounts counts the simulated nodes' requests.
 type requestCounts struct {
-	inFlight   atomic.Int64 // requests
-	duplicates atomic.Int64 // unsafe requests that were executed more than once
-	lateSends  atomic.Int64 // attempts begun after the server's drain and its grace
+	inFlight   atomic.Int64 // number of requests in flight
+	duplicates atomic.Int64 // unsafe requests that servers executed more than once
+	lateSends  atomic.Int64 // attempts later than drainGrace and violationTolerance after a drain's notice
 
 	countMu      sync.Mutex         // guards the fields below
-	section      nodesSectionCounts // since the last section
-	total        nodesSectionCounts // before the last section's end
-	latency      *hdr.Histogram     // since the last section, µs
-	totalLatency *hdr.Histogram     // µs
+	section      nodesSectionCounts // counts of the section in progress
+	total        nodesSectionCounts // sum of the counts of all ended sections
+	latency      *hdr.Histogram     // latency in the section in progress, µs
+	totalLatency *hdr.Histogram     // latency over the run, µs
 	sendLag      *hdr.Histogram     // delay of requests behind their due time, µs
 	timerLag     *hdr.Histogram     // delay of engines' timers behind their due time, µs
 }
 
-// newRequestCounts returns counts of 0.
+// newRequestCounts returns counts without requests.
 func newRequestCounts() requestCounts {
 	return requestCounts{
 		latency: histogram.New(), totalLatency: histogram.New(), sendLag: histogram.New(), timerLag: histogram.New(),
 	}
 }
 
-// recordSent counts a request that is sent now. It returns false, and counts the request as skipped, if too many requests
-// are in flight.
+// recordSent counts a request that was due at a time and is sent now. If maxInFlight requests are in flight, it counts the
+// request as skipped and returns false.
 func (c *requestCounts) recordSent(due time.Time) bool {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
@@ -50,7 +50,8 @@
 	return true
 }
 
-// recordResponse counts a response by its HTTP status. begun is the number of the request's attempts that a server executed.
+// recordResponse counts a response by its HTTP status and its time since the request was due. begun is the number of the
+// request's attempts that a server began to execute.
 func (c *requestCounts) recordResponse(status int, took time.Duration, class *requestClass, begun int) {
 	c.inFlight.Add(-1)
 	if begun > 1 && !class.idempotent {
@@ -73,7 +74,7 @@
 	}
 }
 
-// recordTimerLag records the delay of a timer that fires now.
+// recordTimerLag records the delay of a timer that was due at a time and fires now.
 func (c *requestCounts) recordTimerLag(due time.Time) {
 	late := time.Since(due)
 	c.countMu.Lock()
@@ -81,7 +82,7 @@
 	c.countMu.Unlock()
 }
 
-// endSection returns the counts since the last section, and begins a new one.
+// endSection returns the counts of the section in progress and begins a new section.
 func (c *requestCounts) endSection() nodesSectionCounts {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
@@ -93,7 +94,7 @@
 	return section
 }
 
-// report stops new requests, waits for the last responses as long as a client does, and returns all counts.
+// report stops new requests, waits for the last responses for up to lastResponseTimeout, and returns all counts.
 func (f *nodeFleet) report() *nodesReport {
 	f.sending.Store(false)
 	for end := time.Now().Add(lastResponseTimeout()); f.inFlight.Load() > 0 && time.Now().Before(end); {
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -10,24 +10,24 @@
 	"cherrygap/internal/settings"
 )
 
-// requestClass is a request class.
+// requestClass is a class of requests.
 type requestClass struct {
 	name        string
 	method      string
 	retrySafety settings.RetrySafety
-	share       float64 // of all requests
-	objective   time.Duration
-	timeout     time.Duration // of the client
-	idempotent  bool
+	share       float64       // share of all requests
+	objective   time.Duration // latency objective and idempotency window
+	timeout     time.Duration // timeout of the clients
+	idempotent  bool          // whether a server may execute a request more than once
 }
 
-// classes lists the request classes.
+// classes lists the request classes. drawClass expects two classes.
 var classes = []requestClass{
 	{"quote", http.MethodGet, settings.RetrySafe, 0.7, time.Second, 2 * time.Second, true},
 	{"order", http.MethodPost, settings.RetryUnsafe, 0.3, 2 * time.Second, 4 * time.Second, false},
 }
 
-// lastResponseTimeout returns the time after the last request within which every response must arrive.
+// lastResponseTimeout returns the time after the last request within which all responses must arrive.
 func lastResponseTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -36,39 +36,39 @@
 	return longest + responseGrace
 }
 
-// quotaPlan is a quota. A request costs one unit.
+// quotaPlan is a plan's quota. A request costs one unit.
 type quotaPlan struct {
 	name  string
 	rate  float64 // units/s
 	burst float64 // units
 }
 
-// plans lists the plans by their rate.
+// plans lists the plans in ascending order of rate.
 var plans = []quotaPlan{{"small", 20, 60}, {"middle", 200, 600}, {"large", 4000, 8000}}
 
 const (
-	zipfExponent      = 0.8 // exponent of the tenants' demand by rank
-	zipfOffset        = 10  // added to each rank, which flattens the demand of the first ones
+	zipfExponent      = 0.8 // exponent of the Zipf distribution of demand over the tenants' ranks
+	zipfOffset        = 10  // offset added to each rank; it brings the largest tenants' demands closer together
 	minSpread         = 3   // smallest number of nodes that a tenant sends to
-	tenantRatePerNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread
+	tenantRatePerNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread nodes
 	quotaHeadroom     = 3.0 // smallest ratio of a tenant's quota to its mean demand, so that bursts are not rejected
 )
 
-// tenant is a customer. It sends to consecutive nodes.
+// tenant is a customer. It sends to spread consecutive nodes, from firstNode on.
 type tenant struct {
-	key       uint64
-	plan      int // index of plans
-	firstNode int
-	spread    int // number of nodes
+	key       uint64 // customer ID in requests
+	plan      int    // index of plans
+	firstNode int    // number of the first node
+	spread    int    // number of nodes
 }
 
 // population holds the tenants of one node and their shares of its requests.
 type population struct {
 	tenants    []tenant
-	cumulative []float64 // sum of the shares up to each tenant, not normalized
+	cumulative []float64 // sum of the shares up to and including each tenant, not normalized
 }
 
-// add adds a tenant with its share, which is not normalized.
+// add adds a tenant with its share. The sum of all shares may differ from 1.
 func (p *population) add(t tenant, share float64) {
 	if last := len(p.cumulative) - 1; last >= 0 {
 		share += p.cumulative[last]
@@ -76,15 +76,15 @@
 	p.tenants, p.cumulative = append(p.tenants, t), append(p.cumulative, share)
 }
 
-// draw draws the tenant of a request by the shares. The population must not be empty.
+// draw draws a request's tenant with a probability proportional to the tenant's share. The population must not be empty.
 func (p *population) draw(rng *rand.Rand) tenant {
 	total := p.cumulative[len(p.cumulative)-1]
 	i, _ := slices.BinarySearch(p.cumulative, rng.Float64()*total)
 	return p.tenants[min(i, len(p.tenants)-1)]
 }
 
-// assignTenants returns the populations of the live nodes, by node. They depend on cfg alone, so that all processes of a
-// run agree. Only the populations of wanted nodes are set.
+// assignTenants returns the populations of the live nodes, by node number. They depend on cfg alone, so that all processes
+// of a run agree. Populations of nodes for which wanted returns false are empty.
 func assignTenants(cfg Config, wanted func(node int) bool) []population {
 	live := cfg.liveNodes()
 	rng := rand.New(rand.NewPCG(cfg.Seed, tenantStream))
@@ -95,7 +95,7 @@
 		sum += weights[i]
 	}
 	for i, weight := range weights {
-		demand := weight / sum * cfg.Rate * float64(live) // requests/s, if all nodes have the mean rate of real ones
+		demand := weight / sum * cfg.Rate * float64(live) // requests/s, as if all nodes had the mean rate of real nodes
 		t := tenant{key: uint64(i) + 1, plan: planFor(demand)}
 		t.spread = min(max(minSpread, int(math.Ceil(demand/tenantRatePerNode))), live)
 		t.firstNode = rng.IntN(live)
@@ -117,7 +117,8 @@
 	return populations
 }
 
-// planFor returns the index of the smallest plan for a mean demand in requests/s.
+// planFor returns the index of the smallest plan that has quotaHeadroom for a mean demand in requests/s, or of the largest
+// plan if none has.
 func planFor(demand float64) int {
 	plan := 0
 	for plan < len(plans)-1 && plans[plan].rate < quotaHeadroom*demand {
@@ -126,7 +127,7 @@
 	return plan
 }
 
-// drawClass draws a request's class.
+// drawClass draws a request's class by the classes' shares.
 func drawClass(rng *rand.Rand) *requestClass {
 	if rng.Float64() < classes[0].share {
 		return &classes[0]
@@ -134,7 +135,8 @@
 	return &classes[1]
 }
 
-// drawServiceTime draws an app server's service time: uniform from 2 to 6 ms, for which quantiles vary little between runs.
+// drawServiceTime draws an app server's service time. The distribution is uniform from 2 to 6 ms, so that quantiles vary
+// little between runs.
 func drawServiceTime(rng *rand.Rand) time.Duration {
 	return 2*time.Millisecond + time.Duration(rng.Int64N(int64(4*time.Millisecond)))
 }
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -12,34 +12,36 @@
 	"cherrygap/internal/lab/nodeprocess"
 )
 
-const nodeStartTimeout = 20 * time.Second // until a real node is ready
+const nodeStartTimeout = 20 * time.Second // longest time from the start of a real node until it is ready
 
-// realNode is an edge node with sockets, over its restarts. Its methods may be called from several goroutines.
+// realNode is an edge node that runs as a process with sockets. It stays the same over restarts of the process. Its methods
+// may be called from several goroutines.
 type realNode struct {
 	number        int
 	clientAddr    string
 	peerAddr      string
-	agentAddr     string           // of discovery
-	peerAddrs     []netip.AddrPort // of all nodes, by number
-	broadcastAddr string           // reaches all nodes
+	agentAddr     string           // address of discovery's agent
+	peerAddrs     []netip.AddrPort // peer addresses of all nodes, by node number
+	broadcastAddr string           // address whose datagrams reach all nodes
 
-	mu        sync.Mutex // guards the fields below
-	process   *nodeprocess.Process
-	accepting bool      // clients send to the node
-	memory    memoryUse // maximum over all processes of the node
+	mu        sync.Mutex           // guards the fields below
+	process   *nodeprocess.Process // latest process; nil before the first start
+	accepting bool                 // whether clients send to the node
+	memory    memoryUse            // maxima over the measurements of all processes of the node
 	exits     exitCounts
 }
 
-// exitCounts counts the processes of a node that ended otherwise than in time after SIGTERM.
+// exitCounts counts the processes of a node that ended before SIGTERM, or not in time after it.
 type exitCounts struct {
-	exited int // before drain sent a signal
-	killed int // by SIGKILL, sigkillDelay later than SIGTERM
+	exited int // number of processes that ended before drain sent SIGTERM
+	killed int // number of processes that had to be killed, as they had not ended sigkillDelay after SIGTERM
 }
 
-// name returns the node's name in its configuration and of its files.
+// name returns the node's name in its configuration and in the names of its files.
 func (n *realNode) name() string { return "real" + strconv.Itoa(n.number) }
 
-// config returns the node's configuration file. Each restart has its own seed.
+// config returns the content of the node's configuration file. known is the endpoint list in it. Each restart has another
+// seed.
 func (n *realNode) config(cfg *Config, known json.RawMessage, restart int) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": n.name(), "listen": n.clientAddr, "discovery": n.agentAddr,
@@ -50,8 +52,8 @@
 	})
 }
 
-// start starts the node and waits until it is ready. known is the endpoint list in its configuration, restart the number of
-// restarts before this start.
+// start starts the node and waits until it is ready. known is the endpoint list in the node's configuration. restart is the
+// number of this restart among those of all real nodes, or 0 for the first start.
 func (n *realNode) start(ctx context.Context, cfg *Config, known json.RawMessage, restart int) error {
 	raw, err := n.config(cfg, known, restart)
 	if err != nil {
@@ -76,8 +78,9 @@
 	return nil
 }
 
-// drain stops the node by SIGTERM. Clients send to the node for loadBalancerDelay more, as a load balancer notices late.
-func (n *realNode) drain(clientsLinger time.Duration) {
+// drain stops the node by SIGTERM. Clients still send to the node for clientDelay, like those of a load balancer that notices
+// the stop late.
+func (n *realNode) drain(clientDelay time.Duration) {
 	n.recordMemory()
 	n.mu.Lock()
 	p := n.process
@@ -90,7 +93,7 @@
 	}
 	ended := make(chan nodeprocess.Ending, 1)
 	go func() { ended <- p.Stop(syscall.SIGTERM, sigkillDelay) }() // ends with the process
-	time.Sleep(clientsLinger)
+	time.Sleep(clientDelay)
 	n.setAccepting(false)
 	if <-ended == nodeprocess.Killed {
 		n.mu.Lock()
@@ -113,7 +116,7 @@
 	return n.accepting
 }
 
-// pid returns the ID of the node's last process; 0 if the node was never started.
+// pid returns the process ID of the node's latest process. It returns 0 if the node was never started.
 func (n *realNode) pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +126,7 @@
 	return n.process.PID()
 }
 
-// recordMemory measures the memory of the present process and returns the maximum over all measurements.
+// recordMemory measures the memory of the latest process and returns the maxima over all measurements.
 func (n *realNode) recordMemory() memoryUse {
 	use := readMemory(n.pid())
 	n.mu.Lock()
@@ -132,13 +135,13 @@
 	return n.memory
 }
 
-// endings returns the counts of processes so far. The last process counts as exited if it has ended.
+// exitCounts returns the counts so far. The latest process counts as exited if it has ended.
 func (n *realNode) exitCounts() exitCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ends := n.exits
+	counts := n.exits
 	if n.process != nil && n.process.HasExited() {
-		ends.exited++
+		counts.exited++
 	}
-	return ends
+	return counts
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -1,8 +1,8 @@
 package scale
 
-// Result holds the figures of a run, which `lab scale` prints as one JSON line. Quantiles (P50, P99) are in ms, Applied figures in
-// seconds, shares and cores in cores, traffic per node and second. docs/lab.md describes each figure. The keys are a stable
-// format, so that results of different versions can be compared.
+// Result holds the figures of a run, which `lab scale` prints as one JSON line. Quantiles (P50, P99) are in ms, Applied
+// figures in seconds, shares and cores in cores, and traffic per node and second. docs/lab.md describes each figure. The JSON
+// keys are a stable format, so that users can compare the results of different versions.
 type Result struct {
 	Nodes     int      `json:"nodes"`
 	Real      int      `json:"real"`
@@ -92,7 +92,7 @@
 	Unanswered int64 `json:"unanswered"`
 }
 
-// PeerBytes counts datagrams of one kind, per simulated node and second.
+// PeerBytes holds the rates of one kind of peer message, per simulated node and second.
 type PeerBytes struct {
 	In       float64 `json:"in_s"`
 	InBytes  float64 `json:"in_bytes_s"`
@@ -100,8 +100,8 @@
 	OutBytes float64 `json:"out_bytes_s"`
 }
 
-// Section holds the figures of one part of the run. Latencies are in ms; the Added ones are the differences between
-// requests by way of a node and direct ones.
+// Section holds the figures of one section of the run. Latencies are in ms. An Added figure is the difference between the
+// quantiles of requests through a node and of direct requests.
 type Section struct {
 	Name         string  `json:"name"`
 	DurationS    float64 `json:"for_s"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -12,45 +12,45 @@
 	"cherrygap/internal/lab/workdir"
 )
 
-// The names of the sections without a fault.
+// Names of the sections without a fault.
 const (
 	sectionWarmUp = "warm-up"
 	sectionQuiet  = "quiet"
-	sectionIdle   = "idle" // without client requests; not in the result's sections
+	sectionIdle   = "idle" // section without client requests; not in the result's sections
 )
 
 const minWarmUp = 500 * time.Millisecond
 
-// run is a run in progress. Only the goroutine of Run uses it, except for restartSimulated, which reads cfg and nodesWorker on
-// a goroutine of its own.
+// run is a run in progress. Only the goroutine of Run uses it. The exception is restartSimulated, which reads cfg and
+// nodesWorker in another goroutine.
 type run struct {
 	cfg           Config
-	serversWorker *worker // simulated app servers
-	nodesWorker   *worker // simulated nodes
+	serversWorker *worker // worker of the simulated app servers
+	nodesWorker   *worker // worker of the simulated nodes
 	agent         *discovery.Agent
-	nodes         []*realNode
+	nodes         []*realNode // real nodes by number
 	clients       *clientSimulator
-	closed        bool
+	closed        bool // whether close was called
 
 	realRestarts      int
 	simulatedRestarts int
 
 	changes        []measuredChange
-	changedServers map[int]bool
-	nextSpare      int   // number of the spare server that is listed next
-	draining       []int // servers, in the order of their drains
+	changedServers map[int]bool // numbers of the servers that a change has affected
+	nextSpare      int          // number of the next spare server to list
+	draining       []int        // numbers of draining servers, in the order of their drains
 
 	sections []section
 }
 
-// section is one part of the run.
+// section holds the counts of one section of the run.
 type section struct {
 	*sectionCounts
-	simulated nodesSectionCounts
+	simulated nodesSectionCounts // counts of the simulated nodes
 }
 
-// Run runs a simulation and returns its figures. It stops all child processes before it returns, also if it fails or ctx
-// ends.
+// Run runs a simulation and returns its figures. It fails if ctx or the time limit ends before the run. It stops all child
+// processes before it returns, also after a failure.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	return result, nil
 }
 
-// close stops all children: first the real nodes, concurrently, then the workers.
+// close stops all child processes: first the real nodes concurrently, then the workers. A second call does nothing.
 func (r *run) close() {
 	if r.closed {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// pause waits for a time, or until ctx ends, whose error it then returns.
+// pause waits for a duration and returns nil, or returns the error of ctx as soon as ctx ends.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -121,7 +121,7 @@
 	}
 }
 
-// play starts all parts and plays the sections in order: warm-up, quiet, each fault, idle.
+// simulate starts all processes and runs the sections in order: warm-up, quiet, each fault, idle. It returns the figures.
 func (r *run) simulate(ctx context.Context) (*Result, error) {
 	startedAt := time.Now()
 	if err := r.setUp(ctx); err != nil {
@@ -147,11 +147,11 @@
 	if err := r.runIdle(ctx, idle, result); err != nil {
 		return nil, err
 	}
-	r.cfg.Log.Info().Msg("collecting the counts")
+	r.cfg.Log.Info().Msg("collecting the workers' counts")
 	return result, result.collect(r)
 }
 
-// runWarmUp plays the first section, at whose start the clients begin to send.
+// runWarmUp runs the first section. At its start the clients begin to send.
 func (r *run) runWarmUp(ctx context.Context, length time.Duration) error {
 	r.beginSection(sectionWarmUp)
 	r.clients.sending.Store(true)
@@ -164,7 +164,7 @@
 	return r.endSection()
 }
 
-// runQuiet plays a section without faults, over which the CPU use is measured.
+// runQuiet runs a section without faults and measures the CPU use over it.
 func (r *run) runQuiet(ctx context.Context, length time.Duration, result *Result) error {
 	r.beginSection(sectionQuiet)
 	use := r.measureCPU()
@@ -175,9 +175,9 @@
 	return r.endSection()
 }
 
-// runFaults plays the configured faults, one section for each.
+// runFaults runs one section for each configured fault.
 func (r *run) runFaults(ctx context.Context, length time.Duration) error {
-	players := map[string]func(context.Context, time.Duration) error{
+	runFault := map[string]func(context.Context, time.Duration) error{
 		FaultChanges: r.runChanges, FaultRollingRestart: r.runRollingRestart,
 		FaultZoneLoss: r.runZoneLoss, FaultWatchLoss: r.runWatchLoss,
 	}
@@ -187,8 +187,8 @@
 		}
 		r.beginSection(name)
 		end := time.Now().Add(length)
-		if err := players[name](ctx, length); err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+		if err := runFault[name](ctx, length); err != nil {
+			return fmt.Errorf("fault %q: %w", name, err)
 		}
 		if err := pause(ctx, time.Until(end)); err != nil {
 			return err
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// beginSection begins to count the requests of a new section.
+// beginSection begins a new section, which counts the clients' requests from now on.
 func (r *run) beginSection(name string) {
 	r.cfg.Log.Info().Str("section", name).Msg("section begins")
 	counts := newSectionCounts(name)
@@ -229,7 +229,7 @@
 	r.clients.section.Store(counts)
 }
 
-// endSection ends the last section and records the simulated nodes' counts and the real nodes' memory.
+// endSection ends the section in progress. It records the simulated nodes' counts and the real nodes' memory.
 func (r *run) endSection() error {
 	var reply nodesReply
 	if err := r.commandNodes(nodesCommand{Verb: nodesEndSection}, &reply); err != nil {
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// commandNodes sends a command to the simulated nodes and waits for the reply, which may be nil.
+// commandNodes sends a command to the simulated nodes and waits for the reply. reply may be nil if only the error matters.
 func (r *run) commandNodes(command nodesCommand, reply *nodesReply) error {
 	if reply == nil {
 		reply = &nodesReply{}
@@ -254,7 +254,8 @@
 	return execute(r.nodesWorker, command, reply)
 }
 
-// commandServers sends a command to the simulated app servers and waits for the reply, which may be nil.
+// commandServers sends a command to the simulated app servers and waits for the reply. reply may be nil if only the error
+// matters.
 func (r *run) commandServers(command serversCommand, reply *serversReply) error {
 	if reply == nil {
 		reply = &serversReply{}
@@ -262,7 +263,7 @@
 	return execute(r.serversWorker, command, reply)
 }
 
-// execute sends a command to a worker and decodes the reply. A failure that the reply states is returned as an error.
+// execute sends a command to a worker and decodes the reply. If the reply states a failure, execute returns it as an error.
 func execute(w *worker, command any, reply interface{ failure() string }) error {
 	if err := w.call(command, reply); err != nil {
 		return err
--- a/internal/lab/scale/sectioncounts.go
+++ b/internal/lab/scale/sectioncounts.go
@@ -11,22 +11,22 @@
 	"cherrygap/internal/lab/histogram"
 )
 
-// sectionCounts counts the clients' requests of one section. Latencies count from a request's due time.
+// sectionCounts counts the requests of the real nodes' clients in one section. Latencies count from a request's due time.
 type sectionCounts struct {
 	name      string
 	startedAt time.Time
 	endedAt   time.Time
 
 	sent, completed, rejected, failed atomic.Int64
-	otherStatus                       atomic.Int64 // or a body that is not an app server's
-	lateResponses                     atomic.Int64
-	unanswered                        atomic.Int64
-	connectFailed                     atomic.Int64
-	directFailed                      atomic.Int64
+	otherStatus                       atomic.Int64 // responses with another status, or with a body that no app server writes
+	lateResponses                     atomic.Int64 // responses later than the client's timeout and violationTolerance
+	unanswered                        atomic.Int64 // requests without a response
+	connectFailed                     atomic.Int64 // requests whose client could not connect to the node
+	directFailed                      atomic.Int64 // direct requests that failed
 
 	mu      sync.Mutex     // guards the fields below
-	viaNode *hdr.Histogram // latency of requests by way of a node, µs
-	direct  *hdr.Histogram // latency of the requests repeated directly at the server, µs
+	viaNode *hdr.Histogram // latency of requests through a node, µs
+	direct  *hdr.Histogram // latency of requests repeated directly at the server, µs
 }
 
 // newSectionCounts returns the counts of a section that begins now.
@@ -34,7 +34,8 @@
 	return &sectionCounts{name: name, startedAt: time.Now(), viaNode: histogram.New(), direct: histogram.New()}
 }
 
-// recordResponse counts a node's response by its HTTP status.
+// recordResponse counts a node's response by its HTTP status. took is the time since the request was due; timeout is the
+// client's timeout.
 func (s *sectionCounts) recordResponse(status int, took, timeout time.Duration) {
 	if took > timeout+violationTolerance {
 		s.lateResponses.Add(1)
@@ -61,7 +62,7 @@
 	s.mu.Unlock()
 }
 
-// result returns the section's figures, without those of the simulated nodes.
+// result returns the section's figures except those of the simulated nodes.
 func (s *sectionCounts) result() Section {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/scale/servers.go
+++ b/internal/lab/scale/servers.go
@@ -22,19 +22,19 @@
 // random service time before each response. It has no queue and is never overloaded.
 type serverFleet struct {
 	servers       []*simulatedServer
-	randomSources sync.Pool // of *rand.Rand
+	randomSources sync.Pool // pool of *rand.Rand
 
-	executions   appserver.Executions // at all servers
-	connections  atomic.Int64         // accepted
+	executions   appserver.Executions // executions of each request at all servers
+	connections  atomic.Int64         // number of accepted connections
 	openConns    atomic.Int64
 	maxOpenConns atomic.Int64
-	lateSends    atomic.Int64 // executions begun after the drain and its grace
-	duplicates   atomic.Int64 // unsafe requests that were executed a second time
-	safeRepeats  atomic.Int64 // safe requests that were executed a second time
+	lateSends    atomic.Int64 // executions later than drainGrace and violationTolerance after a drain was published
+	duplicates   atomic.Int64 // unsafe requests that servers executed a second time
+	safeRepeats  atomic.Int64 // safe requests that servers executed a second time
 }
 
-// RunServers runs count app servers until in ends. It reads commands from in and writes the replies to out, each as one
-// JSON line.
+// RunServers runs count app servers until in ends. It reads commands from in. To out it first writes the servers' addresses,
+// and then one reply to each command. Each message is one line of JSON.
 func RunServers(count int, seed uint64, in io.Reader, out io.Writer) error {
 	f := &serverFleet{}
 	var seeds atomic.Uint64
@@ -51,11 +51,11 @@
 	return serveCommands(json.NewDecoder(in), out, first, f.execute)
 }
 
-// execute executes a command of the lab.
+// execute executes a command of the lab and returns the reply.
 func (f *serverFleet) execute(command serversCommand) (reply serversReply) {
 	for _, i := range command.Servers {
 		if i < 0 || i >= len(f.servers) {
-			return serversReply{Error: fmt.Sprintf("no server %d", i)}
+			return serversReply{Error: fmt.Sprintf("server %d does not exist", i)}
 		}
 		s := f.servers[i]
 		switch command.Verb {
@@ -77,7 +77,7 @@
 	return reply
 }
 
-// report returns all counts.
+// report returns all counts of the run.
 func (f *serverFleet) report() serversReply {
 	reply := serversReply{
 		ExecutionsBegun: make([]int64, len(f.servers)), LateSends: f.lateSends.Load(), Duplicates: f.duplicates.Load(),
@@ -89,13 +89,13 @@
 	return reply
 }
 
-// simulatedServer is an app server, over its restarts.
+// simulatedServer is a simulated app server. It stays the same over restarts of the server.
 type simulatedServer struct {
 	fleet           *serverFleet
 	number          int
 	server          *appserver.Server
-	executionsBegun atomic.Int64 // executions
-	drainedAt       atomic.Int64 // when its drain was published, Unix µs; 0: in service
+	executionsBegun atomic.Int64 // number of executions begun
+	drainedAt       atomic.Int64 // time at which the server's drain was published, Unix µs; 0: in service
 	killed          atomic.Bool
 }
 
@@ -106,7 +106,7 @@
 	return s
 }
 
-// listen opens the server's address, which is the same after each kill.
+// listen opens the server's address, which stays the same after each kill.
 func (s *simulatedServer) listen() error {
 	s.killed.Store(false)
 	if err := s.server.Listen(nil); err != nil {
@@ -115,13 +115,13 @@
 	return nil
 }
 
-// kill refuses new connections and resets the open ones.
+// kill closes the listener and resets the open connections, as if the server's process had been killed.
 func (s *simulatedServer) kill() {
 	s.killed.Store(true)
 	s.server.Kill()
 }
 
-// serve answers the requests of a connection until it ends.
+// serve serves the requests of a connection until the connection ends.
 func (s *simulatedServer) serve(conn net.Conn) {
 	s.fleet.connections.Add(1)
 	if open := s.fleet.openConns.Add(1); open > s.fleet.maxOpenConns.Load() {
@@ -133,7 +133,7 @@
 	}
 }
 
-// serveRequest answers a request and reports whether the connection can carry another one. A request without an ID is a
+// serveRequest serves one request and reports whether the connection can carry another one. A request without an ID is a
 // health check, which needs no service time.
 func (s *simulatedServer) serveRequest(conn net.Conn, reader *bufio.Reader) (reusable bool) {
 	request, err := appserver.ReadRequest(reader)
@@ -156,7 +156,7 @@
 	return appserver.WriteResponse(conn, http.StatusOK, body) == nil
 }
 
-// recordExecution counts that the execution of a request begins.
+// recordExecution counts an execution of a request that begins now.
 func (s *simulatedServer) recordExecution(request appserver.Request) {
 	s.executionsBegun.Add(1)
 	if at := s.drainedAt.Load(); at > 0 && time.Now().UnixMicro()-at > (drainGrace+violationTolerance).Microseconds() {
--- a/internal/lab/scale/serversprotocol.go
+++ b/internal/lab/scale/serversprotocol.go
@@ -3,33 +3,34 @@
 // serversVerb is the action of a command to the simulated app servers.
 type serversVerb string
 
-// The commands to the simulated app servers, with the fields that they use.
+// The commands to the simulated app servers. Capitalized words are the fields of serversCommand that a command uses.
 const (
-	serversDrain   serversVerb = "drain"   // Servers drain since At
-	serversUndrain serversVerb = "undrain" // Servers are in service
-	serversKill    serversVerb = "kill"    // Servers reset their connections and refuse new ones
-	serversRestart serversVerb = "revive"  // Servers listen again
-	serversReport  serversVerb = "report"  // return all counts
+	serversDrain   serversVerb = "drain"   // drains Servers; At is the time of publication
+	serversUndrain serversVerb = "undrain" // sets Servers in service again
+	serversKill    serversVerb = "kill"    // makes Servers reset their connections and refuse new ones
+	serversRestart serversVerb = "revive"  // lets Servers listen again
+	serversReport  serversVerb = "report"  // returns all counts
 )
 
-// serversCommand is a line on the simulated app servers' standard input.
+// serversCommand is a line of the simulated app servers' standard input.
 type serversCommand struct {
 	Verb    serversVerb `json:"do"`
-	Servers []int       `json:"servers"` // by number
-	At      int64       `json:"at"`      // when a drain was published, Unix µs
+	Servers []int       `json:"servers"` // server numbers
+	At      int64       `json:"at"`      // time at which a drain was published, Unix µs
 }
 
-// serversReply is a line on the simulated app servers' standard output: the addresses first, then one reply to each command.
+// serversReply is a line of the simulated app servers' standard output. The first line holds the addresses; each further line
+// is the reply to a command.
 type serversReply struct {
-	Addrs           []string `json:"addrs,omitempty"` // by server
-	Error           string   `json:"error,omitempty"` // empty if the command succeeded
-	ExecutionsBegun []int64  `json:"load,omitempty"`  // executions begun, by server
-	LateSends       int64    `json:"late"`            // executions later after the drain than drainGrace and violationTolerance
-	Duplicates      int64    `json:"doubled"`         // unsafe requests that were executed a second time
-	SafeRepeats     int64    `json:"repeated"`        // safe requests that were executed a second time
-	Connections     int64    `json:"conns"`           // accepted
-	MaxOpenConns    int64    `json:"most_open"`       // open at the same time
+	Addrs           []string `json:"addrs,omitempty"` // addresses by server number
+	Error           string   `json:"error,omitempty"` // error of the command; empty: no error
+	ExecutionsBegun []int64  `json:"load,omitempty"`  // executions begun, by server number
+	LateSends       int64    `json:"late"`            // executions later than drainGrace and violationTolerance after a drain
+	Duplicates      int64    `json:"doubled"`         // unsafe requests that servers executed a second time
+	SafeRepeats     int64    `json:"repeated"`        // safe requests that servers executed a second time
+	Connections     int64    `json:"conns"`           // number of accepted connections
+	MaxOpenConns    int64    `json:"most_open"`       // largest number of connections open at the same time
 }
 
-// failure returns the error that the worker states, or "".
+// failure returns the error of the command, or "" if there was none.
 func (r *serversReply) failure() string { return r.Error }
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -7,23 +7,23 @@
 	"cherrygap/internal/settings"
 )
 
-// Values of the nodes' settings.
+// Values of the settings that all nodes have in common.
 const (
-	tick              = 2 * time.Millisecond // longest delay of a node's timer
+	tick              = 2 * time.Millisecond // longest delay of an engine's timer
 	pollWithin        = 2 * time.Second
 	maxAttempts       = 3
 	maxRetryAfter     = 2 * time.Second
 	serverIdleTimeout = 15 * time.Second
 	connectTimeout    = 250 * time.Millisecond
-	slowStartSpan     = 10 * time.Second // age at which a server is warm
-	slowStartShare    = 0.25             // share of its capacity that a server has at its start
-	overloadMultiple  = 3                // load, relative to its capacity, that a server in slow start bears within overloadSpan
+	slowStartSpan     = 10 * time.Second // age of a server at which its slow start ends
+	slowStartShare    = 0.25             // share of its full capacity that a server has at its start
+	overloadMultiple  = 3                // relative load that a server in slow start tolerates within overloadSpan; 1 is its capacity
 	overloadSpan      = 2 * time.Second
 	responseSlack     = 50 * time.Millisecond // time after the deadline within which a response counts
-	maxUnits          = 100                   // units of a request
+	maxUnits          = 100                   // largest number of units of a request
 )
 
-// nodeSettings returns the settings of a node.
+// nodeSettings returns the settings of the node with a number.
 func nodeSettings(cfg Config, node int) *settings.Settings {
 	classSettings := make([]settings.Class, len(classes))
 	for i, class := range classes {
@@ -68,7 +68,7 @@
 	}
 }
 
-// platformSettings returns the settings of a node in the platform's form.
+// platformSettings returns the settings of the node with a number in the platform's JSON format.
 func platformSettings(cfg Config, node int) json.RawMessage {
 	return settings.PlatformJSON(nodeSettings(cfg, node))
 }
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -13,7 +13,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// The models and the cells of the app servers, which follow each other in the order of the servers' numbers.
+// Models and cells of the app servers. Consecutive server numbers share a model or a cell; after the last model or cell the
+// numbers continue with the first one.
 const (
 	serversPerModel = 7
 	models          = 3
@@ -21,8 +22,8 @@
 	cells           = 4096
 )
 
-// setUp starts the app servers, the simulated nodes, discovery's agent and the real nodes. It returns once all nodes have
-// an endpoint list.
+// setUp starts the app servers, the simulated nodes, discovery's agent and the real nodes. It returns when all nodes have an
+// endpoint list.
 func (r *run) setUp(ctx context.Context) error {
 	servers, addresses, err := r.startWorkers(ctx)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return r.commandNodes(nodesCommand{Verb: nodesAwaitReady}, nil)
 }
 
-// startWorkers starts the workers of the app servers and of the simulated nodes. It returns the addresses of both.
+// startWorkers starts the workers of the app servers and of the simulated nodes. It returns the servers' addresses by number,
+// and the nodes' first reply with their addresses.
 func (r *run) startWorkers(ctx context.Context) (servers []string, nodes nodesReply, err error) {
 	cfg := &r.cfg
 	count := strconv.Itoa(cfg.Servers + cfg.spareServers())
@@ -72,7 +74,8 @@
 	return first.Addrs, nodes, err
 }
 
-// listedEndpoints returns discovery's endpoints for all servers. The spare servers are not listed until a change adds them.
+// listedEndpoints returns discovery's endpoints for all servers, whose addresses are given by number. Spare servers are not
+// listed until a change adds them.
 func (r *run) listedEndpoints(servers []string) ([]discovery.Endpoint, error) {
 	endpoints := make([]discovery.Endpoint, len(servers))
 	for i, s := range servers {
@@ -88,13 +91,14 @@
 	return endpoints, nil
 }
 
-// zoneName returns the zone of a server.
+// zoneName returns the name of a server's zone, such as "r1-z3".
 func zoneName(server int) string {
 	zone := server % (regions * zonesPerRegion)
 	return fmt.Sprintf("r%d-z%d", zone/zonesPerRegion, zone%zonesPerRegion)
 }
 
-// makeRealNodes creates the real nodes with their own addresses and those of their peers, but does not start them.
+// makeRealNodes creates the real nodes with free addresses and the addresses of their peers, but does not start them. nodes
+// holds the addresses of the simulated nodes and of the proxies.
 func (r *run) makeRealNodes(nodes nodesReply) error {
 	peers := make([]netip.AddrPort, 0, r.cfg.liveNodes())
 	for _, s := range slices.Concat(nodes.Proxies, nodes.Nodes) {
@@ -123,7 +127,7 @@
 	return nil
 }
 
-// startRealNodes starts all real nodes concurrently and waits until they are ready.
+// startRealNodes starts all real nodes concurrently and waits until each is ready or has failed. It returns all errors.
 func (r *run) startRealNodes(ctx context.Context) error {
 	started := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	sigkillDelay      = 4 * time.Second // from SIGTERM to SIGKILL
-	workerExitTimeout = time.Second     // from the end of a worker's input to SIGTERM
+	sigkillDelay      = 4 * time.Second // time from SIGTERM to SIGKILL of a child process
+	workerExitTimeout = time.Second     // time from the end of a worker's input to SIGTERM
 )
 
-// worker is a child process that reads commands from its standard input and writes one reply to each to its standard
-// output, as JSON lines. Its methods may be called from several goroutines.
+// worker is a child process that reads commands from its standard input and writes one reply to each command to its standard
+// output, all as lines of JSON. Its methods may be called from several goroutines.
 type worker struct {
 	process *nodeprocess.Process
 
-	mu       sync.Mutex // guards the fields below; held from a command to its reply
+	mu       sync.Mutex // guards the fields below; held from a command until its reply
 	stdin    io.WriteCloser
 	commands *json.Encoder
 	replies  *json.Decoder
 }
 
-// startWorker starts this program as a worker. The worker is stopped when ctx ends, so that no call waits for a reply any
-// more.
+// startWorker starts this program with args as a worker. name is the name of its log. When ctx ends, the worker is stopped,
+// so that no call waits for a reply any longer.
 func startWorker(ctx context.Context, cfg *Config, name string, args ...string) (*worker, error) {
 	w := &worker{}
 	var err error
@@ -45,7 +45,7 @@
 	return w, nil
 }
 
-// openPipes connects the worker's standard input and output.
+// openPipes connects pipes to the standard input and output of the worker's command.
 func (w *worker) openPipes(cmd *exec.Cmd) error {
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -61,8 +61,8 @@
 // pid returns the worker's process ID.
 func (w *worker) pid() int { return w.process.PID() }
 
-// call sends a command, unless it is nil, and decodes the reply into reply. An error contains the last line of the
-// worker's log.
+// call sends a command, unless it is nil, and decodes the next line of the worker's output into reply. An error contains the
+// worker's name and the last line of its log.
 func (w *worker) call(command, reply any) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,12 +74,13 @@
 		err = w.replies.Decode(reply)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w: %s", w.process.Name(), err, w.process.LastLogLine())
+		return fmt.Errorf("worker %q: %w; last line of its log: %s", w.process.Name(), err, w.process.LastLogLine())
 	}
 	return nil
 }
 
-// closeInput closes the worker's standard input, at which the worker ends, and stops a worker that does not end in time.
+// closeInput closes the worker's standard input, which lets the worker end. It stops a worker that does not end within
+// workerExitTimeout.
 func (w *worker) closeInput() {
 	_ = w.stdin.Close() // fails if the worker has ended
 	select {
@@ -89,22 +90,22 @@
 	}
 }
 
-// serveCommands is the worker's side of the protocol: it writes the first reply and then one reply to each command, until
-// in ends.
+// serveCommands is the worker's side of the protocol. It writes the first reply, then executes commands and writes one reply
+// to each, until in ends.
 func serveCommands[Command, Reply any](in *json.Decoder, out io.Writer, first Reply, execute func(Command) Reply) error {
 	replies := json.NewEncoder(out)
 	if err := replies.Encode(first); err != nil {
-		return fmt.Errorf("write of a reply: %w", err)
+		return fmt.Errorf("cannot write a reply: %w", err)
 	}
 	for {
 		var command Command
 		if err := in.Decode(&command); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("read of a command: %w", err)
+			return fmt.Errorf("cannot read a command: %w", err)
 		}
 		if err := replies.Encode(execute(command)); err != nil {
-			return fmt.Errorf("write of a reply: %w", err)
+			return fmt.Errorf("cannot write a reply: %w", err)
 		}
 	}
 }
