--- a/internal/lab/scale/connpool_test.go
+++ b/internal/lab/scale/connpool_test.go
@@ -7,28 +7,31 @@
 	"time"
 )
 
-// testConns returns count connections to a listener that the test closes, and its address.
+// testConns returns count connections to a listener and the listener's address. The listener is closed when the test ends.
 func testConns(t *testing.T, count int) (conns []*clientConn, addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("cannot listen: %v", err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	addr = listener.Addr().String()
 	for range count {
 		conn, err := dialClientConn(context.Background(), addr)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("dialClientConn(%s) failed: %v", addr, err)
 		}
 		conns = append(conns, conn)
 	}
 	return conns, addr
 }
 
+// isClosed reports whether the connection was closed on the client's side.
 func isClosed(c *clientConn) bool { return c.conn.SetDeadline(time.Now().Add(time.Second)) != nil }
 
-// The pool returns the most recently used connection first. It keeps no more than its limit and only reusable connections.
+// TestConnPoolKeepsReusableConnections guards against a leak of connections and against the reuse of a connection that can't
+// carry another request. The pool closes connections above its limit and those that are not reusable. It returns the most
+// recently used connection first.
 func TestConnPoolKeepsReusableConnections(t *testing.T) {
 	conns, addr := testConns(t, 4)
 	pool := newConnPool(2)
@@ -38,16 +41,18 @@
 	conns[3].reusable = false
 	pool.put(addr, conns[3])
 	if pool.idleCount != 2 || !isClosed(conns[2]) || !isClosed(conns[3]) {
-		t.Errorf("%d idle", pool.idleCount)
+		t.Errorf("pool holds %d of 4 connections; third one closed: %v, not reusable one closed: %v; want 2, true, true",
+			pool.idleCount, isClosed(conns[2]), isClosed(conns[3]))
 	}
 	for _, want := range []*clientConn{conns[1], conns[0], nil} {
 		if got := pool.take(addr); got != want || got != nil && isClosed(got) {
-			t.Errorf("got %v, want %v", got, want)
+			t.Errorf("take(%s) = connection %p, closed: %v; want connection %p, closed: false", addr, got, got != nil && isClosed(got), want)
 		}
 	}
 }
 
-// drop closes the idle connections to one address, dropAll those to all addresses.
+// TestConnPoolDrops guards against stale connections to a node that has stopped. drop closes the idle connections to one
+// address only; dropAll closes the connections to all addresses.
 func TestConnPoolDrops(t *testing.T) {
 	conns, addr := testConns(t, 2)
 	pool := newConnPool(2)
@@ -55,10 +60,11 @@
 	pool.put("elsewhere", conns[1])
 	pool.drop(addr)
 	if pool.idleCount != 1 || pool.take(addr) != nil || !isClosed(conns[0]) || isClosed(conns[1]) {
-		t.Errorf("%d idle after a drop", pool.idleCount)
+		t.Errorf("after drop(%s) of one of 2 idle connections: %d idle, closed: %v; want 1 idle, closed: [true false]",
+			addr, pool.idleCount, []bool{isClosed(conns[0]), isClosed(conns[1])})
 	}
 	pool.dropAll()
 	if pool.idleCount != 0 || !isClosed(conns[1]) {
-		t.Errorf("%d idle after all were dropped", pool.idleCount)
+		t.Errorf("after dropAll: %d idle, last connection closed: %v; want 0 idle, true", pool.idleCount, isClosed(conns[1]))
 	}
 }
--- a/internal/lab/scale/jsonformat_test.go
+++ b/internal/lab/scale/jsonformat_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// fill sets every exported field of v to a different value, so that a missing or moved key shows.
+// fillDistinct fills all fields of v, and sets every number to a different value. Thus a comparison detects a missing or moved
+// key.
 func fillDistinct(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -22,10 +23,10 @@
 			fillDistinct(v.Index(i), next)
 		}
 	case reflect.Map:
-		e := reflect.New(v.Type().Elem()).Elem()
-		fillDistinct(e, next)
+		element := reflect.New(v.Type().Elem()).Elem()
+		fillDistinct(element, next)
 		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(reflect.ValueOf("use"), e)
+		v.SetMapIndex(reflect.ValueOf("use"), element)
 	case reflect.String:
 		v.SetString("name")
 	case reflect.Bool:
@@ -39,30 +40,32 @@
 	}
 }
 
-// The line of `lab scale` has the keys of testdata/result.json, in its order.
+// TestResultJSONFormat guards against changes of the JSON line that `lab scale` prints. A renamed, missing or moved key would
+// make results of different versions incomparable. testdata/result.json holds the keys in their order.
 func TestResultJSONFormat(t *testing.T) {
 	want, err := os.ReadFile("testdata/result.json")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("cannot read the expected JSON: %v", err)
 	}
 	var r Result
 	next := 0
 	fillDistinct(reflect.ValueOf(&r).Elem(), &next)
 	raw, err := json.Marshal(r)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Marshal of a Result failed: %v", err)
 	}
 	var got bytes.Buffer
 	if err := json.Indent(&got, raw, "", " "); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Indent of a Result failed: %v", err)
 	}
 	got.WriteByte('\n')
 	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("got\n%s", got.String())
+		t.Errorf("JSON of a Result is\n%s\nwant the content of testdata/result.json:\n%s", got.String(), want)
 	}
 }
 
-// Every field of the lines between the lab and its workers survives encoding and decoding.
+// TestWorkerProtocolRoundTrip guards against fields of commands and replies that are lost between the lab and its workers, for
+// example because two fields of a struct have the same JSON key.
 func TestWorkerProtocolRoundTrip(t *testing.T) {
 	for name, v := range map[string]any{"nodes command": &nodesCommand{}, "nodes reply": &nodesReply{
 		Section: &nodesSectionCounts{},
@@ -70,25 +73,25 @@
 	}, "servers command": &serversCommand{}, "servers reply": &serversReply{}} {
 		next := 0
 		for i := range reflect.ValueOf(v).Elem().NumField() {
-			f := reflect.ValueOf(v).Elem().Field(i)
-			if f.Kind() == reflect.Pointer {
-				if r, ok := f.Interface().(*nodesReport); ok {
+			field := reflect.ValueOf(v).Elem().Field(i)
+			if field.Kind() == reflect.Pointer {
+				if r, ok := field.Interface().(*nodesReport); ok {
 					r.Lists, r.Peers, r.AttemptsBegun = []listApplyTimes{{7, []int64{8, 0}}}, []peerTraffic{{1, 2, 3, 4, 5}}, []int64{9}
 					r.Sent, r.P99, r.Unanswered, r.TimerLagP99 = 10, 11, 12, 13
 				} else {
-					fillDistinct(f.Elem(), &next)
+					fillDistinct(field.Elem(), &next)
 				}
 				continue
 			}
-			fillDistinct(f, &next)
+			fillDistinct(field, &next)
 		}
 		raw, err := json.Marshal(v)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Marshal of the %s failed: %v", name, err)
 		}
-		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
-		if err := json.Unmarshal(raw, back); err != nil || !reflect.DeepEqual(back, v) {
-			t.Errorf("%s: %v, %s", name, err, raw)
+		decoded := reflect.New(reflect.TypeOf(v).Elem()).Interface()
+		if err := json.Unmarshal(raw, decoded); err != nil || !reflect.DeepEqual(decoded, v) {
+			t.Errorf("%s %s was decoded as %+v, error %v; want %+v, no error", name, raw, decoded, err, v)
 		}
 	}
 }
--- a/internal/lab/scale/nodelists_test.go
+++ b/internal/lab/scale/nodelists_test.go
@@ -9,7 +9,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// testFleet returns a fleet with one simulated node beside a real one. The simulated node has a list of two servers.
+// testFleet returns a fleet of one simulated node, configured beside one real node that does not run, and the simulated node.
+// The simulated node has a list of two servers.
 func testFleet(t *testing.T) (*nodeFleet, *simulatedNode) {
 	t.Helper()
 	f := newNodeFleet()
@@ -18,7 +19,7 @@
 		Servers: []string{"127.0.0.1:1", "127.0.0.1:2"},
 	}
 	if _, err := f.open(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("cannot open the sockets of the fleet: %v", err)
 	}
 	n := f.nodes[0]
 	t.Cleanup(func() {
@@ -35,14 +36,15 @@
 	return f, n
 }
 
+// testEndpoint returns the endpoint of a server of the fleet, by server number, in a state.
 func testEndpoint(f *nodeFleet, server int, state protocol.EndpointState) protocol.Endpoint {
 	return protocol.Endpoint{
 		UID: fmt.Sprint(server), Addr: netip.MustParseAddrPort(f.cfg.Servers[server]), State: state, Weight: 1,
 	}
 }
 
-// A simulated node does not use a server once it has applied the server's drain. While the node is away it receives no
-// list. It comes back with the latest one.
+// TestSimulatedNodeAppliesLists guards against nodes that route by an outdated list. A node must not use a server after it has
+// applied the server's drain. A node that is down applies no list; after its restart it has the latest one.
 func TestSimulatedNodeAppliesLists(t *testing.T) {
 	f, n := testFleet(t)
 	router := n.current.Load().router
@@ -50,18 +52,20 @@
 	i := f.serverNumbers[server.Addr]
 	f.applyList(&protocol.EndpointList{Revision: 2, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.Terminating)}})
 	if router.InService(server) || len(n.current.Load().drained) != 1 {
-		t.Error("a draining server is in service")
+		t.Errorf("after a list that drains server %d: InService = %v, servers out of service %v; want false, one server",
+			i, router.InService(server), n.current.Load().drained)
 	}
 	n.down.Store(true)
 	f.applyList(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.InService)}})
 	if router.InService(server) {
-		t.Error("the node applied a list while it was away")
+		t.Errorf("node applied the list that sets server %d in service while it was down, want no change", i)
 	}
 	f.restart([]int{0}, 0)
 	if inc := n.current.Load(); n.down.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
-		t.Error("the node came back without the latest list")
+		t.Errorf("restarted node: down %v, %d servers, %d out of service, engine replaced %v; want false, 2, 0, true",
+			n.down.Load(), len(inc.router.Servers()), len(inc.drained), inc.router != router)
 	}
 	if len(f.applied) != 3 || f.applied[0].At[0] == 0 || f.applied[2].At[0] != 0 {
-		t.Errorf("applied %+v", f.applied)
+		t.Errorf("times at which nodes applied lists are %+v, want 3 lists, the first one applied, the last one not", f.applied)
 	}
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// TestInvalidConfig guards against runs with values out of range, and against errors that don't name the flag. The default
+// configuration with a program is valid.
 func TestInvalidConfig(t *testing.T) {
 	for want, invalidate := range map[string]func(*Config){
 		"no program":   func(c *Config) { c.Program = "" },
@@ -28,17 +30,19 @@
 		c.Program = "cherrygap"
 		invalidate(&c)
 		if err := c.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("Check() of an invalid configuration = %v, want an error with %q", err, want)
 		}
 	}
 	c := Default()
 	c.Program = "cherrygap"
 	if err := c.Check(); err != nil || c.Simulated != 827 || c.TimeLimit <= c.Duration {
-		t.Errorf("%v, %+v", err, c)
+		t.Errorf("Check() of the default configuration = %v with Simulated %d, TimeLimit %v; want nil, 827, TimeLimit above %v",
+			err, c.Simulated, c.TimeLimit, c.Duration)
 	}
 }
 
-// Every tenant sends to its own nodes only, numbered as in the settings. A node's population does not depend on which other
+// TestTenantsSendToTheirNodes guards against requests at nodes that don't belong to the tenant, which a node would route by
+// other rules. It also guards against processes of a run that disagree: a node's population must not depend on which other
 // populations are wanted.
 func TestTenantsSendToTheirNodes(t *testing.T) {
 	for _, c := range []Config{
@@ -50,15 +54,17 @@
 		some := assignTenants(c, func(n int) bool { return n == 1 })
 		live := c.Real + c.Simulated
 		if len(all) != live || !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].cumulative, some[1].cumulative) {
-			t.Fatal("the populations differ")
+			t.Fatalf("assignTenants returned %d populations; want %d, and the same tenants of node 1 whether all nodes or only node 1 are wanted",
+				len(all), live)
 		}
 		rng := rand.New(rand.NewPCG(1, 2))
 		for n := range all {
 			for range 20 {
-				x := all[n].draw(rng)
-				if at := (n - x.firstNode + c.Nodes) % c.Nodes; at >= x.spread || x.firstNode >= live || x.spread > live ||
-					live < c.Nodes && x.firstNode+x.spread > live {
-					t.Fatalf("node %d has the tenant %+v", n, x)
+				drawn := all[n].draw(rng)
+				if offset := (n - drawn.firstNode + c.Nodes) % c.Nodes; offset >= drawn.spread || drawn.firstNode >= live || drawn.spread > live ||
+					live < c.Nodes && drawn.firstNode+drawn.spread > live {
+					t.Fatalf("node %d of %d live nodes drew tenant %+v, want a tenant that sends to this node and to live nodes only",
+						n, live, drawn)
 				}
 			}
 		}
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// A worker writes its first line and then one reply to each command, until its input ends. Invalid input is an error.
+// TestServeCommands guards against a worker that loses a reply, or that ends without an error on invalid input. A worker
+// writes its first line, then one reply to each command until its input ends.
 func TestServeCommands(t *testing.T) {
 	double := func(command int) int { return 2 * command }
 	for name, c := range map[string]struct {
@@ -24,20 +25,21 @@
 			var out bytes.Buffer
 			err := serveCommands(json.NewDecoder(strings.NewReader(c.in)), &out, 7, double)
 			if out.String() != c.want || (err != nil) != c.fails {
-				t.Errorf("wrote %q, %v; want %q", out.String(), err, c.want)
+				t.Errorf("serveCommands on input %q wrote %q and returned %v; want %q, error: %v", c.in, out.String(), err, c.want, c.fails)
 			}
 		})
 	}
 }
 
-// A worker whose output is closed ends with the error of its write.
+// TestServeCommandsWithClosedOutput guards against a worker that keeps running after the lab has closed its output.
+// serveCommands has to return the error of the write.
 func TestServeCommandsWithClosedOutput(t *testing.T) {
 	reader, writer := io.Pipe()
 	if err := reader.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("cannot close the reader: %v", err)
 	}
 	err := serveCommands(json.NewDecoder(strings.NewReader("")), writer, 7, func(command int) int { return command })
 	if !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("got %v", err)
+		t.Errorf("serveCommands with closed output returned %v, want %v", err, io.ErrClosedPipe)
 	}
 }
