--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	directHeader  = "X-Direct"           // servers do not count a request with this header
+	directHeader  = "X-Direct"           // header of requests that servers do not count
 	directDelay   = 2 * time.Millisecond // delay from a node's response to the direct request
 	responseGrace = time.Second          // additional time that a client waits after the request's timeout
 )
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -12,7 +12,8 @@
 // has the same limit.
 const behindLagMs = 10.0
 
-// recordQuiet sets the CPU shares of the section without faults. since is the CPU use at the section's start.
+// recordQuiet sets the CPU shares and the request rate of the section without faults. since is the CPU use at the section's
+// start.
 func (r *Result) recordQuiet(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.CoreShare, r.MaxCoreShare = shares.meanReal, shares.maxReal
@@ -21,7 +22,8 @@
 	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
 }
 
-// recordIdle sets the CPU shares of the section without requests. since is the CPU use at the section's start.
+// recordIdle sets the CPU shares of the section without requests, and the CPU time per request, for which recordQuiet must
+// have been called. since is the CPU use at the section's start.
 func (r *Result) recordIdle(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
 	r.ControlShare, r.MaxControlShare = shares.meanReal, shares.maxReal
@@ -30,7 +32,7 @@
 	}
 }
 
-// collect gets the workers' counts and sets the fields that recordQuiet and recordIdle do not set.
+// collect gets the workers' final reports and sets the sizes, counts, latencies, delays and traffic of the run.
 func (r *Result) collect(run *run) error {
 	var nodes nodesReply
 	if err := run.commandNodes(nodesCommand{Verb: nodesFinalReport}, &nodes); err != nil {
@@ -170,8 +172,8 @@
 // realDelays returns the delays of the real nodes that had to apply a change.
 func (r *run) realDelays(change measuredChange) applyDelays {
 	delays := applyDelays{complete: true}
-	for i, expected := range change.mustApply {
-		if !expected {
+	for i, mustApply := range change.mustApply {
+		if !mustApply {
 			continue
 		}
 		at := r.agent.AppliedAt(i, change.revision, change.publishedAt)
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -24,7 +24,7 @@
 // Names of the scripted faults in the --fault flag and in the result. A run executes the faults in this order.
 const (
 	FaultChanges        = "changes" // servers drain, are removed, are added or change their weight, one after another
-	FaultRollingRestart = "roll"    // all nodes restart, one after another or in batches
+	FaultRollingRestart = "roll"    // all nodes restart: real ones one after another, simulated ones in batches
 	FaultZoneLoss       = "zone"    // a zone's servers fail, are removed from the list, and are restarted and listed as new
 	FaultWatchLoss      = "watch"   // discovery's agent closes all watches at once; each node then gets the full list
 )
@@ -52,7 +52,7 @@
 	Sockets       int           // descriptor limit in the configuration of each real node
 	MemoryMB      int           // memory limit in the configuration of each real node, MiB
 
-	Log *zerolog.Logger `json:"-"` // logs the start of each section; nil: no log
+	Log *zerolog.Logger `json:"-"` // logger of the run's progress; nil: no log
 }
 
 // Default returns the configuration of the target size, without Program.
@@ -71,10 +71,10 @@
 
 // Second words of the PCG seeds, one for each random stream of the run. Config.Seed is the first word.
 const (
-	tenantStream      = 0x7465  // assigns nodes to tenants
-	nodeRequestStream = 0x686f  // draws the times, nodes, tenants and classes of the simulated nodes' requests
-	nodeRandomStream  = 1 << 32 // simulated nodes' other random sources; combined with the number of the source
-	clientStream      = 1 << 33 // draws the requests of a real node's clients; combined with the node's number
+	tenantStream      = 0x7465  // assignment of nodes to tenants
+	nodeRequestStream = 0x686f  // times, nodes, tenants and classes of the simulated nodes' requests
+	nodeRandomStream  = 1 << 32 // other random draws of the simulated nodes; combined with the number of the source
+	clientStream      = 1 << 33 // requests of a real node's clients; combined with the node's number
 )
 
 const (
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -36,9 +36,9 @@
 // publish publishes a change of servers in discovery and records it for the result. It tells the app servers that a drain
 // begins or that they are in service again.
 func (r *run) publish(change listChange, servers ...int) error {
-	expected := make([]bool, len(r.nodes))
+	mustApply := make([]bool, len(r.nodes))
 	for i, n := range r.nodes {
-		expected[i] = n.acceptsClients()
+		mustApply[i] = n.acceptsClients()
 	}
 	if change.state == protocol.InService {
 		if err := r.commandServers(serversCommand{Verb: serversUndrain, Servers: servers}, nil); err != nil {
@@ -54,7 +54,7 @@
 			e.Weight = change.weight
 		}
 	}, servers...)
-	r.changes = append(r.changes, measuredChange{revision, at, expected})
+	r.changes = append(r.changes, measuredChange{revision, at, mustApply})
 	for _, i := range servers {
 		r.changedServers[i] = true
 	}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// makeChange publishes one change. The kind of change alternates with step: drain a server, change a server's weight, add a
-// server, remove a draining server.
+// makeChange publishes one change. step selects the kind in turn: drain a server, change a server's weight, add a server,
+// remove a draining server. If no server is available for the change, makeChange does nothing.
 func (r *run) makeChange(step int) error {
 	servers := r.cfg.Servers
 	switch step % 4 {
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -14,7 +14,7 @@
 // notReadyRetryDelay is the delay until an engine's timer fires again if it fired before all nodes had their first list.
 const notReadyRetryDelay = 50 * time.Millisecond
 
-// incarnation is the state of a simulated node between two of its starts.
+// incarnation is the state of a simulated node from one start to the next.
 type incarnation struct {
 	router   *routing.Router
 	timer    *time.Timer
@@ -46,7 +46,8 @@
 }
 
 // timerFired calls the engine's periodic task, or retries later while some node has no endpoint list. Otherwise the periodic
-// tasks of nodes that have a list would delay the setup by minutes. An ended incarnation without requests has no tasks.
+// tasks of nodes that have a list would delay the setup by minutes. The task is
+// skipped for an ended incarnation without requests.
 func (n *simulatedNode) timerFired(inc *incarnation) {
 	select {
 	case <-n.fleet.ready:
--- a/internal/lab/scale/node.go
+++ b/internal/lab/scale/node.go
@@ -15,11 +15,11 @@
 	conn    *net.UDPConn                // socket for peer messages
 	addr    netip.AddrPort              // local address of conn
 	down    atomic.Bool                 // whether the node is stopped, between two incarnations
-	current atomic.Pointer[incarnation] // last started incarnation
+	current atomic.Pointer[incarnation] // latest incarnation
 }
 
 // send sends a peer message of an incarnation as a datagram to one node, or to all nodes if peer is below 0. A broadcast
-// reaches the simulated nodes over the fleet's queue. It ignores send errors, as a node has to tolerate lost datagrams.
+// reaches the simulated nodes over the fleet's queue. send ignores write errors, as a node has to tolerate lost datagrams.
 func (n *simulatedNode) send(from *incarnation, peer int, payload []byte) {
 	if len(payload) > protocol.MaxDatagram || from.ended.Load() {
 		return
--- a/internal/lab/scale/nodepeers.go
+++ b/internal/lab/scale/nodepeers.go
@@ -31,7 +31,7 @@
 	outgoing
 )
 
-// kindName returns the name of the kind whose messages begin with firstByte.
+// kindName returns the name of the kind whose messages begin with firstByte, or "other".
 func kindName(firstByte byte) string {
 	i := slices.IndexFunc(messageKinds[:], func(k messageKind) bool { return k.firstByte == firstByte })
 	if i < 0 {
--- a/internal/lab/scale/noderequests.go
+++ b/internal/lab/scale/noderequests.go
@@ -75,7 +75,7 @@
 }
 
 // simulateAttempt simulates an attempt at a server. The server needs a random service time. The attempt fails if the server
-// is killed by then.
+// has been killed by then.
 func (f *nodeFleet) simulateAttempt(inc *incarnation, handle *attemptHandle, d routing.Decision) attemptResult {
 	cancelled, ok := handle.begin(d.Attempt)
 	if !ok || !inc.router.InService(d.Server) {
--- a/internal/lab/scale/nodesprotocol.go
+++ b/internal/lab/scale/nodesprotocol.go
@@ -11,14 +11,14 @@
 
 // The commands to the simulated nodes. Capitalized words are the fields of nodesCommand that a command uses.
 const (
-	nodesStart          nodesVerb = "start"   // starts all nodes with the addresses in Real and Agent
-	nodesAwaitReady     nodesVerb = "ready"   // waits until all nodes have their first endpoint list
-	nodesStartSending   nodesVerb = "send"    // begins to send requests
-	nodesKillServers    nodesVerb = "dead"    // makes attempts at Servers fail from now on
-	nodesRestartServers nodesVerb = "alive"   // lets Servers respond again
-	nodesRestart        nodesVerb = "restart" // stops Nodes for Ms, then starts them
-	nodesEndSection     nodesVerb = "section" // ends a section and returns its counts
-	nodesFinalReport    nodesVerb = "report"  // stops sending and returns all counts
+	nodesStart          nodesVerb = "start"   // start all nodes with the addresses in Real and Agent
+	nodesAwaitReady     nodesVerb = "ready"   // wait until all nodes have their first endpoint list
+	nodesStartSending   nodesVerb = "send"    // begin to send requests
+	nodesKillServers    nodesVerb = "dead"    // let attempts at Servers fail from now on
+	nodesRestartServers nodesVerb = "alive"   // let Servers respond again
+	nodesRestart        nodesVerb = "restart" // stop Nodes for Ms, then start them
+	nodesEndSection     nodesVerb = "section" // end the section and return its counts
+	nodesFinalReport    nodesVerb = "report"  // stop sending and return all counts
 )
 
 // nodesCommand is a line of the simulated nodes' standard input after the first one.
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -18,8 +18,8 @@
 // may be called from several goroutines.
 type realNode struct {
 	number        int
-	clientAddr    string
-	peerAddr      string
+	clientAddr    string           // address for clients
+	peerAddr      string           // address for peer messages
 	agentAddr     string           // address of discovery's agent
 	peerAddrs     []netip.AddrPort // peer addresses of all nodes, by node number
 	broadcastAddr string           // address whose datagrams reach all nodes
@@ -40,8 +40,8 @@
 // name returns the node's name in its configuration and in the names of its files.
 func (n *realNode) name() string { return "real" + strconv.Itoa(n.number) }
 
-// config returns the content of the node's configuration file. known is the endpoint list in it. Each restart has another
-// seed.
+// config returns the content of the node's configuration file. known is the endpoint list in it. Each restart has its
+// own seed.
 func (n *realNode) config(cfg *Config, known json.RawMessage, restart int) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": n.name(), "listen": n.clientAddr, "discovery": n.agentAddr,
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -49,8 +49,8 @@
 	simulated nodesSectionCounts // counts of the simulated nodes
 }
 
-// Run runs a simulation and returns its figures. It fails if ctx ends or the time limit passes before the run is over. It stops all child
-// processes before it returns, also after a failure.
+// Run runs a simulation and returns its figures. It fails if ctx ends or the time limit passes before the run is over. It
+// stops all child processes before it returns, also after a failure.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
--- a/internal/lab/scale/servers.go
+++ b/internal/lab/scale/servers.go
@@ -26,11 +26,11 @@
 
 	executions   appserver.Executions // executions of each request at all servers
 	connections  atomic.Int64         // number of accepted connections
-	openConns    atomic.Int64
-	maxOpenConns atomic.Int64
-	lateSends    atomic.Int64 // executions later than drainGrace and violationTolerance after a drain was published
-	duplicates   atomic.Int64 // unsafe requests that servers executed a second time
-	safeRepeats  atomic.Int64 // safe requests that servers executed a second time
+	openConns    atomic.Int64         // number of open connections
+	maxOpenConns atomic.Int64         // maximum of openConns
+	lateSends    atomic.Int64         // executions later than drainGrace and violationTolerance after a drain was published
+	duplicates   atomic.Int64         // unsafe requests that servers executed a second time
+	safeRepeats  atomic.Int64         // safe requests that servers executed a second time
 }
 
 // RunServers runs count app servers until in ends. It reads commands from in. To out it first writes the servers' addresses,
@@ -96,7 +96,7 @@
 	server          *appserver.Server
 	executionsBegun atomic.Int64 // number of executions begun
 	drainedAt       atomic.Int64 // time at which the server's drain was published, Unix µs; 0: in service
-	killed          atomic.Bool
+	killed          atomic.Bool  // whether the lab has killed the server and not restarted it
 }
 
 // newSimulatedServer returns a server that does not listen yet.
--- a/internal/lab/scale/serversprotocol.go
+++ b/internal/lab/scale/serversprotocol.go
@@ -5,11 +5,11 @@
 
 // The commands to the simulated app servers. Capitalized words are the fields of serversCommand that a command uses.
 const (
-	serversDrain   serversVerb = "drain"   // drains Servers; At is the time of publication
-	serversUndrain serversVerb = "undrain" // sets Servers in service again
-	serversKill    serversVerb = "kill"    // makes Servers reset their connections and refuse new ones
-	serversRestart serversVerb = "revive"  // lets Servers listen again
-	serversReport  serversVerb = "report"  // returns all counts
+	serversDrain   serversVerb = "drain"   // drain Servers; At is the time of publication
+	serversUndrain serversVerb = "undrain" // set Servers in service again
+	serversKill    serversVerb = "kill"    // let Servers reset their connections and refuse new ones
+	serversRestart serversVerb = "revive"  // let Servers listen again
+	serversReport  serversVerb = "report"  // return all counts
 )
 
 // serversCommand is a line of the simulated app servers' standard input.
