--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	minChangeInterval = 300 * time.Millisecond
-	minChanges        = 4
-	maxChanges        = 40
-	changedWeight     = 1.25
-	clientsLinger     = 200 * time.Millisecond // after a node's SIGTERM, in which clients still send to the node
-	watchOutage       = 100 * time.Millisecond
-	restartBatches    = 10 // of simulated nodes
-	maxRestartAway    = time.Second
+	minChangeInterval  = 300 * time.Millisecond
+	minChanges         = 4
+	maxChanges         = 40
+	changedWeight      = 1.25                   // weight of a server after a change of weight; it was 1 before
+	loadBalancerDelay  = 200 * time.Millisecond // time after a node's SIGTERM in which clients still send to the node
+	watchOutage        = 100 * time.Millisecond
+	restartBatches     = 10 // number of batches in which the simulated nodes restart
+	maxRestartDowntime = time.Second
 )
 
 // measuredChange is a revision of the endpoint list whose delay to all nodes is measured.
 type measuredChange struct {
-	revision uint64
-	at       time.Time // of publication
-	expected []bool    // by real node: the node accepted clients, and so has to apply the change
+	revision    uint64
+	publishedAt time.Time // time of publication
+	mustApply   []bool    // by real node: whether the node accepted clients at publication, and so has to apply the change
 }
 
-// listChange is a change of a server's entry in the endpoint list.
+// listChange is a change of servers' entries in the endpoint list.
 type listChange struct {
-	state  protocol.EndpointState
-	boot   time.Time // zero: unchanged
-	weight float64   // 0: unchanged
+	state    protocol.EndpointState
+	bootTime time.Time // start time of the servers; zero: unchanged
+	weight   float64   // weight of the servers; 0: unchanged
 }
 
-// publish changes servers in discovery, notifies the app servers of a drain, and records the change for the result.
+// publish publishes a change of servers in discovery and records it for the result. It tells the app servers that a drain
+// begins or that they are in service again.
 func (r *run) publish(change listChange, servers ...int) error {
-	expected := make([]bool, len(r.nodes))
+	mustApply := make([]bool, len(r.nodes))
 	for i, n := range r.nodes {
-		expected[i] = n.acceptsClients()
+		mustApply[i] = n.acceptsClients()
 	}
 	if change.state == protocol.InService {
 		if err := r.commandServers(serversCommand{Verb: serversUndrain, Servers: servers}, nil); err != nil {
@@ -46,14 +47,14 @@
 	}
 	revision, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = change.state
-		if !change.boot.IsZero() {
-			e.BootMs = change.boot.UnixMilli()
+		if !change.bootTime.IsZero() {
+			e.BootMs = change.bootTime.UnixMilli()
 		}
 		if change.weight > 0 {
 			e.Weight = change.weight
 		}
 	}, servers...)
-	r.changes = append(r.changes, measuredChange{revision, at, expected})
+	r.changes = append(r.changes, measuredChange{revision, at, mustApply})
 	for _, i := range servers {
 		r.changedServers[i] = true
 	}
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// unchangedServer returns the first server from a number on that no change has affected, or false if there is none.
+// unchangedServer returns the first server, in cyclic order from the number from on, that no change has affected. It returns
+// false if there is none.
 func (r *run) unchangedServer(from int) (server int, ok bool) {
 	for k := range r.cfg.Servers {
 		if i := (from + k) % r.cfg.Servers; !r.changedServers[i] {
@@ -73,8 +75,9 @@
 	return 0, false
 }
 
-// drainLastServer drains the server of the last response to a client, so that a real node is affected.
-func (r *run) drainLastServer() error {
+// drainLastUsedServer drains the server that completed the last request of a client, so that the drain affects a real node.
+// If a change has affected this server already, drainLastUsedServer drains the next server without a change.
+func (r *run) drainLastUsedServer() error {
 	server, ok := r.unchangedServer(int(r.clients.lastServer.Load()))
 	if !ok {
 		return nil
@@ -83,13 +86,13 @@
 	return r.publish(listChange{state: protocol.Terminating}, server)
 }
 
-// playChanges makes changes at even intervals over a section.
-func (r *run) playChanges(ctx context.Context, length time.Duration) error {
+// runChanges publishes changes at regular intervals over a section.
+func (r *run) runChanges(ctx context.Context, length time.Duration) error {
 	steps := min(max(minChanges, int(length/minChangeInterval)), maxChanges, r.cfg.Servers)
 	interval := max(length/time.Duration(steps), minChangeInterval/2)
 	for step := range steps {
 		startedAt := time.Now()
-		if err := r.changeOne(step); err != nil {
+		if err := r.makeChange(step); err != nil {
 			return err
 		}
 		if err := pause(ctx, interval-time.Since(startedAt)); err != nil {
@@ -99,15 +102,15 @@
 	return nil
 }
 
-// changeOne makes one change. By step, in turn: a server drains, a server's weight changes, a server is added, a draining
-// server is removed.
-func (r *run) changeOne(step int) error {
+// makeChange publishes one change. step selects the kind in turn: drain a server, change a server's weight, add a server,
+// remove a draining server. If no server is available for the change, makeChange does nothing.
+func (r *run) makeChange(step int) error {
 	servers := r.cfg.Servers
 	switch step % 4 {
 	case 0:
-		return r.drainLastServer()
+		return r.drainLastUsedServer()
 	case 1:
-		const stride = 7 // consecutive changes of a weight are a seventh of the servers apart
+		const stride = 7 // consecutive changes of a weight are a seventh of the server numbers apart
 		if server, ok := r.unchangedServer(servers / stride * (step/4 + 1) % servers); ok {
 			return r.publish(listChange{state: protocol.InService, weight: changedWeight}, server)
 		}
@@ -115,7 +118,7 @@
 		if r.nextSpare < servers+r.cfg.spareServers() {
 			server := r.nextSpare
 			r.nextSpare++
-			return r.publish(listChange{state: protocol.InService, boot: time.Now()}, server)
+			return r.publish(listChange{state: protocol.InService, bootTime: time.Now()}, server)
 		}
 	case 3:
 		if len(r.draining) > 0 {
@@ -127,8 +130,8 @@
 	return nil
 }
 
-// playRollingRestart restarts the real nodes one after another, and concurrently the simulated nodes in batches.
-func (r *run) playRollingRestart(ctx context.Context, length time.Duration) error {
+// runRollingRestart restarts the real nodes one after another and, concurrently, the simulated nodes in batches.
+func (r *run) runRollingRestart(ctx context.Context, length time.Duration) error {
 	type outcome struct {
 		restarted int
 		err       error
@@ -140,7 +143,7 @@
 	}()
 	for _, n := range r.nodes {
 		r.realRestarts++
-		n.drain(clientsLinger)
+		n.drain(loadBalancerDelay)
 		r.clients.nodeConns.drop(n.clientAddr)
 		if err := n.start(ctx, &r.cfg, r.agent.Snapshot(0), r.realRestarts); err != nil {
 			return err
@@ -151,16 +154,16 @@
 	return done.err
 }
 
-// restartSimulated restarts the simulated nodes in batches and returns the number of restarted nodes. It stops after twice
-// the section's length, so that a slow machine does not delay the run.
+// restartSimulated restarts the simulated nodes in batches and returns the number of restarted nodes. It starts no batch
+// after twice the section's length, so that a slow machine does not delay the run.
 func (r *run) restartSimulated(length time.Duration) (restarted int, err error) {
 	startedAt := time.Now()
-	away := min(length/restartBatches/2, maxRestartAway)
+	downtime := min(length/restartBatches/2, maxRestartDowntime)
 	for batch := range min(restartBatches, r.cfg.Simulated) {
 		if time.Since(startedAt) > 2*length {
 			break
 		}
-		command := nodesCommand{Verb: nodesRestart, Ms: int(away / time.Millisecond)}
+		command := nodesCommand{Verb: nodesRestart, Ms: int(downtime / time.Millisecond)}
 		for i := batch; i < r.cfg.Simulated; i += restartBatches {
 			command.Nodes = append(command.Nodes, i)
 		}
@@ -172,9 +175,9 @@
 	return restarted, nil
 }
 
-// playZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and revives them cold
-// after half of it.
-func (r *run) playZoneLoss(ctx context.Context, length time.Duration) error {
+// runZoneLoss kills a zone's servers, removes them from the list after a quarter of the section, and after half of the
+// section restarts and lists them as new.
+func (r *run) runZoneLoss(ctx context.Context, length time.Duration) error {
 	const zones = regions * zonesPerRegion
 	var lost []int
 	for i := range r.cfg.Servers {
@@ -182,7 +185,7 @@
 			lost = append(lost, i)
 		}
 	}
-	if err := r.setAlive(serversKill, nodesDead, lost); err != nil {
+	if err := r.commandServerState(serversKill, nodesKillServers, lost); err != nil {
 		return err
 	}
 	if err := pause(ctx, length/4); err != nil {
@@ -194,27 +197,27 @@
 	if err := pause(ctx, length/4); err != nil {
 		return err
 	}
-	if err := r.setAlive(serversRevive, nodesAlive, lost); err != nil {
+	if err := r.commandServerState(serversRestart, nodesRestartServers, lost); err != nil {
 		return err
 	}
-	return r.publish(listChange{state: protocol.InService, boot: time.Now()}, lost...)
+	return r.publish(listChange{state: protocol.InService, bootTime: time.Now()}, lost...)
 }
 
-// setAlive kills or revives servers, for real nodes and for simulated ones.
-func (r *run) setAlive(servers serversVerb, nodes nodesVerb, numbers []int) error {
-	if err := r.commandServers(serversCommand{Verb: servers, Servers: numbers}, nil); err != nil {
+// commandServerState kills or restarts servers, both in the worker of the app servers and for the simulated nodes.
+func (r *run) commandServerState(forServers serversVerb, forNodes nodesVerb, servers []int) error {
+	if err := r.commandServers(serversCommand{Verb: forServers, Servers: servers}, nil); err != nil {
 		return err
 	}
-	return r.commandNodes(nodesCommand{Verb: nodes, Servers: numbers}, nil)
+	return r.commandNodes(nodesCommand{Verb: forNodes, Servers: servers}, nil)
 }
 
-// playWatchLoss closes all watches at once, after which each node gets the full list. It drains a server as soon as the
-// agent answers again.
-func (r *run) playWatchLoss(ctx context.Context, _ time.Duration) error {
+// runWatchLoss closes all watches at once. When the agent accepts watches again after watchOutage, each node gets the full
+// list, and runWatchLoss drains a server.
+func (r *run) runWatchLoss(ctx context.Context, _ time.Duration) error {
 	r.agent.DisconnectAll()
 	if err := pause(ctx, watchOutage); err != nil {
 		return err
 	}
 	r.agent.Reconnect()
-	return r.drainLastServer()
+	return r.drainLastUsedServer()
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -12,45 +12,45 @@
 	"cherrygap/internal/lab/workdir"
 )
 
-// The names of the sections without a fault.
+// Names of the sections without a fault.
 const (
 	sectionWarmUp = "warm-up"
 	sectionQuiet  = "quiet"
-	sectionIdle   = "idle" // without client requests; not in the result's sections
+	sectionIdle   = "idle" // section without client requests; not in the result's sections
 )
 
 const minWarmUp = 500 * time.Millisecond
 
-// run is a run in progress. Only the goroutine of Run uses it, except for restartSimulated, which reads cfg and nodesWorker on
-// a goroutine of its own.
+// run is a run in progress. Only the goroutine of Run uses it. The exception is restartSimulated, which reads cfg and
+// nodesWorker in another goroutine.
 type run struct {
 	cfg           Config
-	serversWorker *worker // simulated app servers
-	nodesWorker   *worker // simulated nodes
+	serversWorker *worker // worker of the simulated app servers
+	nodesWorker   *worker // worker of the simulated nodes
 	agent         *discovery.Agent
-	nodes         []*realNode
+	nodes         []*realNode // real nodes by number
 	clients       *clientSimulator
-	closed        bool
+	closed        bool // whether close was called
 
 	realRestarts      int
 	simulatedRestarts int
 
 	changes        []measuredChange
-	changedServers map[int]bool
-	nextSpare      int   // number of the spare server that is listed next
-	draining       []int // servers, in the order of their drains
+	changedServers map[int]bool // numbers of the servers that a change has affected
+	nextSpare      int          // number of the next spare server to list
+	draining       []int        // numbers of draining servers, in the order of their drains
 
 	sections []section
 }
 
-// section is one part of the run.
+// section holds the counts of one section of the run.
 type section struct {
 	*sectionCounts
-	simulated nodesSection
+	simulated nodesSectionCounts // counts of the simulated nodes
 }
 
-// Run runs a simulation and returns its figures. It stops all child processes before it returns, also if it fails or ctx
-// ends.
+// Run runs a simulation and returns its figures. It fails if ctx ends or the time limit passes before the run is over. It
+// stops all child processes before it returns, also after a failure.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	defer cancel()
 	r := &run{cfg: cfg, changedServers: map[int]bool{}}
 	defer r.close()
-	result, err := r.play(ctx)
+	result, err := r.simulate(ctx)
 	r.close()
 	if err != nil && ctx.Err() != nil {
 		return nil, fmt.Errorf("stopped by %w", context.Cause(ctx))
@@ -77,12 +77,12 @@
 		return nil, err
 	}
 	for _, n := range r.nodes {
-		result.Killed += n.endings().killed
+		result.Killed += n.exitCounts().killed
 	}
 	return result, nil
 }
 
-// close stops all children: first the real nodes, concurrently, then the workers.
+// close stops all child processes: first the real nodes concurrently, then the workers. A second call does nothing.
 func (r *run) close() {
 	if r.closed {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// pause waits for a time, or until ctx ends, whose error it then returns.
+// pause waits for a duration and returns nil, or returns the error of ctx as soon as ctx ends.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -121,8 +121,8 @@
 	}
 }
 
-// play starts all parts and plays the sections in order: warm-up, quiet, each fault, idle.
-func (r *run) play(ctx context.Context) (*Result, error) {
+// simulate starts all processes and runs the sections in order: warm-up, quiet, each fault, idle. It returns the figures.
+func (r *run) simulate(ctx context.Context) (*Result, error) {
 	startedAt := time.Now()
 	if err := r.setUp(ctx); err != nil {
 		return nil, err
@@ -135,27 +135,27 @@
 	}
 	warmUp, idle := max(r.cfg.Duration/12, minWarmUp), r.cfg.Duration/6
 	length := (r.cfg.Duration - warmUp - idle) / time.Duration(1+len(r.cfg.Faults))
-	if err := r.playWarmUp(ctx, warmUp); err != nil {
+	if err := r.runWarmUp(ctx, warmUp); err != nil {
 		return nil, err
 	}
-	if err := r.playQuiet(ctx, length, result); err != nil {
+	if err := r.runQuiet(ctx, length, result); err != nil {
 		return nil, err
 	}
-	if err := r.playFaults(ctx, length); err != nil {
+	if err := r.runFaults(ctx, length); err != nil {
 		return nil, err
 	}
-	if err := r.playIdle(ctx, idle, result); err != nil {
+	if err := r.runIdle(ctx, idle, result); err != nil {
 		return nil, err
 	}
-	r.cfg.Log.Info().Msg("collecting the counts")
+	r.cfg.Log.Info().Msg("collecting the workers' counts")
 	return result, result.collect(r)
 }
 
-// playWarmUp plays the first section, at whose start the clients begin to send.
-func (r *run) playWarmUp(ctx context.Context, length time.Duration) error {
+// runWarmUp runs the first section. At its start the clients begin to send.
+func (r *run) runWarmUp(ctx context.Context, length time.Duration) error {
 	r.beginSection(sectionWarmUp)
 	r.clients.sending.Store(true)
-	if err := r.commandNodes(nodesCommand{Verb: nodesSend}, nil); err != nil {
+	if err := r.commandNodes(nodesCommand{Verb: nodesStartSending}, nil); err != nil {
 		return err
 	}
 	if err := pause(ctx, length); err != nil {
@@ -164,8 +164,8 @@
 	return r.endSection()
 }
 
-// playQuiet plays a section without faults, over which the CPU use is measured.
-func (r *run) playQuiet(ctx context.Context, length time.Duration, result *Result) error {
+// runQuiet runs a section without faults and measures the CPU use over it.
+func (r *run) runQuiet(ctx context.Context, length time.Duration, result *Result) error {
 	r.beginSection(sectionQuiet)
 	use := r.measureCPU()
 	if err := pause(ctx, length); err != nil {
@@ -175,11 +175,11 @@
 	return r.endSection()
 }
 
-// playFaults plays the configured faults, one section for each.
-func (r *run) playFaults(ctx context.Context, length time.Duration) error {
-	players := map[string]func(context.Context, time.Duration) error{
-		FaultChanges: r.playChanges, FaultRollingRestart: r.playRollingRestart,
-		FaultZoneLoss: r.playZoneLoss, FaultWatchLoss: r.playWatchLoss,
+// runFaults runs one section for each configured fault.
+func (r *run) runFaults(ctx context.Context, length time.Duration) error {
+	runFault := map[string]func(context.Context, time.Duration) error{
+		FaultChanges: r.runChanges, FaultRollingRestart: r.runRollingRestart,
+		FaultZoneLoss: r.runZoneLoss, FaultWatchLoss: r.runWatchLoss,
 	}
 	for _, name := range Faults {
 		if !slices.Contains(r.cfg.Faults, name) {
@@ -187,8 +187,8 @@
 		}
 		r.beginSection(name)
 		end := time.Now().Add(length)
-		if err := players[name](ctx, length); err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+		if err := runFault[name](ctx, length); err != nil {
+			return fmt.Errorf("fault %q: %w", name, err)
 		}
 		if err := pause(ctx, time.Until(end)); err != nil {
 			return err
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// playIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
-func (r *run) playIdle(ctx context.Context, length time.Duration, result *Result) error {
+// runIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
+func (r *run) runIdle(ctx context.Context, length time.Duration, result *Result) error {
 	r.clients.sending.Store(false)
 	answered := make(chan struct{})
 	go func() { r.clients.inFlight.Wait(); close(answered) }() // ends with the last request
@@ -209,7 +209,7 @@
 	case <-answered:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(lastAnswerTimeout()):
+	case <-time.After(lastResponseTimeout()):
 		result.Unanswered++ // at least one request has no response after its client's timeout
 	}
 	r.cfg.Log.Info().Str("section", sectionIdle).Msg("section begins")
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// beginSection begins to count the requests of a new section.
+// beginSection begins a new section, which counts the clients' requests from now on.
 func (r *run) beginSection(name string) {
 	r.cfg.Log.Info().Str("section", name).Msg("section begins")
 	counts := newSectionCounts(name)
@@ -229,10 +229,10 @@
 	r.clients.section.Store(counts)
 }
 
-// endSection ends the last section and records the simulated nodes' counts and the real nodes' memory.
+// endSection ends the section in progress. It records the simulated nodes' counts and the real nodes' memory.
 func (r *run) endSection() error {
 	var reply nodesReply
-	if err := r.commandNodes(nodesCommand{Verb: nodesCut}, &reply); err != nil {
+	if err := r.commandNodes(nodesCommand{Verb: nodesEndSection}, &reply); err != nil {
 		return err
 	}
 	last := &r.sections[len(r.sections)-1]
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// commandNodes sends a command to the simulated nodes and waits for the reply, which may be nil.
+// commandNodes sends a command to the simulated nodes and waits for the reply. reply may be nil if only the error matters.
 func (r *run) commandNodes(command nodesCommand, reply *nodesReply) error {
 	if reply == nil {
 		reply = &nodesReply{}
@@ -254,7 +254,8 @@
 	return execute(r.nodesWorker, command, reply)
 }
 
-// commandServers sends a command to the simulated app servers and waits for the reply, which may be nil.
+// commandServers sends a command to the simulated app servers and waits for the reply. reply may be nil if only the error
+// matters.
 func (r *run) commandServers(command serversCommand, reply *serversReply) error {
 	if reply == nil {
 		reply = &serversReply{}
@@ -262,7 +263,7 @@
 	return execute(r.serversWorker, command, reply)
 }
 
-// execute sends a command to a worker and decodes the reply. A failure that the reply states is returned as an error.
+// execute sends a command to a worker and decodes the reply. If the reply states a failure, execute returns it as an error.
 func execute(w *worker, command any, reply interface{ failure() string }) error {
 	if err := w.call(command, reply); err != nil {
 		return err
