--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -112,18 +112,18 @@
 
 // closeInterval updates the admission rate from an interval that lasted spanSeconds. The rate stays 0 while T is unknown.
 func (l *admissionLimit) closeInterval(now Time, spanSeconds float64, stats *intervalStats, load intervalLoad) {
-	latency := l.intervalLatency(stats, load.requests)
-	l.throughput.closeInterval(float64(stats.completed)/spanSeconds, load.requests)
+	latency := l.intervalLatency(stats, load.requestsInFlight)
+	l.throughput.closeInterval(float64(stats.completed)/spanSeconds, load.requestsInFlight)
 	if !l.throughput.known() {
 		return
 	}
-	l.updateFeatures(load.healthy, latency, load.ready)
+	l.updateFeatures(load.inFlightAtHealthy, latency, load.readyServers)
 	baseLatencySeconds := seconds(Time(l.throughput.baseLatency))
-	best := max(l.throughput.bestRate()*baseLatencySeconds, l.evenShare(minInFlightPerServer, load.ready))
+	best := max(l.throughput.bestRate()*baseLatencySeconds, l.evenShare(minInFlightPerServer, load.readyServers))
 	l.targetConcurrency = max(minConcurrencyRatio, loadPolicy.evaluate(l.features.vector())) * best
 	if l.latencyLow {
 		admitted := float64(stats.admitted) / spanSeconds * baseLatencySeconds
-		l.targetConcurrency = max(l.targetConcurrency, l.evenShare(coldStartAttemptsPerServer, load.ready), admitted)
+		l.targetConcurrency = max(l.targetConcurrency, l.evenShare(coldStartAttemptsPerServer, load.readyServers), admitted)
 	}
 	if l.rate == 0 {
 		l.tokens = tokenBucket{1, now}
@@ -176,7 +176,7 @@
 		return true
 	}
 	objective := e.config.classes[r.class].latencyObjective
-	return e.pause.endedAt == e.now && float64(r.arrived+objective-e.now) < least
+	return e.pause.endedAt == e.now && float64(r.arrivedAt+objective-e.now) < least
 }
 
 // checkAdmission returns the reason for which the admission limit rejects a request, or ReasonNone if it admits it.
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -39,16 +39,16 @@
 // The first responses after a restart are the shortest ones. A base latency from these alone would make any later latency
 // look like a queue.
 func TestFirstShortResponsesDoNotSetBaseLatency(t *testing.T) {
-	engine := plain(10, nil)
+	engine := newTestEngine(10, nil)
 	for id := range RequestID(4) {
 		engine.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
 	}
-	for _, d := range pull(engine, Forward)[:2] {
+	for _, d := range takeDecisions(engine, Forward)[:2] {
 		engine.SetTime(Second + 100)
 		engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: Succeeded, Duration: 100, Final: true})
 	}
 	engine.SetTime(2*Second + 10)
-	pull(engine, LogSummary)
+	takeDecisions(engine, LogSummary)
 	if engine.admission.throughput.baseLatency != 0 || engine.admission.rate != 0 {
 		t.Fatalf("after two completions, base latency = %v and admission rate = %v, want 0 and 0",
 			engine.admission.throughput.baseLatency, engine.admission.rate)
@@ -58,7 +58,7 @@
 // If all servers have stopped, the attempts in flight at them count towards the limit, although the servers are ejected.
 // Otherwise the number of attempts in flight would grow without bound.
 func TestStoppedServersBoundInFlight(t *testing.T) {
-	engine := plain(6, nil)
+	engine := newTestEngine(6, nil)
 	now, id, maxInFlight := Second, RequestID(0), 0
 	var inFlight []Decision
 	for ; now < 12*Second; now += 100 {
@@ -73,7 +73,7 @@
 			}
 			inFlight = inFlight[:0]
 		}
-		inFlight = append(inFlight, pull(engine, Forward)...)
+		inFlight = append(inFlight, takeDecisions(engine, Forward)...)
 		maxInFlight = max(maxInFlight, len(inFlight))
 	}
 	if maxInFlight > 36 { // 6 attempts per server; without the limit there would be hundreds
@@ -94,8 +94,8 @@
 	})
 }
 
-// near reports whether a is b, to within 1e-9 times the larger of 1 and |b|.
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
+// nearlyEqual reports whether a is b, to within 1e-9 times the larger of 1 and |b|.
+func nearlyEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
 
 // A node's share of a fleet-wide limit has a margin for random arrivals. It is at least 1, since a node with few servers
 // could otherwise send no attempt.
@@ -106,7 +106,7 @@
 		ready             int
 		want              float64
 	}{{1.1, 0, 1}, {1.1, 1, 1}, {1.1, 8, 2.2 + 0.3*math.Sqrt(2.2)}, {3, 8, 6 + 0.3*math.Sqrt(6)}} {
-		if got := l.evenShare(c.attemptsPerServer, c.ready); !near(got, c.want) {
+		if got := l.evenShare(c.attemptsPerServer, c.ready); !nearlyEqual(got, c.want) {
 			t.Errorf("evenShare(%v, %d) = %v, want %v", c.attemptsPerServer, c.ready, got, c.want)
 		}
 	}
@@ -129,7 +129,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := admissionLimit{config: testConfig(), rate: 10, tokens: tokenBucket{at: Second}}
-			if got := l.hasToken(Second+c.after, &c.pause); got != (c.want >= 1) || !near(l.tokens.level, c.want) {
+			if got := l.hasToken(Second+c.after, &c.pause); got != (c.want >= 1) || !nearlyEqual(l.tokens.level, c.want) {
 				t.Errorf("hasToken = %v with %v tokens, want %v with %v tokens", got, l.tokens.level, c.want >= 1, c.want)
 			}
 		})
@@ -158,7 +158,7 @@
 		l.config = testConfig()
 		return &l
 	}
-	load := intervalLoad{requests: 5, healthy: 5, ready: 8}
+	load := intervalLoad{requestsInFlight: 5, inFlightAtHealthy: 5, readyServers: 8}
 	if got := closeIntervals(newLimit(), 3, 9, 500, load); got != 0 {
 		t.Errorf("admission rate = %v after 27 completions, want 0", got)
 	}
@@ -168,7 +168,7 @@
 		t.Errorf("at low latency, latencyLow = %v, admission rate = %v, base latency = %v; want true, at least 100, and 500",
 			l.latencyLow, rateAtLowLatency, l.throughput.baseLatency)
 	}
-	if rateAtHighLatency := closeIntervals(l, 5, 100, 12000, intervalLoad{requests: 90, healthy: 90, ready: 8}); l.latencyLow || rateAtHighLatency > rateAtLowLatency/2 {
+	if rateAtHighLatency := closeIntervals(l, 5, 100, 12000, intervalLoad{requestsInFlight: 90, inFlightAtHealthy: 90, readyServers: 8}); l.latencyLow || rateAtHighLatency > rateAtLowLatency/2 {
 		t.Errorf("at high latency, latencyLow = %v, admission rate = %v; want false and at most %v", l.latencyLow, rateAtHighLatency, rateAtLowLatency/2)
 	}
 	if l.throughput.baseLatency != 500 {
@@ -186,7 +186,7 @@
 		want     float64
 	}{{0, 0, 0, 0}, {0, 0, 1, 1}, {20, 10, 1, 0.5}, {10, 5, 1, 0.5}, {1, 1, 1, (1 + 9*0.125) / 10}} {
 		l := newAdmissionLimit(0)
-		if got := l.intervalLatency(&intervalStats{samples: c.samples, latencySum: c.sum}, c.requests); !near(got, c.want) {
+		if got := l.intervalLatency(&intervalStats{samples: c.samples, latencySum: c.sum}, c.requests); !nearlyEqual(got, c.want) {
 			t.Errorf("intervalLatency of %d samples with sum %v and %d requests = %v, want %v", c.samples, c.sum, c.requests, got, c.want)
 		}
 	}
@@ -197,11 +197,11 @@
 func TestConcurrencyLimit(t *testing.T) {
 	l := &admissionLimit{config: testConfig()}
 	l.throughput = throughput{baseLatency: 2000, rates: []float64{500, 100, 100, 100}}
-	if got := l.concurrencyLimit(8); !near(got, 1.5*100*0.2) {
+	if got := l.concurrencyLimit(8); !nearlyEqual(got, 1.5*100*0.2) {
 		t.Errorf("at high latency, concurrencyLimit(8) = %v, want %v", got, 1.5*100*0.2)
 	}
 	l.latencyLow = true
-	if got, want := l.concurrencyLimit(80), (22+0.3*math.Sqrt(22))*(1.4+0.6*2); !near(got, want) {
+	if got, want := l.concurrencyLimit(80), (22+0.3*math.Sqrt(22))*(1.4+0.6*2); !nearlyEqual(got, want) {
 		t.Errorf("at low latency, concurrencyLimit(80) = %v, want %v", got, want)
 	}
 }
@@ -212,7 +212,7 @@
 		features [4]float64
 		want     float64
 	}{{[4]float64{}, 1.2}, {[4]float64{0.2, 0.2, 0.2, 0.2}, 1.2}, {[4]float64{1.2, 0, 0.7, 0}, 0.6}, {[4]float64{-9, -9, 1.2, 1.2}, 0.4}} {
-		if got := loadPolicy.evaluate(c.features); !near(got, c.want) {
+		if got := loadPolicy.evaluate(c.features); !nearlyEqual(got, c.want) {
 			t.Errorf("loadPolicy.evaluate(%v) = %v, want %v", c.features, got, c.want)
 		}
 	}
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -8,19 +8,19 @@
 // customer is the state of one customer. It is dropped once its bucket is full, and customerIdleTimeout has passed without
 // a request or a message between the owner and its nodes.
 type customer struct {
-	id          CustomerID
-	live        bool // the slot is in use
-	plan        PlanID
-	spread      int          // number of nodes in the customer's set, which receive its requests
-	firstNode   NodeID       // first node of the set; the others follow it
-	firstSeen   Time         // time at which this node added the customer
-	lastRequest Time         // time of the last request, or of the last message between the owner and its nodes
-	bucket      tokenBucket  // tokens of the whole quota, see tenantQuota
-	demand      decayingMean // units requested at this node
-	peerDemand  decayingMean // units requested at other nodes, or at all nodes if this node is the owner
-	inFlight    int          // attempts in flight at this node
-	leased      bool         // only SetLease fills the bucket
-	ceiling     tokenBucket  // this node's share of the plan's hard ceiling
+	id           CustomerID
+	live         bool // the slot is in use
+	plan         PlanID
+	spread       int          // number of nodes in the customer's set, which receive its requests
+	firstNode    NodeID       // first node of the set; the others follow it
+	firstSeen    Time         // time at which this node added the customer
+	lastActiveAt Time         // time of the last request, or of the last message between the owner and its nodes
+	bucket       tokenBucket  // tokens of the whole quota, see tenantQuota
+	demand       decayingMean // units requested at this node
+	peerDemand   decayingMean // units requested at other nodes, or at all nodes if this node is the owner
+	inFlight     int          // attempts in flight at this node
+	leased       bool         // only SetLease fills the bucket
+	ceiling      tokenBucket  // this node's share of the plan's hard ceiling
 
 	queryRatio       float64       // share of the requests for which the owner is queried
 	queryRatioAt     Time          // time at which the owner set queryRatio
@@ -129,7 +129,7 @@
 	for range min(idleScanCustomers, len(t.all)) {
 		t.lastScanned = (t.lastScanned + 1) % customerSlot(len(t.all))
 		c := &t.all[t.lastScanned]
-		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastRequest < customerIdleTimeout {
+		if !c.live || c.reportPending || c.inFlight > 0 || now-c.lastActiveAt < customerIdleTimeout {
 			continue
 		}
 		plan := &t.config.plans[c.plan]
--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -7,16 +7,16 @@
 // Idle customers are dropped over several intervals. A check of tens of thousands of customers in one interval would delay
 // requests.
 func TestManyIdleCustomersAreForgotten(t *testing.T) {
-	engine := plain(3, nil)
+	engine := newTestEngine(3, nil)
 	const customers = 5 * idleScanCustomers
 	for k := range CustomerID(customers) {
-		engine.customers.all[engine.customers.findOrAdd(customerRef{id: k, spread: 1}, engine.now)].lastRequest = engine.now
+		engine.customers.all[engine.customers.findOrAdd(customerRef{id: k, spread: 1}, engine.now)].lastActiveAt = engine.now
 	}
 	now := engine.now
 	for k := range 80 {
 		now += controlInterval
 		engine.SetTime(now)
-		pull(engine, Forward)
+		takeDecisions(engine, Forward)
 		if left := len(engine.customers.slots.slots); k < 59 && left < customers || k > 59 && left < customers-(k-58)*idleScanCustomers {
 			t.Fatalf("%d of %d customers are left in interval %d, want all before interval 59, and later at least %d",
 				left, customers, k, customers-(k-58)*idleScanCustomers)
--- a/internal/decision/endpointorder.go
+++ b/internal/decision/endpointorder.go
@@ -27,7 +27,7 @@
 
 // key returns a server's sort key.
 func (o *endpointOrder) key(s *server, slot serverSlot) uint64 {
-	return uint64(mix(uint32(s.Server), uint32(o.group)))<<32 | uint64(slot)
+	return uint64(hashPair(uint32(s.Server), uint32(o.group)))<<32 | uint64(slot)
 }
 
 // place adds, moves or removes a server according to its current entry of the endpoint list.
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -8,23 +8,23 @@
 // server is the state of one app server. It exists while the endpoint list or an attempt refers to the server.
 type server struct {
 	Endpoint
-	listed         bool           // the endpoint list names the server
-	knownAt        Time           // time at which the list first named the server's current process
-	live           bool           // the slot is in use
-	inSubset       bool           // the server is in endpointSet.subset
-	tracked        bool           // the server is in endpointSet.tracked
-	departed       bool           // the server is in endpointSet.departed
-	warming        bool           // the server is in endpointSet.warming
-	ordered        bool           // the server is in endpointSet.order
-	orderZone      uint8          // zone under which the order holds the server
-	orderCell      uint16         // cell under which the order holds the server
-	inUse          bool           // an open request refers to the server; set only within forgetDeparted
-	inFlight       int            // number of attempts in flight
-	pace           decayingMean   // decaying mean of the durations of attempts, in usual latencies of their class
-	rotationCredit float64        // credit in the weighted rotation, see selection
-	rotationWeight float64        // weight in the current selection; 0 if the server is not eligible
-	byClass        []outlierState // states by request class; nil if the server has none
-	slowStart      slowStartState
+	listed          bool           // the endpoint list names the server
+	processListedAt Time           // time at which the list first named the server's current process
+	live            bool           // the slot is in use
+	inSubset        bool           // the server is in endpointSet.subset
+	tracked         bool           // the server is in endpointSet.tracked
+	departed        bool           // the server is in endpointSet.departed
+	warming         bool           // the server is in endpointSet.warming
+	ordered         bool           // the server is in endpointSet.order
+	orderZone       uint8          // zone under which the order holds the server
+	orderCell       uint16         // cell under which the order holds the server
+	inUse           bool           // an open request refers to the server; set only within forgetDeparted
+	inFlight        int            // number of attempts in flight
+	pace            decayingMean   // decaying mean of the durations of attempts, in usual latencies of their class
+	rotationCredit  float64        // credit in the weighted rotation, see selection
+	rotationWeight  float64        // weight in the current selection; 0 if the server is not eligible
+	byClass         []outlierState // states by request class; nil if the server has none
+	slowStart       slowStartState
 }
 
 // usable reports whether attempts may go to the server.
@@ -59,7 +59,7 @@
 	order         endpointOrder // order of the usable servers
 	subset        []serverSlot  // servers of the subset, ascending
 	tracked       []serverSlot  // tracked servers, ascending
-	spareTracked  []serverSlot  // buffer for the next tracked servers
+	trackedBuffer []serverSlot  // buffer for the next tracked servers
 	warming       []serverSlot  // servers that started recently, in no order
 	untracked     []serverSlot  // servers with outlier states that are not tracked, in no order
 	departed      []serverSlot  // servers that the list no longer names, in no order
@@ -122,7 +122,7 @@
 		e.servers[i].tracked = false
 	}
 	before := e.tracked
-	e.subset, e.tracked, e.usableTracked = e.subset[:0], e.spareTracked[:0], 0
+	e.subset, e.tracked, e.usableTracked = e.subset[:0], e.trackedBuffer[:0], 0
 	e.order.walk(choice.start, choice.tracked, func(i serverSlot) {
 		e.usableTracked++
 		if e.usableTracked <= choice.size {
@@ -136,7 +136,7 @@
 	for _, i := range before {
 		e.keepTracked(i)
 	}
-	e.spareTracked = before
+	e.trackedBuffer = before
 	slices.Sort(e.subset)
 	slices.Sort(e.tracked)
 }
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -9,7 +9,7 @@
 // nodes open new connections. A draining server leaves the subset at once, and receives no new attempt. Its attempts in
 // flight count until they end.
 func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
-	engine := fleetOf(830, 13000, 12)
+	engine := newZonedEngine(830, 13000, 12)
 	subset, tracked := slices.Clone(engine.endpoints.subset), slices.Clone(engine.endpoints.tracked)
 	if len(subset) < 13000/830*minNodesPerShuffle || len(tracked) < minTrackedServers || len(tracked) > max(minTrackedServers, trackedServersPerSubset*len(subset)) {
 		t.Fatalf("%d servers in the subset and %d tracked, want at least %d in the subset and %d to %d tracked", len(subset), len(tracked),
@@ -19,11 +19,11 @@
 	changed := untracked.Endpoint
 	changed.State = Draining
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{changed})
-	if moved := diff(engine.endpoints.subset, subset); moved > 1 {
+	if moved := countMissing(engine.endpoints.subset, subset); moved > 1 {
 		t.Errorf("after a change of a server outside the subset, %d servers of the subset are new, want at most 1", moved)
 	}
 	engine.AddRequest(Request{ID: 1, Customer: 5, Timeout: 4 * Second, Units: 1, Spread: 1})
-	attempts := pull(engine, Forward)
+	attempts := takeDecisions(engine, Forward)
 	if len(attempts) != 1 {
 		t.Fatalf("request 1 has %d attempts, want 1", len(attempts))
 	}
@@ -39,7 +39,7 @@
 	}
 	for id := range RequestID(300) {
 		engine.AddRequest(Request{ID: 10 + id, Customer: CustomerID(id), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(engine, Forward) {
+		for _, d := range takeDecisions(engine, Forward) {
 			if d.Server == drained.Server {
 				t.Fatalf("request %d was sent to draining server %d, want a ready server", d.Request, d.Server)
 			}
@@ -49,7 +49,7 @@
 	drained.State = Gone
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	engine.SetTime(engine.now + controlInterval)
-	if pull(engine, Forward); slices.Contains(engine.endpoints.tracked, i) || engine.endpoints.slots.find(drained.Server) >= 0 {
+	if takeDecisions(engine, Forward); slices.Contains(engine.endpoints.tracked, i) || engine.endpoints.slots.find(drained.Server) >= 0 {
 		t.Errorf("server %d, which is gone and has no attempt in flight: tracked %v, slot %d; want false, -1",
 			drained.Server, slices.Contains(engine.endpoints.tracked, i), engine.endpoints.slots.find(drained.Server))
 	}
@@ -58,14 +58,14 @@
 // Servers that repeatedly replace others must not use more and more slots. Slots of servers that are gone are reused once
 // their last attempts have ended.
 func TestServersThatAreGoneLeaveNothing(t *testing.T) {
-	engine := plain(0, nil)
+	engine := newTestEngine(0, nil)
 	now := Second
 	for k := range ServerID(300) {
 		now += controlInterval / 3
 		engine.SetTime(now)
 		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: k, State: Ready, Weight: 1}, {Server: k - 4, State: Gone}})
 		engine.AddRequest(Request{ID: RequestID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(engine, Forward) {
+		for _, d := range takeDecisions(engine, Forward) {
 			if d.Server+4 <= k || d.Server > k {
 				t.Fatalf("request %d was sent to server %d, want one of the last 4 servers up to %d", d.Request, d.Server, k)
 			}
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -87,7 +87,7 @@
 	for _, endpoint := range list {
 		i := e.updateServer(endpoint, max(len(list), set.ready))
 		s := &set.servers[i]
-		if s.knownAt == e.now && s.Started > 0 && s.usable() && e.listReceived {
+		if s.processListedAt == e.now && s.Started > 0 && s.usable() && e.listReceived {
 			e.slowStart.observeClock(s.Started, e.now)
 		}
 		if kind == ListUpdate {
@@ -114,7 +114,7 @@
 func (e *Engine) updateServer(endpoint Endpoint, listed int) serverSlot {
 	i := e.endpoints.slots.find(endpoint.Server)
 	if i < 0 {
-		s := server{Endpoint: endpoint, knownAt: e.now}
+		s := server{Endpoint: endpoint, processListedAt: e.now}
 		e.slowStart.processStarted(&s, &e.random)
 		e.selection.serverAdded(&s, listed, &e.random)
 		i = e.endpoints.add(s)
@@ -133,7 +133,7 @@
 // resetServer drops the measurements of a server whose process is new. Attempts in flight still count.
 func (e *Engine) resetServer(s *server) {
 	s.pace = decayingMean{}
-	s.knownAt = e.now
+	s.processListedAt = e.now
 	e.slowStart.processStarted(s, &e.random)
 	for k := range s.byClass {
 		s.byClass[k] = outlierState{inFlight: s.byClass[k].inFlight}
@@ -170,7 +170,7 @@
 		live:        true,
 		class:       min(in.Class, ClassID(len(e.classes)-1)),
 		plan:        min(in.Plan, PlanID(len(e.config.plans)-1)),
-		arrived:     e.now,
+		arrivedAt:   e.now,
 		deadline:    e.now + in.Timeout,
 		units:       in.Units,
 		demandShare: 1,
@@ -178,7 +178,7 @@
 	ref := customerRef{id: in.Customer, plan: r.plan, spread: in.Spread, firstNode: in.FirstNode}
 	r.customer = e.customers.findOrAdd(ref, e.now)
 	c := &e.customers.all[r.customer]
-	c.lastRequest = e.now
+	c.lastActiveAt = e.now
 	c.demand.add(in.Units, e.now, demandTimeConstant)
 	if e.now == e.pause.endedAt {
 		e.pause.arrived++
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// plain returns an engine with plainSettings and a number of ready servers. The changed settings may be nil.
-func plain(servers int, changes Settings) *Engine {
-	n := New(7, plainSettings(changes).parse(), Second)
+// newTestEngine returns an engine with testSettings and a number of ready servers. The changed settings may be nil.
+func newTestEngine(servers int, changes Settings) *Engine {
+	n := New(7, testSettings(changes).parse(), Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i), State: Ready, Weight: 1})
@@ -49,8 +49,8 @@
 	return n
 }
 
-// plainSettings returns settings with one safe class and one plan, and with the changes.
-func plainSettings(changes Settings) Settings {
+// testSettings returns settings with one safe class and one plan, and with the changes.
+func testSettings(changes Settings) Settings {
 	set := Settings{
 		settings.Nodes: "3", settings.Tick: "10", settings.ClassCount: "1",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
@@ -64,8 +64,8 @@
 	return set
 }
 
-// pull takes all decisions of an engine, and returns those with the action.
-func pull(n *Engine, action Action) (decisions []Decision) {
+// takeDecisions takes all decisions of an engine, and returns those with the action.
+func takeDecisions(n *Engine, action Action) (decisions []Decision) {
 	for d, ok := n.Next(); ok; d, ok = n.Next() {
 		if d.Action == action {
 			d.Payload = append([]byte(nil), d.Payload...)
@@ -82,7 +82,7 @@
 	for _, set := range []Settings{
 		{settings.Tick: "0", objective: "10"}, {settings.Tick: "-5"}, {settings.Tick: "0", objective: "0"},
 	} {
-		n := plain(2, set)
+		n := newTestEngine(2, set)
 		for now := Second; now < Second+50; now++ {
 			n.SetTime(now)
 			k := 0
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -85,11 +85,11 @@
 func subsetDigest(n *Engine) string {
 	h := uint32(len(n.endpoints.subset))
 	for _, i := range n.endpoints.subset {
-		h = mix(h, uint32(n.endpoints.servers[i].Server))
+		h = hashPair(h, uint32(n.endpoints.servers[i].Server))
 	}
-	h = mix(h, uint32(len(n.endpoints.tracked)))
+	h = hashPair(h, uint32(len(n.endpoints.tracked)))
 	for _, i := range n.endpoints.tracked {
-		h = mix(h, uint32(n.endpoints.servers[i].Server))
+		h = hashPair(h, uint32(n.endpoints.servers[i].Server))
 	}
 	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
 }
--- a/internal/decision/interval.go
+++ b/internal/decision/interval.go
@@ -42,9 +42,9 @@
 
 // intervalLoad is the load at the end of an interval.
 type intervalLoad struct {
-	requests int     // number of requests in flight
-	healthy  float64 // attempts in flight that count, see Engine.inFlightAtHealthy
-	ready    int     // number of servers listed as ready
+	requestsInFlight  int     // number of requests in flight
+	inFlightAtHealthy float64 // attempts in flight that count, see Engine.inFlightAtHealthy
+	readyServers      int     // number of servers listed as ready
 }
 
 // intervalSummary holds the figures of one interval, which the host logs.
@@ -57,7 +57,7 @@
 	targetConcurrency  float64          // target concurrency a, in requests
 	admitted           float64          // rate of admitted requests, in requests a second
 	completed          float64          // rate of completed attempts, in attempts a second
-	tail               float64          // 95th percentile of the latency, in latency objectives
+	tailLatency        float64          // 95th percentile of the latency, in latency objectives
 	baseLatency        Time             // base latency T
 	rejected           [reasonCount]int // number of rejections, by reason, see intervalStats
 }
@@ -66,6 +66,6 @@
 func (s *intervalSummary) appendText(b []byte) []byte {
 	return fmt.Appendf(b, "interval inflight=%d avg=%.3f lat=%.3f avg=%.3f lambda=%.1f a=%.2f"+
 		" admitted=%.1f completed=%.1f tail=%.3f scale=%d refused=%v", s.inFlight, s.concurrencyAverage, s.latency,
-		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tail, int(s.baseLatency),
+		s.latencyAverage, s.admissionRate, s.targetConcurrency, s.admitted, s.completed, s.tailLatency, int(s.baseLatency),
 		s.rejected[firstSummaryReason:lastSummaryReason+1])
 }
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -108,7 +108,7 @@
 		for _, a := range r.attempts {
 			if a.inFlight {
 				state := &e.endpoints.servers[a.server].byClass[r.class]
-				e.outliers.checkSilence(state, a.sent, usualLatency, e.now)
+				e.outliers.checkSilence(state, a.sentAt, usualLatency, e.now)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 // drops idle state.
 func (e *Engine) closeInterval() {
 	spanSeconds := seconds(e.now - e.interval.startedAt)
-	load := intervalLoad{requests: e.requests.inFlight, healthy: e.inFlightAtHealthy(), ready: e.endpoints.ready}
+	load := intervalLoad{requestsInFlight: e.requests.inFlight, inFlightAtHealthy: e.inFlightAtHealthy(), readyServers: e.endpoints.ready}
 	e.admission.closeInterval(e.now, spanSeconds, &e.interval, load)
 	e.slowStart.closeInterval(e.slowStart.warmServers(&e.endpoints, e.now), e.admission.throughput.rates)
 	e.summarize(spanSeconds)
@@ -141,7 +141,7 @@
 		targetConcurrency:  limit.targetConcurrency,
 		admitted:           float64(stats.admitted) / spanSeconds,
 		completed:          float64(stats.completed) / spanSeconds,
-		tail:               stats.tailLatency(),
+		tailLatency:        stats.tailLatency(),
 		baseLatency:        Time(limit.throughput.baseLatency),
 		rejected:           stats.rejected,
 	}
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -10,13 +10,13 @@
 // A server may fail one class and serve the others. A failure ejects the server for the failed class only, here and at
 // peers that receive the suspicion.
 func TestServerFailingOneClassIsEjectedForThatClass(t *testing.T) {
-	engine := plain(2, Settings{
+	engine := newTestEngine(2, Settings{
 		settings.Nodes: "40", settings.Peers: settings.On, settings.PeerRate: "40", settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.ClassKey(1, settings.ClassRetrySafety):      settings.RetryUnsafe,
 	})
 	engine.AddRequest(Request{ID: 1, Class: 1, Timeout: Second, Units: 1, Spread: 1})
-	failed := pull(engine, Forward)[0].Server
+	failed := takeDecisions(engine, Forward)[0].Server
 	engine.AttemptEnded(AttemptResult{Request: 1, Server: failed, Outcome: Failed, Duration: 100})
 	slot := engine.endpoints.slots.find(failed)
 	if s := engine.endpoints.servers[slot].byClass; !engine.outliers.ejected(&s[1], 1, engine.now) || engine.outliers.ejected(&s[0], 0, engine.now) {
@@ -24,8 +24,8 @@
 			failed, engine.outliers.ejected(&s[0], 0, engine.now), engine.outliers.ejected(&s[1], 1, engine.now))
 	}
 	engine.SetTime(Second + controlInterval/2)
-	sent := pull(engine, SendPeerMessage)
-	peer := plain(2, Settings{
+	sent := takeDecisions(engine, SendPeerMessage)
+	peer := newTestEngine(2, Settings{
 		settings.Nodes: "40", settings.Node: "3", settings.Peers: settings.On, settings.ClassCount: "2",
 		settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 	})
@@ -45,7 +45,7 @@
 // the trial budget. If peers suspect all servers alike, none is ejected.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
 	values := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
-	engine, alike := plain(20, values), plain(20, values)
+	engine, alike := newTestEngine(20, values), newTestEngine(20, values)
 	for k := range 8 {
 		engine.ReceivePeerMessage(NodeID(20+k), appendSuspicion([]byte{kindSuspicion}, suspicion{3, 0, 0}))
 		for s := range ServerID(20) {
@@ -68,7 +68,7 @@
 	for id := range RequestID(100) { // trials may be a twentieth of the class's attempts
 		engine.SetTime(3*Second + Time(id)*500)
 		engine.AddRequest(Request{ID: id, Customer: CustomerID(id), Timeout: Second, Units: 1, Spread: 1})
-		for _, d := range pull(engine, Forward) {
+		for _, d := range takeDecisions(engine, Forward) {
 			outcome := Succeeded
 			if d.Server == 3 {
 				trials, outcome = trials+1, TimedOut
@@ -84,11 +84,11 @@
 // A client may set a timeout far below the latency objective. Such a timeout is neither a failure of the server nor a
 // latency sample.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
-	engine := plain(2, nil)
+	engine := newTestEngine(2, nil)
 	for id := range RequestID(4) {
 		engine.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
 	}
-	for _, d := range pull(engine, Forward) {
+	for _, d := range takeDecisions(engine, Forward) {
 		engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Outcome: TimedOut, Duration: 500})
 	}
 	if engine.endpoints.servers[0].byClass[0].failures+engine.endpoints.servers[1].byClass[0].failures+engine.interval.samples != 0 {
@@ -100,19 +100,19 @@
 // One malformed or broken response does not eject a server and is no latency sample. Two in a row eject the server for
 // the class.
 func TestOneBadResponseEjectsNoServer(t *testing.T) {
-	engine := plain(1, Settings{
+	engine := newTestEngine(1, Settings{
 		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
 		settings.MaxAttempts: "1",
 	})
 	for id, outcome := range []Outcome{MalformedResponse, Succeeded, ConnectionReset, Succeeded, MalformedResponse, ConnectionReset} {
 		engine.AddRequest(Request{ID: RequestID(id), Timeout: 2 * Second, Units: 1, Spread: 1})
-		decision := pull(engine, Forward)[0]
+		decision := takeDecisions(engine, Forward)[0]
 		engine.AttemptEnded(AttemptResult{Request: decision.Request, Server: decision.Server, Outcome: outcome, Duration: 500, Final: outcome == Succeeded})
 		if got := engine.outliers.ejected(&engine.endpoints.servers[0].byClass[0], 0, engine.now); got != (id == 5) || engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now) || engine.interval.samples > 2 {
 			t.Fatalf("after result %d, outcome %d: ejected for class 0: %v, for class 1: %v, %d latency samples; want %v, false, at most 2",
 				id, outcome, got, engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now), engine.interval.samples, id == 5)
 		}
-		if outcome != Succeeded && pull(engine, Reject) == nil {
+		if outcome != Succeeded && takeDecisions(engine, Reject) == nil {
 			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d", id, outcome)
 		}
 	}
@@ -121,13 +121,13 @@
 // A server that drains rejects every request before the list says so. Its fast responses would attract requests. Each
 // rejection counts as a latency sample of one objective, and two in a row eject the server.
 func TestServerThatRejectsIsEjected(t *testing.T) {
-	engine := plain(4, nil)
+	engine := newTestEngine(4, nil)
 	now, sent := Second, 0
 	for id := range RequestID(400) {
 		now += Second / 40
 		engine.SetTime(now)
 		engine.AddRequest(Request{ID: id, Timeout: 2 * Second, Units: 1, Spread: 1})
-		for decisions := pull(engine, Forward); len(decisions) > 0; decisions = pull(engine, Forward) {
+		for decisions := takeDecisions(engine, Forward); len(decisions) > 0; decisions = takeDecisions(engine, Forward) {
 			if decisions[0].Server == 2 {
 				sent++
 				engine.AttemptEnded(AttemptResult{Request: id, Attempt: len(engine.requests.all[engine.requests.slots.find(id)].attempts) - 1, Server: 2, Outcome: Overloaded, Duration: 10})
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -12,7 +12,7 @@
 // fleet simulates a fleet of 60 nodes. The customer's set holds 40 of them, from number 10. Messages arrive at once.
 type fleet struct {
 	nodes          []*Engine
-	sets           []Settings                                     // settings by node
+	nodeSettings   []Settings                                     // settings by node
 	sent, inFlight int                                            // attempts of all nodes: sent so far, and in flight now
 	mostInFlight   int                                            // largest value of inFlight
 	messageLost    func(from int, to NodeID, payload []byte) bool // reports whether a message is lost; nil: no message is lost
@@ -32,8 +32,8 @@
 	}
 	for k := range f.nodes {
 		values[settings.Node] = strconv.Itoa(k)
-		f.nodes[k] = plain(4, values)
-		f.sets = append(f.sets, plainSettings(values))
+		f.nodes[k] = newTestEngine(4, values)
+		f.nodeSettings = append(f.nodeSettings, testSettings(values))
 		f.nodes[k].random = random{uint32(k) | 1, 77}
 	}
 	return f
@@ -76,8 +76,8 @@
 // fleetCustomer is the customer that sends requests.
 const fleetCustomer CustomerID = 5
 
-// ask sends requests of the customer to its nodes in turn, at a rate in requests a second. Each request has one unit.
-func (f *fleet) ask(rate int, from, until Time) {
+// sendRequests sends requests of the customer to its nodes in turn, at a rate in requests a second. Each request has one unit.
+func (f *fleet) sendRequests(rate int, from, until Time) {
 	id := RequestID(fleetCustomer) * 100000
 	for now := from; now < until; now += 50 {
 		if gap := Second / Time(rate); (now-from)%gap < 50 {
@@ -94,7 +94,7 @@
 // quota, and grants of other nodes have no effect.
 func TestOwnerHoldsQuotaOfManyNodes(t *testing.T) {
 	f := newFleet(t, nil)
-	f.ask(30, Second, 11*Second)
+	f.sendRequests(30, Second, 11*Second)
 	if f.sent < 20 || f.sent > 30 { // the quota allows 26; the client sent 300
 		t.Fatalf("nodes sent %d of 300 requests in 10 s, want 20 to 30 with a quota of 26", f.sent)
 	}
@@ -105,7 +105,7 @@
 	engine.ReceivePeerMessage(15, appendReport([]byte{kindGrant}, customerReport{customer: 5, demand: 1, spread: 400, firstNode: 10}))
 	engine.AddRequest(Request{ID: 1000, Customer: 8, Timeout: Second, Units: 1, Spread: 0, FirstNode: -3})
 	engine.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
-	pull(engine, Forward)
+	takeDecisions(engine, Forward)
 	if engine.customers.all[0].queryRatio != before || before >= 1 {
 		t.Fatalf("query ratio was %.2f and is %.2f after grants of nodes that are not the owner, want below 1 and no change",
 			before, engine.customers.all[0].queryRatio)
@@ -119,7 +119,7 @@
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
 		settings.PlanKey(0, settings.PlanMaxInFlight): "2",
 	})
-	f.ask(200, Second, 4*Second)
+	f.sendRequests(200, Second, 4*Second)
 	if f.mostInFlight > 2 || f.sent < 60 {
 		t.Fatalf("%d attempts were in flight at a time, want at most 2; %d were sent, want at least 60", f.mostInFlight, f.sent)
 	}
@@ -142,7 +142,7 @@
 	for rate, maxSent := range map[int]int{2: 40, 400: 130} { // requests a second, largest number sent in 20 s
 		f := newFleet(t, nil)
 		f.messageLost = func(int, NodeID, []byte) bool { return true }
-		f.ask(rate, Second, 21*Second)
+		f.sendRequests(rate, Second, 21*Second)
 		if f.sent < 20 || f.sent > maxSent {
 			t.Errorf("without owner responses, nodes sent %d of %d requests, want 20 to %d", f.sent, rate*20, maxSent)
 		}
@@ -159,7 +159,7 @@
 	rng := rand.New(rand.NewSource(3))
 	f.messageLost = func(int, NodeID, []byte) bool { return rng.Intn(4) == 0 }
 	for k := range Time(4) {
-		f.ask(200, (1+2*k)*Second, (3+2*k)*Second)
+		f.sendRequests(200, (1+2*k)*Second, (3+2*k)*Second)
 		sent := f.sent
 		fresh := newFleet(t, Settings{
 			settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -242,7 +242,7 @@
 				cust.reservations = append(cust.reservations, reservation{until: until})
 			}
 			ok := owner.grant(cust, customerReport{demand: 2, use: 2, request: 9}, 13, 700, now)
-			if ok != c.wantGranted || !near(cust.bucket.level, c.wantLevel) || len(cust.reservations) != c.wantReservations || cust.peerDemand.sum != 2 {
+			if ok != c.wantGranted || !nearlyEqual(cust.bucket.level, c.wantLevel) || len(cust.reservations) != c.wantReservations || cust.peerDemand.sum != 2 {
 				t.Errorf("grant() = %v with level %v, reservations %+v, demand %v; want %v with level %v, %d reservations, demand 2",
 					ok, cust.bucket.level, cust.reservations, cust.peerDemand.sum, c.wantGranted, c.wantLevel, c.wantReservations)
 			}
@@ -280,7 +280,7 @@
 				spread: 7, optimistic: c.optimisticBefore, meanUnits: 1, bucket: tokenBucket{c.level, now},
 				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
-			if revoked := owner.update(cust, now) == optimisticRevoked; revoked != c.wantRevoked || cust.optimistic != c.wantOptimistic || !near(cust.queryRatio, c.wantRatio) {
+			if revoked := owner.update(cust, now) == optimisticRevoked; revoked != c.wantRevoked || cust.optimistic != c.wantOptimistic || !nearlyEqual(cust.queryRatio, c.wantRatio) {
 				t.Errorf("optimistic %v, revoked %v, query ratio %v, want %v, %v, %v",
 					cust.optimistic, revoked, cust.queryRatio, c.wantOptimistic, c.wantRevoked, c.wantRatio)
 			}
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -34,8 +34,8 @@
 	late := t.pending[max(0, len(t.pending)-p.arrived):]
 	count := len(late)
 	for k, i := range late {
-		if r := &t.all[i]; r.arrived == now {
-			r.arrived -= p.length * Time(2*(count-k)-1) / Time(2*count) // middle of the k-th part of the pause
+		if r := &t.all[i]; r.arrivedAt == now {
+			r.arrivedAt -= p.length * Time(2*(count-k)-1) / Time(2*count) // middle of the k-th part of the pause
 		}
 	}
 	slices.Reverse(late)
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -8,11 +8,11 @@
 // After a pause, only the last requests have time left before their objective. They are forwarded first, and requests
 // past their objective are rejected at once. The admission rate's tokens cover the pause.
 func TestLastRequestsOfAPauseComeFirst(t *testing.T) {
-	engine := plain(10, nil)
+	engine := newTestEngine(10, nil)
 	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 40, 500, 9*Second
 	engine.admission.throughput.meanDurations, engine.admission.throughput.rates = []float64{500}, []float64{40}
 	engine.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
-	pull(engine, Forward)
+	takeDecisions(engine, Forward)
 	engine.SetTime(Second + Second) // a pause of 1 s, with an objective of 0.6 s
 	for id := range RequestID(20) {
 		engine.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
@@ -35,11 +35,11 @@
 
 // A request past its objective after a pause is rejected even if the admission limit and the quota allow it.
 func TestRequestsLateAfterAPauseAreRejected(t *testing.T) {
-	engine := plain(10, nil)
+	engine := newTestEngine(10, nil)
 	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 4000, 500, 9*Second
 	engine.admission.throughput.meanDurations, engine.admission.throughput.rates = []float64{500}, []float64{4000}
 	engine.AddRequest(Request{ID: 1000, Timeout: Second, Units: 1, Spread: 1})
-	pull(engine, Forward)
+	takeDecisions(engine, Forward)
 	engine.SetTime(2 * Second)
 	for id := range RequestID(20) {
 		engine.AddRequest(Request{ID: id, Timeout: Second, Units: 1, Spread: 1})
@@ -68,12 +68,12 @@
 		t.Errorf("after a gap of 4000 with an objective of 6000, pause = %+v, want length 4000, endedAt %d", detected, Second+4000)
 	}
 	now := detected.endedAt
-	table := requestTable{all: []request{{arrived: 7}, {arrived: now}, {arrived: now}}, pending: []requestSlot{0, 1, 2}}
+	table := requestTable{all: []request{{arrivedAt: 7}, {arrivedAt: now}, {arrivedAt: now}}, pending: []requestSlot{0, 1, 2}}
 	detected.arrived = 2
 	detected.reorder(&table, now)
-	if !slices.Equal(table.pending, []requestSlot{0, 2, 1}) || table.all[1].arrived != now-3000 || table.all[2].arrived != now-1000 ||
-		table.all[0].arrived != 7 || detected.arrived != 0 {
+	if !slices.Equal(table.pending, []requestSlot{0, 2, 1}) || table.all[1].arrivedAt != now-3000 || table.all[2].arrivedAt != now-1000 ||
+		table.all[0].arrivedAt != 7 || detected.arrived != 0 {
 		t.Errorf("after reorder, pending = %v, want [0 2 1]; arrival times %d, %d, %d, want 7, %d, %d; %d requests to reorder, want 0",
-			table.pending, table.all[0].arrived, table.all[1].arrived, table.all[2].arrived, now-3000, now-1000, detected.arrived)
+			table.pending, table.all[0].arrivedAt, table.all[1].arrivedAt, table.all[2].arrivedAt, now-3000, now-1000, detected.arrived)
 	}
 }
--- a/internal/decision/peers.go
+++ b/internal/decision/peers.go
@@ -39,7 +39,7 @@
 
 // receiveUse applies a usage report at the customer's owner.
 func (e *Engine) receiveUse(c *customer, from NodeID, report customerReport) {
-	c.lastRequest = e.now
+	c.lastActiveAt = e.now
 	c.bucket.level -= report.use
 	e.chargeShadowUse(c, report.use)
 	c.peerDemand.add(report.demand, e.now, demandTimeConstant)
@@ -54,7 +54,7 @@
 
 // receiveQuery responds to a query at the customer's owner.
 func (e *Engine) receiveQuery(c *customer, from NodeID, query customerReport) {
-	c.lastRequest = e.now
+	c.lastActiveAt = e.now
 	response := responseDenied
 	if e.grantWithShadow(c, query, from) {
 		response = responseGranted
@@ -67,7 +67,7 @@
 // one query if it names a request.
 func (e *Engine) receiveGrant(i customerSlot, grant customerReport) {
 	c := &e.customers.all[i]
-	c.lastRequest = e.now
+	c.lastActiveAt = e.now
 	c.queryRatio = min(grant.queryRatio(), 1)
 	c.queryRatioAt = e.now
 	c.optimistic = grant.optimistic
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -34,7 +34,7 @@
 				spread: c.spread, firstSeen: c.firstSeen, demand: decayingMean{sum: c.localDemand, count: 9, at: now},
 				peerDemand: decayingMean{sum: c.peerDemand, count: c.reportCount, at: now},
 			}
-			if got := quota.demandShare(customer, now); !near(got, c.want) {
+			if got := quota.demandShare(customer, now); !nearlyEqual(got, c.want) {
 				t.Errorf("demandShare() = %v, want %v", got, c.want)
 			}
 		})
@@ -100,7 +100,7 @@
 		cfg.plans, cfg.usesOwners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.usesOwners
 		quota, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
-		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !near(customer.ceiling.level, c.want) {
+		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !nearlyEqual(customer.ceiling.level, c.want) {
 			t.Errorf("usesOwners %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
 				c.usesOwners, customer.ceiling.level, c.elapsed, c.want, c.want >= 6)
 		}
--- a/internal/decision/random.go
+++ b/internal/decision/random.go
@@ -19,8 +19,8 @@
 	return float64(r.x) / (1 << 32)
 }
 
-// mix returns a hash of two numbers, by the finalizer of splitmix64.
-func mix(a, b uint32) uint32 {
+// hashPair returns a hash of two numbers, by the finalizer of splitmix64.
+func hashPair(a, b uint32) uint32 {
 	x := (uint64(a)<<32 | uint64(b)) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -9,18 +9,18 @@
 
 // Reports that do not fit into one message are sent in further messages soon after.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
-	engine := plain(4, Settings{
+	engine := newTestEngine(4, Settings{
 		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
 	})
 	for id := range RequestID(100) {
 		engine.AddRequest(Request{ID: id, Customer: 1<<32 + CustomerID(id), Timeout: Second, Units: 3, Spread: 3})
 	}
-	pull(engine, Forward)
-	peer := plain(4, Settings{settings.Peers: settings.On, settings.PeerRate: "100", settings.Node: "1"})
+	takeDecisions(engine, Forward)
+	peer := newTestEngine(4, Settings{settings.Peers: settings.On, settings.PeerRate: "100", settings.Node: "1"})
 	for now := Second; now < 2*Second; now += 100 {
 		engine.SetTime(now)
 		peer.SetTime(now)
-		for _, d := range pull(engine, SendPeerMessage) {
+		for _, d := range takeDecisions(engine, SendPeerMessage) {
 			peer.ReceivePeerMessage(0, d.Payload)
 		}
 	}
--- a/internal/decision/requests.go
+++ b/internal/decision/requests.go
@@ -8,7 +8,7 @@
 // attempt is one attempt of a request. Attempts that have ended stay with their request.
 type attempt struct {
 	server     serverSlot
-	sent       Time
+	sentAt     Time
 	inFlight   bool
 	mayHaveRun bool // the server may have executed the attempt; true while the attempt is in flight
 	cancelled  bool // the cancellation has been queued
@@ -24,7 +24,7 @@
 	class       ClassID
 	plan        PlanID
 	customer    customerSlot
-	arrived     Time
+	arrivedAt   Time
 	deadline    Time    // the client's deadline
 	units       float64 // expected use of the quota
 	demandShare float64 // this node's share of the customer's demand, by which the quota was charged
@@ -140,7 +140,7 @@
 
 // attemptStarted adds an attempt that is sent to a server now.
 func (t *requestTable) attemptStarted(r *request, s serverSlot, now Time) {
-	r.attempts = append(r.attempts, attempt{server: s, sent: now, inFlight: true, mayHaveRun: true})
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: now, inFlight: true, mayHaveRun: true})
 	r.inFlight++
 	if r.inFlight == 1 {
 		t.inFlight++
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -57,7 +57,7 @@
 	case retryNever:
 		return false
 	case retryKeyed:
-		return startBy < a.sent+c.keyWindow
+		return startBy < a.sentAt+c.keyWindow
 	}
 	return true
 }
@@ -73,12 +73,12 @@
 func (e *Engine) cancelLateAttempts(r *request) {
 	delay := e.retries.cancelDelay(r.class, e.usualLatency(r.class))
 	objective := e.config.classes[r.class].latencyObjective
-	if e.now >= r.arrived+objective {
+	if e.now >= r.arrivedAt+objective {
 		return
 	}
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		if !a.inFlight || e.now-a.sent < delay {
+		if !a.inFlight || e.now-a.sentAt < delay {
 			continue
 		}
 		state := &e.endpoints.servers[a.server].byClass[r.class]
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -7,18 +7,18 @@
 // An attempt that hangs at a silent server is cancelled. Its request goes to another server only after that attempt has
 // ended.
 func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
-	engine := plain(4, nil)
+	engine := newTestEngine(4, nil)
 	engine.retries.left = 5
 	engine.classes[0].latency = decayingMean{sum: 30000, count: 100, at: Second}
 	engine.AddRequest(Request{ID: 1, Timeout: 2 * Second, Units: 1, Spread: 1})
-	first := pull(engine, Forward)
+	first := takeDecisions(engine, Forward)
 	engine.SetTime(Second + 4000)
-	if cancels := pull(engine, CancelAttempt); len(cancels) != 1 || cancels[0].Request != 1 {
+	if cancels := takeDecisions(engine, CancelAttempt); len(cancels) != 1 || cancels[0].Request != 1 {
 		t.Fatalf("decisions to cancel an attempt 0.4 s after it was sent = %+v, want one for request 1", cancels)
 	}
 	engine.SetTime(Second + 4010)
 	engine.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
-	retried := pull(engine, Forward)
+	retried := takeDecisions(engine, Forward)
 	if len(retried) != 1 || retried[0].Server == first[0].Server {
 		t.Fatalf("after the cancelled attempt ended, forwarded %+v, want one attempt at a server other than %d", retried, first[0].Server)
 	}
@@ -30,7 +30,7 @@
 // A retry must not run a request twice that must run once. Maximum attempts and the retry budget limit retries as well.
 func TestRetryRules(t *testing.T) {
 	const now = 100 * Second
-	mayHaveRun, notRun := attempt{sent: now - 3000, mayHaveRun: true}, attempt{sent: now - 3000}
+	mayHaveRun, notRun := attempt{sentAt: now - 3000, mayHaveRun: true}, attempt{sentAt: now - 3000}
 	keyed := classConfig{retrySafety: retryKeyed, keyWindow: 4000, keyGroup: groupZone}
 	for _, c := range []struct {
 		name         string
@@ -70,13 +70,13 @@
 	for range 5 {
 		budget.earn(3)
 	}
-	if !near(budget.left, 1) {
+	if !nearlyEqual(budget.left, 1) {
 		t.Errorf("after 5 first attempts, the retry budget is %v, want 1", budget.left)
 	}
 	for range 100 {
 		budget.earn(3)
 	}
-	if budget.spend(); !near(budget.left, 5) {
+	if budget.spend(); !nearlyEqual(budget.left, 5) {
 		t.Errorf("after one retry from the full budget of 3 servers, the retry budget is %v, want 5", budget.left)
 	}
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -9,7 +9,7 @@
 // With a small subset, the server with the fewest attempts in flight for its weight is selected. The rotation alone
 // would send requests to a larger server that is busy while a smaller one is idle.
 func TestSubsetServerWithTheLeastInFlightComesFirst(t *testing.T) {
-	engine := plain(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
+	engine := newTestEngine(2, Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"})
 	engine.endpoints.servers[1].Weight, engine.endpoints.servers[1].inFlight, engine.endpoints.servers[1].rotationCredit = 4, 1, 100
 	engine.AddRequest(Request{ID: 1, Timeout: Second, Units: 1, Spread: 1})
 	if got := engine.pick(&engine.requests.all[0]); got != 0 {
@@ -25,7 +25,7 @@
 		want                   float64
 	}{{1, 0, 0, 1, 1}, {0, 0, 0, 1, 1}, {4, 0, 0, 2, 4}, {1, 18, 6, 1, 0.5}, {2, 6, 6, 2, 2 / 0.75}} {
 		s := &server{Endpoint: Endpoint{Weight: c.size}, pace: decayingMean{sum: c.sum, count: c.count, at: Second}}
-		if got := rotation.weigh(s, c.mean, Second); !near(got, c.want) {
+		if got := rotation.weigh(s, c.mean, Second); !nearlyEqual(got, c.want) {
 			t.Errorf("size %v, pace %v/%v, mean pace %v: weigh() = %v, want %v", c.size, c.sum, c.count, c.mean, got, c.want)
 		}
 	}
@@ -63,7 +63,7 @@
 // Each server gets requests in proportion to its weight. A server at its cap is left out while other servers are below
 // theirs.
 func TestRotationByWeight(t *testing.T) {
-	engine := plain(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
+	engine := newTestEngine(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
 	for i := range engine.endpoints.servers {
 		engine.endpoints.servers[i].Weight = float64(1 + i)
 	}
@@ -84,7 +84,7 @@
 
 // Each pass accepts more servers: tried ones after all others, ejected ones last.
 func TestPasses(t *testing.T) {
-	engine := plain(3, nil)
+	engine := newTestEngine(3, nil)
 	r := &request{attempts: []attempt{{server: 0}}}
 	engine.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
 	if got := engine.pick(r); got != 2 {
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -192,7 +192,7 @@
 	for k := range set.servers {
 		set.servers[k].byClass = slices.Clone(set.servers[k].byClass)
 	}
-	set.subset, set.tracked, set.spareTracked = slices.Clone(set.subset), slices.Clone(set.tracked), nil
+	set.subset, set.tracked, set.trackedBuffer = slices.Clone(set.subset), slices.Clone(set.tracked), nil
 
 	other.requests.all, other.customers.all = slices.Clone(e.requests.all), slices.Clone(e.customers.all)
 	r := &other.requests.all[i]
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -11,9 +11,9 @@
 // shadowedRun sends 400 requests of three customers, some with a failed first attempt. It returns the decisions and the
 // engine. Shadow evaluation is off if other is nil.
 func shadowedRun(own, other Settings) (decisions []Decision, n *Engine) {
-	n = plain(6, own)
+	n = newTestEngine(6, own)
 	if other != nil {
-		all := plainSettings(own)
+		all := testSettings(own)
 		maps.Copy(all, other)
 		n.StartShadow(all.parse())
 	}
@@ -71,7 +71,7 @@
 				other, compared, differences, c.least, c.kind)
 		}
 	}
-	if compared, differences := plain(1, nil).ShadowCounts(); compared != 0 || differences != nil {
+	if compared, differences := newTestEngine(1, nil).ShadowCounts(); compared != 0 || differences != nil {
 		t.Error("ShadowCounts() without shadow evaluation = ", compared, ", ", differences, ", want 0, nil")
 	}
 }
@@ -109,11 +109,11 @@
 			settings.PlanKey(0, settings.PlanRate): "4", settings.PlanKey(0, settings.PlanBurst): "12",
 		})
 		for k, n := range f.nodes {
-			all := maps.Clone(f.sets[k])
+			all := maps.Clone(f.nodeSettings[k])
 			maps.Copy(all, other)
 			n.StartShadow(all.parse())
 		}
-		f.ask(10, Second, 9*Second)
+		f.sendRequests(10, Second, 9*Second)
 		differences := int64(0)
 		for _, n := range f.nodes {
 			_, byKind := n.ShadowCounts()
@@ -136,18 +136,18 @@
 			name = "on"
 		}
 		b.Run(name, func(b *testing.B) {
-			n := plain(100, nil)
+			n := newTestEngine(100, nil)
 			for k := range CustomerID(2000) {
 				n.customers.findOrAdd(customerRef{id: k, spread: 1}, n.now)
 			}
 			if on {
-				n.StartShadow(plainSettings(nil).parse())
+				n.StartShadow(testSettings(nil).parse())
 			}
 			b.ReportAllocs()
 			for i := range b.N {
 				n.SetTime(Second + Time(i)*100)
 				n.AddRequest(Request{ID: RequestID(i), Customer: CustomerID(i % 2000), Timeout: Second, Units: 1, Spread: 1})
-				for _, d := range pull(n, Forward) {
+				for _, d := range takeDecisions(n, Forward) {
 					n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 400, Final: true})
 				}
 			}
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -57,8 +57,8 @@
 	if l.clockSeen && l.maxClockLead > tolerance {
 		at += l.maxClockLead
 	}
-	if s.knownAt > 0 {
-		at = min(at, s.knownAt)
+	if s.processListedAt > 0 {
+		at = min(at, s.processListedAt)
 	}
 	return at
 }
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -75,11 +75,11 @@
 	engine.SetTime(now + 60*Second)
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: engine.now - 2*Second}})
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 3, State: Ready, Weight: 1, Started: engine.now - 9*Second}})
-	if weight, want := engine.weightOf(3), 0.25+0.75/2; !near(weight, want) {
+	if weight, want := engine.weightOf(3), 0.25+0.75/2; !nearlyEqual(weight, want) {
 		t.Errorf("weight of server 3, which started 9 s ago, = %v, want %v", weight, want)
 	}
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 4, State: Ready, Weight: 1}, {Server: 5, State: Draining, Started: engine.now}})
-	if weight, want := engine.weightOf(3), 0.25+0.75/2; !near(weight, want) {
+	if weight, want := engine.weightOf(3), 0.25+0.75/2; !nearlyEqual(weight, want) {
 		t.Errorf("weight of server 3 after entries without a usable start time = %v, want %v", weight, want)
 	}
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -32,7 +32,7 @@
 			now := Second + Time(i)*span/60
 			engine.SetTime(now)
 			engine.AddRequest(Request{ID: i, Customer: CustomerID(i), Timeout: Second, Units: 1, Spread: 1})
-			for _, d := range pull(engine, Forward) {
+			for _, d := range takeDecisions(engine, Forward) {
 				if i == 0 {
 					firstServers[d.Server] = true
 				}
@@ -77,7 +77,7 @@
 				engine.UpdateEndpoints(FullList, list)
 			}
 			engine.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-			for _, d := range pull(engine, Forward) {
+			for _, d := range takeDecisions(engine, Forward) {
 				if d.Server >= 100 {
 					sent++
 				}
@@ -113,7 +113,7 @@
 			{71 * Second, 61*Second - 1},
 		} {
 			engine.SetTime(step.at - 500) // the engine takes a longer gap between calls for a scheduling pause
-			pull(engine, Forward)
+			takeDecisions(engine, Forward)
 			engine.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
 			for s := range ServerID(3) {
@@ -121,7 +121,7 @@
 			}
 			engine.UpdateEndpoints(FullList, list)
 			engine.AddRequest(Request{ID: RequestID(i), Customer: 1, Timeout: Second, Units: 1, Spread: 1})
-			for _, d := range pull(engine, Forward) {
+			for _, d := range takeDecisions(engine, Forward) {
 				if d.Server == 99 {
 					sent[step.at]++
 				}
@@ -144,7 +144,7 @@
 		want               float64
 	}{{0, 100, 50, 1}, {10, 0, 10, 1}, {10, 100, 10, 0.25}, {10, 100, 60, 0.625}, {10, 100, 110, 1}, {10, 100, 5, 0.25}} {
 		limit := slowStart{config: &config{slowStartSpan: c.span, slowStartShare: 0.25}}
-		if got := limit.weight(&server{Endpoint: Endpoint{Started: c.started}}, c.now); !near(got, c.want) {
+		if got := limit.weight(&server{Endpoint: Endpoint{Started: c.started}}, c.now); !nearlyEqual(got, c.want) {
 			t.Errorf("server started at %d, span %d: weight at %d = %v, want %v", c.started, c.span, c.now, got, c.want)
 		}
 	}
@@ -155,11 +155,11 @@
 func TestSlowStartBudget(t *testing.T) {
 	limit, now := slowStart{config: testConfig(), warmRate: 10}, 100*Second
 	warming := &server{Endpoint: Endpoint{Started: now - 5*Second, Weight: 2}, inSubset: true}
-	if got, want := limit.budget(warming, now, 3), 0.4*0.625*3*3*10*2; !near(got, want) {
+	if got, want := limit.budget(warming, now, 3), 0.4*0.625*3*3*10*2; !nearlyEqual(got, want) {
 		t.Errorf("budget with subset ratio 3 = %v, want %v", got, want)
 	}
 	limit.attemptCompleted(&server{Endpoint: Endpoint{Weight: 4}}, now)
-	if got, want := limit.budget(warming, now, 1), 0.4*0.625*3*0.5*10*2; !near(got, want) {
+	if got, want := limit.budget(warming, now, 1), 0.4*0.625*3*0.5*10*2; !nearlyEqual(got, want) {
 		t.Errorf("budget of a server of half the mean size = %v, want %v", got, want)
 	}
 	limit.completedSizes = decayingMean{}
@@ -199,18 +199,18 @@
 		rates = append(rates, 80)
 		limit.closeInterval(8, rates)
 	}
-	if !near(limit.warmRate, 10) {
+	if !nearlyEqual(limit.warmRate, 10) {
 		t.Errorf("warm rate = %v a second after 80 a second at 8 warm servers, want 10", limit.warmRate)
 	}
 	rates = append(rates, 20)
-	if limit.closeInterval(2, rates); !near(limit.warmRate, (3*16+4)/4) { // over 2 servers: 40 and 10 a second, at most 1.6 times 10 and 2.5
+	if limit.closeInterval(2, rates); !nearlyEqual(limit.warmRate, (3*16+4)/4) { // over 2 servers: 40 and 10 a second, at most 1.6 times 10 and 2.5
 		t.Errorf("warm rate = %v a second after 6 of 8 servers restarted, want %v", limit.warmRate, (3*16+4)/4)
 	}
 	for range 8 {
 		rates = append(rates, 0)
 	}
 	before := limit.warmRate
-	if limit.closeInterval(2, rates); !near(limit.warmRate, 0.97*before) {
+	if limit.closeInterval(2, rates); !nearlyEqual(limit.warmRate, 0.97*before) {
 		t.Errorf("warm rate = %v a second after an idle interval, want %v, which is 0.97 of %v", limit.warmRate, 0.97*before, before)
 	}
 }
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -9,8 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// fleetOf returns the engine of node 77 with servers in zones. Tests change its config.self to choose as another node.
-func fleetOf(nodes, servers, zones int) *Engine {
+// newZonedEngine returns the engine of node 77 with servers in zones. Tests change its config.self to choose as another node.
+func newZonedEngine(nodes, servers, zones int) *Engine {
 	engine := New(7, Settings{
 		settings.Nodes: strconv.Itoa(nodes), settings.Node: "77", settings.Peers: settings.On, settings.PeerRate: "40",
 		settings.Tick: "10", settings.ClassCount: "2", settings.ClassKey(0, settings.ClassLatencyObjective): "6000",
@@ -52,11 +52,11 @@
 		nodes, servers, zones int
 		rate                  float64 // mean requests a second at a node
 	}{{300, 200, 3, 5}, {830, 13000, 12, 85}, {300, 13000, 12, 85}, {830, 2000, 12, 85}, {830, 830, 1, 85}, {200, 5000, 5, 85}} {
-		engine, seeds := fleetOf(c.nodes, c.servers, c.zones), 5
+		engine, seeds := newZonedEngine(c.nodes, c.servers, c.zones), 5
 		largest, p99, least := 0.0, 0.0, 1.0
 		for seed := range uint32(seeds) {
 			runLargest, runP99, runLeast := relativeLoads(engine, func(node int) float64 {
-				return c.rate * []float64{0.3, 0.3, 0.5, 0.7, 1, 1, 1.5, 3}[mix(uint32(node), seed)%8]
+				return c.rate * []float64{0.3, 0.3, 0.5, 0.7, 1, 1, 1.5, 3}[hashPair(uint32(node), seed)%8]
 			})
 			largest, p99, least = largest+runLargest/float64(seeds), p99+runP99/float64(seeds), min(least, runLeast)
 		}
@@ -72,7 +72,7 @@
 // A zone, a region of six of twelve zones, or a third of the cells may fail at once. Each node must still have two fifths
 // of its servers, in six zones or more. No zone may have more than a quarter of the node's servers.
 func TestNoFailureLeavesANodeWithoutServers(t *testing.T) {
-	engine := fleetOf(830, 13000, 12)
+	engine := newZonedEngine(830, 13000, 12)
 	for failure, fails := range map[string]func(s *server) bool{
 		"a zone":               func(s *server) bool { return s.Zone == 3 },
 		"a region":             func(s *server) bool { return s.Zone%2 == 0 },
@@ -107,11 +107,11 @@
 // next interval and drop its connections.
 func TestFirstListDeterminesTheSubset(t *testing.T) {
 	for _, servers := range []int{60, 200, 13000} {
-		engine := fleetOf(300, servers, 3)
+		engine := newZonedEngine(300, servers, 3)
 		first := slices.Clone(engine.endpoints.subset)
 		engine.SetTime(engine.now + controlInterval)
-		pull(engine, Forward)
-		if moved := diff(engine.endpoints.subset, first); moved > 0 || len(first) == 0 {
+		takeDecisions(engine, Forward)
+		if moved := countMissing(engine.endpoints.subset, first); moved > 0 || len(first) == 0 {
 			t.Errorf("%d servers: first subset has %d servers, of which the one after an interval replaces %d; want a first subset and none replaced",
 				servers, len(first), moved)
 		}
@@ -123,8 +123,8 @@
 	}
 }
 
-// diff returns the number of slots in a that are not in b.
-func diff(a, b []serverSlot) (n int) {
+// countMissing returns the number of slots in a that are not in b.
+func countMissing(a, b []serverSlot) (n int) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
 			n++
@@ -189,7 +189,7 @@
 		now += Second / 5
 		engine.SetTime(now)
 		engine.AddRequest(Request{ID: k, Customer: CustomerID(k), Timeout: 4 * Second, Units: 1, Spread: 1})
-		for _, d := range pull(engine, Forward) {
+		for _, d := range takeDecisions(engine, Forward) {
 			attempts[d.Server]++
 			engine.SetTime(now + Second/10)
 			engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: Second / 10})
@@ -223,7 +223,7 @@
 			if got := chooser.choose(10*Second, c.ready); got != c.want {
 				t.Errorf("choose() = %+v, want %+v", got, c.want)
 			}
-			if want := float64(c.ready) / float64(c.want.size); !near(chooser.ratio, want) {
+			if want := float64(c.ready) / float64(c.want.size); !nearlyEqual(chooser.ratio, want) {
 				t.Errorf("subset ratio = %v, want %v", chooser.ratio, want)
 			}
 		})
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -13,7 +13,7 @@
 		rate, burst float64
 		want        float64
 	}{{Second, 5, 9, 1}, {Second + 5000, 5, 9, 3.5}, {9 * Second, 5, 9, 9}, {9 * Second, 5, 4, 4}, {10 * Second, -1, 4, 3}} {
-		if bucket.refill(c.now, c.rate, c.burst); !near(bucket.level, c.want) || bucket.at != c.now {
+		if bucket.refill(c.now, c.rate, c.burst); !nearlyEqual(bucket.level, c.want) || bucket.at != c.now {
 			t.Errorf("refill(%d, %v, %v) led to %+v, want level %v at %d", c.now, c.rate, c.burst, bucket, c.want, c.now)
 		}
 	}
@@ -28,7 +28,7 @@
 		t.Errorf("after adding 4 and 2, mean = %+v, want sum 6 and count 2", mean)
 	}
 	mean.decayTo(3*Second, 2*Second)
-	if !near(mean.sum, 6/2.718281828459045) || !near(mean.count, 2/2.718281828459045) {
+	if !nearlyEqual(mean.sum, 6/2.718281828459045) || !nearlyEqual(mean.count, 2/2.718281828459045) {
 		t.Errorf("one time constant after sum 6 and count 2, mean = %+v, want both divided by e", mean)
 	}
 	if before := mean; true {
@@ -73,7 +73,7 @@
 	for _, n := range []int{80, 50, 7, 6, 5} {
 		interval(n, 100, 0)
 	}
-	if measured.bestRate() != 80 || !near(measured.completionsIn(5000), 3.5) {
+	if measured.bestRate() != 80 || !nearlyEqual(measured.completionsIn(5000), 3.5) {
 		t.Errorf("bestRate() = %v, completionsIn(5000) = %v, want 80, 3.5", measured.bestRate(), measured.completionsIn(5000))
 	}
 	for range 4 {
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -107,9 +107,9 @@
 func TestDisconnectDuringADial(t *testing.T) {
 	limits := frontendtest.Limits
 	limits.ConnectTimeout = 3 * time.Second
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: "false"}, Retries: settings.RetrySafe, Limits: limits})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: "false"}, RetrySafety: settings.RetrySafe, Limits: limits})
 	addr, emptyQueue := nettest.FullServer(t)
-	node.ListOnly(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
+	node.SetOnlyServer(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
 	conn := node.Dial(t)
 	nettest.WriteString(conn, frontendtest.RequestText(5000, "x"))
 	nettest.Eventually(t, "dial of the app server", func() bool { return node.Counters.Upstream.Dials.Load() == 1 })
@@ -134,7 +134,7 @@
 	quotaSettings := settings.Values{
 		settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 	}
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: quotaSettings, Retries: settings.RetrySafe, Limits: frontendtest.Limits, Servers: 4, Serve: frontendtest.Echo})
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: quotaSettings, RetrySafety: settings.RetrySafe, Limits: frontendtest.Limits, Servers: 4, Serve: frontendtest.Echo})
 	send := func(extra string) net.Conn {
 		conn := node.Dial(t)
 		nettest.WriteString(conn, strings.Replace(frontendtest.RequestText(4000, "x"), "spread=1", "spread=2", 1)+extra)
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -90,7 +90,7 @@
 
 func (c *disconnectConfig) run(t *testing.T) {
 	d := &disconnectRun{
-		disconnectConfig: c, node: frontendtest.StartWith(t, frontendtest.Config{Settings: c.settings, Retries: settings.RetrySafe, Limits: frontendtest.Limits, PoolLimits: &c.pool}),
+		disconnectConfig: c, node: frontendtest.StartWith(t, frontendtest.Config{Settings: c.settings, RetrySafety: settings.RetrySafe, Limits: frontendtest.Limits, PoolLimits: &c.pool}),
 		arrivals: &arrivalRecorder{arrivals: map[string][]arrival{}},
 		rand:     rand.New(rand.NewSource(c.seed)), disconnectedAt: map[string]time.Time{},
 	}
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -112,7 +112,7 @@
 // partly read request, nor in flight at an app server. Each response closes its connection.
 func TestDrainWaitsForRequestsInTransit(t *testing.T) {
 	answer := make(chan struct{})
-	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.LimitsForEight(), 8, func(conn net.Conn, request *http.Request) bool {
+	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.LimitsForEightConnections(), 8, func(conn net.Conn, request *http.Request) bool {
 		<-answer
 		return frontendtest.Echo(conn, request)
 	})
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -64,18 +64,18 @@
 
 // Config is the configuration of StartWith.
 type Config struct {
-	Settings   settings.Values // additions to the settings of a node with the class "seats" and the plan "team"
-	Retries    string          // retry safety of the class
-	Limits     netio.Limits
-	PoolLimits *netio.Limits   // limits of the connection pool; nil means Limits
-	Servers    int             // number of app servers to start
-	Serve      nettest.Handler // handler of the app servers
+	Settings    settings.Values // additions to the settings of a node with the class "seats" and the plan "team"
+	RetrySafety string          // retry safety of the class
+	Limits      netio.Limits
+	PoolLimits  *netio.Limits   // limits of the connection pool; nil means Limits
+	Servers     int             // number of app servers to start
+	Serve       nettest.Handler // handler of the app servers
 }
 
 // Start starts a node and its app servers, each of which answers requests with serve.
 func Start(t *testing.T, retrySafety string, limits netio.Limits, servers int, serve nettest.Handler) *Node {
 	t.Helper()
-	return StartWith(t, Config{Retries: retrySafety, Limits: limits, Servers: servers, Serve: serve})
+	return StartWith(t, Config{RetrySafety: retrySafety, Limits: limits, Servers: servers, Serve: serve})
 }
 
 // StartWith starts a node and its app servers.
@@ -90,7 +90,7 @@
 	values := settings.Values{
 		settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "seats",
 		settings.ClassKey(0, settings.ClassLatencyObjective): "20000",
-		settings.ClassKey(0, settings.ClassRetrySafety):      cfg.Retries, settings.PlanCount: "1",
+		settings.ClassKey(0, settings.ClassRetrySafety):      cfg.RetrySafety, settings.PlanCount: "1",
 		settings.PlanKey(0, settings.PlanName): "team", settings.Nodes: "1", settings.Tick: "20",
 		settings.MaxAttempts: "3", settings.CancelAttempts: settings.On, settings.MaxUnits: "6",
 	}
@@ -149,16 +149,16 @@
 	return protocol.Endpoint{UID: uid, Weight: 1, Addr: netip.MustParseAddrPort(listener.Addr().String())}
 }
 
-// ListOnly sends the node a full endpoint list with server as the only app server.
-func (n *Node) ListOnly(server protocol.Endpoint) {
+// SetOnlyServer sends the node a full endpoint list with server as the only app server.
+func (n *Node) SetOnlyServer(server protocol.Endpoint) {
 	n.Router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{server}}, routing.FromDiscovery)
 }
 
 // Limits are limits for tests that must not reach any of them.
 var Limits = netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 
-// LimitsForEight returns limits that allow eight client connections and eight connections to app servers.
-func LimitsForEight() netio.Limits {
+// LimitsForEightConnections returns limits that allow eight client connections and eight connections to app servers.
+func LimitsForEightConnections() netio.Limits {
 	limits := Limits
 	limits.Sockets = netio.MinReserved + 16
 	return limits
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -15,7 +15,7 @@
 
 // Clients that stay connected after their response must not use up the slots. At the limit, new connections evict them.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
+	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEightConnections(), 1, frontendtest.Echo)
 	for range 30 {
 		conn := node.Dial(t)
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
@@ -30,7 +30,7 @@
 // Many connections without a complete request must not delay other clients. At the limit, they are evicted first, and no new
 // connection waits for their timeout.
 func TestConnectionsWithoutARequestAreEvictedFirst(t *testing.T) {
-	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
+	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEightConnections(), 1, frontendtest.Echo)
 	kept := node.Dial(t)
 	if status, _, _ := frontendtest.RoundTrip(t, kept, frontendtest.RequestText(3000, "x")); status != 200 {
 		t.Fatalf("first request of the kept connection: status %d, want 200", status)
@@ -54,7 +54,7 @@
 // When more than half of the slots are in use, each response closes its connection. Otherwise clients that stay connected
 // would use up the slots, and new connections would have to wait for evictions.
 func TestResponsesCloseNearTheLimit(t *testing.T) {
-	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
+	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEightConnections(), 1, frontendtest.Echo)
 	for i := range 6 {
 		if _, _, closes := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); closes != (i > 3) {
 			t.Errorf("response %d closes its connection: %v, want %v", i, closes, i > 3)
@@ -64,7 +64,7 @@
 
 // An eviction must not close a new connection whose first request is in transit, because the request would be lost.
 func TestNewClientsAreNotEvicted(t *testing.T) {
-	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEight(), 1, frontendtest.Echo)
+	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEightConnections(), 1, frontendtest.Echo)
 	var clients sync.WaitGroup
 	for range 40 {
 		conn := node.Dial(t)
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -223,7 +223,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			retryAfterSettings := settings.Values{settings.RetryAfter: settings.On, settings.MaxRetryAfter: "10000"}
-			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: retryAfterSettings, Retries: test.retrySafety, Limits: frontendtest.Limits}), &attemptRecorder{}
+			node, recorder := frontendtest.StartWith(t, frontendtest.Config{Settings: retryAfterSettings, RetrySafety: test.retrySafety, Limits: frontendtest.Limits}), &attemptRecorder{}
 			if test.serverResponse != "" {
 				recorder.startServers(t, node, 3, fixedResponse(test.serverResponse))
 			}
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -18,8 +18,8 @@
 	"cherrygap/internal/membership"
 )
 
-// MessageMark is the first byte of each peer message of this package.
-const MessageMark = membership.MessageMark
+// MagicByte is the first byte of each peer message of this package.
+const MagicByte = membership.MagicByte
 
 // NodeID is the number of a node of the fleet.
 type NodeID = membership.NodeID
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -205,9 +205,9 @@
 	return Step{Kind: Run, Check: c.check, Timeout: s.members.Period()}
 }
 
-// Wake returns the time from now within which the host must call Next again, provided that it reports no event before. It is
+// WakeAfter returns the time from now within which the host must call Next again, provided that it reports no event before. It is
 // at least a millisecond.
-func (s *Scheduler) Wake(now time.Duration) time.Duration {
+func (s *Scheduler) WakeAfter(now time.Duration) time.Duration {
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
 	for i := range s.checks {
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -158,8 +158,8 @@
 		}
 		now += time.Millisecond
 	}
-	if err := node.ReceivePeerMessage(now, 1, valid); err != nil || node.Wake(now) <= 0 {
-		t.Errorf("ReceivePeerMessage of a valid message = %v, Wake = %v; want no error and more than 0", err, node.Wake(now))
+	if err := node.ReceivePeerMessage(now, 1, valid); err != nil || node.WakeAfter(now) <= 0 {
+		t.Errorf("ReceivePeerMessage of a valid message = %v, Wake = %v; want no error and more than 0", err, node.WakeAfter(now))
 	}
 	if c := node.Counters(); c.Malformed < 1000 || c.Received < 1000 || c.Checks == 0 {
 		t.Errorf("Counters() = %+v, want at least 1000 in Malformed and Received, and Checks above 0", c)
@@ -229,7 +229,7 @@
 	if got := startedRuns(9 * time.Second); len(got) > 0 { // Both checks are running.
 		t.Errorf("runs started while both checks are running: %v, want none", got)
 	}
-	if wake := s.Wake(9 * time.Second); wake > time.Second {
+	if wake := s.WakeAfter(9 * time.Second); wake > time.Second {
 		t.Errorf("Wake while both checks are running = %v, want at most 1s", wake)
 	}
 }
--- a/internal/healthcheck/wireformat_test.go
+++ b/internal/healthcheck/wireformat_test.go
@@ -234,7 +234,7 @@
 			}
 			if p.now%time.Second == 0 {
 				counters := node.Counters()
-				p.record("%d: %v %v %v, %d owned, %d dead, %v", i, node.Period(), node.Interval(), node.Wake(p.now), node.OwnedCount(p.now), node.DeadCount(),
+				p.record("%d: %v %v %v, %d owned, %d dead, %v", i, node.Period(), node.Interval(), node.WakeAfter(p.now), node.OwnedCount(p.now), node.DeadCount(),
 					[]int64{
 						counters.Sent, counters.SentBytes, counters.Withheld, counters.Received, counters.Malformed, counters.Checks, counters.BackupChecks,
 						counters.Suspected, counters.Died, counters.Rejoined, counters.Refuted,
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -160,7 +160,7 @@
 		case healthcheck.Ended: // a simulated node has no use for the result
 		}
 	}
-	n.wakeAt = s.now + n.scheduler.Wake(s.now)
+	n.wakeAt = s.now + n.scheduler.WakeAfter(s.now)
 	s.queue.schedule(event{at: n.wakeAt, kind: wakeNode, node: id, incarnation: n.incarnation})
 }
 
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// MessageMark is the first byte of each message. Other protocols on the same socket use other first bytes.
-	MessageMark = 0xD0
+	// MagicByte is the first byte of each message. Other protocols on the same socket use other first bytes.
+	MagicByte = 0xD0
 	// MaxMessageSize is the maximum size of a message, in bytes.
 	MaxMessageSize = 256
 
@@ -66,7 +66,7 @@
 // ErrMalformed is wrapped by every error of Receive.
 var ErrMalformed = errors.New("malformed membership message")
 
-// header is the beginning of each message. The encoding is MessageMark, kind, sequence (uvarint), deadHash (4 bytes, big
+// header is the beginning of each message. The encoding is MagicByte, kind, sequence (uvarint), deadHash (4 bytes, big
 // endian), and target (uvarint) if the kind is pingRequest.
 type header struct {
 	kind     messageKind
@@ -96,7 +96,7 @@
 
 // appendHeader appends a header to a message.
 func appendHeader(payload []byte, h header) []byte {
-	payload = append(payload, MessageMark, byte(h.kind))
+	payload = append(payload, MagicByte, byte(h.kind))
 	payload = binary.AppendUvarint(payload, h.sequence)
 	payload = binary.BigEndian.AppendUint32(payload, h.deadHash)
 	if h.kind == pingRequest {
@@ -137,8 +137,8 @@
 	if len(payload) < 2 || len(payload) > MaxMessageSize {
 		return message{}, fmt.Errorf("%w: size is %d bytes, want 2 to %d", ErrMalformed, len(payload), MaxMessageSize)
 	}
-	if payload[0] != MessageMark {
-		return message{}, fmt.Errorf("%w: first byte is %#x, want %#x", ErrMalformed, payload[0], MessageMark)
+	if payload[0] != MagicByte {
+		return message{}, fmt.Errorf("%w: first byte is %#x, want %#x", ErrMalformed, payload[0], MagicByte)
 	}
 	r := reader{rest: payload[2:], nodes: nodes, eventKinds: eventKinds}
 	m := message{header: r.header(messageKind(payload[1]))}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -184,12 +184,12 @@
 	}
 	for _, malformed := range [][]byte{
 		nil,
-		{MessageMark},
-		{MessageMark, 9, 1, 0, 0, 0, 0},
-		{MessageMark, 3, 1, 0, 0, 0, 0, 200},
+		{MagicByte},
+		{MagicByte, 9, 1, 0, 0, 0, 0},
+		{MagicByte, 3, 1, 0, 0, 0, 0, 200},
 		make([]byte, 300),
 		append(slices.Clone(valid), 77),
-		{MessageMark, 1, 1, 0, 0, 0, 0, byte(bitmapPart), 0, 255, 255, 3},
+		{MagicByte, 1, 1, 0, 0, 0, 0, byte(bitmapPart), 0, 255, 255, 3},
 	} {
 		if err := node.Receive(0, 1, malformed, ignoreEvents); !errors.Is(err, ErrMalformed) {
 			t.Errorf("Receive(%v): error %v, want one that wraps ErrMalformed", malformed, err)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -90,7 +90,7 @@
 // receivePeerMessage passes a message to the health checks or to the router, and reports whether the message is well-formed.
 // The payload must not be empty. No part keeps it.
 func (n *Node) receivePeerMessage(peer int, payload []byte) bool {
-	if n.healthChecks != nil && payload[0] == healthcheck.MessageMark {
+	if n.healthChecks != nil && payload[0] == healthcheck.MagicByte {
 		return n.healthChecks.ReceivePeerMessage(peer, payload)
 	}
 	return n.router.ReceivePeerMessage(peer, payload)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -97,7 +97,7 @@
 		}
 	})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil)
-	node.ListOnly(frontendtest.Endpoint("s", listener))
+	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
 	for range 2 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "body")); status != 200 || body != "body" {
 			t.Errorf("response status %d, body %q; want 200, %q", status, body, "body")
@@ -132,7 +132,7 @@
 	var accepted atomic.Int64
 	go nettest.ServeConns(listener, func(net.Conn) { accepted.Add(1) })
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil)
-	node.ListOnly(frontendtest.Endpoint("s", listener))
+	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 	if reset := node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load(); reset > 0 {
 		if status != 502 || reset != 1 {
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -96,7 +96,7 @@
 			h.execute(step)
 		}
 		h.mu.Lock()
-		wait := h.scheduler.Wake(h.now())
+		wait := h.scheduler.WakeAfter(h.now())
 		h.mu.Unlock()
 		timer.Reset(wait)
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -95,7 +95,7 @@
 		}
 	})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil)
-	node.ListOnly(frontendtest.Endpoint("s", listener))
+	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
 	for range 4 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "mine")); status != 200 || body != "mine" {
 			t.Errorf("response status %d, body %q; want 200, %q", status, body, "mine")
@@ -227,7 +227,7 @@
 // TestPoolNeverHoldsMoreThanItsLimit guards against more connections to app servers than the file descriptor limit allows.
 // Four clients send requests to more app servers than the pool may have connections.
 func TestPoolNeverHoldsMoreThanItsLimit(t *testing.T) {
-	limits := frontendtest.LimitsForEight()
+	limits := frontendtest.LimitsForEightConnections()
 	node := frontendtest.Start(t, settings.RetrySafe, limits, 12, frontendtest.Echo)
 	var clients sync.WaitGroup
 	for range 4 {
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -43,8 +43,8 @@
 		}
 		receivedWhole <- err == nil
 	})
-	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: cancelAttempts}, Retries: settings.RetrySafe, Limits: frontendtest.Limits})
-	node.ListOnly(frontendtest.Endpoint("s", listener))
+	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: cancelAttempts}, RetrySafety: settings.RetrySafe, Limits: frontendtest.Limits})
+	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
 	if !written {
 		openSmallConns(t, node)
 	}
