--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// checker records the history of all requests, and checks each once it is over. It is safe for concurrent use.
+// checker records the histories of all requests, and checks each request once it is over. It is safe for concurrent use.
 type checker struct {
-	startedAt time.Time
-	length    time.Duration // of the run
-	lag       *lagMeter
-	now       func() time.Time
+	startedAt   time.Time     // start of the run
+	runDuration time.Duration // time in which clients send requests
+	lag         *lagMeter
+	now         func() time.Time
 
-	mu         sync.Mutex                    // guards the fields below, and all requests and attempts
-	requests   map[string]*request           // by ID; those that are not yet checked
-	ceilings   [cappedCustomers]*hardCeiling // by capped customer
-	statuses   map[int]int64                 // responses by HTTP status
+	mu         sync.Mutex                      // guards the fields below, and all requests and attempts
+	requests   map[string]*request             // requests that are not yet checked, by ID
+	ceilings   [cappedCustomers]*ceilingBucket // token buckets, indexed by capped customer
+	statuses   map[int]int64                   // number of responses by HTTP status
 	counts     Counts
 	violations []Violation
 }
 
-// Counts are sums over a run.
+// Counts holds the counters of a run.
 type Counts struct {
-	Requests         int64 `json:"requests"`
-	Answered         int64 `json:"answered"`
-	ClientsLeft      int64 `json:"clients_left"` // requests whose client closed its connection first
-	Waived           int64 `json:"void"`         // requests without a response whose node was killed
-	Attempts         int64 `json:"attempts"`
-	Retries          int64 `json:"retries"`
-	Capped           int64 `json:"capped"` // first attempts under a hard ceiling
-	Resent           int64 `json:"resent"` // requests sent again, as an idle connection was closed meanwhile
-	MalformedClients int64 `json:"bad_clients"`
-	SlackExtended    int64 `json:"late_harness"` // checks with a larger tolerance, as this process was delayed itself
+	Requests            int64 `json:"requests"`
+	Answered            int64 `json:"answered"`
+	ClientsDisconnected int64 `json:"clients_left"` // requests whose client closed its connection before a response
+	Waived              int64 `json:"void"`         // requests without a response because their node was killed
+	Attempts            int64 `json:"attempts"`
+	Retries             int64 `json:"retries"`
+	CappedAttempts      int64 `json:"capped"` // first attempts under a hard ceiling
+	Resent              int64 `json:"resent"` // times that a request was sent again after its connection was closed
+	MalformedClients    int64 `json:"bad_clients"`
+	SlackExtended       int64 `json:"late_harness"` // checks whose tolerance was extended because this process was delayed
 }
 
-func newChecker(lag *lagMeter, length time.Duration, nodes int) *checker {
+func newChecker(lag *lagMeter, runDuration time.Duration, nodes int) *checker {
 	c := &checker{
-		startedAt: time.Now(), length: length, lag: lag, now: time.Now,
+		startedAt: time.Now(), runDuration: runDuration, lag: lag, now: time.Now,
 		requests: map[string]*request{}, statuses: map[int]int64{},
 	}
 	for i := range c.ceilings {
-		c.ceilings[i] = newHardCeiling(nodes, c.startedAt)
+		c.ceilings[i] = newCeilingBucket(nodes, c.startedAt)
 	}
 	return c
 }
 
-// violate records a violation. node is -1 if it is not of one node, and id is empty if it is not of one request. The caller
-// holds the lock.
-func (c *checker) violate(rule Rule, node int, id, format string, args ...any) {
+// recordViolationLocked records a violation. node is -1 if the violation concerns no single node, and id is empty if it concerns
+// no single request. The caller holds the lock.
+func (c *checker) recordViolationLocked(rule Rule, node int, id, format string, args ...any) {
 	c.violations = append(c.violations, Violation{
 		Rule: rule, Request: id, Node: node, At: c.now().Sub(c.startedAt), Detail: fmt.Sprintf(format, args...),
 	})
 }
 
-// report is violate for callers without the lock.
-func (c *checker) report(rule Rule, node int, id, format string, args ...any) {
+// recordViolation is recordViolationLocked for callers that do not hold the lock.
+func (c *checker) recordViolation(rule Rule, node int, id, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(rule, node, id, format, args...)
+	c.recordViolationLocked(rule, node, id, format, args...)
 }
 
-// recordRequest records a request whose last byte is about to be written.
+// recordRequest records a request whose last byte the client is about to write.
 func (c *checker) recordRequest(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,8 +69,8 @@
 	c.counts.Requests++
 }
 
-// update calls change with the lock held. change may also change requests.
-func (c *checker) update(change func(*Counts)) {
+// updateCounts calls change with the lock held, so change may modify requests too.
+func (c *checker) updateCounts(change func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.counts)
@@ -83,19 +83,20 @@
 	c.counts.Attempts++
 	r := c.requests[id]
 	if r == nil {
-		c.violate(ruleUnknownRequest, -1, id, "server %d got a request that no client sent, or one that ended long ago", a.server)
+		c.recordViolationLocked(ruleUnknownRequest, -1, id,
+			"server %d received a request that no client sent, or one that was checked already", a.server)
 		return
 	}
 	if len(r.attempts) > 0 {
 		c.counts.Retries++
 	} else if r.cappedCustomer >= 0 {
-		c.counts.Capped++
-		c.ceilings[r.cappedCustomer].draw(a.begunAt)
+		c.counts.CappedAttempts++
+		c.ceilings[r.cappedCustomer].take(a.receivedAt)
 	}
 	r.attempts = append(r.attempts, a)
 }
 
-// nodeOf returns the node that a request was sent to, or -1 for an unknown request.
+// nodeOf returns the number of the node that a request was sent to, or -1 for an unknown request.
 func (c *checker) nodeOf(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,27 +115,29 @@
 	}
 }
 
-// recordResponse records and checks a final response.
+// recordResponse records a final response and checks its time and body.
 func (c *checker) recordResponse(r *request, status int, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	if r.answered {
-		c.violate(ruleAnswer, r.node, r.id, "a second response, status %d", status)
+		c.recordViolationLocked(ruleResponse, r.node, r.id, "the client received a second response, with status %d", status)
 		return
 	}
 	r.answered, r.status = true, status
 	c.counts.Answered++
 	c.statuses[status]++
-	if late := now.Sub(r.deadline()) - c.slackAt(answerSlack, now); late > 0 {
-		c.violate(ruleAnswer, r.node, r.id, "status %d came %v past its deadline and slack", status, late)
+	if late := now.Sub(r.deadline()) - c.slackAt(lateResponseSlack, now); late > 0 {
+		c.recordViolationLocked(ruleResponse, r.node, r.id, "the response with status %d came %v after the deadline and its tolerance",
+			status, late)
 	}
 	if status == statusCompleted && body != responseBody(r.id) {
-		c.violate(ruleForeignResponse, r.node, r.id, "the response's body is %.40q", body)
+		c.recordViolationLocked(ruleForeignResponse, r.node, r.id, "the response's body is %.40q, want %q",
+			body, responseBody(r.id))
 	}
 }
 
-// waiveOpenRequests waives the responses to the open requests of a node that was killed.
+// waiveOpenRequests marks the open requests of a killed node, for which ruleResponse then expects no response.
 func (c *checker) waiveOpenRequests(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,9 +149,9 @@
 	}
 }
 
-// slackAt returns a tolerance plus harnessSlack and the delay of this process around a moment. The caller holds the lock.
+// slackAt returns slack plus harnessSlack and the scheduling delay of this process around a moment. The caller holds the lock.
 func (c *checker) slackAt(slack time.Duration, at time.Time) time.Duration {
-	lag := c.lag.around(at)
+	lag := c.lag.maxAround(at)
 	if lag > harnessSlack {
 		c.counts.SlackExtended++
 	}
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	checkDelay    = 3 * time.Second // from a request's deadline to its check
+	checkDelay    = 3 * time.Second // time from a request's deadline to its check
 	checkInterval = 500 * time.Millisecond
 )
 
-// checkPeriodically checks the requests that are over, until ctx ends.
+// checkPeriodically checks the requests whose deadline passed checkDelay ago, until ctx ends.
 func (c *checker) checkPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(checkInterval)
@@ -21,7 +21,7 @@
 	}
 }
 
-// checkUntil checks and forgets the requests whose deadline was before a moment.
+// checkUntil checks and removes the requests whose deadline was before a moment.
 func (c *checker) checkUntil(moment time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,19 +33,20 @@
 	}
 }
 
-// checkCeilings checks the first attempts of each customer under the capped plan, over the whole run.
+// checkCeilings checks that the first attempts of each capped customer kept to the hard ceiling over the whole run.
 func (c *checker) checkCeilings() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, ceiling := range c.ceilings {
-		if ceiling.lowest < 0 {
-			c.violate(ruleCeiling, -1, "", "customer %d's tokens fell to %.1f", i, ceiling.lowest)
+	for i, bucket := range c.ceilings {
+		if bucket.minTokens < 0 {
+			c.recordViolationLocked(ruleCeiling, -1, "", "the tokens of capped customer %d fell to %.1f, want 0 or more",
+				i, bucket.minTokens)
 		}
 	}
 }
 
-// checkRequest checks a request's complete history. It skips the times of attempts that the server read late: if the connection
-// was closed before the read, they are the time of its close. The caller holds the lock.
+// checkRequest checks a request's complete history. It does not check the times of an attempt that the server read late: if the
+// connection was closed before the read, they are the time of the close. The caller holds the lock.
 func (c *checker) checkRequest(r *request) {
 	c.checkResponse(r)
 	for i, a := range r.attempts {
@@ -60,49 +61,58 @@
 	}
 }
 
-// checkResponse checks that a request has a response, and that a rejection is one.
+// checkResponse checks that a request has a response, and that a rejected unsafe request was not executed.
 func (c *checker) checkResponse(r *request) {
 	if !r.answered && r.clientClosedAt.IsZero() && r.waiver == "" {
-		c.violate(ruleAnswer, r.node, r.id, "%s: no response, %d attempts", r.class.name, len(r.attempts))
+		c.recordViolationLocked(ruleResponse, r.node, r.id, "class %s: no response after %d attempts",
+			r.class.name, len(r.attempts))
 	}
-	if r.status == http.StatusConflict { // the node had read the request before its client sent it again
-		c.violate(ruleUnreadClose, r.node, r.id, "its connection was closed without a response, though it had been read")
+	if r.status == http.StatusConflict { // the node had read the request already when the client sent it again
+		c.recordViolationLocked(ruleCloseAfterRead, r.node, r.id,
+			"the node closed the connection without a response although it had read the request")
 	}
 	rejected := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 	if rejected && r.class.retrySafety == settings.RetryUnsafe && r.mayHaveExecuted() {
-		c.violate(ruleRejection, r.node, r.id, "status %d though an attempt may have been executed", r.status)
+		c.recordViolationLocked(ruleRejection, r.node, r.id,
+			"the response rejects the request with status %d although an attempt may have been executed", r.status)
 	}
 }
 
-// checkTimes checks an attempt against its client's close and deadline.
+// checkTimes checks that an attempt did not begin after its client closed, and that its timeout does not pass the deadline.
 func (c *checker) checkTimes(r *request, a *attempt) {
 	if !r.clientClosedAt.IsZero() {
-		if late := a.begunAt.Sub(r.clientClosedAt) - c.slackAt(clientCloseSlack, a.begunAt); late > 0 {
-			c.violate(ruleClientClosed, r.node, r.id, "an attempt began %v past the slack after its client had closed", late)
+		if late := a.receivedAt.Sub(r.clientClosedAt) - c.slackAt(clientCloseSlack, a.receivedAt); late > 0 {
+			c.recordViolationLocked(ruleClientClosed, r.node, r.id, "an attempt began %v past the tolerance after its client closed",
+				late)
 		}
 	}
-	if excess := a.timeout - r.deadline().Sub(a.begunAt) - c.slackAt(deadlineSlack, a.begunAt); excess > 0 {
-		c.violate(ruleDeadline, r.node, r.id, "an attempt's timeout ended %v past the deadline and slack: %s", excess, r.describe())
+	if excess := a.timeout - r.deadline().Sub(a.receivedAt) - c.slackAt(deadlineSlack, a.receivedAt); excess > 0 {
+		c.recordViolationLocked(ruleDeadline, r.node, r.id, "an attempt's timeout ends %v after the deadline and its tolerance: %s",
+			excess, r.describe())
 	}
 }
 
 // checkRetry checks an attempt against an earlier one that may have been executed.
 func (c *checker) checkRetry(r *request, earlier, a *attempt) {
 	unsafe := r.class.retrySafety == settings.RetryUnsafe
-	if a.readLate || earlier.readLate { // without exact times only the number of attempts counts
+	if a.readLate || earlier.readLate { // without exact times, only the number of attempts can be checked
 		if unsafe {
-			c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated: %s", r.class.name, r.describe())
+			c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated although an attempt may have been executed: %s",
+				r.class.name, r.describe())
 		}
 		return
 	}
-	after := a.begunAt.Sub(earlier.begunAt)
+	interval := a.receivedAt.Sub(earlier.receivedAt)
 	switch {
 	case unsafe:
-		c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated %v after an attempt that may have been executed", r.class.name, after)
-	case r.class.retrySafety == settings.RetryKeyed && after > r.class.window+c.slackAt(graceSlack, a.begunAt):
-		c.violate(ruleRepeatedEffect, r.node, r.id, "%s: repeated %v after an attempt, past its key's window", r.class.name, after)
+		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated %v after an attempt that may have been executed",
+			r.class.name, interval)
+	case r.class.retrySafety == settings.RetryKeyed && interval > r.class.idempotencyWindow+c.slackAt(graceSlack, a.receivedAt):
+		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated %v after an attempt, want within %v",
+			r.class.name, interval, r.class.idempotencyWindow)
 	}
-	if earlier.endedAt.IsZero() || earlier.endedAt.Sub(a.begunAt) > c.slackAt(concurrencySlack, a.begunAt) {
-		c.violate(ruleConcurrentAttempts, r.node, r.id, "%s: two attempts in flight: %s", r.class.name, r.describe())
+	if earlier.endedAt.IsZero() || earlier.endedAt.Sub(a.receivedAt) > c.slackAt(concurrencySlack, a.receivedAt) {
+		c.recordViolationLocked(ruleConcurrentAttempts, r.node, r.id, "class %s: two attempts in flight at the same time: %s",
+			r.class.name, r.describe())
 	}
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// clients are the open-loop clients of all nodes. They are safe for concurrent use.
+// clients runs the open-loop clients of all nodes. It is safe for concurrent use.
 type clients struct {
 	cfg     *Config
 	checker *checker
@@ -27,15 +27,18 @@
 	lastID   atomic.Uint64
 	inFlight sync.WaitGroup
 
-	mu   sync.Mutex                       // guards the fields below
-	idle map[int][]*clientConn            // by node
-	open map[int]map[*clientConn]struct{} // by node; connections on which a request waits for its response
+	mu          sync.Mutex                       // guards the fields below
+	idleConns   map[int][]*clientConn            // idle connections by node
+	activeConns map[int]map[*clientConn]struct{} // connections by node on which a request waits for its response
 }
 
 func newClients(cfg *Config, checker *checker, nodes []*node) *clients {
-	c := &clients{cfg: cfg, checker: checker, nodes: nodes, idle: map[int][]*clientConn{}, open: map[int]map[*clientConn]struct{}{}}
+	c := &clients{
+		cfg: cfg, checker: checker, nodes: nodes,
+		idleConns: map[int][]*clientConn{}, activeConns: map[int]map[*clientConn]struct{}{},
+	}
 	for i := range nodes {
-		c.open[i] = map[*clientConn]struct{}{}
+		c.activeConns[i] = map[*clientConn]struct{}{}
 	}
 	return c
 }
@@ -44,26 +47,29 @@
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	reused  bool       // the connection has carried an earlier request
-	pending []*request // requests that wait for a response on it, in order; guarded by clients.mu
+	reused  bool       // whether the connection has carried an earlier request
+	pending []*request // requests that wait for a response on the connection, in order; guarded by clients.mu
 }
 
-// pattern is the way in which a client sends a request.
+// pattern is the way in which a client sends its requests.
 type pattern int
 
 const (
 	patternPlain        pattern = iota
-	patternDisconnect           // it closes before the response
-	patternPartial              // it closes in the middle of the request
-	patternPipeline             // it sends several requests at once
-	patternSlow                 // it sends in pieces
-	patternShortTimeout         // its timeout is very short
-	patternLongBody             // a long body
+	patternDisconnect           // The client closes the connection before the response.
+	patternPartial              // The client closes the connection in the middle of the request.
+	patternPipeline             // The client sends several requests at once.
+	patternSlow                 // The client sends the request in pieces.
+	patternShortTimeout         // The client has a very short timeout.
+	patternLongBody             // The request has a long body.
 )
 
-// patternPercentages are the percentages of the patterns; the remaining requests are plain.
-var patternPercentages = map[pattern]int{patternDisconnect: 10, patternPartial: 2, patternPipeline: 8, patternSlow: 6, patternShortTimeout: 5, patternLongBody: 3}
+// patternPercentages gives the percentage of each pattern. The rest is patternPlain.
+var patternPercentages = map[pattern]int{
+	patternDisconnect: 10, patternPartial: 2, patternPipeline: 8, patternSlow: 6, patternShortTimeout: 5, patternLongBody: 3,
+}
 
+// drawPattern draws a pattern with the probabilities of patternPercentages.
 func drawPattern(rng *rand.Rand) pattern {
 	percent := rng.IntN(100)
 	for p := patternDisconnect; p <= patternLongBody; p++ {
@@ -75,17 +81,17 @@
 }
 
 const (
-	maxIdle       = 24 // idle connections that clients keep to a node
-	dialTimeout   = time.Second
-	maxPipelined  = 4                     // requests that a client sends at once
-	longBody      = 40 << 10              // bytes
-	shortTimeout  = 40 * time.Millisecond // shortest one of patternShortTimeout; the longest is twice as long
-	pieceInterval = 15 * time.Millisecond
-	pieces        = 4 // of a request that is sent slowly
+	maxIdleConns    = 24 // maximum number of idle connections to a node
+	dialTimeout     = time.Second
+	maxPipelined    = 4                     // maximum number of requests that a client sends at once
+	longBodyBytes   = 40 << 10              // length of the body of patternLongBody, in bytes
+	minShortTimeout = 40 * time.Millisecond // shortest timeout of patternShortTimeout; the longest is just under twice as long
+	pieceInterval   = 15 * time.Millisecond // time between two pieces of patternSlow
+	pieceCount      = 4                     // number of pieces of a request of patternSlow
 )
 
-// generate begins the requests of one node's clients in an open loop, until ctx ends.
-func (c *clients) generate(ctx context.Context, node int) {
+// generateRequests starts the requests of one node's clients in an open loop, until ctx ends.
+func (c *clients) generateRequests(ctx context.Context, node int) {
 	rng := rand.New(rand.NewPCG(c.cfg.Seed, clientStream|uint64(node)))
 	due := time.Now()
 	for {
@@ -95,21 +101,22 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		to := c.firstAccepting(node)
+		target := c.firstAccepting(node)
 		pattern := drawPattern(rng)
 		seed := rng.Uint64()
-		if to < 0 {
+		if target < 0 {
 			continue
 		}
 		c.inFlight.Add(1)
-		go func() { // ends with the request's response, or past its deadline
+		go func() { // The goroutine ends with the last response, or after the deadlines of its requests.
 			defer c.inFlight.Done()
-			c.play(to, pattern, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
+			c.runPattern(target, pattern, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
 		}()
 	}
 }
 
-// firstAccepting returns the number of the first node, from a number on, that accepts clients. It returns -1 if none does.
+// firstAccepting returns the number of the first node that accepts clients, in cyclic order beginning with from. It returns -1 if
+// no node accepts clients.
 func (c *clients) firstAccepting(from int) int {
 	for k := range c.nodes {
 		if i := (from + k) % len(c.nodes); c.nodes[i].acceptsClients() {
@@ -119,23 +126,23 @@
 	return -1
 }
 
-// newRequest draws a request.
+// newRequest returns a request to a node with a random class and customer. The caller sets sentAt.
 func (c *clients) newRequest(node int, p pattern, rng *rand.Rand) *request {
 	class := &requestClasses[rng.IntN(len(requestClasses))]
 	r := &request{
 		id: fmt.Sprintf("%016x", c.lastID.Add(1)|c.cfg.Seed<<40), node: node, class: class, timeout: class.timeout,
-		cappedCustomer: -1, nodes: len(c.nodes),
+		cappedCustomer: -1, nodeCount: len(c.nodes),
 	}
-	if rng.IntN(100) < cappedShare {
+	if rng.IntN(100) < cappedPercent {
 		r.cappedCustomer = rng.IntN(cappedCustomers)
 	}
 	if p == patternShortTimeout {
-		r.timeout = shortTimeout + time.Duration(rng.Int64N(int64(shortTimeout)))
+		r.timeout = minShortTimeout + time.Duration(rng.Int64N(int64(minShortTimeout)))
 	}
 	return r
 }
 
-// text returns the request as it is written to the connection. A GET has no body.
+// text returns the request in its form on the connection. body is ignored for GET.
 func (r *request) text(body string) string {
 	length := ""
 	if r.class.method != http.MethodGet {
@@ -143,30 +150,30 @@
 	} else {
 		body = ""
 	}
-	customer := r.node // customers under the plan without limits have the numbers of their nodes
+	customer := r.node // a customer under the unlimited plan has the number of its node
 	head := protocol.Request{
 		Method:    r.class.method,
 		Host:      "edge",
 		ID:        r.id,
-		Plan:      planName,
+		Plan:      unlimitedPlanName,
 		Timeout:   r.timeout,
 		Units:     1,
 		Spread:    1,
 		FirstNode: r.node,
 	}
 	if r.cappedCustomer >= 0 {
-		customer = r.nodes + r.cappedCustomer
-		head.Plan, head.Spread, head.FirstNode = cappedPlanName, r.nodes, 0
+		customer = r.nodeCount + r.cappedCustomer
+		head.Plan, head.Spread, head.FirstNode = cappedPlanName, r.nodeCount, 0
 	}
 	head.URI = protocol.RequestPath(r.class.name, uint64(customer))
 	return string(protocol.AppendRequestLines(nil, &head)) + length + "\r\n" + body
 }
 
-// play sends one request, or several, in a pattern, and waits for the responses.
-func (c *clients) play(node int, p pattern, rng *rand.Rand) {
+// runPattern sends one or several requests to a node in a pattern, and waits for the responses.
+func (c *clients) runPattern(node int, p pattern, rng *rand.Rand) {
 	conn := c.connect(node)
 	if conn == nil {
-		return // the connection was refused
+		return // the dial failed
 	}
 	count := 1
 	if p == patternPipeline {
@@ -176,12 +183,12 @@
 	requests := make([]*request, count)
 	for i := range requests {
 		requests[i] = c.newRequest(node, p, rng)
-		if i > 0 { // responses come in order, so none may have a shorter deadline than one before
+		if i > 0 { // responses come in order, so no request may have an earlier deadline than the one before
 			requests[i].class, requests[i].timeout = requests[0].class, requests[0].timeout
 		}
 		body := "x"
 		if p == patternLongBody {
-			body = strings.Repeat("x", longBody)
+			body = strings.Repeat("x", longBodyBytes)
 		}
 		text.WriteString(requests[i].text(body))
 	}
@@ -204,42 +211,42 @@
 	c.awaitResponses(conn, requests)
 }
 
-// send writes requests at once. Their timeouts begin now.
+// send writes requests at once. Their timeouts begin with the call.
 func (c *clients) send(conn *clientConn, text string, requests []*request) {
 	c.setPending(conn, requests)
 	for _, r := range requests {
 		r.sentAt = time.Now()
 		c.checker.recordRequest(r)
 	}
-	_, _ = io.WriteString(conn, text) // an error shows in a read
+	_, _ = io.WriteString(conn, text) // awaitResponses notices a failed write
 }
 
-// sendSlowly writes one request in pieces. Its timeout begins with the last piece.
+// sendSlowly writes one request in pieces. The timeout begins with the last piece.
 func (c *clients) sendSlowly(conn *clientConn, text string, requests []*request) {
-	step := len(text) / pieces
-	for range pieces - 1 {
-		_, _ = io.WriteString(conn, text[:step])
-		text = text[step:]
+	pieceLength := len(text) / pieceCount
+	for range pieceCount - 1 {
+		_, _ = io.WriteString(conn, text[:pieceLength])
+		text = text[pieceLength:]
 		time.Sleep(pieceInterval)
 	}
 	c.send(conn, text, requests)
 }
 
-// disconnect closes a connection with requests that wait for responses.
+// disconnect closes a connection as its client, and records the close for the requests that wait for responses.
 func (c *clients) disconnect(conn *clientConn, requests []*request) {
 	c.clearPending(conn)
-	c.checker.update(func(counts *Counts) {
+	c.checker.updateCounts(func(counts *Counts) {
 		for _, r := range requests {
 			if !r.answered && r.clientClosedAt.IsZero() {
 				r.clientClosedAt = time.Now()
-				counts.ClientsLeft++
+				counts.ClientsDisconnected++
 			}
 		}
 	})
 	_ = conn.Close()
 }
 
-// awaitResponses reads the responses of the requests that were sent on a connection.
+// awaitResponses reads the responses to the requests that were sent on a connection, and records them.
 func (c *clients) awaitResponses(conn *clientConn, requests []*request) {
 	for i, r := range requests {
 		_ = conn.SetReadDeadline(r.deadline().Add(checkDelay / 2))
@@ -270,9 +277,9 @@
 	c.keepIdle(requests[0].node, conn)
 }
 
-// handleConnClosed handles a connection that was closed under requests. On a reused connection, or at a node that is out of
-// descriptors, the node may have closed it before it read the requests: they are sent again. Other requests stay without a
-// response, which the checker reports unless the client had closed or the node was killed.
+// handleConnClosed handles a read error on a connection while requests wait for responses. A node may close a reused connection,
+// or any connection while it is out of descriptors, before it reads the requests. So these requests are sent again. Other
+// requests get no response, which the checker reports unless the client had closed the connection or the node was killed.
 func (c *clients) handleConnClosed(conn *clientConn, requests []*request, err error) {
 	c.clearPending(conn)
 	_ = conn.Close()
@@ -284,17 +291,17 @@
 	switch {
 	case c.nodes[node].wasKilled():
 		c.checker.waiveOpenRequests(node)
-	case conn.reused || c.nodes[node].crowded():
+	case conn.reused || c.nodes[node].descriptorsExhausted():
 		c.resend(node, requests)
 	}
 }
 
-// resend sends requests again, each on a new connection with the ID that it had. A node that has read a request with the same
-// ID before responds 409.
+// resend sends requests again, each on a new connection with its old ID. A node that has read a request with the same ID before
+// responds with status 409.
 func (c *clients) resend(node int, requests []*request) {
 	for _, r := range requests {
 		skip := false
-		c.checker.update(func(counts *Counts) {
+		c.checker.updateCounts(func(counts *Counts) {
 			if skip = r.waiver != "" || !r.clientClosedAt.IsZero() || time.Now().After(r.deadline()); !skip {
 				counts.Resent++
 			}
@@ -302,18 +309,18 @@
 		if skip {
 			continue
 		}
-		to := c.firstAccepting(node)
+		target := c.firstAccepting(node)
 		var conn *clientConn
-		if to >= 0 {
-			conn = c.dial(to)
+		if target >= 0 {
+			conn = c.dial(target)
 		}
-		c.checker.update(func(*Counts) {
-			r.sentAt = time.Now() // the timeout begins anew
-			if conn == nil {      // the node was ending and had not read the request, so no response is due
+		c.checker.updateCounts(func(*Counts) {
+			r.sentAt = time.Now() // the timeout begins again
+			if conn == nil {      // the node was shutting down and had not read the request, so no response is expected
 				r.node, r.waiver = node, "its node had ended"
 				return
 			}
-			r.node = to
+			r.node = target
 		})
 		if conn == nil {
 			continue
@@ -324,12 +331,12 @@
 	}
 }
 
-// connect returns an idle connection or a new one, or nil if the dial fails.
+// connect returns an idle connection to a node or opens one. It returns nil if the dial fails.
 func (c *clients) connect(node int) *clientConn {
 	c.mu.Lock()
-	if stack := c.idle[node]; len(stack) > 0 {
-		conn := stack[len(stack)-1]
-		c.idle[node] = stack[:len(stack)-1]
+	if idle := c.idleConns[node]; len(idle) > 0 {
+		conn := idle[len(idle)-1]
+		c.idleConns[node] = idle[:len(idle)-1]
 		c.mu.Unlock()
 		conn.reused = true
 		return conn
@@ -338,27 +345,28 @@
 	return c.dial(node)
 }
 
-// dial opens a connection. It returns nil after an error, and reports a violation if a node in service has refused.
+// dial opens a connection. It returns nil after an error, and records a violation if a node in service refused the connection.
 func (c *clients) dial(node int) *clientConn {
 	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
 	if err != nil {
 		if n := c.nodes[node]; errors.Is(err, syscall.ECONNREFUSED) && n.inService() {
-			c.checker.report(ruleConnectionRefused, node, "", "%v, though the node is in service", err)
+			c.checker.recordViolation(ruleConnectionRefused, node, "", "the node refused a connection although it is in service: %v",
+				err)
 		}
 		return nil
 	}
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// keepIdle keeps a connection for later requests.
+// keepIdle keeps a connection for later requests, or closes it if maxIdleConns are kept already.
 func (c *clients) keepIdle(node int, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[node]) >= maxIdle {
+	if len(c.idleConns[node]) >= maxIdleConns {
 		_ = conn.Close()
 		return
 	}
-	c.idle[node] = append(c.idle[node], conn)
+	c.idleConns[node] = append(c.idleConns[node], conn)
 }
 
 // setPending records that requests wait for responses on a connection.
@@ -366,42 +374,42 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.pending = requests
-	c.open[requests[0].node][conn] = struct{}{}
+	c.activeConns[requests[0].node][conn] = struct{}{}
 }
 
-// clearPending records that no request waits on a connection any more.
+// clearPending records that no request waits for a response on a connection.
 func (c *clients) clearPending(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(conn.pending) > 0 {
-		delete(c.open[conn.pending[0].node], conn)
+		delete(c.activeConns[conn.pending[0].node], conn)
 		conn.pending = nil
 	}
 }
 
-// disconnectAll closes all connections to a node on which requests wait.
+// disconnectAll closes all connections to a node on which requests wait for responses.
 func (c *clients) disconnectAll(node int) {
 	c.mu.Lock()
-	type pending struct {
+	type activeConn struct {
 		conn     *clientConn
 		requests []*request
 	}
-	var leaving []pending
-	for conn := range c.open[node] {
-		leaving = append(leaving, pending{conn, conn.pending})
+	var active []activeConn
+	for conn := range c.activeConns[node] {
+		active = append(active, activeConn{conn, conn.pending})
 	}
 	c.mu.Unlock()
-	for _, w := range leaving {
-		c.disconnect(w.conn, w.requests)
+	for _, a := range active {
+		c.disconnect(a.conn, a.requests)
 	}
 }
 
-// closeIdle closes the idle connections to a node that ends.
+// closeIdle closes the idle connections to a node.
 func (c *clients) closeIdle(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.idle[node] {
+	for _, conn := range c.idleConns[node] {
 		_ = conn.Close()
 	}
-	c.idle[node] = nil
+	c.idleConns[node] = nil
 }
--- a/internal/lab/soak/config.go
+++ b/internal/lab/soak/config.go
@@ -1,40 +1,41 @@
-// Package soak runs real edge nodes, processes of this program, among app servers, a discovery service and clients with
-// faults, all on loopback. Several faults overlap at any time: signals, failing system calls, and servers, connections and
-// clients that stop at any point.
+// Package soak runs a soak test of real edge nodes, which are processes of this program. App servers, a discovery agent and
+// clients run in the test's own process, and all connections use loopback. Several faults overlap at any time: signals, failing
+// system calls, and servers, connections and clients that stop at any point.
 //
 // Servers and clients record the history of each request. A checker compares the histories with the invariants of
-// docs/invariants.md. The same seed draws the same faults in the same order; the machine's timing decides which requests
-// each fault meets.
+// docs/invariants.md. The seed fixes the random streams of clients and faults. The machine's timing decides which requests each
+// fault affects, and whether another fault already holds its target.
 package soak
 
 import (
 	"errors"
+	"fmt"
 	"time"
 
 	"github.com/rs/zerolog"
 )
 
-// Config describes a run.
+// Config configures a run.
 type Config struct {
-	Program  string        // path of this program, which is started for each node
-	Dir      string        // for configuration files and the nodes' logs; empty for a temporary one
-	Nodes    int           // edge nodes, a process each
-	Servers  int           // app servers
-	Rate     float64       // requests a second at a node, mean
-	Duration time.Duration // in which clients send requests
+	Program  string        // path of this program, which the run starts for each node
+	Dir      string        // folder of the configuration files and the nodes' logs; empty for a temporary one
+	Nodes    int           // number of edge nodes, each a process
+	Servers  int           // number of app servers
+	Rate     float64       // mean number of requests a second at each node
+	Duration time.Duration // time in which clients send requests
 	Seed     uint64
-	Faults   []string // names of the faults to play; nil for all
+	Faults   []string // names of the faults to inject; nil for all
 
-	Log *zerolog.Logger `json:"-"` // a line for each fault; nil for none
+	Log *zerolog.Logger `json:"-"` // log for one line after each fault; nil for none
 }
 
-// Default returns the configuration of a run by hand, without Program.
+// Default returns the configuration of a manual run. The caller must set Program.
 func Default() Config {
 	return Config{Nodes: 24, Servers: 16, Rate: 16, Duration: 30 * time.Second, Seed: 1}
 }
 
-// Second words of the seeds of the run's random streams. Clients combine theirs with the
-// number of the node, fault players with their own number.
+// Second words of the seeds of the run's random streams. Clients combine clientStream with the number of their node, and fault
+// injectors combine faultStream with their own number.
 const (
 	clientStream    = 1 << 32
 	malformedStream = 2 << 32
@@ -46,7 +47,7 @@
 	maxServers = 200
 )
 
-// Check sets a missing log, and returns an error that names the first invalid value.
+// Check replaces a missing log by one that discards its lines. It returns an error that names the first invalid value.
 func (c *Config) Check() error {
 	if c.Log == nil {
 		none := zerolog.Nop()
@@ -54,15 +55,15 @@
 	}
 	switch {
 	case c.Program == "":
-		return errors.New("no program to start")
+		return errors.New("program is empty, want the path of this program")
 	case c.Nodes < 1 || c.Nodes > maxNodes:
-		return errors.New("nodes: 1 to 100")
+		return fmt.Errorf("nodes is %d, want 1 to %d", c.Nodes, maxNodes)
 	case c.Servers < 2 || c.Servers > maxServers:
-		return errors.New("servers: 2 to 200")
+		return fmt.Errorf("servers is %d, want 2 to %d", c.Servers, maxServers)
 	case !(c.Rate > 0 && c.Rate <= 1000):
-		return errors.New("rate: above 0 to 1000 requests a second")
+		return fmt.Errorf("rate is %v requests a second, want above 0 and at most 1000", c.Rate)
 	case c.Duration < time.Second:
-		return errors.New("for: a second at least")
+		return fmt.Errorf("duration (for) is %v, want at least 1s", c.Duration)
 	}
 	return checkFaultNames(c.Faults)
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -16,30 +16,30 @@
 	"cherrygap/internal/protocol"
 )
 
-// fault is a kind of fault. play returns once the fault is over.
+// fault is a kind of fault. inject injects one fault of this kind and returns once it is over.
 type fault struct {
-	name string
-	play func(r *run, ctx context.Context, rng *rand.Rand)
+	name   string
+	inject func(r *run, ctx context.Context, rng *rand.Rand)
 }
 
-// faults are all kinds of faults. A seed's draws depend on their order.
+// faults lists all kinds of faults. Random draws depend on their order.
 var faults = []fault{
-	{"terminate", (*run).playTerminate},
-	{"kill", (*run).playKill},
-	{"pause", (*run).playPause},
-	{"reload", (*run).playReload},
-	{"drain", (*run).playDrain},
-	{"crash", (*run).playCrash},
-	{"misbehave", (*run).playMisbehave},
-	{"idle-close", (*run).playIdleClose},
-	{"outage", (*run).playOutage},
-	{"watch-loss", (*run).playWatchLoss},
-	{"system-calls", (*run).playSystemCalls},
-	{"leave", (*run).playLeave},
-	{"crowd", (*run).playCrowd},
+	{"terminate", (*run).injectTermination},
+	{"kill", (*run).injectKill},
+	{"pause", (*run).injectPauses},
+	{"reload", (*run).injectReloads},
+	{"drain", (*run).injectDrain},
+	{"crash", (*run).injectCrash},
+	{"misbehave", (*run).injectMisbehaviour},
+	{"idle-close", (*run).injectEarlyIdleClose},
+	{"outage", (*run).injectDiscoveryOutage},
+	{"watch-loss", (*run).injectWatchLoss},
+	{"system-calls", (*run).injectSystemCallErrors},
+	{"leave", (*run).injectClientDisconnects},
+	{"crowd", (*run).injectIdleConns},
 }
 
-// FaultNames returns the names of all faults.
+// FaultNames returns the names of all kinds of faults.
 func FaultNames() []string {
 	names := make([]string, len(faults))
 	for i, f := range faults {
@@ -48,39 +48,40 @@
 	return names
 }
 
+// checkFaultNames returns an error that names the first unknown fault.
 func checkFaultNames(names []string) error {
 	for _, name := range names {
 		if !slices.Contains(FaultNames(), name) {
-			return fmt.Errorf("fault %q: one of %s", name, strings.Join(FaultNames(), ", "))
+			return fmt.Errorf("fault %q is unknown, want one of %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
 	return nil
 }
 
 const (
-	concurrentFaults = 5 // faults at any time
-	maxFaultPause    = 300 * time.Millisecond
+	faultInjectors        = 5 // number of injectors, and so of faults at the same time
+	maxPauseBetweenFaults = 300 * time.Millisecond
 )
 
-// playFaults plays one fault after another until ctx ends. Each player has its own draws.
-func (r *run) playFaults(ctx context.Context, player int) {
-	rng := rand.New(rand.NewPCG(r.cfg.Seed, faultStream|uint64(player)))
-	var playable []fault
+// injectFaults injects one fault after another until ctx ends. Each injector has its own random stream.
+func (r *run) injectFaults(ctx context.Context, injector int) {
+	rng := rand.New(rand.NewPCG(r.cfg.Seed, faultStream|uint64(injector)))
+	var enabled []fault
 	for _, f := range faults {
 		if r.cfg.Faults == nil || slices.Contains(r.cfg.Faults, f.name) {
-			playable = append(playable, f)
+			enabled = append(enabled, f)
 		}
 	}
-	for ctx.Err() == nil && len(playable) > 0 {
-		f := playable[rng.IntN(len(playable))]
-		begun := time.Now()
-		f.play(r, ctx, rng)
-		r.noteFault(f.name, begun)
-		sleep(ctx, time.Duration(rng.Int64N(int64(maxFaultPause))))
+	for ctx.Err() == nil && len(enabled) > 0 {
+		f := enabled[rng.IntN(len(enabled))]
+		startedAt := time.Now()
+		f.inject(r, ctx, rng)
+		r.recordFault(f.name, startedAt)
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxPauseBetweenFaults))))
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -88,50 +89,52 @@
 	}
 }
 
-// between draws a time of at least from and less than to.
-func between(rng *rand.Rand, from, to time.Duration) time.Duration {
+// randomDuration returns a random duration of at least from and less than to.
+func randomDuration(rng *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rng.Int64N(int64(to-from)))
 }
 
-// lockNode draws a node and locks it. It returns nil if another fault holds the node.
+// lockNode draws a node and locks its faultMu. It returns nil if another fault holds the node.
 func (r *run) lockNode(rng *rand.Rand) *node {
 	n := r.nodes[rng.IntN(len(r.nodes))]
-	if !n.busy.TryLock() {
+	if !n.faultMu.TryLock() {
 		return nil
 	}
 	return n
 }
 
-// playTerminate restarts a node by SIGTERM, while clients still connect.
-func (r *run) playTerminate(ctx context.Context, rng *rand.Rand) {
+// injectTermination ends a node by SIGTERM, while clients still connect to it, and restarts it.
+func (r *run) injectTermination(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
 		return
 	}
-	defer n.busy.Unlock()
-	if n.terminate(between(rng, 200*time.Millisecond, 400*time.Millisecond)) == nodeprocess.Killed {
-		r.checker.report(ruleShutdown, n.number, "", "the node had to be killed %v after SIGTERM", killTimeout)
+	defer n.faultMu.Unlock()
+	if n.terminate(randomDuration(rng, 200*time.Millisecond, 400*time.Millisecond)) == nodeprocess.Killed {
+		r.checker.recordViolation(ruleShutdown, n.number, "", "the node did not exit within %v after SIGTERM and was killed",
+			killTimeout)
 	}
 	r.clients.closeIdle(n.number)
 	r.restart(ctx, n, rng)
 }
 
-// playKill kills a node. No response of its open requests is due.
-func (r *run) playKill(ctx context.Context, rng *rand.Rand) {
+// injectKill kills and restarts a node. The checker expects no response to its open requests.
+func (r *run) injectKill(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
 		return
 	}
-	defer n.busy.Unlock()
+	defer n.faultMu.Unlock()
 	r.clients.closeIdle(n.number)
 	n.kill()
 	r.checker.waiveOpenRequests(n.number)
-	sleep(ctx, between(rng, 0, time.Second))
-	r.checker.waiveOpenRequests(n.number) // requests that were just being sent
+	sleep(ctx, randomDuration(rng, 0, time.Second))
+	r.checker.waiveOpenRequests(n.number) // requests that clients were sending during the kill
 	r.restart(ctx, n, rng)
 }
 
-// restart starts a node that has ended, at times without a known list, or with discovery's clock ahead or behind.
+// restart starts a node that has ended. In some starts the node gets no known endpoint list. In some, discovery simulates a node
+// clock that is ahead or behind.
 func (r *run) restart(ctx context.Context, n *node, rng *rand.Rand) {
 	if ctx.Err() != nil {
 		return
@@ -140,32 +143,32 @@
 	for _, watch := range n.watches() {
 		r.agent.SetClockAhead(watch, ahead)
 	}
-	known := r.agent.Snapshot(n.watches()[0])
+	endpointList := r.agent.Snapshot(n.watches()[0])
 	if rng.IntN(3) == 0 {
-		known = nil
+		endpointList = nil
 	}
-	r.startNode(ctx, n, known)
+	r.startNode(ctx, n, endpointList)
 }
 
-// playPause stops a node by SIGSTOP, several times for a moment.
-func (r *run) playPause(ctx context.Context, rng *rand.Rand) {
+// injectPauses stops a node by SIGSTOP for a short time, once or several times.
+func (r *run) injectPauses(ctx context.Context, rng *rand.Rand) {
 	n := r.lockNode(rng)
 	if n == nil {
 		return
 	}
-	defer n.busy.Unlock()
+	defer n.faultMu.Unlock()
 	for range 1 + rng.IntN(4) {
 		n.signal(unix.SIGSTOP)
-		time.Sleep(between(rng, 20*time.Millisecond, 130*time.Millisecond))
+		time.Sleep(randomDuration(rng, 20*time.Millisecond, 130*time.Millisecond))
 		n.signal(unix.SIGCONT)
-		if sleep(ctx, between(rng, 50*time.Millisecond, 300*time.Millisecond)); ctx.Err() != nil {
-			return // without the pause, further stops would add up to a longer one
+		if sleep(ctx, randomDuration(rng, 50*time.Millisecond, 300*time.Millisecond)); ctx.Err() != nil {
+			return // sleep now returns at once, so further stops would add up to a long one
 		}
 	}
 }
 
-// playReload moves some nodes to discovery's other address, at times twice, or by a file that is only half written at first.
-func (r *run) playReload(ctx context.Context, rng *rand.Rand) {
+// injectReloads reloads some nodes once or twice, each time with their other discovery address.
+func (r *run) injectReloads(ctx context.Context, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		n := r.lockNode(rng)
 		if n == nil {
@@ -174,46 +177,47 @@
 		for range 1 + rng.IntN(2) {
 			r.reload(n, rng)
 		}
-		n.busy.Unlock()
+		n.faultMu.Unlock()
 	}
-	sleep(ctx, between(rng, 0, 200*time.Millisecond))
+	sleep(ctx, randomDuration(rng, 0, 200*time.Millisecond))
 }
 
-// reloadNotice is the time from SIGHUP until notices of the new address count as received.
-const reloadNotice = 4 * time.Second
+// reloadNoticeDelay is the time after a reload until notices from the new address count as received.
+const reloadNoticeDelay = 4 * time.Second
 
-// reload gives a node a new configuration.
+// reload gives a node a configuration with its other discovery address. In a third of the calls, the file is only half written
+// when the node gets SIGHUP.
 func (r *run) reload(n *node, rng *rand.Rand) {
 	n.mu.Lock()
-	n.agent = 1 - n.agent
+	n.discoveryIndex = 1 - n.discoveryIndex
 	raw := n.config(nil)
 	n.mu.Unlock()
-	n.delayNotice(time.Now().Add(reloadNotice))
-	firstWrite := len(raw) // bytes; in a third of the reloads half of the file
+	n.delayNotice(time.Now().Add(reloadNoticeDelay))
+	firstWrite := len(raw) // bytes of the file that are written before SIGHUP
 	if rng.IntN(3) == 0 {
 		firstWrite = len(raw) / 2
 	}
-	if err := nodeprocess.WriteConfig(n.dir, n.fileName(), raw[:firstWrite]); err != nil {
+	if err := nodeprocess.WriteConfig(n.dir, n.fileBaseName(), raw[:firstWrite]); err != nil {
 		r.fail(err)
 		return
 	}
 	n.signal(syscall.SIGHUP)
-	time.Sleep(between(rng, time.Millisecond, 50*time.Millisecond))
-	if err := nodeprocess.WriteConfig(n.dir, n.fileName(), raw); err != nil {
+	time.Sleep(randomDuration(rng, time.Millisecond, 50*time.Millisecond))
+	if err := nodeprocess.WriteConfig(n.dir, n.fileBaseName(), raw); err != nil {
 		r.fail(err)
 	}
 }
 
-// lockServer draws a server and locks it. It returns nil if another fault holds the server.
+// lockServer draws a server and locks its faultMu. It returns nil if another fault holds the server.
 func (r *run) lockServer(rng *rand.Rand) *appServer {
 	s := r.servers[rng.IntN(len(r.servers))]
-	if !s.busy.TryLock() {
+	if !s.faultMu.TryLock() {
 		return nil
 	}
 	return s
 }
 
-// publish changes a server's entry, and returns the time of the change.
+// publish changes a server's entry in the endpoint list, and returns the time of the change. A zero boot leaves the boot time.
 func (r *run) publish(s *appServer, state protocol.EndpointState, boot time.Time) time.Time {
 	_, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = state
@@ -224,43 +228,43 @@
 	return at
 }
 
-// playDrain drains a server, ends it, and starts it as a new process.
-func (r *run) playDrain(ctx context.Context, rng *rand.Rand) {
+// injectDrain drains a server, kills it, and starts it as a new process.
+func (r *run) injectDrain(ctx context.Context, rng *rand.Rand) {
 	s := r.lockServer(rng)
 	if s == nil {
 		return
 	}
-	defer s.busy.Unlock()
+	defer s.faultMu.Unlock()
 	s.setDraining(r.publish(s, protocol.Terminating, time.Time{}))
-	sleep(ctx, between(rng, time.Second, 4*time.Second))
+	sleep(ctx, randomDuration(rng, time.Second, 4*time.Second))
 	if rng.IntN(2) == 0 {
 		r.publish(s, protocol.Terminated, time.Time{})
-		sleep(ctx, between(rng, 0, time.Second))
+		sleep(ctx, randomDuration(rng, 0, time.Second))
 	}
 	s.checkSlowStart(r.capacity())
 	s.kill()
-	sleep(ctx, between(rng, 0, 300*time.Millisecond))
+	sleep(ctx, randomDuration(rng, 0, 300*time.Millisecond))
 	r.restartServer(s)
 }
 
-// playCrash resets a server and starts it as a new process, which discovery publishes later.
-func (r *run) playCrash(ctx context.Context, rng *rand.Rand) {
+// injectCrash kills a server without a drain, and later starts and publishes it as a new process.
+func (r *run) injectCrash(ctx context.Context, rng *rand.Rand) {
 	s := r.lockServer(rng)
 	if s == nil {
 		return
 	}
-	defer s.busy.Unlock()
+	defer s.faultMu.Unlock()
 	s.checkSlowStart(r.capacity())
 	s.kill()
-	sleep(ctx, between(rng, 0, 500*time.Millisecond))
+	sleep(ctx, randomDuration(rng, 0, 500*time.Millisecond))
 	if rng.IntN(2) == 0 {
 		r.publish(s, protocol.Terminated, time.Time{})
 	}
-	sleep(ctx, between(rng, 0, time.Second))
+	sleep(ctx, randomDuration(rng, 0, time.Second))
 	r.restartServer(s)
 }
 
-// restartServer starts a server as a new process, and publishes that at once.
+// restartServer starts a server as a new process, and publishes the process at once.
 func (r *run) restartServer(s *appServer) {
 	if err := s.restartProcess(); err != nil {
 		r.fail(err)
@@ -269,82 +273,82 @@
 	s.setInService(r.publish(s, protocol.InService, time.Now()))
 }
 
-// playMisbehave gives some servers another behaviour.
-func (r *run) playMisbehave(ctx context.Context, rng *rand.Rand) {
-	how := int32(behaveHang) + rng.Int32N(int32(behaviourCount)-int32(behaveHang))
+// injectMisbehaviour gives some servers the same random misbehaviour for a while.
+func (r *run) injectMisbehaviour(ctx context.Context, rng *rand.Rand) {
+	misbehaviour := int32(behaveHang) + rng.Int32N(int32(behaviourCount)-int32(behaveHang))
 	var servers []*appServer
 	for range 1 + rng.IntN(max(1, len(r.servers)/4)) {
 		if s := r.lockServer(rng); s != nil {
-			s.behaves.Store(how)
+			s.behaviour.Store(misbehaviour)
 			servers = append(servers, s)
 		}
 	}
-	sleep(ctx, between(rng, 300*time.Millisecond, 2500*time.Millisecond))
+	sleep(ctx, randomDuration(rng, 300*time.Millisecond, 2500*time.Millisecond))
 	for _, s := range servers {
-		s.behaves.Store(int32(behaveWell))
-		s.busy.Unlock()
+		s.behaviour.Store(int32(behaveNormally))
+		s.faultMu.Unlock()
 	}
 }
 
-// playIdleClose makes some servers close idle connections earlier than their idle timeout in the settings.
-func (r *run) playIdleClose(ctx context.Context, rng *rand.Rand) {
+// injectEarlyIdleClose makes some servers close idle connections earlier than the idle timeout in the settings.
+func (r *run) injectEarlyIdleClose(ctx context.Context, rng *rand.Rand) {
 	servers := r.servers[:1+rng.IntN(len(r.servers))]
 	for _, s := range servers {
-		s.closesIdle.Store(true)
+		s.closesIdleEarly.Store(true)
 	}
-	sleep(ctx, between(rng, 500*time.Millisecond, 3*time.Second))
+	sleep(ctx, randomDuration(rng, 500*time.Millisecond, 3*time.Second))
 	for _, s := range servers {
-		s.closesIdle.Store(false)
+		s.closesIdleEarly.Store(false)
 	}
 }
 
-// outageNotice is the time from discovery's return until the notices of the outage count as received.
-const outageNotice = 50 * time.Millisecond
+// outageNoticeDelay is the time from the end of an outage until the notices that it delayed count as received.
+const outageNoticeDelay = 50 * time.Millisecond
 
-// playOutage silences discovery.
-func (r *run) playOutage(ctx context.Context, rng *rand.Rand) {
-	if !r.discoveryBusy.TryLock() {
+// injectDiscoveryOutage leaves all calls to discovery without a response for a while.
+func (r *run) injectDiscoveryOutage(ctx context.Context, rng *rand.Rand) {
+	if !r.discoveryFaultMu.TryLock() {
 		return
 	}
-	defer r.discoveryBusy.Unlock()
+	defer r.discoveryFaultMu.Unlock()
 	r.agent.SetSilent(true)
-	length := between(rng, 500*time.Millisecond, 4*time.Second)
-	r.delayNoticeAll(time.Now().Add(length + outageNotice))
-	sleep(ctx, length)
-	r.delayNoticeAll(time.Now().Add(outageNotice))
+	duration := randomDuration(rng, 500*time.Millisecond, 4*time.Second)
+	r.delayNoticeToAll(time.Now().Add(duration + outageNoticeDelay))
+	sleep(ctx, duration)
+	r.delayNoticeToAll(time.Now().Add(outageNoticeDelay))
 	r.agent.SetSilent(false)
 }
 
-// silenceNotice is the time from a watch's silence until the notices that it missed count as received.
-const silenceNotice = 6 * time.Second
+// silenceNoticeDelay is the time from the start of a watch's silence until the notices that the watch missed count as received.
+const silenceNoticeDelay = 6 * time.Second
 
-// playWatchLoss resets all watches at once, or leaves them open and silent.
-func (r *run) playWatchLoss(ctx context.Context, rng *rand.Rand) {
-	if !r.discoveryBusy.TryLock() {
+// injectWatchLoss disconnects all watches at the same time, or leaves them open without a response.
+func (r *run) injectWatchLoss(ctx context.Context, rng *rand.Rand) {
+	if !r.discoveryFaultMu.TryLock() {
 		return
 	}
-	defer r.discoveryBusy.Unlock()
+	defer r.discoveryFaultMu.Unlock()
 	if rng.IntN(2) == 0 {
-		r.delayNoticeAll(time.Now().Add(silenceNotice))
+		r.delayNoticeToAll(time.Now().Add(silenceNoticeDelay))
 		r.agent.SilenceOpen()
 		return
 	}
-	length := between(rng, time.Millisecond, 300*time.Millisecond)
-	r.delayNoticeAll(time.Now().Add(length + outageNotice))
+	duration := randomDuration(rng, time.Millisecond, 300*time.Millisecond)
+	r.delayNoticeToAll(time.Now().Add(duration + outageNoticeDelay))
 	r.agent.DisconnectAll()
-	sleep(ctx, length)
+	sleep(ctx, duration)
 	r.agent.Reconnect()
 }
 
-// delayNoticeAll is delayNotice for all nodes.
-func (r *run) delayNoticeAll(until time.Time) {
+// delayNoticeToAll calls delayNotice for all nodes.
+func (r *run) delayNoticeToAll(until time.Time) {
 	for _, n := range r.nodes {
 		n.delayNotice(until)
 	}
 }
 
-// momentaryErrors are the errors that a system call may return for a moment, by call.
-var momentaryErrors = map[int][]syscall.Errno{
+// transientErrors lists the transient errors of each system call.
+var transientErrors = map[int][]syscall.Errno{
 	unix.SYS_ACCEPT4: {
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EINTR, unix.ENETDOWN,
 		unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
@@ -358,41 +362,41 @@
 	unix.SYS_TIMERFD_CREATE: {unix.ENFILE, unix.EMFILE, unix.ENOMEM},
 }
 
-// playSystemCalls makes some system calls fail at some nodes, all or a part of them.
-func (r *run) playSystemCalls(ctx context.Context, rng *rand.Rand) {
-	share := []int64{20, 60, 100}[rng.IntN(3)]
-	length := between(rng, 50*time.Millisecond, 400*time.Millisecond)
-	failing := map[int][]syscall.Errno{}
-	for _, number := range FaultyCalls {
+// injectSystemCallErrors makes all calls of some system calls, or a percentage of them, fail at some nodes.
+func (r *run) injectSystemCallErrors(ctx context.Context, rng *rand.Rand) {
+	percent := []int64{20, 60, 100}[rng.IntN(3)]
+	duration := randomDuration(rng, 50*time.Millisecond, 400*time.Millisecond)
+	errnos := map[int][]syscall.Errno{}
+	for _, call := range FaultyCalls {
 		if rng.IntN(2) == 0 {
-			failing[int(number)] = momentaryErrors[int(number)]
+			errnos[int(call)] = transientErrors[int(call)]
 		}
 	}
 	var nodes []*node
 	for range 1 + rng.IntN(len(r.nodes)) {
 		n := r.nodes[rng.IntN(len(r.nodes))]
-		n.delayNotice(time.Now().Add(length + outageNotice))
-		n.faults.share.Store(share)
-		n.faults.errnos.Store(&failing)
+		n.delayNotice(time.Now().Add(duration + outageNoticeDelay))
+		n.faults.percent.Store(percent)
+		n.faults.errnos.Store(&errnos)
 		nodes = append(nodes, n)
 	}
-	sleep(ctx, length)
+	sleep(ctx, duration)
 	for _, n := range nodes {
 		n.faults.errnos.Store(nil)
 	}
 }
 
-// playLeave makes all clients of some nodes close their connections at once.
-func (r *run) playLeave(_ context.Context, rng *rand.Rand) {
+// injectClientDisconnects makes all clients of some nodes close the connections on which they wait for responses.
+func (r *run) injectClientDisconnects(_ context.Context, rng *rand.Rand) {
 	for range 1 + rng.IntN(len(r.nodes)) {
 		r.clients.disconnectAll(rng.IntN(len(r.nodes)))
 	}
 }
 
-// playCrowd fills a node's descriptors with idle connections.
-func (r *run) playCrowd(ctx context.Context, rng *rand.Rand) {
+// injectIdleConns uses up a node's descriptors with idle connections.
+func (r *run) injectIdleConns(ctx context.Context, rng *rand.Rand) {
 	n := r.nodes[rng.IntN(len(r.nodes))]
-	hold := between(rng, 200*time.Millisecond, 1500*time.Millisecond)
-	n.setCrowded(time.Now().Add(hold + crowdAftermath))
+	hold := randomDuration(rng, 200*time.Millisecond, 1500*time.Millisecond)
+	n.setDescriptorsExhausted(time.Now().Add(hold + descriptorRecovery))
 	r.clients.holdIdleConns(ctx, n.number, hold)
 }
--- a/internal/lab/soak/hardceiling.go
+++ b/internal/lab/soak/hardceiling.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// hardCeiling is one customer's token bucket under a hard ceiling. It begins full, and each first attempt takes a token.
-type hardCeiling struct {
-	rate, depth float64 // tokens a second; tokens
+// ceilingBucket is the token bucket of one customer under a hard ceiling. It starts full, and each first attempt takes a token.
+type ceilingBucket struct {
+	rate, burst float64 // refill rate in tokens a second, and capacity in tokens
 	tokens      float64
 	updatedAt   time.Time
-	lowest      float64 // tokens at any time; below 0 the ceiling was exceeded
+	minTokens   float64 // smallest value of tokens so far; a negative value means that the ceiling was exceeded
 }
 
-// newHardCeiling makes a full bucket for a fleet of a number of nodes.
-func newHardCeiling(nodes int, now time.Time) *hardCeiling {
-	rate, depth := ceilingRate*float64(nodes), ceilingDepth*float64(nodes)
-	return &hardCeiling{rate: rate, depth: depth, tokens: depth, updatedAt: now, lowest: depth}
+// newCeilingBucket returns a full bucket whose rate and burst are those of a fleet with the given number of nodes.
+func newCeilingBucket(nodes int, now time.Time) *ceilingBucket {
+	rate, burst := ceilingRate*float64(nodes), ceilingBurst*float64(nodes)
+	return &ceilingBucket{rate: rate, burst: burst, tokens: burst, updatedAt: now, minTokens: burst}
 }
 
-// draw takes a token at a moment, which may be a little before that of the last call.
-func (h *hardCeiling) draw(at time.Time) {
+// take removes a token at a moment, which may be a little earlier than that of the previous call.
+func (h *ceilingBucket) take(at time.Time) {
 	if at.After(h.updatedAt) {
-		h.tokens = min(h.depth, h.tokens+h.rate*at.Sub(h.updatedAt).Seconds())
+		h.tokens = min(h.burst, h.tokens+h.rate*at.Sub(h.updatedAt).Seconds())
 		h.updatedAt = at
 	}
 	h.tokens--
-	h.lowest = min(h.lowest, h.tokens)
+	h.minTokens = min(h.minTokens, h.tokens)
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -8,19 +8,20 @@
 // request is the history of one client's request.
 type request struct {
 	id             string
-	node           int
-	nodes          int // of the fleet
+	node           int // number of the node to which the client sends the request
+	nodeCount      int // number of nodes in the fleet
 	class          *requestClass
-	cappedCustomer int       // number of its customer under the capped plan; -1: under the other plan
-	sentAt         time.Time // when the last byte was written
+	cappedCustomer int       // number of the customer under the capped plan; -1 for the other plan
+	sentAt         time.Time // time at which the client began to write the part with the last byte
 	timeout        time.Duration
-	clientClosedAt time.Time // when the client closed its connection without a response; zero: it did not
+	clientClosedAt time.Time // time at which the client closed its connection before a response; zero if it did not
 	answered       bool
-	status         int
-	waiver         string // why no response is due, as its node was killed; empty: one is due
+	status         int    // HTTP status of the response; 0 if there is none
+	waiver         string // reason for which no response is expected; empty if one is expected
 	attempts       []*attempt
 }
 
+// deadline returns the end of the client's timeout.
 func (r *request) deadline() time.Time { return r.sentAt.Add(r.timeout) }
 
 // mayHaveExecuted reports whether any attempt may have been executed.
@@ -33,7 +34,8 @@
 	return false
 }
 
-// describe returns the history for a violation's detail, with times since the request was sent. -1ns is no time.
+// describe returns the history for a violation's detail, with times since the request was sent. -1ns stands for an event that
+// did not happen.
 func (r *request) describe() string {
 	since := func(at time.Time) time.Duration {
 		if at.IsZero() {
@@ -44,7 +46,7 @@
 	text := fmt.Sprintf("status %d, client closed %v;", r.status, since(r.clientClosedAt))
 	for _, a := range r.attempts {
 		text += fmt.Sprintf(" server %d from %v to %v, timeout %v, not executed %v;",
-			a.server, since(a.begunAt), since(a.endedAt), a.timeout, a.notExecuted)
+			a.server, since(a.receivedAt), since(a.endedAt), a.timeout, a.notExecuted)
 	}
 	return text
 }
@@ -52,10 +54,10 @@
 // attempt is one request that a server has read completely.
 type attempt struct {
 	server      int
-	firstByte   time.Time     // when its first byte arrived
-	begunAt     time.Time     // when its last byte arrived
-	timeout     time.Duration // in its header
-	endedAt     time.Time     // when its response was written or its connection ended; zero: not yet
-	notExecuted bool          // the server rejected it
-	readLate    bool          // the server read it long after its arrival: the times are not exact
+	firstByteAt time.Time     // time at which the first byte arrived
+	receivedAt  time.Time     // time at which the last byte arrived and the attempt began
+	timeout     time.Duration // timeout that the header states
+	endedAt     time.Time     // time at which the response was written or the connection ended; zero before
+	notExecuted bool          // whether the server rejected the attempt without executing it
+	readLate    bool          // whether the server read the attempt long after its arrival, so that the times are not exact
 }
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	malformedInterval = 300 * time.Millisecond // between two clients of the whole fleet, mean
-	malformedTimeout  = 3 * time.Second
+	malformedInterval = 300 * time.Millisecond // mean time between two malformed clients in the whole fleet
+	malformedTimeout  = 3 * time.Second        // time in which a node has to close the connection
 )
 
-// malformedInputs are the texts of malformed clients, which then wait for an error or a close.
+// malformedInputs lists the texts that malformed clients send before they wait for an error response or a close.
 var malformedInputs = []string{
 	"",
 	"nonsense\r\n\r\n",
@@ -29,8 +29,8 @@
 	"GET /find/0000000000000001 HTTP/1.1\r\nHost: edge\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 }
 
-// playMalformedClients starts one malformed client after another, until ctx ends.
-func (c *clients) playMalformedClients(ctx context.Context) {
+// runMalformedClients starts malformed clients at random times, until ctx ends.
+func (c *clients) runMalformedClients(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.cfg.Seed, malformedStream))
 	for {
 		select {
@@ -41,33 +41,34 @@
 		if node := c.firstAccepting(rng.IntN(len(c.nodes))); node >= 0 {
 			text := malformedInputs[rng.IntN(len(malformedInputs))]
 			c.inFlight.Add(1)
-			go func() { // ends a second after malformedTimeout at most
+			go func() { // The goroutine ends at most a second after malformedTimeout.
 				defer c.inFlight.Done()
-				c.playMalformedClient(node, text)
+				c.runMalformedClient(node, text)
 			}()
 		}
 	}
 }
 
-// playMalformedClient sends a text, and checks that the node responds or closes in time.
-func (c *clients) playMalformedClient(node int, text string) {
+// runMalformedClient sends a text, and checks that the node closes the connection within malformedTimeout.
+func (c *clients) runMalformedClient(node int, text string) {
 	conn, err := net.DialTimeout("tcp", c.nodes[node].addr, dialTimeout)
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	startedAt := time.Now()
-	c.checker.update(func(counts *Counts) { counts.MalformedClients++ })
+	c.checker.updateCounts(func(counts *Counts) { counts.MalformedClients++ })
 	_, _ = io.WriteString(conn, text)
 	_ = conn.SetReadDeadline(startedAt.Add(malformedTimeout + time.Second))
 	_, err = io.Copy(io.Discard, conn)
-	if took := time.Since(startedAt); took > malformedTimeout+harnessSlack+c.checker.lag.around(time.Now()) {
-		c.checker.report(ruleMalformed, node, "", "%.30q got its error or close after %v: %v", text, took, err)
+	if took := time.Since(startedAt); took > malformedTimeout+harnessSlack+c.checker.lag.maxAround(time.Now()) {
+		c.checker.recordViolation(ruleMalformed, node, "", "the connection with input %.30q ended after %v, want within %v: %v",
+			text, took, malformedTimeout, err)
 	}
 }
 
-// holdIdleConns opens nodeSockets/2 idle connections to a node, and closes them after hold or when ctx ends. They are more than
-// the node's limit of client connections.
+// holdIdleConns opens nodeSockets/2 idle connections to a node, which is more than the node's limit of client connections. It
+// closes them after hold or when ctx ends.
 func (c *clients) holdIdleConns(ctx context.Context, node int, hold time.Duration) {
 	var conns []net.Conn
 	for range nodeSockets / 2 {
--- a/internal/lab/soak/node_test.go
+++ b/internal/lab/soak/node_test.go
@@ -16,10 +16,10 @@
 	"cherrygap/internal/nettest"
 )
 
-// testRun returns a run without processes, with one node in service at an address.
+// testRun returns a run without processes, whose only node is in service at an address.
 func testRun(t *testing.T, addr string) *run {
 	t.Helper()
-	n := &node{number: testNode, nodes: testNodes, addr: addr, dir: t.TempDir(), accepting: true}
+	n := &node{number: testNode, nodeCount: testNodes, addr: addr, dir: t.TempDir(), accepting: true}
 	if err := os.WriteFile(n.logPath(), []byte("{\"message\":\"started\"}\nlast line\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 // startCommand runs a command as the node's process.
 func startCommand(t *testing.T, n *node, name string, args ...string) {
 	t.Helper()
-	process, err := nodeprocess.Start(nodeprocess.Command{Program: name, Args: args, Dir: n.dir, Name: n.fileName()})
+	process, err := nodeprocess.Start(nodeprocess.Command{Program: name, Args: args, Dir: n.dir, Name: n.fileBaseName()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,8 @@
 	t.Cleanup(n.kill)
 }
 
-// startSleeping runs a process that sleeps as the node's, once it ignores SIGTERM if it should.
+// startSleeping starts a sleeping process as the node's process. If ignoresTerm is true, it returns once the process ignores
+// SIGTERM.
 func startSleeping(t *testing.T, n *node, ignoresTerm bool) {
 	t.Helper()
 	if !ignoresTerm {
@@ -54,30 +55,32 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the process does not start")
+			t.Fatalf("the process did not create %s within 10s of its start", ready)
 		}
 	}
 }
 
+// wantRules checks that the violations so far are of exactly the wanted rules.
 func wantRules(t *testing.T, r *run, want ...Rule) {
 	t.Helper()
 	if got := violatedRules(r.checker); !slices.Equal(got, want) {
-		t.Errorf("reports %v, want %v: %+v", got, want, r.checker.violations)
+		t.Errorf("violated rules = %v, want %v; violations are %+v", got, want, r.checker.violations)
 	}
 }
 
-// A node that ends by itself is reported once, with its last log line. One that was told to end is not.
+// A crash of a node stays unnoticed if nothing compares its exit with the signals that it was sent. A node that exits without a
+// signal is reported once, with its last log line. A node that was told to stop is not reported.
 func TestCheckerOfCrashes(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		exits  bool
 		ending bool
 		want   int
-	}{{"runs", false, false, 0}, {"was told to end", true, true, 0}, {"ends by itself", true, false, 1}} {
+	}{{"runs", false, false, 0}, {"was told to stop", true, true, 0}, {"crashes", true, false, 1}} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			r := testRun(t, "")
-			r.nodes[0].ending = test.ending
+			r.nodes[0].stopping = test.ending
 			if test.exits {
 				startCommand(t, r.nodes[0], "sh", "-c", "echo last line >&2")
 				<-r.nodes[0].process.Exited()
@@ -87,16 +90,17 @@
 			r.watchForCrashes(ctx)
 			got := r.checker.violations
 			if len(got) != test.want {
-				t.Fatalf("%d reports, want %d", len(got), test.want)
+				t.Fatalf("watchForCrashes reported %d violations, want %d: %+v", len(got), test.want, got)
 			}
 			if test.want > 0 && (got[0].Rule != ruleCrash || got[0].Node != testNode || got[0].Detail != "last line") {
-				t.Errorf("%+v", got[0])
+				t.Errorf("the violation is %+v, want rule %q, node %d and detail %q", got[0], ruleCrash, testNode, "last line")
 			}
 		})
 	}
 }
 
-// One start in ten may take longer than readyTimeout. A node that ends at its start is reported at once.
+// Slow starts are a violation only if they are more than a tenth of all starts, as the machine may delay some. A node that exits
+// during its start is reported at once.
 func TestCheckerOfStarts(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -106,7 +110,7 @@
 		{"no start", 0, 0, nil},
 		{"a tenth late", 1, 9, nil},
 		{"over a tenth late", 2, 17, []Rule{ruleReady}},
-		{"the only one late", 1, 0, []Rule{ruleReady}},
+		{"the only start is late", 1, 0, []Rule{ruleReady}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRun(t, "")
@@ -120,7 +124,7 @@
 			wantRules(t, r, test.want...)
 		})
 	}
-	t.Run("ends at its start", func(t *testing.T) {
+	t.Run("exits during its start", func(t *testing.T) {
 		r := testRun(t, "127.0.0.1:1")
 		program, err := exec.LookPath("false")
 		if err != nil {
@@ -132,16 +136,16 @@
 	})
 }
 
-// A node has killTimeout to end after SIGTERM.
+// A node that hangs in its shutdown does not exit within killTimeout after SIGTERM. The run kills and reports it.
 func TestCheckerOfShutdowns(t *testing.T) {
 	for _, ignoresTerm := range []bool{false, true} {
-		t.Run(map[bool]string{false: "ends", true: "ignores SIGTERM"}[ignoresTerm], func(t *testing.T) {
+		t.Run(map[bool]string{false: "exits", true: "ignores SIGTERM"}[ignoresTerm], func(t *testing.T) {
 			t.Parallel()
 			r := testRun(t, "")
 			startSleeping(t, r.nodes[0], ignoresTerm)
 			result, err := r.result()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("result() = %v, want no error", err)
 			}
 			if !ignoresTerm {
 				wantRules(t, r)
@@ -149,13 +153,14 @@
 			}
 			wantRules(t, r, ruleShutdown)
 			if len(result.Violations) != 1 {
-				t.Errorf("the result has %+v", result.Violations)
+				t.Errorf("violations of the result are %+v, want exactly one", result.Violations)
 			}
 		})
 	}
 }
 
-// A violation that a node's own checks have counted is one of the run, over all processes of the node.
+// A node counts violations of its own invariant checks and logs the counters when it exits. The run reports each counter above 0,
+// also of an earlier process of the node, which a restart would otherwise hide.
 func TestCheckerOfNodeViolations(t *testing.T) {
 	const stopped = `{"message":"stopped","counters":{"requests":7,"violations_sending":%,"violations_closing":0}}` + "\n"
 	for _, test := range []struct {
@@ -165,28 +170,32 @@
 	}{
 		{"none", strings.ReplaceAll(stopped, "%", "0"), nil, 0},
 		{"one", "not JSON\n" + strings.ReplaceAll(stopped, "%", "1"), []Rule{ruleNodeCheck}, 1},
-		{"in an earlier process", strings.ReplaceAll(stopped, "%", "2") + strings.ReplaceAll(stopped, "%", "0"), []Rule{ruleNodeCheck}, 2},
-		{"counters that are no final ones", strings.ReplaceAll(strings.ReplaceAll(stopped, "%", "1"), "stopped", "counters"), nil, 0},
+		{
+			"in an earlier process", strings.ReplaceAll(stopped, "%", "2") + strings.ReplaceAll(stopped, "%", "0"),
+			[]Rule{ruleNodeCheck},
+			2,
+		},
+		{"counters of a running node", strings.ReplaceAll(strings.ReplaceAll(stopped, "%", "1"), "stopped", "counters"), nil, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRun(t, "")
 			if err := os.WriteFile(r.nodes[0].logPath(), []byte(test.log), 0o600); err != nil {
-				t.Fatal(err)
+				t.Fatalf("write the log: %v", err)
 			}
 			startSleeping(t, r.nodes[0], false)
 			result, err := r.result()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("result() = %v, want no error", err)
 			}
 			wantRules(t, r, test.want...)
 			if got := result.NodeViolations["violations_sending"]; got != test.sending {
-				t.Errorf("counts %d, want %d", got, test.sending)
+				t.Errorf("NodeViolations[%q] = %d, want %d", "violations_sending", got, test.sending)
 			}
 		})
 	}
 }
 
-// A node in service accepts connections. One that was told to end may refuse them.
+// A node that fails to listen refuses connections although it is in service. A node that was told to stop may refuse them.
 func TestCheckerOfRefusedConnections(t *testing.T) {
 	listener := nettest.Listen(t)
 	open := listener.Addr().String()
@@ -205,7 +214,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRun(t, test.addr)
-			r.nodes[0].ending = test.ending
+			r.nodes[0].stopping = test.ending
 			if conn := r.clients.dial(0); conn != nil {
 				nettest.Close(conn)
 			}
@@ -214,7 +223,8 @@
 	}
 }
 
-// A malformed request gets an error or a close within malformedTimeout.
+// A node that waits forever for the rest of a malformed request keeps the connection open. The node must close
+// the connection, with or without a response, within malformedTimeout.
 func TestCheckerOfMalformedRequests(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -228,9 +238,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			listener := nettest.Listen(t)
-			go nettest.ServeConns(listener, test.serve) // ends with the listener
+			go nettest.ServeConns(listener, test.serve) // The goroutine ends with the listener.
 			r := testRun(t, listener.Addr().String())
-			r.clients.playMalformedClient(0, "nonsense\r\n\r\n")
+			r.clients.runMalformedClient(0, "nonsense\r\n\r\n")
 			wantRules(t, r, test.want...)
 		})
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -15,7 +15,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
 	cfg     Config
 	checker *checker
@@ -24,15 +24,15 @@
 	nodes   []*node
 	clients *clients
 
-	discoveryBusy sync.Mutex // held by a fault of discovery; guards no field
+	discoveryFaultMu sync.Mutex // lock of a fault that affects discovery; guards no field
 
 	mu          sync.Mutex      // guards the fields below
-	err         error           // of the harness itself
-	faultCounts map[string]int  // by the fault's name
-	readyTimes  []time.Duration // of each start that succeeded
+	harnessErr  error           // joined errors of the harness itself; nil for none
+	faultCounts map[string]int  // number of faults by name
+	readyTimes  []time.Duration // time from start to ready of each successful start
 }
 
-// Result is the result of a run. The run is good where Violations is empty.
+// Result is the result of a run. The run succeeded if Violations is empty.
 type Result struct {
 	Seed              uint64           `json:"seed"`
 	Nodes             int              `json:"nodes"`
@@ -47,7 +47,7 @@
 	Violations        []Violation      `json:"violations"`
 }
 
-// Run plays a run. It ends all processes that it has started before it returns, also after an error or when ctx ends. The
+// Run runs a soak test. Before it returns, it ends all processes that it started, also after an error or when ctx ends. The
 // goroutine that measures this process's delays ends with ctx.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.Check(); err != nil {
@@ -65,16 +65,16 @@
 		return nil, err
 	}
 	defer r.agent.Close()
-	if err := r.play(ctx); err != nil {
+	if err := r.runLoad(ctx); err != nil {
 		return nil, err
 	}
 	return r.result()
 }
 
-// setUp starts the servers, the discovery agent and the nodes. The goroutines of servers and nodes end after killAll.
+// setUp starts the app servers, the discovery agent and the nodes. The goroutines of servers and nodes end after killAll.
 func (r *run) setUp(ctx context.Context) error {
 	lag := newLagMeter()
-	go lag.run(ctx) // ends with ctx
+	go lag.run(ctx) // The goroutine ends with ctx.
 	r.checker = newChecker(lag, r.cfg.Duration, r.cfg.Nodes)
 	endpoints := make([]discovery.Endpoint, r.cfg.Servers)
 	for i := range endpoints {
@@ -84,8 +84,8 @@
 		}
 		r.servers = append(r.servers, s)
 		endpoints[i] = discovery.Endpoint{Endpoint: protocol.Endpoint{
-			UID: "app-" + strconv.Itoa(i), Addr: netip.MustParseAddrPort(s.server.Addr()), Zone: "z" + strconv.Itoa(i%zones), Model: "m", Cell: i / serversPerCell,
-			State: protocol.InService, Weight: 1,
+			UID: "app-" + strconv.Itoa(i), Addr: netip.MustParseAddrPort(s.server.Addr()), Zone: "z" + strconv.Itoa(i%zones),
+			Model: "m", Cell: i / serversPerCell, State: protocol.InService, Weight: 1,
 		}, Listed: true}
 	}
 	var err error
@@ -93,12 +93,12 @@
 		return err
 	}
 	for i := range r.cfg.Nodes {
-		n := &node{number: i, dir: r.cfg.Dir, nodes: r.cfg.Nodes}
+		n := &node{number: i, dir: r.cfg.Dir, nodeCount: r.cfg.Nodes}
 		if n.addr, err = nodeprocess.FreeAddress("tcp", loopbackAddress(nodeBlock, i)); err != nil {
 			return err
 		}
 		for k, watch := range n.watches() {
-			n.agents[k] = r.agent.Addr(watch)
+			n.discoveryAddrs[k] = r.agent.Addr(watch)
 		}
 		r.nodes = append(r.nodes, n)
 	}
@@ -107,7 +107,7 @@
 	return r.failure()
 }
 
-// forEachNode calls do for all nodes concurrently, and returns after the last call.
+// forEachNode calls do for all nodes concurrently, and returns when all calls have returned.
 func (r *run) forEachNode(do func(*node)) {
 	var wg sync.WaitGroup
 	for _, n := range r.nodes {
@@ -117,13 +117,14 @@
 	wg.Wait()
 }
 
-// startNode starts a node. It reports a violation if the node does not become ready, unless ctx has ended.
-func (r *run) startNode(ctx context.Context, n *node, known []byte) {
-	took, err := n.start(ctx, r.cfg.Program, known)
+// startNode starts a node with a known endpoint list. It records a violation if the node does not become ready, unless ctx has
+// ended.
+func (r *run) startNode(ctx context.Context, n *node, endpointList []byte) {
+	took, err := n.start(ctx, r.cfg.Program, endpointList)
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
-		r.checker.report(ruleReady, n.number, "", "%v", err)
+		r.checker.recordViolation(ruleReady, n.number, "", "%v", err)
 	default:
 		r.mu.Lock()
 		r.readyTimes = append(r.readyTimes, took)
@@ -131,85 +132,85 @@
 	}
 }
 
-// play plays clients and faults for the configured time, and waits for the last responses.
-func (r *run) play(ctx context.Context) error {
-	playing, stop := context.WithTimeout(ctx, r.cfg.Duration)
+// runLoad runs clients and injects faults for the configured time, and waits for the last responses.
+func (r *run) runLoad(ctx context.Context) error {
+	loadCtx, stop := context.WithTimeout(ctx, r.cfg.Duration)
 	defer stop()
-	watching, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
-	go r.checker.checkPeriodically(watching)
-	go r.watchForCrashes(watching)
+	monitorCtx, stopMonitoring := context.WithCancel(ctx)
+	defer stopMonitoring()
+	go r.checker.checkPeriodically(monitorCtx)
+	go r.watchForCrashes(monitorCtx)
 	var wg sync.WaitGroup
 	start := func(do func()) {
 		wg.Add(1)
 		go func() { defer wg.Done(); do() }()
 	}
 	for i := range r.nodes {
-		start(func() { r.clients.generate(playing, i) })
+		start(func() { r.clients.generateRequests(loadCtx, i) })
 	}
-	start(func() { r.clients.playMalformedClients(playing) })
-	for player := range concurrentFaults {
-		start(func() { r.playFaults(playing, player) })
+	start(func() { r.clients.runMalformedClients(loadCtx) })
+	for injector := range faultInjectors {
+		start(func() { r.injectFaults(loadCtx, injector) })
 	}
 	wg.Wait()
 	r.clients.inFlight.Wait()
 	return errors.Join(ctx.Err(), r.failure())
 }
 
-// crashPollInterval is the time between two checks for nodes that ended by themselves.
+// crashPollInterval is the time between two checks for crashed nodes.
 const crashPollInterval = 100 * time.Millisecond
 
-// watchForCrashes reports the first crash of each node, until ctx ends.
+// watchForCrashes records the first crash of each node, until ctx ends.
 func (r *run) watchForCrashes(ctx context.Context) {
 	reported := map[*node]bool{}
 	for ctx.Err() == nil {
 		for _, n := range r.nodes {
 			if !reported[n] && n.crashed() {
 				reported[n] = true
-				r.checker.report(ruleCrash, n.number, "", "%s", n.presentProcess().LastLogLine())
+				r.checker.recordViolation(ruleCrash, n.number, "", "%s", n.currentProcess().LastLogLine())
 			}
 		}
 		sleep(ctx, crashPollInterval)
 	}
 }
 
-// capacity returns the capacity of a warm server in requests a second: headroom times its even share of all requests.
+// capacity returns the capacity of a warm server in requests a second, which is headroom times its even share of all requests.
 func (r *run) capacity() float64 {
 	const headroom = 1.5
 	return headroom * r.cfg.Rate * float64(r.cfg.Nodes) / float64(r.cfg.Servers)
 }
 
-// notifiedAt returns when a node counts as notified of a change that was published at a moment.
+// notifiedAt returns the time from which a node counts as notified of a change that discovery published at a moment.
 func (r *run) notifiedAt(node int, published time.Time) time.Time {
 	return r.nodes[node].notifiedAt(published)
 }
 
-// noteFault counts and logs a fault that is over.
-func (r *run) noteFault(name string, begun time.Time) {
+// recordFault counts and logs a fault that has ended.
+func (r *run) recordFault(name string, startedAt time.Time) {
 	r.mu.Lock()
 	r.faultCounts[name]++
 	r.mu.Unlock()
-	r.cfg.Log.Info().Str("fault", name).Dur("duration_ms", time.Since(begun)).Msg("fault ended")
+	r.cfg.Log.Info().Str("fault", name).Dur("duration_ms", time.Since(startedAt)).Msg("fault ended")
 }
 
-// fail records an error of the harness itself. The run then returns it in place of a result.
+// fail records an error of the harness itself, which the run then returns in place of a result.
 func (r *run) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.err = errors.Join(r.err, err)
+	r.harnessErr = errors.Join(r.harnessErr, err)
 }
 
-// failure returns the errors so far.
+// failure returns the joined errors of the harness so far, or nil if there are none.
 func (r *run) failure() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.err
+	return r.harnessErr
 }
 
 // killAll kills all nodes and servers.
 func (r *run) killAll() {
 	r.forEachNode(func(n *node) {
-		if n.presentProcess() != nil {
+		if n.currentProcess() != nil {
 			n.kill()
 		}
 	})
@@ -218,28 +219,29 @@
 	}
 }
 
-// result terminates the nodes, checks the remaining requests and sums the counts.
+// result terminates the nodes, checks the remaining requests and returns the result of the run.
 func (r *run) result() (*Result, error) {
 	r.forEachNode(func(n *node) {
 		if n.terminate(0) == nodeprocess.Killed {
-			r.checker.report(ruleShutdown, n.number, "", "the node had to be killed %v after the last SIGTERM", killTimeout)
+			r.checker.recordViolation(ruleShutdown, n.number, "", "the node did not exit within %v after the last SIGTERM and was killed",
+				killTimeout)
 		}
 	})
 	for _, s := range r.servers {
 		s.checkSlowStart(r.capacity())
 	}
-	r.checker.checkUntil(time.Now().Add(time.Hour)) // all requests: no deadline is that late
+	r.checker.checkUntil(time.Now().Add(time.Hour)) // all requests, as no deadline is that late
 	r.checker.checkCeilings()
 	result := &Result{
-		Seed: r.cfg.Seed, Nodes: r.cfg.Nodes, Seconds: r.cfg.Duration.Seconds(), Counts: r.checker.counts, Statuses: map[string]int64{},
-		Faults: r.faultCounts, NodeViolations: map[string]int64{},
+		Seed: r.cfg.Seed, Nodes: r.cfg.Nodes, Seconds: r.cfg.Duration.Seconds(),
+		Counts: r.checker.counts, Statuses: map[string]int64{}, Faults: r.faultCounts, NodeViolations: map[string]int64{},
 	}
 	for status, count := range r.checker.statuses {
 		result.Statuses[strconv.Itoa(status)] = count
 	}
 	for _, n := range r.nodes {
 		result.Starts += n.starts
-		result.FailedSystemCalls += n.faults.failed.Load()
+		result.FailedSystemCalls += n.faults.failedCalls.Load()
 		if err := r.addNodeViolations(result.NodeViolations, n); err != nil {
 			return nil, err
 		}
@@ -252,22 +254,22 @@
 	return result, nil
 }
 
-// addNodeViolations adds a node's violation counters to sums, and reports each that is above 0.
+// addNodeViolations adds a node's violation counters to sums, and records a violation for each counter above 0.
 func (r *run) addNodeViolations(sums map[string]int64, n *node) error {
 	counters, err := readViolationCounters(n.logPath())
 	if err != nil {
-		return fmt.Errorf("log of node %d: %w", n.number, err)
+		return fmt.Errorf("read the log of node %d: %w", n.number, err)
 	}
 	for name, count := range counters {
 		sums[name] += count
 		if count > 0 {
-			r.checker.report(ruleNodeCheck, n.number, "", "%s is %d", name, count)
+			r.checker.recordViolation(ruleNodeCheck, n.number, "", "the node's counter %s is %d, want 0", name, count)
 		}
 	}
 	return nil
 }
 
-// checkStartTimes reports a violation if over a tenth of the starts took longer than readyTimeout.
+// checkStartTimes records a violation if more than a tenth of the starts took longer than readyTimeout.
 func (r *run) checkStartTimes() {
 	late := 0
 	for _, took := range r.readyTimes {
@@ -276,6 +278,7 @@
 		}
 	}
 	if 10*late > len(r.readyTimes) {
-		r.checker.report(ruleReady, -1, "", "%d of %d starts took over %v", late, len(r.readyTimes), readyTimeout)
+		r.checker.recordViolation(ruleReady, -1, "", "%d of %d starts took longer than %v, want at most a tenth of them",
+			late, len(r.readyTimes), readyTimeout)
 	}
 }
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -15,64 +15,65 @@
 	"cherrygap/internal/protocol"
 )
 
-// statusCompleted is the HTTP status of a completed request.
+// statusCompleted is the HTTP status of the response to an executed request.
 const statusCompleted = http.StatusOK
 
-// responseBody returns the body of the response to a request.
+// responseBody returns the body of the response to the request with an ID.
 func responseBody(id string) string { return "done " + id }
 
 // behaviour is the way in which a server handles its requests.
 type behaviour int32
 
 const (
-	behaveWell     behaviour = iota
-	behaveHang               // reads requests and never responds
-	behaveReset              // reads complete requests and resets the connection
-	behaveCut                // resets the connection after half a response
-	behaveReject             // rejects requests without executing them
-	behaveFail               // responds with an error
-	behaveStall              // reads nothing
-	behaviourCount           // not a behaviour
+	behaveNormally behaviour = iota
+	behaveHang               // The server reads requests and never responds.
+	behaveReset              // The server reads complete requests and resets the connection.
+	behaveTruncate           // The server resets the connection after half a response.
+	behaveReject             // The server rejects requests without executing them.
+	behaveFail               // The server responds with status 500.
+	behaveStall              // The server reads no requests.
+	behaviourCount           // number of behaviours, itself not a behaviour
 )
 
-// earlyIdleTimeout is the idle timeout of a server that closes connections early.
+// earlyIdleTimeout is the idle timeout of a server that closes idle connections early.
 const earlyIdleTimeout = 60 * time.Millisecond
 
-// Service times of requests.
+// Bounds of the service times of requests.
 const (
 	minServiceTime = 2 * time.Millisecond
 	maxServiceTime = 30 * time.Millisecond
 )
 
-// appServer is one app server, over its restarts. It reports each attempt to the checker.
+// appServer is one app server, across its restarts. It records each attempt in the checker.
 type appServer struct {
 	number  int
 	checker *checker
 	server  *appserver.Server
 
-	behaves    atomic.Int32 // a behaviour
-	closesIdle atomic.Bool  // after earlyIdleTimeout
-	notifiedAt func(node int, published time.Time) time.Time
-	busy       sync.Mutex // held by a fault that stops, starts or changes the server; guards no field
+	behaviour       atomic.Int32 // current behaviour
+	closesIdleEarly atomic.Bool  // whether idle connections are closed after earlyIdleTimeout
+	notifiedAt      func(node int, published time.Time) time.Time
+	faultMu         sync.Mutex // lock of a fault that stops, starts or changes the server; guards no field
 
-	mu               sync.Mutex         // guards the fields below
-	processStartedAt time.Time          // of the present process, if it started during the run
-	slowStarts       []slowStartAttempt // of the present process
-	listedAt         time.Time          // when discovery published the present process
-	drainingSince    time.Time          // when discovery published the drain; zero: in service
+	mu                sync.Mutex         // guards the fields below
+	processStartedAt  time.Time          // start of the current process; zero if it started before the run
+	slowStartAttempts []slowStartAttempt // attempts at the current process during its slow start
+	publishedAt       time.Time          // time at which discovery published the current process; zero before
+	drainingSince     time.Time          // time at which discovery published the drain; zero if the server is in service
 }
 
-// newAppServer starts a server. notifiedAt returns when a node counts as notified of a change that was published at a time.
+// newAppServer starts a server. notifiedAt returns the time from which a node counts as notified of a change that discovery
+// published at a moment.
 func newAppServer(number int, c *checker, notifiedAt func(node int, published time.Time) time.Time) (*appServer, error) {
 	s := &appServer{number: number, checker: c, notifiedAt: notifiedAt}
 	s.server = appserver.New(loopbackAddress(serverBlock, number), s.serve)
 	return s, s.start()
 }
 
-// start begins to listen and to serve. Its goroutines end after kill.
+// start starts to listen and to serve connections. Its goroutines end after kill.
 func (s *appServer) start() error {
-	if err := s.server.Listen(stampListener); err != nil {
-		return fmt.Errorf("server %d: %w", s.number, err)
+	if err := s.server.Listen(enableTimestamps); err != nil {
+		return fmt.Errorf("start app server %d: %w", s.number, err)
 	}
 	return nil
 }
@@ -80,7 +81,7 @@
 // restartProcess starts the server as a new process, whose slow start begins now.
 func (s *appServer) restartProcess() error {
 	s.mu.Lock()
-	s.processStartedAt, s.slowStarts, s.listedAt = time.Now(), nil, time.Time{}
+	s.processStartedAt, s.slowStartAttempts, s.publishedAt = time.Now(), nil, time.Time{}
 	s.mu.Unlock()
 	return s.start()
 }
@@ -96,10 +97,11 @@
 func (s *appServer) setInService(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainingSince, s.listedAt = time.Time{}, at
+	s.drainingSince, s.publishedAt = time.Time{}, at
 }
 
-// checkDrain reports an attempt whose first byte arrived later than drainGrace after its node was notified of the drain.
+// checkDrain records a violation if the first byte of an attempt arrived after drainGrace and its tolerance. The grace begins
+// when the attempt's node is notified of the drain.
 func (s *appServer) checkDrain(id string, a *attempt) {
 	s.mu.Lock()
 	drainingSince := s.drainingSince
@@ -108,59 +110,61 @@
 	if drainingSince.IsZero() || node < 0 {
 		return
 	}
-	late := a.firstByte.Sub(s.notifiedAt(node, drainingSince)) - drainGrace - graceSlack - harnessSlack - s.checker.lag.around(a.begunAt)
+	late := a.firstByteAt.Sub(s.notifiedAt(node, drainingSince)) - drainGrace - graceSlack - harnessSlack -
+		s.checker.lag.maxAround(a.receivedAt)
 	if late > 0 {
-		s.checker.report(ruleDraining, node, id, "server %d got it %v past the grace", s.number, late)
+		s.checker.recordViolation(ruleDraining, node, id,
+			"draining server %d received an attempt %v after the drain grace and its tolerance", s.number, late)
 	}
 }
 
 // kill closes the listener and resets all connections.
 func (s *appServer) kill() { s.server.Kill() }
 
-// serve serves the requests of a connection until it ends.
+// serve serves the requests of a connection until the connection ends.
 func (s *appServer) serve(conn net.Conn) {
-	stamped, err := newStampedConn(conn.(*net.TCPConn))
+	timestamped, err := newStampedConn(conn.(*net.TCPConn))
 	if err != nil {
 		return
 	}
-	reader := bufio.NewReader(stamped)
-	for s.serveRequest(stamped, reader) {
+	reader := bufio.NewReader(timestamped)
+	for s.serveRequest(timestamped, reader) {
 	}
 }
 
 // serveRequest serves one request, and reports whether the connection stays open.
 func (s *appServer) serveRequest(conn *stampedConn, reader *bufio.Reader) bool {
-	stalled := behaviour(s.behaves.Load()) == behaveStall
-	for behaviour(s.behaves.Load()) == behaveStall && time.Since(s.checker.startedAt) < s.checker.length {
+	stalled := behaviour(s.behaviour.Load()) == behaveStall
+	for behaviour(s.behaviour.Load()) == behaveStall && time.Since(s.checker.startedAt) < s.checker.runDuration {
 		time.Sleep(maxServiceTime)
 	}
-	if s.closesIdle.Load() {
+	if s.closesIdleEarly.Load() {
 		_ = conn.SetReadDeadline(time.Now().Add(earlyIdleTimeout))
 	} else {
 		_ = conn.SetReadDeadline(time.Time{})
 	}
-	conn.begin()
+	conn.beginMessage()
 	request, err := appserver.ReadRequest(reader)
 	if err != nil {
 		return false
 	}
 	_ = conn.SetReadDeadline(time.Time{})
-	a := &attempt{server: s.number, firstByte: conn.first, begunAt: conn.last, timeout: request.Timeout}
-	how := behaviour(s.behaves.Load())
-	a.notExecuted = how == behaveReject
-	a.readLate = stalled || time.Since(a.begunAt) > readLateThreshold
+	a := &attempt{server: s.number, firstByteAt: conn.firstByteAt, receivedAt: conn.lastByteAt, timeout: request.Timeout}
+	current := behaviour(s.behaviour.Load())
+	a.notExecuted = current == behaveReject
+	a.readLate = stalled || time.Since(a.receivedAt) > readLateThreshold
 	s.checker.recordAttempt(request.ID, a)
-	s.recordSlowStart(request.ID, a.begunAt)
+	s.recordSlowStart(request.ID, a.receivedAt)
 	s.checkDrain(request.ID, a)
 	defer s.checker.recordAttemptEnd(a)
-	return s.respond(conn, reader, how, request.ID)
+	return s.respond(conn, reader, current, request.ID)
 }
 
-// respond waits for the service time and responds, unless the connection is closed meanwhile. It reports whether the
+// respond waits for the service time and responds, unless the client closes the connection first. It reports whether the
 // connection stays open.
-func (s *appServer) respond(conn net.Conn, reader *bufio.Reader, how behaviour, id string) bool {
+func (s *appServer) respond(conn net.Conn, reader *bufio.Reader, current behaviour, id string) bool {
 	serviceTime := time.Duration(0)
-	switch how {
+	switch current {
 	case behaveReject:
 	case behaveHang, behaveStall:
 		serviceTime = time.Minute
@@ -171,12 +175,12 @@
 		return false
 	}
 	body := responseBody(id)
-	switch how {
+	switch current {
 	case behaveReset:
 		appserver.ResetConn(conn)
 		return false
-	case behaveCut:
-		_ = appserver.WriteHalfResponse(conn, body) // fails if the node has closed the connection
+	case behaveTruncate:
+		_ = appserver.WriteHalfResponse(conn, body) // The write fails if the node has closed the connection.
 		appserver.ResetConn(conn)
 		return false
 	case behaveReject:
@@ -188,7 +192,7 @@
 	return appserver.WriteResponse(conn, statusCompleted, body) == nil
 }
 
-// connClosed waits for a time, and reports whether the connection was closed meanwhile.
+// connClosed reports whether the connection is closed within a duration. It returns early if a byte arrives.
 func connClosed(conn net.Conn, reader *bufio.Reader, within time.Duration) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(within))
 	_, err := reader.Peek(1)
--- a/internal/lab/soak/server_test.go
+++ b/internal/lab/soak/server_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// testServer returns an app server without a listener. Each node counts as notified of a change at its publication.
+// testServer returns an app server without a listener. Each node counts as notified of a change when discovery publishes it.
 func testServer(h *history) *appServer {
 	return &appServer{
 		number: 2, checker: h.checker,
@@ -16,6 +16,8 @@
 	}
 }
 
+// A node that keeps sending attempts to a draining server loses them when the server exits. The checker reports each attempt
+// whose first byte arrives after the grace, which begins when the node is notified.
 func TestCheckerOfDrains(t *testing.T) {
 	const limit = drainGrace + graceSlack + harnessSlack
 	for _, test := range []struct {
@@ -52,37 +54,42 @@
 			h := newHistory(t)
 			s := testServer(h)
 			firstByte := test.record(h, s)
-			r := h.send(safe, "a", 0)
-			a := h.attempt(r, firstByte)
+			r := h.send(safeClass, "a", 0)
+			a := h.beginAttempt(r, firstByte)
 			s.checkDrain(r.id, a)
 			if got := violatedRules(h.checker); !slices.Equal(got, test.want) {
-				t.Errorf("reports %v, want %v", got, test.want)
+				t.Errorf("violated rules = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
+// Nodes overload a server in slow start if they send it more attempts in a window than the bound for its age. The checker must
+// not report attempts from nodes that do not know of the start yet, or attempts at a warm server.
 func TestCheckerOfSlowStart(t *testing.T) {
-	const capacity = 20.0 // requests a second, of a warm server
-	// bound is the greatest number of attempts in a window that begins at an age of the process.
+	const capacity = 20.0 // capacity of a warm server in requests a second
+	// bound returns the greatest allowed number of attempts in a window that begins at an age of the process.
 	bound := func(age time.Duration) int {
 		return int(math.Floor(slowStartBound(capacity, age+overloadWindow/2)))
 	}
 	for _, test := range []struct {
 		name       string
-		age        time.Duration // of the process at the first attempt
+		age        time.Duration // age of the process at the first attempt
 		attempts   int
-		unnotified int // of the attempts
+		unnotified int // number of attempts that come from nodes that were not notified
 		spacing    time.Duration
 		want       []Rule
 	}{
-		{"as many as it bears at its start", 0, bound(0), 0, ms, nil},
-		{"more than it bears at its start", 0, bound(0) + 1, 0, ms, []Rule{ruleSlowStart}},
-		{"as many as it bears later", 4 * time.Second, bound(4 * time.Second), 0, ms, nil},
-		{"more than it bears later", 4 * time.Second, bound(4*time.Second) + 1, 0, ms, []Rule{ruleSlowStart}},
-		{"more, over a longer time", 0, 2 * bound(0), 0, 2 * overloadWindow / time.Duration(bound(0)), nil},
-		{"more, a third of nodes that were not notified", 0, 3 * bound(0), bound(0), ms, nil},
-		{"more, under a third of nodes that were not notified", 0, 3 * bound(0), bound(0) - 1, ms, []Rule{ruleSlowStart}},
+		{"the bound at its start", 0, bound(0), 0, ms, nil},
+		{"more than the bound at its start", 0, bound(0) + 1, 0, ms, []Rule{ruleSlowStart}},
+		{"the bound of a later age", 4 * time.Second, bound(4 * time.Second), 0, ms, nil},
+		{"more than the bound of a later age", 4 * time.Second, bound(4*time.Second) + 1, 0, ms, []Rule{ruleSlowStart}},
+		{"more than the bound, spread over several windows", 0, 2 * bound(0), 0, 2 * overloadWindow / time.Duration(bound(0)), nil},
+		{"more than the bound, a third from nodes that were not notified", 0, 3 * bound(0), bound(0), ms, nil},
+		{
+			"more than the bound, under a third from nodes that were not notified", 0, 3 * bound(0), bound(0) - 1, ms,
+			[]Rule{ruleSlowStart},
+		},
 		{"a warm server", slowStartSpan, 10 * bound(0), 0, ms, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,7 +104,7 @@
 				return published.Add(time.Hour)
 			}
 			for i := range test.attempts {
-				r := h.send(safe, fmt.Sprint("r", i), 0)
+				r := h.send(safeClass, fmt.Sprint("r", i), 0)
 				if i >= test.attempts-test.unnotified {
 					r.node++
 				}
@@ -105,13 +112,14 @@
 			}
 			s.checkSlowStart(capacity)
 			if got := violatedRules(h.checker); !slices.Equal(got, test.want) {
-				t.Errorf("reports %v, want %v", got, test.want)
+				t.Errorf("violated rules = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// The bound of a server in slow start grows to overloadMultiple times its capacity, plus a random deviation.
+// A wrong bound makes the checker miss an overload or report a random deviation. The bound grows with the age to overloadMultiple
+// times the capacity, plus the random deviation.
 func TestSlowStartBound(t *testing.T) {
 	for _, test := range []struct {
 		capacity float64
@@ -124,7 +132,7 @@
 		{7.5, slowStartSpan, 30 + 2*math.Sqrt(30) + 2},
 	} {
 		if got := slowStartBound(test.capacity, test.age); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("capacity %v at %v: %v, want %v", test.capacity, test.age, got, test.want)
+			t.Errorf("slowStartBound(%v, %v) = %v, want %v", test.capacity, test.age, got, test.want)
 		}
 	}
 }
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -8,60 +8,61 @@
 	"cherrygap/internal/settings"
 )
 
-// requestClass is a request class of the settings.
+// requestClass describes a request class of the settings.
 type requestClass struct {
-	name        string
-	method      string
-	retrySafety settings.RetrySafety
-	timeout     time.Duration
-	window      time.Duration // within which servers know an idempotency key
+	name              string
+	method            string
+	retrySafety       settings.RetrySafety
+	timeout           time.Duration
+	idempotencyWindow time.Duration // time for which servers remember an idempotency key
 }
 
-// requestClasses are the request classes of the settings.
+// requestClasses lists the request classes of the settings.
 var requestClasses = []requestClass{
 	{"find", http.MethodGet, settings.RetrySafe, 800 * time.Millisecond, time.Second},
 	{"hold", http.MethodPost, settings.RetryKeyed, time.Second, 600 * time.Millisecond},
 	{"book", http.MethodPost, settings.RetryUnsafe, 1500 * time.Millisecond, time.Second},
 }
 
-// The zones and cells of the app servers.
+// The layout of the app servers.
 const (
-	zones          = 3
+	zones          = 3 // number of zones over which the servers are spread
 	serversPerCell = 4
 )
 
-// The plans. The first has limits that are never reached. The other has a hard ceiling for each customer over all nodes.
+// The plans. The unlimited plan has limits that are never reached. The capped plan has a hard ceiling for each customer over all
+// nodes.
 const (
-	planName       = "team"
-	cappedPlanName = "capped"
+	unlimitedPlanName = "team"
+	cappedPlanName    = "capped"
 
-	cappedShare     = 12  // percentage of the requests under the capped plan
-	cappedCustomers = 2   // customers under the capped plan
-	ceilingRate     = 0.5 // units a second for each node, about half of the demand
-	ceilingDepth    = 2.5 // units for each node
+	cappedPercent   = 12  // percentage of requests under the capped plan
+	cappedCustomers = 2   // number of customers under the capped plan
+	ceilingRate     = 0.5 // refill rate for each node in units a second, about half of the demand
+	ceilingBurst    = 2.5 // bucket capacity for each node in units
 )
 
-// The settings' values for app servers and nodes.
+// Values of the settings for app servers and nodes.
 const (
-	drainGrace        = 500 * time.Millisecond // from the notice of a drain to the last attempt that may begin
+	drainGrace        = 500 * time.Millisecond // time after the notice of a drain in which attempts may still begin
 	slowStartSpan     = 8 * time.Second        // age at which a server is warm
-	slowStartShare    = 0.2                    // part of its capacity that a server has at its start
-	overloadMultiple  = 2.0                    // times its capacity that a server in slow start bears within overloadWindow
+	slowStartShare    = 0.2                    // share of its capacity that a server has at its start
+	overloadMultiple  = 2.0                    // multiple of its capacity that a server in slow start handles within overloadWindow
 	overloadWindow    = 2 * time.Second
 	serverIdleTimeout = 4 * time.Second
 	connectTimeout    = 250 * time.Millisecond
 	nodeSockets       = 256
 	nodeMemoryMB      = 128
-	tick              = 2 * time.Millisecond // longest delay of a node's timer
+	nodeTick          = 2 * time.Millisecond // longest delay of a node's timers
 	pollWithin        = 2 * time.Second
 	maxAttempts       = 4
 	maxRetryAfter     = 2 * time.Second
-	responseSlack     = 50 * time.Millisecond // time after the deadline within which a response counts
-	maxUnits          = 100                   // units of a request
+	responseSlack     = 50 * time.Millisecond // time after the deadline in which a response still counts
+	maxUnits          = 100                   // maximum number of units of a request
 	unlimitedUnits    = 1_000_000             // rate and burst of a quota that is never reached
 )
 
-// platformSettings returns a node's settings in the platform's form.
+// platformSettings returns the settings of a node in a fleet of nodes, in the platform's JSON form.
 func platformSettings(nodes, node int) json.RawMessage {
 	classes := make([]settings.Class, len(requestClasses))
 	for i, class := range requestClasses {
@@ -71,14 +72,14 @@
 			LatencyObjective:  settings.DurationOf(class.timeout / 2),
 			Deadline:          settings.DurationOf(class.timeout),
 			IdempotencyGroup:  settings.GroupAll,
-			IdempotencyWindow: settings.DurationOf(class.window),
+			IdempotencyWindow: settings.DurationOf(class.idempotencyWindow),
 			PriorityWeight:    settings.IntNumber(1),
 		}
 	}
 	return settings.PlatformJSON(&settings.Settings{
 		Node:             settings.IntNumber(node),
 		Nodes:            settings.IntNumber(nodes),
-		Tick:             settings.DurationOf(tick),
+		Tick:             settings.DurationOf(nodeTick),
 		EndpointList:     settings.EndpointListPush,
 		PollWithin:       settings.DurationOf(pollWithin),
 		MaxAttempts:      settings.IntNumber(maxAttempts),
@@ -96,13 +97,13 @@
 		MaxUnits:         settings.IntNumber(maxUnits),
 		Classes:          settings.NewList(classes...),
 		Plans: settings.NewList(
-			settings.Plan{Name: planName, Rate: settings.IntNumber(unlimitedUnits), Burst: settings.IntNumber(unlimitedUnits)},
+			settings.Plan{Name: unlimitedPlanName, Rate: settings.IntNumber(unlimitedUnits), Burst: settings.IntNumber(unlimitedUnits)},
 			settings.Plan{
 				Name:         cappedPlanName,
 				Rate:         settings.IntNumber(unlimitedUnits),
 				Burst:        settings.IntNumber(unlimitedUnits),
 				CeilingRate:  settings.FloatNumber(ceilingRate * float64(nodes)),
-				CeilingBurst: settings.FloatNumber(ceilingDepth * float64(nodes)),
+				CeilingBurst: settings.FloatNumber(ceilingBurst * float64(nodes)),
 				CeilingSlack: settings.IntNumber(0),
 			},
 		),
--- a/internal/lab/soak/slowstart.go
+++ b/internal/lab/soak/slowstart.go
@@ -7,11 +7,11 @@
 
 // slowStartAttempt is an attempt at a server in slow start.
 type slowStartAttempt struct {
-	at       time.Time
-	notified bool // its node counts as notified of the server's start by then
+	receivedAt time.Time
+	notified   bool // whether its node counted as notified of the server's start at that time
 }
 
-// recordSlowStart records an attempt, if the server's process is in slow start.
+// recordSlowStart records an attempt if the server's process is in slow start.
 func (s *appServer) recordSlowStart(id string, at time.Time) {
 	node := s.checker.nodeOf(id)
 	s.mu.Lock()
@@ -19,22 +19,24 @@
 	if s.processStartedAt.IsZero() || node < 0 || at.Sub(s.processStartedAt) >= slowStartSpan {
 		return
 	}
-	notified := !s.listedAt.IsZero() && s.notifiedAt(node, s.listedAt).Before(at)
-	s.slowStarts = append(s.slowStarts, slowStartAttempt{at, notified})
+	notified := !s.publishedAt.IsZero() && s.notifiedAt(node, s.publishedAt).Before(at)
+	s.slowStartAttempts = append(s.slowStartAttempts, slowStartAttempt{at, notified})
 }
 
-// checkSlowStart reports the first window in which the server's present process got more attempts than slowStartBound. A window counts if over two thirds of the attempts came from notified nodes. capacity is that of a warm server, in
-// requests a second.
+// checkSlowStart records a violation for the first window in which the server's current process got more attempts than
+// slowStartBound. A window counts only if more than two thirds of its attempts came from notified nodes. capacity is that of a
+// warm server, in requests a second.
 func (s *appServer) checkSlowStart(capacity float64) {
 	s.mu.Lock()
-	startedAt, attempts := s.processStartedAt, s.slowStarts
+	startedAt, attempts := s.processStartedAt, s.slowStartAttempts
 	s.mu.Unlock()
 	for i, first := range attempts {
 		window := countWindow(attempts[i:])
-		sinceStart := first.at.Sub(startedAt)
+		sinceStart := first.receivedAt.Sub(startedAt)
 		bound := slowStartBound(capacity, sinceStart+overloadWindow/2)
-		if float64(window.attempts) > bound && 3*window.notified > 2*window.attempts {
-			s.checker.report(ruleSlowStart, -1, "", "server %d got %d requests within %v, %v after its start, and bears %.0f",
+		if float64(window.attempts) > bound && 3*window.fromNotified > 2*window.attempts {
+			s.checker.recordViolation(ruleSlowStart, -1, "",
+				"server %d received %d attempts within %v, %v after its start, want at most %.0f",
 				s.number, window.attempts, overloadWindow, sinceStart, bound)
 			return
 		}
@@ -43,36 +45,36 @@
 
 // windowCounts counts the attempts within one overloadWindow.
 type windowCounts struct {
-	attempts int
-	notified int // those of them that came from notified nodes
+	attempts     int
+	fromNotified int // attempts that came from notified nodes
 }
 
-// countWindow counts the attempts within overloadWindow from the first one on. attempts must not be empty.
+// countWindow counts the attempts within overloadWindow after the first attempt, which it includes. attempts must not be empty.
 func countWindow(attempts []slowStartAttempt) windowCounts {
 	var window windowCounts
-	from := attempts[0].at
+	from := attempts[0].receivedAt
 	for _, a := range attempts {
-		if a.at.Sub(from) >= overloadWindow {
+		if a.receivedAt.Sub(from) >= overloadWindow {
 			continue
 		}
 		window.attempts++
 		if a.notified {
-			window.notified++
+			window.fromNotified++
 		}
 	}
 	return window
 }
 
-// slowStartBound returns the number of requests that a server bears within overloadWindow, at an age of its process. The
-// nodes keep to the expected number on average only, so random deviations of two to three sigma are allowed.
+// slowStartBound returns the greatest number of attempts that a server may get within overloadWindow at an age of its process.
+// The nodes keep to the expected number only on average, so the bound includes random deviations of two to three sigma.
 func slowStartBound(capacity float64, age time.Duration) float64 {
 	share := min(1, slowStartShare+(1-slowStartShare)*float64(age)/float64(slowStartSpan))
-	return allowDeviation(overloadMultiple * capacity * share * overloadWindow.Seconds())
+	return withRandomDeviation(overloadMultiple * capacity * share * overloadWindow.Seconds())
 }
 
-// allowDeviation returns the greatest count that is no evidence against an expected one.
-func allowDeviation(expected float64) float64 {
-	const smallCount = 30
+// withRandomDeviation returns the greatest count that does not contradict an expected count.
+func withRandomDeviation(expected float64) float64 {
+	const smallCount = 30 // below this count the bound is three sigma instead of two
 	if expected < smallCount {
 		return expected + 3*math.Sqrt(expected) + 3
 	}
--- a/internal/lab/soak/stampedconn.go
+++ b/internal/lab/soak/stampedconn.go
@@ -11,26 +11,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// controlSpace is the size of the control data of a read, in bytes. It holds one timestamp.
-const controlSpace = 64
+// controlBytes is the size of the buffer for the control data of a read. The data contains one timestamp.
+const controlBytes = 64
 
-// stampedConn reads a connection together with the kernel's arrival timestamps. The times of an attempt do not depend on
-// when the server, or this process, reads it.
+// stampedConn reads data from a connection together with the kernel's arrival timestamps. So the times of an attempt do not
+// depend on the time at which the server reads it.
 type stampedConn struct {
 	*net.TCPConn
-	raw   syscall.RawConn
-	first time.Time // when the first byte since begin arrived
-	last  time.Time // when the last byte arrived
+	raw         syscall.RawConn
+	firstByteAt time.Time // time at which the first byte since beginMessage arrived
+	lastByteAt  time.Time // time at which the last byte that was read arrived
 }
 
-// newStampedConn wraps a connection of a listener that stampListener has prepared.
+// newStampedConn wraps a connection whose listener enableTimestamps has prepared.
 func newStampedConn(conn *net.TCPConn) (*stampedConn, error) {
 	raw, err := conn.SyscallConn()
 	return &stampedConn{TCPConn: conn, raw: raw}, err
 }
 
-// stampListener enables timestamps for the connections of a listener.
-func stampListener(listener net.Listener) error {
+// enableTimestamps enables arrival timestamps for the connections of a listener.
+func enableTimestamps(listener net.Listener) error {
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
@@ -42,14 +42,16 @@
 	return errors.Join(err, optionErr)
 }
 
-// begin marks the begin of the next message. Its first byte is read by itself, as a read has the timestamp of its last byte.
-func (c *stampedConn) begin() { c.first = time.Time{} }
+// beginMessage marks the start of the next message. The first byte is then read alone, as each read returns only the timestamp of
+// its last byte.
+func (c *stampedConn) beginMessage() { c.firstByteAt = time.Time{} }
 
+// Read reads like net.Conn, and records the arrival times.
 func (c *stampedConn) Read(p []byte) (int, error) {
-	if c.first.IsZero() {
+	if c.firstByteAt.IsZero() {
 		p = p[:1]
 	}
-	var control [controlSpace]byte
+	var control [controlBytes]byte
 	n, controlLength := 0, 0
 	var readErr error
 	err := c.raw.Read(func(fd uintptr) bool {
@@ -64,16 +66,16 @@
 	case n == 0:
 		return 0, io.EOF
 	}
-	c.last = stampOf(control[:controlLength])
-	if c.first.IsZero() {
-		c.first = c.last
+	c.lastByteAt = timestampOf(control[:controlLength])
+	if c.firstByteAt.IsZero() {
+		c.firstByteAt = c.lastByteAt
 	}
 	return n, nil
 }
 
-// stampOf returns the timestamp in the control data of a read, by this process's monotonic clock. Without a timestamp it
-// returns the time of the call.
-func stampOf(control []byte) time.Time {
+// timestampOf returns the timestamp in the control data of a read, with a reading of this process's monotonic clock. If the data
+// contains no timestamp, it returns the time of the call.
+func timestampOf(control []byte) time.Time {
 	now := time.Now()
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -81,8 +83,8 @@
 	}
 	for _, m := range messages {
 		if m.Header.Type == unix.SO_TIMESTAMPNS && len(m.Data) >= 16 {
-			stamp := time.Unix(int64(binary.NativeEndian.Uint64(m.Data)), int64(binary.NativeEndian.Uint64(m.Data[8:])))
-			return now.Add(-max(0, now.Round(0).Sub(stamp)))
+			timestamp := time.Unix(int64(binary.NativeEndian.Uint64(m.Data)), int64(binary.NativeEndian.Uint64(m.Data[8:])))
+			return now.Add(-max(0, now.Round(0).Sub(timestamp)))
 		}
 	}
 	return now
--- a/internal/lab/soak/violationcounters.go
+++ b/internal/lab/soak/violationcounters.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	stoppedMessage         = "stopped"     // of the log line with a node's counters at its end
-	violationCounterPrefix = "violations_" // of the counters of the node's own invariant checks
-	maxLogLine             = 1 << 20       // bytes
+	stoppedMessage         = "stopped"     // message of the log line with a node's final counters
+	violationCounterPrefix = "violations_" // name prefix of the counters of the node's own invariant checks
+	maxLogLine             = 1 << 20       // longest line of a log, in bytes
 )
 
-// readViolationCounters reads a node's log. It returns the sums of the violation counters, by name, over all processes of
-// the node that ended by SIGTERM.
+// readViolationCounters reads a node's log and returns the sums of the violation counters by name. It sums over all processes of
+// the node that logged final counters, as a process does when it exits after SIGTERM.
 func readViolationCounters(logPath string) (map[string]int64, error) {
 	file, err := os.Open(logPath)
 	if err != nil {
