--- a/cmd/cherrygap/config_check.go
+++ b/cmd/cherrygap/config_check.go
@@ -14,17 +14,17 @@
 	cmd := &cobra.Command{Use: "config", Short: "Work with configuration files"}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check operator files (.toml) or platform configurations (.json); exit 2 on any fault",
-		Long: `Check each file and print every fault with its key and, where known, its line. A .json file is
-read as the platform's configuration (as GW_CONFIG names it); anything else as an operator file.
-Exit code 0 when all are good, 2 when any is not.`,
+		Short: "Check operator files (.toml) or platform configurations (.json); exit code 2 on any error",
+		Long: `Check each file and print every error with its key and, where known, its line. A .json file is
+read as the platform's configuration (the file that GW_CONFIG names), any other file as an operator file.
+Exit code 0 if all files are good, 2 if any is not.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: runConfigCheck,
 	})
 	return cmd
 }
 
-// runConfigCheck checks each file and prints its faults. It returns errReported where any file has one.
+// runConfigCheck checks each file and prints its errors. It returns errReported if any file has an error.
 func runConfigCheck(cmd *cobra.Command, paths []string) error {
 	var result error
 	for _, path := range paths {
@@ -40,8 +40,8 @@
 	return result
 }
 
-// checkFile checks a platform configuration (.json) or an operator file. It returns the deprecated keys of an operator file.
-// It ignores environment variables.
+// checkFile checks a platform configuration (.json) or an operator file. It returns the deprecated keys of an operator file
+// and ignores environment variables.
 func checkFile(path string) ([]operatorfile.Deprecation, error) {
 	if filepath.Ext(path) == ".json" {
 		_, err := node.LoadPlatformFile(path)
--- a/cmd/cherrygap/lab.go
+++ b/cmd/cherrygap/lab.go
@@ -18,7 +18,8 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// newLabCommand makes the laboratory's commands. Most read the [lab] part of the operator file; flags take precedence.
+// newLabCommand returns the laboratory's commands. Most read the [lab] section of the operator file, and flags take precedence
+// over that section.
 func newLabCommand(operatorPath *string) *cobra.Command {
 	lab := &cobra.Command{
 		Use:   "lab",
@@ -43,7 +44,7 @@
 	return lab
 }
 
-// withLabFile is withOperatorFile for the laboratory's commands. They print the file's deprecated keys.
+// withLabFile is like withOperatorFile, and the returned function also prints the file's deprecated keys.
 func withLabFile(path *string, run func(cmd *cobra.Command, file operatorfile.File) error) commandFunc {
 	return withOperatorFile(path, func(cmd *cobra.Command, file operatorfile.File) error {
 		printDeprecations(cmd, *path, file.Deprecations)
@@ -51,20 +52,20 @@
 	})
 }
 
-// newLabLog makes the laboratory's log on standard error.
+// newLabLog returns a logger that writes to standard error at the operator file's log level.
 func newLabLog(file operatorfile.File) zerolog.Logger {
 	return zerolog.New(os.Stderr).Level(node.ParseLogLevel(file.Log.Level)).With().Timestamp().Logger()
 }
 
-// printJSON writes a value as one JSON line on standard output.
+// printJSON prints a value as one JSON line on standard output.
 func printJSON(cmd *cobra.Command, value any) error {
 	return json.NewEncoder(cmd.OutOrStdout()).Encode(value)
 }
 
-// announce prints the JSON line with a server's addresses. It ignores write errors, because the server does not need the line.
+// announce prints a server's addresses as one JSON line. It ignores write errors, because the server does not need the line.
 func announce(cmd *cobra.Command, value any) { _ = printJSON(cmd, value) }
 
-// contextUntilSignal returns a context that ends on SIGINT or SIGTERM, and also after limit if that is above 0.
+// contextUntilSignal returns a context that ends on SIGINT or SIGTERM, and also after limit if limit is above 0.
 func contextUntilSignal(limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	if limit <= 0 {
@@ -84,22 +85,22 @@
 	}
 }
 
-// checkFlags validates the operator file after override has put the flags' values into it. The error names the keys of the
-// operator file, not the flags.
+// checkFlags validates the operator file after override has replaced values by those of flags. The error names the keys of
+// the operator file, not the flags.
 func checkFlags(file operatorfile.File) error {
-	faults := file.Validate()
-	if len(faults) == 0 {
+	errs := file.Validate()
+	if len(errs) == 0 {
 		return nil
 	}
-	texts := make([]string, len(faults))
-	for i, fault := range faults {
-		texts[i] = fault.Error()
+	texts := make([]string, len(errs))
+	for i, err := range errs {
+		texts[i] = err.Error()
 	}
 	return errors.New(strings.Join(texts, "; "))
 }
 
-// withSeries creates the file for a series (one JSON line a second), calls run with it and closes it. With an empty path run
-// gets nil. The file is kept even if run fails.
+// withSeries creates the file of a series (one JSON line a second), calls run with the file and closes the file. With an empty
+// path it calls run with nil. The file is kept even if run fails.
 func withSeries(path string, run func(series io.Writer) error) error {
 	if path == "" {
 		return run(nil)
--- a/cmd/cherrygap/lab_emulate.go
+++ b/cmd/cherrygap/lab_emulate.go
@@ -23,8 +23,8 @@
 	cmd := &cobra.Command{
 		Use:   "emulate",
 		Short: "Run emulated app servers with scripted faults until SIGINT/SIGTERM or --for",
-		Long: `Run app servers that speak the platform's HTTP/1.1 on loopback: bounded concurrency, queue and
-connections, log-normal service times (ms), warm-up, drain with grace, load reports and health checks,
+		Long: `Run app servers that speak the platform's HTTP/1.1 on loopback. They have bounded concurrency, queue and
+connections, log-normal service times (ms), warm-up, drain with a grace period, load reports, health checks,
 and the faults of a schedule file (docs/lab.md). Prints one JSON line with the servers' addresses, and at the
 end one with each server's counts. Defaults come from the operator file's [lab.emulator].`,
 		Args: cobra.NoArgs,
@@ -32,7 +32,7 @@
 			return runEmulate(cmd, file, flags)
 		}),
 	}
-	cmd.Flags().IntVar(&flags.servers, "servers", 4, "how many servers (1 to 512)")
+	cmd.Flags().IntVar(&flags.servers, "servers", 4, "number of app servers (1 to 512)")
 	cmd.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:0", "loopback address of the first server; port 0 for free ports")
 	cmd.Flags().StringVar(&flags.schedule, "schedule", "", "fault schedule file (TOML); empty for none")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of every random draw")
@@ -69,7 +69,8 @@
 	return printJSON(cmd, map[string]any{"stats": stats})
 }
 
-// loadServerSchedule reads a fault schedule for a fleet of servers app servers. An empty path gives a schedule without faults.
+// loadServerSchedule reads a fault schedule for a fleet with the given number of app servers. For an empty path it returns a
+// schedule without faults.
 func loadServerSchedule(path string, servers int) (emulator.Schedule, error) {
 	if path == "" {
 		return emulator.Schedule{}, nil
--- a/cmd/cherrygap/lab_model.go
+++ b/cmd/cherrygap/lab_model.go
@@ -13,8 +13,8 @@
 // modelFlags holds the flags of `lab model`.
 type modelFlags struct {
 	nodes, servers int
-	seconds        float64 // of virtual time
-	rate           float64 // requests a second
+	seconds        float64 // duration of the arrivals in virtual seconds
+	rate           float64 // requests a second for the whole fleet
 	seed           uint64
 	policy         string
 	schedule       string
@@ -28,30 +28,30 @@
 	var flags modelFlags
 	cmd := &cobra.Command{
 		Use:   "model",
-		Short: "Play a fleet in virtual time: N nodes on the real decision engine (or a baseline), M modelled servers",
-		Long: `Play the fleet in virtual time, one event at a time: each of --nodes edge nodes runs the real decision
-engine through internal/routing (policy "module"), or a baseline ("round-robin" with a static limit, "late":
-least busy as seen a second ago), against --servers modelled app servers with the emulator's figures and
-fault schedule. Arrivals are the load tool's, at --rate requests a second for the whole fleet. Prints the
-totals as one JSON line (goodput, p50/p99 in ms, unsafe requests executed twice, requests left unanswered,
-virtual seconds per real second); --series writes one JSON line per virtual second for "lab report".
-The same flags and seed give the same run. Figures are of simulated servers.`,
+		Short: "Simulate a fleet in virtual time: N nodes with the real decision engine (or a baseline), M modelled servers",
+		Long: `Simulate the fleet in virtual time, one event at a time. Each of --nodes edge nodes runs the real decision
+engine through internal/routing (policy "module") or a baseline policy. The baselines are "round-robin", with a
+static limit, and "late", which chooses the server that was least busy a second ago. The --servers modelled app
+servers have the emulator's settings and fault schedule. Arrivals are the load tool's, at --rate requests a second
+for the whole fleet. Prints the totals as one JSON line (goodput, p50/p99 in ms, unsafe requests executed twice,
+requests left unanswered, virtual seconds per real second); --series writes one JSON line per virtual second for
+"lab report". The same flags and seed give the same run. The results are those of simulated servers.`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runModel(cmd, file, flags)
 		}),
 	}
-	cmd.Flags().IntVar(&flags.nodes, "nodes", 10, "edge nodes")
-	cmd.Flags().IntVar(&flags.servers, "servers", 20, "app servers")
+	cmd.Flags().IntVar(&flags.nodes, "nodes", 10, "number of edge nodes")
+	cmd.Flags().IntVar(&flags.servers, "servers", 20, "number of app servers")
 	cmd.Flags().Float64Var(&flags.seconds, "seconds", 60, "virtual seconds of arrivals")
 	cmd.Flags().Float64Var(&flags.rate, "rate", 1000, "requests a second for the whole fleet")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of every random draw")
-	cmd.Flags().StringVar(&flags.policy, "policy", "module", "module, round-robin or late")
+	cmd.Flags().StringVar(&flags.policy, "policy", "module", "policy of the nodes: module, round-robin or late")
 	cmd.Flags().StringVar(&flags.schedule, "schedule", "", "fault schedule file (TOML), as for lab emulate")
 	cmd.Flags().StringVar(&flags.series, "series", "", "file for the JSON lines, one a virtual second")
 	cmd.Flags().IntVar(&flags.customers, "customers", 50, "distinct customers (Zipf); default from the operator file")
-	cmd.Flags().IntVar(&flags.spread, "spread", 1, "edge nodes in a customer's set; default from the operator file")
-	cmd.Flags().StringVar(&flags.platformFile, "settings", "", "a platform configuration (JSON) whose settings the engine takes")
+	cmd.Flags().IntVar(&flags.spread, "spread", 1, "edge nodes that a customer's requests go to; default from the operator file")
+	cmd.Flags().StringVar(&flags.platformFile, "settings", "", "platform configuration (JSON) with the decision engine's settings")
 	return cmd
 }
 
--- a/cmd/cherrygap/lab_nogrpc.go
+++ b/cmd/cherrygap/lab_nogrpc.go
@@ -4,5 +4,5 @@
 
 import "github.com/spf13/cobra"
 
-// newLabGRPCCommands returns the laboratory's commands that need gRPC: here none.
+// newLabGRPCCommands returns no commands, because this program is built without the tag grpc.
 func newLabGRPCCommands(*string) []*cobra.Command { return nil }
--- a/cmd/cherrygap/lab_report.go
+++ b/cmd/cherrygap/lab_report.go
@@ -14,15 +14,15 @@
 		Use:   "report SERIES...",
 		Short: "Plot series of lab model or lab load runs (PNG) and tabulate them (Markdown)",
 		Long: `Read one or more series (JSON lines, one a second, from "lab model --series" or "lab load --series"),
-each named by its file, and write into --out: goodput.png (completed a second), latency.png (p99 in ms),
-outcomes.png (not completed a second), load.png (busiest server, where the series carry load) and report.md
-(totals per run). The same series give the same files byte for byte. Prints the files written.`,
+each named by its file, and write into --out: goodput.png (requests completed a second), latency.png (p99 in ms),
+outcomes.png (requests not completed a second), load.png (the busiest server, where the series carry load) and
+report.md (totals per run). The same series give the same files byte for byte. Prints the paths of the files written.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			return runReport(cmd, paths, dir, title)
 		},
 	}
-	cmd.Flags().StringVar(&dir, "out", "report", "folder for the plots and the table")
+	cmd.Flags().StringVar(&dir, "out", "report", "directory for the plots and the table")
 	cmd.Flags().StringVar(&title, "title", "cherrygap lab", "title of the plots and the table")
 	return cmd
 }
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -14,13 +14,13 @@
 	cfg := scale.Default()
 	cmd := &cobra.Command{
 		Use:   "scale",
-		Short: "Play the target size on one machine: real and simulated nodes, simulated app servers, scripted faults",
+		Short: "Run a fleet of the target size on one machine: real and simulated nodes, simulated app servers, scripted faults",
 		Long: `Start a few real edge nodes (processes of this program), simulated nodes (the real decision engine and real datagrams,
 but no client sockets; one process for all), simulated app servers (a listener each; one process for all), a fake
-discovery agent and open-loop clients, all on loopback; play faults one after another (changes, roll, zone,
-watch); end all that was started; and print one JSON line: what a node adds to a request (ms), its core share, memory,
-bytes by kind of message, seconds until a change is in force, and counts that must be 0 (docs/lab.md, "Scale").
-It says what descriptors it lacks, if any, before it starts anything, and raises no limit.`,
+discovery agent and open-loop clients, all on loopback. Then cause faults one after another (changes, roll, zone,
+watch), stop everything that was started, and print one JSON line: the latency that a node adds to a request (ms), its
+core share, memory, bytes by kind of message, seconds until a change is in force, and counts that must be 0
+(docs/lab.md, "Scale"). If file descriptors are lacking, the command says so before it starts anything. It raises no limit.`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
@@ -34,23 +34,23 @@
 
 func addScaleFlags(cmd *cobra.Command, cfg *scale.Config) {
 	flags := cmd.Flags()
-	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "edge nodes of the tier")
-	flags.IntVar(&cfg.Real, "real", cfg.Real, "real ones, a process each (1 to 64)")
-	flags.IntVar(&cfg.Simulated, "simulated", cfg.Simulated, "simulated ones; below 0 for all the others")
-	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers; one in fifty more are ready to be added")
-	flags.IntVar(&cfg.Tenants, "tenants", cfg.Tenants, "tenants (Zipf)")
-	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second at a real node, mean")
-	flags.Float64Var(&cfg.SimulatedRate, "simulated-rate", cfg.SimulatedRate, "requests a second at a simulated node, mean")
+	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "number of edge nodes, as the settings give it")
+	flags.IntVar(&cfg.Real, "real", cfg.Real, "real nodes, a process each (1 to 64)")
+	flags.IntVar(&cfg.Simulated, "simulated", cfg.Simulated, "simulated nodes; below 0 for all nodes that are not real")
+	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers listed at first; one spare for every 50 is started and listed later")
+	flags.IntVar(&cfg.Tenants, "tenants", cfg.Tenants, "number of tenants (Zipf)")
+	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "mean requests a second at a real node")
+	flags.Float64Var(&cfg.SimulatedRate, "simulated-rate", cfg.SimulatedRate, "mean requests a second at a simulated node")
 	flags.Float64Var(&cfg.DirectShare, "direct", cfg.DirectShare,
-		"part of the completed requests that is sent once more, directly to the same server")
+		"share of the real nodes' completed requests that is sent once more, directly to the same server")
 	flags.Float64Var(&cfg.PeerRate, "peer-rate", cfg.PeerRate, "messages a second that a node receives from peers, as the settings give it")
-	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "how long to play, from the first request on")
-	flags.DurationVar(&cfg.TimeLimit, "time-limit", 0, "end everything after so long; 0 for two minutes more than --for")
+	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "duration of the run, from the first request on")
+	flags.DurationVar(&cfg.TimeLimit, "time-limit", 0, "stop the whole run after this time; 0 for two minutes more than --for")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
-	flags.StringSliceVar(&cfg.Faults, "fault", nil, "faults to play, of "+strings.Join(scale.Faults, ", ")+"; default all")
-	flags.IntVar(&cfg.Sockets, "sockets", cfg.Sockets, "descriptors of each real node")
+	flags.StringSliceVar(&cfg.Faults, "fault", nil, "faults to cause, of "+strings.Join(scale.Faults, ", ")+"; default all")
+	flags.IntVar(&cfg.Sockets, "sockets", cfg.Sockets, "file descriptors of each real node")
 	flags.IntVar(&cfg.MemoryMB, "memory-mb", cfg.MemoryMB, "memory limit of each real node, MiB")
-	flags.StringVar(&cfg.Dir, "dir", "", "folder for configuration files and children's logs, kept; default one that is removed")
+	flags.StringVar(&cfg.Dir, "dir", "", "directory for configuration files and children's logs, which is kept; default a temporary one")
 	addDeprecatedFlag(flags, "hollow", "simulated")
 	addDeprecatedFlag(flags, "hollow-rate", "simulated-rate")
 	addDeprecatedFlag(flags, "straight", "direct")
@@ -75,7 +75,7 @@
 	return printJSON(cmd, result)
 }
 
-// newScaleServersCommand makes the child process of lab scale that runs the simulated app servers.
+// newScaleServersCommand returns the command of lab scale's child process that runs the simulated app servers.
 func newScaleServersCommand() *cobra.Command {
 	var count int
 	var seed uint64
@@ -88,13 +88,13 @@
 			return scale.RunServers(count, seed, os.Stdin, os.Stdout)
 		},
 	}
-	cmd.Flags().IntVar(&count, "count", 1, "how many")
+	cmd.Flags().IntVar(&count, "count", 1, "number of servers")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the service times")
 	addDeprecatedFlag(cmd.Flags(), "many", "count")
 	return cmd
 }
 
-// newScaleNodesCommand makes the child process of lab scale that runs the simulated nodes.
+// newScaleNodesCommand returns the command of lab scale's child process that runs the simulated nodes.
 func newScaleNodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "scale-simulated-nodes",
--- a/cmd/cherrygap/lab_soak.go
+++ b/cmd/cherrygap/lab_soak.go
@@ -16,11 +16,11 @@
 	cfg := soak.Default()
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Run real nodes among overlapping faults, and check the node's invariants",
-		Long: `Start edge nodes (processes of this program), app servers, a fake discovery agent and open-loop clients on loopback;
-overlap faults (signals, system calls that fail, servers, connections, clients and discovery that misbehave); check every
-request and attempt against docs/invariants.md; end all that was started; and print one JSON line. Exit code 2 where any
-invariant was violated. The same seed draws the same faults (docs/lab.md, "Soak").`,
+		Short: "Run real nodes under overlapping faults and check the node's invariants",
+		Long: `Start edge nodes (processes of this program), app servers, a fake discovery agent and open-loop clients on loopback.
+Cause overlapping faults (signals, system calls that fail, servers, connections, clients and discovery that misbehave),
+and check every request and attempt against docs/invariants.md. Then stop everything that was started, and print one
+JSON line. Exit code 2 if any invariant was violated. The same seed draws the same faults (docs/lab.md, "Soak").`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
@@ -30,12 +30,12 @@
 	}
 	flags := cmd.Flags()
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
-	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "how long clients send and faults are played")
-	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "edge nodes, a process each (1 to 100)")
-	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers (2 to 200)")
-	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "requests a second at a node, mean")
-	flags.StringSliceVar(&cfg.Faults, "fault", nil, "faults to play, of "+strings.Join(soak.FaultNames(), ", ")+"; default all")
-	flags.StringVar(&cfg.Dir, "dir", "", "folder for configuration files and the nodes' logs, kept; default one that is removed")
+	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "how long clients send requests and faults occur")
+	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "number of edge nodes, a process each (1 to 100)")
+	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "number of app servers (2 to 200)")
+	flags.Float64Var(&cfg.Rate, "rate", cfg.Rate, "mean requests a second at a node")
+	flags.StringSliceVar(&cfg.Faults, "fault", nil, "faults to cause, of "+strings.Join(soak.FaultNames(), ", ")+"; default all")
+	flags.StringVar(&cfg.Dir, "dir", "", "directory for configuration files and the nodes' logs, which is kept; default a temporary one")
 	return cmd
 }
 
@@ -61,10 +61,11 @@
 	return nil
 }
 
-// newSoakNodeCommand makes the child process of lab soak. It installs the filter of system calls on itself and becomes a node.
+// newSoakNodeCommand returns the command of lab soak's child process. The process installs the system call filter on itself and
+// then executes a node in its place.
 func newSoakNodeCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:    soak.NodeCommand[len(soak.NodeCommand)-1], // below lab, which the command line names first
+		Use:    soak.NodeCommand[len(soak.NodeCommand)-1], // NodeCommand without its parent command, lab
 		Short:  "A node of lab soak",
 		Hidden: true,
 		Args:   cobra.NoArgs,
--- a/cmd/cherrygap/lab_store.go
+++ b/cmd/cherrygap/lab_store.go
@@ -24,7 +24,7 @@
 		Short: "Run a fake shared store that speaks Redis's protocol, with scripted faults",
 		Long: `Run a store on loopback that speaks RESP2 (the few commands that leased quotas use) until SIGINT/SIGTERM or
 --for, with the faults of a schedule file: stall, slow, cut, empty, failover, forget, full, split
-(docs/quota.md). Prints one JSON line with its address, and at the end one with the commands it carried out.`,
+(docs/quota.md). Prints one JSON line with its address, and at the end one with the commands it executed.`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			return runStore(cmd, file, flags)
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -1,6 +1,6 @@
-// Command cherrygap runs one edge node of a gateway fleet, and the laboratory that measures it.
+// Command cherrygap runs one edge node of a gateway fleet, or the laboratory that measures such nodes.
 //
-// This package is the command line. Package node runs the node, and the packages below internal/lab the laboratory.
+// This package is the command line. Package node runs the node, and the packages below internal/lab run the laboratory.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"cherrygap/internal/node"
 )
 
-// exitFailed is the exit code after any error.
+// exitFailed is the process's exit code after any error.
 const exitFailed = 2
 
-// zerolog keeps the format of times in a variable of the process. The logs of nodes and laboratory have Unix milliseconds.
+// init sets zerolog's time format, which is one for the whole process. Nodes and the laboratory log Unix milliseconds.
 func init() { zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs }
 
 func main() {
@@ -33,7 +33,7 @@
 	}
 }
 
-// startsNode reports whether a command line starts a node. Such a process catches its signals before it reads any file.
+// startsNode reports whether a command line starts a node. A node's process catches its signals before it reads any file.
 func startsNode(root *cobra.Command, args []string) bool {
 	cmd, _, err := root.Find(args)
 	return err == nil && (cmd == root || cmd.Name() == serveCommandName)
