--- a/cmd/cherrygap/commandline_test.go
+++ b/cmd/cherrygap/commandline_test.go
@@ -15,8 +15,8 @@
 	"cherrygap/internal/node"
 )
 
-// commandLine lists all commands and flags with their defaults, one a line.
-func commandLine(cmd *cobra.Command) (lines []string) {
+// commandLineItems lists a command, its flags with types and defaults, and all commands below it, as one text each.
+func commandLineItems(cmd *cobra.Command) (lines []string) {
 	line := cmd.CommandPath()
 	if cmd.Hidden {
 		line += " (hidden)"
@@ -26,32 +26,32 @@
 		lines = append(lines, fmt.Sprintf("%s --%s %s=%s", cmd.CommandPath(), f.Name, f.Value.Type(), f.DefValue))
 	})
 	for _, sub := range cmd.Commands() {
-		lines = append(lines, commandLine(sub)...)
+		lines = append(lines, commandLineItems(sub)...)
 	}
 	return lines
 }
 
-// The command line is an interface of operators: every command and flag stays, with its default. A renamed one keeps its old
-// name too.
+// A command or flag that disappears, or whose default changes, breaks operators' scripts. So does a renamed one without its old
+// name. New ones are added to the lists below.
 func TestCommandLine(t *testing.T) {
 	t.Setenv(node.EnvOperator, "")
-	want := strings.Split(strings.TrimSpace(earlierCommandLine+strings.TrimLeft(laterCommandLine, "\n")), "\n")
-	want = append(want, grpcCommandLine...)
-	got := commandLine(newRootCommand())
+	want := strings.Split(strings.TrimSpace(firstReleaseItems+strings.TrimLeft(laterItems, "\n")), "\n")
+	want = append(want, grpcItems...)
+	got := commandLineItems(newRootCommand())
 	for _, l := range want {
 		if !slices.Contains(got, l) {
-			t.Errorf("missing: %s", l)
+			t.Errorf("command line has no %q, want every listed command and flag", l)
 		}
 	}
 	for _, l := range got {
 		if !slices.Contains(want, l) {
-			t.Errorf("new:     %s", l)
+			t.Errorf("command line has %q, want only the listed commands and flags", l)
 		}
 	}
 }
 
-// earlierCommandLine lists the commands and flags of the first release.
-const earlierCommandLine = `
+// firstReleaseItems lists the commands and flags of the first release.
+const firstReleaseItems = `
 cherrygap
 cherrygap --operator string=
 cherrygap config
@@ -121,8 +121,8 @@
 cherrygap version
 `
 
-// laterCommandLine lists the commands and flags that were added since, and new names of earlier ones.
-const laterCommandLine = `
+// laterItems lists the commands and flags that were added after the first release, including new names of older ones.
+const laterItems = `
 cherrygap lab duties --peer-rate float64=40
 cherrygap lab health-checks
 cherrygap lab health-checks --for duration=2m0s
@@ -150,10 +150,12 @@
 cherrygap lab soak-node (hidden)
 `
 
-// deprecatedName is a command line with an old name, the notice that it writes on standard error, and the error behind that.
-type deprecatedName struct{ args, notice, fault string }
+// deprecatedName is a command line with a deprecated name. It prints notice and then errorText, which may be empty, on standard
+// error.
+type deprecatedName struct{ args, notice, errorText string }
 
-const noRealNode = "cherrygap: real: 0 is out of range: 1 to 64 nodes\n" // before anything is started
+// realRangeError is the error of lab scale --real 0, which the command returns before it starts anything.
+const realRangeError = "cherrygap: real: 0 is out of range: 1 to 64 nodes\n"
 
 var deprecatedNames = []deprecatedName{
 	{"lab duties --nodes 2 --servers 1 --for 1s", "Command \"duties\" is deprecated, write lab health-checks\n", ""},
@@ -161,32 +163,34 @@
 		"lab duties --nodes 2 --servers 1 --for 1s --take 9",
 		"Command \"duties\" is deprecated, write lab health-checks\nFlag --take has been deprecated, write --peer-rate\n", "",
 	},
-	{"lab scale --hollow 1 --real 0", "Flag --hollow has been deprecated, write --simulated\n", noRealNode},
-	{"lab scale --hollow-rate 1 --real 0", "Flag --hollow-rate has been deprecated, write --simulated-rate\n", noRealNode},
-	{"lab scale --straight 0.1 --real 0", "Flag --straight has been deprecated, write --direct\n", noRealNode},
-	{"lab scale --take 1 --real 0", "Flag --take has been deprecated, write --peer-rate\n", noRealNode},
-	{"lab scale --hard 1m --real 0", "Flag --hard has been deprecated, write --time-limit\n", noRealNode},
-	{"lab scale --trouble roll --real 0", "Flag --trouble has been deprecated, write --fault\n", noRealNode},
+	{"lab scale --hollow 1 --real 0", "Flag --hollow has been deprecated, write --simulated\n", realRangeError},
+	{"lab scale --hollow-rate 1 --real 0", "Flag --hollow-rate has been deprecated, write --simulated-rate\n", realRangeError},
+	{"lab scale --straight 0.1 --real 0", "Flag --straight has been deprecated, write --direct\n", realRangeError},
+	{"lab scale --take 1 --real 0", "Flag --take has been deprecated, write --peer-rate\n", realRangeError},
+	{"lab scale --hard 1m --real 0", "Flag --hard has been deprecated, write --time-limit\n", realRangeError},
+	{"lab scale --trouble roll --real 0", "Flag --trouble has been deprecated, write --fault\n", realRangeError},
 	{"lab scale-servers --many 1 --seed 1", "Flag --many has been deprecated, write --count\n", ""},
 	{"lab scale-nodes", "Command \"scale-nodes\" is deprecated, write lab scale-simulated-nodes\n", "cherrygap: EOF\n"},
 }
 
-// A deprecated name writes its replacement on standard error, and does the same.
+// A deprecated name must keep working, and must print its replacement on standard error. A command that succeeds also prints its
+// result on standard output.
 func TestDeprecatedNames(t *testing.T) {
 	for _, c := range append(grpcDeprecatedNames, deprecatedNames...) {
 		t.Run(c.args, func(t *testing.T) {
-			cmd := program(t, t.TempDir(), nil, strings.Fields(c.args)...) // its standard input has ended
+			cmd := programCommand(t, t.TempDir(), nil, strings.Fields(c.args)...) // Its standard input is empty.
 			var errOut strings.Builder
 			cmd.Stderr = &errOut
 			out, err := cmd.Output()
-			if errOut.String() != c.notice+c.fault || (err != nil) != (c.fault != "") || err == nil && len(out) == 0 {
-				t.Errorf("%q, %v, wrote %q; want %q", errOut.String(), err, out, c.notice+c.fault)
+			if errOut.String() != c.notice+c.errorText || (err != nil) != (c.errorText != "") || err == nil && len(out) == 0 {
+				t.Errorf("%s: standard error %q, error %v, output %q, want standard error %q and an error only with an error text",
+					c.args, errOut.String(), err, out, c.notice+c.errorText)
 			}
 		})
 	}
 }
 
-// A deprecated flag sets the value of its replacement.
+// A deprecated flag must set the value of its replacement. Of both names, the last one on the command line takes effect.
 func TestDeprecatedFlagSetsTheValue(t *testing.T) {
 	flags, value := pflag.NewFlagSet("", pflag.ContinueOnError), 0
 	flags.IntVar(&value, "new", 7, "")
@@ -198,33 +202,33 @@
 		value = 7
 		flags.SetOutput(io.Discard)
 		if err := flags.Parse(strings.Fields(c.args)); err != nil || value != c.want {
-			t.Errorf("%q: %d, %v; want %d", c.args, value, err, c.want)
+			t.Errorf("parsing %q sets %d with error %v, want %d and no error", c.args, value, err, c.want)
 		}
 	}
 }
 
-// Programs read the JSON lines of the lab's commands: the keys stay. Lines that the laboratory's packages write have their own
-// tests.
+// Programs read the JSON lines that the lab's commands print, and a changed key would break them. The laboratory's packages test
+// the lines that they write themselves.
 func TestLabOutputKeys(t *testing.T) {
 	for _, c := range append(grpcLabOutput, []struct{ args, want string }{
 		{"lab emulate --servers 2 --for 20ms", "faults servers|stats"},
 		{"lab store --for 20ms", "faults store|applied"},
 	}...) {
 		t.Run(c.args, func(t *testing.T) {
-			out, _, err := cli(strings.Fields(c.args)...)
+			out, _, err := executeCommand(strings.Fields(c.args)...)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("%s: error %v, want none", c.args, err)
 			}
 			var lines []string
 			for line := range strings.Lines(out) {
 				var keys map[string]any
 				if err := json.Unmarshal([]byte(line), &keys); err != nil {
-					t.Fatalf("%q: %v", line, err)
+					t.Fatalf("%s printed %q, want a JSON object: %v", c.args, line, err)
 				}
 				lines = append(lines, strings.Join(slices.Sorted(maps.Keys(keys)), " "))
 			}
 			if got := strings.Join(lines, "|"); got != c.want {
-				t.Errorf("got  %s\nwant %s", got, c.want)
+				t.Errorf("%s: keys of the output lines %q, want %q", c.args, got, c.want)
 			}
 		})
 	}
--- a/cmd/cherrygap/lab_authz_test.go
+++ b/cmd/cherrygap/lab_authz_test.go
@@ -2,8 +2,8 @@
 
 package main
 
-// grpcCommandLine lists the commands and flags of a program with gRPC alone.
-var grpcCommandLine = []string{
+// grpcItems lists the commands and flags that only a program built with the tag grpc has.
+var grpcItems = []string{
 	"cherrygap lab authz",
 	"cherrygap lab authz --delay duration=1ms",
 	"cherrygap lab authz --deny-every uint64=0",
@@ -19,10 +19,10 @@
 	"cherrygap lab authz --up-for duration=0s",
 }
 
-// grpcLabOutput adds the cases of a program with gRPC to TestLabOutputKeys.
+// grpcLabOutput lists the cases of TestLabOutputKeys that only a program built with the tag grpc has.
 var grpcLabOutput = []struct{ args, want string }{{"lab authz --for 20ms", "authoriser|answers starts"}}
 
-// grpcDeprecatedNames are the old names that only a program with gRPC has.
+// grpcDeprecatedNames lists the deprecated names that only a program built with the tag grpc has.
 var grpcDeprecatedNames = []deprecatedName{
 	{"lab authz --odd 0.5 --for 1ms", "Flag --odd has been deprecated, write --malformed\n", ""},
 }
--- a/cmd/cherrygap/lab_nogrpc_test.go
+++ b/cmd/cherrygap/lab_nogrpc_test.go
@@ -2,11 +2,11 @@
 
 package main
 
-// grpcCommandLine lists the commands and flags of a program with gRPC alone: here nothing.
-var grpcCommandLine []string
+// grpcItems is empty, because this program is built without the tag grpc.
+var grpcItems []string
 
-// grpcLabOutput adds the cases of a program with gRPC to TestLabOutputKeys: here nothing.
+// grpcLabOutput is empty, because this program is built without the tag grpc.
 var grpcLabOutput []struct{ args, want string }
 
-// grpcDeprecatedNames are the old names that only a program with gRPC has.
+// grpcDeprecatedNames is empty, because this program is built without the tag grpc.
 var grpcDeprecatedNames []deprecatedName
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -20,7 +20,7 @@
 discovery agent and open-loop clients, all on loopback. Then cause faults one after another (changes, roll, zone,
 watch), stop everything that was started, and print one JSON line: the latency that a node adds to a request (ms), its
 core share, memory, bytes by kind of message, seconds until a change is in force, and counts that must be 0
-(docs/lab.md, "Scale"). If file descriptors are lacking, the command says so before it starts anything. It raises no limit.`,
+(docs/lab.md, "Scale"). If file descriptors are lacking, the command says which before it starts anything. It raises no limit.`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
--- a/cmd/cherrygap/log_test.go
+++ b/cmd/cherrygap/log_test.go
@@ -16,171 +16,172 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// loggedNode is a node in a process of its own, whose log is read while it runs.
+// loggedNode is a node in its own process, whose log the test reads while the node runs.
 type loggedNode struct {
-	cmd  *exec.Cmd
-	file string
-	conf string // its configuration
+	cmd        *exec.Cmd
+	logPath    string // path of the log, which is the node's standard error
+	configPath string // path of the platform's configuration
 }
 
-// startLogged starts a node by a configuration and an operator file's text.
-func startLogged(t *testing.T, text, operator string) *loggedNode {
+// startLoggedNode starts a node with the given texts of the platform's configuration and of the operator file.
+func startLoggedNode(t *testing.T, config, operator string) *loggedNode {
 	t.Helper()
 	dir := t.TempDir()
-	p := &loggedNode{file: filepath.Join(dir, "log"), conf: filepath.Join(dir, "config.json")}
-	p.configure(t, text)
+	logged := &loggedNode{logPath: filepath.Join(dir, "log"), configPath: filepath.Join(dir, "config.json")}
+	logged.writeConfig(t, config)
 	nodetest.WriteFile(t, filepath.Join(dir, "operator.toml"), operator)
-	out, err := os.Create(p.file)
+	out, err := os.Create(logged.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nodetest.CloseNow(t, out) // the process has it
-	p.cmd = program(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
-	p.cmd.Stderr = out
-	if err := p.cmd.Start(); err != nil {
+	defer nodetest.CloseNow(t, out) // The process has its own descriptor of the file.
+	logged.cmd = programCommand(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
+	logged.cmd.Stderr = out
+	if err := logged.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.KillAtEnd(t, p.cmd)
-	return p
+	nodetest.KillAtEnd(t, logged.cmd)
+	return logged
 }
 
-// configure writes the node's configuration.
-func (p *loggedNode) configure(t *testing.T, text string) {
+// writeConfig replaces the platform's configuration, which the node reads again on SIGHUP.
+func (p *loggedNode) writeConfig(t *testing.T, config string) {
 	t.Helper()
-	nodetest.WriteFile(t, p.conf, text)
+	nodetest.WriteFile(t, p.configPath, config)
 }
 
-// lines gives the log's lines so far in short: level, message and the other fields' names, and for an error its text.
-// What comes by itself at any time is left out.
-func (p *loggedNode) lines(t *testing.T) (out []string) {
+// logLines returns a summary of each log line so far: the level, the message, the names of the other fields, and the text of the
+// field error. It leaves out lines that timers and discovery calls cause at any time, and repeated lines on an address in use.
+func (p *loggedNode) logLines(t *testing.T) (lines []string) {
 	t.Helper()
-	raw, err := os.ReadFile(p.file)
+	raw, err := os.ReadFile(p.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(raw)) {
 		if !strings.HasSuffix(line, "\n") {
-			break // not whole yet
+			break // The node is still writing this line.
 		}
 		var entry map[string]any
 		if err := json.Unmarshal([]byte(line), &entry); err != nil {
-			t.Fatalf("%q: %v", line, err)
+			t.Fatalf("the log has the line %q, want a JSON object: %v", line, err)
 		}
-		short := fmt.Sprint(entry["level"], " ", entry["message"], ":")
-		if strings.HasPrefix(short, "info interval ") || strings.HasPrefix(short, "warn discovery call failed:") {
+		summary := fmt.Sprint(entry["level"], " ", entry["message"], ":")
+		if strings.HasPrefix(summary, "info interval ") || strings.HasPrefix(summary, "warn discovery call failed:") {
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(entry)) {
 			switch name {
 			case "level", "message":
 			case "error":
-				short += fmt.Sprintf(" error=%q", entry[name])
+				summary += fmt.Sprintf(" error=%q", entry[name])
 			default:
-				short += " " + name
+				summary += " " + name
 			}
 		}
-		if strings.HasPrefix(short, "warn waiting for an address in use:") && slices.Contains(out, short) {
-			continue // once each 0.1 s
+		if strings.HasPrefix(summary, "warn waiting for an address in use:") && slices.Contains(lines, summary) {
+			continue // The node logs this line every 0.1 s.
 		}
-		out = append(out, short)
+		lines = append(lines, summary)
 	}
-	return out
+	return lines
 }
 
-// await waits until the log holds just these lines, in this order.
-func (p *loggedNode) await(t *testing.T, want ...string) {
+// awaitLines waits until logLines returns exactly the lines want, and fails the test after 10 s.
+func (p *loggedNode) awaitLines(t *testing.T, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = p.lines(t); slices.Equal(got, want) {
+		if got = p.logLines(t); slices.Equal(got, want) {
 			return
 		}
 	}
-	t.Fatalf("logged\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	t.Fatalf("the node logged\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 }
 
-// The log lines of a start, of each signal and of the end keep their order, level, message and the names of their fields.
+// Operators' tools match log lines, so a change of their level, message or field names would break these tools. The test covers
+// the lines of a start, of each signal and of the end, in their order.
 func TestLogLines(t *testing.T) {
-	const all = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
+	const allSections = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 	for _, c := range []struct{ name, operator, counters string }{
-		{"no operator file's part", "", "counters node time"},
-		{"all parts", all, "counters health_checks node quota shadow time"},
+		{"empty operator file", "", "counters node time"},
+		{"all sections that add counters", allSections, "counters health_checks node quota shadow time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			listenOn, discovery := nodetest.FreeAddress(t), nodetest.FreeAddress(t)
-			held := nodetest.ListenPacket(t)
-			peer := held.LocalAddr().String()
-			text := strings.NewReplacer(
-				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.ConfigAt(listenOn, discovery, peer))
-			odd := strings.Replace(text, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
-			p := startLogged(t, odd, c.operator)
+			address, discovery := nodetest.FreeAddress(t), nodetest.FreeAddress(t)
+			peerSocket := nodetest.ListenPacket(t)
+			peer := peerSocket.LocalAddr().String()
+			config := strings.NewReplacer(
+				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.ConfigAt(address, discovery, peer))
+			malformedList := strings.Replace(config, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
+			logged := startLoggedNode(t, malformedList, c.operator)
 			var want []string
-			more := func(lines ...string) {
+			expectMore := func(lines ...string) {
 				t.Helper()
 				want = append(want, lines...)
-				p.await(t, want...)
+				logged.awaitLines(t, want...)
 			}
-			more(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
-			nodetest.CloseNow(t, held)
-			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info started: listen node time")
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGUSR1)
-			more("info counters: " + c.counters)
-			p.configure(t, text)
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-			more("info configuration reloaded: discovery node time")
-			p.configure(t, odd)
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-			more(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info configuration reloaded: discovery node time")
-			p.configure(t, text[:len(text)-9])
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-			more(`error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
-			p.configure(t, strings.Replace(text, discovery, "there", 1))
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-			more(`error configuration reload failed: error="config.json: discovery: not an ip:port" node time`)
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGTERM)
-			more("info stopped: " + c.counters)
-			if err := p.cmd.Wait(); err != nil {
-				t.Error(err)
+			expectMore(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
+			nodetest.CloseNow(t, peerSocket)
+			expectMore(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info started: listen node time")
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGUSR1)
+			expectMore("info counters: " + c.counters)
+			logged.writeConfig(t, config)
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			expectMore("info configuration reloaded: discovery node time")
+			logged.writeConfig(t, malformedList)
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			expectMore(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info configuration reloaded: discovery node time")
+			logged.writeConfig(t, config[:len(config)-9])
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			expectMore(`error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+			logged.writeConfig(t, strings.Replace(config, discovery, "there", 1))
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			expectMore(`error configuration reload failed: error="config.json: discovery: not an ip:port" node time`)
+			nodetest.Signal(t, logged.cmd.Process, syscall.SIGTERM)
+			expectMore("info stopped: " + c.counters)
+			if err := logged.cmd.Wait(); err != nil {
+				t.Errorf("the node ended on SIGTERM with error %v, want none", err)
 			}
 		})
 	}
 }
 
-// Lines below the log level are not written.
+// The key log.level must suppress the lines below that level.
 func TestLogLevel(t *testing.T) {
-	listenOn := nodetest.FreeAddress(t)
-	text := nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.AnyPort)
-	p := startLogged(t, text, "[log]\nlevel = \"error\"\n")
-	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
-	p.configure(t, "{")
-	nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
-	nodetest.Signal(t, p.cmd.Process, syscall.SIGTERM)
-	if err := p.cmd.Wait(); err != nil {
-		t.Error(err)
+	address := nodetest.FreeAddress(t)
+	config := nodetest.ConfigAt(address, nodetest.FreeAddress(t), nodetest.AnyPort)
+	logged := startLoggedNode(t, config, "[log]\nlevel = \"error\"\n")
+	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(address) })
+	logged.writeConfig(t, "{")
+	nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+	logged.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+	nodetest.Signal(t, logged.cmd.Process, syscall.SIGTERM)
+	if err := logged.cmd.Wait(); err != nil {
+		t.Errorf("the node ended on SIGTERM with error %v, want none", err)
 	}
-	p.await(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+	logged.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 }
 
-// A key that the operator file gives under an earlier name is taken, and the log, or standard error where there is none,
-// says what to write.
+// An operator file with deprecated keys must keep its effect. A node must log the new name of each such key, and other commands
+// must print that name on standard error.
 func TestDeprecatedOperatorKeys(t *testing.T) {
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
-	text := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort)
-	p := startLogged(t, text, file)
+	config := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort)
+	logged := startLoggedNode(t, config, file)
 	const warning = "warn deprecated key in the operator file: key line node time write"
-	p.await(t, warning, warning, warning, "info started: listen node time")
+	logged.awaitLines(t, warning, warning, warning, "info started: listen node time")
 	const notices = "operator.toml: line 1: duties: deprecated; write health_checks\n" +
 		"operator.toml: line 2: duties.on: deprecated; write health_checks.enabled\n" +
 		"operator.toml: line 4: authz.most: deprecated; write authz.max_in_flight\n"
-	dir := filepath.Dir(p.file)
+	dir := filepath.Dir(logged.logPath)
 	for args, want := range map[string]string{
 		"config check operator.toml": notices + "operator.toml: good\n",
 		"lab load --operator operator.toml --target 127.0.0.1:1 --rate 0": notices +
 			"cherrygap: lab.load.rate: 0 is out of range 0.01 to 1e+06\n",
 	} {
-		if out, err := program(t, dir, nil, strings.Fields(args)...).CombinedOutput(); string(out) != want {
-			t.Errorf("%s: %q, %v; want %q", args, out, err, want)
+		if out, err := programCommand(t, dir, nil, strings.Fields(args)...).CombinedOutput(); string(out) != want {
+			t.Errorf("%s: output %q, error %v, want output %q", args, out, err, want)
 		}
 	}
 }
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -12,27 +12,28 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Environment variables by which a test starts this test program anew as something else.
+// Environment variables of a process that executes this test program. Any value but the empty one sets the role.
 const (
-	asProgram       = "CHERRYGAP_TEST_AS_PROGRAM" // as the program, by its command line
-	asNode          = "TEST_NODE"                 // as a node without an operator file
-	asFaultyNode    = "TEST_FAULTY_NODE"          // as such a node, some of whose system calls the test decides on
-	descriptorLimit = "TEST_FILES"                // of such a node
+	envRunAsProgram    = "CHERRYGAP_TEST_AS_PROGRAM" // The process runs the command line of cherrygap.
+	envRunAsNode       = "TEST_NODE"                 // The process runs a node without an operator file.
+	envRunAsFaultyNode = "TEST_FAULTY_NODE"          // The test decides on some of this node's system calls.
+	envDescriptorLimit = "TEST_FILES"                // limit of the node's descriptors; empty for no new limit
 )
 
-// TestMain makes this program a node where the environment says so. Tests stop, limit and inspect it from outside.
+// TestMain runs the role that the environment gives this process, or else the tests. Tests stop, limit and inspect nodes as
+// separate processes.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(envRunAsProgram) != "" {
 		main()
 		os.Exit(0)
 	}
-	if os.Getenv(asFaultyNode) != "" {
+	if os.Getenv(envRunAsFaultyNode) != "" {
 		if err := execFaultyNode(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(exitFailed)
 		}
 	}
-	if os.Getenv(asNode) != "" {
+	if os.Getenv(envRunAsNode) != "" {
 		if err := runLimitedNode(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(exitFailed)
@@ -40,16 +41,16 @@
 		os.Exit(0)
 	}
 	code := m.Run()
-	if builtIn != "" {
-		_ = os.RemoveAll(builtIn)
+	if buildDir != "" {
+		_ = os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
 // runLimitedNode runs a node with the descriptor limit of the environment.
 func runLimitedNode() error {
-	if n, err := strconv.ParseUint(os.Getenv(descriptorLimit), 10, 64); err == nil {
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
+	if limit, err := strconv.ParseUint(os.Getenv(envDescriptorLimit), 10, 64); err == nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			return err
 		}
 	}
@@ -57,8 +58,9 @@
 	return serve(nil, operatorfile.Default())
 }
 
-// program is this program as a process of its own, in a directory, with nothing in its environment but env.
-func program(t *testing.T, dir string, env []string, args ...string) *exec.Cmd {
+// programCommand returns a command that runs cherrygap with args as its own process in the directory dir. The process's
+// environment has env and the few variables that each test process needs.
+func programCommand(t *testing.T, dir string, env []string, args ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -67,9 +69,9 @@
 	cmd := exec.CommandContext(t.Context(), self, args...)
 	cmd.Dir = dir
 	cmd.Env = append([]string{
-		asProgram + "=1", "HOME=" + dir,
-		"GORACE=atexit_sleep_ms=0",              // else each end takes a second under the race detector
-		"GOCOVERDIR=" + os.Getenv("GOCOVERDIR"), // else the end is noted on standard error where coverage is measured
+		envRunAsProgram + "=1", "HOME=" + dir,
+		"GORACE=atexit_sleep_ms=0",              // Without this, each process's end takes a second under the race detector.
+		"GOCOVERDIR=" + os.Getenv("GOCOVERDIR"), // Without this, a process built with coverage prints a warning on standard error at its end.
 	}, env...)
 	return cmd
 }
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -17,137 +17,144 @@
 	"cherrygap/internal/protocol"
 )
 
-// erraticServers are app servers that answer by chance, most of the time with a rejection, and note when bytes came.
+// erraticServers are app servers that answer at random, most often with a rejection, and record when bytes arrived.
 type erraticServers struct {
-	mu     sync.Mutex // guards what follows
-	random *rand.Rand
-	came   map[string][]time.Time // by request: when an attempt's head was read, and when all of it
+	mu       sync.Mutex // guards the fields below
+	random   *rand.Rand
+	arrivals map[string][]time.Time // times by request id: two for each attempt, when its head and when its body was read
 }
 
 func newErraticServers() *erraticServers {
-	return &erraticServers{random: rand.New(rand.NewSource(41)), came: map[string][]time.Time{}}
+	return &erraticServers{random: rand.New(rand.NewSource(41)), arrivals: map[string][]time.Time{}}
 }
 
-func (s *erraticServers) chance(n int) int {
+// randomBelow returns a random number from 0 to n-1.
+func (s *erraticServers) randomBelow(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Intn(n)
 }
 
-func (s *erraticServers) note(id string) {
+// noteArrival records that bytes of a request have just arrived.
+func (s *erraticServers) noteArrival(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.came[id] = append(s.came[id], time.Now())
+	s.arrivals[id] = append(s.arrivals[id], time.Now())
 }
 
-// accept serves connections until the listener is closed.
-func (s *erraticServers) accept(ln net.Listener) {
+// serve accepts connections until the listener is closed.
+func (s *erraticServers) serve(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go s.answer(conn) // ends with the connection
+		go s.serveConn(conn) // The goroutine ends with the connection.
 	}
 }
 
-// answer answers the requests of one connection.
-func (s *erraticServers) answer(conn net.Conn) {
+// serveConn answers the requests on one connection.
+func (s *erraticServers) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for reader := bufio.NewReader(conn); ; {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		s.note(request.Header.Get(protocol.HeaderRequestID))
+		s.noteArrival(request.Header.Get(protocol.HeaderRequestID))
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		s.note(request.Header.Get(protocol.HeaderRequestID))
-		time.Sleep(time.Duration(s.chance(8000)) * time.Microsecond)
+		s.noteArrival(request.Header.Get(protocol.HeaderRequestID))
+		time.Sleep(time.Duration(s.randomBelow(8000)) * time.Microsecond)
 		response := ""
-		switch does := s.chance(10); {
-		case does < 6:
+		switch draw := s.randomBelow(10); {
+		case draw < 6:
 			response = "HTTP/1.1 503 Busy\r\n" + protocol.HeaderRejected + ": " + protocol.RejectedValue + "\r\nContent-Length: 0\r\n\r\n"
-		case does < 8:
+		case draw < 8:
 			response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-		case does < 9:
+		case draw < 9:
 			response = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		default:
-			_ = conn.(*net.TCPConn).SetLinger(0) // a reset
+			_ = conn.(*net.TCPConn).SetLinger(0) // The deferred Close then resets the connection.
 			return
 		}
 		if _, err := io.WriteString(conn, response); err != nil {
-			return // the node has left
+			return // The node has closed the connection.
 		}
 	}
 }
 
-// attemptsOf counts, of requests whose clients left, the attempts after the first, and the requests of which bytes came
-// after a moment.
-func (s *erraticServers) attemptsOf(ids map[string]bool, after time.Time) (again, late int) {
+// countAttempts returns two counts over the given requests: repeated attempts, and requests of which bytes arrived after a given
+// time.
+func (s *erraticServers) countAttempts(ids map[string]bool, after time.Time) (repeated, late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range ids {
-		again += max(0, len(s.came[id])/2-1)
-		for _, at := range s.came[id] {
+		repeated += max(0, len(s.arrivals[id])/2-1)
+		for _, at := range s.arrivals[id] {
 			if at.After(after) {
 				late++
 				break
 			}
 		}
 	}
-	return again, late
+	return repeated, late
 }
 
-// Clients leave while the node's process is stopped, at random moments of their requests: unread, before an attempt, half
-// written, in flight, rejected. When the process continues, it finds both the closed connection and the reason to send, in
-// either order. No attempt's first or last byte may arrive for a client that left. A stop between the node's liveness check
-// and its write, a few microseconds of a request's milliseconds, can't be noticed by any process: one leave in a hundred.
+// A node must not send an attempt for a client that has left. Here clients leave while the node's process is stopped, at random
+// moments of their requests: unread, before an attempt, partly written, in flight, rejected. When the process continues, it
+// finds both the closed connection and a reason to send, in either order. No first or last byte of an attempt may then arrive.
 //
-// On a busy machine more clients have their response before the process is stopped. Therefore rounds are added until enough
-// clients left without one for that ratio.
-func TestLeavingWhileTheNodeStandsStill(t *testing.T) {
-	const minRounds, maxRounds, clients, stopped = 25, 100, 8, 120 * time.Millisecond
+// No process can notice a stop between its liveness check and its write, a few microseconds of a request's milliseconds. The
+// test therefore allows one late request for each hundred clients that left.
+//
+// On a busy machine, more clients have their response before the process is stopped. The test therefore adds rounds until
+// enough clients have left without a response for that ratio.
+func TestClientsLeaveWhileNodeIsPaused(t *testing.T) {
+	const minRounds, maxRounds, clients, pauseTime = 25, 100, 8, 120 * time.Millisecond
 	const minLeft = 100
 	app := newErraticServers()
 	var listeners []net.Listener
 	for range 8 {
 		ln := nettest.Listen(t)
 		listeners = append(listeners, ln)
-		go app.accept(ln)
+		go app.serve(ln)
 	}
-	p := startProcess(t, nodetest.FreeAddress(t), 1024, listeners...)
-	left, again, late := 0, 0, 0
+	node := startNodeProcess(t, nodetest.FreeAddress(t), 1024, listeners...)
+	left, repeated, late := 0, 0, 0
 	for round := 0; round < minRounds || left < minLeft && round < maxRounds; round++ {
-		conns := openClients(t, p.addr, clients)
+		conns := openClients(t, node.address, clients)
 		time.Sleep(5 * time.Millisecond)
 		for k, conn := range conns {
-			text := nodetest.RequestText(leaverID(round, k), 3*time.Second) + strings.Repeat("more ", k%2*100)
+			text := nodetest.RequestText(clientRequestID(round, k), 3*time.Second) + strings.Repeat("more ", k%2*100)
 			if _, err := io.WriteString(conn, text); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(time.Duration(app.chance(22000)) * time.Microsecond)
-		p.pause(t)
-		gone := leaveUnanswered(t, round, conns)
-		time.Sleep(stopped)
-		on := time.Now()
-		p.resume(t)
+		time.Sleep(time.Duration(app.randomBelow(22000)) * time.Microsecond)
+		node.pause(t)
+		unanswered := closeUnanswered(t, round, conns)
+		time.Sleep(pauseTime)
+		resumedAt := time.Now()
+		node.resume(t)
 		time.Sleep(50 * time.Millisecond)
-		left += len(gone)
-		a, l := app.attemptsOf(gone, on)
-		again, late = again+a, late+l
+		left += len(unanswered)
+		roundRepeated, roundLate := app.countAttempts(unanswered, resumedAt)
+		repeated, late = repeated+roundRepeated, late+roundLate
 	}
-	if late > left/100 || left < minLeft || again == 0 {
-		t.Errorf("%d left", left)
+	if late > left/100 || left < minLeft || repeated == 0 {
+		t.Errorf("%d clients left without a response, want at least %d; %d of their requests had bytes arrive after the pause, want at most %d; "+
+			"they had %d repeated attempts, want at least 1", left, minLeft, late, left/100, repeated)
 	}
-	t.Logf("%d left while the node stood still, after %d further attempts; %d had an attempt's bytes come after it went on", left, again, late)
+	t.Logf("%d clients left while the node was paused, after %d repeated attempts; %d requests had bytes arrive after the pause",
+		left, repeated, late)
 }
 
-// leaverID is the request of one client in one round.
-func leaverID(round, client int) string { return fmt.Sprint(round, "-", client) }
+// clientRequestID returns the request id of one client in one round.
+func clientRequestID(round, client int) string { return fmt.Sprint(round, "-", client) }
 
+// openClients opens n connections to an address.
 func openClients(t *testing.T, address string, n int) []*net.TCPConn {
 	t.Helper()
 	conns := make([]*net.TCPConn, n)
@@ -157,15 +164,15 @@
 	return conns
 }
 
-// leaveUnanswered closes all connections, some by a reset, and gives the requests that had no answer yet.
-func leaveUnanswered(t *testing.T, round int, conns []*net.TCPConn) map[string]bool {
+// closeUnanswered closes all connections, some by a reset. It returns the ids of the requests that had no response yet.
+func closeUnanswered(t *testing.T, round int, conns []*net.TCPConn) map[string]bool {
 	t.Helper()
-	gone := map[string]bool{}
+	unanswered := map[string]bool{}
 	for k, conn := range conns {
 		if err := conn.SetReadDeadline(time.Now().Add(time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := conn.Read(make([]byte, 1)); err == nil { // it has its answer
+		if _, err := conn.Read(make([]byte, 1)); err == nil { // The response has begun.
 			nodetest.CloseNow(t, conn)
 			continue
 		}
@@ -175,7 +182,7 @@
 			}
 		}
 		nodetest.CloseNow(t, conn)
-		gone[leaverID(round, k)] = true
+		unanswered[clientRequestID(round, k)] = true
 	}
-	return gone
+	return unanswered
 }
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -16,18 +16,19 @@
 	"cherrygap/internal/node/nodetest"
 )
 
-// process is a node in a process of its own.
-type process struct {
-	addr string
-	cmd  *exec.Cmd
-	log  bytes.Buffer // to be read once it has ended
+// nodeProcess is a node that runs as its own process.
+type nodeProcess struct {
+	address string
+	cmd     *exec.Cmd
+	log     bytes.Buffer // standard error of the process; valid once the process has ended
 }
 
-// processConfig is a configuration of a node of one core: its addresses, descriptors and the app servers as last known.
-func processConfig(address, discovery string, sockets int, servers []net.Listener) string {
+// nodeProcessConfig returns the platform's configuration of a node with one core. sockets is its limit on descriptors, and the
+// known endpoint list names the app servers.
+func nodeProcessConfig(address, discovery string, sockets int, servers []net.Listener) string {
 	known := make([]string, 0, len(servers))
 	for _, ln := range servers {
-		known = append(known, inService(ln))
+		known = append(known, listEntry(ln))
 	}
 	return fmt.Sprintf(`{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,
 		"sockets":%d},"known":{"rev":1,"all":true,"targets":[%s]},"settings":{"slot_no":0,"replicas_of_me":1,"tick":2000,
@@ -36,38 +37,40 @@
 		address, discovery, sockets, strings.Join(known, ","))
 }
 
-// inService is an app server's entry in an endpoint list.
-func inService(ln net.Listener) string {
+// listEntry returns an app server's entry in an endpoint list.
+func listEntry(ln net.Listener) string {
 	return fmt.Sprintf(`{"uid":"%s","endpoint":"%s","state":"in_service"}`, ln.Addr(), ln.Addr())
 }
 
-// startProcess starts a node of one core with a limit on descriptors and a known list of app servers.
-func startProcess(t *testing.T, discovery string, sockets int, servers ...net.Listener) *process {
+// startNodeProcess starts a node with nodeProcessConfig and that limit on descriptors, and waits until the node accepts
+// connections.
+func startNodeProcess(t *testing.T, discovery string, sockets int, servers ...net.Listener) *nodeProcess {
 	t.Helper()
-	p := &process{addr: nodetest.FreeAddress(t)}
+	p := &nodeProcess{address: nodetest.FreeAddress(t)}
 	file := filepath.Join(t.TempDir(), "config.json")
-	nodetest.WriteFile(t, file, processConfig(p.addr, discovery, sockets, servers))
+	nodetest.WriteFile(t, file, nodeProcessConfig(p.address, discovery, sockets, servers))
 	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), asNode+"=1", node.EnvConfig+"="+file, fmt.Sprint(descriptorLimit, "=", sockets))
+	p.cmd.Env = append(os.Environ(), envRunAsNode+"=1", node.EnvConfig+"="+file, fmt.Sprint(envDescriptorLimit, "=", sockets))
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	nodetest.KillAtEnd(t, p.cmd)
-	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
+	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.address) })
 	return p
 }
 
-func (p *process) eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits up to 10 s until ok returns true, and else fails the test. state names the awaited state.
+func (p *nodeProcess) eventually(t *testing.T, state string, ok func() bool) {
 	t.Helper()
-	nodetest.Eventually(t, 10*time.Second, what, ok)
+	nodetest.Eventually(t, 10*time.Second, state, ok)
 }
 
-// pause stops the node with SIGSTOP, and returns once all its threads stand still.
-func (p *process) pause(t *testing.T) {
+// pause stops the node with SIGSTOP and returns once all its threads are stopped.
+func (p *nodeProcess) pause(t *testing.T) {
 	t.Helper()
 	nodetest.Signal(t, p.cmd.Process, syscall.SIGSTOP)
-	p.eventually(t, "a stop", func() bool {
+	p.eventually(t, "a stopped process", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		if err != nil {
 			return false
@@ -75,7 +78,7 @@
 		for _, task := range tasks {
 			text, err := os.ReadFile(task)
 			if err != nil {
-				continue // that thread has ended
+				continue // This thread has ended.
 			}
 			if _, state, ok := strings.Cut(string(text), ") "); ok && !strings.HasPrefix(state, "T") {
 				return false
@@ -85,23 +88,23 @@
 	})
 }
 
-// resume lets a paused node go on.
-func (p *process) resume(t *testing.T) {
+// resume continues a paused node.
+func (p *nodeProcess) resume(t *testing.T) {
 	t.Helper()
 	nodetest.Signal(t, p.cmd.Process, syscall.SIGCONT)
 }
 
-// descriptors is how many the process holds now.
-func (p *process) descriptors() int {
-	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)) // none once it has ended
-	return len(all)
+// descriptors returns the number of descriptors that the process has open, or 0 once the process has ended.
+func (p *nodeProcess) descriptors() int {
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	return len(entries)
 }
 
-// kill ends the process at once, so that its log may be read.
-func (p *process) kill(t *testing.T) {
+// kill ends the process at once. The field log is valid afterwards.
+func (p *nodeProcess) kill(t *testing.T) {
 	t.Helper()
 	if err := p.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.cmd.Wait() // says that it was killed
+	_ = p.cmd.Wait() // Wait returns an error, because the process was killed.
 }
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -24,16 +24,16 @@
 	"cherrygap/internal/protocol"
 )
 
-// The platform's limits on restarts: nine in ten processes are ready within readyIn, with a list of manyServers servers and
-// leastMemory of memory.
+// These are the platform's limits on restarts. Nine in ten processes must be ready within readyLimit, with a list of largestFleet
+// servers and a memory limit of memoryLimitMiB.
 const (
-	readyIn     = 10 * time.Second
-	manyServers = 13000
-	leastMemory = 128 // MiB
+	readyLimit     = 10 * time.Second
+	largestFleet   = 13000
+	memoryLimitMiB = 128
 )
 
-// listText is a list in the protocol's form, as large as the largest fleet's.
-func listText(t *testing.T, indented bool) string {
+// endpointListText returns an endpoint list of largestFleet servers in the protocol's form.
+func endpointListText(t *testing.T, indented bool) string {
 	t.Helper()
 	type target struct {
 		UID      string  `json:"uid"`
@@ -45,13 +45,13 @@
 		Weight   float64 `json:"capacity_hint"`
 		BootMs   int64   `json:"boot_ms"`
 	}
-	l := struct {
+	list := struct {
 		Rev     int      `json:"rev"`
 		All     bool     `json:"all"`
 		Targets []target `json:"targets"`
 	}{Rev: 41, All: true}
-	for i := range manyServers {
-		l.Targets = append(l.Targets, target{
+	for i := range largestFleet {
+		list.Targets = append(list.Targets, target{
 			UID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), State: "in_service", Weight: 1,
 			Endpoint: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Zone: string(rune('a' + i%3)),
 			Model: fmt.Sprintf("m%d", i%4), Cell: i / 8, BootMs: int64(i%7) * 1_700_000_000_000,
@@ -61,72 +61,75 @@
 	if indented {
 		marshal = func(v any) ([]byte, error) { return json.MarshalIndent(v, "", "    ") }
 	}
-	text, err := marshal(l)
+	text, err := marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-var builtIn string // a directory of the tests' own, removed at their end
+// buildDir is the temporary directory of the built program. TestMain removes it.
+var buildDir string
 
-// built is the program itself, as the race detector's would take several times the memory.
-var built = sync.OnceValues(func() (string, error) {
+// buildOnce builds the program, at the first call, and returns its path. A program with the race detector would take several
+// times the memory, so the tests on memory can't use the test program itself.
+var buildOnce = sync.OnceValues(func() (string, error) {
 	var err error
-	if builtIn, err = os.MkdirTemp("", "cherrygap"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "cherrygap"); err != nil {
 		return "", err
 	}
-	file := filepath.Join(builtIn, "cherrygap")
+	file := filepath.Join(buildDir, "cherrygap")
 	if out, err := exec.Command("go", "build", "-o", file, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
 	return file, nil
 })
 
-// restarted is one node as the platform starts it.
-type restarted struct {
-	cmd    *exec.Cmd
-	listen string
-	log    bytes.Buffer
-	ended  chan struct{}
+// builtProcess is a process of the built program that runs a node as the platform starts one.
+type builtProcess struct {
+	cmd     *exec.Cmd
+	address string
+	log     bytes.Buffer
+	ended   chan struct{} // closed once the process has ended
 }
 
-// mustBuild builds the program, if no test did so yet, and gives its file.
-func mustBuild(t *testing.T) string {
+// builtProgram returns the path of the program, and builds it if no test has done so.
+func builtProgram(t *testing.T) string {
 	t.Helper()
-	file, err := built()
+	file, err := buildOnce()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return file
 }
 
-// startBuilt starts the program under a configuration, until the test's end.
-func startBuilt(t *testing.T, text, listenOn string) *restarted {
+// startBuiltProgram starts a node with a configuration that listens at listenAddress. The process is killed at the test's end.
+func startBuiltProgram(t *testing.T, config, listenAddress string) *builtProcess {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
-	nodetest.WriteFile(t, file, text)
-	p := &restarted{cmd: exec.Command(mustBuild(t)), listen: listenOn, ended: make(chan struct{})}
+	nodetest.WriteFile(t, file, config)
+	p := &builtProcess{cmd: exec.Command(builtProgram(t)), address: listenAddress, ended: make(chan struct{})}
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), node.EnvConfig+"="+file), &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { // ends with the process
-		_ = p.cmd.Wait() // a process that was killed is no failure; the tests look at what it did
+	go func() { // The goroutine ends with the process.
+		_ = p.cmd.Wait() // A killed process is no failure. The tests check the process by its effects.
 		close(p.ended)
 	}()
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // The process may have ended already.
 		<-p.ended
 	})
 	return p
 }
 
-// ready waits until the node's health check succeeds. It returns the time since a moment, and whether it succeeded.
-func (p *restarted) ready(since time.Time) (time.Duration, bool) {
+// ready waits up to 3 x readyLimit until the node's health check succeeds. It returns the time since the given time, and whether
+// the check succeeded.
+func (p *builtProcess) ready(since time.Time) (time.Duration, bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for time.Since(since) < 3*readyIn {
-		if response, err := client.Get("http://" + p.listen + protocol.HealthPath); err == nil {
+	for time.Since(since) < 3*readyLimit {
+		if response, err := client.Get("http://" + p.address + protocol.HealthPath); err == nil {
 			if err := response.Body.Close(); err == nil && response.StatusCode == http.StatusOK {
 				return time.Since(since), true
 			}
@@ -140,41 +143,42 @@
 	return time.Since(since), false
 }
 
-// memory returns the process's resident memory now and at most, in KiB.
-func (p *restarted) memory(t *testing.T) (now, most int) {
+// residentMemory returns the process's current and peak resident memory in KiB.
+func (p *builtProcess) residentMemory(t *testing.T) (current, peak int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
-		t.Error(err)
+		t.Errorf("reading the status of the node's process: error %v, want none", err)
 	}
 	for line := range strings.SplitSeq(string(raw), "\n") {
-		for name, value := range map[string]*int{"VmRSS:": &now, "VmHWM:": &most} {
+		for name, value := range map[string]*int{"VmRSS:": &current, "VmHWM:": &peak} {
 			if text, ok := strings.CutPrefix(line, name); ok {
 				if _, err := fmt.Sscanf(text, "%d kB", value); err != nil {
-					t.Error(err)
+					t.Errorf("reading %q of the process's status: error %v, want a number of kB", line, err)
 				}
 			}
 		}
 	}
-	if now == 0 || most == 0 {
-		t.Errorf("no memory in %q", raw)
+	if current == 0 || peak == 0 {
+		t.Errorf("resident memory %d KiB, peak %d KiB, want both above 0; the process's status: %q", current, peak, raw)
 	}
-	return now, most
+	return current, peak
 }
 
-// configOf returns a node's configuration with addresses that were free a moment ago.
-func configOf(t *testing.T, mode, known, discovery string) (text, listenOn string) {
+// restartConfig returns a node's configuration and the address at which the node listens. Its addresses were free a moment ago.
+func restartConfig(t *testing.T, discoveryMode, knownList, discovery string) (config, address string) {
 	t.Helper()
-	listenOn = nodetest.FreeAddress(t)
+	address = nodetest.FreeAddress(t)
 	udp := nodetest.ListenPacket(t)
 	nodetest.CloseNow(t, udp)
-	return strings.NewReplacer(`{"rev":41,"all":true,"targets":[]}`, known, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, leastMemory),
-		`"slot_no":2`, `"slot_no":0,"registry_mode":"`+mode+`","replicas_of_me":300,"tick":2000,"services":[{"name":"seats","slo":2000000,
-		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.ConfigAt(listenOn, discovery, udp.LocalAddr().String())), listenOn
+	return strings.NewReplacer(`{"rev":41,"all":true,"targets":[]}`, knownList, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryLimitMiB),
+		`"slot_no":2`, `"slot_no":0,"registry_mode":"`+discoveryMode+`","replicas_of_me":300,"tick":2000,"services":[{"name":"seats","slo":2000000,
+		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.ConfigAt(address, discovery, udp.LocalAddr().String())), address
 }
 
-// serveList is a discovery service: it sends the whole list after a while, or is silent without one.
-func serveList(t *testing.T, list string, delay time.Duration) (address string) {
+// serveEndpointList serves discovery at the returned address. It sends the full list after a delay, and later empty changes. With
+// an empty list it never responds.
+func serveEndpointList(t *testing.T, list string, delay time.Duration) (address string) {
 	t.Helper()
 	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		switch {
@@ -191,157 +195,158 @@
 	}).Addr().String()
 }
 
-// restartCase is a way to start nodes: the mode of discovery, the known list, and the discovery service.
+// restartCase is a way to start nodes. discovery returns the address of the discovery service.
 type restartCase struct {
-	name, mode, known string
-	discovery         func() (address string)
+	name, discoveryMode, knownList string
+	discovery                      func() (address string)
 }
 
-// Of ten processes that start at once on one machine, nine are ready in time and none takes more than leastMemory. They start
-// by a known list of manyServers servers while discovery is silent or gone, or by discovery's list where the known list is
-// malformed.
+// Processes that start together on one machine must be ready in time, nine in ten of them, and none may take more than
+// memoryLimitMiB. Large endpoint lists cost the time and memory. The processes start with a known list of largestFleet servers
+// while discovery is silent or down, or with discovery's list where the known list is malformed.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	plain, indented := listText(t, false), listText(t, true)
-	odd := plain[:len(plain)-2] + `,{"uid":7}]}`
+	plain, indented := endpointListText(t, false), endpointListText(t, true)
+	malformed := plain[:len(plain)-2] + `,{"uid":7}]}`
 	t.Logf("lists of %d and %d bytes", len(plain), len(indented))
-	mustBuild(t) // ahead of the clock
+	builtProgram(t) // The build must not count as starting time.
 	for _, c := range []restartCase{
-		{"known, discovery silent", "automatic", plain, func() string { return serveList(t, "", 0) }},
-		{"known, discovery gone", "subscribe", plain, func() string { return nodetest.FreeAddress(t) }},
-		{"known, indented", "automatic", indented, func() string { return serveList(t, indented, 0) }},
-		{"odd list, sent at once", "automatic", odd, func() string { return serveList(t, plain, 0) }},
-		{"odd list, sent indented", "subscribe", odd, func() string { return serveList(t, indented, 0) }},
-		{"odd list, sent late", "subscribe", odd, func() string { return serveList(t, plain, 500*time.Millisecond) }},
+		{"known list, discovery silent", "automatic", plain, func() string { return serveEndpointList(t, "", 0) }},
+		{"known list, discovery down", "subscribe", plain, func() string { return nodetest.FreeAddress(t) }},
+		{"indented known list", "automatic", indented, func() string { return serveEndpointList(t, indented, 0) }},
+		{"malformed known list, list sent at once", "automatic", malformed, func() string { return serveEndpointList(t, plain, 0) }},
+		{"malformed known list, indented list sent at once", "subscribe", malformed, func() string { return serveEndpointList(t, indented, 0) }},
+		{"malformed known list, list sent late", "subscribe", malformed, func() string { return serveEndpointList(t, plain, 500*time.Millisecond) }},
 	} {
-		testRestart(t, c) // no test of its own: those of the cases before run on
+		testRestart(t, c) // testRestart runs no subtest, so the processes of earlier cases keep running.
 	}
 }
 
 func testRestart(t *testing.T, c restartCase) {
 	t.Helper()
-	const together = 10
+	const processes = 10
 	discovery := c.discovery()
-	var all sync.WaitGroup
-	var mu sync.Mutex // guards what the processes' goroutines write
-	var took []time.Duration
-	now, most := 0, 0
-	for range together {
-		text, listenOn := configOf(t, c.mode, c.known, discovery)
-		all.Add(1)
-		began := time.Now()
-		p := startBuilt(t, text, listenOn)
-		go func() { // ends once the process is ready, or after 3 x readyIn
-			defer all.Done()
-			d, ok := p.ready(began)
+	var checks sync.WaitGroup
+	var mu sync.Mutex // guards delays, current and peak
+	var delays []time.Duration
+	current, peak := 0, 0
+	for range processes {
+		config, address := restartConfig(t, c.discoveryMode, c.knownList, discovery)
+		checks.Add(1)
+		startedAt := time.Now()
+		process := startBuiltProgram(t, config, address)
+		go func() { // The goroutine ends once the process is ready, or after 3 x readyLimit.
+			defer checks.Done()
+			delay, ok := process.ready(startedAt)
 			mu.Lock()
 			defer mu.Unlock()
-			if took = append(took, d); !ok {
-				t.Errorf("%s: not ready after %v: %.300s", c.name, d, p.log.String())
+			if delays = append(delays, delay); !ok {
+				t.Errorf("%s: a node is not ready after %v, want a ready node; its log: %.300s", c.name, delay, process.log.String())
 				return
 			}
-			rss, hwm := p.memory(t)
-			now, most = max(now, rss), max(most, hwm)
+			ownCurrent, ownPeak := process.residentMemory(t)
+			current, peak = max(current, ownCurrent), max(peak, ownPeak)
 		}()
 	}
-	all.Wait()
-	if slices.Sort(took); took[together*9/10-1] > readyIn {
-		t.Errorf("%s: nine in ten ready after %v", c.name, took[together*9/10-1])
+	checks.Wait()
+	if slices.Sort(delays); delays[processes*9/10-1] > readyLimit {
+		t.Errorf("%s: nine in ten nodes are ready after %v, want at most %v", c.name, delays[processes*9/10-1], readyLimit)
 	}
-	if most > leastMemory<<10 {
-		t.Errorf("%s: %d KiB", c.name, most)
+	if peak > memoryLimitMiB<<10 {
+		t.Errorf("%s: peak memory of a node %d KiB, want at most %d KiB", c.name, peak, memoryLimitMiB<<10)
 	}
-	t.Logf("%s: ready after %v to %v; %d KiB, %d at most", c.name, took[0], took[together-1], now, most)
+	t.Logf("%s: ready after %v to %v; largest current memory %d KiB, peak %d KiB", c.name, delays[0], delays[processes-1], current, peak)
 }
 
-// Discovery sends the full list of manyServers servers many times, as after restarts. The node's memory stays under
-// leastMemory, and its health checks succeed.
+// A node must not run out of memory if discovery sends the full list of largestFleet servers many times, as after restarts of
+// discovery. The node's memory must stay under memoryLimitMiB, and its health checks must succeed.
 func TestRepeatedFullListsFitTheMemory(t *testing.T) {
-	const times = 30
-	mustBuild(t)
-	listed := make(chan struct{}, times)
-	rest := strings.TrimPrefix(listText(t, true), "{\n    \"rev\": 41")
-	if len(rest) < 1<<20 {
-		t.Fatal("a list of another form")
+	const lists = 30
+	builtProgram(t)
+	listSent := make(chan struct{}, lists)
+	afterRevision := strings.TrimPrefix(endpointListText(t, true), "{\n    \"rev\": 41")
+	if len(afterRevision) < 1<<20 {
+		t.Fatalf("the endpoint list without its revision has %d bytes, want at least %d", len(afterRevision), 1<<20)
 	}
 	revision := 41
 	discovery := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
-		if revision++; revision > 41+times {
+		if revision++; revision > 41+lists {
 			<-q.Context().Done()
 			return
 		}
-		listed <- struct{}{}
-		_, _ = fmt.Fprintf(w, "{\"rev\": %d%s", revision, rest)
+		listSent <- struct{}{}
+		_, _ = fmt.Fprintf(w, "{\"rev\": %d%s", revision, afterRevision)
 	})
-	text, listenOn := configOf(t, "subscribe", listText(t, false), discovery.Addr().String())
-	p := startBuilt(t, text, listenOn)
-	if d, ok := p.ready(time.Now()); !ok {
-		t.Fatalf("not ready after %v: %.300s", d, p.log.String())
+	config, address := restartConfig(t, "subscribe", endpointListText(t, false), discovery.Addr().String())
+	process := startBuiltProgram(t, config, address)
+	if delay, ok := process.ready(time.Now()); !ok {
+		t.Fatalf("the node is not ready after %v, want a ready node; its log: %.300s", delay, process.log.String())
 	}
-	for k := range times {
+	for k := range lists {
 		select {
-		case <-listed:
+		case <-listSent:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d lists taken", k)
+			t.Fatalf("the node asked for %d lists and no other for 20 s, want %d lists", k, lists)
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // the last one is read
-	if d, ok := p.ready(time.Now()); !ok || d > time.Second {
-		t.Errorf("%v after %v", ok, d)
+	time.Sleep(300 * time.Millisecond) // This leaves the node time to read the last list.
+	if delay, ok := process.ready(time.Now()); !ok || delay > time.Second {
+		t.Errorf("after all lists, the node is ready: %v after %v, want true within %v", ok, delay, time.Second)
 	}
-	now, most := p.memory(t)
-	if most > leastMemory<<10 {
-		t.Errorf("%d KiB at most", most)
+	current, peak := process.residentMemory(t)
+	if peak > memoryLimitMiB<<10 {
+		t.Errorf("peak memory %d KiB, want at most %d KiB", peak, memoryLimitMiB<<10)
 	}
-	t.Logf("%d KiB, %d at most, after %d lists", now, most, times)
+	t.Logf("current memory %d KiB, peak %d KiB, after %d lists", current, peak, lists)
 }
 
-// Processes that are started at the moment of SIGTERM wait for the addresses of the old ones, which drain until shortly before
-// SIGKILL would follow. The new ones are ready in time, and every request of the old ones gets its response.
+// A restart must neither lose a request of the old process nor delay the new process too much. New processes start when the old
+// ones get SIGTERM, and wait for their addresses. The old ones drain until shortly before SIGKILL would follow. Every request to
+// an old process must get its response, and the new processes must be ready in time.
 func TestRestartIsReadyInTimeBehindADrain(t *testing.T) {
-	const together, lasts = 4, 3500 * time.Millisecond
-	mustBuild(t)
-	got, answer := make(chan struct{}, together), make(chan struct{})
+	const processes, requestTime = 4, 3500 * time.Millisecond
+	builtProgram(t)
+	requestReceived, answer := make(chan struct{}, processes), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
-		got <- struct{}{}
+		requestReceived <- struct{}{}
 		<-answer
 		_, _ = io.Copy(w, q.Body)
 	})
-	plain, few := listText(t, false), `{"rev":41,"all":true,"targets":[`+inService(server)+`]}`
-	discovery := serveList(t, "", 0)
-	var olds []*restarted
-	var texts []string
+	largeList, smallList := endpointListText(t, false), `{"rev":41,"all":true,"targets":[`+listEntry(server)+`]}`
+	discovery := serveEndpointList(t, "", 0)
+	var oldProcesses []*builtProcess
+	var newConfigs []string
 	var conns []net.Conn
-	for range together {
-		text, listenOn := configOf(t, "automatic", few, discovery)
-		old := startBuilt(t, text, listenOn)
-		if d, ok := old.ready(time.Now()); !ok {
-			t.Fatalf("the old one is not ready after %v: %s", d, old.log.String())
+	for range processes {
+		config, address := restartConfig(t, "automatic", smallList, discovery)
+		old := startBuiltProgram(t, config, address)
+		if delay, ok := old.ready(time.Now()); !ok {
+			t.Fatalf("the old node is not ready after %v, want a ready node; its log: %s", delay, old.log.String())
 		}
-		conns = append(conns, nodetest.SendRequest(t, listenOn, "9", 9*time.Second))
-		olds, texts = append(olds, old), append(texts, strings.Replace(text, few, plain, 1))
+		conns = append(conns, nodetest.SendRequest(t, address, "9", 9*time.Second))
+		oldProcesses, newConfigs = append(oldProcesses, old), append(newConfigs, strings.Replace(config, smallList, largeList, 1))
 	}
-	for range together {
-		<-got
+	for range processes {
+		<-requestReceived
 	}
-	time.AfterFunc(lasts, func() { close(answer) })
-	var all sync.WaitGroup
-	for i, old := range olds {
-		began := time.Now()
+	time.AfterFunc(requestTime, func() { close(answer) })
+	var checks sync.WaitGroup
+	for i, old := range oldProcesses {
+		terminatedAt := time.Now()
 		nodetest.Signal(t, old.cmd.Process, syscall.SIGTERM)
-		next := startBuilt(t, texts[i], old.listen)
-		all.Add(1)
-		go func() { // ends once both are done, the new one after 3 x readyIn at most
-			defer all.Done()
+		next := startBuiltProgram(t, newConfigs[i], old.address)
+		checks.Add(1)
+		go func() { // The goroutine ends once the old process has ended and the new one is ready or has had 3 x readyLimit.
+			defer checks.Done()
 			if response, err := http.ReadResponse(bufio.NewReader(conns[i]), nil); err != nil || response.StatusCode != http.StatusOK {
-				t.Errorf("the old one's request: %v, %v", response, err)
+				t.Errorf("request to old node %d: response %v, error %v, want status %d", i, response, err, http.StatusOK)
 			}
-			<-old.ended // until then it may be the one that says it is ready
-			d, ok := next.ready(began)
-			if !ok || d > readyIn {
-				t.Errorf("ready %v after %v: %.300s", ok, d, next.log.String())
+			<-old.ended // Until it ends, the old node may be the one that answers the health check.
+			delay, ok := next.ready(terminatedAt)
+			if !ok || delay > readyLimit {
+				t.Errorf("new node %d is ready: %v %v after SIGTERM, want true within %v; its log: %.300s", i, ok, delay, readyLimit, next.log.String())
 			}
-			t.Logf("%d: ready %v after SIGTERM", i, d)
+			t.Logf("new node %d: ready %v after SIGTERM", i, delay)
 		}()
 	}
-	all.Wait()
+	checks.Wait()
 }
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -16,8 +16,8 @@
 	"cherrygap/internal/lab/scale"
 )
 
-// offspring are the processes that this one started and that are there still, by id.
-func offspring(t *testing.T) (out []string) {
+// childProcesses returns the id and state of each process that this process has started and that still exists.
+func childProcesses(t *testing.T) (children []string) {
 	t.Helper()
 	dirs, err := filepath.Glob("/proc/[0-9]*")
 	if err != nil {
@@ -26,20 +26,22 @@
 	for _, dir := range dirs {
 		raw, err := os.ReadFile(dir + "/stat")
 		if err != nil {
-			continue // it has ended
+			continue // This process has ended.
 		}
 		_, rest, _ := bytes.Cut(raw, []byte(") "))
-		if f := strings.Fields(string(rest)); len(f) > 1 && f[1] == fmt.Sprint(os.Getpid()) {
-			out = append(out, filepath.Base(dir)+" "+f[0])
+		if fields := strings.Fields(string(rest)); len(fields) > 1 && fields[1] == fmt.Sprint(os.Getpid()) {
+			children = append(children, filepath.Base(dir)+" "+fields[0])
 		}
 	}
-	return out
+	return children
 }
 
-func smallScale(t *testing.T) scale.Config {
+// smallScaleConfig returns the configuration of a short run of lab scale with a small fleet. The children are processes of this
+// test program.
+func smallScaleConfig(t *testing.T) scale.Config {
 	t.Helper()
-	t.Setenv(asProgram, "1")
-	t.Setenv("GORACE", "atexit_sleep_ms=0") // else each child's end takes a second under the race detector
+	t.Setenv(envRunAsProgram, "1")
+	t.Setenv("GORACE", "atexit_sleep_ms=0") // Without this, each child's end takes a second under the race detector.
 	cfg := scale.Default()
 	var err error
 	if cfg.Program, err = os.Executable(); err != nil {
@@ -51,69 +53,80 @@
 	return cfg
 }
 
-// The small form of lab scale with all its faults: nothing runs twice, all is answered, nothing goes to a server that was
-// drained, every change comes into force at every node, real nodes receive messages from each other and from simulated ones,
-// and every child ends.
+// A small run of lab scale with all its faults must show a working fleet. No request is executed twice or stays unanswered, and
+// none goes to a drained server. Every change comes into force at every node. Real nodes receive messages from each other and
+// from simulated ones, and every child process ends.
 func TestScaleInSmall(t *testing.T) {
-	cfg := smallScale(t)
-	before := offspring(t)
-	r, err := scale.Run(t.Context(), cfg)
+	cfg := smallScaleConfig(t)
+	before := childProcesses(t)
+	result, err := scale.Run(t.Context(), cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("scale.Run of a small fleet: error %v, want none", err)
 	}
-	line, err := json.Marshal(r)
+	line, err := json.Marshal(result)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkScaleRequests(t, r)
-	checkScaleFleet(t, r)
+	checkScaleRequests(t, result)
+	checkScaleFleet(t, result)
 	for _, name := range []string{"servers", "nodes", "real0", "real1"} {
 		if log, err := os.ReadFile(filepath.Join(cfg.Dir, name+".log")); err != nil || bytes.Contains(log, []byte("DATA RACE")) {
-			t.Errorf("%v, %s", err, log)
+			t.Errorf("log of the child %s: read error %v, want none and no DATA RACE in the log:\n%s", name, err, log)
 		}
 	}
 	for k := range cfg.Real {
-		received, bad := peerMessages(t, filepath.Join(cfg.Dir, fmt.Sprintf("real%d.log", k)))
-		if received < 50 || bad > 0 { // of each of seven peers, three a second
-			t.Errorf("real node %d received %v messages, and %v that it could not read", k, received, bad)
+		received, dropped := peerMessages(t, filepath.Join(cfg.Dir, fmt.Sprintf("real%d.log", k)))
+		if received < 50 || dropped > 0 { // Each of the seven peers sends about three a second.
+			t.Errorf("real node %d received %v messages from peers and dropped %v, want at least 50 and 0", k, received, dropped)
 		}
 	}
-	if after := offspring(t); !slices.Equal(before, after) {
-		t.Errorf("processes before %v, after %v", before, after)
+	if after := childProcesses(t); !slices.Equal(before, after) {
+		t.Errorf("child processes after the run %v, want those before it: %v", after, before)
 	}
 	if t.Failed() {
 		t.Logf("%s", line)
 	}
 }
 
-// checkScaleRequests checks how the requests of a small run ended.
-func checkScaleRequests(t *testing.T, r *scale.Result) {
+// checkScaleRequests checks how the requests of a small run ended, and that there were enough of them.
+func checkScaleRequests(t *testing.T, result *scale.Result) {
 	t.Helper()
-	if r.Sent < 200 || r.Completed < r.Sent*9/10 || r.SimulatedRequests.Completed < 100 || r.Direct < 10 {
-		t.Error("too little was done")
-	}
-	if r.Duplicates+r.Unanswered+r.SimulatedRequests.Unanswered+r.ConnectFailed+r.SendsToDrained+r.OtherStatus != 0 {
-		t.Error("duplicates, requests with no answer or no sense, or sends to drained servers")
+	if result.Sent < 200 || result.Completed < result.Sent*9/10 || result.SimulatedRequests.Completed < 100 || result.Direct < 10 {
+		t.Errorf("%v requests sent, want at least 200; %v completed, want at least 9 in 10; "+
+			"%v of simulated nodes completed, want at least 100; %v sent directly, want at least 10",
+			result.Sent, result.Completed, result.SimulatedRequests.Completed, result.Direct)
+	}
+	if result.Duplicates+result.Unanswered+result.SimulatedRequests.Unanswered+result.ConnectFailed+result.SendsToDrained+
+		result.OtherStatus != 0 {
+		t.Errorf("%v duplicates, %v unanswered, %v unanswered of simulated nodes, %v connects failed, %v sends to drained servers, "+
+			"%v responses of other statuses, want 0 of each",
+			result.Duplicates, result.Unanswered, result.SimulatedRequests.Unanswered, result.ConnectFailed, result.SendsToDrained,
+			result.OtherStatus)
 	}
 }
 
 // checkScaleFleet checks that the faults of a small run took effect and that its result is complete.
-func checkScaleFleet(t *testing.T, r *scale.Result) {
+func checkScaleFleet(t *testing.T, result *scale.Result) {
 	t.Helper()
-	if r.Changes < 6 || r.ChangesNotApplied != 0 || r.MaxAppliedAll > 6 {
-		t.Error("changes not in force in time")
+	if result.Changes < 6 || result.ChangesNotApplied != 0 || result.MaxAppliedAll > 6 {
+		t.Errorf("%v changes, want at least 6; %v not applied, want 0; longest time until all nodes applied one %v s, want at most 6 s",
+			result.Changes, result.ChangesNotApplied, result.MaxAppliedAll)
 	}
-	if r.Exited+r.Killed != 0 || r.Restarts != 2 || r.SimulatedRestarts != 6 {
-		t.Error("a node ended by itself, or not on SIGTERM, or was not started again")
+	if result.Exited+result.Killed != 0 || result.Restarts != 2 || result.SimulatedRestarts != 6 {
+		t.Errorf("%v nodes ended by themselves and %v had to be killed, want 0; %v real restarts, want 2; %v simulated restarts, want 6",
+			result.Exited, result.Killed, result.Restarts, result.SimulatedRestarts)
 	}
-	if r.ViaNodeP99 <= 0 || r.DirectP50 <= 0 || r.PeakRSSMiB <= 0 || r.DiscoveryFullLists < 1 || r.Peers["use"].InBytes <= 0 || len(r.Sections) != 6 {
-		t.Error("figures are missing")
+	if result.ViaNodeP99 <= 0 || result.DirectP50 <= 0 || result.PeakRSSMiB <= 0 || result.DiscoveryFullLists < 1 ||
+		result.Peers["use"].InBytes <= 0 || len(result.Sections) != 6 {
+		t.Errorf("p99 through a node %v, direct p50 %v, peak memory %v MiB, %v full lists, %v bytes of peers' use messages, want each above 0; "+
+			"%d sections, want 6",
+			result.ViaNodeP99, result.DirectP50, result.PeakRSSMiB, result.DiscoveryFullLists, result.Peers["use"].InBytes,
+			len(result.Sections))
 	}
 }
 
-// peerMessages is how many messages a node received from its peers, and how many it could not read, by its log over all
-// its starts.
-func peerMessages(t *testing.T, path string) (received, bad float64) {
+// peerMessages returns how many messages from peers a node received and dropped, over all its starts, according to its log.
+func peerMessages(t *testing.T, path string) (received, dropped float64) {
 	t.Helper()
 	log, err := os.ReadFile(path)
 	if err != nil {
@@ -128,42 +141,42 @@
 			}
 		}
 		if json.Unmarshal(line, &entry) == nil && entry.Message == "stopped" {
-			received, bad = received+entry.Counters.Received, bad+entry.Counters.Dropped
+			received, dropped = received+entry.Counters.Received, dropped+entry.Counters.Dropped
 		}
 	}
-	return received, bad
+	return received, dropped
 }
 
-// A run that is interrupted, or whose child can't start, leaves no process behind, and its error names the cause.
+// A run that is interrupted, or whose child can't start, must not leave processes behind. Its error must name the cause.
 func TestScaleInterrupted(t *testing.T) {
 	for name, c := range map[string]struct {
 		after  time.Duration
 		change func(*testing.T, *scale.Config)
 		want   string
 	}{
-		"under way":    {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
-		"at its start": {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
-		"hard stop":    {time.Minute, func(_ *testing.T, c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "hard stop"},
-		"no node":      {time.Minute, blockNodeFile, "real1.json"},
+		"cancelled while running": {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
+		"cancelled at the start":  {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
+		"time limit":              {time.Minute, func(_ *testing.T, c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "hard stop"},
+		"node not started":        {time.Minute, blockNodeFile, "real1.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := smallScale(t)
+			cfg := smallScaleConfig(t)
 			c.change(t, &cfg)
-			before := offspring(t)
+			before := childProcesses(t)
 			ctx, cancel := context.WithTimeout(t.Context(), c.after)
 			defer cancel()
-			r, err := scale.Run(ctx, cfg)
-			if err == nil || r != nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%+v, %v", r, err)
+			result, err := scale.Run(ctx, cfg)
+			if err == nil || result != nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("scale.Run = %+v, %v, want no result and an error with %q", result, err, c.want)
 			}
-			if after := offspring(t); !slices.Equal(before, after) {
-				t.Errorf("processes before %v, after %v", before, after)
+			if after := childProcesses(t); !slices.Equal(before, after) {
+				t.Errorf("child processes after the run %v, want those before it: %v", after, before)
 			}
 		})
 	}
 }
 
-// blockNodeFile puts a folder where a node's configuration is to be written.
+// blockNodeFile creates a directory in place of the configuration file of a node, which then can't be written.
 func blockNodeFile(t *testing.T, c *scale.Config) {
 	t.Helper()
 	if err := os.Mkdir(filepath.Join(c.Dir, "real1.json"), 0o700); err != nil {
@@ -171,17 +184,18 @@
 	}
 }
 
-// Without enough descriptors the command fails with one line that names them, and starts nothing.
+// With too few descriptors a run would fail midway. The command must instead fail with one line that names the missing
+// descriptors, before it starts anything.
 func TestScaleNamesMissingDescriptors(t *testing.T) {
-	cfg := smallScale(t)
+	cfg := smallScaleConfig(t)
 	cmd := exec.Command("sh", "-c", `ulimit -n 640; exec "$0" lab scale --nodes 8 --real 1 --servers 40 --sockets 64 --dir "$1"`,
 		cfg.Program, cfg.Dir)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 2 ||
 		string(out) != "cherrygap: the simulated app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("lab scale with 640 descriptors: output %q, error %v, want exit code 2 and a line on the missing descriptors", out, err)
 	}
 	if files, _ := os.ReadDir(cfg.Dir); len(files) > 0 {
-		t.Errorf("it began: %v", files)
+		t.Errorf("lab scale without enough descriptors wrote the files %v, want none", files)
 	}
 }
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -25,70 +25,73 @@
 	"cherrygap/internal/protocol"
 )
 
-// faultyCalls are the system calls that the tests of this file make fail.
+// faultyCalls are the system calls that the tests of this file can make fail.
 var faultyCalls = []uint32{
 	unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_OPENAT, unix.SYS_PPOLL, unix.SYS_SENDTO,
 	unix.SYS_RECVFROM,
 }
 
-// execFaultyNode puts the filter on this process and starts this program anew as a node.
+// execFaultyNode installs the system call filter on this process and executes this program again as a node.
 func execFaultyNode() error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if err := os.Unsetenv(asFaultyNode); err != nil {
+	if err := os.Unsetenv(envRunAsFaultyNode); err != nil {
 		return err
 	}
 	return syscallfault.Exec(syscallfault.InheritedSocket, faultyCalls, program, os.Args, os.Environ())
 }
 
-// failingCall is a policy that fails one system call as long as it is on.
+// failingCall is a policy that fails one system call while it is active.
 type failingCall struct {
-	number int
-	on     atomic.Bool
-	errno  atomic.Int32
-	failed atomic.Int32
+	number   int // number of the system call
+	active   atomic.Bool
+	errno    atomic.Int32
+	failures atomic.Int32 // number of calls that failed since start
 }
 
+// decide implements syscallfault.Policy.
 func (f *failingCall) decide(call syscallfault.Call) syscall.Errno {
-	if call.Number != f.number || !f.on.Load() {
+	if call.Number != f.number || !f.active.Load() {
 		return 0
 	}
-	f.failed.Add(1)
+	f.failures.Add(1)
 	return syscall.Errno(f.errno.Load())
 }
 
-func (f *failingCall) begin(errno syscall.Errno) {
+// start makes the call fail with an error from now on.
+func (f *failingCall) start(errno syscall.Errno) {
 	f.errno.Store(int32(errno))
-	f.failed.Store(0)
-	f.on.Store(true)
+	f.failures.Store(0)
+	f.active.Store(true)
 }
 
-// failFor fails the call until it has failed so often.
+// failFor makes the call fail with an error until the given number of calls have failed.
 func (f *failingCall) failFor(t *testing.T, errno syscall.Errno, times int32) {
 	t.Helper()
-	f.begin(errno)
-	nodetest.Eventually(t, 10*time.Second, fmt.Sprint(times, " failures by ", errno), func() bool { return f.failed.Load() >= times })
-	f.on.Store(false)
+	f.start(errno)
+	nodetest.Eventually(t, 10*time.Second, fmt.Sprint(times, " calls that fail with ", errno), func() bool { return f.failures.Load() >= times })
+	f.active.Store(false)
 }
 
-// faultyProcess readies a node in a process of its own whose system calls a policy decides on; start starts it.
-func faultyProcess(t *testing.T, policy syscallfault.Policy, discovery string, servers ...net.Listener) (p *process, file string) {
+// startFaultyNode starts a node as its own process, whose faultyCalls a policy decides on. It returns the process and the path of
+// its configuration.
+func startFaultyNode(t *testing.T, policy syscallfault.Policy, discovery string, servers ...net.Listener) (p *nodeProcess, file string) {
 	t.Helper()
-	return faultyProcessWith(t, policy, discovery, func(text string) string { return text }, servers...)
+	return startFaultyNodeWithConfig(t, policy, discovery, func(text string) string { return text }, servers...)
 }
 
-// faultyProcessWith is faultyProcess with a change of the configuration's text.
-func faultyProcessWith(t *testing.T, policy syscallfault.Policy, discovery string, change func(string) string,
+// startFaultyNodeWithConfig is like startFaultyNode, and passes the configuration's text through change.
+func startFaultyNodeWithConfig(t *testing.T, policy syscallfault.Policy, discovery string, change func(string) string,
 	servers ...net.Listener,
-) (p *process, file string) {
+) (p *nodeProcess, file string) {
 	t.Helper()
-	p = &process{addr: nodetest.FreeAddress(t)}
+	p = &nodeProcess{address: nodetest.FreeAddress(t)}
 	file = filepath.Join(t.TempDir(), "config.json")
-	nodetest.WriteFile(t, file, change(processConfig(p.addr, discovery, 1024, servers)))
+	nodetest.WriteFile(t, file, change(nodeProcessConfig(p.address, discovery, 1024, servers)))
 	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), asNode+"=1", asFaultyNode+"=1", node.EnvConfig+"="+file)
+	p.cmd.Env = append(os.Environ(), envRunAsNode+"=1", envRunAsFaultyNode+"=1", node.EnvConfig+"="+file)
 	p.cmd.Stderr = &p.log
 	injector, err := syscallfault.NewInjector(p.cmd, policy)
 	if err != nil {
@@ -99,30 +102,33 @@
 	}
 	nodetest.KillAtEnd(t, p.cmd)
 	ended := make(chan error, 1)
-	go func() { ended <- injector.Run() }() // ends with the process
+	go func() { ended <- injector.Run() }() // The goroutine ends with the process.
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("the injector of system call errors ended with error %v, want none", err)
 		}
 	})
 	return p, file
 }
 
-// echoServer is an app server that answers every request.
-func echoServer(t *testing.T) net.Listener {
+// okServer starts an app server that answers every request with status 200.
+func okServer(t *testing.T) net.Listener {
 	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })
 }
 
-const faultTimeout = 2 * time.Second // of the requests of these tests
+// requestTimeout is the request budget of the requests of these tests.
+const requestTimeout = 2 * time.Second
 
-var lastFaultID atomic.Int64
+// lastRequestID is the number in the id of the last request that requestStatus sent.
+var lastRequestID atomic.Int64
 
-// requestStatus sends a request on a connection of its own and returns its status, or 0 where the connection ends without one.
+// requestStatus sends a request on a new connection and returns the response's status, or 0 if the connection ends without a
+// response.
 func requestStatus(t *testing.T, address string) int {
 	t.Helper()
-	conn := nodetest.SendRequest(t, address, fmt.Sprint("fault-", lastFaultID.Add(1)), faultTimeout)
-	if err := conn.SetDeadline(time.Now().Add(faultTimeout + time.Second)); err != nil {
+	conn := nodetest.SendRequest(t, address, fmt.Sprint("fault-", lastRequestID.Add(1)), requestTimeout)
+	if err := conn.SetDeadline(time.Now().Add(requestTimeout + time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -132,73 +138,73 @@
 	return response.StatusCode
 }
 
-// After a moment of any error of accept(2) clients are accepted again.
+// An error of accept(2) must not stop the listener for good. After each error, the node must accept clients again.
 func TestAcceptErrorsDoNotStopTheListener(t *testing.T) {
 	t.Parallel()
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
-	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
-	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
+	faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
+	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
 	for _, errno := range []syscall.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 	} {
-		fault.begin(errno)
-		conn, err := net.Dial("tcp", p.addr)
+		fault.start(errno)
+		conn, err := net.Dial("tcp", faulty.address)
 		if err != nil {
-			t.Fatalf("before %v: %v", errno, err)
+			t.Fatalf("connecting while accept fails with %v: error %v, want none", errno, err)
 		}
 		nodetest.CloseAtEnd(t, conn)
 		fault.failFor(t, errno, 2)
-		if status := requestStatus(t, p.addr); status != http.StatusOK {
-			t.Fatalf("after %v of accept a request ended with status %d", errno, status)
+		if status := requestStatus(t, faulty.address); status != http.StatusOK {
+			t.Fatalf("status of a request after accept failed with %v = %d, want %d", errno, status, http.StatusOK)
 		}
 	}
 }
 
-// The time that a connection waits for accept(2) counts against the deadlines of its requests. No attempt's timeout is longer
-// than the time left, for pipelined requests too.
+// A node that counts a request's time only from accept(2) would give its attempts too long a timeout. Here a connection with
+// pipelined requests waits for accept. No attempt's timeout may be longer than the time that its client still waits.
 func TestTimeBeforeAcceptCountsAgainstTheDeadline(t *testing.T) {
 	t.Parallel()
-	const requests, waits, slack = 3, 400 * time.Millisecond, 150 * time.Millisecond
+	const requests, acceptDelay, slack = 3, 400 * time.Millisecond, 150 * time.Millisecond
 	var sentAt time.Time
-	overstated := make(chan time.Duration, requests)
+	excess := make(chan time.Duration, requests)
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ms, _ := strconv.Atoi(r.Header.Get(protocol.HeaderTimeout))
-		overstated <- time.Duration(ms)*time.Millisecond - (faultTimeout - time.Since(sentAt))
+		excess <- time.Duration(ms)*time.Millisecond - (requestTimeout - time.Since(sentAt))
 		_, _ = w.Write([]byte("done"))
 	})
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
-	p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), server)
-	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-	fault.begin(unix.ENFILE)
-	conn := nodetest.Dial(t, p.addr)
+	faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), server)
+	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+	fault.start(unix.ENFILE)
+	conn := nodetest.Dial(t, faulty.address)
 	sentAt = time.Now()
 	for i := range requests {
-		if _, err := io.WriteString(conn, nodetest.RequestText(fmt.Sprint("waits-", i), faultTimeout)); err != nil {
+		if _, err := io.WriteString(conn, nodetest.RequestText(fmt.Sprint("waits-", i), requestTimeout)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(waits) // the fault's length: what it takes of the requests' time is measured
-	fault.on.Store(false)
+	time.Sleep(acceptDelay) // The test measures whether this time counts against the requests.
+	fault.active.Store(false)
 	reader := bufio.NewReader(conn)
 	for i := range requests {
-		if more := <-overstated; more > slack {
-			t.Errorf("request %d: the server was told %v more than was left", i, more)
+		if more := <-excess; more > slack {
+			t.Errorf("request %d: the attempt's timeout exceeds the time left by %v, want at most %v", i, more, slack)
 		}
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the response to request %d: error %v, want none", i, err)
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
-			t.Errorf("request %d: status %d, %v", i, response.StatusCode, err)
+			t.Errorf("response to request %d: status %d, read error %v, want status %d and no error", i, response.StatusCode, err, http.StatusOK)
 		}
 	}
 }
 
-// While the node's own machine can't open connections, no server is ejected. A request of that time is served once they can
-// be opened again.
+// If the node's own machine can't open connections, the servers are not at fault, and the node must eject none of them. It must
+// serve the requests of that time once connections can be opened again.
 func TestResourceExhaustionEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -213,24 +219,24 @@
 				t.Parallel()
 				fault := &failingCall{number: c.number}
 				discovery := nettest.Listen(t)
-				p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t), echoServer(t))
-				p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-				fault.begin(errno)
+				faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t), okServer(t))
+				faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+				fault.start(errno)
 				statuses := make(chan int)
 				const requests = 6
 				for range requests {
-					go func() { statuses <- requestStatus(t, p.addr) }()
+					go func() { statuses <- requestStatus(t, faulty.address) }()
 				}
-				time.Sleep(150 * time.Millisecond) // the fault's length: what it does to the requests that wait is measured
-				fault.on.Store(false)
+				time.Sleep(150 * time.Millisecond) // The requests wait for the fault's end.
+				fault.active.Store(false)
 				for range requests {
 					if status := <-statuses; status != http.StatusOK {
-						t.Errorf("a request that met the fault ended with status %d", status)
+						t.Errorf("status of a request during the fault = %d, want %d", status, http.StatusOK)
 					}
 				}
 				for range requests {
-					if status := requestStatus(t, p.addr); status != http.StatusOK {
-						t.Errorf("a request after the fault ended with status %d", status)
+					if status := requestStatus(t, faulty.address); status != http.StatusOK {
+						t.Errorf("status of a request after the fault = %d, want %d", status, http.StatusOK)
 					}
 				}
 			})
@@ -238,8 +244,8 @@
 	}
 }
 
-// A response or attempt that the kernel has no memory for is written once there is memory. A liveness check that fails so
-// delays no request.
+// A node must not give up a response or attempt that the kernel has no memory for, but write it once there is memory. A liveness
+// check that fails for the same reason must not delay a request.
 func TestResponsesOutlastFullBuffers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -250,116 +256,116 @@
 		{"send-ENOBUFS", unix.SYS_SENDTO, unix.ENOBUFS},
 		{"send-ENOMEM", unix.SYS_SENDTO, unix.ENOMEM},
 		{"send-EINTR", unix.SYS_SENDTO, unix.EINTR},
-		{"look-ENOMEM", unix.SYS_RECVFROM, unix.ENOMEM},
+		{"liveness-check-ENOMEM", unix.SYS_RECVFROM, unix.ENOMEM},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: c.number}
 			discovery := nettest.Listen(t)
-			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
-			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-			fault.begin(c.errno)
+			faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
+			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+			fault.start(c.errno)
 			statuses := make(chan int)
 			const requests = 4
 			for range requests {
-				go func() { statuses <- requestStatus(t, p.addr) }()
+				go func() { statuses <- requestStatus(t, faulty.address) }()
 			}
 			fault.failFor(t, c.errno, 3*requests)
 			for range requests {
 				if status := <-statuses; status != http.StatusOK {
-					t.Errorf("a request that met the fault ended with status %d", status)
+					t.Errorf("status of a request during the fault = %d, want %d", status, http.StatusOK)
 				}
 			}
 		})
 	}
 }
 
-// A node whose own sockets can't be opened at its start is ready once they can be opened.
+// A node must not end if it can't open its own sockets at its start, but become ready once it can open them.
 func TestStartOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_SOCKET}
-			fault.begin(errno)
+			fault.start(errno)
 			discovery := nettest.Listen(t)
-			p, _ := faultyProcess(t, fault.decide, discovery.Addr().String(), echoServer(t))
+			faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
 			fault.failFor(t, errno, 2)
-			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-			if status := requestStatus(t, p.addr); status != http.StatusOK {
-				t.Errorf("a request ended with status %d", status)
+			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+			if status := requestStatus(t, faulty.address); status != http.StatusOK {
+				t.Errorf("status of a request after a start with %v = %d, want %d", errno, status, http.StatusOK)
 			}
 		})
 	}
 }
 
-// A SIGHUP while the configuration is being written moves discovery once the file is complete. The log has one line on the
-// partial file.
+// A node that gets SIGHUP while its configuration is being written must not keep the old discovery address. It must change to
+// the new one once the file is complete, and log one line on the partial file.
 func TestReloadOutlastsPartialFile(t *testing.T) {
 	t.Parallel()
-	before, after := nettest.Listen(t), nettest.Listen(t)
+	oldDiscovery, newDiscovery := nettest.Listen(t), nettest.Listen(t)
 	called := make(chan struct{})
 	go func() {
-		if conn, err := after.Accept(); err == nil {
+		if conn, err := newDiscovery.Accept(); err == nil {
 			_ = conn.Close()
 			close(called)
 		}
 	}()
-	server := echoServer(t)
-	p, file := faultyProcess(t, (&failingCall{}).decide, before.Addr().String(), server)
-	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-	text := processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server})
+	server := okServer(t)
+	faulty, file := startFaultyNode(t, (&failingCall{}).decide, oldDiscovery.Addr().String(), server)
+	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+	text := nodeProcessConfig(faulty.address, newDiscovery.Addr().String(), 1024, []net.Listener{server})
 	nodetest.WriteFile(t, file, text[:len(text)/2])
-	nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
-	time.Sleep(3 * node.ReloadRetryInterval) // some tries find the half
+	nodetest.Signal(t, faulty.cmd.Process, syscall.SIGHUP)
+	time.Sleep(3 * node.ReloadRetryInterval) // Some tries read the partial file.
 	nodetest.WriteFile(t, file, text)
 	select {
 	case <-called:
 	case <-time.After(5 * time.Second):
-		t.Error("discovery was not moved")
+		t.Error("the node has not called the new discovery address within 5 s, want a call")
 	}
-	p.kill(t)
-	if lines := strings.Count(p.log.String(), "configuration reload failed"); lines != 1 {
-		t.Errorf("%d lines in the log of a reload that failed", lines)
+	faulty.kill(t)
+	if lines := strings.Count(faulty.log.String(), "configuration reload failed"); lines != 1 {
+		t.Errorf("the log has %d lines on a failed reload, want 1", lines)
 	}
 }
 
-// A SIGHUP whose configuration can't be opened for a moment still moves discovery.
+// A node that can't open its configuration for a moment after SIGHUP must not keep the old discovery address.
 func TestReloadOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM, unix.EIO} {
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			fault := &failingCall{number: unix.SYS_OPENAT}
-			before, after := nettest.Listen(t), nettest.Listen(t)
+			oldDiscovery, newDiscovery := nettest.Listen(t), nettest.Listen(t)
 			called := make(chan struct{})
 			go func() {
-				if conn, err := after.Accept(); err == nil {
+				if conn, err := newDiscovery.Accept(); err == nil {
 					_ = conn.Close()
 					close(called)
 				}
 			}()
-			server := echoServer(t)
-			p, file := faultyProcess(t, fault.decide, before.Addr().String(), server)
-			p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.addr) })
-			nodetest.WriteFile(t, file, processConfig(p.addr, after.Addr().String(), 1024, []net.Listener{server}))
-			fault.begin(errno)
-			nodetest.Signal(t, p.cmd.Process, syscall.SIGHUP)
+			server := okServer(t)
+			faulty, file := startFaultyNode(t, fault.decide, oldDiscovery.Addr().String(), server)
+			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+			nodetest.WriteFile(t, file, nodeProcessConfig(faulty.address, newDiscovery.Addr().String(), 1024, []net.Listener{server}))
+			fault.start(errno)
+			nodetest.Signal(t, faulty.cmd.Process, syscall.SIGHUP)
 			fault.failFor(t, errno, 1)
 			select {
 			case <-called:
 			case <-time.After(5 * time.Second):
-				t.Error("discovery was not moved")
+				t.Error("the node has not called the new discovery address within 5 s, want a call")
 			}
 		})
 	}
 }
 
-// Where lists are polled, a call whose connection can't be opened is made once it can. The next poll would be due seconds
-// later.
+// A node that polls discovery must not wait for the next poll, seconds later, if it can't open the connection of a call. It must
+// make the call as soon as it can open the connection.
 func TestPollOutlastsResourceExhaustion(t *testing.T) {
 	t.Parallel()
-	const outage, atOnce = 100 * time.Millisecond, 300 * time.Millisecond
+	const faultTime, maxDelay = 100 * time.Millisecond, 300 * time.Millisecond
 	fault := &failingCall{number: unix.SYS_CONNECT}
 	discovery := nettest.Listen(t)
 	called := make(chan time.Time, 1)
@@ -369,28 +375,28 @@
 			_ = conn.Close()
 		}
 	}()
-	p := startFaultyProcess(t, fault, discovery.Addr().String())
-	p.eventually(t, "a call that can't be made", func() bool { return fault.failed.Load() > 0 })
-	time.Sleep(outage) // the fault's length
-	fault.on.Store(false)
-	over := time.Now()
+	polling := startPollingNode(t, fault, discovery.Addr().String())
+	polling.eventually(t, "a call that fails", func() bool { return fault.failures.Load() > 0 })
+	time.Sleep(faultTime)
+	fault.active.Store(false)
+	faultEnd := time.Now()
 	select {
 	case at := <-called:
-		if late := at.Sub(over); late > atOnce {
-			t.Errorf("called %v after it could be", late)
+		if delay := at.Sub(faultEnd); delay > maxDelay {
+			t.Errorf("the node called discovery %v after the fault's end, want at most %v", delay, maxDelay)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("never called")
+		t.Error("the node has not called discovery within 10 s of the fault's end, want a call")
 	}
 }
 
-// startFaultyProcess starts a node that asks for lists, all of whose connections fail from its start on.
-func startFaultyProcess(t *testing.T, fault *failingCall, discovery string) *process {
+// startPollingNode starts a node that polls discovery for lists. All its connects fail from its start on.
+func startPollingNode(t *testing.T, fault *failingCall, discovery string) *nodeProcess {
 	t.Helper()
-	fault.begin(unix.ENETUNREACH)
+	fault.start(unix.ENETUNREACH)
 	pollConfig := func(text string) string {
 		return strings.Replace(text, `"settings":{`, `"settings":{"registry_mode":"subscribe","safety":{"ask_within":2000000},`, 1)
 	}
-	p, _ := faultyProcessWith(t, fault.decide, discovery, pollConfig)
+	p, _ := startFaultyNodeWithConfig(t, fault.decide, discovery, pollConfig)
 	return p
 }
