--- a/cmd/cherrygap/log_test.go
+++ b/cmd/cherrygap/log_test.go
@@ -150,7 +150,7 @@
 // The key log.level must suppress the lines below that level.
 func TestLogLevel(t *testing.T) {
 	address := nodetest.FreeAddress(t)
-	config := nodetest.ConfigAt(address, nodetest.FreeAddress(t), nodetest.AnyPort)
+	config := nodetest.ConfigAt(address, nodetest.FreeAddress(t), nodetest.LoopbackAddr)
 	logged := startLoggedNode(t, config, "[log]\nlevel = \"error\"\n")
 	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(address) })
 	logged.writeConfig(t, "{")
@@ -167,7 +167,7 @@
 // must print that name on standard error.
 func TestDeprecatedOperatorKeys(t *testing.T) {
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
-	config := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort)
+	config := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.LoopbackAddr)
 	logged := startLoggedNode(t, config, file)
 	const warning = "warn deprecated key in the operator file: key line node time write"
 	logged.awaitLines(t, warning, warning, warning, "info started: listen node time")
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -75,13 +75,13 @@
 	for {
 		netConn, err := dialer.DialContext(ctx, "tcp", t.addr)
 		transient := netio.IsResourceExhaustion(err) || netio.IsUnroutable(err)
-		if !transient || time.Now().Add(netio.ErrorPause).After(deadline) {
+		if !transient || time.Now().Add(netio.ErrorRetryDelay).After(deadline) {
 			return netConn, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(netio.ErrorPause):
+		case <-time.After(netio.ErrorRetryDelay):
 		}
 	}
 }
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -85,7 +85,7 @@
 func (c *clientConn) close(reason netio.CloseReason) {
 	c.closeOnce.Do(func() {
 		c.reason = reason
-		if reason.IsNodesChoice() && !c.check.inPhase(phaseClosed) {
+		if reason.IsNodeInitiated() && !c.check.inPhase(phaseClosed) {
 			invariant.Violated(&c.server.counters.CloseViolations, c.server.log, invariant.Closing).Str("reason", string(reason)).
 				Stringer("peer", c.conn.RemoteAddr()).Int("requests", c.requestCount).Msg(invariant.ViolatedMessage)
 		}
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("request with %d body bytes: status %d, %d body bytes, closes %v; want status 200, the same body, closes false",
 				size, status, len(got), closes)
 		}
-		time.Sleep(upstream.SettleTime)
+		time.Sleep(upstream.ReuseDelay)
 	}
 	if dials := node.Counters.Upstream.Dials.Load(); dials != 1 {
 		t.Errorf("%d connections dialed to the app server, want 1", dials)
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -43,7 +43,7 @@
 	conn, err := l.Listener.Accept()
 	for err != nil && !errors.Is(err, net.ErrClosed) {
 		l.log.Warn().Err(err).Msg("accept failed")
-		time.Sleep(netio.ErrorPause)
+		time.Sleep(netio.ErrorRetryDelay)
 		conn, err = l.Listener.Accept()
 	}
 	if err != nil {
--- a/internal/frontend/connlimit_test.go
+++ b/internal/frontend/connlimit_test.go
@@ -49,14 +49,14 @@
 		failing.errors = append(failing.errors, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)})
 	}
 	log := zerolog.Nop()
-	listener := (&Server{limits: netio.Limits{Sockets: 1024}, log: &log}).LimitListener(failing)
+	listener := (&Server{limits: netio.Limits{MaxDescriptors: 1024}, log: &log}).LimitListener(failing)
 	startedAt := time.Now()
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatalf("Accept after transient errors = %v, want a connection", err)
 	}
-	if took := time.Since(startedAt); took < netio.ErrorPause {
-		t.Errorf("Accept with transient errors took %v, want at least %v, the pause after an error", took, netio.ErrorPause)
+	if took := time.Since(startedAt); took < netio.ErrorRetryDelay {
+		t.Errorf("Accept with transient errors took %v, want at least %v, the pause after an error", took, netio.ErrorRetryDelay)
 	}
 	nettest.Close(conn)
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -24,7 +24,7 @@
 // in flight, rejected, failed or reset, or its request waits for a quota owner or a free connection. One run has one core.
 func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
 	fewSockets := frontendtest.Limits
-	fewSockets.Sockets = netio.MinReserved + 16
+	fewSockets.MaxDescriptors = netio.MinReserved + 16
 	for _, test := range []disconnectConfig{
 		{name: "many", seed: 30, targetDisconnects: 200, pool: frontendtest.Limits},
 		{
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -155,12 +155,12 @@
 }
 
 // Limits are limits for tests that must not reach any of them.
-var Limits = netio.Limits{Sockets: 1024, MemoryMB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
+var Limits = netio.Limits{MaxDescriptors: 1024, MemoryMiB: 192, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second}
 
 // LimitsForEightConnections returns limits that allow eight client connections and eight connections to app servers.
 func LimitsForEightConnections() netio.Limits {
 	limits := Limits
-	limits.Sockets = netio.MinReserved + 16
+	limits.MaxDescriptors = netio.MinReserved + 16
 	return limits
 }
 
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -113,7 +113,7 @@
 		emptyAccepts = 0
 		if err != nil { // the error is transient, so the listener stays usable
 			s.log.Warn().Err(err).Msg("accept failed")
-			time.Sleep(netio.ErrorPause)
+			time.Sleep(netio.ErrorRetryDelay)
 			continue
 		}
 		s.add(conn)
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -81,7 +81,7 @@
 // startAppServer starts an app server, whose handler is serve, and returns its address.
 func (n *node) startAppServer(t *testing.T, serve http.HandlerFunc) netip.AddrPort {
 	t.Helper()
-	listener, err := net.Listen("tcp", nettest.AnyPort())
+	listener, err := net.Listen("tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatalf("listen for the app server: %v", err)
 	}
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -119,7 +119,7 @@
 
 // Guards against a message to the authorizer whose encoding, method or metadata changes, and against a wrong verdict for a status.
 func TestCheckRequestWireFormat(t *testing.T) {
-	listener, err := net.Listen("tcp", nettest.AnyPort())
+	listener, err := net.Listen("tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatalf("listen for the authorizer: %v", err)
 	}
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -183,7 +183,7 @@
 	var first sync.Once
 	return &discovery.Client{
 		Addr: agent, NeedsFullList: true, Log: &none, Counters: &discovery.Counters{},
-		Limits: netio.Limits{Sockets: 64, MemoryMB: 64, ConnectTimeout: time.Second},
+		Limits: netio.Limits{MaxDescriptors: 64, MemoryMiB: 64, ConnectTimeout: time.Second},
 		OnList: func(list *protocol.EndpointList) {
 			f.applyList(list)
 			first.Do(func() { close(f.ready) })
--- a/internal/netio/closereason.go
+++ b/internal/netio/closereason.go
@@ -42,8 +42,8 @@
 	ReasonDiscoveryClosed CloseReason = "discovery-closed" // A connection to discovery closed, for any reason.
 )
 
-// IsNodesChoice reports whether the node closes a client connection for this reason without any action of the client.
-func (r CloseReason) IsNodesChoice() bool {
+// IsNodeInitiated reports whether the node closes a client connection for this reason without any action of the client.
+func (r CloseReason) IsNodeInitiated() bool {
 	return r == ReasonNodeDraining || r == ReasonNodeNearLimit || r == ReasonEvicted
 }
 
--- a/internal/netio/limits.go
+++ b/internal/netio/limits.go
@@ -4,9 +4,9 @@
 
 // Limits are the node's limits on file descriptors and memory, from its configuration.
 type Limits struct {
-	Sockets           int           // maximum number of file descriptors of all kinds
+	MaxDescriptors    int           // maximum number of file descriptors of all kinds
 	GRPC              bool          // true if a gRPC front end shares the client connections
-	MemoryMB          int           // memory limit of the whole process, in MiB
+	MemoryMiB         int           // memory limit of the whole process, in MiB
 	ServerIdleTimeout time.Duration // idle time after which app servers close connections; 0 means never
 	ConnectTimeout    time.Duration // maximum duration of a dial to an app server
 }
@@ -38,17 +38,17 @@
 const minConnsPerSide = 4
 
 const (
-	bufferMemoryDivisor = 8       // divisor of MemoryMB that gives the maximum memory of all buffers
+	bufferMemoryDivisor = 8       // divisor of MemoryMiB that gives the maximum memory of all buffers
 	buffersPerSocket    = 2       // one buffer for each direction
 	bufferGranularity   = 1 << 10 // buffer sizes are multiples of this number of bytes
 )
 
 // reserved returns the number of file descriptors that no client or app server connection may use. It is a quarter of all
 // descriptors, but at least MinReserved and at most maxReserved.
-func (l Limits) reserved() int { return min(max(MinReserved, l.Sockets/4), maxReserved) }
+func (l Limits) reserved() int { return min(max(MinReserved, l.MaxDescriptors/4), maxReserved) }
 
 // MaxConnsPerSide returns the maximum number of client connections, which is also that of connections to app servers.
-func (l Limits) MaxConnsPerSide() int { return max(minConnsPerSide, (l.Sockets-l.reserved())/2) }
+func (l Limits) MaxConnsPerSide() int { return max(minConnsPerSide, (l.MaxDescriptors-l.reserved())/2) }
 
 // GRPCConnections returns the maximum number of gRPC client connections. Each carries many requests, so a quarter of the
 // client connections is enough.
@@ -64,8 +64,8 @@
 
 // BufferSize returns the size of the buffer for one direction of a connection, in bytes, from MinBuffer to maxBuffer.
 func (l Limits) BufferSize() int {
-	memory := l.MemoryMB << 20 / bufferMemoryDivisor
-	size := memory / (buffersPerSocket * max(1, l.Sockets))
+	memory := l.MemoryMiB << 20 / bufferMemoryDivisor
+	size := memory / (buffersPerSocket * max(1, l.MaxDescriptors))
 	size -= size % bufferGranularity
 	return min(max(size, MinBuffer), maxBuffer)
 }
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -7,7 +7,7 @@
 func TestLimitsAccountForAllDescriptors(t *testing.T) {
 	for sockets := MinReserved + 2*minConnsPerSide; sockets < 5000; sockets++ {
 		for _, grpc := range []bool{false, true} {
-			limits := Limits{Sockets: sockets, GRPC: grpc}
+			limits := Limits{MaxDescriptors: sockets, GRPC: grpc}
 			clients := limits.HTTPConnections()
 			if grpc {
 				clients += limits.GRPCConnections()
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	if limits := (Limits{Sockets: 1024}); limits.MaxConnsPerSide() != 480 || limits.HTTPConnections() != 480 || limits.reserved() != 64 {
+	if limits := (Limits{MaxDescriptors: 1024}); limits.MaxConnsPerSide() != 480 || limits.HTTPConnections() != 480 || limits.reserved() != 64 {
 		t.Errorf("limit of 1024 descriptors: %d reserved, %d for app servers, %d for HTTP clients; want 64, 480 and 480",
 			limits.reserved(), limits.MaxConnsPerSide(), limits.HTTPConnections())
 	}
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ErrorPause is the wait before a failed accept, datagram read or dial is repeated. Without the wait, a persistent error would
+// ErrorRetryDelay is the wait before a failed accept, datagram read or dial is repeated. Without the wait, a persistent error would
 // use a whole core.
-const ErrorPause = 10 * time.Millisecond
+const ErrorRetryDelay = 10 * time.Millisecond
 
 // PastDeadline is a deadline in the past. It ends a read or write that waits on a connection.
 var PastDeadline = time.Unix(1, 0)
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -28,17 +28,17 @@
 	}
 }
 
-// Range of the addresses of AnyPort: 127.200.0.1 to 127.231.255.1. Nothing else in this repository uses these addresses.
+// Range of the addresses of LoopbackAddr: 127.200.0.1 to 127.231.255.1. Nothing else in this repository uses these addresses.
 const (
 	firstProcessNetwork = 200
 	processNetworks     = 32
 	processesPerNetwork = 256
 )
 
-// AnyPort returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
+// LoopbackAddr returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
 // time have different addresses. With a common address, one process could open a port that another has just closed. The first
 // process would then receive connections of the other's clients, such as a discovery client whose server is closed.
-func AnyPort() string {
+func LoopbackAddr() string {
 	id := os.Getpid()
 	network := firstProcessNetwork + id/processesPerNetwork%processNetworks
 	return fmt.Sprintf("127.%d.%d.1:0", network, id%processesPerNetwork)
@@ -47,7 +47,7 @@
 // Listen opens a listener on an address of this process. The listener is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", AnyPort())
+	listener, err := net.Listen("tcp", LoopbackAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -25,7 +25,7 @@
 	}
 	limits := c.socketLimits()
 	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.knownList.Revision != 41 || c.settings.Node.String() != "2" ||
-		limits.ServerIdleTimeout != 15*time.Second || limits.ConnectTimeout != 250*time.Millisecond || limits.Sockets != 1024 {
+		limits.ServerIdleTimeout != 15*time.Second || limits.ConnectTimeout != 250*time.Millisecond || limits.MaxDescriptors != 1024 {
 		t.Errorf("parseConfig(GoodConfig) with GW_LISTEN=127.0.0.7:80 = %+v with limits %+v, want that address, "+
 			"the file's seed, revision 41, slot_no 2, idle timeout 15s, connect timeout 250ms and 1024 sockets", c, limits)
 	}
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -19,9 +19,9 @@
 func valuesOf(c *Config) map[string]string {
 	limits, healthChecks, quota := c.socketLimits(), c.healthCheckConfig(), c.quotaConfig()
 	var descriptors syscall.Rlimit
-	sockets := fmt.Sprint(limits.Sockets)
+	sockets := fmt.Sprint(limits.MaxDescriptors)
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && c.Limits.Sockets > 1024 &&
-		uint64(limits.Sockets) == descriptors.Cur {
+		uint64(limits.MaxDescriptors) == descriptors.Cur {
 		sockets = "the process's"
 	}
 	names, objectives := []string{}, []time.Duration{}
@@ -35,7 +35,7 @@
 		"peer": fmt.Sprint(c.PeerListen), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeerBroadcast),
 		"limits":  fmt.Sprint(c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets),
 		"known":   fmt.Sprint(c.knownList.Revision, c.knownList.Full, len(c.knownList.Endpoints)),
-		"sockets": sockets, "memory": fmt.Sprint(limits.MemoryMB),
+		"sockets": sockets, "memory": fmt.Sprint(limits.MemoryMiB),
 		"idle": fmt.Sprint(limits.ServerIdleTimeout), "connect": fmt.Sprint(limits.ConnectTimeout),
 		"grpc": fmt.Sprint(limits.GRPC), "shares": fmt.Sprint(c.sharesHealthChecks()),
 		"duties": fmt.Sprintf("%d/%d %x %v %v %v", healthChecks.Self, healthChecks.Nodes, healthChecks.Seed,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -114,7 +114,7 @@
 	defer func() { os.Stderr = old }()
 	fillPipe(t, w)
 	listenOn := nodetest.FreeAddress(t)
-	ended := startNode(mustParse(t, nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.AnyPort)))
+	ended := startNode(mustParse(t, nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.LoopbackAddr)))
 	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	wantEnd(t, ended)
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -29,8 +29,8 @@
 	return strings.NewReplacer("127.0.0.4:9000", listen, "127.0.0.9:8500", discovery, "127.0.0.4:7946", peer).Replace(GoodConfig)
 }
 
-// AnyPort is a loopback address with port 0, for which the kernel chooses a port.
-const AnyPort = "127.0.0.1:0"
+// LoopbackAddr is a loopback address with port 0, for which the kernel chooses a port.
+const LoopbackAddr = "127.0.0.1:0"
 
 // GoodSettings is the value of the key settings in GoodConfig.
 const GoodSettings = `{"slot_no":2,"limits":{"conn_idle":15000000,"connect_timeout":250000,"peers":true}}`
@@ -146,7 +146,7 @@
 	t.Helper()
 	return strings.NewReplacer(`"targets":[]`, `"targets":[{"uid":"s","endpoint":"`+server.String()+`","state":"in_service"}]`,
 		`"slot_no":2`, `"replicas_of_me":1,"tick":2000,"services":[{"name":"seats","slo":2000000,"semantics":"at_most_once"}],
-		"tiers_of_service":[{"name":"team"}]`).Replace(ConfigAt(listenOn, discovery, AnyPort))
+		"tiers_of_service":[{"name":"team"}]`).Replace(ConfigAt(listenOn, discovery, LoopbackAddr))
 }
 
 // RequestBody is the body of RequestText.
--- a/internal/node/nogrpc_test.go
+++ b/internal/node/nogrpc_test.go
@@ -21,7 +21,7 @@
 		if len(keyErrors) > 0 {
 			t.Fatal(keyErrors)
 		}
-		c := mustParse(t, nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.AnyPort))
+		c := mustParse(t, nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.LoopbackAddr))
 		if err := c.ApplyOperator(file); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/partsconfig.go
+++ b/internal/node/partsconfig.go
@@ -19,15 +19,15 @@
 // limit and the process's.
 func (c *Config) socketLimits() netio.Limits {
 	limits := netio.Limits{
-		Sockets:           c.Limits.Sockets,
-		MemoryMB:          c.Limits.MemoryMB,
+		MaxDescriptors:    c.Limits.Sockets,
+		MemoryMiB:         c.Limits.MemoryMB,
 		ServerIdleTimeout: c.settings.IdleTimeout.Whole(),
 		ConnectTimeout:    c.settings.ConnectTimeout.Whole(),
 		GRPC:              c.operator.GRPC.Listen != "",
 	}
 	var descriptors syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && descriptors.Cur < uint64(limits.Sockets) {
-		limits.Sockets = int(descriptors.Cur)
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err == nil && descriptors.Cur < uint64(limits.MaxDescriptors) {
+		limits.MaxDescriptors = int(descriptors.Cur)
 	}
 	if limits.ConnectTimeout <= 0 {
 		limits.ConnectTimeout = defaultConnectTimeout
--- a/internal/peersocket/socket.go
+++ b/internal/peersocket/socket.go
@@ -42,7 +42,7 @@
 
 // Receive passes each message of a peer to handle, on the caller's goroutine, until Close. handle reports whether the
 // message was well-formed. payload is valid until handle returns. Receive counts and drops malformed messages, and datagrams
-// from other senders. After a read error it waits for netio.ErrorPause.
+// from other senders. After a read error it waits for netio.ErrorRetryDelay.
 func (s *Socket) Receive(handle func(from int, payload []byte) bool) {
 	buf := make([]byte, protocol.MaxDatagram+1) // The extra byte reveals a datagram that is too long.
 	for {
@@ -52,7 +52,7 @@
 		}
 		if err != nil {
 			s.counters.Dropped.Add(1)
-			time.Sleep(netio.ErrorPause)
+			time.Sleep(netio.ErrorRetryDelay)
 			continue
 		}
 		if from, ok := s.table.SenderOf(addr, n); ok && handle(from, buf[:n]) {
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -70,7 +70,7 @@
 		socket.Receive(func(int, []byte) bool { return true })
 		close(done)
 	}()
-	time.Sleep(20 * netio.ErrorPause)
+	time.Sleep(20 * netio.ErrorRetryDelay)
 	nettest.Close(socket.conn)
 	<-done
 	if dropped := counters.Dropped.Load(); dropped < 1 || dropped > 21 {
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -39,7 +39,7 @@
 // startAppServer starts an app server that echoes request bodies.
 func startAppServer(t *testing.T) *appServer {
 	t.Helper()
-	ln, err := net.Listen("tcp", nettest.AnyPort())
+	ln, err := net.Listen("tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatal("listening for the app server:", err)
 	}
@@ -90,7 +90,7 @@
 			Quota: quotas,
 		},
 		Endpoints: app.endpoints(),
-		Limits:    netio.Limits{Sockets: 512, MemoryMB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second},
+		Limits:    netio.Limits{MaxDescriptors: 512, MemoryMiB: 64, ServerIdleTimeout: 10 * time.Second, ConnectTimeout: time.Second},
 	})
 	return node.Server.Addr().String()
 }
--- a/internal/quotastore/wireformat_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -34,7 +34,7 @@
 // accepts all other commands.
 func startScriptedStore(t *testing.T, execReply string) *scriptedStore {
 	t.Helper()
-	ln, err := net.Listen("tcp", nettest.AnyPort())
+	ln, err := net.Listen("tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatal("listening for the scripted store:", err)
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -102,7 +102,7 @@
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "body")); status != 200 || body != "body" {
 			t.Errorf("response status %d, body %q; want 200, %q", status, body, "body")
 		}
-		time.Sleep(2 * upstream.SettleTime)
+		time.Sleep(2 * upstream.ReuseDelay)
 	}
 	if conns.Load() != 2 || !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
 		t.Errorf("%d connections served a request, %d attempts counted as %v; want 2 and 0, and a close logged with reason %q",
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -42,7 +42,7 @@
 		checkCount:  make([]int, count),
 	}
 	for i := range count {
-		ln, err := net.Listen("tcp", nettest.AnyPort())
+		ln, err := net.Listen("tcp", nettest.LoopbackAddr())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -21,7 +21,7 @@
 // startFixedResponder starts a server that answers each read with text, or never if text is empty.
 func startFixedResponder(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
-	ln, err := net.Listen("tcp", nettest.AnyPort())
+	ln, err := net.Listen("tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,10 +20,10 @@
 // closes the connection first, during a request, it may have executed the request.
 const maxIdleRatio = 0.8
 
-// SettleTime is the minimum time between a response and the connection's next use. A duplicate response that arrives in
+// ReuseDelay is the minimum time between a response and the connection's next use. A duplicate response that arrives in
 // between is detected, so it can't be read as the next request's response. Trade-off: a server needs one more connection for
 // each attempt that it gets within this time.
-const SettleTime = 30 * time.Millisecond
+const ReuseDelay = 30 * time.Millisecond
 
 // reducedIdleLimitDuration is the time for which the limit set by Pool.reduceIdleLimit applies.
 const reducedIdleLimitDuration = 10 * time.Second
@@ -81,13 +81,13 @@
 }
 
 // get takes the most recently used idle connection to a server, or returns nil if there is none. It skips connections that
-// were used within SettleTime, and closes expired and unusable ones.
+// were used within ReuseDelay, and closes expired and unusable ones.
 func (p *Pool) get(server *routing.Server) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for stack := p.idle[server]; len(stack) > 0; stack = p.idle[server] {
 		i := len(stack) - 1
-		for i >= 0 && time.Since(stack[i].idleSince) < SettleTime {
+		for i >= 0 && time.Since(stack[i].idleSince) < ReuseDelay {
 			i--
 		}
 		if i < 0 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -60,7 +60,7 @@
 func TestConnectionOfAnUnlistedServerIsClosedOnPut(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
-	nettest.Eventually(t, "the end of the wait before the connection's reuse", func() bool { return time.Since(conn.IdleSince()) > upstream.SettleTime })
+	nettest.Eventually(t, "the end of the wait before the connection's reuse", func() bool { return time.Since(conn.IdleSince()) > upstream.ReuseDelay })
 	if node.Pool.Get(server) != conn {
 		t.Fatal("Get did not return the pool's idle connection, want it")
 	}
@@ -100,7 +100,7 @@
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "mine")); status != 200 || body != "mine" {
 			t.Errorf("response status %d, body %q; want 200, %q", status, body, "mine")
 		}
-		time.Sleep(2 * upstream.SettleTime)
+		time.Sleep(2 * upstream.ReuseDelay)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.Attempts.Load() != 4 {
 		t.Errorf("%d attempts for 4 requests, want 4, and a close logged with reason %q",
@@ -153,7 +153,7 @@
 			}
 			return closed == 1
 		})
-		time.Sleep(upstream.SettleTime)
+		time.Sleep(upstream.ReuseDelay)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerClosed) {
 		t.Errorf("no connection logged as closed with reason %q, want each that the server closed", netio.ReasonServerClosed)
@@ -182,7 +182,7 @@
 		if status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x")); status != 200 {
 			failed++
 		}
-		time.Sleep(4 * upstream.SettleTime)
+		time.Sleep(4 * upstream.ReuseDelay)
 	}
 	if failed != 1 {
 		t.Errorf("%d of 12 requests failed, want exactly 1", failed)
@@ -190,7 +190,7 @@
 }
 
 // TestConnectionIsNotReusedAtOnce guards against reading a duplicate response as the next one. A connection must not be
-// used within SettleTime of a response.
+// used within ReuseDelay of a response.
 func TestConnectionIsNotReusedAtOnce(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	server, conn := idleConn(t, node)
@@ -200,7 +200,7 @@
 	if node.Pool.Get(server) != nil {
 		t.Error("Get returned a connection immediately after its last response, want nil")
 	}
-	conn.SetIdleSince(time.Now().Add(-upstream.SettleTime))
+	conn.SetIdleSince(time.Now().Add(-upstream.ReuseDelay))
 	if node.Pool.Get(server) != conn {
 		t.Error("Get did not return the connection after the wait before its reuse, want the connection")
 	}
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -99,7 +99,7 @@
 		}
 		return setErr
 	}}
-	listener, err := config.Listen(t.Context(), "tcp", nettest.AnyPort())
+	listener, err := config.Listen(t.Context(), "tcp", nettest.LoopbackAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	for _, conn := range conns {
 		n.Pool.Put(conn)
 	}
-	time.Sleep(2 * upstream.SettleTime)
+	time.Sleep(2 * upstream.ReuseDelay)
 }
 
 // connsInUse returns the number of the pool's connections that are in use.
