--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -11,28 +11,28 @@
 type eventKind uint8
 
 const (
-	// wakeNode is the expiry of a node's timer.
-	wakeNode eventKind = iota
+	// eventTimer is the expiry of a node's timer.
+	eventTimer eventKind = iota
 	// receive is the arrival of a datagram.
-	receive
-	// endCheck is the end of a node's health check of a server.
-	endCheck
-	// moveFault is the begin or the end of the scenario's fault, or its next step in the scenario flap.
-	moveFault
-	// sampleStates counts the dead members at all nodes. It happens each second after the fault.
-	sampleStates
+	eventDatagram
+	// eventCheckEnd is the end of a node's health check of a server.
+	eventCheckEnd
+	// updateFault is the begin or the end of the scenario's fault, or its next step in the scenario flap.
+	eventFault
+	// eventSample counts the dead members at all nodes. It happens each second after the fault.
+	eventSample
 )
 
-// event is a future event. moveFault and sampleStates use only at and kind.
+// event is a future event. updateFault and eventSample use only at and kind.
 type event struct {
 	at          time.Duration
 	sequence    int // orders events at the same time, as they were scheduled
 	kind        eventKind
 	node        int // receiver of the event
 	incarnation int // of the node; timers and checks of earlier incarnations are dropped
-	from        int // receive: sender
-	text        []byte
-	check       healthcheck.Check // endCheck
+	sender      int // receive: sender
+	payload     []byte
+	check       healthcheck.Check // eventCheckEnd
 }
 
 // eventQueue is a priority queue of future events. It implements heap.Interface.
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -13,8 +13,8 @@
 	minDelayMs = 1.0
 	// meanExtraDelayMs is the mean of the exponential delay on top of it, in milliseconds.
 	meanExtraDelayMs = 4.0
-	// lateProbability is the probability that a datagram is late, so that others overtake it.
-	lateProbability = 0.02
+	// latenessProbability is the probability that a datagram is late, so that others overtake it.
+	latenessProbability = 0.02
 	// maxLatenessMs is the largest additional delay of a late datagram, in milliseconds.
 	maxLatenessMs = 400
 	// nodesPerFlap is the number of nodes of which one stops or starts at each step of the scenario flap.
@@ -24,22 +24,22 @@
 )
 
 // send sends a datagram over the simulated network.
-func (s *simulation) send(from, to int, text []byte) {
+func (s *simulation) send(sender, receiver int, payload []byte) {
 	for range 1 + s.random.IntN(datagramsPerDuplicate)/(datagramsPerDuplicate-1) {
-		if s.nodes[to].up && s.arrives(from, to) {
-			s.queue.schedule(event{at: s.now + s.delay(), kind: receive, node: to, from: from, text: text})
+		if s.nodes[receiver].up && s.arrives(sender, receiver) {
+			s.queue.schedule(event{at: s.now + s.delay(), kind: eventDatagram, node: receiver, sender: sender, payload: payload})
 		}
 	}
 }
 
 // arrives reports whether a datagram between two nodes arrives.
-func (s *simulation) arrives(from, to int) bool {
+func (s *simulation) arrives(sender, receiver int) bool {
 	half := s.cfg.Nodes / 2
-	if s.faulty && s.cfg.Scenario == split && (from < half) != (to < half) {
+	if s.faultActive && s.cfg.Scenario == scenarioSplit && (sender < half) != (receiver < half) {
 		return false
 	}
 	loss := lossProbability
-	if s.faulty && s.cfg.Scenario == lossy {
+	if s.faultActive && s.cfg.Scenario == scenarioLossy {
 		loss = lossyLossProbability
 	}
 	return s.random.Float64() >= loss
@@ -48,23 +48,23 @@
 // delay draws the delay of a datagram, in whole milliseconds.
 func (s *simulation) delay() time.Duration {
 	delay := time.Duration(minDelayMs+s.random.ExpFloat64()*meanExtraDelayMs) * time.Millisecond
-	if s.random.Float64() < lateProbability {
+	if s.random.Float64() < latenessProbability {
 		delay += time.Duration(s.random.IntN(maxLatenessMs)) * time.Millisecond
 	}
 	return delay
 }
 
-// moveFault begins or ends the scenario's fault, or begins its next step.
-func (s *simulation) moveFault() {
+// updateFault begins or ends the scenario's fault, or begins its next step.
+func (s *simulation) updateFault() {
 	over := s.now >= s.faultEnds()
-	s.faulty = !s.faulty && !over
+	s.faultActive = !s.faultActive && !over
 	switch s.cfg.Scenario {
-	case vanish:
-		s.vanish()
-	case flap:
+	case scenarioVanish:
+		s.applyVanish()
+	case scenarioFlap:
 		if !over {
-			s.faulty = true
-			s.flap()
+			s.faultActive = true
+			s.applyFlap()
 			return
 		}
 		for id, n := range s.nodes {
@@ -74,26 +74,26 @@
 		}
 	}
 	if over {
-		s.faulty = false
+		s.faultActive = false
 	}
 }
 
 // vanish stops a share of the nodes when the fault begins, and starts them when it ends.
-func (s *simulation) vanish() {
-	if s.faulty {
-		s.down = s.random.Perm(s.cfg.Nodes)[:int(s.cfg.VanishShare*float64(s.cfg.Nodes))]
-		for _, id := range s.down {
+func (s *simulation) applyVanish() {
+	if s.faultActive {
+		s.stoppedNodes = s.random.Perm(s.cfg.Nodes)[:int(s.cfg.VanishShare*float64(s.cfg.Nodes))]
+		for _, id := range s.stoppedNodes {
 			s.stop(id)
 		}
 		return
 	}
-	for _, id := range s.down {
+	for _, id := range s.stoppedNodes {
 		s.start(id)
 	}
 }
 
 // flap stops or starts random nodes, and schedules the next step.
-func (s *simulation) flap() {
+func (s *simulation) applyFlap() {
 	for range max(1, s.cfg.Nodes/nodesPerFlap) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
 			s.stop(id)
@@ -102,5 +102,5 @@
 		}
 	}
 	pause := time.Duration(1+s.random.IntN(maxFlapSeconds)) * time.Second
-	s.queue.schedule(event{at: s.now + pause, kind: moveFault})
+	s.queue.schedule(event{at: s.now + pause, kind: eventFault})
 }
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -14,15 +14,15 @@
 
 // Scenarios, each with one fault. The fault begins after a third of the run and ends after two thirds.
 const (
-	calm   = "calm"   // no fault
-	vanish = "vanish" // some nodes stop
-	flap   = "flap"   // nodes stop and start every few seconds
-	split  = "split"  // the fleet is partitioned into two halves
-	lossy  = "lossy"  // a quarter of the datagrams is lost
+	scenarioCalm   = "calm"   // no fault
+	scenarioVanish = "vanish" // some nodes stop
+	scenarioFlap   = "flap"   // nodes stop and start every few seconds
+	scenarioSplit  = "split"  // the fleet is partitioned into two halves
+	scenarioLossy  = "lossy"  // a quarter of the datagrams is lost
 )
 
 // Scenarios are the names of all scenarios.
-var Scenarios = []string{calm, vanish, flap, split, lossy}
+var Scenarios = []string{scenarioCalm, scenarioVanish, scenarioFlap, scenarioSplit, scenarioLossy}
 
 // defaultVanishShare is the default of Config.VanishShare.
 const defaultVanishShare = 0.48
@@ -47,7 +47,7 @@
 }
 
 // check validates a configuration and returns it with defaults. An error wraps ErrUnknownScenario or ErrTooSmall.
-func (c Config) check() (Config, error) {
+func (c Config) validate() (Config, error) {
 	if !slices.Contains(Scenarios, c.Scenario) {
 		return c, fmt.Errorf("%w: %q is none of %v", ErrUnknownScenario, c.Scenario, Scenarios)
 	}
@@ -62,30 +62,30 @@
 
 // Result is the result of a run. Times are in seconds.
 type Result struct {
-	Scenario     string  `json:"scenario"`
-	Nodes        int     `json:"nodes"`
-	Servers      int     `json:"servers"`
-	Period       float64 `json:"ping_period_s"`
-	Interval     float64 `json:"check_period_s"`
-	WorstGap     float64 `json:"worst_gap_s"`    // longest time between two checks of a server
-	WorstGapAt   float64 `json:"worst_gap_at_s"` // end of that time
-	Checks       int64   `json:"checks"`
-	Doubled      int64   `json:"doubled"` // checks within half an interval after a check by another node
-	BytesMean    float64 `json:"bytes_a_node_a_second"`
-	BytesMost    float64 `json:"bytes_a_second_of_the_busiest_node"`
-	MessagesMost float64 `json:"messages_a_second_into_the_busiest_node"`
-	Withheld     int64   `json:"held_back"`    // messages dropped because of SendRate
-	WrongDeaths  int     `json:"wrong_deaths"` // live members that are dead at another node at the end of the run, over all nodes
-	Settled      float64 `json:"settled_s"`    // from the end of the fault until no live member is dead at any node; -1 for never
+	Scenario             string  `json:"scenario"`
+	Nodes                int     `json:"nodes"`
+	Servers              int     `json:"servers"`
+	PingPeriod           float64 `json:"ping_period_s"`
+	CheckInterval        float64 `json:"check_period_s"`
+	WorstGap             float64 `json:"worst_gap_s"`    // longest time between two checks of a server
+	WorstGapAt           float64 `json:"worst_gap_at_s"` // end of that time
+	Checks               int64   `json:"checks"`
+	DuplicateChecks      int64   `json:"doubled"` // checks within half an interval after a check by another node
+	MeanBytesPerSecond   float64 `json:"bytes_a_node_a_second"`
+	MaxBytesPerSecond    float64 `json:"bytes_a_second_of_the_busiest_node"`
+	MaxMessagesPerSecond float64 `json:"messages_a_second_into_the_busiest_node"`
+	Withheld             int64   `json:"held_back"`    // messages dropped because of SendRate
+	FalseDeaths          int     `json:"wrong_deaths"` // live members that are dead at another node at the end of the run, over all nodes
+	SettleTime           float64 `json:"settled_s"`    // from the end of the fault until no live member is dead at any node; -1 for never
 }
 
 // Play simulates a run. An error wraps ErrUnknownScenario or ErrTooSmall.
 func Play(cfg Config) (Result, error) {
-	cfg, err := cfg.check()
+	cfg, err := cfg.validate()
 	if err != nil {
 		return Result{}, err
 	}
 	s := newSimulation(cfg)
-	s.play()
+	s.run()
 	return s.summarize(), nil
 }
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -19,25 +19,25 @@
 					Nodes: c.nodes, Servers: 40, Duration: 90 * time.Second, Seed: seed, Scenario: scenario, ReceiveRate: 40,
 					SendRate: 4096, Interval: 5 * time.Second,
 				}
-				r, err := Play(cfg)
+				result, err := Play(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.WorstGap > 2*r.Interval {
+				if result.WorstGap > 2*result.CheckInterval {
 					t.Errorf("%s, %d nodes, seed %d: a server unchecked for %.1f s, the interval is %.1f", scenario, c.nodes, seed,
-						r.WorstGap, r.Interval)
+						result.WorstGap, result.CheckInterval)
 				}
-				if r.WrongDeaths > 0 || r.Settled < 0 {
-					t.Errorf("%s, %d nodes, seed %d: %d still taken for dead at the end", scenario, c.nodes, seed, r.WrongDeaths)
+				if result.FalseDeaths > 0 || result.SettleTime < 0 {
+					t.Errorf("%s, %d nodes, seed %d: %d still taken for dead at the end", scenario, c.nodes, seed, result.FalseDeaths)
 				}
-				if r.BytesMost > cfg.SendRate/2 || r.MessagesMost > cfg.ReceiveRate/4 {
-					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, r.BytesMost, r.MessagesMost)
+				if result.MaxBytesPerSecond > cfg.SendRate/2 || result.MaxMessagesPerSecond > cfg.ReceiveRate/4 {
+					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, result.MaxBytesPerSecond, result.MaxMessagesPerSecond)
 				}
 				// Two halves that can't hear each other check all twice for a third of the run; where a quarter of the
 				// datagrams is lost, so are some results of runs.
-				if part := map[string]int64{"split": 3, "lossy": 5}[scenario]; r.Doubled > r.Checks/max(part, 1)+5 ||
-					part == 0 && r.Doubled > r.Checks/10+5 {
-					t.Errorf("%s, %d nodes, seed %d: %d of %d checks doubled", scenario, c.nodes, seed, r.Doubled, r.Checks)
+				if divisor := map[string]int64{"split": 3, "lossy": 5}[scenario]; result.DuplicateChecks > result.Checks/max(divisor, 1)+5 ||
+					divisor == 0 && result.DuplicateChecks > result.Checks/10+5 {
+					t.Errorf("%s, %d nodes, seed %d: %d of %d checks doubled", scenario, c.nodes, seed, result.DuplicateChecks, result.Checks)
 				}
 			}
 		}
@@ -47,22 +47,22 @@
 // The same configuration yields the same result, and an invalid one an error.
 func TestRunsAreReproducible(t *testing.T) {
 	cfg := Config{Nodes: 12, Servers: 9, Duration: 30 * time.Second, Seed: 3, Scenario: "flap", ReceiveRate: 40, Interval: time.Second}
-	a, _ := Play(cfg)
-	if b, _ := Play(cfg); a != b {
-		t.Errorf("%+v, then %+v", a, b)
+	first, _ := Play(cfg)
+	if second, _ := Play(cfg); first != second {
+		t.Errorf("%+v, then %+v", first, second)
 	}
 	for _, c := range []struct {
-		bad  Config
-		want error
+		config Config
+		want   error
 	}{
 		{Config{}, ErrUnknownScenario},
-		{Config{Nodes: 1, Servers: 9, Duration: time.Minute, Scenario: calm}, ErrTooSmall},
-		{Config{Nodes: 12, Servers: 0, Duration: time.Minute, Scenario: calm}, ErrTooSmall},
-		{Config{Nodes: 12, Servers: 9, Duration: time.Millisecond, Scenario: calm}, ErrTooSmall},
+		{Config{Nodes: 1, Servers: 9, Duration: time.Minute, Scenario: scenarioCalm}, ErrTooSmall},
+		{Config{Nodes: 12, Servers: 0, Duration: time.Minute, Scenario: scenarioCalm}, ErrTooSmall},
+		{Config{Nodes: 12, Servers: 9, Duration: time.Millisecond, Scenario: scenarioCalm}, ErrTooSmall},
 		{Config{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}, ErrUnknownScenario},
 	} {
-		if _, err := Play(c.bad); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v, want %v", c.bad, err, c.want)
+		if _, err := Play(c.config); !errors.Is(err, c.want) {
+			t.Errorf("%+v: %v, want %v", c.config, err, c.want)
 		}
 	}
 }
--- a/internal/lab/histogram/histogram_test.go
+++ b/internal/lab/histogram/histogram_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Times are recorded to three digits and clamped to the histogram's range. An empty histogram has quantiles of 0.
+// Times are recorded to three digits and clamped to the histogram's range. Without the clamping, the histogram would drop times
+// outside it. An empty histogram has quantiles of 0.
 func TestRecordClampsToRange(t *testing.T) {
 	h := New()
 	if got := QuantileMs(h, 99); got != 0 {
-		t.Errorf("empty: %v", got)
+		t.Errorf("QuantileMs(99) of an empty histogram = %v ms, want 0", got)
 	}
 	for _, c := range []struct {
 		recorded time.Duration
@@ -23,10 +24,10 @@
 		h.Reset()
 		Record(h, c.recorded)
 		if got := QuantileMs(h, 50); got < c.wantMs || got > c.wantMs*1.001 {
-			t.Errorf("%v: %v ms, want %v", c.recorded, got, c.wantMs)
+			t.Errorf("QuantileMs(50) after Record(%v) = %v ms, want %v up to 0.1 %% more", c.recorded, got, c.wantMs)
 		}
 	}
 	if h.TotalCount() != 1 {
-		t.Errorf("%d recorded", h.TotalCount())
+		t.Errorf("the histogram has %d values after one call of Record, want 1", h.TotalCount())
 	}
 }
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -8,45 +8,46 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Second words of the seeds. Arrivals and requests have separate random streams, so that their draws are independent.
+// Second words of the seeds. Arrivals and the rest of the requests have separate random streams, so that their draws are
+// independent.
 const (
-	arrivalStream = 0x6c6f6164
-	requestStream = 0x6964
+	arrivalSeed = 0x6c6f6164 // times, classes and customers
+	requestSeed = 0x6964     // request ids and client retries
 )
 
-// Arrival is a request of the plan.
+// Arrival is a request that is due at a given time.
 type Arrival struct {
-	At          time.Duration // time since the start at which the request is due
+	At          time.Duration // time since the start of the run at which the request is due
 	Class       int           // index into the traffic's classes
-	Customer    uint64
-	ClientRetry bool // whether the request is a client's retry
+	Customer    uint64        // number of the customer
+	ClientRetry bool          // whether the request is a client's retry; false for drawn arrivals
 }
 
-// Plan returns the arrivals of a run: a Poisson process with cfg.Rate arrivals per second, and cfg.BurstX times as many during
-// bursts. The same seed yields the same plan. Clients' retries are not part of the plan.
-func Plan(cfg operatorfile.Traffic, seed uint64) []Arrival {
-	var out []Arrival
+// DrawArrivals returns the arrivals of a run. They are a Poisson process with cfg.Rate arrivals per second, and cfg.BurstX times
+// as many during bursts. The same seed yields the same arrivals. They do not include client retries.
+func DrawArrivals(cfg operatorfile.Traffic, seed uint64) []Arrival {
+	var arrivals []Arrival
 	for s := NewStream(cfg, seed); ; {
 		a, ok := s.Next()
 		if !ok {
-			return out
+			return arrivals
 		}
-		out = append(out, a)
+		arrivals = append(arrivals, a)
 	}
 }
 
-// Stream draws the arrivals of a plan one by one, for plans that are too long for memory.
+// Stream draws the arrivals of a run one by one, for runs whose arrivals do not fit in memory.
 type Stream struct {
 	cfg         operatorfile.Traffic
 	rng         *rand.Rand
 	customers   *rand.Zipf
-	totalShares float64 // sum of the classes' shares
-	now         float64 // seconds from the start to the last arrival
+	totalShares float64 // sum of the shares of the classes
+	now         float64 // seconds from the start of the run to the last drawn arrival
 }
 
-// NewStream returns the Stream of the plan that Plan returns for cfg and seed.
+// NewStream returns a Stream of the arrivals that DrawArrivals returns for cfg and seed.
 func NewStream(cfg operatorfile.Traffic, seed uint64) *Stream {
-	rng := rand.New(rand.NewPCG(seed, arrivalStream))
+	rng := rand.New(rand.NewPCG(seed, arrivalSeed))
 	s := &Stream{cfg: cfg, rng: rng, customers: rand.NewZipf(rng, cfg.Skew, 1, uint64(cfg.Customers-1))}
 	for _, class := range cfg.Classes {
 		s.totalShares += class.Share
@@ -54,7 +55,7 @@
 	return s
 }
 
-// Next returns the next arrival. It returns false at the end of the plan's duration.
+// Next returns the next arrival. It returns false if that would be after cfg.DurationS.
 func (s *Stream) Next() (Arrival, bool) {
 	rate := s.cfg.Rate
 	if inBurst(s.cfg, s.now) {
@@ -71,7 +72,7 @@
 	}, true
 }
 
-// drawClass draws the index of a class, with the classes' shares as weights.
+// drawClass draws the index of a class, with the shares of the classes as weights.
 func (s *Stream) drawClass() int {
 	pick := s.rng.Float64() * s.totalShares
 	for i, class := range s.cfg.Classes {
--- a/internal/lab/load/fileformat_test.go
+++ b/internal/lab/load/fileformat_test.go
@@ -16,7 +16,7 @@
 	var out bytes.Buffer
 	generator := &Generator{
 		Series: &out, result: Result{Latency: histogram.New(), Lag: histogram.New(), Sent: 10, ClientRetries: 1},
-		second: secondCounts{latency: histogram.New(), sent: 10, lagMicros: 1500},
+		currentSecond: secondCounts{latency: histogram.New(), sent: 10, lagMicros: 1500},
 	}
 	for o, n := range []int{4, 3, 2, 1} {
 		for k := range n {
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -42,11 +42,11 @@
 
 	startedAt time.Time // of the run
 
-	mu      sync.Mutex   // guards the fields below
-	rng     *rand.Rand   // of request ids and clients' retries
-	result  Result       // so far
-	second  secondCounts // of the current second
-	seconds int          // number of seconds flushed
+	mu             sync.Mutex   // guards the fields below
+	rng            *rand.Rand   // of request ids and clients' retries
+	result         Result       // so far
+	currentSecond  secondCounts // of the current second
+	flushedSeconds int          // number of seconds flushed
 }
 
 // Run sends all requests of the plan, and returns once each has ended. When ctx is done it sends no more, and the open requests
@@ -58,22 +58,22 @@
 			MaxConnsPerHost: g.Cfg.Connections, MaxIdleConnsPerHost: g.Cfg.Connections, DisableCompression: true,
 		}}
 	}
-	g.rng = rand.New(rand.NewPCG(g.Seed, requestStream))
+	g.rng = rand.New(rand.NewPCG(g.Seed, requestSeed))
 	g.result = Result{Latency: histogram.New(), Lag: histogram.New()}
-	g.second = secondCounts{latency: histogram.New()}
+	g.currentSecond = secondCounts{latency: histogram.New()}
 	g.startedAt = time.Now()
-	plan := Plan(g.Cfg, g.Seed)
+	arrivals := DrawArrivals(g.Cfg, g.Seed)
 	var wg sync.WaitGroup
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	var seriesErr error
 	flush := func() {
 		if err := g.flushSecond(); err != nil && seriesErr == nil {
 			seriesErr = fmt.Errorf("series: %w", err)
 		}
 	}
-	for _, a := range plan {
-		if !waitUntil(ctx, g.startedAt.Add(a.At), tick.C, flush) {
+	for _, a := range arrivals {
+		if !waitUntil(ctx, g.startedAt.Add(a.At), ticker.C, flush) {
 			wg.Wait()
 			return g.result, seriesErr
 		}
@@ -104,17 +104,17 @@
 // the Retry-After.
 func (g *Generator) send(ctx context.Context, a Arrival) {
 	due := g.startedAt.Add(a.At)
-	drawn := g.recordSent(a, due)
-	response := g.roundTrip(ctx, a, drawn.id, due)
-	g.recordOutcome(response.outcome, response.latency)
-	if response.outcome != Rejected || !drawn.retries || a.ClientRetry || ctx.Err() != nil {
+	drawn := g.recordRequest(a, due)
+	result := g.roundTrip(ctx, a, drawn.id, due)
+	g.recordOutcome(result.outcome, result.latency)
+	if result.outcome != Rejected || !drawn.retries || a.ClientRetry || ctx.Err() != nil {
 		return
 	}
 	a.ClientRetry = true
-	a.At = time.Since(g.startedAt) + response.retryAfter
+	a.At = time.Since(g.startedAt) + result.retryAfter
 	select {
 	case <-ctx.Done():
-	case <-time.After(response.retryAfter):
+	case <-time.After(result.retryAfter):
 		g.send(ctx, a)
 	}
 }
@@ -125,8 +125,8 @@
 	retries bool // whether the client retries after a rejection
 }
 
-// recordSent counts a request that is due, and draws its random part.
-func (g *Generator) recordSent(a Arrival, due time.Time) drawnRequest {
+// recordRequest counts a request that is due, and draws its random part.
+func (g *Generator) recordRequest(a Arrival, due time.Time) drawnRequest {
 	lag := time.Since(due)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,8 +134,8 @@
 	drawn.retries = g.rng.Float64() < g.Cfg.RetryProbability
 	histogram.Record(g.result.Lag, lag)
 	g.result.Sent++
-	g.second.sent++
-	g.second.lagMicros = max(g.second.lagMicros, lag.Microseconds())
+	g.currentSecond.sent++
+	g.currentSecond.lagMicros = max(g.currentSecond.lagMicros, lag.Microseconds())
 	if a.ClientRetry {
 		g.result.ClientRetries++
 	}
@@ -143,44 +143,44 @@
 }
 
 // response is the end of a request at its client.
-type response struct {
+type requestResult struct {
 	outcome    Outcome
 	latency    time.Duration // from the time at which the request was due; set only for Completed
 	retryAfter time.Duration // set only for Rejected
 }
 
 // roundTrip sends a request and reads the response, within the class's budget from the time due.
-func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) response {
+func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) requestResult {
 	class := g.Cfg.Classes[a.Class]
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(class.BudgetMs)*time.Millisecond))
 	defer cancel()
-	failure := func() response {
+	failure := func() requestResult {
 		if ctx.Err() != nil {
-			return response{outcome: TimedOut}
+			return requestResult{outcome: TimedOut}
 		}
-		return response{outcome: Failed}
+		return requestResult{outcome: Failed}
 	}
 	request, err := g.newRequest(ctx, a, id)
 	if err != nil {
-		return response{outcome: Failed}
+		return requestResult{outcome: Failed}
 	}
-	received, err := g.Client.Do(request)
+	response, err := g.Client.Do(request)
 	if err != nil {
 		return failure()
 	}
-	_, err = io.Copy(io.Discard, received.Body)
-	_ = received.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
 	latency := time.Since(due)
 	if err != nil {
 		return failure()
 	}
-	switch received.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
-		return response{outcome: Completed, latency: latency}
+		return requestResult{outcome: Completed, latency: latency}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return response{outcome: Rejected, retryAfter: retryAfter(received.Header.Get("Retry-After"))}
+		return requestResult{outcome: Rejected, retryAfter: parseRetryAfter(response.Header.Get("Retry-After"))}
 	}
-	return response{outcome: Failed}
+	return requestResult{outcome: Failed}
 }
 
 // newRequest returns the HTTP request of an arrival.
@@ -206,8 +206,8 @@
 	return request, nil
 }
 
-// retryAfter parses the value of a Retry-After header, an integer or a decimal number of seconds.
-func retryAfter(header string) time.Duration {
+// parseRetryAfter parses the value of a Retry-After header, an integer or a decimal number of seconds.
+func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || !(seconds >= 0) { // also true for NaN
 		return defaultRetryAfter
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -14,18 +14,18 @@
 )
 
 // The same seed yields the same plan, with the configured rate.
-func TestPlanIsReproducibleAndKeepsRate(t *testing.T) {
+func TestArrivalsAreReproducibleAndKeepRate(t *testing.T) {
 	cfg := operatorfile.Default().Lab.Load
 	cfg.Rate, cfg.DurationS, cfg.BurstS, cfg.BurstLenS, cfg.BurstX = 1000, 10, 5, 1, 3
-	a, b := Plan(cfg, 42), Plan(cfg, 42)
-	if !reflect.DeepEqual(a, b) {
+	arrivals, again := DrawArrivals(cfg, 42), DrawArrivals(cfg, 42)
+	if !reflect.DeepEqual(arrivals, again) {
 		t.Fatal("the same seed yielded two plans")
 	}
 	// 8 s at 1000/s and 2 s at 3000/s: 14,000 expected; Poisson's spread is ~120
-	if n := len(a); n < 13500 || n > 14500 {
+	if n := len(arrivals); n < 13500 || n > 14500 {
 		t.Fatalf("%d arrivals", n)
 	}
-	if reflect.DeepEqual(a[:50], Plan(cfg, 43)[:50]) {
+	if reflect.DeepEqual(arrivals[:50], DrawArrivals(cfg, 43)[:50]) {
 		t.Fatal("another seed yielded the same plan")
 	}
 }
@@ -47,14 +47,14 @@
 		cfg.Classes[i].BudgetMs = 60000
 	}
 	generator := &Generator{Cfg: cfg, Seed: 1}
-	res, err := generator.Run(context.Background())
+	result, err := generator.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := res.Summary()
+	summary := result.Summary()
 	// ~100 requests through one connection at 20 ms each take ~2 s: the last waited ~1.5 s past its due time.
-	if s.Outcomes["completed"] != s.Sent || s.P99Ms < 1000 {
-		t.Fatalf("%+v", s)
+	if summary.Outcomes["completed"] != summary.Sent || summary.P99Ms < 1000 {
+		t.Fatalf("%+v", summary)
 	}
 }
 
@@ -67,9 +67,9 @@
 	cfg.Rate, cfg.DurationS = 20, 0.2
 	generator := &Generator{Cfg: cfg, Seed: 1}
 	generator.Client = srv.Client()
-	res, err := generator.Run(context.Background()) // sets up; its own plan is kept by an idle generator
-	if err != nil || res.Behind {
-		t.Fatalf("a generator with little load is behind: %v %+v", err, res.Summary())
+	result, err := generator.Run(context.Background()) // sets up; its own plan is kept by an idle generator
+	if err != nil || result.Behind {
+		t.Fatalf("a generator with little load is behind: %v %+v", err, result.Summary())
 	}
 	generator.startedAt = time.Now().Add(-50 * time.Millisecond)
 	generator.send(context.Background(), Arrival{Class: 0, Customer: 1})
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -25,21 +25,21 @@
 	outcomeCount
 )
 
-// outcomeNames are the keys of the outcomes in the series and the summary. They stay as they are, because reports of all
+// outcomeKeys are the keys of the outcomes in the series and the summary. They stay as they are, because reports of all
 // versions share them.
-var outcomeNames = [outcomeCount]string{Completed: "completed", Rejected: "bounced", Failed: "broken", TimedOut: "gave_up"}
+var outcomeKeys = [outcomeCount]string{Completed: "completed", Rejected: "bounced", Failed: "broken", TimedOut: "gave_up"}
 
 // String returns the outcome's key.
-func (o Outcome) String() string { return outcomeNames[o] }
+func (o Outcome) String() string { return outcomeKeys[o] }
 
 // outcomeCounts is the number of requests by outcome.
 type outcomeCounts [outcomeCount]int64
 
-// byName returns the counts by the outcomes' keys.
-func (c outcomeCounts) byName() map[string]int64 {
+// byKey returns the counts by the outcomes' keys.
+func (c outcomeCounts) byKey() map[string]int64 {
 	counts := map[string]int64{}
 	for outcome, n := range c {
-		counts[outcomeNames[outcome]] = n
+		counts[outcomeKeys[outcome]] = n
 	}
 	return counts
 }
@@ -69,14 +69,14 @@
 // Summary returns the summary of the result.
 func (r Result) Summary() Summary {
 	return Summary{
-		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byName(), P50Ms: histogram.QuantileMs(r.Latency, 50),
+		Sent: r.Sent, ClientRetries: r.ClientRetries, Outcomes: r.Outcomes.byKey(), P50Ms: histogram.QuantileMs(r.Latency, 50),
 		P99Ms: histogram.QuantileMs(r.Latency, 99), P999Ms: histogram.QuantileMs(r.Latency, 99.9), LagP99Ms: histogram.QuantileMs(r.Lag, 99), Behind: r.Behind,
 	}
 }
 
 // Second is a line of the run's time series.
-type Second struct {
-	T        int              `json:"t"` // number of the second, from 0
+type SeriesLine struct {
+	Second   int              `json:"t"` // number of the second, from 0
 	Sent     int64            `json:"sent"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50Ms    float64          `json:"p50_ms"`
@@ -98,16 +98,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result.Outcomes[outcome]++
-	g.second.outcomes[outcome]++
+	g.currentSecond.outcomes[outcome]++
 	if outcome == Completed {
 		histogram.Record(g.result.Latency, latency)
-		histogram.Record(g.second.latency, latency)
+		histogram.Record(g.currentSecond.latency, latency)
 	}
 }
 
 // flushSecond writes the line of the current second and begins the next one.
 func (g *Generator) flushSecond() error {
-	line := g.cutSecond()
+	line := g.nextSeriesLine()
 	if g.Series == nil {
 		return nil
 	}
@@ -119,16 +119,16 @@
 	return err
 }
 
-// cutSecond returns the line of the current second and begins the next one.
-func (g *Generator) cutSecond() Second {
+// nextSeriesLine returns the line of the current second and begins the next one.
+func (g *Generator) nextSeriesLine() SeriesLine {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	counts := &g.second
-	line := Second{
-		T: g.seconds, Sent: counts.sent, Outcomes: counts.outcomes.byName(), P50Ms: histogram.QuantileMs(counts.latency, 50),
+	counts := &g.currentSecond
+	line := SeriesLine{
+		Second: g.flushedSeconds, Sent: counts.sent, Outcomes: counts.outcomes.byKey(), P50Ms: histogram.QuantileMs(counts.latency, 50),
 		P95Ms: histogram.QuantileMs(counts.latency, 95), P99Ms: histogram.QuantileMs(counts.latency, 99), LagMs: float64(counts.lagMicros) / 1e3,
 	}
-	g.seconds++
+	g.flushedSeconds++
 	counts.latency.Reset()
 	*counts = secondCounts{latency: counts.latency}
 	return line
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -6,22 +6,22 @@
 	"cherrygap/internal/protocol"
 )
 
-// The baseline policies are references for the engine's figures; the nodes do not use them. A baseline retries an attempt
-// that was not executed at another server. It retries an attempt that may have been executed only if the request's class is
-// safe to repeat. It rejects a request if it finds no server.
+// The baseline policies are references for the engine's results. Real nodes do not use them. After an attempt that was not
+// executed, a baseline chooses a server again. After one that may have been executed, it retries only if the request's class
+// is safe to repeat. It rejects a request if it finds no server.
 const (
-	baselineAttempts = 3                // of a request, at most
-	minTimeLeft      = time.Millisecond // to the deadline, for a retry
+	maxBaselineAttempts = 3                // maximum number of attempts of a request
+	minTimeLeft         = time.Millisecond // minimum time to the deadline for a retry
 )
 
 // bucket is a token bucket, a baseline's quota of a tenant at a node.
 type bucket struct {
-	level    float64       // units
-	filledAt time.Duration // last refill, in virtual time
+	level    float64       // units in the bucket
+	filledAt time.Duration // virtual time of the last refill
 }
 
-// decideByBaseline sends the next attempt of a request, or rejects the request.
-func (s *Sim) decideByBaseline(req *request) {
+// decideByBaseline sends the next attempt of a request, or rejects the request if the quota is used up or no server is found.
+func (s *Simulation) decideByBaseline(req *request) {
 	if req.attempts == 0 && !s.takeFromBucket(req) {
 		s.rejectByBaseline(req)
 		return
@@ -37,13 +37,13 @@
 }
 
 // rejectByBaseline rejects a request without a Retry-After.
-func (s *Sim) rejectByBaseline(req *request) {
-	s.end(req, outcomeRejected)
+func (s *Simulation) rejectByBaseline(req *request) {
+	s.endRequest(req, outcomeRejected)
 	s.scheduleRetry(req, 0)
 }
 
-// chooseServer returns the baseline's server for a node's next attempt, or nil.
-func (s *Sim) chooseServer(n *node) *server {
+// chooseServer returns the server that the baseline policy chooses for a node's next attempt, or nil for none.
+func (s *Simulation) chooseServer(n *node) *server {
 	if s.cfg.Policy == RoundRobin {
 		return s.nextBelowLimit(n)
 	}
@@ -52,11 +52,11 @@
 
 // nextBelowLimit returns the next server in rotation with fewer attempts of the node in flight than the static limit, or
 // nil if there is none.
-func (s *Sim) nextBelowLimit(n *node) *server {
+func (s *Simulation) nextBelowLimit(n *node) *server {
 	for range s.servers {
-		n.rotation = (n.rotation + 1) % len(s.servers)
-		if n.inFlight[n.rotation] < s.cfg.Limit {
-			return s.servers[n.rotation]
+		n.lastServer = (n.lastServer + 1) % len(s.servers)
+		if n.inFlight[n.lastServer] < s.cfg.MaxInFlight {
+			return s.servers[n.lastServer]
 		}
 	}
 	return nil
@@ -64,20 +64,20 @@
 
 // leastBusy returns the server with the fewest attempts at the last sample. Among equal servers it returns the next one in
 // rotation.
-func (s *Sim) leastBusy(n *node) *server {
+func (s *Simulation) leastBusy(n *node) *server {
 	best := -1
 	for k := range s.servers {
-		i := (n.rotation + 1 + k) % len(s.servers)
-		if best < 0 || s.servers[i].sampledWork < s.servers[best].sampledWork {
+		i := (n.lastServer + 1 + k) % len(s.servers)
+		if best < 0 || s.servers[i].sampledAttempts < s.servers[best].sampledAttempts {
 			best = i
 		}
 	}
-	n.rotation = best
+	n.lastServer = best
 	return s.servers[best]
 }
 
-// baselineResult ends or retries a request after an attempt's result.
-func (s *Sim) baselineResult(a *attempt) {
+// handleBaselineResult ends or retries a request after the result of its attempt.
+func (s *Simulation) handleBaselineResult(a *attempt) {
 	req := a.request
 	req.node.inFlight[a.server.id]--
 	if req.ended {
@@ -85,17 +85,17 @@
 	}
 	switch a.outcome {
 	case protocol.Completed:
-		s.end(req, outcomeCompleted)
+		s.endRequest(req, outcomeCompleted)
 		return
 	case protocol.Overloaded, protocol.ConnectFailed, protocol.NotSent:
-	default: // the server may have executed the request
+	default: // The server may have executed the request.
 		if !req.retrySafe {
-			s.end(req, outcomeFailed)
+			s.endRequest(req, outcomeFailed)
 			return
 		}
 	}
-	if req.attempts >= baselineAttempts || s.now >= req.deadline-minTimeLeft {
-		s.end(req, outcomeFailed)
+	if req.attempts >= maxBaselineAttempts || s.now >= req.deadline-minTimeLeft {
+		s.endRequest(req, outcomeFailed)
 		return
 	}
 	s.decideByBaseline(req)
@@ -103,15 +103,15 @@
 
 // takeFromBucket takes a request's units from its tenant's bucket at its node, and reports whether the bucket had them. Each
 // node of a tenant's set has an equal share of the quota, so the sum over the set is the quota.
-func (s *Sim) takeFromBucket(req *request) bool {
+func (s *Simulation) takeFromBucket(req *request) bool {
 	share := 1 / float64(s.spread())
-	burst := s.cfg.Burst * share
+	burst := s.cfg.QuotaBurst * share
 	b, ok := req.node.buckets[req.tenant]
 	if !ok {
 		b = &bucket{level: burst, filledAt: s.now}
 		req.node.buckets[req.tenant] = b
 	}
-	b.level = min(burst, b.level+s.cfg.Quota*share*(s.now-b.filledAt).Seconds())
+	b.level = min(burst, b.level+s.cfg.QuotaRate*share*(s.now-b.filledAt).Seconds())
 	b.filledAt = s.now
 	units := s.cfg.Traffic.Classes[req.class].Units
 	if b.level < units {
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -8,66 +8,66 @@
 	"cherrygap/internal/settings"
 )
 
-// Policy is the policy by which the nodes decide on requests.
+// Policy is the policy by which the nodes choose servers and reject requests.
 type Policy string
 
-// The policies. Module is the policy of real nodes; the others are baselines.
+// The policies. DecisionEngine is the policy of real nodes. The others are baselines.
 const (
-	Module     Policy = "module"      // the decision engine, through internal/routing
-	RoundRobin Policy = "round-robin" // rotation with a static limit of attempts in flight per server and node
-	LeastBusy  Policy = "late"        // the server with the fewest attempts at the last sample, which is up to 1 s old
+	DecisionEngine Policy = "module"      // the decision engine, through internal/routing
+	RoundRobin     Policy = "round-robin" // rotation with a static limit of attempts in flight per server and node
+	LeastBusy      Policy = "late"        // the server with the fewest attempts at the last sample, which is up to 1 s old
 )
 
 // Config configures a run.
 type Config struct {
-	Nodes    int
-	Seconds  float64 // virtual time with arrivals; the run ends with the last response
-	Policy   Policy
-	Seed     uint64
-	Traffic  operatorfile.Traffic  // Rate is that of the fleet; Target and DurationS are not used
-	Server   operatorfile.Emulator // of each server; Listen and Schedule are not used
-	Schedule emulator.Schedule     // of faults
-	Settings *settings.Settings    // of each node, without its number; nil for DefaultSettings
-	Limit    int                   // RoundRobin: attempts in flight per server and node; 0 for twice an equal share
-	RTT      time.Duration         // round trip between a node and a server; 0 for 500 µs
-	Quota    float64               // baselines: rate of a tenant, units/s; 0 for that of DefaultSettings
-	Burst    float64               // baselines: burst of a tenant, units; 0 for two seconds of Quota
+	Nodes       int
+	Seconds     float64 // virtual time with arrivals, s; the run ends when the last request has ended
+	Policy      Policy
+	Seed        uint64
+	Traffic     operatorfile.Traffic  // traffic of the whole fleet; Target and DurationS are not used
+	Server      operatorfile.Emulator // configuration of each server; Listen and Schedule are not used
+	Schedule    emulator.Schedule     // schedule of the servers' faults
+	Settings    *settings.Settings    // settings of each node, apart from Node; nil for DefaultSettings
+	MaxInFlight int                   // RoundRobin: static limit per server and node; 0 for twice an equal share of the concurrency
+	RTT         time.Duration         // round-trip time between a node and a server; 0 for 500 µs
+	QuotaRate   float64               // baselines: quota of a tenant, units/s; 0 for the quota and burst of DefaultSettings
+	QuotaBurst  float64               // baselines: burst of a tenant, units; 0 for two seconds of QuotaRate
 }
 
 // ConfigError is the error of an invalid configuration.
 type ConfigError struct {
-	Setting string // with its value if there is one
-	Reason  string
+	Setting string // name of the setting or settings, with the value if there is only one
+	Reason  string // requirement that the value does not meet
 }
 
-// Error returns the setting and the reason.
+// Error returns the setting and the reason, after the name of the package.
 func (e *ConfigError) Error() string { return "model: " + e.Setting + " " + e.Reason }
 
-// check returns a *ConfigError if the configuration is invalid.
-func (c *Config) check() error {
+// validate returns a *ConfigError if the configuration is invalid.
+func (c *Config) validate() error {
 	if c.Nodes < 1 || c.Server.Servers < 1 || !(c.Seconds > 0) {
 		return &ConfigError{"nodes, servers and seconds", "must be above 0"}
 	}
 	switch c.Policy {
-	case Module, RoundRobin, LeastBusy:
+	case DecisionEngine, RoundRobin, LeastBusy:
 		return nil
 	default:
 		return &ConfigError{"policy \"" + string(c.Policy) + "\"", "is none of module, round-robin, late"}
 	}
 }
 
-// setDefaults replaces each 0 that stands for a default.
+// setDefaults replaces each optional field that is 0 or less by its default.
 func (c *Config) setDefaults() {
 	if c.RTT <= 0 {
 		c.RTT = 500 * time.Microsecond
 	}
-	if c.Limit <= 0 {
-		c.Limit = max(1, c.Server.Concurrency*2/max(1, c.Nodes))
+	if c.MaxInFlight <= 0 {
+		c.MaxInFlight = max(1, c.Server.Concurrency*2/max(1, c.Nodes))
 	}
-	if c.Quota <= 0 {
-		c.Quota, c.Burst = defaultRate, defaultBurst
+	if c.QuotaRate <= 0 {
+		c.QuotaRate, c.QuotaBurst = defaultRate, defaultBurst
 	}
-	if c.Burst <= 0 {
-		c.Burst = 2 * c.Quota
+	if c.QuotaBurst <= 0 {
+		c.QuotaBurst = 2 * c.QuotaRate
 	}
 }
--- a/internal/lab/model/events_test.go
+++ b/internal/lab/model/events_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Events are ordered by time, and events of the same time by scheduling.
+// Events are ordered by time, and events of the same time by scheduling. Another order among them would make runs of the same
+// seed differ.
 func TestEventQueue(t *testing.T) {
-	s := &Sim{}
+	s := &Simulation{}
 	for _, at := range []time.Duration{5, 3, 5, 1, 3, 1} {
 		s.schedule(&event{at: at})
 	}
@@ -18,6 +19,6 @@
 		order = append(order, heap.Pop(&s.queue).(*event).seq)
 	}
 	if want := []uint64{4, 6, 2, 5, 1, 3}; !slices.Equal(order, want) {
-		t.Errorf("played in the order %v, not %v", order, want)
+		t.Errorf("the queue returned the events in the order %v, want %v", order, want)
 	}
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -19,35 +19,36 @@
 	server.Servers = 8
 	faults, err := emulator.ParseSchedule(schedule, server.Servers)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSchedule: %v", err)
 	}
 	traffic.Rate, traffic.Spread = 800, 2
 	return Config{Nodes: 6, Seconds: 20, Policy: policy, Seed: 5, Traffic: traffic, Server: server, Schedule: faults}
 }
 
-// newSim returns a run of a valid configuration.
-func newSim(t *testing.T, cfg Config, series io.Writer) *Sim {
+// newSimulation returns a simulation of a valid configuration, which writes its series to the given writer.
+func newSimulation(t *testing.T, cfg Config, series io.Writer) *Simulation {
 	t.Helper()
 	s, err := New(cfg, NewRecorder(series))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	return s
 }
 
-// Two runs of the same configuration and seed write the same series, byte for byte.
+// Two runs of the same configuration and seed write the same series, byte for byte. A draw from an unseeded source, or an
+// iteration over a map, would make them differ.
 func TestSameSeedSameRun(t *testing.T) {
-	var a, b bytes.Buffer
-	for _, series := range []*bytes.Buffer{&a, &b} {
-		newSim(t, testConfig(t, Module, testFaults), series).Run()
+	var first, second bytes.Buffer
+	for _, series := range []*bytes.Buffer{&first, &second} {
+		newSimulation(t, testConfig(t, DecisionEngine, faultSchedule), series).Run()
 	}
-	if a.Len() == 0 || !bytes.Equal(a.Bytes(), b.Bytes()) {
-		t.Fatalf("two runs of one seed differ (%d and %d bytes)", a.Len(), b.Len())
+	if first.Len() == 0 || !bytes.Equal(first.Bytes(), second.Bytes()) {
+		t.Fatalf("two runs of the same seed wrote series of %d and %d bytes, want two equal series that are not empty", first.Len(), second.Len())
 	}
 }
 
-// testFaults is a schedule with a restart, resets, lost responses and slow servers.
-const testFaults = `
+// faultSchedule is a schedule with a restart, resets, lost responses and slow servers.
+const faultSchedule = `
 [[fault]]
 kind = "restart"
 server = 1
@@ -73,21 +74,24 @@
 x = 8
 `
 
-// Under testFaults every request gets a response and no unsafe request is executed twice, with each policy.
+// Under faultSchedule every request gets a response and no unsafe request is executed twice, with each policy. Restarts and
+// lost responses can leave a request without an end, and a retry after them can execute a request twice.
 func TestFaultsLeaveNoRequestOpenAndNoSecondExecution(t *testing.T) {
-	for _, policy := range []Policy{Module, RoundRobin, LeastBusy} {
+	for _, policy := range []Policy{DecisionEngine, RoundRobin, LeastBusy} {
 		t.Run(string(policy), func(t *testing.T) {
-			totals := newSim(t, testConfig(t, policy, testFaults), nil).Run()
-			if totals.Twice != 0 || totals.Unanswered != 0 || totals.Requests < 10000 {
-				t.Errorf("%+v", totals)
+			totals := newSimulation(t, testConfig(t, policy, faultSchedule), nil).Run()
+			if totals.ExecutedTwice != 0 || totals.Unanswered != 0 || totals.Requests < 10000 {
+				t.Errorf("the totals are %+v, want no request executed twice, none unanswered and at least 10000 requests", totals)
 			}
-			if totals.Outcomes["broken"] == 0 && policy != Module {
-				t.Errorf("no request failed: %+v", totals.Outcomes)
+			if totals.Outcomes["broken"] == 0 && policy != DecisionEngine {
+				t.Errorf("the outcomes are %+v, want failed requests (broken) with a baseline policy", totals.Outcomes)
 			}
 		})
 	}
 }
 
+// New rejects an invalid configuration with a *ConfigError that names the setting. Without the
+// check, a run would panic, never end, or use another policy than the given one.
 func TestBadConfigIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -100,15 +104,15 @@
 		{"seconds", func(c *Config) { c.Seconds = math.NaN() }, "model: nodes, servers and seconds must be above 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := testConfig(t, Module, "")
+			cfg := testConfig(t, DecisionEngine, "")
 			c.change(&cfg)
 			_, err := New(cfg, NewRecorder(nil))
-			var bad *ConfigError
-			if !errors.As(err, &bad) {
-				t.Fatalf("not a *ConfigError: %v", err)
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) {
+				t.Fatalf("New returned the error %v, want a *ConfigError", err)
 			}
-			if bad.Error() != c.text {
-				t.Errorf("the error is %q", bad)
+			if configErr.Error() != c.text {
+				t.Errorf("New returned the error %q, want %q", configErr, c.text)
 			}
 		})
 	}
@@ -122,7 +126,7 @@
 	server.Servers = 200
 	traffic.Rate, traffic.Customers, traffic.Spread = 20000, 20000, 3
 	for range b.N {
-		s, err := New(Config{Nodes: 300, Seconds: 10, Policy: Module, Seed: 1, Traffic: traffic, Server: server}, NewRecorder(nil))
+		s, err := New(Config{Nodes: 300, Seconds: 10, Policy: DecisionEngine, Seed: 1, Traffic: traffic, Server: server}, NewRecorder(nil))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -131,7 +135,7 @@
 }
 
 // The engine sends no attempt to a draining server later than 500 ms after the notice of the drain (rule 3 of the
-// platform). RoundRobin ignores the notice, which shows that the check can fail.
+// platform). RoundRobin gets no notice, which shows that the check can fail.
 func TestNothingNewToADrainedServer(t *testing.T) {
 	const drains = `
 [[fault]]
@@ -145,11 +149,12 @@
 at_s = 8
 for_s = 1
 `
-	for _, policy := range []Policy{Module, RoundRobin} {
+	for _, policy := range []Policy{DecisionEngine, RoundRobin} {
 		t.Run(string(policy), func(t *testing.T) {
-			totals := newSim(t, testConfig(t, policy, drains), nil).Run()
-			if late := totals.LateToDrained; (policy == Module) != (late == 0) || totals.Unanswered != 0 {
-				t.Errorf("%d attempts late to drained servers, %d unanswered", late, totals.Unanswered)
+			totals := newSimulation(t, testConfig(t, policy, drains), nil).Run()
+			if late := totals.AttemptsAfterDrain; (policy == DecisionEngine) != (late == 0) || totals.Unanswered != 0 {
+				t.Errorf("%d attempts were sent over 500 ms after the notice of a drain, and %d requests are unanswered; want 0 (above 0 with %s) and 0",
+					late, totals.Unanswered, RoundRobin)
 			}
 		})
 	}
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -8,17 +8,17 @@
 )
 
 // Each line of the series counts one second, except for the requests in flight and those executed twice. The totals count
-// all seconds.
+// all seconds. A count that is not reset at the end of a second would appear in the next line too.
 func TestRecorder(t *testing.T) {
 	var series bytes.Buffer
 	r := NewRecorder(&series)
-	r.begin(&Config{Policy: Module, Nodes: 2})
+	r.setConfig(&Config{Policy: DecisionEngine, Nodes: 2})
 	safe, unsafe := &request{retrySafe: true}, &request{}
 	for _, req := range []*request{safe, unsafe} {
 		r.recordArrival()
 		for range 3 {
-			req.begun++
-			r.recordBegun(req)
+			req.executions++
+			r.recordExecution(req)
 		}
 	}
 	r.recordEnd(safe, outcomeCompleted, 20*time.Millisecond)
@@ -29,35 +29,36 @@
 {"t":1,"arrived":0,"outcomes":{"bounced":0,"broken":1,"completed":0,"gave_up":0},"p50_ms":0,"p95_ms":0,"p99_ms":0,"load_mean":0,"load_max":0,"open":0,"twice":1,"servers_up":2}
 `
 	if series.String() != want {
-		t.Errorf("the series is\n%snot\n%s", &series, want)
+		t.Errorf("the series is\n%swant\n%s", &series, want)
 	}
 	totals := r.Totals(7)
-	if totals.Requests != 2 || totals.Goodput != 0.5 || totals.Twice != 1 || totals.Unanswered != 0 || totals.Events != 7 ||
-		totals.Seconds != 2 || totals.Outcomes["completed"] != 1 || totals.Outcomes["broken"] != 1 {
-		t.Errorf("%+v", totals)
+	if totals.Requests != 2 || totals.Goodput != 0.5 || totals.ExecutedTwice != 1 || totals.Unanswered != 0 || totals.Events != 7 ||
+		totals.VirtualSeconds != 2 || totals.Outcomes["completed"] != 1 || totals.Outcomes["broken"] != 1 {
+		t.Errorf("the totals are %+v, want 2 requests in 2 s and 7 events, one completed, one failed (broken) and executed twice", totals)
 	}
 }
 
-var errFull = errors.New("full")
+var errDiskFull = errors.New("full")
 
-// fullDisk is a writer that accepts one line.
-type fullDisk struct{ lines int }
+// failingWriter is a writer that accepts one line and fails afterwards, like a full disk.
+type failingWriter struct{ lines int } // number of calls of Write
 
-func (d *fullDisk) Write(text []byte) (int, error) {
-	if d.lines++; d.lines > 1 {
-		return 0, errFull
+func (w *failingWriter) Write(text []byte) (int, error) {
+	if w.lines++; w.lines > 1 {
+		return 0, errDiskFull
 	}
 	return len(text), nil
 }
 
-// The recorder keeps the first error of the series and writes no line after it.
+// The recorder keeps the first error of the series and writes no line after it. A line after a failed write could follow half
+// of another.
 func TestRecorderKeepsTheFirstError(t *testing.T) {
-	disk := &fullDisk{}
-	r := NewRecorder(disk)
+	writer := &failingWriter{}
+	r := NewRecorder(writer)
 	for i := range 4 {
 		r.endSecond(time.Duration(i)*time.Second, fleetSample{})
 	}
-	if !errors.Is(r.Err(), errFull) || disk.lines != 2 {
-		t.Errorf("%v after %d lines", r.Err(), disk.lines)
+	if !errors.Is(r.Err(), errDiskFull) || writer.lines != 2 {
+		t.Errorf("the recorder returned the error %v after %d writes, want %v after 2", r.Err(), writer.lines, errDiskFull)
 	}
 }
--- a/internal/lab/model/series_test.go
+++ b/internal/lab/model/series_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// seriesKeys are the keys of each line of a series, in their order.
-const seriesKeys = "t arrived outcomes[bounced broken completed gave_up] p50_ms p95_ms p99_ms load_mean load_max open twice servers_up"
+// wantSeriesKeys are the keys of each line of a series, in their order.
+const wantSeriesKeys = "t arrived outcomes[bounced broken completed gave_up] p50_ms p95_ms p99_ms load_mean load_max open twice servers_up"
 
-// totalKeys are the keys of a run's totals, in their order.
-const totalKeys = "policy nodes servers virtual_s tickets outcomes[bounced broken completed gave_up] goodput p50_ms p99_ms twice " +
+// wantTotalsKeys are the keys of a run's totals, in their order.
+const wantTotalsKeys = "policy nodes servers virtual_s tickets outcomes[bounced broken completed gave_up] goodput p50_ms p99_ms twice " +
 	"unanswered late_to_drained events real_s virtual_s_per_real_s tickets_per_real_s"
 
 // keysOf returns the keys of a JSON object in their order, with the keys of an inner object in brackets.
@@ -55,14 +55,14 @@
 	return out.String()
 }
 
-// numbersOf returns the numbers of each line in ascending order, without their keys.
+// numbersOf returns the numbers of each line of a series in ascending order, without their keys.
 func numbersOf(t *testing.T, series []byte) string {
 	t.Helper()
 	var out strings.Builder
 	for _, line := range bytes.Split(bytes.TrimSpace(series), []byte("\n")) {
 		var m map[string]any
 		if err := json.Unmarshal(line, &m); err != nil {
-			t.Fatal(err)
+			t.Fatalf("the line %s of the series: %v", line, err)
 		}
 		var numbers []float64
 		for _, v := range m {
@@ -82,15 +82,16 @@
 }
 
 // The series of a seeded run has the expected first two lines, keys in all lines, and digest of all numbers, for each
-// policy. The engine's decisions determine the lines and the digest of Module.
+// policy. A different key breaks the readers of series. A different number means that the model has changed or, with the policy
+// DecisionEngine, the engine's decisions.
 func TestSeriesFormatAndFigures(t *testing.T) {
 	for _, c := range []struct {
 		policy Policy
-		first  string // two lines
-		digest string // SHA-256 of numbersOf
+		first  string // first two lines of the series
+		digest string // SHA-256 digest of numbersOf, in hexadecimal
 	}{
 		{
-			Module, `{"t":0,"arrived":874,"outcomes":{"bounced":242,"broken":0,"completed":612,"gave_up":0},"p50_ms":22.591,"p95_ms":81.151,"p99_ms":106.559,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
+			DecisionEngine, `{"t":0,"arrived":874,"outcomes":{"bounced":242,"broken":0,"completed":612,"gave_up":0},"p50_ms":22.591,"p95_ms":81.151,"p99_ms":106.559,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
 {"t":1,"arrived":905,"outcomes":{"bounced":228,"broken":0,"completed":675,"gave_up":0},"p50_ms":21.759,"p95_ms":82.111,"p99_ms":120.959,"load_mean":0.34375,"load_max":0.5,"open":22,"twice":0,"servers_up":8}
 `,
 			"1f053c6b7c15c867e512edbef621dde0c5f99757d2569321c2d3cea78770d54a",
@@ -110,29 +111,29 @@
 	} {
 		t.Run(string(c.policy), func(t *testing.T) {
 			var series bytes.Buffer
-			schedule := testFaults + "[[fault]]\nkind = \"drain\"\nserver = 4\nat_s = 8\nfor_s = 1\n"
-			totals, err := json.Marshal(newSim(t, testConfig(t, c.policy, schedule), &series).Run())
+			schedule := faultSchedule + "[[fault]]\nkind = \"drain\"\nserver = 4\nat_s = 8\nfor_s = 1\n"
+			totals, err := json.Marshal(newSimulation(t, testConfig(t, c.policy, schedule), &series).Run())
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Marshal of the totals: %v", err)
 			}
 			lines := strings.SplitAfter(series.String(), "\n")
 			if len(lines) < 20 {
-				t.Fatalf("%d lines", len(lines))
+				t.Fatalf("the series has %d lines, want at least 20", len(lines))
 			}
 			if got := lines[0] + lines[1]; got != c.first {
-				t.Errorf("the first two lines are\n%snot\n%s", got, c.first)
+				t.Errorf("the first two lines of the series are\n%swant\n%s", got, c.first)
 			}
 			for i, line := range lines[:len(lines)-1] {
-				if got := keysOf(t, []byte(line)); got != seriesKeys {
-					t.Errorf("line %d has the keys %s", i+1, got)
+				if got := keysOf(t, []byte(line)); got != wantSeriesKeys {
+					t.Errorf("line %d of the series has the keys\n%s, want\n%s", i+1, got, wantSeriesKeys)
 				}
 			}
-			if got := keysOf(t, totals); got != totalKeys {
-				t.Errorf("the totals have the keys %s", got)
+			if got := keysOf(t, totals); got != wantTotalsKeys {
+				t.Errorf("the totals have the keys\n%s, want\n%s", got, wantTotalsKeys)
 			}
 			sum := sha256.Sum256([]byte(numbersOf(t, series.Bytes())))
 			if got := hex.EncodeToString(sum[:]); got != c.digest {
-				t.Errorf("the numbers' digest is %s, not %s", got, c.digest)
+				t.Errorf("the digest of the numbers is %s, want %s", got, c.digest)
 			}
 		})
 	}
--- a/internal/lab/model/settings.go
+++ b/internal/lab/model/settings.go
@@ -5,18 +5,18 @@
 	"cherrygap/internal/settings"
 )
 
-// The default plan of a tenant.
+// The quota of the default plan.
 const (
 	defaultRate  = 100 // units/s
 	defaultBurst = 200 // units
 )
 
-// The default settings that depend neither on the traffic nor on the fleet's size.
+// The default settings that depend neither on the traffic nor on the size of the fleet.
 const (
 	tickMs              = 50
 	maxAttempts         = 3
 	maxRetryAfterMs     = 2000
-	slowStartShare      = 0.25 // share of an app server's capacity at its start
+	slowStartShare      = 0.25 // initial share of an app server's capacity
 	slowStartMs         = 10_000
 	overloadMultiple    = 3
 	overloadMs          = 2000
@@ -24,7 +24,7 @@
 )
 
 // DefaultSettings returns the settings of a run without Config.Settings. The classes and the plan are those of the traffic.
-// A class's latency objective is half of its client's timeout; the plan's quota is defaultRate with defaultBurst.
+// A class's latency objective is half of its client's timeout. The plan's quota is defaultRate with defaultBurst.
 func DefaultSettings(nodes int, traffic operatorfile.Traffic) *settings.Settings {
 	classes := make([]settings.Class, len(traffic.Classes))
 	for i, class := range traffic.Classes {
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// readEarlier reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
+// readEarlierSeries reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
 // `lab model --series` and `lab load --series`).
-func readEarlier(t *testing.T) []Run {
+func readEarlierSeries(t *testing.T) []Run {
 	t.Helper()
 	var runs []Run
 	for _, name := range []string{"earlier-model", "earlier-load"} {
@@ -25,15 +25,15 @@
 	return runs
 }
 
-// earlierSecond is a second of a series, as it is read.
-type earlierSecond struct {
-	t                            int
-	p50, p95, p99, mean, busiest float64
+// expectedSample is a second of a series, as it is read.
+type expectedSample struct {
+	second                           int
+	p50, p95, p99, loadMean, loadMax float64
 }
 
-const none = -1 // a load tool's series carries no servers' load
+const noLoad = -1 // a load tool's series carries no servers' load
 
-var earlierSeconds = [][]earlierSecond{
+var expectedSamples = [][]expectedSample{
 	{
 		{0, 22.783, 70.079, 121.599, 0.34375, 0.5},
 		{1, 23.935, 77.503, 109.951, 0.3125, 0.375},
@@ -42,24 +42,24 @@
 		{4, 50.879, 294.655, 341.503, 0, 0},
 	},
 	{
-		{0, 69.823, 262.911, 469.247, none, none},
-		{1, 83.711, 315.391, 399.103, none, none},
-		{2, 73.983, 190.719, 333.567, none, none},
+		{0, 69.823, 262.911, 469.247, noLoad, noLoad},
+		{1, 83.711, 315.391, 399.103, noLoad, noLoad},
+		{2, 73.983, 190.719, 333.567, noLoad, noLoad},
 	},
 }
 
 // Series of an earlier version stay readable: every figure that a report takes from them.
 func TestEarlierSeriesStayReadable(t *testing.T) {
-	for i, run := range readEarlier(t) {
+	for i, run := range readEarlierSeries(t) {
 		t.Run(run.Name, func(t *testing.T) {
-			want := earlierSeconds[i]
+			want := expectedSamples[i]
 			if len(run.Samples) != len(want) {
 				t.Fatalf("%d seconds, not %d", len(run.Samples), len(want))
 			}
-			for k, l := range run.Samples {
-				got := earlierSecond{l.Second, l.P50Ms, l.P95Ms, l.P99Ms, none, none}
-				if l.LoadMean != nil && l.LoadMax != nil {
-					got.mean, got.busiest = *l.LoadMean, *l.LoadMax
+			for k, sample := range run.Samples {
+				got := expectedSample{sample.Second, sample.P50Ms, sample.P95Ms, sample.P99Ms, noLoad, noLoad}
+				if sample.LoadMean != nil && sample.LoadMax != nil {
+					got.loadMean, got.loadMax = *sample.LoadMean, *sample.LoadMax
 				}
 				if got != want[k] {
 					t.Errorf("second %d is %+v, not %+v", k, got, want[k])
@@ -71,7 +71,7 @@
 
 // The table and the files of earlier series are as they were.
 func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
-	runs := readEarlier(t)
+	runs := readEarlierSeries(t)
 	const table = `# runs
 
 | run | seconds | bounced | broken | completed | gave_up | completed share | worst p99 ms |
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -52,31 +52,31 @@
 // charts returns the charts for which the runs have values.
 func charts(runs []Run) []chart {
 	list := []chart{
-		{"goodput.png", "completed / s", "completed requests a second", completed},
-		{"latency.png", "ms", "p99 latency of completed requests", latency},
-		{"outcomes.png", "rejected + failed + gave up / s", "requests not completed a second", notCompleted},
+		{"goodput.png", "completed / s", "completed requests a second", completedRequests},
+		{"latency.png", "ms", "p99 latency of completed requests", p99Latency},
+		{"outcomes.png", "rejected + failed + gave up / s", "requests not completed a second", uncompletedRequests},
 	}
 	for _, run := range runs {
 		if run.Samples[0].LoadMax != nil {
-			return append(list, chart{"load.png", "work in hand / concurrency", "load of the busiest server", busiest})
+			return append(list, chart{"load.png", "work in hand / concurrency", "load of the busiest server", busiestServerLoad})
 		}
 	}
 	return list
 }
 
 // completed returns the number of completed requests.
-func completed(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
+func completedRequests(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
 
 // latency returns the 99th percentile of the latency, in milliseconds.
-func latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
+func p99Latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
-// notCompleted returns the number of requests with another outcome.
-func notCompleted(s Sample) (float64, bool) {
+// uncompletedRequests returns the number of requests with another outcome.
+func uncompletedRequests(s Sample) (float64, bool) {
 	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeTimedOut]), true
 }
 
 // busiest returns the load of the busiest server.
-func busiest(s Sample) (float64, bool) {
+func busiestServerLoad(s Sample) (float64, bool) {
 	if s.LoadMax == nil {
 		return 0, false
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -21,8 +21,8 @@
 
 func TestBadLineIsNamed(t *testing.T) {
 	path := writeSeries(t, t.TempDir(), "{\"t\":0,\"outcomes\":{\"completed\":3}}\n{oops\n")
-	var series *SeriesError
-	if _, err := Read(path); !errors.As(err, &series) || series.Line != 2 || !strings.Contains(err.Error(), "line 2") {
+	var seriesErr *SeriesError
+	if _, err := Read(path); !errors.As(err, &seriesErr) || seriesErr.Line != 2 || !strings.Contains(err.Error(), "line 2") {
 		t.Fatalf("got %v", err)
 	}
 	if _, err := Read(writeSeries(t, t.TempDir(), "\n")); !errors.Is(err, ErrNoLines) {
