--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -1,8 +1,8 @@
-// Package load is the laboratory's open-loop load generator. Arrivals are a Poisson process with bursts, drawn in advance from
-// a seed. A slow gateway does not reduce the load. The latency of a request counts from the time at which it was due, which
-// avoids coordinated omission (Gil Tene). The generator also records its own lag, the time by which it sent requests late.
+// Package load is an open-loop load generator. Arrivals are a Poisson process with bursts, drawn in advance from a seed. A slow
+// gateway does not reduce the load. The latency of a request counts from the time at which it was due, which avoids coordinated
+// omission (Gil Tene). The generator also records its own lag, the time by which it sent requests late.
 //
-// The numbers of requests per customer follow a Zipf distribution. The class of a request gives its method and its timeout.
+// The numbers of requests per customer follow a Zipf distribution. The class of a request determines its method and its timeout.
 // After a rejection the client retries with a given probability, with a new request id and after the Retry-After.
 //
 // Latencies are recorded in HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
@@ -25,7 +25,7 @@
 )
 
 const (
-	// behindLagMicros is the 99th percentile of the lag beyond which a Result is marked Behind, in microseconds.
+	// behindLagMicros is the 99th percentile of the lag above which Result.Behind is set, in microseconds.
 	behindLagMicros = 10_000
 	// defaultRetryAfter is the delay of a client's retry without a valid Retry-After.
 	defaultRetryAfter = 100 * time.Millisecond
@@ -36,22 +36,22 @@
 // Generator sends the load of one run. The exported fields must not change after Run is called, and Run must be called once.
 type Generator struct {
 	Cfg    operatorfile.Traffic
-	Seed   uint64
-	Client *http.Client // nil for a client with Cfg.Connections connections
-	Series io.Writer    // receives a JSON line for each second; nil for none
+	Seed   uint64       // seed of the arrivals, request ids and client retries
+	Client *http.Client // nil for a client with at most Cfg.Connections connections
+	Series io.Writer    // receives a SeriesLine in JSON for each second; nil for none
 
-	startedAt time.Time // of the run
+	startedAt time.Time // start of the run
 
 	mu             sync.Mutex   // guards the fields below
-	rng            *rand.Rand   // of request ids and clients' retries
-	result         Result       // so far
-	currentSecond  secondCounts // of the current second
-	flushedSeconds int          // number of seconds flushed
+	rng            *rand.Rand   // draws request ids and client retries
+	result         Result       // result of the run so far
+	currentSecond  secondCounts // counts of the current second
+	flushedSeconds int          // number of lines written to Series
 }
 
-// Run sends all requests of the plan, and returns once each has ended. When ctx is done it sends no more, and the open requests
-// end as timed out; Behind is not set if that is before the last arrival. Run returns the first error of writing the series.
-// Each request has its own goroutine, which ends with the request.
+// Run sends the requests of all arrivals, and returns once each has ended. When ctx is done it sends no more requests, and those
+// in flight end as timed out. If that is before the last arrival, Run does not set Behind. Run returns the first error of
+// writing the series. Each request has its own goroutine, which ends with the request and its retry.
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
 		g.Client = &http.Client{Transport: &http.Transport{
@@ -69,7 +69,7 @@
 	var seriesErr error
 	flush := func() {
 		if err := g.flushSecond(); err != nil && seriesErr == nil {
-			seriesErr = fmt.Errorf("series: %w", err)
+			seriesErr = fmt.Errorf("write the series: %w", err)
 		}
 	}
 	for _, a := range arrivals {
@@ -86,7 +86,7 @@
 	return g.result, seriesErr
 }
 
-// waitUntil waits until the time due, and calls flush at each tick. It returns false if ctx is done before.
+// waitUntil waits until due, and calls flush at each tick. It returns false if ctx is done before.
 func waitUntil(ctx context.Context, due time.Time, tick <-chan time.Time, flush func()) bool {
 	for wait := time.Until(due); wait > 0; wait = time.Until(due) {
 		select {
@@ -119,13 +119,13 @@
 	}
 }
 
-// drawnRequest is the random part of a request.
+// drawnRequest contains the random properties of a request.
 type drawnRequest struct {
-	id      uint64
-	retries bool // whether the client retries after a rejection
+	id      uint64 // request id
+	retries bool   // whether the client retries after a rejection
 }
 
-// recordRequest counts a request that is due, and draws its random part.
+// recordRequest counts a request that is sent now, with its lag, and draws its random properties.
 func (g *Generator) recordRequest(a Arrival, due time.Time) drawnRequest {
 	lag := time.Since(due)
 	g.mu.Lock()
@@ -142,14 +142,14 @@
 	return drawn
 }
 
-// response is the end of a request at its client.
+// requestResult is the result of a request at its client.
 type requestResult struct {
 	outcome    Outcome
-	latency    time.Duration // from the time at which the request was due; set only for Completed
-	retryAfter time.Duration // set only for Rejected
+	latency    time.Duration // time since the request was due; set only for Completed
+	retryAfter time.Duration // delay of a client's retry; set only for Rejected
 }
 
-// roundTrip sends a request and reads the response, within the class's budget from the time due.
+// roundTrip sends a request and reads the response. The class's budget limits the time from due to the end of the response.
 func (g *Generator) roundTrip(ctx context.Context, a Arrival, id uint64, due time.Time) requestResult {
 	class := g.Cfg.Classes[a.Class]
 	ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(class.BudgetMs)*time.Millisecond))
@@ -206,10 +206,11 @@
 	return request, nil
 }
 
-// parseRetryAfter parses the value of a Retry-After header, an integer or a decimal number of seconds.
+// parseRetryAfter returns the delay in a Retry-After header, an integer or a decimal number of seconds, up to maxRetryAfter.
+// For an invalid header it returns defaultRetryAfter.
 func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
-	if err != nil || !(seconds >= 0) { // also true for NaN
+	if err != nil || !(seconds >= 0) { // The second condition also holds for NaN.
 		return defaultRetryAfter
 	}
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -13,29 +13,29 @@
 type Outcome int
 
 const (
-	// Completed is a response with status 200.
+	// Completed is the outcome of a response with status 200.
 	Completed Outcome = iota
-	// Rejected is a response with status 429 or 503.
+	// Rejected is the outcome of a response with status 429 or 503.
 	Rejected
-	// Failed is any other response, or a connection that failed.
+	// Failed is the outcome of any other response, and of a failed connection.
 	Failed
-	// TimedOut is a request without a response within the class's budget.
+	// TimedOut is the outcome of a request without a response within the class's budget.
 	TimedOut
 
 	outcomeCount
 )
 
-// outcomeKeys are the keys of the outcomes in the series and the summary. They stay as they are, because reports of all
+// outcomeKeys are the JSON keys of the outcomes in the series and the summary. They must not change, because reports of all
 // versions share them.
 var outcomeKeys = [outcomeCount]string{Completed: "completed", Rejected: "bounced", Failed: "broken", TimedOut: "gave_up"}
 
-// String returns the outcome's key.
+// String returns the JSON key of the outcome.
 func (o Outcome) String() string { return outcomeKeys[o] }
 
-// outcomeCounts is the number of requests by outcome.
+// outcomeCounts are the numbers of requests by outcome.
 type outcomeCounts [outcomeCount]int64
 
-// byKey returns the counts by the outcomes' keys.
+// byKey returns the counts as a map, by the keys of the outcomes.
 func (c outcomeCounts) byKey() map[string]int64 {
 	counts := map[string]int64{}
 	for outcome, n := range c {
@@ -46,23 +46,23 @@
 
 // Result is the result of a run.
 type Result struct {
-	Sent          int64 // requests, including clients' retries
-	ClientRetries int64 // clients' retries
-	Outcomes      outcomeCounts
-	Latency       *hdr.Histogram // of completed requests, in µs from the time at which each was due
-	Lag           *hdr.Histogram // time by which requests were sent late, in µs
+	Sent          int64          // number of requests, including client retries
+	ClientRetries int64          // number of client retries
+	Outcomes      outcomeCounts  // numbers of requests that have ended
+	Latency       *hdr.Histogram // latencies of completed requests, from the time at which each was due, in µs
+	Lag           *hdr.Histogram // times by which requests were sent late, in µs
 	Behind        bool           // whether the 99th percentile of Lag is above behindLagMicros
 }
 
-// Summary is a Result in the form of the laboratory's reports.
+// Summary is the JSON form of a Result, which `lab load` prints.
 type Summary struct {
 	Sent          int64            `json:"sent"`
-	ClientRetries int64            `json:"again"`
+	ClientRetries int64            `json:"again"` // number of client retries
 	Outcomes      map[string]int64 `json:"outcomes"`
 	P50Ms         float64          `json:"p50_ms"`
 	P99Ms         float64          `json:"p99_ms"`
 	P999Ms        float64          `json:"p999_ms"`
-	LagP99Ms      float64          `json:"lag_p99_ms"`
+	LagP99Ms      float64          `json:"lag_p99_ms"` // 99th percentile of the lag, ms
 	Behind        bool             `json:"behind"`
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// Second is a line of the run's time series.
+// SeriesLine is a line of the run's time series: the values of a second.
 type SeriesLine struct {
 	Second   int              `json:"t"` // number of the second, from 0
 	Sent     int64            `json:"sent"`
@@ -82,18 +82,18 @@
 	P50Ms    float64          `json:"p50_ms"`
 	P95Ms    float64          `json:"p95_ms"`
 	P99Ms    float64          `json:"p99_ms"`
-	LagMs    float64          `json:"lag_ms"` // longest lag of the second
+	LagMs    float64          `json:"lag_ms"` // longest lag of a request, ms
 }
 
 // secondCounts are the counts of the current second.
 type secondCounts struct {
 	sent      int64
 	outcomes  outcomeCounts
-	latency   *hdr.Histogram // of completed requests, in µs
-	lagMicros int64          // longest lag
+	latency   *hdr.Histogram // latencies of completed requests, in µs
+	lagMicros int64          // longest lag of a request, in µs
 }
 
-// recordOutcome counts the end of a request. latency is recorded only for Completed.
+// recordOutcome counts the end of a request. It records the latency only for Completed.
 func (g *Generator) recordOutcome(outcome Outcome, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// flushSecond writes the line of the current second and begins the next one.
+// flushSecond ends the current second, and writes its line to Series if that is set.
 func (g *Generator) flushSecond() error {
 	line := g.nextSeriesLine()
 	if g.Series == nil {
@@ -119,7 +119,7 @@
 	return err
 }
 
-// nextSeriesLine returns the line of the current second and begins the next one.
+// nextSeriesLine ends the current second and returns its line.
 func (g *Generator) nextSeriesLine() SeriesLine {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -7,32 +7,33 @@
 	"testing"
 )
 
-// readEarlierSeries reads the series that the commands of an earlier version wrote (testdata/earlier-*.jsonl, by
-// `lab model --series` and `lab load --series`).
+// readEarlierSeries reads the series that the commands `lab model --series` and `lab load --series` of an earlier version wrote
+// (testdata/earlier-*.jsonl).
 func readEarlierSeries(t *testing.T) []Run {
 	t.Helper()
 	var runs []Run
 	for _, name := range []string{"earlier-model", "earlier-load"} {
 		r, err := Read(filepath.Join("testdata", name+".jsonl"))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Read of the series %s: %v", name, err)
 		}
 		if r.Name != name {
-			t.Errorf("the run of %s is called %q", name, r.Name)
+			t.Errorf("the run of the series %s has the name %q, want the name of the file", name, r.Name)
 		}
 		runs = append(runs, r)
 	}
 	return runs
 }
 
-// expectedSample is a second of a series, as it is read.
+// expectedSample contains the expected values of a sample.
 type expectedSample struct {
 	second                           int
 	p50, p95, p99, loadMean, loadMax float64
 }
 
-const noLoad = -1 // a load tool's series carries no servers' load
+const noLoad = -1 // stands for a missing load; the series of `lab load` do not contain the servers' load
 
+// expectedSamples are the samples of the series of readEarlierSeries, in their order.
 var expectedSamples = [][]expectedSample{
 	{
 		{0, 22.783, 70.079, 121.599, 0.34375, 0.5},
@@ -48,13 +49,13 @@
 	},
 }
 
-// Series of an earlier version stay readable: every figure that a report takes from them.
+// Read still reads the series of an earlier version, with every value that a report uses. A renamed JSON key would read as 0.
 func TestEarlierSeriesStayReadable(t *testing.T) {
 	for i, run := range readEarlierSeries(t) {
 		t.Run(run.Name, func(t *testing.T) {
 			want := expectedSamples[i]
 			if len(run.Samples) != len(want) {
-				t.Fatalf("%d seconds, not %d", len(run.Samples), len(want))
+				t.Fatalf("the run %s has %d samples, want %d", run.Name, len(run.Samples), len(want))
 			}
 			for k, sample := range run.Samples {
 				got := expectedSample{sample.Second, sample.P50Ms, sample.P95Ms, sample.P99Ms, noLoad, noLoad}
@@ -62,14 +63,14 @@
 					got.loadMean, got.loadMax = *sample.LoadMean, *sample.LoadMax
 				}
 				if got != want[k] {
-					t.Errorf("second %d is %+v, not %+v", k, got, want[k])
+					t.Errorf("the sample %d is %+v, want %+v", k, got, want[k])
 				}
 			}
 		})
 	}
 }
 
-// The table and the files of earlier series are as they were.
+// The report of the series of an earlier version has the same table and the same files as in that version.
 func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
 	runs := readEarlierSeries(t)
 	const table = `# runs
@@ -81,23 +82,23 @@
 `
 	var b strings.Builder
 	if err := WriteTable(&b, "runs", runs); err != nil {
-		t.Fatal(err)
+		t.Fatalf("WriteTable: %v", err)
 	}
 	if b.String() != table {
-		t.Errorf("the table is\n%s\nnot\n%s", b.String(), table)
+		t.Errorf("the table is\n%s\nwant\n%s", b.String(), table)
 	}
 	files, err := Write(t.TempDir(), "runs", runs)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write: %v", err)
 	}
 	var names []string
 	for _, f := range files {
 		if info, err := os.Stat(f); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", f, err)
+			t.Errorf("Stat of the file %s returned the error %v and the info %+v, want a file that is not empty", f, err, info)
 		}
 		names = append(names, filepath.Base(f))
 	}
 	if got := strings.Join(names, " "); got != "goodput.png latency.png outcomes.png load.png report.md" {
-		t.Errorf("files %s", got)
+		t.Errorf("Write returned the files %s, want goodput.png latency.png outcomes.png load.png report.md", got)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -21,7 +21,7 @@
 )
 
 // Write writes goodput.png, latency.png, outcomes.png, load.png and report.md to the directory dir, and returns their paths in
-// this order. It writes load.png only if a run contains the load. It creates a missing directory.
+// this order. It writes load.png only if a run contains the servers' load. It creates a missing directory.
 func Write(dir, title string, runs []Run) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -41,15 +41,15 @@
 	return append(files, path), nil
 }
 
-// chart is a plot of a value of the samples over time, with a line for each run.
+// chart describes a plot of a value over time, with a line for each run.
 type chart struct {
-	file  string // name
-	axis  string // label of the y axis
-	title string
-	value func(Sample) (value float64, ok bool) // returns false if the sample does not have the value
+	file  string                                // name of the file
+	axis  string                                // label of the y axis
+	title string                                // title of the plot, after the title of the report
+	value func(Sample) (value float64, ok bool) // value of a sample; ok is false if the sample does not have it
 }
 
-// charts returns the charts for which the runs have values.
+// charts returns the charts for whose values the runs have samples. It decides on the load by the first sample of each run.
 func charts(runs []Run) []chart {
 	list := []chart{
 		{"goodput.png", "completed / s", "completed requests a second", completedRequests},
@@ -64,10 +64,10 @@
 	return list
 }
 
-// completed returns the number of completed requests.
+// completedRequests returns the number of completed requests.
 func completedRequests(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
 
-// latency returns the 99th percentile of the latency, in milliseconds.
+// p99Latency returns the 99th percentile of the latency, in milliseconds. A sample without completed requests does not have it.
 func p99Latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
 // uncompletedRequests returns the number of requests with another outcome.
@@ -75,7 +75,7 @@
 	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeTimedOut]), true
 }
 
-// busiest returns the load of the busiest server.
+// busiestServerLoad returns the load of the busiest server.
 func busiestServerLoad(s Sample) (float64, bool) {
 	if s.LoadMax == nil {
 		return 0, false
@@ -113,7 +113,7 @@
 	return points
 }
 
-// palette is the colors of the runs, in their order. More runs than colors use the colors again.
+// palette contains the colors of the runs, in their order. If there are more runs than colors, the colors repeat.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff},
 	color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff},
--- a/internal/lab/report/series.go
+++ b/internal/lab/report/series.go
@@ -27,26 +27,26 @@
 
 // Sample is a line of a series: the values of a second.
 type Sample struct {
-	Second   int              `json:"t"`         // since the start
-	Outcomes map[string]int64 `json:"outcomes"`  // number of requests that ended, by outcome
-	P50Ms    float64          `json:"p50_ms"`    // quantile of the latency of completed requests, in ms
-	P95Ms    float64          `json:"p95_ms"`    // likewise
-	P99Ms    float64          `json:"p99_ms"`    // likewise
-	LoadMean *float64         `json:"load_mean"` // requests in flight over concurrency, mean of all servers; nil if missing
-	LoadMax  *float64         `json:"load_max"`  // requests in flight over concurrency, of the busiest server; nil if missing
+	Second   int              `json:"t"`         // number of the second, from 0
+	Outcomes map[string]int64 `json:"outcomes"`  // number of requests that ended in the second, by outcome
+	P50Ms    float64          `json:"p50_ms"`    // median latency of completed requests, ms
+	P95Ms    float64          `json:"p95_ms"`    // 95th percentile of that latency, ms
+	P99Ms    float64          `json:"p99_ms"`    // 99th percentile of that latency, ms
+	LoadMean *float64         `json:"load_mean"` // attempts per concurrency of a server, mean of all servers; nil if missing
+	LoadMax  *float64         `json:"load_max"`  // attempts per concurrency of the busiest server; nil if missing
 }
 
 // Run is a series with its name.
 type Run struct {
-	Name    string
-	Samples []Sample // at least one
+	Name    string   // name of the run in plots and tables
+	Samples []Sample // seconds of the run; at least one
 }
 
-// SeriesError is the error for an invalid series.
+// SeriesError is the error of reading an invalid series.
 type SeriesError struct {
-	Path string
-	Line int // from 1; 0 if the error is not about a line
-	Err  error
+	Path string // path of the series file
+	Line int    // number of the invalid line, from 1; 0 if the error is not about a line
+	Err  error  // cause
 }
 
 // Error returns the path, the line and the text of Err.
@@ -60,17 +60,18 @@
 // Unwrap returns Err.
 func (e *SeriesError) Unwrap() error { return e.Err }
 
-// ErrNoLines is the error for a series without lines.
+// ErrNoLines is the cause of a SeriesError for a series without lines.
 var ErrNoLines = errors.New("no lines")
 
-// Read reads a series file. The name of the run is the name of the file without its extension. For a line that is not valid
-// JSON and for a file without lines the error is a *SeriesError. An error of opening the file is returned unchanged.
+// Read reads a series file and skips empty lines. The name of the run is the name of the file without its extension. For an
+// invalid line, a read error and a file without lines it returns a *SeriesError. It returns an error of opening the file
+// unchanged.
 func Read(path string) (Run, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return Run{}, err
 	}
-	defer func() { _ = f.Close() }() // without consequence for a file that was only read
+	defer func() { _ = f.Close() }() // An error of closing has no consequence for a file that was only read.
 	run := Run{Name: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))}
 	scanner := bufio.NewScanner(f)
 	scanner.Buffer(make([]byte, initialLineBytes), maxLineBytes)
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -36,13 +36,13 @@
 		return err
 	}
 	if err := WriteTable(f, title, runs); err != nil {
-		_ = f.Close() // err has the cause
+		_ = f.Close() // The error of WriteTable is the cause.
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return f.Close()
 }
 
-// outcomesOf returns the sorted names of all outcomes of the runs.
+// outcomesOf returns the names of all outcomes of the runs, sorted.
 func outcomesOf(runs []Run) []string {
 	names := map[string]bool{}
 	for _, run := range runs {
@@ -57,9 +57,9 @@
 
 // totals are the totals of a run.
 type totals struct {
-	outcomes   map[string]int64
-	requests   int64
-	worstP99Ms float64
+	outcomes   map[string]int64 // number of requests by outcome
+	requests   int64            // number of requests
+	worstP99Ms float64          // largest 99th percentile of a second, ms
 }
 
 // totalsOf returns the totals of a run.
