--- a/internal/lab/healthlab/events.go
+++ b/internal/lab/healthlab/events.go
@@ -13,26 +13,26 @@
 const (
 	// eventTimer is the expiry of a node's timer.
 	eventTimer eventKind = iota
-	// receive is the arrival of a datagram.
+	// eventDatagram is the arrival of a datagram.
 	eventDatagram
 	// eventCheckEnd is the end of a node's health check of a server.
 	eventCheckEnd
-	// updateFault is the begin or the end of the scenario's fault, or its next step in the scenario flap.
+	// eventFault is the beginning or the end of the scenario's fault, or its next step in the scenario flap.
 	eventFault
 	// eventSample counts the dead members at all nodes. It happens each second after the fault.
 	eventSample
 )
 
-// event is a future event. updateFault and eventSample use only at and kind.
+// event is a future event. The kinds eventFault and eventSample use only the fields at, sequence and kind.
 type event struct {
-	at          time.Duration
-	sequence    int // orders events at the same time, as they were scheduled
+	at          time.Duration // virtual time
+	sequence    int           // order of scheduling, by which events of the same time are ordered
 	kind        eventKind
-	node        int // receiver of the event
-	incarnation int // of the node; timers and checks of earlier incarnations are dropped
-	sender      int // receive: sender
-	payload     []byte
-	check       healthcheck.Check // eventCheckEnd
+	node        int               // node at which the event happens
+	incarnation int               // eventTimer, eventCheckEnd: incarnation of the node; events of earlier incarnations are dropped
+	sender      int               // eventDatagram: sender of the datagram
+	payload     []byte            // eventDatagram: content of the datagram
+	check       healthcheck.Check // eventCheckEnd: check that has ended
 }
 
 // eventQueue is a priority queue of future events. It implements heap.Interface.
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// lossProbability is the usual probability that a datagram is lost.
+	// lossProbability is the probability that a datagram is lost, except in the fault of the scenario lossy.
 	lossProbability = 0.01
-	// lossyLossProbability is that probability during the fault of the scenario lossy.
+	// lossyLossProbability is the probability that a datagram is lost during the fault of the scenario lossy.
 	lossyLossProbability = 0.25
-	// datagramsPerDuplicate is the mean number of datagrams of which one arrives twice.
+	// datagramsPerDuplicate is the mean number of datagrams of which one is duplicated.
 	datagramsPerDuplicate = 100
 	// minDelayMs is the shortest delay of a datagram, in milliseconds.
 	minDelayMs = 1.0
-	// meanExtraDelayMs is the mean of the exponential delay on top of it, in milliseconds.
+	// meanExtraDelayMs is the mean of the exponential delay that is added to minDelayMs, in milliseconds.
 	meanExtraDelayMs = 4.0
 	// latenessProbability is the probability that a datagram is late, so that others overtake it.
 	latenessProbability = 0.02
-	// maxLatenessMs is the largest additional delay of a late datagram, in milliseconds.
+	// maxLatenessMs is the upper bound (exclusive) of the additional delay of a late datagram, in milliseconds.
 	maxLatenessMs = 400
 	// nodesPerFlap is the number of nodes of which one stops or starts at each step of the scenario flap.
 	nodesPerFlap = 20
@@ -32,7 +32,7 @@
 	}
 }
 
-// arrives reports whether a datagram between two nodes arrives.
+// arrives draws whether a datagram from sender to receiver arrives.
 func (s *simulation) arrives(sender, receiver int) bool {
 	half := s.cfg.Nodes / 2
 	if s.faultActive && s.cfg.Scenario == scenarioSplit && (sender < half) != (receiver < half) {
@@ -54,7 +54,7 @@
 	return delay
 }
 
-// updateFault begins or ends the scenario's fault, or begins its next step.
+// updateFault begins or ends the scenario's fault, or executes its next step.
 func (s *simulation) updateFault() {
 	over := s.now >= s.faultEnds()
 	s.faultActive = !s.faultActive && !over
@@ -78,7 +78,7 @@
 	}
 }
 
-// vanish stops a share of the nodes when the fault begins, and starts them when it ends.
+// applyVanish stops a share of the nodes when the fault begins, and starts them when it ends.
 func (s *simulation) applyVanish() {
 	if s.faultActive {
 		s.stoppedNodes = s.random.Perm(s.cfg.Nodes)[:int(s.cfg.VanishShare*float64(s.cfg.Nodes))]
@@ -92,7 +92,7 @@
 	}
 }
 
-// flap stops or starts random nodes, and schedules the next step.
+// applyFlap stops or starts random nodes, and schedules the next step.
 func (s *simulation) applyFlap() {
 	for range max(1, s.cfg.Nodes/nodesPerFlap) {
 		if id := s.random.IntN(s.cfg.Nodes); s.nodes[id].up {
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// During every fault each server is checked at least once in two intervals. Afterwards all nodes agree on the members. The
-// bytes that a node sends do not grow with the fleet.
+// During every fault each server is checked at least once in two intervals. Stopped nodes and lost messages could otherwise leave
+// a server without a node that checks it. After the fault all nodes agree on the members. The bytes that a node sends do not grow
+// with the fleet.
 func TestNoServerGoesUncheckedForLong(t *testing.T) {
 	for _, scenario := range Scenarios {
 		for _, c := range []struct {
@@ -21,35 +22,39 @@
 				}
 				result, err := Play(cfg)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("the run with %+v returned the error: %v", cfg, err)
 				}
 				if result.WorstGap > 2*result.CheckInterval {
-					t.Errorf("%s, %d nodes, seed %d: a server unchecked for %.1f s, the interval is %.1f", scenario, c.nodes, seed,
-						result.WorstGap, result.CheckInterval)
+					t.Errorf("%s, %d nodes, seed %d: a server had no check for %.1f s, want at most two intervals of %.1f s", scenario,
+						c.nodes, seed, result.WorstGap, result.CheckInterval)
 				}
 				if result.FalseDeaths > 0 || result.SettleTime < 0 {
-					t.Errorf("%s, %d nodes, seed %d: %d still taken for dead at the end", scenario, c.nodes, seed, result.FalseDeaths)
+					t.Errorf("%s, %d nodes, seed %d: %d live members are dead at other nodes at the end, settled after %.1f s; want 0, and not -1",
+						scenario, c.nodes, seed, result.FalseDeaths, result.SettleTime)
 				}
 				if result.MaxBytesPerSecond > cfg.SendRate/2 || result.MaxMessagesPerSecond > cfg.ReceiveRate/4 {
-					t.Errorf("%s, %d nodes: %.0f bytes and %.1f messages a second", scenario, c.nodes, result.MaxBytesPerSecond, result.MaxMessagesPerSecond)
+					t.Errorf("%s, %d nodes, seed %d: a node sent %.0f bytes/s and a node received %.1f messages/s, want at most %.0f and %.1f",
+						scenario, c.nodes, seed, result.MaxBytesPerSecond, result.MaxMessagesPerSecond, cfg.SendRate/2, cfg.ReceiveRate/4)
 				}
-				// Two halves that can't hear each other check all twice for a third of the run; where a quarter of the
-				// datagrams is lost, so are some results of runs.
+				// In the scenario split both halves check all servers during a third of the run. In the scenario lossy some
+				// results are lost, so that other nodes repeat their checks.
 				if divisor := map[string]int64{"split": 3, "lossy": 5}[scenario]; result.DuplicateChecks > result.Checks/max(divisor, 1)+5 ||
 					divisor == 0 && result.DuplicateChecks > result.Checks/10+5 {
-					t.Errorf("%s, %d nodes, seed %d: %d of %d checks doubled", scenario, c.nodes, seed, result.DuplicateChecks, result.Checks)
+					t.Errorf("%s, %d nodes, seed %d: %d of %d checks are duplicates, want at most 1/3 (split), 1/5 (lossy) or 1/10, plus 5",
+						scenario, c.nodes, seed, result.DuplicateChecks, result.Checks)
 				}
 			}
 		}
 	}
 }
 
-// The same configuration yields the same result, and an invalid one an error.
+// The same configuration yields the same result; a draw from an unseeded source would make two runs differ. An invalid
+// configuration yields an error.
 func TestRunsAreReproducible(t *testing.T) {
 	cfg := Config{Nodes: 12, Servers: 9, Duration: 30 * time.Second, Seed: 3, Scenario: "flap", ReceiveRate: 40, Interval: time.Second}
 	first, _ := Play(cfg)
 	if second, _ := Play(cfg); first != second {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("two runs with %+v returned %+v and %+v, want the same result", cfg, first, second)
 	}
 	for _, c := range []struct {
 		config Config
@@ -62,12 +67,13 @@
 		{Config{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}, ErrUnknownScenario},
 	} {
 		if _, err := Play(c.config); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v, want %v", c.config, err, c.want)
+			t.Errorf("the run with %+v returned the error %v, want %v", c.config, err, c.want)
 		}
 	}
 }
 
-// Events are ordered by time, and at the same time by the order in which they were scheduled.
+// Events are ordered by time, and at the same time by the order in which they were scheduled. Another order among them would
+// make runs of the same configuration differ.
 func TestEventsComeInOrder(t *testing.T) {
 	var q eventQueue
 	for i := range 200 {
@@ -76,7 +82,7 @@
 	for last := (event{node: noNode}); q.Len() > 0; {
 		e := q.next()
 		if e.at < last.at || e.at == last.at && e.node <= last.node {
-			t.Errorf("%+v after %+v", e, last)
+			t.Errorf("the queue returned the event %+v after %+v, want events in the order of time and scheduling", e, last)
 		}
 		last = e
 	}
--- a/internal/lab/healthlab/resultformat_test.go
+++ b/internal/lab/healthlab/resultformat_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A run's result has the expected figures to the last digit, under the JSON keys that reports of all versions share. A
-// different figure means that a decision or a message of a node has changed.
+// The result of a run has the expected numbers to the last digit, under the JSON keys that reports of all versions share. A
+// different number means that a decision or a message of a node has changed.
 func TestResultsAndTheirFormat(t *testing.T) {
 	for scenario, want := range map[string]string{
 		"calm":   `{"scenario":"calm","nodes":20,"servers":30,"ping_period_s":0.8,"check_period_s":12,"worst_gap_s":14.419864361,"worst_gap_at_s":42.796992475,"checks":166,"doubled":16,"bytes_a_node_a_second":417.65416666666664,"bytes_a_second_of_the_busiest_node":456.05,"messages_a_second_into_the_busiest_node":3.8666666666666667,"held_back":504,"wrong_deaths":0,"settled_s":1}`,
@@ -22,14 +22,14 @@
 				Interval: 5 * time.Second,
 			})
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("the run of the scenario %s returned the error: %v", scenario, err)
 			}
 			got, err := json.Marshal(r)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Marshal of the result: %v", err)
 			}
 			if string(got) != want {
-				t.Errorf("\n%s, want\n%s", got, want)
+				t.Errorf("the result of the scenario %s is\n%s, want\n%s", scenario, got, want)
 			}
 		})
 	}
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -13,44 +13,44 @@
 	checkDuration = 20 * time.Millisecond
 	// sampleInterval is the time between two samples of the nodes' states.
 	sampleInterval = time.Second
-	// checkIDStep is the difference between the ids of two consecutive servers. It avoids a pattern in the hashes.
+	// checkIDStep is the difference between the check ids of two consecutive servers. It avoids a pattern in the hashes.
 	checkIDStep = 7919
-	// noNode stands for the absence of a node.
+	// noNode stands for the number of a missing node.
 	noNode = -1
 )
 
 // node is a simulated node.
 type node struct {
-	scheduler   *healthcheck.Scheduler // of the current incarnation
+	scheduler   *healthcheck.Scheduler // scheduler of the current incarnation
 	incarnation int                    // number of starts
-	up          bool
-	timerAt     time.Duration // time of the current timer
-	received    int64         // messages received in all incarnations
-	sentBytes   int64         // bytes sent in earlier incarnations
-	withheld    int64         // messages withheld in earlier incarnations
+	up          bool                   // whether the node runs
+	timerAt     time.Duration          // virtual time at which the current timer expires
+	received    int64                  // number of messages received in all incarnations
+	sentBytes   int64                  // number of bytes sent in earlier incarnations
+	withheld    int64                  // number of messages dropped because of SendRate in earlier incarnations
 }
 
 // server is the state of an app server.
 type server struct {
-	checkedAt time.Duration // time of the last check
-	checkedBy int           // node of the last check; noNode before the first one
+	checkedAt time.Duration // virtual time of the last check; 0 before the first one
+	checkedBy int           // node that ran the last check; noNode before the first one
 }
 
 // simulation is the state of a run.
 type simulation struct {
 	cfg          Config
 	random       *rand.Rand
-	now          time.Duration
+	now          time.Duration // virtual time since the start
 	queue        eventQueue
 	nodes        []*node
 	servers      []server
-	checks       []healthcheck.Check // of each server
+	checks       []healthcheck.Check // check of each server, by the server's index
 	faultActive  bool                // whether the scenario's fault is active
-	stoppedNodes []int               // vanish: nodes that were stopped
-	result       Result
+	stoppedNodes []int               // nodes that the scenario vanish stopped
+	result       Result              // result so far
 }
 
-// newSimulation returns a simulation whose nodes have started.
+// newSimulation returns a simulation whose nodes have started, each with its first timer in the queue.
 func newSimulation(cfg Config) *simulation {
 	s := &simulation{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 7)), servers: make([]server, cfg.Servers)}
 	for i := range s.servers {
@@ -65,10 +65,10 @@
 	return s
 }
 
-// faultBegins returns the begin of the scenario's fault.
+// faultBegins returns the virtual time at which the scenario's fault begins.
 func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
 
-// faultEnds returns the end of the scenario's fault.
+// faultEnds returns the virtual time at which the scenario's fault ends.
 func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
 // start starts a node as a new incarnation, without any state of earlier ones.
@@ -89,7 +89,7 @@
 	s.queue.schedule(event{at: s.now, kind: eventTimer, node: id, incarnation: n.incarnation})
 }
 
-// stop stops a node unless it is down.
+// stop stops a node. It does nothing if the node does not run.
 func (s *simulation) stop(id int) {
 	n := s.nodes[id]
 	if !n.up {
@@ -101,7 +101,7 @@
 	n.withheld += counters.Withheld
 }
 
-// play runs the whole simulation.
+// run runs the whole simulation.
 func (s *simulation) run() {
 	s.queue.schedule(event{at: s.faultBegins(), kind: eventFault})
 	s.queue.schedule(event{at: s.faultEnds(), kind: eventFault})
@@ -119,7 +119,7 @@
 	}
 }
 
-// handle processes an event.
+// handleEvent processes an event. It drops an event of a stopped node or of an earlier incarnation.
 func (s *simulation) handleEvent(e event) {
 	switch e.kind {
 	case eventSample:
@@ -136,18 +136,18 @@
 	switch e.kind {
 	case eventDatagram:
 		n.received++
-		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.sender), e.payload) // the scheduler counts errors
+		_ = n.scheduler.ReceivePeerMessage(s.now, healthcheck.NodeID(e.sender), e.payload) // The scheduler counts errors.
 	case eventCheckEnd:
 		n.scheduler.CheckEnded(s.now, e.check, true)
 	default:
-		if e.at < n.timerAt { // the timer was replaced by a later one
+		if e.at < n.timerAt { // A later timer has replaced this one.
 			return
 		}
 	}
 	s.executeSteps(e.node)
 }
 
-// executeSteps carries out the pending steps of a node, and sets its timer.
+// executeSteps executes the pending steps of a node, and sets its timer.
 func (s *simulation) executeSteps(id int) {
 	n := s.nodes[id]
 	for step, ok := n.scheduler.Next(s.now); ok; step, ok = n.scheduler.Next(s.now) {
@@ -157,14 +157,14 @@
 		case healthcheck.Run:
 			s.recordCheck(int((step.Check.ID-1)/checkIDStep), id)
 			s.queue.schedule(event{at: s.now + checkDuration, kind: eventCheckEnd, node: id, incarnation: n.incarnation, check: step.Check})
-		case healthcheck.Ended: // a simulated node has no use for the result
+		case healthcheck.Ended: // A simulated node does not use the result.
 		}
 	}
 	n.timerAt = s.now + n.scheduler.Wake(s.now)
 	s.queue.schedule(event{at: n.timerAt, kind: eventTimer, node: id, incarnation: n.incarnation})
 }
 
-// recordCheck records the begin of a check of the server with an index, by a node.
+// recordCheck records that the node by begins a check of the server with the given index.
 func (s *simulation) recordCheck(index, by int) {
 	server := &s.servers[index]
 	s.result.Checks++
@@ -176,14 +176,14 @@
 	server.checkedAt, server.checkedBy = s.now, by
 }
 
-// recordGap records a time without a check of a server.
+// recordGap records a time without a check of a server, if it is the longest so far.
 func (s *simulation) recordGap(from, to time.Duration) {
 	if gap := (to - from).Seconds(); gap > s.result.WorstGap {
 		s.result.WorstGap, s.result.WorstGapAt = gap, to.Seconds()
 	}
 }
 
-// sample counts the dead members at all nodes. All nodes are up after the fault, so the count should be 0.
+// sample counts the members that nodes consider dead. All nodes run after the fault, so the count should be 0.
 func (s *simulation) sample() {
 	falseDeaths := 0
 	for _, n := range s.nodes {
@@ -200,7 +200,7 @@
 	s.queue.schedule(event{at: s.now + sampleInterval, kind: eventSample})
 }
 
-// summarize returns the result of the run. The caller has called play.
+// summarize returns the result of the run, after the method run.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
