--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -43,7 +43,7 @@
 	ReceiveRate float64       // ReceiveRate of healthcheck.Config, messages/s
 	SendRate    float64       // SendRate of healthcheck.Config, bytes/s
 	Interval    time.Duration // Interval of healthcheck.Config
-	VanishShare float64       // share of the nodes that vanish in the scenario vanish; 0 for defaultVanishShare
+	VanishShare float64       // share of the nodes that stop in the scenario vanish; 0 for defaultVanishShare
 }
 
 // validate validates the configuration and returns it with its defaults. An error wraps ErrUnknownScenario or ErrTooSmall.
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -29,7 +29,7 @@
 						c.nodes, seed, result.WorstGap, result.CheckInterval)
 				}
 				if result.FalseDeaths > 0 || result.SettleTime < 0 {
-					t.Errorf("%s, %d nodes, seed %d: %d live members are dead at other nodes at the end, settled after %.1f s; want 0, and not -1",
+					t.Errorf("%s, %d nodes, seed %d: %d live members are dead at other nodes at the end, and the settle time is %.1f s; want 0, and a time of at least 0",
 						scenario, c.nodes, seed, result.FalseDeaths, result.SettleTime)
 				}
 				if result.MaxBytesPerSecond > cfg.SendRate/2 || result.MaxMessagesPerSecond > cfg.ReceiveRate/4 {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -200,7 +200,7 @@
 	s.queue.schedule(event{at: s.now + sampleInterval, kind: eventSample})
 }
 
-// summarize returns the result of the run, after the method run.
+// summarize returns the result of the run. The method run must have returned.
 func (s *simulation) summarize() Result {
 	r, first := s.result, s.nodes[0].scheduler
 	r.Scenario, r.Nodes, r.Servers = s.cfg.Scenario, s.cfg.Nodes, s.cfg.Servers
--- a/internal/lab/histogram/histogram.go
+++ b/internal/lab/histogram/histogram.go
@@ -1,4 +1,4 @@
-// Package histogram records the laboratory's latencies in HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
+// Package histogram records latencies in HDR histograms (HdrHistogram/hdrhistogram-go), in microseconds.
 package histogram
 
 import (
--- a/internal/lab/load/fileformat_test.go
+++ b/internal/lab/load/fileformat_test.go
@@ -31,7 +31,7 @@
 	}
 	want, err := os.ReadFile("testdata/series.jsonl")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadFile: %v", err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("the series is\n%swant\n%s", out.String(), want)
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -46,7 +46,7 @@
 	rng            *rand.Rand   // draws request ids and client retries
 	result         Result       // result of the run so far
 	currentSecond  secondCounts // counts of the current second
-	flushedSeconds int          // number of lines written to Series
+	flushedSeconds int          // number of seconds that have ended
 }
 
 // Run sends the requests of all arrivals, and returns once each has ended. When ctx is done it sends no more requests, and those
--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -34,8 +34,7 @@
 }
 
 // The policy LeastBusy compares the servers by the last sample, not by their present attempts. Equal servers are chosen in
-// rotation; otherwise a node would send all its attempts to one server until the next
-// sample.
+// rotation; otherwise a node would send all its attempts to one server until the next sample.
 func TestLeastBusyGoesByTheLastSample(t *testing.T) {
 	s := newSimulation(t, testConfig(t, LeastBusy, ""), nil)
 	n := s.nodes[0]
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -74,7 +74,7 @@
 x = 8
 `
 
-// Under faultSchedule every request gets a response and no unsafe request is executed twice, with each policy. Restarts and
+// Under faultSchedule every request ends for its client and no unsafe request is executed twice, with each policy. Restarts and
 // lost responses can leave a request without an end, and a retry after them can execute a request twice.
 func TestFaultsLeaveNoRequestOpenAndNoSecondExecution(t *testing.T) {
 	for _, policy := range []Policy{DecisionEngine, RoundRobin, LeastBusy} {
@@ -90,8 +90,8 @@
 	}
 }
 
-// New rejects an invalid configuration with a *ConfigError that names the setting. Without the
-// check, a run would panic, never end, or use another policy than the given one.
+// New rejects an invalid configuration with a *ConfigError that names the setting. Without the check, a run would
+// panic, never end, or use another policy than the given one.
 func TestBadConfigIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -34,8 +34,8 @@
 	P50Ms         float64          `json:"p50_ms"`     // median latency of completed requests from their arrival, ms
 	P95Ms         float64          `json:"p95_ms"`     // 95th percentile of that latency, ms
 	P99Ms         float64          `json:"p99_ms"`     // 99th percentile of that latency, ms
-	LoadMean      float64          `json:"load_mean"`  // attempts per concurrency of a server at the end of the second, mean of all servers
-	LoadMax       float64          `json:"load_max"`   // attempts per concurrency of the busiest server at the end of the second
+	LoadMean      float64          `json:"load_mean"`  // attempts divided by concurrency, mean of all servers, at the end of the second
+	LoadMax       float64          `json:"load_max"`   // attempts divided by concurrency, of the busiest server, at the end of the second
 	InFlight      int64            `json:"open"`       // requests in flight at the end of the second
 	ExecutedTwice int64            `json:"twice"`      // unsafe requests that were executed more than once, since the start of the run
 	ServersUp     int              `json:"servers_up"` // number of running servers at the end of the second
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -41,10 +41,10 @@
 var errDiskFull = errors.New("full")
 
 // failingWriter is a writer that accepts one line and fails afterwards, like a full disk.
-type failingWriter struct{ lines int } // number of calls of Write
+type failingWriter struct{ writes int } // number of calls of Write
 
 func (w *failingWriter) Write(text []byte) (int, error) {
-	if w.lines++; w.lines > 1 {
+	if w.writes++; w.writes > 1 {
 		return 0, errDiskFull
 	}
 	return len(text), nil
@@ -58,7 +58,7 @@
 	for i := range 4 {
 		r.endSecond(time.Duration(i)*time.Second, fleetSample{})
 	}
-	if !errors.Is(r.Err(), errDiskFull) || writer.lines != 2 {
-		t.Errorf("the recorder returned the error %v after %d writes, want %v after 2", r.Err(), writer.lines, errDiskFull)
+	if !errors.Is(r.Err(), errDiskFull) || writer.writes != 2 {
+		t.Errorf("the recorder returned the error %v after %d writes, want %v after 2", r.Err(), writer.writes, errDiskFull)
 	}
 }
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -32,7 +32,7 @@
 	ended            bool             // whether the client has a response, or its timeout has passed
 }
 
-// arrive executes an arrival and schedules the next one.
+// handleArrival adds the request of the scheduled arrival, and schedules the next arrival.
 func (s *Simulation) handleArrival() {
 	s.addRequest(s.nextArrival)
 	s.scheduleArrival()
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -115,7 +115,7 @@
 // clock returns the present virtual time as a wall-clock time. It is the clock of the engines.
 func (s *Simulation) clock() time.Time { return s.epoch.Add(s.now) }
 
-// Run executes the whole run and returns its totals. It may be called once.
+// Run executes the whole run and returns its totals. It must be called only once.
 func (s *Simulation) Run() Totals {
 	end := time.Duration(s.cfg.Seconds * float64(time.Second))
 	for s.queue.Len() > 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -49,7 +49,7 @@
 	value func(Sample) (value float64, ok bool) // value of a sample; ok is false if the sample does not have it
 }
 
-// charts returns the charts for whose values the runs have samples. It decides on the load by the first sample of each run.
+// charts returns the charts to draw. The chart of the servers' load is among them if the first sample of a run has the load.
 func charts(runs []Run) []chart {
 	list := []chart{
 		{"goodput.png", "completed / s", "completed requests a second", completedRequests},
@@ -70,7 +70,7 @@
 // p99Latency returns the 99th percentile of the latency, in milliseconds. A sample without completed requests does not have it.
 func p99Latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
-// uncompletedRequests returns the number of requests with another outcome.
+// uncompletedRequests returns the number of rejected, failed and timed-out requests.
 func uncompletedRequests(s Sample) (float64, bool) {
 	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeTimedOut]), true
 }
--- a/internal/lab/report/series.go
+++ b/internal/lab/report/series.go
@@ -32,8 +32,8 @@
 	P50Ms    float64          `json:"p50_ms"`    // median latency of completed requests, ms
 	P95Ms    float64          `json:"p95_ms"`    // 95th percentile of that latency, ms
 	P99Ms    float64          `json:"p99_ms"`    // 99th percentile of that latency, ms
-	LoadMean *float64         `json:"load_mean"` // attempts per concurrency of a server, mean of all servers; nil if missing
-	LoadMax  *float64         `json:"load_max"`  // attempts per concurrency of the busiest server; nil if missing
+	LoadMean *float64         `json:"load_mean"` // attempts divided by concurrency, mean of all servers; nil if missing
+	LoadMax  *float64         `json:"load_max"`  // attempts divided by concurrency, of the busiest server; nil if missing
 }
 
 // Run is a series with its name.
