--- a/internal/lab/model/recorder.go
+++ b/internal/lab/model/recorder.go
@@ -109,7 +109,7 @@
 	r.secondArrived++
 }
 
-// recordExecution records the begin of an execution of a request. It counts an unsafe request at its second execution.
+// recordExecution records that an execution of a request begins. It counts an unsafe request at its second execution.
 func (r *Recorder) recordExecution(req *request) {
 	if req.executions == 2 && !req.retrySafe {
 		r.executedTwice++
