--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -21,7 +21,7 @@
 )
 
 // Write writes goodput.png, latency.png, outcomes.png, load.png and report.md to the directory dir, and returns their paths in
-// this order. It writes load.png only if a run contains the load. It creates a missing directory.
+// this order. It writes load.png only if a run contains the servers' load. It creates a missing directory.
 func Write(dir, title string, runs []Run) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -41,42 +41,42 @@
 	return append(files, path), nil
 }
 
-// chart is a plot of a value of the samples over time, with a line for each run.
+// chart describes a plot of a value over time, with a line for each run.
 type chart struct {
-	file  string // name
-	axis  string // label of the y axis
-	title string
-	value func(Sample) (value float64, ok bool) // returns false if the sample does not have the value
+	file  string                                // name of the file
+	axis  string                                // label of the y axis
+	title string                                // title of the plot, after the title of the report
+	value func(Sample) (value float64, ok bool) // value of a sample; ok is false if the sample does not have it
 }
 
-// charts returns the charts for which the runs have values.
+// charts returns the charts to draw. The chart of the servers' load is among them if the first sample of a run has the load.
 func charts(runs []Run) []chart {
 	list := []chart{
-		{"goodput.png", "completed / s", "completed requests a second", completed},
-		{"latency.png", "ms", "p99 latency of completed requests", latency},
-		{"outcomes.png", "rejected + failed + gave up / s", "requests not completed a second", notCompleted},
+		{"goodput.png", "completed / s", "completed requests a second", completedRequests},
+		{"latency.png", "ms", "p99 latency of completed requests", p99Latency},
+		{"outcomes.png", "rejected + failed + gave up / s", "requests not completed a second", uncompletedRequests},
 	}
 	for _, run := range runs {
 		if run.Samples[0].LoadMax != nil {
-			return append(list, chart{"load.png", "work in hand / concurrency", "load of the busiest server", busiest})
+			return append(list, chart{"load.png", "work in hand / concurrency", "load of the busiest server", busiestServerLoad})
 		}
 	}
 	return list
 }
 
-// completed returns the number of completed requests.
-func completed(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
+// completedRequests returns the number of completed requests.
+func completedRequests(s Sample) (float64, bool) { return float64(s.Outcomes[outcomeCompleted]), true }
 
-// latency returns the 99th percentile of the latency, in milliseconds.
-func latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
+// p99Latency returns the 99th percentile of the latency, in milliseconds. A sample without completed requests does not have it.
+func p99Latency(s Sample) (float64, bool) { return s.P99Ms, s.Outcomes[outcomeCompleted] > 0 }
 
-// notCompleted returns the number of requests with another outcome.
-func notCompleted(s Sample) (float64, bool) {
+// uncompletedRequests returns the number of rejected, failed and timed-out requests.
+func uncompletedRequests(s Sample) (float64, bool) {
 	return float64(s.Outcomes[outcomeRejected] + s.Outcomes[outcomeFailed] + s.Outcomes[outcomeTimedOut]), true
 }
 
-// busiest returns the load of the busiest server.
-func busiest(s Sample) (float64, bool) {
+// busiestServerLoad returns the load of the busiest server.
+func busiestServerLoad(s Sample) (float64, bool) {
 	if s.LoadMax == nil {
 		return 0, false
 	}
@@ -113,7 +113,7 @@
 	return points
 }
 
-// palette is the colors of the runs, in their order. More runs than colors use the colors again.
+// palette contains the colors of the runs, in their order. If there are more runs than colors, the colors repeat.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 0xff},
 	color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 0xff},
