--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,11 @@
-# The linter, built at the version that tools/go.mod pins ("go tool -n" prints its path). It needs Go 1.26, the product 1.24.
+# Path of the linter, which Go builds at the version that tools/go.mod pins ("go tool -n" prints the path). The linter needs
+# Go 1.26, the product Go 1.24.
 LINT = $$(go -C tools tool -n golangci-lint)
 
 .PHONY: check build build-grpc test fmt lint run proto
 
-# Everything that CI checks: build, vet and lint with each build tag (formatting among the linters), and the tests but for
-# those that KNOWN-RED.txt lists.
+# All checks of CI: build, vet, lint (with formatting), and the tests except those listed in KNOWN-RED.txt. Vet and lint run
+# with each build tag, the tests of two packages also with gRPC support.
 check:
 	go build ./...
 	go vet ./...
@@ -15,18 +16,18 @@
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# The same with gRPC (docs/grpc.md).
+# Builds the commands with gRPC support (docs/grpc.md).
 build-grpc:
 	mkdir -p bin && CGO_ENABLED=1 go build -tags grpc -ldflags=-linkmode=external -o bin/ ./cmd/...
 
 test:
 	go test -count=1 -race ./...
 
-# Formats all code (gofmt, gofumpt).
+# Formats all Go code with gofmt and gofumpt.
 fmt:
 	$(LINT) fmt
 
-# Formatting and all linters of .golangci.yml (go vet among them), with each build tag.
+# Checks formatting and runs all linters of .golangci.yml, including go vet, with each build tag.
 lint:
 	$(LINT) run ./...
 	$(LINT) run --build-tags grpc ./...
@@ -34,6 +35,6 @@
 run: build
 	exec bin/cherrygap
 
-# Writes internal/grpcfrontend/*.pb.go anew; wants protoc, protoc-gen-go v1.36.4 and protoc-gen-go-grpc v1.5.1 on the path.
+# Regenerates internal/grpcfrontend/*.pb.go. This needs protoc, protoc-gen-go v1.36.4 and protoc-gen-go-grpc v1.5.1 on PATH.
 proto:
 	protoc --go_out=. --go_opt=module=cherrygap --go-grpc_out=. --go-grpc_opt=module=cherrygap internal/grpcfrontend/gate.proto
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -1,6 +1,6 @@
-// Package authz is the laboratory's stand-in for an external authorizer. It serves Envoy's Authorization service (ext_authz,
-// version 3) over gRPC on loopback. It allows and denies requests, and has faults from a seed: slow answers, failed calls,
-// malformed answers and restarts.
+// Package authz is the laboratory's fake of an external authorizer. It serves Envoy's Authorization service (ext_authz,
+// version 3) over gRPC on loopback. It allows or denies requests. Its faults, whose random draws come from a seed, are slow
+// answers, failed calls, malformed answers and restarts.
 package authz
 
 import (
@@ -19,13 +19,13 @@
 )
 
 const (
-	// randomStream is the second word of the seed.
+	// randomStream is the second word of the random generator's seed.
 	randomStream = 11
 	// relistenInterval is the time between two attempts to listen after a restart.
 	relistenInterval = 10 * time.Millisecond
 	// malformedCode is a status code that gRPC does not define.
 	malformedCode = 99
-	// customerBase and customerBits are the base and the maximum size of the customer in a check.
+	// customerBase is the base of the customer number in a check, customerBits its maximum size in bits.
 	customerBase = 16
 	customerBits = 64
 )
@@ -33,35 +33,36 @@
 // Config configures a Server. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
-	DenyEvery            uint64        // customers whose number is divisible by it are denied; 0 for none
+	DenyEvery            uint64        // the server denies customers whose number is divisible by this; 0 denies none
 	MeanDelay            time.Duration // mean of the exponential delay of each answer
 	SlowProbability      float64       // probability that an answer is delayed by SlowDelay in addition
-	SlowDelay            time.Duration
+	SlowDelay            time.Duration // additional delay of a slow answer
 	DropProbability      float64       // probability that a call fails
 	MalformedProbability float64       // probability of a malformed answer
-	Uptime               time.Duration // time from each start to the next restart; 0 for no restarts
-	Downtime             time.Duration // duration of a restart
+	Uptime               time.Duration // time from each start to the next restart; 0 means no restarts
+	Downtime             time.Duration // time that the server is down at each restart
 }
 
-// Server is a stand-in authorizer. Its methods are safe for concurrent use.
+// Server is a fake authorizer. Its methods are safe for concurrent use.
 type Server struct {
 	auth.UnimplementedAuthorizationServer
 
 	config Config
 	addr   string
-	stop   chan struct{}  // closed by Close
-	done   sync.WaitGroup // run
+	stop   chan struct{}  // Close closes this channel.
+	done   sync.WaitGroup // Close waits here for the goroutine of run.
 
-	mu         sync.Mutex      // guards the fields below
-	random     *rand.Rand      // of the draws
-	lastAnswer map[string]bool // whether the last answer allowed the request, by request id
+	// mu guards the fields below.
+	mu         sync.Mutex
+	random     *rand.Rand      // generator of the faults
+	lastAnswer map[string]bool // whether the last answer allowed the request, by request ID
 	counts     Counts
 }
 
 // Counts counts the events of an authorizer.
 type Counts struct {
-	Answers int64 // calls that ended, including failed ones
-	Starts  int64
+	Answers int64 // calls with a valid customer that ended, including failed ones
+	Starts  int64 // starts, including the first one
 }
 
 // NotLoopbackError is the error for an address that is not a loopback address.
@@ -70,8 +71,8 @@
 // Error names the address.
 func (e *NotLoopbackError) Error() string { return e.Addr + " is not a loopback address" }
 
-// Start starts an authorizer on a loopback address, "host:port". Port 0 stands for a free port. For another address the error
-// is a *NotLoopbackError. The caller must call Close, which ends the authorizer's goroutine.
+// Start starts an authorizer on a loopback address, "host:port". Port 0 stands for a free port. For an address that is not a
+// loopback address the error is a *NotLoopbackError. The caller must call Close, which ends the authorizer's goroutine.
 func Start(addr string, cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -110,14 +111,15 @@
 	}
 }
 
-// serve serves until the end of Config.Uptime or until Close. It returns true for the former. Calls in flight fail.
+// serve serves until the end of Config.Uptime or until Close. Calls in flight then fail. It returns true at the end of
+// Config.Uptime and false at Close.
 func (s *Server) serve(listener net.Listener) (restart bool) {
 	server := grpc.NewServer()
 	auth.RegisterAuthorizationServer(server, s)
 	s.mu.Lock()
 	s.counts.Starts++
 	s.mu.Unlock()
-	go func() { _ = server.Serve(listener) }() // until Stop, which closes the listener
+	go func() { _ = server.Serve(listener) }() // Serve returns after Stop, which closes the listener.
 	defer server.Stop()
 	var up <-chan time.Time
 	if s.config.Uptime > 0 {
@@ -143,7 +145,7 @@
 	}
 }
 
-// wait waits for a time. It returns false if Close is called before the end.
+// wait waits for the duration d. It returns false if Close is called before the end of d.
 func (s *Server) wait(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -153,8 +155,8 @@
 	}
 }
 
-// LastAnswer returns whether the last answer for a request allowed it, and whether there was an answer. The caller of the check
-// may have timed out before the answer.
+// LastAnswer returns whether the last answer for a request ID allowed the request, and whether there was an answer. The
+// caller of the check may have timed out before the answer.
 func (s *Server) LastAnswer(id string) (allowed, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,45 +171,45 @@
 	return s.counts
 }
 
-// drawnCall is the random part of a call.
-type drawnCall struct {
-	delay     time.Duration
-	drop      bool // whether the call fails
-	malformed bool // whether the answer is malformed
+// callFaults are the faults of one call.
+type callFaults struct {
+	delay     time.Duration // time before the answer
+	drop      bool          // whether the call fails
+	malformed bool          // whether the answer is malformed
 }
 
-// draw draws the random part of a call.
-func (s *Server) draw() drawnCall {
+// drawFaults draws the faults of a call.
+func (s *Server) drawFaults() callFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	drawn := drawnCall{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
+	faults := callFaults{delay: time.Duration(s.random.ExpFloat64() * float64(s.config.MeanDelay))}
 	if s.random.Float64() < s.config.SlowProbability {
-		drawn.delay += s.config.SlowDelay
+		faults.delay += s.config.SlowDelay
 	}
-	drawn.drop, drawn.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
-	return drawn
+	faults.drop, faults.malformed = s.random.Float64() < s.config.DropProbability, s.random.Float64() < s.config.MalformedProbability
+	return faults
 }
 
-// Check implements the Authorization service. It does not stop when the caller's context ends, as a slow authorizer would not.
+// Check implements the Authorization service. It goes on when the caller's context ends, as a slow authorizer would.
 func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
 	attributes := r.GetAttributes()
 	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerBase, customerBits)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, "no customer")
 	}
-	drawn := s.draw()
-	time.Sleep(drawn.delay)
+	faults := s.drawFaults()
+	time.Sleep(faults.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
 	s.counts.Answers++
-	if !drawn.drop && !drawn.malformed {
+	if !faults.drop && !faults.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
 	s.mu.Unlock()
 	switch {
-	case drawn.drop:
+	case faults.drop:
 		return nil, status.Error(codes.Unavailable, "dropped")
-	case drawn.malformed:
+	case faults.malformed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: malformedCode}}, nil
 	case allowed:
 		return &auth.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)}}, nil
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// startServer starts an authorizer, and returns it with a client.
+// startServer starts an authorizer and returns it with a client. Both are closed when the test ends.
 func startServer(t *testing.T, cfg Config) (*Server, auth.AuthorizationClient) {
 	t.Helper()
 	server, err := Start("127.0.0.1:0", cfg)
@@ -29,7 +29,8 @@
 	return server, auth.NewAuthorizationClient(conn)
 }
 
-// check checks a request of a customer. It returns the code of the answer, or the code of the failed call.
+// check asks the authorizer for a decision on a request of a customer. It returns the status code of the answer, or of the
+// failed call.
 func check(ctx context.Context, client auth.AuthorizationClient, id, customer string) codes.Code {
 	answer, err := client.Check(ctx, &auth.CheckRequest{Attributes: &auth.AttributeContext{
 		Request:           &auth.AttributeContext_Request{Http: &auth.AttributeContext_HttpRequest{Id: id}},
@@ -41,7 +42,7 @@
 	return codes.Code(answer.Status.Code)
 }
 
-// Answers follow the configuration.
+// Guards against answers that differ from the configuration. A failed call or a malformed answer must not change LastAnswer.
 func TestAnswersFollowConfig(t *testing.T) {
 	for name, c := range map[string]struct {
 		config            Config
@@ -59,16 +60,16 @@
 		t.Run(name, func(t *testing.T) {
 			server, client := startServer(t, c.config)
 			if got := check(t.Context(), client, "1", c.customer); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("check of customer %s = %v, want %v", c.customer, got, c.want)
 			}
 			if allowed, answered := server.LastAnswer("1"); allowed != c.allowed || answered != c.answered {
-				t.Errorf("answered %v, allowed %v", answered, allowed)
+				t.Errorf("LastAnswer = %v, %v, want %v, %v", allowed, answered, c.allowed, c.answered)
 			}
 		})
 	}
 }
 
-// A restarted authorizer answers at the same address.
+// Guards against a restarted authorizer that no longer answers, or that answers at another address.
 func TestRestartKeepsAddress(t *testing.T) {
 	server, client := startServer(t, Config{Uptime: 50 * time.Millisecond, Downtime: 10 * time.Millisecond})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -77,15 +78,15 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d starts, and no answer since", starts)
+			t.Fatalf("no answer at %s within 10 s, after %d starts, want an answer after 3 starts or more", server.Addr(), starts)
 		}
 	}
 }
 
-// An address beyond loopback is an error.
+// Guards against an authorizer that other machines can reach because it listens on all addresses.
 func TestStartOnlyOnLoopback(t *testing.T) {
-	var refused *NotLoopbackError
-	if _, err := Start("0.0.0.0:0", Config{}); !errors.As(err, &refused) || err.Error() != "0.0.0.0:0 is not a loopback address" {
-		t.Error(err)
+	var notLoopback *NotLoopbackError
+	if _, err := Start("0.0.0.0:0", Config{}); !errors.As(err, &notLoopback) || err.Error() != "0.0.0.0:0 is not a loopback address" {
+		t.Errorf("Start on 0.0.0.0:0: got error %v, want a NotLoopbackError that names the address", err)
 	}
 }
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -1,6 +1,6 @@
-// Package discovery is the laboratory's stand-in for discovery's agent. It serves one endpoint list and its changes over HTTP,
-// in the platform's protocol. Each node has an address of its own, as an agent runs on each node's machine. A test can
-// disconnect or silence the watches, and set a node's clock ahead.
+// Package discovery is the laboratory's fake of discovery's agent. It serves one endpoint list and its changes over HTTP, in
+// the platform's protocol. Each node gets its own address, because in production an agent runs on each node's machine. A
+// test can disconnect all watches, leave calls without a response, or set a node's clock ahead.
 package discovery
 
 import (
@@ -16,26 +16,27 @@
 	"cherrygap/internal/protocol"
 )
 
-// Endpoint is a server of the agent's list.
+// Endpoint is a server that the agent knows.
 type Endpoint struct {
 	protocol.Endpoint
-	Listed   bool   // whether the list contains the server; Publish sets it
-	revision uint64 // of the last change
+	Listed   bool   // whether the endpoint list contains the server; Publish sets it
+	revision uint64 // revision of the server's last change, or 0 if it never changed
 }
 
-// Agent serves one endpoint list over HTTP, with an address for each watch. Its methods are safe for concurrent use.
+// Agent serves one endpoint list over HTTP, at a separate address for each watch. Its methods are safe for concurrent use.
 type Agent struct {
 	watches []*watch // immutable after Start
 
-	mu             sync.Mutex    // guards the fields below, and the fields of the watches that say so
+	// mu guards the fields below, and those fields of the watches whose comments name Agent.mu.
+	mu             sync.Mutex
 	servers        []Endpoint    // all servers, listed or not
-	revision       uint64        // of the last change, from 1
-	oldestRevision uint64        // a call for the changes since an earlier revision gets the full list
-	fullBody       []byte        // response with the full list; nil if it must be encoded
-	changed        chan struct{} // closed and replaced at each change that waiting calls must see
-	disconnected   bool          // whether new connections are closed
-	silent         bool          // whether no call gets a response
-	generation     int           // of new connections; calls on connections of earlier generations get no response
+	revision       uint64        // revision of the list; the first is 1
+	oldestRevision uint64        // oldest revision that changes can start from; for an older one the agent sends the full list
+	fullBody       []byte        // encoded full list without a clock offset; nil if it must be encoded anew
+	changed        chan struct{} // channel that is closed and replaced whenever waiting calls must check for changes
+	disconnected   bool          // whether the agent closes all connections
+	silent         bool          // whether all calls wait without a response
+	generation     int           // generation of new connections; calls on older ones get no response
 }
 
 // watch is the address and the state of one node's watch.
@@ -43,28 +44,28 @@
 	addr   string       // immutable
 	server *http.Server // immutable
 
-	conns        map[net.Conn]struct{} // guarded by Agent.mu: open connections
-	clockAhead   time.Duration         // guarded by Agent.mu: lead of the node's clock over all others
-	traffic      Traffic               // guarded by Agent.mu
-	acknowledged []acknowledgement     // guarded by Agent.mu
+	conns        map[net.Conn]struct{} // open connections; guarded by Agent.mu
+	clockAhead   time.Duration         // lead of the node's clock over all other clocks; guarded by Agent.mu
+	traffic      Traffic               // counts of the responses; guarded by Agent.mu
+	acknowledged []acknowledgement     // calls for changes, oldest first; guarded by Agent.mu
 }
 
 // Traffic counts the responses of a watch.
 type Traffic struct {
 	FullLists   int64 // responses with the full list
-	FullBytes   int64 // bytes of their bodies
-	ChangeBytes int64 // bytes of the bodies of all other responses
+	FullBytes   int64 // size of the bodies with the full list, in bytes
+	ChangeBytes int64 // size of the bodies of all other responses, in bytes
 }
 
 // acknowledgement is a call for the changes since a revision. A node applies a list before its next call, so the call proves
 // that the node has applied the revision.
 type acknowledgement struct {
 	revision uint64
-	at       time.Time
+	at       time.Time // arrival of the call
 }
 
-// Start starts an agent with a listener on loopback for each watch. All watches serve the same servers. The caller must call
-// Close, which ends the agent's goroutines.
+// Start starts an agent with the given number of watches. Each watch has a listener on loopback, and all serve the same list.
+// The caller must call Close, which ends the agent's goroutines.
 func Start(servers []Endpoint, watches int) (*Agent, error) {
 	a := &Agent{servers: servers, revision: 1, oldestRevision: 1, changed: make(chan struct{})}
 	for range watches {
@@ -82,7 +83,7 @@
 			},
 		}
 		a.watches = append(a.watches, watch)
-		go func() { _ = watch.server.Serve(listener) }() // it returns an error always: that of Close
+		go func() { _ = watch.server.Serve(listener) }() // Serve returns http.ErrServerClosed after Close.
 	}
 	return a, nil
 }
@@ -97,7 +98,7 @@
 	return a.generation
 }
 
-// Addr returns the "host:port" of a watch.
+// Addr returns the "host:port" of the watch with a number, from 0.
 func (a *Agent) Addr(watch int) string { return a.watches[watch].addr }
 
 // Close closes all listeners and connections.
@@ -107,7 +108,7 @@
 	}
 }
 
-// trackConn records the open connections of a watch. It closes new ones while watches are disconnected.
+// trackConn records the open connections of a watch. It closes new connections while the watches are disconnected.
 func (a *Agent) trackConn(watch *watch, conn net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -122,8 +123,8 @@
 	}
 }
 
-// serveCall responds to a call with the full list, or with the changes since a revision. Without changes it waits for one, and
-// responds with none at the end of the call's hold time.
+// serveCall responds to a call with the full list, or with the changes since a revision. If there are no changes, it waits for
+// one. At the end of the call's hold time it responds with an empty list of changes.
 func (a *Agent) serveCall(watch *watch, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.URL.Path != protocol.EndpointsPath {
@@ -133,7 +134,7 @@
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get(protocol.QueryRevision), 10, 64)
 	full := err != nil
-	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if it is missing
+	holdMs, _ := strconv.Atoi(query.Get(protocol.QueryHoldMs)) // 0 if the parameter is missing or invalid
 	if !full {
 		a.mu.Lock()
 		watch.acknowledged = append(watch.acknowledged, acknowledgement{from, arrived})
@@ -161,14 +162,15 @@
 
 // request is a call to the agent.
 type request struct {
-	generation int    // of the call's connection
+	generation int    // generation of the call's connection
 	full       bool   // whether the call asks for the full list
-	from       uint64 // revision after which the call asks for changes
+	from       uint64 // revision that the node has; the call asks for later changes
 	holdEnded  bool   // whether the call's hold time has ended
 }
 
 // response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed at
-// the next change. While watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the connection.
+// the next change. While the watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the
+// connection.
 func (a *Agent) response(watch *watch, r request) ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +194,7 @@
 	return nil, a.changed
 }
 
-// writeBody writes a response. It ignores the error of a closed connection, which the client notices.
+// writeBody writes a response. It ignores a write error, because the client sees the closed connection.
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
@@ -214,26 +216,26 @@
 	list := protocol.EndpointList{Revision: a.revision, Full: true, Endpoints: make([]protocol.Endpoint, 0, len(a.servers))}
 	for _, e := range a.servers {
 		if e.Listed && e.State != protocol.Terminated {
-			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.onNodeClock(e.Endpoint))
 		}
 	}
 	return encodeList(list)
 }
 
-// seenByNode returns an endpoint with its start time relative to the clock of the watch's node.
-func (w *watch) seenByNode(e protocol.Endpoint) protocol.Endpoint {
+// onNodeClock returns an endpoint whose boot time is converted to the clock of the watch's node.
+func (w *watch) onNodeClock(e protocol.Endpoint) protocol.Endpoint {
 	if e.BootMs > 0 {
 		e.BootMs -= w.clockAhead.Milliseconds()
 	}
 	return e
 }
 
-// changesSince returns the body with the changes after a revision, for a watch. The caller holds a.mu.
+// changesSince returns the body with the changes after a revision for a watch. The caller holds a.mu.
 func (a *Agent) changesSince(w *watch, from uint64) []byte {
 	list := protocol.EndpointList{Revision: a.revision, Endpoints: []protocol.Endpoint{}}
 	for _, e := range a.servers {
 		if e.Listed && e.revision > from {
-			list.Endpoints = append(list.Endpoints, w.seenByNode(e.Endpoint))
+			list.Endpoints = append(list.Endpoints, w.onNodeClock(e.Endpoint))
 		}
 	}
 	return encodeList(list)
@@ -243,20 +245,20 @@
 func encodeList(list protocol.EndpointList) []byte {
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // impossible for strings and finite numbers
+		panic(err) // Strings and finite numbers always encode.
 	}
 	return body
 }
 
-// Snapshot returns the current full list for a watch, as it stands in the configuration of the watch's node.
+// Snapshot returns the current full list for a watch. A run puts it into the configuration of the watch's node.
 func (a *Agent) Snapshot(watch int) json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullList(a.watches[watch])
 }
 
-// Publish changes servers as one revision, lists them, and sends the change to all waiting calls. It returns the revision and
-// the time of the change.
+// Publish changes the servers with the given numbers as one revision, and marks them as listed. The change goes to all waiting
+// calls. Publish returns the revision and the time of the change.
 func (a *Agent) Publish(change func(*Endpoint), servers ...int) (revision uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -272,7 +274,8 @@
 	return a.revision, at
 }
 
-// DisconnectAll closes all connections, and new ones until Reconnect. After that every call for changes gets the full list.
+// DisconnectAll closes all connections, and new ones until Reconnect is called. After that, calls for the changes since an
+// earlier revision get the full list.
 func (a *Agent) DisconnectAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -287,7 +290,7 @@
 	a.wakeCalls()
 }
 
-// SetSilent sets whether all calls wait without a response, as they do while discovery is down.
+// SetSilent sets whether all calls wait without a response, as they would while discovery is down.
 func (a *Agent) SetSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -295,14 +298,15 @@
 	a.wakeCalls()
 }
 
-// SilenceOpen leaves all calls on connections that are open now without a response. Calls on new connections get one.
+// SilenceOpen leaves all calls on the currently open connections without a response. Calls on new connections get one.
 func (a *Agent) SilenceOpen() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.generation++
 }
 
-// SetClockAhead sets the lead of the clock of a watch's node over all other clocks. It must be called before the node starts.
+// SetClockAhead sets how far the clock of a watch's node is ahead of all other clocks. It must be called before the node
+// starts.
 func (a *Agent) SetClockAhead(watch int, ahead time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -329,7 +333,7 @@
 	a.mu.Unlock()
 }
 
-// AppliedAt returns the first time, from since on, at which a watch acknowledged a revision or a later one. It returns the
+// AppliedAt returns the first time, not before since, at which a watch acknowledged a revision or a later one. It returns the
 // zero time if there is none.
 func (a *Agent) AppliedAt(watch int, revision uint64, since time.Time) time.Time {
 	a.mu.Lock()
--- a/internal/lab/discovery/agent_test.go
+++ b/internal/lab/discovery/agent_test.go
@@ -12,7 +12,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// discoveryCall makes a call to the agent over a new connection.
+// discoveryCall makes a call to the agent over a new connection and returns the response.
 func discoveryCall(addr string, full bool, revision uint64, hold time.Duration) (protocol.EndpointList, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return list, err
 }
 
-// testAgent starts an agent with four servers, three of them listed, and two watches.
-func testAgent(t *testing.T) *Agent {
+// startTestAgent starts an agent with four servers, three of them listed, and two watches.
+func startTestAgent(t *testing.T) *Agent {
 	t.Helper()
 	list := make([]Endpoint, 4)
 	for i := range list {
@@ -47,28 +47,30 @@
 	return agent
 }
 
-// checkList compares a response with the expected one. want has the UID and the state of each endpoint.
-func checkList(t *testing.T, what string, list protocol.EndpointList, err error, full bool, revision uint64, want ...string) {
+// checkList compares a response with the expected one. want has the UID and the state of each endpoint. call describes the
+// call in the message.
+func checkList(t *testing.T, call string, list protocol.EndpointList, err error, full bool, revision uint64, want ...string) {
 	t.Helper()
 	got := []string{}
 	for _, e := range list.Endpoints {
 		got = append(got, fmt.Sprintf("%s %d", e.UID, e.State))
 	}
 	if err != nil || list.Full != full || list.Revision != revision || !slices.Equal(got, want) {
-		t.Errorf("%s: full %v, revision %d, %v, %v; want full %v, revision %d, %v",
-			what, list.Full, list.Revision, got, err, full, revision, want)
+		t.Errorf("%s: got a list with full %v, revision %d, endpoints %v, error %v, want full %v, revision %d, endpoints %v, no error",
+			call, list.Full, list.Revision, got, err, full, revision, want)
 	}
 }
 
-// The agent sends the full list, then each change, and no changes at the end of a call's hold time.
+// Guards against an agent that sends a wrong revision, the full list instead of changes, or changes that a node already has.
+// Without a change a call waits until the end of its hold time, and then gets an empty list.
 func TestAgentSendsChanges(t *testing.T) {
-	agent := testAgent(t)
+	agent := startTestAgent(t)
 	addr := agent.Addr(1)
 	inService := func(uid string) string { return fmt.Sprintf("%s %d", uid, protocol.InService) }
 	list, err := discoveryCall(addr, true, 0, 0)
-	checkList(t, "at first", list, err, true, 1, inService("s0"), inService("s1"), inService("s2"))
+	checkList(t, "first call", list, err, true, 1, inService("s0"), inService("s1"), inService("s2"))
 	list, err = discoveryCall(addr, false, 1, time.Millisecond)
-	checkList(t, "nothing new", list, err, false, 1)
+	checkList(t, "call without a change", list, err, false, 1)
 	type response struct {
 		list protocol.EndpointList
 		err  error
@@ -80,43 +82,47 @@
 	}()
 	revision, _ := agent.Publish(func(e *Endpoint) { e.State = protocol.Terminating }, 2)
 	got := <-responses
-	checkList(t, "a change", got.list, got.err, false, revision, fmt.Sprintf("s2 %d", protocol.Terminating))
+	checkList(t, "call that waits for a change", got.list, got.err, false, revision, fmt.Sprintf("s2 %d", protocol.Terminating))
 	agent.Publish(func(*Endpoint) {}, 3)
 	list, err = discoveryCall(addr, false, revision, 0)
-	checkList(t, "a server that is added", list, err, false, revision+1, inService("s3"))
+	checkList(t, "call after a server was added", list, err, false, revision+1, inService("s3"))
 }
 
-// A change is applied at a node once the node calls again with its revision, and at no other node.
+// Guards against a change that counts as applied too early. A node has applied a change once it calls again with the change's
+// revision. The response alone does not prove that, and neither does a call of another node.
 func TestChangeIsAppliedWithTheNextCall(t *testing.T) {
-	agent := testAgent(t)
+	agent := startTestAgent(t)
 	addr := agent.Addr(1)
 	revision, at := agent.Publish(func(e *Endpoint) { e.State = protocol.Terminating }, 2)
 	if _, err := discoveryCall(addr, false, 1, 3*time.Second); err != nil {
-		t.Fatal(err)
+		t.Fatalf("call that gets the change: %v", err)
 	}
 	if !agent.AppliedAt(1, revision, at).IsZero() || !agent.AppliedAt(0, revision, at).IsZero() {
-		t.Error("applied before the node calls again")
+		t.Errorf("before the node's next call: AppliedAt(1) = %v, AppliedAt(0) = %v, want zero times",
+			agent.AppliedAt(1, revision, at), agent.AppliedAt(0, revision, at))
 	}
 	if _, err := discoveryCall(addr, false, revision, 0); err != nil {
-		t.Fatal(err)
+		t.Fatalf("call that acknowledges the change: %v", err)
 	}
 	if agent.AppliedAt(1, revision, at).IsZero() || !agent.AppliedAt(0, revision, at).IsZero() {
-		t.Error("not applied once the node calls again, or at another node")
+		t.Errorf("after the next call of node 1: AppliedAt(1) = %v, AppliedAt(0) = %v, want a time and the zero time",
+			agent.AppliedAt(1, revision, at), agent.AppliedAt(0, revision, at))
 	}
 }
 
-// While watches are disconnected no call gets a response. After that every call gets the full list.
+// Guards against a disconnected watch that misses changes. While the watches are disconnected no call gets a response. After
+// Reconnect a call for changes gets the full list.
 func TestDisconnectedWatchesGetFullListLater(t *testing.T) {
-	agent := testAgent(t)
+	agent := startTestAgent(t)
 	addr := agent.Addr(1)
 	agent.Publish(func(e *Endpoint) { e.State = protocol.Terminating }, 2)
 	agent.Publish(func(*Endpoint) {}, 3)
 	agent.DisconnectAll()
 	if l, err := discoveryCall(addr, false, 2, 0); err == nil {
-		t.Errorf("response while disconnected: %+v", l)
+		t.Errorf("call while disconnected: got response %+v, want an error", l)
 	}
 	agent.Reconnect()
 	if l, err := discoveryCall(addr, false, 3, 0); err != nil || !l.Full || len(l.Endpoints) != 4 {
-		t.Errorf("after Reconnect: %+v, %v", l, err)
+		t.Errorf("call after Reconnect: got list %+v, error %v, want a full list of 4 endpoints and no error", l, err)
 	}
 }
--- a/internal/lab/workdir/workdir.go
+++ b/internal/lab/workdir/workdir.go
@@ -1,11 +1,12 @@
-// Package workdir creates the folder of a run of the laboratory, for its children's configuration files and logs.
+// Package workdir creates the directory of a run of the laboratory. The directory holds the configuration files and logs of
+// the run's child processes.
 package workdir
 
 import "os"
 
-// Open creates the folder at path, unless it exists, and returns path. For an empty path it creates a temporary folder with
-// a name by pattern (see os.MkdirTemp). remove removes a temporary folder and does nothing for others. It is not nil, also
-// if Open fails.
+// Open creates the directory at path, unless it exists, and returns path. For an empty path it creates a temporary directory
+// whose name follows pattern (see os.MkdirTemp). remove removes a temporary directory and does nothing for others. It is
+// never nil, even if Open fails.
 func Open(path, pattern string) (dir string, remove func(), err error) {
 	if path != "" {
 		return path, func() {}, os.MkdirAll(path, 0o700)
