--- a/internal/lab/nodeprocess/node.go
+++ b/internal/lab/nodeprocess/node.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	readyCheckInterval = 20 * time.Millisecond
-	readyCheckTimeout  = time.Second
+	readyCheckInterval = 20 * time.Millisecond // time between two checks of AwaitReady
+	readyCheckTimeout  = time.Second           // time limit of one check
 )
 
-// NotReadyError is the error of a node that did not become ready.
+// NotReadyError is the error for a node that did not become ready.
 type NotReadyError struct {
-	Name    string
-	After   time.Duration // since the wait began
-	Exited  bool          // the process ended before it was ready
+	Name    string        // name of the process
+	After   time.Duration // time that AwaitReady waited
+	Exited  bool          // whether the process ended before it was ready
 	LogLine string        // last line of the process's log
 }
 
-// Error names the node and the last line of its log.
+// Error names the node, the time waited (unless the node ended) and the last line of its log.
 func (e *NotReadyError) Error() string {
 	if e.Exited {
-		return fmt.Sprintf("%s ended during its start: %s", e.Name, e.LogLine)
+		return fmt.Sprintf("%s ended before it was ready; last log line: %s", e.Name, e.LogLine)
 	}
-	return fmt.Sprintf("%s is not ready %v after its start: %s", e.Name, e.After.Round(time.Millisecond), e.LogLine)
+	return fmt.Sprintf("%s is not ready after %v; last log line: %s", e.Name, e.After.Round(time.Millisecond), e.LogLine)
 }
 
 // ConfigPath returns the path of a node's configuration file in dir.
@@ -41,14 +41,14 @@
 	return os.WriteFile(ConfigPath(dir, name), config, 0o600)
 }
 
-// ConfigEnv returns the environment variables with which a node reads its configuration file in dir. They override those of the
-// laboratory's own environment, except for GW_OPERATOR, which the node inherits.
+// ConfigEnv returns environment variables that make a node read its configuration file in dir. They override the node settings
+// in the laboratory's own environment, except for GW_OPERATOR, which the node inherits.
 func ConfigEnv(dir, name string) []string {
 	return []string{"GW_CONFIG=" + ConfigPath(dir, name), "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY="}
 }
 
-// AwaitReady waits until the node at addr answers its health check. It returns a *NotReadyError if the process ends before
-// or timeout passes, and ctx's error if ctx ends.
+// AwaitReady waits until the node at addr answers a health check with 200. It returns a *NotReadyError if the process ends
+// first or timeout passes, and the error of ctx if ctx ends.
 func (p *Process) AwaitReady(ctx context.Context, addr string, timeout time.Duration) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < timeout {
@@ -66,8 +66,8 @@
 	return &NotReadyError{Name: p.name, After: timeout, LogLine: p.LastLogLine()}
 }
 
-// answersHealthCheck reports whether the node at addr answers a health check with 200. It leaves no connection open, as an
-// idle one would count against the node's descriptors.
+// answersHealthCheck reports whether the node at addr answers a health check with 200. It leaves no connection open, because an
+// idle connection would count against the node's file descriptors.
 func answersHealthCheck(ctx context.Context, addr string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.HealthPath, nil)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// FreeAddress returns addr (network "tcp" or "udp", port 0) with a port that is free now. Another process may take the port
-// before the caller does, so addr should be an address that only the caller uses.
+// FreeAddress returns addr (network "tcp" or "udp", port 0) with a currently free port. Another process may take the port before
+// the caller does, so only the caller should use the IP address of addr.
 func FreeAddress(network, addr string) (string, error) {
 	if network == "udp" {
 		conn, err := net.ListenPacket(network, addr)
--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -1,8 +1,8 @@
 // Package syscallfault makes system calls of a child process fail with documented errors. The child installs a seccomp
 // filter before it executes its program, and the parent answers the filter's notifications (seccomp_unotify(2)). This needs
-// no privileges and no change of the program, and works without the C library.
+// no privileges, no change to the program and no C library.
 //
-// Exec runs in the child process, Injector in the parent.
+// Exec runs in the child process, and an Injector runs in the parent.
 package syscallfault
 
 import (
@@ -14,28 +14,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// The offsets of fields in struct seccomp_data, the input of a filter.
+// Offsets of fields in struct seccomp_data, the input of a filter, in bytes.
 const (
 	offsetOfNumber = 0
 	offsetOfArch   = 4
 )
 
-// actionNotify is SECCOMP_RET_USER_NOTIF.
+// actionNotify is SECCOMP_RET_USER_NOTIF, which makes the kernel notify the parent and wait for its answer.
 const actionNotify = 0x7fc00000
 
 // Exec installs a filter on this process, sends the filter's descriptor over a Unix socket, and replaces the process with a
 // program. The filter reports the system calls with the given numbers. Exec returns only if it fails.
 func Exec(socket int, numbers []uint32, program string, args, env []string) error {
-	runtime.LockOSThread() // the filter applies to this thread and to the program that it executes
+	runtime.LockOSThread() // The filter applies to this thread and to the program that the thread executes.
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("no_new_privs: %w", err)
+		return fmt.Errorf("set no_new_privs: %w", err)
 	}
 	listener, err := installFilter(numbers)
 	if err != nil {
-		return fmt.Errorf("seccomp: %w", err)
+		return fmt.Errorf("install the seccomp filter: %w", err)
 	}
 	if err := unix.Sendmsg(socket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("sending the filter's descriptor: %w", err)
+		return fmt.Errorf("send the seccomp filter's descriptor: %w", err)
 	}
 	unix.CloseOnExec(socket)
 	unix.CloseOnExec(listener)
@@ -54,31 +54,33 @@
 	return int(fd), nil
 }
 
-// filterProgram returns a BPF program that reports the calls with the given numbers and allows all others.
+// filterProgram returns a BPF program that reports the system calls with the given numbers and allows all others. It also
+// allows all calls of another architecture than x86-64, where the numbers differ.
 func filterProgram(numbers []uint32) []unix.SockFilter {
 	program := []unix.SockFilter{
-		load(offsetOfArch),
+		loadWord(offsetOfArch),
 		jumpIfEqual(unix.AUDIT_ARCH_X86_64, 1, 0),
-		result(unix.SECCOMP_RET_ALLOW),
-		load(offsetOfNumber),
+		returnAction(unix.SECCOMP_RET_ALLOW),
+		loadWord(offsetOfNumber),
 	}
 	for i, number := range numbers {
 		program = append(program, jumpIfEqual(number, uint8(len(numbers)-i), 0))
 	}
-	return append(program, result(unix.SECCOMP_RET_ALLOW), result(actionNotify))
+	return append(program, returnAction(unix.SECCOMP_RET_ALLOW), returnAction(actionNotify))
 }
 
-// load returns the instruction that loads a word of struct seccomp_data.
-func load(offset uint32) unix.SockFilter {
+// loadWord returns the instruction that loads the 32-bit word at an offset in struct seccomp_data.
+func loadWord(offset uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 }
 
-// jumpIfEqual returns the instruction that skips ifEqual or otherwise instructions, depending on the loaded word.
-func jumpIfEqual(value uint32, ifEqual, otherwise uint8) unix.SockFilter {
-	return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jt: ifEqual, Jf: otherwise}
+// jumpIfEqual returns an instruction that compares the loaded word with value. It skips ifEqual instructions if they are equal,
+// and ifNotEqual instructions if they differ.
+func jumpIfEqual(value uint32, ifEqual, ifNotEqual uint8) unix.SockFilter {
+	return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jt: ifEqual, Jf: ifNotEqual}
 }
 
-// result returns the instruction that ends the program with an action.
-func result(action uint32) unix.SockFilter {
+// returnAction returns the instruction that ends the program with an action.
+func returnAction(action uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 }
