--- a/internal/lab/appserver/appserver_test.go
+++ b/internal/lab/appserver/appserver_test.go
@@ -14,8 +14,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// startEcho starts a server that answers each request with its ID.
-func startEcho(t *testing.T) *Server {
+// startEchoServer starts a server that answers each request with the request's ID. The server is killed when the test ends.
+func startEchoServer(t *testing.T) *Server {
 	t.Helper()
 	s := New("127.0.0.1:0", func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
@@ -33,7 +33,7 @@
 	return s
 }
 
-// exchange sends a request over a connection and returns the response's bytes up to its body's last one.
+// exchange sends a request over a connection and returns the bytes of the response, up to the end of its body.
 func exchange(conn net.Conn, id string) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return "", err
@@ -47,9 +47,10 @@
 	return string(buffer), err
 }
 
-// A connection carries several requests. Kill resets it and refuses new ones; Listen opens the same address again.
+// Guards against a server that still serves after Kill, or that restarts at another address. A connection carries several
+// requests. Kill resets it, and new connections are refused. Listen opens the same address again.
 func TestServerKeepsItsAddressOverRestarts(t *testing.T) {
-	s := startEcho(t)
+	s := startEchoServer(t)
 	addr := s.Addr()
 	for range 2 {
 		conn, err := net.Dial("tcp", addr)
@@ -59,57 +60,61 @@
 		for _, id := range []string{"a1", "b2"} {
 			got, err := exchange(conn, id)
 			if want := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + id; err != nil || got != want {
-				t.Fatalf("got %q, %v; want %q", got, err, want)
+				t.Fatalf("exchange(%q) = %q, %v, want %q and no error", id, got, err, want)
 			}
 		}
 		s.Kill()
 		if _, err := exchange(conn, "c3"); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-			t.Errorf("a killed server's connection: %v", err)
+			t.Errorf("exchange over a killed server's connection: got error %v, want ECONNRESET or EPIPE", err)
 		}
 		_ = conn.Close()
 		if conn, err := net.Dial("tcp", addr); err == nil {
 			_ = conn.Close()
-			t.Error("a killed server accepts connections")
+			t.Errorf("Dial(%s) succeeded after Kill, want a refused connection", addr)
 		}
 		if err := s.Listen(nil); err != nil || s.Addr() != addr {
-			t.Fatalf("restarted at %s: %v", s.Addr(), err)
+			t.Fatalf("Listen after Kill: address %s, error %v, want address %s and no error", s.Addr(), err, addr)
 		}
 	}
 }
 
-// A connection that was accepted before Kill and is served after it is not tracked, and so is reset.
+// Guards against a connection that survives Kill. The accept may return just before Kill, and the server handles the
+// connection after it. The server then has to reject the connection, also if it listens again with a new listener.
 func TestConnectionAcceptedBeforeKillIsReset(t *testing.T) {
-	s := startEcho(t)
+	s := startEchoServer(t)
 	s.mu.Lock()
 	listener := s.listener
 	s.mu.Unlock()
 	s.Kill()
-	ours, theirs := net.Pipe()
-	defer func() { _, _ = ours.Close(), theirs.Close() }()
-	if s.track(listener, ours) {
-		t.Error("a killed server tracks a connection")
+	accepted, peer := net.Pipe()
+	defer func() { _, _ = accepted.Close(), peer.Close() }()
+	if s.track(listener, accepted) {
+		t.Error("track after Kill = true, want false")
 	}
 	if err := s.Listen(nil); err != nil {
 		t.Fatal(err)
 	}
-	if s.track(listener, ours) {
-		t.Error("a restarted server tracks a connection of its earlier listener")
+	if s.track(listener, accepted) {
+		t.Error("track with the listener from before the restart = true, want false")
 	}
 }
 
+// Guards against a leaked listener, which would keep the port in use after Listen has failed.
 func TestListenerIsClosedIfPreparationFails(t *testing.T) {
 	s := New("127.0.0.1:0", func(net.Conn) {})
 	failure := errors.New("no such option")
 	var prepared net.Listener
 	err := s.Listen(func(listener net.Listener) error { prepared = listener; return failure })
 	if !errors.Is(err, failure) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Listen with a failing prepare: got error %v, want %v", err, failure)
 	}
 	if _, err := prepared.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the listener is open: %v", err)
+		t.Errorf("Accept after the failed Listen: got error %v, want %v", err, net.ErrClosed)
 	}
 }
 
+// Guards against a wrong ID or timeout, and against a request that is accepted although its body is cut short. A missing or
+// invalid timeout counts as not stated.
 func TestReadRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		headers string
@@ -123,15 +128,17 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := ReadRequest(bufio.NewReader(strings.NewReader("GET /quote/2 HTTP/1.1\r\nHost: app\r\n" + c.headers + "\r\n")))
 			if err != nil || got.ID != c.want.ID || got.Timeout != c.want.Timeout || got.Method != "GET" || got.Path != "/quote/2" {
-				t.Errorf("got %+v, %v; want %+v", got, err, c.want)
+				t.Errorf("ReadRequest = %+v, %v, want GET /quote/2 with ID %q, timeout %v and no error", got, err, c.want.ID, c.want.Timeout)
 			}
 		})
 	}
 	if _, err := ReadRequest(bufio.NewReader(strings.NewReader("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nshort"))); err == nil {
-		t.Error("no error for a body that is cut short")
+		t.Error("ReadRequest of a body that is cut short: got no error, want one")
 	}
 }
 
+// Guards against a response that is not valid HTTP/1.1. A half response states the length of the whole body, so that the client
+// detects the missing half.
 func TestResponseBytes(t *testing.T) {
 	var whole, half strings.Builder
 	if err := WriteResponse(&whole, 503, "full", "X-A: 1", "X-B: 2"); err != nil {
@@ -141,13 +148,15 @@
 		t.Fatal(err)
 	}
 	if want := "HTTP/1.1 503 Service Unavailable\r\nX-A: 1\r\nX-B: 2\r\nContent-Length: 4\r\n\r\nfull"; whole.String() != want {
-		t.Errorf("got %q", whole.String())
+		t.Errorf("WriteResponse wrote %q, want %q", whole.String(), want)
 	}
 	if want := "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\ndon"; half.String() != want {
-		t.Errorf("got %q", half.String())
+		t.Errorf("WriteHalfResponse wrote %q, want %q", half.String(), want)
 	}
 }
 
+// Guards against counts that are lost when several goroutines begin executions of the same ID. The counts show whether a
+// request was executed twice. An ID without an execution has the count 0.
 func TestExecutionsAreCountedByID(t *testing.T) {
 	var executions Executions
 	var wg sync.WaitGroup
@@ -156,10 +165,10 @@
 		go func() { defer wg.Done(); executions.Begin("a") }()
 	}
 	wg.Wait()
-	if times := executions.Begin("a"); times != 51 || executions.Times("a") != 51 {
-		t.Errorf("a: %d, %d", times, executions.Times("a"))
+	if count := executions.Begin("a"); count != 51 || executions.Count("a") != 51 {
+		t.Errorf("after 51 executions of \"a\": Begin = %d, Count = %d, want 51 and 51", count, executions.Count("a"))
 	}
-	if executions.Times("b") != 0 {
-		t.Error("b was never executed")
+	if executions.Count("b") != 0 {
+		t.Errorf("Count(\"b\") = %d without an execution, want 0", executions.Count("b"))
 	}
 }
--- a/internal/lab/appserver/executions.go
+++ b/internal/lab/appserver/executions.go
@@ -2,40 +2,42 @@
 
 import "sync"
 
-// executionShards is the number of locks that the request IDs are spread over.
+// executionShards is the number of shards, each with a lock of its own, that the request IDs are distributed over.
 const executionShards = 64
 
-// Executions counts how often each request ID was executed. The zero value is ready for use; its methods may be called
-// from several goroutines.
+// Executions counts the executions of each request ID. The zero value is ready for use. Its methods may be called from
+// several goroutines.
 type Executions struct {
 	shards [executionShards]executionShard
 }
 
+// executionShard counts the executions of the request IDs in one shard.
 type executionShard struct {
-	mu    sync.Mutex     // guards begun
-	begun map[string]int // executions, by request ID
+	mu     sync.Mutex
+	counts map[string]int // number of executions by request ID; guarded by mu
 }
 
-// Begin counts an execution of a request that begins now, and returns the number of its executions so far.
+// Begin counts an execution that begins now. It returns the number of executions of the request ID, including this one.
 func (e *Executions) Begin(id string) int {
 	shard := e.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if shard.begun == nil {
-		shard.begun = map[string]int{}
+	if shard.counts == nil {
+		shard.counts = map[string]int{}
 	}
-	shard.begun[id]++
-	return shard.begun[id]
+	shard.counts[id]++
+	return shard.counts[id]
 }
 
-// Times returns how often the execution of a request has begun.
-func (e *Executions) Times(id string) int {
+// Count returns the number of executions of a request ID that have begun.
+func (e *Executions) Count(id string) int {
 	shard := e.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	return shard.begun[id]
+	return shard.counts[id]
 }
 
+// shard returns the shard of a request ID.
 func (e *Executions) shard(id string) *executionShard {
 	sum := uint(0)
 	for _, b := range []byte(id) {
--- a/internal/lab/appserver/message.go
+++ b/internal/lab/appserver/message.go
@@ -15,12 +15,12 @@
 type Request struct {
 	Method  string
 	Path    string
-	ID      string        // empty: the request has none
-	Timeout time.Duration // how long the client waits; 0: not stated
+	ID      string        // request ID, or empty if the request has none
+	Timeout time.Duration // time that the client waits for the response, or 0 if the request does not state it
 	Header  http.Header
 }
 
-// ReadRequest reads a request with its body, which it discards. Any error leaves the connection unusable.
+// ReadRequest reads a request with its body, which it discards. After an error the connection is unusable.
 func ReadRequest(reader *bufio.Reader) (Request, error) {
 	parsed, err := http.ReadRequest(reader)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return RequestOf(parsed), nil
 }
 
-// RequestOf returns the fields of a request that net/http has parsed.
+// RequestOf returns the Request of a request that net/http has parsed.
 func RequestOf(parsed *http.Request) Request {
 	request := Request{
 		Method: parsed.Method,
@@ -46,18 +46,19 @@
 	return request
 }
 
-// WriteResponse writes a whole response. Each of headers is one line without its end.
+// WriteResponse writes a whole response. Each of headers is a header line without its line end.
 func WriteResponse(w io.Writer, status int, body string, headers ...string) error {
 	_, err := io.WriteString(w, responseHead(status, len(body), headers)+body)
 	return err
 }
 
-// WriteHalfResponse writes the head of a response of 200 and the first half of its body.
+// WriteHalfResponse writes the head of a 200 response and the first half of its body.
 func WriteHalfResponse(w io.Writer, body string) error {
 	_, err := io.WriteString(w, responseHead(http.StatusOK, len(body), nil)+body[:len(body)/2])
 	return err
 }
 
+// responseHead returns the status line and the headers of a response, up to the blank line.
 func responseHead(status, bodyLength int, headers []string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	for _, header := range headers {
--- a/internal/lab/appserver/server.go
+++ b/internal/lab/appserver/server.go
@@ -1,5 +1,6 @@
-// Package appserver holds the parts that the laboratory's app servers share: the listener with its connections, reading a
-// request, writing a response, and counting executions by request ID. The servers of a simulation add their own behaviour.
+// Package appserver holds the parts that the laboratory's app servers share. These are the listener with its connections,
+// functions that read a request and write a response, and the count of executions by request ID. The servers of a
+// simulation add their own behaviour.
 package appserver
 
 import (
@@ -10,35 +11,36 @@
 	"time"
 )
 
-// acceptRetryDelay is the pause after a failed accept, for example for want of a descriptor.
+// acceptRetryDelay is the pause after a failed accept, for example when the process has no free file descriptor.
 const acceptRetryDelay = time.Millisecond
 
-// Server listens at one address, over its restarts, and serves each connection on a goroutine of its own. Its methods may
-// be called from several goroutines.
+// Server listens at one address, which stays the same over restarts. It serves each connection on a goroutine of its own.
+// Its methods may be called from several goroutines.
 type Server struct {
 	serve func(net.Conn)
 
-	mu       sync.Mutex            // guards the fields below
-	addr     string                // host:port; the port is fixed by the first Listen
-	listener net.Listener          // nil while the server is killed
+	// mu guards the fields below.
+	mu       sync.Mutex
+	addr     string                // host:port; the first Listen fixes the port
+	listener net.Listener          // current listener; nil before Listen and after Kill
 	conns    map[net.Conn]struct{} // open connections
 }
 
-// New returns a server of addr (port 0 for a free port) that does not listen yet. serve is called on a new goroutine for
-// each connection; the server closes the connection when serve returns.
+// New returns a server with the address addr (port 0 for a free port) that does not listen yet. The server calls serve on a
+// new goroutine for each connection, and closes the connection when serve returns.
 func New(addr string, serve func(net.Conn)) *Server {
 	return &Server{serve: serve, addr: addr, conns: map[net.Conn]struct{}{}}
 }
 
-// Addr returns the address, host:port. The port is known once Listen has returned.
+// Addr returns the address, host:port. A free port is known once Listen has returned.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Listen opens the address, which is the same after each Kill. prepare, if not nil, is called with the listener before the
-// first accept. The goroutine that accepts connections ends with Kill.
+// Listen opens the address, which is the same after each Kill. If prepare is not nil, Listen calls it with the listener
+// before the first accept. The goroutine that accepts connections ends with Kill.
 func (s *Server) Listen(prepare func(net.Listener) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +50,7 @@
 	}
 	if prepare != nil {
 		if err := prepare(listener); err != nil {
-			return errors.Join(fmt.Errorf("app server %s: %w", s.addr, err), listener.Close())
+			return errors.Join(fmt.Errorf("app server: prepare the listener at %s: %w", s.addr, err), listener.Close())
 		}
 	}
 	s.listener, s.addr = listener, listener.Addr().String()
@@ -57,7 +59,7 @@
 }
 
 // Kill closes the listener and resets all connections, as if the process had been killed. It does nothing if the server does
-// not listen, and does not wait for the connections' goroutines.
+// not listen. It does not wait for the connections' goroutines.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,10 +103,10 @@
 	return true
 }
 
-// serveConn serves a connection and closes it.
+// serveConn serves a connection, closes it, and removes it from conns.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() {
-		_ = conn.Close() // fails if it is closed already
+		_ = conn.Close() // fails only if the connection is closed already
 		s.mu.Lock()
 		delete(s.conns, conn)
 		s.mu.Unlock()
@@ -112,10 +114,10 @@
 	s.serve(conn)
 }
 
-// ResetConn closes a connection with a TCP reset.
+// ResetConn closes a connection with a TCP reset, if it is a TCP connection.
 func ResetConn(conn net.Conn) {
 	if tcp, ok := conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = tcp.SetLinger(0) // fails for a closed connection only
+		_ = tcp.SetLinger(0) // fails only for a closed connection
 	}
 	_ = conn.Close()
 }
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,16 +1,16 @@
-// Package emulator emulates app servers on loopback as the platform's protocol describes them:
+// Package emulator emulates app servers on loopback as the platform's protocol describes them. A server has these properties:
 //
 //   - HTTP/1.1 with one request at a time on a connection;
-//   - bounded numbers of connections, of requests in work and of queued requests;
+//   - limited numbers of connections, of executing requests and of queued requests;
 //   - a log-normal service time, which is longer while the server warms up;
 //   - a handshake delay on each new connection;
 //   - load reports, health checks and graceful shutdown;
 //   - faults from a schedule.
 //
-// A server counts how often it began to execute each request ID, so that a test can prove that no unsafe request was
+// A server counts how often it began to execute each request ID. With the counts a test can prove that no unsafe request was
 // executed twice.
 //
-// Random draws come from math/rand/v2 (PCG), seeded per server. The wall clock only decides when events happen.
+// Random draws come from math/rand/v2 (PCG), with a seed for each server. The wall clock only decides when events happen.
 package emulator
 
 import (
@@ -29,23 +29,23 @@
 
 // Fleet is a set of emulated servers with one schedule and one clock.
 type Fleet struct {
-	Servers []*Server // by number; not changed after Start
+	Servers []*Server // servers by number; immutable after Start
 
 	startedAt time.Time
-	stop      chan struct{}  // closed by Close
-	wg        sync.WaitGroup // counts playSchedule
+	stop      chan struct{}  // Close closes this channel.
+	wg        sync.WaitGroup // Close waits here for the goroutine of runSchedule.
 }
 
-// Start opens cfg.Servers servers, the first at cfg.Listen and each next one a port higher. If cfg.Listen has port 0, all
-// servers get free ports. Start returns an error for a non-loopback address or a port in use, and then leaves no server
-// open. The caller stops the fleet by Close.
+// Start opens cfg.Servers servers, the first at cfg.Listen and each next one at the next higher port. If cfg.Listen has port 0,
+// all servers get free ports. For a non-loopback address or a port in use Start returns an error and leaves no server open.
+// The caller must call Close.
 func Start(cfg operatorfile.Emulator, seed uint64, schedule Schedule, log zerolog.Logger) (*Fleet, error) {
 	first, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("emulator: %w", err)
+		return nil, fmt.Errorf("emulator: listen address: %w", err)
 	}
 	if !first.Addr().IsLoopback() {
-		return nil, fmt.Errorf("emulator: %s is not a loopback address", first.Addr())
+		return nil, fmt.Errorf("emulator: listen address %s is not a loopback address", first.Addr())
 	}
 	f := &Fleet{startedAt: time.Now(), stop: make(chan struct{})}
 	for i := range cfg.Servers {
@@ -60,12 +60,12 @@
 		}
 		if err := s.open(); err != nil {
 			f.Close()
-			return nil, fmt.Errorf("emulator: %w", err)
+			return nil, fmt.Errorf("emulator: server %d: %w", i, err)
 		}
 		f.Servers = append(f.Servers, s)
 	}
 	f.wg.Add(1)
-	go f.playSchedule()
+	go f.runSchedule()
 	return f, nil
 }
 
@@ -78,7 +78,7 @@
 	return addrs
 }
 
-// Close stops the schedule and every server, and closes their connections. It may be called again, but not concurrently.
+// Close stops the schedule and all servers, and closes their connections. It may be called again, but not concurrently.
 func (f *Fleet) Close() {
 	select {
 	case <-f.stop:
@@ -91,10 +91,10 @@
 	}
 }
 
-// transition is a scheduled change of state of a whole server.
+// transition is a scheduled stop, drain or start of a server.
 type transition struct {
-	at     time.Duration // from the fleet's start
-	server int
+	at     time.Duration // time since the fleet's start
+	server int           // number of the server
 	kind   transitionKind
 }
 
@@ -102,13 +102,13 @@
 type transitionKind int
 
 const (
-	goDown transitionKind = iota
-	startDrain
-	comeUp
+	serverStop  transitionKind = iota // stop of the server for a restart
+	serverDrain                       // start of a drain
+	serverStart                       // start of the server after a restart
 )
 
-// playSchedule executes the scheduled restarts and drains. Its goroutine ends after the last of them, or at Close.
-func (f *Fleet) playSchedule() {
+// runSchedule executes the scheduled restarts and drains. Its goroutine ends after the last of them or at Close.
+func (f *Fleet) runSchedule() {
 	defer f.wg.Done()
 	for _, t := range f.transitions() {
 		select {
@@ -118,20 +118,20 @@
 		}
 		s := f.Servers[t.server]
 		switch t.kind {
-		case goDown:
+		case serverStop:
 			s.close()
 			s.count(func(c *Stats) { c.Restarts++ })
-		case startDrain:
+		case serverDrain:
 			s.Drain()
-		case comeUp:
+		case serverStart:
 			if err := s.open(); err != nil {
-				s.log.Error().Err(err).Msg("restart failed")
+				s.log.Error().Err(err).Msg("restart of an emulated server failed")
 			}
 		}
 	}
 }
 
-// transitions returns the schedule's restarts and drains in order of time. At equal times, servers that come up are last.
+// transitions returns the transitions of the schedule in order of time. At equal times, the starts of servers are last.
 func (f *Fleet) transitions() (out []transition) {
 	for _, s := range f.Servers {
 		for _, fault := range s.schedule.Faults {
@@ -140,20 +140,20 @@
 			}
 			switch fault.Kind {
 			case Restart:
-				out = append(out, transition{fault.Start(), s.id, goDown}, transition{fault.End(), s.id, comeUp})
+				out = append(out, transition{fault.Start(), s.id, serverStop}, transition{fault.End(), s.id, serverStart})
 			case Drain:
-				out = append(out, transition{fault.Start(), s.id, startDrain})
+				out = append(out, transition{fault.Start(), s.id, serverDrain})
 			}
 		}
 	}
 	slices.SortStableFunc(out, func(a, b transition) int {
-		isUp := func(t transition) int {
-			if t.kind == comeUp {
+		isStart := func(t transition) int {
+			if t.kind == serverStart {
 				return 1
 			}
 			return 0
 		}
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(isUp(a), isUp(b)))
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(isStart(a), isStart(b)))
 	})
 	return out
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -13,7 +13,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// startServer starts a fleet of one server with a schedule.
+// startServer starts a fleet of one server with the given schedule. The fleet is closed when the test ends.
 func startServer(t *testing.T, schedule string) *Fleet {
 	t.Helper()
 	cfg := operatorfile.Default().Lab.Emulator
@@ -30,7 +30,8 @@
 	return f
 }
 
-func get(addr, id string) (*http.Response, string, error) {
+// post sends a request with an ID (empty for none) over a new connection, and returns the response and its body.
+func post(addr, id string) (*http.Response, string, error) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/seat-purchase/0000000000000001", nil)
 	if id != "" {
 		req.Header.Set(protocol.HeaderRequestID, id)
@@ -46,6 +47,7 @@
 	return resp, string(body), err
 }
 
+// Guards against an invalid schedule that is accepted, and against an error that does not name the invalid key, value or line.
 func TestInvalidSchedules(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[fault]]\nkind = \"melt\"\nat_s = 0\nfor_s = 1\n":             "unknown",
@@ -56,81 +58,86 @@
 		"[[fault]]\nkind = = \"slow\"\n":                                "line 2",
 	} {
 		if _, err := ParseSchedule(text, 2); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want %q", text, err, want)
+			t.Errorf("ParseSchedule(%q): got error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
 
-// A server that resets in mid-body leaves the client with a short body and an error. The request counts as executed.
+// Guards against a reset that the client can take for a complete response, or that does not count as an execution. The server
+// resets the connection in the middle of the body, so the client gets an error.
 func TestResetInMidBody(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"reset\"\nat_s = 0\nfor_s = 60\n")
-	_, body, err := get(f.Servers[0].Addr(), "a1")
+	_, body, err := post(f.Servers[0].Addr(), "a1")
 	if err == nil {
-		t.Fatalf("no error; body %q", body)
+		t.Fatalf("request under the fault reset: got body %q and no error, want an error", body)
 	}
-	if f.Servers[0].TimesBegun("a1") != 1 || f.Servers[0].Stats().Resets != 1 {
-		t.Fatalf("runs %d, stats %+v", f.Servers[0].TimesBegun("a1"), f.Servers[0].Stats())
+	if f.Servers[0].ExecutionCount("a1") != 1 || f.Servers[0].Stats().Resets != 1 {
+		t.Fatalf("after one reset: ExecutionCount = %d, stats %+v, want 1 and Resets 1", f.Servers[0].ExecutionCount("a1"), f.Servers[0].Stats())
 	}
 }
 
-// A second execution of the same request ID is counted.
+// Guards against a second execution of a request ID that is not counted, which would hide that an unsafe request ran twice. A
+// request without an ID gets 404 and is counted separately.
 func TestExecutionsAreCountedAndNoIDIs404(t *testing.T) {
 	f := startServer(t, "")
 	addr := f.Servers[0].Addr()
 	for range 2 {
-		if resp, body, err := get(addr, "b2"); err != nil || resp.StatusCode != 200 || body != "done b2\n" {
-			t.Fatalf("%v %v %q", resp, err, body)
+		if resp, body, err := post(addr, "b2"); err != nil || resp.StatusCode != 200 || body != "done b2\n" {
+			t.Fatalf("request b2: got response %v, error %v, body %q, want status 200, no error, body \"done b2\\n\"", resp, err, body)
 		}
 	}
-	if resp, _, _ := get(addr, ""); resp.StatusCode != 404 {
-		t.Fatalf("no id: %d", resp.StatusCode)
+	if resp, _, _ := post(addr, ""); resp.StatusCode != 404 {
+		t.Fatalf("request without an ID: got status %d, want 404", resp.StatusCode)
 	}
-	if st := f.Servers[0].Stats(); st.BegunTwice != 1 || st.Begun != 2 || st.NoID != 1 {
-		t.Fatalf("%+v", st)
+	if st := f.Servers[0].Stats(); st.ExecutedTwice != 1 || st.ExecutionsBegun != 2 || st.NoID != 1 {
+		t.Fatalf("Stats() = %+v, want ExecutedTwice 1, ExecutionsBegun 2, NoID 1", st)
 	}
 }
 
-// A draining server rejects requests without executing them.
+// Guards against a draining server that executes a new request, or that rejects it without the header that allows a retry.
 func TestDrainRejectsWithoutExecution(t *testing.T) {
 	f := startServer(t, "")
 	s := f.Servers[0]
 	s.mu.Lock()
-	s.draining = true // as Drain sets it, but without the grace timer
+	s.draining = true // Drain would also start the timer of the grace.
 	s.mu.Unlock()
-	resp, _, err := get(s.Addr(), "c3")
-	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue || s.TimesBegun("c3") != 0 {
-		t.Fatalf("%v %v runs %d", resp, err, s.TimesBegun("c3"))
+	resp, _, err := post(s.Addr(), "c3")
+	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue || s.ExecutionCount("c3") != 0 {
+		t.Fatalf("request to a draining server: got response %v, error %v, %d executions, want status 503 with %s: %s and no execution",
+			resp, err, s.ExecutionCount("c3"), protocol.HeaderRejected, protocol.RejectedValue)
 	}
 }
 
-// A restart refuses connections for its duration, and then the server is back at the same address.
+// Guards against a restart during which the server still answers, or after which it does not return to its address.
 func TestRestartRefusesThenReturns(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(150 * time.Millisecond)
-	if _, _, err := get(addr, "d4"); err == nil {
-		t.Fatal("answered while down")
+	if _, _, err := post(addr, "d4"); err == nil {
+		t.Fatal("request during the restart: got no error, want one")
 	}
 	time.Sleep(400 * time.Millisecond)
-	if resp, _, err := get(addr, "d5"); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("not back: %v %v", resp, err)
+	if resp, _, err := post(addr, "d5"); err != nil || resp.StatusCode != 200 {
+		t.Fatalf("request after the restart: got response %v, error %v, want status 200 and no error", resp, err)
 	}
 	if f.Servers[0].Stats().Restarts != 1 {
-		t.Fatal("restart not counted")
+		t.Fatalf("Stats().Restarts = %d, want 1", f.Servers[0].Stats().Restarts)
 	}
 }
 
-// During a scheduled drain the server rejects new requests on new connections. It closes after the grace.
+// Guards against a scheduled drain that refuses connections at once or leaves the server open. The server accepts connections
+// and rejects requests until the end of the grace, and then closes.
 func TestScheduledDrain(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"drain\"\nat_s = 0.05\nfor_s = 1\n")
 	addr := f.Servers[0].Addr()
 	time.Sleep(100 * time.Millisecond)
-	resp, _, err := get(addr, "e6")
+	resp, _, err := post(addr, "e6")
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue {
-		t.Fatalf("while draining: %v %v", resp, err)
+		t.Fatalf("request while draining: got response %v, error %v, want status 503 with %s: %s",
+			resp, err, protocol.HeaderRejected, protocol.RejectedValue)
 	}
-	time.Sleep(300 * time.Millisecond) // the grace is 200 ms
-	if _, _, err := get(addr, "e7"); err == nil {
-		t.Fatal("answered after the grace")
+	time.Sleep(300 * time.Millisecond) // The grace is 200 ms.
+	if _, _, err := post(addr, "e7"); err == nil {
+		t.Fatal("request after the grace: got no error, want one")
 	}
 }
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -19,16 +19,16 @@
 
 const (
 	minUnits  = 0.1                      // smallest weight, in units, that scales the service time
-	noTimeout = time.Duration(1<<62 - 1) // of a request that states none
+	noTimeout = time.Duration(1<<62 - 1) // timeout of a request that states none
 )
 
-// connUsedKey is the context key of a connection's *atomic.Bool, which is true once the connection has had a request.
+// connUsedKey is the context key of a connection's *atomic.Bool. The value is true once the connection has had a request.
 type connUsedKey struct{}
 
 // ServeHTTP answers one request as the platform's protocol describes an app server. It implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sinceStart := time.Since(s.fleetStart)
-	if isFirstOfConn(r) && s.cfg.HandshakeMs > 0 {
+	if isFirstOnConn(r) && s.cfg.HandshakeMs > 0 {
 		time.Sleep(milliseconds(s.cfg.HandshakeMs))
 	}
 	if r.URL.Path == protocol.HealthPath || r.URL.Path == protocol.LoadPath {
@@ -36,51 +36,51 @@
 		return
 	}
 	request := appserver.RequestOf(r)
-	plan := s.drawPlan(sinceStart, r)
+	behaviour := s.drawBehaviour(sinceStart, r)
 	if request.ID == "" {
 		s.count(func(c *Stats) { c.NoID++ })
 		http.NotFound(w, r)
 		return
 	}
-	if plan.draining || HasKind(plan.faults, Refuse) {
+	if behaviour.draining || HasKind(behaviour.faults, Refuse) {
 		s.reject(w)
 		return
 	}
-	if HasKind(plan.faults, Silence) {
+	if HasKind(behaviour.faults, Silence) {
 		s.count(func(c *Stats) { c.Unanswered++ })
-		<-r.Context().Done() // the client closes the connection; the request was not executed
+		<-r.Context().Done() // Wait until the client closes the connection. The request is not executed.
 		return
 	}
 	if !s.acquireSlot(r.Context(), cmp.Or(request.Timeout, noTimeout)) {
 		s.reject(w)
 		return
 	}
-	defer func() { <-s.workSlots; s.working.Add(-1) }()
-	s.recordBegun(request.ID)
+	defer func() { <-s.workSlots; s.executing.Add(-1) }()
+	s.recordExecution(request.ID)
 	select {
-	case <-time.After(plan.serviceTime):
+	case <-time.After(behaviour.serviceTime):
 	case <-r.Context().Done():
-		return // the connection was closed: the request was executed, and nobody reads the response
+		return // The connection is closed. The request counts as executed, but the response has no reader.
 	}
-	s.answer(w, r, request.ID, plan.faults)
+	s.answer(w, r, request.ID, behaviour.faults)
 }
 
-// isFirstOfConn reports whether a request is the first on its connection. It may be called once for each request.
-func isFirstOfConn(r *http.Request) bool {
+// isFirstOnConn reports whether a request is the first on its connection. It may be called only once for each request.
+func isFirstOnConn(r *http.Request) bool {
 	used, ok := r.Context().Value(connUsedKey{}).(*atomic.Bool)
 	return ok && !used.Swap(true)
 }
 
-// requestPlan is the drawn course of one request.
-type requestPlan struct {
-	faults      []Fault // active ones that hit the request
+// requestBehaviour is the server's randomly drawn behaviour for one request.
+type requestBehaviour struct {
+	faults      []Fault // active faults that affect the request
 	serviceTime time.Duration
-	draining    bool // the server was draining when the request came
+	draining    bool // whether the server was draining when the request arrived
 }
 
-// drawPlan counts a request and draws the faults that hit it and its service time. sinceStart is the time since the
-// fleet's start at which the request came.
-func (s *Server) drawPlan(sinceStart time.Duration, r *http.Request) requestPlan {
+// drawBehaviour counts a request, and draws its service time and the faults that affect it. sinceStart is the request's arrival
+// time since the fleet's start.
+func (s *Server) drawBehaviour(sinceStart time.Duration, r *http.Request) requestBehaviour {
 	units := 1.0
 	if u, ok := weightUnits(r.Header.Get(protocol.HeaderWeight)); ok {
 		units = u
@@ -94,12 +94,12 @@
 			faults = append(faults, fault)
 		}
 	}
-	serviceTime := DrawServiceTime(s.cfg, s.rng, units, time.Since(s.bootedAt), faults)
-	return requestPlan{faults: faults, serviceTime: serviceTime, draining: s.draining}
+	serviceTime := DrawServiceTime(s.cfg, s.rng, units, time.Since(s.startedAt), faults)
+	return requestBehaviour{faults: faults, serviceTime: serviceTime, draining: s.draining}
 }
 
-// DrawServiceTime draws a log-normal service time of a request with a weight in units. The time is longer while uptime, the
-// time since the server's start, is within the warm-up, and under slow faults.
+// DrawServiceTime draws a log-normal service time for a request whose weight is the given number of units. Uptime is the time
+// since the server's start. The service time is longer while uptime is within the warm-up, and with slow faults.
 func DrawServiceTime(
 	cfg operatorfile.Emulator, rng *rand.Rand, units float64, uptime time.Duration, faults []Fault,
 ) time.Duration {
@@ -115,25 +115,25 @@
 	return milliseconds(ms)
 }
 
-// acquireSlot takes one of workSlots and reports whether it got one. It waits for a free slot until the request's timeout
-// or the end of ctx. It fails at once if the queue is full. The caller releases the slot.
+// acquireSlot acquires one of workSlots and reports whether it got one. It waits for a free slot until the request's timeout
+// or the end of ctx. It returns false at once if the queue is full. The caller releases the slot.
 func (s *Server) acquireSlot(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case s.workSlots <- struct{}{}:
-		s.working.Add(1)
+		s.executing.Add(1)
 		return true
 	default:
 	}
-	if s.waiting.Add(1) > int64(s.cfg.Queue) {
-		s.waiting.Add(-1)
+	if s.queued.Add(1) > int64(s.cfg.Queue) {
+		s.queued.Add(-1)
 		return false
 	}
-	defer s.waiting.Add(-1)
+	defer s.queued.Add(-1)
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s.workSlots <- struct{}{}:
-		s.working.Add(1)
+		s.executing.Add(1)
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -141,18 +141,18 @@
 	return false
 }
 
-// recordBegun counts that the execution of a request begins.
-func (s *Server) recordBegun(id string) {
+// recordExecution counts that the execution of a request begins.
+func (s *Server) recordExecution(id string) {
 	executions := s.executions.Begin(id)
 	s.count(func(c *Stats) {
-		c.Begun++
+		c.ExecutionsBegun++
 		if executions == 2 {
-			c.BegunTwice++
+			c.ExecutedTwice++
 		}
 	})
 }
 
-// answer responds to an executed request, or fails to, according to the faults that hit it.
+// answer responds to an executed request. The faults that affect the request may change, cut or suppress the response.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
 	body := "done " + id + "\n"
 	switch {
@@ -194,7 +194,7 @@
 	appserver.ResetConn(conn)
 }
 
-// reject responds 503 with the header that says that the request was not executed.
+// reject responds 503 with a header that states that the request was not executed.
 func (s *Server) reject(w http.ResponseWriter) {
 	s.count(func(c *Stats) { c.Rejected++ })
 	w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
@@ -202,8 +202,8 @@
 	http.Error(w, "turned away", http.StatusServiceUnavailable)
 }
 
-// answerHealthCheck responds to a health check or to a request for a load report: 503 while draining, 404 if the
-// configuration has no health checks.
+// answerHealthCheck responds to a health check or to a request for a load report. The status is 503 while the server drains,
+// and 404 if health checks are disabled in the configuration.
 func (s *Server) answerHealthCheck(w http.ResponseWriter, r *http.Request) {
 	if !s.cfg.HealthChecks {
 		http.NotFound(w, r)
@@ -219,21 +219,21 @@
 	}
 }
 
-// addLoadReport sets the load report header if the configuration has load reports.
+// addLoadReport sets the load report header if load reports are enabled in the configuration.
 func (s *Server) addLoadReport(w http.ResponseWriter) {
 	if s.cfg.LoadReports {
 		w.Header().Set(protocol.HeaderLoadReport, s.loadReport())
 	}
 }
 
-// loadReport returns the present load in the protocol's form.
+// loadReport returns the current load in the protocol's format.
 func (s *Server) loadReport() string {
-	working, waiting := s.working.Load(), s.waiting.Load()
-	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", working, waiting, float64(working)/float64(s.cfg.Concurrency))
+	executing, queued := s.executing.Load(), s.queued.Load()
+	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", executing, queued, float64(executing)/float64(s.cfg.Concurrency))
 }
 
-// weightUnits returns the units in the value of a protocol.HeaderWeight. The result is false if they are missing or
-// negative.
+// weightUnits returns the units in the value of a protocol.HeaderWeight. The second result is false if the units are missing,
+// malformed or negative.
 func weightUnits(header string) (float64, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), protocol.WeightUnits+"="); ok {
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -7,18 +7,17 @@
 	"cherrygap/internal/lab/appserver"
 )
 
-// cappedListener limits the number of open connections. It resets each connection past the limit, as a full app server
-// does.
-type cappedListener struct {
+// limitedListener limits the number of open connections. Like a full app server it resets each connection beyond the limit.
+type limitedListener struct {
 	net.Listener
 	maxOpen  int64
-	open     atomic.Int64 // connections; ConnState of Server.open subtracts the closed ones
-	accepted atomic.Int64
-	refused  atomic.Int64 // reset at the limit
+	open     atomic.Int64 // number of open connections; Server.open sets a ConnState that subtracts the closed ones
+	accepted atomic.Int64 // number of connections accepted within the limit
+	refused  atomic.Int64 // number of connections reset at the limit
 }
 
-// Accept returns the next connection within the limit. It implements net.Listener.
-func (l *cappedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit, and so implements net.Listener.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
--- a/internal/lab/emulator/schedule_test.go
+++ b/internal/lab/emulator/schedule_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A schedule file may have each kind of fault by its name, and optional keys have defaults.
+// Guards against a change of the format of schedule files, such as a renamed kind or key or another default.
 func TestScheduleFileFormat(t *testing.T) {
 	const text = `
 [[fault]]
@@ -65,6 +65,6 @@
 		{Drain, 0, 9, 2, 1, 5},
 	}
 	if !reflect.DeepEqual(s.Faults, want) {
-		t.Errorf("%+v", s.Faults)
+		t.Errorf("ParseSchedule: got faults %+v, want %+v", s.Faults, want)
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -17,25 +17,26 @@
 
 // Server is one emulated app server. Its methods may be called from several goroutines.
 type Server struct {
-	id         int // number in the fleet, from 0
+	id         int // number of the server in the fleet, from 0
 	cfg        operatorfile.Emulator
 	schedule   Schedule
 	fleetStart time.Time
 	log        zerolog.Logger
 
-	mu         sync.Mutex // guards the fields up to listener
-	addr       string     // host:port; the port is fixed by the first open
-	rng        *rand.Rand // draws faults and service times
-	stats      Stats      // without the listener's counts
-	bootedAt   time.Time  // of the present incarnation
-	draining   bool
-	httpServer *http.Server // nil while the server is down
-	listener   *cappedListener
+	// mu guards the fields up to listener.
+	mu         sync.Mutex
+	addr       string           // host:port; the first open fixes the port
+	rng        *rand.Rand       // generator of faults and service times
+	stats      Stats            // counts, without those of the listener
+	startedAt  time.Time        // start of the current incarnation
+	draining   bool             // whether the server rejects new requests
+	httpServer *http.Server     // HTTP server of the current incarnation; nil while the server is down
+	listener   *limitedListener // listener of the current or last incarnation
 
-	executions appserver.Executions // by request ID
-	workSlots  chan struct{}        // holds one element for each request in work
-	waiting    atomic.Int64         // requests queued
-	working    atomic.Int64         // requests in work
+	executions appserver.Executions // counts of executions by request ID
+	workSlots  chan struct{}        // semaphore with one element for each executing request
+	queued     atomic.Int64         // number of queued requests
+	executing  atomic.Int64         // number of executing requests
 }
 
 // Addr returns the server's address, host:port.
@@ -45,7 +46,7 @@
 	return s.addr
 }
 
-// Stats returns the counts since the fleet's start. Connections and Refused are those since the last restart.
+// Stats returns the counts since the fleet's start. Connections and Refused count only since the last restart.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,13 +57,13 @@
 	return stats
 }
 
-// TimesBegun returns how often the server began to execute the request with this ID.
-func (s *Server) TimesBegun(id string) int {
-	return s.executions.Times(id)
+// ExecutionCount returns how often the server began to execute the request with the given ID.
+func (s *Server) ExecutionCount(id string) int {
+	return s.executions.Count(id)
 }
 
 // Drain makes the server reject new requests and answer health checks with 503, while it still accepts connections.
-// Requests in flight may finish within the configured grace. After that the server closes, with all connections.
+// Requests in flight may finish within the configured grace. After that the server closes with all its connections.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -73,9 +74,9 @@
 	}
 	time.AfterFunc(milliseconds(s.cfg.DrainMs), func() {
 		s.mu.Lock()
-		same := s.httpServer == drained
+		sameIncarnation := s.httpServer == drained
 		s.mu.Unlock()
-		if same {
+		if sameIncarnation {
 			s.close()
 		}
 	})
@@ -88,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	capped := &cappedListener{Listener: listener, maxOpen: int64(s.cfg.Connections)}
+	limited := &limitedListener{Listener: listener, maxOpen: int64(s.cfg.Connections)}
 	server := &http.Server{
 		Handler:     s,
 		IdleTimeout: time.Duration(s.cfg.IdleS * float64(time.Second)),
@@ -97,18 +98,18 @@
 		},
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed || state == http.StateHijacked {
-				capped.open.Add(-1)
+				limited.open.Add(-1)
 			}
 		},
 	}
 	s.mu.Lock()
-	s.addr, s.httpServer, s.listener, s.bootedAt, s.draining = listener.Addr().String(), server, capped, time.Now(), false
+	s.addr, s.httpServer, s.listener, s.startedAt, s.draining = listener.Addr().String(), server, limited, time.Now(), false
 	s.mu.Unlock()
-	go func() { _ = server.Serve(capped) }() // returns http.ErrServerClosed after close
+	go func() { _ = server.Serve(limited) }() // Serve returns http.ErrServerClosed after close.
 	return nil
 }
 
-// close closes the listener and all connections. It does nothing if the server is down.
+// close closes the listener and all connections of the server. It does nothing if the server is down.
 func (s *Server) close() {
 	s.mu.Lock()
 	server := s.httpServer
@@ -119,7 +120,7 @@
 	}
 }
 
-// count changes the counts under the lock.
+// count calls change with the counts while it holds the lock.
 func (s *Server) count(change func(*Stats)) {
 	s.mu.Lock()
 	change(&s.stats)
@@ -133,5 +134,5 @@
 	return s.draining
 }
 
-// milliseconds converts a number of milliseconds.
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/emulator/stats_test.go
+++ b/internal/lab/emulator/stats_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The counts in the last line of `lab emulate` have the keys of testdata/stats.json.
+// Guards against a renamed or reordered JSON key in the last line of `lab emulate`, which reports read. testdata/stats.json has
+// the expected line.
 func TestStatsJSONFormat(t *testing.T) {
 	var s Stats
 	for i := range reflect.TypeOf(s).NumField() {
@@ -23,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(raw, '\n'), want) {
-		t.Errorf("got\n%s", raw)
+		t.Errorf("Marshal: got\n%s\nwant\n%s", raw, want)
 	}
 }
--- a/internal/lab/emulator/transitions_test.go
+++ b/internal/lab/emulator/transitions_test.go
@@ -8,7 +8,7 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Restarts and drains are sorted by time. At equal times, servers that come up are last.
+// Guards against transitions that are out of order. They are sorted by time. At equal times, the starts of servers are last.
 func TestTransitionsInOrder(t *testing.T) {
 	schedule, err := ParseSchedule(`
 [[fault]]
@@ -40,14 +40,14 @@
 		f.Servers = append(f.Servers, &Server{id: id, cfg: operatorfile.Emulator{}, schedule: schedule})
 	}
 	want := []transition{
-		{time.Second, 1, goDown},
-		{3 * time.Second, 0, goDown},
-		{3 * time.Second, 0, startDrain},
-		{3 * time.Second, 1, startDrain},
-		{3 * time.Second, 1, comeUp},
-		{4 * time.Second, 0, comeUp},
+		{time.Second, 1, serverStop},
+		{3 * time.Second, 0, serverStop},
+		{3 * time.Second, 0, serverDrain},
+		{3 * time.Second, 1, serverDrain},
+		{3 * time.Second, 1, serverStart},
+		{4 * time.Second, 0, serverStart},
 	}
 	if got := f.transitions(); !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("transitions() = %v, want %v", got, want)
 	}
 }
