--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -16,65 +16,66 @@
 
 // command is a command of the protocol.
 type command struct {
-	minWords int  // lowest number of words, including the name
-	writes   bool // whether the faults full and forget apply to it
-	run      func(*call)
+	minArgs int         // minimum number of arguments, including the name
+	writes  bool        // whether the faults full and forget affect the command
+	run     func(*call) // function that runs the command and writes the reply
 }
 
-// commands are the commands by name, in upper case.
+// commands are the supported commands by name, in upper case.
 var commands = map[string]command{
-	"PING":    {minWords: 1, run: (*call).ping},
-	"SELECT":  {minWords: 1, run: (*call).ok},
-	"CLIENT":  {minWords: 1, run: (*call).client},
-	"GET":     {minWords: 2, run: (*call).get},
-	"SET":     {minWords: 3, writes: true, run: (*call).set},
-	"SETNX":   {minWords: 3, writes: true, run: (*call).setIfAbsent},
-	"INCRBY":  {minWords: 3, writes: true, run: (*call).increment},
-	"HSET":    {minWords: 4, writes: true, run: (*call).setFields},
-	"HGETALL": {minWords: 2, run: (*call).getFields},
-	"EXPIRE":  {minWords: 3, run: func(c *call) { c.expire(time.Second) }},
-	"PEXPIRE": {minWords: 3, run: func(c *call) { c.expire(time.Millisecond) }},
-	"DEL":     {minWords: 2, run: (*call).del},
+	"PING":    {minArgs: 1, run: (*call).ping},
+	"SELECT":  {minArgs: 1, run: (*call).ok},
+	"CLIENT":  {minArgs: 1, run: (*call).client},
+	"GET":     {minArgs: 2, run: (*call).get},
+	"SET":     {minArgs: 3, writes: true, run: (*call).set},
+	"SETNX":   {minArgs: 3, writes: true, run: (*call).setIfAbsent},
+	"INCRBY":  {minArgs: 3, writes: true, run: (*call).increment},
+	"HSET":    {minArgs: 4, writes: true, run: (*call).setFields},
+	"HGETALL": {minArgs: 2, run: (*call).getFields},
+	"EXPIRE":  {minArgs: 3, run: func(c *call) { c.expire(time.Second) }},
+	"PEXPIRE": {minArgs: 3, run: func(c *call) { c.expire(time.Millisecond) }},
+	"DEL":     {minArgs: 2, run: (*call).deleteKeys},
 }
 
-// call is the execution of a command. Its methods run with Server.mu held, and write one reply each.
+// call is the execution of a command. The caller of its methods holds Server.mu. Each method writes one reply.
 type call struct {
-	redcon.Conn // receives the reply
-	sender      *client
-	data        *data // that the sender sees
-	words       []string
-	lost        bool // whether the write is not carried out, by the fault forget
+	redcon.Conn          // connection that gets the reply
+	sender      *client  // client that sent the command
+	data        *data    // data that the client sees
+	args        []string // arguments, including the name in upper case
+	writeLost   bool     // whether the fault forget suppresses the write
 }
 
-// run runs a command and writes the reply. The caller holds s.mu.
-func (s *Server) run(conn redcon.Conn, sender *client, words []string) {
-	name := words[0]
-	s.applied[name]++
+// runCommand runs a command and writes the reply. args includes the name in upper case. The caller holds s.mu.
+func (s *Server) runCommand(conn redcon.Conn, sender *client, args []string) {
+	name := args[0]
+	s.commandCounts[name]++
 	cmd, known := commands[name]
-	if s.isOn(full) && cmd.writes {
+	if s.isActive(faultFull) && cmd.writes {
 		conn.WriteError(replyFull)
 		return
 	}
-	c := &call{Conn: conn, sender: sender, data: s.half(sender), words: words}
-	if forgetful, on := s.faults[forget]; on && cmd.writes {
-		c.lost = s.random.Float64() < forgetful.Chance
+	c := &call{Conn: conn, sender: sender, data: s.dataOf(sender), args: args}
+	if fault, active := s.faults[faultForget]; active && cmd.writes {
+		c.writeLost = s.random.Float64() < fault.Chance
 	}
-	if len(words) > 1 {
-		c.data.expire(words[1])
+	if len(args) > 1 {
+		c.data.removeIfExpired(args[1])
 	}
 	switch {
 	case !known:
 		conn.WriteError("ERR unknown command '" + name + "'")
-	case len(words) < cmd.minWords:
+	case len(args) < cmd.minArgs:
 		conn.WriteError("ERR wrong number of arguments for '" + strings.ToLower(name) + "' command")
 	default:
 		cmd.run(c)
 	}
 }
 
-// half returns the data that a client sees. In a split store the last byte of the client's name decides.
-func (s *Server) half(c *client) *data {
-	if s.isOn(split) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
+// dataOf returns the data that a client sees. In a split store the last byte of the client's name selects the half. A client
+// without a name sees the first half.
+func (s *Server) dataOf(c *client) *data {
+	if s.isActive(faultSplit) && c.name != "" && c.name[len(c.name)-1]%2 == 1 {
 		return s.halves[1]
 	}
 	return s.halves[0]
@@ -83,57 +84,57 @@
 // ping runs PING.
 func (c *call) ping() { c.WriteString("PONG") }
 
-// ok replies OK and does nothing else.
+// ok replies OK. It runs the commands that have no effect.
 func (c *call) ok() { c.WriteString("OK") }
 
-// client runs CLIENT: SETNAME, and all other sub-commands without effect.
+// client runs CLIENT. Its subcommand SETNAME sets the client's name, and other subcommands have no effect.
 func (c *call) client() {
-	if len(c.words) > 2 && strings.EqualFold(c.words[1], "SETNAME") {
-		c.sender.name = c.words[2]
+	if len(c.args) > 2 && strings.EqualFold(c.args[1], "SETNAME") {
+		c.sender.name = c.args[2]
 	}
 	c.ok()
 }
 
 // get runs GET.
 func (c *call) get() {
-	if value, ok := c.data.strings[c.words[1]]; ok {
+	if value, ok := c.data.strings[c.args[1]]; ok {
 		c.WriteBulkString(value)
 	} else {
 		c.WriteNull()
 	}
 }
 
-// set runs SET with the option NX (only if absent). It ignores other options.
+// set runs SET. It supports the option NX, which sets only a key that does not exist, and ignores other options.
 func (c *call) set() {
-	key := c.words[1]
-	for _, option := range c.words[3:] {
+	key := c.args[1]
+	for _, option := range c.args[3:] {
 		if _, ok := c.data.strings[key]; ok && strings.EqualFold(option, "NX") {
 			c.WriteNull()
 			return
 		}
 	}
-	if !c.lost {
-		c.data.strings[key] = c.words[2]
+	if !c.writeLost {
+		c.data.strings[key] = c.args[2]
 		delete(c.data.expires, key)
 	}
 	c.ok()
 }
 
-// setIfAbsent runs SETNX. The fault forget does not apply, because nodes set the store's id with SETNX.
+// setIfAbsent runs SETNX. The fault forget does not affect it, because nodes set the store's ID with SETNX.
 func (c *call) setIfAbsent() {
-	key := c.words[1]
+	key := c.args[1]
 	if _, ok := c.data.strings[key]; ok {
 		c.WriteInt(0)
 		return
 	}
-	c.data.strings[key] = c.words[2]
+	c.data.strings[key] = c.args[2]
 	c.WriteInt(1)
 }
 
 // increment runs INCRBY.
 func (c *call) increment() {
-	key := c.words[1]
-	by, err := strconv.ParseInt(c.words[2], 10, 64)
+	key := c.args[1]
+	delta, err := strconv.ParseInt(c.args[2], 10, 64)
 	if err != nil {
 		c.WriteError(replyNotInteger)
 		return
@@ -145,8 +146,8 @@
 			return
 		}
 	}
-	value += by
-	if !c.lost {
+	value += delta
+	if !c.writeLost {
 		c.data.strings[key] = strconv.FormatInt(value, 10)
 	}
 	c.WriteInt64(value)
@@ -154,10 +155,10 @@
 
 // setFields runs HSET.
 func (c *call) setFields() {
-	key, added := c.words[1], 0
-	for i := 2; i+1 < len(c.words); i += 2 {
-		field, value := c.words[i], c.words[i+1]
-		if c.lost {
+	key, added := c.args[1], 0
+	for i := 2; i+1 < len(c.args); i += 2 {
+		field, value := c.args[i], c.args[i+1]
+		if c.writeLost {
 			added++
 			continue
 		}
@@ -171,7 +172,7 @@
 
 // getFields runs HGETALL.
 func (c *call) getFields() {
-	hash := c.data.hashes[c.words[1]]
+	hash := c.data.hashes[c.args[1]]
 	c.WriteArray(2 * len(hash))
 	for field, value := range hash {
 		c.WriteBulkString(field)
@@ -179,25 +180,25 @@
 	}
 }
 
-// expire runs EXPIRE or PEXPIRE, by the unit of the time.
+// expire runs EXPIRE or PEXPIRE, whose times are in the given unit.
 func (c *call) expire(unit time.Duration) {
-	key := c.words[1]
-	after, err := strconv.ParseInt(c.words[2], 10, 64)
+	key := c.args[1]
+	timeout, err := strconv.ParseInt(c.args[2], 10, 64)
 	switch {
 	case err != nil:
 		c.WriteError(replyNotInteger)
 	case !c.data.has(key):
 		c.WriteInt(0)
 	default:
-		c.data.expires[key] = time.Now().Add(time.Duration(after) * unit)
+		c.data.expires[key] = time.Now().Add(time.Duration(timeout) * unit)
 		c.WriteInt(1)
 	}
 }
 
-// del runs DEL.
-func (c *call) del() {
+// deleteKeys runs DEL.
+func (c *call) deleteKeys() {
 	removed := 0
-	for _, key := range c.words[1:] {
+	for _, key := range c.args[1:] {
 		if c.data.has(key) {
 			removed++
 		}
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -9,58 +9,59 @@
 	"github.com/BurntSushi/toml"
 )
 
-// FaultKind is the kind of a fault. The values are those in schedule files.
+// FaultKind is the kind of a fault. The values are the names in schedule files.
 type FaultKind string
 
 const (
-	// stall delays all replies until the fault ends.
-	stall FaultKind = "stall"
-	// slow delays each reply by Fault.DelayMs.
-	slow FaultKind = "slow"
-	// cut closes all connections and accepts none.
-	cut FaultKind = "cut"
-	// empty replaces the store by an empty one, and closes all connections.
-	empty FaultKind = "empty"
-	// failover loses the last writes and closes all connections. At the end half of the lost writes return.
-	failover FaultKind = "failover"
-	// forget loses writes with probability Fault.Chance.
-	forget FaultKind = "forget"
-	// full rejects writes.
-	full FaultKind = "full"
-	// split splits the store in two halves. At the end the data of the first half remains.
-	split FaultKind = "split"
+	// faultStall delays all replies until the fault ends.
+	faultStall FaultKind = "stall"
+	// faultSlow delays each reply by Fault.DelayMs.
+	faultSlow FaultKind = "slow"
+	// faultCut closes all connections and accepts no new ones.
+	faultCut FaultKind = "cut"
+	// faultEmpty deletes all data and closes all connections.
+	faultEmpty FaultKind = "empty"
+	// faultFailover loses the most recent writes and closes all connections. At its end each lost write returns with
+	// probability 1/2.
+	faultFailover FaultKind = "failover"
+	// faultForget loses each write with probability Fault.Chance.
+	faultForget FaultKind = "forget"
+	// faultFull rejects writes and all transactions.
+	faultFull FaultKind = "full"
+	// faultSplit splits the store into two halves with equal data. At its end only the data of the first half remains.
+	faultSplit FaultKind = "split"
 )
 
-// Kinds are all valid kinds of fault.
-var Kinds = []FaultKind{stall, slow, cut, empty, failover, forget, full, split}
+// FaultKinds are all valid kinds of fault.
+var FaultKinds = []FaultKind{faultStall, faultSlow, faultCut, faultEmpty, faultFailover, faultForget, faultFull, faultSplit}
 
-// ErrBadFault is wrapped by the error for an invalid fault or schedule.
-var ErrBadFault = errors.New("bad fault")
+// ErrInvalidFault is wrapped by the error for an invalid fault or schedule.
+var ErrInvalidFault = errors.New("invalid fault")
 
-// Fault is a fault of the store.
+// Fault is a scheduled fault of the store.
 type Fault struct {
 	Kind    FaultKind `toml:"kind"`
-	At      float64   `toml:"at_s"`     // begin, in seconds since the store's start
+	At      float64   `toml:"at_s"`     // start, in seconds since the store's start
 	For     float64   `toml:"for_s"`    // duration, in seconds
-	DelayMs float64   `toml:"delay_ms"` // slow: delay of each reply, in milliseconds
-	Chance  float64   `toml:"chance"`   // forget: probability that a write is lost, 0 to 1
-	LoseMs  float64   `toml:"lose_ms"`  // failover: time before the fault whose writes are lost, in milliseconds
+	DelayMs float64   `toml:"delay_ms"` // delay of each reply under the fault slow, in milliseconds
+	Chance  float64   `toml:"chance"`   // probability that the fault forget loses a write, 0 to 1
+	LoseMs  float64   `toml:"lose_ms"`  // span before the fault failover whose writes are lost, in milliseconds
 }
 
-// Check validates a fault. An error wraps ErrBadFault.
+// Check returns an error that wraps ErrInvalidFault if the fault is invalid.
 func (f Fault) Check() error {
-	if !slices.Contains(Kinds, f.Kind) {
-		return fmt.Errorf("%w: kind %q is none of %v", ErrBadFault, f.Kind, Kinds)
+	if !slices.Contains(FaultKinds, f.Kind) {
+		return fmt.Errorf("%w: kind %q is none of %v", ErrInvalidFault, f.Kind, FaultKinds)
 	}
 	inRange := f.At >= 0 && f.For >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Chance >= 0 && f.Chance <= 1
 	if !inRange { // also true for NaN
-		return fmt.Errorf("%w: %s at %v s: a figure is out of range", ErrBadFault, f.Kind, f.At)
+		return fmt.Errorf("%w: a value of %+v is out of range: chance has to be 0 to 1, the others 0 or more", ErrInvalidFault, f)
 	}
 	return nil
 }
 
-// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table each). For unknown keys and invalid faults the
-// error wraps ErrBadFault.
+// LoadSchedule reads the faults of a schedule file (TOML, one [[fault]] table for each). For an unknown key or an invalid fault
+// the error wraps ErrInvalidFault.
 func LoadSchedule(path string) ([]Fault, error) {
 	var file struct {
 		Fault []Fault `toml:"fault"`
@@ -70,7 +71,7 @@
 		return nil, fmt.Errorf("fault schedule: %w", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("%w: %s: %s: no such key", ErrBadFault, path, unknown[0])
+		return nil, fmt.Errorf("%w: %s: %s: no such key", ErrInvalidFault, path, unknown[0])
 	}
 	for i, fault := range file.Fault {
 		if err := fault.Check(); err != nil {
@@ -80,13 +81,13 @@
 	return file.Fault, nil
 }
 
-// isOn reports whether a fault of a kind is active. The caller holds s.mu.
-func (s *Server) isOn(kind FaultKind) bool {
-	_, on := s.faults[kind]
-	return on
+// isActive reports whether a fault of a kind is active. The caller holds s.mu.
+func (s *Server) isActive(kind FaultKind) bool {
+	_, active := s.faults[kind]
+	return active
 }
 
-// runFault begins and ends a fault at its times. It returns at the end of the fault, or with Close.
+// runFault begins and ends a fault at its scheduled times. It returns at the end of the fault or after Close.
 func (s *Server) runFault(f Fault) {
 	if !s.waitUntil(f.At) {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// waitUntil waits until a time in seconds since the start. It returns false if Close is called before.
+// waitUntil waits until a time in seconds since the store's start. It returns false if Close is called before that time.
 func (s *Server) waitUntil(seconds float64) bool {
 	select {
 	case <-s.stop:
@@ -113,31 +114,31 @@
 	defer s.mu.Unlock()
 	s.faults[f.Kind] = f
 	switch f.Kind {
-	case empty:
+	case faultEmpty:
 		d := newData()
 		s.halves = [2]*data{d, d}
-	case split:
+	case faultSplit:
 		s.halves[1] = s.halves[0].clone()
-	case failover:
+	case faultFailover:
 		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LoseMs * float64(time.Millisecond))))
 	}
-	if f.Kind == cut || f.Kind == empty || f.Kind == failover {
+	if f.Kind == faultCut || f.Kind == faultEmpty || f.Kind == faultFailover {
 		for c := range s.conns {
-			_ = c.NetConn().Close() // redcon's goroutine of the connection handles the error
+			_ = c.NetConn().Close() // The connection's goroutine in redcon handles the closed connection.
 		}
 	}
 	return lost
 }
 
-// endFault ends a fault. lost are the writes that beginFault returned.
+// endFault ends a fault. lost has the writes that beginFault returned.
 func (s *Server) endFault(f Fault, lost []write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.faults, f.Kind)
 	switch f.Kind {
-	case split:
+	case faultSplit:
 		s.halves[1] = s.halves[0]
-	case failover:
+	case faultFailover:
 		for _, w := range lost {
 			if s.random.IntN(2) == 0 {
 				s.halves[0].setField(w.key, w.field, w.value)
@@ -146,16 +147,16 @@
 	}
 }
 
-// delay waits as long as the faults slow and stall delay a reply.
+// delay delays a reply according to the faults slow and stall. It returns early if Close is called during a stall.
 func (s *Server) delay() {
-	const pollInterval = 10 * time.Millisecond // between two checks for the end of a stall
+	const pollInterval = 10 * time.Millisecond // time between two checks whether the fault stall has ended
 	for {
 		s.mu.Lock()
-		slowness, isSlow := s.faults[slow]
-		stalled := s.isOn(stall)
+		slowFault, slow := s.faults[faultSlow]
+		stalled := s.isActive(faultStall)
 		s.mu.Unlock()
-		if isSlow {
-			time.Sleep(time.Duration(slowness.DelayMs * float64(time.Millisecond)))
+		if slow {
+			time.Sleep(time.Duration(slowFault.DelayMs * float64(time.Millisecond)))
 		}
 		if !stalled {
 			return
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// A schedule is valid as a whole, or the error names the fault.
+// Guards against an invalid schedule that is accepted, and against a valid one that is read wrongly. The error for an invalid
+// schedule wraps ErrInvalidFault.
 func TestLoadSchedule(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []Fault
-		bad        bool
+		invalid    bool
 	}{
 		{
 			"two faults", "[[fault]]\nkind = \"cut\"\nat_s = 1.5\nfor_s = 2\n[[fault]]\nkind = \"forget\"\nat_s = 4\nchance = 0.3\n",
-			[]Fault{{Kind: cut, At: 1.5, For: 2}, {Kind: forget, At: 4, Chance: 0.3}},
+			[]Fault{{Kind: faultCut, At: 1.5, For: 2}, {Kind: faultForget, At: 4, Chance: 0.3}},
 			false,
 		},
 		{"none", "", nil, false},
@@ -27,7 +28,7 @@
 		{"unknown key", "[[fault]]\nkind = \"cut\"\nafter_s = 1\n", nil, true},
 		{"a chance above 1", "[[fault]]\nkind = \"forget\"\nchance = 1.1\n", nil, true},
 		{"a time before the start", "[[fault]]\nkind = \"cut\"\nat_s = -1\n", nil, true},
-		{"no number", "[[fault]]\nkind = \"slow\"\ndelay_ms = nan\n", nil, true},
+		{"not a number", "[[fault]]\nkind = \"slow\"\ndelay_ms = nan\n", nil, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "faults.toml")
@@ -35,54 +36,55 @@
 				t.Fatal(err)
 			}
 			got, err := LoadSchedule(path)
-			if !reflect.DeepEqual(got, c.want) || errors.Is(err, ErrBadFault) != c.bad || (err != nil) != c.bad {
-				t.Errorf("%+v, %v", got, err)
+			if !reflect.DeepEqual(got, c.want) || errors.Is(err, ErrInvalidFault) != c.invalid || (err != nil) != c.invalid {
+				t.Errorf("LoadSchedule of %q = %+v, %v, want %+v, an ErrInvalidFault: %v", c.text, got, err, c.want, c.invalid)
 			}
 		})
 	}
 	if _, err := LoadSchedule(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("LoadSchedule of a missing file: got error %v, want %v", err, os.ErrNotExist)
 	}
 }
 
-// A store does not start on an address beyond loopback, or with an invalid fault.
+// Guards against a store that other machines can reach, or that starts with an invalid fault or port.
 func TestStartErrors(t *testing.T) {
 	if _, err := Start("0.0.0.0:0", 1, nil); !errors.Is(err, ErrNotLoopback) {
-		t.Errorf("on all addresses: %v", err)
+		t.Errorf("Start on all addresses: got error %v, want %v", err, ErrNotLoopback)
 	}
-	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: cut, At: math.NaN()}}); !errors.Is(err, ErrBadFault) {
-		t.Errorf("with a fault at no time: %v", err)
+	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: faultCut, At: math.NaN()}}); !errors.Is(err, ErrInvalidFault) {
+		t.Errorf("Start with a fault at time NaN: got error %v, want %v", err, ErrInvalidFault)
 	}
 	if _, err := Start("127.0.0.1:none", 1, nil); err == nil {
-		t.Error("started on an invalid port")
+		t.Error("Start on an invalid port: got no error, want one")
 	}
 }
 
-// A failover loses the writes after a time and no others. A clone is independent. Old writes are dropped.
+// Guards against a failover that loses older writes, and against a clone that shares data with its original. Also guards
+// against an expiry that removes other keys, and against a list of recent writes that grows without bound.
 func TestDataLosesRecentWrites(t *testing.T) {
 	d := newData()
 	if !d.setField("h", "a", "1") || !d.setField("h", "b", "1") || d.setField("h", "a", "2") {
-		t.Error("setField does not report whether the field is new")
+		t.Error("setField reported a new field as existing or an existing one as new, want true for new fields a and b, then false for a")
 	}
 	now := time.Now()
 	d.recordWrites(write{now.Add(-time.Second), "h", "a", "2"}, write{now, "h", "b", "1"})
 	copied := d.clone()
 	if lost := d.loseWrites(now.Add(-time.Millisecond)); len(lost) != 1 || lost[0].field != "b" {
-		t.Errorf("lost %v", lost)
+		t.Errorf("loseWrites = %v, want one write, of field b", lost)
 	}
 	if want := map[string]string{"a": "2"}; !reflect.DeepEqual(d.hashes["h"], want) || len(copied.hashes["h"]) != 2 {
-		t.Errorf("%v, its copy %v", d.hashes, copied.hashes)
+		t.Errorf("after loseWrites: hashes %v, hashes of the clone %v, want %v and two fields in the clone", d.hashes, copied.hashes, want)
 	}
 	d.strings["s"], d.expires["s"] = "x", now.Add(-time.Nanosecond)
-	d.expire("s")
-	d.expire("h")
+	d.removeIfExpired("s")
+	d.removeIfExpired("h")
 	if d.has("s") || !d.has("h") || len(d.expires) > 0 {
-		t.Errorf("%+v", d)
+		t.Errorf("after removeIfExpired: data %+v, want key h, but not the expired key s", d)
 	}
 	for range 2 * maxRecentWrites {
 		d.recordWrites(write{key: "h"})
 	}
-	if len(d.recent) > maxRecentWrites {
-		t.Errorf("%d recent writes", len(d.recent))
+	if len(d.recentWrites) > maxRecentWrites {
+		t.Errorf("%d recent writes are kept, want at most %d", len(d.recentWrites), maxRecentWrites)
 	}
 }
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// conversation sends commands one after the other over a connection, and returns the bytes of each reply. Blanks separate the
-// words of a command.
-func conversation(t *testing.T, addr string, commands []string) (replies []string) {
+// sendCommands sends commands one after the other over a new connection, and returns the bytes of each reply. Spaces separate
+// the arguments of a command.
+func sendCommands(t *testing.T, addr string, commands []string) (replies []string) {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for _, command := range commands {
-		words := strings.Split(command, " ")
-		text := fmt.Sprintf("*%d\r\n", len(words))
-		for _, w := range words {
-			text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+		args := strings.Split(command, " ")
+		text := fmt.Sprintf("*%d\r\n", len(args))
+		for _, arg := range args {
+			text += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 		}
-		if _, err := io.WriteString(c, text); err != nil {
-			t.Fatal(err)
+		if _, err := io.WriteString(conn, text); err != nil {
+			t.Fatalf("sending %q: %v", command, err)
 		}
-		reply, err := readReply(r)
+		reply, err := readReply(reader)
 		if err != nil {
-			t.Fatalf("%s: %v", command, err)
+			t.Fatalf("reading the reply to %q: %v", command, err)
 		}
 		replies = append(replies, reply)
 	}
 	return replies
 }
 
-// readReply reads a reply with its elements.
+// readReply reads a reply, including the elements of an array.
 func readReply(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -71,7 +71,7 @@
 	return line, nil
 }
 
-// replyCases are commands that are sent one after the other, with the expected replies.
+// replyCases are commands with the expected replies, in the order in which they are sent.
 var replyCases = [][2]string{
 	{"PING", "+PONG\r\n"},
 	{"ping x", "+PONG\r\n"},
@@ -130,21 +130,21 @@
 	{"EXEC", "-ERR EXEC without MULTI\r\n"},
 }
 
-// checkReplies sends the commands of cases, each with its expected reply, over one connection.
+// checkReplies sends the commands of cases over one connection, and checks each reply against the expected one.
 func checkReplies(t *testing.T, server *Server, cases [][2]string) {
 	t.Helper()
 	commands := make([]string, len(cases))
-	for k, row := range cases {
-		commands[k] = row[0]
+	for k, c := range cases {
+		commands[k] = c[0]
 	}
-	for k, got := range conversation(t, server.Addr(), commands) {
+	for k, got := range sendCommands(t, server.Addr(), commands) {
 		if got != cases[k][1] {
-			t.Errorf("%q: %q, want %q", cases[k][0], got, cases[k][1])
+			t.Errorf("reply to %q = %q, want %q", cases[k][0], got, cases[k][1])
 		}
 	}
 }
 
-// Each command gets a reply with the expected bytes.
+// Guards against a reply whose bytes differ from the protocol's, which a real client of the store would reject or misread.
 func TestReplyWireFormat(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, nil)
 	if err != nil {
@@ -154,11 +154,11 @@
 	checkReplies(t, server, replyCases)
 	counts := fmt.Sprint(server.Applied())
 	if want := "map[BAD:1 CLIENT:2 DEL:2 EXPIRE:4 FLY:1 GET:8 HELLO:1 HGETALL:4 HSET:5 INCRBY:6 PEXPIRE:2 PING:2 SELECT:1 SET:5 SETNX:3]"; counts != want {
-		t.Errorf("counted %s, want %s", counts, want)
+		t.Errorf("Applied() = %s, want %s", counts, want)
 	}
 }
 
-// A full store rejects writes, alone and in a transaction, with the expected bytes.
+// Guards against a full store that accepts a write, alone or in a transaction, or that rejects it with wrong bytes.
 func TestReplyWireFormatWithFaults(t *testing.T) {
 	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	defer server.Close()
 	for range 1000 {
-		if server.faultCount() == 1 {
+		if server.activeFaultCount() == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -186,8 +186,8 @@
 	})
 }
 
-// faultCount returns the number of active faults.
-func (s *Server) faultCount() int {
+// activeFaultCount returns the number of active faults.
+func (s *Server) activeFaultCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.faults)
