--- a/cmd/cherrygap/lab_healthchecks.go
+++ b/cmd/cherrygap/lab_healthchecks.go
@@ -24,7 +24,7 @@
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			cfg.Interval = time.Duration(file.HealthChecks.IntervalMs * float64(time.Millisecond))
 			cfg.SendRate = file.HealthChecks.MaxBytesPerS
-			result, err := healthlab.Play(cfg)
+			result, err := healthlab.Simulate(cfg)
 			if err != nil {
 				return err
 			}
--- a/cmd/cherrygap/lab_store.go
+++ b/cmd/cherrygap/lab_store.go
@@ -55,5 +55,5 @@
 	ctx, stop := contextUntilSignal(flags.duration)
 	defer stop()
 	<-ctx.Done()
-	return printJSON(cmd, map[string]any{"applied": server.Applied()})
+	return printJSON(cmd, map[string]any{"applied": server.CommandCounts()})
 }
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -298,8 +298,8 @@
 	a.wakeCalls()
 }
 
-// SilenceOpen leaves all calls on the currently open connections without a response. Calls on new connections get one.
-func (a *Agent) SilenceOpen() {
+// SilenceOpenConns leaves all calls on the currently open connections without a response. Calls on new connections get one.
+func (a *Agent) SilenceOpenConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.generation++
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -103,7 +103,7 @@
 func DrawServiceTime(
 	cfg operatorfile.Emulator, rng *rand.Rand, units float64, uptime time.Duration, faults []Fault,
 ) time.Duration {
-	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.Spread*rng.NormFloat64())
+	ms := cfg.ServiceMs * math.Max(units, minUnits) * math.Exp(cfg.ServiceTimeSigma*rng.NormFloat64())
 	if up := uptime.Seconds(); cfg.WarmupS > 0 && up < cfg.WarmupS {
 		ms *= 1 + (cfg.WarmupFactor-1)*(1-up/cfg.WarmupS)
 	}
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -80,8 +80,8 @@
 	SettleTime           float64 `json:"settled_s"`                               // time from the fault's end until no node considers a live member dead; -1 for never
 }
 
-// Play simulates a run with the given configuration. An error wraps ErrUnknownScenario or ErrTooSmall.
-func Play(cfg Config) (Result, error) {
+// Simulate simulates a run with the given configuration. An error wraps ErrUnknownScenario or ErrTooSmall.
+func Simulate(cfg Config) (Result, error) {
 	cfg, err := cfg.validate()
 	if err != nil {
 		return Result{}, err
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -20,7 +20,7 @@
 					Nodes: c.nodes, Servers: 40, Duration: 90 * time.Second, Seed: seed, Scenario: scenario, ReceiveRate: 40,
 					SendRate: 4096, Interval: 5 * time.Second,
 				}
-				result, err := Play(cfg)
+				result, err := Simulate(cfg)
 				if err != nil {
 					t.Fatalf("the run with %+v returned the error: %v", cfg, err)
 				}
@@ -52,8 +52,8 @@
 // configuration yields an error.
 func TestRunsAreReproducible(t *testing.T) {
 	cfg := Config{Nodes: 12, Servers: 9, Duration: 30 * time.Second, Seed: 3, Scenario: "flap", ReceiveRate: 40, Interval: time.Second}
-	first, _ := Play(cfg)
-	if second, _ := Play(cfg); first != second {
+	first, _ := Simulate(cfg)
+	if second, _ := Simulate(cfg); first != second {
 		t.Errorf("two runs with %+v returned %+v and %+v, want the same result", cfg, first, second)
 	}
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 		{Config{Nodes: 12, Servers: 9, Duration: time.Millisecond, Scenario: scenarioCalm}, ErrTooSmall},
 		{Config{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}, ErrUnknownScenario},
 	} {
-		if _, err := Play(c.config); !errors.Is(err, c.want) {
+		if _, err := Simulate(c.config); !errors.Is(err, c.want) {
 			t.Errorf("the run with %+v returned the error %v, want %v", c.config, err, c.want)
 		}
 	}
--- a/internal/lab/healthlab/resultformat_test.go
+++ b/internal/lab/healthlab/resultformat_test.go
@@ -17,7 +17,7 @@
 		"lossy":  `{"scenario":"lossy","nodes":20,"servers":30,"ping_period_s":0.8,"check_period_s":12,"worst_gap_s":14.236321884,"worst_gap_at_s":39.933476556,"checks":187,"doubled":37,"bytes_a_node_a_second":470.2674999999999,"bytes_a_second_of_the_busiest_node":500.85,"messages_a_second_into_the_busiest_node":3.85,"held_back":842,"wrong_deaths":0,"settled_s":1}`,
 	} {
 		t.Run(scenario, func(t *testing.T) {
-			result, err := Play(Config{
+			result, err := Simulate(Config{
 				Nodes: 20, Servers: 30, Duration: 60 * time.Second, Seed: 4, Scenario: scenario, ReceiveRate: 40, SendRate: 700,
 				Interval: 5 * time.Second,
 			})
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -23,7 +23,7 @@
 	ClientRetry bool          // whether the request is a client's retry; false for drawn arrivals
 }
 
-// DrawArrivals returns the arrivals of a run. They are a Poisson process with cfg.Rate arrivals per second, and cfg.BurstX times
+// DrawArrivals returns the arrivals of a run. They are a Poisson process with cfg.Rate arrivals per second, and cfg.BurstFactor times
 // as many during bursts. The same seed yields the same arrivals. They do not include client retries.
 func DrawArrivals(cfg operatorfile.Traffic, seed uint64) []Arrival {
 	var arrivals []Arrival
@@ -59,7 +59,7 @@
 func (s *Stream) Next() (Arrival, bool) {
 	rate := s.cfg.Rate
 	if inBurst(s.cfg, s.now) {
-		rate *= s.cfg.BurstX
+		rate *= s.cfg.BurstFactor
 	}
 	s.now += s.rng.ExpFloat64() / rate
 	if s.now >= s.cfg.DurationS {
@@ -84,8 +84,8 @@
 	return max(0, len(s.cfg.Classes)-1)
 }
 
-// inBurst reports whether there is a burst now seconds after the start. Each period of cfg.BurstS seconds ends with a
-// burst of cfg.BurstLenS seconds.
+// inBurst reports whether there is a burst now seconds after the start. Each period of cfg.BurstPeriodS seconds ends with a
+// burst of cfg.BurstLengthS seconds.
 func inBurst(cfg operatorfile.Traffic, now float64) bool {
-	return cfg.BurstS > 0 && cfg.BurstLenS > 0 && math.Mod(now, cfg.BurstS) >= cfg.BurstS-cfg.BurstLenS
+	return cfg.BurstPeriodS > 0 && cfg.BurstLengthS > 0 && math.Mod(now, cfg.BurstPeriodS) >= cfg.BurstPeriodS-cfg.BurstLengthS
 }
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -16,7 +16,7 @@
 // The same seed yields the same arrivals, with the configured rate. Otherwise two runs could not be compared.
 func TestArrivalsAreReproducibleAndKeepRate(t *testing.T) {
 	cfg := operatorfile.Default().Lab.Load
-	cfg.Rate, cfg.DurationS, cfg.BurstS, cfg.BurstLenS, cfg.BurstX = 1000, 10, 5, 1, 3
+	cfg.Rate, cfg.DurationS, cfg.BurstPeriodS, cfg.BurstLengthS, cfg.BurstFactor = 1000, 10, 5, 1, 3
 	arrivals, again := DrawArrivals(cfg, 42), DrawArrivals(cfg, 42)
 	if !reflect.DeepEqual(arrivals, again) {
 		t.Fatal("DrawArrivals with the seed 42 returned different arrivals in two calls, want the same")
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -330,7 +330,7 @@
 	defer r.discoveryFaultMu.Unlock()
 	if rng.IntN(2) == 0 {
 		r.delayNoticeToAll(time.Now().Add(silenceNoticeDelay))
-		r.agent.SilenceOpen()
+		r.agent.SilenceOpenConns()
 		return
 	}
 	duration := randomDuration(rng, time.Millisecond, 300*time.Millisecond)
--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -57,7 +57,7 @@
 	}
 	c := &call{Conn: conn, sender: sender, data: s.dataOf(sender), args: args}
 	if fault, active := s.faults[faultForget]; active && cmd.writes {
-		c.writeLost = s.random.Float64() < fault.Chance
+		c.writeLost = s.random.Float64() < fault.LossProbability
 	}
 	if len(args) > 1 {
 		c.data.removeIfExpired(args[1])
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -40,12 +40,12 @@
 
 // Fault is a scheduled fault of the store.
 type Fault struct {
-	Kind    FaultKind `toml:"kind"`
-	At      float64   `toml:"at_s"`     // start, in seconds since the store's start
-	For     float64   `toml:"for_s"`    // duration, in seconds
-	DelayMs float64   `toml:"delay_ms"` // delay of each reply under the fault slow, in milliseconds
-	Chance  float64   `toml:"chance"`   // probability that the fault forget loses a write, 0 to 1
-	LoseMs  float64   `toml:"lose_ms"`  // span before the fault failover whose writes are lost, in milliseconds
+	Kind            FaultKind `toml:"kind"`
+	StartS          float64   `toml:"at_s"`     // start, in seconds since the store's start
+	DurationS       float64   `toml:"for_s"`    // duration, in seconds
+	DelayMs         float64   `toml:"delay_ms"` // delay of each reply under the fault slow, in milliseconds
+	LossProbability float64   `toml:"chance"`   // probability that the fault forget loses a write, 0 to 1
+	LossWindowMs    float64   `toml:"lose_ms"`  // span before the fault failover whose writes are lost, in milliseconds
 }
 
 // Check returns an error that wraps ErrInvalidFault if the fault is invalid.
@@ -53,7 +53,7 @@
 	if !slices.Contains(FaultKinds, f.Kind) {
 		return fmt.Errorf("%w: kind %q is none of %v", ErrInvalidFault, f.Kind, FaultKinds)
 	}
-	inRange := f.At >= 0 && f.For >= 0 && f.DelayMs >= 0 && f.LoseMs >= 0 && f.Chance >= 0 && f.Chance <= 1
+	inRange := f.StartS >= 0 && f.DurationS >= 0 && f.DelayMs >= 0 && f.LossWindowMs >= 0 && f.LossProbability >= 0 && f.LossProbability <= 1
 	if !inRange { // also true for NaN
 		return fmt.Errorf("%w: a value of %+v is out of range: chance has to be 0 to 1, the others 0 or more", ErrInvalidFault, f)
 	}
@@ -89,11 +89,11 @@
 
 // runFault begins and ends a fault at its scheduled times. It returns at the end of the fault or after Close.
 func (s *Server) runFault(f Fault) {
-	if !s.waitUntil(f.At) {
+	if !s.waitUntil(f.StartS) {
 		return
 	}
 	lost := s.beginFault(f)
-	if s.waitUntil(f.At + f.For) {
+	if s.waitUntil(f.StartS + f.DurationS) {
 		s.endFault(f, lost)
 	}
 }
@@ -120,7 +120,7 @@
 	case faultSplit:
 		s.halves[1] = s.halves[0].clone()
 	case faultFailover:
-		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LoseMs * float64(time.Millisecond))))
+		lost = s.halves[0].loseWrites(time.Now().Add(-time.Duration(f.LossWindowMs * float64(time.Millisecond))))
 	}
 	if f.Kind == faultCut || f.Kind == faultEmpty || f.Kind == faultFailover {
 		for c := range s.conns {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -86,8 +86,8 @@
 	_ = s.redcon.Close() // fails only if the listener is already closed
 }
 
-// Applied returns the number of commands run by name, including unknown names.
-func (s *Server) Applied() map[string]int64 {
+// CommandCounts returns the number of commands run by name, including unknown names.
+func (s *Server) CommandCounts() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.commandCounts)
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -20,7 +20,7 @@
 	}{
 		{
 			"two faults", "[[fault]]\nkind = \"cut\"\nat_s = 1.5\nfor_s = 2\n[[fault]]\nkind = \"forget\"\nat_s = 4\nchance = 0.3\n",
-			[]Fault{{Kind: faultCut, At: 1.5, For: 2}, {Kind: faultForget, At: 4, Chance: 0.3}},
+			[]Fault{{Kind: faultCut, StartS: 1.5, DurationS: 2}, {Kind: faultForget, StartS: 4, LossProbability: 0.3}},
 			false,
 		},
 		{"none", "", nil, false},
@@ -51,7 +51,7 @@
 	if _, err := Start("0.0.0.0:0", 1, nil); !errors.Is(err, ErrNotLoopback) {
 		t.Errorf("Start on all addresses: got error %v, want %v", err, ErrNotLoopback)
 	}
-	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: faultCut, At: math.NaN()}}); !errors.Is(err, ErrInvalidFault) {
+	if _, err := Start("127.0.0.1:0", 1, []Fault{{Kind: faultCut, StartS: math.NaN()}}); !errors.Is(err, ErrInvalidFault) {
 		t.Errorf("Start with a fault at time NaN: got error %v, want %v", err, ErrInvalidFault)
 	}
 	if _, err := Start("127.0.0.1:none", 1, nil); err == nil {
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -152,7 +152,7 @@
 	}
 	defer server.Close()
 	checkReplies(t, server, replyCases)
-	counts := fmt.Sprint(server.Applied())
+	counts := fmt.Sprint(server.CommandCounts())
 	if want := "map[BAD:1 CLIENT:2 DEL:2 EXPIRE:4 FLY:1 GET:8 HELLO:1 HGETALL:4 HSET:5 INCRBY:6 PEXPIRE:2 PING:2 SELECT:1 SET:5 SETNX:3]"; counts != want {
 		t.Errorf("Applied() = %s, want %s", counts, want)
 	}
@@ -160,7 +160,7 @@
 
 // Guards against a full store that accepts a write, alone or in a transaction, or that rejects it with wrong bytes.
 func TestReplyWireFormatWithFaults(t *testing.T) {
-	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", For: 60}})
+	server, err := Start("127.0.0.1:0", 1, []Fault{{Kind: "full", DurationS: 60}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -71,21 +71,21 @@
 
 // Emulator configures the emulated app servers.
 type Emulator struct {
-	Listen       string  `toml:"listen"`        // loopback address and port of the first server; port 0 gives each server a free port
-	Servers      int     `toml:"servers"`       // number of servers, from 1 to 512
-	Concurrency  int     `toml:"concurrency"`   // limit of the requests in service at a server; further requests queue
-	Queue        int     `toml:"queue"`         // limit of the queued requests at a server, which rejects further ones
-	Connections  int     `toml:"connections"`   // limit of the open connections to a server, which resets further ones
-	ServiceMs    float64 `toml:"service_ms"`    // median service time of one unit, ms
-	Spread       float64 `toml:"spread"`        // sigma of the log-normal distribution of the service time
-	HandshakeMs  float64 `toml:"handshake_ms"`  // extra service time of the first request on a connection, ms
-	WarmupS      float64 `toml:"warmup_s"`      // time after its start during which a server is slower, s
-	WarmupFactor float64 `toml:"warmup_factor"` // factor of the service time right after the start
-	IdleS        float64 `toml:"idle_s"`        // idle time after which a connection is closed, s
-	DrainMs      float64 `toml:"drain_ms"`      // time that a draining server leaves its requests to finish, ms
-	LoadReports  bool    `toml:"load_reports"`  // whether responses carry a load report
-	HealthChecks bool    `toml:"health_checks"` // whether servers answer health checks and load polls; otherwise the status is 404
-	Schedule     string  `toml:"schedule"`      // path of a file of scheduled faults; empty for no faults
+	Listen           string  `toml:"listen"`        // loopback address and port of the first server; port 0 gives each server a free port
+	Servers          int     `toml:"servers"`       // number of servers, from 1 to 512
+	Concurrency      int     `toml:"concurrency"`   // limit of the requests in service at a server; further requests queue
+	Queue            int     `toml:"queue"`         // limit of the queued requests at a server, which rejects further ones
+	Connections      int     `toml:"connections"`   // limit of the open connections to a server, which resets further ones
+	ServiceMs        float64 `toml:"service_ms"`    // median service time of one unit, ms
+	ServiceTimeSigma float64 `toml:"spread"`        // sigma of the log-normal distribution of the service time
+	HandshakeMs      float64 `toml:"handshake_ms"`  // extra service time of the first request on a connection, ms
+	WarmupS          float64 `toml:"warmup_s"`      // time after its start during which a server is slower, s
+	WarmupFactor     float64 `toml:"warmup_factor"` // factor of the service time right after the start
+	IdleS            float64 `toml:"idle_s"`        // idle time after which a connection is closed, s
+	DrainMs          float64 `toml:"drain_ms"`      // time that a draining server leaves its requests to finish, ms
+	LoadReports      bool    `toml:"load_reports"`  // whether responses carry a load report
+	HealthChecks     bool    `toml:"health_checks"` // whether servers answer health checks and load polls; otherwise the status is 404
+	Schedule         string  `toml:"schedule"`      // path of a file of scheduled faults; empty for no faults
 
 	deprecatedEmulator
 }
@@ -97,9 +97,9 @@
 	DurationS        float64        `toml:"duration_s"`  // time during which requests arrive, s
 	Customers        int            `toml:"customers"`   // number of customers; Zipf's law draws the customer of a request
 	Skew             float64        `toml:"skew"`        // exponent of Zipf's law, above 1
-	BurstS           float64        `toml:"burst_s"`     // time between the starts of bursts, s; 0 for no bursts
-	BurstLenS        float64        `toml:"burst_len_s"` // length of a burst, s
-	BurstX           float64        `toml:"burst_x"`     // factor of the rate during a burst
+	BurstPeriodS     float64        `toml:"burst_s"`     // time between the starts of bursts, s; 0 for no bursts
+	BurstLengthS     float64        `toml:"burst_len_s"` // length of a burst, s
+	BurstFactor      float64        `toml:"burst_x"`     // factor of the rate during a burst
 	RetryProbability float64        `toml:"retry_p"`     // probability that the client of a rejected request retries
 	Connections      int            `toml:"connections"` // limit of the generator's open connections
 	Classes          []TrafficClass `toml:"class"`       // classes of the requests
@@ -132,12 +132,12 @@
 			Seed: 1,
 			Emulator: Emulator{
 				Listen: "127.0.0.1:0", Servers: 4, Concurrency: 8, Queue: 32, Connections: 64,
-				ServiceMs: 20, Spread: 0.4, HandshakeMs: 2, WarmupS: 10, WarmupFactor: 4, IdleS: 30, DrainMs: 2000,
+				ServiceMs: 20, ServiceTimeSigma: 0.4, HandshakeMs: 2, WarmupS: 10, WarmupFactor: 4, IdleS: 30, DrainMs: 2000,
 				LoadReports: true, HealthChecks: true,
 			},
 			Load: Traffic{
 				Target: "127.0.0.1:8080", Rate: 200, DurationS: 10, Customers: 50, Skew: 1.2,
-				BurstX: 1, RetryProbability: 0.5, Connections: 256, Plan: "team", Spread: 1,
+				BurstFactor: 1, RetryProbability: 0.5, Connections: 256, Plan: "team", Spread: 1,
 				Classes: []TrafficClass{
 					{Name: "seat-lookup", RetrySafety: settings.RetrySafe, Share: 0.8, BudgetMs: 500, Units: 1},
 					{Name: "seat-purchase", RetrySafety: settings.RetryUnsafe, Share: 0.2, BudgetMs: 1500, Units: 3},
--- a/internal/operatorfile/helpers_test.go
+++ b/internal/operatorfile/helpers_test.go
@@ -29,9 +29,9 @@
 		f.HealthChecks.IntervalMs, f.HealthChecks.MaxBytesPerS, f.Quota.Store, f.Quota.MaxCallsPerS, f.Authz.Service, f.Authz.MaxInFlight, f.Authz.FailOpen, f.GRPC.Listen,
 		f.GRPC.MaxCalls, f.Lab.Seed)
 	s += fmt.Sprintf("emulator %q %d %d %d %d %v %v %v %v %v %v %v %v %v %q; ", e.Listen, e.Servers, e.Concurrency, e.Queue, e.Connections,
-		e.ServiceMs, e.Spread, e.HandshakeMs, e.WarmupS, e.WarmupFactor, e.IdleS, e.DrainMs, e.LoadReports, e.HealthChecks, e.Schedule)
-	s += fmt.Sprintf("load %q %v %v %d %v %v %v %v %v %d %q %d", l.Target, l.Rate, l.DurationS, l.Customers, l.Skew, l.BurstS, l.BurstLenS,
-		l.BurstX, l.RetryProbability, l.Connections, l.Plan, l.Spread)
+		e.ServiceMs, e.ServiceTimeSigma, e.HandshakeMs, e.WarmupS, e.WarmupFactor, e.IdleS, e.DrainMs, e.LoadReports, e.HealthChecks, e.Schedule)
+	s += fmt.Sprintf("load %q %v %v %d %v %v %v %v %v %d %q %d", l.Target, l.Rate, l.DurationS, l.Customers, l.Skew, l.BurstPeriodS, l.BurstLengthS,
+		l.BurstFactor, l.RetryProbability, l.Connections, l.Plan, l.Spread)
 	for _, c := range l.Classes {
 		s += fmt.Sprintf(" {%q %s %v %d %v}", c.Name, c.RetrySafety, c.Share, c.BudgetMs, c.Units)
 	}
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -140,11 +140,11 @@
 // gets at most a tenth more than its quota.
 func TestPurchasesHoldQuotaWhileTheStoreFails(t *testing.T) {
 	store, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
-		{Kind: "cut", At: 3, For: 0.7},
-		{Kind: "split", At: 4.3, For: 1},
-		{Kind: "empty", At: 5.7},
-		{Kind: "stall", At: 6.5, For: 0.7},
-		{Kind: "forget", At: 7.5, For: 0.7, Chance: 0.3},
+		{Kind: "cut", StartS: 3, DurationS: 0.7},
+		{Kind: "split", StartS: 4.3, DurationS: 1},
+		{Kind: "empty", StartS: 5.7},
+		{Kind: "stall", StartS: 6.5, DurationS: 0.7},
+		{Kind: "forget", StartS: 7.5, DurationS: 0.7, LossProbability: 0.3},
 	})
 	if err != nil {
 		t.Fatal("starting the store:", err)
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -22,14 +22,14 @@
 func TestQuotaHoldsWithAnyStoreFault(t *testing.T) {
 	const nodes = 6
 	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
-		{Kind: "cut", At: 2, For: 1},
-		{Kind: "split", At: 3.5, For: 1.5},
-		{Kind: "empty", At: 5.5},
-		{Kind: "failover", At: 6.5, For: 0.5, LoseMs: 300},
-		{Kind: "forget", At: 7.5, For: 1, Chance: 0.3},
-		{Kind: "full", At: 9, For: 0.7},
-		{Kind: "stall", At: 10, For: 1},
-		{Kind: "slow", At: 11, For: 0.5, DelayMs: 20},
+		{Kind: "cut", StartS: 2, DurationS: 1},
+		{Kind: "split", StartS: 3.5, DurationS: 1.5},
+		{Kind: "empty", StartS: 5.5},
+		{Kind: "failover", StartS: 6.5, DurationS: 0.5, LossWindowMs: 300},
+		{Kind: "forget", StartS: 7.5, DurationS: 1, LossProbability: 0.3},
+		{Kind: "full", StartS: 9, DurationS: 0.7},
+		{Kind: "stall", StartS: 10, DurationS: 1},
+		{Kind: "slow", StartS: 11, DurationS: 0.5, DelayMs: 20},
 	})
 	if err != nil {
 		t.Fatal("starting the store:", err)
@@ -123,7 +123,7 @@
 // TestLabStoreSpeaksRedisProtocol guards against a lab store that tests the client with replies that Redis would not send.
 // The lab store replies to go-redis as Redis does.
 func TestLabStoreSpeaksRedisProtocol(t *testing.T) {
-	server, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "full", At: 0.4, For: 60}})
+	server, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "full", StartS: 0.4, DurationS: 60}})
 	if err != nil {
 		t.Fatal("starting the store:", err)
 	}
