--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// The outcome of the check decides on a request. Without an answer its class decides. A wrong verdict would let denied
-// requests pass, or reject allowed ones.
+// TestVerdictFollowsOutcomeOrClass checks that the outcome of the check decides on a request. Without an answer its class
+// decides. A wrong verdict would let denied requests pass, or reject allowed ones.
 func TestVerdictFollowsOutcomeOrClass(t *testing.T) {
 	for class, unanswered := range []Verdict{Allow, Reject} {
 		for outcome, want := range map[Outcome]Verdict{
@@ -45,8 +45,9 @@
 	}
 }
 
-// The check of a request with little time left has a shorter timeout, which does not count against the authorizer. Otherwise
-// such requests could open the breaker although the authorizer is fast enough.
+// TestTimeoutOfRequestWithLittleTimeLeft checks that the check of a request with little time left has a shorter timeout,
+// which does not count against the authorizer. Otherwise such requests could open the breaker although the authorizer is
+// fast enough.
 func TestTimeoutOfRequestWithLittleTimeLeft(t *testing.T) {
 	if d := newPolicy(4).Begin(0, 1, 100*time.Millisecond); d.Verdict != CheckNeeded || d.Timeout != 50*time.Millisecond {
 		t.Errorf("Begin() with 100ms left = %+v, want verdict %d and the timeout 50ms", d, CheckNeeded)
@@ -64,8 +65,9 @@
 	}
 }
 
-// An authorizer that does not answer receives one trial check at a time. Once it answers, all requests are checked again.
-// Without the limit, checks would pile up at an overloaded authorizer and keep it overloaded.
+// TestUnresponsiveAuthorizerGetsTrialsOnly checks that an authorizer that does not answer receives one trial check at a
+// time. Once it answers, all requests are checked again. Without the limit, checks would pile up at an overloaded
+// authorizer and keep it overloaded.
 func TestUnresponsiveAuthorizerGetsTrialsOnly(t *testing.T) {
 	p, random, checks := newPolicy(16), rand.New(rand.NewPCG(1, 1)), 0
 	var timeouts []time.Duration // times at which the checks in flight time out
--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -39,7 +39,7 @@
 	return !b.tripped() || now >= b.openUntil && !b.trialInFlight
 }
 
-// begin records that a check begins. The caller must have seen allows return true.
+// begin records that a check begins. The caller calls begin only after allows has returned true.
 func (b *breaker) begin() { b.trialInFlight = b.tripped() }
 
 // ended records that a check ended with any outcome.
--- a/internal/authz/breaker_test.go
+++ b/internal/authz/breaker_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The breaker stays closed for four consecutive failures and opens at the fifth. The test has the numbers written out, so
-// that a change of maxFailures is noticed.
+// TestBreakerOpensAtFifthFailure checks that the breaker stays closed for four consecutive failures and opens at the fifth.
+// The test has the numbers written out, so that a change of maxFailures is noticed.
 func TestBreakerOpensAtFifthFailure(t *testing.T) {
 	var b breaker
 	for range 4 {
@@ -20,9 +20,9 @@
 	}
 }
 
-// The breaker opens after maxFailures consecutive failures, doubles its open time with each failed trial, and closes with an
-// answer. A shorter open time would overload an authorizer that recovers. A breaker that stays open would leave requests
-// unchecked.
+// TestBreakerOpensAndCloses checks that the breaker opens after maxFailures consecutive failures, doubles its open time
+// with each failed trial, and closes with an answer. A shorter open time would overload an authorizer that recovers. A
+// breaker that stays open would leave requests unchecked.
 func TestBreakerOpensAndCloses(t *testing.T) {
 	const objective = 800 * time.Millisecond // A check times out after a quarter of the objective.
 	var b breaker
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -55,8 +55,8 @@
 	Self        NodeID        // number of this node
 	Nodes       int           // number of nodes in the fleet, including this one; at least 1
 	Seed        uint64        // seed of the random draws
-	ReceiveRate float64       // messages of all kinds that a node can receive, per second; 0 for no known limit
-	SendRate    float64       // bytes that this node may send, per second; 0 for no limit
+	ReceiveRate float64       // messages of all kinds that a node can receive, per second; 0 or less for no known limit
+	SendRate    float64       // bytes that this node may send, per second; 0 or less for no limit
 	Interval    time.Duration // requested time between two runs of a check; Scheduler.Interval may be longer
 }
 
--- a/internal/healthcheck/ownership_test.go
+++ b/internal/healthcheck/ownership_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A ranking contains each node once, and each node is the first one for an even share of the checks. With an uneven hash,
-// some nodes would own most checks.
+// TestRankingIsEven checks that a ranking contains each node once, and each node is the first one for an even share of the
+// checks. With an uneven hash, some nodes would own most checks.
 func TestRankingIsEven(t *testing.T) {
 	const nodes, checkCount = 20, 4000
 	first := make([]int, nodes)
@@ -32,7 +32,8 @@
 	}
 }
 
-// If a node leaves, the ranking of the others does not change. Otherwise checks of other nodes would change their owner.
+// TestRankingKeepsOrderWithoutANode checks that the ranking of the other nodes does not change if a node leaves. Otherwise
+// checks of other nodes would change their owner.
 func TestRankingKeepsOrderWithoutANode(t *testing.T) {
 	for id := range CheckID(200) {
 		small, large := Check{CheckServer, id}.rank(9), Check{CheckServer, id}.rank(10)
@@ -43,8 +44,9 @@
 	}
 }
 
-// The ownership of node 0 depends on the states of the members that precede it in the ranking. With a wrong role, no node
-// would run a check while a member fails or rejoins, or two nodes would run it for longer than the handover time.
+// TestOwnership checks that the ownership of node 0 depends on the states of the members that precede it in the ranking.
+// With a wrong role, no node would run a check while a member fails or rejoins, or two nodes would run it for longer than
+// the handover time.
 func TestOwnership(t *testing.T) {
 	const suspected, died, rejoined = "011100", "011200", "011001" // encoded updates about node 4
 	for _, c := range []struct {
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -145,7 +145,7 @@
 }
 
 // ReceivePeerMessage processes a peer message from the node from. An error wraps ErrMalformed. A message with an error
-// changes only the counters.
+// changes only the counters and the clock.
 func (s *Scheduler) ReceivePeerMessage(now time.Duration, from NodeID, payload []byte) error {
 	s.advance(now)
 	return s.members.Receive(now, from, payload, s.receiveEvent)
@@ -205,8 +205,8 @@
 	return Step{Kind: Run, Check: c.check, Timeout: s.members.Period()}
 }
 
-// WakeAfter returns the time from now within which the host must call Next again, provided that it reports no event before. It is
-// at least a millisecond.
+// WakeAfter returns the time from now within which the host must call Next again, unless the host reports an event before.
+// The result is at least a millisecond.
 func (s *Scheduler) WakeAfter(now time.Duration) time.Duration {
 	s.advance(now)
 	at := min(s.members.WakeAt(), s.ownershipDueAt)
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -27,6 +27,7 @@
 // checks are the checks of the simulated fleets.
 var checks = []Check{{CheckServer, 1}, {CheckServer, 2}, {CheckServer, 99}, {CheckList, 1}, {CheckCounter, 7}}
 
+// newFleet starts a fleet of the given number of nodes.
 func newFleet(nodes int) *fleet {
 	f := &fleet{runs: map[Check][]run{}, nodes: make([]*Scheduler, nodes)}
 	for i := range nodes {
@@ -99,8 +100,9 @@
 	}
 }
 
-// Without faults each check has one owner. Another node takes over the checks of a dead owner, and is their backup owner for
-// the handover time after the former owner's restart. Otherwise a check would not run during an owner's failure.
+// TestAnotherNodeReplacesDeadOwner checks that without faults each check has one owner. Another node takes over the checks
+// of a dead owner, and is their backup owner for the handover time after the former owner's restart. Otherwise a check
+// would not run during an owner's failure.
 func TestAnotherNodeReplacesDeadOwner(t *testing.T) {
 	f := newFleet(9)
 	f.runUntil(t, 40*time.Second)
@@ -132,8 +134,8 @@
 	}
 }
 
-// A node that has received many messages with random bytes still runs checks, and reports each malformed message as
-// ErrMalformed. Otherwise a corrupt or hostile datagram could stop a node.
+// TestNodeSurvivesRandomMessages checks that a node that has received many messages with random bytes still runs checks,
+// and reports each malformed message as ErrMalformed. Otherwise a corrupt or hostile datagram could stop a node.
 func TestNodeSurvivesRandomMessages(t *testing.T) {
 	// The parts are a bitmap, an update and the end of a run.
 	const ack = "d00203fa2da101" + "0300031000" + "00" + "011e05" + "0203010a"
@@ -159,7 +161,7 @@
 		now += time.Millisecond
 	}
 	if err := node.ReceivePeerMessage(now, 1, valid); err != nil || node.WakeAfter(now) <= 0 {
-		t.Errorf("ReceivePeerMessage of a valid message = %v, Wake = %v; want no error and more than 0", err, node.WakeAfter(now))
+		t.Errorf("ReceivePeerMessage of a valid message = %v, WakeAfter = %v; want no error and more than 0", err, node.WakeAfter(now))
 	}
 	if c := node.Counters(); c.Malformed < 1000 || c.Received < 1000 || c.Checks == 0 {
 		t.Errorf("Counters() = %+v, want at least 1000 in Malformed and Received, and Checks above 0", c)
@@ -171,8 +173,9 @@
 	return New(Config{Nodes: 1, Interval: interval}, 0)
 }
 
-// The first runs of new checks are spread over a quarter of an interval. After that each check is run once per interval.
-// Without the spread, many new servers would cause a burst of checks in each interval.
+// TestFirstRunsAreSpreadOverAQuarterOfTheInterval checks that the first runs of new checks are spread over a quarter of an
+// interval. After that each check is run once per interval. Without the spread, many new servers would cause a burst of
+// checks in each interval.
 func TestFirstRunsAreSpreadOverAQuarterOfTheInterval(t *testing.T) {
 	s := newSingleNode(4 * time.Second)
 	manyChecks := make([]Check, 200)
@@ -205,8 +208,9 @@
 	}
 }
 
-// SetChecks keeps the state of checks that stay, and discards the others. A running check is not started again. Otherwise a
-// change of the set would cause duplicate runs, or runs for servers that no longer exist.
+// TestSetChecksReplacesTheSet checks that SetChecks keeps the state of checks that stay, and discards the others. A running
+// check is not started again. Otherwise a change of the set would cause duplicate runs, or runs for servers that no longer
+// exist.
 func TestSetChecksReplacesTheSet(t *testing.T) {
 	s := newSingleNode(time.Second)
 	s.SetChecks(0, []Check{{CheckServer, 1}, {CheckServer, 2}})
@@ -230,12 +234,12 @@
 		t.Errorf("runs started while both checks are running: %v, want none", got)
 	}
 	if wake := s.WakeAfter(9 * time.Second); wake > time.Second {
-		t.Errorf("Wake while both checks are running = %v, want at most 1s", wake)
+		t.Errorf("WakeAfter while both checks are running = %v, want at most 1s", wake)
 	}
 }
 
-// A run at another node is reported once, and delays this node's next run. Otherwise two owners would run a check at twice
-// the rate.
+// TestRunAtAnotherNodeDelaysTheNext checks that a run at another node is reported once, and delays this node's next run.
+// Otherwise two owners would run a check at twice the rate.
 func TestRunAtAnotherNodeDelaysTheNext(t *testing.T) {
 	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0)
 	check := Check{CheckServer, 5}
@@ -263,8 +267,8 @@
 	}
 }
 
-// Two reports whose run times differ by at most an eighth of a ping period are about the same run. Otherwise
-// a run whose result arrives by way of several nodes would count as several runs.
+// TestReportsOfOneRunAreMerged checks that two reports whose run times differ by at most an eighth of a ping period are
+// about the same run. Otherwise a run whose result arrives by way of several nodes would count as several runs.
 func TestReportsOfOneRunAreMerged(t *testing.T) {
 	s := New(Config{Nodes: 3, Seed: 1, ReceiveRate: 4000, Interval: 10 * time.Second}, 0) // The ping period is 100 ms.
 	s.SetChecks(0, []Check{{CheckServer, 5}})
@@ -289,8 +293,8 @@
 	}
 }
 
-// The interval is at least minIntervalPeriodsPerRound ping periods per gossip round. With a shorter interval in a large
-// fleet, the checks of a dead member would miss several runs.
+// TestIntervalGrowsWithTheFleet checks that the interval is at least minIntervalPeriodsPerRound ping periods per gossip
+// round. With a shorter interval in a large fleet, the checks of a dead member would miss several runs.
 func TestIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
--- a/internal/healthcheck/wireformat_test.go
+++ b/internal/healthcheck/wireformat_test.go
@@ -54,26 +54,26 @@
 		"1:d00103db052768",
 	}},
 	{
-		name: "a ping of the same view is answered", cfg: threeNodes, received: []receivedMessage{{0, 1, "d00105db052768"}},
+		name: "a ping with the same hash of dead members gets an ack", cfg: threeNodes, received: []receivedMessage{{0, 1, "d00105db052768"}},
 		nextTimes: []time.Duration{0}, want: []string{
 			"1:d00205db052768",
 		},
 	},
 	{
-		name: "a ping of another view is answered with the dead members", cfg: threeNodes,
+		name: "a ping with another hash gets an ack with the dead members", cfg: threeNodes,
 		received: []receivedMessage{{0, 1, "d001ac0200000000" + "010a03"}}, nextTimes: []time.Duration{0}, want: []string{
 			"1:d002ac02d69d673203000104010a03",
 		},
 	},
 	{
-		name: "suspicions are passed on, the sender's first", cfg: nineNodes,
+		name: "suspicions are gossiped, the one about the receiver first", cfg: nineNodes,
 		received: []receivedMessage{{0, 1, "d0010700000000" + "010900" + "010502"}}, nextTimes: []time.Duration{0}, want: []string{
 			"1:d00100fa2da101010502010900010502",
 			"1:d00207fa2da1010105020300020000010900010502",
 		},
 	},
 	{
-		name: "an update of this node's own death is refuted", cfg: nineNodes,
+		name: "an update about this node's own death is refuted", cfg: nineNodes,
 		received: []receivedMessage{{0, 1, "d0010900000000" + "011205"}}, nextTimes: []time.Duration{0}, want: []string{
 			"1:d00209fa2da1010300020000011006",
 		},
@@ -87,7 +87,7 @@
 		},
 	},
 	{
-		name: "a bitmap of living members is corrected", cfg: nineNodes, received: []receivedMessage{{0, 1, "d0020000000000" + "0300027001"}},
+		name: "a bitmap with live members is corrected", cfg: nineNodes, received: []receivedMessage{{0, 1, "d0020000000000" + "0300027001"}},
 		nextTimes: []time.Duration{0}, want: []string{
 			"1:d00400fa2da101012000011800011400011001",
 		},
@@ -100,7 +100,7 @@
 		},
 	},
 	{
-		name: "ends of runs are passed on with their age", cfg: nineNodes, checks: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
+		name: "results of runs are gossiped with their age", cfg: nineNodes, checks: []Check{{CheckServer, 99}, {CheckList, 1 << 40}, {CheckCounter, 7}},
 		received:  []receivedMessage{{30 * time.Second, 1, "d0010100000000" + "02036364" + "02048080808080208020" + "020707e807"}},
 		nextTimes: []time.Duration{30 * time.Second}, want: []string{
 			"1:d00201fa2da10103000200000203636402048080808080208020020707e807",
@@ -108,7 +108,7 @@
 		},
 	},
 	{
-		name: "a large fleet's bitmap goes in parts", cfg: largeFleet,
+		name: "a large fleet's bitmap is sent in sections", cfg: largeFleet,
 		received:  []receivedMessage{{0, 1, "d0010100000000" + "01a61f00" + "01e64c07"}, {0, 2, "d0010200000000"}, {0, 3, "d0010300000000"}},
 		nextTimes: []time.Duration{0}, want: []string{
 			"1:d00201338f6d5703008001000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000002000001a61f0001e64c07",
@@ -118,8 +118,8 @@
 	},
 }
 
-// Each kind of message, with each kind of part, has the expected bytes. Nodes of another version could not decode a message
-// with a changed format.
+// TestPeerMessageWireFormat checks that each kind of message, with each kind of part, has the expected bytes. Nodes of
+// another version could not decode a message with a changed format.
 func TestPeerMessageWireFormat(t *testing.T) {
 	for _, c := range wireFormatCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 	p.scheduled[p.now+delay] = append(p.scheduled[p.now+delay], f)
 }
 
-// record adds a line with the current time to the transcript.
+// record adds a line with the current time to the transcript. The wording is part of the digests.
 func (p *fleetTranscript) record(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf("%.2f ", p.now.Seconds())+fmt.Sprintf(format, args...))
 }
@@ -278,7 +278,7 @@
 		},
 	},
 	{
-		name: "nine nodes, cut in two, lossy, with few bytes", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
+		name: "nine nodes, partitioned, with lost messages and a low send rate", cfg: Config{Nodes: 9, Seed: 13, ReceiveRate: 80, SendRate: 400, Interval: time.Second},
 		simulate: func(p *fleetTranscript) {
 			p.lossRate = 0.2
 			p.runUntil(15 * time.Second)
@@ -348,8 +348,8 @@
 	},
 }
 
-// All messages and steps of a fleet are the expected ones. A change of the protocol or of the schedule changes the digest,
-// and so does a change of the transcript's wording.
+// TestFleetTranscripts checks that all messages and steps of a fleet are the expected ones. A change of the protocol or of
+// the schedule changes the digest, and so does a change of the transcript's wording.
 func TestFleetTranscripts(t *testing.T) {
 	for _, c := range transcriptCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -370,8 +370,8 @@
 	}
 }
 
-// ReceivePeerMessage rejects a malformed message as a whole, up to the exact limits of each field. A decoder that accepts
-// more would use wrong node numbers, or states that do not exist.
+// TestMalformedPeerMessages checks that ReceivePeerMessage rejects a malformed message as a whole, up to the exact limits
+// of each field. A decoder that accepts more would use wrong node numbers, or states that do not exist.
 func TestMalformedPeerMessages(t *testing.T) {
 	for _, c := range []struct {
 		hexPayload string
@@ -381,7 +381,7 @@
 		{"d0", false},
 		{"d000", false},
 		{"d00101fa2da1", false},                                  // The hash of the dead members has too few bytes.
-		{"d10101fa2da101", false},                                // The mark is wrong.
+		{"d10101fa2da101", false},                                // The magic byte is wrong.
 		{"d00001fa2da101", false},                                // Kind 0 is unknown.
 		{"d00601fa2da101", false},                                // Kind 6 is unknown.
 		{"d00101fa2da101", true},                                 // This is a valid ping.
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -49,8 +49,8 @@
 	pingRequest
 	// correction carries members that are dead at the receiver and not dead at the sender.
 	correction
-	// dispute answers a correction. A dispute carries members that stay dead at its sender because their incarnations there
-	// are as high. The dispute calls them suspect. The receiver then suspects them, and they can refute the suspicion.
+	// dispute answers a correction. A dispute carries members that stay dead at its sender, because their incarnations there
+	// are at least as high. The dispute calls them suspect. The receiver then suspects them, and they can refute the suspicion.
 	dispute
 )
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -139,10 +139,10 @@
 // bit. compareDead returns the members that are dead at the peer and not here. Their order is random because one message may
 // not hold all of them.
 //
-// The caller sends the peer a correction with their incarnations. If the peer knows of incarnations as high, the peer
-// answers with a dispute. The members then become suspect here too, and refute the suspicion or die. If the peer considers
-// this node dead, compareDead refutes that. Thus the halves of a partitioned fleet converge, and a node that has just
-// started learns the dead members.
+// The caller sends the peer a correction with their incarnations. If the incarnations at the peer are at least as high, the
+// peer answers with a dispute. The members then become suspect here too, and refute the suspicion or die. If the peer
+// considers this node dead, compareDead refutes that. Thus the halves of a partitioned fleet converge, and a node that has
+// just started learns the dead members.
 func (p *Protocol) compareDead(firstMember NodeID, bitmap []byte) (notDead []NodeID) {
 	for i := range 8 * len(bitmap) {
 		id := firstMember + NodeID(i)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fleet is a simulated network without delay.
+// fleet is a simulated fleet, whose network delivers each message without delay.
 type fleet struct {
 	nodes          []*Protocol                // nodes by number; nil for a node that is down
 	now            time.Duration              // virtual time
@@ -80,7 +80,8 @@
 			t.Errorf("node %d after the restart of node 3: state %v, counters %+v; want state %v and Rejoined 1", i, node.State(3), node.Counters(), Alive)
 		}
 		if node.AliveFor(3, f.now-restartedAt+time.Second) || !node.AliveFor(3, 0) || !node.AliveFor(4, time.Hour) {
-			t.Errorf("node %d: AliveFor(3) does not count from the restart of node 3, or AliveFor(4) is false for a node never dead", i)
+			t.Errorf("node %d: AliveFor(3) = %v for a second more than since its restart, %v for 0, AliveFor(4) = %v for 1h; want false, true, true",
+				i, node.AliveFor(3, f.now-restartedAt+time.Second), node.AliveFor(3, 0), node.AliveFor(4, time.Hour))
 		}
 	}
 }
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestSendRateBoundsBytes guards against more bytes than SendRate. A node that receives many pings answers within SendRate,
-// and counts the messages that it withholds.
+// TestSendRateBoundsBytes guards against more bytes than SendRate. A node that receives many pings sends acks within
+// SendRate, and counts the messages that it withholds.
 func TestSendRateBoundsBytes(t *testing.T) {
 	f := newFleet(2, 600)
 	node := f.nodes[0]
@@ -179,7 +180,7 @@
 	node, valid := newFleet(20, 0).nodes[0], validMessage()
 	for size := 1; size < len(valid); size++ { // truncated at any byte
 		if m, err := decode(valid[:size], 20, 3); err == nil && len(m.parts) > 3 || err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("decode of %d of %d bytes = %+v, %v; want at most 3 parts, or an error that wraps ErrMalformed", size, len(valid), m, err)
+			t.Errorf("decode of the first %d of %d bytes = %+v, %v; want at most 3 parts, or an error that wraps ErrMalformed", size, len(valid), m, err)
 		}
 	}
 	for _, malformed := range [][]byte{
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -79,7 +79,7 @@
 	if p.members[from].state == Suspect { // notify the sender: only the sender itself can refute the suspicion
 		p.enqueue(outgoing{to: from, kind: ping, sequence: 0})
 	}
-	p.answer(from, m.header)
+	p.handleHeader(from, m.header)
 	return nil
 }
 
@@ -95,8 +95,9 @@
 	return m, nil
 }
 
-// answer responds to a message according to its kind.
-func (p *Protocol) answer(from NodeID, h header) {
+// handleHeader processes the header of a message: it acks a ping, ends the probe of an ack, or starts the ping that a
+// pingRequest asks for.
+func (p *Protocol) handleHeader(from NodeID, h header) {
 	switch h.kind {
 	case ping:
 		if h.sequence > 0 { // with sequence 0 the ping only carries gossip
@@ -112,7 +113,7 @@
 }
 
 // applyParts applies the parts of a message. For a correction, applyParts returns its members that stay dead here because
-// their incarnations here are as high.
+// their incarnations here are at least as high.
 func (p *Protocol) applyParts(from NodeID, m message, deliver func(Event) bool) (disputed []NodeID) {
 	for _, part := range m.parts {
 		switch part.kind {
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -12,8 +12,9 @@
 	"cherrygap/internal/protocol"
 )
 
-// Receive drops datagrams from unknown senders and those that are too long. Send drops messages without a valid address and
-// those that are too long. Otherwise any host could send messages to a node, or a truncated message could be processed.
+// TestDatagramsOfUnknownSendersAreDropped checks that Receive drops datagrams from unknown senders and those that are too
+// long. Send drops messages without a valid address and those that are too long. Otherwise any host could send messages to
+// a node, or a truncated message could be processed.
 func TestDatagramsOfUnknownSendersAreDropped(t *testing.T) {
 	counters := &Counters{}
 	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -57,7 +58,8 @@
 	}
 }
 
-// Receive waits after each read error. Otherwise a socket with a lasting error would keep a CPU core busy.
+// TestErrorsOfThePeerSocketArePaced checks that Receive waits after each read error. Otherwise a socket with a lasting
+// error would keep a CPU core busy.
 func TestErrorsOfThePeerSocketArePaced(t *testing.T) {
 	counters := &Counters{}
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(nil, netip.AddrPort{}), counters)
--- a/internal/peersocket/wireformat_test.go
+++ b/internal/peersocket/wireformat_test.go
@@ -12,8 +12,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// A peer message is one datagram with exactly the message's bytes, at most 256. Send also drops a message to an unknown
-// peer. Nodes of another version could not read a message in another format.
+// TestDatagramWireFormat checks that a peer message is one datagram with exactly the message's bytes, at most 256. Send
+// also drops a message to an unknown peer. Nodes of another version could not read a message in another format.
 func TestDatagramWireFormat(t *testing.T) {
 	var peers []*net.UDPConn
 	var addrs []netip.AddrPort
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -21,7 +21,7 @@
 	exchangeGapWindows = 0.05
 )
 
-// pendingExchange is an exchange that has neither been answered nor failed.
+// pendingExchange is an exchange that has neither got a reply nor failed.
 type pendingExchange struct {
 	id       ExchangeID
 	key      CustomerKey
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -4,8 +4,8 @@
 //
 // Inputs: the results of the exchanges, and the time. State: consecutive failures, and a token bucket. Rule: from
 // failuresBeforeBackoff consecutive failures on, exchanges pause with exponential backoff and jitter. They also run one at a
-// time until a success. Independently, the token bucket limits the exchanges per second. Purpose: little
-// load on a store that fails or is slow.
+// time until a success. Independently, the token bucket limits the exchanges per second. Purpose: a store that fails or is
+// slow gets little load.
 
 import (
 	"math"
@@ -51,7 +51,7 @@
 
 // rateLimiter limits the exchanges per second with a token bucket. The bucket's capacity is at least one token.
 type rateLimiter struct {
-	rate       float64       // exchanges per second; 0 for no limit
+	rate       float64       // exchanges per second; 0 or less for no limit
 	tokens     float64       // number of exchanges that may begin now
 	refilledAt time.Duration // time of the last refill
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -87,7 +87,7 @@
 type Counters struct {
 	Exchanges   int64 // exchanges begun
 	Failed      int64 // exchanges that failed, including timeouts
-	LateReplies int64 // replies to exchanges that had already timed out or been answered
+	LateReplies int64 // replies to exchanges that had already ended with a reply or a failure
 	LossReplies int64 // replies that prove a loss of entries in the store
 	Borrowed    int64 // increases of a cap
 	Released    int64 // reductions of a cap
--- a/internal/quotastore/transaction.go
+++ b/internal/quotastore/transaction.go
@@ -32,7 +32,7 @@
 // ErrMalformedReply is wrapped by every error for a reply that cannot be parsed.
 var ErrMalformedReply = errors.New("malformed reply of the quota store")
 
-// putAndRead carries out an exchange. An error is one of the client, or wraps ErrMalformedReply.
+// putAndRead carries out an exchange. An error wraps one of the client, or ErrMalformedReply.
 func putAndRead(ctx context.Context, client *redis.Client, exchange quota.Exchange) (quota.Reply, error) {
 	key := fmt.Sprintf(entriesKeyFormat, uint64(exchange.Key), int64(exchange.Window))
 	field := fmt.Sprintf(entryFieldFormat, int(exchange.Put.Node), int(exchange.Put.Sequence))
@@ -47,7 +47,7 @@
 		return nil
 	})
 	if err != nil {
-		return quota.Reply{}, fmt.Errorf("exchange of %s: %w", key, err)
+		return quota.Reply{}, fmt.Errorf("exchange for key %s: %w", key, err)
 	}
 	id, err := storeID.Uint64()
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	commitments, err := parseEntries(entries.Val())
 	if err != nil {
-		return quota.Reply{}, fmt.Errorf("exchange of %s: %w", key, err)
+		return quota.Reply{}, fmt.Errorf("exchange for key %s: %w", key, err)
 	}
 	return quota.Reply{Store: quota.StoreID(id), Entries: commitments}, nil
 }
@@ -73,7 +73,7 @@
 	return commitments, nil
 }
 
-// parseEntry parses one field of an entries hash and its value. An error is or joins errors of strconv.
+// parseEntry parses one field of an entries hash and its value. An error is one of strconv, or joins several of them.
 func parseEntry(field, value string) (quota.Commitment, error) {
 	node, sequence, _ := strings.Cut(field, ":")
 	nodeNumber, nodeErr := strconv.Atoi(node)
--- a/internal/quotastore/wireformat_test.go
+++ b/internal/quotastore/wireformat_test.go
@@ -52,7 +52,7 @@
 	return s
 }
 
-// serve reads and answers the commands of a connection until reading or writing fails.
+// serve reads the commands of a connection and replies to them, until reading or writing fails.
 func (s *scriptedStore) serve(conn net.Conn, execReply string) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
@@ -156,7 +156,7 @@
 			defer q.Close()
 			reply, err := putAndRead(t.Context(), q.client, c.exchange)
 			if err != nil {
-				t.Fatal("putAndRead:", err)
+				t.Fatalf("putAndRead failed: %v, want no error", err)
 			}
 			slices.SortFunc(reply.Entries, func(a, b quota.Commitment) int { return int(a.Node - b.Node) })
 			if want := []quota.Commitment{{Node: 0, Sequence: 1, Cap: 12.5}, {Node: 2, Sequence: 2, Cap: 1e-7}, {Node: 17, Sequence: 30}}; reply.Store != math.MaxUint64 ||
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -33,7 +33,7 @@
 			want:     Decision{Action: Forward, Attempt: 0, Server: server, Timeout: 1234500 * time.Microsecond},
 		},
 		{
-			name:     "forward to a server that is gone",
+			name:     "forward to an unlisted server",
 			decision: decision.Decision{Action: decision.Forward, Server: 1, Duration: 1},
 			want:     Decision{Action: Forward, Attempt: 0, Timeout: 100 * time.Microsecond},
 			unlisted: true,
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -95,7 +95,8 @@
 	}{{protocol.InService, 2, true}, {protocol.Terminating, 0, true}, {protocol.Terminated, 0, false}} {
 		r.UpdateEndpoints(serverList(2, c.state), FromDiscovery)
 		if got := r.Servers(); len(got) != c.inService || r.HasServers() != c.hasServers {
-			t.Errorf("state %d: %d Servers, HasServers() = %t, want %d, %t", c.state, len(got), r.HasServers(), c.inService, c.hasServers)
+			t.Errorf("state %d: len(Servers()) = %d, HasServers() = %t; want %d, %t", c.state, len(got), r.HasServers(), c.inService,
+				c.hasServers)
 		}
 	}
 }
--- a/internal/routing/repeatcheck_test.go
+++ b/internal/routing/repeatcheck_test.go
@@ -16,7 +16,7 @@
 )
 
 // repeatCases are the cases of TestRepeatCheckWithholdsRepeats. Each has a class's rule, the outcome of a first attempt at
-// firstServer, and a second attempt with the violation that it is.
+// firstServer, a second attempt, and the violation by the second attempt.
 var repeatCases = []struct {
 	name    string
 	rule    repeatRule
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -37,7 +37,8 @@
 
 // Canceller runs the attempts of a request, one at a time.
 type Canceller interface {
-	// Cancel cancels the attempt with that number, unless it has ended. The attempt's result must be reported all the same.
+	// Cancel cancels the attempt with the given number, unless that attempt has ended. The caller must still report the
+	// result of a cancelled attempt.
 	// The Router calls Cancel under its lock. Cancel must neither block nor call the Router.
 	Cancel(attempt int)
 }
@@ -98,7 +99,8 @@
 	r.leave()
 }
 
-// lease passes the tenant's available units to the engine, if the plan's quota is leased. The lock must be held.
+// updateLease records the request's demand and passes the tenant's available units to the engine, if the plan's quota is
+// leased. The lock must be held.
 func (req *Request) updateLease(plan decision.PlanID, in *protocol.Request) {
 	r := req.router
 	req.tenant, req.units = quota.Customer{}, 0
@@ -153,13 +155,13 @@
 func (req *Request) take() (Decision, bool) {
 	r := req.router
 	r.mu.Lock()
-	d, gone := req.decision, req.clientGone
+	d, disconnected := req.decision, req.clientGone
 	req.decision, req.server = Decision{}, d.Server
 	r.mu.Unlock()
-	if d.Action == Forward && (gone || d.withheld) { // The engine waits for the result of each attempt.
+	if d.Action == Forward && (disconnected || d.withheld) { // The engine waits for the result of each attempt.
 		req.Report(AttemptResult{Outcome: protocol.NotSent})
 	}
-	if gone {
+	if disconnected {
 		return Decision{Action: Abandon}, true
 	}
 	return d, !d.withheld
--- a/internal/routing/requesttable.go
+++ b/internal/routing/requesttable.go
@@ -23,7 +23,7 @@
 	free   []requestSlot
 }
 
-// add gives a Request a slot and a first number.
+// add gives a Request a slot and a number.
 func (t *requestTable) add(req *Request) {
 	if k := len(t.free); k > 0 {
 		req.slot, t.free = t.free[k-1], t.free[:k-1]
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -21,12 +21,13 @@
 	callTime                     time.Duration        // CPU time of all calls
 	addedLatency                 []float64            // latency in ns that the node's calls added, by request
 	requests, admitted, rejected int
-	completed, failed            int            // attempts by outcome
+	completed, failed            int            // completed attempts, and those with any other outcome
 	sent, sentBytes              [kindCount]int // peer messages by kind
 	sentToAll, sentToAllBytes    [kindCount]int // part of sent that goes to all other nodes
-	received, receivedBytes      [kindCount]int
+	received, receivedBytes      [kindCount]int // peer messages that simulated nodes received, by kind
 }
 
+// add adds the CPU time of a call to the samples of its operation.
 func (t *timings) add(op string, d time.Duration) { t.samples[op] = append(t.samples[op], float64(d)) }
 
 // measure starts the measured part of the run.
@@ -61,7 +62,7 @@
 }
 
 // prepareScaleSimulation returns a simulation whose nodes know all tenants and have adapted their limits. It also returns
-// the figures of the preparation, for which the nodes run for the virtual time warm.
+// the figures of the preparation, in which the nodes run for the virtual time warm.
 func prepareScaleSimulation(s fleetSize, seed uint64, warm time.Duration) (sim *scaleSimulation, f figures) {
 	sim, f = newScaleSimulation(s, seed), figures{}
 	raw := sim.discoveryList()
--- a/internal/routing/scale_harness_test.go
+++ b/internal/routing/scale_harness_test.go
@@ -49,22 +49,23 @@
 	return sim, f
 }
 
-// checkMessages checks which kinds of datagram were sent. Nodes of a fleet with quota owners ask the owners; other nodes
-// report their use to all.
+// checkMessages checks which kinds of datagram were sent. Nodes of a fleet with quota owners ask the owners. Nodes of a
+// fleet without them report their use to all other nodes.
 func checkMessages(t *testing.T, m *timings, owners bool) {
 	t.Helper()
 	if owners != (m.sent[kindAsk] > 0) || owners != (m.sent[kindGrant] > 0) || owners == (m.sentToAll[kindUse] > 0) ||
 		m.sent[kindGrant] > 0 && m.received[kindAsk] == 0 {
-		t.Errorf("with quota owners %t: sent %v, to all %v, received %v of %v; want ask and grant with owners, else use to all",
+		t.Errorf("quota owners %t: sent %v, sent to all %v, received %v messages of the kinds %v; want ask and grant with owners, else use to all",
 			owners, m.sent, m.sentToAll, m.received, kindNames)
 	}
 }
 
-// checkCounts checks that nearly all requests were admitted or rejected, and that some attempts failed, but not too many.
+// checkCounts checks that all requests but up to 20 were admitted or rejected. It also checks that some attempts failed, but
+// at most a tenth of the completed ones.
 func checkCounts(t *testing.T, m *timings) {
 	t.Helper()
-	if out := m.admitted + m.rejected; out < m.requests-20 || out > m.requests+20 || m.failed == 0 || m.failed > m.completed/10 {
-		t.Errorf("of %d requests %d admitted, %d rejected, want all but up to 20; %d attempts completed, %d failed, want 1 to a tenth",
+	if decided := m.admitted + m.rejected; decided < m.requests-20 || decided > m.requests+20 || m.failed == 0 || m.failed > m.completed/10 {
+		t.Errorf("%d requests: %d admitted, %d rejected, want the same sum up to 20; attempts: %d completed, %d failed, want 1 to a tenth failed",
 			m.requests, m.admitted, m.rejected, m.completed, m.failed)
 	}
 }
--- a/internal/routing/scale_node_test.go
+++ b/internal/routing/scale_node_test.go
@@ -18,7 +18,7 @@
 	released       []*routing.Request // Requests without an open request, for reuse
 	timerSettings  uint64             // number of times that the timer was set; only the last setting is valid
 	intervalClosed bool               // whether the current call closed a summary interval
-	busyUntil      time.Duration      // virtual time at which the last call ends that waits for the node's lock
+	busyUntil      time.Duration      // virtual time at which the last of the calls that wait for the node's lock ends
 }
 
 // scaleRequest is a request of a client.
--- a/internal/routing/scale_simulation_test.go
+++ b/internal/routing/scale_simulation_test.go
@@ -50,7 +50,7 @@
 
 // simulatedClasses are the simulated request classes. Times are in tenths of a millisecond.
 var simulatedClasses = []struct {
-	name, repeats       string // repeats is the retry safety
+	name, retrySafety   string
 	objective, deadline int
 	share               float64 // share of all requests
 }{
@@ -74,7 +74,7 @@
 	}
 	for i, c := range simulatedClasses {
 		for field, value := range map[settings.ClassField]string{
-			settings.ClassName: c.name, settings.ClassRetrySafety: c.repeats, settings.ClassPriorityWeight: "1",
+			settings.ClassName: c.name, settings.ClassRetrySafety: c.retrySafety, settings.ClassPriorityWeight: "1",
 			settings.ClassLatencyObjective: strconv.Itoa(c.objective), settings.ClassDeadline: strconv.Itoa(c.deadline),
 			settings.ClassIdempotencyGroup: settings.GroupAll, settings.ClassIdempotencyWindow: "20000",
 		} {
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -140,16 +140,16 @@
 // newSettings returns the engine's settings. It draws at random those that the simulation itself does not use.
 func (sim *slowStartSimulation) newSettings(nodes int) settings.Values {
 	messagesPerSecond := []int{0, 40, 60, 100}[sim.random.IntN(4)]
-	ticksOf := func(d time.Duration) string { return strconv.Itoa(int(engineTime(d))) }
+	timeUnits := func(d time.Duration) string { return strconv.Itoa(int(engineTime(d))) }
 	return settings.Values{
 		settings.Nodes: strconv.Itoa(nodes), settings.Tick: "500", settings.EndpointList: settings.EndpointListPush,
 		settings.IdleTimeout: "150000", settings.MaxAttempts: "3",
 		settings.CancelAttempts: strconv.FormatBool(sim.random.Float64() < 0.5), settings.RetryAfter: settings.On,
 		settings.MaxRetryAfter: "20000", settings.SlowStartShare: fmt.Sprint(sim.startShare),
-		settings.SlowStartSpan: ticksOf(sim.slowStartSpan), settings.OverloadMultiple: fmt.Sprint(sim.overloadMultiple),
-		settings.OverloadSpan: ticksOf(sim.overloadSpan), settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "b",
+		settings.SlowStartSpan: timeUnits(sim.slowStartSpan), settings.OverloadMultiple: fmt.Sprint(sim.overloadMultiple),
+		settings.OverloadSpan: timeUnits(sim.overloadSpan), settings.ClassCount: "1", settings.ClassKey(0, settings.ClassName): "b",
 		settings.ClassKey(0, settings.ClassRetrySafety):       settings.RetrySafe,
-		settings.ClassKey(0, settings.ClassLatencyObjective):  ticksOf(sim.latencyObjective),
+		settings.ClassKey(0, settings.ClassLatencyObjective):  timeUnits(sim.latencyObjective),
 		settings.ClassKey(0, settings.ClassIdempotencyWindow): "20000",
 		settings.ClassKey(0, settings.ClassIdempotencyGroup):  settings.GroupAll, settings.PlanCount: "1",
 		settings.PlanKey(0, settings.PlanName): "p", settings.Peers: strconv.FormatBool(messagesPerSecond > 0),
--- a/internal/routing/slowstart_requests_test.go
+++ b/internal/routing/slowstart_requests_test.go
@@ -12,7 +12,7 @@
 	node            *simulatedNode
 	request         *Request
 	attempt         *simulatedAttempt // attempt in flight, or nil
-	isRetry         bool              // whether it is a client's retry of a rejected request
+	isRetry         bool              // whether the request is a client's retry of a rejected one
 	decisionPending bool              // whether a decision waits until the result of the attempt in flight is reported
 	closed          bool
 }
--- a/internal/routing/slowstart_scenarios_test.go
+++ b/internal/routing/slowstart_scenarios_test.go
@@ -7,15 +7,15 @@
 	"one",    // one server restarts
 	"half",   // half of the servers start at the same time
 	"fleet",  // all servers start at the same time
-	"fleet",  // listed twice, so that it runs twice as often
-	"zone",   // some servers stop, so that the others are overloaded, and start again; discovery drops the stopped ones, or not
+	"fleet",  // the same scenario again, so that it runs twice as often
+	"zone",   // some servers stop, so that the others are overloaded, and start again; discovery may drop the stopped ones
 	"nodes",  // all servers and all nodes restart together
 	"again",  // a server restarts twice under the same uid, the second time while or just after it warms up
 	"late",   // new servers reach the list of each node at a different time, up to 4 s after their start
 	"burst",  // no traffic around the start, then a burst at all nodes while the servers warm up
 	"faults", // the other servers reject or hang, so that retries go to the warming ones
 	"weight", // the servers have different capacities, which are their weights in the list
-	"shift",  // a few nodes have most of the traffic, and every 5 s they are others
+	"shift",  // a few nodes have most of the traffic, and every 5 s other nodes take their place
 	"flap",   // the list drops a warming server and lists it again, three times
 	"slow",   // warming servers take three times as long as their capacity implies, and clients retry
 }
@@ -56,7 +56,8 @@
 	}
 }
 
-// scheduleOwnScenario schedules the events that the run's own scenario has, but not an additional one.
+// scheduleOwnScenario schedules the events that only the run's own scenario has. An additional scenario of the same name
+// does not have them.
 func (s *scenarioSchedule) scheduleOwnScenario() {
 	switch s.scenario {
 	case "half":
--- a/internal/routing/slowstart_servers_test.go
+++ b/internal/routing/slowstart_servers_test.go
@@ -14,13 +14,13 @@
 	relativeSize   float64       // capacity relative to the usual one of the run
 	slots          int           // attempts that the server works on at the same time
 	serviceTime    time.Duration // mean service time of a warm server
-	started        time.Duration // start of the process; negative for long ago
-	down           bool
-	hangs          bool // whether the server accepts attempts and never responds
-	overloaded     bool // whether the server rejects all attempts
-	listed         bool // whether discovery lists the server
-	incarnation    int  // number of ended processes
-	busy           int  // slots in use
+	started        time.Duration // virtual time of the process's start; negative for a start long before the run
+	down           bool          // whether the server has no process
+	hangs          bool          // whether the server accepts attempts and never responds
+	overloaded     bool          // whether the server rejects all attempts
+	listed         bool          // whether discovery lists the server
+	incarnation    int           // number of ended processes
+	busy           int           // slots in use
 	queue          []*simulatedAttempt
 	attemptTimes   []time.Duration // arrival times of attempts at this process, from nodes that know its start
 	endedProcesses []serverProcess // ended processes
@@ -28,8 +28,8 @@
 
 // serverProcess is a process that has ended.
 type serverProcess struct {
-	started      time.Duration   // negative for long ago
-	attemptTimes []time.Duration // arrival times
+	started      time.Duration   // virtual time of the start; negative for a start long before the run
+	attemptTimes []time.Duration // arrival times of attempts, as in simulatedServer
 }
 
 // stop ends a server's process. Its attempts in flight end with a reset connection.
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -5,7 +5,7 @@
 // FromText translate them into Values, a map from the keys of this package to texts. Parse turns Values into Settings. Code
 // outside this package reads Settings. Tests build them from Values.
 //
-// All texts are accepted. A missing or malformed number reads as 0, and such a boolean as false. An enumerated setting keeps
-// an unknown text, which its users treat as none of the known values. The platform gives times in microseconds. Values have
-// them in time units of 100 µs, rounded towards 0.
+// All texts are accepted. A missing or malformed number reads as 0, and such a boolean as false. An enumerated setting may
+// have an unknown or empty text, which its users treat as none of the known values. The platform gives times in
+// microseconds. Values have them in time units of 100 µs, rounded towards 0.
 package settings
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -83,13 +83,13 @@
 	t.Helper()
 	entries := make([]string, 0, len(values))
 	for key, value := range values {
-		keyOfFirst := strings.Replace(key, ".1.", ".0.", 1)
-		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == keyOfFirst })
+		firstEntryKey := strings.Replace(key, ".1.", ".0.", 1)
+		i := slices.IndexFunc(formerKeys, func(k struct{ former, key string }) bool { return k.key == firstEntryKey })
 		if i < 0 {
 			t.Fatalf("key %q is not in formerKeys, want every key in it", key)
 		}
 		former := formerKeys[i].former
-		if keyOfFirst != key {
+		if firstEntryKey != key {
 			former = strings.Replace(former, ".0.", ".1.", 1)
 		}
 		parts := strings.Split(value, ",")
@@ -106,8 +106,8 @@
 	return strings.Join(entries, "")
 }
 
-// Every setting has the value that it had under its former key. A renamed key that is mapped to the wrong name of the
-// platform would give a setting the value of another one.
+// TestValuesUnderFormerKeys checks that every setting has the value that it had under its former key. A renamed key that is
+// mapped to the wrong name of the platform would give a setting the value of another one.
 func TestValuesUnderFormerKeys(t *testing.T) {
 	fromJSON, err := valuesFromJSON([]byte(fullJSON))
 	if err != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Each key has one former key, and formerKeys has all keys. A key that is missing there would not be compared by
-// TestValuesUnderFormerKeys.
+// TestFormerKeysAreOneToOne checks that each key has one former key, and formerKeys has all keys. A key that is missing
+// there would not be compared by TestValuesUnderFormerKeys.
 func TestFormerKeysAreOneToOne(t *testing.T) {
 	values := valuesFromText([]byte(fullText + "services=1\ntiers_of_service=1\n"))
 	byFormer, byKey := map[string]bool{}, map[string]bool{}
@@ -149,8 +149,9 @@
 	}
 }
 
-// FromText ignores this package's keys and the former keys, because neither are names of the platform. Otherwise a setting
-// could be given under two names. The exception is Tick, whose key is also its name of the platform.
+// TestOwnKeysAreIgnored checks that FromText ignores this package's keys and the former keys, because neither are names of
+// the platform. Otherwise a setting could be given under two names. The exception is Tick, whose key is also its name of
+// the platform.
 func TestOwnKeysAreIgnored(t *testing.T) {
 	for _, k := range formerKeys {
 		for _, key := range []string{k.former, k.key} {
--- a/internal/settings/list.go
+++ b/internal/settings/list.go
@@ -3,8 +3,8 @@
 import "maps"
 
 // List is a numbered list of settings: the request classes, or the plans. The declared length may differ from the number of
-// given entries. An entry that is not given is the zero E. The zero List is empty. Several goroutines may read a
-// List, and copies of it share their entries.
+// given entries. An entry that is not given is the zero E. The zero List is empty. Several goroutines may read a List, and
+// copies of it share their entries.
 type List[E any] struct {
 	// Count is the declared length.
 	Count Number
--- a/internal/settings/platform_test.go
+++ b/internal/settings/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The tests of this file fix the translation of the platform's two forms. A name that is no longer translated, or is
-// translated differently, would change the decisions of a node without an error.
+// The tests of this file compare the translation of the platform's two forms with the expected settings. A name that is no
+// longer translated, or is translated differently, would change the decisions of a node without an error.
 
 // checkValues fails the test case unless its settings, sorted by key and written as "key=value;", are equal to want.
 func checkValues(t *testing.T, name string, values Values, want string) {
@@ -91,8 +91,8 @@
 "specifics":{"trued_up":true,"largest":6,"peer_in_per_s":60},
 "feedback":{"columns":["rif","q","busy","lat_ms","rate","fail_rate"],"how":"header"}}`
 
-// The text form is translated name by name, also with unknown names and malformed values. Without the expected values, a
-// change of the parser could go unnoticed.
+// TestTextForm checks that the text form is translated name by name, also with unknown names and malformed values. Without
+// the expected values, a change of the parser could go unnoticed.
 func TestTextForm(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"full", fullText, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=keyed;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=poll;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
@@ -119,8 +119,8 @@
 	}
 }
 
-// The JSON form is translated name by name, also with unknown names and unexpected types. Input that is no object or null is
-// an error with the text of encoding/json.
+// TestJSONForm checks that the JSON form is translated name by name, also with unknown names and unexpected types. Input
+// that is neither an object nor null is an error with the text of encoding/json.
 func TestJSONForm(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"full", fullJSON, "cancel_attempts=true;class.0.deadline=12000;class.0.idempotency_group=zone;class.0.idempotency_window=30000;class.0.late_share=0.25;class.0.latency_objective=6000;class.0.name=seats;class.0.objective_stretch=1.1;class.0.priority_weight=1.5;class.0.retry_safety=safe;class.0.streaming=3;class.1.name=buy;class.1.retry_safety=unsafe;class.count=2;connect_timeout=10000;drain_grace=50000;endpoint_list=push;estimated_units=true;health_checks=false;hedging=true;idle_timeout=300000;load_report.channel=header;load_report.fields=in_flight,queued,utilization,latency,rate,error_rate;max_attempts=4;max_requests=512;max_retry_after=20000;max_units=6;node=2;nodes=5;overload_multiple=3;overload_span=20000;peer_messages_per_s=60;peers=true;plan.0.burst=40;plan.0.ceiling_burst=80;plan.0.ceiling_rate=25;plan.0.ceiling_slack=1.05;plan.0.max_in_flight=7;plan.0.name=team;plan.0.over_quota_cost=0.75;plan.0.over_quota_share=0.5;plan.0.priority_factor=2;plan.0.rate=12.5;plan.count=1;poll_within=700;response_slack=500;retry_after=true;slow_start_share=0.25;slow_start_span=100000;tick=40;"},
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Settings that PlatformJSON writes and FromJSON reads back are unchanged in every field. A field that the writer omits would
-// be 0 or off in a node that internal/lab configures.
+// TestPlatformJSONRoundTrip checks that settings that PlatformJSON writes and FromJSON reads back are unchanged in every
+// field. A field that the writer omits would be 0 or off in a node that internal/lab configures.
 func TestPlatformJSONRoundTrip(t *testing.T) {
 	for name, settings := range map[string]*Settings{"full": fullSettings(), "empty": Parse(Values{ClassCount: "0", PlanCount: "0"})} {
 		got, err := FromJSON(PlatformJSON(settings))
@@ -55,8 +55,8 @@
 	}
 }
 
-// PlatformJSON writes the platform's names, and times in microseconds. A round trip alone would not detect a wrong name that
-// the reader has as well.
+// TestPlatformJSONFormat checks that PlatformJSON writes the platform's names, and times in microseconds. A round trip
+// alone would not detect a wrong name that the reader has as well.
 func TestPlatformJSONFormat(t *testing.T) {
 	settings := &Settings{
 		Node: IntNumber(3), Tick: Units(20), EndpointList: EndpointListPush, RetryAfter: true, SlowStartShare: FloatNumber(0.25),
@@ -71,8 +71,9 @@
 	}
 }
 
-// Every name of the platform that FromJSON reads is written by PlatformJSON too, and numbers survive both directions. A name
-// that is added only to the reader would be missing from the settings of nodes in internal/lab.
+// TestEveryTranslationIsInvertible checks that every name of the platform that FromJSON reads is written by PlatformJSON
+// too, and numbers survive both directions. A name that is added only to the reader would be missing from the settings of
+// nodes in internal/lab.
 func TestEveryTranslationIsInvertible(t *testing.T) {
 	written := map[string]bool{}
 	for list := range listPrefixes {
@@ -100,7 +101,7 @@
 	}
 }
 
-// DurationOf rounds towards 0 to whole time units.
+// TestDurationOf checks that DurationOf rounds towards 0 to whole time units.
 func TestDurationOf(t *testing.T) {
 	for d, want := range map[time.Duration]string{250 * time.Millisecond: "2500", 199 * time.Microsecond: "1", -time.Second: "-10000"} {
 		if got := DurationOf(d).String(); got != want {
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -31,8 +31,8 @@
 }
 
 func referenceNodeDuration(texts map[string]string, key string) time.Duration {
-	ticks, _ := strconv.ParseInt(texts[key], 10, 64)
-	return time.Duration(ticks) * 100 * time.Microsecond
+	units, _ := strconv.ParseInt(texts[key], 10, 64)
+	return time.Duration(units) * 100 * time.Microsecond
 }
 
 func referenceStringList(texts map[string]string, key string) []string {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,8 @@
 const testSettings = "services.count=1\nservices.0.slo=600000\nservices.0.semantics=idempotent\n" +
 	"tiers_of_service.count=1\ntiers_of_service.0.units_per_s=5\ntick=4000\nsome.new.key=7\n"
 
-// FromText translates the platform's names, values and units to those of this package, and ignores unknown names.
+// TestFromText checks that FromText translates the platform's names, values and units to those of this package, and ignores
+// unknown names.
 func TestFromText(t *testing.T) {
 	values := valuesFromText([]byte(testSettings + "registry_mode=subscribe\nfeedback.columns=rif,busy\nservices.x=1\n"))
 	for name, want := range map[string]string{
@@ -25,8 +26,8 @@
 	}
 }
 
-// Both forms of the platform's configuration give the same settings. Otherwise a node would behave differently in the
-// simulator and in production.
+// TestBothFormsReadAlike checks that both forms of the platform's configuration give the same settings. Otherwise a node
+// would behave differently in the simulator and in production.
 func TestBothFormsReadAlike(t *testing.T) {
 	nested := `{"services":[{"slo":600000,"semantics":"idempotent"}],"tick":4000,"some":{"new":{"key":7}},
 		"tiers_of_service":[{"units_per_s":5}],"feedback":{"columns":["rif","busy"]},"limits":{"peers":true}}`
