--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -8,7 +8,7 @@
 //   - State: the base latency T, the target concurrency a, the admission rate λ with its token bucket.
 //   - Rule: each request takes a token, and the attempts in flight stay below a concurrency limit. Each interval sets a
 //     to the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
-//   - Protects against: a back end that receives more than it completes, whose queues outlast the clients.
+//   - Protects against: a back end that receives more than it completes, whose queues last longer than clients wait.
 //   - Trade-off: a few long requests look like a queue. Therefore a has a lower bound. While latency is low, the limit
 //     does not fall below the rate admitted before.
 type admissionLimit struct {
@@ -165,10 +165,10 @@
 	return [4]float64{f.concurrency, f.concurrencyAverage, f.latency, f.latencyAverage}
 }
 
-// tooLate reports whether a request's client is likely to leave before an attempt ends. Directly after a scheduling
+// tooLate reports whether a request's deadline is likely to pass before an attempt ends. Directly after a scheduling
 // pause, a request that can't meet its latency objective is too late as well.
 //
-// Protects against: work for clients that have left and repeat their requests.
+// Protects against: work for clients that have disconnected and repeat their requests.
 // Trade-off: a client that is often served faster than usual is rejected too.
 func (e *Engine) tooLate(r *request) bool {
 	least := minTimeLeftLatencies * e.usualLatency(r.class)
--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -169,7 +169,7 @@
 
 // attemptAssessment is the information that an attempt's end carries.
 type attemptAssessment struct {
-	outcome         Outcome // outcome that counts for the server; NotSent if the end carries no information on it
+	outcome         Outcome // outcome that counts for the server; NotSent if the end carries no information on the server
 	latency         float64 // latency of the attempt, in latency objectives
 	isLatencySample bool    // the admission limit takes latency as a sample
 }
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -6,10 +6,10 @@
 // and TimerFired. These only update the engine's state. The host then calls Next until it returns false, and carries out
 // each decision. An Engine is not safe for concurrent use.
 //
-// A request must pass the admission limit, its customer's quota and the plan's hard ceiling. A limit that it does not pass
-// rejects it at once. A weighted rotation then selects a server of this node's subset. The rotation leaves out ejected
-// servers and those whose slow-start budget is used up. A failed attempt may be retried within a budget. A late attempt at an
-// ejected server is cancelled, and the request is sent again.
+// A request must pass the admission limit, its customer's quota and the plan's hard ceiling. Otherwise the request is
+// rejected at once. A weighted rotation then selects a server of this node's subset. The rotation leaves out ejected
+// servers and those whose slow-start budget is used up. A failed attempt may be retried within a budget. A late attempt
+// at an ejected server is cancelled, and the request is sent again.
 //
 // Each mechanism is a type in its own file, with its constants: admissionLimit, throughput, tenantQuota, quotaOwner,
 // usageReports, subsetChooser, selection, slowStart, outlierDetector, retryBudget, timers and pause. The Engine combines
--- a/internal/decision/endpointorder.go
+++ b/internal/decision/endpointorder.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// endpointOrder holds the usable servers in an order that all nodes of a group share. A hash determines the order. If
+// endpointOrder holds the shuffle of the usable servers that all nodes of a group share. A hash determines the order. If
 // zones alternate, each zone has an order of its own. A change of one server costs a binary search, and a move of the
-// keys behind it in its zone. The zero value holds no server. The order must be built before a server is placed.
+// keys behind that server in its zone. The zero value holds no server. The order must be built before a server is placed.
 type endpointOrder struct {
 	built      bool // the order matches the list, group and zoneLayout
 	group      int  // number of the group of nodes that share the shuffle, from 0
@@ -135,7 +135,7 @@
 	}
 }
 
-// phase returns the offset of the k-th used zone in the spacing of its servers.
+// phase returns the offset of the k-th used zone, as a fraction of the distance between two of its servers.
 func (o *endpointOrder) phase(k int) float64 { return (float64(k) + 0.5) / float64(len(o.usedZones)) }
 
 // advance moves the walk of a zone forward by a number of servers, and sets the position.
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -55,7 +55,7 @@
 	servers       []server
 	slots         slotIndex[ServerID, serverSlot]
 	ready         int           // number of servers that the list names as ready
-	usableTracked int           // number of usable servers that the last choice tracked
+	usableTracked int           // number of tracked servers of the last subsetChoice
 	order         endpointOrder // order of the usable servers
 	subset        []serverSlot  // servers of the subset, ascending
 	tracked       []serverSlot  // tracked servers, ascending
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -8,7 +8,7 @@
 // A change of a server outside the subset changes at most one server of the subset. Otherwise each change would make all
 // nodes open new connections. A draining server leaves the subset at once, and receives no new attempt. Its attempts in
 // flight count until they end.
-func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
+func TestServerChangesKeepSubset(t *testing.T) {
 	engine := newZonedEngine(830, 13000, 12)
 	subset, tracked := slices.Clone(engine.endpoints.subset), slices.Clone(engine.endpoints.tracked)
 	if len(subset) < 13000/830*minNodesPerShuffle || len(tracked) < minTrackedServers || len(tracked) > max(minTrackedServers, trackedServersPerSubset*len(subset)) {
@@ -57,7 +57,7 @@
 
 // Servers that repeatedly replace others must not use more and more slots. Slots of servers that are gone are reused once
 // their last attempts have ended.
-func TestServersThatAreGoneLeaveNothing(t *testing.T) {
+func TestDepartedServersReleaseSlots(t *testing.T) {
 	engine := newTestEngine(0, nil)
 	now := Second
 	for k := range ServerID(300) {
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -40,13 +40,13 @@
 
 // newTestEngine returns an engine with testSettings and a number of ready servers. The changed settings may be nil.
 func newTestEngine(servers int, changes Settings) *Engine {
-	n := New(7, testSettings(changes).parse(), Second)
+	engine := New(7, testSettings(changes).parse(), Second)
 	list := []Endpoint{}
 	for i := range servers {
 		list = append(list, Endpoint{Server: ServerID(i), State: Ready, Weight: 1})
 	}
-	n.UpdateEndpoints(CachedList, list)
-	return n
+	engine.UpdateEndpoints(CachedList, list)
+	return engine
 }
 
 // testSettings returns settings with one safe class and one plan, and with the changes.
@@ -65,8 +65,8 @@
 }
 
 // takeDecisions takes all decisions of an engine, and returns those with the action.
-func takeDecisions(n *Engine, action Action) (decisions []Decision) {
-	for d, ok := n.Next(); ok; d, ok = n.Next() {
+func takeDecisions(engine *Engine, action Action) (decisions []Decision) {
+	for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 		if d.Action == action {
 			d.Payload = append([]byte(nil), d.Payload...)
 			decisions = append(decisions, d)
@@ -82,11 +82,11 @@
 	for _, set := range []Settings{
 		{settings.Tick: "0", objective: "10"}, {settings.Tick: "-5"}, {settings.Tick: "0", objective: "0"},
 	} {
-		n := newTestEngine(2, set)
+		engine := newTestEngine(2, set)
 		for now := Second; now < Second+50; now++ {
-			n.SetTime(now)
+			engine.SetTime(now)
 			k := 0
-			for _, ok := n.Next(); ok; _, ok = n.Next() {
+			for _, ok := engine.Next(); ok; _, ok = engine.Next() {
 				if k++; k > 100 {
 					t.Fatalf("settings %v, time %d: Next returned %d decisions in a row, want at most 100", set, now, k)
 				}
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -43,19 +43,19 @@
 	for _, within := range []string{"", "0", "15000", "100000", "-7", "9999999"} {
 		var polls []string
 		for seed := range uint64(2) {
-			n := New(seed*7919+3, Settings{
+			engine := New(seed*7919+3, Settings{
 				"nodes": "3", "class.0.latency_objective": "6000", "endpoint_list": "poll", "poll_within": within,
 			}.parse(), Second)
 			for now := Second; now < 20*Second; now += 10 {
-				n.SetTime(now)
-				if pollsDiscovery(n) {
+				engine.SetTime(now)
+				if pollsDiscovery(engine) {
 					polls = append(polls, strconv.Itoa(int(now)))
 					if len(polls)%3 == 0 {
-						n.UpdateEndpoints(PollFailed, nil)
+						engine.UpdateEndpoints(PollFailed, nil)
 					}
-					n.UpdateEndpoints(PollFailed, nil)
+					engine.UpdateEndpoints(PollFailed, nil)
 					if len(polls)%3 == 1 {
-						n.UpdateEndpoints(PollFailed, nil) // a second report of the same failure has no effect
+						engine.UpdateEndpoints(PollFailed, nil) // a second report of the same failure has no effect
 					}
 				}
 			}
@@ -82,16 +82,16 @@
 }
 
 // subsetDigest returns the number of servers in a node's subset, the number of tracked servers, and a hash of both sets.
-func subsetDigest(n *Engine) string {
-	h := uint32(len(n.endpoints.subset))
-	for _, i := range n.endpoints.subset {
-		h = hashPair(h, uint32(n.endpoints.servers[i].Server))
+func subsetDigest(engine *Engine) string {
+	h := uint32(len(engine.endpoints.subset))
+	for _, i := range engine.endpoints.subset {
+		h = hashPair(h, uint32(engine.endpoints.servers[i].Server))
 	}
-	h = hashPair(h, uint32(len(n.endpoints.tracked)))
-	for _, i := range n.endpoints.tracked {
-		h = hashPair(h, uint32(n.endpoints.servers[i].Server))
+	h = hashPair(h, uint32(len(engine.endpoints.tracked)))
+	for _, i := range engine.endpoints.tracked {
+		h = hashPair(h, uint32(engine.endpoints.servers[i].Server))
 	}
-	return fmt.Sprintf("%d/%d:%08x", len(n.endpoints.subset), len(n.endpoints.tracked), h)
+	return fmt.Sprintf("%d/%d:%08x", len(engine.endpoints.subset), len(engine.endpoints.tracked), h)
 }
 
 // TestFleetSubsets compares the subsets of several nodes with the expected ones, in fleets of many sizes. It does so after a
@@ -118,7 +118,7 @@
 			if node >= c.nodes || slices.Contains(members[:k], node) {
 				continue
 			}
-			n := New(uint64(node), Settings{
+			engine := New(uint64(node), Settings{
 				"nodes": strconv.Itoa(c.nodes), "node": strconv.Itoa(node), "peers": "true", "peer_messages_per_s": "40",
 				"tick": "10", "class.0.latency_objective": "6000", "idle_timeout": "300000",
 			}.parse(), Second)
@@ -129,8 +129,8 @@
 					State: Ready, Weight: 1,
 				})
 			}
-			n.UpdateEndpoints(FullList, list)
-			withoutTraffic := subsetDigest(n)
+			engine.UpdateEndpoints(FullList, list)
+			withoutTraffic := subsetDigest(engine)
 			changes := []Endpoint{}
 			for i, endpoint := range list {
 				if i%9 == 0 {
@@ -138,12 +138,12 @@
 					changes = append(changes, endpoint)
 				}
 			}
-			n.UpdateEndpoints(ListUpdate, changes)
-			n.subsets.attemptsSent.add(0, n.now, paceTimeConstant)
-			n.subsets.attemptsSent.count = float64(400 * (k + 1))
-			n.SetTime(2 * Second)
-			pollsDiscovery(n)
-			got = append(got, withoutTraffic+" "+subsetDigest(n))
+			engine.UpdateEndpoints(ListUpdate, changes)
+			engine.subsets.attemptsSent.add(0, engine.now, paceTimeConstant)
+			engine.subsets.attemptsSent.count = float64(400 * (k + 1))
+			engine.SetTime(2 * Second)
+			pollsDiscovery(engine)
+			got = append(got, withoutTraffic+" "+subsetDigest(engine))
 		}
 		compareExpected(t, fmt.Sprintf("subsets of %d nodes, %d servers, %d zones", c.nodes, c.servers, c.zones), strings.Join(got, ", "))
 	}
--- a/internal/decision/fleetscenarios_test.go
+++ b/internal/decision/fleetscenarios_test.go
@@ -29,7 +29,7 @@
 }
 
 // customerCount returns the number of customers in a node's state.
-func customerCount(n *Engine) int { return len(n.customers.slots.slots) }
+func customerCount(engine *Engine) int { return len(engine.customers.slots.slots) }
 
 // firstNodes returns the numbers of the first n nodes.
 func firstNodes(n int) (list []int) {
@@ -138,8 +138,8 @@
 			p := newFleetSimulation(int64(seed+41), c.setup)
 			got := p.run()
 			counts := fmt.Sprint(p.counts)
-			for _, n := range p.nodes {
-				if compared, differences := n.ShadowCounts(); differences != nil {
+			for _, engine := range p.nodes {
+				if compared, differences := engine.ShadowCounts(); differences != nil {
 					counts += fmt.Sprint(" ", compared, differences)
 				}
 			}
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -107,9 +107,9 @@
 			set[name] = v
 		}
 		set["node"] = strconv.Itoa(id)
-		n := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
-		n.SetTime(p.now)
-		n.UpdateEndpoints(setup.firstList, p.endpointList(p.servers...))
+		engine := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
+		engine.SetTime(p.now)
+		engine.UpdateEndpoints(setup.firstList, p.endpointList(p.servers...))
 		if setup.shadow != nil {
 			other := Settings{}
 			for name, v := range set {
@@ -118,12 +118,12 @@
 			for name, v := range setup.shadow {
 				other[name] = v
 			}
-			n.StartShadow(other.parse())
+			engine.StartShadow(other.parse())
 		}
-		p.nodes, p.openRequests = append(p.nodes, n), append(p.openRequests, map[RequestID]*simulatedRequest{})
+		p.nodes, p.openRequests = append(p.nodes, engine), append(p.openRequests, map[RequestID]*simulatedRequest{})
 		p.carryOutDecisions(k)
 		if setup.firstPollFails {
-			n.UpdateEndpoints(PollFailed, nil)
+			engine.UpdateEndpoints(PollFailed, nil)
 		}
 	}
 	return p
@@ -161,8 +161,8 @@
 		for range Second / simulationStep {
 			p.step()
 		}
-		for _, n := range p.nodes {
-			p.digest.Write(fmt.Appendln(nil, customerCount(n)))
+		for _, engine := range p.nodes {
+			p.digest.Write(fmt.Appendln(nil, customerCount(engine)))
 		}
 		digests = append(digests, hex.EncodeToString(p.digest.Sum(nil))[:12])
 	}
@@ -192,12 +192,12 @@
 	for p.rng.Float64() < mean/(mean+1) {
 		p.addRequest()
 	}
-	for k, n := range p.nodes {
+	for k, engine := range p.nodes {
 		if p.now < p.pausedUntil[k] {
 			continue
 		}
-		n.SetTime(p.now)
-		n.TimerFired()
+		engine.SetTime(p.now)
+		engine.TimerFired()
 		p.carryOutDecisions(k)
 	}
 }
@@ -213,7 +213,7 @@
 		first = 0
 	}
 	k := p.rng.Intn(len(p.nodes))
-	n := p.nodes[k]
+	engine := p.nodes[k]
 	p.nextID++
 	id := p.nextID
 	timeout := Time(4000 + p.rng.Intn(30000))
@@ -235,12 +235,12 @@
 		newRequest.Units = 0
 	}
 	task := func() {
-		n.SetTime(p.now)
+		engine.SetTime(p.now)
 		if customer < p.leasedCustomers {
-			n.SetLease(newRequest.Customer, newRequest.Plan, newRequest.Spread, newRequest.FirstNode, float64(p.rng.Intn(30))-5)
+			engine.SetLease(newRequest.Customer, newRequest.Plan, newRequest.Spread, newRequest.FirstNode, float64(p.rng.Intn(30))-5)
 		}
 		p.openRequests[k][id] = &simulatedRequest{}
-		n.AddRequest(newRequest)
+		engine.AddRequest(newRequest)
 		if p.now >= p.pausedUntil[k] {
 			p.carryOutDecisions(k)
 		}
@@ -252,8 +252,8 @@
 	}
 	if p.rng.Intn(40) == 0 {
 		p.schedule(p.now+Time(p.rng.Intn(4000)), func() {
-			n.SetTime(p.now)
-			n.ClientGone(id)
+			engine.SetTime(p.now)
+			engine.ClientGone(id)
 			p.carryOutDecisions(k)
 		})
 	}
@@ -286,8 +286,8 @@
 	case 10:
 		p.restartManyServers()
 	case 11:
-		for _, n := range p.nodes {
-			n.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
+		for _, engine := range p.nodes {
+			engine.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
 		}
 	}
 }
@@ -326,10 +326,10 @@
 // sendList sends an endpoint list to all nodes, with random delays.
 func (p *fleetSimulation) sendList(kind EndpointListKind, servers ...*simulatedServer) {
 	list := p.endpointList(servers...)
-	for k, n := range p.nodes {
+	for k, engine := range p.nodes {
 		p.schedule(p.now+Time(p.rng.Intn(3000)), func() {
-			n.SetTime(p.now)
-			n.UpdateEndpoints(kind, list)
+			engine.SetTime(p.now)
+			engine.UpdateEndpoints(kind, list)
 			p.carryOutDecisions(k)
 		})
 	}
@@ -348,9 +348,9 @@
 		case SendPeerMessage:
 			p.deliverMessage(k, d)
 		case PollEndpoints:
-			n := p.nodes[k]
+			engine := p.nodes[k]
 			if p.rng.Intn(3) == 0 {
-				p.schedule(p.now+Time(p.rng.Intn(20000)), func() { n.SetTime(p.now); n.UpdateEndpoints(PollFailed, nil) })
+				p.schedule(p.now+Time(p.rng.Intn(20000)), func() { engine.SetTime(p.now); engine.UpdateEndpoints(PollFailed, nil) })
 			}
 		}
 	}
@@ -389,13 +389,13 @@
 	if p.rng.Intn(60) == 0 { // truncated
 		payload = payload[:p.rng.Intn(len(payload))]
 	}
-	for to, n := range p.nodes {
+	for to, engine := range p.nodes {
 		if to == k || d.Peer != AllPeers && d.Peer != NodeID(p.nodeIDs[to]) || p.rng.Intn(30) == 0 {
 			continue
 		}
 		p.schedule(max(p.now+Time(p.rng.Intn(120)), p.pausedUntil[to]), func() {
-			n.SetTime(p.now)
-			if !n.ReceivePeerMessage(NodeID(p.nodeIDs[k]), payload) {
+			engine.SetTime(p.now)
+			if !engine.ReceivePeerMessage(NodeID(p.nodeIDs[k]), payload) {
 				p.counts["invalid message"]++
 			}
 			p.carryOutDecisions(to)
@@ -447,9 +447,9 @@
 
 // endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt number is wrong.
 func (p *fleetSimulation) endAttempt(k int, id RequestID, r *simulatedRequest, number int, outcome Outcome) {
-	n := p.nodes[k]
+	engine := p.nodes[k]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
-		n.AttemptEnded(AttemptResult{Request: id, Attempt: number + 7, Outcome: outcome})
+		engine.AttemptEnded(AttemptResult{Request: id, Attempt: number + 7, Outcome: outcome})
 		return
 	}
 	a := r.attempts[number]
@@ -459,8 +459,8 @@
 	if p.rng.Intn(3) == 0 {
 		units = float64(p.rng.Intn(300)) / 100
 	}
-	n.SetTime(p.now)
-	n.AttemptEnded(AttemptResult{
+	engine.SetTime(p.now)
+	engine.AttemptEnded(AttemptResult{
 		Request: id, Attempt: number, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sentAt,
 		Final: outcome == Succeeded || r.streaming, Units: units, Load: nil,
 	})
--- a/internal/decision/next.go
+++ b/internal/decision/next.go
@@ -108,7 +108,7 @@
 		for _, a := range r.attempts {
 			if a.inFlight {
 				state := &e.endpoints.servers[a.server].byClass[r.class]
-				e.outliers.checkSilence(state, a.sentAt, usualLatency, e.now)
+				e.outliers.addWait(state, a.sentAt, usualLatency, e.now)
 			}
 		}
 	}
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -79,8 +79,8 @@
 	}
 	p := newFleetSimulation(7, setup)
 	if name == "node" {
-		for _, n := range p.nodes {
-			n.configure(parseSettings(nodeSettings))
+		for _, engine := range p.nodes {
+			engine.configure(parseSettings(nodeSettings))
 		}
 	}
 	return p.run()[1][:8]
@@ -134,9 +134,9 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); n.config.usesOwners != c.want {
+		if engine := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); engine.config.usesOwners != c.want {
 			t.Errorf("usesOwners with %q nodes and a peer rate of %q messages a second = %v, want %v",
-				c.nodes, c.rate, n.config.usesOwners, c.want)
+				c.nodes, c.rate, engine.config.usesOwners, c.want)
 		}
 	}
 }
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// outlierDetector ejects servers that fail or stay silent. It does so for each request class alone, since a server may
-// fail one class and serve the others.
+// outlierDetector ejects servers that fail or stay silent. It ejects a server for each request class separately, since a
+// server may fail one class and serve the others.
 //
 //   - Inputs: the outcomes of this node's attempts, the waits of those in flight, and peers' suspicions.
 //   - State: an outlierState for each tracked server and class, and a trial budget for each class.
@@ -41,7 +41,7 @@
 	fromPeer        bool         // a peer's suspicion caused the ejection
 	trialInFlight   bool         // a trial attempt is in flight
 	lastResponseAt  Time         // time of the last response or passed health check; 0 without any
-	waitCountedFrom Time         // start of the waits that count; earlier ones have led to an ejection
+	waitCountedFrom Time         // time from which waits count; earlier waits have already led to an ejection
 	waitedLatencies float64      // sum of the waits in flight since lastResponseAt, in usual latencies
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-// eject takes a server out of a class's rotation, for twice as long as the last time. An ejection lasts 1 to
+// eject takes a server out of a class's rotation, for twice as long as by the last ejection. An ejection lasts 1 to
 // maxEjectionObjectives times the shortest latency objective.
 func (d *outlierDetector) eject(state *outlierState, now Time) {
 	shortest := d.config.shortestObjective
@@ -129,11 +129,11 @@
 	return state.ejectedFor > d.config.shortestObjective || state.fromPeer
 }
 
-// resetSilence prepares the state for the calls of checkSilence in one attempt check.
+// resetSilence prepares the state for the calls of addWait in one attempt check.
 func (s *outlierState) resetSilence() { s.waitedLatencies, s.lost = 0, 0 }
 
-// checkSilence adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
-func (d *outlierDetector) checkSilence(state *outlierState, sent Time, usualLatency float64, now Time) {
+// addWait adds the wait of an attempt in flight to its server's silence. The usual latency is in units of Time.
+func (d *outlierDetector) addWait(state *outlierState, sent Time, usualLatency float64, now Time) {
 	state.waitedLatencies += float64(now-max(sent, state.lastResponseAt, state.waitCountedFrom)) / usualLatency
 	if d.presumedLost(now-sent, usualLatency) {
 		state.lost++
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -211,13 +211,13 @@
 // Silence is the sum of the waits of all attempts in flight since the last response.
 func TestSilence(t *testing.T) {
 	detector, state, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
-	detector.checkSilence(state, Second, 2000, now)   // 5 usual latencies since the last response
-	detector.checkSilence(state, now-2000, 2000, now) // 1 usual latency
+	detector.addWait(state, Second, 2000, now)   // 5 usual latencies since the last response
+	detector.addWait(state, now-2000, 2000, now) // 1 usual latency
 	if detector.ejectSilent(state, now); detector.ejected(state, 0, now) || state.waitedLatencies != 6 || state.lost != 0 {
 		t.Errorf("after 6 usual latencies of silence: %+v, ejected: %v, want waitedLatencies 6, lost 0, not ejected",
 			state, detector.ejected(state, 0, now))
 	}
-	detector.checkSilence(state, Second, 500, now) // 20 usual latencies
+	detector.addWait(state, Second, 500, now) // 20 usual latencies
 	if detector.ejectSilent(state, now); !detector.ejected(state, 0, now) || state.waitCountedFrom != now || state.lost != 1 {
 		t.Errorf("after 26 usual latencies of silence: %+v, ejected: %v, want waitCountedFrom %d, lost 1, ejected",
 			state, detector.ejected(state, 0, now), now)
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -6,9 +6,9 @@
 //
 //   - Inputs: the times of the host's calls.
 //   - State: the length and the end of the last pause, and the requests that arrived during it.
-//   - Rule: after a pause, the requests that arrived meanwhile are decided in reverse order: the last ones still have
+//   - Rule: after a pause, the requests that arrived during it are decided in reverse order: the last ones still have
 //     time left. Their arrival times are set as if they had arrived evenly over the pause.
-//   - Protects against: time spent on requests whose clients have left, directly after the pause.
+//   - Protects against: time spent on requests whose clients have disconnected, directly after the pause.
 //   - Trade-off: if the host was only late to call, requests count as older than they are.
 type pause struct {
 	length  Time // length of the last pause; 0 before the first one
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -19,16 +19,16 @@
 const (
 	demandTimeConstant     = 2 * controlInterval // time constant of the decaying sums of a customer's demand
 	peerSilenceTimeout     = 4 * controlInterval // time without peer messages after which reports don't count
-	evenSharePriorQuotas   = 3.0                 // demand assumed at even shares beside the measured one, in quota rates
+	evenSharePriorQuotas   = 3.0                 // demand at even shares that is added to the measured demand, in quota rates
 	minPeerReports         = 0.1                 // decayed number of reports below which no peer reports the customer
 	minReportRounds        = 2                   // report intervals after which all peers have reported a new customer
 	unreportedShareDivisor = 2                   // divisor of the even share that gives the largest unreported demand
 )
 
-// quotaResult is a quota's answer for one request.
+// quotaResult is a quota's decision on one request.
 type quotaResult struct {
 	admitted   bool
-	retryAfter Time // wait until the quota may admit the request; 0 if admitted
+	retryAfter Time // time until the quota may admit the request; has no meaning if admitted
 }
 
 // admit applies the customer's bucket and its limit on attempts in flight to a request. It charges nothing, and stores
@@ -55,7 +55,8 @@
 	return quotaResult{admitted: true}
 }
 
-// charge takes an admitted request's units off the bucket. A debt from earlier requests is forgiven first.
+// charge subtracts an admitted request's units, divided by the demand share, from the bucket. A debt from earlier requests
+// is forgiven first.
 func (c *customer) charge(units, demandShare float64) {
 	c.bucket.level = max(c.bucket.level, 0) - units/demandShare
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -36,8 +36,8 @@
 	for _, c := range []struct {
 		outcome   Outcome
 		latencies float64
-		count     float64
-		sum       float64
+		wantCount float64
+		wantSum   float64
 	}{
 		{Succeeded, 0.4, 1, 0.4},
 		{TimedOut, 0.4, 1, 1},
@@ -53,9 +53,9 @@
 	} {
 		rotation, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
 		rotation.attemptEnded(s, c.outcome, c.latencies, Second)
-		if s.pace.count != c.count || s.pace.sum != c.sum || rotation.paces != s.pace {
+		if s.pace.count != c.wantCount || s.pace.sum != c.wantSum || rotation.paces != s.pace {
 			t.Errorf("outcome %d after %v usual latencies: pace %+v, sum of paces %+v, want both with sum %v and count %v",
-				c.outcome, c.latencies, s.pace, rotation.paces, c.sum, c.count)
+				c.outcome, c.latencies, s.pace, rotation.paces, c.wantSum, c.wantCount)
 		}
 	}
 }
--- a/internal/decision/settingsreference_test.go
+++ b/internal/decision/settingsreference_test.go
@@ -10,11 +10,11 @@
 	"cherrygap/internal/settings"
 )
 
-// mapReader reads settings from their texts at each use, without package settings' typed form. It is the reference for
+// referenceSettings reads settings from their texts at each use, without package settings' typed form. It is the reference for
 // the meaning of odd texts.
-type mapReader map[string]string
+type referenceSettings map[string]string
 
-func (s mapReader) number(name string) float64 {
+func (s referenceSettings) number(name string) float64 {
 	v, err := strconv.ParseFloat(s[name], 64)
 	if err != nil {
 		return 0
@@ -22,11 +22,11 @@
 	return v
 }
 
-func (s mapReader) duration(name string) Time { return Time(s.number(name)) }
+func (s referenceSettings) duration(name string) Time { return Time(s.number(name)) }
 
-func (s mapReader) enabled(name string) bool { return s[name] == settings.On }
+func (s referenceSettings) enabled(name string) bool { return s[name] == settings.On }
 
-func (s mapReader) config() *config {
+func (s referenceSettings) config() *config {
 	c := &config{
 		self: NodeID(s.number(settings.Node)), nodes: max(1, int(s.number(settings.Nodes))),
 		tick: s.duration(settings.Tick), connectTimeout: s.duration(settings.ConnectTimeout),
@@ -48,7 +48,7 @@
 	return c
 }
 
-func (s mapReader) classes() (classes []classConfig) {
+func (s referenceSettings) classes() (classes []classConfig) {
 	for i := range max(1, int(s.number(settings.ClassCount))) {
 		c := classConfig{
 			latencyObjective: max(s.duration(settings.ClassKey(i, settings.ClassLatencyObjective)), 1),
@@ -70,7 +70,7 @@
 	return classes
 }
 
-func (s mapReader) plans() (plans []quotaPlan) {
+func (s referenceSettings) plans() (plans []quotaPlan) {
 	for i := range max(1, int(s.number(settings.PlanCount))) {
 		number := func(field settings.PlanField) float64 { return s.number(settings.PlanKey(i, field)) }
 		plans = append(plans, quotaPlan{
@@ -120,7 +120,7 @@
 func TestTypedSettingsReadAsTheirTexts(t *testing.T) {
 	keys, counts := settingKeys(), []string{"", "0", "1", "2", "3", "-2", "2.9", "3e0", "x", "NaN", "1e300"}
 	for seed := range int64(3000) {
-		r, set := rand.New(rand.NewSource(seed)), mapReader{}
+		r, set := rand.New(rand.NewSource(seed)), referenceSettings{}
 		set[settings.ClassCount], set[settings.PlanCount] = counts[r.Intn(len(counts))], counts[r.Intn(len(counts))]
 		for _, key := range keys {
 			if r.Intn(4) > 0 {
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -7,17 +7,18 @@
 	"cherrygap/internal/settings"
 )
 
-// shadow evaluates other settings and counts the decisions that would differ under them. It has no effect on the node.
+// shadow evaluates a second set of settings, the shadow settings. It counts the decisions that would differ under them, and
+// has no effect on the node.
 //
-// Before each decision on a request, a copy of the engine decides under the other settings. The copy has the same random
-// numbers and is dropped afterwards. Only the customers' buckets under the other settings are kept. They are charged for
+// Before each decision on a request, a copy of the engine decides under the shadow settings. The copy has the same random
+// numbers and is dropped afterwards. Only the customers' buckets under the shadow settings are kept. They are charged for
 // the requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under
-// the other settings, in which queues, retries and reports would differ too.
+// the shadow settings, in which queues, retries and reports would differ too.
 type shadow struct {
-	config      *config                        // the other settings
+	config      *config                        // the shadow settings
 	compared    int64                          // number of decisions compared
-	differences map[string]int64               // number of decisions that differ, by actual and other action
-	buckets     map[CustomerID]customerBuckets // buckets under the other settings
+	differences map[string]int64               // number of decisions that differ, by actual and shadow action
+	buckets     map[CustomerID]customerBuckets // buckets under the shadow settings
 }
 
 // customerBuckets holds the three token buckets of a customer.
@@ -40,15 +41,15 @@
 	c.bucket, c.ceiling, c.ownerCeiling = b.quota, b.ceiling, b.ownerCeiling
 }
 
-// StartShadow starts the evaluation of other settings. They must have the same classes and plans in the same order. Each
-// decision then copies the engine's state.
+// StartShadow starts the evaluation of shadow settings. They must have the same classes and plans as the node's settings,
+// in the same order. Each decision then copies the engine's state.
 func (e *Engine) StartShadow(set *settings.Settings) {
 	e.shadow = &shadow{
 		config: newConfig(set), differences: map[string]int64{}, buckets: map[CustomerID]customerBuckets{},
 	}
 }
 
-// ShadowCounts returns the number of decisions compared, and the number of those that differ, by actual and other
+// ShadowCounts returns the number of decisions compared, and the number of those that differ, by actual and shadow
 // action. It returns 0 and nil unless StartShadow was called.
 func (e *Engine) ShadowCounts() (compared int64, differences map[string]int64) {
 	if e.shadow == nil {
@@ -57,28 +58,28 @@
 	return e.shadow.compared, maps.Clone(e.shadow.differences)
 }
 
-// decideWithShadow decides on a request, and compares the decision with the one under the other settings.
+// decideWithShadow decides on a request, and compares the decision with the one under the shadow settings.
 func (e *Engine) decideWithShadow(i requestSlot) Decision {
 	r := &e.requests.all[i]
 	if e.shadow == nil || r.closed || r.streaming || r.inFlight > 0 {
 		return e.decide(i)
 	}
 	first := len(r.attempts) == 0
-	other := e.shadowCopy(i)
-	c := &other.customers.all[r.customer]
+	shadowEngine := e.shadowCopy(i)
+	c := &shadowEngine.customers.all[r.customer]
 	buckets := c.buckets()
-	wouldDecide := kindOf(other.decide(i))
+	wouldDecide := kindOf(shadowEngine.decide(i))
 	actual := e.decide(i)
 	c.setBuckets(buckets)
-	if int(c.plan) < len(other.config.plans) && first && actual.Action == Forward {
-		other.chargeAdmitted(c, r)
+	if int(c.plan) < len(shadowEngine.config.plans) && first && actual.Action == Forward {
+		shadowEngine.chargeAdmitted(c, r)
 	}
 	e.shadow.keep(&e.customers, c)
 	e.shadow.compare(kindOf(actual), wouldDecide)
 	return actual
 }
 
-// compare counts a decision, and whether it differs from the one under the other settings.
+// compare counts a decision, and whether it differs from the one under the shadow settings.
 func (s *shadow) compare(actual, other decisionKind) {
 	s.compared++
 	switch {
@@ -89,7 +90,7 @@
 	}
 }
 
-// chargeAdmitted charges a customer's buckets under the other settings for a request that the node admitted.
+// chargeAdmitted charges a customer's buckets under the shadow settings for a request that the node admitted.
 func (e *Engine) chargeAdmitted(c *customer, r *request) {
 	plan, owned := &e.config.plans[c.plan], e.owner.owned(c)
 	c.refill(plan, e.now)
@@ -107,7 +108,7 @@
 	}
 }
 
-// chargeShadowUse charges a customer's bucket under the other settings for units that were settled here, or that a peer
+// chargeShadowUse charges a customer's bucket under the shadow settings for units that were settled here, or that a peer
 // admitted without a query.
 func (e *Engine) chargeShadowUse(c *customer, units float64) {
 	if e.shadow == nil {
@@ -118,7 +119,7 @@
 	e.shadow.buckets[c.id] = b
 }
 
-// chargeShadowGrant charges a customer's buckets under the other settings for a query that this node granted.
+// chargeShadowGrant charges a customer's buckets under the shadow settings for a query that this node granted.
 func (e *Engine) chargeShadowGrant(c *customer, units float64) {
 	if e.shadow == nil {
 		return
@@ -144,15 +145,15 @@
 }
 
 // grantWithShadow applies a query at the customer's owner and reports whether the query is granted. It compares the
-// response with the one under the other settings.
+// response with the one under the shadow settings.
 func (e *Engine) grantWithShadow(c *customer, query customerReport, from NodeID) bool {
 	if e.shadow == nil {
 		return e.grantAsOwner(c, query, from)
 	}
-	other, customerCopy := e.underShadowSettings(), *c
+	shadowEngine, customerCopy := e.underShadowSettings(), *c
 	customerCopy.reservations = slices.Clone(c.reservations)
 	customerCopy.setBuckets(e.shadow.bucketsOf(c, e.now))
-	wouldGrant := other.grantAsOwner(&customerCopy, query, from)
+	wouldGrant := shadowEngine.grantAsOwner(&customerCopy, query, from)
 	granted := e.grantAsOwner(c, query, from)
 	e.shadow.compared++
 	switch {
@@ -183,53 +184,53 @@
 	return decisionKind{action: "fail"}
 }
 
-// shadowCopy returns a copy of the engine under the other settings, for one decision on a request. The decision changes
+// shadowCopy returns a copy of the engine under the shadow settings, for one decision on a request. The decision changes
 // no state of the engine.
 func (e *Engine) shadowCopy(i requestSlot) *Engine {
-	other := e.underShadowSettings()
-	set := &other.endpoints
+	shadowEngine := e.underShadowSettings()
+	set := &shadowEngine.endpoints
 	set.servers = slices.Clone(set.servers)
 	for k := range set.servers {
 		set.servers[k].byClass = slices.Clone(set.servers[k].byClass)
 	}
 	set.subset, set.tracked, set.trackedBuffer = slices.Clone(set.subset), slices.Clone(set.tracked), nil
 
-	other.requests.all, other.customers.all = slices.Clone(e.requests.all), slices.Clone(e.customers.all)
-	r := &other.requests.all[i]
+	shadowEngine.requests.all, shadowEngine.customers.all = slices.Clone(e.requests.all), slices.Clone(e.customers.all)
+	r := &shadowEngine.requests.all[i]
 	r.attempts = slices.Clone(r.attempts)
-	r.plan = min(r.plan, PlanID(len(other.config.plans)-1))
-	r.class = min(r.class, ClassID(len(other.classes)-1))
-	other.requests.slots = newSlotIndex[RequestID, requestSlot]()
-	other.requests.slots.slots[r.id], other.requests.slots.next = i, e.requests.slots.next
+	r.plan = min(r.plan, PlanID(len(shadowEngine.config.plans)-1))
+	r.class = min(r.class, ClassID(len(shadowEngine.classes)-1))
+	shadowEngine.requests.slots = newSlotIndex[RequestID, requestSlot]()
+	shadowEngine.requests.slots.slots[r.id], shadowEngine.requests.slots.next = i, e.requests.slots.next
 
-	c := &other.customers.all[r.customer]
+	c := &shadowEngine.customers.all[r.customer]
 	c.reservations = slices.Clone(c.reservations)
 	c.setBuckets(e.shadow.bucketsOf(c, e.now))
-	if other.config.usesOwners != e.config.usesOwners {
+	if shadowEngine.config.usesOwners != e.config.usesOwners {
 		set.order = endpointOrder{}
-		other.chooseSubset()
+		shadowEngine.chooseSubset()
 	}
-	return other
+	return shadowEngine
 }
 
-// underShadowSettings returns a shallow copy of the engine under the other settings. The copy has its own state of
+// underShadowSettings returns a shallow copy of the engine under the shadow settings. The copy has its own state of
 // request classes and shares all other slices and maps with the engine.
 func (e *Engine) underShadowSettings() *Engine {
-	other := *e
-	other.shadow, other.outbox, other.reports, other.scratch = nil, outbox{}, usageReports{}, nil
-	other.requests.pending, other.requests.cancellations = nil, nil
-	other.configure(e.shadow.config)
-	copy(other.classes, e.classes)
-	copy(other.outliers.classes, e.outliers.classes)
-	return &other
+	shadowEngine := *e
+	shadowEngine.shadow, shadowEngine.outbox, shadowEngine.reports, shadowEngine.scratch = nil, outbox{}, usageReports{}, nil
+	shadowEngine.requests.pending, shadowEngine.requests.cancellations = nil, nil
+	shadowEngine.configure(e.shadow.config)
+	copy(shadowEngine.classes, e.classes)
+	copy(shadowEngine.outliers.classes, e.outliers.classes)
+	return &shadowEngine
 }
 
-// planOf returns a customer's plan under the other settings.
+// planOf returns a customer's plan under the shadow settings.
 func (s *shadow) planOf(c *customer) *quotaPlan {
 	return &s.config.plans[min(int(c.plan), len(s.config.plans)-1)]
 }
 
-// bucketsOf returns a customer's buckets under the other settings. A new customer has a full bucket and empty ceilings.
+// bucketsOf returns a customer's buckets under the shadow settings. A new customer has a full bucket and empty ceilings.
 func (s *shadow) bucketsOf(c *customer, now Time) customerBuckets {
 	if b, ok := s.buckets[c.id]; ok {
 		return b
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -10,32 +10,32 @@
 
 // shadowedRun sends 400 requests of three customers, some with a failed first attempt. It returns the decisions and the
 // engine. Shadow evaluation is off if other is nil.
-func shadowedRun(own, other Settings) (decisions []Decision, n *Engine) {
-	n = newTestEngine(6, own)
+func shadowedRun(own, other Settings) (decisions []Decision, engine *Engine) {
+	engine = newTestEngine(6, own)
 	if other != nil {
 		all := testSettings(own)
 		maps.Copy(all, other)
-		n.StartShadow(all.parse())
+		engine.StartShadow(all.parse())
 	}
 	for id := range RequestID(400) {
-		n.SetTime(Second + Time(id)*200)
-		n.AddRequest(Request{ID: id, Customer: CustomerID(id % 3), Timeout: Second, Units: 1, Spread: 1})
-		for d, ok := n.Next(); ok; d, ok = n.Next() {
+		engine.SetTime(Second + Time(id)*200)
+		engine.AddRequest(Request{ID: id, Customer: CustomerID(id % 3), Timeout: Second, Units: 1, Spread: 1})
+		for d, ok := engine.Next(); ok; d, ok = engine.Next() {
 			d.Payload = nil
 			decisions = append(decisions, d)
 			if d.Action == Forward {
 				r := AttemptResult{
-					Request: d.Request, Attempt: len(n.requests.all[n.requests.slots.find(d.Request)].attempts) - 1, Server: d.Server,
+					Request: d.Request, Attempt: len(engine.requests.all[engine.requests.slots.find(d.Request)].attempts) - 1, Server: d.Server,
 					Duration: 400, Final: true,
 				}
 				if d.Request%7 == 0 && r.Attempt == 0 {
 					r.Outcome, r.Final = Failed, false
 				}
-				n.AttemptEnded(r)
+				engine.AttemptEnded(r)
 			}
 		}
 	}
-	return decisions, n
+	return decisions, engine
 }
 
 // Shadow evaluation changes no decision. It counts no difference under equal settings, and counts the differences under
@@ -43,9 +43,9 @@
 func TestShadowCountsAndNeverActs(t *testing.T) {
 	want, _ := shadowedRun(nil, nil)
 	for _, c := range []struct {
-		other Settings
-		kind  string
-		least int64
+		other     Settings
+		wantKind  string
+		wantLeast int64
 	}{
 		{nil, "", 0},
 		{Settings{
@@ -61,14 +61,14 @@
 		if other == nil {
 			other = Settings{}
 		}
-		decisions, n := shadowedRun(nil, other)
+		decisions, engine := shadowedRun(nil, other)
 		if !reflect.DeepEqual(decisions, want) {
 			t.Errorf("shadow settings %v changed the decisions of the node, want the same as without shadow evaluation", other)
 		}
-		compared, differences := n.ShadowCounts()
-		if compared < 400 || differences[c.kind] < c.least || (c.kind == "") != (len(differences) == 0) {
+		compared, differences := engine.ShadowCounts()
+		if compared < 400 || differences[c.wantKind] < c.wantLeast || (c.wantKind == "") != (len(differences) == 0) {
 			t.Errorf("shadow settings %v: ShadowCounts() = %d, %v, want at least 400, and at least %d of %q (none if the name is empty)",
-				other, compared, differences, c.least, c.kind)
+				other, compared, differences, c.wantLeast, c.wantKind)
 		}
 	}
 	if compared, differences := newTestEngine(1, nil).ShadowCounts(); compared != 0 || differences != nil {
@@ -108,15 +108,15 @@
 		f := newFleet(t, Settings{
 			settings.PlanKey(0, settings.PlanRate): "4", settings.PlanKey(0, settings.PlanBurst): "12",
 		})
-		for k, n := range f.nodes {
+		for k, engine := range f.nodes {
 			all := maps.Clone(f.nodeSettings[k])
 			maps.Copy(all, other)
-			n.StartShadow(all.parse())
+			engine.StartShadow(all.parse())
 		}
 		f.sendRequests(10, Second, 9*Second)
 		differences := int64(0)
-		for _, n := range f.nodes {
-			_, byKind := n.ShadowCounts()
+		for _, engine := range f.nodes {
+			_, byKind := engine.ShadowCounts()
 			for _, count := range byKind {
 				differences += count
 			}
@@ -136,19 +136,19 @@
 			name = "on"
 		}
 		b.Run(name, func(b *testing.B) {
-			n := newTestEngine(100, nil)
+			engine := newTestEngine(100, nil)
 			for k := range CustomerID(2000) {
-				n.customers.findOrAdd(customerRef{id: k, spread: 1}, n.now)
+				engine.customers.findOrAdd(customerRef{id: k, spread: 1}, engine.now)
 			}
 			if on {
-				n.StartShadow(testSettings(nil).parse())
+				engine.StartShadow(testSettings(nil).parse())
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				n.SetTime(Second + Time(i)*100)
-				n.AddRequest(Request{ID: RequestID(i), Customer: CustomerID(i % 2000), Timeout: Second, Units: 1, Spread: 1})
-				for _, d := range takeDecisions(n, Forward) {
-					n.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 400, Final: true})
+				engine.SetTime(Second + Time(i)*100)
+				engine.AddRequest(Request{ID: RequestID(i), Customer: CustomerID(i % 2000), Timeout: Second, Units: 1, Spread: 1})
+				for _, d := range takeDecisions(engine, Forward) {
+					engine.AttemptEnded(AttemptResult{Request: d.Request, Server: d.Server, Duration: 400, Final: true})
 				}
 			}
 		})
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -5,8 +5,8 @@
 //   - Inputs: the servers' start times, completed attempts, the platform's slow-start settings.
 //   - State: the rate of a warm server, and the attempts counted against each warming server. An upper bound of the lead
 //     of this node's clock over the servers' clock.
-//   - Rule: over overloadSpan all nodes together may send a server overloadMultiple times its capacity. This node uses
-//     slowStartBudgetRatio of its share at once, and as much again over each span.
+//   - Rule: over overloadSpan all nodes together may send a server overloadMultiple times its capacity. This node may send
+//     slowStartBudgetRatio of its share at once. Over each span, the budget refills by the same amount.
 //   - Protects against: a fleet that overloads a cold or recovering server, which then fails again.
 //   - Trade-off: if most servers restart at once, the others are overloaded while the cold ones have capacity left.
 //     Therefore the rate of a warm server is the best one of recent times.
@@ -21,7 +21,7 @@
 }
 
 const (
-	slowStartBudgetRatio       = 0.4                  // share of the load limit usable at once, and again in each overload span
+	slowStartBudgetRatio       = 0.4                  // share of the load limit that is usable at once, and that refills in each overload span
 	extraInFlightAtFullWeight  = 2                    // attempts in flight beyond the first, at a weight of 1
 	warmRateIntervals          = 4                    // intervals in the mean rate of a warm server
 	maxWarmRateRatio           = 1.6                  // largest rate of a warm server, over that of an earlier interval
@@ -39,9 +39,9 @@
 // observeClock records that the servers' clock has reached a time, where now is the time by this node's clock. The start
 // time of a server that starts while this node runs is such a time.
 func (l *slowStart) observeClock(at, now Time) {
-	ahead := now - at
-	if !l.clockSeen || ahead < l.maxClockLead {
-		l.maxClockLead, l.clockSeen = ahead, true
+	lead := now - at
+	if !l.clockSeen || lead < l.maxClockLead {
+		l.maxClockLead, l.clockSeen = lead, true
 	}
 }
 
@@ -74,8 +74,8 @@
 }
 
 // hasCapacity reports whether a server may get an attempt now. A warming server needs budget left, a place in the
-// subset, and few attempts in flight. A budget below one attempt is a rate: its count starts at a random fraction, so
-// that the first attempts of many nodes spread.
+// subset, and few attempts in flight. A budget below one attempt acts as a rate: the count starts at a random
+// fraction, so that the first attempts of many nodes spread over time.
 func (l *slowStart) hasCapacity(s *server, now Time, subsetRatio float64) bool {
 	weight := l.weight(s, now)
 	if weight >= 1 {
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -6,9 +6,9 @@
 	"cherrygap/internal/settings"
 )
 
-// newWarmingEngine returns an engine with one warm server, server 1, and the time by this node's clock. That clock is
+// newSlowStartEngine returns an engine with one warm server, server 1, and the time by this node's clock. That clock is
 // ahead of the servers' clock by the given time.
-func newWarmingEngine(ahead Time) (engine *Engine, now Time) {
+func newSlowStartEngine(ahead Time) (engine *Engine, now Time) {
 	now = 10_000*Second + ahead
 	engine = New(1, Settings{
 		settings.Nodes: "4", settings.Tick: "40", settings.ClassCount: "1",
@@ -30,7 +30,7 @@
 // not change that.
 func TestWarmingByAClockThatIsWrong(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second, 5 * Second, -5 * Second} {
-		engine, now := newWarmingEngine(ahead)
+		engine, now := newSlowStartEngine(ahead)
 		engine.SetTime(now + Second)
 		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: engine.now - ahead - Second/10}})
 		if weight := engine.weightOf(2); weight < 0.25 || weight > 0.26 {
@@ -53,7 +53,7 @@
 // A node that starts with a wrong clock uses the observed servers' clock to determine which servers are cold.
 func TestWarmingByDiscoverysClock(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second} {
-		engine, now := newWarmingEngine(ahead)
+		engine, now := newSlowStartEngine(ahead)
 		engine.ObserveServerClock(now - ahead - Second/2)
 		engine.UpdateEndpoints(FullList, []Endpoint{
 			{Server: 1, State: Ready, Weight: 1, Started: now - ahead - 400*Second},
@@ -71,7 +71,7 @@
 // A list's delay of up to an overload span must not count as a clock difference. Server 3 is listed 9 s after its start
 // and is half warm. Entries without a start time, or of a draining server, must not change its weight.
 func TestLateListsAreNoWrongClock(t *testing.T) {
-	engine, now := newWarmingEngine(0)
+	engine, now := newSlowStartEngine(0)
 	engine.SetTime(now + 60*Second)
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: engine.now - 2*Second}})
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 3, State: Ready, Weight: 1, Started: engine.now - 9*Second}})
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -7,7 +7,7 @@
 //   - Rule: groups of nodes share a shuffle of the servers, in which zones alternate. The nodes of a group start at
 //     evenly spaced positions in it. The subset grows with this node's rate of attempts, so that each connection is used
 //     before its idle timeout. At its least size, minNodesPerShuffle nodes use each server. The tracked servers that
-//     follow the subset take the requests that it can't.
+//     follow the subset take the requests that the subset can't.
 //   - Protects against: a new connection for every second attempt, and a scan of thousands of servers for each request.
 //     It also limits the failing servers at which a node loses attempts.
 //   - Trade-off: if a few nodes carry most of the load, their subsets fill. The in-flight cap of selection then moves
@@ -28,7 +28,7 @@
 	minNodesPerShuffle      = 8                   // least number of nodes that share a shuffle, and that use each server
 )
 
-// zoneLayout is the place of zones in a shuffle.
+// zoneLayout is the arrangement of zones in a shuffle.
 type zoneLayout uint8
 
 const (
@@ -78,8 +78,8 @@
 // subsetSizes holds numbers of servers. The tracked servers include the subset.
 type subsetSizes struct{ subset, tracked int }
 
-// sizes returns the sizes for a number of ready servers. Without quota owners, the fleet is small and the subset is every
-// tracked server.
+// sizes returns the sizes for a number of ready servers. Without quota owners or an idle timeout, the subset holds every
+// tracked server. A fleet without quota owners is small.
 func (c *subsetChooser) sizes(now Time, ready int) subsetSizes {
 	least := max(minSubsetServers, ready/c.config.nodes*minNodesPerShuffle)
 	size := max(minTrackedServers, least)
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -108,9 +108,9 @@
 // Reports to all peers are due three times a second. Reports to owners are due whenever time has passed.
 func TestReportTimes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(*config)
-		due    []Time
+		name    string
+		change  func(*config)
+		wantDue []Time
 	}{
 		{"all report to all", func(*config) {}, []Time{3333, 6666, 9999}},
 		{"owners", func(c *config) { c.usesOwners = true }, []Time{1111, 2222, 3333, 4444, 5555, 6666, 7777, 8888, 9999}},
@@ -125,8 +125,8 @@
 					due = append(due, now)
 				}
 			}
-			if !slices.Equal(due, c.due) {
-				t.Errorf("reports are due at %v, want %v", due, c.due)
+			if !slices.Equal(due, c.wantDue) {
+				t.Errorf("reports are due at %v, want %v", due, c.wantDue)
 			}
 		})
 	}
