--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -31,7 +31,7 @@
 	coldStartAttemptsPerServer         = 3.0   // limit on the fleet's attempts in flight per ready server while T is unknown
 	minInFlightPerServer               = 1.1   // least concurrency limit of the whole fleet, in attempts per ready server
 	lowLatencyLimitFactor              = 1.4   // factor on the least concurrency limit while latency is low
-	lowLatencyLimitFactorPerSquareRoot = 0.6   // addition to lowLatencyLimitFactor for each square root of the number of nodes
+	lowLatencyLimitFactorPerSquareRoot = 0.6   // addition to lowLatencyLimitFactor, times the square root of the number of nodes
 	maxInFlightBaseLatencies           = 1.5   // concurrency limit, as a multiple of the attempts that complete within T
 	minLatencyObjectives               = 0.125 // latency that always counts as low, in latency objectives
 
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -206,7 +206,8 @@
 	}
 }
 
-// The load policy returns 1.2 while all features are low, and less as any of them rises.
+// The load policy returns 1.2 while all features are low, and less as any of them rises. Otherwise a node would admit as much
+// load during a queue as before.
 func TestLoadPolicy(t *testing.T) {
 	for _, c := range []struct {
 		features [4]float64
--- a/internal/decision/expected_test.go
+++ b/internal/decision/expected_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	want, ok := expectedOutputs()[name]
 	if !ok {
-		t.Errorf("output %q is not in testdata, want one expected value; got\n%s", name, got)
+		t.Errorf("testdata has no expected value of the output %q, want one; the output is\n%s", name, got)
 	} else if got != want {
 		t.Errorf("output %q =\n%s\nwant\n%s", name, got, want)
 	}
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	for seed, c := range fleetScenarios {
 		if c.name == name {
-			p := newFleetSimulation(int64(seed+41), c.setup)
+			p := newFleetSimulation(int64(seed+41), c.scenario)
 			for len(p.summaries) < count {
 				p.step()
 			}
@@ -67,7 +67,7 @@
 // TestFirstFleetDecisions compares the first decisions and messages of a scenario with the expected ones. Unlike a digest,
 // they show which field has changed.
 func TestFirstFleetDecisions(t *testing.T) {
-	p := newFleetSimulation(42, fleetScenarios[1].setup)
+	p := newFleetSimulation(42, fleetScenarios[1].scenario)
 	p.run()
 	kinds := map[string]int{}
 	for _, line := range p.firstDecisions {
--- a/internal/decision/fleetscenarios_test.go
+++ b/internal/decision/fleetscenarios_test.go
@@ -41,8 +41,8 @@
 
 // fleetScenarios are the simulated scenarios. The seed of each derives from its index.
 var fleetScenarios = []struct {
-	name  string
-	setup fleetScenario
+	name     string
+	scenario fleetScenario
 }{
 	{"four nodes that all report to all", fleetScenario{
 		nodeSettings: fleetSettings(nil), members: firstNodes(4), serverCount: 12, zones: 3,
@@ -135,7 +135,7 @@
 func TestFleetSimulationDecisions(t *testing.T) {
 	for seed, c := range fleetScenarios {
 		t.Run(c.name, func(t *testing.T) {
-			p := newFleetSimulation(int64(seed+41), c.setup)
+			p := newFleetSimulation(int64(seed+41), c.scenario)
 			got := p.run()
 			counts := fmt.Sprint(p.counts)
 			for _, engine := range p.nodes {
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -37,7 +37,7 @@
 type fleetScenario struct {
 	nodeSettings     Settings // settings of every node, without the node's number
 	members          []int    // the simulated nodes; the fleet may have more
-	serverCount      int      // number of app servers, with those that were added later
+	serverCount      int      // number of app servers, including those that are added later
 	zones            int
 	serversPerCell   int
 	serviceTime      Time    // mean service time of an attempt
@@ -65,9 +65,9 @@
 type simulatedServer struct {
 	Endpoint
 	busyUntil    Time
-	fault        Outcome
-	faultPercent int  // percentage of attempts that end with fault
-	slowdown     Time // additional service time, in multiples of the usual one
+	fault        Outcome // outcome of the attempts that fail
+	faultPercent int     // percentage of attempts that end with fault
+	slowdown     Time    // additional service time, in multiples of the usual one
 }
 
 // simulatedRequest is the state of a request at a node.
@@ -86,43 +86,43 @@
 const simulationStep = 50 // duration of a step, in units of Time
 
 // newFleetSimulation returns a simulation of the scenario, in which the nodes have started.
-func newFleetSimulation(seed int64, setup fleetScenario) *fleetSimulation {
+func newFleetSimulation(seed int64, scenario fleetScenario) *fleetSimulation {
 	p := &fleetSimulation{
-		fleetScenario: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, startedAt: 3 * Second,
+		fleetScenario: scenario, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, startedAt: 3 * Second,
 		serversByID: map[ServerID]*simulatedServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), counts: map[string]int{},
-		nodeIDs: setup.members, pausedUntil: make([]Time, len(setup.members)),
+		nodeIDs: scenario.members, pausedUntil: make([]Time, len(scenario.members)),
 	}
-	for i := range setup.serverCount {
+	for i := range scenario.serverCount {
 		p.addServer(i)
 	}
-	for _, s := range p.servers[:setup.restartedServers] {
+	for _, s := range p.servers[:scenario.restartedServers] {
 		s.Started = p.startedAt - Second
 	}
-	for _, s := range p.servers[len(p.servers)-setup.silentServers:] {
+	for _, s := range p.servers[len(p.servers)-scenario.silentServers:] {
 		s.busyUntil = p.startedAt + 999*Second
 	}
 	for k, id := range p.nodeIDs {
 		set := Settings{}
-		for name, v := range setup.nodeSettings {
+		for name, v := range scenario.nodeSettings {
 			set[name] = v
 		}
 		set["node"] = strconv.Itoa(id)
 		engine := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
 		engine.SetTime(p.now)
-		engine.UpdateEndpoints(setup.firstList, p.endpointList(p.servers...))
-		if setup.shadow != nil {
+		engine.UpdateEndpoints(scenario.firstList, p.endpointList(p.servers...))
+		if scenario.shadow != nil {
 			other := Settings{}
 			for name, v := range set {
 				other[name] = v
 			}
-			for name, v := range setup.shadow {
+			for name, v := range scenario.shadow {
 				other[name] = v
 			}
 			engine.StartShadow(other.parse())
 		}
 		p.nodes, p.openRequests = append(p.nodes, engine), append(p.openRequests, map[RequestID]*simulatedRequest{})
 		p.carryOutDecisions(k)
-		if setup.firstPollFails {
+		if scenario.firstPollFails {
 			engine.UpdateEndpoints(PollFailed, nil)
 		}
 	}
@@ -185,7 +185,7 @@
 			s.busyUntil = p.now + 2*Second
 		}
 	}
-	// The load swings between low and about twice the servers' capacity.
+	// In each period, the load rises from low to about twice the servers' capacity.
 	period := cmp.Or(p.period, 8*Second)
 	phase := float64((p.now-p.startedAt)%period) / float64(period)
 	mean := p.requestsPerStep * (0.4 + 1.8*phase)
@@ -206,7 +206,7 @@
 func (p *fleetSimulation) addRequest() {
 	customer := uint64(p.rng.Intn(p.customers))
 	if p.rng.Intn(3) == 0 {
-		customer = 1 // has far more demand than the others
+		customer = 1 // customer 1 has far more demand than the others
 	}
 	spread, first := p.spread, NodeID(int(customer)*5%max(1, int(p.nodeSettings.Number("nodes"))))
 	if p.oneNodeSet {
@@ -445,7 +445,7 @@
 	}
 }
 
-// endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt number is wrong.
+// endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt does not exist.
 func (p *fleetSimulation) endAttempt(k int, id RequestID, r *simulatedRequest, number int, outcome Outcome) {
 	engine := p.nodes[k]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -18,7 +18,7 @@
 	start         Time // start of the simulation
 	servers       []*hostServer
 	requests      map[RequestID]*hostRequest
-	openRequests  []RequestID // open, or with an attempt in flight
+	openRequests  []RequestID // requests that are open or have an attempt in flight
 	nextID        RequestID
 	ceilings      map[CustomerID]*hostBucket
 	noNewRequests bool  // no further requests arrive
@@ -44,7 +44,7 @@
 // coldAttempt is an attempt that was sent to a server during its slow start.
 type coldAttempt struct {
 	sentAt Time
-	work   Time
+	work   Time // mean service time of the server
 }
 
 // hostBucket is the token bucket by which the host checks a customer's hard ceiling.
@@ -144,7 +144,7 @@
 	}
 }
 
-// step lets one tick pass.
+// step advances the simulation by one tick.
 func (h *simulatedHost) step() {
 	h.now += Time(h.set.Number(settings.Tick))
 	h.engine.SetTime(h.now)
@@ -317,7 +317,7 @@
 	return h.set[settings.ClassKey(int(r.request.Class), field)]
 }
 
-// startAttempt checks an attempt and draws its end at the server.
+// startAttempt checks an attempt, and determines its outcome and end at random.
 func (h *simulatedHost) startAttempt(r *hostRequest, d Decision) {
 	if r == nil || r.closed || r.streaming || h.now+d.Duration > r.deadline || d.Duration <= 0 {
 		h.fail("request %d got an attempt with timeout %d, want an open request, and a timeout above 0 that ends by its deadline",
@@ -396,12 +396,12 @@
 	c.level = min(burst, c.level+h.set.Number(settings.PlanKey(2, settings.PlanCeilingRate))*float64(h.now-c.updatedAt)/float64(Second))
 	c.updatedAt = h.now
 	if c.level -= r.request.Units; c.level < 0 {
-		h.fail("customer %d is %.2f units above its hard ceiling, want 0 or less", r.request.Customer, -c.level)
+		h.fail("customer %d is %.2f units above its hard ceiling, want at most 0", r.request.Customer, -c.level)
 	}
 }
 
-// checkSlowStart checks the work that all nodes send to a warming server. That is the work of this node, multiplied by the
-// number of nodes.
+// checkSlowStart checks the work, in units of Time, that all nodes send to a warming server. That is the work of this node,
+// multiplied by the number of nodes.
 func (h *simulatedHost) checkSlowStart(s *hostServer) {
 	span, warm := h.set.Duration(settings.OverloadSpan), h.set.Duration(settings.SlowStartSpan)
 	if s.started == 0 || h.now >= s.started+warm {
@@ -416,12 +416,12 @@
 			work, count = work+a.work, count+1
 		}
 	}
-	if h.engine.config.usesOwners && count == 1 { // each node's count starts at a random fraction, so one attempt shows nothing
+	if h.engine.config.usesOwners && count == 1 { // each node's count starts at a random fraction: one attempt alone is no violation
 		return
 	}
 	limit := h.set.Number(settings.OverloadMultiple) * share * float64(span)
 	if float64(work)*h.set.Number(settings.Nodes) > limit*1.1 {
-		h.fail("warming server %d got work %d from each of %s nodes, want at most %.0f in all",
+		h.fail("warming server %d got work of %d time units from each of %s nodes, want at most %.0f in all",
 			s.id, work, h.set[settings.Nodes], limit)
 	}
 }
--- a/internal/decision/messages.go
+++ b/internal/decision/messages.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// message is a datagram between nodes. Its first byte is the kind, which differs from the first byte of all other
-// protocols' messages. All numbers after the kind are variable-length integers, as encoding/binary writes them. The format
-// must not change, since nodes of different versions exchange messages.
+// message is a datagram between nodes. Its first byte is the kind, which differs from the first byte of datagrams of other
+// protocols between nodes. All numbers after the kind are variable-length integers, as encoding/binary writes them. The
+// format must not change, since nodes of different versions exchange messages.
 type message struct {
 	kind       byte
 	reports    []customerReport // reports in the message; none in kindSuspicion
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -9,7 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// TestNumberSettingForms checks which texts are numbers, durations, switches and lists. Any other text is 0 or off.
+// TestNumberSettingForms checks which texts are numbers, durations, switches and lists. Any other text is 0 or off. It
+// guards against a change of the parser that gives a setting another value.
 func TestNumberSettingForms(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "0 0 false", "0": "0 0 false", "7": "7 7 false", "-7": "-7 -7 false", "+7": "7 7 false", "2.7": "2.7 2 false",
@@ -70,14 +71,14 @@
 	if value == "missing" {
 		delete(nodeSettings, name)
 	}
-	setup := fleetScenario{
+	scenario := fleetScenario{
 		nodeSettings: nodeSettings, members: []int{1}, serverCount: 6, zones: 2, serversPerCell: 2, serviceTime: 150, requestsPerStep: 1, customers: 9,
 		spread: 3, seconds: 2, firstList: CachedList, resetPercent: 12, restartedServers: 2, silentServers: 1, firstPollFails: true,
 	}
 	if nodeSettings["nodes"] == "18" {
-		setup.members, setup.spread = []int{1, 2}, 9
+		scenario.members, scenario.spread = []int{1, 2}, 9
 	}
-	p := newFleetSimulation(7, setup)
+	p := newFleetSimulation(7, scenario)
 	if name == "node" {
 		for _, engine := range p.nodes {
 			engine.configure(parseSettings(nodeSettings))
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -42,7 +42,7 @@
 }
 
 // Suspicions of peers add up. A server with clearly more suspicions than the mean is ejected, and its trials come from
-// the trial budget. If peers suspect all servers alike, none is ejected.
+// the trial budget. If peers suspect all servers alike, none is ejected: overload of a fleet must not eject every server.
 func TestSuspicionsOfPeersAddUp(t *testing.T) {
 	values := Settings{settings.Nodes: "60", settings.Peers: settings.On, settings.PeerRate: "40"}
 	engine, alike := newTestEngine(20, values), newTestEngine(20, values)
@@ -82,7 +82,7 @@
 }
 
 // A client may set a timeout far below the latency objective. Such a timeout is neither a failure of the server nor a
-// latency sample.
+// latency sample. Otherwise such clients would eject healthy servers.
 func TestShortTimeoutIsNoFailure(t *testing.T) {
 	engine := newTestEngine(2, nil)
 	for id := range RequestID(4) {
@@ -98,7 +98,7 @@
 }
 
 // One malformed or broken response does not eject a server and is no latency sample. Two in a row eject the server for
-// the class.
+// the class. Otherwise one request that causes such responses would eject each server that receives it.
 func TestOneBadResponseEjectsNoServer(t *testing.T) {
 	engine := newTestEngine(1, Settings{
 		settings.ClassCount: "2", settings.ClassKey(1, settings.ClassLatencyObjective): "6000",
@@ -113,7 +113,7 @@
 				id, outcome, got, engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now), engine.interval.samples, id == 5)
 		}
 		if outcome != Succeeded && takeDecisions(engine, Reject) == nil {
-			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d", id, outcome)
+			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d, want a rejection", id, outcome)
 		}
 	}
 }
@@ -144,12 +144,13 @@
 	}
 }
 
-// testDetector returns a detector of two classes with one trial each, by testConfig.
+// testDetector returns a detector of two classes, each with a trial budget of 1, with the settings of testConfig.
 func testDetector() *outlierDetector {
 	return &outlierDetector{config: testConfig(), classes: []classOutliers{{trials: 1}, {trials: 1}}}
 }
 
-// Each further ejection lasts twice as long, up to eight objectives. A success resets the length.
+// Each further ejection lasts twice as long, up to eight objectives. A success resets the length. Without the doubling, a
+// stopped server would receive a trial attempt in each objective.
 func TestEjectionTimes(t *testing.T) {
 	detector, states, now := testDetector(), make([]outlierState, 2), 10*Second
 	for k, want := range []Time{6000, 12000, 24000, 48000, 48000} {
@@ -179,7 +180,8 @@
 	}
 }
 
-// TestOutcomesThatEject checks the effect of each outcome on the server's ejection.
+// TestOutcomesThatEject checks the effect of each outcome on the server's ejection. A wrong effect would eject healthy
+// servers, or leave failed ones in the rotation.
 func TestOutcomesThatEject(t *testing.T) {
 	for _, c := range []struct {
 		outcome              Outcome
@@ -208,7 +210,8 @@
 	}
 }
 
-// Silence is the sum of the waits of all attempts in flight since the last response.
+// Silence is the sum of the waits of all attempts in flight since the last response. Without an ejection for silence, a
+// server that hangs would receive attempts until some of them time out.
 func TestSilence(t *testing.T) {
 	detector, state, now := testDetector(), &outlierState{lastResponseAt: 2 * Second}, 3*Second
 	detector.addWait(state, Second, 2000, now)   // 5 usual latencies since the last response
@@ -225,7 +228,8 @@
 }
 
 // A peer's suspicion ejects a server for the time that it names, within the limits of an ejection. It has no effect if
-// the server has just responded here or is already ejected here.
+// the server has just responded here or is already ejected here. Otherwise a cut link of one peer would eject the server at
+// all nodes.
 func TestPeersSuspicions(t *testing.T) {
 	const now = 20 * Second
 	for _, c := range []struct {
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// The owner keeps a limit on attempts in flight over 40 nodes. The end of a request whose reservation has expired
-// releases no other reservation.
+// The owner keeps a limit on attempts in flight over 40 nodes. Otherwise each node would allow the whole limit. The end of a
+// request whose reservation has expired releases no other reservation.
 func TestOwnerHoldsInFlightOfManyNodes(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -137,7 +137,8 @@
 }
 
 // While an owner does not respond, requests of a customer with little demand are admitted after the owner timeout. A
-// customer with far more demand gets about the even share of its quota at each node.
+// customer with far more demand gets about the even share of its quota at each node. Otherwise the failure of one node would
+// stop all requests of the customers that the node owns.
 func TestSilentOwnerLeavesTheEvenShare(t *testing.T) {
 	for rate, maxSent := range map[int]int{2: 40, 400: 130} { // requests a second, largest number sent in 20 s
 		f := newFleet(t, nil)
@@ -150,7 +151,7 @@
 }
 
 // The owner and the other nodes of a set together keep a hard ceiling from the first second on, also while messages are
-// lost and after all nodes restart.
+// lost and after all nodes restart. A bucket that is full after a restart would exceed the ceiling.
 func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
@@ -183,7 +184,7 @@
 	}
 }
 
-// newTestOwner returns the quota owner state of node 12 in a fleet of 60 nodes, which uses owners, with one plan.
+// newTestOwner returns the quotaOwner of node 12 in a fleet of 60 nodes, which uses owners, with one plan.
 func newTestOwner(plan quotaPlan) *quotaOwner {
 	cfg := parseSettings(Settings{
 		settings.Nodes: "60", settings.Node: "12", settings.Peers: settings.On, settings.PeerRate: "40",
@@ -194,6 +195,7 @@
 }
 
 // Each customer has one owner, which is in the customer's set. A set's nodes share the ownership of its customers.
+// Otherwise one node would receive the queries of all customers of the set.
 func TestOwnerIsOfTheSet(t *testing.T) {
 	owner, owners := newTestOwner(quotaPlan{}), map[NodeID]int{}
 	for id := range CustomerID(1000) {
@@ -217,7 +219,8 @@
 	}
 }
 
-// An owner grants a query only if bucket, in-flight limit and ceiling all have room, and then charges each of them.
+// An owner grants a query only if bucket, in-flight limit and ceiling all have room, and then charges each of them. A charge
+// for a denied query would take quota from the customer.
 func TestGrant(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
@@ -254,7 +257,8 @@
 }
 
 // A customer with frequent requests and a nearly full bucket is admitted optimistically. When the bucket empties, the
-// owner notifies the set, whose nodes then query for a share of the requests.
+// owner notifies the set, whose nodes then query for a share of the requests. Otherwise they would continue to admit requests
+// beyond the quota.
 func TestOptimisticAdmission(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
@@ -281,7 +285,7 @@
 				peerDemand: decayingMean{sum: c.demand * seconds(demandTimeConstant), at: now},
 			}
 			if revoked := owner.update(cust, now) == optimisticRevoked; revoked != c.wantRevoked || cust.optimistic != c.wantOptimistic || !nearlyEqual(cust.queryRatio, c.wantRatio) {
-				t.Errorf("optimistic %v, revoked %v, query ratio %v, want %v, %v, %v",
+				t.Errorf("update() led to optimistic %v, revoked %v, query ratio %v, want %v, %v, %v",
 					cust.optimistic, revoked, cust.queryRatio, c.wantOptimistic, c.wantRevoked, c.wantRatio)
 			}
 		})
@@ -289,7 +293,7 @@
 }
 
 // While the owner does not respond, requests are admitted at the even share of the rate. With a limit on attempts in
-// flight, one attempt may be in flight at a time.
+// flight, one attempt may be in flight at a time. Otherwise the nodes of the set together would exceed the quota.
 func TestAdmissionWithoutOwner(t *testing.T) {
 	for _, c := range []struct {
 		plan         quotaPlan
@@ -305,7 +309,8 @@
 			}
 		}
 		if got := float64(admitted) / 4000; got < c.want-0.03 || got > c.want+0.03 {
-			t.Errorf("plan %+v, demand %v, %d in flight: share %v of the requests is admitted, want %v", c.plan, c.demandBefore, c.inFlight, got, c.want)
+			t.Errorf("plan %+v, demand %v, %d in flight: share %v of the requests is admitted, want %v with a tolerance of 0.03",
+				c.plan, c.demandBefore, c.inFlight, got, c.want)
 		}
 	}
 }
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -6,7 +6,8 @@
 )
 
 // After a pause, only the last requests have time left before their objective. They are forwarded first, and requests
-// past their objective are rejected at once. The admission rate's tokens cover the pause.
+// past their objective are rejected at once. In order of arrival, the requests forwarded first would have the least time
+// left. The admission rate's tokens cover the pause.
 func TestLastRequestsOfAPauseComeFirst(t *testing.T) {
 	engine := newTestEngine(10, nil)
 	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 40, 500, 9*Second
@@ -34,6 +35,7 @@
 }
 
 // A request past its objective after a pause is rejected even if the admission limit and the quota allow it.
+// Otherwise the servers would process requests whose clients may have disconnected.
 func TestRequestsLateAfterAPauseAreRejected(t *testing.T) {
 	engine := newTestEngine(10, nil)
 	engine.admission.rate, engine.admission.throughput.baseLatency, engine.timers.intervalAt = 4000, 500, 9*Second
@@ -58,7 +60,8 @@
 }
 
 // A gap of at most a quarter of the objective is no pause. After a pause, its requests are in reverse order, with arrival
-// times evenly over the pause. Requests from before the pause stay as they are.
+// times evenly over the pause. Requests from before the pause stay as they are. If all had
+// the pause's end as their arrival time, requests past their objective would be admitted.
 func TestPauseOrder(t *testing.T) {
 	detected := pause{}
 	if detected.observe(Second, Second+1500, 6000); detected.endedAt != 0 {
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The demand share is the demand here over all reported demand, with a prior of the even share. While peers' reports are
-// missing, it is the even share.
+// missing, it is the even share. If each node used the share 1, the fleet would grant the quota once per node.
 func TestDemandShare(t *testing.T) {
 	const now = 100 * Second
 	for _, c := range []struct {
@@ -41,7 +41,8 @@
 	}
 }
 
-// A request is charged its units over the demand share. The missing level of the bucket gives the Retry-After.
+// A request is charged its units divided by the demand share. A charge of the units alone would let each node grant the whole
+// quota. The Retry-After is the time until the bucket holds the missing units.
 func TestTenantQuota(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -89,7 +90,8 @@
 	}
 }
 
-// A node's part of a hard ceiling starts empty. It fills at the even share of the rate, without the owner's part.
+// A node's part of a hard ceiling starts empty. It fills at the even share of the rate, without the owner's part. A part that
+// starts full would exceed the ceiling after each restart.
 func TestCeiling(t *testing.T) {
 	for _, c := range []struct {
 		usesOwners bool
@@ -101,7 +103,7 @@
 		quota, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
 		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !nearlyEqual(customer.ceiling.level, c.want) {
-			t.Errorf("usesOwners %v: ceiling has level %v after %d, want %v, with room for 6 units: %v",
+			t.Errorf("usesOwners %v: ceiling has level %v after %d time units, want %v, with room for 6 units: %v",
 				c.usesOwners, customer.ceiling.level, c.elapsed, c.want, c.want >= 6)
 		}
 	}
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -7,7 +7,8 @@
 	"cherrygap/internal/settings"
 )
 
-// Reports that do not fit into one message are sent in further messages soon after.
+// Reports that do not fit into one message are sent in further messages soon after. Otherwise peers would underestimate the
+// demand of the customers that the first message leaves out. Malformed messages must not cause a panic.
 func TestFullMessageIsFollowedByAnother(t *testing.T) {
 	engine := newTestEngine(4, Settings{
 		settings.Peers: settings.On, settings.PeerRate: "100", settings.PlanKey(0, settings.PlanRate): "1",
@@ -32,8 +33,9 @@
 	peer.ReceivePeerMessage(0, []byte("other"))
 }
 
-// Without owners, one message is sent even if it is empty. It leaves out customers below half of their even share, and
-// excess reports wait. With owners, each report is sent to its customer's owner.
+// Without owners, one message is sent even if it is empty: peers would otherwise take this node for silent. Customers below
+// half of their even share are left out, and excess reports wait: all at once would exceed the peer message rate. With
+// owners, each report is sent to its customer's owner.
 func TestReports(t *testing.T) {
 	busy := decayingMean{sum: 99 * seconds(demandTimeConstant), at: Second}
 	customers := []customer{{id: 1, spread: 4, demand: busy}, {id: 2, spread: 4}, {id: 3, spread: 4, demand: busy}}
--- a/internal/decision/requests_test.go
+++ b/internal/decision/requests_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// An attempt is cancelled at most once, and neither after its end nor after the response to the client has begun. The last
-// cancellation comes first.
+// An attempt is cancelled at most once, and neither after its end nor after the response to the client has begun. A late
+// cancellation would truncate the response. The last cancellation comes first.
 func TestCancellations(t *testing.T) {
 	table := requestTable{slots: newSlotIndex[RequestID, requestSlot]()}
 	r := &request{id: 7}
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -5,7 +5,7 @@
 )
 
 // An attempt that hangs at a silent server is cancelled. Its request goes to another server only after that attempt has
-// ended.
+// ended. Otherwise the request would wait for its timeout, or have two attempts in flight.
 func TestHungAttemptIsCancelledThenSentElsewhere(t *testing.T) {
 	engine := newTestEngine(4, nil)
 	engine.retries.left = 5
@@ -27,7 +27,8 @@
 	}
 }
 
-// A retry must not run a request twice that must run once. Maximum attempts and the retry budget limit retries as well.
+// A request that must run at most once must not run again by a retry. The maximum number of attempts and the retry budget
+// limit retries as well.
 func TestRetryRules(t *testing.T) {
 	const now = 100 * Second
 	mayHaveRun, notRun := attempt{sentAt: now - 3000, mayHaveRun: true}, attempt{sentAt: now - 3000}
@@ -64,7 +65,8 @@
 	}
 }
 
-// Five first attempts earn one retry. The budget is at most two retries for each usable server.
+// Five first attempts earn one retry. The budget is at most two retries for each usable server. Without these limits, retries
+// would multiply the load while many attempts fail.
 func TestRetryBudget(t *testing.T) {
 	budget := retryBudget{}
 	for range 5 {
@@ -81,7 +83,8 @@
 	}
 }
 
-// A keyed request that may have run goes only to servers that know its idempotency key.
+// A keyed request that may have run goes only to servers that know its idempotency key. Any other server would run the
+// request a second time.
 func TestKeyGroups(t *testing.T) {
 	servers := []server{{Endpoint: Endpoint{Zone: 1, Cell: 1}}, {Endpoint: Endpoint{Zone: 1, Cell: 2}}, {Endpoint: Endpoint{Zone: 2, Cell: 2}}}
 	for _, c := range []struct {
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// A server's weight is its size over its relative pace. The pace has a prior of the mean pace.
+// A server's weight is its size divided by its relative pace. The pace has a prior of the mean pace. Without the prior, one
+// long request would leave a server almost without weight.
 func TestWeights(t *testing.T) {
 	rotation := selection{config: testConfig()}
 	for _, c := range []struct {
@@ -31,7 +32,8 @@
 	}
 }
 
-// TestPace checks the effect of each outcome on a server's pace.
+// TestPace checks the effect of each outcome on a server's pace. If a fast failure counted with its duration, a failing
+// server would seem fast and attract requests.
 func TestPace(t *testing.T) {
 	for _, c := range []struct {
 		outcome   Outcome
@@ -61,7 +63,7 @@
 }
 
 // Each server gets requests in proportion to its weight. A server at its cap is left out while other servers are below
-// theirs.
+// theirs. Otherwise queues would build up at smaller or slower servers.
 func TestRotationByWeight(t *testing.T) {
 	engine := newTestEngine(3, Settings{settings.PlanKey(0, settings.PlanRate): "0"})
 	for i := range engine.endpoints.servers {
@@ -82,7 +84,8 @@
 	}
 }
 
-// Each pass accepts more servers: tried ones after all others, ejected ones last.
+// Each pass accepts more servers: tried ones after all others, ejected ones last. Without the last passes, a request would be
+// rejected although a server could take it.
 func TestPasses(t *testing.T) {
 	engine := newTestEngine(3, nil)
 	r := &request{attempts: []attempt{{server: 0}}}
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -39,7 +39,7 @@
 }
 
 // Shadow evaluation changes no decision. It counts no difference under equal settings, and counts the differences under
-// other settings by kind.
+// shadow settings by kind.
 func TestShadowCountsAndNeverActs(t *testing.T) {
 	want, _ := shadowedRun(nil, nil)
 	for _, c := range []struct {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Random runs with shadow evaluation keep the rules and send, complete and reject as much as without it. That fails if the
-// evaluation changes the engine's state, such as its random numbers.
+// Random runs with shadow evaluation keep the rules and send, complete and reject as much as without it. The test fails if
+// the evaluation changes the engine's state, such as its random numbers.
 func TestShadowChangesNoDecision(t *testing.T) {
 	for seed := range int64(12) {
 		a, b := newSimulatedHost(seed), newSimulatedHost(seed)
@@ -93,13 +93,13 @@
 			b.step()
 		}
 		if a.err != nil || b.err != nil || a.sent != b.sent || a.completed != b.completed || a.rejected != b.rejected {
-			t.Fatalf("seed %d: %d sent, %d completed, %d rejected (%v); with shadow evaluation %d, %d, %d (%v); want equal numbers and no error",
+			t.Fatalf("seed %d: %d sent, %d completed, %d rejected, error %v; with shadow evaluation %d, %d, %d, error %v; want equal numbers and no error",
 				seed, a.sent, a.completed, a.rejected, a.err, b.sent, b.completed, b.rejected, b.err)
 		}
 	}
 }
 
-// With quota owners, shadow evaluation counts no difference under equal settings. That holds only if the other buckets at an
+// With quota owners, shadow evaluation counts no difference under equal settings. That holds only if the shadow buckets at an
 // owner are charged for the requests of other nodes that the owner grants.
 func TestShadowWithQuotaOwners(t *testing.T) {
 	for _, other := range []Settings{
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -26,8 +26,8 @@
 	return e.slowStart.weight(&e.endpoints.servers[e.endpoints.slots.find(id)], e.now)
 }
 
-// A server that starts while this node receives lists is cold, and warm a span later. An error of this node's clock must
-// not change that.
+// A server that starts while this node receives lists is cold, and is warm after the slow-start span. An error of this node's
+// clock must not change that: the node would overload the cold server, or send a warm one too few attempts.
 func TestWarmingByAClockThatIsWrong(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second, 5 * Second, -5 * Second} {
 		engine, now := newSlowStartEngine(ahead)
@@ -50,7 +50,8 @@
 	}
 }
 
-// A node that starts with a wrong clock uses the observed servers' clock to determine which servers are cold.
+// A node that starts with a wrong clock uses the observed servers' clock to determine which servers are cold. Otherwise the
+// node would overload servers that have just started.
 func TestWarmingByDiscoverysClock(t *testing.T) {
 	for _, ahead := range []Time{0, 3600 * Second, -3600 * Second} {
 		engine, now := newSlowStartEngine(ahead)
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// A server's weight rises from the settings' share to 1 over the span after its start.
+// A server's weight rises from the settings' share to 1 over the span after its start. A weight that rises earlier would let
+// the nodes overload a cold server.
 func TestSlowStartWeight(t *testing.T) {
 	for _, c := range []struct {
 		started, span, now Time
@@ -151,7 +152,8 @@
 }
 
 // The budget of a span is 0.4 of three times the completions of a warm server in 2 s, times the weight and the subset
-// ratio. The count of attempts falls at that rate, for one span at most.
+// ratio. The count of attempts falls at that rate, for one span at most. Otherwise idle nodes would all send attempts at the
+// same moment.
 func TestSlowStartBudget(t *testing.T) {
 	limit, now := slowStart{config: testConfig(), warmRate: 10}, 100*Second
 	warming := &server{Endpoint: Endpoint{Started: now - 5*Second, Weight: 2}, inSubset: true}
@@ -192,7 +194,7 @@
 }
 
 // A warm server's rate is the best mean rate of recent intervals, each divided by the servers that were warm then. It
-// decays slowly.
+// decays slowly, so that a mostly cold fleet keeps its budgets.
 func TestWarmRate(t *testing.T) {
 	limit, rates := slowStart{}, []float64{}
 	for range 4 {
@@ -200,7 +202,7 @@
 		limit.closeInterval(8, rates)
 	}
 	if !nearlyEqual(limit.warmRate, 10) {
-		t.Errorf("warm rate = %v a second after 80 a second at 8 warm servers, want 10", limit.warmRate)
+		t.Errorf("warm rate = %v a second after four intervals with 80 completions a second at 8 warm servers, want 10", limit.warmRate)
 	}
 	rates = append(rates, 20)
 	if limit.closeInterval(2, rates); !nearlyEqual(limit.warmRate, (3*16+4)/4) { // over 2 servers: 40 and 10 a second, at most 1.6 times 10 and 2.5
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -199,7 +199,7 @@
 }
 
 // The number of ready servers and the traffic determine the sizes of a choice. The node's number determines its group and
-// start.
+// start. A wrong group or start would load the servers unevenly.
 func TestSubsetChoice(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A refill adds tokens by rate and time, up to the burst. A negative rate removes tokens.
+// A refill adds tokens by rate and time, up to the burst. A negative rate removes tokens. A level above the burst would admit
+// too many requests at once after an idle time.
 func TestTokenBucket(t *testing.T) {
 	bucket := tokenBucket{level: 1, at: Second}
 	for _, c := range []struct {
@@ -19,7 +20,7 @@
 	}
 }
 
-// Sum and count decay by 1/e in a time constant. An earlier time must not change them.
+// Sum and count fall to 1/e in a time constant. An earlier time must not change them: the sums would grow instead of decay.
 func TestDecayingMean(t *testing.T) {
 	mean := decayingMean{}
 	mean.add(4, Second, 2*Second)
@@ -39,7 +40,7 @@
 }
 
 // The base latency T is the lowest of the last 30 mean durations, each of 30 completions or more. The best rate is the
-// highest of the last 8 intervals.
+// highest of the last 8 intervals. If T rose with each queue, the latency in a queue would seem normal.
 func TestThroughput(t *testing.T) {
 	measured := throughput{}
 	interval := func(attempts int, duration Time, requests int) {
@@ -85,7 +86,8 @@
 	}
 }
 
-// The tail latency is the 95th percentile of the samples, and reset clears all counts.
+// The tail latency is the 95th percentile of the samples, and reset clears all counts. Counts that remain after a reset would
+// appear in the next interval's summary.
 func TestIntervalStats(t *testing.T) {
 	stats := intervalStats{}
 	for k := range 100 {
@@ -100,7 +102,7 @@
 	}
 }
 
-// appendRecent keeps the last values only.
+// appendRecent keeps the last values only. Otherwise the lists would grow with each interval.
 func TestAppendRecent(t *testing.T) {
 	var list []float64
 	for k := range 5 {
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -29,7 +29,7 @@
 				engine.SetTime(now)
 			}
 			if wait := now - startedAt; k > 0 && (wait < Second || wait > pollWithin+Second) {
-				t.Fatalf("poll %d came %d after a failed one, want %d to %d", k, wait, Second, pollWithin+Second)
+				t.Fatalf("poll %d came %d time units after a failed one, want %d to %d", k, wait, Second, pollWithin+Second)
 			}
 			if k == 1 {
 				secondPolls = append(secondPolls, now)
@@ -40,7 +40,7 @@
 	slices.Sort(secondPolls)
 	for i := range len(secondPolls) - 20 {
 		if secondPolls[i+20]-secondPolls[i] < Second/4 {
-			t.Fatalf("21 of 80 nodes poll again within %d, want at least %d", secondPolls[i+20]-secondPolls[i], Second/4)
+			t.Fatalf("21 of 80 nodes poll again within %d time units, want at least %d", secondPolls[i+20]-secondPolls[i], Second/4)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 				engine.SetTime(now)
 			}
 			if wait := now - startedAt; k > 0 && (wait < Second || wait > 3*Second+tick) {
-				t.Fatalf("seed %d: the poll after failure %d came after %d, want %d to %d", seed, k, wait, Second, 3*Second+tick)
+				t.Fatalf("seed %d: the poll after failure %d came after %d time units, want %d to %d", seed, k, wait, Second, 3*Second+tick)
 			}
 			for range 1 + seed%2 { // a failure reported twice counts once
 				engine.UpdateEndpoints(PollFailed, nil)
@@ -91,7 +91,7 @@
 		slices.Sort(nextPolls)
 		for i := range nodes - 50 { // an even spread has 25 polls in a quarter of a second, with a standard deviation of 5
 			if nextPolls[i+50]-nextPolls[i] < Second/4 {
-				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d, want at least %d", seed, nextPolls[i+50]-nextPolls[i], Second/4)
+				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d time units, want at least %d", seed, nextPolls[i+50]-nextPolls[i], Second/4)
 			}
 		}
 	}
@@ -105,7 +105,8 @@
 	return polls
 }
 
-// Reports to all peers are due three times a second. Reports to owners are due whenever time has passed.
+// Reports to all peers are due three times a second: more would exceed the peer message rate. Reports to owners are due
+// whenever time has passed, since owners have no other information on the use.
 func TestReportTimes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -132,7 +133,8 @@
 	}
 }
 
-// Attempt checks take place 30 times in the shortest objective, but not more often than the tick or the time unit.
+// Attempt checks take place 30 times in the shortest objective, but not more often than the tick or the time unit. Otherwise
+// Next would begin checks without end.
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
 		timers := newTimers(Second, &config{})
@@ -149,7 +151,8 @@
 	}
 }
 
-// A poll is in flight until it fails, and a failure counts once. Without the setting, discovery is not polled.
+// A poll is in flight until it fails, and a failure counts once. A failure that counted twice would delay the next poll.
+// Without the setting, discovery is not polled.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
 	pushed, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
