--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -58,7 +58,7 @@
 const (
 	Draining EndpointState = iota // the server takes no new attempts
 	Ready                         // the server takes attempts
-	Gone                          // the server has left the list
+	Gone                          // the server has been removed from the list
 )
 
 // Endpoint is one entry of the endpoint list.
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Servers that repeatedly replace others must not use more and more slots. Slots of servers that are gone are reused once
+// Servers that repeatedly replace others must not use more and more slots. Slots of departed servers are reused once
 // their last attempts have ended.
 func TestDepartedServersReleaseSlots(t *testing.T) {
 	engine := newTestEngine(0, nil)
@@ -70,7 +70,7 @@
 				t.Fatalf("request %d was sent to server %d, want one of the last 4 servers up to %d", d.Request, d.Server, k)
 			}
 		}
-		if k >= 9 { // responses arrive late, from servers that are gone
+		if k >= 9 { // responses arrive late, from departed servers
 			engine.AttemptEnded(AttemptResult{Request: RequestID(k - 9), Outcome: Succeeded, Duration: 3 * Second, Final: true})
 		}
 	}
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -42,7 +42,7 @@
 type optimisticChange uint8
 
 const (
-	optimisticUnchanged optimisticChange = iota // no change, or a start that peers learn with their next response
+	optimisticUnchanged optimisticChange = iota // no change, or a start that peers learn from the next kindGrant
 	optimisticRevoked                           // optimistic admission ends: peers must be notified at once
 )
 
--- a/internal/decision/shadow.go
+++ b/internal/decision/shadow.go
@@ -12,7 +12,7 @@
 //
 // Before each decision on a request, a copy of the engine decides under the shadow settings. The copy has the same random
 // numbers and is dropped afterwards. Only the customers' buckets under the shadow settings are kept. They are charged for
-// the requests that the node really admits. Therefore shadow counts single decisions. It does not predict a run under
+// the requests that the node admits. Therefore shadow counts single decisions. It does not predict a run under
 // the shadow settings, in which queues, retries and reports would differ too.
 type shadow struct {
 	config      *config                        // the shadow settings
