--- a/internal/decision/decide.go
+++ b/internal/decision/decide.go
@@ -151,8 +151,8 @@
 const minRetryAfterDivisor = 4
 
 // rejectOrFail closes a request without a response from a server. It rejects a request that the client may safely
-// repeat, and fails any other. If the settings ask for a Retry-After, a rejection carries retryAfter, which is
-// raised to the least Retry-After or lowered to the longest one of the settings.
+// repeat, and fails any other. If the settings ask for a Retry-After, a rejection carries retryAfter. The value is raised
+// to the least Retry-After, and then lowered to the longest one of the settings.
 func (e *Engine) rejectOrFail(i requestSlot, reason Reason, retryAfter Time) Decision {
 	r := &e.requests.all[i]
 	d := Decision{Action: Fail, Request: r.id, Reason: reason}
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// The owner and the other nodes of a set together keep a hard ceiling from the first second on, also while messages are
-// lost and after all nodes restart. A bucket that is full after a restart would exceed the ceiling.
+// The owner and the other nodes of a set together keep a hard ceiling from the first second on. This also holds while
+// messages are lost, and after all nodes restart. A bucket that is full after a restart would exceed the ceiling.
 func TestOwnerAndSetKeepTheCeiling(t *testing.T) {
 	f := newFleet(t, Settings{
 		settings.PlanKey(0, settings.PlanRate): "1000", settings.PlanKey(0, settings.PlanBurst): "1000",
