--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -8,7 +8,7 @@
 // A change of a server outside the subset changes at most one server of the subset. Otherwise each change would make all
 // nodes open new connections. A draining server leaves the subset at once, and receives no new attempt. Its attempts in
 // flight count until they end.
-func TestChangesTouchOnlyWhatANodeUses(t *testing.T) {
+func TestServerChangesKeepSubset(t *testing.T) {
 	engine := newZonedEngine(830, 13000, 12)
 	subset, tracked := slices.Clone(engine.endpoints.subset), slices.Clone(engine.endpoints.tracked)
 	if len(subset) < 13000/830*minNodesPerShuffle || len(tracked) < minTrackedServers || len(tracked) > max(minTrackedServers, trackedServersPerSubset*len(subset)) {
@@ -55,9 +55,9 @@
 	}
 }
 
-// Servers that repeatedly replace others must not use more and more slots. Slots of servers that are gone are reused once
+// Servers that repeatedly replace others must not use more and more slots. Slots of departed servers are reused once
 // their last attempts have ended.
-func TestServersThatAreGoneLeaveNothing(t *testing.T) {
+func TestDepartedServersReleaseSlots(t *testing.T) {
 	engine := newTestEngine(0, nil)
 	now := Second
 	for k := range ServerID(300) {
@@ -70,7 +70,7 @@
 				t.Fatalf("request %d was sent to server %d, want one of the last 4 servers up to %d", d.Request, d.Server, k)
 			}
 		}
-		if k >= 9 { // responses arrive late, from servers that are gone
+		if k >= 9 { // responses arrive late, from departed servers
 			engine.AttemptEnded(AttemptResult{Request: RequestID(k - 9), Outcome: Succeeded, Duration: 3 * Second, Final: true})
 		}
 	}
--- a/internal/decision/fleetscenarios_test.go
+++ b/internal/decision/fleetscenarios_test.go
@@ -29,7 +29,7 @@
 }
 
 // customerCount returns the number of customers in a node's state.
-func customerCount(n *Engine) int { return len(n.customers.slots.slots) }
+func customerCount(engine *Engine) int { return len(engine.customers.slots.slots) }
 
 // firstNodes returns the numbers of the first n nodes.
 func firstNodes(n int) (list []int) {
@@ -41,8 +41,8 @@
 
 // fleetScenarios are the simulated scenarios. The seed of each derives from its index.
 var fleetScenarios = []struct {
-	name  string
-	setup fleetScenario
+	name     string
+	scenario fleetScenario
 }{
 	{"four nodes that all report to all", fleetScenario{
 		nodeSettings: fleetSettings(nil), members: firstNodes(4), serverCount: 12, zones: 3,
@@ -135,11 +135,11 @@
 func TestFleetSimulationDecisions(t *testing.T) {
 	for seed, c := range fleetScenarios {
 		t.Run(c.name, func(t *testing.T) {
-			p := newFleetSimulation(int64(seed+41), c.setup)
+			p := newFleetSimulation(int64(seed+41), c.scenario)
 			got := p.run()
 			counts := fmt.Sprint(p.counts)
-			for _, n := range p.nodes {
-				if compared, differences := n.ShadowCounts(); differences != nil {
+			for _, engine := range p.nodes {
+				if compared, differences := engine.ShadowCounts(); differences != nil {
 					counts += fmt.Sprint(" ", compared, differences)
 				}
 			}
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -37,7 +37,7 @@
 type fleetScenario struct {
 	nodeSettings     Settings // settings of every node, without the node's number
 	members          []int    // the simulated nodes; the fleet may have more
-	serverCount      int      // number of app servers, with those that were added later
+	serverCount      int      // number of app servers, including those that are added later
 	zones            int
 	serversPerCell   int
 	serviceTime      Time    // mean service time of an attempt
@@ -65,9 +65,9 @@
 type simulatedServer struct {
 	Endpoint
 	busyUntil    Time
-	fault        Outcome
-	faultPercent int  // percentage of attempts that end with fault
-	slowdown     Time // additional service time, in multiples of the usual one
+	fault        Outcome // outcome of the attempts that fail
+	faultPercent int     // percentage of attempts that end with fault
+	slowdown     Time    // additional service time, in multiples of the usual one
 }
 
 // simulatedRequest is the state of a request at a node.
@@ -86,44 +86,44 @@
 const simulationStep = 50 // duration of a step, in units of Time
 
 // newFleetSimulation returns a simulation of the scenario, in which the nodes have started.
-func newFleetSimulation(seed int64, setup fleetScenario) *fleetSimulation {
+func newFleetSimulation(seed int64, scenario fleetScenario) *fleetSimulation {
 	p := &fleetSimulation{
-		fleetScenario: setup, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, startedAt: 3 * Second,
+		fleetScenario: scenario, rng: rand.New(rand.NewSource(seed)), now: 3 * Second, startedAt: 3 * Second,
 		serversByID: map[ServerID]*simulatedServer{}, tasks: map[Time][]func(){}, digest: sha256.New(), counts: map[string]int{},
-		nodeIDs: setup.members, pausedUntil: make([]Time, len(setup.members)),
+		nodeIDs: scenario.members, pausedUntil: make([]Time, len(scenario.members)),
 	}
-	for i := range setup.serverCount {
+	for i := range scenario.serverCount {
 		p.addServer(i)
 	}
-	for _, s := range p.servers[:setup.restartedServers] {
+	for _, s := range p.servers[:scenario.restartedServers] {
 		s.Started = p.startedAt - Second
 	}
-	for _, s := range p.servers[len(p.servers)-setup.silentServers:] {
+	for _, s := range p.servers[len(p.servers)-scenario.silentServers:] {
 		s.busyUntil = p.startedAt + 999*Second
 	}
 	for k, id := range p.nodeIDs {
 		set := Settings{}
-		for name, v := range setup.nodeSettings {
+		for name, v := range scenario.nodeSettings {
 			set[name] = v
 		}
 		set["node"] = strconv.Itoa(id)
-		n := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
-		n.SetTime(p.now)
-		n.UpdateEndpoints(setup.firstList, p.endpointList(p.servers...))
-		if setup.shadow != nil {
+		engine := New(uint64(seed)<<32|uint64(id*7919+1), set.parse(), p.now)
+		engine.SetTime(p.now)
+		engine.UpdateEndpoints(scenario.firstList, p.endpointList(p.servers...))
+		if scenario.shadow != nil {
 			other := Settings{}
 			for name, v := range set {
 				other[name] = v
 			}
-			for name, v := range setup.shadow {
+			for name, v := range scenario.shadow {
 				other[name] = v
 			}
-			n.StartShadow(other.parse())
+			engine.StartShadow(other.parse())
 		}
-		p.nodes, p.openRequests = append(p.nodes, n), append(p.openRequests, map[RequestID]*simulatedRequest{})
+		p.nodes, p.openRequests = append(p.nodes, engine), append(p.openRequests, map[RequestID]*simulatedRequest{})
 		p.carryOutDecisions(k)
-		if setup.firstPollFails {
-			n.UpdateEndpoints(PollFailed, nil)
+		if scenario.firstPollFails {
+			engine.UpdateEndpoints(PollFailed, nil)
 		}
 	}
 	return p
@@ -161,8 +161,8 @@
 		for range Second / simulationStep {
 			p.step()
 		}
-		for _, n := range p.nodes {
-			p.digest.Write(fmt.Appendln(nil, customerCount(n)))
+		for _, engine := range p.nodes {
+			p.digest.Write(fmt.Appendln(nil, customerCount(engine)))
 		}
 		digests = append(digests, hex.EncodeToString(p.digest.Sum(nil))[:12])
 	}
@@ -185,19 +185,19 @@
 			s.busyUntil = p.now + 2*Second
 		}
 	}
-	// The load swings between low and about twice the servers' capacity.
+	// In each period, the load rises from low to about twice the servers' capacity.
 	period := cmp.Or(p.period, 8*Second)
 	phase := float64((p.now-p.startedAt)%period) / float64(period)
 	mean := p.requestsPerStep * (0.4 + 1.8*phase)
 	for p.rng.Float64() < mean/(mean+1) {
 		p.addRequest()
 	}
-	for k, n := range p.nodes {
+	for k, engine := range p.nodes {
 		if p.now < p.pausedUntil[k] {
 			continue
 		}
-		n.SetTime(p.now)
-		n.TimerFired()
+		engine.SetTime(p.now)
+		engine.TimerFired()
 		p.carryOutDecisions(k)
 	}
 }
@@ -206,14 +206,14 @@
 func (p *fleetSimulation) addRequest() {
 	customer := uint64(p.rng.Intn(p.customers))
 	if p.rng.Intn(3) == 0 {
-		customer = 1 // has far more demand than the others
+		customer = 1 // customer 1 has far more demand than the others
 	}
 	spread, first := p.spread, NodeID(int(customer)*5%max(1, int(p.nodeSettings.Number("nodes"))))
 	if p.oneNodeSet {
 		first = 0
 	}
 	k := p.rng.Intn(len(p.nodes))
-	n := p.nodes[k]
+	engine := p.nodes[k]
 	p.nextID++
 	id := p.nextID
 	timeout := Time(4000 + p.rng.Intn(30000))
@@ -235,12 +235,12 @@
 		newRequest.Units = 0
 	}
 	task := func() {
-		n.SetTime(p.now)
+		engine.SetTime(p.now)
 		if customer < p.leasedCustomers {
-			n.SetLease(newRequest.Customer, newRequest.Plan, newRequest.Spread, newRequest.FirstNode, float64(p.rng.Intn(30))-5)
+			engine.SetLease(newRequest.Customer, newRequest.Plan, newRequest.Spread, newRequest.FirstNode, float64(p.rng.Intn(30))-5)
 		}
 		p.openRequests[k][id] = &simulatedRequest{}
-		n.AddRequest(newRequest)
+		engine.AddRequest(newRequest)
 		if p.now >= p.pausedUntil[k] {
 			p.carryOutDecisions(k)
 		}
@@ -252,8 +252,8 @@
 	}
 	if p.rng.Intn(40) == 0 {
 		p.schedule(p.now+Time(p.rng.Intn(4000)), func() {
-			n.SetTime(p.now)
-			n.ClientGone(id)
+			engine.SetTime(p.now)
+			engine.ClientGone(id)
 			p.carryOutDecisions(k)
 		})
 	}
@@ -286,8 +286,8 @@
 	case 10:
 		p.restartManyServers()
 	case 11:
-		for _, n := range p.nodes {
-			n.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
+		for _, engine := range p.nodes {
+			engine.HealthChecked(s.Server, []Outcome{Succeeded, Failed}[p.rng.Intn(2)], nil)
 		}
 	}
 }
@@ -326,10 +326,10 @@
 // sendList sends an endpoint list to all nodes, with random delays.
 func (p *fleetSimulation) sendList(kind EndpointListKind, servers ...*simulatedServer) {
 	list := p.endpointList(servers...)
-	for k, n := range p.nodes {
+	for k, engine := range p.nodes {
 		p.schedule(p.now+Time(p.rng.Intn(3000)), func() {
-			n.SetTime(p.now)
-			n.UpdateEndpoints(kind, list)
+			engine.SetTime(p.now)
+			engine.UpdateEndpoints(kind, list)
 			p.carryOutDecisions(k)
 		})
 	}
@@ -348,9 +348,9 @@
 		case SendPeerMessage:
 			p.deliverMessage(k, d)
 		case PollEndpoints:
-			n := p.nodes[k]
+			engine := p.nodes[k]
 			if p.rng.Intn(3) == 0 {
-				p.schedule(p.now+Time(p.rng.Intn(20000)), func() { n.SetTime(p.now); n.UpdateEndpoints(PollFailed, nil) })
+				p.schedule(p.now+Time(p.rng.Intn(20000)), func() { engine.SetTime(p.now); engine.UpdateEndpoints(PollFailed, nil) })
 			}
 		}
 	}
@@ -389,13 +389,13 @@
 	if p.rng.Intn(60) == 0 { // truncated
 		payload = payload[:p.rng.Intn(len(payload))]
 	}
-	for to, n := range p.nodes {
+	for to, engine := range p.nodes {
 		if to == k || d.Peer != AllPeers && d.Peer != NodeID(p.nodeIDs[to]) || p.rng.Intn(30) == 0 {
 			continue
 		}
 		p.schedule(max(p.now+Time(p.rng.Intn(120)), p.pausedUntil[to]), func() {
-			n.SetTime(p.now)
-			if !n.ReceivePeerMessage(NodeID(p.nodeIDs[k]), payload) {
+			engine.SetTime(p.now)
+			if !engine.ReceivePeerMessage(NodeID(p.nodeIDs[k]), payload) {
 				p.counts["invalid message"]++
 			}
 			p.carryOutDecisions(to)
@@ -445,11 +445,11 @@
 	}
 }
 
-// endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt number is wrong.
+// endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt does not exist.
 func (p *fleetSimulation) endAttempt(k int, id RequestID, r *simulatedRequest, number int, outcome Outcome) {
-	n := p.nodes[k]
+	engine := p.nodes[k]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
-		n.AttemptEnded(AttemptResult{Request: id, Attempt: number + 7, Outcome: outcome})
+		engine.AttemptEnded(AttemptResult{Request: id, Attempt: number + 7, Outcome: outcome})
 		return
 	}
 	a := r.attempts[number]
@@ -459,8 +459,8 @@
 	if p.rng.Intn(3) == 0 {
 		units = float64(p.rng.Intn(300)) / 100
 	}
-	n.SetTime(p.now)
-	n.AttemptEnded(AttemptResult{
+	engine.SetTime(p.now)
+	engine.AttemptEnded(AttemptResult{
 		Request: id, Attempt: number, Server: a.server.Server, Outcome: outcome, Duration: p.now - a.sentAt,
 		Final: outcome == Succeeded || r.streaming, Units: units, Load: nil,
 	})
--- a/internal/decision/oddsettings_test.go
+++ b/internal/decision/oddsettings_test.go
@@ -9,7 +9,8 @@
 	"cherrygap/internal/settings"
 )
 
-// TestNumberSettingForms checks which texts are numbers, durations, switches and lists. Any other text is 0 or off.
+// TestNumberSettingForms checks which texts are numbers, durations, switches and lists. Any other text is 0 or off. It
+// guards against a change of the parser that gives a setting another value.
 func TestNumberSettingForms(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "0 0 false", "0": "0 0 false", "7": "7 7 false", "-7": "-7 -7 false", "+7": "7 7 false", "2.7": "2.7 2 false",
@@ -70,17 +71,17 @@
 	if value == "missing" {
 		delete(nodeSettings, name)
 	}
-	setup := fleetScenario{
+	scenario := fleetScenario{
 		nodeSettings: nodeSettings, members: []int{1}, serverCount: 6, zones: 2, serversPerCell: 2, serviceTime: 150, requestsPerStep: 1, customers: 9,
 		spread: 3, seconds: 2, firstList: CachedList, resetPercent: 12, restartedServers: 2, silentServers: 1, firstPollFails: true,
 	}
 	if nodeSettings["nodes"] == "18" {
-		setup.members, setup.spread = []int{1, 2}, 9
+		scenario.members, scenario.spread = []int{1, 2}, 9
 	}
-	p := newFleetSimulation(7, setup)
+	p := newFleetSimulation(7, scenario)
 	if name == "node" {
-		for _, n := range p.nodes {
-			n.configure(parseSettings(nodeSettings))
+		for _, engine := range p.nodes {
+			engine.configure(parseSettings(nodeSettings))
 		}
 	}
 	return p.run()[1][:8]
@@ -134,9 +135,9 @@
 		{"x", "", false},
 		{"40", "NaN", false},
 	} {
-		if n := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); n.config.usesOwners != c.want {
+		if engine := New(1, Settings{"nodes": c.nodes, "peer_messages_per_s": c.rate}.parse(), Second); engine.config.usesOwners != c.want {
 			t.Errorf("usesOwners with %q nodes and a peer rate of %q messages a second = %v, want %v",
-				c.nodes, c.rate, n.config.usesOwners, c.want)
+				c.nodes, c.rate, engine.config.usesOwners, c.want)
 		}
 	}
 }
