--- a/internal/lab/appserver/server.go
+++ b/internal/lab/appserver/server.go
@@ -39,7 +39,7 @@
 	return s.addr
 }
 
-// Listen opens the address, which is the same after each Kill. If prepare is not nil, Listen calls it with the listener
+// Listen opens the server's address. After Kill, Listen opens the same address again. If prepare is not nil, Listen calls it with the listener
 // before the first accept. The goroutine that accepts connections ends with Kill.
 func (s *Server) Listen(prepare func(net.Listener) error) error {
 	s.mu.Lock()
@@ -106,7 +106,7 @@
 // serveConn serves a connection, closes it, and removes it from conns.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() {
-		_ = conn.Close() // fails only if the connection is closed already
+		_ = conn.Close() // Close fails only if the connection is already closed.
 		s.mu.Lock()
 		delete(s.conns, conn)
 		s.mu.Unlock()
@@ -117,7 +117,7 @@
 // ResetConn closes a connection with a TCP reset, if it is a TCP connection.
 func ResetConn(conn net.Conn) {
 	if tcp, ok := conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = tcp.SetLinger(0) // fails only for a closed connection
+		_ = tcp.SetLinger(0) // SetLinger fails only for a closed connection.
 	}
 	_ = conn.Close()
 }
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -33,7 +33,7 @@
 // Config configures a Server. Probabilities are 0 to 1.
 type Config struct {
 	Seed                 uint64
-	DenyEvery            uint64        // the server denies customers whose number is divisible by this; 0 denies none
+	DenyEvery            uint64        // the server denies customers whose number is divisible by DenyEvery; 0 denies none
 	MeanDelay            time.Duration // mean of the exponential delay of each answer
 	SlowProbability      float64       // probability that an answer is delayed by SlowDelay in addition
 	SlowDelay            time.Duration // additional delay of a slow answer
@@ -121,14 +121,14 @@
 	s.mu.Unlock()
 	go func() { _ = server.Serve(listener) }() // Serve returns after Stop, which closes the listener.
 	defer server.Stop()
-	var up <-chan time.Time
+	var uptimeEnded <-chan time.Time
 	if s.config.Uptime > 0 {
-		up = time.After(s.config.Uptime)
+		uptimeEnded = time.After(s.config.Uptime)
 	}
 	select {
 	case <-s.stop:
 		return false
-	case <-up:
+	case <-uptimeEnded:
 		return true
 	}
 }
@@ -190,7 +190,7 @@
 	return faults
 }
 
-// Check implements the Authorization service. It goes on when the caller's context ends, as a slow authorizer would.
+// Check implements the Authorization service. It ignores the end of the caller's context, as a slow authorizer would.
 func (s *Server) Check(_ context.Context, r *auth.CheckRequest) (*auth.CheckResponse, error) {
 	attributes := r.GetAttributes()
 	customer, err := strconv.ParseUint(attributes.GetContextExtensions()["customer"], customerBase, customerBits)
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -63,7 +63,7 @@
 				t.Errorf("check of customer %s = %v, want %v", c.customer, got, c.want)
 			}
 			if allowed, answered := server.LastAnswer("1"); allowed != c.allowed || answered != c.answered {
-				t.Errorf("LastAnswer = %v, %v, want %v, %v", allowed, answered, c.allowed, c.answered)
+				t.Errorf("LastAnswer(\"1\") = allowed %v, answered %v, want %v, %v", allowed, answered, c.allowed, c.answered)
 			}
 		})
 	}
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -98,7 +98,7 @@
 	return a.generation
 }
 
-// Addr returns the "host:port" of the watch with a number, from 0.
+// Addr returns the "host:port" of the watch with the given number, from 0.
 func (a *Agent) Addr(watch int) string { return a.watches[watch].addr }
 
 // Close closes all listeners and connections.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against a restart during which the server still answers, or after which it does not return to its address.
+// Guards against a restart during which the server still responds, or after which it does not return to its address.
 func TestRestartRefusesThenReturns(t *testing.T) {
 	f := startServer(t, "[[fault]]\nkind = \"restart\"\nat_s = 0.05\nfor_s = 0.3\n")
 	addr := f.Servers[0].Addr()
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -25,14 +25,14 @@
 // connUsedKey is the context key of a connection's *atomic.Bool. The value is true once the connection has had a request.
 type connUsedKey struct{}
 
-// ServeHTTP answers one request as the platform's protocol describes an app server. It implements http.Handler.
+// ServeHTTP responds to one request as the platform's protocol describes an app server. It implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sinceStart := time.Since(s.fleetStart)
 	if isFirstOnConn(r) && s.cfg.HandshakeMs > 0 {
 		time.Sleep(milliseconds(s.cfg.HandshakeMs))
 	}
 	if r.URL.Path == protocol.HealthPath || r.URL.Path == protocol.LoadPath {
-		s.answerHealthCheck(w, r)
+		s.respondToHealthCheck(w, r)
 		return
 	}
 	request := appserver.RequestOf(r)
@@ -62,7 +62,7 @@
 	case <-r.Context().Done():
 		return // The connection is closed. The request counts as executed, but the response has no reader.
 	}
-	s.answer(w, r, request.ID, behaviour.faults)
+	s.respond(w, r, request.ID, behaviour.faults)
 }
 
 // isFirstOnConn reports whether a request is the first on its connection. It may be called only once for each request.
@@ -98,8 +98,8 @@
 	return requestBehaviour{faults: faults, serviceTime: serviceTime, draining: s.draining}
 }
 
-// DrawServiceTime draws a log-normal service time for a request whose weight is the given number of units. Uptime is the time
-// since the server's start. The service time is longer while uptime is within the warm-up, and with slow faults.
+// DrawServiceTime draws a log-normal service time for a request whose weight is the given number of units. The parameter uptime
+// is the time since the server's start. The service time is longer while uptime is within the warm-up, and with slow faults.
 func DrawServiceTime(
 	cfg operatorfile.Emulator, rng *rand.Rand, units float64, uptime time.Duration, faults []Fault,
 ) time.Duration {
@@ -153,11 +153,11 @@
 }
 
 // answer responds to an executed request. The faults that affect the request may change, cut or suppress the response.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
 	body := "done " + id + "\n"
 	switch {
-	case HasKind(faults, LoseAnswer):
-		s.count(func(c *Stats) { c.AnswersLost++ })
+	case HasKind(faults, LoseResponse):
+		s.count(func(c *Stats) { c.ResponsesLost++ })
 		<-r.Context().Done()
 		return
 	case HasKind(faults, Error):
@@ -177,7 +177,7 @@
 	}
 	s.addLoadReport(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write([]byte(body)) // fails if the client has closed the connection
+	_, _ = w.Write([]byte(body)) // Write fails if the client has closed the connection.
 }
 
 // resetMidBody writes the response's head and half of its body, then resets the connection.
@@ -190,7 +190,7 @@
 	if err != nil {
 		return
 	}
-	_ = appserver.WriteHalfResponse(conn, body) // fails if the client has closed the connection
+	_ = appserver.WriteHalfResponse(conn, body) // The write fails if the client has closed the connection.
 	appserver.ResetConn(conn)
 }
 
@@ -202,9 +202,9 @@
 	http.Error(w, "turned away", http.StatusServiceUnavailable)
 }
 
-// answerHealthCheck responds to a health check or to a request for a load report. The status is 503 while the server drains,
+// respondToHealthCheck responds to a health check or to a request for a load report. The status is 503 while the server drains,
 // and 404 if health checks are disabled in the configuration.
-func (s *Server) answerHealthCheck(w http.ResponseWriter, r *http.Request) {
+func (s *Server) respondToHealthCheck(w http.ResponseWriter, r *http.Request) {
 	if !s.cfg.HealthChecks {
 		http.NotFound(w, r)
 		return
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -17,19 +17,19 @@
 // The kinds of fault. Restart and Drain affect the whole server. Each other kind affects a share of the requests for the
 // fault's duration.
 const (
-	Slow       Kind = "slow"    // The service time is multiplied by Factor.
-	Error      Kind = "error"   // The request is executed, and the response is 500.
-	Reset      Kind = "reset"   // The request is executed, and the connection is reset in the middle of the response's body.
-	Malform    Kind = "spoil"   // The request is executed, and the response is 200 with the body of another request.
-	Silence    Kind = "silence" // The request is read, but neither executed nor answered.
-	LoseAnswer Kind = "lose"    // The request is executed, but not answered.
-	Refuse     Kind = "refuse"  // The request is rejected with 503 and protocol.HeaderRejected.
-	Restart    Kind = "restart" // Connections are closed and refused for the duration. Then the server warms up.
-	Drain      Kind = "drain"   // New requests are rejected, and requests in flight finish. The duration is not used.
+	Slow         Kind = "slow"    // The service time is multiplied by Factor.
+	Error        Kind = "error"   // The request is executed, and the response is 500.
+	Reset        Kind = "reset"   // The request is executed, and the connection is reset in the middle of the response's body.
+	Malform      Kind = "spoil"   // The request is executed, and the response is 200 with the body of another request.
+	Silence      Kind = "silence" // The request is read, but not executed, and gets no response.
+	LoseResponse Kind = "lose"    // The request is executed, but gets no response.
+	Refuse       Kind = "refuse"  // The request is rejected with 503 and protocol.HeaderRejected.
+	Restart      Kind = "restart" // Connections are closed and refused for the duration. Then the server warms up.
+	Drain        Kind = "drain"   // New requests are rejected, and requests in flight finish. The duration is not used.
 )
 
 // allKinds are all valid kinds of fault.
-var allKinds = []Kind{Slow, Error, Reset, Malform, Silence, LoseAnswer, Refuse, Restart, Drain}
+var allKinds = []Kind{Slow, Error, Reset, Malform, Silence, LoseResponse, Refuse, Restart, Drain}
 
 // Defaults and bounds of a fault's optional keys, Probability and Factor.
 const (
@@ -153,7 +153,7 @@
 	return out
 }
 
-// HasKind reports whether one of the faults is of a kind.
+// HasKind reports whether any of the faults is of the given kind.
 func HasKind(faults []Fault, kind Kind) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return f.Kind == kind })
 }
--- a/internal/lab/emulator/schedule_test.go
+++ b/internal/lab/emulator/schedule_test.go
@@ -59,7 +59,7 @@
 		{Reset, 0, 3, 2, 1, 5},
 		{Malform, 0, 4, 2, 1, 5},
 		{Silence, 0, 5, 2, 1, 5},
-		{LoseAnswer, 0, 6, 2, 1, 5},
+		{LoseResponse, 0, 6, 2, 1, 5},
 		{Refuse, 0, 7, 2, 1, 5},
 		{Restart, 0, 8, 2, 1, 5},
 		{Drain, 0, 9, 2, 1, 5},
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -62,7 +62,7 @@
 	return s.executions.Count(id)
 }
 
-// Drain makes the server reject new requests and answer health checks with 503, while it still accepts connections.
+// Drain makes the server reject new requests and respond to health checks with 503, while it still accepts connections.
 // Requests in flight may finish within the configured grace. After that the server closes with all its connections.
 func (s *Server) Drain() {
 	s.mu.Lock()
--- a/internal/lab/emulator/transitions_test.go
+++ b/internal/lab/emulator/transitions_test.go
@@ -8,7 +8,8 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Guards against transitions that are out of order. They are sorted by time. At equal times, the starts of servers are last.
+// Guards against transitions that are out of order, which would run late. Transitions are sorted by time. At equal times,
+// the starts of servers are last.
 func TestTransitionsInOrder(t *testing.T) {
 	schedule, err := ParseSchedule(`
 [[fault]]
--- a/internal/lab/healthlab/faults.go
+++ b/internal/lab/healthlab/faults.go
@@ -56,7 +56,7 @@
 
 // updateFault begins or ends the scenario's fault, or executes its next step.
 func (s *simulation) updateFault() {
-	over := s.now >= s.faultEnds()
+	over := s.now >= s.faultEndsAt()
 	s.faultActive = !s.faultActive && !over
 	switch s.cfg.Scenario {
 	case scenarioVanish:
--- a/internal/lab/healthlab/healthlab.go
+++ b/internal/lab/healthlab/healthlab.go
@@ -72,9 +72,9 @@
 	WorstGapAt           float64 `json:"worst_gap_at_s"`                          // virtual time of the end of that gap
 	Checks               int64   `json:"checks"`                                  // number of checks
 	DuplicateChecks      int64   `json:"doubled"`                                 // number of checks within half an interval after a check by another node
-	MeanBytesPerSecond   float64 `json:"bytes_a_node_a_second"`                   // bytes sent by a node, mean of all nodes
-	MaxBytesPerSecond    float64 `json:"bytes_a_second_of_the_busiest_node"`      // bytes sent by the node that sent most
-	MaxMessagesPerSecond float64 `json:"messages_a_second_into_the_busiest_node"` // messages received by the node that received most
+	MeanBytesPerSecond   float64 `json:"bytes_a_node_a_second"`                   // bytes/s sent by a node, mean of all nodes
+	MaxBytesPerSecond    float64 `json:"bytes_a_second_of_the_busiest_node"`      // bytes/s sent by the node that sent most
+	MaxMessagesPerSecond float64 `json:"messages_a_second_into_the_busiest_node"` // messages/s received by the node that received most
 	Withheld             int64   `json:"held_back"`                               // number of messages dropped because of SendRate
 	FalseDeaths          int     `json:"wrong_deaths"`                            // number of live members that a node considers dead at the end, sum over all nodes
 	SettleTime           float64 `json:"settled_s"`                               // time from the fault's end until no node considers a live member dead; -1 for never
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -22,7 +22,7 @@
 				}
 				result, err := Simulate(cfg)
 				if err != nil {
-					t.Fatalf("the run with %+v returned the error: %v", cfg, err)
+					t.Fatalf("Simulate(%+v): got error %v, want none", cfg, err)
 				}
 				if result.WorstGap > 2*result.CheckInterval {
 					t.Errorf("%s, %d nodes, seed %d: a server had no check for %.1f s, want at most two intervals of %.1f s", scenario,
@@ -67,7 +67,7 @@
 		{Config{Nodes: 12, Servers: 9, Duration: time.Minute, Scenario: "storm"}, ErrUnknownScenario},
 	} {
 		if _, err := Simulate(c.config); !errors.Is(err, c.want) {
-			t.Errorf("the run with %+v returned the error %v, want %v", c.config, err, c.want)
+			t.Errorf("Simulate(%+v): got error %v, want %v", c.config, err, c.want)
 		}
 	}
 }
--- a/internal/lab/healthlab/resultformat_test.go
+++ b/internal/lab/healthlab/resultformat_test.go
@@ -22,7 +22,7 @@
 				Interval: 5 * time.Second,
 			})
 			if err != nil {
-				t.Fatalf("the run of the scenario %s returned the error: %v", scenario, err)
+				t.Fatalf("Simulate of the scenario %s: got error %v, want none", scenario, err)
 			}
 			got, err := json.Marshal(result)
 			if err != nil {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -65,11 +65,11 @@
 	return s
 }
 
-// faultBegins returns the virtual time at which the scenario's fault begins.
-func (s *simulation) faultBegins() time.Duration { return s.cfg.Duration / 3 }
+// faultBeginsAt returns the virtual time at which the scenario's fault begins.
+func (s *simulation) faultBeginsAt() time.Duration { return s.cfg.Duration / 3 }
 
-// faultEnds returns the virtual time at which the scenario's fault ends.
-func (s *simulation) faultEnds() time.Duration { return 2 * (s.cfg.Duration / 3) }
+// faultEndsAt returns the virtual time at which the scenario's fault ends.
+func (s *simulation) faultEndsAt() time.Duration { return 2 * (s.cfg.Duration / 3) }
 
 // start starts a node as a new incarnation, without any state of earlier ones.
 func (s *simulation) start(id int) {
@@ -103,9 +103,9 @@
 
 // run runs the whole simulation.
 func (s *simulation) run() {
-	s.queue.schedule(event{at: s.faultBegins(), kind: eventFault})
-	s.queue.schedule(event{at: s.faultEnds(), kind: eventFault})
-	s.queue.schedule(event{at: s.faultEnds() + sampleInterval, kind: eventSample})
+	s.queue.schedule(event{at: s.faultBeginsAt(), kind: eventFault})
+	s.queue.schedule(event{at: s.faultEndsAt(), kind: eventFault})
+	s.queue.schedule(event{at: s.faultEndsAt() + sampleInterval, kind: eventSample})
 	for s.queue.Len() > 0 {
 		e := s.queue.next()
 		if e.at > s.cfg.Duration {
@@ -164,16 +164,16 @@
 	s.queue.schedule(event{at: n.timerAt, kind: eventTimer, node: id, incarnation: n.incarnation})
 }
 
-// recordCheck records that the node by begins a check of the server with the given index.
-func (s *simulation) recordCheck(index, by int) {
-	server := &s.servers[index]
+// recordCheck records that a node begins a check of the server with the given index.
+func (s *simulation) recordCheck(serverIndex, nodeID int) {
+	server := &s.servers[serverIndex]
 	s.result.Checks++
-	halfInterval := s.nodes[by].scheduler.Interval() / 2
-	if server.checkedBy != noNode && server.checkedBy != by && s.now-server.checkedAt < halfInterval {
+	halfInterval := s.nodes[nodeID].scheduler.Interval() / 2
+	if server.checkedBy != noNode && server.checkedBy != nodeID && s.now-server.checkedAt < halfInterval {
 		s.result.DuplicateChecks++
 	}
 	s.recordGap(server.checkedAt, s.now)
-	server.checkedAt, server.checkedBy = s.now, by
+	server.checkedAt, server.checkedBy = s.now, nodeID
 }
 
 // recordGap records a time without a check of a server, if it is the longest so far.
@@ -195,7 +195,7 @@
 	if falseDeaths > 0 {
 		s.result.SettleTime = -1
 	} else if s.result.SettleTime < 0 {
-		s.result.SettleTime = (s.now - s.faultEnds()).Seconds()
+		s.result.SettleTime = (s.now - s.faultEndsAt()).Seconds()
 	}
 	s.queue.schedule(event{at: s.now + sampleInterval, kind: eventSample})
 }
--- a/internal/lab/histogram/histogram_test.go
+++ b/internal/lab/histogram/histogram_test.go
@@ -6,7 +6,7 @@
 )
 
 // Times are recorded to three digits and clamped to the histogram's range. Without the clamping, the histogram would drop times
-// outside it. An empty histogram has quantiles of 0.
+// outside the range. An empty histogram has quantiles of 0.
 func TestRecordClampsToRange(t *testing.T) {
 	h := New()
 	if got := QuantileMs(h, 99); got != 0 {
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -75,7 +75,7 @@
 	}
 	generator.startedAt = time.Now().Add(-50 * time.Millisecond)
 	generator.send(context.Background(), Arrival{Class: 0, Customer: 1})
-	if lag, took := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || took < 40_000 {
-		t.Fatalf("a request sent 50 ms late has a lag of %d µs and a latency of %d µs, want at least 40000 each", lag, took)
+	if lag, latency := generator.result.Lag.Max(), generator.result.Latency.Max(); lag < 40_000 || latency < 40_000 {
+		t.Fatalf("a request sent 50 ms late has a lag of %d µs and a latency of %d µs, want at least 40000 each", lag, latency)
 	}
 }
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -1,6 +1,7 @@
 package model
 
 import (
+	"fmt"
 	"time"
 
 	"cherrygap/internal/lab/emulator"
@@ -36,17 +37,19 @@
 
 // ConfigError is the error of an invalid configuration.
 type ConfigError struct {
-	Setting string // name of the setting or settings, with the value if there is only one
+	Setting string // name and value of each setting that the error is about
 	Reason  string // requirement that the value does not meet
 }
 
-// Error returns the setting and the reason, after the name of the package.
+// Error returns the settings and the reason, after the name of the package.
 func (e *ConfigError) Error() string { return "model: " + e.Setting + " " + e.Reason }
 
 // validate returns a *ConfigError if the configuration is invalid.
 func (c *Config) validate() error {
 	if c.Nodes < 1 || c.Server.Servers < 1 || !(c.Seconds > 0) {
-		return &ConfigError{"nodes, servers and seconds", "must be above 0"}
+		return &ConfigError{
+			fmt.Sprintf("nodes %d, servers %d and seconds %v", c.Nodes, c.Server.Servers, c.Seconds), "must be above 0",
+		}
 	}
 	switch c.Policy {
 	case DecisionEngine, RoundRobin, LeastBusy:
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -99,9 +99,9 @@
 		text   string
 	}{
 		{"policy", func(c *Config) { c.Policy = "fastest" }, `model: policy "fastest" is none of module, round-robin, late`},
-		{"nodes", func(c *Config) { c.Nodes = 0 }, "model: nodes, servers and seconds must be above 0"},
-		{"servers", func(c *Config) { c.Server.Servers = 0 }, "model: nodes, servers and seconds must be above 0"},
-		{"seconds", func(c *Config) { c.Seconds = math.NaN() }, "model: nodes, servers and seconds must be above 0"},
+		{"nodes", func(c *Config) { c.Nodes = 0 }, "model: nodes 0, servers 8 and seconds 20 must be above 0"},
+		{"servers", func(c *Config) { c.Server.Servers = 0 }, "model: nodes 6, servers 0 and seconds 20 must be above 0"},
+		{"seconds", func(c *Config) { c.Seconds = math.NaN() }, "model: nodes 6, servers 8 and seconds NaN must be above 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig(t, DecisionEngine, "")
--- a/internal/lab/model/series_test.go
+++ b/internal/lab/model/series_test.go
@@ -86,9 +86,9 @@
 // DecisionEngine, the engine's decisions.
 func TestSeriesFormatAndFigures(t *testing.T) {
 	for _, c := range []struct {
-		policy Policy
-		first  string // first two lines of the series
-		digest string // SHA-256 digest of numbersOf, in hexadecimal
+		policy     Policy
+		firstLines string // first two lines of the series
+		digest     string // SHA-256 digest of numbersOf, in hexadecimal
 	}{
 		{
 			DecisionEngine, `{"t":0,"arrived":874,"outcomes":{"bounced":242,"broken":0,"completed":612,"gave_up":0},"p50_ms":22.591,"p95_ms":81.151,"p99_ms":106.559,"load_mean":0.3125,"load_max":0.625,"open":20,"twice":0,"servers_up":8}
@@ -120,8 +120,8 @@
 			if len(lines) < 20 {
 				t.Fatalf("the series has %d lines, want at least 20", len(lines))
 			}
-			if got := lines[0] + lines[1]; got != c.first {
-				t.Errorf("the first two lines of the series are\n%swant\n%s", got, c.first)
+			if got := lines[0] + lines[1]; got != c.firstLines {
+				t.Errorf("the first two lines of the series are\n%swant\n%s", got, c.firstLines)
 			}
 			for i, line := range lines[:len(lines)-1] {
 				if got := keysOf(t, []byte(line)); got != wantSeriesKeys {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -127,7 +127,7 @@
 			a.outcome = protocol.ConnectionReset
 		case emulator.Malform:
 			a.outcome = protocol.MalformedResponse
-		case emulator.LoseAnswer:
+		case emulator.LoseResponse:
 			a.responseLost = true
 		}
 	}
--- a/internal/lab/nodeprocess/node.go
+++ b/internal/lab/nodeprocess/node.go
@@ -47,12 +47,12 @@
 	return []string{"GW_CONFIG=" + ConfigPath(dir, name), "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY="}
 }
 
-// AwaitReady waits until the node at addr answers a health check with 200. It returns a *NotReadyError if the process ends
+// AwaitReady waits until the node at addr responds to a health check with 200. It returns a *NotReadyError if the process ends
 // first or timeout passes, and the error of ctx if ctx ends.
 func (p *Process) AwaitReady(ctx context.Context, addr string, timeout time.Duration) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < timeout {
-		if answersHealthCheck(ctx, addr) {
+		if passesHealthCheck(ctx, addr) {
 			return nil
 		}
 		select {
@@ -66,9 +66,9 @@
 	return &NotReadyError{Name: p.name, After: timeout, LogLine: p.LastLogLine()}
 }
 
-// answersHealthCheck reports whether the node at addr answers a health check with 200. It leaves no connection open, because an
-// idle connection would count against the node's file descriptors.
-func answersHealthCheck(ctx context.Context, addr string) bool {
+// passesHealthCheck reports whether the node at addr responds to a health check with 200. It leaves no connection open,
+// because an idle connection would count against the node's file descriptors.
+func passesHealthCheck(ctx context.Context, addr string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.HealthPath, nil)
 	if err != nil {
 		return false
--- a/internal/lab/nodeprocess/nodeprocess_test.go
+++ b/internal/lab/nodeprocess/nodeprocess_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against a wait that ends before the node is ready or goes on without need. A node is ready once it answers a health
-// check with 200. The end of the process, the timeout and the end of ctx each end the wait with an error.
+// Guards against a wait that ends before the node is ready or continues without need. A node is ready once it responds to a
+// health check with 200. The end of the process, the timeout and the end of ctx each end the wait with an error.
 func TestAwaitReady(t *testing.T) {
 	var checks atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -84,7 +84,7 @@
 	server.Close()
 	var notReady *NotReadyError
 	if err := running.AwaitReady(t.Context(), addr, 30*time.Millisecond); !errors.As(err, &notReady) || notReady.Exited || notReady.LogLine != "up" {
-		t.Errorf("AwaitReady without an answer: got error %v, want a NotReadyError with Exited false and log line \"up\"", err)
+		t.Errorf("AwaitReady of a node that does not respond: got error %v, want a NotReadyError with Exited false and log line \"up\"", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/lab/nodeprocess/process.go
+++ b/internal/lab/nodeprocess/process.go
@@ -30,7 +30,7 @@
 	exited  chan struct{} // channel that is closed once the process has ended and was waited for
 }
 
-// Ending tells whether Stop had to kill a process.
+// Ending states whether Stop had to kill a process.
 type Ending int
 
 const (
--- a/internal/lab/report/earlier_test.go
+++ b/internal/lab/report/earlier_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// The report of the series of an earlier version has the same table and the same files as in that version.
+// The report of the series of an earlier version has the same table and the same files as in that version. A changed column or
+// file name would make reports of two versions incomparable.
 func TestEarlierSeriesGiveTheSameReport(t *testing.T) {
 	runs := readEarlierSeries(t)
 	const table = `# runs
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -54,11 +54,11 @@
 	list := []chart{
 		{"goodput.png", "completed / s", "completed requests a second", completedRequests},
 		{"latency.png", "ms", "p99 latency of completed requests", p99Latency},
-		{"outcomes.png", "rejected + failed + gave up / s", "requests not completed a second", uncompletedRequests},
+		{"outcomes.png", "rejected + failed + timed out / s", "requests not completed a second", uncompletedRequests},
 	}
 	for _, run := range runs {
 		if run.Samples[0].LoadMax != nil {
-			return append(list, chart{"load.png", "work in hand / concurrency", "load of the busiest server", busiestServerLoad})
+			return append(list, chart{"load.png", "attempts / concurrency", "load of the busiest server", busiestServerLoad})
 		}
 	}
 	return list
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -68,7 +68,7 @@
 				t.Fatal(err)
 			}
 			if len(x) == 0 || !bytes.Equal(x, y) {
-				t.Error("the file of the second call of Write differs from that of the first, or is empty; want the same bytes")
+				t.Errorf("two calls of Write wrote files of %d and %d bytes, want two equal files that are not empty", len(x), len(y))
 			}
 		})
 	}
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -24,7 +24,7 @@
 	// faultFailover loses the most recent writes and closes all connections. At its end each lost write returns with
 	// probability 1/2.
 	faultFailover FaultKind = "failover"
-	// faultForget loses each write with probability Fault.Chance.
+	// faultForget loses each write with probability Fault.LossProbability.
 	faultForget FaultKind = "forget"
 	// faultFull rejects writes and all transactions.
 	faultFull FaultKind = "full"
@@ -55,7 +55,8 @@
 	}
 	inRange := f.StartS >= 0 && f.DurationS >= 0 && f.DelayMs >= 0 && f.LossWindowMs >= 0 && f.LossProbability >= 0 && f.LossProbability <= 1
 	if !inRange { // also true for NaN
-		return fmt.Errorf("%w: a value of %+v is out of range: chance has to be 0 to 1, the others 0 or more", ErrInvalidFault, f)
+		return fmt.Errorf("%w: at_s %v, for_s %v, delay_ms %v or lose_ms %v is not 0 or more, or chance %v is not 0 to 1",
+			ErrInvalidFault, f.StartS, f.DurationS, f.DelayMs, f.LossWindowMs, f.LossProbability)
 	}
 	return nil
 }
@@ -68,7 +69,7 @@
 	}
 	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return nil, fmt.Errorf("fault schedule: %w", err)
+		return nil, fmt.Errorf("fault schedule %s: %w", path, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%w: %s: %s: no such key", ErrInvalidFault, path, unknown[0])
@@ -81,7 +82,7 @@
 	return file.Fault, nil
 }
 
-// isActive reports whether a fault of a kind is active. The caller holds s.mu.
+// isActive reports whether a fault of the given kind is active. The caller holds s.mu.
 func (s *Server) isActive(kind FaultKind) bool {
 	_, active := s.faults[kind]
 	return active
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -37,7 +37,7 @@
 			}
 			got, err := LoadSchedule(path)
 			if !reflect.DeepEqual(got, c.want) || errors.Is(err, ErrInvalidFault) != c.invalid || (err != nil) != c.invalid {
-				t.Errorf("LoadSchedule of %q = %+v, %v, want %+v, an ErrInvalidFault: %v", c.text, got, err, c.want, c.invalid)
+				t.Errorf("LoadSchedule of %q = %+v, %v, want %+v and an error that wraps ErrInvalidFault: %v", c.text, got, err, c.want, c.invalid)
 			}
 		})
 	}
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -154,7 +154,7 @@
 	checkReplies(t, server, replyCases)
 	counts := fmt.Sprint(server.CommandCounts())
 	if want := "map[BAD:1 CLIENT:2 DEL:2 EXPIRE:4 FLY:1 GET:8 HELLO:1 HGETALL:4 HSET:5 INCRBY:6 PEXPIRE:2 PING:2 SELECT:1 SET:5 SETNX:3]"; counts != want {
-		t.Errorf("Applied() = %s, want %s", counts, want)
+		t.Errorf("CommandCounts() = %s, want %s", counts, want)
 	}
 }
 
--- a/internal/lab/syscallfault/injector.go
+++ b/internal/lab/syscallfault/injector.go
@@ -146,7 +146,7 @@
 	if errno == 0 || errno == unix.ENOENT || errno == unix.EINTR {
 		return nil
 	}
-	return fmt.Errorf("seccomp notification: %w", errno)
+	return fmt.Errorf("receive or answer a seccomp notification: %w", errno)
 }
 
 // ioctl calls ioctl(2) and returns its error, or 0.
