--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -10,7 +10,8 @@
 // A server counts how often it began to execute each request ID. With the counts a test can prove that no unsafe request was
 // executed twice.
 //
-// Random draws come from math/rand/v2 (PCG), with a seed for each server. The wall clock only decides when events happen.
+// Random draws come from math/rand/v2 (PCG), with a seed for each server. Only the wrong ID in a malformed response is drawn
+// without the seed. The wall clock only decides when events happen.
 package emulator
 
 import (
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -22,6 +22,7 @@
 	// TimedOut is the outcome of a request without a response within the class's budget.
 	TimedOut
 
+	// outcomeCount is the number of outcomes.
 	outcomeCount
 )
 
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -64,7 +64,7 @@
 	s.executeDecisions(n)
 }
 
-// spread returns the number of nodes in each tenant's set.
+// spread returns the number of nodes in each tenant's set, which are the nodes that receive the tenant's requests.
 func (s *Simulation) spread() int { return min(max(1, s.cfg.Traffic.Spread), s.cfg.Nodes) }
 
 // canceller lets the engine cancel a request's attempts.
