--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -156,7 +156,7 @@
 	}{
 		"cancelled while running": {time.Second, func(*testing.T, *scale.Config) {}, "stopped by"},
 		"cancelled at the start":  {30 * time.Millisecond, func(*testing.T, *scale.Config) {}, "stopped by"},
-		"time limit":              {time.Minute, func(_ *testing.T, c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "hard stop"},
+		"time limit":              {time.Minute, func(_ *testing.T, c *scale.Config) { c.Duration, c.TimeLimit = time.Second, time.Second }, "time limit of 1s"},
 		"node not started":        {time.Minute, blockNodeFile, "real1.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -177,7 +177,7 @@
 	section.recordDirect(took)
 }
 
-var errUnexpectedResponse = errors.New("the response has not the form of an app server's response")
+var errUnexpectedResponse = errors.New("the response does not have the form of an app server's response")
 
 // serverNumber returns the number of the server that wrote a response's body. The number is the last of three fields.
 func serverNumber(body string) (int, error) {
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -80,9 +80,9 @@
 		r.ConnectFailed += s.connectFailed.Load()
 		r.Unanswered += s.unanswered.Load()
 		r.DirectFailed += s.directFailed.Load()
-		line := s.result()
-		line.SimulatedP99 = s.simulated.P99
-		r.Sections = append(r.Sections, line)
+		figures := s.result()
+		figures.SimulatedP99 = s.simulated.P99
+		r.Sections = append(r.Sections, figures)
 		if i > 0 {
 			s.mu.Lock()
 			viaNode.Merge(s.viaNode)
@@ -96,7 +96,8 @@
 	r.AddedP50, r.AddedP99 = r.ViaNodeP50-r.DirectP50, r.ViaNodeP99-r.DirectP99
 }
 
-// collectProcesses sets the memory of all child processes, the restarts, and the number of real nodes that exited early.
+// collectProcesses sets the memory of all child processes, the restarts, and the number of the real nodes' processes that exited
+// before SIGTERM.
 func (r *Result) collectProcesses(run *run) {
 	for _, n := range run.nodes {
 		memory := n.recordMemory()
@@ -110,11 +111,11 @@
 
 // collectPeerTraffic sets the messages and bytes per second and simulated node, by kind of message.
 func (r *Result) collectPeerTraffic(report *nodesReport, nodes int) {
-	r.Peers, r.BroadcastsLost = map[string]PeerBytes{}, report.BroadcastsLost
+	r.Peers, r.BroadcastsLost = map[string]PeerRates{}, report.BroadcastsLost
 	perNode := 1 / (report.DurationS * float64(max(1, nodes)))
 	for _, p := range report.Peers {
 		if p.In+p.Out > 0 {
-			r.Peers[kindName(p.Kind)] = PeerBytes{
+			r.Peers[kindName(p.Kind)] = PeerRates{
 				In: float64(p.In) * perNode, InBytes: float64(p.InBytes) * perNode,
 				Out: float64(p.Out) * perNode, OutBytes: float64(p.OutBytes) * perNode,
 			}
--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -26,7 +26,7 @@
 	FaultChanges        = "changes" // servers drain, are removed, are added or change their weight, one after another
 	FaultRollingRestart = "roll"    // all nodes restart: real ones one after another, simulated ones in batches
 	FaultZoneLoss       = "zone"    // a zone's servers fail, are removed from the list, and are restarted and listed as new
-	FaultWatchLoss      = "watch"   // discovery's agent closes all watches at once; each node then gets the full list
+	FaultWatchLoss      = "watch"   // the discovery agent closes all watches at once; each node then gets the full list
 )
 
 // Faults lists the names of all faults in the order in which a run executes them.
--- a/internal/lab/scale/descriptors.go
+++ b/internal/lab/scale/descriptors.go
@@ -13,7 +13,7 @@
 
 // descriptorNeed is the number of descriptors that one process of a kind needs.
 type descriptorNeed struct {
-	process     string // kind of process, as it begins an error message
+	process     string // plural description of the process, which begins an error message
 	descriptors int
 	flag        string // flag whose value the user can lower to reduce the number
 }
@@ -22,10 +22,10 @@
 func (c *Config) descriptorNeeds() []descriptorNeed {
 	clientConns := c.Real * c.Sockets / 2
 	return []descriptorNeed{
-		{"the lab (agent and clients)", baseDescriptors + c.Real*(c.Sockets/2+connsPerWatch) + connsPerWatch + maxDirectConns, "--real"},
+		{"the lab's agent and clients", baseDescriptors + c.Real*(c.Sockets/2+connsPerWatch) + connsPerWatch + maxDirectConns, "--real"},
 		{"the simulated app servers", baseDescriptors + c.Servers + c.spareServers() + clientConns + maxDirectConns, "--servers"},
 		{"the simulated nodes", baseDescriptors + c.Simulated + c.Real + 1 + connsPerWatch, "--simulated"},
-		{"a real node", c.Sockets, "--sockets"},
+		{"the sockets of a real node", c.Sockets, "--sockets"},
 	}
 }
 
@@ -46,7 +46,7 @@
 
 // DescriptorError is the error of a run that needs more descriptors than a process may have.
 type DescriptorError struct {
-	Process string // kind of process
+	Process string // plural description of the process
 	Need    int    // number of descriptors that the process needs
 	Limit   uint64 // number of descriptors that the process may open
 	Flag    string // flag whose value the user can lower to reduce Need
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -14,8 +14,8 @@
 	maxChanges         = 40
 	changedWeight      = 1.25                   // weight of a server after a change of weight; it was 1 before
 	loadBalancerDelay  = 200 * time.Millisecond // time after a node's SIGTERM in which clients still send to the node
-	watchOutage        = 100 * time.Millisecond
-	restartBatches     = 10 // number of batches in which the simulated nodes restart
+	watchOutage        = 100 * time.Millisecond // time in which the agent accepts no watch after it has closed all watches
+	restartBatches     = 10                     // number of batches in which the simulated nodes restart
 	maxRestartDowntime = time.Second
 )
 
@@ -33,8 +33,8 @@
 	weight   float64   // weight of the servers; 0: unchanged
 }
 
-// publish publishes a change of servers in discovery and records it for the result. It tells the app servers that a drain
-// begins or that they are in service again.
+// publish publishes a change of servers in discovery and records it for the result. It notifies the app servers of a
+// drain, or of their return to service.
 func (r *run) publish(change listChange, servers ...int) error {
 	mustApply := make([]bool, len(r.nodes))
 	for i, n := range r.nodes {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// unchangedServer returns the first server, in cyclic order from the number from on, that no change has affected. It returns
-// false if there is none.
+// unchangedServer returns the first server that no change has affected, in cyclic order beginning with from. It returns false if
+// there is none.
 func (r *run) unchangedServer(from int) (server int, ok bool) {
 	for k := range r.cfg.Servers {
 		if i := (from + k) % r.cfg.Servers; !r.changedServers[i] {
@@ -137,7 +137,7 @@
 		err       error
 	}
 	simulated := make(chan outcome, 1)
-	go func() { // ends after the last batch, or when the worker ends
+	go func() { // The goroutine ends after the last batch, or when the worker ends.
 		restarted, err := r.restartSimulated(length)
 		simulated <- outcome{restarted, err}
 	}()
--- a/internal/lab/scale/incarnation.go
+++ b/internal/lab/scale/incarnation.go
@@ -45,9 +45,9 @@
 	return inc
 }
 
-// timerFired calls the engine's periodic task, or retries later while some node has no endpoint list. Otherwise the periodic
-// tasks of nodes that have a list would delay the setup by minutes. The task is
-// skipped for an ended incarnation without requests.
+// timerFired calls the engine's periodic task. While some node has no endpoint list, timerFired only retries later, because the
+// periodic tasks of the other nodes would delay the setup by minutes. For an ended incarnation without requests, timerFired
+// skips the task.
 func (n *simulatedNode) timerFired(inc *incarnation) {
 	select {
 	case <-n.fleet.ready:
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// discoveryClient returns a client that watches discovery's agent at an address and passes each list to all nodes.
+// discoveryClient returns a client that watches the discovery agent at an address and passes each list to all nodes.
 func (f *nodeFleet) discoveryClient(agent string) *discovery.Client {
 	none := zerolog.Nop()
 	var first sync.Once
--- a/internal/lab/scale/nodepeers.go
+++ b/internal/lab/scale/nodepeers.go
@@ -103,14 +103,14 @@
 }
 
 // messageCounts returns the counts of messages so far, in the order of messageKinds.
-func (p *peerNetwork) messageCounts() (out []peerTraffic) {
+func (p *peerNetwork) messageCounts() (counts []peerTraffic) {
 	for i, kind := range messageKinds {
 		t := &p.traffic[i]
-		out = append(out, peerTraffic{
+		counts = append(counts, peerTraffic{
 			Kind: kind.firstByte, In: t.in.Load(), InBytes: t.inBytes.Load(), Out: t.out.Load(), OutBytes: t.outBytes.Load(),
 		})
 	}
-	return out
+	return counts
 }
 
 // queueBroadcast queues a copy of a message for all simulated nodes but the sender. It does not block: if the queue is full,
--- a/internal/lab/scale/nodesprotocol.go
+++ b/internal/lab/scale/nodesprotocol.go
@@ -25,7 +25,7 @@
 type nodesCommand struct {
 	Verb    nodesVerb `json:"do"`
 	Real    []string  `json:"real,omitempty"`    // peer addresses of the real nodes, by node number
-	Agent   string    `json:"agent,omitempty"`   // address of discovery's agent, for all simulated nodes
+	Agent   string    `json:"agent,omitempty"`   // address of the discovery agent, for all simulated nodes
 	Servers []int     `json:"servers,omitempty"` // server numbers
 	Nodes   []int     `json:"nodes,omitempty"`   // numbers among the simulated nodes, from 0
 	Ms      int       `json:"ms,omitempty"`      // downtime of a restart, milliseconds
@@ -51,7 +51,7 @@
 	nodesSectionCounts
 	Unanswered     int64            `json:"unanswered"`  // requests without a response at the end of the run
 	Duplicates     int64            `json:"doubled"`     // unsafe requests that servers executed more than once
-	LateSends      int64            `json:"late"`        // attempts after a drain's notice, drainGrace and violationTolerance
+	LateSends      int64            `json:"late"`        // attempts over drainGrace and violationTolerance after a drain's notice
 	AttemptsBegun  []int64          `json:"load"`        // attempts that a server began to execute, by server number
 	Lists          []listApplyTimes `json:"lists"`       // one element for each endpoint list, in the order of arrival
 	Peers          []peerTraffic    `json:"peers"`       // one element for each kind of message
@@ -89,7 +89,7 @@
 	At       []int64 `json:"at"`  // time in Unix µs, by simulated node from 0; 0: the node was down
 }
 
-// peerTraffic counts datagrams of one kind at all simulated nodes.
+// peerTraffic counts the peer messages of one kind at all simulated nodes.
 type peerTraffic struct {
 	Kind     byte  `json:"mark"` // first byte of the messages; 0: all other kinds
 	In       int64 `json:"in"`
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -20,7 +20,7 @@
 	number        int
 	clientAddr    string           // address for clients
 	peerAddr      string           // address for peer messages
-	agentAddr     string           // address of discovery's agent
+	agentAddr     string           // address of the discovery agent
 	peerAddrs     []netip.AddrPort // peer addresses of all nodes, by node number
 	broadcastAddr string           // address whose datagrams reach all nodes
 
@@ -92,7 +92,7 @@
 		return
 	}
 	ended := make(chan nodeprocess.Ending, 1)
-	go func() { ended <- p.Stop(syscall.SIGTERM, sigkillDelay) }() // ends with the process
+	go func() { ended <- p.Stop(syscall.SIGTERM, sigkillDelay) }() // The goroutine ends with the process.
 	time.Sleep(clientDelay)
 	n.setAccepting(false)
 	if <-ended == nodeprocess.Killed {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -48,7 +48,7 @@
 	DiscoveryFullBytes   float64              `json:"discovery_whole_bytes_s"`
 	DiscoveryChangeBytes float64              `json:"discovery_changes_bytes_s"`
 	DiscoveryFullLists   float64              `json:"discovery_whole_lists"`
-	Peers                map[string]PeerBytes `json:"peers"`
+	Peers                map[string]PeerRates `json:"peers"`
 	BroadcastsLost       int64                `json:"peers_all_lost"`
 
 	Changes           int     `json:"changes"`
@@ -92,8 +92,8 @@
 	Unanswered int64 `json:"unanswered"`
 }
 
-// PeerBytes holds the rates of one kind of peer message, per simulated node and second.
-type PeerBytes struct {
+// PeerRates holds the messages and bytes of one kind of peer message, per simulated node and second.
+type PeerRates struct {
 	In       float64 `json:"in_s"`
 	InBytes  float64 `json:"in_bytes_s"`
 	Out      float64 `json:"out_s"`
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -64,7 +64,7 @@
 	}
 	defer remove()
 	cfg.Dir = dir
-	ctx, cancel := context.WithTimeoutCause(ctx, cfg.TimeLimit, fmt.Errorf("the hard stop, %v after the start", cfg.TimeLimit))
+	ctx, cancel := context.WithTimeoutCause(ctx, cfg.TimeLimit, fmt.Errorf("the time limit of %v", cfg.TimeLimit))
 	defer cancel()
 	r := &run{cfg: cfg, changedServers: map[int]bool{}}
 	defer r.close()
@@ -204,7 +204,7 @@
 func (r *run) runIdle(ctx context.Context, length time.Duration, result *Result) error {
 	r.clients.sending.Store(false)
 	answered := make(chan struct{})
-	go func() { r.clients.inFlight.Wait(); close(answered) }() // ends with the last request
+	go func() { r.clients.inFlight.Wait(); close(answered) }() // The goroutine ends with the last request.
 	select {
 	case <-answered:
 	case <-ctx.Done():
--- a/internal/lab/scale/setup.go
+++ b/internal/lab/scale/setup.go
@@ -22,7 +22,7 @@
 	cells           = 4096
 )
 
-// setUp starts the app servers, the simulated nodes, discovery's agent and the real nodes. It returns when all nodes have an
+// setUp starts the app servers, the simulated nodes, the discovery agent and the real nodes. It returns when all nodes have an
 // endpoint list.
 func (r *run) setUp(ctx context.Context) error {
 	servers, addresses, err := r.startWorkers(ctx)
@@ -131,7 +131,7 @@
 func (r *run) startRealNodes(ctx context.Context) error {
 	started := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
-		go func() { started <- n.start(ctx, &r.cfg, r.agent.Snapshot(0), 0) }() // ends after nodeStartTimeout at the latest
+		go func() { started <- n.start(ctx, &r.cfg, r.agent.Snapshot(0), 0) }() // The goroutine ends within nodeStartTimeout.
 	}
 	var err error
 	for range r.nodes {
--- a/internal/lab/scale/worker.go
+++ b/internal/lab/scale/worker.go
@@ -82,7 +82,7 @@
 // closeInput closes the worker's standard input, which lets the worker end. It stops a worker that does not end within
 // workerExitTimeout.
 func (w *worker) closeInput() {
-	_ = w.stdin.Close() // fails if the worker has ended
+	_ = w.stdin.Close() // The call fails if the worker has ended.
 	select {
 	case <-w.process.Exited():
 	case <-time.After(workerExitTimeout):
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -32,7 +32,7 @@
 	CappedAttempts      int64 `json:"capped"` // first attempts under a hard ceiling
 	Resent              int64 `json:"resent"` // times that a request was sent again after its connection was closed
 	MalformedClients    int64 `json:"bad_clients"`
-	SlackExtended       int64 `json:"late_harness"` // checks whose tolerance was extended because this process was delayed
+	ExtendedTolerances  int64 `json:"late_harness"` // checks whose tolerance was extended because this process was delayed
 }
 
 func newChecker(lag *lagMeter, runDuration time.Duration, nodes int) *checker {
@@ -127,7 +127,7 @@
 	r.answered, r.status = true, status
 	c.counts.Answered++
 	c.statuses[status]++
-	if late := now.Sub(r.deadline()) - c.slackAt(lateResponseSlack, now); late > 0 {
+	if late := now.Sub(r.deadline()) - c.toleranceAt(lateResponseTolerance, now); late > 0 {
 		c.recordViolationLocked(ruleResponse, r.node, r.id, "the response with status %d came %v after the deadline and its tolerance",
 			status, late)
 	}
@@ -149,11 +149,12 @@
 	}
 }
 
-// slackAt returns slack plus harnessSlack and the scheduling delay of this process around a moment. The caller holds the lock.
-func (c *checker) slackAt(slack time.Duration, at time.Time) time.Duration {
+// toleranceAt returns tolerance plus harnessTolerance and the scheduling delay of this process around a moment. It counts a delay
+// above harnessTolerance. The caller holds the lock.
+func (c *checker) toleranceAt(tolerance time.Duration, at time.Time) time.Duration {
 	lag := c.lag.maxAround(at)
-	if lag > harnessSlack {
-		c.counts.SlackExtended++
+	if lag > harnessTolerance {
+		c.counts.ExtendedTolerances++
 	}
-	return slack + harnessSlack + lag
+	return tolerance + harnessTolerance + lag
 }
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -144,7 +144,7 @@
 	{"no response", func(h *history) {
 		h.addAttempt(h.send(safeClass, "a", 0), 5*ms, 20*ms)
 	}, []Rule{ruleResponse}},
-	{"no response, but the client closed", func(h *history) {
+	{"no response, but the client closed the connection", func(h *history) {
 		r := h.send(safeClass, "a", 0)
 		h.addAttempt(r, 5*ms, 20*ms)
 		h.closeClient(r)
@@ -157,50 +157,50 @@
 		h.addAttempt(h.send(safeClass, "a", 0), 5*ms, 20*ms)
 		h.checker.waiveOpenRequests(testNode + 1)
 	}, []Rule{ruleResponse}},
-	{"response at the end of the slack", func(h *history) {
+	{"response at the end of the tolerance", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.respond(r, r.timeout+lateResponseSlack+harnessSlack, statusCompleted)
+		h.respond(r, r.timeout+lateResponseTolerance+harnessTolerance, statusCompleted)
 	}, nil},
-	{"response after the slack", func(h *history) {
+	{"response after the tolerance", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.respond(r, r.timeout+lateResponseSlack+harnessSlack+ms, statusCompleted)
+		h.respond(r, r.timeout+lateResponseTolerance+harnessTolerance+ms, statusCompleted)
 	}, []Rule{ruleResponse}},
 	{"two responses", func(h *history) {
 		r := h.send(safeClass, "a", 0)
 		h.respond(r, 20*ms, statusCompleted)
 		h.respond(r, 21*ms, statusCompleted)
 	}, []Rule{ruleResponse}},
-	{"sent again, but the node had not read it", func(h *history) {
+	{"sent again, but the node had not read the request", func(h *history) {
 		r := h.send(unsafeClass, "a", 0)
 		h.respond(r, 20*ms, http.StatusBadGateway)
 	}, nil},
-	{"sent again, but the node had read it", func(h *history) {
+	{"sent again, but the node had read the request", func(h *history) {
 		r := h.send(unsafeClass, "a", 0)
 		h.respond(r, 20*ms, http.StatusConflict)
 	}, []Rule{ruleCloseAfterRead}},
-	{"attempt within the slack after the client's close", func(h *history) {
+	{"attempt within the tolerance after the client's close", func(h *history) {
 		r := h.send(safeClass, "a", 0)
 		h.closeClient(r)
-		h.addAttempt(r, clientCloseTime+clientCloseSlack+harnessSlack, 200*ms)
+		h.addAttempt(r, clientCloseTime+clientCloseTolerance+harnessTolerance, 200*ms)
 	}, nil},
-	{"attempt after the client's close and the slack", func(h *history) {
+	{"attempt after the client's close and the tolerance", func(h *history) {
 		r := h.send(safeClass, "a", 0)
 		h.closeClient(r)
-		h.addAttempt(r, clientCloseTime+clientCloseSlack+harnessSlack+ms, 200*ms)
+		h.addAttempt(r, clientCloseTime+clientCloseTolerance+harnessTolerance+ms, 200*ms)
 	}, []Rule{ruleClientClosed}},
 	{"attempt after the client's close that was read late", func(h *history) { // its time is that of the connection's close
 		r := h.send(safeClass, "a", 0)
 		h.closeClient(r)
 		h.addAttempt(r, 400*ms, 500*ms).readLate = true
 	}, nil},
-	{"timeout within the slack past the deadline", func(h *history) {
+	{"timeout within the tolerance past the deadline", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.addAttempt(r, 5*ms, 20*ms).timeout += deadlineSlack + harnessSlack
+		h.addAttempt(r, 5*ms, 20*ms).timeout += deadlineTolerance + harnessTolerance
 		h.respond(r, 21*ms, statusCompleted)
 	}, nil},
-	{"timeout past the deadline and the slack", func(h *history) {
+	{"timeout past the deadline and the tolerance", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.addAttempt(r, 5*ms, 20*ms).timeout += deadlineSlack + harnessSlack + ms
+		h.addAttempt(r, 5*ms, 20*ms).timeout += deadlineTolerance + harnessTolerance + ms
 		h.respond(r, 21*ms, statusCompleted)
 	}, []Rule{ruleDeadline}},
 	{"unsafe request, repeated after a rejected attempt", func(h *history) {
@@ -215,7 +215,7 @@
 		h.addAttempt(r, 12*ms, 20*ms)
 		h.respond(r, 21*ms, statusCompleted)
 	}, []Rule{ruleRepeatedEffect}},
-	{"unsafe request, executed at first and rejected then", func(h *history) {
+	{"unsafe request, executed at first and then rejected", func(h *history) {
 		r := h.send(unsafeClass, "a", 0)
 		h.addAttempt(r, 5*ms, 10*ms)
 		h.addRejectedAttempt(r, 12*ms, 20*ms)
@@ -249,13 +249,13 @@
 	{"keyed request, repeated within its window", func(h *history) {
 		r := h.send(keyedClass, "a", 0)
 		h.addAttempt(r, 5*ms, 10*ms)
-		h.addAttempt(r, 5*ms+r.class.idempotencyWindow+graceSlack+harnessSlack, 700*ms)
+		h.addAttempt(r, 5*ms+r.class.idempotencyWindow+graceTolerance+harnessTolerance, 700*ms)
 		h.respond(r, 701*ms, statusCompleted)
 	}, nil},
 	{"keyed request, repeated after its window", func(h *history) {
 		r := h.send(keyedClass, "a", 0)
 		h.addAttempt(r, 5*ms, 10*ms)
-		h.addAttempt(r, 5*ms+r.class.idempotencyWindow+graceSlack+harnessSlack+ms, 700*ms)
+		h.addAttempt(r, 5*ms+r.class.idempotencyWindow+graceTolerance+harnessTolerance+ms, 700*ms)
 		h.respond(r, 701*ms, statusCompleted)
 	}, []Rule{ruleRepeatedEffect}},
 	{"keyed request, whose window is counted from each earlier attempt", func(h *history) {
@@ -265,15 +265,15 @@
 		h.addAttempt(r, 800*ms, 810*ms)
 		h.respond(r, 811*ms, statusCompleted)
 	}, []Rule{ruleRepeatedEffect}},
-	{"retry within the slack before the end of the first attempt", func(h *history) {
+	{"retry within the tolerance before the end of the first attempt", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.addAttempt(r, 5*ms, 12*ms+concurrencySlack+harnessSlack)
+		h.addAttempt(r, 5*ms, 12*ms+concurrencyTolerance+harnessTolerance)
 		h.addAttempt(r, 12*ms, 200*ms)
 		h.respond(r, 201*ms, statusCompleted)
 	}, nil},
 	{"retry before the end of the first attempt", func(h *history) {
 		r := h.send(safeClass, "a", 0)
-		h.addAttempt(r, 5*ms, 12*ms+concurrencySlack+harnessSlack+ms)
+		h.addAttempt(r, 5*ms, 12*ms+concurrencyTolerance+harnessTolerance+ms)
 		h.addAttempt(r, 12*ms, 200*ms)
 		h.respond(r, 201*ms, statusCompleted)
 	}, []Rule{ruleConcurrentAttempts}},
@@ -372,7 +372,7 @@
 
 // A scheduling delay of this process can make a response in time look late. The delay extends the tolerance by its length, only
 // around its moment, and the extension is counted.
-func TestSlackIncludesTheHarnessDelay(t *testing.T) {
+func TestToleranceIncludesTheHarnessDelay(t *testing.T) {
 	const lag = 200 * ms
 	for _, test := range []struct {
 		name string
@@ -380,18 +380,18 @@
 		at   time.Duration // time of the delay, since the deadline
 		want []Rule
 	}{
-		{"within the delay", lateResponseSlack + harnessSlack + lag, lateResponseSlack, nil},
-		{"past the delay", lateResponseSlack + harnessSlack + lag + ms, lateResponseSlack, []Rule{ruleResponse}},
-		{"delay at another time", lateResponseSlack + harnessSlack + lag, lateResponseSlack + 2*time.Second, []Rule{ruleResponse}},
+		{"within the delay", lateResponseTolerance + harnessTolerance + lag, lateResponseTolerance, nil},
+		{"past the delay", lateResponseTolerance + harnessTolerance + lag + ms, lateResponseTolerance, []Rule{ruleResponse}},
+		{"delay at another time", lateResponseTolerance + harnessTolerance + lag, lateResponseTolerance + 2*time.Second, []Rule{ruleResponse}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHistory(t)
 			r := h.send(safeClass, "a", 0)
 			h.checker.lag.record(r.deadline().Add(test.at), lag)
 			h.respond(r, r.timeout+test.late, statusCompleted)
-			if got := h.check(); !slices.Equal(got, test.want) || (h.checker.counts.SlackExtended > 0) != (test.at < time.Second) {
+			if got := h.check(); !slices.Equal(got, test.want) || (h.checker.counts.ExtendedTolerances > 0) != (test.at < time.Second) {
 				t.Errorf("violated rules = %v, want %v; checks with extended tolerance = %d, want more than 0: %v",
-					got, test.want, h.checker.counts.SlackExtended, test.at < time.Second)
+					got, test.want, h.checker.counts.ExtendedTolerances, test.at < time.Second)
 			}
 		})
 	}
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// checkRequest checks a request's complete history. It does not check the times of an attempt that the server read late: if the
-// connection was closed before the read, they are the time of the close. The caller holds the lock.
+// checkRequest checks a request's complete history. It does not check the times of an attempt that the server read late. Such an
+// attempt has the time of the connection's close if the connection was closed before the read. The caller holds the lock.
 func (c *checker) checkRequest(r *request) {
 	c.checkResponse(r)
 	for i, a := range r.attempts {
@@ -78,15 +78,16 @@
 	}
 }
 
-// checkTimes checks that an attempt did not begin after its client closed, and that its timeout does not pass the deadline.
+// checkTimes checks that an attempt did not begin after its client closed the connection, and that its timeout does not pass the
+// deadline.
 func (c *checker) checkTimes(r *request, a *attempt) {
 	if !r.clientClosedAt.IsZero() {
-		if late := a.receivedAt.Sub(r.clientClosedAt) - c.slackAt(clientCloseSlack, a.receivedAt); late > 0 {
-			c.recordViolationLocked(ruleClientClosed, r.node, r.id, "an attempt began %v past the tolerance after its client closed",
-				late)
+		if late := a.receivedAt.Sub(r.clientClosedAt) - c.toleranceAt(clientCloseTolerance, a.receivedAt); late > 0 {
+			c.recordViolationLocked(ruleClientClosed, r.node, r.id,
+				"an attempt began %v later than the tolerance after its client closed the connection", late)
 		}
 	}
-	if excess := a.timeout - r.deadline().Sub(a.receivedAt) - c.slackAt(deadlineSlack, a.receivedAt); excess > 0 {
+	if excess := a.timeout - r.deadline().Sub(a.receivedAt) - c.toleranceAt(deadlineTolerance, a.receivedAt); excess > 0 {
 		c.recordViolationLocked(ruleDeadline, r.node, r.id, "an attempt's timeout ends %v after the deadline and its tolerance: %s",
 			excess, r.describe())
 	}
@@ -97,22 +98,22 @@
 	unsafe := r.class.retrySafety == settings.RetryUnsafe
 	if a.readLate || earlier.readLate { // without exact times, only the number of attempts can be checked
 		if unsafe {
-			c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated although an attempt may have been executed: %s",
-				r.class.name, r.describe())
+			c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id,
+				"class %s: the request was repeated although an attempt may have been executed: %s", r.class.name, r.describe())
 		}
 		return
 	}
 	interval := a.receivedAt.Sub(earlier.receivedAt)
 	switch {
 	case unsafe:
-		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated %v after an attempt that may have been executed",
-			r.class.name, interval)
-	case r.class.retrySafety == settings.RetryKeyed && interval > r.class.idempotencyWindow+c.slackAt(graceSlack, a.receivedAt):
-		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: repeated %v after an attempt, want within %v",
+		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id,
+			"class %s: the request was repeated %v after an attempt that may have been executed", r.class.name, interval)
+	case r.class.retrySafety == settings.RetryKeyed && interval > r.class.idempotencyWindow+c.toleranceAt(graceTolerance, a.receivedAt):
+		c.recordViolationLocked(ruleRepeatedEffect, r.node, r.id, "class %s: the request was repeated %v after an attempt, want within %v",
 			r.class.name, interval, r.class.idempotencyWindow)
 	}
-	if earlier.endedAt.IsZero() || earlier.endedAt.Sub(a.receivedAt) > c.slackAt(concurrencySlack, a.receivedAt) {
-		c.recordViolationLocked(ruleConcurrentAttempts, r.node, r.id, "class %s: two attempts in flight at the same time: %s",
+	if earlier.endedAt.IsZero() || earlier.endedAt.Sub(a.receivedAt) > c.toleranceAt(concurrencyTolerance, a.receivedAt) {
+		c.recordViolationLocked(ruleConcurrentAttempts, r.node, r.id, "class %s: two attempts were in flight at the same time: %s",
 			r.class.name, r.describe())
 	}
 }
--- a/internal/lab/soak/config.go
+++ b/internal/lab/soak/config.go
@@ -4,7 +4,7 @@
 //
 // Servers and clients record the history of each request. A checker compares the histories with the invariants of
 // docs/invariants.md. The seed fixes the random streams of clients and faults. The machine's timing decides which requests each
-// fault affects, and whether another fault already holds its target.
+// fault affects, and which faults are skipped because another one holds their target.
 package soak
 
 import (
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -133,8 +133,8 @@
 	r.restart(ctx, n, rng)
 }
 
-// restart starts a node that has ended. In some starts the node gets no known endpoint list. In some, discovery simulates a node
-// clock that is ahead or behind.
+// restart starts a node that has ended. In some starts the node's configuration contains no endpoint list. In some, discovery
+// simulates a node clock that is ahead or behind.
 func (r *run) restart(ctx context.Context, n *node, rng *rand.Rand) {
 	if ctx.Err() != nil {
 		return
@@ -217,7 +217,8 @@
 	return s
 }
 
-// publish changes a server's entry in the endpoint list, and returns the time of the change. A zero boot leaves the boot time.
+// publish changes a server's entry in the endpoint list, and returns the time of the change. If boot is zero, the boot time stays
+// unchanged.
 func (r *run) publish(s *appServer, state protocol.EndpointState, boot time.Time) time.Time {
 	_, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = state
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -11,7 +11,7 @@
 	node           int // number of the node to which the client sends the request
 	nodeCount      int // number of nodes in the fleet
 	class          *requestClass
-	cappedCustomer int       // number of the customer under the capped plan; -1 for the other plan
+	cappedCustomer int       // number of the customer under the capped plan; -1 under the unlimited plan
 	sentAt         time.Time // time at which the client began to write the part with the last byte
 	timeout        time.Duration
 	clientClosedAt time.Time // time at which the client closed its connection before a response; zero if it did not
--- a/internal/lab/soak/invariants.go
+++ b/internal/lab/soak/invariants.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Rule names the invariant that a Violation concerns. docs/invariants.md describes the invariants, and the platform's pages give
-// their bounds.
+// Rule names the invariant that a Violation concerns. docs/invariants.md describes the invariants, and the platform's
+// documentation defines their bounds.
 type Rule string
 
 // The rules. Results of runs contain their texts.
@@ -19,7 +19,7 @@
 	ruleDraining           Rule = "drain"      // no attempt begins at a draining or removed server
 	ruleSlowStart          Rule = "cold"       // all nodes together do not overload a server in slow start
 	ruleCeiling            Rule = "ceiling"    // a customer's hard ceiling holds over all nodes and their restarts
-	ruleCrash              Rule = "crash"      // no node exits unless it was told to
+	ruleCrash              Rule = "crash"      // no node exits unless the run sent SIGTERM or SIGKILL to it
 	ruleReady              Rule = "ready"      // a started node becomes ready in time
 	ruleShutdown           Rule = "end"        // a node exits in time after SIGTERM
 	ruleNodeCheck          Rule = "guard"      // the nodes' own invariant checks count no violation
@@ -28,15 +28,16 @@
 	ruleUnknownRequest     Rule = "unknown-id" // a server receives only requests that a client has sent
 )
 
-// Tolerances of the rules. The platform's pages give the first four. slackAt adds harnessSlack and the delays of this process.
+// Tolerances of the rules. The platform's documentation defines the first four. toleranceAt adds harnessTolerance and the delays of
+// this process.
 const (
-	lateResponseSlack = 500 * time.Millisecond
-	clientCloseSlack  = 100 * time.Millisecond
-	deadlineSlack     = 150 * time.Millisecond
-	graceSlack        = 50 * time.Millisecond  // tolerance after the drain grace, and after the window of an idempotency key
-	concurrencySlack  = 100 * time.Millisecond // longest time after which a server notices the end of a connection
-	readLateThreshold = 20 * time.Millisecond  // time after its arrival from which an attempt counts as read late
-	harnessSlack      = 30 * time.Millisecond  // part of each tolerance that allows for small delays of this process
+	lateResponseTolerance = 500 * time.Millisecond
+	clientCloseTolerance  = 100 * time.Millisecond
+	deadlineTolerance     = 150 * time.Millisecond
+	graceTolerance        = 50 * time.Millisecond  // tolerance after the drain grace, and after the window of an idempotency key
+	concurrencyTolerance  = 100 * time.Millisecond // longest time after which a server notices the end of a connection
+	readLateThreshold     = 20 * time.Millisecond  // time after its arrival from which an attempt counts as read late
+	harnessTolerance      = 30 * time.Millisecond  // part of each tolerance that allows for small delays of this process
 )
 
 // Violation describes one violation of an invariant.
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -61,7 +61,7 @@
 	_, _ = io.WriteString(conn, text)
 	_ = conn.SetReadDeadline(startedAt.Add(malformedTimeout + time.Second))
 	_, err = io.Copy(io.Discard, conn)
-	if took := time.Since(startedAt); took > malformedTimeout+harnessSlack+c.checker.lag.maxAround(time.Now()) {
+	if took := time.Since(startedAt); took > malformedTimeout+harnessTolerance+c.checker.lag.maxAround(time.Now()) {
 		c.checker.recordViolation(ruleMalformed, node, "", "the connection with input %.30q ended after %v, want within %v: %v",
 			text, took, malformedTimeout, err)
 	}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -51,7 +51,7 @@
 	mu                        sync.Mutex           // guards the fields below
 	process                   *nodeprocess.Process // current or last process; nil before the first start
 	stopping                  bool                 // whether SIGTERM or SIGKILL was sent to the process
-	killed                    bool                 // whether SIGKILL was sent; then no response to an open request is expected
+	killed                    bool                 // whether kill sent SIGKILL; then no response to an open request is expected
 	accepting                 bool                 // whether clients connect to the node
 	startedAt                 time.Time
 	descriptorsExhaustedUntil time.Time // time until which idle clients may use up the node's descriptors
@@ -69,7 +69,7 @@
 }
 
 // decide returns the errno with which a call fails, or 0. It is a syscallfault.Policy. openat does not fail before the node is
-// ready, as the loader calls it too.
+// ready, as the dynamic loader calls it too.
 func (f *callFaults) decide(call syscallfault.Call) syscall.Errno {
 	errnos := f.errnos.Load()
 	if errnos == nil || !f.nodeReady.Load() && call.Number == unix.SYS_OPENAT {
@@ -92,7 +92,7 @@
 // logPath returns the path of the log that all processes of the node share.
 func (n *node) logPath() string { return nodeprocess.LogPath(n.dir, n.fileBaseName()) }
 
-// config returns the node's current configuration with a known endpoint list, or without one if it is nil. The caller holds the
+// config returns the node's current configuration, which contains an endpoint list unless endpointList is nil. The caller holds the
 // lock.
 func (n *node) config(endpointList json.RawMessage) []byte {
 	raw, err := json.Marshal(map[string]any{
@@ -107,7 +107,8 @@
 	return raw
 }
 
-// start starts the node with a known endpoint list, and waits until the node is ready. It returns the time that this took.
+// start starts the node with an endpoint list in its configuration, and waits until the node is ready. It returns the time that
+// this took.
 func (n *node) start(ctx context.Context, program string, endpointList json.RawMessage) (time.Duration, error) {
 	n.mu.Lock()
 	n.starts++
@@ -214,7 +215,7 @@
 // hasExited reports whether the process has exited. The caller holds the lock.
 func (n *node) hasExited() bool { return n.process != nil && n.process.HasExited() }
 
-// delayNotice makes notices that discovery sends before until count as received at until.
+// delayNotice sets the earliest time at which notices from discovery count as received, unless a later time is set already.
 func (n *node) delayNotice(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/node_test.go
+++ b/internal/lab/soak/node_test.go
@@ -69,18 +69,18 @@
 }
 
 // A crash of a node stays unnoticed if nothing compares its exit with the signals that it was sent. A node that exits without a
-// signal is reported once, with its last log line. A node that was told to stop is not reported.
+// signal is reported once, with its last log line. A node that exits after SIGTERM is not reported.
 func TestCheckerOfCrashes(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		exits  bool
-		ending bool
-		want   int
-	}{{"runs", false, false, 0}, {"was told to stop", true, true, 0}, {"crashes", true, false, 1}} {
+		name     string
+		exits    bool
+		stopping bool
+		want     int
+	}{{"runs", false, false, 0}, {"exits after SIGTERM", true, true, 0}, {"crashes", true, false, 1}} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			r := testRun(t, "")
-			r.nodes[0].stopping = test.ending
+			r.nodes[0].stopping = test.stopping
 			if test.exits {
 				startCommand(t, r.nodes[0], "sh", "-c", "echo last line >&2")
 				<-r.nodes[0].process.Exited()
@@ -195,7 +195,7 @@
 	}
 }
 
-// A node that fails to listen refuses connections although it is in service. A node that was told to stop may refuse them.
+// A node that fails to listen refuses connections although it is in service. A node may refuse them after SIGTERM.
 func TestCheckerOfRefusedConnections(t *testing.T) {
 	listener := nettest.Listen(t)
 	open := listener.Addr().String()
@@ -205,7 +205,7 @@
 	}
 	for _, test := range []struct {
 		name, addr string
-		ending     bool
+		stopping   bool
 		want       []Rule
 	}{
 		{"accepts", open, false, nil},
@@ -214,7 +214,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRun(t, test.addr)
-			r.nodes[0].stopping = test.ending
+			r.nodes[0].stopping = test.stopping
 			if conn := r.clients.dial(0); conn != nil {
 				nettest.Close(conn)
 			}
@@ -223,8 +223,8 @@
 	}
 }
 
-// A node that waits forever for the rest of a malformed request keeps the connection open. The node must close
-// the connection, with or without a response, within malformedTimeout.
+// A node that waits forever for the rest of a malformed request keeps the connection open. The node must close the connection,
+// with or without a response, within malformedTimeout.
 func TestCheckerOfMalformedRequests(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -232,7 +232,7 @@
 		want  []Rule
 	}{
 		{"closed at once", func(net.Conn) {}, nil},
-		{"answered and closed", func(conn net.Conn) { nettest.WriteString(conn, "HTTP/1.1 400 Bad Request\r\n\r\n") }, nil},
+		{"responded and closed", func(conn net.Conn) { nettest.WriteString(conn, "HTTP/1.1 400 Bad Request\r\n\r\n") }, nil},
 		{"kept open", func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }, []Rule{ruleMalformed}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -36,14 +36,14 @@
 type Result struct {
 	Seed              uint64           `json:"seed"`
 	Nodes             int              `json:"nodes"`
-	Seconds           float64          `json:"seconds"`
+	Seconds           float64          `json:"seconds"` // configured duration of the load
 	Counts            Counts           `json:"counts"`
-	Statuses          map[string]int64 `json:"statuses"`
-	Faults            map[string]int   `json:"faults"`
-	FailedSystemCalls int64            `json:"failed_system_calls"`
-	Starts            int              `json:"starts"`
-	ReadyMax          float64          `json:"ready_max_s"`
-	NodeViolations    map[string]int64 `json:"guards"` // sums of the nodes' violation counters
+	Statuses          map[string]int64 `json:"statuses"`            // number of responses by HTTP status
+	Faults            map[string]int   `json:"faults"`              // number of faults by name
+	FailedSystemCalls int64            `json:"failed_system_calls"` // number of system calls that were made to fail
+	Starts            int              `json:"starts"`              // number of starts of all nodes
+	ReadyMax          float64          `json:"ready_max_s"`         // longest time from a start until the node was ready, in seconds
+	NodeViolations    map[string]int64 `json:"guards"`              // sums of the nodes' violation counters
 	Violations        []Violation      `json:"violations"`
 }
 
@@ -117,8 +117,8 @@
 	wg.Wait()
 }
 
-// startNode starts a node with a known endpoint list. It records a violation if the node does not become ready, unless ctx has
-// ended.
+// startNode starts a node with an endpoint list in its configuration. It records a violation if the node does not become ready,
+// unless ctx has ended.
 func (r *run) startNode(ctx context.Context, n *node, endpointList []byte) {
 	took, err := n.start(ctx, r.cfg.Program, endpointList)
 	switch {
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -51,7 +51,7 @@
 	server  *appserver.Server
 
 	behaviour       atomic.Int32 // current behaviour
-	closesIdleEarly atomic.Bool  // whether idle connections are closed after earlyIdleTimeout
+	closesIdleEarly atomic.Bool  // whether the server closes idle connections after earlyIdleTimeout
 	notifiedAt      func(node int, published time.Time) time.Time
 	faultMu         sync.Mutex // lock of a fault that stops, starts or changes the server; guards no field
 
@@ -110,7 +110,7 @@
 	if drainingSince.IsZero() || node < 0 {
 		return
 	}
-	late := a.firstByteAt.Sub(s.notifiedAt(node, drainingSince)) - drainGrace - graceSlack - harnessSlack -
+	late := a.firstByteAt.Sub(s.notifiedAt(node, drainingSince)) - drainGrace - graceTolerance - harnessTolerance -
 		s.checker.lag.maxAround(a.receivedAt)
 	if late > 0 {
 		s.checker.recordViolation(ruleDraining, node, id,
--- a/internal/lab/soak/server_test.go
+++ b/internal/lab/soak/server_test.go
@@ -19,7 +19,7 @@
 // A node that keeps sending attempts to a draining server loses them when the server exits. The checker reports each attempt
 // whose first byte arrives after the grace, which begins when the node is notified.
 func TestCheckerOfDrains(t *testing.T) {
-	const limit = drainGrace + graceSlack + harnessSlack
+	const limit = drainGrace + graceTolerance + harnessTolerance
 	for _, test := range []struct {
 		name   string
 		record func(h *history, s *appServer) (firstByte time.Duration)
@@ -70,7 +70,7 @@
 	const capacity = 20.0 // capacity of a warm server in requests a second
 	// bound returns the greatest allowed number of attempts in a window that begins at an age of the process.
 	bound := func(age time.Duration) int {
-		return int(math.Floor(slowStartBound(capacity, age+overloadWindow/2)))
+		return int(math.Floor(slowStartBound(capacity, age+overloadSpan/2)))
 	}
 	for _, test := range []struct {
 		name       string
@@ -84,7 +84,7 @@
 		{"more than the bound at its start", 0, bound(0) + 1, 0, ms, []Rule{ruleSlowStart}},
 		{"the bound of a later age", 4 * time.Second, bound(4 * time.Second), 0, ms, nil},
 		{"more than the bound of a later age", 4 * time.Second, bound(4*time.Second) + 1, 0, ms, []Rule{ruleSlowStart}},
-		{"more than the bound, spread over several windows", 0, 2 * bound(0), 0, 2 * overloadWindow / time.Duration(bound(0)), nil},
+		{"more than the bound, spread over several windows", 0, 2 * bound(0), 0, 2 * overloadSpan / time.Duration(bound(0)), nil},
 		{"more than the bound, a third from nodes that were not notified", 0, 3 * bound(0), bound(0), ms, nil},
 		{
 			"more than the bound, under a third from nodes that were not notified", 0, 3 * bound(0), bound(0) - 1, ms,
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -47,8 +47,8 @@
 	drainGrace        = 500 * time.Millisecond // time after the notice of a drain in which attempts may still begin
 	slowStartSpan     = 8 * time.Second        // age at which a server is warm
 	slowStartShare    = 0.2                    // share of its capacity that a server has at its start
-	overloadMultiple  = 2.0                    // multiple of its capacity that a server in slow start handles within overloadWindow
-	overloadWindow    = 2 * time.Second
+	overloadMultiple  = 2.0                    // multiple of its capacity that a server in slow start handles within overloadSpan
+	overloadSpan      = 2 * time.Second
 	serverIdleTimeout = 4 * time.Second
 	connectTimeout    = 250 * time.Millisecond
 	nodeSockets       = 256
@@ -91,7 +91,7 @@
 		SlowStartSpan:    settings.DurationOf(slowStartSpan),
 		SlowStartShare:   settings.FloatNumber(slowStartShare),
 		OverloadMultiple: settings.FloatNumber(overloadMultiple),
-		OverloadSpan:     settings.DurationOf(overloadWindow),
+		OverloadSpan:     settings.DurationOf(overloadSpan),
 		DrainGrace:       settings.DurationOf(drainGrace),
 		ResponseSlack:    settings.DurationOf(responseSlack),
 		MaxUnits:         settings.IntNumber(maxUnits),
--- a/internal/lab/soak/slowstart.go
+++ b/internal/lab/soak/slowstart.go
@@ -33,28 +33,28 @@
 	for i, first := range attempts {
 		window := countWindow(attempts[i:])
 		sinceStart := first.receivedAt.Sub(startedAt)
-		bound := slowStartBound(capacity, sinceStart+overloadWindow/2)
+		bound := slowStartBound(capacity, sinceStart+overloadSpan/2)
 		if float64(window.attempts) > bound && 3*window.fromNotified > 2*window.attempts {
 			s.checker.recordViolation(ruleSlowStart, -1, "",
 				"server %d received %d attempts within %v, %v after its start, want at most %.0f",
-				s.number, window.attempts, overloadWindow, sinceStart, bound)
+				s.number, window.attempts, overloadSpan, sinceStart, bound)
 			return
 		}
 	}
 }
 
-// windowCounts counts the attempts within one overloadWindow.
+// windowCounts counts the attempts within one overloadSpan.
 type windowCounts struct {
 	attempts     int
 	fromNotified int // attempts that came from notified nodes
 }
 
-// countWindow counts the attempts within overloadWindow after the first attempt, which it includes. attempts must not be empty.
+// countWindow counts the attempts within overloadSpan after the first attempt, which it includes. attempts must not be empty.
 func countWindow(attempts []slowStartAttempt) windowCounts {
 	var window windowCounts
 	from := attempts[0].receivedAt
 	for _, a := range attempts {
-		if a.receivedAt.Sub(from) >= overloadWindow {
+		if a.receivedAt.Sub(from) >= overloadSpan {
 			continue
 		}
 		window.attempts++
@@ -65,11 +65,11 @@
 	return window
 }
 
-// slowStartBound returns the greatest number of attempts that a server may get within overloadWindow at an age of its process.
+// slowStartBound returns the greatest number of attempts that a server may get within overloadSpan at an age of its process.
 // The nodes keep to the expected number only on average, so the bound includes random deviations of two to three sigma.
 func slowStartBound(capacity float64, age time.Duration) float64 {
 	share := min(1, slowStartShare+(1-slowStartShare)*float64(age)/float64(slowStartSpan))
-	return withRandomDeviation(overloadMultiple * capacity * share * overloadWindow.Seconds())
+	return withRandomDeviation(overloadMultiple * capacity * share * overloadSpan.Seconds())
 }
 
 // withRandomDeviation returns the greatest count that does not contradict an expected count.
