--- a/internal/lab/scale/config.go
+++ b/internal/lab/scale/config.go
@@ -4,7 +4,7 @@
 //   - many simulated nodes in one process, with the real decision engine (through internal/routing) and real datagrams, but
 //     without client sockets;
 //   - many simulated app servers in one process;
-//   - a simulated discovery agent, and open-loop clients.
+//   - a simulated discovery agent and open-loop clients, in the process of the lab itself.
 //
 // A run measures the latency that a node adds to a request, and the CPU, memory and traffic of a node at that size.
 // docs/lab.md describes how the simulation differs from a real fleet.
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -163,7 +163,7 @@
 		if time.Since(startedAt) > 2*length {
 			break
 		}
-		command := nodesCommand{Verb: nodesRestart, Ms: int(downtime / time.Millisecond)}
+		command := nodesCommand{Verb: nodesRestart, DowntimeMs: int(downtime / time.Millisecond)}
 		for i := batch; i < r.cfg.Simulated; i += restartBatches {
 			command.Nodes = append(command.Nodes, i)
 		}
--- a/internal/lab/scale/nodefleet.go
+++ b/internal/lab/scale/nodefleet.go
@@ -144,7 +144,7 @@
 			f.serverKilled[i].Store(command.Verb == nodesKillServers)
 		}
 	case nodesRestart:
-		f.restart(command.Nodes, time.Duration(command.Ms)*time.Millisecond)
+		f.restart(command.Nodes, time.Duration(command.DowntimeMs)*time.Millisecond)
 	case nodesEndSection:
 		section := f.endSection()
 		reply.Section = &section
@@ -194,8 +194,8 @@
 	}
 }
 
-// forEachNode calls f for each node, concurrently on all cores, and returns after the last call.
-func forEachNode(nodes []*simulatedNode, f func(*simulatedNode)) {
+// forEachNode calls do for each node, concurrently on all cores, and returns after the last call.
+func forEachNode(nodes []*simulatedNode, do func(*simulatedNode)) {
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
@@ -203,7 +203,7 @@
 		go func() {
 			defer wg.Done()
 			for i := next.Add(1) - 1; i < int64(len(nodes)); i = next.Add(1) - 1 {
-				f(nodes[i])
+				do(nodes[i])
 			}
 		}()
 	}
--- a/internal/lab/scale/nodesprotocol.go
+++ b/internal/lab/scale/nodesprotocol.go
@@ -3,7 +3,7 @@
 // nodesConfig is the first line of the simulated nodes' standard input.
 type nodesConfig struct {
 	Config
-	Servers []string // addresses of the app servers, by server number
+	Servers []string // addresses of the app servers, by server number; hides Config.Servers, also in JSON
 }
 
 // nodesVerb is the action of a command to the simulated nodes.
@@ -16,19 +16,19 @@
 	nodesStartSending   nodesVerb = "send"    // begin to send requests
 	nodesKillServers    nodesVerb = "dead"    // let attempts at Servers fail from now on
 	nodesRestartServers nodesVerb = "alive"   // let Servers respond again
-	nodesRestart        nodesVerb = "restart" // stop Nodes for Ms, then start them
+	nodesRestart        nodesVerb = "restart" // stop Nodes for DowntimeMs, then start them
 	nodesEndSection     nodesVerb = "section" // end the section and return its counts
 	nodesFinalReport    nodesVerb = "report"  // stop sending and return all counts
 )
 
 // nodesCommand is a line of the simulated nodes' standard input after the first one.
 type nodesCommand struct {
-	Verb    nodesVerb `json:"do"`
-	Real    []string  `json:"real,omitempty"`    // peer addresses of the real nodes, by node number
-	Agent   string    `json:"agent,omitempty"`   // address of the discovery agent, for all simulated nodes
-	Servers []int     `json:"servers,omitempty"` // server numbers
-	Nodes   []int     `json:"nodes,omitempty"`   // numbers among the simulated nodes, from 0
-	Ms      int       `json:"ms,omitempty"`      // downtime of a restart, milliseconds
+	Verb       nodesVerb `json:"do"`
+	Real       []string  `json:"real,omitempty"`    // peer addresses of the real nodes, by node number
+	Agent      string    `json:"agent,omitempty"`   // address of the discovery agent, for all simulated nodes
+	Servers    []int     `json:"servers,omitempty"` // server numbers
+	Nodes      []int     `json:"nodes,omitempty"`   // numbers among the simulated nodes, from 0
+	DowntimeMs int       `json:"ms,omitempty"`      // downtime of a restart, milliseconds
 }
 
 // nodesReply is a line of the simulated nodes' standard output. The first line holds the addresses; each further line is the
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -40,22 +40,22 @@
 // name returns the node's name in its configuration and in the names of its files.
 func (n *realNode) name() string { return "real" + strconv.Itoa(n.number) }
 
-// config returns the content of the node's configuration file. known is the endpoint list in it. Each restart has its
-// own seed.
-func (n *realNode) config(cfg *Config, known json.RawMessage, restart int) ([]byte, error) {
+// config returns the content of the node's configuration file. The file contains endpointList. Each restart has
+// its own seed.
+func (n *realNode) config(cfg *Config, endpointList json.RawMessage, restart int) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": n.name(), "listen": n.clientAddr, "discovery": n.agentAddr,
 		"seed":        strconv.FormatUint(cfg.Seed<<20|uint64(restart)<<10|uint64(n.number), 16),
 		"limits":      map[string]any{"cores": 1, "memory_mb": cfg.MemoryMB, "sockets": cfg.Sockets},
 		"peer_listen": n.peerAddr, "peers": n.peerAddrs, "peers_all": n.broadcastAddr,
-		"known": known, "settings": platformSettings(*cfg, n.number),
+		"known": endpointList, "settings": platformSettings(*cfg, n.number),
 	})
 }
 
-// start starts the node and waits until it is ready. known is the endpoint list in the node's configuration. restart is the
+// start starts the node and waits until it is ready. endpointList is the list in the node's configuration. restart is the
 // number of this restart among those of all real nodes, or 0 for the first start.
-func (n *realNode) start(ctx context.Context, cfg *Config, known json.RawMessage, restart int) error {
-	raw, err := n.config(cfg, known, restart)
+func (n *realNode) start(ctx context.Context, cfg *Config, endpointList json.RawMessage, restart int) error {
+	raw, err := n.config(cfg, endpointList, restart)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/worker_test.go
+++ b/internal/lab/scale/worker_test.go
@@ -19,7 +19,7 @@
 	}{
 		"no command":   {"", "7\n", false},
 		"two commands": {"1 2", "7\n2\n4\n", false},
-		"no number":    {"1 x", "7\n2\n", true},
+		"not a number": {"1 x", "7\n2\n", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -217,13 +217,13 @@
 	return s
 }
 
-// publish changes a server's entry in the endpoint list, and returns the time of the change. If boot is zero, the boot time stays
-// unchanged.
-func (r *run) publish(s *appServer, state protocol.EndpointState, boot time.Time) time.Time {
+// publish changes a server's entry in the endpoint list, and returns the time of the change. If bootTime is zero, the
+// boot time stays unchanged.
+func (r *run) publish(s *appServer, state protocol.EndpointState, bootTime time.Time) time.Time {
 	_, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = state
-		if !boot.IsZero() {
-			e.BootMs = boot.UnixMilli()
+		if !bootTime.IsZero() {
+			e.BootMs = bootTime.UnixMilli()
 		}
 	}, s.number)
 	return at
--- a/internal/lab/soak/node_test.go
+++ b/internal/lab/soak/node_test.go
@@ -92,8 +92,10 @@
 			if len(got) != test.want {
 				t.Fatalf("watchForCrashes reported %d violations, want %d: %+v", len(got), test.want, got)
 			}
-			if test.want > 0 && (got[0].Rule != ruleCrash || got[0].Node != testNode || got[0].Detail != "last line") {
-				t.Errorf("the violation is %+v, want rule %q, node %d and detail %q", got[0], ruleCrash, testNode, "last line")
+			if test.want > 0 && (got[0].Rule != ruleCrash || got[0].Node != testNode ||
+				got[0].Detail != "the node crashed; last line of its log: last line") {
+				t.Errorf("the violation is %+v, want rule %q, node %d and detail %q", got[0], ruleCrash, testNode,
+					"the node crashed; last line of its log: last line")
 			}
 		})
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -167,7 +167,8 @@
 		for _, n := range r.nodes {
 			if !reported[n] && n.crashed() {
 				reported[n] = true
-				r.checker.recordViolation(ruleCrash, n.number, "", "%s", n.currentProcess().LastLogLine())
+				r.checker.recordViolation(ruleCrash, n.number, "",
+					"the node crashed; last line of its log: %s", n.currentProcess().LastLogLine())
 			}
 		}
 		sleep(ctx, crashPollInterval)
