--- a/internal/lab/scale/nodesprotocol.go
+++ b/internal/lab/scale/nodesprotocol.go
@@ -3,7 +3,7 @@
 // nodesConfig is the first line of the simulated nodes' standard input.
 type nodesConfig struct {
 	Config
-	Servers []string // addresses of the app servers, by server number
+	Servers []string // addresses of the app servers, by server number; hides Config.Servers, also in JSON
 }
 
 // nodesVerb is the action of a command to the simulated nodes.
@@ -16,19 +16,19 @@
 	nodesStartSending   nodesVerb = "send"    // begin to send requests
 	nodesKillServers    nodesVerb = "dead"    // let attempts at Servers fail from now on
 	nodesRestartServers nodesVerb = "alive"   // let Servers respond again
-	nodesRestart        nodesVerb = "restart" // stop Nodes for Ms, then start them
+	nodesRestart        nodesVerb = "restart" // stop Nodes for DowntimeMs, then start them
 	nodesEndSection     nodesVerb = "section" // end the section and return its counts
 	nodesFinalReport    nodesVerb = "report"  // stop sending and return all counts
 )
 
 // nodesCommand is a line of the simulated nodes' standard input after the first one.
 type nodesCommand struct {
-	Verb    nodesVerb `json:"do"`
-	Real    []string  `json:"real,omitempty"`    // peer addresses of the real nodes, by node number
-	Agent   string    `json:"agent,omitempty"`   // address of discovery's agent, for all simulated nodes
-	Servers []int     `json:"servers,omitempty"` // server numbers
-	Nodes   []int     `json:"nodes,omitempty"`   // numbers among the simulated nodes, from 0
-	Ms      int       `json:"ms,omitempty"`      // downtime of a restart, milliseconds
+	Verb       nodesVerb `json:"do"`
+	Real       []string  `json:"real,omitempty"`    // peer addresses of the real nodes, by node number
+	Agent      string    `json:"agent,omitempty"`   // address of the discovery agent, for all simulated nodes
+	Servers    []int     `json:"servers,omitempty"` // server numbers
+	Nodes      []int     `json:"nodes,omitempty"`   // numbers among the simulated nodes, from 0
+	DowntimeMs int       `json:"ms,omitempty"`      // downtime of a restart, milliseconds
 }
 
 // nodesReply is a line of the simulated nodes' standard output. The first line holds the addresses; each further line is the
@@ -51,7 +51,7 @@
 	nodesSectionCounts
 	Unanswered     int64            `json:"unanswered"`  // requests without a response at the end of the run
 	Duplicates     int64            `json:"doubled"`     // unsafe requests that servers executed more than once
-	LateSends      int64            `json:"late"`        // attempts after a drain's notice, drainGrace and violationTolerance
+	LateSends      int64            `json:"late"`        // attempts over drainGrace and violationTolerance after a drain's notice
 	AttemptsBegun  []int64          `json:"load"`        // attempts that a server began to execute, by server number
 	Lists          []listApplyTimes `json:"lists"`       // one element for each endpoint list, in the order of arrival
 	Peers          []peerTraffic    `json:"peers"`       // one element for each kind of message
@@ -89,7 +89,7 @@
 	At       []int64 `json:"at"`  // time in Unix µs, by simulated node from 0; 0: the node was down
 }
 
-// peerTraffic counts datagrams of one kind at all simulated nodes.
+// peerTraffic counts the peer messages of one kind at all simulated nodes.
 type peerTraffic struct {
 	Kind     byte  `json:"mark"` // first byte of the messages; 0: all other kinds
 	In       int64 `json:"in"`
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -133,8 +133,8 @@
 	r.restart(ctx, n, rng)
 }
 
-// restart starts a node that has ended. In some starts the node gets no known endpoint list. In some, discovery simulates a node
-// clock that is ahead or behind.
+// restart starts a node that has ended. In some starts the node's configuration contains no endpoint list. In some, discovery
+// simulates a node clock that is ahead or behind.
 func (r *run) restart(ctx context.Context, n *node, rng *rand.Rand) {
 	if ctx.Err() != nil {
 		return
@@ -217,12 +217,13 @@
 	return s
 }
 
-// publish changes a server's entry in the endpoint list, and returns the time of the change. A zero boot leaves the boot time.
-func (r *run) publish(s *appServer, state protocol.EndpointState, boot time.Time) time.Time {
+// publish changes a server's entry in the endpoint list, and returns the time of the change. If bootTime is zero, the
+// boot time stays unchanged.
+func (r *run) publish(s *appServer, state protocol.EndpointState, bootTime time.Time) time.Time {
 	_, at := r.agent.Publish(func(e *discovery.Endpoint) {
 		e.State = state
-		if !boot.IsZero() {
-			e.BootMs = boot.UnixMilli()
+		if !bootTime.IsZero() {
+			e.BootMs = bootTime.UnixMilli()
 		}
 	}, s.number)
 	return at
