--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -112,8 +112,8 @@
 	if fields.Err() != nil {
 		return fields.Err()
 	}
-	set := settings.FromText(text)
-	a.recoverFault(instance, func() { a.engines[instance] = decision.New(seed, set, a.now) })
+	parsedSettings := settings.FromText(text)
+	a.recoverFault(instance, func() { a.engines[instance] = decision.New(seed, parsedSettings, a.now) })
 	a.markActive(instance)
 	return nil
 }
--- a/cmd/simadapter/simulator_test.go
+++ b/cmd/simadapter/simulator_test.go
@@ -103,12 +103,12 @@
 // requestRecord returns a request of a random class and customer. Some clients disconnect early.
 func (sim *simulator) requestRecord(instance uint16) []byte {
 	sim.lastRequestID++
-	id, left := sim.lastRequestID, uint32(100000+sim.rng.IntN(500000))
+	id, timeout := sim.lastRequestID, uint32(100000+sim.rng.IntN(500000))
 	class := byte(sim.rng.IntN(3))
-	sim.requests[id] = &simulatedRequest{instance: instance, deadline: sim.now + uint64(left), streaming: class == 2}
+	sim.requests[id] = &simulatedRequest{instance: instance, deadline: sim.now + uint64(timeout), streaming: class == 2}
 	customer := uint64(1 + sim.rng.IntN(12))
 	if sim.rng.IntN(12) == 0 { // the client disconnects early
-		sim.schedule(sim.now+uint64(left)/3, instance, func() [][]byte {
+		sim.schedule(sim.now+uint64(timeout)/3, instance, func() [][]byte {
 			if sim.requests[id].closed {
 				return nil
 			}
@@ -116,7 +116,7 @@
 			return [][]byte{sim.event(codeClientGone, instance, id)}
 		})
 	}
-	return sim.event(codeRequest, instance, id, class, uint32(customer%3), customer, left, float32(1+customer%2),
+	return sim.event(codeRequest, instance, id, class, uint32(customer%3), customer, timeout, float32(1+customer%2),
 		float32(2), float32(0), byte(2*sim.rng.IntN(2)))
 }
 
--- a/cmd/simadapter/wireformat_test.go
+++ b/cmd/simadapter/wireformat_test.go
@@ -60,7 +60,7 @@
 		"06 0f000000 0300 f4010000 00 4d000000 22240000" + // response started
 			"07 1f000000 0300 f5010000 00 4e000000 ff00 44480000 00 0000 0000 02 0000803f 00000040" + // attempt with an error
 			"07 17000000 0300 f6010000 00 4d000000 0000 44480000 01 5600 0300 00", // attempt completed, with its actual units
-		"04 06000000 0300 f5010000" + // client gone
+		"04 06000000 0300 f5010000" + // client disconnected
 			"03 0a000000 0300 01000000 0200 c800" + // peer message
 			"05 14000000 0300 90f6890000000000 0000 00001842 66080000" + // count added
 			"09 11000000 0300 4d000000 0000 66080000 01 0000803f" + // health checked
@@ -143,8 +143,8 @@
 	}
 }
 
-// Without recovery a bug of the engine would end the adapter, and the simulator would not see its text. A panic becomes an
-// ActionFault with its text.
+// Without recovery a bug of the engine would end the adapter, and the simulator would not see the panic's text. A panic becomes
+// an ActionFault with that text.
 func TestPanicBecomesFaultAction(t *testing.T) {
 	var a adapter
 	a.reply.Reset()
@@ -164,7 +164,7 @@
 		codeTimerFired: simproto.EventTimerFired, codeInstanceStarted: simproto.EventInstanceStarted,
 	} {
 		if int(got) != want {
-			t.Errorf("simproto has event code %d, want %d", got, want)
+			t.Errorf("simproto's constant for event code %d = %d, want %d", want, got, want)
 		}
 	}
 	for want, got := range map[int]simproto.ActionCode{
@@ -175,7 +175,7 @@
 		codeSetTimer: simproto.ActionSetTimer,
 	} {
 		if int(got) != want {
-			t.Errorf("simproto has action code %d, want %d", got, want)
+			t.Errorf("simproto's constant for action code %d = %d, want %d", want, got, want)
 		}
 	}
 }
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -93,28 +93,29 @@
 	clear(a.conns)
 }
 
-// maxChangeDelay is the maximum time until the client has a change. It is below the shortest drain grace period, 250 ms.
+// maxChangeDelay is the maximum time from a change at the agent until the client has the change. It is below the
+// shortest drain grace period, 250 ms.
 const maxChangeDelay = 200 * time.Millisecond
 
 // While the agent's listen queue is full, connects wait for retransmissions of the kernel, whose pauses grow. The client must
 // receive the list soon after the agent accepts connections again.
 func TestDiscoveryClientReceivesListOnceAgentIsUp(t *testing.T) {
-	addr, emptyQueue := nettest.FullServer(t)
+	addr, startAccepting := nettest.FullServer(t)
 	listed := make(chan time.Time, 99)
 	startDiscoveryClient(t, &Client{
 		Addr: addr.String(), NeedsFullList: true,
 		OnList: func(*protocol.EndpointList) { listed <- time.Now() }, OnFailure: func() {},
 	})
 	time.Sleep(300 * time.Millisecond)
-	listener := emptyQueue()
+	listener := startAccepting()
 	for range 2 { // Accept the connections that filled the queue.
 		if conn, err := listener.Accept(); err == nil {
 			nettest.Close(conn)
 		}
 	}
-	up := time.Now()
+	upAt := time.Now()
 	go newAgent(0, 0).serve(listener)
-	if took := (<-listed).Sub(up); took > maxChangeDelay {
+	if took := (<-listed).Sub(upAt); took > maxChangeDelay {
 		t.Errorf("the client received the list %v after the agent was up, want at most %v", took, maxChangeDelay)
 	}
 }
@@ -137,8 +138,8 @@
 			nettest.Close(listener)
 			a.reset()
 			time.Sleep(2500 * time.Millisecond)
-			again, _ := net.Listen("tcp", listener.Addr().String())
-			return again
+			reopened, _ := net.Listen("tcp", listener.Addr().String())
+			return reopened
 		}},
 		"connection is reset":       {fault: func(a *agent, listener net.Listener) net.Listener { a.reset(); return listener }},
 		"first call is lost":        {unansweredConns: 1},
@@ -156,13 +157,13 @@
 			})
 			awaitRevision(t, revisions, 1, maxChangeDelay+test.responseDelay+time.Duration(test.unansweredConns)*raceInterval)
 			if test.fault != nil {
-				again := test.fault(agent, listener)
-				if again == nil {
+				current := test.fault(agent, listener)
+				if current == nil {
 					t.Fatal("net.Listen on the agent's address failed after the fault, want a listener")
 				}
-				if again != listener {
-					defer nettest.Close(again)
-					go agent.serve(again)
+				if current != listener {
+					defer nettest.Close(current)
+					go agent.serve(current)
 				}
 			}
 			agent.setState(true, 2)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -182,7 +182,7 @@
 	}))
 	startedAt := time.Now()
 	startDiscoveryClient(t, &Client{Addr: listener.Addr().String()}) // OnFailure is nil.
-	nettest.Eventually(t, "another call", func() bool { return calls.Load() > 2 })
+	nettest.Eventually(t, "a third call after the second was not answered", func() bool { return calls.Load() > 2 })
 	if took := time.Since(startedAt); took > 4*time.Second {
 		t.Errorf("the client made another call after %v, want at most 4 s", took)
 	}
--- a/internal/discovery/fakediscovery_test.go
+++ b/internal/discovery/fakediscovery_test.go
@@ -14,8 +14,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// fault mishandles a call to discovery, whose correct response is given. A call that arrives during a fault keeps the fault
-// after it has ended.
+// fault mishandles a call to discovery, whose correct response is given. A call that arrives during a fault stays faulty
+// after the end of the fault.
 type fault func(conn net.Conn, response string)
 
 // callFaults are the faults of single calls by name.
@@ -74,7 +74,7 @@
 	listener                net.Listener
 	addr                    string
 	rand                    *rand.Rand
-	rejectsUnknownRevisions bool // true if it rejects calls for changes since an unknown revision
+	rejectsUnknownRevisions bool // true if calls for changes since an unknown revision are rejected
 
 	mu                sync.Mutex // guards the fields below
 	fault             fault      // fault of new calls; nil if there is none
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -38,8 +38,8 @@
 	faultNoConnection         = "no connection"                // The listener's queue is full.
 	faultLowerRevisions       = "new lower revisions"          // Discovery restarts with lower revisions.
 	faultLowerRevisionsStrict = "new lower revisions, strict"  // Discovery also rejects calls with an unknown revision.
-	faultMoved                = "moved"                        // The node is told another address of discovery.
-	faultMovedWaiting         = "moved while the client waits" // The same while discovery rejects calls, so that the client pauses.
+	faultMoved                = "moved"                        // The client switches to another address of discovery.
+	faultMovedWaiting         = "moved while the client waits" // The client switches while it pauses after a rejected call.
 )
 
 // recoveryCase is a node and its discovery, with a fault between them.
@@ -49,7 +49,7 @@
 	callHeld       bool          // true: the fault begins while discovery holds a call; false: before the node starts
 	failedPolls    int           // number of failed polls before the fault
 	minFaultyCalls int           // number of calls during the fault before it may end; ignored if takesNoCalls
-	extraTime      time.Duration // duration of the fault after these calls
+	extraTime      time.Duration // time from the last of these calls to the end of the fault
 	seed           uint64
 }
 
@@ -71,13 +71,13 @@
 // recoveryRun is the state of a run of one case.
 type recoveryRun struct {
 	recoveryCase
-	discovery  *fakeDiscovery
-	listenHost string
-	emptyQueue func() net.Listener // empties the listen queue of faultNoConnection; nil for other faults
-	router     *routing.Router
-	timer      *netio.Timer
-	client     *Client
-	applied    chan time.Time // times at which the node applied the change
+	discovery      *fakeDiscovery
+	listenHost     string
+	startAccepting func() net.Listener // makes the full listener of faultNoConnection accept connections; nil for other faults
+	router         *routing.Router
+	timer          *netio.Timer
+	client         *Client
+	applied        chan time.Time // times at which the node applied the change
 }
 
 // run starts and ends the fault, and returns the time from the end of the fault until the node applied a change. Discovery has
@@ -114,11 +114,11 @@
 		rand: rand.New(rand.NewPCG(r.seed, 2)), rejectsUnknownRevisions: r.fault == faultLowerRevisionsStrict,
 	}
 	r.discovery = d
-	// A random loopback address, so that no other test listens there while the listener is closed.
+	// Use a random loopback address, so that no other test listens there while the listener is closed.
 	r.listenHost = fmt.Sprintf("127.%d.%d.%d", 1+d.rand.IntN(250), d.rand.IntN(250), 1+d.rand.IntN(250))
 	if r.fault == faultNoConnection {
 		var addr netip.AddrPort
-		addr, r.emptyQueue = nettest.FullServer(t)
+		addr, r.startAccepting = nettest.FullServer(t)
 		d.addr = addr.String()
 	} else {
 		if d.listener, err = net.Listen("tcp", r.listenHost+":0"); err != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// callFault returns the fault of single calls that belongs to the fault.
+// callFault returns the fault of each call that arrives during the run's fault.
 func (r *recoveryRun) callFault() fault {
 	if r.fault == faultMovedWaiting {
 		return callFaults["503 at once"]
@@ -209,7 +209,7 @@
 
 // beginFault starts the node and the fault, and waits until minFaultyCalls have arrived.
 func (r *recoveryRun) beginFault() (startedAt time.Time, err error) {
-	holdsFirst, begun := r.callHeld && r.emptyQueue == nil, make(chan struct{})
+	holdsFirst, begun := r.callHeld && r.startAccepting == nil, make(chan struct{})
 	if holdsFirst {
 		go func() {
 			for r.discovery.openCalls() == 0 { // Wait until discovery holds a call.
@@ -274,15 +274,15 @@
 			return 0, err
 		}
 		go d.serve(d.listener)
-	case r.emptyQueue != nil:
-		d.listener = r.emptyQueue()
+	case r.startAccepting != nil:
+		d.listener = r.startAccepting()
 		go d.serve(d.listener)
 	}
 	defer nettest.Close(d.listener)
 	endedAt := time.Now()
 	if r.mode == settings.EndpointListPoll && (maxOpenCalls > 1 || faultyCalls > 2+int(lasted/time.Second)) {
-		return 0, fmt.Errorf("%d calls at once and %d calls during a fault of %v, want at most 1 at once and %d", maxOpenCalls, faultyCalls, lasted,
-			2+int(lasted/time.Second))
+		return 0, fmt.Errorf("discovery received %d calls at once and %d calls during a fault of %v, want at most 1 at once and %d",
+			maxOpenCalls, faultyCalls, lasted, 2+int(lasted/time.Second))
 	}
 	return r.await(endedAt)
 }
@@ -297,7 +297,7 @@
 	}
 }
 
-// recoveryCases returns the cases for a number of seeds. Faults end just after a call arrived that fails, and at other phases.
+// recoveryCases returns the cases for a number of seeds. Faults end directly after a failing call arrived, or later.
 func recoveryCases(seeds uint64) (all []recoveryCase) {
 	names := []string{faultRefused, faultNoConnection, faultLowerRevisions, faultLowerRevisionsStrict, faultMoved, faultMovedWaiting}
 	names = slices.AppendSeq(names, maps.Keys(callFaults))
@@ -370,7 +370,8 @@
 			defer mu.Unlock()
 			if worst[test.mode] = max(worst[test.mode], took); err != nil || took > maxRecoveryTime-recoveryMargin {
 				late[test.mode]++
-				t.Errorf("%v: the node applied the change after %v (error %v), want at most %v", test, took, err, maxRecoveryTime-recoveryMargin)
+				t.Errorf("%v: time until the node applied the change = %v (error %v), want at most %v and no error",
+					test, took, err, maxRecoveryTime-recoveryMargin)
 			}
 		}()
 	}
--- a/internal/frontend/arrivals_test.go
+++ b/internal/frontend/arrivals_test.go
@@ -68,7 +68,7 @@
 func (r *arrivalRecorder) listen(listener net.Listener, answer func(net.Conn) bool) {
 	nettest.ServeConns(listener, func(conn net.Conn) {
 		raw, _ := conn.(*net.TCPConn).SyscallConn()
-		_ = raw.Control(func(fd uintptr) { // without timestamps, Read uses its own time, which is later
+		_ = raw.Control(func(fd uintptr) { // without timestamps, Read uses the time of its return, which is later
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1)
 		})
 		timestamped := &timestampedReader{raw: raw}
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -17,8 +17,8 @@
 	"cherrygap/internal/upstream"
 )
 
-// Requests of any body size on one client connection are answered with the same body, and their attempts reuse one
-// connection to the app server.
+// Bodies of some sizes could be truncated, or each request could open another connection to the app server. Requests of any
+// body size on one client connection must get their own body back, and their attempts must reuse one connection.
 func TestRequestsAreAnsweredOnOneConnection(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 	conn := node.Dial(t)
@@ -31,13 +31,13 @@
 		time.Sleep(upstream.ReuseDelay)
 	}
 	if dials := node.Counters.Upstream.Dials.Load(); dials != 1 {
-		t.Errorf("%d connections dialed to the app server, want 1", dials)
+		t.Errorf("%d connections dialled to the app server, want 1", dials)
 	}
 	if status, _, _ := frontendtest.RoundTrip(t, conn, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
 		t.Errorf("health check of the node: status %d, want 200", status)
 	}
 	nettest.Close(conn)
-	nettest.Eventually(t, "close with reason client-closed", func() bool { return node.Log.ClosedFor(netio.ReasonClientClosed) })
+	nettest.Eventually(t, "a close with reason client-closed", func() bool { return node.Log.ClosedFor(netio.ReasonClientClosed) })
 }
 
 // An invalid request must not reach an app server. The client gets the status of the error, and then a close.
@@ -96,10 +96,10 @@
 // App servers would count the attempts of two requests with one id as those of one request. A request is therefore rejected
 // if its id is in flight or was answered recently.
 func TestIDOfAnotherRequestIsRefused(t *testing.T) {
-	received, answer := make(chan struct{}, 9), make(chan struct{})
+	received, proceed := make(chan struct{}, 9), make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		received <- struct{}{}
-		<-answer
+		<-proceed
 		return frontendtest.Echo(conn, request)
 	})
 	text, conn := frontendtest.RequestText(5000, "mine"), node.Dial(t)
@@ -109,12 +109,12 @@
 		if status, _, closes := frontendtest.RoundTrip(t, node.Dial(t), text); status != 409 || !closes {
 			t.Errorf("request with a used id: status %d, closes %v; want status 409, closes true", status, closes)
 		}
-		if answer != nil {
-			close(answer)
+		if proceed != nil {
+			close(proceed)
 			if status, body, _ := frontendtest.RoundTrip(t, conn, ""); status != 200 || body != "mine" {
 				t.Errorf("first request with the id: status %d, body %q; want status 200, body %q", status, body, "mine")
 			}
-			answer = nil
+			proceed = nil
 		}
 	}
 }
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -48,7 +48,7 @@
 	conn := dialWithReceiveBuffer(t, node, 4096)
 	body := strings.Repeat("x", protocol.MaxBody)
 	nettest.WriteString(conn, frontendtest.RequestText(3000, body))
-	nettest.Eventually(t, "completed request", func() bool { return node.Counters.Completed.Load() == 1 })
+	nettest.Eventually(t, "the end of the request", func() bool { return node.Counters.Completed.Load() == 1 })
 	time.Sleep(20 * time.Millisecond) // time for the node to close the connection
 	nettest.WriteString(conn, frontendtest.RequestText(3000, "x"))
 	time.Sleep(20 * time.Millisecond) // time for a reset to arrive
@@ -69,7 +69,7 @@
 	conn := node.Dial(t)
 	frontendtest.RoundTrip(t, conn, frontendtest.RequestText(1000, "x"))
 	var client *frontend.ClientConn
-	nettest.Eventually(t, "idle connection", func() bool {
+	nettest.Eventually(t, "the connection to be idle", func() bool {
 		node.Server.Mutex().Lock()
 		defer node.Server.Mutex().Unlock()
 		for c := range node.Server.ClientConns() {
@@ -109,9 +109,9 @@
 	node.Server.Draining().Store(true)
 	conn := dialWithReceiveBuffer(t, node, 4096)
 	nettest.WriteString(conn, frontendtest.RequestText(60_000, strings.Repeat("x", protocol.MaxBody)))
-	nettest.Eventually(t, "completed request", func() bool { return node.Counters.Completed.Load() == 1 })
+	nettest.Eventually(t, "the end of the request", func() bool { return node.Counters.Completed.Load() == 1 })
 	startedAt := time.Now()
-	nettest.Eventually(t, "closed client connection", func() bool { return node.Server.OpenClients() == 0 })
+	nettest.Eventually(t, "the close of the client connection", func() bool { return node.Server.OpenClients() == 0 })
 	if took := time.Since(startedAt); took < netio.MessageTimeout/2 || took > netio.MessageTimeout+time.Second {
 		t.Errorf("the connection was closed after %v, want %v to %v", took, netio.MessageTimeout/2, netio.MessageTimeout+time.Second)
 	}
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -38,7 +38,7 @@
 		case <-time.After(3 * time.Second):
 			t.Fatalf("%d bytes behind the request: the attempt's connection is open 3s after the disconnect, want it closed", len(extra))
 		}
-		nettest.Eventually(t, "request counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 1 })
+		nettest.Eventually(t, "the request to be counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 1 })
 		if node.Counters.Upstream.Attempts.Load() != 1 {
 			t.Errorf("%d bytes behind the request: %d attempts, want 1", len(extra), node.Counters.Upstream.Attempts.Load())
 		}
@@ -48,17 +48,17 @@
 // Pipelined requests that fit into the buffer are answered. Bytes that overflow the buffer must not damage the response in
 // flight: it is complete, and the connection's last.
 func TestBytesSentBehindARequest(t *testing.T) {
-	answer := make(chan struct{})
+	proceed := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		<-answer
+		<-proceed
 		return frontendtest.Echo(conn, request)
 	})
 	pipelining, overflowing := node.Dial(t), node.Dial(t)
 	nettest.WriteString(pipelining, frontendtest.RequestText(5000, "one")+frontendtest.RequestText(5000, "two"))
 	nettest.WriteString(overflowing, frontendtest.RequestText(5000, "one"))
-	nettest.Eventually(t, "attempts for two requests", func() bool { return node.Counters.Upstream.Attempts.Load() == 2 })
+	nettest.Eventually(t, "one attempt for each of two requests", func() bool { return node.Counters.Upstream.Attempts.Load() == 2 })
 	nettest.WriteString(overflowing, strings.Repeat("x", 200<<10))
-	close(answer)
+	close(proceed)
 	reader := bufio.NewReader(pipelining)
 	for _, want := range []string{"one", "two"} {
 		response, err := http.ReadResponse(reader, nil)
@@ -95,7 +95,7 @@
 			node.Server.Mutex().Unlock()
 		}
 	}
-	nettest.Eventually(t, "close of all 30 connections", func() bool { return node.Server.OpenClients() == 0 && node.Counters.Connections.Load() == 30 })
+	nettest.Eventually(t, "the close of all 30 connections", func() bool { return node.Server.OpenClients() == 0 && node.Counters.Connections.Load() == 30 })
 	if executed.Load() > 0 || node.Counters.Upstream.Attempts.Load() > 0 || node.Counters.Requests.Load() != node.Counters.ClientsGone.Load() {
 		t.Errorf("%d requests executed, %d attempts; want 0, 0; %d of %d requests counted in ClientsGone, want all", executed.Load(),
 			node.Counters.Upstream.Attempts.Load(), node.Counters.ClientsGone.Load(), node.Counters.Requests.Load())
@@ -108,19 +108,19 @@
 	limits := frontendtest.Limits
 	limits.ConnectTimeout = 3 * time.Second
 	node := frontendtest.StartWith(t, frontendtest.Config{Settings: settings.Values{settings.CancelAttempts: "false"}, RetrySafety: settings.RetrySafe, Limits: limits})
-	addr, emptyQueue := nettest.FullServer(t)
+	addr, startAccepting := nettest.FullServer(t)
 	node.SetOnlyServer(protocol.Endpoint{UID: "full", Weight: 1, Addr: addr})
 	conn := node.Dial(t)
 	nettest.WriteString(conn, frontendtest.RequestText(5000, "x"))
-	nettest.Eventually(t, "dial of the app server", func() bool { return node.Counters.Upstream.Dials.Load() == 1 })
+	nettest.Eventually(t, "a dial of the app server", func() bool { return node.Counters.Upstream.Dials.Load() == 1 })
 	nettest.Close(conn)
 	received := make(chan string, 9)
-	go nettest.ServeConns(emptyQueue(), func(conn net.Conn) {
+	go nettest.ServeConns(startAccepting(), func(conn net.Conn) {
 		if request, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			received <- request.RequestURI
 		}
 	})
-	nettest.Eventually(t, "request counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 1 })
+	nettest.Eventually(t, "the request to be counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 1 })
 	select {
 	case uri := <-received:
 		t.Errorf("the app server received the request %s, want none", uri)
@@ -143,13 +143,13 @@
 	connected := send("")
 	for i := range 20 {
 		conn := send(strings.Repeat("more ", i%2*100))
-		nettest.Eventually(t, "counted request", func() bool { return node.Counters.Requests.Load() == int64(i+2) })
+		nettest.Eventually(t, "the request to be counted", func() bool { return node.Counters.Requests.Load() == int64(i+2) })
 		nettest.Close(conn)
 	}
 	if status, body, _ := frontendtest.RoundTrip(t, connected, ""); status != 200 || body != "x" {
 		t.Errorf("request of the connected client: status %d, body %q; want status 200, body %q", status, body, "x")
 	}
-	nettest.Eventually(t, "20 requests counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 20 })
+	nettest.Eventually(t, "20 requests to be counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 20 })
 	late := send("")
 	if status, _, _ := frontendtest.RoundTrip(t, late, ""); status != 200 { // waits as long as the disconnected clients' requests
 		t.Errorf("request after the disconnects: status %d, want 200", status)
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -20,11 +20,11 @@
 )
 
 // No byte of an attempt may arrive at an app server more than 0.1 s after the client's disconnect. Clients disconnect at
-// random times, by a close, a reset or a half-close, with or without pipelined bytes. At that time an attempt may be dialing,
+// random times, by a close, a reset or a half-close, with or without pipelined bytes. At that time an attempt may be dialling,
 // in flight, rejected, failed or reset, or its request waits for a quota owner or a free connection. One run has one core.
 func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
-	fewSockets := frontendtest.Limits
-	fewSockets.MaxDescriptors = netio.MinReserved + 16
+	fewDescriptors := frontendtest.Limits
+	fewDescriptors.MaxDescriptors = netio.MinReserved + 16
 	for _, test := range []disconnectConfig{
 		{name: "many", seed: 30, targetDisconnects: 200, pool: frontendtest.Limits},
 		{
@@ -33,7 +33,7 @@
 				settings.Nodes: "60", settings.Node: "0", settings.Peers: settings.On, settings.PeerRate: "40",
 			},
 		},
-		{name: "few connections", seed: 32, targetDisconnects: 60, pool: fewSockets},
+		{name: "few connections", seed: 32, targetDisconnects: 60, pool: fewDescriptors},
 		{name: "no cancelling", seed: 33, targetDisconnects: 60, pool: frontendtest.Limits, settings: settings.Values{settings.CancelAttempts: "false"}},
 		{name: "one core", seed: 34, targetDisconnects: 100, pool: frontendtest.Limits, oneCore: true},
 	} {
@@ -98,7 +98,7 @@
 	for range 20 {
 		list.Endpoints = append(list.Endpoints, d.arrivals.startServer(t, d.answer))
 	}
-	addr, emptyQueue := nettest.FullServer(t)
+	addr, startAccepting := nettest.FullServer(t)
 	list.Endpoints = append(list.Endpoints, protocol.Endpoint{UID: "full", Weight: 4, Addr: addr})
 	d.node.Router.UpdateEndpoints(list, routing.FromDiscovery)
 	maxWaitMs := 400 // upper bound of the time to a disconnect, in ms; longer with a quota owner
@@ -119,9 +119,9 @@
 		go d.runClient(t, client)
 		time.Sleep(pause)
 	}
-	go d.arrivals.listen(emptyQueue(), func(net.Conn) bool { return false }) // accepts the connections that are still being dialed
+	go d.arrivals.listen(startAccepting(), func(net.Conn) bool { return false }) // accepts the connections that are still being dialled
 	d.clients.Wait()
-	nettest.Eventually(t, "close of all client connections", func() bool { return d.node.Server.OpenClients() == 0 })
+	nettest.Eventually(t, "the close of all client connections", func() bool { return d.node.Server.OpenClients() == 0 })
 	time.Sleep(2 * maxArrivalDelay) // time for late attempts to arrive
 	d.check(t)
 }
@@ -148,7 +148,7 @@
 type disconnectingClient struct {
 	id, text, pipelined string        // request id, text of the request, and pipelined bytes behind it
 	disconnectAfter     time.Duration // time from the request to the disconnect
-	closeMode           int           // way to disconnect: 0 and 1 reset, 2 half-closes, 3 and above close
+	closeMode           int           // kind of disconnect: 0 and 1 reset, 2 half-close, 3 and above close
 }
 
 // runClient runs one client.
@@ -167,7 +167,7 @@
 	if !netio.TimedOut(err) { // the client has a response
 		return
 	}
-	before := time.Now()
+	startedAt := time.Now()
 	switch {
 	case client.closeMode < 2:
 		nettest.ResetOnClose(conn)
@@ -177,19 +177,19 @@
 	default:
 		nettest.Close(conn)
 	}
-	gone := time.Now()
-	d.recordDisconnect(client.id, before, gone)
+	endedAt := time.Now()
+	d.recordDisconnect(client.id, startedAt, endedAt)
 	if client.closeMode == 2 {
 		nettest.DiscardAll(conn)
 	}
 }
 
-// recordDisconnect records the time of a client's disconnect, which began at before and was complete at gone.
-func (d *disconnectRun) recordDisconnect(id string, before, gone time.Time) {
+// recordDisconnect records the time of a client's disconnect, which began at startedAt and was complete at endedAt.
+func (d *disconnectRun) recordDisconnect(id string, startedAt, endedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.disconnectedAt[id] = before.Round(0); gone.Sub(before) > maxCloseTime { // the disconnect may have happened as late as gone
-		d.disconnectedAt[id] = gone.Round(0)
+	if d.disconnectedAt[id] = startedAt.Round(0); endedAt.Sub(startedAt) > maxCloseTime { // the disconnect may have happened as late as endedAt
+		d.disconnectedAt[id] = endedAt.Round(0)
 		d.inexactTimes++
 	}
 }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -37,7 +37,7 @@
 	select {
 	case <-drained:
 	case <-time.After(within):
-		t.Fatalf("Drain has not returned after %v", within)
+		t.Fatalf("Drain did not return within %v, want it to return", within)
 	}
 }
 
@@ -53,7 +53,7 @@
 		conns = append(conns, conn)
 	}
 	drained := startDrain(node, 10*time.Millisecond)
-	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	nettest.Eventually(t, "the drain to begin", node.Server.Draining().Load)
 	time.Sleep(20 * time.Millisecond) // until after the listener's deadline
 	node.Server.Mutex().Unlock()
 	for i, conn := range conns {
@@ -77,7 +77,7 @@
 		idle := node.Dial(t)
 		frontendtest.RoundTrip(t, idle, frontendtest.RequestText(3000, "x"))
 		text := frontendtest.RequestText(3000, "x")
-		nettest.Eventually(t, "idle connection", func() bool {
+		nettest.Eventually(t, "the connection to be idle", func() bool {
 			node.Server.Mutex().Lock()
 			defer node.Server.Mutex().Unlock()
 			for client := range node.Server.ClientConns() {
@@ -92,7 +92,7 @@
 			lost++
 		}
 		nettest.Close(idle)
-		nettest.Eventually(t, "closed client connection", func() bool { return node.Server.OpenClients() == 0 })
+		nettest.Eventually(t, "the close of the client connection", func() bool { return node.Server.OpenClients() == 0 })
 	}
 	if lost > 0 {
 		t.Errorf("%d of 20 requests had no response with status 200, want 0", lost)
@@ -111,9 +111,9 @@
 // Requests in transit must not be lost when a drain begins: neither on a connection that waits for a slot, nor on one with a
 // partly read request, nor in flight at an app server. Each response closes its connection.
 func TestDrainWaitsForRequestsInTransit(t *testing.T) {
-	answer := make(chan struct{})
+	proceed := make(chan struct{})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.LimitsForEightConnections(), 8, func(conn net.Conn, request *http.Request) bool {
-		<-answer
+		<-proceed
 		return frontendtest.Echo(conn, request)
 	})
 	var conns []net.Conn
@@ -124,7 +124,7 @@
 	}
 	partial, text := node.Dial(t), frontendtest.RequestText(5000, "x")
 	nettest.WriteString(partial, text[:60])
-	nettest.Eventually(t, "partly read request", func() bool {
+	nettest.Eventually(t, "one partly read request and seven in flight", func() bool {
 		node.Server.Mutex().Lock()
 		defer node.Server.Mutex().Unlock()
 		partlyRead := 0
@@ -138,12 +138,12 @@
 	node.Server.BlockEvictions() // so that no slot becomes free
 	queued := node.Dial(t)
 	nettest.WriteString(queued, frontendtest.RequestText(5000, "x"))
-	nettest.Eventually(t, "connection that waits for a slot", node.Server.AtLimit().Load)
+	nettest.Eventually(t, "a connection to wait for a slot", node.Server.AtLimit().Load)
 	drained := startDrain(node, 0)
-	nettest.Eventually(t, "drain that closes idle connections", node.Server.ClosingIdle().Load)
+	nettest.Eventually(t, "the drain to close idle connections", node.Server.ClosingIdle().Load)
 	time.Sleep(2 * frontend.FirstRequestGrace)
 	nettest.WriteString(partial, text[60:])
-	close(answer)
+	close(proceed)
 	for i, conn := range append(conns, partial, queued) {
 		if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 200 && status != 503 || !closes {
 			t.Errorf("request on connection %d: status %d, closes %v; want status 200 or 503, closes true", i, status, closes)
@@ -157,10 +157,10 @@
 func TestDrainGivesNewConnectionsTimeToSend(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, frontendtest.Echo)
 	silent, requesting := node.Dial(t), node.Dial(t)
-	nettest.Eventually(t, "two accepted connections", func() bool { return node.Counters.Connections.Load() == 2 })
+	nettest.Eventually(t, "the accept of two connections", func() bool { return node.Counters.Connections.Load() == 2 })
 	startedAt := time.Now()
 	drained := startDrain(node, 0)
-	nettest.Eventually(t, "drain that closes idle connections", node.Server.ClosingIdle().Load)
+	nettest.Eventually(t, "the drain to close idle connections", node.Server.ClosingIdle().Load)
 	if status, _, closes := frontendtest.RoundTrip(t, requesting, frontendtest.RequestText(3000, "x")); status != 200 || !closes {
 		t.Errorf("request on a new connection: status %d, closes %v; want status 200, closes true", status, closes)
 	}
@@ -181,10 +181,10 @@
 	})
 	conn := node.Dial(t)
 	nettest.WriteString(conn, frontendtest.RequestText(700, ""))
-	nettest.Eventually(t, "attempt at the app server", func() bool { return node.Counters.Upstream.Attempts.Load() == 1 })
+	nettest.Eventually(t, "an attempt at the app server", func() bool { return node.Counters.Upstream.Attempts.Load() == 1 })
 	startedAt, drained := time.Now(), startDrain(node, 0)
 	if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 502 || !closes {
-		t.Errorf("request without an answer: status %d, closes %v; want status 502, closes true", status, closes)
+		t.Errorf("request without a response from the app server: status %d, closes %v; want status 502, closes true", status, closes)
 	}
 	waitDrained(t, drained, time.Second)
 	if took := time.Since(startedAt); took > 700*time.Millisecond {
@@ -218,7 +218,7 @@
 			load.run(rand.New(rand.NewSource(seed)))
 		}()
 	}
-	nettest.Eventually(t, "200 answered requests", func() bool { return load.answered.Load() > 200 })
+	nettest.Eventually(t, "more than 200 answered requests", func() bool { return load.answered.Load() > 200 })
 	load.noDialsAfter.Store(time.Now().Add(acceptFor / 2).UnixNano())
 	waitDrained(t, startDrain(node, acceptFor), 5*time.Second)
 	clients.Wait()
@@ -269,24 +269,24 @@
 // Drain must not return before the requests in flight are answered. Meanwhile health checks fail, idle connections are closed
 // and the listener closes.
 func TestDrainAnswersAllOpenRequests(t *testing.T) {
-	received, answer := make(chan struct{}), make(chan struct{})
+	received, proceed := make(chan struct{}), make(chan struct{})
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		close(received)
-		<-answer
+		<-proceed
 		return frontendtest.Echo(conn, request)
 	})
 	idle, busy, healthChecker := node.Dial(t), node.Dial(t), node.Dial(t)
 	nettest.WriteString(busy, frontendtest.RequestText(5000, "late"))
 	<-received
 	drained := startDrain(node, 300*time.Millisecond)
-	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	nettest.Eventually(t, "the drain to begin", node.Server.Draining().Load)
 	if status, _, closes := frontendtest.RoundTrip(t, healthChecker, "GET "+protocol.HealthPath+" HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 || !closes {
 		t.Errorf("health check during the drain: status %d, closes %v; want status 503, closes true", status, closes)
 	}
 	if _, err := io.ReadAll(idle); err != nil {
 		t.Errorf("read from the idle connection: %v, want a close", err)
 	}
-	nettest.Eventually(t, "closed listener", func() bool {
+	nettest.Eventually(t, "the close of the listener", func() bool {
 		conn, err := net.Dial("tcp", node.Server.Addr().String())
 		if err == nil {
 			nettest.Close(conn)
@@ -295,10 +295,10 @@
 	})
 	select {
 	case <-drained:
-		t.Fatal("Drain returned with a request in flight")
+		t.Fatal("Drain returned with a request in flight, want it to wait for the response")
 	default:
 	}
-	close(answer)
+	close(proceed)
 	if status, body, closes := frontendtest.RoundTrip(t, busy, ""); status != 200 || body != "late" || !closes {
 		t.Errorf("request in flight: status %d, body %q, closes %v; want status 200, body %q, closes true", status, body, closes, "late")
 	}
--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -35,8 +35,8 @@
 	t                *testing.T
 	node             *frontendtest.Node
 	clients          sync.WaitGroup
-	stop             atomic.Bool  // tells the clients to stop
-	answered, served atomic.Int64 // numbers of requests with any response, and with the app server's
+	stop             atomic.Bool  // set when the clients must stop
+	answered, served atomic.Int64 // numbers of requests with any response, and with the app server's response
 
 	mu         sync.Mutex // guards the fields below
 	rand       *rand.Rand
@@ -61,7 +61,7 @@
 			(&faultyClient{faultRun: r}).run()
 		}()
 	}
-	nettest.Eventually(t, "400 answered requests", func() bool { return r.answered.Load() > 400 })
+	nettest.Eventually(t, "more than 400 answered requests", func() bool { return r.answered.Load() > 400 })
 	drained := startDrain(r.node, 200*time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	r.stop.Store(true)
@@ -195,7 +195,7 @@
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		if c.noResponseYet || netio.TimedOut(err) {
-			c.faultRun.t.Errorf("request %s with timeout %v: no response after %v: %v", requestBody, timeout, time.Since(sentAt), err)
+			c.faultRun.t.Errorf("request %s with timeout %v: no response after %v (error %v), want one", requestBody, timeout, time.Since(sentAt), err)
 		}
 		c.close()
 		return
--- a/internal/frontend/pipelining_test.go
+++ b/internal/frontend/pipelining_test.go
@@ -19,9 +19,9 @@
 	"cherrygap/internal/settings"
 )
 
-// budgetSlack is the tolerance of the test: by this much a response may be late, and an attempt timeout may exceed the time
+// timeoutSlack is the tolerance of the test: by this much a response may be late, and an attempt timeout may exceed the time
 // left to the client.
-const budgetSlack = 150 * time.Millisecond
+const timeoutSlack = 150 * time.Millisecond
 
 // The timeout of a pipelined request must start when its bytes arrive, not when the node begins to handle it. Otherwise the
 // attempt timeout exceeds the time left to the client, and the response comes after the client's deadline.
@@ -50,15 +50,15 @@
 			t.Fatalf("read the response to request %d: %v", i, err)
 		}
 		nettest.DiscardAll(response.Body)
-		if late := time.Since(sentAt) - timeout; late > budgetSlack {
-			t.Errorf("response to request %d came %v after its deadline, want at most %v", i, late, budgetSlack)
+		if late := time.Since(sentAt) - timeout; late > timeoutSlack {
+			t.Errorf("response to request %d came %v after its deadline, want at most %v", i, late, timeoutSlack)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for i, excess := range excesses {
-		if excess > budgetSlack {
-			t.Errorf("timeout of attempt %d exceeds the time left by %v, want at most %v", i, excess, budgetSlack)
+		if excess > timeoutSlack {
+			t.Errorf("timeout of attempt %d exceeds the time left by %v, want at most %v", i, excess, timeoutSlack)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 		client = c
 	}
 	node.Server.Mutex().Unlock()
-	nettest.Eventually(t, "read of the pipelined requests", func() bool { return !netio.HasPendingInput(client.Conn()) })
+	nettest.Eventually(t, "the read of the pipelined requests", func() bool { return !netio.HasPendingInput(client.Conn()) })
 	drained := startDrain(node, 10*time.Millisecond)
-	nettest.Eventually(t, "draining server", node.Server.Draining().Load)
+	nettest.Eventually(t, "the drain to begin", node.Server.Draining().Load)
 	close(proceed)
 	reader := bufio.NewReader(conn)
 	for i := range requests {
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -13,7 +13,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// Authorization is an authorizer's answer to one request.
+// Authorization is the result of an authorizer's check of one request.
 type Authorization struct {
 	Verdict    authz.Verdict // Allow, Deny or Reject
 	RetryAfter time.Duration // client's wait before a retry of a rejected request; 0 means no advice
@@ -21,8 +21,8 @@
 
 // Authorizer checks requests. It is safe for concurrent use.
 type Authorizer interface {
-	// Check returns the final answer. left is the time to the client's deadline. ctx is cancelled if the client
-	// disconnects; the answer is then not used.
+	// Check returns the result for the request. left is the time to the client's deadline. ctx is cancelled if the client
+	// disconnects; the result is then not used.
 	Check(ctx context.Context, request *protocol.Request, left time.Duration) Authorization
 }
 
@@ -59,8 +59,8 @@
 	h.disconnected = false
 }
 
-// ClientGone tells the handler that the client of the request in flight has disconnected. It cancels the authorizer's check,
-// tells the AttemptRunner and withdraws the request from the Router.
+// ClientGone reports to the handler that the client of the request in flight has disconnected. It cancels the authorizer's
+// check, reports the disconnect to the AttemptRunner and withdraws the request from the Router.
 func (h *RequestHandler) ClientGone() {
 	h.setDisconnected()
 	h.attempts.ClientGone()
@@ -177,7 +177,7 @@
 		Int("attempts", end.attempts).Dur("timeout_ms", request.Timeout).Dur("took_ms", time.Since(receivedAt)).Msg("request ended")
 }
 
-// requestFault is the logged way in which a request violated invariant.Starting.
+// requestFault is the kind of violation of invariant.Starting. Its text is logged.
 type requestFault string
 
 const (
@@ -186,7 +186,7 @@
 	faultLateResponse requestFault = "response past the deadline"
 )
 
-// violated counts and logs a violation of invariant.Starting.
+// reportViolation counts and logs a violation of invariant.Starting.
 func (h *RequestHandler) reportViolation(request *protocol.Request, fault requestFault) {
 	invariant.Violated(&h.server.counters.StartViolations, h.server.log, invariant.Starting).Str("fault", string(fault)).
 		Str("request", request.ID).Msg(invariant.ViolatedMessage)
--- a/internal/frontend/requestids_test.go
+++ b/internal/frontend/requestids_test.go
@@ -11,7 +11,7 @@
 	for i := range 5 * maxRecentIDs {
 		id := strconv.Itoa(i)
 		if !ids.claim(id) || ids.claim(id) {
-			t.Fatalf("claim(%q) of a new id, called twice: want true, then false", id)
+			t.Fatalf("claim(%q) of a new id returned false, or a second call returned true; want true, then false", id)
 		}
 		ids.release(id)
 		if kept := len(ids.recent) + len(ids.previous) + len(ids.inFlight); ids.claim(id) || kept > 2*maxRecentIDs {
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -57,8 +57,10 @@
 	}
 }
 
-// fixedResponse returns an answer function that returns the same response to each request.
-func fixedResponse(answer string) func(string) string { return func(string) string { return answer } }
+// fixedResponse returns a function for attemptRecorder.serve that returns the same response to each request.
+func fixedResponse(response string) func(string) string {
+	return func(string) string { return response }
+}
 
 // startServers starts app servers that share the recorder, and sends the node an endpoint list of them.
 func (r *attemptRecorder) startServers(t *testing.T, node *frontendtest.Node, servers int, answer func(id string) string) {
@@ -73,8 +75,8 @@
 }
 
 var (
-	deadlineHeader = regexp.MustCompile(`\r\nX-Budget-Ms: ([0-9]+)\r\n`)
-	retryHeader    = regexp.MustCompile(`\r\nRetry-After: ([0-9]+\.[0-9]{3})\r\n`)
+	timeoutHeader    = regexp.MustCompile(`\r\nX-Budget-Ms: ([0-9]+)\r\n`)
+	retryAfterHeader = regexp.MustCompile(`\r\nRetry-After: ([0-9]+\.[0-9]{3})\r\n`)
 )
 
 // masked replaces the number in a header by #, because the number depends on the clock. The number must be above 0 and at
@@ -127,40 +129,40 @@
 const completedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\n\r\n{\"a\":1}"
 
 // requestCases lists the bytes that a client sends, that an app server receives, and that the client receives.
-var requestCases = map[string]struct{ sent, attempt, answer string }{
+var requestCases = map[string]struct{ sent, attempt, response string }{
 	"body, key, content type and headers that are not forwarded": {
 		sent: "POST /seats/x/0000000000000005?q=%20a HTTP/1.1\r\nhost: shop.example\r\nx-call-id: golden-1\r\nX-Tariff: team\r\n" +
 			"X-Budget-Ms: 3000\r\nX-Weight: units=1.25,spread=1,first=0\r\nContent-Type: text/plain; charset=utf-8\r\n" +
 			"IDEMPOTENCY-KEY: k-1\r\nAccept: */*\r\nCookie: a=b\r\nContent-Length: 5\r\n\r\nhello",
 		attempt: "POST /seats/x/0000000000000005?q=%20a HTTP/1.1\r\nHost: shop.example\r\nX-Call-Id: golden-1\r\nX-Budget-Ms: #\r\n" +
 			"Idempotency-Key: k-1\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: 5\r\n\r\nhello",
-		answer: completedResponse,
+		response: completedResponse,
 	},
 	"chunked body": {
 		sent: "PUT /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-2\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: first=0,units=1,spread=1,other=2\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
 		attempt: "PUT /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-2\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 5\r\n\r\nabcde",
-		answer: completedResponse,
+		response: completedResponse,
 	},
 	"no body": {
 		sent: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-3\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\n\r\n",
-		attempt: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-3\r\nX-Budget-Ms: #\r\n\r\n",
-		answer:  completedResponse,
+		attempt:  "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-3\r\nX-Budget-Ms: #\r\n\r\n",
+		response: completedResponse,
 	},
 	"empty body of a method that may have one": {
 		sent: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-4\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 0\r\n\r\n",
 		attempt: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-4\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 0\r\n\r\n",
-		answer: completedResponse,
+		response: completedResponse,
 	},
 	"Connection: close by the client": {
 		sent: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-5\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 			"X-Weight: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n",
 		attempt: "GET /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-5\r\nX-Budget-Ms: #\r\n\r\n",
-		answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" +
+		response: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" +
 			"{\"a\":1}",
 	},
 	"Expect: 100-continue": {
@@ -168,25 +170,25 @@
 			"X-Weight: units=1,spread=1,first=0\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab",
 		attempt: "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-6\r\nX-Budget-Ms: #\r\n" +
 			"Content-Length: 2\r\n\r\nab",
-		answer: "HTTP/1.1 100 Continue\r\n\r\n" + completedResponse,
+		response: "HTTP/1.1 100 Continue\r\n\r\n" + completedResponse,
 	},
 }
 
-// Guards the bytes of an attempt and of the response to a completed request.
+// Other bytes of an attempt, or of the response to a completed request, would break app servers or clients.
 func TestCompletedRequestWireFormat(t *testing.T) {
 	for name, test := range requestCases {
 		t.Run(name, func(t *testing.T) {
 			node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 			recorder.startServers(t, node, 1, fixedResponse(serverResponse))
-			if got := exchange(t, node, test.sent); got != test.answer {
-				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
+			if got := exchange(t, node, test.sent); got != test.response {
+				t.Errorf("response to the client\n%q, want\n%q", got, test.response)
 			}
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
 			if len(recorder.attempts) != 1 {
 				t.Fatalf("%d attempts %q, want 1", len(recorder.attempts), recorder.attempts)
 			}
-			if got := masked(t, recorder.attempts[0], deadlineHeader, 3000); got != test.attempt {
+			if got := masked(t, recorder.attempts[0], timeoutHeader, 3000); got != test.attempt {
 				t.Errorf("attempt at the app server\n%q, want\n%q", got, test.attempt)
 			}
 		})
@@ -196,29 +198,29 @@
 const plainRequest = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 1\r\n\r\nx"
 
-// Guards the responses to rejected and failed requests. Each attempt of such a request has the same bytes, except for its
-// timeout.
+// Other responses to rejected and failed requests would break clients. Each attempt of such a request
+// has the same bytes, except for its timeout.
 func TestRejectedAndFailedWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	for name, test := range map[string]struct {
-		retrySafety, serverResponse, answer string
-		attempts                            int // expected attempts; a new node has no retry budget
+		retrySafety, serverResponse, response string
+		attempts                              int // expected attempts; a new node has no retry budget
 	}{
 		"rejected by every server": {
 			retrySafety: settings.RetryUnsafe, serverResponse: "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
+			response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"unsafe, answered with an error": {
 			retrySafety: settings.RetryUnsafe, serverResponse: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
-			answer: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
+			response: "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", attempts: 1,
 		},
 		"safe, answered with errors": {
 			retrySafety: settings.RetrySafe, serverResponse: "HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nsome",
-			answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
+			response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n", attempts: 1,
 		},
 		"no server": {
 			retrySafety: settings.RetryUnsafe,
-			answer:      "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
+			response:    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: #\r\n\r\n",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -227,8 +229,8 @@
 			if test.serverResponse != "" {
 				recorder.startServers(t, node, 3, fixedResponse(test.serverResponse))
 			}
-			if got := masked(t, exchange(t, node, plainRequest), retryHeader, 1); got != test.answer {
-				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
+			if got := masked(t, exchange(t, node, plainRequest), retryAfterHeader, 1); got != test.response {
+				t.Errorf("response to the client\n%q, want\n%q", got, test.response)
 			}
 			recorder.mu.Lock()
 			defer recorder.mu.Unlock()
@@ -236,7 +238,7 @@
 				t.Errorf("%d attempts, want %d", len(recorder.attempts), test.attempts)
 			}
 			for _, raw := range recorder.attempts {
-				if got := masked(t, raw, deadlineHeader, 3000); got != attempt {
+				if got := masked(t, raw, timeoutHeader, 3000); got != attempt {
 					t.Errorf("attempt at the app server\n%q, want\n%q", got, attempt)
 				}
 			}
@@ -244,7 +246,7 @@
 	}
 }
 
-// Guards the bytes of a retry, which are those of the first attempt except for its timeout.
+// Other bytes of a retry would break app servers. They must be those of the first attempt except for its timeout.
 func TestRetryWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	node, recorder := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
@@ -270,18 +272,18 @@
 		t.Errorf("%d attempts of the rejected request, want at least 2", len(retries))
 	}
 	for _, raw := range retries {
-		if got := masked(t, raw, deadlineHeader, 3000); got != attempt {
+		if got := masked(t, raw, timeoutHeader, 3000); got != attempt {
 			t.Errorf("attempt at the app server\n%q, want\n%q", got, attempt)
 		}
 	}
 }
 
-// Guards the responses to invalid requests, which are rejected and not forwarded.
+// Other responses to invalid requests would break clients. Invalid requests are rejected and not forwarded.
 func TestMalformedRequestWireFormat(t *testing.T) {
 	replaced := func(old, replacement string) string { return strings.Replace(plainRequest, old, replacement, 1) }
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 	recorder.startServers(t, node, 1, fixedResponse(serverResponse))
-	for name, test := range map[string]struct{ sent, answer string }{
+	for name, test := range map[string]struct{ sent, response string }{
 		"not HTTP": {"hello\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"no id":    {replaced("X-Call-Id: golden-7\r\n", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"},
 		"spread outside the settings": {
@@ -300,8 +302,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := exchange(t, node, test.sent); got != test.answer {
-				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
+			if got := exchange(t, node, test.sent); got != test.response {
+				t.Errorf("response to the client\n%q, want\n%q", got, test.response)
 			}
 		})
 	}
@@ -317,7 +319,7 @@
 	}
 }
 
-// fixedVerdict is an authorizer that gives the same answer to each request.
+// fixedVerdict is an authorizer that gives the same verdict on each request.
 type fixedVerdict struct {
 	verdict    authz.Verdict
 	retryAfter time.Duration
@@ -327,11 +329,11 @@
 	return frontend.Authorization{Verdict: v.verdict, RetryAfter: v.retryAfter}
 }
 
-// Guards the responses to requests that the authorizer denies or rejects.
+// Other responses to requests that the authorizer denies or rejects would break clients.
 func TestDeniedWireFormat(t *testing.T) {
 	for _, test := range []struct {
-		check  fixedVerdict
-		answer string
+		check    fixedVerdict
+		response string
 	}{
 		{fixedVerdict{verdict: authz.Deny}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
 		{
@@ -350,43 +352,44 @@
 				t.Fatalf("start the front end: %v", err)
 			}
 			node.Server = server
-			if got := exchange(t, node, plainRequest); got != test.answer {
-				t.Errorf("response to the client\n%q, want\n%q", got, test.answer)
+			if got := exchange(t, node, plainRequest); got != test.response {
+				t.Errorf("response to the client\n%q, want\n%q", got, test.response)
 			}
 		})
 	}
 }
 
-// Guards the responses to a load balancer's health checks of the node, and the responses while the node drains.
+// Other responses to a load balancer's health checks of the node would take the node out of service, or keep it in service
+// while it drains. Responses to requests during a drain must close their connections.
 func TestHealthAndDrainingWireFormat(t *testing.T) {
 	const healthRequest = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
 	node, recorder := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 0, nil), &attemptRecorder{}
 	steps := []struct {
-		name, sent, answer string
-		before             func()
+		name, sent, response string
+		before               func()
 	}{
-		{name: "no server", sent: healthRequest, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
+		{name: "no server", sent: healthRequest, response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
 		{
-			name: "ready", sent: healthRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+			name: "ready", sent: healthRequest, response: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
 			before: func() { recorder.startServers(t, node, 1, fixedResponse(serverResponse)) },
 		},
 		{
 			name: "ready, Connection: close", sent: strings.Replace(healthRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
-			answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		},
 		{
-			name: "draining", sent: healthRequest, answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+			name: "draining", sent: healthRequest, response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 			before: func() { node.Server.Draining().Store(true) },
 		},
-		{name: "a request while draining", sent: plainRequest, answer: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
+		{name: "a request while draining", sent: plainRequest, response: "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" +
 			"Content-Type: application/json\r\nConnection: close\r\n\r\n{\"a\":1}"},
 	}
 	for _, step := range steps {
 		if step.before != nil {
 			step.before()
 		}
-		if got := exchange(t, node, step.sent); got != step.answer {
-			t.Errorf("%s: response\n%q, want\n%q", step.name, got, step.answer)
+		if got := exchange(t, node, step.sent); got != step.response {
+			t.Errorf("%s: response\n%q, want\n%q", step.name, got, step.response)
 		}
 	}
 }
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -5,19 +5,19 @@
 // TestLimitsAccountForAllDescriptors guards against running out of file descriptors. For any descriptor limit, the reserved
 // descriptors, the client connections and the connections to app servers together must not exceed the limit.
 func TestLimitsAccountForAllDescriptors(t *testing.T) {
-	for sockets := MinReserved + 2*minConnsPerSide; sockets < 5000; sockets++ {
+	for descriptors := MinReserved + 2*minConnsPerSide; descriptors < 5000; descriptors++ {
 		for _, grpc := range []bool{false, true} {
-			limits := Limits{MaxDescriptors: sockets, GRPC: grpc}
+			limits := Limits{MaxDescriptors: descriptors, GRPC: grpc}
 			clients := limits.HTTPConnections()
 			if grpc {
 				clients += limits.GRPCConnections()
 			}
 			reserved, servers := limits.reserved(), limits.MaxConnsPerSide()
 			if reserved < MinReserved || reserved > maxReserved || clients != servers || limits.HTTPConnections() < 1 ||
-				servers < minConnsPerSide || reserved+clients+servers > sockets {
+				servers < minConnsPerSide || reserved+clients+servers > descriptors {
 				t.Fatalf("limit of %d descriptors, gRPC %t: %d reserved (want from %d to %d), %d for clients of which %d HTTP (want at least 1), "+
-					"%d for app servers (want at least %d, and as many as for clients); want a sum of at most %d", sockets, grpc,
-					reserved, MinReserved, maxReserved, clients, limits.HTTPConnections(), servers, minConnsPerSide, sockets)
+					"%d for app servers (want at least %d, and as many as for clients); want a sum of at most %d", descriptors, grpc,
+					reserved, MinReserved, maxReserved, clients, limits.HTTPConnections(), servers, minConnsPerSide, descriptors)
 			}
 		}
 	}
--- a/internal/netio/ringbuffer_test.go
+++ b/internal/netio/ringbuffer_test.go
@@ -14,7 +14,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// pieces is a connection that reads in pieces of random sizes.
+// fragmentedConn is a connection that reads in pieces of random sizes.
 type fragmentedConn struct {
 	net.Conn
 	random *rand.Rand
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -37,7 +37,7 @@
 		nettest.WriteString(client, "bytes that nobody reads")
 		test.close(client)
 		socket := NewSocket(conn.(*net.TCPConn))
-		nettest.Eventually(t, test.name+" connection to be detected by TCP_INFO", func() bool {
+		nettest.Eventually(t, test.name+" connection: the right result of peerHasClosed", func() bool {
 			closed := false
 			if err := socket.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
 				t.Fatal(err)
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -89,8 +89,8 @@
 }
 
 // RecordCalls starts an HTTP server that sends the bytes of each request to calls. It answers each request with the next
-// element of answers. Requests after the last answer stay unanswered.
-func RecordCalls(t *testing.T, answers ...string) (addr string, calls chan string) {
+// element of responses. Requests after the last response stay unanswered.
+func RecordCalls(t *testing.T, responses ...string) (addr string, calls chan string) {
 	t.Helper()
 	listener := Listen(t)
 	calls = make(chan string, 99)
@@ -105,11 +105,11 @@
 			calls <- raw.String()
 			raw.Reset()
 			next := int(answered.Add(1)) - 1
-			if next >= len(answers) {
+			if next >= len(responses) {
 				continue // The request stays unanswered.
 			}
-			_, err := io.WriteString(conn, answers[next])
-			if err != nil || strings.Contains(answers[next], "Connection: close") {
+			_, err := io.WriteString(conn, responses[next])
+			if err != nil || strings.Contains(responses[next], "Connection: close") {
 				return
 			}
 		}
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -3,7 +3,7 @@
 // Outcome is the outcome of an attempt.
 type Outcome uint8
 
-// Outcomes of an attempt. Unless NeverRan reports true for it, the app server may have executed the attempt.
+// Outcomes of an attempt. Unless NeverRan reports true for an outcome, the app server may have executed the attempt.
 const (
 	// Completed is a response with status 200.
 	Completed Outcome = iota
--- a/internal/protocol/requesterror.go
+++ b/internal/protocol/requesterror.go
@@ -8,7 +8,7 @@
 // RequestError is the error for an invalid request. The node responds with Status and closes the connection.
 type RequestError struct {
 	Status int    // HTTP status code
-	Reason string // reason for the log; the client receives only the status
+	Reason string // text of the error; the client receives only the status
 	Err    error  // cause; nil if there is none
 }
 
--- a/internal/protocol/wireformat_test.go
+++ b/internal/protocol/wireformat_test.go
@@ -368,7 +368,8 @@
 func TestWireLimits(t *testing.T) {
 	if MaxBody != 65536 || MaxHead != 16384 || MaxDatagram != 256 || MaxListBytes != 8388608 || StatusCompleted != 200 || StatusDenied != 403 ||
 		StatusRejected != 503 || StatusFailed != 502 {
-		t.Errorf("body %d, head %d, datagram %d, list %d, statuses %d, %d, %d, %d, want 65536, 16384, 256, 8388608, 200, 403, 503, 502", MaxBody, MaxHead, MaxDatagram, MaxListBytes, StatusCompleted,
+		t.Errorf("MaxBody, MaxHead, MaxDatagram, MaxListBytes = %d, %d, %d, %d; StatusCompleted, StatusDenied, StatusRejected, StatusFailed = %d, %d, %d, %d; "+
+			"want 65536, 16384, 256, 8388608; 200, 403, 503, 502", MaxBody, MaxHead, MaxDatagram, MaxListBytes, StatusCompleted,
 			StatusDenied, StatusRejected, StatusFailed)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,12 +25,12 @@
 // One goroutine calls Reset, Run and CheckClient. Any goroutine may call Cancel and ClientGone; both wake Run. The Router
 // calls Cancel under its lock.
 type AttemptRunner struct {
-	pool         *Pool
-	router       *routing.Router
-	clientClosed func() bool // reports whether the client has disconnected
-	body         []byte      // buffer of the last response's body, reused for the next response
-	requestID    string      // ID of the current request
-	sendCheck    sendCheck   // state of the invariant check for the current attempt
+	pool            *Pool
+	router          *routing.Router
+	hasClientClosed func() bool // reports whether the client has disconnected
+	body            []byte      // buffer of the last response's body, reused for the next response
+	requestID       string      // ID of the current request
+	sendCheck       sendCheck   // state of the invariant check for the current attempt
 
 	mu              sync.Mutex         // guards all fields below
 	current         int                // number of the current attempt, or noAttempt
@@ -42,10 +42,10 @@
 	clientCheckedAt time.Time          // last time at which the client was known to be connected
 }
 
-// NewAttemptRunner returns the runner for one client connection. clientClosed reports whether the client has disconnected;
+// NewAttemptRunner returns the runner for one client connection. hasClientClosed reports whether the client has disconnected;
 // it must not block.
-func NewAttemptRunner(pool *Pool, router *routing.Router, clientClosed func() bool) *AttemptRunner {
-	return &AttemptRunner{pool: pool, router: router, clientClosed: clientClosed}
+func NewAttemptRunner(pool *Pool, router *routing.Router, hasClientClosed func() bool) *AttemptRunner {
+	return &AttemptRunner{pool: pool, router: router, hasClientClosed: hasClientClosed}
 }
 
 // Reset prepares the runner for the attempts of a request that arrived at receivedAt.
@@ -79,7 +79,7 @@
 		return ClientConnected
 	}
 	now := time.Now()
-	if r.clientClosed() {
+	if r.hasClientClosed() {
 		r.ClientGone()
 		return ClientDisconnected
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// ClientGone tells the runner that the client disconnected. No further attempt starts. An attempt that is dialling or writing
+// ClientGone reports to the runner that the client disconnected. No further attempt starts. An attempt that is dialling or writing
 // ends, because the server has not executed it. An attempt that was written completely continues unless the Router cancels
 // it.
 func (r *AttemptRunner) ClientGone() {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// interruption tells why an attempt may have ended early.
+// interruption is the reason why an attempt may have ended early.
 type interruption struct {
 	cancelled    bool // true if the Router cancelled the attempt
 	disconnected bool // true if the client disconnected
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -150,14 +150,14 @@
 // TestSilentServerTimesOut guards against a request that waits longer than its timeout for a server that never answers. The
 // attempt timeout that the server gets must be shorter than the client's timeout.
 func TestSilentServerTimesOut(t *testing.T) {
-	deadlines := make(chan string, 1)
+	attemptTimeouts := make(chan string, 1)
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
-		deadlines <- request.Header.Get(protocol.HeaderTimeout)
+		attemptTimeouts <- request.Header.Get(protocol.HeaderTimeout)
 		nettest.WaitForClose(conn)
 		return false
 	})
 	status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(700, ""))
-	if ms, err := strconv.Atoi(<-deadlines); status != 502 || err != nil || ms < 300 || ms >= 700 {
+	if ms, err := strconv.Atoi(<-attemptTimeouts); status != 502 || err != nil || ms < 300 || ms >= 700 {
 		t.Errorf("status %d, want 502; attempt timeout sent to the server %d ms (parse error: %v), want from 300 to 699 ms", status, ms, err)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerTimeout) {
--- a/internal/upstream/healthrequest_test.go
+++ b/internal/upstream/healthrequest_test.go
@@ -54,12 +54,12 @@
 func TestHealthRequest(t *testing.T) {
 	const healthy = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		name, answer  string
-		healthy, kept bool
+		name, response string
+		healthy, kept  bool
 	}{
 		{"healthy", healthy, true, true},
 		{"healthy, closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true, false},
-		{"healthy, with more than an answer", healthy + "HTTP", true, false},
+		{"healthy, with bytes behind the response", healthy + "HTTP", true, false},
 		{"not ready", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", false, true},
 		{"malformed", "no HTTP at all\r\n\r\n", false, false},
 		{"silent", "", false, false},
@@ -70,18 +70,18 @@
 				Seed: 3, Settings: settings.Parse(settings.Values{settings.Nodes: "1", settings.Tick: "20"}),
 				SetTimer: func(time.Duration) {}, SendToPeer: func(int, []byte) {}, PollEndpoints: func() {}, LogSummary: func([]byte) {},
 			})
-			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: startFixedResponder(t, c.answer)}
+			endpoint := protocol.Endpoint{UID: "s", Weight: 1, Addr: startFixedResponder(t, c.response)}
 			router.UpdateEndpoints(&protocol.EndpointList{Full: true, Endpoints: []protocol.Endpoint{endpoint}}, routing.FromCache)
 			pool := upstream.NewPool(frontendtest.Limits, &log, &upstream.Counters{})
 			checker := upstream.NewHealthChecker(healthcheck.Config{Nodes: 1}, router, pool, func(int, []byte) {})
 			server := router.Servers()[0]
 			if ok := checker.RequestHealth(server, time.Now().Add(300*time.Millisecond)); ok != c.healthy {
-				t.Errorf("RequestHealth for server response %q = %t, want %t", c.answer, ok, c.healthy)
+				t.Errorf("RequestHealth for server response %q = %t, want %t", c.response, ok, c.healthy)
 			}
 			pool.Mutex().Lock()
 			defer pool.Mutex().Unlock()
 			if kept := len(pool.Idle()[server]) == 1; kept != c.kept {
-				t.Errorf("connection returned to the pool after server response %q: %t, want %t", c.answer, kept, c.kept)
+				t.Errorf("connection returned to the pool after server response %q: %t, want %t", c.response, kept, c.kept)
 			}
 		})
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -43,7 +43,7 @@
 	since := conn.IdleSince()
 	node.Pool.Mutex().Unlock()
 	if node.Pool.Get(server) != conn {
-		t.Fatal("Get did not return the pool's idle connection, want it")
+		t.Fatal("Get did not return the pool's idle connection, want that connection")
 	}
 	if node.Pool.Put(conn); conn.IdleSince() != since {
 		t.Errorf("unused connection after Put: idle since %v, want %v", conn.IdleSince(), since)
@@ -62,7 +62,7 @@
 	server, conn := idleConn(t, node)
 	nettest.Eventually(t, "the end of the wait before the connection's reuse", func() bool { return time.Since(conn.IdleSince()) > upstream.ReuseDelay })
 	if node.Pool.Get(server) != conn {
-		t.Fatal("Get did not return the pool's idle connection, want it")
+		t.Fatal("Get did not return the pool's idle connection, want that connection")
 	}
 	node.Router.UpdateEndpoints(&protocol.EndpointList{Full: true}, routing.FromDiscovery)
 	node.Pool.KeepOnly(node.Router.InService)
@@ -164,7 +164,7 @@
 // close each connection at its second request. After the first such failure, connections that were idle as long must not be
 // used.
 func TestStaleConnectionReducesIdleLimit(t *testing.T) {
-	var mu sync.Mutex // guards first
+	var mu sync.Mutex // guards served
 	served := map[string]bool{}
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, request *http.Request) bool {
 		mu.Lock()
--- a/internal/upstream/sendcheck.go
+++ b/internal/upstream/sendcheck.go
@@ -34,7 +34,7 @@
 	return now.Sub(c.timeoutSetAt) <= maxWriteDelay && now.Before(c.clientDeadline) && inWindow
 }
 
-// sendFault is the way in which an attempt violated invariant.Sending. Its text is logged.
+// sendFault is the kind of violation of invariant.Sending. Its text is logged.
 type sendFault string
 
 const (
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -18,7 +18,7 @@
 		clientCheckedAgo time.Duration
 		disconnected     bool
 		want             sendFault
-		mayNotFinish     bool
+		tooLate          bool
 	}{
 		{name: "good", change: func(*sendCheck) {}},
 		{
@@ -30,10 +30,10 @@
 			name: "delayed", change: func(check *sendCheck) {
 				check.timeoutSetAt, check.attemptTimeout = now.Add(-maxWriteDelay-1), time.Second+attemptTimeoutSlack+1
 			},
-			want: sendFaultTimeout, mayNotFinish: true,
+			want: sendFaultTimeout, tooLate: true,
 		},
-		{name: "past the deadline", change: func(check *sendCheck) { check.clientDeadline = now.Add(-1) }, want: sendFaultDeadline, mayNotFinish: true},
-		{name: "past the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(-1) }, want: sendFaultWindow, mayNotFinish: true},
+		{name: "past the deadline", change: func(check *sendCheck) { check.clientDeadline = now.Add(-1) }, want: sendFaultDeadline, tooLate: true},
+		{name: "past the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(-1) }, want: sendFaultWindow, tooLate: true},
 		{name: "in the retry window", change: func(check *sendCheck) { check.finishBy = now.Add(1) }},
 		{name: "server checked too long ago", change: func(check *sendCheck) { check.serverCheckedAt = now.Add(-minDrainGrace - 1) }, want: sendFaultServer},
 		{name: "client disconnected too long ago", change: func(*sendCheck) {}, clientCheckedAgo: maxStartAfterDisconnect + 1, disconnected: true, want: sendFaultDisconnected},
@@ -45,8 +45,8 @@
 		if fault := check.faultAt(now, clientLiveness{now.Add(-c.clientCheckedAgo), c.disconnected}); fault != c.want {
 			t.Errorf("%s: faultAt = %q, want %q", c.name, fault, c.want)
 		}
-		if may := check.mayWriteLastByte(now); may == c.mayNotFinish {
-			t.Errorf("%s: mayWriteLastByte = %t, want %t", c.name, may, !c.mayNotFinish)
+		if may := check.mayWriteLastByte(now); may == c.tooLate {
+			t.Errorf("%s: mayWriteLastByte = %t, want %t", c.name, may, !c.tooLate)
 		}
 	}
 }
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -30,7 +30,7 @@
 const unreadRequests = 4
 
 // testDisconnectUnread sends requests with bodies of size bytes to a server that reads nothing, and then disconnects the
-// clients. written tells whether the node can write such requests completely. cancelAttempts is the value of that setting.
+// clients. written reports whether the node can write such requests completely. cancelAttempts is the value of that setting.
 func testDisconnectUnread(t *testing.T, cancelAttempts string, size int, written bool) {
 	t.Helper()
 	listener := listenSmall(t)
@@ -52,7 +52,7 @@
 	for sent := range unreadRequests {
 		conn := node.Dial(t)
 		nettest.WriteString(conn, frontendtest.RequestText(4000, strings.Repeat("x", size)))
-		nettest.Eventually(t, "an attempt of the request", func() bool {
+		nettest.Eventually(t, "an attempt for the request", func() bool {
 			return connsInUse(node) == sent+1 && (node.Counters.Upstream.Attempts.Load() == int64(sent+1)) == written
 		})
 		conns = append(conns, conn)
