--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -47,19 +47,19 @@
 	}
 	c := &connection{
 		conn: netConn, addr: t.addr, log: t.log, counters: t.counters, openedAt: time.Now(),
-		input:  netio.NewRingBuffer(netConn, t.limits.BufferSize()),
-		output: netio.NewRingBuffer(netConn, netio.MinBuffer),
+		readBuffer:  netio.NewRingBuffer(netConn, t.limits.BufferSize()),
+		writeBuffer: netio.NewRingBuffer(netConn, netio.MinBuffer),
 	}
 	if received != nil {
 		startedAt := deadline.Add(-timeout)
-		c.input.Stream = &progressConn{
+		c.readBuffer.Stream = &progressConn{
 			Conn: netConn, received: received, deadline: deadline, lastDeadline: startedAt.Add(callTimeout),
 		}
 	}
-	c.parser = bufio.NewReaderSize(&c.input, netio.ParserBuffer)
+	c.parser = bufio.NewReaderSize(&c.readBuffer, netio.ParserBuffer)
 	detach := context.AfterFunc(ctx, func() { netio.CloseConn(netConn) })
 	result := c.call(t.first, time.Until(deadline))
-	c.input.Stream = netConn // Later calls have a fixed timeout.
+	c.readBuffer.Stream = netConn // Later calls have a fixed timeout.
 	result.detach = detach
 	if result.err != nil {
 		detach()
@@ -109,31 +109,31 @@
 
 // connection is one connection to discovery. It belongs to one goroutine.
 type connection struct {
-	conn          net.Conn
-	addr          string
-	log           *zerolog.Logger
-	counters      *Counters
-	input, output netio.RingBuffer
-	parser        *bufio.Reader // reads from input
-	openedAt      time.Time
-	calls         int // number of calls on the connection
+	conn                    net.Conn
+	addr                    string
+	log                     *zerolog.Logger
+	counters                *Counters
+	readBuffer, writeBuffer netio.RingBuffer
+	parser                  *bufio.Reader // reads from readBuffer
+	openedAt                time.Time
+	callCount               int // number of calls on the connection
 }
 
 // call makes one call and waits for the response until the timeout.
 func (c *connection) call(call protocol.DiscoveryCall, timeout time.Duration) callResult {
 	result := callResult{conn: c}
-	c.output.Commit(protocol.AppendDiscoveryCall(c.output.AvailableBuffer(), c.addr, call))
+	c.writeBuffer.Commit(protocol.AppendDiscoveryCall(c.writeBuffer.AvailableBuffer(), c.addr, call))
 	netio.SetDeadline(c.conn, time.Now().Add(timeout))
-	if result.err = c.output.Flush(); result.err != nil {
+	if result.err = c.writeBuffer.Flush(); result.err != nil {
 		return result
 	}
-	c.input.Allow(protocol.MaxListBytes)
-	c.calls++
+	c.readBuffer.Allow(protocol.MaxListBytes)
+	c.callCount++
 	result.list, result.connectionCloses, result.err = protocol.ReadEndpointList(c.parser)
 	switch {
 	case result.err == nil: // A list is valid even if the connection ended after it.
-	case c.input.Err() != nil:
-		result.err = c.input.Err()
+	case c.readBuffer.Err() != nil:
+		result.err = c.readBuffer.Err()
 	default:
 		c.counters.MalformedLists.Add(1)
 	}
@@ -143,5 +143,5 @@
 // close closes the connection and logs the close.
 func (c *connection) close() {
 	netio.CloseConn(c.conn)
-	netio.LogClose(c.log, netio.SideDiscovery, c.addr, netio.ReasonDiscoveryClosed, c.openedAt, c.calls)
+	netio.LogClose(c.log, netio.SideDiscovery, c.addr, netio.ReasonDiscoveryClosed, c.openedAt, c.callCount)
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -15,8 +15,9 @@
 
 // The invariants.
 const (
-	// Sending means that an attempt is written before its deadline, for a connected client, to a server that is in service or
-	// within its drain grace. The attempt timeout in the request is at most the client's remaining time plus a slack.
+	// Sending means that an attempt is written before the client's deadline, and a keyed retry also within its window. The client
+	// is connected, and the server is in service or within its drain grace period. The attempt timeout in the request is at
+	// most the client's remaining time plus a slack.
 	Sending Invariant = "sending"
 	// Repeating means that no attempt starts while an earlier attempt of the same request is in flight or may have run.
 	Repeating Invariant = "repeating"
--- a/internal/netio/timer.go
+++ b/internal/netio/timer.go
@@ -38,10 +38,10 @@
 	_, _, _ = syscall.RawSyscall6(syscall.SYS_TIMERFD_SETTIME, t.fd, 0, uintptr(unsafe.Pointer(&spec)), 0, 0, 0)
 }
 
-// Run calls tick at each expiry, on the caller's goroutine, and returns after Close.
-func (t *Timer) Run(tick func()) {
+// Run calls onExpiry at each expiry, on the caller's goroutine, and returns after Close.
+func (t *Timer) Run(onExpiry func()) {
 	for t.raw.Read(t.tryRead) == nil {
-		tick()
+		onExpiry()
 	}
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -29,17 +29,17 @@
 	router          *routing.Router
 	hasClientClosed func() bool // reports whether the client has disconnected
 	body            []byte      // buffer of the last response's body, reused for the next response
-	requestID       string      // ID of the current request
+	requestID       string      // id of the current request
 	sendCheck       sendCheck   // state of the invariant check for the current attempt
 
-	mu              sync.Mutex         // guards all fields below
-	current         int                // number of the current attempt, or noAttempt
-	cancelled       int                // number of the last cancelled attempt, or noAttempt
-	disconnected    bool               // true once the client disconnected; no attempt may start then
-	conn            *serverConn        // connection of the current attempt; nil while it dials
-	cancelDial      context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
-	written         bool               // true once the last byte of the current attempt's request was written
-	clientCheckedAt time.Time          // last time at which the client was known to be connected
+	mu               sync.Mutex         // guards all fields below
+	currentAttempt   int                // number of the current attempt, or noAttempt
+	cancelledAttempt int                // number of the last cancelled attempt, or noAttempt
+	disconnected     bool               // true once the client disconnected; no attempt may start then
+	conn             *serverConn        // connection of the current attempt; nil while it dials
+	cancelDial       context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
+	written          bool               // true once the last byte of the current attempt's request was written
+	clientCheckedAt  time.Time          // last time at which the client was known to be connected
 }
 
 // NewAttemptRunner returns the runner for one client connection. hasClientClosed reports whether the client has disconnected;
@@ -51,7 +51,7 @@
 // Reset prepares the runner for the attempts of a request that arrived at receivedAt.
 func (r *AttemptRunner) Reset(request *protocol.Request, receivedAt time.Time) {
 	r.mu.Lock()
-	r.current, r.cancelled, r.disconnected, r.clientCheckedAt = noAttempt, noAttempt, false, receivedAt
+	r.currentAttempt, r.cancelledAttempt, r.disconnected, r.clientCheckedAt = noAttempt, noAttempt, false, receivedAt
 	r.mu.Unlock()
 	r.body = netio.TrimBuffer(r.body)
 	r.requestID = request.ID
@@ -101,8 +101,8 @@
 func (r *AttemptRunner) Cancel(attempt int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cancelled = attempt
-	if attempt != r.current {
+	r.cancelledAttempt = attempt
+	if attempt != r.currentAttempt {
 		return
 	}
 	if r.cancelDial != nil {
@@ -136,10 +136,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cancelled == attempt || r.disconnected {
+	if r.cancelledAttempt == attempt || r.disconnected {
 		return false
 	}
-	r.current, r.conn, r.cancelDial, r.written = attempt, conn, cancelDial, false
+	r.currentAttempt, r.conn, r.cancelDial, r.written = attempt, conn, cancelDial, false
 	return true
 }
 
@@ -162,7 +162,7 @@
 
 // interruptionLocked returns the interruption of the current attempt, which must exist. The caller holds mu.
 func (r *AttemptRunner) interruptionLocked() interruption {
-	return interruption{cancelled: r.cancelled == r.current, disconnected: r.disconnected}
+	return interruption{cancelled: r.cancelledAttempt == r.currentAttempt, disconnected: r.disconnected}
 }
 
 // Run executes the attempt that the Router decided on. The response's body is valid until the next call of Run.
@@ -194,7 +194,7 @@
 		return protocol.ServerResponse{Outcome: sent.outcome}
 	}
 	r.pool.counters.Attempts.Add(1)
-	sent.conn.requests++
+	sent.conn.requestCount++
 	return r.receive(sent.conn)
 }
 
@@ -208,7 +208,7 @@
 // receive reads the response to a request that was written completely. It then returns the connection to the pool or closes
 // it.
 func (r *AttemptRunner) receive(conn *serverConn) protocol.ServerResponse {
-	sentAt, filledBefore := time.Now(), conn.in.Filled()
+	sentAt, filledBefore := time.Now(), conn.readBuffer.Filled()
 	response, err := conn.readResponse(r.body)
 	if response.Body != nil {
 		r.body = response.Body
@@ -225,7 +225,7 @@
 		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
 	default:
 		response = protocol.ServerResponse{Outcome: failedOutcomes[reason]}
-		stale := reason == netio.ReasonServerReset && conn.requests > 1 && conn.in.Filled() == filledBefore
+		stale := reason == netio.ReasonServerReset && conn.requestCount > 1 && conn.readBuffer.Filled() == filledBefore
 		if stale && time.Since(sentAt) < staleResetTimeout {
 			r.pool.reduceIdleLimit(sentAt.Sub(conn.idleSince))
 		}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,15 +15,15 @@
 // serverConn is one connection to an app server. The Pool owns it while it is idle; otherwise one attempt or health check
 // does.
 type serverConn struct {
-	conn          *net.TCPConn
-	reader        *netio.Socket // the source of in
-	server        *routing.Server
-	in, out       netio.RingBuffer
-	openedAt      time.Time
-	resetWait     time.Duration // time to wait for the reset of a stale connection before a request's last byte
-	idleSince     time.Time     // end of the last message, when the server's idle timeout started
-	requests      int           // number of requests written completely
-	requestsAtPut int           // value of requests at the last Pool.put
+	conn                    *net.TCPConn
+	reader                  *netio.Socket // source of readBuffer
+	server                  *routing.Server
+	readBuffer, writeBuffer netio.RingBuffer
+	openedAt                time.Time
+	resetWait               time.Duration // time to wait for the reset of a stale connection before a request's last byte
+	idleSince               time.Time     // end of the last message, when the server's idle timeout started
+	requestCount            int           // number of requests written completely
+	requestCountAtPut       int           // value of requestCount at the last Pool.put
 }
 
 // usable reports whether an idle connection is open and has nothing to read. On a connection that the server has closed, a
@@ -31,16 +31,16 @@
 // retried.
 func (c *serverConn) usable() bool {
 	netio.SetDeadline(c.conn, time.Time{})
-	return c.in.Empty() && c.reader.IsIdle()
+	return c.readBuffer.Empty() && c.reader.IsIdle()
 }
 
 // readResponse reads one response, within the connection's deadline. It appends the response's body to body[:0].
 func (c *serverConn) readResponse(body []byte) (protocol.ServerResponse, error) {
-	parser := netio.BorrowParser(&c.in)
+	parser := netio.BorrowParser(&c.readBuffer)
 	defer netio.ReturnParser(parser)
-	c.in.Allow(maxResponse)
+	c.readBuffer.Allow(maxResponse)
 	response, err := protocol.ReadServerResponse(parser, body)
-	c.in.EndMessage(parser)
+	c.readBuffer.EndMessage(parser)
 	return response, err
 }
 
@@ -50,13 +50,13 @@
 // closeReason returns the reason to close the connection after readResponse, or reusable.
 func (c *serverConn) closeReason(response protocol.ServerResponse, err error) netio.CloseReason {
 	switch {
-	case err == nil && !response.Close && c.in.Empty():
+	case err == nil && !response.Close && c.readBuffer.Empty():
 		return reusable
 	case err == nil:
 		return netio.ReasonServerRequestedClose
-	case c.in.Err() == nil:
+	case c.readBuffer.Err() == nil:
 		return netio.ReasonServerMalformed
-	case netio.TimedOut(c.in.Err()):
+	case netio.TimedOut(c.readBuffer.Err()):
 		return netio.ReasonServerTimeout
 	}
 	return netio.ReasonServerReset
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -59,7 +59,7 @@
 func (c *Conn) SetIdleSince(at time.Time) { c.idleSince = at }
 
 // AddRequest counts one request on the connection.
-func (c *Conn) AddRequest() { c.requests++ }
+func (c *Conn) AddRequest() { c.requestCount++ }
 
 // RequestHealth sends one health check and reports whether the server answered as healthy before the deadline.
 func (h *HealthChecker) RequestHealth(server *routing.Server, deadline time.Time) bool {
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -48,7 +48,7 @@
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 			if request.URL.Path != protocol.HealthPath || request.Header.Get(protocol.HeaderRequestID) != "" {
-				t.Errorf("app server %d got a request for %s with request ID %q, want only %s without an ID",
+				t.Errorf("app server %d got a request for %s with request id %q, want only %s without an id",
 					i, request.URL, request.Header.Get(protocol.HeaderRequestID), protocol.HealthPath)
 			}
 			s.recordCheck(i)
--- a/internal/upstream/healthrequest.go
+++ b/internal/upstream/healthrequest.go
@@ -26,12 +26,12 @@
 		return false
 	}
 	netio.SetDeadline(conn.conn, deadline)
-	conn.out.Commit(protocol.AppendHealthCheck(conn.out.AvailableBuffer(), server.Addr.String()))
-	if conn.out.Flush() != nil {
+	conn.writeBuffer.Commit(protocol.AppendHealthCheck(conn.writeBuffer.AvailableBuffer(), server.Addr.String()))
+	if conn.writeBuffer.Flush() != nil {
 		h.pool.close(conn, netio.ReasonServerReset)
 		return false
 	}
-	conn.requests++
+	conn.requestCount++
 	response, err := conn.readResponse(nil)
 	if reason := conn.closeReason(response, err); reason == reusable {
 		h.pool.put(conn)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -207,7 +207,7 @@
 	size, reader, now := p.limits.BufferSize(), netio.NewSocket(conn), time.Now()
 	return &serverConn{
 		conn: conn, reader: reader, server: server,
-		in: netio.NewRingBuffer(reader, size), out: netio.NewRingBuffer(netio.NewSocket(conn), size),
+		readBuffer: netio.NewRingBuffer(reader, size), writeBuffer: netio.NewRingBuffer(netio.NewSocket(conn), size),
 		openedAt: now, idleSince: now,
 		resetWait: min(max(resetWaitRoundTrips*roundTrip, minResetWait), maxResetWait),
 	}
@@ -217,8 +217,8 @@
 // at the server. If its server went out of service meanwhile, put closes the connection, because KeepOnly may already
 // have run.
 func (p *Pool) put(conn *serverConn) {
-	if conn.requests > conn.requestsAtPut {
-		conn.idleSince, conn.requestsAtPut = time.Now(), conn.requests
+	if conn.requestCount > conn.requestCountAtPut {
+		conn.idleSince, conn.requestCountAtPut = time.Now(), conn.requestCount
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,7 +249,7 @@
 func (p *Pool) closeLocked(conn *serverConn, reason netio.CloseReason) {
 	p.total--
 	netio.CloseConn(conn.conn)
-	netio.LogClose(p.log, netio.SideServer, conn.server.Addr.String(), reason, conn.openedAt, conn.requests)
+	netio.LogClose(p.log, netio.SideServer, conn.server.Addr.String(), reason, conn.openedAt, conn.requestCount)
 }
 
 // evictLocked closes the connection with the longest idle time, and reports whether there was one. The caller holds mu.
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -30,13 +30,13 @@
 		if conn == nil {
 			return connected
 		}
-		if conn.requests == 0 {
+		if conn.requestCount == 0 {
 			newConns++
 		}
 		r.sendCheck.timeoutSetAt = time.Now()
 		r.sendCheck.attemptTimeout = deadline.Sub(r.sendCheck.timeoutSetAt)
-		conn.out.Commit(protocol.AppendAttempt(conn.out.AvailableBuffer(), request, r.sendCheck.attemptTimeout))
-		conn.out.Append(request.Body)
+		conn.writeBuffer.Commit(protocol.AppendAttempt(conn.writeBuffer.AvailableBuffer(), request, r.sendCheck.attemptTimeout))
+		conn.writeBuffer.Append(request.Body)
 		result := r.writeRequest(conn, deadline)
 		if result == writeComplete {
 			r.checkSent(decision)
@@ -108,7 +108,7 @@
 // otherwise be read as the response to this request. On a new connection, receive reads such bytes as the response.
 func (r *AttemptRunner) writeRequest(conn *serverConn, deadline time.Time) writeResult {
 	// Check the client immediately before each write.
-	if r.CheckClient() == ClientDisconnected || conn.out.FlushExcept(1) != nil {
+	if r.CheckClient() == ClientDisconnected || conn.writeBuffer.FlushExcept(1) != nil {
 		return writeFailed
 	}
 	r.sendCheck.firstByteAt = time.Now()
@@ -116,16 +116,16 @@
 	readiness := conn.reader.WaitReadable()
 	interrupted := r.restoreDeadline(conn, deadline)
 	switch {
-	case readiness == netio.Readable && conn.requests > 0:
+	case readiness == netio.Readable && conn.requestCount > 0:
 		return writeStaleInput
 	case readiness == netio.Ended || interrupted || r.CheckClient() == ClientDisconnected:
 		return writeFailed
 	case !r.sendCheck.mayWriteLastByte(time.Now()):
 		return writeDelayed
-	case conn.out.Flush() != nil:
+	case conn.writeBuffer.Flush() != nil:
 		return writeFailed
 	}
-	r.noteWritten(conn, deadline)
+	r.recordWritten(conn, deadline)
 	return writeComplete
 }
 
@@ -141,13 +141,13 @@
 	return false
 }
 
-// noteWritten records that the request was written completely. If the client disconnected during the write, ClientGone has
-// set a past deadline. The attempt has started and continues, so noteWritten restores the deadline.
-func (r *AttemptRunner) noteWritten(conn *serverConn, deadline time.Time) {
+// recordWritten records that the request was written completely. If the client disconnected during the write, ClientGone has
+// set a past deadline. The attempt has started and continues, so recordWritten restores the deadline.
+func (r *AttemptRunner) recordWritten(conn *serverConn, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.written = true
-	if r.disconnected && r.cancelled != r.current {
+	if r.disconnected && r.cancelledAttempt != r.currentAttempt {
 		netio.SetDeadline(conn.conn, deadline)
 	}
 }
@@ -183,7 +183,7 @@
 	case result == writeDelayed: // This process was paused, or the server does not read.
 		r.pool.close(conn, netio.ReasonWriteDelayed)
 		return abandonResult{outcome: protocol.NotSent}
-	case conn.requests > 0: // The connection was stale, which says nothing about the server.
+	case conn.requestCount > 0: // The connection was stale, which says nothing about the server.
 		if result != writeStaleInput {
 			r.pool.reduceIdleLimit(time.Since(conn.idleSince))
 		}
