--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,33 +25,33 @@
 // One goroutine calls Reset, Run and CheckClient. Any goroutine may call Cancel and ClientGone; both wake Run. The Router
 // calls Cancel under its lock.
 type AttemptRunner struct {
-	pool         *Pool
-	router       *routing.Router
-	clientClosed func() bool // reports whether the client has disconnected
-	body         []byte      // buffer of the last response's body, reused for the next response
-	requestID    string      // ID of the current request
-	sendCheck    sendCheck   // state of the invariant check for the current attempt
-
-	mu              sync.Mutex         // guards all fields below
-	current         int                // number of the current attempt, or noAttempt
-	cancelled       int                // number of the last cancelled attempt, or noAttempt
-	disconnected    bool               // true once the client disconnected; no attempt may start then
-	conn            *serverConn        // connection of the current attempt; nil while it dials
-	cancelDial      context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
-	written         bool               // true once the last byte of the current attempt's request was written
-	clientCheckedAt time.Time          // last time at which the client was known to be connected
-}
-
-// NewAttemptRunner returns the runner for one client connection. clientClosed reports whether the client has disconnected;
+	pool            *Pool
+	router          *routing.Router
+	hasClientClosed func() bool // reports whether the client has disconnected
+	body            []byte      // buffer of the last response's body, reused for the next response
+	requestID       string      // id of the current request
+	sendCheck       sendCheck   // state of the invariant check for the current attempt
+
+	mu               sync.Mutex         // guards all fields below
+	currentAttempt   int                // number of the current attempt, or noAttempt
+	cancelledAttempt int                // number of the last cancelled attempt, or noAttempt
+	disconnected     bool               // true once the client disconnected; no attempt may start then
+	conn             *serverConn        // connection of the current attempt; nil while it dials
+	cancelDial       context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
+	written          bool               // true once the last byte of the current attempt's request was written
+	clientCheckedAt  time.Time          // last time at which the client was known to be connected
+}
+
+// NewAttemptRunner returns the runner for one client connection. hasClientClosed reports whether the client has disconnected;
 // it must not block.
-func NewAttemptRunner(pool *Pool, router *routing.Router, clientClosed func() bool) *AttemptRunner {
-	return &AttemptRunner{pool: pool, router: router, clientClosed: clientClosed}
+func NewAttemptRunner(pool *Pool, router *routing.Router, hasClientClosed func() bool) *AttemptRunner {
+	return &AttemptRunner{pool: pool, router: router, hasClientClosed: hasClientClosed}
 }
 
 // Reset prepares the runner for the attempts of a request that arrived at receivedAt.
 func (r *AttemptRunner) Reset(request *protocol.Request, receivedAt time.Time) {
 	r.mu.Lock()
-	r.current, r.cancelled, r.disconnected, r.clientCheckedAt = noAttempt, noAttempt, false, receivedAt
+	r.currentAttempt, r.cancelledAttempt, r.disconnected, r.clientCheckedAt = noAttempt, noAttempt, false, receivedAt
 	r.mu.Unlock()
 	r.body = netio.TrimBuffer(r.body)
 	r.requestID = request.ID
@@ -79,7 +79,7 @@
 		return ClientConnected
 	}
 	now := time.Now()
-	if r.clientClosed() {
+	if r.hasClientClosed() {
 		r.ClientGone()
 		return ClientDisconnected
 	}
@@ -101,8 +101,8 @@
 func (r *AttemptRunner) Cancel(attempt int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cancelled = attempt
-	if attempt != r.current {
+	r.cancelledAttempt = attempt
+	if attempt != r.currentAttempt {
 		return
 	}
 	if r.cancelDial != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// ClientGone tells the runner that the client disconnected. No further attempt starts. An attempt that is dialling or writing
+// ClientGone reports to the runner that the client disconnected. No further attempt starts. An attempt that is dialling or writing
 // ends, because the server has not executed it. An attempt that was written completely continues unless the Router cancels
 // it.
 func (r *AttemptRunner) ClientGone() {
@@ -136,14 +136,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cancelled == attempt || r.disconnected {
+	if r.cancelledAttempt == attempt || r.disconnected {
 		return false
 	}
-	r.current, r.conn, r.cancelDial, r.written = attempt, conn, cancelDial, false
+	r.currentAttempt, r.conn, r.cancelDial, r.written = attempt, conn, cancelDial, false
 	return true
 }
 
-// interruption tells why an attempt may have ended early.
+// interruption is the reason why an attempt may have ended early.
 type interruption struct {
 	cancelled    bool // true if the Router cancelled the attempt
 	disconnected bool // true if the client disconnected
@@ -162,7 +162,7 @@
 
 // interruptionLocked returns the interruption of the current attempt, which must exist. The caller holds mu.
 func (r *AttemptRunner) interruptionLocked() interruption {
-	return interruption{cancelled: r.cancelled == r.current, disconnected: r.disconnected}
+	return interruption{cancelled: r.cancelledAttempt == r.currentAttempt, disconnected: r.disconnected}
 }
 
 // Run executes the attempt that the Router decided on. The response's body is valid until the next call of Run.
@@ -194,7 +194,7 @@
 		return protocol.ServerResponse{Outcome: sent.outcome}
 	}
 	r.pool.counters.Attempts.Add(1)
-	sent.conn.requests++
+	sent.conn.requestCount++
 	return r.receive(sent.conn)
 }
 
@@ -208,7 +208,7 @@
 // receive reads the response to a request that was written completely. It then returns the connection to the pool or closes
 // it.
 func (r *AttemptRunner) receive(conn *serverConn) protocol.ServerResponse {
-	sentAt, filledBefore := time.Now(), conn.in.Filled()
+	sentAt, filledBefore := time.Now(), conn.readBuffer.Filled()
 	response, err := conn.readResponse(r.body)
 	if response.Body != nil {
 		r.body = response.Body
@@ -225,7 +225,7 @@
 		response = protocol.ServerResponse{Outcome: protocol.Cancelled}
 	default:
 		response = protocol.ServerResponse{Outcome: failedOutcomes[reason]}
-		stale := reason == netio.ReasonServerReset && conn.requests > 1 && conn.in.Filled() == filledBefore
+		stale := reason == netio.ReasonServerReset && conn.requestCount > 1 && conn.readBuffer.Filled() == filledBefore
 		if stale && time.Since(sentAt) < staleResetTimeout {
 			r.pool.reduceIdleLimit(sentAt.Sub(conn.idleSince))
 		}
