--- a/cmd/cherrygap/idleclients_test.go
+++ b/cmd/cherrygap/idleclients_test.go
@@ -17,10 +17,10 @@
 	"cherrygap/internal/protocol"
 )
 
-// fakeDiscovery is a discovery service that serves one endpoint list. A silent listener of it accepts connections and never
+// fakeDiscovery is a discovery service that serves one endpoint list. On a silent listener, it accepts connections and never
 // responds.
 type fakeDiscovery struct {
-	listSent chan time.Time // receives the time at which each listener has sent its first list
+	listSent chan time.Time // gets the time at which each listener has sent its first list
 	list     string         // the full endpoint list in JSON, of revision 7
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// serveConn answers the calls on one connection, or none if silent.
+// serveConn responds to the calls on one connection. If silent, it reads them and does not respond.
 func (d *fakeDiscovery) serveConn(conn net.Conn, silent bool, first *sync.Once) {
 	defer func() { _ = conn.Close() }()
 	for reader := bufio.NewReader(conn); ; {
@@ -238,37 +238,37 @@
 	node := startNodeProcess(t, discoveryAddress, sockets)
 	idle := startIdleClients(node, sockets+100)
 	time.Sleep(idleTime)
-	held := node.descriptors()
-	if silent { // Connections that it has accepted stay open and silent.
+	heldDescriptors := node.descriptors()
+	if silent { // The connections that the listener has accepted stay open and silent.
 		nodetest.CloseNow(t, silentListener)
 	}
-	restored := time.Now()
+	restoredAt := time.Now()
 	discovery.listenAt(t, discoveryAddress, false)
 	var listDelay, readyDelay time.Duration
 	select {
 	case at := <-discovery.listSent:
-		listDelay = at.Sub(restored)
+		listDelay = at.Sub(restoredAt)
 	case <-time.After(6 * time.Second):
 		t.Error("discovery sent no list within 6 s after its return, want one")
 	}
 	node.eventually(t, "a ready node", func() bool {
 		return statusOf(node.address, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n") == http.StatusOK
 	})
-	readyDelay = time.Since(restored)
+	readyDelay = time.Since(restoredAt)
 	statuses, repeats := countStatuses(node.address, newClients)
 	idle.stopAll()
 	attempts := app.count()
 	node.kill(t)
 	exhausted := bytes.Contains(node.log.Bytes(), []byte("too many open files"))
 	if listDelay > maxDelay || readyDelay > maxDelay || statuses[http.StatusOK] != newClients || attempts != newClients ||
-		idle.peakDescriptors > sockets || held > sockets/2+16 || repeats > newClients/8 || exhausted {
+		idle.peakDescriptors > sockets || heldDescriptors > sockets/2+16 || repeats > newClients/8 || exhausted {
 		t.Errorf("list sent after %v and node ready after %v, want at most %v; statuses of new clients %v and %d attempts, "+
 			"want %d of status 200 and as many attempts; %d repeats, want at most %d; %d descriptors with idle clients, "+
 			"want at most %d; peak of %d descriptors, want at most %d; descriptors exhausted: %v, want false",
-			listDelay, readyDelay, maxDelay, statuses, attempts, newClients, repeats, newClients/8, held, sockets/2+16,
+			listDelay, readyDelay, maxDelay, statuses, attempts, newClients, repeats, newClients/8, heldDescriptors, sockets/2+16,
 			idle.peakDescriptors, sockets, exhausted)
 	}
 	t.Logf("%d descriptors with idle clients, %d at most, limit %d; list sent %v after discovery's return, node ready after %v; "+
 		"statuses of new clients %v, %d repeats, %d attempts",
-		held, idle.peakDescriptors, sockets, listDelay.Round(time.Millisecond), readyDelay.Round(time.Millisecond), statuses, repeats, attempts)
+		heldDescriptors, idle.peakDescriptors, sockets, listDelay.Round(time.Millisecond), readyDelay.Round(time.Millisecond), statuses, repeats, attempts)
 }
--- a/cmd/cherrygap/lab_scale.go
+++ b/cmd/cherrygap/lab_scale.go
@@ -20,7 +20,8 @@
 discovery agent and open-loop clients, all on loopback. Then cause faults one after another (changes, roll, zone,
 watch), stop everything that was started, and print one JSON line: the latency that a node adds to a request (ms), its
 core share, memory, bytes by kind of message, seconds until a change is in force, and counts that must be 0
-(docs/lab.md, "Scale"). If file descriptors are lacking, the command says which before it starts anything. It raises no limit.`,
+(docs/lab.md, "Scale"). Before it starts anything, the command checks the limits on file descriptors; its error names
+one that is too low. It raises no limit.`,
 		Args: cobra.NoArgs,
 		RunE: withLabFile(operatorPath, func(cmd *cobra.Command, file operatorfile.File) error {
 			override(cmd, "seed", &file.Lab.Seed, cfg.Seed)
@@ -34,7 +35,7 @@
 
 func addScaleFlags(cmd *cobra.Command, cfg *scale.Config) {
 	flags := cmd.Flags()
-	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "number of edge nodes, as the settings give it")
+	flags.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "number of edge nodes in the nodes' settings")
 	flags.IntVar(&cfg.Real, "real", cfg.Real, "real nodes, a process each (1 to 64)")
 	flags.IntVar(&cfg.Simulated, "simulated", cfg.Simulated, "simulated nodes; below 0 for all nodes that are not real")
 	flags.IntVar(&cfg.Servers, "servers", cfg.Servers, "app servers listed at first; one spare for every 50 is started and listed later")
@@ -43,7 +44,7 @@
 	flags.Float64Var(&cfg.SimulatedRate, "simulated-rate", cfg.SimulatedRate, "mean requests a second at a simulated node")
 	flags.Float64Var(&cfg.DirectShare, "direct", cfg.DirectShare,
 		"share of the real nodes' completed requests that is sent once more, directly to the same server")
-	flags.Float64Var(&cfg.PeerRate, "peer-rate", cfg.PeerRate, "messages a second that a node receives from peers, as the settings give it")
+	flags.Float64Var(&cfg.PeerRate, "peer-rate", cfg.PeerRate, "messages a second that a node receives from peers, in the nodes' settings")
 	flags.DurationVar(&cfg.Duration, "for", cfg.Duration, "duration of the run, from the first request on")
 	flags.DurationVar(&cfg.TimeLimit, "time-limit", 0, "stop the whole run after this time; 0 for two minutes more than --for")
 	flags.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of every random draw")
--- a/cmd/cherrygap/main.go
+++ b/cmd/cherrygap/main.go
@@ -17,7 +17,7 @@
 // exitFailed is the process's exit code after any error.
 const exitFailed = 2
 
-// init sets zerolog's time format, which is one for the whole process. Nodes and the laboratory log Unix milliseconds.
+// init sets zerolog's time format, which applies to the whole process. Nodes and the laboratory log Unix milliseconds.
 func init() { zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs }
 
 func main() {
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -16,7 +16,7 @@
 const (
 	envRunAsProgram    = "CHERRYGAP_TEST_AS_PROGRAM" // The process runs the command line of cherrygap.
 	envRunAsNode       = "TEST_NODE"                 // The process runs a node without an operator file.
-	envRunAsFaultyNode = "TEST_FAULTY_NODE"          // The test decides on some of this node's system calls.
+	envRunAsFaultyNode = "TEST_FAULTY_NODE"          // The process runs a node, and the test decides which of its faultyCalls fail.
 	envDescriptorLimit = "TEST_FILES"                // limit of the node's descriptors; empty for no new limit
 )
 
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -176,8 +176,8 @@
 		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.ConfigAt(address, discovery, udp.LocalAddr().String())), address
 }
 
-// serveEndpointList serves discovery at the returned address. It sends the full list after a delay, and later empty changes. With
-// an empty list it never responds.
+// serveEndpointList serves discovery at the returned address. The first response is the full list, after a delay. Later ones
+// contain no changes. If list is empty, the service never responds.
 func serveEndpointList(t *testing.T, list string, delay time.Duration) (address string) {
 	t.Helper()
 	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -305,10 +305,10 @@
 func TestRestartIsReadyInTimeBehindADrain(t *testing.T) {
 	const processes, requestTime = 4, 3500 * time.Millisecond
 	builtProgram(t)
-	requestReceived, answer := make(chan struct{}, processes), make(chan struct{})
+	requestReceived, respond := make(chan struct{}, processes), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		requestReceived <- struct{}{}
-		<-answer
+		<-respond
 		_, _ = io.Copy(w, q.Body)
 	})
 	largeList, smallList := endpointListText(t, false), `{"rev":41,"all":true,"targets":[`+listEntry(server)+`]}`
@@ -328,12 +328,12 @@
 	for range processes {
 		<-requestReceived
 	}
-	time.AfterFunc(requestTime, func() { close(answer) })
+	time.AfterFunc(requestTime, func() { close(respond) })
 	var checks sync.WaitGroup
 	for i, old := range oldProcesses {
 		terminatedAt := time.Now()
 		nodetest.Signal(t, old.cmd.Process, syscall.SIGTERM)
-		next := startBuiltProgram(t, newConfigs[i], old.address)
+		newProcess := startBuiltProgram(t, newConfigs[i], old.address)
 		checks.Add(1)
 		go func() { // The goroutine ends once the old process has ended and the new one is ready or has had 3 x readyLimit.
 			defer checks.Done()
@@ -341,9 +341,9 @@
 				t.Errorf("request to old node %d: response %v, error %v, want status %d", i, response, err, http.StatusOK)
 			}
 			<-old.ended // Until it ends, the old node may be the one that answers the health check.
-			delay, ok := next.ready(terminatedAt)
+			delay, ok := newProcess.ready(terminatedAt)
 			if !ok || delay > readyLimit {
-				t.Errorf("new node %d is ready: %v %v after SIGTERM, want true within %v; its log: %.300s", i, ok, delay, readyLimit, next.log.String())
+				t.Errorf("new node %d is ready: %v, %v after SIGTERM, want true within %v; its log: %.300s", i, ok, delay, readyLimit, newProcess.log.String())
 			}
 			t.Logf("new node %d: ready %v after SIGTERM", i, delay)
 		}()
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -84,7 +84,7 @@
 		t.Errorf("child processes after the run %v, want those before it: %v", after, before)
 	}
 	if t.Failed() {
-		t.Logf("%s", line)
+		t.Logf("result of the run: %s", line)
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	if result.Duplicates+result.Unanswered+result.SimulatedRequests.Unanswered+result.ConnectFailed+result.SendsToDrained+
 		result.OtherStatus != 0 {
-		t.Errorf("%v duplicates, %v unanswered, %v unanswered of simulated nodes, %v connects failed, %v sends to drained servers, "+
+		t.Errorf("%v duplicates, %v unanswered, %v unanswered of simulated nodes, %v failed connects, %v sends to drained servers, "+
 			"%v responses of other statuses, want 0 of each",
 			result.Duplicates, result.Unanswered, result.SimulatedRequests.Unanswered, result.ConnectFailed, result.SendsToDrained,
 			result.OtherStatus)
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -75,8 +75,8 @@
 	f.active.Store(false)
 }
 
-// startFaultyNode starts a node as its own process, whose faultyCalls a policy decides on. It returns the process and the path of
-// its configuration.
+// startFaultyNode starts a node as its own process, in which policy decides which faultyCalls fail. It returns the process and the
+// path of the node's configuration.
 func startFaultyNode(t *testing.T, policy syscallfault.Policy, discovery string, servers ...net.Listener) (p *nodeProcess, file string) {
 	t.Helper()
 	return startFaultyNodeWithConfig(t, policy, discovery, func(text string) string { return text }, servers...)
@@ -117,7 +117,7 @@
 	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })
 }
 
-// requestTimeout is the request budget of the requests of these tests.
+// requestTimeout is the timeout of the requests in the tests of this file.
 const requestTimeout = 2 * time.Second
 
 // lastRequestID is the number in the id of the last request that requestStatus sent.
@@ -190,8 +190,8 @@
 	fault.active.Store(false)
 	reader := bufio.NewReader(conn)
 	for i := range requests {
-		if more := <-excess; more > slack {
-			t.Errorf("request %d: the attempt's timeout exceeds the time left by %v, want at most %v", i, more, slack)
+		if excessTime := <-excess; excessTime > slack {
+			t.Errorf("request %d: the attempt's timeout exceeds the time left by %v, want at most %v", i, excessTime, slack)
 		}
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -227,7 +227,7 @@
 				for range requests {
 					go func() { statuses <- requestStatus(t, faulty.address) }()
 				}
-				time.Sleep(150 * time.Millisecond) // The requests wait for the fault's end.
+				time.Sleep(150 * time.Millisecond) // The requests wait until the fault ends.
 				fault.active.Store(false)
 				for range requests {
 					if status := <-statuses; status != http.StatusOK {
@@ -390,7 +390,7 @@
 	}
 }
 
-// startPollingNode starts a node that polls discovery for lists. All its connects fail from its start on.
+// startPollingNode starts a node that polls discovery for lists. All its connects fail until the test clears fault.active.
 func startPollingNode(t *testing.T, fault *failingCall, discovery string) *nodeProcess {
 	t.Helper()
 	fault.start(unix.ENETUNREACH)
--- a/internal/grpcfrontend/authorizer.go
+++ b/internal/grpcfrontend/authorizer.go
@@ -27,26 +27,26 @@
 	reconnectJitter     = 0.3
 	maxReconnectDelay   = time.Second
 	connectTimeout      = time.Second
-	maxRecordedLatency  = time.Minute // latencies above are recorded as this value
+	maxRecordedLatency  = time.Minute // longer latencies are recorded as this value
 	latencyDigits       = 2           // significant digits of a recorded latency
 )
 
 // Authorizer is the client of an external authorizer, and implements frontend.Authorizer. Its authz.Policy decides which
 // requests are checked, and with what timeout. Its methods are safe for concurrent use.
 type Authorizer struct {
-	conn      *grpc.ClientConn
-	client    auth.AuthorizationClient
-	classes   map[string]int // index of each class in authz.Config.Classes, by name
-	startedAt time.Time      // origin of the times that the policy gets
+	conn         *grpc.ClientConn
+	client       auth.AuthorizationClient
+	classNumbers map[string]int // index of each class in authz.Config.Classes, by class name
+	startedAt    time.Time      // origin of the times that the policy gets
 
 	mu        sync.Mutex // guards the fields below
 	policy    *authz.Policy
 	latencies *hdrhistogram.Histogram // latencies of finished checks, in microseconds
 }
 
-// DialAuthorizer returns a client of the authorizer at addr, "host:port". It does not wait for the connection. classes maps
-// class names to indexes in cfg.Classes. The caller must call Close.
-func DialAuthorizer(addr string, cfg authz.Config, classes map[string]int) (*Authorizer, error) {
+// DialAuthorizer returns a client of the authorizer at addr, "host:port". It does not wait for the connection. classNumbers
+// maps class names to indexes in cfg.Classes. The caller must call Close.
+func DialAuthorizer(addr string, cfg authz.Config, classNumbers map[string]int) (*Authorizer, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("create client of authorizer %s: %w", addr, err)
 	}
 	return &Authorizer{
-		conn: conn, client: auth.NewAuthorizationClient(conn), classes: classes, startedAt: time.Now(),
+		conn: conn, client: auth.NewAuthorizationClient(conn), classNumbers: classNumbers, startedAt: time.Now(),
 		policy: authz.New(cfg), latencies: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), latencyDigits),
 	}, nil
 }
@@ -69,10 +69,10 @@
 // now returns the time since startedAt.
 func (a *Authorizer) now() time.Duration { return time.Since(a.startedAt) }
 
-// Check returns the verdict on a request, and asks the authorizer if the policy wants a check. The request's class must be
+// Check returns the verdict on a request. It calls the authorizer if the policy requires a check. The request's class must be
 // known. timeLeft is the time until the request's deadline. The caller cancels ctx if the client disconnects.
 func (a *Authorizer) Check(ctx context.Context, request *protocol.Request, timeLeft time.Duration) frontend.Authorization {
-	class := a.classes[request.Class]
+	class := a.classNumbers[request.Class]
 	start := a.beginCheck(class, timeLeft)
 	if start.decision.Verdict != authz.CheckNeeded {
 		return frontend.Authorization{Verdict: start.decision.Verdict, RetryAfter: start.retryAfter}
@@ -97,7 +97,7 @@
 	return checkStart{decision: decision, retryAfter: a.policy.RetryAfter(a.now(), class)}
 }
 
-// endCheck reports the outcome and latency of a check to the policy and returns the final verdict.
+// endCheck records the latency of a check, reports its outcome to the policy and returns the final verdict.
 func (a *Authorizer) endCheck(class int, outcome authz.Outcome, timeout, latency time.Duration) frontend.Authorization {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -19,7 +19,8 @@
 	"cherrygap/internal/protocol"
 )
 
-// maxRequestFactor limits how many times its number of requests a client sends while the authorizer has not restarted.
+// maxRequestFactor limits the requests of a client that continues until the authorizer has restarted. The limit is this multiple of
+// the client's given number of requests.
 const maxRequestFactor = 20
 
 // loadRun is a load test over HTTP and gRPC, of a node with a faulty authorizer.
@@ -29,7 +30,7 @@
 	sent       atomic.Int64 // number of requests sent
 
 	mu        sync.Mutex      // guards the fields below
-	answers   map[string]int  // number of responses, by class and HTTP status: "buy200"
+	responses map[string]int  // number of responses, by class and HTTP status: "buy200"
 	latencies []time.Duration // latency of each request with a response
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// overHTTP sends a request over HTTP and returns the status of its response. ok is false without a response.
+// overHTTP sends a request over HTTP and returns the status of its response, and whether there was a response.
 func (l *loadRun) overHTTP(t *testing.T, id, class string, customer uint64) (string, bool) {
 	method, body := http.MethodGet, ""
 	if class == "buy" {
@@ -77,17 +78,18 @@
 	return fmt.Sprint(response.StatusCode), true
 }
 
-// checkAttempts fails the test if the app server's attempts of a request contradict its status or the authorizer's answer.
+// checkAttempts fails the test if the attempts that the app server got contradict the request's status or the authorizer's answer.
 func (l *loadRun) checkAttempts(t *testing.T, id, class, httpStatus string) {
 	allowed, answered := l.authorizer.LastAnswer(id)
 	attempts := l.node.attemptCount(id)
-	checked := answered && allowed
+	approved := answered && allowed
 	denied := answered && !allowed
-	wrongPurchase := class == "buy" && (attempts > 1 || attempts > 0 && !checked)
+	wrongPurchase := class == "buy" && (attempts > 1 || attempts > 0 && !approved)
 	wrongDenial := httpStatus == "403" && (!denied || attempts > 0)
 	if wrongPurchase || wrongDenial || httpStatus == "200" && attempts == 0 {
-		t.Errorf("request %s of class %s: status %s, %d attempts, checked %v, allowed %v; want at most one attempt of a purchase, "+
-			"only after its check; no attempt and a check for 403; an attempt for 200", id, class, httpStatus, attempts, answered, allowed)
+		t.Errorf("request %s of class %s: status %s, %d attempts, authorizer answered: %v, allowed: %v; want at most one attempt of a "+
+			"purchase, only if allowed; no attempt and a denial for status 403; an attempt for status 200",
+			id, class, httpStatus, attempts, answered, allowed)
 	}
 }
 
@@ -116,7 +118,7 @@
 		}
 		l.checkAttempts(t, id, class, httpStatus)
 		l.mu.Lock()
-		l.answers[class+httpStatus]++
+		l.responses[class+httpStatus]++
 		l.latencies = append(l.latencies, time.Since(startedAt))
 		l.mu.Unlock()
 	}
@@ -137,7 +139,7 @@
 	}
 	defer server.Close()
 	a := dialTestAuthorizer(t, server.Addr())
-	l := &loadRun{authorizer: server, answers: map[string]int{}}
+	l := &loadRun{authorizer: server, responses: map[string]int{}}
 	l.node = startNode(t, a, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(2 * time.Millisecond)
 		_, _ = io.Copy(w, r.Body)
@@ -156,15 +158,15 @@
 	counts := server.Counts()
 	counters := a.policy.Counters()
 	t.Logf("responses %v; authorizer: %d answers, %d starts; checks: %+v, p50 %v, p99 %v; slowest request %v",
-		l.answers, counts.Answers, counts.Starts, counters,
+		l.responses, counts.Answers, counts.Starts, counters,
 		a.LatencyQuantile(0.5), a.LatencyQuantile(0.99), slowest)
 	if sent := int(l.sent.Load()); sent < clients*requests || len(l.latencies) != sent || slowest > time.Second {
 		t.Errorf("%d of %d requests have responses, the slowest after %v; want all of at least %d, within 1s",
 			len(l.latencies), sent, slowest, clients*requests)
 	}
 	if counts.Starts < 2 || counters.Unanswered == 0 || counters.Denied == 0 || counters.FailedOpen == 0 || counters.FailedClosed == 0 ||
-		l.answers["buy503"] == 0 || l.answers["look200"] < 500 {
+		l.responses["buy503"] == 0 || l.responses["look200"] < 500 {
 		t.Errorf("%d starts of the authorizer, responses %v, checks %+v; want 2 or more starts, 500 or more look200, a buy503, and "+
-			"checks unanswered, denied, failed open and failed closed", counts.Starts, l.answers, counters)
+			"checks unanswered, denied, failed open and failed closed", counts.Starts, l.responses, counters)
 	}
 }
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -96,7 +96,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = time.Until(deadline)
 	}
-	if err := ctx.Err(); err != nil { // the client disconnected before the call began
+	if err := ctx.Err(); err != nil { // the client cancelled the call, or its deadline has passed
 		return nil, status.FromContextError(err).Err()
 	}
 	if !s.httpFrontEnd.ClaimRequestID(request.ID) {
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -20,7 +20,7 @@
 	"cherrygap/internal/protocol"
 )
 
-// echo responds with the request's method, path and body. It rejects requests of customer 255.
+// echo responds with the request's method, path and body. It rejects lookups of customer 255.
 func echo(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/look/00000000000000ff") {
 		w.Header().Set(protocol.HeaderRejected, protocol.RejectedValue)
@@ -54,7 +54,7 @@
 func TestBadRequests(t *testing.T) {
 	n := startNode(t, nil, echo)
 	if _, err := n.pass(t.Context(), "1", "buy", 5, time.Second); err != nil {
-		t.Fatalf("Pass of a valid request: %v", err)
+		t.Fatalf("Pass of a valid request: error %v, want none", err)
 	}
 	for name, bad := range map[string]struct {
 		call *Ticket
@@ -82,8 +82,8 @@
 	}
 }
 
-// Guards against attempts for a client that disconnected before or during its check. The clients' deadlines end before the
-// authorizer answers, so that an answer comes for a request without a client.
+// Guards against attempts for a client that disconnected before or during its check. The clients' deadlines pass before the
+// authorizer answers, so that the answer arrives after the client has disconnected.
 func TestClientDisconnectsDuringItsCheck(t *testing.T) {
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{SlowProbability: 1, SlowDelay: 60 * time.Millisecond})
 	if err != nil {
@@ -154,7 +154,8 @@
 }
 
 // Guards against attempts that begin after the client cancelled its call. Calls are cancelled at random times, some before they
-// begin, some during an attempt that is then rejected or fails. No attempt may arrive at the app server more than 0.1 s later.
+// begin, some during an attempt that is then rejected or fails. No attempt may arrive at the app server more than 0.1 s
+// after the cancellation.
 func TestCancelledCallsAreNotForwarded(t *testing.T) {
 	const maxDelay, calls = 100 * time.Millisecond, 200
 	c := &cancelTimes{random: rand.New(rand.NewSource(35)), attempts: map[string][]time.Time{}, cancelled: map[string]time.Time{}}
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -179,7 +179,8 @@
 	return frontend.Authorization{Verdict: s[request.Class]}
 }
 
-// appRecorder is an app server that records its attempts. It replaces the attempt timeout, which varies, with its presence.
+// appRecorder is an app server that records its attempts. Of the attempt timeout, which varies, it records only the
+// presence.
 type appRecorder struct {
 	mu       sync.Mutex        // guards attempts
 	attempts map[string]string // text of the last attempt, by request id
--- a/internal/node/authorizer.go
+++ b/internal/node/authorizer.go
@@ -6,7 +6,7 @@
 	"cherrygap/internal/frontend"
 )
 
-// authorizer asks an external service whether requests are allowed, and logs the counts of its answers. Close closes the
+// authorizer asks an external service whether requests are allowed, and logs the counters of these checks. Close closes the
 // connection to the service. Only programs with the build tag grpc have an implementation.
 type authorizer interface {
 	frontend.Authorizer
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -96,7 +96,7 @@
 		switchedTo := ""
 		next, err := current.reload(func(addr string) { switchedTo = addr })
 		if switchedTo != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != current {
-			t.Errorf("reload of %s switched discovery to %q, want %q; error %v, want an error: %v; configuration replaced: %v",
+			t.Errorf("reload of %s switched discovery to %q, want %q; error %v, want an error: %v; configuration replaced: %v, want no replacement after an error",
 				text, switchedTo, want, err, want == "" && text != nodetest.GoodConfig, next != current)
 		}
 	}
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -29,7 +29,7 @@
 		names, objectives = append(names, class.name), append(objectives, class.latencyObjective)
 	}
 	authorization, err := c.authorization()
-	authzLimits := authorization.limits
+	authzPolicy := authorization.policy
 	return map[string]string{
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery + " " + c.fileDiscovery, "seed": fmt.Sprintf("%x", c.randomSeed),
 		"peer": fmt.Sprint(c.PeerListen), "peers": fmt.Sprint(c.Peers), "all": fmt.Sprint(c.PeerBroadcast),
@@ -43,7 +43,7 @@
 		"names":      fmt.Sprintf("%q", names),
 		"objectives": fmt.Sprint(objectives),
 		"quota":      fmt.Sprintf("%d/%d %x %v %v", quota.Self, quota.Nodes, quota.Seed, quota.ExchangeRate, quota.Timeout),
-		"authorization": fmt.Sprint(authzLimits.MaxInFlight, " ", authzLimits.MaxRetryAfter, " ", authzLimits.Classes, " ",
+		"authorization": fmt.Sprint(authzPolicy.MaxInFlight, " ", authzPolicy.MaxRetryAfter, " ", authzPolicy.Classes, " ",
 			authorization.classNumbers, " ", err),
 		"operator": fmt.Sprintf("%v %q %q %q %q %d", ParseLogLevel(c.operator.Log.Level), c.operator.Quota.Store, c.operator.Authz.Service,
 			c.operator.Authz.FailOpen, c.operator.GRPC.Listen, c.operator.GRPC.MaxCalls),
--- a/internal/node/grpc.go
+++ b/internal/node/grpc.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return grpcfrontend.DialAuthorizer(c.operator.Authz.Service, cfg.limits, cfg.classNumbers)
+	return grpcfrontend.DialAuthorizer(c.operator.Authz.Service, cfg.policy, cfg.classNumbers)
 }
 
 // listenGRPC starts the gRPC front end, which passes its requests to the HTTP front end. drain rejects new requests and
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		want := []authz.Class{{LatencyObjective: 400 * time.Millisecond, FailOpen: true}, {LatencyObjective: 800 * time.Millisecond}}
-		if err != nil || cfg.classNumbers["buy"] != 1 || cfg.limits.Classes[0] != want[0] || cfg.limits.Classes[1] != want[1] || cfg.limits.MaxInFlight != 64 {
+		if err != nil || cfg.classNumbers["buy"] != 1 || cfg.policy.Classes[0] != want[0] || cfg.policy.Classes[1] != want[1] || cfg.policy.MaxInFlight != 64 {
 			t.Errorf("authorization() with fail_open %q = %+v, %v, want number 1 of class buy, classes %+v, MaxInFlight 64 and no error",
 				failOpen, cfg, err, want)
 		}
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -54,8 +54,8 @@
 // echo is an app server's handler that responds with the request's body.
 func echo(w http.ResponseWriter, q *http.Request) { _, _ = io.Copy(w, q.Body) }
 
-// answerNoChange is a discovery service's handler that responds after 50 ms with a list without changes.
-func answerNoChange(w http.ResponseWriter, q *http.Request) {
+// respondNoChange is a discovery service's handler that responds after 50 ms with a list without changes.
+func respondNoChange(w http.ResponseWriter, q *http.Request) {
 	select {
 	case <-q.Context().Done():
 	case <-time.After(50 * time.Millisecond):
@@ -92,7 +92,7 @@
 func TestNodeStopsWithoutLeak(t *testing.T) {
 	for _, test := range []struct{ name, operator string }{{"platform only", ""}, {"all parts", allParts}} {
 		t.Run(test.name, func(t *testing.T) {
-			server, discovery := nodetest.ServeHTTP(t, echo), nodetest.ServeHTTP(t, answerNoChange)
+			server, discovery := nodetest.ServeHTTP(t, echo), nodetest.ServeHTTP(t, respondNoChange)
 			before := resourcesNow(t)
 			for range 4 {
 				peer := nodetest.ListenPacket(t)
@@ -120,13 +120,13 @@
 
 // Close without an earlier Drain must not drop a request: it must wait until the accepted request has its response.
 func TestCloseAnswersOpenRequests(t *testing.T) {
-	arrived, answer := make(chan struct{}), make(chan struct{})
+	arrived, respond := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(arrived)
-		<-answer
+		<-respond
 		echo(w, q)
 	})
-	discovery := nodetest.ServeHTTP(t, answerNoChange)
+	discovery := nodetest.ServeHTTP(t, respondNoChange)
 	before := resourcesNow(t)
 	listenOn := nodetest.FreeAddress(t)
 	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
@@ -146,7 +146,7 @@
 		t.Error("Close returned while a request was open, want it to wait for the response")
 	default:
 	}
-	close(answer)
+	close(respond)
 	wantLastResponse(t, conn)
 	nodetest.CloseNow(t, conn)
 	<-closed
@@ -156,10 +156,10 @@
 // A draining node still forwards open requests, so it must follow discovery until the last one has ended. After that Close must
 // end the discovery client.
 func TestDiscoveryIsFollowedUntilTheLastRequestHasEnded(t *testing.T) {
-	arrived, answer := make(chan struct{}), make(chan struct{})
+	arrived, respond := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(arrived)
-		<-answer
+		<-respond
 		echo(w, q)
 	})
 	calls := make(chan struct{}, 1)
@@ -168,7 +168,7 @@
 		case calls <- struct{}{}:
 		default:
 		}
-		answerNoChange(w, q)
+		respondNoChange(w, q)
 	})
 	before := resourcesNow(t)
 	listenOn := nodetest.FreeAddress(t)
@@ -192,7 +192,7 @@
 			t.Fatalf("discovery received %d calls during the drain and no further one within %v, want 3", k, leakTimeout)
 		}
 	}
-	close(answer)
+	close(respond)
 	wantLastResponse(t, conn)
 	drained.Wait()
 	nodetest.CloseNow(t, conn)
@@ -235,7 +235,7 @@
 // A start that fails at some part must not leak the parts opened before. Close must release them. The start fails because an
 // address does not belong to this machine.
 func TestFailedStartLeaksNothing(t *testing.T) {
-	discovery := nodetest.ServeHTTP(t, answerNoChange)
+	discovery := nodetest.ServeHTTP(t, respondNoChange)
 	for _, test := range []struct {
 		name, old, new, operator string
 		want                     error
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -11,7 +11,7 @@
 
 const (
 	logBufferLines  = 1000                   // capacity of the buffer between the node and the log's reader
-	logFlushTimeout = 200 * time.Millisecond // bounds the time in which a closing log writes the buffered lines
+	logFlushTimeout = 200 * time.Millisecond // limit of the time in which closeLog writes the buffered lines
 )
 
 // openLog opens the node's log on standard error. The lines are buffered, because a slow reader must not delay requests.
@@ -25,7 +25,7 @@
 	log = zerolog.New(buffer).Level(level).With().Timestamp().Str("node", node).Logger()
 	return log, func() {
 		written := make(chan struct{})
-		go func() { // Ends once all lines are written. If nothing reads the log, it lasts as long as the process.
+		go func() { // The goroutine ends once all lines are written. If nothing reads the log, it ends with the process.
 			_ = buffer.Close() // only the log itself could report the error
 			close(written)
 		}()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,15 +148,15 @@
 }
 
 // onClose registers a function that closes the part that was just opened.
-func (n *Node) onClose(step func()) { n.closers = append(n.closers, step) }
+func (n *Node) onClose(closePart func()) { n.closers = append(n.closers, closePart) }
 
-// closeParts calls each function that onClose registered once, in reverse order.
+// closeParts calls the functions that onClose registered, each once and in reverse order.
 func (n *Node) closeParts() {
 	for len(n.closers) > 0 {
 		last := len(n.closers) - 1
-		step := n.closers[last]
+		closePart := n.closers[last]
 		n.closers = n.closers[:last]
-		step()
+		closePart()
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,10 +22,10 @@
 // A node must serve with the known list of its configuration while discovery is down. SIGHUP must switch it to another discovery
 // address, but change nothing while the file is truncated. SIGTERM must not end it before every accepted request has its response.
 func TestNodeServesAndDrains(t *testing.T) {
-	arrived, answer := make(chan struct{}), make(chan struct{})
+	arrived, respond := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(arrived)
-		<-answer
+		<-respond
 		_, _ = io.Copy(w, q.Body)
 	})
 	listenOn := nodetest.FreeAddress(t)
@@ -38,7 +38,7 @@
 	requestURIs := make(chan string, 1)
 	discovery := nodetest.ServeHTTP(t, func(_ http.ResponseWriter, q *http.Request) {
 		requestURIs <- q.RequestURI
-		<-answer
+		<-respond
 	})
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
@@ -64,7 +64,7 @@
 		t.Fatalf("Serve() = %v while a request was open, want it to wait for the response", err)
 	default:
 	}
-	close(answer)
+	close(respond)
 	wantLastResponse(t, conn)
 	if err := <-ended; err != nil {
 		t.Errorf("Serve() = %v after SIGTERM, want nil", err)
--- a/internal/node/partsconfig.go
+++ b/internal/node/partsconfig.go
@@ -97,31 +97,31 @@
 
 // authorizationConfig is the configuration of the external authorizer's client.
 type authorizationConfig struct {
-	limits       authz.Config
+	policy       authz.Config   // configuration of the client's authz.Policy
 	classNumbers map[string]int // class numbers by class name
 }
 
 // authorization returns the configuration of the external authorizer's client. The error is an
-// *operatorfile.UnknownNameError if authz.fail_open names a request class that the platform's settings lack. Even then the
-// limits are complete.
+// *operatorfile.UnknownNameError if authz.fail_open names a request class that the platform's settings lack. Even then
+// the field policy is complete.
 func (c *Config) authorization() (authorizationConfig, error) {
 	failOpen := c.operator.Authz.FailOpen
-	limits := authz.Config{MaxInFlight: c.operator.Authz.MaxInFlight}
+	policy := authz.Config{MaxInFlight: c.operator.Authz.MaxInFlight}
 	numbersByName := map[string]int{}
 	var classNames []string
 	if c.settings.RetryAfter {
-		limits.MaxRetryAfter = c.settings.MaxRetryAfter.Whole()
+		policy.MaxRetryAfter = c.settings.MaxRetryAfter.Whole()
 	}
 	for i, class := range c.requestClasses() {
 		numbersByName[class.name] = i
 		classNames = append(classNames, class.name)
-		limits.Classes = append(limits.Classes,
+		policy.Classes = append(policy.Classes,
 			authz.Class{LatencyObjective: class.latencyObjective, FailOpen: slices.Contains(failOpen, class.name)})
 	}
 	for _, name := range failOpen {
 		if _, ok := numbersByName[name]; !ok {
-			return authorizationConfig{limits: limits}, &operatorfile.UnknownNameError{List: "authz.fail_open", Name: name, Known: classNames}
+			return authorizationConfig{policy: policy}, &operatorfile.UnknownNameError{List: "authz.fail_open", Name: name, Known: classNames}
 		}
 	}
-	return authorizationConfig{limits: limits, classNumbers: numbersByName}, nil
+	return authorizationConfig{policy: policy, classNumbers: numbersByName}, nil
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -48,7 +48,7 @@
 
 // reloadRetry is the scheduled retry of a failed reload. The zero value means that none is scheduled.
 type reloadRetry struct {
-	due      <-chan time.Time // channel that receives at the time of the next attempt; nil if none is scheduled
+	due      <-chan time.Time // channel that delivers a value when the retry is due; nil if none is scheduled
 	deadline time.Time        // time after which no retry may be scheduled
 }
 
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -46,10 +46,10 @@
 func TestSignalsAtAnyMoment(t *testing.T) {
 	file, requestedHosts := filepath.Join(t.TempDir(), "config.json"), make(chan string, 99)
 	first, second := serveDiscovery(t, requestedHosts), serveDiscovery(t, requestedHosts)
-	arrived, answer := make(chan struct{}), make(chan struct{})
+	arrived, respond := make(chan struct{}), make(chan struct{})
 	server := nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
 		close(arrived)
-		<-answer
+		<-respond
 		_, _ = io.Copy(w, q.Body)
 	})
 	listenOn := nodetest.FreeAddress(t)
@@ -83,7 +83,7 @@
 		nodetest.SignalSelf(t, syscall.SIGHUP)
 	}
 	wantDiscoveryCall(t, requestedHosts, second.Addr().String())
-	close(answer)
+	close(respond)
 	wantLastResponse(t, conn)
 	wantEnd(t, ended)
 	signals.discard()
@@ -108,7 +108,7 @@
 		for range 3 {
 			fmt.Fprintln(os.Stderr, "a line that nobody reads")
 		}
-		fmt.Println("goes on")
+		fmt.Println("still running")
 		return
 	}
 	r, w, err := os.Pipe()
@@ -119,7 +119,7 @@
 	nodetest.CloseAtEnd(t, w)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestClosedLogPipeDoesNotEndNode$")
 	cmd.Env, cmd.Stderr = append(os.Environ(), "LOG_READER_CLOSED=1"), w
-	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "goes on") {
-		t.Errorf("process with a closed log pipe wrote %q and ended with %v, want %q and nil", out, err, "goes on")
+	if out, err := cmd.Output(); err != nil || !strings.Contains(string(out), "still running") {
+		t.Errorf("process with a closed log pipe wrote %q and ended with error %v, want %q and no error", out, err, "still running")
 	}
 }
--- a/internal/operatorfile/errors_test.go
+++ b/internal/operatorfile/errors_test.go
@@ -101,7 +101,7 @@
 	for _, c := range errorCases {
 		f, errs := Parse(c.text)
 		if len(errs) == 0 || describeFile(f) != describeFile(Default()) || describeSettings(&f.Settings) != "" {
-			t.Errorf("%s: Parse returned %d errors and the file %v, want 1 or more errors and the defaults", c.name, len(errs), describeFile(f))
+			t.Errorf("%s: Parse returned %d errors and the file %v, want 1 or more errors and the default file without settings", c.name, len(errs), describeFile(f))
 		}
 		checkText(t, c.name, describeErrors(errs), c.want)
 	}
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -16,7 +16,7 @@
 	// Deprecations holds the deprecated keys and words in the file, in the order of their lines.
 	Deprecations []Deprecation `toml:"-"`
 
-	fileKeys deprecatedNames // deprecated names that the file uses; errors repeat them
+	fileKeys deprecatedNames // deprecated names that the file uses, for errors that spell keys as the file does
 	deprecatedTables
 }
 
@@ -51,7 +51,7 @@
 type Authz struct {
 	Service     string   `toml:"service"`       // IP address and port of Envoy's Authorization service; empty for no authorizer
 	MaxInFlight int      `toml:"max_in_flight"` // limit of the checks in flight
-	FailOpen    []string `toml:"fail_open"`     // classes whose requests are admitted without an answer of the authorizer
+	FailOpen    []string `toml:"fail_open"`     // classes whose requests are allowed if the authorizer gives no answer
 
 	deprecatedAuthz
 }
@@ -84,7 +84,7 @@
 	IdleS            float64 `toml:"idle_s"`        // idle time after which a connection is closed, s
 	DrainMs          float64 `toml:"drain_ms"`      // time that a draining server leaves its requests to finish, ms
 	LoadReports      bool    `toml:"load_reports"`  // whether responses carry a load report
-	HealthChecks     bool    `toml:"health_checks"` // whether servers answer health checks and load polls; otherwise the status is 404
+	HealthChecks     bool    `toml:"health_checks"` // whether servers answer health checks and load polls; if not, they respond with status 404
 	Schedule         string  `toml:"schedule"`      // path of a file of scheduled faults; empty for no faults
 
 	deprecatedEmulator
