--- a/cmd/cherrygap/idleclients_test.go
+++ b/cmd/cherrygap/idleclients_test.go
@@ -48,8 +48,8 @@
 			continue
 		}
 		text := d.list
-		if hold, _ := strconv.Atoi(call.FormValue(protocol.QueryHoldMs)); call.FormValue(protocol.QueryRevision) == "7" && hold > 0 {
-			time.Sleep(time.Duration(hold) * time.Millisecond)
+		if holdMs, _ := strconv.Atoi(call.FormValue(protocol.QueryHoldMs)); call.FormValue(protocol.QueryRevision) == "7" && holdMs > 0 {
+			time.Sleep(time.Duration(holdMs) * time.Millisecond)
 			text = `{"rev":7,"all":false,"targets":[]}`
 		}
 		if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text); err != nil {
@@ -246,8 +246,8 @@
 	discovery.listenAt(t, discoveryAddress, false)
 	var listDelay, readyDelay time.Duration
 	select {
-	case at := <-discovery.listSent:
-		listDelay = at.Sub(restoredAt)
+	case sentAt := <-discovery.listSent:
+		listDelay = sentAt.Sub(restoredAt)
 	case <-time.After(6 * time.Second):
 		t.Error("discovery sent no list within 6 s after its return, want one")
 	}
--- a/cmd/cherrygap/log_test.go
+++ b/cmd/cherrygap/log_test.go
@@ -27,34 +27,34 @@
 func startLoggedNode(t *testing.T, config, operator string) *loggedNode {
 	t.Helper()
 	dir := t.TempDir()
-	logged := &loggedNode{logPath: filepath.Join(dir, "log"), configPath: filepath.Join(dir, "config.json")}
-	logged.writeConfig(t, config)
+	node := &loggedNode{logPath: filepath.Join(dir, "log"), configPath: filepath.Join(dir, "config.json")}
+	node.writeConfig(t, config)
 	nodetest.WriteFile(t, filepath.Join(dir, "operator.toml"), operator)
-	out, err := os.Create(logged.logPath)
+	out, err := os.Create(node.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nodetest.CloseNow(t, out) // The process has its own descriptor of the file.
-	logged.cmd = programCommand(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
-	logged.cmd.Stderr = out
-	if err := logged.cmd.Start(); err != nil {
+	node.cmd = programCommand(t, dir, []string{"GW_CONFIG=config.json"}, "serve", "--operator", "operator.toml")
+	node.cmd.Stderr = out
+	if err := node.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.KillAtEnd(t, logged.cmd)
-	return logged
+	nodetest.KillAtEnd(t, node.cmd)
+	return node
 }
 
 // writeConfig replaces the platform's configuration, which the node reads again on SIGHUP.
-func (p *loggedNode) writeConfig(t *testing.T, config string) {
+func (n *loggedNode) writeConfig(t *testing.T, config string) {
 	t.Helper()
-	nodetest.WriteFile(t, p.configPath, config)
+	nodetest.WriteFile(t, n.configPath, config)
 }
 
 // logLines returns a summary of each log line so far: the level, the message, the names of the other fields, and the text of the
 // field error. It leaves out lines that timers and discovery calls cause at any time, and repeated lines on an address in use.
-func (p *loggedNode) logLines(t *testing.T) (lines []string) {
+func (n *loggedNode) logLines(t *testing.T) (lines []string) {
 	t.Helper()
-	raw, err := os.ReadFile(p.logPath)
+	raw, err := os.ReadFile(n.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,11 +88,11 @@
 }
 
 // awaitLines waits until logLines returns exactly the lines want, and fails the test after 10 s.
-func (p *loggedNode) awaitLines(t *testing.T, want ...string) {
+func (n *loggedNode) awaitLines(t *testing.T, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = p.logLines(t); slices.Equal(got, want) {
+		if got = n.logLines(t); slices.Equal(got, want) {
 			return
 		}
 	}
@@ -114,33 +114,33 @@
 			config := strings.NewReplacer(
 				`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`, `"peers":true`, `"peers":true,"probes":true`).Replace(nodetest.ConfigAt(address, discovery, peer))
 			malformedList := strings.Replace(config, `{"rev":41,"all":true,"targets":[]}`, "7", 1)
-			logged := startLoggedNode(t, malformedList, c.operator)
+			node := startLoggedNode(t, malformedList, c.operator)
 			var want []string
 			expectMore := func(lines ...string) {
 				t.Helper()
 				want = append(want, lines...)
-				logged.awaitLines(t, want...)
+				node.awaitLines(t, want...)
 			}
 			expectMore(`warn waiting for an address in use: error="listen udp ` + peer + `: bind: address already in use" node time`)
 			nodetest.CloseNow(t, peerSocket)
 			expectMore(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info started: listen node time")
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGUSR1)
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGUSR1)
 			expectMore("info counters: " + c.counters)
-			logged.writeConfig(t, config)
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			node.writeConfig(t, config)
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
 			expectMore("info configuration reloaded: discovery node time")
-			logged.writeConfig(t, malformedList)
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			node.writeConfig(t, malformedList)
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
 			expectMore(`warn known endpoint list rejected: error="config.json: known: malformed list" node time`, "info configuration reloaded: discovery node time")
-			logged.writeConfig(t, config[:len(config)-9])
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			node.writeConfig(t, config[:len(config)-9])
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
 			expectMore(`error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
-			logged.writeConfig(t, strings.Replace(config, discovery, "there", 1))
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
+			node.writeConfig(t, strings.Replace(config, discovery, "there", 1))
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
 			expectMore(`error configuration reload failed: error="config.json: discovery: not an ip:port" node time`)
-			nodetest.Signal(t, logged.cmd.Process, syscall.SIGTERM)
+			nodetest.Signal(t, node.cmd.Process, syscall.SIGTERM)
 			expectMore("info stopped: " + c.counters)
-			if err := logged.cmd.Wait(); err != nil {
+			if err := node.cmd.Wait(); err != nil {
 				t.Errorf("the node ended on SIGTERM with error %v, want none", err)
 			}
 		})
@@ -151,16 +151,16 @@
 func TestLogLevel(t *testing.T) {
 	address := nodetest.FreeAddress(t)
 	config := nodetest.ConfigAt(address, nodetest.FreeAddress(t), nodetest.LoopbackAddr)
-	logged := startLoggedNode(t, config, "[log]\nlevel = \"error\"\n")
+	node := startLoggedNode(t, config, "[log]\nlevel = \"error\"\n")
 	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(address) })
-	logged.writeConfig(t, "{")
-	nodetest.Signal(t, logged.cmd.Process, syscall.SIGHUP)
-	logged.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
-	nodetest.Signal(t, logged.cmd.Process, syscall.SIGTERM)
-	if err := logged.cmd.Wait(); err != nil {
+	node.writeConfig(t, "{")
+	nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
+	node.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+	nodetest.Signal(t, node.cmd.Process, syscall.SIGTERM)
+	if err := node.cmd.Wait(); err != nil {
 		t.Errorf("the node ended on SIGTERM with error %v, want none", err)
 	}
-	logged.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
+	node.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
 }
 
 // An operator file with deprecated keys must keep its effect. A node must log the new name of each such key, and other commands
@@ -168,13 +168,13 @@
 func TestDeprecatedOperatorKeys(t *testing.T) {
 	const file = "[duties]\non = true\n[authz]\nmost = 9\n"
 	config := nodetest.ConfigAt(nodetest.FreeAddress(t), nodetest.FreeAddress(t), nodetest.LoopbackAddr)
-	logged := startLoggedNode(t, config, file)
+	node := startLoggedNode(t, config, file)
 	const warning = "warn deprecated key in the operator file: key line node time write"
-	logged.awaitLines(t, warning, warning, warning, "info started: listen node time")
+	node.awaitLines(t, warning, warning, warning, "info started: listen node time")
 	const notices = "operator.toml: line 1: duties: deprecated; write health_checks\n" +
 		"operator.toml: line 2: duties.on: deprecated; write health_checks.enabled\n" +
 		"operator.toml: line 4: authz.most: deprecated; write authz.max_in_flight\n"
-	dir := filepath.Dir(logged.logPath)
+	dir := filepath.Dir(node.logPath)
 	for args, want := range map[string]string{
 		"config check operator.toml": notices + "operator.toml: good\n",
 		"lab load --operator operator.toml --target 127.0.0.1:1 --rate 0": notices +
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -35,8 +35,8 @@
 	return s.random.Intn(n)
 }
 
-// noteArrival records that bytes of a request have just arrived.
-func (s *erraticServers) noteArrival(id string) {
+// recordArrival records that bytes of a request have just arrived.
+func (s *erraticServers) recordArrival(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals[id] = append(s.arrivals[id], time.Now())
@@ -61,11 +61,11 @@
 		if err != nil {
 			return
 		}
-		s.noteArrival(request.Header.Get(protocol.HeaderRequestID))
+		s.recordArrival(request.Header.Get(protocol.HeaderRequestID))
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		s.noteArrival(request.Header.Get(protocol.HeaderRequestID))
+		s.recordArrival(request.Header.Get(protocol.HeaderRequestID))
 		time.Sleep(time.Duration(s.randomBelow(8000)) * time.Microsecond)
 		response := ""
 		switch draw := s.randomBelow(10); {
@@ -92,8 +92,8 @@
 	defer s.mu.Unlock()
 	for id := range ids {
 		repeated += max(0, len(s.arrivals[id])/2-1)
-		for _, at := range s.arrivals[id] {
-			if at.After(after) {
+		for _, arrivedAt := range s.arrivals[id] {
+			if arrivedAt.After(after) {
 				late++
 				break
 			}
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -143,20 +143,20 @@
 	t.Parallel()
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
-	faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
-	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+	faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
+	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
 	for _, errno := range []syscall.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 	} {
 		fault.start(errno)
-		conn, err := net.Dial("tcp", faulty.address)
+		conn, err := net.Dial("tcp", faultyNode.address)
 		if err != nil {
 			t.Fatalf("connecting while accept fails with %v: error %v, want none", errno, err)
 		}
 		nodetest.CloseAtEnd(t, conn)
 		fault.failFor(t, errno, 2)
-		if status := requestStatus(t, faulty.address); status != http.StatusOK {
+		if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
 			t.Fatalf("status of a request after accept failed with %v = %d, want %d", errno, status, http.StatusOK)
 		}
 	}
@@ -176,10 +176,10 @@
 	})
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
-	faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), server)
-	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+	faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), server)
+	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
 	fault.start(unix.ENFILE)
-	conn := nodetest.Dial(t, faulty.address)
+	conn := nodetest.Dial(t, faultyNode.address)
 	sentAt = time.Now()
 	for i := range requests {
 		if _, err := io.WriteString(conn, nodetest.RequestText(fmt.Sprint("waits-", i), requestTimeout)); err != nil {
@@ -219,13 +219,13 @@
 				t.Parallel()
 				fault := &failingCall{number: c.number}
 				discovery := nettest.Listen(t)
-				faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t), okServer(t))
-				faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+				faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t), okServer(t))
+				faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
 				fault.start(errno)
 				statuses := make(chan int)
 				const requests = 6
 				for range requests {
-					go func() { statuses <- requestStatus(t, faulty.address) }()
+					go func() { statuses <- requestStatus(t, faultyNode.address) }()
 				}
 				time.Sleep(150 * time.Millisecond) // The requests wait until the fault ends.
 				fault.active.Store(false)
@@ -235,7 +235,7 @@
 					}
 				}
 				for range requests {
-					if status := requestStatus(t, faulty.address); status != http.StatusOK {
+					if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
 						t.Errorf("status of a request after the fault = %d, want %d", status, http.StatusOK)
 					}
 				}
@@ -262,13 +262,13 @@
 			t.Parallel()
 			fault := &failingCall{number: c.number}
 			discovery := nettest.Listen(t)
-			faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
-			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
+			faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
+			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
 			fault.start(c.errno)
 			statuses := make(chan int)
 			const requests = 4
 			for range requests {
-				go func() { statuses <- requestStatus(t, faulty.address) }()
+				go func() { statuses <- requestStatus(t, faultyNode.address) }()
 			}
 			fault.failFor(t, c.errno, 3*requests)
 			for range requests {
@@ -289,10 +289,10 @@
 			fault := &failingCall{number: unix.SYS_SOCKET}
 			fault.start(errno)
 			discovery := nettest.Listen(t)
-			faulty, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
+			faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
 			fault.failFor(t, errno, 2)
-			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
-			if status := requestStatus(t, faulty.address); status != http.StatusOK {
+			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+			if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
 				t.Errorf("status of a request after a start with %v = %d, want %d", errno, status, http.StatusOK)
 			}
 		})
@@ -312,11 +312,11 @@
 		}
 	}()
 	server := okServer(t)
-	faulty, file := startFaultyNode(t, (&failingCall{}).decide, oldDiscovery.Addr().String(), server)
-	faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
-	text := nodeProcessConfig(faulty.address, newDiscovery.Addr().String(), 1024, []net.Listener{server})
+	faultyNode, file := startFaultyNode(t, (&failingCall{}).decide, oldDiscovery.Addr().String(), server)
+	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+	text := nodeProcessConfig(faultyNode.address, newDiscovery.Addr().String(), 1024, []net.Listener{server})
 	nodetest.WriteFile(t, file, text[:len(text)/2])
-	nodetest.Signal(t, faulty.cmd.Process, syscall.SIGHUP)
+	nodetest.Signal(t, faultyNode.cmd.Process, syscall.SIGHUP)
 	time.Sleep(3 * node.ReloadRetryInterval) // Some tries read the partial file.
 	nodetest.WriteFile(t, file, text)
 	select {
@@ -324,8 +324,8 @@
 	case <-time.After(5 * time.Second):
 		t.Error("the node has not called the new discovery address within 5 s, want a call")
 	}
-	faulty.kill(t)
-	if lines := strings.Count(faulty.log.String(), "configuration reload failed"); lines != 1 {
+	faultyNode.kill(t)
+	if lines := strings.Count(faultyNode.log.String(), "configuration reload failed"); lines != 1 {
 		t.Errorf("the log has %d lines on a failed reload, want 1", lines)
 	}
 }
@@ -346,11 +346,11 @@
 				}
 			}()
 			server := okServer(t)
-			faulty, file := startFaultyNode(t, fault.decide, oldDiscovery.Addr().String(), server)
-			faulty.eventually(t, "a listener", func() bool { return nodetest.Accepts(faulty.address) })
-			nodetest.WriteFile(t, file, nodeProcessConfig(faulty.address, newDiscovery.Addr().String(), 1024, []net.Listener{server}))
+			faultyNode, file := startFaultyNode(t, fault.decide, oldDiscovery.Addr().String(), server)
+			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+			nodetest.WriteFile(t, file, nodeProcessConfig(faultyNode.address, newDiscovery.Addr().String(), 1024, []net.Listener{server}))
 			fault.start(errno)
-			nodetest.Signal(t, faulty.cmd.Process, syscall.SIGHUP)
+			nodetest.Signal(t, faultyNode.cmd.Process, syscall.SIGHUP)
 			fault.failFor(t, errno, 1)
 			select {
 			case <-called:
@@ -375,14 +375,14 @@
 			_ = conn.Close()
 		}
 	}()
-	polling := startPollingNode(t, fault, discovery.Addr().String())
-	polling.eventually(t, "a call that fails", func() bool { return fault.failures.Load() > 0 })
+	pollingNode := startPollingNode(t, fault, discovery.Addr().String())
+	pollingNode.eventually(t, "a call that fails", func() bool { return fault.failures.Load() > 0 })
 	time.Sleep(faultTime)
 	fault.active.Store(false)
 	faultEnd := time.Now()
 	select {
-	case at := <-called:
-		if delay := at.Sub(faultEnd); delay > maxDelay {
+	case calledAt := <-called:
+		if delay := calledAt.Sub(faultEnd); delay > maxDelay {
 			t.Errorf("the node called discovery %v after the fault's end, want at most %v", delay, maxDelay)
 		}
 	case <-time.After(10 * time.Second):
--- a/internal/grpcfrontend/server.go
+++ b/internal/grpcfrontend/server.go
@@ -35,12 +35,12 @@
 
 // Statuses of failed calls. Their messages are on the wire and must not change.
 var (
-	errIDInUse           = status.Error(codes.AlreadyExists, "id of another ticket")
-	errDenied            = status.Error(codes.PermissionDenied, "not allowed")
-	errFailed            = status.Error(codes.Unknown, "broken off: it may have run")
-	errUnknown           = status.Error(codes.NotFound, "unknown band or plan")
-	errBodyInSafeRequest = status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
-	errOutsideLimits     = status.Error(codes.InvalidArgument, "figures outside the settings")
+	errIDInUse            = status.Error(codes.AlreadyExists, "id of another ticket")
+	errDenied             = status.Error(codes.PermissionDenied, "not allowed")
+	errFailed             = status.Error(codes.Unknown, "broken off: it may have run")
+	errUnknownClassOrPlan = status.Error(codes.NotFound, "unknown band or plan")
+	errBodyInSafeRequest  = status.Error(codes.InvalidArgument, "a band that is safe to repeat takes no body")
+	errOutsideLimits      = status.Error(codes.InvalidArgument, "figures outside the settings")
 
 	rejectedStatus = status.New(codes.Unavailable, "bounced: trying again is harmless")
 )
@@ -150,7 +150,7 @@
 	}
 	switch err := request.Validate(); {
 	case !known || !s.httpFrontEnd.KnowsClassAndPlan(request):
-		return nil, errUnknown
+		return nil, errUnknownClassOrPlan
 	case err != nil:
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case method == http.MethodGet && len(call.Body) > 0:
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -66,9 +66,9 @@
 // allParts is an operator file that enables every optional part that needs no gRPC.
 const allParts = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 
-// fleetText returns a configuration for node 2 of three nodes, which are allowed to share health checks. peer is the address of
+// fleetConfig returns a configuration for node 2 of three nodes, which are allowed to share health checks. peer is the address of
 // the node's peer socket.
-func fleetText(text, peer string) string {
+func fleetConfig(text, peer string) string {
 	return strings.NewReplacer(`"peer_listen":"127.0.0.1:0"`, `"peer_listen":"`+peer+`"`,
 		`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`,
 		`"replicas_of_me":1`, `"slot_no":2,"replicas_of_me":3`, `"peers":true`, `"peers":true,"probes":true`).Replace(text)
@@ -98,7 +98,7 @@
 				peer := nodetest.ListenPacket(t)
 				nodetest.CloseNow(t, peer)
 				listenOn := nodetest.FreeAddress(t)
-				text := fleetText(nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String()), peer.LocalAddr().String())
+				text := fleetConfig(nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String()), peer.LocalAddr().String())
 				c := mustApply(t, mustParse(t, text), test.operator)
 				if c.sharesHealthChecks() != (test.operator != "") {
 					t.Fatalf("sharesHealthChecks() with operator file %q = %v, want %v", test.operator, c.sharesHealthChecks(), test.operator != "")
--- a/internal/operatorfile/settings.go
+++ b/internal/operatorfile/settings.go
@@ -66,10 +66,10 @@
 type settingOverrides []settingOverride
 
 // addNumber adds a number, which must be between lowest and highest, both included.
-func (g *settingOverrides) addNumber(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
+func (o *settingOverrides) addNumber(key string, value *float64, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := settings.FloatNumber(*value)
-		*g = append(*g, settingOverride{
+		*o = append(*o, settingOverride{
 			key: key, number: *value, lowest: lowest, highest: highest,
 			apply: func(s *settings.Settings) { set(s, number) },
 		})
@@ -77,10 +77,10 @@
 }
 
 // addDuration adds a duration of *value milliseconds, which must be between lowest and hourMs, both included.
-func (g *settingOverrides) addDuration(key string, value *float64, lowest float64, set func(*settings.Settings, settings.Duration)) {
+func (o *settingOverrides) addDuration(key string, value *float64, lowest float64, set func(*settings.Settings, settings.Duration)) {
 	if value != nil {
 		duration := settings.Milliseconds(*value)
-		*g = append(*g, settingOverride{
+		*o = append(*o, settingOverride{
 			key: key, number: *value, lowest: lowest, highest: hourMs,
 			apply: func(s *settings.Settings) { set(s, duration) },
 		})
@@ -88,18 +88,18 @@
 }
 
 // addCount adds an integer, which must be between lowest and highest, both included.
-func (g *settingOverrides) addCount(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
+func (o *settingOverrides) addCount(key string, value *int, lowest, highest float64, set func(*settings.Settings, settings.Number)) {
 	if value != nil {
 		number := float64(*value)
-		g.addNumber(key, &number, lowest, highest, set)
+		o.addNumber(key, &number, lowest, highest, set)
 	}
 }
 
 // addFlag adds a boolean.
-func (g *settingOverrides) addFlag(key string, value *bool, set func(*settings.Settings, bool)) {
+func (o *settingOverrides) addFlag(key string, value *bool, set func(*settings.Settings, bool)) {
 	if value != nil {
 		enabled := *value
-		*g = append(*g, settingOverride{
+		*o = append(*o, settingOverride{
 			key: key, word: strconv.FormatBool(enabled), words: []string{"true", "false"},
 			apply: func(s *settings.Settings) { set(s, enabled) },
 		})
@@ -107,10 +107,10 @@
 }
 
 // addChoice adds a word, which must be one of words.
-func (g *settingOverrides) addChoice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
+func (o *settingOverrides) addChoice(key string, value *string, set func(s *settings.Settings, word string), words ...string) {
 	if value != nil {
 		word := *value
-		*g = append(*g, settingOverride{
+		*o = append(*o, settingOverride{
 			key: key, word: word, words: words,
 			apply: func(s *settings.Settings) { set(s, word) },
 		})
@@ -125,52 +125,52 @@
 		number       = settings.Number
 		duration     = settings.Duration
 	)
-	var g settingOverrides
-	g.addCount("max_attempts", s.MaxAttempts, 1, 100, func(n *nodeSettings, v number) { n.MaxAttempts = v })
-	g.addFlag("cancel_attempts", s.CancelAttempts, func(n *nodeSettings, v bool) { n.CancelAttempts = v })
-	g.addFlag("peers", s.Peers, func(n *nodeSettings, v bool) { n.Peers = v })
-	g.addNumber("peer_messages_per_s", s.PeerMessagesPerS, 0, 1e6, func(n *nodeSettings, v number) { n.PeerRate = v })
-	g.addFlag("retry_after", s.RetryAfter, func(n *nodeSettings, v bool) { n.RetryAfter = v })
-	g.addDuration("max_retry_after_ms", s.MaxRetryAfterMs, 0, func(n *nodeSettings, v duration) { n.MaxRetryAfter = v })
-	g.addDuration("idle_ms", s.IdleMs, 0, func(n *nodeSettings, v duration) { n.IdleTimeout = v })
-	g.addNumber("slow_start_from", s.SlowStartFrom, 0.001, 1, func(n *nodeSettings, v number) { n.SlowStartShare = v })
-	g.addDuration("slow_start_ms", s.SlowStartMs, 0, func(n *nodeSettings, v duration) { n.SlowStartSpan = v })
-	g.addNumber("overload_multiple", s.OverloadMultiple, 0.1, 1000, func(n *nodeSettings, v number) { n.OverloadMultiple = v })
-	g.addDuration("overload_ms", s.OverloadMs, 1, func(n *nodeSettings, v duration) { n.OverloadSpan = v })
+	var o settingOverrides
+	o.addCount("max_attempts", s.MaxAttempts, 1, 100, func(n *nodeSettings, v number) { n.MaxAttempts = v })
+	o.addFlag("cancel_attempts", s.CancelAttempts, func(n *nodeSettings, v bool) { n.CancelAttempts = v })
+	o.addFlag("peers", s.Peers, func(n *nodeSettings, v bool) { n.Peers = v })
+	o.addNumber("peer_messages_per_s", s.PeerMessagesPerS, 0, 1e6, func(n *nodeSettings, v number) { n.PeerRate = v })
+	o.addFlag("retry_after", s.RetryAfter, func(n *nodeSettings, v bool) { n.RetryAfter = v })
+	o.addDuration("max_retry_after_ms", s.MaxRetryAfterMs, 0, func(n *nodeSettings, v duration) { n.MaxRetryAfter = v })
+	o.addDuration("idle_ms", s.IdleMs, 0, func(n *nodeSettings, v duration) { n.IdleTimeout = v })
+	o.addNumber("slow_start_from", s.SlowStartFrom, 0.001, 1, func(n *nodeSettings, v number) { n.SlowStartShare = v })
+	o.addDuration("slow_start_ms", s.SlowStartMs, 0, func(n *nodeSettings, v duration) { n.SlowStartSpan = v })
+	o.addNumber("overload_multiple", s.OverloadMultiple, 0.1, 1000, func(n *nodeSettings, v number) { n.OverloadMultiple = v })
+	o.addDuration("overload_ms", s.OverloadMs, 1, func(n *nodeSettings, v duration) { n.OverloadSpan = v })
 	for i, c := range s.Classes {
-		c.addTo(&g, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
+		c.addTo(&o, fmt.Sprintf("class.%d.", i), classIndex(c.Name))
 	}
 	for i, p := range s.Plans {
-		p.addTo(&g, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
+		p.addTo(&o, fmt.Sprintf("plan.%d.", i), planIndex(p.Name))
 	}
-	return g
+	return o
 }
 
 // addTo adds the settings that the file gives for a class. Their keys begin with prefix. index is the index of the class in the
 // platform's settings.
-func (c *ClassOverride) addTo(g *settingOverrides, prefix string, index int) {
+func (c *ClassOverride) addTo(o *settingOverrides, prefix string, index int) {
 	changeClass := func(s *settings.Settings, change func(class *settings.Class)) {
 		class := s.Classes.At(index)
 		change(&class)
 		s.Classes = s.Classes.With(index, class)
 	}
-	g.addChoice(prefix+"retry_safety", c.RetrySafety, func(s *settings.Settings, word string) {
+	o.addChoice(prefix+"retry_safety", c.RetrySafety, func(s *settings.Settings, word string) {
 		changeClass(s, func(class *settings.Class) { class.RetrySafety = settings.RetrySafety(word) })
 	}, settings.RetrySafe, settings.RetryKeyed, settings.RetryUnsafe)
-	g.addChoice(prefix+"group", c.Group, func(s *settings.Settings, word string) {
+	o.addChoice(prefix+"group", c.Group, func(s *settings.Settings, word string) {
 		changeClass(s, func(class *settings.Class) { class.IdempotencyGroup = settings.IdempotencyGroup(word) })
 	}, settings.GroupAll, settings.GroupZone, settings.GroupCell)
-	g.addDuration(prefix+"window_ms", c.WindowMs, 0, func(s *settings.Settings, v settings.Duration) {
+	o.addDuration(prefix+"window_ms", c.WindowMs, 0, func(s *settings.Settings, v settings.Duration) {
 		changeClass(s, func(class *settings.Class) { class.IdempotencyWindow = v })
 	})
-	g.addDuration(prefix+"latency_objective_ms", c.LatencyObjectiveMs, 1, func(s *settings.Settings, v settings.Duration) {
+	o.addDuration(prefix+"latency_objective_ms", c.LatencyObjectiveMs, 1, func(s *settings.Settings, v settings.Duration) {
 		changeClass(s, func(class *settings.Class) { class.LatencyObjective = v })
 	})
 }
 
 // addTo adds the settings that the file gives for a plan. Their keys begin with prefix. index is the index of the plan in the
 // platform's settings.
-func (p *PlanOverride) addTo(g *settingOverrides, prefix string, index int) {
+func (p *PlanOverride) addTo(o *settingOverrides, prefix string, index int) {
 	setter := func(field func(plan *settings.Plan) *settings.Number) func(*settings.Settings, settings.Number) {
 		return func(s *settings.Settings, v settings.Number) {
 			plan := s.Plans.At(index)
@@ -182,11 +182,11 @@
 		plan   = settings.Plan
 		number = settings.Number
 	)
-	g.addNumber(prefix+"rate", p.Rate, 0, maxUnits, setter(func(p *plan) *number { return &p.Rate }))
-	g.addNumber(prefix+"burst", p.Burst, 0, maxUnits, setter(func(p *plan) *number { return &p.Burst }))
-	g.addCount(prefix+"max_in_flight", p.MaxInFlight, 0, maxAttemptsInFlight, setter(func(p *plan) *number { return &p.MaxInFlight }))
-	g.addNumber(prefix+"ceiling_rate", p.CeilingRate, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingRate }))
-	g.addNumber(prefix+"ceiling_burst", p.CeilingBurst, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingBurst }))
+	o.addNumber(prefix+"rate", p.Rate, 0, maxUnits, setter(func(p *plan) *number { return &p.Rate }))
+	o.addNumber(prefix+"burst", p.Burst, 0, maxUnits, setter(func(p *plan) *number { return &p.Burst }))
+	o.addCount(prefix+"max_in_flight", p.MaxInFlight, 0, maxAttemptsInFlight, setter(func(p *plan) *number { return &p.MaxInFlight }))
+	o.addNumber(prefix+"ceiling_rate", p.CeilingRate, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingRate }))
+	o.addNumber(prefix+"ceiling_burst", p.CeilingBurst, 0, maxUnits, setter(func(p *plan) *number { return &p.CeilingBurst }))
 }
 
 // Names of the lists in an UnknownNameError. The list of classes keeps its deprecated name, which scripts may match.
