--- a/internal/decision/customers_test.go
+++ b/internal/decision/customers_test.go
@@ -18,8 +18,8 @@
 		engine.SetTime(now)
 		takeDecisions(engine, Forward)
 		if left := len(engine.customers.slots.slots); k < 59 && left < customers || k > 59 && left < customers-(k-58)*idleScanCustomers {
-			t.Fatalf("%d of %d customers are left in interval %d, want all before interval 59, and later at least %d",
-				left, customers, k, customers-(k-58)*idleScanCustomers)
+			t.Fatalf("%d of %d customers are left in interval %d, want at least %d",
+				left, customers, k, min(customers, customers-(k-58)*idleScanCustomers))
 		}
 	}
 	if left := len(engine.customers.slots.slots); left > 0 {
--- a/internal/decision/endpointorder_test.go
+++ b/internal/decision/endpointorder_test.go
@@ -36,7 +36,8 @@
 		}
 		requireSameOrder(t, &kept, &built)
 		if kept.count != usable || built.count != usable {
-			t.Fatalf("count = %d after single changes and %d when built at once, want %d", kept.count, built.count, usable)
+			t.Fatalf("%d servers in %d zones: count = %d after single changes and %d when built at once, want %d",
+				len(servers), zones, kept.count, built.count, usable)
 		}
 		start, visits, visitedInZone := rng.Float64(), map[serverSlot]int{}, make([]int, zones)
 		kept.walk(start, len(servers)+1, func(slot serverSlot) {
@@ -45,12 +46,12 @@
 			for zone, k := range visitedInZone {
 				share := float64(usableInZone[zone]) * float64(len(visits)) / float64(usable)
 				if math.Abs(float64(k)-share) > 1.5 {
-					t.Fatalf("after %d of %d servers, the walk has visited %d of zone %d, want %.1f with a tolerance of 1.5", len(visits), usable, k, zone, share)
+					t.Fatalf("after %d of %d usable servers, the walk has visited %d servers of zone %d, want %.2f with a tolerance of 1.5", len(visits), usable, k, zone, share)
 				}
 			}
 		})
 		if len(visits) != usable {
-			t.Fatalf("the walk visited %d servers, want %d", len(visits), usable)
+			t.Fatalf("the walk visited %d of %d servers in %d zones, want the %d usable ones", len(visits), len(servers), zones, usable)
 		}
 		for slot, k := range visits {
 			if k != 1 || !servers[slot].usable() {
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -34,7 +34,7 @@
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	i := engine.endpoints.slots.find(drained.Server)
 	if s = &engine.endpoints.servers[i]; s.inSubset || slices.Contains(engine.endpoints.subset, i) || !slices.Contains(engine.endpoints.tracked, i) || engine.inFlightAtHealthy() != before {
-		t.Errorf("draining server %d: inSubset = %v, in subset %v, tracked %v, in flight at healthy servers %v; want false, false, true, %v",
+		t.Errorf("draining server %d: inSubset = %v, in the list of the subset: %v, tracked: %v, attempts in flight at healthy servers: %v; want false, false, true, %v",
 			drained.Server, s.inSubset, slices.Contains(engine.endpoints.subset, i), slices.Contains(engine.endpoints.tracked, i), engine.inFlightAtHealthy(), before)
 	}
 	for id := range RequestID(300) {
@@ -50,7 +50,7 @@
 	engine.UpdateEndpoints(ListUpdate, []Endpoint{drained})
 	engine.SetTime(engine.now + controlInterval)
 	if takeDecisions(engine, Forward); slices.Contains(engine.endpoints.tracked, i) || engine.endpoints.slots.find(drained.Server) >= 0 {
-		t.Errorf("server %d, which is gone and has no attempt in flight: tracked %v, slot %d; want false, -1",
+		t.Errorf("server %d, which is gone and has no attempt in flight: tracked: %v, slot %d; want false and slot -1 for none",
 			drained.Server, slices.Contains(engine.endpoints.tracked, i), engine.endpoints.slots.find(drained.Server))
 	}
 }
--- a/internal/decision/engine_test.go
+++ b/internal/decision/engine_test.go
@@ -30,7 +30,7 @@
 		return true
 	}
 	if err := quick.Check(run, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
-		t.Fatal("a random run broke a rule, want none: ", err)
+		t.Fatal("a random run broke a rule, want none:", err)
 	}
 	if completed == 0 || rejected == 0 || sent < completed {
 		t.Fatalf("the random runs sent %d attempts, completed %d and rejected %d requests; want completed and rejected above 0, and "+
@@ -88,7 +88,7 @@
 			k := 0
 			for _, ok := engine.Next(); ok; _, ok = engine.Next() {
 				if k++; k > 100 {
-					t.Fatalf("settings %v, time %d: Next returned %d decisions in a row, want at most 100", set, now, k)
+					t.Fatalf("settings %v, time %d in units of 0.1 ms: Next returned %d decisions in a row, want at most 100", set, now, k)
 				}
 			}
 		}
--- a/internal/decision/fleetoutputs_test.go
+++ b/internal/decision/fleetoutputs_test.go
@@ -20,7 +20,7 @@
 			return p.summaries[:count]
 		}
 	}
-	t.Fatal("fleetScenarios contains no scenario with the name ", name)
+	t.Fatalf("fleetScenarios contains no scenario with the name %q", name)
 	return nil
 }
 
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -362,6 +362,12 @@
 	HealthCheck: "health check", SendPeerMessage: "message", PollEndpoints: "poll", LogSummary: "summary",
 }
 
+// outcomeNames are the names of the outcomes in test messages.
+var outcomeNames = [...]string{
+	Succeeded: "Succeeded", Failed: "Failed", Overloaded: "Overloaded", TimedOut: "TimedOut", ConnectFailed: "ConnectFailed",
+	ConnectionReset: "ConnectionReset", Cancelled: "Cancelled", NotSent: "NotSent", MalformedResponse: "MalformedResponse",
+}
+
 // record adds a decision to the digest and the counts. The text of digestFormat is part of the expected digests.
 func (p *fleetSimulation) record(k int, d Decision) {
 	const (
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -140,7 +140,7 @@
 // fail records the first violation of a rule, with the time since the start in units of Time.
 func (h *simulatedHost) fail(format string, args ...any) {
 	if h.err == nil {
-		h.err = fmt.Errorf("at time %d after the start: "+format, append([]any{h.now - h.start}, args...)...)
+		h.err = fmt.Errorf("at %d units of 0.1 ms after the start: "+format, append([]any{h.now - h.start}, args...)...)
 	}
 }
 
@@ -168,7 +168,7 @@
 	h.checkDecisions()
 	for _, id := range h.openRequests {
 		if r := h.requests[id]; !r.closed && !r.streaming && h.now > r.deadline {
-			h.fail("request %d has no final response %d after its deadline, want one by the deadline", id, h.now-r.deadline)
+			h.fail("request %d has no final response %d units of 0.1 ms after its deadline, want one by the deadline", id, h.now-r.deadline)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 			return
 		}
 		if k > 100000 {
-			h.fail("Next returned more than %d decisions in a row, want an end", k)
+			h.fail("Next returned %d decisions in a row, want at most 100001", k+1)
 			return
 		}
 		h.checkDecision(d)
@@ -276,18 +276,18 @@
 		h.checkFinalResponse(r, d)
 	case CancelAttempt:
 		if h.set[settings.CancelAttempts] != settings.On || d.Attempt >= len(r.attempts) {
-			h.fail("attempt %d of request %d was cancelled, want an existing attempt, and none with cancellation off",
-				d.Attempt, d.Request)
+			h.fail("attempt %d of request %d was cancelled with cancel_attempts = %q, want cancel_attempts = %q and an attempt that was sent",
+				d.Attempt, d.Request, h.set[settings.CancelAttempts], settings.On)
 		} else if a := r.attempts[d.Attempt]; a.inFlight {
 			a.outcome, a.endsAt = Cancelled, h.now
 		}
 	case SendPeerMessage:
 		if nodes, _ := strconv.Atoi(h.set[settings.Nodes]); d.Peer < AllPeers || d.Peer == 0 || d.Peer >= NodeID(nodes) {
-			h.fail("peer message went to node %d, want another node of the %d, or all peers", d.Peer, nodes)
+			h.fail("node 0 sent a peer message to node %d, want node 1 to %d, or %d for all peers", d.Peer, nodes-1, AllPeers)
 		}
 		if len(d.Payload) > 256 || h.set[settings.Peers] != settings.On {
-			h.fail("peer message has %d bytes with peers = %q, want at most 256 bytes and peers on",
-				len(d.Payload), h.set[settings.Peers])
+			h.fail("peer message has %d bytes with peers = %q, want at most 256 bytes and peers = %q",
+				len(d.Payload), h.set[settings.Peers], settings.On)
 		}
 	}
 }
@@ -295,7 +295,7 @@
 // checkFinalResponse checks a final response that the node sends without a server's response.
 func (h *simulatedHost) checkFinalResponse(r *hostRequest, d Decision) {
 	if r == nil || r.closed || r.streaming {
-		h.fail("request %d got a final response, want one for each open request only", d.Request)
+		h.fail("request %d got a final response in state %+v (<nil> for an unknown request), want closed and streaming false", d.Request, r)
 		return
 	}
 	r.closed = true
@@ -304,11 +304,12 @@
 		retrySafety, group := h.classSetting(r, settings.ClassRetrySafety), h.classSetting(r, settings.ClassIdempotencyGroup)
 		if d.Action == Reject && a.mayHaveRun &&
 			(retrySafety == settings.RetryUnsafe || retrySafety == settings.RetryKeyed && group != settings.GroupAll) {
-			h.fail("request %d (%s) was rejected though an attempt may have run, want it failed", d.Request, retrySafety)
+			h.fail("request %d (retry safety %q, idempotency group %q) was rejected though its attempt at server %d may have run, want the request failed",
+				d.Request, retrySafety, group, a.server.id)
 		}
 	}
 	if h.now > r.deadline {
-		h.fail("request %d got its final response %d after its deadline, want it by the deadline", d.Request, h.now-r.deadline)
+		h.fail("request %d got its final response %d units of 0.1 ms after its deadline, want one by the deadline", d.Request, h.now-r.deadline)
 	}
 }
 
@@ -320,14 +321,14 @@
 // startAttempt checks an attempt, and determines its outcome and end at random.
 func (h *simulatedHost) startAttempt(r *hostRequest, d Decision) {
 	if r == nil || r.closed || r.streaming || h.now+d.Duration > r.deadline || d.Duration <= 0 {
-		h.fail("request %d got an attempt with timeout %d, want an open request, and a timeout above 0 that ends by its deadline",
-			d.Request, d.Duration)
+		h.fail("request %d got an attempt in state %+v (<nil> for an unknown request) with timeout %d, which ends at time %d (units of 0.1 ms); "+
+			"want closed and streaming false, and a timeout above 0 that ends by the deadline", d.Request, r, d.Duration, h.now+d.Duration)
 		return
 	}
 	s := h.server(d.Server)
 	if s == nil || s.state != Ready {
-		h.fail("attempt of request %d went to server %d, which is draining, gone or unknown; want a ready one",
-			d.Request, d.Server)
+		h.fail("attempt of request %d went to server %d in state %+v (<nil> for an unknown server), want a server with state %d for ready",
+			d.Request, d.Server, s, Ready)
 		return
 	}
 	h.sent++
@@ -335,8 +336,7 @@
 		h.checkRetry(r, a, s)
 	}
 	if len(r.attempts) >= int(h.set.Number(settings.MaxAttempts)) {
-		h.fail("request %d has an attempt after %d others, want at most %s in all",
-			d.Request, len(r.attempts), h.set[settings.MaxAttempts])
+		h.fail("request %d has %d attempts, want at most %s", d.Request, len(r.attempts)+1, h.set[settings.MaxAttempts])
 	}
 	if len(r.attempts) == 0 && r.request.Plan == 2 {
 		h.checkCeiling(r)
@@ -376,12 +376,12 @@
 	case h.classSetting(r, settings.ClassRetrySafety) == settings.RetryUnsafe:
 		h.fail("unsafe request %d was sent again though an attempt may have run, want no further attempt", r.request.ID)
 	case h.now+h.set.Duration(settings.ConnectTimeout) >= a.sentAt+window: // a new connection may delay the attempt by the timeout
-		h.fail("keyed request %d was sent again after %d, want less than its window %d minus the connect timeout",
-			r.request.ID, h.now-a.sentAt, window)
+		h.fail("keyed request %d was sent again after %d, want less than %d: its window %d minus the connect timeout %d (units of 0.1 ms)",
+			r.request.ID, h.now-a.sentAt, window-h.set.Duration(settings.ConnectTimeout), window, h.set.Duration(settings.ConnectTimeout))
 	case h.classSetting(r, settings.ClassIdempotencyGroup) == settings.GroupZone && a.server.zone != s.zone,
 		h.classSetting(r, settings.ClassIdempotencyGroup) == settings.GroupCell && a.server.cell != s.cell:
-		h.fail("keyed request %d was sent to server %d, want a server in the key group of server %d",
-			r.request.ID, s.id, a.server.id)
+		h.fail("keyed request %d was sent to server %d in zone %d and cell %d, want a server in the same %s as server %d in zone %d and cell %d",
+			r.request.ID, s.id, s.zone, s.cell, h.classSetting(r, settings.ClassIdempotencyGroup), a.server.id, a.server.zone, a.server.cell)
 	}
 }
 
@@ -421,7 +421,7 @@
 	}
 	limit := h.set.Number(settings.OverloadMultiple) * share * float64(span)
 	if float64(work)*h.set.Number(settings.Nodes) > limit*1.1 {
-		h.fail("warming server %d got work of %d time units from each of %s nodes, want at most %.0f in all",
-			s.id, work, h.set[settings.Nodes], limit)
+		h.fail("warming server %d got work of %.0f from all nodes (%d from each of %s), want at most %.1f (units of 0.1 ms)",
+			s.id, float64(work)*h.set.Number(settings.Nodes), work, h.set[settings.Nodes], limit*1.1)
 	}
 }
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -32,12 +32,12 @@
 	peer.SetTime(Second + controlInterval/2)
 	peer.ReceivePeerMessage(0, append(slices.Clone(sent[0].Payload), 0x80)) // a truncated message has no effect
 	if peer.outliers.ejected(&peer.endpoints.servers[slot].byClass[1], 1, peer.now) {
-		t.Fatalf("server %d is ejected for class 1 after a truncated peer message, want no effect", failed)
+		t.Fatalf("server %d is ejected for class 1 at node 3 after a truncated peer message, want no effect", failed)
 	}
 	peer.ReceivePeerMessage(0, sent[0].Payload)
 	if s := peer.endpoints.servers[slot].byClass; sent[0].Peer != AllPeers || !peer.outliers.ejected(&s[1], 1, peer.now) || peer.outliers.ejected(&s[0], 0, peer.now) {
-		t.Fatalf("suspicion to peer %d ejected server %d for class 0: %v, for class 1: %v, want peer %d, false and true",
-			sent[0].Peer, failed, peer.outliers.ejected(&s[0], 0, peer.now), peer.outliers.ejected(&s[1], 1, peer.now), AllPeers)
+		t.Fatalf("suspicion was sent to node %d, want %d for all peers; node 3 then ejects server %d for class 0: %v, for class 1: %v, want false and true",
+			sent[0].Peer, AllPeers, failed, peer.outliers.ejected(&s[0], 0, peer.now), peer.outliers.ejected(&s[1], 1, peer.now))
 	}
 }
 
@@ -109,11 +109,11 @@
 		decision := takeDecisions(engine, Forward)[0]
 		engine.AttemptEnded(AttemptResult{Request: decision.Request, Server: decision.Server, Outcome: outcome, Duration: 500, Final: outcome == Succeeded})
 		if got := engine.outliers.ejected(&engine.endpoints.servers[0].byClass[0], 0, engine.now); got != (id == 5) || engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now) || engine.interval.samples > 2 {
-			t.Fatalf("after result %d, outcome %d: ejected for class 0: %v, for class 1: %v, %d latency samples; want %v, false, at most 2",
-				id, outcome, got, engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now), engine.interval.samples, id == 5)
+			t.Fatalf("after the attempt of request %d with outcome %s: ejected for class 0: %v, for class 1: %v, %d latency samples; want %v, false, at most 2",
+				id, outcomeNames[outcome], got, engine.outliers.ejected(&engine.endpoints.servers[0].byClass[1], 1, engine.now), engine.interval.samples, id == 5)
 		}
 		if outcome != Succeeded && takeDecisions(engine, Reject) == nil {
-			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %d, want a rejection", id, outcome)
+			t.Fatalf("request %d was not rejected right after its only attempt ended with outcome %s, want a rejection", id, outcomeNames[outcome])
 		}
 	}
 }
@@ -157,7 +157,7 @@
 		states[0].inFlight = 1
 		detector.attemptEnded(states, 0, Failed, now)
 		if states[0].ejectedUntil != now+want || !detector.ejected(&states[0], 0, now+want-1) || detector.ejected(&states[1], 1, now) {
-			t.Fatalf("ejection %d of class 0 lasts %d, want %d; ejected one unit before its end: %v, want true; class 1 ejected: %v, want false",
+			t.Fatalf("ejection %d of class 0 lasts %d, want %d (units of 0.1 ms); ejected one unit before that end: %v, want true; class 1 ejected: %v, want false",
 				k, states[0].ejectedUntil-now, want, detector.ejected(&states[0], 0, now+want-1), detector.ejected(&states[1], 1, now))
 		}
 	}
@@ -172,7 +172,7 @@
 	states[0].inFlight = 1
 	if detector.attemptStarted(&states[0], 0, now+48000); detector.classes[0].trials > trialsPerAttempt+1e-9 || !detector.ejected(&states[0], 0, now+48000) {
 		t.Errorf("with a trial in flight, the trial budget is %v and the server is ejected: %v, want at most %v and true",
-			detector.classes[0].trials, detector.ejected(&states[0], 0, now+48000), trialsPerAttempt)
+			detector.classes[0].trials, detector.ejected(&states[0], 0, now+48000), trialsPerAttempt+1e-9)
 	}
 	detector.attemptEnded(states, 0, Succeeded, now+49000)
 	if states[0] != (outlierState{lastResponseAt: now + 49000}) {
@@ -204,8 +204,9 @@
 		states[0].inFlight = 1
 		detector.attemptEnded(states, 0, c.outcome, Second)
 		if detector.ejected(&states[0], 0, Second) != c.wantClass || detector.ejected(&states[1], 1, Second) != c.wantOther || states[0].inFlight != 0 {
-			t.Errorf("outcome %d after %+v: states %+v, ejected for the class: %v, for the other one: %v, want %v, %v and nothing in flight",
-				c.outcome, c.before, states, detector.ejected(&states[0], 0, Second), detector.ejected(&states[1], 1, Second), c.wantClass, c.wantOther)
+			t.Errorf("outcome %s after %+v: ejected for the class: %v, for the other class: %v, %d attempts in flight; want %v, %v, 0",
+				outcomeNames[c.outcome], c.before, detector.ejected(&states[0], 0, Second), detector.ejected(&states[1], 1, Second),
+				states[0].inFlight, c.wantClass, c.wantOther)
 		}
 	}
 }
@@ -252,7 +253,7 @@
 			detector, state := testDetector(), c.before
 			detector.classes[0].suspicions = decayingMean{count: 40, at: now}
 			if detector.receiveSuspicion(&state, suspicion{ejectedFor: c.reported}, 10, now); state.ejectedUntil != c.wantUntil || state.fromPeer != c.wantFromPeer {
-				t.Errorf("server ejected until %d, fromPeer %v, want until %d, fromPeer %v", state.ejectedUntil, state.fromPeer, c.wantUntil, c.wantFromPeer)
+				t.Errorf("server is ejected until %d (0 for never ejected), fromPeer %v; want until %d, fromPeer %v", state.ejectedUntil, state.fromPeer, c.wantUntil, c.wantFromPeer)
 			}
 		})
 	}
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -61,7 +61,7 @@
 					})
 				case SendPeerMessage:
 					if d.Peer < 10 || d.Peer >= 50 {
-						f.t.Fatalf("a message was sent to node %d, want only nodes 10 to 49 of the customer's set", d.Peer)
+						f.t.Fatalf("node %d sent a message to node %d, want a receiver from 10 to 49, the customer's set", k, d.Peer)
 					}
 					if f.messageLost == nil || !f.messageLost(k, d.Peer, d.Payload) {
 						f.nodes[d.Peer].ReceivePeerMessage(NodeID(k), slices.Clone(d.Payload))
@@ -107,7 +107,7 @@
 	engine.AddRequest(Request{ID: 1001, Customer: 9, Timeout: Second, Units: 1, Spread: 1 << 20, FirstNode: 1 << 20})
 	takeDecisions(engine, Forward)
 	if engine.customers.all[0].queryRatio != before || before >= 1 {
-		t.Fatalf("query ratio was %.2f and is %.2f after grants of nodes that are not the owner, want below 1 and no change",
+		t.Fatalf("query ratio of the customer at node 11 is %v before and %v after grants of nodes that are not the owner, want below 1 and no change",
 			before, engine.customers.all[0].queryRatio)
 	}
 }
@@ -180,7 +180,7 @@
 	engine.SetTime(99 * Second)
 	engine.quota.ceilingAllows(c, 1, engine.owner.localCeilingRatio(c), engine.now)
 	if total := 40*c.ceiling.level + ownerCeilingRatio*80; total > 80.01 || total < 79.99 {
-		t.Fatalf("the full ceiling buckets of all nodes hold %.2f units, want 80", total)
+		t.Fatalf("the full ceiling buckets of all nodes hold %.4f units, want 79.99 to 80.01", total)
 	}
 }
 
--- a/internal/decision/pause_test.go
+++ b/internal/decision/pause_test.go
@@ -30,7 +30,7 @@
 	if len(first) < 9 || first[0] != 19 || slices.Contains(first, 0) || !slices.Contains(rejected, 0) ||
 		len(first)+len(rejected) != 20 {
 		t.Fatalf("after a pause, 20 requests were forwarded in the order %v and rejected in the order %v; "+
-			"want at least 9 forwarded, 19 first, and 0 rejected", first, rejected)
+			"want at least 9 forwarded, request 19 first, request 0 rejected, and 20 decisions in all", first, rejected)
 	}
 }
 
@@ -65,10 +65,10 @@
 func TestPauseOrder(t *testing.T) {
 	detected := pause{}
 	if detected.observe(Second, Second+1500, 6000); detected.endedAt != 0 {
-		t.Errorf("a gap of 1500 with an objective of 6000 was recorded as a pause that ended at %d, want no pause", detected.endedAt)
+		t.Errorf("a gap of 150 ms with an objective of 600 ms was recorded as a pause that ended at time %d, want 0 for no pause", detected.endedAt)
 	}
 	if detected.observe(Second, Second+4000, 6000); detected.length != 4000 || detected.endedAt != Second+4000 {
-		t.Errorf("after a gap of 4000 with an objective of 6000, pause = %+v, want length 4000, endedAt %d", detected, Second+4000)
+		t.Errorf("after a gap of 400 ms with an objective of 600 ms, pause = %+v, want length 4000 (in 0.1 ms), endedAt %d", detected, Second+4000)
 	}
 	now := detected.endedAt
 	table := requestTable{all: []request{{arrivedAt: 7}, {arrivedAt: now}, {arrivedAt: now}}, pending: []requestSlot{0, 1, 2}}
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -102,9 +102,9 @@
 		cfg.plans, cfg.usesOwners = []quotaPlan{{ceilingRate: 40, ceilingBurst: 60}}, c.usesOwners
 		quota, customer := tenantQuota{config: cfg}, &customer{spread: 4}
 		ratio := (&quotaOwner{config: cfg}).localCeilingRatio(customer)
-		if quota.ceilingAllows(customer, 6, ratio, c.elapsed) != (c.want >= 6) || !nearlyEqual(customer.ceiling.level, c.want) {
-			t.Errorf("usesOwners %v: ceiling has level %v after %d time units, want %v, with room for 6 units: %v",
-				c.usesOwners, customer.ceiling.level, c.elapsed, c.want, c.want >= 6)
+		if got := quota.ceilingAllows(customer, 6, ratio, c.elapsed); got != (c.want >= 6) || !nearlyEqual(customer.ceiling.level, c.want) {
+			t.Errorf("usesOwners %v: ceilingAllows() of 6 quota units after %d ms = %v with ceiling level %v, want %v with level %v",
+				c.usesOwners, c.elapsed/10, got, customer.ceiling.level, c.want >= 6, c.want)
 		}
 	}
 }
--- a/internal/decision/reports_test.go
+++ b/internal/decision/reports_test.go
@@ -76,7 +76,8 @@
 				}
 			}
 			if !slices.Equal(receivers, c.wantReceivers) || len(reports.pending) != c.wantWaiting {
-				t.Errorf("messages went to %v and %d reports wait, want %v and %d", receivers, len(reports.pending), c.wantReceivers, c.wantWaiting)
+				t.Errorf("messages went to nodes %v (%d for all peers) and %d reports wait, want %v and %d",
+					receivers, AllPeers, len(reports.pending), c.wantReceivers, c.wantWaiting)
 			}
 		})
 	}
--- a/internal/decision/requests_test.go
+++ b/internal/decision/requests_test.go
@@ -12,13 +12,13 @@
 	table.enqueue(a)
 	table.release(&table.all[a])
 	if c := table.add(request{id: 9, live: true}); c == a {
-		t.Error("add(request 9) = slot ", c, ", which is the slot of the pending request 7; want another slot")
+		t.Errorf("add(request 9) = slot %d, which is the slot of the pending request 7; want another slot", c)
 	}
 	if i, ok := table.dequeue(); !ok || i != b {
 		t.Errorf("dequeue() = slot %d, %v, want slot %d, true", i, ok, b)
 	}
 	if _, ok := table.dequeue(); ok || table.slots.find(7) >= 0 {
-		t.Error("dequeue() with no live request = _, ", ok, ", and request 7 has slot ", table.slots.find(7), "; want false and no slot")
+		t.Errorf("dequeue() with no live request found one: %v, and request 7 has slot %d; want false and slot -1 for none", ok, table.slots.find(7))
 	}
 	if c := table.add(request{id: 10, live: true}); c != a {
 		t.Errorf("add(request 10) = slot %d, want the free slot %d", c, a)
@@ -50,7 +50,7 @@
 		t.Errorf("nextCancellation() after the last one = %+v, true, want false", got)
 	}
 	if r.inFlight != 2 || table.inFlight != 1 || r.attempts[0].mayHaveRun || !r.attempts[1].mayHaveRun {
-		t.Errorf("request %+v, %d requests in flight; want 2 attempts and 1 request in flight, and mayHaveRun false, then true",
-			r, table.inFlight)
+		t.Errorf("%d attempts of request 7 are in flight, %d requests are in flight, mayHaveRun of attempts 0 and 1 = %v, %v; want 2, 1, false, true",
+			r.inFlight, table.inFlight, r.attempts[0].mayHaveRun, r.attempts[1].mayHaveRun)
 	}
 }
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -14,13 +14,13 @@
 	first := takeDecisions(engine, Forward)
 	engine.SetTime(Second + 4000)
 	if cancels := takeDecisions(engine, CancelAttempt); len(cancels) != 1 || cancels[0].Request != 1 {
-		t.Fatalf("decisions to cancel an attempt 0.4 s after it was sent = %+v, want one for request 1", cancels)
+		t.Fatalf("cancellations 0.4 s after the attempt of request 1 was sent = %+v, want one for request 1", cancels)
 	}
 	engine.SetTime(Second + 4010)
 	engine.AttemptEnded(AttemptResult{Request: 1, Server: first[0].Server, Outcome: Cancelled, Duration: 4010})
 	retried := takeDecisions(engine, Forward)
 	if len(retried) != 1 || retried[0].Server == first[0].Server {
-		t.Fatalf("after the cancelled attempt ended, forwarded %+v, want one attempt at a server other than %d", retried, first[0].Server)
+		t.Fatalf("after the cancelled attempt ended, the engine forwarded %+v, want one attempt at a server other than %d", retried, first[0].Server)
 	}
 	if !engine.outliers.ejected(&engine.endpoints.servers[first[0].Server].byClass[0], 0, engine.now) {
 		t.Fatalf("server %d is not ejected after its attempt hung, want it ejected", first[0].Server)
@@ -101,7 +101,8 @@
 		r := &request{attempts: []attempt{{server: 0, mayHaveRun: c.mayHaveRun}}}
 		for k := range servers {
 			if got := c.class.keyExcludes(r, &servers[k], servers); got != c.wantExcluded[k] {
-				t.Errorf("class %+v, may have run %v: keyExcludes(server %d) = %v, want %v", c.class, c.mayHaveRun, k, got, c.wantExcluded[k])
+				t.Errorf("class %+v (retrySafety %d safe, %d keyed; keyGroup %d all, %d zone, %d cell), attempt at server 0 may have run: %v: keyExcludes(server %d) = %v, want %v",
+					c.class, retrySafe, retryKeyed, groupAll, groupZone, groupCell, c.mayHaveRun, k, got, c.wantExcluded[k])
 			}
 		}
 	}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -27,7 +27,7 @@
 	}{{1, 0, 0, 1, 1}, {0, 0, 0, 1, 1}, {4, 0, 0, 2, 4}, {1, 18, 6, 1, 0.5}, {2, 6, 6, 2, 2 / 0.75}} {
 		s := &server{Endpoint: Endpoint{Weight: c.size}, pace: decayingMean{sum: c.sum, count: c.count, at: Second}}
 		if got := rotation.weigh(s, c.mean, Second); !nearlyEqual(got, c.want) {
-			t.Errorf("size %v, pace %v/%v, mean pace %v: weigh() = %v, want %v", c.size, c.sum, c.count, c.mean, got, c.want)
+			t.Errorf("size %v, pace with sum %v and count %v, mean pace %v: weigh() = %v, want %v", c.size, c.sum, c.count, c.mean, got, c.want)
 		}
 	}
 }
@@ -56,8 +56,8 @@
 		rotation, s := selection{}, &server{Endpoint: Endpoint{State: Ready}, listed: true}
 		rotation.attemptEnded(s, c.outcome, c.latencies, Second)
 		if s.pace.count != c.wantCount || s.pace.sum != c.wantSum || rotation.paces != s.pace {
-			t.Errorf("outcome %d after %v usual latencies: pace %+v, sum of paces %+v, want both with sum %v and count %v",
-				c.outcome, c.latencies, s.pace, rotation.paces, c.wantSum, c.wantCount)
+			t.Errorf("outcome %s after %v usual latencies: pace of the server %+v, of all servers %+v; want both equal with sum %v and count %v",
+				outcomeNames[c.outcome], c.latencies, s.pace, rotation.paces, c.wantSum, c.wantCount)
 		}
 	}
 }
@@ -91,18 +91,18 @@
 	r := &request{attempts: []attempt{{server: 0}}}
 	engine.endpoints.servers[1].byClass[0].ejectedUntil = 99 * Second
 	if got := engine.pick(r); got != 2 {
-		t.Errorf("pick() = server %d, want 2, the only one that is neither tried nor ejected", got)
+		t.Errorf("pick() = server %d (-1 for none), want 2, the only one that is neither tried nor ejected", got)
 	}
 	engine.endpoints.servers[2].byClass[0].ejectedUntil = 99 * Second
 	if got := engine.pick(r); got != 0 {
-		t.Errorf("pick() = server %d, want 0, which was tried, while the others are ejected", got)
+		t.Errorf("pick() = server %d (-1 for none), want 0, which was tried, while the others are ejected", got)
 	}
 	engine.endpoints.servers[0].byClass[0].ejectedUntil = 99 * Second
 	if got := engine.pick(r); got < 0 {
-		t.Errorf("pick() = %d while all servers are ejected, want any server", got)
+		t.Errorf("pick() = server %d (-1 for none) while all servers are ejected, want any server", got)
 	}
 	engine.UpdateEndpoints(FullList, nil)
 	if got := engine.pick(r); got != -1 {
-		t.Errorf("pick() = %d with an empty endpoint list, want -1", got)
+		t.Errorf("pick() = server %d with an empty endpoint list, want -1 for none", got)
 	}
 }
--- a/internal/decision/shadow_test.go
+++ b/internal/decision/shadow_test.go
@@ -67,12 +67,12 @@
 		}
 		compared, differences := engine.ShadowCounts()
 		if compared < 400 || differences[c.wantKind] < c.wantLeast || (c.wantKind == "") != (len(differences) == 0) {
-			t.Errorf("shadow settings %v: ShadowCounts() = %d, %v, want at least 400, and at least %d of %q (none if the name is empty)",
+			t.Errorf("shadow settings %v: ShadowCounts() = %d compared, differences %v; want at least 400 compared, and at least %d differences of kind %q (no difference if the kind is empty)",
 				other, compared, differences, c.wantLeast, c.wantKind)
 		}
 	}
 	if compared, differences := newTestEngine(1, nil).ShadowCounts(); compared != 0 || differences != nil {
-		t.Error("ShadowCounts() without shadow evaluation = ", compared, ", ", differences, ", want 0, nil")
+		t.Errorf("ShadowCounts() without shadow evaluation = %d, %#v, want 0 and a nil map", compared, differences)
 	}
 }
 
@@ -93,7 +93,7 @@
 			b.step()
 		}
 		if a.err != nil || b.err != nil || a.sent != b.sent || a.completed != b.completed || a.rejected != b.rejected {
-			t.Fatalf("seed %d: %d sent, %d completed, %d rejected, error %v; with shadow evaluation %d, %d, %d, error %v; want equal numbers and no error",
+			t.Fatalf("seed %d: without shadow evaluation %d sent, %d completed, %d rejected, error %v; with it %d, %d, %d, error %v; want equal numbers and no errors",
 				seed, a.sent, a.completed, a.rejected, a.err, b.sent, b.completed, b.rejected, b.err)
 		}
 	}
@@ -122,7 +122,7 @@
 			}
 		}
 		if (len(other) == 0) != (differences == 0) {
-			t.Errorf("shadow settings %v count %d differences, want none only under equal settings", other, differences)
+			t.Errorf("shadow evaluation with the changed settings %v counts %d differences, want 0 differences: %v", other, differences, len(other) == 0)
 		}
 	}
 }
--- a/internal/decision/slowstart_clock_test.go
+++ b/internal/decision/slowstart_clock_test.go
@@ -34,18 +34,18 @@
 		engine.SetTime(now + Second)
 		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 2, State: Ready, Weight: 1, Started: engine.now - ahead - Second/10}})
 		if weight := engine.weightOf(2); weight < 0.25 || weight > 0.26 {
-			t.Errorf("clock ahead by %d: weight of server 2 right after its start = %v, want 0.25 to 0.26", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 2 right after its start = %v, want 0.25 to 0.26", ahead/Second, weight)
 		}
 		if weight := engine.weightOf(1); weight != 1 {
-			t.Errorf("clock ahead by %d: weight of server 1, which started long ago, = %v, want 1", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 1, which started long ago, = %v, want 1", ahead/Second, weight)
 		}
 		engine.SetTime(now + Second + 90000)
 		if weight := engine.weightOf(2); weight < 0.6 || weight > 0.65 {
-			t.Errorf("clock ahead by %d: weight of server 2 after half the span = %v, want 0.6 to 0.65", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 2 after half the span = %v, want 0.6 to 0.65", ahead/Second, weight)
 		}
 		engine.SetTime(now + Second + 180000)
 		if weight := engine.weightOf(2); weight != 1 {
-			t.Errorf("clock ahead by %d: weight of server 2 after the span = %v, want 1", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 2 after the span = %v, want 1", ahead/Second, weight)
 		}
 	}
 }
@@ -61,10 +61,10 @@
 			{Server: 2, State: Ready, Weight: 1, Started: now - ahead - 2*Second},
 		})
 		if weight := engine.weightOf(2); weight < 0.25 || weight > 0.34 {
-			t.Errorf("clock ahead by %d: weight of server 2, which started 2 s ago, = %v, want 0.25 to 0.34", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 2, which started 2 s ago, = %v, want 0.25 to 0.34", ahead/Second, weight)
 		}
 		if weight := engine.weightOf(1); ahead >= 0 && weight != 1 {
-			t.Errorf("clock ahead by %d: weight of server 1, which started 400 s ago, = %v, want 1", ahead, weight)
+			t.Errorf("clock ahead by %d s: weight of server 1, which started 400 s ago, = %v, want 1", ahead/Second, weight)
 		}
 	}
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -131,8 +131,8 @@
 	}
 	for at, share := range map[Time]float64{Second: 0.25, 61 * Second: 0.25, 71 * Second: 0.25 + 0.75*10/18} {
 		if expected := 4 * share * 2 / 0.6; float64(sent[at]) > expected+2*math.Sqrt(expected)+2 {
-			t.Errorf("%d nodes sent the cold server %d attempts at time %d, want at most %.1f",
-				nodes, sent[at], at, expected+2*math.Sqrt(expected)+2)
+			t.Errorf("%d nodes sent the cold server %d attempts at %d s, want at most %.1f",
+				nodes, sent[at], at/Second, expected+2*math.Sqrt(expected)+2)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 		t.Error("hasCapacity() = true with 14.5 attempts counted against a budget of 15, want false")
 	}
 	if limit.leak(warming, now+Second, 1); warming.slowStart.sent >= 8 || warming.slowStart.sent <= 5 || !limit.hasCapacity(warming, now+Second, 1) {
-		t.Errorf("half a span after 14.5 attempts, the count is %v and hasCapacity() = %v, want 5 to 8 and true",
+		t.Errorf("half a span after 14.5 attempts, the count is %v and hasCapacity() = %v, want above 5 and below 8, and true",
 			warming.slowStart.sent, limit.hasCapacity(warming, now+Second, 1))
 	}
 	warming.slowStart = slowStartState{sent: 100, at: now - 9*Second}
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -90,12 +90,12 @@
 					}
 				}
 				if left < len(slots)*2/5 || len(zones) < 6 {
-					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least two fifths in at least 6 zones",
-						failure, node, left, len(slots), setName, len(zones))
+					t.Fatalf("%s failed: node %d has %d of its %d %s servers left in %d zones, want at least %d in at least 6 zones",
+						failure, node, left, len(slots), setName, len(zones), len(slots)*2/5)
 				}
 				for zone, k := range zones {
 					if k > len(slots)/4 {
-						t.Fatalf("%s failed: zone %d has %d of the %d %s servers of node %d, want at most a quarter", failure, zone, k, len(slots), setName, node)
+						t.Fatalf("%s failed: zone %d has %d of the %d %s servers of node %d, want at most %d", failure, zone, k, len(slots), setName, node, len(slots)/4)
 					}
 				}
 			}
@@ -112,7 +112,7 @@
 		engine.SetTime(engine.now + controlInterval)
 		takeDecisions(engine, Forward)
 		if moved := countMissing(engine.endpoints.subset, first); moved > 0 || len(first) == 0 {
-			t.Errorf("%d servers: first subset has %d servers, of which the one after an interval replaces %d; want a first subset and none replaced",
+			t.Errorf("%d servers: the first subset has %d servers, and the subset of the next interval has %d others; want at least 1, and 0 others",
 				servers, len(first), moved)
 		}
 		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
--- a/internal/decision/throughput_test.go
+++ b/internal/decision/throughput_test.go
@@ -30,7 +30,7 @@
 	}
 	mean.decayTo(3*Second, 2*Second)
 	if !nearlyEqual(mean.sum, 6/2.718281828459045) || !nearlyEqual(mean.count, 2/2.718281828459045) {
-		t.Errorf("one time constant after sum 6 and count 2, mean = %+v, want both divided by e", mean)
+		t.Errorf("one time constant after sum 6 and count 2, mean = %+v, want sum %v and count %v", mean, 6/2.718281828459045, 2/2.718281828459045)
 	}
 	if before := mean; true {
 		if mean.decayTo(2*Second, 2*Second); mean != before {
@@ -95,10 +95,11 @@
 	}
 	stats.countRejection(ReasonQuota)
 	if got := stats.tailLatency(); got != 95 || stats.samples != 100 || stats.latencySum != 4950 || stats.rejected[ReasonQuota] != 1 {
-		t.Errorf("tail latency = %v, stats %+v, want tail 95, 100 samples, sum 4950, 1 rejection by quota", got, stats)
+		t.Errorf("tail latency = %v, %d samples with sum %v, %d rejections by quota; want 95, 100 with sum 4950, 1",
+			got, stats.samples, stats.latencySum, stats.rejected[ReasonQuota])
 	}
 	if stats.reset(Second); stats.samples != 0 || stats.startedAt != Second || stats.tailLatency() != 0 {
-		t.Errorf("after reset, stats = %+v with tail latency %v, want startedAt %d and no samples", stats, stats.tailLatency(), Second)
+		t.Errorf("after reset, %d samples, startedAt %d, tail latency %v; want 0, %d, 0", stats.samples, stats.startedAt, stats.tailLatency(), Second)
 	}
 }
 
@@ -109,6 +110,6 @@
 		list = appendRecent(list, float64(k), 3)
 	}
 	if !slices.Equal(list, []float64{2, 3, 4}) {
-		t.Errorf("after appending 0 to 4 with k = 3, list = %v, want [2 3 4]", list)
+		t.Errorf("after appendRecent() of 0 to 4 with a limit of 3 values, list = %v, want [2 3 4]", list)
 	}
 }
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -29,7 +29,7 @@
 				engine.SetTime(now)
 			}
 			if wait := now - startedAt; k > 0 && (wait < Second || wait > pollWithin+Second) {
-				t.Fatalf("poll %d came %d time units after a failed one, want %d to %d", k, wait, Second, pollWithin+Second)
+				t.Fatalf("poll %d came %d units of 0.1 ms after a failed one, want %d to %d", k, wait, Second, pollWithin+Second)
 			}
 			if k == 1 {
 				secondPolls = append(secondPolls, now)
@@ -40,7 +40,7 @@
 	slices.Sort(secondPolls)
 	for i := range len(secondPolls) - 20 {
 		if secondPolls[i+20]-secondPolls[i] < Second/4 {
-			t.Fatalf("21 of 80 nodes poll again within %d time units, want at least %d", secondPolls[i+20]-secondPolls[i], Second/4)
+			t.Fatalf("21 of 80 nodes poll again within %d units of 0.1 ms, want at least %d", secondPolls[i+20]-secondPolls[i], Second/4)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 				engine.SetTime(now)
 			}
 			if wait := now - startedAt; k > 0 && (wait < Second || wait > 3*Second+tick) {
-				t.Fatalf("seed %d: the poll after failure %d came after %d time units, want %d to %d", seed, k, wait, Second, 3*Second+tick)
+				t.Fatalf("seed %d: the poll after failure %d came after %d units of 0.1 ms, want %d to %d", seed, k, wait, Second, 3*Second+tick)
 			}
 			for range 1 + seed%2 { // a failure reported twice counts once
 				engine.UpdateEndpoints(PollFailed, nil)
@@ -91,7 +91,7 @@
 		slices.Sort(nextPolls)
 		for i := range nodes - 50 { // an even spread has 25 polls in a quarter of a second, with a standard deviation of 5
 			if nextPolls[i+50]-nextPolls[i] < Second/4 {
-				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d time units, want at least %d", seed, nextPolls[i+50]-nextPolls[i], Second/4)
+				t.Fatalf("seed %d: 51 of 200 nodes poll again within %d units of 0.1 ms, want at least %d", seed, nextPolls[i+50]-nextPolls[i], Second/4)
 			}
 		}
 	}
@@ -138,9 +138,9 @@
 func TestCheckTimes(t *testing.T) {
 	for _, c := range []struct{ tick, objective, want Time }{{10, 6000, 200}, {500, 6000, 500}, {0, 10, 1}, {-5, 0, 1}} {
 		timers := newTimers(Second, &config{})
-		if !timers.startCheckIfDue(Second, &config{tick: c.tick, shortestObjective: c.objective}) || timers.checkAt != Second+c.want {
-			t.Errorf("tick %d, objective %d: next check after %d, want a check now and the next after %d",
-				c.tick, c.objective, timers.checkAt-Second, c.want)
+		if due := timers.startCheckIfDue(Second, &config{tick: c.tick, shortestObjective: c.objective}); !due || timers.checkAt != Second+c.want {
+			t.Errorf("tick %d, objective %d: startCheckIfDue() = %v with the next check after %d, want true and %d (units of 0.1 ms)",
+				c.tick, c.objective, due, timers.checkAt-Second, c.want)
 		}
 		if after, ok := timers.nextHostTimer(Second); !ok || after != c.want {
 			t.Errorf("tick %d, objective %d: nextHostTimer() = %d, %v, want %d, true", c.tick, c.objective, after, ok, c.want)
@@ -159,14 +159,15 @@
 	if pushed.startPollIfDue(99 * Second) {
 		t.Error("startPollIfDue() = true where discovery pushes its lists, want false")
 	}
-	if !timers.startPollIfDue(Second) || timers.startPollIfDue(99*Second) {
-		t.Error("startPollIfDue() of a new node did not return true at the start and false while that poll was in flight")
+	if first := timers.startPollIfDue(Second); !first || timers.startPollIfDue(99*Second) {
+		t.Errorf("startPollIfDue() of a new node = %v, want true; if so, the next call returned true while that poll was in flight, want false", first)
 	}
 	timers.pollFailed(2*Second, 99999, &rng)
 	next := timers.pollAt
 	timers.pollFailed(3*Second, 99999, &rng)
 	if timers.pollAt != next || next < 3*Second || next > 5*Second || timers.startPollIfDue(next-1) || !timers.startPollIfDue(next) {
-		t.Errorf("next poll set %d after the first failure and %d after a repeated one, want the same time, %d to %d, and one poll then",
+		t.Errorf("next poll is due %d after the first report of a failure and %d after the second, want the same time, %d to %d (units of 0.1 ms), "+
+			"no poll before it, and one poll then",
 			next-2*Second, timers.pollAt-2*Second, Second, 3*Second)
 	}
 }
