--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -84,12 +84,12 @@
 	if !r.clientClosedAt.IsZero() {
 		if late := a.receivedAt.Sub(r.clientClosedAt) - c.toleranceAt(clientCloseTolerance, a.receivedAt); late > 0 {
 			c.recordViolationLocked(ruleClientClosed, r.node, r.id,
-				"an attempt began %v later than the tolerance after its client closed the connection", late)
+				"an attempt at server %d began %v later than the tolerance after the client closed the connection", a.server, late)
 		}
 	}
 	if excess := a.timeout - r.deadline().Sub(a.receivedAt) - c.toleranceAt(deadlineTolerance, a.receivedAt); excess > 0 {
-		c.recordViolationLocked(ruleDeadline, r.node, r.id, "an attempt's timeout ends %v after the deadline and its tolerance: %s",
-			excess, r.describe())
+		c.recordViolationLocked(ruleDeadline, r.node, r.id, "the timeout of an attempt at server %d ends %v after the deadline and its tolerance: %s",
+			a.server, excess, r.describe())
 	}
 }
 
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -43,7 +43,7 @@
 		}
 		return at.Sub(r.sentAt).Round(time.Millisecond)
 	}
-	text := fmt.Sprintf("status %d, client closed %v;", r.status, since(r.clientClosedAt))
+	text := fmt.Sprintf("times since the request was sent (-1ns for never): status %d (0 for none), client closed %v;", r.status, since(r.clientClosedAt))
 	for _, a := range r.attempts {
 		text += fmt.Sprintf(" server %d from %v to %v, timeout %v, not executed %v;",
 			a.server, since(a.receivedAt), since(a.endedAt), a.timeout, a.notExecuted)
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -62,7 +62,7 @@
 	_ = conn.SetReadDeadline(startedAt.Add(malformedTimeout + time.Second))
 	_, err = io.Copy(io.Discard, conn)
 	if took := time.Since(startedAt); took > malformedTimeout+harnessTolerance+c.checker.lag.maxAround(time.Now()) {
-		c.checker.recordViolation(ruleMalformed, node, "", "the connection with input %.30q ended after %v, want within %v: %v",
+		c.checker.recordViolation(ruleMalformed, node, "", "the connection with input %q ended after %v, want within %v plus the tolerance: %v",
 			text, took, malformedTimeout, err)
 	}
 }
