--- a/internal/lab/appserver/appserver_test.go
+++ b/internal/lab/appserver/appserver_test.go
@@ -52,7 +52,7 @@
 func TestServerKeepsItsAddressOverRestarts(t *testing.T) {
 	s := startEchoServer(t)
 	addr := s.Addr()
-	for range 2 {
+	for start := range 2 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -60,20 +60,20 @@
 		for _, id := range []string{"a1", "b2"} {
 			got, err := exchange(conn, id)
 			if want := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + id; err != nil || got != want {
-				t.Fatalf("exchange(%q) = %q, %v, want %q and no error", id, got, err, want)
+				t.Fatalf("start %d: exchange(%q) = %q, %v, want %q and no error", start+1, id, got, err, want)
 			}
 		}
 		s.Kill()
 		if _, err := exchange(conn, "c3"); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-			t.Errorf("exchange over a killed server's connection: got error %v, want ECONNRESET or EPIPE", err)
+			t.Errorf("start %d: exchange over a killed server's connection: got error %v, want ECONNRESET or EPIPE", start+1, err)
 		}
 		_ = conn.Close()
 		if conn, err := net.Dial("tcp", addr); err == nil {
 			_ = conn.Close()
-			t.Errorf("Dial(%s) succeeded after Kill, want a refused connection", addr)
+			t.Errorf("start %d: Dial(%s) succeeded after Kill, want a refused connection", start+1, addr)
 		}
 		if err := s.Listen(nil); err != nil || s.Addr() != addr {
-			t.Fatalf("Listen after Kill: address %s, error %v, want address %s and no error", s.Addr(), err, addr)
+			t.Fatalf("start %d: Listen after Kill: error %v, address %s, want no error and address %s", start+1, err, s.Addr(), addr)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := ReadRequest(bufio.NewReader(strings.NewReader("GET /quote/2 HTTP/1.1\r\nHost: app\r\n" + c.headers + "\r\n")))
 			if err != nil || got.ID != c.want.ID || got.Timeout != c.want.Timeout || got.Method != "GET" || got.Path != "/quote/2" {
-				t.Errorf("ReadRequest = %+v, %v, want GET /quote/2 with ID %q, timeout %v and no error", got, err, c.want.ID, c.want.Timeout)
+				t.Errorf("ReadRequest = %+v, %v, want ID %q, Timeout %v, Method GET, Path /quote/2 and no error", got, err, c.want.ID, c.want.Timeout)
 			}
 		})
 	}
@@ -142,10 +142,10 @@
 func TestResponseBytes(t *testing.T) {
 	var whole, half strings.Builder
 	if err := WriteResponse(&whole, 503, "full", "X-A: 1", "X-B: 2"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("WriteResponse: %v", err)
 	}
 	if err := WriteHalfResponse(&half, "done x"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("WriteHalfResponse: %v", err)
 	}
 	if want := "HTTP/1.1 503 Service Unavailable\r\nX-A: 1\r\nX-B: 2\r\nContent-Length: 4\r\n\r\nfull"; whole.String() != want {
 		t.Errorf("WriteResponse wrote %q, want %q", whole.String(), want)
--- a/internal/lab/authz/authz_test.go
+++ b/internal/lab/authz/authz_test.go
@@ -18,12 +18,12 @@
 	t.Helper()
 	server, err := Start("127.0.0.1:0", cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start: %v", err)
 	}
 	t.Cleanup(server.Close)
 	conn, err := grpc.NewClient("passthrough:///"+server.Addr(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("grpc.NewClient for %s: %v", server.Addr(), err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	return server, auth.NewAuthorizationClient(conn)
@@ -63,7 +63,7 @@
 				t.Errorf("check of customer %s = %v, want %v", c.customer, got, c.want)
 			}
 			if allowed, answered := server.LastAnswer("1"); allowed != c.allowed || answered != c.answered {
-				t.Errorf("LastAnswer(\"1\") = allowed %v, answered %v, want %v, %v", allowed, answered, c.allowed, c.answered)
+				t.Errorf("LastAnswer(\"1\") = allowed %v, answered %v, want allowed %v, answered %v", allowed, answered, c.allowed, c.answered)
 			}
 		})
 	}
@@ -87,6 +87,6 @@
 func TestStartOnlyOnLoopback(t *testing.T) {
 	var notLoopback *NotLoopbackError
 	if _, err := Start("0.0.0.0:0", Config{}); !errors.As(err, &notLoopback) || err.Error() != "0.0.0.0:0 is not a loopback address" {
-		t.Errorf("Start on 0.0.0.0:0: got error %v, want a NotLoopbackError that names the address", err)
+		t.Errorf("Start on 0.0.0.0:0: got error %v (%T), want \"0.0.0.0:0 is not a loopback address\" (a *NotLoopbackError)", err, err)
 	}
 }
--- a/internal/lab/discovery/agent_test.go
+++ b/internal/lab/discovery/agent_test.go
@@ -56,8 +56,9 @@
 		got = append(got, fmt.Sprintf("%s %d", e.UID, e.State))
 	}
 	if err != nil || list.Full != full || list.Revision != revision || !slices.Equal(got, want) {
-		t.Errorf("%s: got a list with full %v, revision %d, endpoints %v, error %v, want full %v, revision %d, endpoints %v, no error",
-			call, list.Full, list.Revision, got, err, full, revision, want)
+		t.Errorf("%s: got error %v and a list with full %v, revision %d, endpoints %v; want no error, full %v, revision %d, endpoints %v "+
+			"(states: %d in service, %d terminating)",
+			call, err, list.Full, list.Revision, got, full, revision, want, protocol.InService, protocol.Terminating)
 	}
 }
 
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -20,11 +20,11 @@
 	cfg.Servers, cfg.ServiceMs, cfg.WarmupS, cfg.HandshakeMs, cfg.DrainMs = 1, 1, 0, 0, 200
 	s, err := ParseSchedule(schedule, cfg.Servers)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSchedule(%q): %v", schedule, err)
 	}
 	f, err := Start(cfg, 7, s, zerolog.Nop())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start: %v", err)
 	}
 	t.Cleanup(f.Close)
 	return f
@@ -72,7 +72,8 @@
 		t.Fatalf("request under the fault reset: got body %q and no error, want an error", body)
 	}
 	if f.Servers[0].ExecutionCount("a1") != 1 || f.Servers[0].Stats().Resets != 1 {
-		t.Fatalf("after one reset: ExecutionCount = %d, stats %+v, want 1 and Resets 1", f.Servers[0].ExecutionCount("a1"), f.Servers[0].Stats())
+		t.Fatalf("after one reset: ExecutionCount(\"a1\") = %d, Stats().Resets = %d, want 1 and 1",
+			f.Servers[0].ExecutionCount("a1"), f.Servers[0].Stats().Resets)
 	}
 }
 
@@ -81,9 +82,9 @@
 func TestExecutionsAreCountedAndNoIDIs404(t *testing.T) {
 	f := startServer(t, "")
 	addr := f.Servers[0].Addr()
-	for range 2 {
+	for call := range 2 {
 		if resp, body, err := post(addr, "b2"); err != nil || resp.StatusCode != 200 || body != "done b2\n" {
-			t.Fatalf("request b2: got response %v, error %v, body %q, want status 200, no error, body \"done b2\\n\"", resp, err, body)
+			t.Fatalf("request b2, call %d: got error %v, response %v, body %q, want no error, status 200, body \"done b2\\n\"", call+1, err, resp, body)
 		}
 	}
 	if resp, _, _ := post(addr, ""); resp.StatusCode != 404 {
@@ -103,8 +104,8 @@
 	s.mu.Unlock()
 	resp, _, err := post(s.Addr(), "c3")
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue || s.ExecutionCount("c3") != 0 {
-		t.Fatalf("request to a draining server: got response %v, error %v, %d executions, want status 503 with %s: %s and no execution",
-			resp, err, s.ExecutionCount("c3"), protocol.HeaderRejected, protocol.RejectedValue)
+		t.Fatalf("request to a draining server: got error %v, response %v, %d executions, want no error, status 503 with %s: %s, and 0 executions",
+			err, resp, s.ExecutionCount("c3"), protocol.HeaderRejected, protocol.RejectedValue)
 	}
 }
 
@@ -118,7 +119,7 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	if resp, _, err := post(addr, "d5"); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("request after the restart: got response %v, error %v, want status 200 and no error", resp, err)
+		t.Fatalf("request after the restart: got error %v, response %v, want no error and status 200", err, resp)
 	}
 	if f.Servers[0].Stats().Restarts != 1 {
 		t.Fatalf("Stats().Restarts = %d, want 1", f.Servers[0].Stats().Restarts)
@@ -133,8 +134,8 @@
 	time.Sleep(100 * time.Millisecond)
 	resp, _, err := post(addr, "e6")
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get(protocol.HeaderRejected) != protocol.RejectedValue {
-		t.Fatalf("request while draining: got response %v, error %v, want status 503 with %s: %s",
-			resp, err, protocol.HeaderRejected, protocol.RejectedValue)
+		t.Fatalf("request while draining: got error %v, response %v, want no error and status 503 with %s: %s",
+			err, resp, protocol.HeaderRejected, protocol.RejectedValue)
 	}
 	time.Sleep(300 * time.Millisecond) // The grace is 200 ms.
 	if _, _, err := post(addr, "e7"); err == nil {
--- a/internal/lab/emulator/schedule_test.go
+++ b/internal/lab/emulator/schedule_test.go
@@ -51,7 +51,7 @@
 `
 	s, err := ParseSchedule(text, 2)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSchedule: %v", err)
 	}
 	want := []Fault{
 		{Slow, -1, 1, 2, 1, 3},
--- a/internal/lab/emulator/transitions_test.go
+++ b/internal/lab/emulator/transitions_test.go
@@ -34,7 +34,7 @@
 for_s = 1
 `, 2)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ParseSchedule: %v", err)
 	}
 	f := &Fleet{}
 	for id := range 2 {
@@ -49,6 +49,6 @@
 		{4 * time.Second, 0, serverStart},
 	}
 	if got := f.transitions(); !slices.Equal(got, want) {
-		t.Errorf("transitions() = %v, want %v", got, want)
+		t.Errorf("transitions() = %+v, want %+v (kinds: %d stop, %d drain, %d start)", got, want, serverStop, serverDrain, serverStart)
 	}
 }
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -1,6 +1,7 @@
 package healthlab
 
 import (
+	"cmp"
 	"errors"
 	"testing"
 	"time"
@@ -25,23 +26,23 @@
 					t.Fatalf("Simulate(%+v): got error %v, want none", cfg, err)
 				}
 				if result.WorstGap > 2*result.CheckInterval {
-					t.Errorf("%s, %d nodes, seed %d: a server had no check for %.1f s, want at most two intervals of %.1f s", scenario,
-						c.nodes, seed, result.WorstGap, result.CheckInterval)
+					t.Errorf("%s, %d nodes, seed %d: a server had no check for %.3f s, want at most %.3f s (two check intervals)", scenario,
+						c.nodes, seed, result.WorstGap, 2*result.CheckInterval)
 				}
 				if result.FalseDeaths > 0 || result.SettleTime < 0 {
-					t.Errorf("%s, %d nodes, seed %d: %d live members are dead at other nodes at the end, and the settle time is %.1f s; want 0, and a time of at least 0",
+					t.Errorf("%s, %d nodes, seed %d: %d cases of a node that considers a live member dead at the end, and settle time %.1f s (-1 for never); want 0 cases and 0 s or more",
 						scenario, c.nodes, seed, result.FalseDeaths, result.SettleTime)
 				}
 				if result.MaxBytesPerSecond > cfg.SendRate/2 || result.MaxMessagesPerSecond > cfg.ReceiveRate/4 {
-					t.Errorf("%s, %d nodes, seed %d: a node sent %.0f bytes/s and a node received %.1f messages/s, want at most %.0f and %.1f",
+					t.Errorf("%s, %d nodes, seed %d: the busiest nodes sent %.1f bytes/s and received %.2f messages/s, want at most %.1f and %.2f",
 						scenario, c.nodes, seed, result.MaxBytesPerSecond, result.MaxMessagesPerSecond, cfg.SendRate/2, cfg.ReceiveRate/4)
 				}
 				// In the scenario split both halves check all servers during a third of the run. In the scenario lossy some
 				// results are lost, so that other nodes repeat their checks.
 				if divisor := map[string]int64{"split": 3, "lossy": 5}[scenario]; result.DuplicateChecks > result.Checks/max(divisor, 1)+5 ||
 					divisor == 0 && result.DuplicateChecks > result.Checks/10+5 {
-					t.Errorf("%s, %d nodes, seed %d: %d of %d checks are duplicates, want at most 1/3 (split), 1/5 (lossy) or 1/10, plus 5",
-						scenario, c.nodes, seed, result.DuplicateChecks, result.Checks)
+					t.Errorf("%s, %d nodes, seed %d: %d of %d checks are duplicates, want at most %d",
+						scenario, c.nodes, seed, result.DuplicateChecks, result.Checks, result.Checks/cmp.Or(divisor, 10)+5)
 				}
 			}
 		}
--- a/internal/lab/histogram/histogram_test.go
+++ b/internal/lab/histogram/histogram_test.go
@@ -24,7 +24,7 @@
 		h.Reset()
 		Record(h, c.recorded)
 		if got := QuantileMs(h, 50); got < c.wantMs || got > c.wantMs*1.001 {
-			t.Errorf("QuantileMs(50) after Record(%v) = %v ms, want %v up to 0.1 %% more", c.recorded, got, c.wantMs)
+			t.Errorf("QuantileMs(50) after Record(%v) = %v ms, want %v to %v ms", c.recorded, got, c.wantMs, c.wantMs*1.001)
 		}
 	}
 	if h.TotalCount() != 1 {
--- a/internal/lab/load/generator_test.go
+++ b/internal/lab/load/generator_test.go
@@ -50,12 +50,13 @@
 	generator := &Generator{Cfg: cfg, Seed: 1}
 	result, err := generator.Run(context.Background())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run: %v", err)
 	}
 	summary := result.Summary()
 	// About 100 requests through one connection at 20 ms each take about 2 s. The last one waits for about 1.5 s.
 	if summary.Outcomes["completed"] != summary.Sent || summary.P99Ms < 1000 {
-		t.Fatalf("the summary is %+v, want all requests completed and a 99th percentile of at least 1000 ms", summary)
+		t.Fatalf("%d of %d requests are completed, and the 99th percentile of the latency is %v ms; want all completed, and at least 1000 ms",
+			summary.Outcomes["completed"], summary.Sent, summary.P99Ms)
 	}
 }
 
@@ -71,7 +72,7 @@
 	generator.Client = srv.Client()
 	result, err := generator.Run(context.Background()) // Run initializes the generator; with little load it is not behind.
 	if err != nil || result.Behind {
-		t.Fatalf("Run with 20 requests/s returned the error %v and the result %+v, want no error and a result that is not behind", err, result.Summary())
+		t.Fatalf("Run with 20 requests/s: got error %v and Behind %v, want no error and Behind false", err, result.Behind)
 	}
 	generator.startedAt = time.Now().Add(-50 * time.Millisecond)
 	generator.send(context.Background(), Arrival{Class: 0, Customer: 1})
--- a/internal/lab/model/baseline_test.go
+++ b/internal/lab/model/baseline_test.go
@@ -119,7 +119,8 @@
 				t.Errorf("after the result: retried %t and ended %t, want %t and %t", retried, req.ended, c.retried, !c.retried)
 			}
 			if !c.retried && s.recorder.outcomes[c.final] != 1 {
-				t.Errorf("the recorder counted the outcomes %v, want 1 with the index %d", s.recorder.outcomes, c.final)
+				t.Errorf("the recorder counted %d requests with the outcome %s, want 1; counts of %v: %v",
+					s.recorder.outcomes[c.final], outcomeKeys[c.final], outcomeKeys, s.recorder.outcomes)
 			}
 		})
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -43,7 +43,8 @@
 		newSimulation(t, testConfig(t, DecisionEngine, faultSchedule), series).Run()
 	}
 	if first.Len() == 0 || !bytes.Equal(first.Bytes(), second.Bytes()) {
-		t.Fatalf("two runs of the same seed wrote series of %d and %d bytes, want two equal series that are not empty", first.Len(), second.Len())
+		t.Fatalf("two runs of the same seed wrote series of %d and %d bytes, with equal bytes: %v; want equal series that are not empty",
+			first.Len(), second.Len(), bytes.Equal(first.Bytes(), second.Bytes()))
 	}
 }
 
@@ -81,7 +82,8 @@
 		t.Run(string(policy), func(t *testing.T) {
 			totals := newSimulation(t, testConfig(t, policy, faultSchedule), nil).Run()
 			if totals.ExecutedTwice != 0 || totals.Unanswered != 0 || totals.Requests < 10000 {
-				t.Errorf("the totals are %+v, want no request executed twice, none unanswered and at least 10000 requests", totals)
+				t.Errorf("%d requests were executed twice and %d are unanswered, of %d requests; want 0 and 0, of at least 10000",
+					totals.ExecutedTwice, totals.Unanswered, totals.Requests)
 			}
 			if totals.Outcomes["broken"] == 0 && policy != DecisionEngine {
 				t.Errorf("the outcomes are %+v, want failed requests (broken) with a baseline policy", totals.Outcomes)
--- a/internal/lab/model/recorder_test.go
+++ b/internal/lab/model/recorder_test.go
@@ -34,11 +34,13 @@
 	totals := r.Totals(7)
 	if totals.Requests != 2 || totals.Goodput != 0.5 || totals.ExecutedTwice != 1 || totals.Unanswered != 0 || totals.Events != 7 ||
 		totals.VirtualSeconds != 2 || totals.Outcomes["completed"] != 1 || totals.Outcomes["broken"] != 1 {
-		t.Errorf("the totals are %+v, want 2 requests in 2 s and 7 events, one completed, one failed (broken) and executed twice", totals)
+		t.Errorf("totals: Requests %d, Goodput %v, ExecutedTwice %d, Unanswered %d, Events %d, VirtualSeconds %v, Outcomes %v; "+
+			"want 2, 0.5, 1, 0, 7, 2, and 1 completed and 1 broken",
+			totals.Requests, totals.Goodput, totals.ExecutedTwice, totals.Unanswered, totals.Events, totals.VirtualSeconds, totals.Outcomes)
 	}
 }
 
-var errDiskFull = errors.New("full")
+var errDiskFull = errors.New("disk full")
 
 // failingWriter is a writer that accepts one line and fails afterwards, like a full disk.
 type failingWriter struct{ writes int } // number of calls of Write
--- a/internal/lab/nodeprocess/nodeprocess_test.go
+++ b/internal/lab/nodeprocess/nodeprocess_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); p.LastLogLine() != line; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("last line of the log is %q after 10 s, want %q", p.LastLogLine(), line)
+			t.Fatalf("last line of the child's log is %q after 10 s, want %q", p.LastLogLine(), line)
 		}
 	}
 }
@@ -45,15 +45,15 @@
 		t.Fatal("HasExited = true before Stop, want false")
 	}
 	if ending := terminating.Stop(syscall.SIGTERM, 10*time.Second); ending != EndedInTime || !terminating.HasExited() {
-		t.Errorf("Stop of a process that ends on SIGTERM = %d, exited %v, want %d, exited true", ending, terminating.HasExited(), EndedInTime)
+		t.Errorf("Stop of a process that ends on SIGTERM = %d, exited %v, want %d (ended in time), exited true", ending, terminating.HasExited(), EndedInTime)
 	}
 	if ending := terminating.Stop(syscall.SIGTERM, 0); ending != EndedInTime {
-		t.Errorf("second Stop = %d, want %d", ending, EndedInTime)
+		t.Errorf("Stop of an ended process = %d, want %d (ended in time)", ending, EndedInTime)
 	}
 	ignoring := startShell(t, "trap '' TERM; echo ready >&2; while :; do sleep 60; done")
 	awaitLog(t, ignoring, "ready")
 	if ending := ignoring.Stop(syscall.SIGTERM, 50*time.Millisecond); ending != Killed || !ignoring.HasExited() {
-		t.Errorf("Stop of a process that ignores SIGTERM = %d, exited %v, want %d, exited true", ending, ignoring.HasExited(), Killed)
+		t.Errorf("Stop of a process that ignores SIGTERM = %d, exited %v, want %d (killed), exited true", ending, ignoring.HasExited(), Killed)
 	}
 }
 
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -68,7 +68,8 @@
 				t.Fatal(err)
 			}
 			if len(x) == 0 || !bytes.Equal(x, y) {
-				t.Errorf("two calls of Write wrote files of %d and %d bytes, want two equal files that are not empty", len(x), len(y))
+				t.Errorf("two calls of Write wrote files of %d and %d bytes, with equal bytes: %v; want equal files that are not empty",
+					len(x), len(y), bytes.Equal(x, y))
 			}
 		})
 	}
--- a/internal/lab/scale/connpool_test.go
+++ b/internal/lab/scale/connpool_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"slices"
 	"testing"
 	"time"
 )
@@ -41,12 +42,13 @@
 	conns[3].reusable = false
 	pool.put(addr, conns[3])
 	if pool.idleCount != 2 || !isClosed(conns[2]) || !isClosed(conns[3]) {
-		t.Errorf("pool holds %d of 4 connections; third one closed: %v, not reusable one closed: %v; want 2, true, true",
+		t.Errorf("pool with a limit of 2 holds %d idle connections; surplus one closed: %v, not reusable one closed: %v; want 2, true, true",
 			pool.idleCount, isClosed(conns[2]), isClosed(conns[3]))
 	}
 	for _, want := range []*clientConn{conns[1], conns[0], nil} {
 		if got := pool.take(addr); got != want || got != nil && isClosed(got) {
-			t.Errorf("take(%s) = connection %p, closed: %v; want connection %p, closed: false", addr, got, got != nil && isClosed(got), want)
+			t.Errorf("take(%s) = connection %d, closed: %v; want connection %d, closed: false (-1 for none)",
+				addr, slices.Index(conns, got), got != nil && isClosed(got), slices.Index(conns, want))
 		}
 	}
 }
@@ -59,12 +61,12 @@
 	pool.put(addr, conns[0])
 	pool.put("elsewhere", conns[1])
 	pool.drop(addr)
-	if pool.idleCount != 1 || pool.take(addr) != nil || !isClosed(conns[0]) || isClosed(conns[1]) {
-		t.Errorf("after drop(%s) of one of 2 idle connections: %d idle, closed: %v; want 1 idle, closed: [true false]",
-			addr, pool.idleCount, []bool{isClosed(conns[0]), isClosed(conns[1])})
+	if idle, taken := pool.idleCount, pool.take(addr); idle != 1 || taken != nil || !isClosed(conns[0]) || isClosed(conns[1]) {
+		t.Errorf("after drop(%s) of one of 2 idle connections: %d idle, take returned one: %v, closed: %v; want 1 idle, false, closed: [true false]",
+			addr, idle, taken != nil, []bool{isClosed(conns[0]), isClosed(conns[1])})
 	}
 	pool.dropAll()
 	if pool.idleCount != 0 || !isClosed(conns[1]) {
-		t.Errorf("after dropAll: %d idle, last connection closed: %v; want 0 idle, true", pool.idleCount, isClosed(conns[1]))
+		t.Errorf("after dropAll: %d idle, connection to the other address closed: %v; want 0 idle, true", pool.idleCount, isClosed(conns[1]))
 	}
 }
--- a/internal/lab/scale/nodelists_test.go
+++ b/internal/lab/scale/nodelists_test.go
@@ -58,14 +58,15 @@
 	n.down.Store(true)
 	f.applyList(&protocol.EndpointList{Revision: 3, Endpoints: []protocol.Endpoint{testEndpoint(f, i, protocol.InService)}})
 	if router.InService(server) {
-		t.Errorf("node applied the list that sets server %d in service while it was down, want no change", i)
+		t.Errorf("a list sets server %d in service while the node is down: InService = true at the node, want false", i)
 	}
 	f.restart([]int{0}, 0)
 	if inc := n.current.Load(); n.down.Load() || len(inc.router.Servers()) != 2 || len(inc.drained) != 0 || inc.router == router {
-		t.Errorf("restarted node: down %v, %d servers, %d out of service, engine replaced %v; want false, 2, 0, true",
+		t.Errorf("restarted node: down %v, %d servers, %d out of service, router replaced %v; want false, 2, 0, true",
 			n.down.Load(), len(inc.router.Servers()), len(inc.drained), inc.router != router)
 	}
 	if len(f.applied) != 3 || f.applied[0].At[0] == 0 || f.applied[2].At[0] != 0 {
-		t.Errorf("times at which nodes applied lists are %+v, want 3 lists, the first one applied, the last one not", f.applied)
+		t.Errorf("times (µs, 0 for never) at which nodes applied lists are %+v; want 3 lists, with node 0 above 0 for the first and 0 for the last",
+			f.applied)
 	}
 }
--- a/internal/lab/scale/nodepeers_test.go
+++ b/internal/lab/scale/nodepeers_test.go
@@ -25,7 +25,7 @@
 	}
 	for name, traffic := range want {
 		if got[name] != traffic {
-			t.Errorf("traffic of kind %q is %+v, want %+v", name, got[name], traffic)
+			t.Errorf("messageCounts: traffic of kind %q is %+v, want %+v", name, got[name], traffic)
 		}
 	}
 	if len(got) != len(want) {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -54,8 +54,8 @@
 		some := assignTenants(c, func(n int) bool { return n == 1 })
 		live := c.Real + c.Simulated
 		if len(all) != live || !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].cumulative, some[1].cumulative) {
-			t.Fatalf("assignTenants returned %d populations; want %d, and the same tenants of node 1 whether all nodes or only node 1 are wanted",
-				len(all), live)
+			t.Fatalf("assignTenants of %d tenants returned %d populations; want %d, and node 1 with the same tenants and cumulative shares "+
+				"whether all nodes or only node 1 are wanted", c.Tenants, len(all), live)
 		}
 		rng := rand.New(rand.NewPCG(1, 2))
 		for n := range all {
@@ -63,8 +63,8 @@
 				drawn := all[n].draw(rng)
 				if offset := (n - drawn.firstNode + c.Nodes) % c.Nodes; offset >= drawn.spread || drawn.firstNode >= live || drawn.spread > live ||
 					live < c.Nodes && drawn.firstNode+drawn.spread > live {
-					t.Fatalf("node %d of %d live nodes drew tenant %+v, want a tenant that sends to this node and to live nodes only",
-						n, live, drawn)
+					t.Fatalf("node %d of %d nodes, of which the first %d are live, drew tenant %+v; want a tenant that sends to this node and to live nodes only",
+						n, c.Nodes, live, drawn)
 				}
 			}
 		}
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -365,7 +365,7 @@
 	}
 	h.checker.checkUntil(r.deadline().Add(ms))
 	if got := violatedRules(h.checker); !slices.Equal(got, []Rule{ruleResponse}) || h.checker.nodeOf("a") != -1 {
-		t.Errorf("check after the deadline: violated rules = %v and node of the request = %d, want %v and -1",
+		t.Errorf("check after the deadline: violated rules = %v and node of the request = %d, want %v and -1 (request removed)",
 			got, h.checker.nodeOf("a"), []Rule{ruleResponse})
 	}
 }
--- a/internal/lab/soak/server_test.go
+++ b/internal/lab/soak/server_test.go
@@ -58,7 +58,7 @@
 			a := h.beginAttempt(r, firstByte)
 			s.checkDrain(r.id, a)
 			if got := violatedRules(h.checker); !slices.Equal(got, test.want) {
-				t.Errorf("violated rules = %v, want %v", got, test.want)
+				t.Errorf("violated rules = %v, want %v; violations are %+v", got, test.want, h.checker.violations)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 			}
 			s.checkSlowStart(capacity)
 			if got := violatedRules(h.checker); !slices.Equal(got, test.want) {
-				t.Errorf("violated rules = %v, want %v", got, test.want)
+				t.Errorf("violated rules = %v, want %v; violations are %+v", got, test.want, h.checker.violations)
 			}
 		})
 	}
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -63,8 +63,8 @@
 // against an expiry that removes other keys, and against a list of recent writes that grows without bound.
 func TestDataLosesRecentWrites(t *testing.T) {
 	d := newData()
-	if !d.setField("h", "a", "1") || !d.setField("h", "b", "1") || d.setField("h", "a", "2") {
-		t.Error("setField reported a new field as existing or an existing one as new, want true for new fields a and b, then false for a")
+	if a, b, again := d.setField("h", "a", "1"), d.setField("h", "b", "1"), d.setField("h", "a", "2"); !a || !b || again {
+		t.Errorf("setField of the new fields a and b, then of a again = %v, %v, %v, want true, true, false", a, b, again)
 	}
 	now := time.Now()
 	d.recordWrites(write{now.Add(-time.Second), "h", "a", "2"}, write{now, "h", "b", "1"})
@@ -73,18 +73,19 @@
 		t.Errorf("loseWrites = %v, want one write, of field b", lost)
 	}
 	if want := map[string]string{"a": "2"}; !reflect.DeepEqual(d.hashes["h"], want) || len(copied.hashes["h"]) != 2 {
-		t.Errorf("after loseWrites: hashes %v, hashes of the clone %v, want %v and two fields in the clone", d.hashes, copied.hashes, want)
+		t.Errorf("after loseWrites: hash h is %v, in the earlier clone %v; want %v, and two fields in the clone", d.hashes["h"], copied.hashes["h"], want)
 	}
 	d.strings["s"], d.expires["s"] = "x", now.Add(-time.Nanosecond)
 	d.removeIfExpired("s")
 	d.removeIfExpired("h")
 	if d.has("s") || !d.has("h") || len(d.expires) > 0 {
-		t.Errorf("after removeIfExpired: data %+v, want key h, but not the expired key s", d)
+		t.Errorf("after removeIfExpired: has(\"s\") = %v, has(\"h\") = %v, %d keys with an expiry; want false, true, 0",
+			d.has("s"), d.has("h"), len(d.expires))
 	}
 	for range 2 * maxRecentWrites {
 		d.recordWrites(write{key: "h"})
 	}
 	if len(d.recentWrites) > maxRecentWrites {
-		t.Errorf("%d recent writes are kept, want at most %d", len(d.recentWrites), maxRecentWrites)
+		t.Errorf("%d recent writes are kept after %d more writes, want at most %d", len(d.recentWrites), 2*maxRecentWrites, maxRecentWrites)
 	}
 }
--- a/internal/lab/store/wireformat_test.go
+++ b/internal/lab/store/wireformat_test.go
@@ -30,11 +30,11 @@
 			text += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 		}
 		if _, err := io.WriteString(conn, text); err != nil {
-			t.Fatalf("sending %q: %v", command, err)
+			t.Fatalf("sending command %d, %q: %v", len(replies)+1, command, err)
 		}
 		reply, err := readReply(reader)
 		if err != nil {
-			t.Fatalf("reading the reply to %q: %v", command, err)
+			t.Fatalf("reading the reply to command %d, %q: %v", len(replies)+1, command, err)
 		}
 		replies = append(replies, reply)
 	}
@@ -139,7 +139,7 @@
 	}
 	for k, got := range sendCommands(t, server.Addr(), commands) {
 		if got != cases[k][1] {
-			t.Errorf("reply to %q = %q, want %q", cases[k][0], got, cases[k][1])
+			t.Errorf("reply to command %d, %q, is %q, want %q", k+1, cases[k][0], got, cases[k][1])
 		}
 	}
 }
