--- a/cmd/simadapter/wireformat_test.go
+++ b/cmd/simadapter/wireformat_test.go
@@ -105,7 +105,7 @@
 		want[i] = strings.Join(strings.Fields(w), "")
 	}
 	if len(out) != 0 || !slices.Equal(got, want) {
-		t.Errorf("replies:\n%s\nand %d bytes of an incomplete reply, want:\n%s", strings.Join(got, "\n"), len(out), strings.Join(want, "\n"))
+		t.Errorf("%d bytes of an incomplete reply and the replies:\n%s\nwant 0 bytes and the replies:\n%s", len(out), strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -281,7 +281,7 @@
 	defer nettest.Close(d.listener)
 	endedAt := time.Now()
 	if r.mode == settings.EndpointListPoll && (maxOpenCalls > 1 || faultyCalls > 2+int(lasted/time.Second)) {
-		return 0, fmt.Errorf("discovery received %d calls at once and %d calls during a fault of %v, want at most 1 at once and %d",
+		return 0, fmt.Errorf("discovery received %d calls at once and %d calls during a fault of %v, want at most 1 at once and at most %d during the fault",
 			maxOpenCalls, faultyCalls, lasted, 2+int(lasted/time.Second))
 	}
 	return r.await(endedAt)
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -56,10 +56,10 @@
 	} {
 		conn := node.Dial(t)
 		if status, _, closes := frontendtest.RoundTrip(t, conn, text); status != want || !closes {
-			t.Errorf("request %.30q: status %d, closes %v; want status %d, closes true", text, status, closes, want)
+			t.Errorf("request %.200q: status %d, closes %v; want status %d, closes true", text, status, closes, want)
 		}
 		if _, err := io.ReadAll(conn); err != nil {
-			t.Errorf("request %.30q: read after the response: %v, want a close", text, err)
+			t.Errorf("request %.200q: read after the response: %v, want a close", text, err)
 		}
 	}
 	if node.Counters.Upstream.Attempts.Load() != 0 {
@@ -82,7 +82,7 @@
 		go func() {
 			defer clients.Done()
 			if _, err := io.ReadAll(conn); netio.TimedOut(err) || time.Since(startedAt) > 2800*time.Millisecond {
-				t.Errorf("connection that sent %.20q: read ended with error %v after %v, want a close within 2.8s", text, err, time.Since(startedAt))
+				t.Errorf("connection that sent %d bytes %.20q: read ended with error %v after %v, want a close within 2.8s", len(text), text, err, time.Since(startedAt))
 			}
 		}()
 	}
@@ -107,7 +107,7 @@
 	<-received
 	for range 2 {
 		if status, _, closes := frontendtest.RoundTrip(t, node.Dial(t), text); status != 409 || !closes {
-			t.Errorf("request with a used id: status %d, closes %v; want status 409, closes true", status, closes)
+			t.Errorf("second request with an id, first request in flight %v: status %d, closes %v; want status 409, closes true", proceed != nil, status, closes)
 		}
 		if proceed != nil {
 			close(proceed)
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -38,7 +38,9 @@
 		case <-time.After(3 * time.Second):
 			t.Fatalf("%d bytes behind the request: the attempt's connection is open 3s after the disconnect, want it closed", len(extra))
 		}
-		nettest.Eventually(t, "the request to be counted in ClientsGone", func() bool { return node.Counters.ClientsGone.Load() == 1 })
+		nettest.Eventually(t, fmt.Sprintf("the request with %d bytes behind it to be counted in ClientsGone", len(extra)), func() bool {
+			return node.Counters.ClientsGone.Load() == 1
+		})
 		if node.Counters.Upstream.Attempts.Load() != 1 {
 			t.Errorf("%d bytes behind the request: %d attempts, want 1", len(extra), node.Counters.Upstream.Attempts.Load())
 		}
@@ -73,7 +75,7 @@
 		t.Errorf("request before the overflow: status %d, body %q; want status 200, body %q", status, body, "one")
 	}
 	if rest, err := io.ReadAll(overflowing); len(rest) > 0 || netio.TimedOut(err) {
-		t.Errorf("read after the last response: %d bytes, error %v; want a close without further bytes", len(rest), err)
+		t.Errorf("read after the response on the overflowing connection: %d bytes, error %v; want a close without further bytes", len(rest), err)
 	}
 }
 
@@ -143,7 +145,7 @@
 	connected := send("")
 	for i := range 20 {
 		conn := send(strings.Repeat("more ", i%2*100))
-		nettest.Eventually(t, "the request to be counted", func() bool { return node.Counters.Requests.Load() == int64(i+2) })
+		nettest.Eventually(t, fmt.Sprintf("%d requests to be counted", i+2), func() bool { return node.Counters.Requests.Load() == int64(i+2) })
 		nettest.Close(conn)
 	}
 	if status, body, _ := frontendtest.RoundTrip(t, connected, ""); status != 200 || body != "x" {
@@ -201,7 +203,7 @@
 			Plan: "team", Customer: 5, Units: 1, Spread: 1, Timeout: time.Second,
 		}
 		if response, ok := handler.Handle(&request, time.Now()); ok {
-			t.Errorf("Handle returned a response with status %d, want ok = false", response.Status)
+			t.Errorf("Handle of a request whose client has disconnected = status %d, ok true; want ok false", response.Status)
 		}
 	}
 	if executed.Load() > 0 || node.Counters.ClientsGone.Load() != 20 {
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -222,7 +222,7 @@
 	}
 	if late > 0 || len(d.disconnectedAt) < d.targetDisconnects || withoutAttempt == 0 || d.targetDisconnects >= 200 && retries == 0 {
 		t.Errorf("disconnects: %d, want at least %d; late attempts: %d, want 0; requests without an attempt: %d, want at least 1; "+
-			"retries: %d, want at least 1 from 200 disconnects on", len(d.disconnectedAt), d.targetDisconnects, late, withoutAttempt, retries)
+			"retries: %d, want at least 1 if at least 200 disconnects are wanted", len(d.disconnectedAt), d.targetDisconnects, late, withoutAttempt, retries)
 	}
 	t.Logf("%d disconnects with a request in flight (%d with a time uncertain by more than %v), %d requests without an attempt, %d retries; "+
 		"%d attempts arrived after the disconnect, the last %v after it, %d more than %v after it; %d attempts without a request id",
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -146,7 +146,8 @@
 	close(proceed)
 	for i, conn := range append(conns, partial, queued) {
 		if status, _, closes := frontendtest.RoundTrip(t, conn, ""); status != 200 && status != 503 || !closes {
-			t.Errorf("request on connection %d: status %d, closes %v; want status 200 or 503, closes true", i, status, closes)
+			t.Errorf("request on connection %d (%d: partly read before the drain, %d: waited for a slot): status %d, closes %v; "+
+				"want status 200 or 503, closes true", i, len(conns), len(conns)+1, status, closes)
 		}
 	}
 	waitDrained(t, drained, 3*time.Second)
@@ -224,7 +225,7 @@
 	clients.Wait()
 	lost, inTransit, answered := load.lost.Load(), load.inTransitAtClose.Load(), load.answered.Load()
 	if lost > 0 || inTransit > answered/100 {
-		t.Errorf("%d requests lost, want 0; %d in transit during a close, want at most 1%% of %d answered", lost, inTransit, answered)
+		t.Errorf("requests: %d lost, want 0; %d in transit during a close, want at most %d, 1%% of %d answered", lost, inTransit, answered/100, answered)
 	}
 	t.Logf("requests: %d lost, %d in transit during a close, %d answered", lost, inTransit, answered)
 }
--- a/internal/frontend/faults_test.go
+++ b/internal/frontend/faults_test.go
@@ -26,7 +26,7 @@
 // request must run at most once, and a rejected one must not have run.
 func TestRareFaultsTogether(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runFaults(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runFaults(t, seed) })
 	}
 }
 
@@ -220,7 +220,7 @@
 		r.served.Add(1)
 	case status == 502 || status == 503 && ran == 0:
 	default:
-		r.t.Errorf("request %s: status %d, body %.20q, ran %d times; want 200 with its own body, 502, or 503 if it did not run", requestBody, status, body, ran)
+		r.t.Errorf("request %s: status %d, body %.20q, ran %d times; want 200 with the request's body, 502, or 503 for a request that did not run", requestBody, status, body, ran)
 	}
 	r.answered.Add(1)
 }
--- a/internal/frontend/frontendtest/node.go
+++ b/internal/frontend/frontendtest/node.go
@@ -195,15 +195,15 @@
 func RoundTrip(t *testing.T, conn net.Conn, text string) (status int, body string, closes bool) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("write request: %v", err)
+		t.Fatalf("write request to the node: %v", err)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("read response: %v", err)
+		t.Fatalf("read the node's response: %v", err)
 	}
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatalf("read response body: %v", err)
+		t.Fatalf("read the body of the node's response: %v", err)
 	}
 	return response.StatusCode, string(raw), response.Close
 }
--- a/internal/frontend/requestids_test.go
+++ b/internal/frontend/requestids_test.go
@@ -10,12 +10,16 @@
 	ids := newRequestIDs()
 	for i := range 5 * maxRecentIDs {
 		id := strconv.Itoa(i)
-		if !ids.claim(id) || ids.claim(id) {
-			t.Fatalf("claim(%q) of a new id returned false, or a second call returned true; want true, then false", id)
+		if !ids.claim(id) {
+			t.Fatalf("claim(%q) of a new id = false, want true", id)
+		}
+		if ids.claim(id) {
+			t.Fatalf("claim(%q) of an id in flight = true, want false", id)
 		}
 		ids.release(id)
-		if kept := len(ids.recent) + len(ids.previous) + len(ids.inFlight); ids.claim(id) || kept > 2*maxRecentIDs {
-			t.Fatalf("after release(%q): %d ids kept, want at most %d, and claim of that id must return false", id, kept, 2*maxRecentIDs)
+		kept := len(ids.recent) + len(ids.previous) + len(ids.inFlight)
+		if claimed := ids.claim(id); claimed || kept > 2*maxRecentIDs {
+			t.Fatalf("after release(%q): claim of that id = %v, %d ids kept; want false, at most %d", id, claimed, kept, 2*maxRecentIDs)
 		}
 	}
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -16,10 +16,10 @@
 // Clients that stay connected after their response must not use up the slots. At the limit, new connections evict them.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	node := frontendtest.Start(t, settings.RetrySafe, frontendtest.LimitsForEightConnections(), 1, frontendtest.Echo)
-	for range 30 {
+	for i := range 30 {
 		conn := node.Dial(t)
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
-			t.Fatalf("request on a new connection: status %d, want 200", status)
+			t.Fatalf("request on new connection %d: status %d, want 200", i, status)
 		}
 	}
 	if open := node.Server.OpenClients(); open > 8 {
@@ -42,7 +42,7 @@
 	}
 	for _, conn := range []net.Conn{node.Dial(t), kept} {
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 || time.Since(startedAt) > netio.MessageTimeout*3/4 {
-			t.Fatalf("request at the limit: status %d after %v, want 200 within %v", status, time.Since(startedAt), netio.MessageTimeout*3/4)
+			t.Fatalf("request at the limit, on the kept connection %v: status %d after %v, want 200 within %v", conn == kept, status, time.Since(startedAt), netio.MessageTimeout*3/4)
 		}
 	}
 	if node.Log.ClosedFor(netio.ReasonClientTimeout) || !node.Log.ClosedFor(netio.ReasonEvicted) {
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -98,17 +98,17 @@
 	t.Helper()
 	conn := node.Dial(t)
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("write request: %v", err)
+		t.Fatalf("write request to the node: %v", err)
 	}
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
 	for {
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("read response after the bytes %q: %v", raw.String(), err)
+			t.Fatalf("read the node's response (bytes so far %q): %v", raw.String(), err)
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			t.Fatalf("read response body: %v", err)
+			t.Fatalf("read the body of the node's response: %v", err)
 		}
 		if response.StatusCode == http.StatusContinue {
 			continue
@@ -332,16 +332,18 @@
 // Other responses to requests that the authorizer denies or rejects would break clients.
 func TestDeniedWireFormat(t *testing.T) {
 	for _, test := range []struct {
+		name     string
 		check    fixedVerdict
 		response string
 	}{
-		{fixedVerdict{verdict: authz.Deny}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
+		{"denied", fixedVerdict{verdict: authz.Deny}, "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"},
 		{
+			"rejected",
 			fixedVerdict{verdict: authz.Reject, retryAfter: 1250 * time.Millisecond},
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n",
 		},
 	} {
-		t.Run(fmt.Sprint(test.check.verdict), func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			node := frontendtest.Start(t, settings.RetrySafe, frontendtest.Limits, 1, frontendtest.Echo)
 			log := zerolog.New(node.Log)
 			server, err := frontend.Listen(frontend.Config{
--- a/internal/netio/closereason_test.go
+++ b/internal/netio/closereason_test.go
@@ -18,11 +18,11 @@
 	LogClose(&log, SideServer, "10.0.0.1:80", ReasonServerTimeout, time.Now().Add(-time.Hour), 3)
 	var line map[string]any
 	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the log line %q: %v", out.String(), err)
 	}
 	age, ok := line["age_ms"].(float64)
 	if delete(line, "age_ms"); !ok || age < 3.6e6 || age > 3.7e6 {
-		t.Errorf("field age_ms = %v, want a number from 3.6e6 to 3.7e6 for a connection opened an hour ago", age)
+		t.Errorf("field age_ms = %v, is a number %t; want from 3.6e6 to 3.7e6 for a connection opened an hour ago, true", age, ok)
 	}
 	if want := map[string]any{
 		"level": "info", "side": "server", "peer": "10.0.0.1:80", "reason": "server-timeout", "requests": 3.0,
--- a/internal/netio/limits_test.go
+++ b/internal/netio/limits_test.go
@@ -15,9 +15,9 @@
 			reserved, servers := limits.reserved(), limits.MaxConnsPerSide()
 			if reserved < MinReserved || reserved > maxReserved || clients != servers || limits.HTTPConnections() < 1 ||
 				servers < minConnsPerSide || reserved+clients+servers > descriptors {
-				t.Fatalf("limit of %d descriptors, gRPC %t: %d reserved (want from %d to %d), %d for clients of which %d HTTP (want at least 1), "+
-					"%d for app servers (want at least %d, and as many as for clients); want a sum of at most %d", descriptors, grpc,
-					reserved, MinReserved, maxReserved, clients, limits.HTTPConnections(), servers, minConnsPerSide, descriptors)
+				t.Fatalf("limit of %d descriptors, gRPC %t: %d reserved (want from %d to %d); %d for clients and %d for app servers (want equal numbers); "+
+					"%d for HTTP clients (want at least 1); %d for app servers (want at least %d); %d in total (want at most %d)", descriptors, grpc,
+					reserved, MinReserved, maxReserved, clients, servers, limits.HTTPConnections(), servers, minConnsPerSide, reserved+clients+servers, descriptors)
 			}
 		}
 	}
--- a/internal/netio/tcpinfo_test.go
+++ b/internal/netio/tcpinfo_test.go
@@ -1,6 +1,7 @@
 package netio
 
 import (
+	"fmt"
 	"net"
 	"testing"
 
@@ -37,10 +38,10 @@
 		nettest.WriteString(client, "bytes that nobody reads")
 		test.close(client)
 		socket := NewSocket(conn.(*net.TCPConn))
-		nettest.Eventually(t, test.name+" connection: the right result of peerHasClosed", func() bool {
+		nettest.Eventually(t, fmt.Sprintf("peerHasClosed of a connection that is %s to return %t", test.name, test.closed), func() bool {
 			closed := false
 			if err := socket.raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) }); err != nil {
-				t.Fatal(err)
+				t.Fatalf("call peerHasClosed for a connection that is %s: %v", test.name, err)
 			}
 			return closed == test.closed
 		})
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -61,7 +61,8 @@
 	if request.Class != "seats" || request.Customer != 0xb4d65521 || request.URI != "/seats/x/00000000b4d65521?a=1" ||
 		request.Plan != "team" || request.Timeout != 480*time.Millisecond || request.Units != 2.5 || request.Spread != 3 || request.FirstNode != 1 ||
 		string(request.Body) != "body" || request.Close {
-		t.Errorf("ReadRequest read %+v, want the fields of the path and the headers, and body \"body\"", request)
+		t.Errorf("ReadRequest = %s, want class \"seats\", customer b4d65521, URI /seats/x/00000000b4d65521?a=1, plan \"team\", timeout 480ms, units 2.5, "+
+			"spread 3, first node 1, body \"body\", close false", describeRequest(request, nil))
 	}
 	for _, c := range []struct{ name, text, body string }{
 		{
@@ -76,7 +77,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if request, err := readRequest(c.text); err != nil || string(request.Body) != c.body {
-				t.Errorf("ReadRequest read body %q (error %v), want %q", request.Body, err, c.body)
+				t.Errorf("ReadRequest read %d body bytes %.60q (error %v), want %d bytes %.60q and no error", len(request.Body), request.Body, err, len(c.body), c.body)
 			}
 		})
 	}
@@ -119,8 +120,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var bad *RequestError
-			if _, err := readRequest(c.text); !errors.As(err, &bad) || bad.Status != c.want {
-				t.Errorf("ReadRequest: error %v, want a RequestError with status %d", err, c.want)
+			if request, err := readRequest(c.text); !errors.As(err, &bad) || bad.Status != c.want {
+				t.Errorf("ReadRequest = %s, want a RequestError with status %d", describeRequest(request, err), c.want)
 			}
 		})
 	}
@@ -155,7 +156,7 @@
 			`{"rev":41,"all":true,"targets":[{"uid":"s","endpoint":"10.1.0.18:9000","state":"in_service"}]}`, 1))
 		return err != nil || len(list.Endpoints) <= 1
 	}, &quick.Config{MaxCount: 3000}); err != nil {
-		t.Errorf("parsed fields of random input are out of range, want an error or valid fields: %v", err)
+		t.Errorf("ReadRequest or ParseEndpointList of random input gave fields out of range, want an error or valid fields: %v", err)
 	}
 }
 
@@ -217,7 +218,8 @@
 	l, err := ParseEndpointList([]byte(valid))
 	if err != nil || l.Revision != 43 || l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != Terminating ||
 		l.Endpoints[0].Addr.Port() != 9000 || l.Endpoints[0].Weight != 1.5 || l.Endpoints[0].BootMs != 7 {
-		t.Errorf("ParseEndpointList = %+v (error %v), want the revision and the endpoint of %s", l, err, valid)
+		t.Errorf("ParseEndpointList(%s) = %+v (error %v), want revision 43, Full false and one endpoint with state %v, port 9000, weight 1.5, BootMs 7",
+			valid, l, err, Terminating)
 	}
 	for name, c := range map[string]struct{ old, replacement string }{
 		"unknown state":     {"terminating", "asleep"},
@@ -275,7 +277,8 @@
 	}
 	request, err = readRequest(string(AppendAttempt(nil, &request, 333900*time.Microsecond)) + "ab")
 	if err == nil || request.URI != "/seats/x/00000000b4d65521?a=1" || request.ID != "9b1f" || request.IdempotencyKey != "k" || string(request.Body) != "ab" {
-		t.Errorf("ReadRequest of an attempt read %+v (error %v), want the request's fields and an error for the missing %s", request, err, HeaderWeight)
+		t.Errorf("ReadRequest of an attempt: URI %s, id %q, idempotency key %q, body %q, error %v; want URI /seats/x/00000000b4d65521?a=1, id \"9b1f\", "+
+			"key \"k\", body \"ab\", an error for the missing %s", request.URI, request.ID, request.IdempotencyKey, request.Body, err, HeaderWeight)
 	}
 	if w := string(AppendDiscoveryCall(nil, "d", DiscoveryCall{Revision: 41, Hold: 20 * time.Second})); !strings.HasPrefix(w,
 		"GET /v1/servers?from=41&hold_ms="+strconv.Itoa(20000)+" HTTP/1.1\r\n") {
@@ -305,7 +308,7 @@
 		text := "HTTP/1.1 200 OK\r\n" + date + "Content-Length: 33\r\n\r\n" + `{"rev":7,"all":true,"targets":[]}`
 		list, _, err := ReadEndpointList(bufio.NewReader(strings.NewReader(text)))
 		if err != nil || list.Revision != 7 || !list.ServedAt.Equal(served) {
-			t.Errorf("ReadEndpointList with header %q: served at %v, revision %d (error %v), want %v, revision 7", date, list.ServedAt, list.Revision, err, served)
+			t.Errorf("ReadEndpointList with header %q: error %v, revision %d, served at %v; want no error, revision 7, served at %v", date, err, list.Revision, list.ServedAt, served)
 		}
 	}
 }
@@ -317,8 +320,8 @@
 		t.Errorf("FormatWeight(2.5, 3, 1) = %q, want \"units=2.5,spread=3,first=1\"", text)
 	}
 	var r Request
-	if !r.readWeight(text) || r.Units != 2.5 || r.Spread != 3 || r.FirstNode != 1 {
-		t.Errorf("readWeight(%q) read units %v, spread %d, first node %d, want 2.5, 3, 1", text, r.Units, r.Spread, r.FirstNode)
+	if ok := r.readWeight(text); !ok || r.Units != 2.5 || r.Spread != 3 || r.FirstNode != 1 {
+		t.Errorf("readWeight(%q) = %v with units %v, spread %d, first node %d; want true with 2.5, 3, 1", text, ok, r.Units, r.Spread, r.FirstNode)
 	}
 }
 
@@ -337,7 +340,7 @@
 	}
 	sent.Class, sent.Customer, sent.Body = "checkout", 0xb4d65521, nil
 	if got, err := readRequest(text); err != nil || describeRequest(got, nil) != describeRequest(sent, nil) {
-		t.Errorf("ReadRequest read %+v (error %v), want %+v", got, err, sent)
+		t.Errorf("ReadRequest = %s, want %s", describeRequest(got, err), describeRequest(sent, nil))
 	}
 }
 
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -113,8 +113,8 @@
 		t.Errorf("Float32s of truncated numbers = %v, want [0]", got)
 	}
 	const want = "byte 19: field needs 4 bytes, but the record has 0 left"
-	if c.Uint8() != 0 || c.Uint64() != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
-		t.Errorf("after truncated numbers: error %v, more: %v, want zero values, no more and error %s", c.Err(), c.More(), want)
+	if short, long := c.Uint8(), c.Uint64(); short != 0 || long != 0 || c.More() || c.Err() == nil || c.Err().Error() != want {
+		t.Errorf("after truncated numbers: Uint8 = %d, Uint64 = %d, More = %v, error %v; want 0, 0, false, error %s", short, long, c.More(), c.Err(), want)
 	}
 }
 
@@ -149,6 +149,6 @@
 	r.Begin(ActionFault, 1).Bytes(bytes.Repeat([]byte{'x'}, 70000)) // truncated to 65535 bytes
 	r.End()
 	if got := r.Finish(); len(got) != 8+5+2+2+65535 || !bytes.Equal(got[:17], fromHex(t, "08000100 01000000 08 03000100 0100 ffff")) {
-		t.Errorf("Finish after an action with 70000 bytes: %d bytes that start with %x, want 65552 bytes with length ffff", len(got), got[:17])
+		t.Errorf("Finish after an action with 70000 bytes: %d bytes that start with %x, want 65552 bytes that start with 080001000100000008030001000100ffff", len(got), got[:17])
 	}
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -35,8 +35,8 @@
 				retries, status, attempts, want.status)
 		}
 		if !node.Log.ClosedFor(netio.ReasonServerReset) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load() == 0 {
-			t.Errorf("retry safety %s: no connection logged as closed with reason %q, or no attempt counted as %v; want both",
-				retries, netio.ReasonServerReset, protocol.ConnectionReset)
+			t.Errorf("retry safety %s: close logged with reason %q = %v, %d attempts counted as %v; want true, at least 1", retries, netio.ReasonServerReset,
+				node.Log.ClosedFor(netio.ReasonServerReset), node.Counters.Upstream.AttemptOutcomes[protocol.ConnectionReset].Load(), protocol.ConnectionReset)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		})
 		status, _, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "x"))
 		if malformed := node.Counters.Upstream.AttemptOutcomes[protocol.MalformedResponse].Load(); status != 502 || malformed != 1 {
-			t.Errorf("server response %.40q: client got status %d, %d attempts counted as malformed; want 502 and 1", response, status, malformed)
+			t.Errorf("server response of %d bytes %.40q: client got status %d, %d attempts counted as malformed; want 502 and 1", len(response), response, status, malformed)
 		}
 	}
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 1, func(conn net.Conn, _ *http.Request) bool {
@@ -98,15 +98,15 @@
 	})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil)
 	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
-	for range 2 {
+	for i := range 2 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "body")); status != 200 || body != "body" {
-			t.Errorf("response status %d, body %q; want 200, %q", status, body, "body")
+			t.Errorf("request %d: status %d, body %q; want 200, %q", i, status, body, "body")
 		}
 		time.Sleep(2 * upstream.ReuseDelay)
 	}
 	if conns.Load() != 2 || !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load() != 0 {
-		t.Errorf("%d connections served a request, %d attempts counted as %v; want 2 and 0, and a close logged with reason %q",
-			conns.Load(), node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load(), protocol.ConnectFailed, netio.ReasonServerStale)
+		t.Errorf("%d connections served a request, close logged with reason %q = %v, %d attempts counted as %v; want 2, true, 0", conns.Load(), netio.ReasonServerStale,
+			node.Log.ClosedFor(netio.ReasonServerStale), node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load(), protocol.ConnectFailed)
 	}
 }
 
@@ -141,8 +141,8 @@
 		return false
 	}
 	if failed := node.Counters.Upstream.AttemptOutcomes[protocol.ConnectFailed].Load(); status != 503 || failed == 0 || accepted.Load() != upstream.MaxNewConns*failed {
-		t.Errorf("status %d, %d connections accepted, %d attempts counted as %v; want 503 and %d connections for each of at least 1 attempt",
-			status, accepted.Load(), failed, protocol.ConnectFailed, upstream.MaxNewConns)
+		t.Errorf("status %d, %d attempts counted as %v, %d connections accepted; want 503, at least 1 attempt, %d connections (%d for each attempt)",
+			status, failed, protocol.ConnectFailed, accepted.Load(), upstream.MaxNewConns*failed, upstream.MaxNewConns)
 	}
 	return true
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -60,7 +60,7 @@
 	idle     map[*routing.Server][]*serverConn // idle connections by server, the most recently used last
 	total    int                               // number of connections that are idle, in use or being dialled
 	timer    *time.Timer                       // calls closeExpired
-	timerSet bool                              // true if put or closeExpired has set the timer
+	timerSet bool                              // true from a put that sets the timer until closeExpired finds no idle connection
 
 	inService func(*routing.Server) bool // argument of the last KeepOnly; nil before the first
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -51,7 +51,7 @@
 	node.Pool.Get(server)
 	conn.AddRequest()
 	if node.Pool.Put(conn); time.Since(conn.IdleSince()) > time.Second {
-		t.Errorf("used connection after Put: idle since %v, want within the last second", conn.IdleSince())
+		t.Errorf("used connection after Put: idle for %v, want at most %v", time.Since(conn.IdleSince()), time.Second)
 	}
 }
 
@@ -70,8 +70,8 @@
 	node.Pool.Mutex().Lock()
 	defer node.Pool.Mutex().Unlock()
 	if len(node.Pool.Idle()) != 0 || node.Pool.Total() != 0 || !node.Log.ClosedFor(netio.ReasonServerUnlisted) {
-		t.Errorf("pool has %d servers with idle connections and %d connections in all, want 0 and 0, and a close logged with reason %q",
-			len(node.Pool.Idle()), node.Pool.Total(), netio.ReasonServerUnlisted)
+		t.Errorf("pool has %d servers with idle connections and %d connections in all, close logged with reason %q = %v; want 0, 0, true",
+			len(node.Pool.Idle()), node.Pool.Total(), netio.ReasonServerUnlisted, node.Log.ClosedFor(netio.ReasonServerUnlisted))
 	}
 }
 
@@ -96,15 +96,15 @@
 	})
 	node := frontendtest.Start(t, settings.RetryUnsafe, frontendtest.Limits, 0, nil)
 	node.SetOnlyServer(frontendtest.Endpoint("s", listener))
-	for range 4 {
+	for i := range 4 {
 		if status, body, _ := frontendtest.RoundTrip(t, node.Dial(t), frontendtest.RequestText(3000, "mine")); status != 200 || body != "mine" {
-			t.Errorf("response status %d, body %q; want 200, %q", status, body, "mine")
+			t.Errorf("request %d: status %d, body %q; want 200, %q", i, status, body, "mine")
 		}
 		time.Sleep(2 * upstream.ReuseDelay)
 	}
 	if !node.Log.ClosedFor(netio.ReasonServerStale) || node.Counters.Upstream.Attempts.Load() != 4 {
-		t.Errorf("%d attempts for 4 requests, want 4, and a close logged with reason %q",
-			node.Counters.Upstream.Attempts.Load(), netio.ReasonServerStale)
+		t.Errorf("4 requests: close logged with reason %q = %v, %d attempts; want true, 4",
+			netio.ReasonServerStale, node.Log.ClosedFor(netio.ReasonServerStale), node.Counters.Upstream.Attempts.Load())
 	}
 }
 
@@ -136,9 +136,9 @@
 		return false
 	})
 	conn := node.Dial(t)
-	for range 5 {
+	for i := range 5 {
 		if status, _, _ := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, "x")); status != 200 {
-			t.Fatalf("response status %d, want 200", status)
+			t.Fatalf("request %d: status %d, want 200", i, status)
 		}
 		nettest.Eventually(t, "the server's close of the idle connection", func() bool {
 			node.Pool.Mutex().Lock()
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -52,14 +53,14 @@
 	for sent := range unreadRequests {
 		conn := node.Dial(t)
 		nettest.WriteString(conn, frontendtest.RequestText(4000, strings.Repeat("x", size)))
-		nettest.Eventually(t, "an attempt for the request", func() bool {
+		nettest.Eventually(t, fmt.Sprintf("%d connections in use, with as many attempts counted: %t", sent+1, written), func() bool {
 			return connsInUse(node) == sent+1 && (node.Counters.Upstream.Attempts.Load() == int64(sent+1)) == written
 		})
 		conns = append(conns, conn)
 	}
 	time.Sleep(10 * upstream.MaxResetWait) // Partly written requests fill the buffers in this time.
 	if sent := node.Counters.Upstream.Attempts.Load(); (sent == unreadRequests) != written {
-		t.Fatalf("%d of %d requests were written completely; want all of them: %t", sent, unreadRequests, written)
+		t.Fatalf("%d of %d requests were written completely: all = %t, want %t", sent, unreadRequests, sent == unreadRequests, written)
 	}
 	startedAt := time.Now()
 	for _, conn := range conns {
