--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -28,18 +28,19 @@
 			t.Run(fmt.Sprintf("class %d, outcome %d", class, outcome), func(t *testing.T) {
 				p := newPolicy(4)
 				if d := p.Begin(0, class, time.Hour); d.Verdict != CheckNeeded || d.Timeout != p.config.Classes[class].LatencyObjective/4 {
-					t.Fatalf("Begin() = %+v, want verdict %d and a quarter of the latency objective %v as timeout",
-						d, CheckNeeded, p.config.Classes[class].LatencyObjective)
+					t.Fatalf("Begin() = %+v, want verdict %d (CheckNeeded) and timeout %v",
+						d, CheckNeeded, p.config.Classes[class].LatencyObjective/4)
 				}
 				if v := p.End(0, class, outcome, p.config.Classes[class].LatencyObjective/4); v != want || p.InFlight() != 0 {
-					t.Errorf("End() = verdict %d with %d checks in flight, want verdict %d and none in flight", v, p.InFlight(), want)
+					t.Errorf("End() = verdict %d (1 is Allow, 2 Deny, 3 Reject), %d checks in flight after outcome %d (%d is Allowed, %d Denied, %d TimedOut, %d Failed, %d ClientGone); want %d, 0",
+						v, p.InFlight(), outcome, Allowed, Denied, TimedOut, Failed, ClientGone, want)
 				}
 			})
 		}
 		t.Run(fmt.Sprintf("class %d, no check may be in flight", class), func(t *testing.T) {
 			p := newPolicy(0)
 			if d := p.Begin(0, class, time.Hour); d.Verdict != unanswered || p.Counters().OverLimit != 1 {
-				t.Errorf("Begin() = %+v, OverLimit %d; want verdict %d and 1", d, p.Counters().OverLimit, unanswered)
+				t.Errorf("Begin() = %+v, OverLimit %d; want verdict %d (1 is Allow, 3 Reject) and OverLimit 1", d, p.Counters().OverLimit, unanswered)
 			}
 		})
 	}
@@ -50,7 +51,7 @@
 // fast enough.
 func TestTimeoutOfRequestWithLittleTimeLeft(t *testing.T) {
 	if d := newPolicy(4).Begin(0, 1, 100*time.Millisecond); d.Verdict != CheckNeeded || d.Timeout != 50*time.Millisecond {
-		t.Errorf("Begin() with 100ms left = %+v, want verdict %d and the timeout 50ms", d, CheckNeeded)
+		t.Errorf("Begin() with 100ms left = %+v, want verdict %d (CheckNeeded) and timeout 50ms", d, CheckNeeded)
 	}
 	p := newPolicy(4)
 	for range 3 * maxFailures {
@@ -58,10 +59,10 @@
 		p.End(0, 1, TimedOut, 50*time.Millisecond)
 	}
 	if d := p.Begin(0, 1, time.Hour); d.Verdict != CheckNeeded {
-		t.Errorf("Begin() after shortened timeouts = %+v, want verdict %d", d, CheckNeeded)
+		t.Errorf("Begin() after shortened timeouts = %+v, want verdict %d (CheckNeeded)", d, CheckNeeded)
 	}
 	if d := newPolicy(4).Begin(0, 1, -1); d.Verdict != Reject {
-		t.Errorf("Begin() with no time left = %+v, want verdict %d", d, Reject)
+		t.Errorf("Begin() with no time left = %+v, want verdict %d (Reject)", d, Reject)
 	}
 }
 
@@ -76,7 +77,7 @@
 			checks++
 			timeouts = append(timeouts, now+d.Timeout)
 		} else if d.Verdict != Reject {
-			t.Fatalf("Begin() at %v = %+v, want verdict %d or %d", now, d, CheckNeeded, Reject)
+			t.Fatalf("Begin() at %v = %+v, want verdict %d (CheckNeeded) or %d (Reject)", now, d, CheckNeeded, Reject)
 		}
 		for len(timeouts) > 0 && timeouts[0] <= now {
 			timeouts = timeouts[1:]
@@ -95,7 +96,7 @@
 		}
 	}
 	if d := p.Begin(45*time.Second, 1, time.Second); d.Verdict != CheckNeeded || p.breaker.consecutiveFailures > 0 {
-		t.Errorf("Begin() after answers = %+v with %d consecutive failures, want verdict %d and no failures",
+		t.Errorf("Begin() after answers = %+v with %d consecutive failures, want verdict %d (CheckNeeded) and 0 failures",
 			d, p.breaker.consecutiveFailures, CheckNeeded)
 	}
 	if after := p.RetryAfter(45*time.Second, 1); after != 200*time.Millisecond {
--- a/internal/authz/breaker_test.go
+++ b/internal/authz/breaker_test.go
@@ -27,24 +27,25 @@
 	const objective = 800 * time.Millisecond // A check times out after a quarter of the objective.
 	var b breaker
 	for failure := 1; failure < maxFailures; failure++ {
-		if b.failed(0, objective) || !b.allows(0) {
-			t.Fatalf("breaker is open after %d failures, want closed up to %d", failure, maxFailures-1)
+		if opened := b.failed(0, objective); opened || !b.allows(0) {
+			t.Fatalf("failure %d: failed() = %v, allows() = %v; want false, true up to failure %d", failure, opened, b.allows(0), maxFailures-1)
 		}
 	}
-	if !b.failed(0, objective) || b.allows(0) {
-		t.Fatalf("breaker is closed after %d failures, want open", maxFailures)
+	if opened := b.failed(0, objective); !opened || b.allows(0) {
+		t.Fatalf("failure %d: failed() = %v, allows() = %v; want true, false", maxFailures, opened, b.allows(0))
 	}
 	for range 3 { // These are failures of checks that were in flight when the breaker opened.
-		if b.failed(0, objective) || b.consecutiveFailures != maxFailures {
-			t.Fatalf("failure while the breaker is open: %d consecutive failures, want %d and no new opening",
-				b.consecutiveFailures, maxFailures)
+		if opened := b.failed(0, objective); opened || b.consecutiveFailures != maxFailures {
+			t.Fatalf("failure while the breaker is open: failed() = %v, %d consecutive failures; want false (no new opening), %d",
+				opened, b.consecutiveFailures, maxFailures)
 		}
 	}
 	now := time.Duration(0)
 	for trial, openTime := range []time.Duration{400, 800, 1600, 3200, 5000, 5000} { // The times are in milliseconds.
 		openTime *= time.Millisecond
 		if b.allows(now+openTime-1) || !b.allows(now+openTime) {
-			t.Fatalf("trial %d is allowed after %v, want %v", trial, b.openUntil-now, openTime)
+			t.Fatalf("trial %d: allows() = %v just before %v, %v at %v, open for %v; want false, then true",
+				trial, b.allows(now+openTime-1), openTime, b.allows(now+openTime), openTime, b.openUntil-now)
 		}
 		now += openTime
 		b.begin()
--- a/internal/healthcheck/ownership_test.go
+++ b/internal/healthcheck/ownership_test.go
@@ -69,7 +69,7 @@
 			for _, update := range c.updates {
 				payload, err := hex.DecodeString("d0020000000000" + update)
 				if err != nil {
-					t.Fatalf("decode update: %v", err)
+					t.Fatalf("decode update %q: %v", update, err)
 				}
 				if err := s.ReceivePeerMessage(0, 1, payload); err != nil {
 					t.Fatalf("ReceivePeerMessage(%x) failed: %v, want no error", payload, err)
@@ -77,7 +77,7 @@
 			}
 			s.advance(c.elapsed)
 			if got := s.ownershipOf(c.order); got != c.want {
-				t.Errorf("ownershipOf(%v) = %d, want %d", c.order, got, c.want)
+				t.Errorf("ownershipOf(%v) = %d, want %d (0 is NotOwner, 1 BackupOwner, 2 PrimaryOwner)", c.order, got, c.want)
 			}
 		})
 	}
--- a/internal/healthcheck/scheduler_test.go
+++ b/internal/healthcheck/scheduler_test.go
@@ -73,7 +73,7 @@
 		f.nodes[id].CheckEnded(f.now, step.Check, true)
 	case Ended:
 		if runs := f.runs[step.Check]; len(runs) == 0 || runs[len(runs)-1].by == id || !step.OK {
-			t.Errorf("node %d was notified of %+v after the runs %v, want the last run, by another node, with the result OK",
+			t.Errorf("node %d was notified of %+v after the runs %+v (times in ns), want the last run, by another node, with the result OK",
 				id, step, runs)
 		}
 	}
@@ -90,11 +90,11 @@
 	}
 	for check, runs := range f.runs {
 		if len(runs) < 3 || len(runs) > 6 {
-			t.Errorf("runs of check %v = %v, want 3 to 6", check, runs)
+			t.Errorf("runs of check %+v = %+v (times in ns), want 3 to 6 runs", check, runs)
 		}
 		for _, r := range runs {
 			if r.by != runs[0].by {
-				t.Errorf("runs of check %v = %v, want all by the same node", check, runs)
+				t.Errorf("runs of check %+v = %+v (times in ns), want all by the same node", check, runs)
 			}
 		}
 	}
@@ -113,24 +113,24 @@
 	f.runUntil(t, 80*time.Second)
 	next := f.lastRun(check).by
 	if next == former || f.now-f.lastRun(check).at > 2*f.nodes[next].Interval() {
-		t.Fatalf("after the death of node %d, runs of check %v = %v, want a run by another node in the last two intervals",
-			former, check, f.runs[check])
+		t.Fatalf("after the death of node %d, runs of check %+v = %+v (times in ns), want the last one by another node, at most %v before %v",
+			former, check, f.runs[check], 2*f.nodes[next].Interval(), f.now)
 	}
 	f.startNode(former, 6)
 	f.runUntil(t, f.now+3*time.Second)
 	if got := f.nodes[next].Ownership(f.now, check); got != BackupOwner {
-		t.Errorf("during the handover, Ownership of node %d = %d, want %d", next, got, BackupOwner)
+		t.Errorf("during the handover, Ownership of node %d = %d, want %d (BackupOwner)", next, got, BackupOwner)
 	}
 	if got := f.nodes[former].Ownership(f.now, check); got != PrimaryOwner {
-		t.Errorf("during the handover, Ownership of restarted node %d = %d, want %d", former, got, PrimaryOwner)
+		t.Errorf("during the handover, Ownership of restarted node %d = %d, want %d (PrimaryOwner)", former, got, PrimaryOwner)
 	}
 	f.runUntil(t, f.now+60*time.Second)
 	if got := f.nodes[next].Ownership(f.now, check); got != NotOwner || f.lastRun(check).by != former {
-		t.Errorf("after the handover, Ownership of node %d = %d, runs of check %v = %v; want ownership %d and the last run by node %d",
+		t.Errorf("after the handover, Ownership of node %d = %d, runs of check %+v = %+v (times in ns); want ownership %d (NotOwner) and the last run by node %d",
 			next, got, check, f.runs[check], NotOwner, former)
 	}
 	if got := f.nodes[former].Ownership(f.now, Check{CheckServer, 12345}); got != NotOwner {
-		t.Errorf("Ownership of an unknown check = %d, want %d", got, NotOwner)
+		t.Errorf("Ownership of an unknown check = %d, want %d (NotOwner)", got, NotOwner)
 	}
 }
 
@@ -141,7 +141,7 @@
 	const ack = "d00203fa2da101" + "0300031000" + "00" + "011e05" + "0203010a"
 	valid, err := hex.DecodeString(ack)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the ack %q: %v", ack, err)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	node := New(Config{Nodes: 20, Seed: 5, ReceiveRate: 40, Interval: 5 * time.Second}, 0)
@@ -191,14 +191,14 @@
 				firstRunAt[step.Check] = now
 				firstRunsPerTenth[now/(100*time.Millisecond)]++
 			} else if gap := now - at; gap%(4*time.Second) > 2*time.Millisecond {
-				t.Errorf("check %v was run %v after its first run, want a multiple of 4s, up to 2ms late", step.Check, gap)
+				t.Errorf("check %+v was run %v after its first run, want a multiple of 4s, up to 2ms late", step.Check, gap)
 			}
 			s.CheckEnded(now, step.Check, true)
 		}
 	}
 	for _, check := range manyChecks {
 		if at, ok := firstRunAt[check]; !ok || at > time.Second {
-			t.Errorf("first run of check %v: at %v (found: %v), want within 1s", check, at, ok)
+			t.Errorf("first run of check %+v: at %v (found: %v), want within 1s", check, at, ok)
 		}
 	}
 	for tenth := range time.Duration(10) {
@@ -251,10 +251,10 @@
 		}
 	}
 	if step, ok := s.Next(9 * time.Second); !ok || step.Kind != Ended || step.Check != check || step.OK {
-		t.Errorf("first step = %+v, %v; want Ended for check %v with a failed result", step, ok, check)
+		t.Errorf("first step = %+v, %v; want kind %d (Ended) for check %+v with OK false, and true", step, ok, Ended, check)
 	}
 	if step, _ := s.Next(9 * time.Second); step.Kind == Ended || step.Kind == Run {
-		t.Errorf("second step = %+v, want neither Ended nor Run", step)
+		t.Errorf("second step = %+v, want neither kind %d (Ended) nor %d (Run)", step, Ended, Run)
 	}
 	state := &s.checks[0]
 	state.ownership = PrimaryOwner
--- a/internal/healthcheck/wireformat_test.go
+++ b/internal/healthcheck/wireformat_test.go
@@ -128,7 +128,7 @@
 			for _, message := range c.received {
 				payload, err := hex.DecodeString(message.hexPayload)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("decode the payload %q: %v", message.hexPayload, err)
 				}
 				if err := node.ReceivePeerMessage(message.at, message.from, payload); err != nil {
 					t.Errorf("ReceivePeerMessage(%s) from node %d failed: %v, want no error", message.hexPayload, message.from, err)
@@ -412,7 +412,7 @@
 	} {
 		payload, err := hex.DecodeString(c.hexPayload)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode the payload %q: %v", c.hexPayload, err)
 		}
 		node := New(Config{Nodes: 9, Seed: 2, ReceiveRate: 40}, 0)
 		err = node.ReceivePeerMessage(0, 1, payload)
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -62,7 +62,7 @@
 	got := sendParts(t, &q, 3*time.Second, 9)
 	if len(got) != 4 || got[0].member != (memberUpdate{id: 3, state: Dead}) || got[2].event != (Event{Kind: 1, ID: 8}) ||
 		got[2].age != 2*time.Second {
-		t.Errorf("message has the parts %+v, want 4, with member 3 dead first and third event 8 of kind 1, not OK, 2s old", got)
+		t.Errorf("message has the parts %+v, want 4: first member 3 in state %d (Dead), third event 8 of kind 1, not OK, 2s old", got, Dead)
 	}
 }
 
@@ -103,8 +103,8 @@
 	if count != 3 {
 		t.Errorf("budget of 1000 bytes allowed %d messages at one time, want 3", count)
 	}
-	if b.allows(20*time.Millisecond) || !b.allows(30*time.Millisecond) {
-		t.Error("budget of 1000 bytes per second allowed a message after 20ms, or none after 30ms; want none and one")
+	if early := b.allows(20 * time.Millisecond); early || !b.allows(30*time.Millisecond) {
+		t.Errorf("budget of 1000 bytes per second allowed a message after 20ms = %v (if false, it allowed none after 30ms); want false, then true", early)
 	}
 	b.allows(time.Hour)
 	if b.available != 1000 {
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -49,13 +49,15 @@
 			c.in.id = 2
 			p.apply(c.in)
 			if m.state != c.want.state || m.incarnation != c.want.incarnation || p.State(2) != c.want.state {
-				t.Errorf("member after the update = %+v, want %+v", *m, c.want)
+				t.Errorf("after the update: state %d, incarnation %d, State(2) = %d; want state %d, incarnation %d (0 is Alive, 1 Suspect, 2 Dead)",
+					m.state, m.incarnation, p.State(2), c.want.state, c.want.incarnation)
 			}
 			if gossiped := len(p.gossip.updates) == 1; gossiped != c.gossiped || (p.Version() != version) != c.gossiped {
-				t.Errorf("after the update: gossiped %v, version %d after %d; want gossiped and version changed %v", gossiped, p.Version(), version, c.gossiped)
+				t.Errorf("after the update: gossiped = %v, version changed = %v (from %d to %d); want both %v",
+					gossiped, p.Version() != version, version, p.Version(), c.gossiped)
 			}
 			if isDead := c.want.state == Dead; (p.deadHash != hash) != isDead {
-				t.Errorf("hash of the dead members = %x after %x, want changed %v", p.deadHash, hash, isDead)
+				t.Errorf("hash of the dead members changed = %v (from %x to %x), want %v", p.deadHash != hash, hash, p.deadHash, isDead)
 			}
 			if n := p.Counters(); n.Suspected != c.suspected || n.Died != c.died || n.Rejoined != c.rejoined {
 				t.Errorf("counters = %+v, want Suspected %d, Died %d and Rejoined %d", n, c.suspected, c.died, c.rejoined)
@@ -80,8 +82,8 @@
 	} {
 		p.apply(c.in)
 		if p.members[1].incarnation != c.want || p.Counters().Refuted != c.refuted || p.members[1].state != Alive {
-			t.Errorf("after the update %+v: own record %+v, Refuted %d; want alive, incarnation %d and Refuted %d",
-				c.in, p.members[1], p.Counters().Refuted, c.want, c.refuted)
+			t.Errorf("after the update %+v: own record %+v, Refuted %d; want state %d (Alive), incarnation %d and Refuted %d",
+				c.in, p.members[1], p.Counters().Refuted, Alive, c.want, c.refuted)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -65,7 +65,7 @@
 	f.run(40 * time.Second)
 	for i, node := range f.nodes {
 		if i != 3 && (node.State(3) != Dead || node.DeadCount() != 1 || node.Counters().Died != 1) {
-			t.Errorf("node %d after the stop of node 3: state %v, %d dead, counters %+v; want state %v, 1 dead and Died 1",
+			t.Errorf("node %d after the stop of node 3: state of node 3 = %d, %d nodes dead, counters %+v; want %d (Dead), 1 and Died 1",
 				i, node.State(3), node.DeadCount(), node.Counters(), Dead)
 		}
 	}
@@ -77,10 +77,10 @@
 			continue
 		}
 		if node.State(3) != Alive || node.Counters().Rejoined != 1 {
-			t.Errorf("node %d after the restart of node 3: state %v, counters %+v; want state %v and Rejoined 1", i, node.State(3), node.Counters(), Alive)
+			t.Errorf("node %d after the restart of node 3: state of node 3 = %d, counters %+v; want %d (Alive) and Rejoined 1", i, node.State(3), node.Counters(), Alive)
 		}
 		if node.AliveFor(3, f.now-restartedAt+time.Second) || !node.AliveFor(3, 0) || !node.AliveFor(4, time.Hour) {
-			t.Errorf("node %d: AliveFor(3) = %v for a second more than since its restart, %v for 0, AliveFor(4) = %v for 1h; want false, true, true",
+			t.Errorf("node %d: AliveFor(3) = %v for 1s more than the time since the restart of node 3, %v for 0s, AliveFor(4) = %v for 1h; want false, true, true",
 				i, node.AliveFor(3, f.now-restartedAt+time.Second), node.AliveFor(3, 0), node.AliveFor(4, time.Hour))
 		}
 	}
@@ -94,7 +94,7 @@
 	f.run(90 * time.Second)
 	for i, node := range f.nodes {
 		if node.DeadCount() > 0 || node.Counters().Died > 0 {
-			t.Errorf("node %d: %d dead, Died %d; want 0 and 0", i, node.DeadCount(), node.Counters().Died)
+			t.Errorf("node %d: %d nodes dead, counter Died %d; want 0 and 0", i, node.DeadCount(), node.Counters().Died)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	f.run(20 * time.Second)
 	for i := range 4 {
 		if f.nodes[i].DeadCount() > 0 || f.nodes[i].members[4].incarnation == 0 {
-			t.Errorf("node %d: %d dead, node 4 has incarnation %d; want 0 dead and an incarnation above 0",
+			t.Errorf("node %d: %d nodes dead, node 4 has incarnation %d; want 0 dead and an incarnation above 0",
 				i, f.nodes[i].DeadCount(), f.nodes[i].members[4].incarnation)
 		}
 	}
@@ -193,12 +193,12 @@
 		{MagicByte, 1, 1, 0, 0, 0, 0, byte(bitmapPart), 0, 255, 255, 3},
 	} {
 		if err := node.Receive(0, 1, malformed, ignoreEvents); !errors.Is(err, ErrMalformed) {
-			t.Errorf("Receive(%v): error %v, want one that wraps ErrMalformed", malformed, err)
+			t.Errorf("Receive(%x): error %v, want one that wraps ErrMalformed", malformed, err)
 		}
 	}
 	for _, from := range []NodeID{0, 20, -1} {
 		if err := node.Receive(0, from, valid, ignoreEvents); !errors.Is(err, ErrMalformed) || node.DeadCount() > 0 {
-			t.Errorf("Receive from node %d: error %v, %d dead; want an error that wraps ErrMalformed and 0 dead", from, err, node.DeadCount())
+			t.Errorf("Receive from node %d: error %v, %d nodes dead; want an error that wraps ErrMalformed and 0 dead", from, err, node.DeadCount())
 		}
 	}
 	if c := node.Counters(); c.Malformed != 10 || c.Received != 0 {
@@ -223,7 +223,7 @@
 		now += time.Millisecond
 	}
 	if node.WakeAt() <= now-time.Millisecond {
-		t.Errorf("WakeAt = %v at %v, want a later time", node.WakeAt(), now-time.Millisecond)
+		t.Errorf("WakeAt() at %v = %v, want a later time", now-time.Millisecond, node.WakeAt())
 	}
 	if err := node.Receive(now, 1, valid, ignoreEvents); err != nil {
 		t.Errorf("Receive of a valid message: error %v, want none", err)
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -39,16 +39,16 @@
 	checkIndirectPings(t, p, probe)
 	sendDue(p, probe.endAt)
 	if p.State(target) != Suspect {
-		t.Fatalf("state after a period without an ack = %v, want %v", p.State(target), Suspect)
+		t.Fatalf("state of node %d after a period without an ack = %d, want %d (Suspect)", target, p.State(target), Suspect)
 	}
 	timeout := time.Duration(suspicionPeriodsPerRound * 3 * float64(p.period)) // 4 nodes: 3 gossip rounds
 	sendDue(p, probe.endAt+timeout-1)
 	if p.State(target) != Suspect {
-		t.Errorf("state before the end of the suspicion = %v, want %v", p.State(target), Suspect)
+		t.Errorf("state of node %d before the end of the suspicion = %d, want %d (Suspect)", target, p.State(target), Suspect)
 	}
 	sendDue(p, probe.endAt+timeout)
 	if p.State(target) != Dead {
-		t.Errorf("state at the end of the suspicion = %v, want %v", p.State(target), Dead)
+		t.Errorf("state of node %d at the end of the suspicion = %d, want %d (Dead)", target, p.State(target), Dead)
 	}
 }
 
@@ -61,7 +61,7 @@
 	kinds, receivers := sendDue(p, probe.indirectAt)
 	for i, kind := range kinds {
 		if kind != pingRequest || receivers[i] == probe.target || receivers[i] == 0 {
-			t.Errorf("message of kind %d sent to node %d, want kind %d, neither to node %d nor to node 0", kind, receivers[i], pingRequest, probe.target)
+			t.Errorf("message of kind %d sent to node %d, want kind %d (pingRequest), neither to node %d nor to node 0", kind, receivers[i], pingRequest, probe.target)
 		}
 	}
 	if len(kinds) == 0 || p.probes[0].dueAt() != probe.endAt {
@@ -93,8 +93,8 @@
 	receive(t, p, 3, header{kind: ack, sequence: 2})
 	m, ok := p.Next(0)
 	if got, err := decode(m.Payload, 4, 0); !ok || err != nil || m.To != 1 || got.kind != ack || got.sequence != 99 || len(p.probes) > 0 {
-		t.Errorf("forwarded message = %+v, %v, sent to node %d (sent: %v), %d probes left; want an ack with sequence 99 to node 1, and 0",
-			got, err, m.To, ok, len(p.probes))
+		t.Errorf("forwarded message = %+v, %v, sent to node %d (sent: %v), %d probes left; want an ack (kind %d) with sequence 99, sent to node 1, and 0 probes left",
+			got, err, m.To, ok, len(p.probes), ack)
 	}
 }
 
@@ -112,7 +112,7 @@
 		t.Errorf("before the end of the period: kinds %v sent, %d probes; want none and 1", kinds, len(p.probes))
 	}
 	if kinds, _ := sendDue(p, p.period); len(kinds) > 0 || len(p.probes) > 0 || p.State(2) != Alive {
-		t.Errorf("at the end of the period: kinds %v sent, %d probes, state %v; want none, 0 and %v", kinds, len(p.probes), p.State(2), Alive)
+		t.Errorf("at the end of the period: kinds %v sent, %d probes, state of node 2 = %d; want none, 0 and %d (Alive)", kinds, len(p.probes), p.State(2), Alive)
 	}
 }
 
@@ -127,17 +127,17 @@
 	}
 	for id, want := range map[NodeID]int{0: 10, 1: 10, 2: 0, 3: 10, 4: 0, 5: 10, noNode: 0} {
 		if pingCounts[id] != want {
-			t.Errorf("member %d was pinged %d times, want %d", id, pingCounts[id], want)
+			t.Errorf("nextTarget returned node %d %d times of 40, want %d (%d stands for no node)", id, pingCounts[id], want, noNode)
 		}
 	}
 	for id := range NodeID(6) {
 		p.apply(memberUpdate{id: id, state: Dead})
 	}
 	if id := p.nextTarget(); id != noNode {
-		t.Errorf("nextTarget with all members dead = %d, want %d", id, noNode)
+		t.Errorf("nextTarget with all members dead = %d, want %d (no node)", id, noNode)
 	}
 	if id := p.randomAlive(0); id != noNode {
-		t.Errorf("randomAlive with all members dead = %d, want %d", id, noNode)
+		t.Errorf("randomAlive with all members dead = %d, want %d (no node)", id, noNode)
 	}
 }
 
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -64,7 +64,7 @@
 	counters := &Counters{}
 	socket, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), protocol.NewPeerTable(nil, netip.AddrPort{}), counters)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the node's socket: %v", err)
 	}
 	netio.SetReadDeadline(socket.conn, netio.PastDeadline) // Every read fails from now on.
 	done := make(chan struct{})
--- a/internal/peersocket/wireformat_test.go
+++ b/internal/peersocket/wireformat_test.go
@@ -20,7 +20,7 @@
 	for range 3 {
 		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			t.Fatalf("open the socket of a peer: %v", err)
+			t.Fatalf("open the socket of peer %d: %v", len(peers), err)
 		}
 		t.Cleanup(func() { nettest.Close(conn) })
 		peers, addrs = append(peers, conn), append(addrs, netip.MustParseAddrPort(conn.LocalAddr().String()))
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	exchange, ok := l.Next(l.now)
 	if !ok {
-		t.Fatal("Next returned no exchange, want one")
+		t.Fatalf("Next(%v) returned no exchange, want one", l.now)
 	}
 	return exchange
 }
@@ -79,8 +79,8 @@
 			}
 			l.HandleReply(l.now, exchange.ID, Reply{Store: 1, Entries: append([]Commitment{exchange.Put}, c.others...)}, nil)
 			if a.cap != c.cap || (a.borrowPausedUntil > 0) != c.borrowPaused || (l.Counters().Borrowed == 1) != c.borrowed {
-				t.Errorf("after the reply: cap %v, borrowing paused until %v, Borrowed %d; want cap %v, paused %v, borrowed %v",
-					a.cap, a.borrowPausedUntil, l.Counters().Borrowed, c.cap, c.borrowPaused, c.borrowed)
+				t.Errorf("after the reply: cap %v, borrowing paused = %v (until %v), Borrowed = 1: %v (Borrowed is %d); want cap %v, paused = %v, Borrowed = 1: %v",
+					a.cap, a.borrowPausedUntil > 0, a.borrowPausedUntil, l.Counters().Borrowed == 1, l.Counters().Borrowed, c.cap, c.borrowPaused, c.borrowed)
 			}
 		})
 	}
@@ -159,7 +159,7 @@
 	for range failuresBeforeBackoff - 1 {
 		b.recordFailure(0, 100*time.Millisecond, random)
 		if !b.allows(0, 5) {
-			t.Error("backoff paused the exchanges before failuresBeforeBackoff failures, want no pause")
+			t.Errorf("backoff paused the exchanges after %d failures, want no pause before %d", b.failures, failuresBeforeBackoff)
 		}
 	}
 	for i := range 12 {
@@ -170,7 +170,8 @@
 		}
 	}
 	if b.allows(b.pausedUntil-1, 0) || b.allows(b.pausedUntil, 1) || !b.allows(b.pausedUntil, 0) {
-		t.Error("backoff allowed an exchange within the pause, allowed two at a time after it, or allowed none after it; want one at a time after it")
+		t.Errorf("backoff allows an exchange within the pause = %v, a second one at the end of the pause = %v, a single one then = %v; want false, false, true",
+			b.allows(b.pausedUntil-1, 0), b.allows(b.pausedUntil, 1), b.allows(b.pausedUntil, 0))
 	}
 	b.recordSuccess()
 	if !b.allows(b.pausedUntil, 9) {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -143,7 +143,7 @@
 		f.run(60*time.Second, 1.5)
 		largestWindowShare, useWithStore := f.quotaUse()
 		if largestWindowShare > 1 || useWithStore < 0.75 {
-			t.Errorf("seed %d with a store: %.3f of the allowance spent in the largest window, %.2f of the quota overall; want at most 1 and at least 0.75",
+			t.Errorf("seed %d with a store: %.4f of the allowance spent in the largest window, %.4f of the quota overall; want at most 1 and at least 0.75",
 				seed, largestWindowShare, useWithStore)
 		}
 		withoutStore := newFleet(seed, 6)
@@ -152,7 +152,7 @@
 		largestWindowShare, useWithoutStore := withoutStore.quotaUse()
 		t.Logf("seed %d: %.2f of the quota spent with a store, %.2f without", seed, useWithStore, useWithoutStore)
 		if largestWindowShare > 1 || useWithoutStore > useWithStore-0.1 {
-			t.Errorf("seed %d without a store: %.3f of the allowance spent in the largest window, %.2f of the quota overall; want at most 1 and at most %.2f",
+			t.Errorf("seed %d without a store: %.4f of the allowance spent in the largest window, %.4f of the quota overall; want at most 1 and at most %.4f",
 				seed, largestWindowShare, useWithoutStore, useWithStore-0.1)
 		}
 	}
@@ -203,7 +203,7 @@
 				largestWindowShare, overallShare := f.quotaUse()
 				t.Logf("seed %d: %.3f of the allowance spent in the largest window, %.3f of the quota overall", seed, largestWindowShare, overallShare)
 				if largestWindowShare > c.maxWindowShare || overallShare > 1.1 || overallShare < 0.3 {
-					t.Errorf("seed %d: %.3f of the allowance spent in the largest window, %.3f of the quota overall; want at most %v, and 0.3 to 1.1",
+					t.Errorf("seed %d: %.4f of the allowance spent in the largest window, %.4f of the quota overall; want at most %v, and 0.3 to 1.1",
 						seed, largestWindowShare, overallShare, c.maxWindowShare)
 				}
 			}
@@ -216,14 +216,14 @@
 func TestRestartRefillsNoQuota(t *testing.T) {
 	c := Customer{Key: 1, Rate: 10, Burst: 40, Spread: 2}
 	l := New(Config{Nodes: 2, Timeout: time.Second}, 3*time.Second)
-	if l.TrySpend(3*time.Second, c, 1) || l.TrySpend(3900*time.Millisecond, c, 1) {
-		t.Error("TrySpend spent units in the window in which the node started, want none")
+	if spent := l.TrySpend(3*time.Second, c, 1); spent || l.TrySpend(3900*time.Millisecond, c, 1) {
+		t.Errorf("window in which the node started: TrySpend of 1 unit at 3s = %v (if false, it was true at 3.9s); want false both times", spent)
 	}
 	if _, ok := l.Next(3900 * time.Millisecond); ok {
 		t.Error("Next returned an exchange in the window in which the node started, want none")
 	}
-	if !l.TrySpend(4*time.Second, c, 1) || l.TrySpend(4*time.Second, c, 10) {
-		t.Error("TrySpend in the next window refused 1 unit or spent 1+10, want an equal share of 10")
+	if spent := l.TrySpend(4*time.Second, c, 1); !spent || l.TrySpend(4*time.Second, c, 10) {
+		t.Errorf("next window, with a share of 10 units: TrySpend of 1 unit = %v (if true, TrySpend of 10 more was true as well); want true, then false", spent)
 	}
 }
 
@@ -255,8 +255,8 @@
 	if got := l.Available(0, c); got != 10 {
 		t.Errorf("Available in the first window = %v, want 10", got)
 	}
-	if !l.TrySpend(0, c, 4) || l.TrySpend(0, c, 6.5) || l.Counters().Rejected != 1 {
-		t.Errorf("TrySpend of 4 and then 6.5 of 10 units: counters %+v, want success, failure and Rejected 1", l.Counters())
+	if spent := l.TrySpend(0, c, 4); !spent || l.TrySpend(0, c, 6.5) || l.Counters().Rejected != 1 {
+		t.Errorf("TrySpend of 4 of 10 units = %v, counters after TrySpend of 6.5 more: %+v; want true, then false and Rejected 1", spent, l.Counters())
 	}
 	l.RecordUse(0, c, 7)
 	if got := l.Available(0, c); got != 0 {
--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -49,7 +49,7 @@
 		app.executions[request.Header.Get(protocol.HeaderRequestID)]++
 		app.mu.Unlock()
 		if _, err := io.Copy(w, request.Body); err != nil {
-			t.Error("echoing a request body at the app server:", err)
+			t.Errorf("echoing the body of request %s at the app server: %v", request.Header.Get(protocol.HeaderRequestID), err)
 		}
 	})}
 	t.Cleanup(func() { _ = server.Close() })
@@ -108,7 +108,7 @@
 	p.t.Helper()
 	request, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+addr+"/buy/0000000000000007", strings.NewReader("seats"))
 	if err != nil {
-		p.t.Error("creating a purchase request:", err)
+		p.t.Errorf("creating the request of purchase %s: %v", id, err)
 		return
 	}
 	for name, value := range map[string]string{
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -57,7 +57,7 @@
 			total, fleet.spentInLastSecond.Load(), 0.7*rate)
 	}
 	if longestCall > 50*time.Millisecond { // an exchange with the store times out after 60 ms
-		t.Errorf("RecordDemand and TrySpend took %v, want at most 50ms", longestCall)
+		t.Errorf("longest RecordDemand with TrySpend took %v, want at most 50ms", longestCall)
 	}
 }
 
@@ -150,7 +150,8 @@
 	time.Sleep(450 * time.Millisecond)
 	_, err = client.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
 	if err == nil || client.Set(ctx, "b", 1, 0).Err() == nil || client.Get(ctx, "b").Val() != "-3" {
-		t.Error("full store: a transaction or SET succeeded, or GET lost the value; want only reads to succeed")
+		t.Errorf("full store: transaction error %v, GET b = %q; want errors of the transaction and of SET, and GET b = \"-3\"",
+			err, client.Get(ctx, "b").Val())
 	}
 	if _, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "melt"}}); err == nil {
 		t.Error("Start accepted a fault of the unknown kind \"melt\", want an error")
--- a/internal/quotastore/transaction_test.go
+++ b/internal/quotastore/transaction_test.go
@@ -28,7 +28,7 @@
 	} {
 		got, err := parseEntries(map[string]string{c.field: c.value})
 		if !errors.Is(err, c.err) || err == nil && (len(got) != 1 || got[0] != c.want) || err != nil && got != nil {
-			t.Errorf("parseEntries of field %q with value %q = %+v, %v; want %+v, %v", c.field, c.value, got, err, c.want, c.err)
+			t.Errorf("parseEntries of field %q with value %q = %+v, %v; want [%+v], %v (nil with an error)", c.field, c.value, got, err, c.want, c.err)
 		}
 	}
 	if got, err := parseEntries(nil); got != nil || err != nil {
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -57,7 +57,7 @@
 			got, ok := req.TryNext()
 			if c.unlisted { // The Request gets a Server that is not in service.
 				if got.Server == nil || got.Server.Number() != ServerNumber(c.decision.Server) || r.InService(got.Server) {
-					t.Errorf("TryNext() has the server %+v, want number %d and not in service", got.Server, c.decision.Server)
+					t.Errorf("TryNext() has the server %+v, want a server with number %d that is not in service", got.Server, c.decision.Server)
 				}
 				got.Server = nil
 			}
@@ -89,7 +89,8 @@
 	carryOut(r, decision.Decision{Action: decision.LogSummary, Payload: []byte("s")})
 	messages, summary := r.outbox.takeAll()
 	if len(messages) != 1 || messages[0].peer != 4 || string(messages[0].payload) != "m" || string(summary) != "s" {
-		t.Errorf("outbox holds messages %v and summary %q, want message \"m\" to peer 4 and summary \"s\"", messages, summary)
+		t.Errorf("outbox holds messages %+v and summary %q, want one message to peer 4 with payload %v (\"m\") and summary \"s\"",
+			messages, summary, []byte("m"))
 	}
 }
 
@@ -102,8 +103,8 @@
 		req.number = req.number.next()
 		carryOut(r, decision.Decision{Action: action, Request: decision.RequestID(closed), Attempt: req.attempt})
 		if d, ok := req.TryNext(); ok || len(canceller.cancelled) > 0 {
-			t.Errorf("action %d on a closed request: TryNext() = %+v, %t, cancelled attempts %v; want no decision and none cancelled",
-				action, d, ok, canceller.cancelled)
+			t.Errorf("action %d (%d is Forward, %d Reject, %d Fail, %d CancelAttempt) on a closed request: TryNext() = %+v, %t, cancelled attempts %v; want no decision, false, none",
+				action, decision.Forward, decision.Reject, decision.Fail, decision.CancelAttempt, d, ok, canceller.cancelled)
 		}
 	}
 }
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -23,7 +23,7 @@
 	}
 	req.Report(AttemptResult{Outcome: protocol.NotSent})
 	if d := req.Next(); d.Action != Reject {
-		t.Errorf("Next() without a server in service = %+v, want Reject", d)
+		t.Errorf("Next() without a server in service = %+v, want Action %d (Reject)", d, Reject)
 	}
 	r.UpdateEndpoints(serverList(1, protocol.InService), FromDiscovery)
 	moved := serverList(1, protocol.InService)
@@ -72,8 +72,8 @@
 	}
 	if s := table.servers[table.number("t198")]; len(table.servers) != 3 || len(table.numbers) != 3 || len(table.uids) != 3 ||
 		s == old || s.Addr != old.Addr {
-		t.Errorf("table has %d servers, %d numbers and %d uids, want 3 each; server t198 = %+v, want a new Server at %v",
-			len(table.servers), len(table.numbers), len(table.uids), s, old.Addr)
+		t.Errorf("table has %d servers, %d numbers and %d uids, want 3 each; server t198 = %+v, same Server as s0 = %t, want a new Server at %v",
+			len(table.servers), len(table.numbers), len(table.uids), s, s == old, old.Addr)
 	}
 	table.update(&protocol.EndpointList{Full: true})
 	if len(table.servers)+len(table.numbers)+len(table.uids) != 0 {
@@ -95,7 +95,7 @@
 	}{{protocol.InService, 2, true}, {protocol.Terminating, 0, true}, {protocol.Terminated, 0, false}} {
 		r.UpdateEndpoints(serverList(2, c.state), FromDiscovery)
 		if got := r.Servers(); len(got) != c.inService || r.HasServers() != c.hasServers {
-			t.Errorf("state %d: len(Servers()) = %d, HasServers() = %t; want %d, %t", c.state, len(got), r.HasServers(), c.inService,
+			t.Errorf("2 servers in state %v: len(Servers()) = %d, HasServers() = %t; want %d, %t", c.state, len(got), r.HasServers(), c.inService,
 				c.hasServers)
 		}
 	}
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -85,6 +85,6 @@
 func checkForwarded(t *testing.T, d Decision, attempt int) {
 	t.Helper()
 	if d.Action != Forward || d.Attempt != attempt {
-		t.Errorf("decision = %+v, want Forward of attempt %d", d, attempt)
+		t.Errorf("decision = %+v, want Action %d (Forward) and Attempt %d", d, Forward, attempt)
 	}
 }
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -161,12 +161,12 @@
 		decision.Cancelled, decision.NotSent, decision.MalformedResponse,
 	} {
 		if int(o) != i {
-			t.Errorf("number of the engine's outcome %d of the list = %d, want %d", i, int(o), i)
+			t.Errorf("entry %d of the engine's outcomes in the test has the number %d, want %d", i, int(o), i)
 		}
 	}
 	for i, s := range []decision.EndpointState{decision.Draining, decision.Ready, decision.Gone} {
 		if int(s) != i {
-			t.Errorf("number of the engine's endpoint state %d of the list = %d, want %d", i, int(s), i)
+			t.Errorf("entry %d of the engine's endpoint states in the test has the number %d, want %d", i, int(s), i)
 		}
 	}
 }
@@ -182,8 +182,8 @@
 		req.Start(&seatRequest, c.timeout)
 		got := req.Next()
 		if got.Action != c.want || got.Timeout%timeUnit != 0 || got.RetryAfter%timeUnit != 0 {
-			t.Errorf("decision for a timeout of %v = %+v, want action %d and durations in whole units of %v", c.timeout, got,
-				c.want, timeUnit)
+			t.Errorf("decision for a timeout of %v = %+v, want Action %d (%d is Forward, %d Reject), and Timeout and RetryAfter in whole units of %v",
+				c.timeout, got, c.want, Forward, Reject, timeUnit)
 		}
 	}
 }
--- a/internal/routing/outbox_test.go
+++ b/internal/routing/outbox_test.go
@@ -43,7 +43,7 @@
 		for range 5 {
 			req.Start(&seatRequest, 2*time.Second)
 			if d := req.Next(); d.Action != Forward {
-				t.Errorf("Next() while a peer message blocks = %+v, want Forward", d)
+				t.Errorf("Next() while a peer message blocks = %+v, want Action %d (Forward)", d, Forward)
 				break
 			}
 			req.Report(AttemptResult{Outcome: protocol.Completed, Duration: time.Millisecond})
@@ -166,7 +166,7 @@
 	r.outbox.addMessage(0, nil)
 	r.deliver()
 	if len(delivered) != maxQueuedMessages+1 || delivered[maxQueuedMessages] != maxQueuedMessages {
-		t.Errorf("delivered %d messages, the last with number %d; want %d, %d", len(delivered), delivered[len(delivered)-1],
-			maxQueuedMessages+1, maxQueuedMessages)
+		t.Errorf("delivered %d messages, numbers from index %d on: %d; want %d, [%d]", len(delivered), maxQueuedMessages,
+			delivered[min(maxQueuedMessages, len(delivered)):], maxQueuedMessages+1, maxQueuedMessages)
 	}
 }
--- a/internal/routing/repeatcheck_test.go
+++ b/internal/routing/repeatcheck_test.go
@@ -105,19 +105,19 @@
 	for range 10 { // Completed requests earn the budget for a retry.
 		req.Start(&seatRequest, time.Second)
 		if d := req.Next(); d.Action != Forward {
-			t.Fatalf("Next() of a new request = %+v, want Forward", d)
+			t.Fatalf("Next() of a new request = %+v, want Action %d (Forward)", d, Forward)
 		}
 		req.Report(AttemptResult{Outcome: protocol.Completed})
 	}
 	req.Start(&seatRequest, time.Second)
 	if d := req.Next(); d.Action != Forward {
-		t.Fatalf("Next() of the last request = %+v, want Forward", d)
+		t.Fatalf("Next() of the last request = %+v, want Action %d (Forward)", d, Forward)
 	}
 	req.Report(AttemptResult{Outcome: protocol.ConnectionReset})
 	if d := req.Next(); d.Action == Forward || len(violations) == 0 || slices.ContainsFunc(violations, func(f RepeatViolation) bool {
 		return f != RepeatViolationUnsafe && f != RepeatViolationRejection
 	}) || d.Action != Fail {
-		t.Errorf("Next() after a reset = %+v with violations %q, want Fail with %q or %q only", d, violations,
-			RepeatViolationUnsafe, RepeatViolationRejection)
+		t.Errorf("Next() after a connection reset = %+v with violations %q, want Action %d (Fail) with one or more violations, only %q or %q",
+			d, violations, Fail, RepeatViolationUnsafe, RepeatViolationRejection)
 	}
 }
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -17,7 +17,8 @@
 		req.Start(&seatRequest, 2*time.Second)
 		d := req.Next()
 		if d.Action != Forward || d.Attempt != 0 || d.Timeout <= 0 || d.Timeout > 2*time.Second || !r.InService(d.Server) {
-			t.Fatalf("Next() of a new request = %+v, want attempt 0 at a server in service, with a timeout of up to 2s", d)
+			t.Fatalf("Next() of a new request = %+v, want Action %d (Forward), Attempt 0, a Server in service and a Timeout above 0 and up to 2s",
+				d, Forward)
 		}
 		req.Report(AttemptResult{Outcome: protocol.Completed, Duration: 30 * time.Millisecond})
 	}
@@ -25,7 +26,7 @@
 	first := req.Next()
 	req.Report(AttemptResult{Outcome: protocol.Overloaded, Duration: time.Millisecond})
 	if d := req.Next(); d.Action != Forward || d.Attempt != 1 || d.Server == first.Server {
-		t.Errorf("Next() after Overloaded = %+v, want attempt 1 at a server other than %v", d, first.Server.Addr)
+		t.Errorf("Next() after Overloaded = %+v, want Action %d (Forward), Attempt 1 and a Server other than %p", d, Forward, first.Server)
 	}
 	req.Report(AttemptResult{Outcome: protocol.Completed})
 }
@@ -52,7 +53,7 @@
 				d = req.Next()
 			}
 			if d.Action != want {
-				t.Errorf("decision after %v = %+v, want action %d", outcome, d, want)
+				t.Errorf("decision after %v = %+v, want Action %d (%d is Reject, %d Fail)", outcome, d, want, Reject, Fail)
 			}
 		})
 	}
@@ -67,7 +68,7 @@
 	req.ClientGone()
 	req.Report(AttemptResult{Outcome: protocol.Cancelled, Duration: time.Millisecond})
 	if d := req.Next(); d.Action != Abandon || len(canceller.cancelled) != 1 || canceller.cancelled[0] != 0 {
-		t.Errorf("Next() after ClientGone = %+v, cancelled attempts %v; want Abandon, [0]", d, canceller.cancelled)
+		t.Errorf("Next() after ClientGone = %+v, cancelled attempts %v; want Action %d (Abandon), [0]", d, canceller.cancelled, Abandon)
 	}
 	req.Start(&seatRequest, 2*time.Second) // The next request uses the same slot.
 	checkForwarded(t, req.Next(), 0)
@@ -82,12 +83,12 @@
 		req.Start(&seatRequest, 2*time.Second)
 		req.ClientGone()
 		if d := req.Next(); d.Action != Abandon {
-			t.Fatalf("Next() after ClientGone = %+v, want Abandon", d)
+			t.Fatalf("Next() after ClientGone = %+v, want Action %d (Abandon)", d, Abandon)
 		}
 	}
 	req.Start(&seatRequest, 2*time.Second)
 	if d := req.Next(); d.Action != Forward {
-		t.Errorf("Next() of the next request = %+v, want Forward", d)
+		t.Errorf("Next() of the next request = %+v, want Action %d (Forward)", d, Forward)
 	}
 }
 
@@ -141,7 +142,8 @@
 		decided = nil
 		step.call()
 		if step.want == nil && len(decided) > 0 || step.want != nil && (len(decided) != 1 || decided[0] != step.want) {
-			t.Errorf("step %d: OnDecision got the Requests %v, want only %p (none for nil)", i, decided, step.want)
+			t.Errorf("step %d: OnDecision got the Requests %v, want only %p (0x0: none); the first is %p, the second %p", i, decided, step.want,
+				first, second)
 		}
 	}
 }
@@ -180,6 +182,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.requests.free) != len(r.requests.bySlot)-1 { // The Request of startRouter is not released.
-		t.Errorf("free slots = %d of %d, want all but one", len(r.requests.free), len(r.requests.bySlot))
+		t.Errorf("free slots = %d of %d, want %d", len(r.requests.free), len(r.requests.bySlot), len(r.requests.bySlot)-1)
 	}
 }
--- a/internal/routing/requesttable_test.go
+++ b/internal/routing/requesttable_test.go
@@ -13,7 +13,7 @@
 		want   *Request
 	}{{0, first}, {1, second}, {requestSlots, nil}, {requestSlots + 1, nil}} {
 		if table.find(c.number) != c.want {
-			t.Errorf("find(%d) = %p, want %p", c.number, table.find(c.number), c.want)
+			t.Errorf("find(%d) = %p, want %p (0x0 stands for nil)", c.number, table.find(c.number), c.want)
 		}
 	}
 	first.number = first.number.next()
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -1,6 +1,7 @@
 package routing_test
 
 import (
+	"fmt"
 	"math"
 	"runtime"
 	"slices"
@@ -47,7 +48,7 @@
 	const clock = 3 // CLOCK_THREAD_CPUTIME_ID
 	var t syscall.Timespec
 	if _, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, clock, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
-		panic(errno)
+		panic(fmt.Errorf("clock_gettime of the thread's CPU time: %w", errno))
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/routing/scale_harness_test.go
+++ b/internal/routing/scale_harness_test.go
@@ -26,8 +26,8 @@
 			}
 			if f["requests /s"] < 0.7*size.Rate || f["requests /s"] > 1.3*size.Rate || f["admitted %"] < 30 || f["heap MB"] <= 0 ||
 				f["list: parse ms"] <= 0 || f["core: calls %"] <= 0 {
-				t.Errorf("figures = %v, want requests /s within 30 %% of %v, admitted %% of at least 30, and positive heap and CPU figures",
-					f, size.Rate)
+				t.Errorf("figures = %v, want %q %v to %v, %q at least 30, and %q, %q and %q above 0", f, "requests /s",
+					0.7*size.Rate, 1.3*size.Rate, "admitted %", "heap MB", "list: parse ms", "core: calls %")
 			}
 			checkMessages(t, m, size.Nodes > 4)
 			checkCounts(t, m)
@@ -55,8 +55,9 @@
 	t.Helper()
 	if owners != (m.sent[kindAsk] > 0) || owners != (m.sent[kindGrant] > 0) || owners == (m.sentToAll[kindUse] > 0) ||
 		m.sent[kindGrant] > 0 && m.received[kindAsk] == 0 {
-		t.Errorf("quota owners %t: sent %v, sent to all %v, received %v messages of the kinds %v; want ask and grant with owners, else use to all",
-			owners, m.sent, m.sentToAll, m.received, kindNames)
+		t.Errorf("quota owners %t: messages of the kinds %v: sent %v, sent to all %v, received %v; "+
+			"want ask and grant sent and no use sent to all with owners, the reverse without; and ask received if grant was sent",
+			owners, kindNames, m.sent, m.sentToAll, m.received)
 	}
 }
 
@@ -65,7 +66,7 @@
 func checkCounts(t *testing.T, m *timings) {
 	t.Helper()
 	if decided := m.admitted + m.rejected; decided < m.requests-20 || decided > m.requests+20 || m.failed == 0 || m.failed > m.completed/10 {
-		t.Errorf("%d requests: %d admitted, %d rejected, want the same sum up to 20; attempts: %d completed, %d failed, want 1 to a tenth failed",
-			m.requests, m.admitted, m.rejected, m.completed, m.failed)
+		t.Errorf("%d requests: %d admitted, %d rejected, together %d, want %d to %d; attempts: %d completed, %d failed, want 1 to %d failed",
+			m.requests, m.admitted, m.rejected, decided, m.requests-20, m.requests+20, m.completed, m.failed, m.completed/10)
 	}
 }
--- a/internal/routing/scale_node_test.go
+++ b/internal/routing/scale_node_test.go
@@ -1,6 +1,7 @@
 package routing_test
 
 import (
+	"fmt"
 	"math"
 	"time"
 
@@ -236,7 +237,7 @@
 	}
 	n.timeCall("receive", nil, func() {
 		if !n.router.ReceivePeerMessage(from, payload) {
-			panic("malformed datagram of a simulated node")
+			panic(fmt.Sprintf("node %d received a malformed datagram %x from node %d", n.id, payload, from))
 		}
 	})
 }
--- a/internal/routing/settings_reference_test.go
+++ b/internal/routing/settings_reference_test.go
@@ -81,7 +81,7 @@
 		s := newRequestSettings(settings.Parse(settings.Values(set)))
 		got := fmt.Sprintf("%v %v %v %v %v %v", s.classes, s.plans, s.repeats, s.quotas, s.nodes, s.maxUnits)
 		if want := set.requestSettings(); got != want {
-			t.Fatalf("seed %d: newRequestSettings(%v)\ngot  %s\nwant %s", seed, set, got, want)
+			t.Fatalf("seed %d: classes, plans, repeats, quotas, nodes and maxUnits of newRequestSettings(%v):\ngot  %s\nwant %s", seed, set, got, want)
 		}
 	}
 }
--- a/internal/routing/shadow_test.go
+++ b/internal/routing/shadow_test.go
@@ -41,7 +41,7 @@
 	}
 	got, r := runRequests(settings.Parse(oneClassSettings(settings.RetryUnsafe)))
 	if compared, differing := r.ShadowCounts(); !slices.Equal(got, want) || compared < 60 || differing["forward_would_fail"] < 10 {
-		t.Errorf("with a shadow: decisions unchanged = %t, want true; ShadowCounts() = %d, %v, want at least 60, 10 forward_would_fail",
+		t.Errorf("with a shadow: decisions unchanged = %t, want true; ShadowCounts() = %d, %v, want at least 60, and at least 10 forward_would_fail",
 			slices.Equal(got, want), compared, differing)
 	}
 	if got, r = runRequests(settings.Parse(oneClassSettings(settings.RetrySafe))); !slices.Equal(got, want) {
--- a/internal/routing/slopes_fit_test.go
+++ b/internal/routing/slopes_fit_test.go
@@ -110,18 +110,18 @@
 		line, power = append(line, 3+0.5*v), append(power, 2*math.Pow(v, 1.5))
 	}
 	if f := fitRuns(x, [][]float64{line, line}); !near(f.A, 3) || !near(f.B, 0.5) || !near(f.R2, 1) || !near(f.BRange.Min, 0.5) {
-		t.Errorf("fitRuns(line) = %+v, want A 3, B 0.5, R2 1, minimum of BRange 0.5", f)
+		t.Errorf("fitRuns(line): A %v, B %v, R2 %v, BRange.Min %v; want 3, 0.5, 1, 0.5", f.A, f.B, f.R2, f.BRange.Min)
 	}
 	if f := fitRuns(x, [][]float64{power}); !near(f.Exponent, 1.5) || !near(f.ExponentRange.Median, 1.5) {
-		t.Errorf("fitRuns(power) = %+v, want exponent 1.5", f)
+		t.Errorf("fitRuns(power): Exponent %v, ExponentRange.Median %v; want 1.5, 1.5", f.Exponent, f.ExponentRange.Median)
 	}
 	if f := fitRuns(x, [][]float64{zeros}); f.B != 0 || f.Exponent != 0 || f.ExponentRange != (figureRange{}) {
-		t.Errorf("fitRuns(zeros) = %+v, want B 0 and no exponent", f)
+		t.Errorf("fitRuns(zeros): B %v, Exponent %v, ExponentRange %v; want 0, 0, 0", f.B, f.Exponent, f.ExponentRange)
 	}
 	if f := fitRuns(x, [][]float64{power, zeros}); f.Exponent != 0 || f.ExponentRange != (figureRange{}) {
-		t.Errorf("fitRuns(power, zeros) = %+v, want no exponent", f)
+		t.Errorf("fitRuns(power, zeros): Exponent %v, ExponentRange %v; want 0, 0", f.Exponent, f.ExponentRange)
 	}
 	if s := rangeOfRuns([]float64{5, 1, 9}); s != (figureRange{1, 5, 9}) {
-		t.Errorf("rangeOfRuns(5, 1, 9) = %+v, want 1, 5, 9", s)
+		t.Errorf("rangeOfRuns(5, 1, 9): Min %v, Median %v, Max %v; want 1, 5, 9", s.Min, s.Median, s.Max)
 	}
 }
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -111,7 +111,7 @@
 					sim.run()
 					worst, used := sim.worst()
 					ratio := worst.ratio()
-					run := fmt.Sprintf("scenario %s, added scenario %q, %d nodes, seed %d: %d attempts in a window with N = %.1f, want at most %.1f",
+					run := fmt.Sprintf("scenario %s, added scenario %q, %d nodes, seed %d: a warming server got %d attempts in a window with N = %.1f, want at most N + 2√N + 2 = %.1f",
 						sim.scenario, sim.addedScenario, nodes, seed, worst.attempts, worst.capacity, worst.bound())
 					if ratio > 1 {
 						t.Error(run)
@@ -129,7 +129,7 @@
 		s := tallies[key]
 		runs := float64(s.runs)
 		if strings.HasSuffix(key, " nodes") && s.runs >= 50 && (s.usedSum < 0.11*runs || s.servedSum < 0.45*runs) {
-			t.Errorf("%s: used share of N %.3f, served share of requests %.3f, want at least 0.11 and 0.45", key, s.usedSum/runs,
+			t.Errorf("%s: mean used share of N %.4f, mean served share of requests %.4f; want at least 0.11 and 0.45", key, s.usedSum/runs,
 				s.servedSum/runs)
 		}
 		t.Logf("%-8s %d of %d runs above the bound; used share of N %.3f, served share %.3f; highest ratio %.2f: %s", key, s.aboveBound,
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -111,7 +111,7 @@
 func TestValuesUnderFormerKeys(t *testing.T) {
 	fromJSON, err := valuesFromJSON([]byte(fullJSON))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("valuesFromJSON of fullJSON failed: %v, want no error", err)
 	}
 	for name, c := range map[string]struct {
 		values Values
@@ -138,7 +138,8 @@
 	byFormer, byKey := map[string]bool{}, map[string]bool{}
 	for _, k := range formerKeys {
 		if _, ok := values[k.key]; !ok || byFormer[k.former] || byKey[k.key] {
-			t.Errorf("former key %q, key %q: key is read = %v, want true, and each former key and key only once", k.former, k.key, ok)
+			t.Errorf("former key %q, key %q: key is read = %v, former key repeated = %v, key repeated = %v; want true, false, false",
+				k.former, k.key, ok, byFormer[k.former], byKey[k.key])
 		}
 		byFormer[k.former], byKey[k.key] = true, true
 	}
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -95,7 +95,7 @@
 		}
 		for _, text := range []string{"7", "0"} {
 			if back := setting.form.parse(setting.form.format(text)); setting.key != EndpointList && back != text && back != "" {
-				t.Errorf("%s: text %q is read back as %q, want %q or an empty text", name, text, back, text)
+				t.Errorf("setting %q: text %q is read back as %q, want %q or an empty text", name, text, back, text)
 			}
 		}
 	}
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -102,7 +102,7 @@
 			{"PollsEndpoints", fmt.Sprint(s.PollsEndpoints()), fmt.Sprint(texts[EndpointList] == EndpointListPoll)},
 		} {
 			if c.got != c.want {
-				t.Errorf("%s of the text %q (given: %v) = %s, want %s", c.name, text, given, c.got, c.want)
+				t.Errorf("%s of the text %q (given: %v) = %s, want %s (floats as IEEE 754 bits)", c.name, text, given, c.got, c.want)
 			}
 		}
 	})
@@ -143,7 +143,7 @@
 		want := fmt.Sprintf("%q %q %q %d %d", classNames, planNames, referenceNamedClasses(texts),
 			max(1, int(referenceEngineNumber(texts, ClassCount))), max(1, int(referenceEngineNumber(texts, PlanCount))))
 		if got != want {
-			t.Errorf("names and lengths of the lists in %q:\ngot  %s\nwant %s", text, got, want)
+			t.Errorf("class names, plan names, consecutive named classes, Classes.Len and Plans.Len in %q:\ngot  %s\nwant %s", text, got, want)
 		}
 		for i := range 10 {
 			c, p := s.Classes.At(i), s.Plans.At(i)
@@ -154,7 +154,8 @@
 				texts[PlanKey(i, PlanRate)], texts[PlanKey(i, PlanBurst)], texts[PlanKey(i, PlanMaxInFlight)],
 				texts[PlanKey(i, PlanCeilingRate)], texts[PlanKey(i, PlanCeilingBurst)])
 			if got != want {
-				t.Errorf("fields of class %d and plan %d in %q:\ngot  %s\nwant %s", i, i, text, got, want)
+				t.Errorf("RetrySafety, IdempotencyGroup, LatencyObjective, IdempotencyWindow and Deadline of class %d, and Rate, Burst, MaxInFlight, "+
+					"CeilingRate and CeilingBurst of plan %d in %q:\ngot  %s\nwant %s", i, i, text, got, want)
 			}
 		}
 	})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 		"tiers_of_service":[{"units_per_s":5}],"feedback":{"columns":["rif","busy"]},"limits":{"peers":true}}`
 	got, err := valuesFromJSON([]byte(nested))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("valuesFromJSON(%s) failed: %v, want no error", nested, err)
 	}
 	want := valuesFromText([]byte(testSettings + "feedback.columns=rif,busy\nlimits.peers=true\n"))
 	if !maps.Equal(got, want) {
