--- a/internal/quotastore/node_test.go
+++ b/internal/quotastore/node_test.go
@@ -183,7 +183,7 @@
 	t.Logf("%d purchases sent, responses by status %v, %.3f of the quota used", sent, client.responsesByStatus, quotaShare)
 	responded := client.responsesByStatus[http.StatusOK] + client.responsesByStatus[http.StatusServiceUnavailable] + client.responsesByStatus[http.StatusBadGateway]
 	if responded != sent || quotaShare > 1.1 || quotaShare < 0.5 {
-		t.Errorf("%d purchases sent: %d responses with status 200, 502 or 503 (by status: %v), %.3f of the quota used; want %d, and 0.5 to 1.1",
+		t.Errorf("%d purchases sent: %d responses with status 200, 502 or 503 (by status: %v), %.4f of the quota used; want %d, and 0.5 to 1.1",
 			sent, responded, client.responsesByStatus, quotaShare, sent)
 	}
 }
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -50,7 +50,7 @@
 	t.Logf("%.3f of the quota used, counters %+v, %d units spent in the last second, longest call %v",
 		quotaShare, total, fleet.spentInLastSecond.Load(), longestCall)
 	if quotaShare > 1.1 || quotaShare < 0.5 {
-		t.Errorf("%.3f of the quota was used, want 0.5 to 1.1", quotaShare)
+		t.Errorf("%.4f of the quota was used, want 0.5 to 1.1", quotaShare)
 	}
 	if total.Failed < 10 || total.Borrowed < 20 || float64(fleet.spentInLastSecond.Load()) < 0.7*rate {
 		t.Errorf("counters %+v, %d units spent in the last second; want Failed at least 10, Borrowed at least 20, and at least %v units",
--- a/internal/routing/slowstart_addedevents_test.go
+++ b/internal/routing/slowstart_addedevents_test.go
@@ -21,7 +21,7 @@
 				addEvent(sim)
 				sim.run()
 				if worst, _ := sim.worst(); worst.ratio() > 1 {
-					t.Errorf("scenario %s, added scenario %q, %d nodes, seed %d: a warming server got %d attempts in a window with N = %.1f, want at most N + 2√N + 2 = %.1f",
+					t.Errorf("scenario %s, added scenario %q, %d nodes, seed %d: a warming server got %d attempts in a window with N = %.3f, want at most N + 2√N + 2 = %.3f",
 						sim.scenario, sim.addedScenario, nodes, seed, worst.attempts, worst.capacity, worst.bound())
 				}
 			})
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -111,7 +111,7 @@
 					sim.run()
 					worst, used := sim.worst()
 					ratio := worst.ratio()
-					run := fmt.Sprintf("scenario %s, added scenario %q, %d nodes, seed %d: a warming server got %d attempts in a window with N = %.1f, want at most N + 2√N + 2 = %.1f",
+					run := fmt.Sprintf("scenario %s, added scenario %q, %d nodes, seed %d: a warming server got %d attempts in a window with N = %.3f, want at most N + 2√N + 2 = %.3f",
 						sim.scenario, sim.addedScenario, nodes, seed, worst.attempts, worst.capacity, worst.bound())
 					if ratio > 1 {
 						t.Error(run)
