--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -50,14 +50,14 @@
 	t.Logf("%.3f of the quota used, counters %+v, %d units spent in the last second, longest call %v",
 		quotaShare, total, fleet.spentInLastSecond.Load(), longestCall)
 	if quotaShare > 1.1 || quotaShare < 0.5 {
-		t.Errorf("%.3f of the quota was used, want 0.5 to 1.1", quotaShare)
+		t.Errorf("%.4f of the quota was used, want 0.5 to 1.1", quotaShare)
 	}
 	if total.Failed < 10 || total.Borrowed < 20 || float64(fleet.spentInLastSecond.Load()) < 0.7*rate {
 		t.Errorf("counters %+v, %d units spent in the last second; want Failed at least 10, Borrowed at least 20, and at least %v units",
 			total, fleet.spentInLastSecond.Load(), 0.7*rate)
 	}
 	if longestCall > 50*time.Millisecond { // an exchange with the store times out after 60 ms
-		t.Errorf("RecordDemand and TrySpend took %v, want at most 50ms", longestCall)
+		t.Errorf("longest RecordDemand with TrySpend took %v, want at most 50ms", longestCall)
 	}
 }
 
@@ -150,7 +150,8 @@
 	time.Sleep(450 * time.Millisecond)
 	_, err = client.TxPipelined(ctx, func(p redis.Pipeliner) error { return p.Set(ctx, "b", 1, 0).Err() })
 	if err == nil || client.Set(ctx, "b", 1, 0).Err() == nil || client.Get(ctx, "b").Val() != "-3" {
-		t.Error("full store: a transaction or SET succeeded, or GET lost the value; want only reads to succeed")
+		t.Errorf("full store: transaction error %v, GET b = %q; want errors of the transaction and of SET, and GET b = \"-3\"",
+			err, client.Get(ctx, "b").Val())
 	}
 	if _, err := lab.Start("127.0.0.1:0", 1, []lab.Fault{{Kind: "melt"}}); err == nil {
 		t.Error("Start accepted a fault of the unknown kind \"melt\", want an error")
