--- a/internal/operatorfile/errors_test.go
+++ b/internal/operatorfile/errors_test.go
@@ -101,7 +101,8 @@
 	for _, c := range errorCases {
 		f, errs := Parse(c.text)
 		if len(errs) == 0 || describeFile(f) != describeFile(Default()) || describeSettings(&f.Settings) != "" {
-			t.Errorf("%s: Parse returned %d errors and the file %v, want 1 or more errors and the default file without settings", c.name, len(errs), describeFile(f))
+			t.Errorf("%s: Parse returned %d errors, want at least 1; the file %s, want the default %s; settings %q, want none",
+				c.name, len(errs), describeFile(f), describeFile(Default()), describeSettings(&f.Settings))
 		}
 		checkText(t, c.name, describeErrors(errs), c.want)
 	}
@@ -113,7 +114,8 @@
 	_, errs := Parse("duties = true\n")
 	if len(errs) != 1 || errs[0].Key != "(file)" || !strings.HasPrefix(errs[0].Reason, `toml: line 1 (last key "duties"): type mismatch for `) ||
 		!strings.HasSuffix(errs[0].Reason, ": expected table but found bool") {
-		t.Errorf("Parse(\"duties = true\") = %v, want one error for key (file): table expected but bool found", errs)
+		t.Errorf("Parse(\"duties = true\") = %v, want one error that begins with %q and ends with %q",
+			errs, `(file): toml: line 1 (last key "duties"): type mismatch for `, ": expected table but found bool")
 	}
 }
 
@@ -139,12 +141,13 @@
 	f, err := Load(badPath)
 	var fileError *FileError
 	if !errors.As(err, &fileError) || fileError.Path != badPath || len(fileError.Errors) != 2 || describeFile(f) != describeFile(Default()) {
-		t.Fatalf("Load(%s) = %v, %v, want the defaults and a FileError with 2 errors", badPath, describeFile(f), err)
+		t.Fatalf("Load(%s) = %s, %v, want the defaults %s and a FileError for that path with 2 errors",
+			badPath, describeFile(f), err, describeFile(Default()))
 	}
 	checkText(t, "errors", err.Error(), badPath+": line 2: lab.load.rate: -1 is out of range 0.01 to 1e+06\n"+badPath+": line 3: lab.load.new: no such key")
 	f, err = Load(filepath.Join(dir, "none.toml"))
 	if !errors.Is(err, os.ErrNotExist) || describeFile(f) != describeFile(Default()) {
-		t.Errorf("Load of a missing file = %v, %v, want the defaults and os.ErrNotExist", describeFile(f), err)
+		t.Errorf("Load of a missing file = %s, %v, want the defaults %s and os.ErrNotExist", describeFile(f), err, describeFile(Default()))
 	}
 	word := "all"
 	for _, c := range []struct{ name, got, want string }{
--- a/internal/operatorfile/format_test.go
+++ b/internal/operatorfile/format_test.go
@@ -18,7 +18,7 @@
 	}
 	f, errs := Parse("")
 	if len(errs) > 0 || describeFile(f) != describeFile(Default()) {
-		t.Errorf("Parse of an empty file = %v, %v, want the defaults without errors", describeFile(f), errs)
+		t.Errorf("Parse of an empty file = %s, errors %v, want the defaults %s and no errors", describeFile(f), errs, describeFile(Default()))
 	}
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
@@ -26,7 +26,8 @@
 	}
 	if f, errs := Parse(string(raw)); len(errs) > 0 || describeFile(f) != describeFile(Default()) ||
 		describeSettings(&f.Settings) != "" || describeSettings(&f.Shadow.Settings) != "" {
-		t.Errorf("Parse(deploy/operator.toml) = %v, %v, want the defaults without errors", describeFile(f), errs)
+		t.Errorf("Parse(deploy/operator.toml) = %s, errors %v, want the defaults %s and no errors; settings %q, shadow settings %q, want none",
+			describeFile(f), errs, describeFile(Default()), describeSettings(&f.Settings), describeSettings(&f.Shadow.Settings))
 	}
 }
 
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -24,7 +24,8 @@
 func TestApply(t *testing.T) {
 	defaults, base := Default(), settings.Parse(platformSettings)
 	if set, err := defaults.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(platformSettings)) || defaults.Shadow.Enabled {
-		t.Fatalf("Apply of the default file = %v, %v, want %v and the shadow evaluation disabled", set, err, platformSettings)
+		t.Fatalf("Apply of the default file = %+v, %v, want %+v and no error; shadow evaluation enabled: %v, want false",
+			set, err, settings.Parse(platformSettings), defaults.Shadow.Enabled)
 	}
 	f, errs := Parse("[settings]\nexecutions = 3\npeers = false\ncold_ms = 1500.5\n[[settings.band]]\nname = \"stop-update\"\n" +
 		"repeats = \"referenced\"\ngroup = \"cell\"\nwindow_ms = 3000\n[[settings.plan]]\nname = \"pro\"\nopen = 2\n" +
@@ -42,10 +43,11 @@
 		settings.PlanKey(0, settings.PlanCeilingRate):         "25.5",
 	})
 	if set, err := f.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(want)) || !f.Shadow.Enabled {
-		t.Errorf("Apply of the overrides = %v, %v, want %v and the shadow evaluation enabled", set, err, want)
+		t.Errorf("Apply of the overrides = %+v, %v, want %+v and no error; shadow evaluation enabled: %v, want true",
+			set, err, settings.Parse(want), f.Shadow.Enabled)
 	}
 	if !reflect.DeepEqual(base, settings.Parse(platformSettings)) {
-		t.Errorf("Apply changed the platform's settings to %v, want %v", base, platformSettings)
+		t.Errorf("Apply changed the platform's settings to %+v, want %+v as before", base, settings.Parse(platformSettings))
 	}
 }
 
