--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -88,7 +88,7 @@
 	wrongDenial := httpStatus == "403" && (!denied || attempts > 0)
 	if wrongPurchase || wrongDenial || httpStatus == "200" && attempts == 0 {
 		t.Errorf("request %s of class %s: status %s, %d attempts, authorizer answered: %v, allowed: %v; want at most one attempt of a "+
-			"purchase, only if allowed; no attempt and a denial for status 403; an attempt for status 200",
+			"request of class buy, only if allowed; no attempt and a denial for status 403; an attempt for status 200",
 			id, class, httpStatus, attempts, answered, allowed)
 	}
 }
@@ -161,12 +161,12 @@
 		l.responses, counts.Answers, counts.Starts, counters,
 		a.LatencyQuantile(0.5), a.LatencyQuantile(0.99), slowest)
 	if sent := int(l.sent.Load()); sent < clients*requests || len(l.latencies) != sent || slowest > time.Second {
-		t.Errorf("%d of %d requests have responses, the slowest after %v; want all of at least %d, within 1s",
-			len(l.latencies), sent, slowest, clients*requests)
+		t.Errorf("%d requests sent, want at least %d; %d of them have responses, want all; slowest response after %v, want at most %v",
+			sent, clients*requests, len(l.latencies), slowest, time.Second)
 	}
 	if counts.Starts < 2 || counters.Unanswered == 0 || counters.Denied == 0 || counters.FailedOpen == 0 || counters.FailedClosed == 0 ||
 		l.responses["buy503"] == 0 || l.responses["look200"] < 500 {
-		t.Errorf("%d starts of the authorizer, responses %v, checks %+v; want 2 or more starts, 500 or more look200, a buy503, and "+
-			"checks unanswered, denied, failed open and failed closed", counts.Starts, l.responses, counters)
+		t.Errorf("%d starts of the authorizer, want at least 2; checks %+v, want Unanswered, Denied, FailedOpen and FailedClosed "+
+			"above 0; responses by class and HTTP status %v, want at least 1 buy503 and 500 look200", counts.Starts, counters, l.responses)
 	}
 }
--- a/internal/grpcfrontend/server_test.go
+++ b/internal/grpcfrontend/server_test.go
@@ -185,8 +185,8 @@
 		}
 	}
 	if lateAttempts > 0 || len(c.cancelled) < calls/4 || furtherAttempts == 0 {
-		t.Errorf("%d attempts arrived more than %v after the cancellation; %d calls cancelled, with %d further attempts; want no "+
-			"late attempt, at least %d cancelled calls, and further attempts", lateAttempts, maxDelay, len(c.cancelled), furtherAttempts, calls/4)
+		t.Errorf("%d attempts arrived more than %v after the cancellation of their call, want 0; %d calls cancelled, want at least %d; "+
+			"%d further attempts of cancelled calls, want at least 1", lateAttempts, maxDelay, len(c.cancelled), calls/4, furtherAttempts)
 	}
 	t.Logf("%d calls cancelled, with %d further attempts; latest attempt %v after the cancellation, %d later than %v",
 		len(c.cancelled), furtherAttempts, longestDelay, lateAttempts, maxDelay)
@@ -215,7 +215,7 @@
 		}
 	}
 	if count := awaitAccepted(accepted, 200); count != 120 {
-		t.Errorf("%d of 200 connections accepted, want 120", count)
+		t.Errorf("server accepted %d of 200 connections, want its limit of 120", count)
 	}
 	for _, conn := range conns[:50] {
 		if err := conn.Close(); err != nil {
@@ -223,7 +223,7 @@
 		}
 	}
 	if count := awaitAccepted(accepted, 50); count != 50 {
-		t.Errorf("%d waiting connections accepted after 50 closed, want 50", count)
+		t.Errorf("server accepted %d waiting connections after 50 accepted ones closed, want 50", count)
 	}
 }
 
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -146,7 +146,7 @@
 		recorder.code = c.code
 		recorder.mu.Unlock()
 		if verdict := a.Check(context.Background(), request, 8*time.Second).Verdict; verdict != c.want {
-			t.Errorf("Check with the authorizer's status %v: verdict %v, want %v", c.code, verdict, c.want)
+			t.Errorf("Check with the authorizer's status %v: verdict %d, want %d (0 check needed, 1 allow, 2 deny, 3 reject)", c.code, verdict, c.want)
 		}
 	}
 	recorder.mu.Lock()
