--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -21,13 +21,15 @@
 		return map[string]string{"GW_LISTEN": "127.0.0.7:80"}[name]
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig(GoodConfig) with GW_LISTEN=127.0.0.7:80: error %v, want none", err)
 	}
 	limits := c.socketLimits()
 	if c.Listen != "127.0.0.7:80" || c.randomSeed != 0x8c1f30d27a5be964 || c.knownList.Revision != 41 || c.settings.Node.String() != "2" ||
 		limits.ServerIdleTimeout != 15*time.Second || limits.ConnectTimeout != 250*time.Millisecond || limits.MaxDescriptors != 1024 {
-		t.Errorf("parseConfig(GoodConfig) with GW_LISTEN=127.0.0.7:80 = %+v with limits %+v, want that address, "+
-			"the file's seed, revision 41, slot_no 2, idle timeout 15s, connect timeout 250ms and 1024 sockets", c, limits)
+		t.Errorf("parseConfig(GoodConfig) with GW_LISTEN=127.0.0.7:80: listen %s, seed %x, revision %d, slot_no %v, idle timeout %v, "+
+			"connect timeout %v, %d sockets; want listen 127.0.0.7:80, seed 8c1f30d27a5be964, revision 41, slot_no 2, idle timeout 15s, "+
+			"connect timeout 250ms, 1024 sockets", c.Listen, c.randomSeed, c.knownList.Revision, c.settings.Node,
+			limits.ServerIdleTimeout, limits.ConnectTimeout, limits.MaxDescriptors)
 	}
 }
 
@@ -72,7 +74,8 @@
 	switchedTo := ""
 	next, err := current.reload(func(address string) { switchedTo += address })
 	if err != nil || switchedTo != want || next.knownListErr == nil || next.settings.Node.String() != "2" {
-		t.Errorf("reload = %+v, %v and switched discovery to %q, want knownListErr set, slot_no 2, no error and %q", next, err, switchedTo, want)
+		t.Errorf("reload with a malformed known list: error %v, want none; discovery switched to %q, want %q (empty for no switch); "+
+			"knownListErr %v, want an error; slot_no %v, want 2", err, switchedTo, want, next.knownListErr, next.settings.Node)
 	}
 }
 
@@ -83,7 +86,7 @@
 	t.Setenv(EnvConfig, file)
 	current, err := parseConfig([]byte(nodetest.GoodConfig), os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig(GoodConfig): error %v, want none", err)
 	}
 	for text, want := range map[string]string{
 		strings.Replace(nodetest.GoodConfig, "9:8500", "8:8500", 1):                                          "127.0.0.8:8500",
@@ -96,8 +99,9 @@
 		switchedTo := ""
 		next, err := current.reload(func(addr string) { switchedTo = addr })
 		if switchedTo != want || (err != nil) != (want == "" && text != nodetest.GoodConfig) || next == nil || err != nil && next != current {
-			t.Errorf("reload of %s switched discovery to %q, want %q; error %v, want an error: %v; configuration replaced: %v, want no replacement after an error",
-				text, switchedTo, want, err, want == "" && text != nodetest.GoodConfig, next != current)
+			t.Errorf("reload of %s switched discovery to %q, want %q (empty for no switch); error %v, want an error: %v; returned no "+
+				"configuration: %v, want false; configuration replaced: %v, want no replacement after an error",
+				text, switchedTo, want, err, want == "" && text != nodetest.GoodConfig, next == nil, next != current)
 		}
 	}
 }
@@ -138,7 +142,7 @@
 		conf := mustParse(t, text)
 		file, keyErrors := operatorfile.Parse(test.operator)
 		if len(keyErrors) > 0 {
-			t.Fatal(keyErrors)
+			t.Fatalf("operatorfile.Parse(%q): errors %v, want none", test.operator, keyErrors)
 		}
 		err := conf.ApplyOperator(file)
 		if test.wantErr != "" {
@@ -177,7 +181,7 @@
 		file := operatorfile.Default()
 		file.HealthChecks.Enabled = test.enabled
 		if err := conf.ApplyOperator(file); err != nil {
-			t.Fatal(err)
+			t.Fatalf("ApplyOperator with %q replaced by %q, enabled %v: error %v, want none", test.old, test.new, test.enabled, err)
 		}
 		if conf.sharesHealthChecks() != test.want {
 			t.Errorf("sharesHealthChecks() with %q replaced by %q, enabled %v = %v, want %v", test.old, test.new, test.enabled, !test.want, test.want)
@@ -203,7 +207,7 @@
 		_, err := parseConfig([]byte(strings.Replace(nodetest.GoodConfig, test.old, test.new, 1)), noEnv)
 		var keyErr *keyError
 		if !errors.As(err, &keyErr) || keyErr.key != test.key || test.cause != nil && !errors.Is(err, test.cause) {
-			t.Errorf("parseConfig() with %s replaced by %s: error %v (%T), want a keyError for key %q with cause %v",
+			t.Errorf("parseConfig() with %s replaced by %s: error %v (%T), want a keyError for key %q with cause %v (<nil> for any cause)",
 				test.old, test.new, err, err, test.key, test.cause)
 		}
 		if isKnownListError(err) != (test.key == keyKnown) {
--- a/internal/node/configvalues_test.go
+++ b/internal/node/configvalues_test.go
@@ -91,7 +91,8 @@
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("the configuration has %d values, want %d", len(got), len(want))
+		t.Errorf("the configuration has %d values %q, want %d values %q",
+			len(got), slices.Sorted(maps.Keys(got)), len(want), slices.Sorted(maps.Keys(want)))
 	}
 }
 
@@ -203,7 +204,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			conf := mustParse(t, strings.Replace(nodetest.GoodConfig, test.old, test.new, 1))
 			if err := conf.ApplyOperator(operatorfile.Default()); err != nil {
-				t.Fatal(err)
+				t.Fatalf("ApplyOperator of the default operator file: error %v, want none", err)
 			}
 			compareValues(t, conf, test.changes)
 		})
@@ -273,10 +274,10 @@
 			conf := mustParse(t, text)
 			file, keyErrors := operatorfile.Parse(test.operator)
 			if len(keyErrors) > 0 {
-				t.Fatal(keyErrors)
+				t.Fatalf("operatorfile.Parse(%q): errors %v, want none", test.operator, keyErrors)
 			}
 			if err := conf.ApplyOperator(file); err != nil {
-				t.Fatal(err)
+				t.Fatalf("ApplyOperator(%q): error %v, want none", test.operator, err)
 			}
 			compareValues(t, conf, test.changes)
 		})
@@ -308,7 +309,7 @@
 			}
 			conf, err := loadConfig()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("loadConfig() with %q: error %v, want none", test.env, err)
 			}
 			if got := fmt.Sprint(conf.Name, " ", conf.Listen, " ", conf.Discovery, " ", conf.fileDiscovery); got != test.want {
 				t.Errorf("loadConfig() with %q read the name and addresses %s, want %s", test.env, got, test.want)
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -25,7 +25,7 @@
 		file := operatorfile.Default()
 		file.Authz.FailOpen = []string{failOpen}
 		if err := c.ApplyOperator(file); err != nil {
-			t.Fatal(err)
+			t.Fatalf("ApplyOperator with fail_open %q: error %v, want none", failOpen, err)
 		}
 		cfg, err := c.authorization()
 		if failOpen == "fly" {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	c, err := parseConfig([]byte(text), noEnv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parseConfig of the test's configuration: error %v, want none", err)
 	}
 	return c
 }
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -34,7 +34,7 @@
 		}
 		if time.Now().After(deadline) {
 			_ = pprof.Lookup("goroutine").WriteTo(os.Stderr, 1) // the stacks show which goroutines are leaked
-			t.Fatalf("process has %+v after Close, want at most %+v as before New", now, before)
+			t.Fatalf("process has %+v %v after Close, want at most %+v as before New", now, leakTimeout, before)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 	t.Helper()
 	file, keyErrors := operatorfile.Parse(operator)
 	if len(keyErrors) > 0 {
-		t.Fatal(keyErrors)
+		t.Fatalf("operatorfile.Parse(%q): errors %v, want none", operator, keyErrors)
 	}
 	if err := c.ApplyOperator(file); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ApplyOperator(%q): error %v, want none", operator, err)
 	}
 	return c
 }
@@ -105,7 +105,7 @@
 				}
 				n := New(c)
 				if err := n.Start(); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Start() = %v, want nil", err)
 				}
 				conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 				n.Drain()
@@ -131,7 +131,7 @@
 	listenOn := nodetest.FreeAddress(t)
 	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
 	if err := n.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start() = %v, want nil", err)
 	}
 	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 	<-arrived
@@ -140,7 +140,7 @@
 		n.Close()
 		close(closed)
 	}()
-	nodetest.Eventually(t, leakTimeout, "a closed listener", func() bool { return !nodetest.Accepts(listenOn) })
+	nodetest.Eventually(t, leakTimeout, "the listener at "+listenOn+" to close", func() bool { return !nodetest.Accepts(listenOn) })
 	select {
 	case <-closed:
 		t.Error("Close returned while a request was open, want it to wait for the response")
@@ -174,7 +174,7 @@
 	listenOn := nodetest.FreeAddress(t)
 	n := New(mustParse(t, nodetest.NodeConfig(t, server.Addr(), listenOn, discovery.Addr().String())))
 	if err := n.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start() = %v, want nil", err)
 	}
 	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 	<-arrived
@@ -184,7 +184,7 @@
 		defer drained.Done()
 		n.Drain()
 	}()
-	nodetest.Eventually(t, leakTimeout, "a closed listener", func() bool { return !nodetest.Accepts(listenOn) })
+	nodetest.Eventually(t, leakTimeout, "the listener at "+listenOn+" to close", func() bool { return !nodetest.Accepts(listenOn) })
 	for k := range 3 { // the channel may hold one call from before the drain
 		select {
 		case <-calls:
@@ -214,7 +214,7 @@
 	}
 	n := New(mustParse(t, textFor(first)))
 	if err := n.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start() = %v, want nil", err)
 	}
 	wantDiscoveryCall(t, requestedHosts, first.Addr().String())
 	text := textFor(second)
@@ -225,7 +225,7 @@
 	}
 	nodetest.WriteFile(t, file, text)
 	if err := n.Reload(); err != nil || n.config.fileDiscovery != second.Addr().String() {
-		t.Errorf("Reload() = %v with discovery address %s, want nil and %s", err, n.config.fileDiscovery, second.Addr())
+		t.Errorf("Reload() of the complete file = %v with discovery address %s, want nil and %s", err, n.config.fileDiscovery, second.Addr())
 	}
 	wantDiscoveryCall(t, requestedHosts, second.Addr().String())
 	n.Close()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -32,7 +32,7 @@
 	text := nodetest.NodeConfig(t, server.Addr(), listenOn, nodetest.FreeAddress(t))
 	c := mustParse(t, text)
 	ended := startNode(c)
-	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
+	nodetest.Eventually(t, 5*time.Second, "the node to listen at "+listenOn, func() bool { return nodetest.Accepts(listenOn) })
 	conn := nodetest.SendRequest(t, listenOn, "9", 9*time.Second)
 	<-arrived
 	requestURIs := make(chan string, 1)
@@ -77,7 +77,7 @@
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the response to the open request: error %v, want none", err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if response.StatusCode != http.StatusOK || string(body) != nodetest.RequestBody || !response.Close || err != nil {
@@ -115,7 +115,7 @@
 	fillPipe(t, w)
 	listenOn := nodetest.FreeAddress(t)
 	ended := startNode(mustParse(t, nodetest.ConfigAt(listenOn, nodetest.FreeAddress(t), nodetest.LoopbackAddr)))
-	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool { return nodetest.Accepts(listenOn) })
+	nodetest.Eventually(t, 5*time.Second, "the node to listen at "+listenOn, func() bool { return nodetest.Accepts(listenOn) })
 	nodetest.SignalSelf(t, syscall.SIGTERM)
 	wantEnd(t, ended)
 }
@@ -124,14 +124,14 @@
 func fillPipe(t *testing.T, w *os.File) {
 	t.Helper()
 	if err := w.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("set the pipe's write deadline: %v", err)
 	}
 	var err error
 	for err == nil {
 		_, err = w.Write(make([]byte, 1<<12))
 	}
 	if err := w.SetWriteDeadline(time.Time{}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("clear the pipe's write deadline: %v", err)
 	}
 }
 
@@ -150,7 +150,7 @@
 	default:
 	}
 	nodetest.CloseNow(t, tcp)
-	nodetest.Eventually(t, 5*time.Second, "a listener", func() bool {
+	nodetest.Eventually(t, 5*time.Second, "the node's health check at "+c.Listen+" to respond", func() bool {
 		response, err := http.Get("http://" + c.Listen + protocol.HealthPath)
 		return err == nil && response.Body.Close() == nil
 	})
@@ -159,7 +159,7 @@
 		t.Errorf("Serve() = %v after SIGTERM, want nil", err)
 	}
 	if err := retryOpen(nil, func() error { return syscall.EACCES }); !errors.Is(err, syscall.EACCES) {
-		t.Errorf("retryOpen() = %v, want %v", err, syscall.EACCES)
+		t.Errorf("retryOpen() of an address that fails with %v = %v, want that error", syscall.EACCES, err)
 	}
 }
 
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -95,12 +95,12 @@
 	return conn
 }
 
-// Eventually waits until reached returns true, and fails the test after limit. state describes what the test waits for.
+// Eventually waits until reached returns true, and fails the test after limit. state completes the message "waiting for".
 func Eventually(t *testing.T, limit time.Duration, state string, reached func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v for %s, want it to be seen earlier", limit, state)
+			t.Fatalf("timed out after %v waiting for %s", limit, state)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func SignalSelf(t *testing.T, sig syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(syscall.Getpid(), sig); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send the signal %v to the test's own process: %v", sig, err)
 	}
 }
 
@@ -128,7 +128,7 @@
 func Signal(t *testing.T, p *os.Process, sig syscall.Signal) {
 	t.Helper()
 	if err := p.Signal(sig); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send the signal %v to process %d: %v", sig, p.Pid, err)
 	}
 }
 
