--- a/cmd/cherrygap/commandline_test.go
+++ b/cmd/cherrygap/commandline_test.go
@@ -183,8 +183,8 @@
 			cmd.Stderr = &errOut
 			out, err := cmd.Output()
 			if errOut.String() != c.notice+c.errorText || (err != nil) != (c.errorText != "") || err == nil && len(out) == 0 {
-				t.Errorf("%s: standard error %q, error %v, output %q, want standard error %q and an error only with an error text",
-					c.args, errOut.String(), err, out, c.notice+c.errorText)
+				t.Errorf("%s: standard error %q, want %q; error %v, want an error: %v; output %q, want a non-empty one without an error",
+					c.args, errOut.String(), c.notice+c.errorText, err, c.errorText != "", out)
 			}
 		})
 	}
--- a/cmd/cherrygap/idleclients_test.go
+++ b/cmd/cherrygap/idleclients_test.go
@@ -214,7 +214,7 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, sockets := range []int{64, 128, 256} {
 		for _, silent := range []bool{false, true} {
-			t.Run(fmt.Sprint(sockets, " silent ", silent), func(t *testing.T) { testIdleClients(t, sockets, silent) })
+			t.Run(fmt.Sprintf("%d sockets, discovery silent %v", sockets, silent), func(t *testing.T) { testIdleClients(t, sockets, silent) })
 		}
 	}
 }
@@ -249,9 +249,9 @@
 	case sentAt := <-discovery.listSent:
 		listDelay = sentAt.Sub(restoredAt)
 	case <-time.After(6 * time.Second):
-		t.Error("discovery sent no list within 6 s after its return, want one")
+		t.Error("discovery sent no list within 6 s of listening again, want one")
 	}
-	node.eventually(t, "a ready node", func() bool {
+	node.eventually(t, "the node to be ready after discovery's return", func() bool {
 		return statusOf(node.address, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n") == http.StatusOK
 	})
 	readyDelay = time.Since(restoredAt)
@@ -262,9 +262,10 @@
 	exhausted := bytes.Contains(node.log.Bytes(), []byte("too many open files"))
 	if listDelay > maxDelay || readyDelay > maxDelay || statuses[http.StatusOK] != newClients || attempts != newClients ||
 		idle.peakDescriptors > sockets || heldDescriptors > sockets/2+16 || repeats > newClients/8 || exhausted {
-		t.Errorf("list sent after %v and node ready after %v, want at most %v; statuses of new clients %v and %d attempts, "+
-			"want %d of status 200 and as many attempts; %d repeats, want at most %d; %d descriptors with idle clients, "+
-			"want at most %d; peak of %d descriptors, want at most %d; descriptors exhausted: %v, want false",
+		t.Errorf("list sent %v and node ready %v after discovery's return, want at most %v; new clients by status (0 for no response) %v "+
+			"and %d attempts, want %d of status 200 and as many attempts; %d requests sent again, want at most %d; "+
+			"node has %d descriptors with idle clients, want at most %d; peak of %d descriptors, want at most %d; "+
+			"\"too many open files\" in the node's log: %v, want false",
 			listDelay, readyDelay, maxDelay, statuses, attempts, newClients, repeats, newClients/8, heldDescriptors, sockets/2+16,
 			idle.peakDescriptors, sockets, exhausted)
 	}
--- a/cmd/cherrygap/log_test.go
+++ b/cmd/cherrygap/log_test.go
@@ -96,7 +96,7 @@
 			return
 		}
 	}
-	t.Fatalf("the node logged\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	t.Fatalf("the node logged within 10 s\n%s\nwant exactly\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 }
 
 // Operators' tools match log lines, so a change of their level, message or field names would break these tools. The test covers
@@ -152,7 +152,7 @@
 	address := nodetest.FreeAddress(t)
 	config := nodetest.ConfigAt(address, nodetest.FreeAddress(t), nodetest.LoopbackAddr)
 	node := startLoggedNode(t, config, "[log]\nlevel = \"error\"\n")
-	nodetest.Eventually(t, 10*time.Second, "a listener", func() bool { return nodetest.Accepts(address) })
+	nodetest.Eventually(t, 10*time.Second, "the node to listen at "+address, func() bool { return nodetest.Accepts(address) })
 	node.writeConfig(t, "{")
 	nodetest.Signal(t, node.cmd.Process, syscall.SIGHUP)
 	node.awaitLines(t, `error configuration reload failed: error="config.json: unexpected end of JSON input" node time`)
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -51,7 +51,7 @@
 func runLimitedNode() error {
 	if limit, err := strconv.ParseUint(os.Getenv(envDescriptorLimit), 10, 64); err == nil {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
-			return err
+			return fmt.Errorf("set the descriptor limit to %d: %w", limit, err)
 		}
 	}
 	node.CatchSignals()
--- a/cmd/cherrygap/pause_test.go
+++ b/cmd/cherrygap/pause_test.go
@@ -144,8 +144,8 @@
 		repeated, late = repeated+roundRepeated, late+roundLate
 	}
 	if late > left/100 || left < minLeft || repeated == 0 {
-		t.Errorf("%d clients left without a response, want at least %d; %d of their requests had bytes arrive after the pause, want at most %d; "+
-			"they had %d repeated attempts, want at least 1", left, minLeft, late, left/100, repeated)
+		t.Errorf("%d clients left without a response, want at least %d; app servers received bytes of %d of their requests after the pause, "+
+			"want at most %d; these requests had %d repeated attempts, want at least 1", left, minLeft, late, left/100, repeated)
 	}
 	t.Logf("%d clients left while the node was paused, after %d repeated attempts; %d requests had bytes arrive after the pause",
 		left, repeated, late)
@@ -170,7 +170,7 @@
 	unanswered := map[string]bool{}
 	for k, conn := range conns {
 		if err := conn.SetReadDeadline(time.Now().Add(time.Millisecond)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("set the read deadline of client %d's connection: %v", k, err)
 		}
 		if _, err := conn.Read(make([]byte, 1)); err == nil { // The response has begun.
 			nodetest.CloseNow(t, conn)
@@ -178,7 +178,7 @@
 		}
 		if k%4 < 2 {
 			if err := conn.SetLinger(0); err != nil {
-				t.Fatal(err)
+				t.Fatalf("set client %d's connection to be closed by a reset: %v", k, err)
 			}
 		}
 		nodetest.CloseNow(t, conn)
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	nodetest.KillAtEnd(t, p.cmd)
-	p.eventually(t, "a listener", func() bool { return nodetest.Accepts(p.address) })
+	p.eventually(t, "the node to listen at "+p.address, func() bool { return nodetest.Accepts(p.address) })
 	return p
 }
 
-// eventually waits up to 10 s until ok returns true, and else fails the test. state names the awaited state.
+// eventually waits up to 10 s until ok returns true, and else fails the test. state completes the message "waiting for".
 func (p *nodeProcess) eventually(t *testing.T, state string, ok func() bool) {
 	t.Helper()
 	nodetest.Eventually(t, 10*time.Second, state, ok)
@@ -70,7 +70,7 @@
 func (p *nodeProcess) pause(t *testing.T) {
 	t.Helper()
 	nodetest.Signal(t, p.cmd.Process, syscall.SIGSTOP)
-	p.eventually(t, "a stopped process", func() bool {
+	p.eventually(t, "all threads of the node's process to stop after SIGSTOP", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		if err != nil {
 			return false
@@ -104,7 +104,7 @@
 func (p *nodeProcess) kill(t *testing.T) {
 	t.Helper()
 	if err := p.cmd.Process.Kill(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("kill the node's process: %v", err)
 	}
 	_ = p.cmd.Wait() // Wait returns an error, because the process was killed.
 }
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -80,7 +80,7 @@
 	}
 	file := filepath.Join(buildDir, "cherrygap")
 	if out, err := exec.Command("go", "build", "-o", file, ".").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
+		return "", fmt.Errorf("go build: %w: %s", err, out)
 	}
 	return file, nil
 })
@@ -148,19 +148,19 @@
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
-		t.Errorf("reading the status of the node's process: error %v, want none", err)
+		t.Errorf("reading /proc/%d/status of the node at %s: error %v, want none", p.cmd.Process.Pid, p.address, err)
 	}
 	for line := range strings.SplitSeq(string(raw), "\n") {
 		for name, value := range map[string]*int{"VmRSS:": &current, "VmHWM:": &peak} {
 			if text, ok := strings.CutPrefix(line, name); ok {
 				if _, err := fmt.Sscanf(text, "%d kB", value); err != nil {
-					t.Errorf("reading %q of the process's status: error %v, want a number of kB", line, err)
+					t.Errorf("parsing %q in the process status of the node at %s: error %v, want a number of kB", line, p.address, err)
 				}
 			}
 		}
 	}
 	if current == 0 || peak == 0 {
-		t.Errorf("resident memory %d KiB, peak %d KiB, want both above 0; the process's status: %q", current, peak, raw)
+		t.Errorf("node at %s: resident memory %d KiB, peak %d KiB, want both above 0; process status: %q", p.address, current, peak, raw)
 	}
 	return current, peak
 }
@@ -240,7 +240,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if delays = append(delays, delay); !ok {
-				t.Errorf("%s: a node is not ready after %v, want a ready node; its log: %.300s", c.name, delay, process.log.String())
+				t.Errorf("%s: node at %s ended or timed out %v after its start without being ready, want it ready within %v; node's log: %.300s",
+					c.name, address, delay, 3*readyLimit, process.log.String())
 				return
 			}
 			ownCurrent, ownPeak := process.residentMemory(t)
@@ -249,10 +250,10 @@
 	}
 	checks.Wait()
 	if slices.Sort(delays); delays[processes*9/10-1] > readyLimit {
-		t.Errorf("%s: nine in ten nodes are ready after %v, want at most %v", c.name, delays[processes*9/10-1], readyLimit)
+		t.Errorf("%s: nine in ten nodes are ready %v after their start, want at most %v", c.name, delays[processes*9/10-1], readyLimit)
 	}
 	if peak > memoryLimitMiB<<10 {
-		t.Errorf("%s: peak memory of a node %d KiB, want at most %d KiB", c.name, peak, memoryLimitMiB<<10)
+		t.Errorf("%s: largest peak memory of a node's process %d KiB, want at most %d KiB", c.name, peak, memoryLimitMiB<<10)
 	}
 	t.Logf("%s: ready after %v to %v; largest current memory %d KiB, peak %d KiB", c.name, delays[0], delays[processes-1], current, peak)
 }
@@ -279,24 +280,25 @@
 	config, address := restartConfig(t, "subscribe", endpointListText(t, false), discovery.Addr().String())
 	process := startBuiltProgram(t, config, address)
 	if delay, ok := process.ready(time.Now()); !ok {
-		t.Fatalf("the node is not ready after %v, want a ready node; its log: %.300s", delay, process.log.String())
+		t.Fatalf("node ended or timed out %v after its start without being ready, want it ready within %v; node's log: %.300s",
+			delay, 3*readyLimit, process.log.String())
 	}
 	for k := range lists {
 		select {
 		case <-listSent:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("the node asked for %d lists and no other for 20 s, want %d lists", k, lists)
+			t.Fatalf("discovery sent the node %d lists and then none for 20 s, want %d lists", k, lists)
 		}
 	}
 	time.Sleep(300 * time.Millisecond) // This leaves the node time to read the last list.
 	if delay, ok := process.ready(time.Now()); !ok || delay > time.Second {
-		t.Errorf("after all lists, the node is ready: %v after %v, want true within %v", ok, delay, time.Second)
+		t.Errorf("node's health check after all %d lists: success %v after %v, want true within %v", lists, ok, delay, time.Second)
 	}
 	current, peak := process.residentMemory(t)
 	if peak > memoryLimitMiB<<10 {
-		t.Errorf("peak memory %d KiB, want at most %d KiB", peak, memoryLimitMiB<<10)
+		t.Errorf("peak memory of the node's process %d KiB after %d lists, want at most %d KiB", peak, lists, memoryLimitMiB<<10)
 	}
-	t.Logf("current memory %d KiB, peak %d KiB, after %d lists", current, peak, lists)
+	t.Logf("current memory of the node's process %d KiB, peak %d KiB, after %d lists", current, peak, lists)
 }
 
 // A restart must neither lose a request of the old process nor delay the new process too much. New processes start when the old
@@ -320,7 +322,8 @@
 		config, address := restartConfig(t, "automatic", smallList, discovery)
 		old := startBuiltProgram(t, config, address)
 		if delay, ok := old.ready(time.Now()); !ok {
-			t.Fatalf("the old node is not ready after %v, want a ready node; its log: %s", delay, old.log.String())
+			t.Fatalf("old node at %s ended or timed out %v after its start without being ready, want it ready within %v; node's log: %s",
+				address, delay, 3*readyLimit, old.log.String())
 		}
 		conns = append(conns, nodetest.SendRequest(t, address, "9", 9*time.Second))
 		oldProcesses, newConfigs = append(oldProcesses, old), append(newConfigs, strings.Replace(config, smallList, largeList, 1))
@@ -343,7 +346,8 @@
 			<-old.ended // Until it ends, the old node may be the one that answers the health check.
 			delay, ok := newProcess.ready(terminatedAt)
 			if !ok || delay > readyLimit {
-				t.Errorf("new node %d is ready: %v, %v after SIGTERM, want true within %v; its log: %.300s", i, ok, delay, readyLimit, newProcess.log.String())
+				t.Errorf("new node %d is ready: %v, %v after SIGTERM to the old node, want true within %v; new node's log: %.300s",
+					i, ok, delay, readyLimit, newProcess.log.String())
 			}
 			t.Logf("new node %d: ready %v after SIGTERM", i, delay)
 		}()
--- a/cmd/cherrygap/scale_test.go
+++ b/cmd/cherrygap/scale_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	dirs, err := filepath.Glob("/proc/[0-9]*")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("list the processes in /proc: %v", err)
 	}
 	for _, dir := range dirs {
 		raw, err := os.ReadFile(dir + "/stat")
@@ -45,7 +45,7 @@
 	cfg := scale.Default()
 	var err error
 	if cfg.Program, err = os.Executable(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("find the test program's path: %v", err)
 	}
 	cfg.Dir = t.TempDir()
 	cfg.Nodes, cfg.Real, cfg.Servers, cfg.Tenants = 8, 2, 40, 200
@@ -65,7 +65,7 @@
 	}
 	line, err := json.Marshal(result)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the result of scale.Run: %v", err)
 	}
 	checkScaleRequests(t, result)
 	checkScaleFleet(t, result)
@@ -81,7 +81,7 @@
 		}
 	}
 	if after := childProcesses(t); !slices.Equal(before, after) {
-		t.Errorf("child processes after the run %v, want those before it: %v", after, before)
+		t.Errorf("child processes (id and state) after the run: %v, want %v as before the run", after, before)
 	}
 	if t.Failed() {
 		t.Logf("result of the run: %s", line)
@@ -92,9 +92,9 @@
 func checkScaleRequests(t *testing.T, result *scale.Result) {
 	t.Helper()
 	if result.Sent < 200 || result.Completed < result.Sent*9/10 || result.SimulatedRequests.Completed < 100 || result.Direct < 10 {
-		t.Errorf("%v requests sent, want at least 200; %v completed, want at least 9 in 10; "+
-			"%v of simulated nodes completed, want at least 100; %v sent directly, want at least 10",
-			result.Sent, result.Completed, result.SimulatedRequests.Completed, result.Direct)
+		t.Errorf("%v requests sent, want at least 200; %v completed, want at least %v; "+
+			"%v of simulated nodes completed, want at least 100; %v sent directly to app servers, want at least 10",
+			result.Sent, result.Completed, result.Sent*9/10, result.SimulatedRequests.Completed, result.Direct)
 	}
 	if result.Duplicates+result.Unanswered+result.SimulatedRequests.Unanswered+result.ConnectFailed+result.SendsToDrained+
 		result.OtherStatus != 0 {
@@ -109,17 +109,18 @@
 func checkScaleFleet(t *testing.T, result *scale.Result) {
 	t.Helper()
 	if result.Changes < 6 || result.ChangesNotApplied != 0 || result.MaxAppliedAll > 6 {
-		t.Errorf("%v changes, want at least 6; %v not applied, want 0; longest time until all nodes applied one %v s, want at most 6 s",
+		t.Errorf("%v changes of the endpoint list, want at least 6; %v not applied, want 0; longest time until all nodes applied a change %v s, want at most 6 s",
 			result.Changes, result.ChangesNotApplied, result.MaxAppliedAll)
 	}
 	if result.Exited+result.Killed != 0 || result.Restarts != 2 || result.SimulatedRestarts != 6 {
-		t.Errorf("%v nodes ended by themselves and %v had to be killed, want 0; %v real restarts, want 2; %v simulated restarts, want 6",
+		t.Errorf("%v nodes ended by themselves and %v had to be killed, want 0 of both; %v restarts of real nodes, want 2; "+
+			"%v restarts of simulated nodes, want 6",
 			result.Exited, result.Killed, result.Restarts, result.SimulatedRestarts)
 	}
 	if result.ViaNodeP99 <= 0 || result.DirectP50 <= 0 || result.PeakRSSMiB <= 0 || result.DiscoveryFullLists < 1 ||
 		result.Peers["use"].InBytes <= 0 || len(result.Sections) != 6 {
-		t.Errorf("p99 through a node %v, direct p50 %v, peak memory %v MiB, %v full lists, %v bytes of peers' use messages, want each above 0; "+
-			"%d sections, want 6",
+		t.Errorf("p99 latency through a node %v ms, direct p50 latency %v ms, peak memory of a node %v MiB, want each above 0; "+
+			"%v full lists from discovery, want at least 1; %v bytes of peers' use messages, want above 0; %d sections, want 6",
 			result.ViaNodeP99, result.DirectP50, result.PeakRSSMiB, result.DiscoveryFullLists, result.Peers["use"].InBytes,
 			len(result.Sections))
 	}
@@ -170,7 +171,7 @@
 				t.Errorf("scale.Run = %+v, %v, want no result and an error with %q", result, err, c.want)
 			}
 			if after := childProcesses(t); !slices.Equal(before, after) {
-				t.Errorf("child processes after the run %v, want those before it: %v", after, before)
+				t.Errorf("child processes (id and state) after the run: %v, want %v as before the run", after, before)
 			}
 		})
 	}
@@ -190,10 +191,10 @@
 	cfg := smallScaleConfig(t)
 	cmd := exec.Command("sh", "-c", `ulimit -n 640; exec "$0" lab scale --nodes 8 --real 1 --servers 40 --sockets 64 --dir "$1"`,
 		cfg.Program, cfg.Dir)
+	const want = "cherrygap: the simulated app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n"
 	out, err := cmd.CombinedOutput()
-	if cmd.ProcessState.ExitCode() != 2 ||
-		string(out) != "cherrygap: the simulated app servers need 650 descriptors in one process, which may have 640 (ulimit -n): lower --servers\n" {
-		t.Errorf("lab scale with 640 descriptors: output %q, error %v, want exit code 2 and a line on the missing descriptors", out, err)
+	if code := cmd.ProcessState.ExitCode(); code != 2 || string(out) != want {
+		t.Errorf("lab scale with 640 descriptors: exit code %d, want 2; output %q, want %q; error %v", code, out, want, err)
 	}
 	if files, _ := os.ReadDir(cfg.Dir); len(files) > 0 {
 		t.Errorf("lab scale without enough descriptors wrote the files %v, want none", files)
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -71,7 +71,7 @@
 func (f *failingCall) failFor(t *testing.T, errno syscall.Errno, times int32) {
 	t.Helper()
 	f.start(errno)
-	nodetest.Eventually(t, 10*time.Second, fmt.Sprint(times, " calls that fail with ", errno), func() bool { return f.failures.Load() >= times })
+	nodetest.Eventually(t, 10*time.Second, fmt.Sprint(times, " calls of system call ", f.number, " to fail with ", errno), func() bool { return f.failures.Load() >= times })
 	f.active.Store(false)
 }
 
@@ -95,10 +95,10 @@
 	p.cmd.Stderr = &p.log
 	injector, err := syscallfault.NewInjector(p.cmd, policy)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create the injector of system call errors: %v", err)
 	}
 	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the node's process: %v", err)
 	}
 	nodetest.KillAtEnd(t, p.cmd)
 	ended := make(chan error, 1)
@@ -144,7 +144,7 @@
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
 	faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
-	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+	faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 	for _, errno := range []syscall.Errno{
 		unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.EINTR,
 		unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
@@ -157,7 +157,7 @@
 		nodetest.CloseAtEnd(t, conn)
 		fault.failFor(t, errno, 2)
 		if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
-			t.Fatalf("status of a request after accept failed with %v = %d, want %d", errno, status, http.StatusOK)
+			t.Fatalf("status of a request after accept failed with %v = %d (0 for no response), want %d", errno, status, http.StatusOK)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	fault := &failingCall{number: unix.SYS_ACCEPT4}
 	discovery := nettest.Listen(t)
 	faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), server)
-	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+	faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 	fault.start(unix.ENFILE)
 	conn := nodetest.Dial(t, faultyNode.address)
 	sentAt = time.Now()
@@ -191,7 +191,7 @@
 	reader := bufio.NewReader(conn)
 	for i := range requests {
 		if excessTime := <-excess; excessTime > slack {
-			t.Errorf("request %d: the attempt's timeout exceeds the time left by %v, want at most %v", i, excessTime, slack)
+			t.Errorf("request %d: the attempt's timeout exceeds the client's remaining time by %v, want at most %v", i, excessTime, slack)
 		}
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -208,19 +208,20 @@
 func TestResourceExhaustionEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
+		name   string
 		number int
 		errnos []syscall.Errno
 	}{
-		{unix.SYS_SOCKET, []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
-		{unix.SYS_CONNECT, []syscall.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENETDOWN, unix.EAGAIN}},
+		{"socket", unix.SYS_SOCKET, []syscall.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}},
+		{"connect", unix.SYS_CONNECT, []syscall.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENETDOWN, unix.EAGAIN}},
 	} {
 		for _, errno := range c.errnos {
-			t.Run(fmt.Sprint(c.number, " ", strings.ReplaceAll(errno.Error(), " ", "-")), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.name, " ", strings.ReplaceAll(errno.Error(), " ", "-")), func(t *testing.T) {
 				t.Parallel()
 				fault := &failingCall{number: c.number}
 				discovery := nettest.Listen(t)
 				faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t), okServer(t))
-				faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+				faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 				fault.start(errno)
 				statuses := make(chan int)
 				const requests = 6
@@ -231,12 +232,12 @@
 				fault.active.Store(false)
 				for range requests {
 					if status := <-statuses; status != http.StatusOK {
-						t.Errorf("status of a request during the fault = %d, want %d", status, http.StatusOK)
+						t.Errorf("status of a request during the fault = %d (0 for no response), want %d", status, http.StatusOK)
 					}
 				}
 				for range requests {
 					if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
-						t.Errorf("status of a request after the fault = %d, want %d", status, http.StatusOK)
+						t.Errorf("status of a request after the fault = %d (0 for no response), want %d", status, http.StatusOK)
 					}
 				}
 			})
@@ -263,7 +264,7 @@
 			fault := &failingCall{number: c.number}
 			discovery := nettest.Listen(t)
 			faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
-			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+			faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 			fault.start(c.errno)
 			statuses := make(chan int)
 			const requests = 4
@@ -273,7 +274,7 @@
 			fault.failFor(t, c.errno, 3*requests)
 			for range requests {
 				if status := <-statuses; status != http.StatusOK {
-					t.Errorf("status of a request during the fault = %d, want %d", status, http.StatusOK)
+					t.Errorf("status of a request during the fault = %d (0 for no response), want %d", status, http.StatusOK)
 				}
 			}
 		})
@@ -291,9 +292,9 @@
 			discovery := nettest.Listen(t)
 			faultyNode, _ := startFaultyNode(t, fault.decide, discovery.Addr().String(), okServer(t))
 			fault.failFor(t, errno, 2)
-			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+			faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 			if status := requestStatus(t, faultyNode.address); status != http.StatusOK {
-				t.Errorf("status of a request after a start with %v = %d, want %d", errno, status, http.StatusOK)
+				t.Errorf("status of a request after a start with %v = %d (0 for no response), want %d", errno, status, http.StatusOK)
 			}
 		})
 	}
@@ -313,7 +314,7 @@
 	}()
 	server := okServer(t)
 	faultyNode, file := startFaultyNode(t, (&failingCall{}).decide, oldDiscovery.Addr().String(), server)
-	faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+	faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 	text := nodeProcessConfig(faultyNode.address, newDiscovery.Addr().String(), 1024, []net.Listener{server})
 	nodetest.WriteFile(t, file, text[:len(text)/2])
 	nodetest.Signal(t, faultyNode.cmd.Process, syscall.SIGHUP)
@@ -322,11 +323,11 @@
 	select {
 	case <-called:
 	case <-time.After(5 * time.Second):
-		t.Error("the node has not called the new discovery address within 5 s, want a call")
+		t.Error("the node has not called the new discovery address within 5 s after the test wrote the complete configuration, want a call")
 	}
 	faultyNode.kill(t)
 	if lines := strings.Count(faultyNode.log.String(), "configuration reload failed"); lines != 1 {
-		t.Errorf("the log has %d lines on a failed reload, want 1", lines)
+		t.Errorf("the node's log has %d lines \"configuration reload failed\", want 1; log: %s", lines, faultyNode.log.String())
 	}
 }
 
@@ -347,7 +348,7 @@
 			}()
 			server := okServer(t)
 			faultyNode, file := startFaultyNode(t, fault.decide, oldDiscovery.Addr().String(), server)
-			faultyNode.eventually(t, "a listener", func() bool { return nodetest.Accepts(faultyNode.address) })
+			faultyNode.eventually(t, "the node to listen at "+faultyNode.address, func() bool { return nodetest.Accepts(faultyNode.address) })
 			nodetest.WriteFile(t, file, nodeProcessConfig(faultyNode.address, newDiscovery.Addr().String(), 1024, []net.Listener{server}))
 			fault.start(errno)
 			nodetest.Signal(t, faultyNode.cmd.Process, syscall.SIGHUP)
@@ -355,7 +356,7 @@
 			select {
 			case <-called:
 			case <-time.After(5 * time.Second):
-				t.Error("the node has not called the new discovery address within 5 s, want a call")
+				t.Error("the node has not called the new discovery address within 5 s of the fault's end, want a call")
 			}
 		})
 	}
@@ -376,7 +377,7 @@
 		}
 	}()
 	pollingNode := startPollingNode(t, fault, discovery.Addr().String())
-	pollingNode.eventually(t, "a call that fails", func() bool { return fault.failures.Load() > 0 })
+	pollingNode.eventually(t, "a connect of the node to fail", func() bool { return fault.failures.Load() > 0 })
 	time.Sleep(faultTime)
 	fault.active.Store(false)
 	faultEnd := time.Now()
