--- a/cmd/cherrygap/lab_authz.go
+++ b/cmd/cherrygap/lab_authz.go
@@ -65,5 +65,5 @@
 	defer stop()
 	<-ctx.Done()
 	counts := service.Counts()
-	return printJSON(cmd, map[string]any{"answers": counts.Answers, "starts": counts.Starts})
+	return printJSON(cmd, map[string]any{"answers": counts.EndedCalls, "starts": counts.Starts})
 }
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -102,7 +102,7 @@
 	endpoint := decision.Endpoint{
 		Server: decision.ServerID(fields.Uint32()),
 		Zone:   fields.Uint8(),
-		Kind:   fields.Uint16(),
+		Model:  fields.Uint16(),
 		Cell:   fields.Uint16(),
 	}
 	code := simproto.EndpointState(fields.Uint8())
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -65,7 +65,7 @@
 type Endpoint struct {
 	Server  ServerID
 	Zone    uint8
-	Kind    uint16 // model of the server; the engine ignores it
+	Model   uint16 // model of the server; the engine ignores it
 	Cell    uint16 // group of servers within which idempotency keys may be shared
 	State   EndpointState
 	Weight  float64 // size relative to other servers; 0 or less means unknown
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -132,7 +132,7 @@
 // addServer adds the server with number i, from which its properties derive.
 func (p *fleetSimulation) addServer(i int) *simulatedServer {
 	s := &simulatedServer{Endpoint: Endpoint{
-		Server: ServerID(i*7919 + 11), Zone: uint8(i % p.zones), Kind: uint16(i % 3),
+		Server: ServerID(i*7919 + 11), Zone: uint8(i % p.zones), Model: uint16(i % 3),
 		Cell: uint16(i / p.serversPerCell), State: Ready, Weight: []float64{1, 1, 2, 0.5, 0}[i%5],
 	}}
 	p.serverCount = max(p.serverCount, i+1)
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -158,7 +158,7 @@
 	counts := server.Counts()
 	counters := a.policy.Counters()
 	t.Logf("responses %v; authorizer: %d answers, %d starts; checks: %+v, p50 %v, p99 %v; slowest request %v",
-		l.responses, counts.Answers, counts.Starts, counters,
+		l.responses, counts.EndedCalls, counts.Starts, counters,
 		a.LatencyQuantile(0.5), a.LatencyQuantile(0.99), slowest)
 	if sent := int(l.sent.Load()); sent < clients*requests || len(l.latencies) != sent || slowest > time.Second {
 		t.Errorf("%d requests sent, want at least %d; %d of them have responses, want all; slowest response after %v, want at most %v",
--- a/internal/lab/authz/authz.go
+++ b/internal/lab/authz/authz.go
@@ -61,8 +61,8 @@
 
 // Counts counts the events of an authorizer.
 type Counts struct {
-	Answers int64 // calls with a valid customer that ended, including failed ones
-	Starts  int64 // starts, including the first one
+	EndedCalls int64 // calls with a valid customer that ended, including failed ones
+	Starts     int64 // starts, including the first one
 }
 
 // NotLoopbackError is the error for an address that is not a loopback address.
@@ -201,7 +201,7 @@
 	time.Sleep(faults.delay)
 	allowed := s.config.DenyEvery == 0 || customer%s.config.DenyEvery != 0
 	s.mu.Lock()
-	s.counts.Answers++
+	s.counts.EndedCalls++
 	if !faults.drop && !faults.malformed {
 		s.lastAnswer[attributes.GetRequest().GetHttp().GetId()] = allowed
 	}
--- a/internal/routing/endpointtable.go
+++ b/internal/routing/endpointtable.go
@@ -139,7 +139,7 @@
 	return decision.Endpoint{
 		Server:  decision.ServerID(n),
 		Zone:    nameNumber(t.zones, e.Zone),
-		Kind:    nameNumber(t.models, e.Model),
+		Model:   nameNumber(t.models, e.Model),
 		Cell:    uint16(e.Cell),
 		State:   endpointStates[e.State],
 		Weight:  e.Weight,
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -98,23 +98,23 @@
 	}{
 		{
 			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "b", Model: "m9", Cell: 7, State: protocol.InService, Weight: 2.5, BootMs: 1_800_000_000_123},
-			decision.Endpoint{Server: 122795830, Zone: 0, Kind: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230},
+			decision.Endpoint{Server: 122795830, Zone: 0, Model: 0, Cell: 7, State: decision.Ready, Weight: 2.5, Started: 18_000_000_001_230},
 		},
 		{
 			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 0, State: protocol.Terminating, Weight: 0, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Model: 0, Cell: 0, State: decision.Draining, Weight: 0, Started: 0},
 		},
 		{
 			protocol.Endpoint{UID: "srv-a", Zone: "b", Model: "", Cell: 65535, State: protocol.Terminated, Weight: 1, BootMs: 1},
-			decision.Endpoint{Server: 1557935716, Zone: 0, Kind: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10},
+			decision.Endpoint{Server: 1557935716, Zone: 0, Model: 1, Cell: 65535, State: decision.Gone, Weight: 1, Started: 10},
 		},
 		{
 			protocol.Endpoint{UID: "s0", Addr: addr, Zone: "", Model: "m1", Cell: 8, State: protocol.InService, Weight: 1, BootMs: 5},
-			decision.Endpoint{Server: 122795830, Zone: 2, Kind: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50},
+			decision.Endpoint{Server: 122795830, Zone: 2, Model: 2, Cell: 8, State: decision.Ready, Weight: 1, Started: 50},
 		},
 		{
 			protocol.Endpoint{UID: "s1", Addr: addr, Zone: "a", Model: "m9", Cell: 1, State: protocol.InService, Weight: 1, BootMs: 0},
-			decision.Endpoint{Server: 139573449, Zone: 1, Kind: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0},
+			decision.Endpoint{Server: 139573449, Zone: 1, Model: 0, Cell: 1, State: decision.Ready, Weight: 1, Started: 0},
 		},
 	} {
 		got := table.update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{c.endpoint}})
