--- a/internal/discovery/race.go
+++ b/internal/discovery/race.go
@@ -19,7 +19,8 @@
 	// raceTimeout is the timeout of the first call of a connection. One call at a time has callTimeout instead, in case
 	// discovery is slow.
 	raceTimeout = 3 * raceInterval
-	// raceProgress is the number of response bytes that must arrive in raceInterval for calls to get more time.
+	// raceProgress is the number of response bytes for which a call gets raceInterval more time. If as many arrive between two
+	// calls of startRacer, the second starts no racer.
 	raceProgress = 64 << 10
 )
 
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -54,7 +54,7 @@
 	pending chan struct{} // signals a request to handle; closed by serve
 	handled chan struct{} // signals that the request was handled; closed by handleRequests
 
-	responseDue  atomic.Bool  // set while a request has no response yet
+	responseDue  atomic.Bool  // set from the hand-over of a request until its response is known
 	hasRequested atomic.Bool  // set once a complete request was read; cleared by linger
 	readingAhead atomic.Bool  // set while serve reads pipelined bytes during a request
 	overflowed   atomic.Bool  // set if pipelined bytes overflowed the buffer; the next response is then the last
@@ -221,7 +221,7 @@
 }
 
 // checkRequest checks a well-formed request against the settings and claims its id. For an invalid request it returns a
-// *protocol.RequestError.
+// *protocol.RequestError. A health check of the node passes unchecked and has no id.
 func (c *clientConn) checkRequest() error {
 	switch router := c.server.router; {
 	case c.request.IsNodeHealthCheck():
--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -25,8 +25,8 @@
 	for _, size := range []int{0, 1, 5000, 20000, protocol.MaxBody} {
 		body := strings.Repeat("x", size)
 		if status, got, closes := frontendtest.RoundTrip(t, conn, frontendtest.RequestText(3000, body)); status != 200 || got != body || closes {
-			t.Fatalf("request with %d body bytes: status %d, %d body bytes, closes %v; want status 200, the same body, closes false",
-				size, status, len(got), closes)
+			t.Fatalf("request with %d body bytes: status %d, %d body bytes, body echoed %v, response closes %v; want status 200, %d, true, false",
+				size, status, len(got), got == body, closes, size)
 		}
 		time.Sleep(upstream.ReuseDelay)
 	}
--- a/internal/frontend/connlimit_test.go
+++ b/internal/frontend/connlimit_test.go
@@ -36,7 +36,7 @@
 
 func (l *failingListener) Close() error { return nil }
 
-// A transient error of accept(2) must not stop the gRPC front end. gRPC's server returns at most of these errors, because
+// A transient error of accept(2) must not stop the gRPC front end. Most of these errors would end gRPC's server, because
 // they do not report themselves as temporary. Accept therefore retries after each.
 func TestLimitedListenerRetriesAcceptErrors(t *testing.T) {
 	client, accepted := net.Pipe()
--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -21,7 +21,7 @@
 
 // No byte of an attempt may arrive at an app server more than 0.1 s after the client's disconnect. Clients disconnect at
 // random times, by a close, a reset or a half-close, with or without pipelined bytes. At that time an attempt may be dialling,
-// in flight, rejected, failed or reset, or its request waits for a quota owner or a free connection. One run has one core.
+// in flight, rejected, failed or reset, or the request may wait for a quota owner or a free connection. One run uses one core.
 func TestNothingIsForwardedAfterDisconnect(t *testing.T) {
 	fewDescriptors := frontendtest.Limits
 	fewDescriptors.MaxDescriptors = netio.MinReserved + 16
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -9,9 +9,9 @@
 // closeIdleInterval is the time between two passes of Drain over the open connections.
 const closeIdleInterval = firstRequestGrace / 10
 
-// Drain shuts the server down gracefully. From its call on, each response closes its connection. The listener stays open
-// for acceptFor, and then until the connections in its queue are accepted. After that Drain closes idle connections. It
-// returns when all connections are closed.
+// Drain shuts the server down gracefully. From its call on, each response closes its connection unless pipelined bytes were
+// read. The listener stays open for acceptFor, and then until the connections in its queue are accepted. After that Drain
+// closes idle connections. It returns when all connections are closed.
 func (s *Server) Drain(acceptFor time.Duration) {
 	s.draining.Store(true)
 	netio.SetAcceptDeadline(s.listener, time.Now().Add(acceptFor))
@@ -35,7 +35,8 @@
 	}
 }
 
-// closeIdle closes idle connections. It keeps new connections, partly read requests, and connections with pending input.
+// closeIdle closes idle connections. It keeps new connections and those with a partly read request, pending input or an
+// unacknowledged response.
 func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/requesthandler.go
+++ b/internal/frontend/requesthandler.go
@@ -28,7 +28,7 @@
 
 // RequestHandler handles the requests of one caller, one at a time. It checks each request with the authorizer, executes the
 // attempts and returns the response. A caller is an HTTP connection or a call of another protocol. Any goroutine may call
-// ClientGone; only the caller's goroutine may call the other methods.
+// ClientGone. Only one goroutine at a time may call the other methods.
 type RequestHandler struct {
 	server   *Server
 	attempts *upstream.AttemptRunner
@@ -195,7 +195,7 @@
 // authorizationResult is the result of authorize.
 type authorizationResult struct {
 	passed   bool                    // set if the request may be forwarded
-	response protocol.ClientResponse // response to a request that did not pass, unless the client disconnected
+	response protocol.ClientResponse // response to a request that did not pass; unused if the client disconnected
 }
 
 // authorize checks a request with the authorizer. Without an authorizer each request passes.
--- a/internal/frontend/requestids.go
+++ b/internal/frontend/requestids.go
@@ -7,7 +7,7 @@
 
 const (
 	minIDRetention = 8 * time.Second // shortest time to keep the id of an answered request
-	maxRecentIDs   = 4 << 10         // size of requestIDs.recent at which release drops ids before minIDRetention
+	maxRecentIDs   = 4 << 10         // size of requestIDs.recent at which release rotates before minIDRetention has passed
 )
 
 // requestIDs holds the ids of requests that are in flight or were answered recently. The front ends reject a second request
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -38,7 +38,7 @@
 	slots       chan struct{}  // semaphore that holds one element for each open connection
 	acceptDone  chan struct{}  // closed when acceptLoop returns
 	conns       sync.WaitGroup // counts acceptLoop and each connection
-	draining    atomic.Bool    // set by Drain; each response then closes its connection
+	draining    atomic.Bool    // set by Drain; makes wantsClose true
 	closingIdle atomic.Bool    // set once Drain begins to close idle connections
 	atLimit     atomic.Bool    // set while acceptLoop waits for a slot
 
@@ -155,8 +155,8 @@
 	s.conns.Done()
 }
 
-// nearLimit reports whether more than half of the slots are in use. Each response then closes its connection. Otherwise
-// clients that send one request and stay connected would use up the slots.
+// nearLimit reports whether more than half of the slots are in use. Each response then closes its connection unless pipelined
+// bytes were read. Otherwise clients that send one request and stay connected would use up the slots.
 func (s *Server) nearLimit() bool { return 2*len(s.slots) > cap(s.slots) }
 
 // wantsClose reports whether each response should close its connection.
--- a/internal/netio/closereason.go
+++ b/internal/netio/closereason.go
@@ -24,10 +24,10 @@
 
 // Reasons for closing connections to app servers.
 const (
-	ReasonServerClosed         CloseReason = "server-closed"          // The server closed it while it was idle.
-	ReasonServerStale          CloseReason = "server-stale"           // A used connection broke before a request's last byte.
+	ReasonServerClosed         CloseReason = "server-closed"          // The server closed it or sent bytes while it was idle.
+	ReasonServerStale          CloseReason = "server-stale"           // A used connection broke or had input before a request's last byte.
 	ReasonServerRequestedClose CloseReason = "server-requested-close" // A response asked for it, or bytes followed a response.
-	ReasonServerReset          CloseReason = "server-reset"           // The server reset or closed it during an attempt.
+	ReasonServerReset          CloseReason = "server-reset"           // The server reset or closed it during an attempt or a health check.
 	ReasonServerMalformed      CloseReason = "server-malformed"       // The response could not be parsed.
 	ReasonServerTimeout        CloseReason = "server-timeout"         // No complete response arrived by the deadline.
 	ReasonServerUnlisted       CloseReason = "server-unlisted"        // The server is out of service.
--- a/internal/netio/ringbuffer.go
+++ b/internal/netio/ringbuffer.go
@@ -10,7 +10,7 @@
 )
 
 // MessageTimeout is the maximum time for reading one message. For the first message of a connection it starts at the accept.
-// The node disconnects a client that sends no complete request well within the 3 s that the platform allows.
+// A client that sends no complete request is therefore disconnected well before the 3 s that the platform allows.
 const MessageTimeout = 2 * time.Second
 
 // Buffer sizes in bytes.
@@ -46,7 +46,7 @@
 	buf           []byte        // memory of the buffer; nil until Allocate
 	taken, filled int           // positions of the next byte to take out and to put in
 	allowed       int           // number of bytes that Read may still return
-	err           error         // first error of Stream, which later calls also return
+	err           error         // first error of Stream, which later calls also return; ReadMore clears a timeout
 	deadlineSet   bool          // true if the read deadline of the current message is set
 }
 
@@ -77,10 +77,10 @@
 // Err returns the first error of the stream.
 func (b *RingBuffer) Err() error { return b.err }
 
-// Taken returns the number of bytes taken out since the buffer was created, without those that EndMessage put back.
+// Taken returns the number of bytes taken out of a read buffer since its creation, without those that EndMessage put back.
 func (b *RingBuffer) Taken() int { return b.taken }
 
-// Filled returns the number of bytes put in since the buffer was created.
+// Filled returns the number of bytes put into a read buffer since its creation.
 func (b *RingBuffer) Filled() int { return b.filled }
 
 // Empty reports whether the buffer holds no bytes.
--- a/internal/netio/sockopt.go
+++ b/internal/netio/sockopt.go
@@ -38,8 +38,8 @@
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
 // TimedOut reports whether err means that a deadline set by this process passed. ETIMEDOUT from a system call does not count,
-// although its Timeout method returns true. There the connection broke, or accept(2) returned the error of a queued
-// connection.
+// although its Timeout method returns true. It means that the connection broke, or that accept(2) returned the error of a
+// queued connection.
 func TimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // Earlier returns the earlier of two times. The zero time is earlier than all others.
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -36,8 +36,9 @@
 )
 
 // LoopbackAddr returns a loopback address of this test process, with port 0 for a free port. Test processes that run at the same
-// time have different addresses. With a common address, one process could open a port that another has just closed. The first
-// process would then receive connections of the other's clients, such as a discovery client whose server is closed.
+// time have different addresses, unless their process ids differ by a multiple of 8192. With a common address, one process
+// could open a port that another has just closed. The first process would then receive connections of the other's clients, such
+// as a discovery client whose server is closed.
 func LoopbackAddr() string {
 	id := os.Getpid()
 	network := firstProcessNetwork + id/processesPerNetwork%processNetworks
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -36,7 +36,7 @@
 	currentAttempt   int                // number of the current attempt, or noAttempt
 	cancelledAttempt int                // number of the last cancelled attempt, or noAttempt
 	disconnected     bool               // true once the client disconnected; no attempt may start then
-	conn             *serverConn        // connection of the current attempt; nil while it dials
+	conn             *serverConn        // connection of the current attempt; nil during a dial and after detach
 	cancelDial       context.CancelFunc // cancels the current attempt's dial; nil if there is no dial
 	written          bool               // true once the last byte of the current attempt's request was written
 	clientCheckedAt  time.Time          // last time at which the client was known to be connected
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -21,7 +21,7 @@
 	readBuffer, writeBuffer netio.RingBuffer
 	openedAt                time.Time
 	resetWait               time.Duration // time to wait for the reset of a stale connection before a request's last byte
-	idleSince               time.Time     // end of the last message, when the server's idle timeout started
+	idleSince               time.Time     // time of the dial or of the last response, when the server's idle timeout started
 	requestCount            int           // number of requests written completely
 	requestCountAtPut       int           // value of requestCount at the last Pool.put
 }
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -52,10 +52,10 @@
 // Socket returns the underlying TCP connection.
 func (c *Conn) Socket() *net.TCPConn { return c.conn }
 
-// IdleSince returns the end of the connection's last message.
+// IdleSince returns the time of the dial or of the last response.
 func (c *Conn) IdleSince() time.Time { return c.idleSince }
 
-// SetIdleSince overrides the end of the connection's last message.
+// SetIdleSince overrides the result of IdleSince.
 func (c *Conn) SetIdleSince(at time.Time) { c.idleSince = at }
 
 // AddRequest counts one request on the connection.
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -13,8 +13,8 @@
 
 // HealthChecker runs this node's share of the fleet's health checks. healthcheck.Scheduler decides which messages to send, and
 // which servers to check at what time. HealthChecker sends the messages, runs the checks and reports their results. Checks
-// use the connections of the Pool, so a server in use is checked over an open connection. A HealthChecker is safe for
-// concurrent use.
+// use the connections of the Pool, and dial only if the Pool has no usable idle connection to the server. A HealthChecker is
+// safe for concurrent use.
 type HealthChecker struct {
 	router    *routing.Router
 	pool      *Pool
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -65,13 +65,13 @@
 	inService func(*routing.Server) bool // argument of the last KeepOnly; nil before the first
 
 	reducedIdleLimitUntil time.Time     // end of the time for which reducedIdleLimit applies
-	reducedIdleLimit      time.Duration // maximum idle time of a usable connection
+	reducedIdleLimit      time.Duration // idle time from which a connection is not used
 }
 
 // NewPool returns an empty pool.
 func NewPool(limits netio.Limits, log *zerolog.Logger, counters *Counters) *Pool {
 	p := &Pool{limits: limits, log: log, counters: counters, idle: map[*routing.Server][]*serverConn{}}
-	p.timer = time.AfterFunc(time.Hour, p.closeExpired) // The first put resets it to the idle limit.
+	p.timer = time.AfterFunc(time.Hour, p.closeExpired) // If the servers have an idle timeout, the first put resets it to the idle limit.
 	return p
 }
 
@@ -311,8 +311,8 @@
 	return kept
 }
 
-// KeepOnly closes the idle connections to servers for which inService returns false. The pool checks connections in use by
-// inService when they are put back.
+// KeepOnly closes the idle connections to servers for which inService returns false. When a connection in use is
+// put back, the pool closes it if inService returns false for its server then.
 func (p *Pool) KeepOnly(inService func(*routing.Server) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -95,7 +95,7 @@
 
 const (
 	writeComplete   writeResult = iota
-	writeFailed                 // The connection ended, the client disconnected, or the attempt was cancelled.
+	writeFailed                 // The connection ended or timed out, the client disconnected, or the attempt was cancelled.
 	writeStaleInput             // Bytes of an earlier response arrived before the last byte.
 	writeDelayed                // sendCheck.mayWriteLastByte returned false.
 )
