--- a/cmd/simadapter/simulator_test.go
+++ b/cmd/simadapter/simulator_test.go
@@ -328,7 +328,8 @@
 	return records
 }
 
-// trafficRecords returns clients' requests and expired timers. Steps 700 to 1099 have an overload.
+// trafficRecords returns clients' requests and timer events. Each instance gets 0.6 requests per step on average, or 5 in
+// steps 700 to 1099, and a timer event at every third step.
 func (sim *simulator) trafficRecords(k int) (records [][]byte) {
 	rate := 0.6
 	if k >= 700 && k < 1100 {
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -16,7 +16,7 @@
 
 // agent is a fake of discovery's local agent, which is up or down. It answers calls with an empty list of its revision.
 type agent struct {
-	unansweredConns int           // number of first connections whose calls are never answered
+	unansweredConns int           // number of connections, from the first on, whose calls are never answered
 	responseDelay   time.Duration // delay of each response
 	calls           atomic.Int64
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -68,7 +68,8 @@
 }
 
 // A race of connections must not read a long list on several connections at once, because on one core all would time out.
-// A list that takes a second to arrive is read once. If a response stops after half of the list, another connection delivers the list.
+// The client may open at most four connections for a list that takes a second to arrive. If a response stops after half of the
+// list, another connection delivers the list.
 func TestDiscoveryClientReadsALongListOnce(t *testing.T) {
 	for name, stops := range map[string]bool{"slow": false, "stops after half": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -81,7 +81,8 @@
 }
 
 // run starts and ends the fault, and returns the time from the end of the fault until the node applied a change. Discovery has
-// the change when the fault ends. In poll mode run also checks that calls do not overlap and are not too frequent.
+// the change when the fault ends. In poll mode run also checks that calls do not overlap and are not too frequent,
+// unless the client switches to another address.
 func (r recoveryCase) run(t *testing.T) (time.Duration, error) {
 	run := &recoveryRun{recoveryCase: r, applied: make(chan time.Time, 99)}
 	if err := run.startDiscovery(t); err != nil {
@@ -243,7 +244,8 @@
 	return startedAt, nil
 }
 
-// move starts discovery at another address and makes the client switch to it. The fault at the old address stays.
+// move starts discovery at another address, makes the client switch to it and waits until the node applies the change. The
+// fault at the old address stays.
 func (r *recoveryRun) move() (time.Duration, error) {
 	next := &fakeDiscovery{revision: 2, firstDrains: true, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	listener, err := net.Listen("tcp", r.listenHost+":0")
@@ -259,7 +261,7 @@
 	return r.await(endedAt)
 }
 
-// endFault ends the fault and changes the list.
+// endFault ends the fault, changes the list and waits until the node applies the change.
 func (r *recoveryRun) endFault(startedAt time.Time) (time.Duration, error) {
 	d := r.discovery
 	d.mu.Lock()
@@ -347,7 +349,7 @@
 
 // A node that applies a change late sends requests to servers that drain. Lost, slow or failed earlier calls must not delay a
 // change beyond maxRecoveryTime less recoveryMargin from the time when discovery has it and is reachable. In poll mode calls
-// do not overlap, and a discovery that rejects calls gets at most one per second.
+// do not overlap, and during a fault discovery gets at most two calls plus one per second.
 // RECOVERY_SEEDS in the environment sets the number of seeds, 1 by default.
 func TestChangeIsAppliedInTimeAfterFault(t *testing.T) {
 	seeds := uint64(1)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestStaleConnectionReducesIdleLimit guards against losing several unsafe requests to stale connections. The app servers
-// close each connection at its second request. After the first such failure, connections that were idle as long must not be
+// TestStaleConnectionReducesIdleLimit guards against losing several unsafe requests to stale connections. The app server
+// closes each connection at its second request. After the first such failure, connections that were idle as long must not be
 // used.
 func TestStaleConnectionReducesIdleLimit(t *testing.T) {
 	var mu sync.Mutex // guards served
--- a/internal/upstream/unreadrequest_test.go
+++ b/internal/upstream/unreadrequest_test.go
@@ -18,7 +18,7 @@
 	"cherrygap/internal/upstream"
 )
 
-// TestDisconnectWhileTheServerReadsNothing guards against executing a request after its client has disconnected. The client
+// TestDisconnectWhileTheServerReadsNothing guards against executing a request after its client has disconnected. Each client
 // disconnects while the app server's machine has not acknowledged the whole request. The rest must not be delivered when the
 // server reads again. A request that was not written completely must be abandoned at once, even if the settings forbid
 // cancellation, because it has not started.
