--- a/internal/frontend/disconnectrandom_test.go
+++ b/internal/frontend/disconnectrandom_test.go
@@ -164,7 +164,7 @@
 	nettest.WriteString(conn, client.pipelined)
 	netio.SetReadDeadline(conn, time.Now().Add(client.disconnectAfter))
 	_, err = conn.Read(make([]byte, 1))
-	if !netio.TimedOut(err) { // the client has a response
+	if !netio.TimedOut(err) { // the client has a response, or the connection has ended
 		return
 	}
 	startedAt := time.Now()
--- a/internal/frontend/wireformat_test.go
+++ b/internal/frontend/wireformat_test.go
@@ -198,8 +198,8 @@
 const plainRequest = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Tariff: team\r\nX-Budget-Ms: 3000\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\nContent-Length: 1\r\n\r\nx"
 
-// Other responses to rejected and failed requests would break clients. Each attempt of such a request
-// has the same bytes, except for its timeout.
+// Other responses to rejected and failed requests would break clients. Each attempt of such a request has the same bytes,
+// except for its timeout.
 func TestRejectedAndFailedWireFormat(t *testing.T) {
 	const attempt = "POST /seats/0000000000000005 HTTP/1.1\r\nHost: a\r\nX-Call-Id: golden-7\r\nX-Budget-Ms: #\r\nContent-Length: 1\r\n\r\nx"
 	for name, test := range map[string]struct {
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -175,8 +175,8 @@
 }
 
 // TestHealthChecksContinueWhenOwnersFail guards against servers that nobody checks after the owner of their checks fails. Twelve
-// nodes on loopback stop and start at random. No app server may stay unchecked for much longer than two intervals, few checks
-// may be duplicates, and a draining server may get none.
+// nodes on loopback stop and start at random. No app server may stay unchecked for more than 2.25 intervals. Each may get
+// half a check to three checks per interval, so few checks may be duplicates. A draining server may get none.
 func TestHealthChecksContinueWhenOwnersFail(t *testing.T) {
 	const nodeCount, serverCount = 12, 8
 	servers := startCheckedServers(t, serverCount)
--- a/internal/upstream/sendcheck_test.go
+++ b/internal/upstream/sendcheck_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestSendCheck guards against an invariant check that misses a fault or reports a correct attempt. It also guards against
-// writing the last byte of an attempt that is too late. Each case changes one time of a correct attempt.
+// writing the last byte of an attempt that is too late. Each case is a correct attempt, most with changed times.
 func TestSendCheck(t *testing.T) {
 	now := time.Now()
 	good := sendCheck{
