--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -6,7 +6,7 @@
 //
 //   - Inputs: completed attempts, their latencies, and the attempts in flight, by interval.
 //   - State: the base latency T, the target concurrency a, the admission rate λ with its token bucket.
-//   - Rule: each request takes a token, and the attempts in flight stay below a concurrency limit. Each interval sets a
+//   - Rule: each admitted request takes a token, and the attempts in flight stay below a concurrency limit. Each interval sets a
 //     to the output of loadPolicy times the attempts that complete within T. By Little's law, λ is a/T.
 //   - Protects against: a back end that receives more than it completes, whose queues last longer than clients wait.
 //   - Trade-off: a few long requests look like a queue. Therefore a has a lower bound. While latency is low, the limit
@@ -15,7 +15,7 @@
 	config            *config
 	rate              float64 // admission rate λ, in requests a second; 0 while T is unknown
 	tokens            tokenBucket
-	latencyLow        bool    // normalized latency of the last interval was below lowNormalizedLatency
+	latencyLow        bool    // normalized latency of the last interval was below lowNormalizedLatency; true at the start
 	targetConcurrency float64 // a, the target number of requests in flight
 	features          loadFeatures
 	lastLatency       float64 // mean latency of the last interval with samples, in latency objectives
@@ -31,7 +31,7 @@
 	coldStartAttemptsPerServer         = 3.0   // limit on the fleet's attempts in flight per ready server while T is unknown
 	minInFlightPerServer               = 1.1   // least concurrency limit of the whole fleet, in attempts per ready server
 	lowLatencyLimitFactor              = 1.4   // factor on the least concurrency limit while latency is low
-	lowLatencyLimitFactorPerSquareRoot = 0.6   // addition to lowLatencyLimitFactor, times the square root of the number of nodes
+	lowLatencyLimitFactorPerSquareRoot = 0.6   // added to lowLatencyLimitFactor, times the square root of the number of nodes
 	maxInFlightBaseLatencies           = 1.5   // concurrency limit, as a multiple of the attempts that complete within T
 	minLatencyObjectives               = 0.125 // latency that always counts as low, in latency objectives
 
@@ -74,7 +74,7 @@
 }
 
 // hasToken refills the token bucket and reports whether it holds a token. Directly after a scheduling pause, the
-// bucket holds the tokens of the whole pause.
+// bucket has room for the tokens of the whole pause.
 func (l *admissionLimit) hasToken(now Time, p *pause) bool {
 	burstSeconds := burstIntervals * seconds(controlInterval)
 	if p.endedAt == now {
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -19,7 +19,7 @@
 	demand       decayingMean // units requested at this node
 	peerDemand   decayingMean // units requested at other nodes, or at all nodes if this node is the owner
 	inFlight     int          // attempts in flight at this node
-	leased       bool         // only SetLease fills the bucket
+	leased       bool         // SetLease has set the bucket's level; the bucket does not refill
 	ceiling      tokenBucket  // this node's share of the plan's hard ceiling
 
 	queryRatio       float64       // share of the requests for which the owner is queried
@@ -30,7 +30,7 @@
 	reservations     []reservation // granted requests in flight, if this node is the owner
 	ownerCeiling     tokenBucket   // the owner's part of the hard ceiling, if this node is the owner
 
-	reportPending bool    // the next report to peers covers the customer
+	reportPending bool    // the customer is in usageReports.pending
 	reportDemand  float64 // units requested since the last report
 	reportUse     float64 // units admitted or settled since the last report, possibly below 0
 }
@@ -123,7 +123,7 @@
 	}
 }
 
-// forgetIdle drops idle customers whose buckets are full. Each call checks at most idleScanCustomers customers, to
+// forgetIdle drops idle customers whose buckets are full or have no limit. Each call checks at most idleScanCustomers customers, to
 // avoid delaying requests.
 func (t *customerTable) forgetIdle(now Time) {
 	for range min(idleScanCustomers, len(t.all)) {
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -11,7 +11,7 @@
 	classes      []classState
 	endpoints    endpointSet
 	requests     requestTable
-	listReceived bool // discovery has sent a list; a server that a later list adds has just started
+	listReceived bool // discovery has sent a list other than CachedList; servers that later lists add have just started
 	customers    customerTable
 	outbox       outbox
 	scratch      []byte // buffer for the payloads of summaries and suspicions
@@ -109,8 +109,8 @@
 // ObserveServerClock records a time that the servers' clock showed a moment ago. Endpoint.Started refers to that clock.
 func (e *Engine) ObserveServerClock(at Time) { e.slowStart.observeClock(at, e.now) }
 
-// updateServer applies one entry of an endpoint list and returns the server's slot. The argument listed is the number of
-// servers in the list.
+// updateServer applies one entry of an endpoint list and returns the server's slot. The argument listed is the larger of
+// the list's length and the number of ready servers.
 func (e *Engine) updateServer(endpoint Endpoint, listed int) serverSlot {
 	i := e.endpoints.slots.find(endpoint.Server)
 	if i < 0 {
@@ -283,7 +283,7 @@
 	e.customers.all[r.customer].inFlight++
 }
 
-// closeRequest closes a request and cancels the attempts that are in flight for it.
+// closeRequest closes a request and cancels its attempts in flight, if the settings allow cancellation.
 func (e *Engine) closeRequest(i requestSlot) {
 	r := &e.requests.all[i]
 	if r.closed {
--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -41,7 +41,7 @@
 	zones            int
 	serversPerCell   int
 	serviceTime      Time    // mean service time of an attempt
-	requestsPerStep  float64 // mean number of new requests in a step
+	requestsPerStep  float64 // base of the mean number of new requests in a step, see fleetSimulation.step
 	customers        int
 	spread           int    // number of nodes in a customer's set
 	oneNodeSet       bool   // the set of every customer begins with node 0
@@ -185,7 +185,7 @@
 			s.busyUntil = p.now + 2*Second
 		}
 	}
-	// In each period, the load rises from low to about twice the servers' capacity.
+	// In each period, the mean number of new requests rises evenly from 0.4 to 2.2 times requestsPerStep.
 	period := cmp.Or(p.period, 8*Second)
 	phase := float64((p.now-p.startedAt)%period) / float64(period)
 	mean := p.requestsPerStep * (0.4 + 1.8*phase)
@@ -451,7 +451,7 @@
 	}
 }
 
-// endAttempt reports the end of an attempt. If the attempt is not in flight, the reported attempt does not exist.
+// endAttempt reports the end of an attempt. If the attempt is not in flight, the report names one that does not exist.
 func (p *fleetSimulation) endAttempt(k int, id RequestID, r *simulatedRequest, number int, outcome Outcome) {
 	engine := p.nodes[k]
 	if r == nil || number >= len(r.attempts) || !r.attempts[number].inFlight {
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -7,7 +7,7 @@
 //
 //   - Inputs: the outcomes of this node's attempts, the waits of those in flight, and peers' suspicions.
 //   - State: an outlierState for each tracked server and class, and a trial budget for each class.
-//   - Rule: an ejection lasts one latency objective, each further one twice as long. Then the server gets one trial
+//   - Rule: an ejection lasts the shortest latency objective, each further one twice as long. Then the server gets one trial
 //     attempt at a time. Trials after a longer ejection, or after peers' suspicions, come from the trial budget.
 //   - Protects against: failed servers, cut links, hanging processes, the loss of a zone.
 //   - Trade-off: errors that are due to the requests eject healthy servers, one after the other. If all are ejected,
--- a/internal/decision/outlier_test.go
+++ b/internal/decision/outlier_test.go
@@ -167,7 +167,7 @@
 	}
 	detector.classes[0].trials = 1
 	if detector.ejected(&states[0], 0, now+48000) {
-		t.Error("after its ejection, a server is ejected with a trial budget of 1, want a trial allowed")
+		t.Error("ejected() = true at the end of the ejection time with a trial budget of 1, want false")
 	}
 	states[0].inFlight = 1
 	if detector.attemptStarted(&states[0], 0, now+48000); detector.classes[0].trials > trialsPerAttempt+1e-9 || !detector.ejected(&states[0], 0, now+48000) {
--- a/internal/decision/owner.go
+++ b/internal/decision/owner.go
@@ -164,8 +164,8 @@
 	return nearlyFull && demand > optimisticMinRatePerNode*float64(c.spread)
 }
 
-// drawQuery reports whether this node queries the owner for a request. The probability is the query ratio. It
-// rises to 1 while the ratio ages to queryRatioLifetime.
+// drawQuery reports whether this node queries the owner for a request. The probability is the query ratio,
+// or the ratio's age over queryRatioLifetime if that is larger.
 func (o *quotaOwner) drawQuery(c *customer, now Time, rng *random) bool {
 	age := float64(now-c.queryRatioAt) / float64(queryRatioLifetime)
 	skip := rng.unit() >= max(c.queryRatio, age)
--- a/internal/decision/owner_test.go
+++ b/internal/decision/owner_test.go
@@ -39,7 +39,7 @@
 	return f
 }
 
-// runDecisions carries out the decisions of all nodes at an instant. Each attempt takes the given time.
+// runDecisions carries out the decisions of all nodes at an instant. Each attempt that starts then takes the given duration.
 func (f *fleet) runDecisions(now, duration Time) {
 	for _, end := range f.ends[now] {
 		end()
@@ -256,9 +256,9 @@
 	}
 }
 
-// A customer with frequent requests and a nearly full bucket is admitted optimistically. When the bucket empties, the
-// owner notifies the set, whose nodes then query for a share of the requests. Otherwise they would continue to admit requests
-// beyond the quota.
+// Requests of a customer with much demand and a nearly full bucket are admitted optimistically. Below 70% of the burst, the
+// owner must revoke this, so that the nodes of the set query again. Otherwise they would continue to admit requests beyond the
+// quota. The query ratio falls as demand exceeds the quota.
 func TestOptimisticAdmission(t *testing.T) {
 	const now = 50 * Second
 	for _, c := range []struct {
--- a/internal/decision/pause.go
+++ b/internal/decision/pause.go
@@ -5,7 +5,7 @@
 // pause detects scheduling pauses: spans in which the host asked for a timer but did not call the engine.
 //
 //   - Inputs: the times of the host's calls.
-//   - State: the length and the end of the last pause, and the requests that arrived during it.
+//   - State: the length and the end of the last pause, and the number of requests that arrived during it.
 //   - Rule: after a pause, the requests that arrived during it are decided in reverse order: the last ones still have
 //     time left. Their arrival times are set as if they had arrived evenly over the pause.
 //   - Protects against: time spent on requests whose clients have disconnected, directly after the pause.
@@ -19,7 +19,7 @@
 // minPauseDivisor gives the shortest pause, as a divisor of the shortest latency objective.
 const minPauseDivisor = 4
 
-// observe records a pause if the time between two calls of the host exceeds the latency objective over minPauseDivisor.
+// observe records a pause if the time between two calls of SetTime exceeds the objective over minPauseDivisor.
 func (p *pause) observe(last, now, objective Time) {
 	if gap := now - last; gap > objective/minPauseDivisor {
 		p.length, p.endedAt = gap, now
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -28,7 +28,7 @@
 	passSubset  selectionPass = iota // servers of the subset that are not ejected, capped or tried
 	passTracked                      // tracked servers that are not ejected, capped or tried
 	passTried                        // servers that are not ejected
-	passEjected                      // all servers
+	passEjected                      // all eligible servers
 	selectionPasses
 )
 
@@ -41,7 +41,7 @@
 	rolePreferred                     // a warming server is selected before all regular ones
 )
 
-// serverAdded sets the rotation credit of a new server, where listed is the number of listed servers. The credit is
+// serverAdded sets the rotation credit of a new server, where listed is the number in updateServer. The credit is
 // random: nodes that start together must not begin with the same servers.
 func (l *selection) serverAdded(s *server, listed int, rng *random) {
 	s.rotationCredit = (rng.unit() - 0.5) * s.Weight * float64(min(listed, minTrackedServers))
@@ -118,7 +118,7 @@
 func (e *Engine) pick(r *request) serverSlot {
 	c, widened := e.weighAll(r, e.endpoints.subset), false
 	for pass := range selectionPasses {
-		if pass == passTracked && !e.config.usesOwners { // the subset holds every tracked server
+		if pass == passTracked && !e.config.usesOwners { // subsetChoice tracks no server beyond the subset
 			continue
 		}
 		if pass > passSubset && !widened {
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -13,7 +13,7 @@
 type slowStart struct {
 	config          *config
 	warmRate        float64      // attempts a second that a warm server completes for this node; decays slowly
-	rates           []float64    // completed attempts a second and warm server, of recent intervals
+	rates           []float64    // completed attempts a second for each warm server, in recent intervals
 	lastWarmServers float64      // capacity of the ready servers in the last interval, in warm servers
 	completedSizes  decayingMean // listed sizes of the servers that completed attempts
 	maxClockLead    Time         // upper bound of the lead of this node's clock over the servers' clock; valid if clockSeen
@@ -145,7 +145,7 @@
 	return sum
 }
 
-// closeInterval updates the rate of a warm server from the completed rates of the recent intervals, last one last. The
+// closeInterval updates the rate of a warm server from the completed rates of the recent intervals, oldest first. The
 // rate decays slowly, so that a mostly cold fleet keeps its budgets.
 func (l *slowStart) closeInterval(warmServers float64, completedRates []float64) {
 	last := completedRates[len(completedRates)-1]
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -112,7 +112,7 @@
 			{61 * Second, 61*Second - 1},
 			{71 * Second, 61*Second - 1},
 		} {
-			engine.SetTime(step.at - 500) // the engine takes a longer gap between calls for a scheduling pause
+			engine.SetTime(step.at - 500) // a gap of more than 0.15 s before step.at would be a scheduling pause
 			takeDecisions(engine, Forward)
 			engine.SetTime(step.at)
 			list := []Endpoint{{Server: 99, State: Ready, Weight: 1, Started: step.started}}
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -61,7 +61,7 @@
 			largest, p99, least = largest+runLargest/float64(seeds), p99+runP99/float64(seeds), min(least, runLeast)
 		}
 		t.Logf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f", c.nodes, c.servers, largest, p99, least)
-		// Without an order of the servers, largest and p99 are 1.99 and 1.89 at 300 nodes and 200 servers.
+		// For comparison: subsets without an order of the servers have largest 1.99 and p99 1.89 at 300 nodes and 200 servers.
 		if least < 0.2 || largest > 2.4 || p99 > 1.9 {
 			t.Errorf("%d nodes, %d servers: load over the mean: largest %.2f, p99 %.2f, least %.2f, want at most 2.4, at most 1.9, at least 0.2",
 				c.nodes, c.servers, largest, p99, least)
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -1,14 +1,15 @@
 package decision
 
 // timers holds the times of this node's periodic tasks: attempt checks, control intervals, messages to peers, and polls
-// of discovery. The host's timer is set for the next attempt check, which finds the other tasks that are due.
+// of discovery. The host's timer is set for the next attempt check only. Each call of Engine.Next starts the check, the
+// messages and the poll that are due. The check also closes a control interval that is over.
 type timers struct {
 	checkAt     Time // next attempt check
 	intervalAt  Time // end of the control interval
 	reportAt    Time // next usage report to peers
 	suspicionAt Time // next message with suspicions to peers
 	pollAt      Time // next poll of discovery; 0: discovery pushes its lists
-	polling     bool // a poll is in flight
+	polling     bool // a poll has begun and has not failed
 	hostAt      Time // time for which the host's timer is set; 0 before it is first set
 }
 
@@ -75,7 +76,7 @@
 // sendsToPeers reports whether this node has peers that receive messages.
 func (c *config) sendsToPeers() bool { return c.nodes > 1 && c.peersEnabled }
 
-// startPollIfDue reports whether discovery is to be polled now. The poll is then in flight until it fails. After a
+// startPollIfDue reports whether discovery is to be polled now. No other poll is due until this one fails. After a
 // success, the host continues to receive updates from discovery.
 func (t *timers) startPollIfDue(now Time) bool {
 	due := t.pollAt > 0 && now >= t.pollAt && !t.polling
@@ -84,7 +85,7 @@
 }
 
 // pollFailed sets the time of the next poll. The settings' limit, pollWithin, is in units of Time. The call has no effect
-// unless a poll is in flight.
+// unless a poll has begun and has not failed yet.
 func (t *timers) pollFailed(now Time, pollWithin float64, rng *random) {
 	if t.polling {
 		t.polling = false
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// A poll is in flight until it fails, and a failure counts once. A failure that counted twice would delay the next poll.
-// Without the setting, discovery is not polled.
+// No second poll begins before the first one fails, and a failure counts once. A failure that counted twice would delay
+// the next poll. Without the setting, discovery is not polled.
 func TestPolls(t *testing.T) {
 	rng := newRandom(1)
 	pushed, timers := newTimers(Second, &config{}), newTimers(Second, &config{pollEndpoints: true})
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// These are the keys of Values outside of lists. The setting of each key is the field of Settings with the name of the
-// constant. Times are in time units. A boolean is true if its text is On.
+// These are the keys of Values outside of lists. Each constant has the name of the field of Settings that holds the
+// setting. Texts of times are numbers of units of 100 µs, see TimeUnit. A boolean is true if its text is On.
 const (
 	Node  = "node"
 	Nodes = "nodes"
