--- a/internal/decision/fleetsimulation_test.go
+++ b/internal/decision/fleetsimulation_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// injectRandomEvent causes a random fault, pause, restart or update of the endpoint list.
+// injectRandomEvent causes a random fault, pause, restart, health check or update of the endpoint list.
 func (p *fleetSimulation) injectRandomEvent() {
 	s := p.servers[p.rng.Intn(len(p.servers))]
 	switch p.rng.Intn(12) {
--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -197,7 +197,7 @@
 	h.engine.AddRequest(newRequest)
 }
 
-// injectRandomEvent changes the endpoint list, delivers a peer message, or restarts the node.
+// injectRandomEvent changes the endpoint list, reports a failed poll, delivers a peer message, or restarts the node.
 func (h *simulatedHost) injectRandomEvent() {
 	i := h.rng.Intn(len(h.servers))
 	s := h.servers[i]
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -15,7 +15,7 @@
 type keyGroup uint8
 
 const (
-	groupUnknown keyGroup = iota // no known group: attempts may go to any server, but clients can't safely repeat a request
+	groupUnknown keyGroup = iota // unknown: any server may get attempts; clients can't safely repeat requests that may have run
 	groupAll                     // all servers
 	groupZone                    // the servers of a zone
 	groupCell                    // the servers of a cell
@@ -43,7 +43,7 @@
 	maxRetryAfter   Time // longest Retry-After
 
 	pollEndpoints bool    // the node polls discovery; otherwise discovery pushes its lists
-	pollWithin    float64 // longest time from a failed poll to the next one, in units of Time
+	pollWithin    float64 // longest time from a failed poll to the next one by the settings, in units of Time; see pollDelay
 
 	classes           []classConfig // by ClassID, at least one
 	plans             []quotaPlan   // by PlanID, at least one
--- a/internal/settings/platform_test.go
+++ b/internal/settings/platform_test.go
@@ -105,8 +105,8 @@
 		{"empty values", "slot_no=\ntick=\nregistry_mode=\nfeedback.columns=\nservices.0.semantics=\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=;node=;tick=;"},
 		{"unknown enumerated values", "registry_mode=other\nservices.0.semantics=sometimes\nfeedback.columns=rif,new,q\n", "class.0.retry_safety=;endpoint_list=;load_report.fields=in_flight,,queued;"},
 		{"values of another enumerated setting", "registry_mode=idempotent\nservices.0.semantics=subscribe\n", "class.0.retry_safety=poll;endpoint_list=safe;"},
-		// Converting a float beyond the range of int64 gives a result that depends on the processor. The next two cases have
-		// that of amd64.
+		// Converting a float beyond the range of int64 gives a result that depends on the processor. The next two cases expect
+		// the result on amd64.
 		{"malformed times", "tick=soon\nsafety.cold=NaN\nsafety.drain_grace=1e400\n", "drain_grace=1e400;slow_start_span=-92233720368547758;tick=soon;"},
 		{"times beyond 64 bits", "tick=1e300\nsafety.cold=Inf\n", "slow_start_span=-92233720368547758;tick=-92233720368547758;"},
 		{"fractional, exponential, negative and hexadecimal times", "tick=4099.9\nsafety.cold=1e7\nsafety.tip_after=-250\nsafety.ask_within=0x10p4\nsafety.drain_grace=99\n", "drain_grace=0;overload_span=-2;poll_within=2;slow_start_span=100000;tick=40;"},
--- a/internal/settings/platformwriter_test.go
+++ b/internal/settings/platformwriter_test.go
@@ -72,7 +72,7 @@
 }
 
 // TestEveryTranslationIsInvertible checks that every name of the platform that FromJSON reads is written by PlatformJSON
-// too, and numbers survive both directions. A name that is added only to the reader would be missing from the settings of
+// too, and no translation changes a number into another text. A name that is added only to the reader would be missing from the settings of
 // nodes in internal/lab.
 func TestEveryTranslationIsInvertible(t *testing.T) {
 	written := map[string]bool{}
