--- a/internal/authz/breaker.go
+++ b/internal/authz/breaker.go
@@ -8,7 +8,7 @@
 // Circuit breaker.
 //
 //   - Inputs: the results of the checks, and the time.
-//   - State: the number of consecutive failures, the end of the open time, and whether a trial check is in flight.
+//   - State: the number of consecutive failures, the end of the open time, and whether a trial check is pending.
 //   - Rule: after maxFailures consecutive failures the breaker opens, and no check begins. After the open time the breaker
 //     is half open: one trial check at a time may begin. A failed trial opens the breaker again, for twice the time. An
 //     answer closes it.
@@ -28,7 +28,7 @@
 type breaker struct {
 	consecutiveFailures int           // number of failures since the last answer, except for those while the breaker was open
 	openUntil           time.Duration // end of the open time; the breaker is half open from then on
-	trialInFlight       bool          // whether a check that began in the half-open state is in flight
+	trialInFlight       bool          // whether a trial check has begun and no check has ended since
 }
 
 // tripped reports whether the breaker is open or half open.
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -2,7 +2,7 @@
 // runs a check, and when.
 //
 // The owner of a check is the first member in the check's rendezvous order that internal/membership considers alive. While
-// members fail and rejoin, the next member is a backup owner. The result of each run is gossiped. Thus every node learns the
+// members fail and rejoin, another member may be a backup owner. The result of each run is gossiped. Thus every node learns the
 // result, and a new owner knows the time of the last run.
 //
 // The package holds no I/O, no clock and no goroutine. The host passes the current time to each call. It reports events with
@@ -68,7 +68,7 @@
 	Send StepKind = iota + 1
 	// Run asks the host to run Check within Timeout, and to report the result with CheckEnded.
 	Run
-	// Ended notifies the host that another node ran Check with the result OK.
+	// Ended notifies the host that another node ran Check. OK is the result.
 	Ended
 )
 
--- a/internal/healthcheck/ownership.go
+++ b/internal/healthcheck/ownership.go
@@ -34,7 +34,7 @@
 const (
 	// NotOwner means that the node does not run the check.
 	NotOwner Ownership = iota
-	// BackupOwner means that the node runs the check if no other node has run it for 1 + backupDelayIntervals intervals.
+	// BackupOwner means that the node runs the check if no node has run it for 1 + backupDelayIntervals intervals.
 	BackupOwner
 	// PrimaryOwner means that the node runs the check once per interval.
 	PrimaryOwner
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -34,7 +34,7 @@
 type checkState struct {
 	check     Check
 	ranking   ranking
-	lastRunAt time.Duration // time of the last known run at any node
+	lastRunAt time.Duration // time of the last known run at any node; before the first, see newCheckState
 	running   bool          // whether this node is running the check
 	ownership Ownership     // this node's role, as of the last updateOwnership
 	listed    bool          // whether the current SetChecks contains the check
@@ -151,7 +151,8 @@
 	return s.members.Receive(now, from, payload, s.receiveEvent)
 }
 
-// receiveEvent processes the result of a run at another node. It reports whether the run was unknown to this node.
+// receiveEvent processes the result of a run at another node. It reports whether the check is in the set and
+// the run is later than the last known one.
 func (s *Scheduler) receiveEvent(e membership.Event) (isNew bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -80,7 +80,7 @@
 	writeBuffer          []byte        // payload of the last message; reused by the next one
 	probes               []probe       // pings without an ack
 	lastSequence         uint64        // sequence of the last ping; 0 before the first
-	nextPingAt           time.Duration // time of the next pings of a period
+	nextPingAt           time.Duration // time at which the pings of the next period are due
 	pingOrder            []int         // members in the order in which they are pinged; shuffled for each pass
 	pingIndex            int           // index into pingOrder of the next member
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -175,7 +175,7 @@
 }
 
 // TestMalformedMessagesChangeNothing guards against a malformed message that changes the state of a node. Such a message
-// changes only a counter.
+// changes only the counter of malformed messages and the clock.
 func TestMalformedMessagesChangeNothing(t *testing.T) {
 	node, valid := newFleet(20, 0).nodes[0], validMessage()
 	for size := 1; size < len(valid); size++ { // truncated at any byte
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// expireSuspicions makes members dead that have been suspect for suspicionPeriodsPerRound periods per gossip round.
+// expireSuspicions declares each member dead that has been suspect for suspicionPeriodsPerRound periods per gossip round.
 func (p *Protocol) expireSuspicions() {
 	timeout := time.Duration(suspicionPeriodsPerRound * p.GossipRounds() * float64(p.period))
 	for i := range p.members {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -29,7 +29,7 @@
 	// releaseMarginShares is the smallest reduction of a cap that is worth an exchange, as a ratio of an equal share.
 	releaseMarginShares = 0.1
 
-	// noWindow is the window number of an account before its first request.
+	// noWindow is the window number of an account that has not entered a window since newAccount or reset.
 	noWindow WindowNumber = -1
 )
 
@@ -46,7 +46,7 @@
 
 // window is the part of an account that each new window resets.
 type window struct {
-	windowNumber WindowNumber // number of the window; noWindow before the first
+	windowNumber WindowNumber // number of the window; noWindow before the first since a reset
 	allowance    float64      // units that the whole fleet may use in the window
 	cap          float64      // units that this node may use in the window
 	used         float64      // units that this node has used in the window
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -17,7 +17,8 @@
 	maxCapIncreaseRatio = 0.1
 	// entryTTLWindows is the time to live of entries in the store, in windows.
 	entryTTLWindows = 3
-	// exchangeGapWindows is the mean time between two exchanges for one customer, in windows.
+	// exchangeGapWindows is the mean of the minimum time between two exchanges for one customer, in windows. The minimum is
+	// drawn for each exchange.
 	exchangeGapWindows = 0.05
 )
 
@@ -67,7 +68,7 @@
 	})
 }
 
-// handleFailure records the failure of an exchange. The store may have carried the exchange out, so its entry is unknown.
+// handleFailure records the failure of an exchange. The store may have carried the exchange out, so the store's entry is unknown.
 func (l *Ledger) handleFailure(e pendingExchange) {
 	l.counters.Failed++
 	l.backoff.recordFailure(l.now, l.cfg.Timeout, l.random)
@@ -76,9 +77,9 @@
 	}
 }
 
-// nextExchangeOf returns the next exchange of an account, or false if the account needs none. A lower cap is in force at
-// once. A higher cap is in force only once a reply grants it. An unchanged cap is put again if the store's entry differs or
-// is unknown.
+// nextExchangeOf returns the next exchange of an account, or false if the account needs none or has to wait. A lower cap is
+// in force at once. A higher cap is in force only once a reply grants it. An unchanged cap is put again if the store's entry
+// differs or is unknown.
 func (l *Ledger) nextExchangeOf(a *account) (Exchange, bool) {
 	if a.customer.Rate <= 0 || a.customer.Spread <= 1 {
 		return Exchange{}, false
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -23,7 +23,7 @@
 	rateLimit        rateLimiter
 	backoff          backoff
 	storeID          StoreID       // store of the last successful exchange; 0 before the first
-	storeFirstSeenAt time.Duration // time of the first reply from that store
+	storeFirstSeenAt time.Duration // time of the last change of storeID; 0 before the first
 }
 
 // New returns a Ledger without customers. now is the time since an origin that all nodes share, such as the Unix epoch. All
--- a/internal/quota/pacing.go
+++ b/internal/quota/pacing.go
@@ -38,7 +38,9 @@
 // recordSuccess records the success of an exchange.
 func (b *backoff) recordSuccess() { b.failures = 0 }
 
-// recordFailure records the failure of an exchange. The first pause has the length timeout, with a jitter of 50%.
+// recordFailure records the failure of an exchange. From failuresBeforeBackoff consecutive failures on, each failure begins a
+// pause. The first pause has the length timeout, and each further one has twice the length of the one before, with a jitter
+// of ±50%. No pause is longer than maxBackoffPause.
 func (b *backoff) recordFailure(now, timeout time.Duration, random *rand.Rand) {
 	b.failures++
 	if b.failures < failuresBeforeBackoff {
--- a/internal/quota/reply.go
+++ b/internal/quota/reply.go
@@ -18,8 +18,8 @@
 )
 
 // HandleReply processes the end of an exchange: the reply, or a non-nil error in place of the reply. A reply to an exchange
-// that has timed out is ignored, and so is a reply for a window that has ended. The store may hold the entry of an ignored
-// reply, but this node does not use its cap.
+// that has timed out counts as late or as a failure. A reply for a window that has ended changes no cap. In both cases the
+// store may hold the entry, but this node does not use its cap.
 func (l *Ledger) HandleReply(now time.Duration, id ExchangeID, reply Reply, err error) {
 	l.advance(now)
 	i := slices.IndexFunc(l.pending, func(e pendingExchange) bool { return e.id == id })
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -22,8 +22,8 @@
 	// Settings are the node's settings; nil stands for empty settings. They must not change after New.
 	Settings *settings.Settings
 
-	// Shadow are the settings of a shadow evaluation; nil for none. They have the same classes and plans in the same order.
-	// They have no effect on requests: see Router.ShadowCounts.
+	// Shadow are the settings of a shadow evaluation; nil for none. Their classes and plans must be those of Settings, in the
+	// same order. Shadow has no effect on requests: see Router.ShadowCounts.
 	Shadow *settings.Settings
 
 	// Clock returns the time, which must never go back; nil for the system's clock. Simulations pass a virtual clock.
@@ -37,7 +37,7 @@
 	// TryNext once its own call of the Router has returned. OnDecision may be nil if all callers wait in Next.
 	OnDecision func(*Request)
 
-	// OnRepeatViolation is called for each attempt or rejection that the repeat check withholds; nil to ignore them.
+	// OnRepeatViolation is called for each attempt or rejection that the repeat check forbids; nil to ignore them.
 	OnRepeatViolation func(violation RepeatViolation, class ClassID, attempt int)
 
 	// SetTimer sets the Router's only timer, replacing an earlier setting. The timer must call Router.TimerFired.
--- a/internal/routing/endpoints_test.go
+++ b/internal/routing/endpoints_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestServerNumbersDoNotDependOnTheListsOrder guards against two nodes that give a server different numbers, and against
-// two servers with the same number.
+// two servers with the same number. A server keeps its number when other uids are added.
 func TestServerNumbersDoNotDependOnTheListsOrder(t *testing.T) {
 	table, reversedTable := newEndpointTable(), newEndpointTable()
 	list := serverList(40, protocol.InService)
@@ -52,7 +52,8 @@
 	}
 	table.uids[1], table.uids[2] = "x", "y"
 	if table.uids[table.number("s0")] != "s0" {
-		t.Errorf("uid of the number of s0 = %q, want s0", table.uids[table.number("s0")])
+		t.Errorf("uid of the number of s0 after numbers 1 and 2 were given to other servers = %q, want s0: s0 must keep its own number",
+			table.uids[table.number("s0")])
 	}
 }
 
--- a/internal/routing/outbox.go
+++ b/internal/routing/outbox.go
@@ -8,7 +8,7 @@
 // must not delay requests. Router.mu guards the outbox.
 type outbox struct {
 	messages   []peerMessage
-	summary    []byte // latest summary; nil for none
+	summary    []byte // latest summary in the queue; nil for none
 	delivering bool   // whether a goroutine runs deliver's loop, which also delivers messages added meanwhile
 }
 
@@ -23,7 +23,7 @@
 	o.messages = append(o.messages, peerMessage{peer, append([]byte(nil), payload...)})
 }
 
-// setSummary queues a copy of a summary. It replaces an earlier one that has not been delivered yet.
+// setSummary queues a copy of a summary. It replaces an earlier one that is still in the queue.
 func (o *outbox) setSummary(summary []byte) { o.summary = append([]byte(nil), summary...) }
 
 // empty reports whether nothing is queued.
--- a/internal/routing/repeatcheck.go
+++ b/internal/routing/repeatcheck.go
@@ -7,7 +7,7 @@
 	"cherrygap/internal/settings"
 )
 
-// RepeatViolation is the reason why the repeat check withholds an attempt or a rejection, as a text for the log.
+// RepeatViolation is the reason why the repeat check forbids an attempt or a rejection, as a text for the log.
 type RepeatViolation string
 
 // The violations that the repeat check finds.
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// take returns the latest decision and clears it. It returns false for a withheld decision, after which the engine decides
-// again.
+// take returns the latest decision and clears it. If the client has disconnected, take returns Abandon instead. Otherwise it
+// returns false for a withheld decision, after which the engine decides again.
 func (req *Request) take() (Decision, bool) {
 	r := req.router
 	r.mu.Lock()
--- a/internal/routing/requesttable.go
+++ b/internal/routing/requesttable.go
@@ -1,6 +1,7 @@
 package routing
 
 // requestSlots is the number of slots of a requestTable, and thus the largest number of Requests at once.
+// requestTable.add does not check that limit.
 const requestSlots = 1 << 16
 
 // requestSlot is the index of a Request in the Router's requestTable.
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -27,7 +27,7 @@
 	return decision.Time(at.UnixNano() / int64(timeUnit))
 }
 
-// duration converts a duration in the engine's unit.
+// duration converts a time in the engine's unit to a time.Duration.
 func duration(t decision.Time) time.Duration { return time.Duration(t) * timeUnit }
 
 // Router drives one decision engine. New returns a Router. All methods are safe for concurrent use.
--- a/internal/routing/scale_figures_test.go
+++ b/internal/routing/scale_figures_test.go
@@ -16,9 +16,9 @@
 // figures are the results of one simulation run, by name.
 type figures map[string]float64
 
-// timings holds the CPU times of calls, in ns, and the counts of the measured part of a run.
+// timings holds the times of calls and the counts of the measured part of a run.
 type timings struct {
-	samples                      map[string][]float64 // CPU times in ns, by operation
+	samples                      map[string][]float64 // CPU times in ns, by operation; "pick by the clock" has wall-clock times
 	callTime                     time.Duration        // CPU time of all calls
 	addedLatency                 []float64            // latency in ns that the node's calls added, by request
 	requests, admitted, rejected int
@@ -28,7 +28,7 @@
 	received, receivedBytes      [kindCount]int // peer messages that simulated nodes received, by kind
 }
 
-// add adds the CPU time of a call to the samples of its operation.
+// add adds a time to the samples of an operation.
 func (t *timings) add(op string, d time.Duration) { t.samples[op] = append(t.samples[op], float64(d)) }
 
 // measure starts the measured part of the run.
--- a/internal/routing/scale_harness_test.go
+++ b/internal/routing/scale_harness_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// checkCounts checks that all requests but up to 20 were admitted or rejected. It also checks that some attempts failed, but
-// at most a tenth of the completed ones.
+// checkCounts checks that the number of admitted and rejected requests differs from that of all requests by at most 20. It
+// also checks that some attempts failed, but at most one for every ten completed ones.
 func checkCounts(t *testing.T, m *timings) {
 	t.Helper()
 	if decided := m.admitted + m.rejected; decided < m.requests-20 || decided > m.requests+20 || m.failed == 0 || m.failed > m.completed/10 {
--- a/internal/routing/scale_node_test.go
+++ b/internal/routing/scale_node_test.go
@@ -69,7 +69,9 @@
 	return cpu
 }
 
-// charge adds the time of a call to the request caller, and to each request on which the call decided.
+// charge adds the time of a call, with the wait for the node's lock, to the latency of the request caller. It does the same
+// for each request that is not admitted yet and on which the call decided. To the latter it also adds the CPU time and the
+// wall-clock time of the call.
 func (n *scaleNode) charge(caller *scaleRequest, decisions []requestDecision, cpu, wall time.Duration) {
 	n.busyUntil = max(n.busyUntil, n.simulation.now) + cpu
 	if caller != nil {
--- a/internal/routing/slopes_report_test.go
+++ b/internal/routing/slopes_report_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// keepRuns drops the figures of all runs but the first ones, as the last run may be incomplete.
+// keepRuns keeps only the figures of the given number of first runs, because a further run may be incomplete.
 func (r *sweepResult) keepRuns(runs int) {
 	for m, v := range r.figures {
 		r.figures[m] = v[:min(len(v), runs)]
--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -137,7 +137,7 @@
 	return sim
 }
 
-// newSettings returns the engine's settings. It draws at random those that the simulation itself does not use.
+// newSettings returns the engine's settings. It draws the rate of peer messages, and whether attempts are cancelled.
 func (sim *slowStartSimulation) newSettings(nodes int) settings.Values {
 	messagesPerSecond := []int{0, 40, 60, 100}[sim.random.IntN(4)]
 	timeUnits := func(d time.Duration) string { return strconv.Itoa(int(engineTime(d))) }
@@ -157,7 +157,7 @@
 	}
 }
 
-// addServers adds the servers and sets the traffic to between 0.6 and 1.2 times the servers' capacity.
+// addServers adds the servers and sets the traffic to between 0.6 and 1.2 times the capacity of the warm servers.
 func (sim *slowStartSimulation) addServers(nodes int) {
 	count, slots, capacity := 4+sim.random.IntN(9), 1+sim.random.IntN(4), 0.0
 	mean := sim.latencyObjective.Seconds() * math.Exp(sim.uniform(math.Log(0.03), math.Log(0.3)))
--- a/internal/routing/slowstart_scenarios_test.go
+++ b/internal/routing/slowstart_scenarios_test.go
@@ -4,13 +4,13 @@
 
 // slowStartScenarios are the scenarios, of which the seed selects one. In all scenarios, the nodes have uneven traffic.
 var slowStartScenarios = []string{
-	"one",    // one server restarts
+	"one",    // one or two servers restart
 	"half",   // half of the servers start at the same time
 	"fleet",  // all servers start at the same time
 	"fleet",  // the same scenario again, so that it runs twice as often
 	"zone",   // some servers stop, so that the others are overloaded, and start again; discovery may drop the stopped ones
 	"nodes",  // all servers and all nodes restart together
-	"again",  // a server restarts twice under the same uid, the second time while or just after it warms up
+	"again",  // one or two servers restart twice under the same uid, the second time while or just after they warm up
 	"late",   // new servers reach the list of each node at a different time, up to 4 s after their start
 	"burst",  // no traffic around the start, then a burst at all nodes while the servers warm up
 	"faults", // the other servers reject or hang, so that retries go to the warming ones
@@ -124,7 +124,8 @@
 	s.after(burst+2*time.Second, func() { s.rateFactor = 1 })
 }
 
-// failOthers makes the other servers reject or hang for 6 s.
+// failOthers makes the servers that do not start reject or hang for 6 s. If more than half of the servers start, the second
+// half of all servers rejects or hangs.
 func (s *scenarioSchedule) failOthers() {
 	s.after(s.startAt, func() {
 		for i, server := range s.servers[min(len(s.started), len(s.servers)/2):] {
