--- a/internal/authz/authz_test.go
+++ b/internal/authz/authz_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestTimeoutOfRequestWithLittleTimeLeft checks that the check of a request with little time left has a shorter timeout,
-// and that the check does not count against the authorizer if it times out. Otherwise such requests could open the breaker although the authorizer is
-// fast enough.
+// TestTimeoutOfRequestWithLittleTimeLeft checks that the check of a request with little time left has a shorter timeout.
+// If such a check times out, that does not count against the authorizer. Otherwise such requests could open the breaker
+// although the authorizer is fast enough.
 func TestTimeoutOfRequestWithLittleTimeLeft(t *testing.T) {
 	if d := newPolicy(4).Begin(0, 1, 100*time.Millisecond); d.Verdict != CheckNeeded || d.Timeout != 50*time.Millisecond {
 		t.Errorf("Begin() with 100ms left = %+v, want verdict %d (CheckNeeded) and timeout 50ms", d, CheckNeeded)
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -151,8 +151,8 @@
 	return s.members.Receive(now, from, payload, s.receiveEvent)
 }
 
-// receiveEvent processes the result of a run at another node. It reports whether the check is in the set and
-// the run is later than the last known one.
+// receiveEvent processes the result of a run at another node. It reports whether the check is in the set and the
+// run is later than the last known one.
 func (s *Scheduler) receiveEvent(e membership.Event) (isNew bool) {
 	check := Check{Kind: Kind(e.Kind), ID: CheckID(e.ID)}
 	i, known := s.index[check]
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -104,7 +104,7 @@
 	p := New(Config{Self: 0, Nodes: 3, Seed: 1, ReceiveRate: 400}, 0)
 	p.nextPingAt = time.Hour
 	receive(t, p, 1, header{kind: pingRequest, sequence: 5, target: 2})
-	receive(t, p, 1, header{kind: pingRequest, sequence: 6, target: 0}) // this node itself
+	receive(t, p, 1, header{kind: pingRequest, sequence: 6, target: 0}) // the target is this node itself, so there is no ping
 	if kinds, receivers := sendDue(p, 0); len(kinds) != 1 || kinds[0] != ping || receivers[0] != 2 {
 		t.Errorf("kinds %v sent to %v, want one message of kind %v (ping) to node 2", kinds, receivers, ping)
 	}
--- a/internal/peersocket/socket_test.go
+++ b/internal/peersocket/socket_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestDatagramsOfUnknownSendersAreDropped checks that Receive drops datagrams from unknown senders and those that are too
-// long. Send drops messages without a valid address and those that are too long. Otherwise any host could send messages to
+// long. Send drops messages to an unknown peer and those that are too long. Otherwise any host could send messages to
 // a node, or a truncated message could be processed.
 func TestDatagramsOfUnknownSendersAreDropped(t *testing.T) {
 	counters := &Counters{}
--- a/internal/quota/transcript_test.go
+++ b/internal/quota/transcript_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// transcript runs nodes and a store in virtual time. It records every exchange, every rejection, and the available units of
-// each node.
+// transcript runs nodes and a store in virtual time. It records every exchange and every rejection, and every 500 ms the
+// available units and the counters of each node.
 type transcript struct {
 	cfg                Config // configuration of all nodes, without Self
 	nodes              []*Ledger
--- a/internal/quotastore/quotas_test.go
+++ b/internal/quotastore/quotas_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestQuotaHoldsWithAnyStoreFault guards against overuse while the store fails. A customer's demand is twice its quota,
-// mostly at one of six nodes. The store has all its faults, one after the other. The customer gets at most a tenth more than
-// its quota, and no call waits for the store. After the faults the quota is used again.
+// about half of it at one of six nodes. The store has all its faults, one after the other. The customer gets at most a tenth
+// more than its quota, and no call waits for the store. After the faults the quota is used again.
 func TestQuotaHoldsWithAnyStoreFault(t *testing.T) {
 	const nodes = 6
 	server, err := lab.Start("127.0.0.1:0", 5, []lab.Fault{
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -33,8 +33,9 @@
 	// admits by its own token buckets.
 	Quota Quota
 
-	// OnDecision is called when the next step of a request is decided. The caller that caused the decision must call
-	// TryNext once its own call of the Router has returned. OnDecision may be nil if all callers wait in Next.
+	// OnDecision is called when the next step of a request is decided, unless an earlier decision on the request has not been
+	// taken yet. The caller that caused the decision must call TryNext once its own call of the Router has returned.
+	// OnDecision may be nil if all callers wait in Next.
 	OnDecision func(*Request)
 
 	// OnRepeatViolation is called for each attempt or rejection that the repeat check forbids; nil to ignore them.
--- a/internal/routing/dispatch_test.go
+++ b/internal/routing/dispatch_test.go
@@ -25,7 +25,7 @@
 		name     string
 		decision decision.Decision // decision without its Request
 		want     Decision
-		unlisted bool // whether the server is no longer listed
+		unlisted bool // whether the endpoint list does not have the server
 	}{
 		{
 			name:     "forward",
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -49,7 +49,8 @@
 	return list
 }
 
-// newRouter returns a Router with the given configuration. Required functions that cfg leaves out do nothing.
+// newRouter returns a Router with the given configuration. Required functions that cfg leaves out do nothing, and a missing
+// seed is 7.
 func newRouter(t *testing.T, cfg Config) *Router {
 	t.Helper()
 	if cfg.Seed == 0 {
--- a/internal/routing/mapping_test.go
+++ b/internal/routing/mapping_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestNumberOfARemovedServerIsFree checks that a removed server's number can be given out again, and that the servers after
-// it keep their numbers.
+// TestNumberOfARemovedServerIsFree checks that a removed server's number can be given out again, and that a server with
+// the next free number keeps that one.
 func TestNumberOfARemovedServerIsFree(t *testing.T) {
 	table := newEndpointTable()
 	endpoint := func(uid string, s protocol.EndpointState) protocol.Endpoint {
--- a/internal/routing/repeatcheck_test.go
+++ b/internal/routing/repeatcheck_test.go
@@ -57,7 +57,7 @@
 	},
 }
 
-// TestRepeatCheckWithholdsRepeats guards against a request that runs twice: the check withholds such attempts without help of
+// TestRepeatCheckWithholdsRepeats guards against a request that runs twice: the check forbids such attempts without help of
 // the engine.
 func TestRepeatCheckWithholdsRepeats(t *testing.T) {
 	start, first, keyed := time.Unix(1_800_000_000, 0), firstServer, keyedRule
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -119,7 +119,8 @@
 	checkForwarded(t, d, 1)
 }
 
-// TestOnDecision checks that OnDecision is called once for each decision, during the call of the Router that caused it.
+// TestOnDecision checks that OnDecision is called once for each decision, during the call of the Router that caused it. A
+// decision that replaces one that has not been taken causes no call.
 func TestOnDecision(t *testing.T) {
 	var decided []*Request
 	r := newRouter(t, Config{
