--- a/internal/routing/slowstart_fleet_test.go
+++ b/internal/routing/slowstart_fleet_test.go
@@ -44,7 +44,7 @@
 	rollingRestarts bool          // whether the nodes restart one after another while servers warm up
 
 	startAt, endAt     time.Duration // start of the warming servers, and end of the run
-	arrived, completed int           // requests since startAt
+	arrived, completed int           // since startAt: requests that arrived, without clients' retries, and those that completed
 }
 
 // simulationEpoch is the wall-clock time at which virtual time begins.
@@ -86,7 +86,7 @@
 	timerSettings int        // number of times that the timer was set; only the last setting is valid
 	pending       []*Request // Requests whose decision has not been taken
 	requests      map[*Request]*simulatedRequest
-	knownStarts   map[*simulatedServer]time.Duration // start times in the list that the node got last
+	knownStarts   map[*simulatedServer]time.Duration // latest start time of each server in the lists that the node got
 }
 
 // after schedules an event after a delay; a negative delay is 0.
--- a/internal/routing/slowstart_requests_test.go
+++ b/internal/routing/slowstart_requests_test.go
@@ -102,8 +102,8 @@
 	req.request.Release()
 }
 
-// send sends an attempt to its server. A server that is up counts the attempt, whatever its outcome, if the node's
-// last list has the start of the server's process.
+// send sends an attempt to its server. A server that is up counts the attempt, whatever its outcome, if the lists
+// that the node got have the start of the server's process.
 func (sim *slowStartSimulation) send(req *simulatedRequest, d Decision) {
 	attempt := &simulatedAttempt{request: req, number: d.Attempt, sentAt: sim.clock}
 	req.attempt = attempt
--- a/internal/routing/slowstart_scenarios_test.go
+++ b/internal/routing/slowstart_scenarios_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// slowStartScenarios are the scenarios, of which the seed selects one. In all scenarios, the nodes have uneven traffic.
+// slowStartScenarios are the scenarios, of which the seed selects one. The nodes have uneven traffic,
+// unless the additional scenario is "even".
 var slowStartScenarios = []string{
 	"one",    // one or two servers restart
 	"half",   // half of the servers start at the same time
@@ -24,7 +25,7 @@
 type scenarioSchedule struct {
 	*slowStartSimulation
 	started   []*simulatedServer // servers that start at startAt
-	listDelay float64            // seconds from a change to the last node's list with it
+	listDelay float64            // longest time from a change to a node's list with it, in seconds
 }
 
 // schedule schedules the events of the run's scenarios. The order of its random draws determines the run of each seed.
