--- a/internal/lab/appserver/appserver_test.go
+++ b/internal/lab/appserver/appserver_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Guards against a connection that survives Kill. The accept may return just before Kill, and the server handles the
-// connection after it. The server then has to reject the connection, also if it listens again with a new listener.
+// Guards against a connection that survives Kill. The accept may return just before Kill, and the server may handle
+// the connection only after Kill. The server then has to reject the connection, also if Listen has opened a new listener.
 func TestConnectionAcceptedBeforeKillIsReset(t *testing.T) {
 	s := startEchoServer(t)
 	s.mu.Lock()
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -168,8 +168,8 @@
 	holdEnded  bool   // whether the call's hold time has ended
 }
 
-// response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed at
-// the next change. While the watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the
+// response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed
+// when the call must check again. While the watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the
 // connection.
 func (a *Agent) response(watch *watch, r request) ([]byte, <-chan struct{}) {
 	a.mu.Lock()
@@ -222,7 +222,8 @@
 	return encodeList(list)
 }
 
-// onNodeClock returns an endpoint whose boot time is converted to the clock of the watch's node.
+// onNodeClock returns an endpoint with the boot time that the watch's node gets. The boot time is earlier by clockAhead, because
+// the server's clock is that far behind the node's clock.
 func (w *watch) onNodeClock(e protocol.Endpoint) protocol.Endpoint {
 	if e.BootMs > 0 {
 		e.BootMs -= w.clockAhead.Milliseconds()
--- a/internal/lab/emulator/handler.go
+++ b/internal/lab/emulator/handler.go
@@ -75,7 +75,7 @@
 type requestBehaviour struct {
 	faults      []Fault // active faults that affect the request
 	serviceTime time.Duration
-	draining    bool // whether the server was draining when the request arrived
+	draining    bool // whether the server was draining when the behaviour was drawn
 }
 
 // drawBehaviour counts a request, and draws its service time and the faults that affect it. sinceStart is the request's arrival
@@ -152,7 +152,7 @@
 	})
 }
 
-// answer responds to an executed request. The faults that affect the request may change, cut or suppress the response.
+// respond responds to an executed request. The faults that affect the request may change, cut or suppress the response.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string, faults []Fault) {
 	body := "done " + id + "\n"
 	switch {
--- a/internal/lab/healthlab/simulation.go
+++ b/internal/lab/healthlab/simulation.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// handleEvent processes an event. It drops an event of a stopped node or of an earlier incarnation.
+// handleEvent processes an event. It drops all events of a stopped node, and timers and ends of checks of earlier incarnations.
 func (s *simulation) handleEvent(e event) {
 	switch e.kind {
 	case eventSample:
--- a/internal/lab/model/baseline.go
+++ b/internal/lab/model/baseline.go
@@ -20,7 +20,8 @@
 	filledAt time.Duration // virtual time of the last refill
 }
 
-// decideByBaseline sends the next attempt of a request, or rejects the request if the quota is used up or no server is found.
+// decideByBaseline sends the next attempt of a request. It rejects the request if the quota is used up before the first attempt, or
+// if it finds no server.
 func (s *Simulation) decideByBaseline(req *request) {
 	if req.attempts == 0 && !s.takeFromBucket(req) {
 		s.rejectByBaseline(req)
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -22,7 +22,7 @@
 // Config configures a run.
 type Config struct {
 	Nodes       int
-	Seconds     float64 // virtual time with arrivals, s; the run ends when the last request has ended
+	Seconds     float64 // virtual time with arrivals, s; the run ends at the first sample after it with no request in flight
 	Policy      Policy
 	Seed        uint64
 	Traffic     operatorfile.Traffic  // traffic of the whole fleet; Target and DurationS are not used
--- a/internal/lab/model/request.go
+++ b/internal/lab/model/request.go
@@ -95,7 +95,7 @@
 }
 
 // scheduleRetry schedules the client's retry of a rejected request, with the configured probability. The retry follows
-// after retryAfter, or after defaultRetryAfter if that is 0. A client retries once.
+// after retryAfter, or after defaultRetryAfter if retryAfter is 0 or less. A client retries once.
 func (s *Simulation) scheduleRetry(req *request, retryAfter time.Duration) {
 	if req.clientRetry || s.random.Float64() >= s.cfg.Traffic.RetryProbability {
 		return
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -64,7 +64,7 @@
 	outcome      protocol.Outcome // result of the execution, or the result that the node reports
 }
 
-// send sends an attempt to a server. A timeout of 0 stands for no timeout.
+// send sends an attempt to a server. A timeout of 0 or less stands for no timeout.
 func (s *Simulation) send(req *request, number int, sv *server, timeout time.Duration) {
 	a := &attempt{request: req, number: number, server: sv, sentAt: s.now}
 	req.attempt = a
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -38,7 +38,7 @@
 	sending       atomic.Bool                   // while false, the clients send no request
 	inFlight      sync.WaitGroup                // requests in flight
 	lastRequestID atomic.Uint64                 // ID of the request created last
-	lastServer    atomic.Int64                  // number of the server that completed the last request
+	lastServer    atomic.Int64                  // number of the server that completed the last request; 0 before
 
 	mu      sync.Mutex     // guards sendLag
 	sendLag *hdr.Histogram // delay of requests behind their due time, µs
@@ -188,8 +188,8 @@
 	return strconv.Atoi(fields[2])
 }
 
-// sendDirect sends a request to a server over an established connection, directDelay from now. It returns the time from
-// this due time to the response.
+// sendDirect sends a request to a server over an established connection. The request is due directDelay after sendDirect has
+// the connection. sendDirect returns the time from then to the response.
 func (c *clientSimulator) sendDirect(ctx context.Context, r clientRequest, addr string) (time.Duration, error) {
 	conn := c.serverConns.take(addr)
 	if conn == nil {
--- a/internal/lab/scale/collect.go
+++ b/internal/lab/scale/collect.go
@@ -22,7 +22,7 @@
 	r.QuietRequestRate = sent / time.Since(since.at).Seconds() / float64(len(run.nodes))
 }
 
-// recordIdle sets the CPU shares of the section without requests, and the CPU time per request, for which recordQuiet must
+// recordIdle sets the CPU shares of the section without client requests, and the CPU time per request, for which recordQuiet must
 // have been called. since is the CPU use at the section's start.
 func (r *Result) recordIdle(run *run, since cpuUsage) {
 	shares := run.cpuSharesSince(since)
@@ -137,7 +137,8 @@
 }
 
 // collectChangeDelays sets the medians and maxima of the changes' delays. A change has three delays: until 99% of the nodes,
-// all nodes, and all real nodes had applied the change.
+// all nodes, and all real nodes had applied the change. A change that not all nodes applied has only the third delay, over the
+// real nodes that did.
 func (r *Result) collectChangeDelays(run *run, lists []listApplyTimes) {
 	var to99, toAll, toReal []float64
 	for _, change := range run.changes {
--- a/internal/lab/scale/population.go
+++ b/internal/lab/scale/population.go
@@ -51,7 +51,7 @@
 	zipfOffset        = 10  // offset added to each rank; it brings the largest tenants' demands closer together
 	minSpread         = 3   // smallest number of nodes that a tenant sends to
 	tenantRatePerNode = 4.0 // mean requests/s of a tenant at each of its nodes, if it sends to more than minSpread nodes
-	quotaHeadroom     = 3.0 // smallest ratio of a tenant's quota to its mean demand, so that bursts are not rejected
+	quotaHeadroom     = 3.0 // ratio of rate to mean demand with which a plan suffices, so that bursts are not rejected
 )
 
 // tenant is a customer. It sends to spread consecutive nodes, from firstNode on.
--- a/internal/lab/scale/realnode.go
+++ b/internal/lab/scale/realnode.go
@@ -135,7 +135,7 @@
 	return n.memory
 }
 
-// exitCounts returns the counts so far. The latest process counts as exited if it has ended.
+// exitCounts returns the counts so far. The latest process counts as exited if it has ended, even if drain ended it.
 func (n *realNode) exitCounts() exitCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -21,8 +21,8 @@
 
 const minWarmUp = 500 * time.Millisecond
 
-// run is a run in progress. Only the goroutine of Run uses it. The exception is restartSimulated, which reads cfg and
-// nodesWorker in another goroutine.
+// run is a run in progress. Only the goroutine of Run changes the fields. Other goroutines read only cfg, agent, clients and
+// nodesWorker, which are set before the goroutine that reads them starts.
 type run struct {
 	cfg           Config
 	serversWorker *worker // worker of the simulated app servers
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// runIdle stops the clients, waits for their last responses, and measures the CPU use without requests.
+// runIdle stops the clients, waits for their last responses, and measures the CPU use without client requests.
 func (r *run) runIdle(ctx context.Context, length time.Duration, result *Result) error {
 	r.clients.sending.Store(false)
 	answered := make(chan struct{})
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -129,8 +129,8 @@
 
 const ms = time.Millisecond
 
-// requestHistories holds, for each rule, histories of requests that only just comply with it, and histories that only just
-// violate it.
+// requestHistories holds histories that comply with the rules of requests, and histories that violate one of them. Where a rule
+// has a bound in time, one history reaches the bound and another one exceeds it by 1 ms.
 var requestHistories = []struct {
 	name   string
 	record func(h *history)
@@ -328,7 +328,7 @@
 }
 
 // The checker misses a violation, or reports one that does not exist, if it applies a rule with a wrong bound or to the wrong
-// requests. Each history lies just inside or just outside a bound.
+// requests. Where a rule has a bound in time, histories lie just inside and just outside it.
 func TestCheckerOfRequests(t *testing.T) {
 	for _, test := range requestHistories {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		c.inFlight.Add(1)
-		go func() { // The goroutine ends with the last response, or after the deadlines of its requests.
+		go func() { // The goroutine ends when the client has closed the connection, with the last response, or after the deadlines.
 			defer c.inFlight.Done()
 			c.runPattern(target, pattern, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
 		}()
--- a/internal/lab/soak/config.go
+++ b/internal/lab/soak/config.go
@@ -21,7 +21,7 @@
 	Dir      string        // folder of the configuration files and the nodes' logs; empty for a temporary one
 	Nodes    int           // number of edge nodes, each a process
 	Servers  int           // number of app servers
-	Rate     float64       // mean number of requests a second at each node
+	Rate     float64       // mean number of sends a second at each node; a pipelining client sends several requests at once
 	Duration time.Duration // time in which clients send requests
 	Seed     uint64
 	Faults   []string // names of the faults to inject; nil for all
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -59,7 +59,7 @@
 }
 
 const (
-	faultInjectors        = 5 // number of injectors, and so of faults at the same time
+	faultInjectors        = 5 // number of injectors, and so the maximum number of faults at the same time
 	maxPauseBetweenFaults = 300 * time.Millisecond
 )
 
--- a/internal/lab/soak/malformedclient.go
+++ b/internal/lab/soak/malformedclient.go
@@ -41,7 +41,7 @@
 		if node := c.firstAccepting(rng.IntN(len(c.nodes))); node >= 0 {
 			text := malformedInputs[rng.IntN(len(malformedInputs))]
 			c.inFlight.Add(1)
-			go func() { // The goroutine ends at most a second after malformedTimeout.
+			go func() { // The goroutine ends at most dialTimeout and a second after malformedTimeout.
 				defer c.inFlight.Done()
 				c.runMalformedClient(node, text)
 			}()
@@ -68,7 +68,7 @@
 }
 
 // holdIdleConns opens nodeSockets/2 idle connections to a node, which is more than the node's limit of client connections. It
-// closes them after hold or when ctx ends.
+// opens fewer if a dial fails. It closes the connections after hold or when ctx ends.
 func (c *clients) holdIdleConns(ctx context.Context, node int, hold time.Duration) {
 	var conns []net.Conn
 	for range nodeSockets / 2 {
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -107,7 +107,7 @@
 	return raw
 }
 
-// start starts the node with an endpoint list in its configuration, and waits until the node is ready. It returns the time that
+// start starts the node with endpointList, or none if it is nil, in its configuration, and waits until the node is ready. It returns the time that
 // this took.
 func (n *node) start(ctx context.Context, program string, endpointList json.RawMessage) (time.Duration, error) {
 	n.mu.Lock()
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -26,12 +26,12 @@
 
 const (
 	behaveNormally behaviour = iota
-	behaveHang               // The server reads requests and never responds.
+	behaveHang               // The server reads requests, and responds only after a minute.
 	behaveReset              // The server reads complete requests and resets the connection.
 	behaveTruncate           // The server resets the connection after half a response.
 	behaveReject             // The server rejects requests without executing them.
 	behaveFail               // The server responds with status 500.
-	behaveStall              // The server reads no requests.
+	behaveStall              // The server begins to read no request, and hangs on one for which it was already waiting.
 	behaviourCount           // number of behaviours, itself not a behaviour
 )
 
--- a/internal/lab/store/commands.go
+++ b/internal/lab/store/commands.go
@@ -17,7 +17,7 @@
 // command is a command of the protocol.
 type command struct {
 	minArgs int         // minimum number of arguments, including the name
-	writes  bool        // whether the faults full and forget affect the command
+	writes  bool        // whether the fault full rejects the command, and forget may lose its write (except for SETNX)
 	run     func(*call) // function that runs the command and writes the reply
 }
 
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -13,9 +13,9 @@
 type FaultKind string
 
 const (
-	// faultStall delays all replies until the fault ends.
+	// faultStall delays the execution of all commands and transactions until the fault ends.
 	faultStall FaultKind = "stall"
-	// faultSlow delays each reply by Fault.DelayMs.
+	// faultSlow delays the execution of each command or transaction by Fault.DelayMs.
 	faultSlow FaultKind = "slow"
 	// faultCut closes all connections and accepts no new ones.
 	faultCut FaultKind = "cut"
@@ -24,7 +24,7 @@
 	// faultFailover loses the most recent writes and closes all connections. At its end each lost write returns with
 	// probability 1/2.
 	faultFailover FaultKind = "failover"
-	// faultForget loses each write with probability Fault.LossProbability.
+	// faultForget loses each write, except that of SETNX, with probability Fault.LossProbability.
 	faultForget FaultKind = "forget"
 	// faultFull rejects writes and all transactions.
 	faultFull FaultKind = "full"
@@ -43,7 +43,7 @@
 	Kind            FaultKind `toml:"kind"`
 	StartS          float64   `toml:"at_s"`     // start, in seconds since the store's start
 	DurationS       float64   `toml:"for_s"`    // duration, in seconds
-	DelayMs         float64   `toml:"delay_ms"` // delay of each reply under the fault slow, in milliseconds
+	DelayMs         float64   `toml:"delay_ms"` // delay of each command or transaction under the fault slow, in milliseconds
 	LossProbability float64   `toml:"chance"`   // probability that the fault forget loses a write, 0 to 1
 	LossWindowMs    float64   `toml:"lose_ms"`  // span before the fault failover whose writes are lost, in milliseconds
 }
@@ -148,7 +148,7 @@
 	}
 }
 
-// delay delays a reply according to the faults slow and stall. It returns early if Close is called during a stall.
+// delay delays a command or transaction according to the faults slow and stall. It returns early if Close is called during a stall.
 func (s *Server) delay() {
 	const pollInterval = 10 * time.Millisecond // time between two checks whether the fault stall has ended
 	for {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -32,7 +32,7 @@
 	halves        [2]*data             // both halves of the data; the same pointer twice unless the store is split
 	faults        map[FaultKind]Fault  // active faults by kind
 	conns         map[redcon.Conn]bool // open connections, with true for accepted ones
-	commandCounts map[string]int64     // number of commands run by name, including unknown names
+	commandCounts map[string]int64     // number of commands by name, including rejected and unknown ones
 }
 
 // client is the state of a client's connection. Only the goroutine of the connection uses it.
@@ -86,7 +86,8 @@
 	_ = s.redcon.Close() // fails only if the listener is already closed
 }
 
-// CommandCounts returns the number of commands run by name, including unknown names.
+// CommandCounts returns the number of commands by name, including rejected and unknown ones. It does not count MULTI, EXEC and
+// DISCARD, and it counts the commands of a transaction at EXEC.
 func (s *Server) CommandCounts() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
