--- a/internal/lab/appserver/server.go
+++ b/internal/lab/appserver/server.go
@@ -39,8 +39,8 @@
 	return s.addr
 }
 
-// Listen opens the server's address. After Kill, Listen opens the same address again. If prepare is not nil, Listen calls it with the listener
-// before the first accept. The goroutine that accepts connections ends with Kill.
+// Listen opens the server's address. After Kill, Listen opens the same address again. If prepare is not nil, Listen calls
+// prepare with the listener before the first accept. The goroutine that accepts connections ends with Kill.
 func (s *Server) Listen(prepare func(net.Listener) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/discovery/agent.go
+++ b/internal/lab/discovery/agent.go
@@ -169,8 +169,8 @@
 }
 
 // response returns the body of the response to a call. If the call must wait, it returns nil and a channel that is closed
-// when the call must check again. While the watches are disconnected it panics with http.ErrAbortHandler, so that net/http closes the
-// connection.
+// when the call must check again. While the watches are disconnected it panics with http.ErrAbortHandler, so that net/http
+// closes the connection.
 func (a *Agent) response(watch *watch, r request) ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/healthlab/healthlab_test.go
+++ b/internal/lab/healthlab/healthlab_test.go
@@ -8,8 +8,8 @@
 )
 
 // In every scenario each server is checked at least once in two intervals. Stopped nodes and lost messages could otherwise leave
-// a server without a node that checks it. After the fault all nodes agree on the members. With 12 as with
-// 48 nodes, no node sends over half of SendRate or receives over a quarter of ReceiveRate.
+// a server without a node that checks it. After the fault all nodes agree on the members. In fleets of
+// both sizes, no node sends over half of SendRate or receives over a quarter of ReceiveRate.
 func TestNoServerGoesUncheckedForLong(t *testing.T) {
 	for _, scenario := range Scenarios {
 		for _, c := range []struct {
--- a/internal/lab/load/arrivals.go
+++ b/internal/lab/load/arrivals.go
@@ -55,8 +55,8 @@
 	return s
 }
 
-// Next returns the next arrival. The time since the previous arrival is drawn with the rate that holds at that arrival. Next
-// returns false if the next arrival would not be before cfg.DurationS.
+// Next returns the next arrival. The rate at the previous arrival determines the mean interval between the two. Next returns
+// false if the next arrival would not be before cfg.DurationS.
 func (s *Stream) Next() (Arrival, bool) {
 	rate := s.cfg.Rate
 	if inBurst(s.cfg, s.now) {
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -50,8 +50,9 @@
 }
 
 // Run sends the requests of all arrivals, and returns once each has ended. When ctx is done it sends no more requests, and those
-// in flight end as timed out. If that is before the last arrival, Run does not set Behind. Run returns the first error of
-// writing the series. Each request has its own goroutine, which ends with the request and its retry.
+// in flight end as timed out. If that is before the last arrival, Run neither sets Behind nor writes the line of the current
+// second. Run returns the first error of writing the series. Each request has its own goroutine, which ends with the request and
+// its retry.
 func (g *Generator) Run(ctx context.Context) (Result, error) {
 	if g.Client == nil {
 		g.Client = &http.Client{Transport: &http.Transport{
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -38,7 +38,7 @@
 	sending       atomic.Bool                   // while false, the clients send no request
 	inFlight      sync.WaitGroup                // requests in flight
 	lastRequestID atomic.Uint64                 // ID of the request created last
-	lastServer    atomic.Int64                  // number of the server that completed the last request; 0 before
+	lastServer    atomic.Int64                  // number of the server that completed the last request; 0 before the first one
 
 	mu      sync.Mutex     // guards sendLag
 	sendLag *hdr.Histogram // delay of requests behind their due time, µs
@@ -189,7 +189,7 @@
 }
 
 // sendDirect sends a request to a server over an established connection. The request is due directDelay after sendDirect has
-// the connection. sendDirect returns the time from then to the response.
+// the connection. sendDirect returns the time from this due time to the response.
 func (c *clientSimulator) sendDirect(ctx context.Context, r clientRequest, addr string) (time.Duration, error) {
 	conn := c.serverConns.take(addr)
 	if conn == nil {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -1,8 +1,8 @@
 package scale
 
-// Result holds the figures of a run, which `lab scale` prints as one JSON line. Quantiles (P50, P99) are in ms, Applied
-// figures in seconds, shares and cores in cores, and traffic per node and second. docs/lab.md describes each figure. The JSON
-// keys are a stable format, so that users can compare the results of different versions.
+// Result holds the figures of a run, which `lab scale` prints as one JSON line. Quantiles of latencies and lags are in ms,
+// Applied figures in seconds, shares and cores in cores. Discovery bytes and Peers are per node and second. docs/lab.md describes
+// each figure. The JSON keys are a stable format, so that users can compare the results of different versions.
 type Result struct {
 	Nodes     int      `json:"nodes"`
 	Real      int      `json:"real"`
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -30,7 +30,7 @@
 	Attempts            int64 `json:"attempts"`
 	Retries             int64 `json:"retries"`
 	CappedAttempts      int64 `json:"capped"` // first attempts under a hard ceiling
-	Resent              int64 `json:"resent"` // times that a request was sent again after its connection was closed
+	Resent              int64 `json:"resent"` // decisions to send a request again after its connection was closed; includes failed dials
 	MalformedClients    int64 `json:"bad_clients"`
 	ExtendedTolerances  int64 `json:"late_harness"` // checks whose tolerance was extended because this process was delayed
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		c.inFlight.Add(1)
-		go func() { // The goroutine ends when the client has closed the connection, with the last response, or after the deadlines.
+		go func() { // The goroutine ends at the client's close, at the last response, or after the requests' deadlines.
 			defer c.inFlight.Done()
 			c.runPattern(target, pattern, rand.New(rand.NewPCG(c.cfg.Seed, seed)))
 		}()
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -107,8 +107,8 @@
 	return raw
 }
 
-// start starts the node with endpointList, or none if it is nil, in its configuration, and waits until the node is ready. It returns the time that
-// this took.
+// start starts the node and waits until the node is ready. It returns the time that this took. The node's configuration contains
+// endpointList, or no list if endpointList is nil.
 func (n *node) start(ctx context.Context, program string, endpointList json.RawMessage) (time.Duration, error) {
 	n.mu.Lock()
 	n.starts++
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -117,8 +117,8 @@
 	wg.Wait()
 }
 
-// startNode starts a node with endpointList, or none if it is nil, in its configuration. It records a violation if the node does not become ready,
-// unless ctx has ended.
+// startNode starts a node whose configuration contains endpointList, or no list if endpointList is nil. It records a violation if
+// the node does not become ready, unless ctx has ended.
 func (r *run) startNode(ctx context.Context, n *node, endpointList []byte) {
 	took, err := n.start(ctx, r.cfg.Program, endpointList)
 	switch {
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -31,7 +31,7 @@
 	behaveTruncate           // The server resets the connection after half a response.
 	behaveReject             // The server rejects requests without executing them.
 	behaveFail               // The server responds with status 500.
-	behaveStall              // The server begins to read no request, and hangs on one for which it was already waiting.
+	behaveStall              // The server does not begin to read requests, and hangs on one for which it was already waiting.
 	behaviourCount           // number of behaviours, itself not a behaviour
 )
 
--- a/internal/lab/soak/server_test.go
+++ b/internal/lab/soak/server_test.go
@@ -119,7 +119,7 @@
 }
 
 // A wrong bound makes the checker miss an overload or report a random deviation. The bound grows with the age to overloadMultiple
-// times the capacity, plus the random deviation.
+// times the capacity over overloadSpan, plus the random deviation.
 func TestSlowStartBound(t *testing.T) {
 	for _, test := range []struct {
 		capacity float64
--- a/internal/lab/store/faults.go
+++ b/internal/lab/store/faults.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// delay delays a command or transaction according to the faults slow and stall. It returns early if Close is called during a stall.
+// delay delays a command or transaction according to the faults slow and stall. It returns early if Close is called during a
+// stall.
 func (s *Server) delay() {
 	const pollInterval = 10 * time.Millisecond // time between two checks whether the fault stall has ended
 	for {
