--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -17,7 +17,7 @@
 	connectTimeout    = 250 * time.Millisecond
 	slowStartSpan     = 10 * time.Second // age of a server at which its slow start ends
 	slowStartShare    = 0.25             // share of its full capacity that a server has at its start
-	overloadMultiple  = 3                // multiple of its capacity that a server in slow start handles within overloadSpan
+	overloadMultiple  = 3                // multiple of its capacity that a server in slow start sustains for at most overloadSpan
 	overloadSpan      = 2 * time.Second
 	responseSlack     = 50 * time.Millisecond // time after the deadline within which a response counts
 	maxUnits          = 100                   // largest number of units of a request
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -47,7 +47,7 @@
 	drainGrace        = 500 * time.Millisecond // time after the notice of a drain in which attempts may still begin
 	slowStartSpan     = 8 * time.Second        // age at which a server is warm
 	slowStartShare    = 0.2                    // share of its capacity that a server has at its start
-	overloadMultiple  = 2.0                    // multiple of its capacity that a server in slow start handles within overloadSpan
+	overloadMultiple  = 2.0                    // multiple of its capacity that a server in slow start sustains for at most overloadSpan
 	overloadSpan      = 2 * time.Second
 	serverIdleTimeout = 4 * time.Second
 	connectTimeout    = 250 * time.Millisecond
