--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -68,7 +68,7 @@
 
 	fileDiscovery  string                // discovery address in the file, even if GW_DISCOVERY overrides it
 	randomSeed     uint64                // parsed value of Seed
-	knownList      protocol.EndpointList // parsed RawKnownList; empty if that is malformed or missing
+	knownList      protocol.EndpointList // parsed RawKnownList, without its endpoints after releaseKnownList; empty if malformed or missing
 	knownListErr   error                 // error of a malformed RawKnownList; nil if that is valid or missing
 	settings       *settings.Settings    // platform's settings, overridden by those of the operator file
 	shadowSettings *settings.Settings    // settings of the shadow evaluation; nil if it is disabled
@@ -199,7 +199,7 @@
 	}
 }
 
-// validate checks the values whose type alone does not make them valid, and parses the seed.
+// validate checks the addresses of listen and discovery, the seed and the limits, and parses the seed.
 func (c *Config) validate() error {
 	if err := checkAddress(keyListen, c.Listen); err != nil {
 		return err
@@ -229,7 +229,7 @@
 func (c *Config) EngineSettings() *settings.Settings { return c.settings }
 
 // releaseKnownList frees the endpoint list, which takes several MB in a large fleet. The node calls it once the decision
-// engine has its own copy.
+// engine has its own copy, and after a reload, which does not use the list.
 func (c *Config) releaseKnownList() {
 	c.RawKnownList, c.knownList.Endpoints = nil, nil
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -54,7 +54,7 @@
 			wantReload(t, current, "127.0.0.8:8500")
 			nodetest.WriteFile(t, file, text)
 			if _, err := LoadPlatformFile(file); err == nil {
-				t.Errorf("LoadPlatformFile() with known %s returned no error, want one", known)
+				t.Errorf("LoadPlatformFile() with the invalid value %s of the key known returned no error, want one", known)
 			}
 			nodetest.WriteFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
 			if _, err := loadConfig(); err == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,9 +27,10 @@
 
 // Node is one edge node. It owns the node's parts from Start to Close.
 //
-// Only one goroutine at a time may call the methods. As an exception, Drain may run at the same time as LogCounters and
-// Reload, as it does in Run. The fields that Drain and the parts' goroutines read are written before these start. The parts
-// are safe for concurrent use.
+// Only one goroutine at a time may call the exported methods. As an exception, Drain may run at the same time as LogCounters
+// and Reload, as it does in Run. The parts call some unexported methods on their own goroutines, for example sendToPeer and
+// updateEndpoints. Every field that Drain or such a method reads is written before the goroutine that runs it starts. The
+// parts are safe for concurrent use.
 type Node struct {
 	config   *Config // current configuration; replaced by Reload
 	limits   netio.Limits
@@ -51,7 +52,7 @@
 
 	reloadRetry reloadRetry
 
-	hasKnownEndpoints bool           // whether the configuration has a valid endpoint list that is not empty
+	hasKnownEndpoints bool           // whether the configuration at the start had a valid endpoint list that was not empty
 	pollRequests      chan struct{}  // holds one element while a poll is requested but not yet started
 	drainOnce         sync.Once      // makes drain run at most once
 	closers           []func()       // functions that closeParts calls in reverse order
@@ -69,8 +70,9 @@
 	return n
 }
 
-// Start opens the parts and begins to serve. It opens the timer and the peer socket first, and loads the known endpoint list
-// next. The front ends come last, once all parts that decide on requests are open. After an error only Close may be called.
+// Start opens the parts and begins to serve. It opens the timer and the peer socket before the router, which uses them, and
+// loads the known endpoint list into the router. The front ends come last, once all parts that decide on requests are open.
+// After an error only Close may be called.
 func (n *Node) Start() error {
 	n.logDeprecatedKeys()
 	for _, open := range []func() error{
@@ -95,7 +97,8 @@
 	return nil
 }
 
-// startBackground starts the parts' goroutines, which end during Close.
+// startBackground starts the goroutines of the timer, the discovery client, the health checks and the peer socket. They end
+// during Close.
 func (n *Node) startBackground() {
 	n.runInBackground(func() { n.timer.Run(n.router.TimerFired) })
 	n.runInBackground(n.discovery.Run)
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -1,5 +1,5 @@
-// Package nodetest helps tests that run nodes. It has configurations, requests, listeners and processes, which it closes at the
-// end of the test.
+// Package nodetest helps tests that run nodes. It has configurations and requests. It opens sockets, and closes them and ends
+// processes at the end of the test.
 package nodetest
 
 import (
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// loadKnownEndpoints passes the configuration's endpoint list to the decision engine, if the list is valid and not empty.
+// loadKnownEndpoints passes the configuration's endpoint list to the decision engine, if the list is valid and not empty. It
+// then frees the list.
 func (n *Node) loadKnownEndpoints() error {
 	if n.hasKnownEndpoints = len(n.config.knownList.Endpoints) > 0; n.hasKnownEndpoints {
 		n.router.UpdateEndpoints(&n.config.knownList, routing.FromCache)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// Reload reads the platform's configuration again and switches to the file's discovery address. The running parts keep all
-// other values of the start. After an error nothing has changed.
+// Reload reads the platform's configuration again and switches to the file's discovery address if that has changed. The
+// running parts keep all other values of the start. After an error nothing has changed.
 func (n *Node) Reload() error {
 	next, err := n.config.reload(n.discovery.SwitchTo)
 	if err != nil {
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -10,8 +10,8 @@
 	gcPercent          = 400 // the live heap is small, so a high value costs little memory and makes collections rarer
 )
 
-// LimitRuntime limits the Go runtime to the cores and the memory that the platform gives the node. The limits apply to the
-// whole process.
+// LimitRuntime limits the Go runtime to the cores and a share of the memory that the platform gives the node, and sets how
+// often it collects garbage. The values apply to the whole process.
 func LimitRuntime(c *Config) {
 	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
 	debug.SetMemoryLimit(int64(runtimeMemoryShare * float64(c.Limits.MemoryMB<<20)))
--- a/internal/operatorfile/errors.go
+++ b/internal/operatorfile/errors.go
@@ -29,7 +29,7 @@
 	Errors []KeyError
 }
 
-// Error returns one line of text for each KeyError, which starts with the file's path.
+// Error returns one line of text for each KeyError. Each line starts with the file's path.
 func (e *FileError) Error() string {
 	lines := make([]string, len(e.Errors))
 	for i, err := range e.Errors {
--- a/internal/operatorfile/file.go
+++ b/internal/operatorfile/file.go
@@ -32,8 +32,8 @@
 	Settings SettingsOverride `toml:"settings"` // shadow settings that differ from the node's own
 }
 
-// HealthChecks configures the shared health checks: one node of the fleet checks each app server (docs/healthcheck.md). They
-// also need the platform's permission for health checks and peer messages.
+// HealthChecks configures the shared health checks, in which the nodes divide the app servers among themselves
+// (docs/healthcheck.md). They also need the platform's permission for health checks and peer messages.
 type HealthChecks struct {
 	Enabled      bool    `toml:"enabled"`
 	IntervalMs   float64 `toml:"interval_ms"`     // time between two checks of one app server, ms; a large fleet checks less often
