--- a/cmd/cherrygap/idleclients_test.go
+++ b/cmd/cherrygap/idleclients_test.go
@@ -78,8 +78,8 @@
 	peakDescriptors int // largest number of descriptors that the node held; valid after stopAll
 }
 
-// startIdleClients starts the clients and the sampler. One third of the clients each send nothing, a part of a request, or a whole
-// request. All then keep their connections.
+// startIdleClients starts the clients and the sampler. A third of the clients send nothing, a third a part of a request, and a
+// third a whole request. Each then keeps its connection, and opens a new one 150 ms after the node has closed it.
 func startIdleClients(node *nodeProcess, clients int) *idleClients {
 	c := &idleClients{stop: make(chan struct{})}
 	c.start(func() {
--- a/cmd/cherrygap/main_test.go
+++ b/cmd/cherrygap/main_test.go
@@ -12,11 +12,12 @@
 	"cherrygap/internal/operatorfile"
 )
 
-// Environment variables of a process that executes this test program. Any value but the empty one sets the role.
+// Environment variables of a process that executes this test program. Each of the first three sets the process's role if its
+// value is not empty.
 const (
 	envRunAsProgram    = "CHERRYGAP_TEST_AS_PROGRAM" // The process runs the command line of cherrygap.
 	envRunAsNode       = "TEST_NODE"                 // The process runs a node without an operator file.
-	envRunAsFaultyNode = "TEST_FAULTY_NODE"          // The process runs a node, and the test decides which of its faultyCalls fail.
+	envRunAsFaultyNode = "TEST_FAULTY_NODE"          // With envRunAsNode: the test decides which of the node's faultyCalls fail.
 	envDescriptorLimit = "TEST_FILES"                // limit of the node's descriptors; empty for no new limit
 )
 
--- a/cmd/cherrygap/process_test.go
+++ b/cmd/cherrygap/process_test.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf(`{"uid":"%s","endpoint":"%s","state":"in_service"}`, ln.Addr(), ln.Addr())
 }
 
-// startNodeProcess starts a node with nodeProcessConfig and that limit on descriptors, and waits until the node accepts
-// connections.
+// startNodeProcess starts a node with nodeProcessConfig, and sets the process's own limit on descriptors to sockets too. It waits
+// until the node accepts connections.
 func startNodeProcess(t *testing.T, discovery string, sockets int, servers ...net.Listener) *nodeProcess {
 	t.Helper()
 	p := &nodeProcess{address: nodetest.FreeAddress(t)}
--- a/cmd/cherrygap/ready_test.go
+++ b/cmd/cherrygap/ready_test.go
@@ -124,8 +124,8 @@
 	return p
 }
 
-// ready waits up to 3 x readyLimit until the node's health check succeeds. It returns the time since the given time, and whether
-// the check succeeded.
+// ready waits until the node's health check succeeds, the process ends, or 3 x readyLimit have passed since the given time. It
+// returns the time since the given time, and whether the check succeeded.
 func (p *builtProcess) ready(since time.Time) (time.Duration, bool) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for time.Since(since) < 3*readyLimit {
@@ -176,8 +176,8 @@
 		"semantics":"at_most_once"}],"tiers_of_service":[{"name":"team"}],"specifics":{"peer_in_per_s":40}`).Replace(nodetest.ConfigAt(address, discovery, udp.LocalAddr().String())), address
 }
 
-// serveEndpointList serves discovery at the returned address. The first response is the full list, after a delay. Later ones
-// contain no changes. If list is empty, the service never responds.
+// serveEndpointList serves discovery at the returned address. A call without a revision gets the full list, after a delay.
+// Any other call gets a list without changes, after 200 ms. If list is empty, the service never responds.
 func serveEndpointList(t *testing.T, list string, delay time.Duration) (address string) {
 	t.Helper()
 	return nodetest.ServeHTTP(t, func(w http.ResponseWriter, q *http.Request) {
@@ -203,7 +203,7 @@
 
 // Processes that start together on one machine must be ready in time, nine in ten of them, and none may take more than
 // memoryLimitMiB. Large endpoint lists cost the time and memory. The processes start with a known list of largestFleet servers
-// while discovery is silent or down, or with discovery's list where the known list is malformed.
+// while discovery is silent, is down or has no changes. Where the known list is malformed, they start with discovery's list.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	plain, indented := endpointListText(t, false), endpointListText(t, true)
 	malformed := plain[:len(plain)-2] + `,{"uid":7}]}`
@@ -234,7 +234,7 @@
 		checks.Add(1)
 		startedAt := time.Now()
 		process := startBuiltProgram(t, config, address)
-		go func() { // The goroutine ends once the process is ready, or after 3 x readyLimit.
+		go func() { // The goroutine ends when ready returns, at the latest after 3 x readyLimit.
 			defer checks.Done()
 			delay, ok := process.ready(startedAt)
 			mu.Lock()
@@ -338,7 +338,7 @@
 		nodetest.Signal(t, old.cmd.Process, syscall.SIGTERM)
 		newProcess := startBuiltProgram(t, newConfigs[i], old.address)
 		checks.Add(1)
-		go func() { // The goroutine ends once the old process has ended and the new one is ready or has had 3 x readyLimit.
+		go func() { // The goroutine ends once the old process has ended and ready has returned for the new one.
 			defer checks.Done()
 			if response, err := http.ReadResponse(bufio.NewReader(conns[i]), nil); err != nil || response.StatusCode != http.StatusOK {
 				t.Errorf("request to old node %d: response %v, error %v, want status %d", i, response, err, http.StatusOK)
--- a/cmd/cherrygap/syscallfault_test.go
+++ b/cmd/cherrygap/syscallfault_test.go
@@ -43,12 +43,12 @@
 	return syscallfault.Exec(syscallfault.InheritedSocket, faultyCalls, program, os.Args, os.Environ())
 }
 
-// failingCall is a policy that fails one system call while it is active.
+// failingCall is a policy under which every call of one system call fails while the policy is active.
 type failingCall struct {
 	number   int // number of the system call
 	active   atomic.Bool
 	errno    atomic.Int32
-	failures atomic.Int32 // number of calls that failed since start
+	failures atomic.Int32 // number of calls that failed since the method start was last called
 }
 
 // decide implements syscallfault.Policy.
@@ -67,7 +67,7 @@
 	f.active.Store(true)
 }
 
-// failFor makes the call fail with an error until the given number of calls have failed.
+// failFor makes the call fail with an error until at least the given number of calls have failed.
 func (f *failingCall) failFor(t *testing.T, errno syscall.Errno, times int32) {
 	t.Helper()
 	f.start(errno)
@@ -391,7 +391,8 @@
 	}
 }
 
-// startPollingNode starts a node that polls discovery for lists. All its connects fail until the test clears fault.active.
+// startPollingNode starts a node that polls discovery for lists. The system call of fault fails until the test clears
+// fault.active.
 func startPollingNode(t *testing.T, fault *failingCall, discovery string) *nodeProcess {
 	t.Helper()
 	fault.start(unix.ENETUNREACH)
--- a/internal/grpcfrontend/helpers_test.go
+++ b/internal/grpcfrontend/helpers_test.go
@@ -22,7 +22,7 @@
 	"cherrygap/internal/settings"
 )
 
-// node is a node on loopback with one app server, which counts its attempts.
+// node is a node on loopback with one app server. It counts the attempts that the app server gets.
 type node struct {
 	client   GateClient
 	httpAddr string // address of the HTTP front end
--- a/internal/grpcfrontend/load_test.go
+++ b/internal/grpcfrontend/load_test.go
@@ -125,8 +125,8 @@
 }
 
 // Guards against wrong attempts under load over both protocols. No purchase may run twice or without its check, no denied
-// request may run, and each request must have its response in time. The authorizer answers after the deadline, drops calls,
-// sends malformed answers, denies requests and restarts.
+// request may run, and each request must have its response in time. The authorizer answers some calls late, drops
+// others, sends malformed answers, denies requests and restarts.
 func TestLoadWithAnAuthorizerThatMisbehaves(t *testing.T) {
 	const clients, requests = 8, 400
 	server, err := labauthz.Start("127.0.0.1:0", labauthz.Config{
--- a/internal/grpcfrontend/wireformat_test.go
+++ b/internal/grpcfrontend/wireformat_test.go
@@ -186,8 +186,8 @@
 	attempts map[string]string // text of the last attempt, by request id
 }
 
-// serve records an attempt. It closes the connection for customers whose number ends with fe, and rejects those whose number
-// ends with ff.
+// serve records an attempt. It closes the connection for customers whose hexadecimal number ends with fe, and rejects
+// those whose number ends with ff.
 func (a *appRecorder) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	r.Header.Set(protocol.HeaderTimeout, fmt.Sprint(r.Header.Get(protocol.HeaderTimeout) != ""))
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -34,7 +34,8 @@
 }
 
 // A malformed endpoint list in the platform's file must not prevent a start or a reload's switch of discovery, because discovery
-// sends the list anyway. Any other malformed value must prevent both. LoadPlatformFile must reject either.
+// sends the list anyway. Any other malformed value must prevent both. LoadPlatformFile must reject a malformed
+// endpoint list too.
 func TestMalformedKnownListDoesNotPreventStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -66,8 +66,8 @@
 // allParts is an operator file that enables every optional part that needs no gRPC.
 const allParts = "[shadow]\nenabled = true\n[health_checks]\nenabled = true\n[quota]\nstore = \"127.0.0.1:1\"\n"
 
-// fleetConfig returns a configuration for node 2 of three nodes, which are allowed to share health checks. peer is the address of
-// the node's peer socket.
+// fleetConfig changes text to a configuration of the node with number 2, from 0, of three nodes. They are allowed to share health
+// checks. peer is the address of the node's peer socket.
 func fleetConfig(text, peer string) string {
 	return strings.NewReplacer(`"peer_listen":"127.0.0.1:0"`, `"peer_listen":"`+peer+`"`,
 		`["127.0.0.5:7946"]`, `["127.0.0.1:1","127.0.0.1:2","`+peer+`"]`,
@@ -233,7 +233,7 @@
 }
 
 // A start that fails at some part must not leak the parts opened before. Close must release them. The start fails because an
-// address does not belong to this machine.
+// address does not belong to this machine, or because the program has no gRPC front end.
 func TestFailedStartLeaksNothing(t *testing.T) {
 	discovery := nodetest.ServeHTTP(t, respondNoChange)
 	for _, test := range []struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,10 +27,10 @@
 
 // Node is one edge node. It owns the node's parts from Start to Close.
 //
-// Only one goroutine at a time may call the exported methods. As an exception, Drain may run at the same time as LogCounters
-// and Reload, as it does in Run. The parts call some unexported methods on their own goroutines, for example sendToPeer and
-// updateEndpoints. Every field that Drain or such a method reads is written before the goroutine that runs it starts. The
-// parts are safe for concurrent use.
+// Only one goroutine at a time may call the exported methods. As an exception, Drain may run at the same time as any method but
+// Start. Run, for example, calls LogCounters and Reload during Drain. The parts call some unexported methods on their own
+// goroutines, for example sendToPeer and updateEndpoints. Start writes every field that Drain or such a method reads before
+// that method can run. The parts are safe for concurrent use.
 type Node struct {
 	config   *Config // current configuration; replaced by Reload
 	limits   netio.Limits
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -101,7 +101,7 @@
 }
 
 // A log reader that stops reading must not block the node. The test fills the pipe of the log before the node starts. The node
-// must still serve, and end on SIGTERM.
+// must still accept connections, and end on SIGTERM.
 func TestBlockedLogDoesNotDelayShutdown(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
--- a/internal/operatorfile/errors_test.go
+++ b/internal/operatorfile/errors_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against a value in the place of a table that is accepted. The text of the error contains the name of a Go type, which
-// may change, so that the test leaves it out.
+// Guards against a file that is accepted although it has a value in the place of a table. The text of the error contains the
+// name of a Go type, which may change, so the test leaves that name out.
 func TestErrorOfAValueForATable(t *testing.T) {
 	_, errs := Parse("duties = true\n")
 	if len(errs) != 1 || errs[0].Key != "(file)" || !strings.HasPrefix(errs[0].Reason, `toml: line 1 (last key "duties"): type mismatch for `) ||
--- a/internal/operatorfile/settings_test.go
+++ b/internal/operatorfile/settings_test.go
@@ -20,7 +20,7 @@
 }
 
 // Guards against an override that changes a setting that the file does not give, writes the wrong unit, or writes into the
-// platform's own settings. The engine's unit of time is 0.1 ms, so that 1500.5 ms becomes 15005.
+// platform's own settings. The engine's unit of time is 0.1 ms, so 1500.5 ms becomes 15005.
 func TestApply(t *testing.T) {
 	defaults, base := Default(), settings.Parse(platformSettings)
 	if set, err := defaults.Settings.Apply(base); err != nil || !reflect.DeepEqual(set, settings.Parse(platformSettings)) || defaults.Shadow.Enabled {
