--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,8 +29,8 @@
 //
 // Only one goroutine at a time may call the exported methods. As an exception, Drain may run at the same time as any method but
 // Start. Run, for example, calls LogCounters and Reload during Drain. The parts call some unexported methods on their own
-// goroutines, for example sendToPeer and updateEndpoints. Start writes every field that Drain or such a method reads before
-// that method can run. The parts are safe for concurrent use.
+// goroutines, for example sendToPeer and updateEndpoints. New and Start write every field that Drain or such a method reads
+// before that method can run. The parts are safe for concurrent use.
 type Node struct {
 	config   *Config // current configuration; replaced by Reload
 	limits   netio.Limits
