--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -34,7 +34,8 @@
 }
 
 // A malformed endpoint list in the platform's file must not prevent a start or a reload's switch of discovery, because discovery
-// sends the list anyway. Any other malformed value must prevent both. LoadPlatformFile must reject either.
+// sends the list anyway. Any other malformed value must prevent both. LoadPlatformFile must reject a malformed
+// endpoint list too.
 func TestMalformedKnownListDoesNotPreventStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv(EnvConfig, file)
@@ -54,7 +55,7 @@
 			wantReload(t, current, "127.0.0.8:8500")
 			nodetest.WriteFile(t, file, text)
 			if _, err := LoadPlatformFile(file); err == nil {
-				t.Errorf("LoadPlatformFile() with known %s returned no error, want one", known)
+				t.Errorf("LoadPlatformFile() with the invalid value %s of the key known returned no error, want one", known)
 			}
 			nodetest.WriteFile(t, file, strings.Replace(text, "8c1f30d27a5be964", "seed", 1))
 			if _, err := loadConfig(); err == nil {
