--- a/internal/decision/host_test.go
+++ b/internal/decision/host_test.go
@@ -421,7 +421,7 @@
 	}
 	limit := h.set.Number(settings.OverloadMultiple) * share * float64(span)
 	if float64(work)*h.set.Number(settings.Nodes) > limit*1.1 {
-		h.fail("warming server %d got work of %.0f from all nodes (%d from each of %s), want at most %.1f (units of 0.1 ms)",
-			s.id, float64(work)*h.set.Number(settings.Nodes), work, h.set[settings.Nodes], limit*1.1)
+		h.fail("warming server %d got work of %.0f within the overload span of %d (this node's %d, multiplied by %s nodes), want at most %.1f (units of 0.1 ms)",
+			s.id, float64(work)*h.set.Number(settings.Nodes), span, work, h.set[settings.Nodes], limit*1.1)
 	}
 }
--- a/internal/decision/outlier.go
+++ b/internal/decision/outlier.go
@@ -196,8 +196,9 @@
 	return state.suspicions.count >= minExcessSuspicions+mean+suspicionDeviations*math.Sqrt(mean)
 }
 
-// reportable reports whether peers should receive a suspicion of the server. This node must have found the failure
-// itself. Without quota owners, the ejection must not have ended.
+// reportable reports whether peers should receive a suspicion of the server. They receive it only for failures that this
+// node found itself, not for those that a peer reported. Without quota owners, they receive it only while the server is
+// ejected; with them, also for failures without an ejection or after its end.
 func (d *outlierDetector) reportable(state *outlierState, now Time) bool {
 	return state.failures > 0 && !state.fromPeer && (d.config.usesOwners || now < state.ejectedUntil)
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -45,8 +45,8 @@
 	}
 	// Each node sends 30 requests a second to 21 servers. A warm server completes its share of them.
 	if maxAttempts := 4 * 0.25 * (30.0 * nodes / 21) * 2; len(firstServers) < 10 || float64(coldAttempts) > maxAttempts || coldAttempts == 0 {
-		t.Fatalf("first attempts went to %d servers, want at least 10; the cold server got %d attempts, want 1 to %.0f",
-			len(firstServers), coldAttempts, maxAttempts)
+		t.Fatalf("the first requests of %d nodes went to %d different servers, want at least 10; the cold server got %d attempts, want 1 to %.0f",
+			nodes, len(firstServers), coldAttempts, maxAttempts)
 	}
 }
 
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -117,7 +117,7 @@
 		}
 		engine.UpdateEndpoints(ListUpdate, []Endpoint{{Server: 1 << 30, State: Ready, Weight: 1}})
 		if engine.endpoints.ready != servers+1 || engine.endpoints.order.count != engine.endpoints.ready {
-			t.Errorf("%d servers and one more: %d are ready and %d in the order, want %d each",
+			t.Errorf("%d servers and one more: %d are ready and endpoints.order holds %d, want %d each",
 				servers, engine.endpoints.ready, engine.endpoints.order.count, servers+1)
 		}
 	}
--- a/internal/decision/timers_test.go
+++ b/internal/decision/timers_test.go
@@ -159,8 +159,10 @@
 	if pushed.startPollIfDue(99 * Second) {
 		t.Error("startPollIfDue() = true where discovery pushes its lists, want false")
 	}
-	if first := timers.startPollIfDue(Second); !first || timers.startPollIfDue(99*Second) {
-		t.Errorf("startPollIfDue() of a new node = %v, want true; if so, the next call returned true while that poll was in flight, want false", first)
+	if !timers.startPollIfDue(Second) {
+		t.Error("startPollIfDue() of a new node = false, want true")
+	} else if timers.startPollIfDue(99 * Second) {
+		t.Error("startPollIfDue() = true while the first poll is in flight, want false")
 	}
 	timers.pollFailed(2*Second, 99999, &rng)
 	next := timers.pollAt
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -61,7 +61,7 @@
 	executing    bool             // whether the server executes the attempt
 	responseLost bool             // whether a fault drops the response
 	deadline     time.Duration    // virtual time after which the server rejects the queued attempt
-	outcome      protocol.Outcome // result of the execution, or the result that the node reports
+	outcome      protocol.Outcome // result of the execution, once it begins; once a result is reported, the reported one
 }
 
 // send sends an attempt to a server. A timeout of 0 or less stands for no timeout.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -53,9 +53,12 @@
 		all := assignTenants(c, func(int) bool { return true })
 		some := assignTenants(c, func(n int) bool { return n == 1 })
 		live := c.Real + c.Simulated
-		if len(all) != live || !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].cumulative, some[1].cumulative) {
-			t.Fatalf("assignTenants of %d tenants returned %d populations; want %d, and node 1 with the same tenants and cumulative shares "+
-				"whether all nodes or only node 1 are wanted", c.Tenants, len(all), live)
+		if len(all) != live {
+			t.Fatalf("assignTenants of %d tenants returned %d populations, want %d", c.Tenants, len(all), live)
+		}
+		if !slices.Equal(all[1].tenants, some[1].tenants) || !slices.Equal(all[1].cumulative, some[1].cumulative) {
+			t.Fatalf("with only node 1 wanted, node 1 has the tenants %v with the cumulative shares %v; want %v with %v, as with all nodes wanted",
+				some[1].tenants, some[1].cumulative, all[1].tenants, all[1].cumulative)
 		}
 		rng := rand.New(rand.NewPCG(1, 2))
 		for n := range all {
--- a/internal/peersocket/wireformat_test.go
+++ b/internal/peersocket/wireformat_test.go
@@ -35,7 +35,7 @@
 	for _, message := range []struct {
 		to       int
 		payload  []byte
-		receiver int // number of the peer that receives the message; -1 for none
+		receiver int // index in peers of the receiving socket: 0 and 1 are the peers, 2 is the address for all peers; -1 for none
 	}{
 		{to: 0, payload: []byte{1, 0, 255}, receiver: 0},
 		{to: 1, payload: []byte("text\r\n"), receiver: 1},
